--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -24,13 +24,19 @@
 @click.option("--quick", is_flag=True, help="Fewer repetitions: under 50 s.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object, and no progress.")
 @click.option("--seed", type=int, default=1, metavar="N", show_default=True)
-@click.option("--against", type=click.Path(exists=True, file_okay=False, resolve_path=True), metavar="DIR",
-              help="door, scale: also measure the front door of another checkout, in the same run.")
-@click.option("--out", type=click.Path(dir_okay=False, resolve_path=True), metavar="FILE",
-              help="scale: also write the result as JSON to a file.")
-def main(
-    name: str, quick: bool, as_json: bool, seed: int, against: str | None, out: str | None
-) -> None:
+@click.option(
+    "--against",
+    type=click.Path(exists=True, file_okay=False, resolve_path=True),
+    metavar="DIR",
+    help="door, scale: also measure the front door of another checkout, in the same run.",
+)
+@click.option(
+    "--out",
+    type=click.Path(dir_okay=False, resolve_path=True),
+    metavar="FILE",
+    help="scale: also write the result as JSON to a file.",
+)
+def main(name: str, quick: bool, as_json: bool, seed: int, against: str | None, out: str | None) -> None:
     """Measure one subject and end with the exit code of its aims."""
     if name == "list":
         docs = {subject: first_line(subject) for subject in SUBJECTS}
--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -38,8 +38,7 @@
         folder.mkdir()
         doors.append(FakeDoor(entry.doors[0]))
         await doors[-1].start(folder / f"{entry.doors[0]}.sock")
-        agent = Agent(entry.name, fleet.names, folder, Journal(folder / "journal", entry.name),
-                      unasked, 0.1)
+        agent = Agent(entry.name, fleet.names, folder, Journal(folder / "journal", entry.name), unasked, 0.1)
         agent.start()
         agents.append(agent)
         config = hypercorn_config(urlsplit(entry.url).netloc, None, file)
--- a/benchmarks/council.py
+++ b/benchmarks/council.py
@@ -42,11 +42,21 @@
 REQUESTS, QUICK_REQUESTS = 2000, 800
 DEATH_S = {9: 7.7, 50: 11.8, 200: 14.7}  # the design note's bounds, of a beat of 0.5 s
 AIMS = {
-    "most_settle_3_p99_ms": 200.0, "most_settle_9_p99_ms": 200.0, "most_settle_50_p99_ms": 200.0,
-    "most_settle_200_p99_ms": 200.0, "most_everywhere_200_p99_ms": 500.0, "most_replaced_9_s": 3.0,
-    "most_replaced_50_s": 3.0, "most_replaced_200_s": 3.0, "most_death_9_s": DEATH_S[9],
-    "most_death_50_s": DEATH_S[50], "most_death_200_s": DEATH_S[200], "most_histories_broken": 0.0,
-    "most_membership_words_200": 4.0, "most_tree_words_200": 9.0, "most_cpu_more_percent": 3.0,
+    "most_settle_3_p99_ms": 200.0,
+    "most_settle_9_p99_ms": 200.0,
+    "most_settle_50_p99_ms": 200.0,
+    "most_settle_200_p99_ms": 200.0,
+    "most_everywhere_200_p99_ms": 500.0,
+    "most_replaced_9_s": 3.0,
+    "most_replaced_50_s": 3.0,
+    "most_replaced_200_s": 3.0,
+    "most_death_9_s": DEATH_S[9],
+    "most_death_50_s": DEATH_S[50],
+    "most_death_200_s": DEATH_S[200],
+    "most_histories_broken": 0.0,
+    "most_membership_words_200": 4.0,
+    "most_tree_words_200": 9.0,
+    "most_cpu_more_percent": 3.0,
     "most_longest_turn_9_ms": 2.0,
 }
 
@@ -99,8 +109,11 @@
             times = await settle_times(tier, marks)
             longest = max(state["council_longest_turn_us"] for state in (await tier.states()).values())
             figures = {
-                f"formed_{count}_s": formed_s, f"settle_{count}_p50_ms": quantile(times, 0.5),
-                f"settle_{count}_p99_ms": quantile(times, 0.99), f"longest_turn_{count}_ms": longest / 1000}
+                f"formed_{count}_s": formed_s,
+                f"settle_{count}_p50_ms": quantile(times, 0.5),
+                f"settle_{count}_p99_ms": quantile(times, 0.99),
+                f"longest_turn_{count}_ms": longest / 1000,
+            }
             replaced, death = [], []
             for _ in range(kills if count > 3 else 0):
                 states = await tier.states()
@@ -130,14 +143,20 @@
     beats = (play.now - begin) / (BEAT_MS * MS)
 
     def words_of(part: str, rank: Callable[[list[float]], float]) -> float:
-        return rank([(play.words_out.get((door, part), 0) - words.get((door, part), 0)) / beats
-                     for door in range(count)])
+        return rank(
+            [
+                (play.words_out.get((door, part), 0) - words.get((door, part), 0)) / beats
+                for door in range(count)
+            ]
+        )
 
     bytes_s = [(play.bytes_out[door] - sent[door]) / QUIET_S for door in range(count)]
     figures = {
         f"membership_words_{count}": words_of("membership", statistics.mean),
         f"tree_words_{count}": words_of("spread", max),
-        f"bytes_s_most_{count}": max(bytes_s), f"bytes_s_mean_{count}": statistics.mean(bytes_s)}
+        f"bytes_s_most_{count}": max(bytes_s),
+        f"bytes_s_mean_{count}": statistics.mean(bytes_s),
+    }
     draw, settled, everywhere = Random(f"{seed}:marks"), [], []
     for _ in range(marks):
         told = play.marks[play.mark(draw.randrange(count))]
@@ -148,7 +167,8 @@
         everywhere.append((told.everywhere_us - told.asked_us) / MS)
         play.run(play.now + draw.randrange(S // 4))
     figures |= {
-        f"settle_{count}_p50_ms": quantile(settled, 0.5), f"settle_{count}_p99_ms": quantile(settled, 0.99),
+        f"settle_{count}_p50_ms": quantile(settled, 0.5),
+        f"settle_{count}_p99_ms": quantile(settled, 0.99),
         f"everywhere_{count}_p99_ms": quantile(everywhere, 0.99),
     }
     replaced, death, at = [], [], play.now
@@ -161,8 +181,10 @@
         while not play.leaders():
             play.run(play.now + 10 * MS)
         replaced.append((play.now - at) / S)
-        while any(name in {life.name for life in play.cored[door].parts.membership.alive()}
-                  for door in play.living()):
+        while any(
+            name in {life.name for life in play.cored[door].parts.membership.alive()}
+            for door in play.living()
+        ):
             play.run(play.now + 100 * MS)
         death.append((play.now - at) / S)
     return figures | {f"replaced_{count}_s": max(replaced), f"death_{count}_s": max(death)}
@@ -199,8 +221,12 @@
             try:
                 for name in ("n1", "n2"):
                     await tier.members[name].start()
-                await until(tier, lambda states: all(
-                    state["council_session"] and len(state["alive"]) == 3 for state in states.values()))
+                await until(
+                    tier,
+                    lambda states: all(
+                        state["council_session"] and len(state["alive"]) == 3 for state in states.values()
+                    ),
+                )
                 return await rounds_of({"off": plain[0], "on": beside[0]}, loop, rounds, count)
             finally:
                 await finish(beside)
@@ -220,9 +246,12 @@
             taken[side].append((await cost(loop, door.process.pid, door.address, count))[0])
     ratios = [on / off for on, off in zip(taken["on"], taken["off"], strict=True)]
     memory = {side: door.usage()[1] / (1 << 20) for side, door in doors.items()}
-    return {"cpu_off_us": statistics.median(taken["off"]), "cpu_on_us": statistics.median(taken["on"]),
-            "cpu_more_percent": 100 * (statistics.median(ratios) - 1),
-            "memory_more_mb": memory["on"] - memory["off"]}
+    return {
+        "cpu_off_us": statistics.median(taken["off"]),
+        "cpu_on_us": statistics.median(taken["on"]),
+        "cpu_more_percent": 100 * (statistics.median(ratios) - 1),
+        "memory_more_mb": memory["on"] - memory["off"],
+    }
 
 
 # --- all ---
@@ -245,8 +274,10 @@
     with ProcessPoolExecutor(WORKERS) as pool:
         virtual_kills = QUICK_VIRTUAL_KILLS if quick else VIRTUAL_KILLS
         virtual_marks = QUICK_VIRTUAL_MARKS if quick else VIRTUAL_MARKS
-        plays = [loop.run_in_executor(pool, virtual, count, virtual_marks, virtual_kills, seed)
-                 for count in (QUICK_VIRTUAL if quick else VIRTUAL)]
+        plays = [
+            loop.run_in_executor(pool, virtual, count, virtual_marks, virtual_kills, seed)
+            for count in (QUICK_VIRTUAL if quick else VIRTUAL)
+        ]
         histories = QUICK_HISTORIES if quick else HISTORIES
         seeds = range(seed * 1_000_000, seed * 1_000_000 + histories)
         found = [loop.run_in_executor(pool, history, each) for each in seeds]
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -62,8 +62,9 @@
         self.reader.feed(data)
         while (words := self.reader.gets()) is not False:
             value = words[2]
-            self.transport.write(b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n"
-                                 % (len(value), value, len(REPORT), REPORT))
+            self.transport.write(
+                b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(REPORT), REPORT)
+            )
 
 
 def cpu_s(pid: int) -> float:
@@ -80,9 +81,15 @@
     def command(self) -> bytes:
         self.serial += 1
         customer = self.serial % CUSTOMERS
-        return encode([b"SVC.QUERY", b"%016x" % customer, b"%016x" % self.serial,
-                       b"c=%b,t=%b,d=1900,units=1,spread=1,first=0"
-                       % (CLASSES[0].name.encode(), PLANS[0].name.encode())])
+        return encode(
+            [
+                b"SVC.QUERY",
+                b"%016x" % customer,
+                b"%016x" % self.serial,
+                b"c=%b,t=%b,d=1900,units=1,spread=1,first=0"
+                % (CLASSES[0].name.encode(), PLANS[0].name.encode()),
+            ]
+        )
 
     async def run(self, address: Address, count: int) -> int:
         """Ask `count` times over all clients; how many were served."""
@@ -92,7 +99,8 @@
         async def client(times: int) -> None:
             nonlocal served
             _, connection = await asyncio.get_running_loop().create_connection(
-                lambda: ClientConnection("door", facts), *address)
+                lambda: ClientConnection("door", facts), *address
+            )
             for _ in range(times):
                 reply = await connection.ask(self.command())
                 served += isinstance(reply, bytes | list)
@@ -123,8 +131,12 @@
     discovery = await agent.start(host)
     door = Door("n0", 0, host, facts, command)
     door.write_config(
-        name="n0", listen="{}:{}".format(*door.address), discovery="{}:{}".format(*discovery),
-        limits={"cores": 1.0, "memory_mb": 192, "sockets": 1024}, settings=open_settings(), seed="1",
+        name="n0",
+        listen="{}:{}".format(*door.address),
+        discovery="{}:{}".format(*discovery),
+        limits={"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        settings=open_settings(),
+        seed="1",
         known=agent.known(),
     )
     door.start()
@@ -151,8 +163,10 @@
         return ("env", f"PYTHONPATH={root}", *command) if root else command
 
     async def start(self, servers: int) -> dict[str, tuple[Door, Agent]]:
-        return {side: await start_door(self.host, servers, self.target, self.command(side, DOOR))
-                for side in self.roots}
+        return {
+            side: await start_door(self.host, servers, self.target, self.command(side, DOOR))
+            for side in self.roots
+        }
 
 
 async def finish(started: tuple[Door, Agent]) -> None:
@@ -173,8 +187,9 @@
         for number in range(LIST_CHANGES):
             state = Listed.SERVING if number % 2 else Listed.DRAINING
             # The first stays as it is, so that requests have a place to go.
-            await agent.learn([registry.put(f"s-{each}", "plant-building", state, 0)
-                               for each in range(1, servers)])
+            await agent.learn(
+                [registry.put(f"s-{each}", "plant-building", state, 0) for each in range(1, servers)]
+            )
             await asyncio.sleep(LIST_EVERY_S)
         await asking
     finally:
@@ -216,8 +231,11 @@
     times, count = (QUICK_ROUNDS, QUICK_REQUESTS) if quick else (ROUNDS, REQUESTS)
     backend = Listener(host, Instant)
     sides = Sides(host, backend.address, against)
-    bare = subprocess.Popen([sys.executable, "-m", "benchmarks.passthrough", host, str(backend.address[1])],
-                            stdout=subprocess.PIPE, preexec_fn=die_with_parent())
+    bare = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.passthrough", host, str(backend.address[1])],
+        stdout=subprocess.PIPE,
+        preexec_fn=die_with_parent(),
+    )
     assert bare.stdout is not None
     address = host, int(await asyncio.to_thread(bare.stdout.readline))
     figures: dict[str, float] = {"served_share": 1.0}
@@ -240,8 +258,10 @@
                 turn = await longest_turn(sides, side, loop, servers, count)
                 figures[f"{side}longest_turn_ms_{servers}"] = round(turn, 2)
             if progress:
-                print(f"{servers} servers: {figures[f'ratio_{servers}']:.1f} times the pass-through",
-                      file=sys.stderr)
+                print(
+                    f"{servers} servers: {figures[f'ratio_{servers}']:.1f} times the pass-through",
+                    file=sys.stderr,
+                )
     finally:
         bare.kill()
         bare.wait()
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -92,16 +92,27 @@
         lines = ['token = "token"', "timeout-s = 30.0", "agree-s = 60.0", "confirm-s = 60.0"]
         for number, (holder, address) in enumerate(held):
             stack.callback(holder.close)
-            lines += ["[[agents]]", f'name = "a{number}"', 'url = "http://{}:{}"'.format(*address),
-                      f'doors = ["n{number}"]']
+            lines += [
+                "[[agents]]",
+                f'name = "a{number}"',
+                'url = "http://{}:{}"'.format(*address),
+                f'doors = ["n{number}"]',
+            ]
         file = folder / "fleet.toml"
         file.write_text("\n".join(lines))
         (folder / "token").touch(0o600)
         (folder / "token").write_text("benchmark-token-0001")
-        processes = [stack.enter_context(subprocess.Popen(
-            [sys.executable, "-m", "benchmarks.agents", str(file), str(first), str(PER_PROCESS)],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, preexec_fn=die_with_parent(),
-        )) for first in range(0, AGENTS, PER_PROCESS)]
+        processes = [
+            stack.enter_context(
+                subprocess.Popen(
+                    [sys.executable, "-m", "benchmarks.agents", str(file), str(first), str(PER_PROCESS)],
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
+                    preexec_fn=die_with_parent(),
+                )
+            )
+            for first in range(0, AGENTS, PER_PROCESS)
+        ]
         try:
             for process in processes:
                 assert process.stdout is not None
@@ -116,10 +127,12 @@
                 assert process.stdin is not None
                 process.stdin.close()
                 process.wait()
-        return {"status_200_s": round(statistics.median(first), 3),
-                "status_200_again_s": round(statistics.median(warm), 3),
-                "order_200_p50_s": round(quantile(found, 0.5) / 1000, 2),
-                "order_200_p99_s": round(quantile(found, 0.99) / 1000, 2)}
+        return {
+            "status_200_s": round(statistics.median(first), 3),
+            "status_200_again_s": round(statistics.median(warm), 3),
+            "order_200_p50_s": round(quantile(found, 0.5) / 1000, 2),
+            "order_200_p99_s": round(quantile(found, 0.99) / 1000, 2),
+        }
 
 
 async def fresh_status(file: Path) -> float:
@@ -177,8 +190,9 @@
         operator.write_text(f'[control]\nsocket = "{socket}"\n')
         backend = Listener(host, Instant)
         off, off_agent = await start_door(host, SERVERS, backend.address)
-        on, on_agent = await start_door(host, SERVERS, backend.address,
-                                        (*FRONT_DOOR, "--operator", str(operator)))
+        on, on_agent = await start_door(
+            host, SERVERS, backend.address, (*FRONT_DOOR, "--operator", str(operator))
+        )
         taken: dict[str, list[float]] = {"off": [], "on": [], "idle": []}
 
         async def measure_door(which: str, door: Door) -> None:
@@ -210,8 +224,12 @@
         pairs = zip(taken[one], taken[other], strict=True)
         return 100 * statistics.median(first / second - 1 for first, second in pairs)
 
-    return {"control_cpu_more_percent": more("on", "off"), "watcher_cpu_more_percent": more("on", "idle"),
-            "control_off_us": statistics.median(taken["off"]), "control_memory_more_mb": memory}
+    return {
+        "control_cpu_more_percent": more("on", "off"),
+        "watcher_cpu_more_percent": more("on", "idle"),
+        "control_off_us": statistics.median(taken["off"]),
+        "control_memory_more_mb": memory,
+    }
 
 
 async def everything(quick: bool, seed: int, progress: bool) -> Result:
@@ -224,15 +242,20 @@
         say(f"{text}: {found}")
         return found
 
-    figures = await step("control", control_cost(*((QUICK_COST_PAIRS, QUICK_COST_ROUNDS) if quick
-                                                   else (COST_PAIRS, COST_ROUNDS))))
+    figures = await step(
+        "control",
+        control_cost(*((QUICK_COST_PAIRS, QUICK_COST_ROUNDS) if quick else (COST_PAIRS, COST_ROUNDS))),
+    )
     times = await orders_under_traffic(QUICK_ORDERS if quick else ORDERS, seed)
-    figures |= {"order_5_p50_ms": round(quantile(times, 0.5), 1),
-                "order_5_p99_ms": round(quantile(times, 0.99), 1)}
+    figures |= {
+        "order_5_p50_ms": round(quantile(times, 0.5), 1),
+        "order_5_p99_ms": round(quantile(times, 0.99), 1),
+    }
     figures |= await step("agents", many_agents(QUICK_BIG_ORDERS if quick else BIG_ORDERS, say))
     done = await trials(QUICK_TRIALS if quick else TRIALS, seed, say)
     figures |= {
-        "trials": float(len(done)), "trials_true": float(sum(not trial.wrong for trial in done)),
+        "trials": float(len(done)),
+        "trials_true": float(sum(not trial.wrong for trial in done)),
         "requests": float(sum(trial.world.ledger.requests for trial in done)),
         "unaccounted": float(sum(trial.world.ledger.unaccounted for trial in done)),
         "rules_broken": float(sum(len(trial.world.ledger.rules_broken()) for trial in done)),
@@ -241,13 +264,26 @@
         "rig_late_ms": round(max(trial.world.ledger.late_us for trial in done) / 1000, 1),
     }
     aims = {
-        "trials_true": float(len(done)), "most_unaccounted": 0.0, "most_rules_broken": 0.0,
-        "most_tracebacks": 0.0, "most_last_request_after_drain_ms": 1000.0, "most_status_200_s": 1.0,
-        "most_watcher_cpu_more_percent": 2.0, "most_control_memory_more_mb": 3.0,
+        "trials_true": float(len(done)),
+        "most_unaccounted": 0.0,
+        "most_rules_broken": 0.0,
+        "most_tracebacks": 0.0,
+        "most_last_request_after_drain_ms": 1000.0,
+        "most_status_200_s": 1.0,
+        "most_watcher_cpu_more_percent": 2.0,
+        "most_control_memory_more_mb": 3.0,
         "most_order_5_p99_ms": 1000.0,
     }
-    rows = [{"step": trial.step, "seed": trial.seed, "verdict": trial.report.verdict.value,
-             "wrong": trial.wrong, "broken": trial.world.ledger.rules_broken()} for trial in done]
+    rows = [
+        {
+            "step": trial.step,
+            "seed": trial.seed,
+            "verdict": trial.report.verdict.value,
+            "wrong": trial.wrong,
+            "broken": trial.world.ledger.rules_broken(),
+        }
+        for trial in done
+    ]
     return Result("fleet", seed, aims, figures, {"trials": rows})
 
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -64,8 +64,9 @@
     try:
         history.play()
     except BrokenError as error:
-        return Share(str(error), history.most_share, history.store.lowest / history.plan.ceiling_burst,
-                     history.granted)
+        return Share(
+            str(error), history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
+        )
     return Share("", history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted)
 
 
@@ -140,11 +141,13 @@
     overs = list(over_cores(quota_history, range(quotas), say))
     broken = [found.broken for found in shares if found.broken]
     return {
-        "share_histories": len(shares), "share_histories_broken": len(broken),
+        "share_histories": len(shares),
+        "share_histories_broken": len(broken),
         "shares_at_most": max(found.most_share for found in shares),
         "ceiling_left_at_least": round(min(found.lowest for found in shares), 6),
         "granted_in_histories": sum(found.granted for found in shares),
-        "quota_histories": len(overs), "quota_over_units": round(max(found.units for found in overs), 2),
+        "quota_histories": len(overs),
+        "quota_over_units": round(max(found.units for found in overs), 2),
         "quota_over_of_bound": round(max(found.part for found in overs), 4),
         "quota_ceiling_over_units": round(max(found.ceiling for found in overs), 3),
     }, {"broken": broken[:3]}
@@ -202,12 +205,19 @@
 def cases(quick: bool) -> list[Case]:
     split_s = QUICK_SPLIT_S if quick else SPLIT_S
     kinds = (
-        ("one_door", False, 0.0, 0.0), ("moves", True, 0.0, 0.0), ("one_door_loss", False, 0.3, 0.0),
-        ("moves_loss", True, 0.3, 0.0), ("moves_split", True, 0.3, split_s),
+        ("one_door", False, 0.0, 0.0),
+        ("moves", True, 0.0, 0.0),
+        ("one_door_loss", False, 0.3, 0.0),
+        ("moves_loss", True, 0.3, 0.0),
+        ("moves_split", True, 0.3, split_s),
     )
-    return [Case(limit, name, plan, moves, loss, lasts, with_limits, seed)
-            for limit, plan in (("quota", PLAN), ("ceiling", CEILING)) for name, moves, loss, lasts in kinds
-            for with_limits in (False, True) for seed in (QUICK_SEEDS if quick else SEEDS)]
+    return [
+        Case(limit, name, plan, moves, loss, lasts, with_limits, seed)
+        for limit, plan in (("quota", PLAN), ("ceiling", CEILING))
+        for name, moves, loss, lasts in kinds
+        for with_limits in (False, True)
+        for seed in (QUICK_SEEDS if quick else SEEDS)
+    ]
 
 
 def moved(quick: bool, say: Callable[[str], None]) -> dict[str, float]:
@@ -254,8 +264,10 @@
         first = (node.number - draw.randrange(size)) % doors
         customer = f"{draw.randrange(customers):016x}"
         request = i.Request(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
-        history.at(2 * S + number * S // TIER_RATE,
-                   lambda node=node, request=request: history.tell(node, request))  # type: ignore[misc]
+        history.at(
+            2 * S + number * S // TIER_RATE,
+            lambda node=node, request=request: history.tell(node, request),  # type: ignore[misc]
+        )
     history.run(2 * S)
     before = history.messages, history.bytes
     history.run((2 + TIER_SECONDS) * S)
@@ -265,9 +277,15 @@
 
 def try_us(with_limits: bool, seed: int) -> float:
     """CPU microseconds in the module for a try, of one customer in ten with a ceiling, all served."""
-    settings = i.Settings(seed=seed, me=0, gateways=3, classes=(READS,), may_tell=True,
-                          plans=(replace(PLAN, rate=1e6, burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
-                          peer_messages_per_s=60.0)
+    settings = i.Settings(
+        seed=seed,
+        me=0,
+        gateways=3,
+        classes=(READS,),
+        may_tell=True,
+        plans=(replace(PLAN, rate=1e6, burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
+        peer_messages_per_s=60.0,
+    )
     gateway = Gateway(settings, Limits(settings, LimitSettings()) if with_limits else None)
     servers = tuple(i.Server(f"s{n}", n % 3, 0, 0, i.ServerState.UP) for n in range(9))
     gateway.handle(0, i.ServerList(i.ListKind.FULL, 1, servers))
@@ -285,8 +303,9 @@
 
 def memory(count: int) -> float:
     """Bytes that limits hold for each customer with a ceiling, a quota spent here and its home elsewhere."""
-    settings = i.Settings(seed=1, me=0, gateways=3, classes=(READS,), plans=(PLAN,), may_tell=True,
-                          peer_messages_per_s=60.0)
+    settings = i.Settings(
+        seed=1, me=0, gateways=3, classes=(READS,), plans=(PLAN,), may_tell=True, peer_messages_per_s=60.0
+    )
     limits = Limits(settings, LimitSettings())
     limits.start(0)
     tracemalloc.start()
@@ -321,6 +340,7 @@
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
     """Aims: the issue's, and the bounds of docs/design/limits.md."""
+
     def say(text: str) -> None:
         if progress:
             print(text, file=sys.stderr)
@@ -332,9 +352,17 @@
     say("days of the whole program: done")
     figures |= costs(quick)
     aims = {
-        "most_share_histories_broken": 0.0, "most_shares_at_most": 1.0, "ceiling_left_at_least": -1e-6,
-        "most_quota_over_of_bound": 1.0, "quota_one_door": 0.95, "quota_moves": 0.95, "ceiling_one_door": 0.9,
-        "ceiling_moves": 0.9, "quota_one_door_loss": 0.85, "quota_moves_loss": 0.85, "days_in_order": 1.0,
+        "most_share_histories_broken": 0.0,
+        "most_shares_at_most": 1.0,
+        "ceiling_left_at_least": -1e-6,
+        "most_quota_over_of_bound": 1.0,
+        "quota_one_door": 0.95,
+        "quota_moves": 0.95,
+        "ceiling_one_door": 0.9,
+        "ceiling_moves": 0.9,
+        "quota_one_door_loss": 0.85,
+        "quota_moves_loss": 0.85,
+        "days_in_order": 1.0,
         "most_messages_per_s_50": 60.0,
     }
     return Result("limits", seed, aims, figures, more)
--- a/benchmarks/result.py
+++ b/benchmarks/result.py
@@ -34,7 +34,15 @@
 
     def json(self) -> str:
         missed = self.missed()
-        return json.dumps({
-            "name": self.name, "ok": not missed, "missed": missed, "aims": self.aims, "figures": self.figures,
-            "cores": os.cpu_count(), "seed": self.seed, **self.more,
-        })
+        return json.dumps(
+            {
+                "name": self.name,
+                "ok": not missed,
+                "missed": missed,
+                "aims": self.aims,
+                "figures": self.figures,
+                "cores": os.cpu_count(),
+                "seed": self.seed,
+                **self.more,
+            }
+        )
--- a/benchmarks/scale/backends.py
+++ b/benchmarks/scale/backends.py
@@ -45,8 +45,9 @@
                 continue
             value = words[2]
             self.role.noted.append((now_s, door_of(value), self.number))
-            self.transport.write(b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n"
-                                 % (len(value), value, len(REPORT), REPORT))
+            self.transport.write(
+                b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(REPORT), REPORT)
+            )
 
     def connection_lost(self, error: Exception | None) -> None:
         self.role.open[self.number].discard(self)
--- a/benchmarks/scale/catalogue.py
+++ b/benchmarks/scale/catalogue.py
@@ -32,10 +32,18 @@
 
     def text(self, change: Change) -> bytes:
         number = change.number
-        return (b'{"instanceId":"s-%08x","hostPort":"%b","zone":"z%02d","machineType":"two-core","cell":%d,'
-                b'"lifecycle":"%b","weight":1.0,"startedAtMs":%d}'
-                % (number, shown(backend_address(number, self.port)).encode(), number % ZONES, number % CELLS,
-                   change.state.encode(), change.started_ms))
+        return (
+            b'{"instanceId":"s-%08x","hostPort":"%b","zone":"z%02d","machineType":"two-core","cell":%d,'
+            b'"lifecycle":"%b","weight":1.0,"startedAtMs":%d}'
+            % (
+                number,
+                shown(backend_address(number, self.port)).encode(),
+                number % ZONES,
+                number % CELLS,
+                change.state.encode(),
+                change.started_ms,
+            )
+        )
 
     def change(self, changes: Iterable[Change]) -> bytes:
         """Take over a batch; its line."""
@@ -55,8 +63,11 @@
         return self.line(False, body)
 
     def line(self, reset: bool, body: bytes) -> bytes:
-        return (b'{"generation":%d,"reset":%b,"instances":[%b]}\n'
-                % (self.version, b"true" if reset else b"false", body))
+        return b'{"generation":%d,"reset":%b,"instances":[%b]}\n' % (
+            self.version,
+            b"true" if reset else b"false",
+            body,
+        )
 
     def whole(self) -> bytes:
         """The list in one object, made once for each version."""
--- a/benchmarks/scale/doors.py
+++ b/benchmarks/scale/doors.py
@@ -66,15 +66,26 @@
 
 
 def make(
-    name: str, number: int, tier: Tier, host: str, discovery: Address, known: str, of: Sequence[str],
+    name: str,
+    number: int,
+    tier: Tier,
+    host: str,
+    discovery: Address,
+    known: str,
+    of: Sequence[str],
 ) -> Real:
     """A front door with its configuration written, and not started; the known list is JSON already."""
     facts: list[Fact] = []
     door = Door(name, number, host, facts, of)
     door.write_config(
-        name=name, listen=shown(door.address), discovery=shown(discovery), settings=tier.settings(number),
-        limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}, seed=f"{number:x}",
-        peer_listen=shown(peer_address(number, tier.peer_port)), peers=tier.peers(),
+        name=name,
+        listen=shown(door.address),
+        discovery=shown(discovery),
+        settings=tier.settings(number),
+        limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+        seed=f"{number:x}",
+        peer_listen=shown(peer_address(number, tier.peer_port)),
+        peers=tier.peers(),
     )
     write_known(door, known)
     return Real(name, number, door, facts)
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -22,15 +22,19 @@
 }
 
 # Figures that count by the worst of all moves, and their names then.
-WORST = {"force_s": "force_s", "turn_ms": "longest_turn_ms", "memory_mb": "memory_mb",
-         "peak_memory_mb": "peak_memory_mb"}
+WORST = {
+    "force_s": "force_s",
+    "turn_ms": "longest_turn_ms",
+    "memory_mb": "memory_mb",
+    "peak_memory_mb": "peak_memory_mb",
+}
 
 HOLLOW = {
     "discovery": "one process is all agents: real bytes on loopback, one list, an address for each door",
     "backends": "one process is all of them, each at a loopback address of its own: answers at once; one"
-                " that is gone resets what comes, instead of refusing it",
+    " that is gone resets what comes, instead of refusing it",
     "doors": "the decision module with a datagram socket, for the neighbours of real doors; the others of a"
-             " tier are addresses that nobody has, as no tenant is shared with them",
+    " tier are addresses that nobody has, as no tenant is shared with them",
     "tenants": "only those whose set holds a real door are asked for, at the rate that they have there",
     "request_us, p50, p99": "real doors, real clients' bytes; clients and backends share the machine",
     "memory, ready, turns": "real doors",
--- a/benchmarks/scale/helper.py
+++ b/benchmarks/scale/helper.py
@@ -22,8 +22,15 @@
 
     async def start(self) -> "Helper":
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.scale.role", self.name, cwd=Path(__file__).parents[2],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, limit=LINE_BYTES, preexec_fn=die_with_parent(),
+            sys.executable,
+            "-m",
+            "benchmarks.scale.role",
+            self.name,
+            cwd=Path(__file__).parents[2],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            limit=LINE_BYTES,
+            preexec_fn=die_with_parent(),
         )
         return self
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -27,8 +27,15 @@
 def configuration(tier: Tier, door: int) -> Config:
     """As a real door of that number reads its own, but for the others' addresses."""
     none = "127.0.0.1:1"
-    values = {"name": f"hollow-{door}", "listen": none, "discovery": none, "peer_listen": none,
-              "peers": [none], "seed": f"{door:x}", "settings": tier.settings(door)}
+    values = {
+        "name": f"hollow-{door}",
+        "listen": none,
+        "discovery": none,
+        "peer_listen": none,
+        "peers": [none],
+        "seed": f"{door:x}",
+        "settings": tier.settings(door),
+    }
     return parse(values, {})
 
 
@@ -63,7 +70,8 @@
 
     async def start(self) -> None:
         await self.loop.create_datagram_endpoint(
-            lambda: self, local_addr=peer_address(self.door, self.tier.peer_port))
+            lambda: self, local_addr=peer_address(self.door, self.tier.peer_port)
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
@@ -78,8 +86,18 @@
 
     def ask(self, tenant: Tenant, kind: int) -> None:
         name, rule = f"{self.door:x}-{next(self.serial)}", CLASSES[kind]
-        self.post(i.Request(name, kind, tenant.plan, tenant.name, min(1_875_000, rule.deadline_us),
-                            set_size=self.tier.spread, set_first=tenant.first, is_write=rule.is_write))
+        self.post(
+            i.Request(
+                name,
+                kind,
+                tenant.plan,
+                tenant.name,
+                min(1_875_000, rule.deadline_us),
+                set_size=self.tier.spread,
+                set_first=tenant.first,
+                is_write=rule.is_write,
+            )
+        )
 
     def post(self, event: i.Event) -> None:
         """Hand it to the module, and do what peers hear of."""
@@ -133,10 +151,13 @@
         for door in hollow:
             self.doors[door] = HollowDoor(self, played, door)
             await self.doors[door].start()
-        share = [(self.doors[door], tenant) for tenant in played.everyone()
-                 if any(played.holds(tenant, door) for door in real)
-                 for door in ((tenant.first + step) % played.doors for step in range(played.spread))
-                 if door in self.doors]
+        share = [
+            (self.doors[door], tenant)
+            for tenant in played.everyone()
+            if any(played.holds(tenant, door) for door in real)
+            for door in ((tenant.first + step) % played.doors for step in range(played.spread))
+            if door in self.doors
+        ]
         self.asks = asyncio.get_running_loop().create_task(self.ask(share, played))
         self.began_s = time.monotonic()
         return {"doors": len(hollow), "rate": sum(tenant.rate for _, tenant in share) / played.spread}
@@ -167,8 +188,11 @@
     async def do_take(self) -> dict[str, object]:
         """What real doors sent and received since the last look, with the seconds it took."""
         now_s = time.monotonic()
-        taken: dict[str, object] = {"seconds": now_s - self.began_s, "skips": self.skips,
-                                    "doors": {str(door): count for door, count in self.real.items()}}
+        taken: dict[str, object] = {
+            "seconds": now_s - self.began_s,
+            "skips": self.skips,
+            "doors": {str(door): count for door, count in self.real.items()},
+        }
         self.real, self.began_s, self.skips = {door: self.empty() for door in self.real}, now_s, 0
         return taken
 
--- a/benchmarks/scale/ladders.py
+++ b/benchmarks/scale/ladders.py
@@ -50,17 +50,38 @@
 
 LESS_DOORS = "memory_less_doors_mb"  # less what other doors take, by the ladder before
 LADDERS = (
-    Ladder("doors", DOORS, lambda size: size.doors, {
-        "bytes_a_door": ("memory_mb", MB), "request_ns_a_door": ("request_us", 1000),
-        "word_bytes_per_s_a_door": ("words_bytes_per_s", 1),
-    }, 7_500),
-    Ladder("backends", BACKENDS, lambda size: size.backends, {
-        "bytes_a_backend": (LESS_DOORS, MB), "request_ns_a_backend": ("request_us", 1000),
-        "change_ns_a_backend": ("change_us", 1000),
-    }, 93_000),
-    Ladder("tenants", TENANTS, lambda size: size.tenants * SPREAD / size.doors, {
-        "bytes_a_tenant": ("memory_mb", MB), "request_ns_a_tenant": ("request_us", 1000),
-    }, 170_000 * SPREAD / 7_500),
+    Ladder(
+        "doors",
+        DOORS,
+        lambda size: size.doors,
+        {
+            "bytes_a_door": ("memory_mb", MB),
+            "request_ns_a_door": ("request_us", 1000),
+            "word_bytes_per_s_a_door": ("words_bytes_per_s", 1),
+        },
+        7_500,
+    ),
+    Ladder(
+        "backends",
+        BACKENDS,
+        lambda size: size.backends,
+        {
+            "bytes_a_backend": (LESS_DOORS, MB),
+            "request_ns_a_backend": ("request_us", 1000),
+            "change_ns_a_backend": ("change_us", 1000),
+        },
+        93_000,
+    ),
+    Ladder(
+        "tenants",
+        TENANTS,
+        lambda size: size.tenants * SPREAD / size.doors,
+        {
+            "bytes_a_tenant": ("memory_mb", MB),
+            "request_ns_a_tenant": ("request_us", 1000),
+        },
+        170_000 * SPREAD / 7_500,
+    ),
 )
 
 MakeStage = Callable[..., Stage]
@@ -76,9 +97,13 @@
         look = await stage.look()
         await asyncio.sleep(seconds)
         window = await look.window()
-        found = {"request_us": moves.request_us(window, stage.names),
-                 **moves.shares(window, stage.names), **moves.latencies(window, stage.names),
-                 **moves.memory(stage), **await moves.words(stage)}
+        found = {
+            "request_us": moves.request_us(window, stage.names),
+            **moves.shares(window, stage.names),
+            **moves.latencies(window, stage.names),
+            **moves.memory(stage),
+            **await moves.words(stage),
+        }
         await stage.end_load()
         if changes:
             await stage.hollow_do("pause", on=True)
@@ -94,7 +119,11 @@
 
 
 async def climb(
-    make: MakeStage, ladder: Ladder, warm_s: float, seconds: float, say: Callable[[str], None],
+    make: MakeStage,
+    ladder: Ladder,
+    warm_s: float,
+    seconds: float,
+    say: Callable[[str], None],
     bytes_a_door: float = 0.0,
 ) -> tuple[Figures, dict[str, dict[str, object]]]:
     """The figures of each rung by its size, and the fits; `bytes_a_door` is a slope that is known by then."""
@@ -106,8 +135,10 @@
             found[LESS_DOORS] = found["memory_mb"] - bytes_a_door * size.doors / MB
         rungs.append((ladder.over(size), found))
         say(f"{ladder.name} {ladder.over(size):g}: {found}")
-        figures |= {f"{ladder.name}_{round(ladder.over(size))}_{name}": rounded(figure)
-                    for name, figure in found.items()}
+        figures |= {
+            f"{ladder.name}_{round(ladder.over(size))}_{name}": rounded(figure)
+            for name, figure in found.items()
+        }
     fits: dict[str, dict[str, object]] = {}
     for name, (figure, unit) in ladder.fitted.items():
         line: Fit = fit([(at, found[figure] * unit) for at, found in rungs if figure in found])
@@ -119,8 +150,10 @@
 async def beside(make: MakeStage, warm_s: float, seconds: float) -> Figures:
     """What a door receives and costs among 7 real ones, and among 3 real and 4 hollow ones: in turn, so that
     what slows the machine slows both."""
-    stages = {"real": make(EIGHT, numbers=range(8), hollow=[], of=doors.COUNTED),
-              "hollow": make(HALF, numbers=range(4), hollow=[4, 5, 6, 7], of=doors.COUNTED)}
+    stages = {
+        "real": make(EIGHT, numbers=range(8), hollow=[], of=doors.COUNTED),
+        "hollow": make(HALF, numbers=range(4), hollow=[4, 5, 6, 7], of=doors.COUNTED),
+    }
     seen: dict[str, list[Figures]] = {side: [] for side in stages}
     try:
         for stage in stages.values():
@@ -136,8 +169,11 @@
                 await stage.hollow_do("pause", on=True)
     finally:
         await asyncio.gather(*(stage.end() for stage in stages.values()))
-    return {f"beside_{side}_{name}": rounded(sum(figures[name] for figures in turns) / len(turns))
-            for side, turns in seen.items() for name in turns[0]}
+    return {
+        f"beside_{side}_{name}": rounded(sum(figures[name] for figures in turns) / len(turns))
+        for side, turns in seen.items()
+        for name in turns[0]
+    }
 
 
 async def turn(stage: Stage, seconds: float) -> Figures:
@@ -150,12 +186,19 @@
     await asyncio.sleep(LINE_S)
     compared = stage.real[: HALF.real]
     counts = [counts_in(list(real.door.log), MARK) for real in compared]
-    found = {f"{what}_per_s": sum(count[what] / count["seconds"] for count in counts) / len(counts)
-             for what in ("datagrams", "bytes")}
+    found = {
+        f"{what}_per_s": sum(count[what] / count["seconds"] for count in counts) / len(counts)
+        for what in ("datagrams", "bytes")
+    }
     names = [real.name for real in compared]
     share = sum(window.cpu_s[name] for name in names) / window.seconds / len(names)
-    return {**found, "cpu_share": share, "request_us": moves.request_us(window, names),
-            **moves.shares(window, names), **moves.latencies(window, names)}
+    return {
+        **found,
+        "cpu_share": share,
+        "request_us": moves.request_us(window, names),
+        **moves.shares(window, names),
+        **moves.latencies(window, names),
+    }
 
 
 def signal_all(stage: Stage, number: signal.Signals) -> None:
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -102,7 +102,8 @@
         try:
             async with asyncio.timeout(WAIT_S):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: Connection(self), *self.address)
+                    lambda: Connection(self), *self.address
+                )
         except (OSError, TimeoutError):
             self.counts["lost"] += 1
             return
@@ -125,8 +126,12 @@
         self.counts["lost"] += connection.due_s is not None
 
     def take(self) -> dict[str, object]:
-        taken: dict[str, object] = {**self.counts, "took_ms": self.took_ms, "late_ms": self.late_ms,
-                                    "why": self.why}
+        taken: dict[str, object] = {
+            **self.counts,
+            "took_ms": self.took_ms,
+            "late_ms": self.late_ms,
+            "why": self.why,
+        }
         self.clear()
         return taken
 
--- a/benchmarks/scale/moves.py
+++ b/benchmarks/scale/moves.py
@@ -53,10 +53,16 @@
     found: dict[str, Figures] = {}
     for (kind, stage), window, day in zip(stages.items(), windows, days, strict=True):
         helpers = {f"{role}_cpu_share": spent / window.seconds for role, spent in window.helpers_s.items()}
-        figures = {"request_us": request_us(window, stage.names), **latencies(window, stage.names),
-                   **shares(window, stage.names), **helpers,
-                   "driver_late_p99_ms": quantile(window.times_ms(stage.names, "late_ms") or [0.0], 0.99),
-                   **forced(day), **await words(stage), **memory(stage)}
+        figures = {
+            "request_us": request_us(window, stage.names),
+            **latencies(window, stage.names),
+            **shares(window, stage.names),
+            **helpers,
+            "driver_late_p99_ms": quantile(window.times_ms(stage.names, "late_ms") or [0.0], 0.99),
+            **forced(day),
+            **await words(stage),
+            **memory(stage),
+        }
         if bare in window.requests:
             figures |= {f"bare_{name}": figure for name, figure in latencies(window, [bare]).items()}
         connects = await stage.ask("backends", "take")
@@ -68,8 +74,10 @@
 def shares(window: Window, names: list[str]) -> Figures:
     """What came of the requests, as parts of all that were due."""
     due = max(1, window.total("due", names))
-    return {f"{what}_share": window.total(what, names) / due
-            for what in ("served", "refused", "failed", "lost", "unsent")}
+    return {
+        f"{what}_share": window.total(what, names) / due
+        for what in ("served", "refused", "failed", "lost", "unsent")
+    }
 
 
 def forced(day: Day) -> Figures:
@@ -86,14 +94,19 @@
 async def words(stage: Stage) -> Figures:
     """Datagrams of the real doors with hollow ones, as means of a door."""
     taken = await stage.hollow_do("take")
-    found = {name: sum(count[name] / part["seconds"] for part in taken for count in part["doors"].values())
-             / len(stage.all)
-             for name in ("sent_datagrams", "received_datagrams", "sent_bytes", "received_bytes")}
+    found = {
+        name: sum(count[name] / part["seconds"] for part in taken for count in part["doors"].values())
+        / len(stage.all)
+        for name in ("sent_datagrams", "received_datagrams", "sent_bytes", "received_bytes")
+    }
     datagrams = found["sent_datagrams"] + found["received_datagrams"]
     payload = found["sent_bytes"] + found["received_bytes"]
-    return {"hollow_skips": sum(part["skips"] for part in taken), "datagrams_per_s": datagrams,
-            "words_payload_bytes_per_s": payload,
-            "words_bytes_per_s": payload + datagrams * DATAGRAM_HEAD_BYTES}
+    return {
+        "hollow_skips": sum(part["skips"] for part in taken),
+        "datagrams_per_s": datagrams,
+        "words_payload_bytes_per_s": payload,
+        "words_bytes_per_s": payload + datagrams * DATAGRAM_HEAD_BYTES,
+    }
 
 
 async def idle(stage: Stage, random: Random, seconds: float, drain_s: float) -> Figures:
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -11,8 +11,10 @@
 MARK = re.compile(r"<!--\s*scale:(?P<name>.*?)-->", re.DOTALL)
 NAME = re.compile(r"\s*(?P<name>[A-Za-z0-9_]+)\s*")
 # A number with at most one unit of a word or sign behind it; thousands may be cut by commas.
-NUMBER = re.compile(r"(?P<number>-?[0-9]{1,3}(?:,[0-9]{3})+(?:\.[0-9]+)?|-?[0-9]+(?:\.[0-9]+)?)"
-                    r"[ \u00a0]?(?:%|[A-Za-zµ/]+(?: [a-z]+){0,3})?[`*]*$")
+NUMBER = re.compile(
+    r"(?P<number>-?[0-9]{1,3}(?:,[0-9]{3})+(?:\.[0-9]+)?|-?[0-9]+(?:\.[0-9]+)?)"
+    r"[ \u00a0]?(?:%|[A-Za-zµ/]+(?: [a-z]+){0,3})?[`*]*$"
+)
 BEFORE = 60  # characters before a comment in which its number stands
 
 
--- a/benchmarks/scale/play.py
+++ b/benchmarks/scale/play.py
@@ -102,8 +102,9 @@
         self.extra = await ladders.beside(self.stage, BESIDE_WARM_S, BESIDE_S)
         self.say(f"beside: {self.extra}")
         for ladder in ladders.LADDERS:
-            figures, fits = await ladders.climb(self.stage, ladder, spans.rung_warm, spans.rung, self.say,
-                                                self.extra.get("bytes_a_door", 0.0))
+            figures, fits = await ladders.climb(
+                self.stage, ladder, spans.rung_warm, spans.rung, self.say, self.extra.get("bytes_a_door", 0.0)
+            )
             self.extra |= figures
             self.fits |= fits
 
@@ -143,8 +144,11 @@
 async def passthrough(stage: Stage) -> AsyncIterator[Address]:
     """A program that only hands bytes on, before the same backends."""
     host, port = backend_address(-1, stage.port)  # of none that is listed
-    bare = subprocess.Popen([sys.executable, "-m", "benchmarks.passthrough", host, str(port)],
-                            stdout=subprocess.PIPE, preexec_fn=die_with_parent())
+    bare = subprocess.Popen(
+        [sys.executable, "-m", "benchmarks.passthrough", host, str(port)],
+        stdout=subprocess.PIPE,
+        preexec_fn=die_with_parent(),
+    )
     try:
         assert bare.stdout is not None
         yield host, int(await asyncio.to_thread(bare.stdout.readline))
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -43,10 +43,20 @@
     """`out` names a file that takes the result as JSON: the pages' figures come from there."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         figures, more = runner.run(compare(quick, seed, progress, against))
-    result = Result("scale", seed, AIMS, figures, {
-        "quick": quick, "hollow": HOLLOW, "spread": SPREAD, "rate_per_s": RATE,
-        "tiers": {"full": asdict(FULL), "small": asdict(SMALL)}, **more,
-    })
+    result = Result(
+        "scale",
+        seed,
+        AIMS,
+        figures,
+        {
+            "quick": quick,
+            "hollow": HOLLOW,
+            "spread": SPREAD,
+            "rate_per_s": RATE,
+            "tiers": {"full": asdict(FULL), "small": asdict(SMALL)},
+            **more,
+        },
+    )
     if out:
         Path(out).write_text(json.dumps(json.loads(result.json()), indent=1) + "\n")
     return result
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -55,8 +55,14 @@
     """A tier from its start to its end."""
 
     def __init__(
-        self, size: Size, tier: Tier, host: str, root: str = "", numbers: Sequence[int] = (),
-        hollow: Sequence[int] | None = None, of: Sequence[str] = doors.PLAIN,
+        self,
+        size: Size,
+        tier: Tier,
+        host: str,
+        root: str = "",
+        numbers: Sequence[int] = (),
+        hollow: Sequence[int] | None = None,
+        of: Sequence[str] = doors.PLAIN,
     ) -> None:
         """Which doors are real and hollow, where that is not as far apart as can be and all neighbours."""
         self.size, self.tier, self.host, self.root, self.of = size, tier, host, root, of
@@ -83,10 +89,18 @@
         addresses = {int(number): tuple(address) for number, address in begun["addresses"].items()}
         if self.size.known:
             self.known = (await self.ask("agent", "known"))["known"]
-        await asyncio.gather(*(
-            helper.ask("begin", tier=self.tier.shown(), real=self.numbers, hollow=numbers,
-                       others=self.hollow_numbers)
-            for helper, numbers in self.hollow))
+        await asyncio.gather(
+            *(
+                helper.ask(
+                    "begin",
+                    tier=self.tier.shown(),
+                    real=self.numbers,
+                    hollow=numbers,
+                    others=self.hollow_numbers,
+                )
+                for helper, numbers in self.hollow
+            )
+        )
         for number, tenants in self.tier.tenants_of_all(self.numbers).items():
             self.requests[number] = Requests(self.tier, number, tenants, random.Random(number)).words()
         for at, number in enumerate(self.numbers):
@@ -145,10 +159,16 @@
         asked = {name: (first, address) for name, address in (more or {}).items()}
         asked |= {real.name: (real.number, real.door.address) for real in self.all}
         names = list(asked)
-        await asyncio.gather(*(
-            helper.ask("begin", tier=self.tier.shown(),
-                       doors={name: asked[name] for name in names[at :: len(self.load)]})
-            for at, helper in enumerate(self.load)))
+        await asyncio.gather(
+            *(
+                helper.ask(
+                    "begin",
+                    tier=self.tier.shown(),
+                    doors={name: asked[name] for name in names[at :: len(self.load)]},
+                )
+                for at, helper in enumerate(self.load)
+            )
+        )
 
     async def take_load(self, do: str = "take") -> dict[str, Any]:
         """What came of the requests since the last look, by name."""
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -94,8 +94,14 @@
     def settings(self, door: int) -> dict[str, object]:
         values = settings(0, self.doors, MemberSpec())
         zones = [f"z{number:02}" for number in range(ZONES)]
-        return {**values, "me": door, "zone": door % ZONES, "zones": zones, "kinds": ["two-core"],
-                "plans": [plan(number, self.base_rate * times) for number, times in enumerate(PLAN_TIMES)]}
+        return {
+            **values,
+            "me": door,
+            "zone": door % ZONES,
+            "zones": zones,
+            "kinds": ["two-core"],
+            "plans": [plan(number, self.base_rate * times) for number, times in enumerate(PLAN_TIMES)],
+        }
 
 
 def plan(number: int, asked: float) -> dict[str, object]:
@@ -103,9 +109,18 @@
     quota = asked / QUOTA_PART
     limited = CEILING_TIMES * quota if number == len(PLAN_TIMES) - 1 else 0.0
     burst = max(LEAST_BURST, quota * BURST_S)
-    return {"name": f"plan-{number}", "units-per-s": quota, "burst": burst, "max-out": 0,
-            "value-factor": 1.0, "extra-worth": 0.0, "overrun-cost": 0.6, "never-over-rate": limited,
-            "hard-burst": CEILING_TIMES * burst if limited else 0.0, "hard-slack": 4.0 if limited else 0.0}
+    return {
+        "name": f"plan-{number}",
+        "units-per-s": quota,
+        "burst": burst,
+        "max-out": 0,
+        "value-factor": 1.0,
+        "extra-worth": 0.0,
+        "overrun-cost": 0.6,
+        "never-over-rate": limited,
+        "hard-burst": CEILING_TIMES * burst if limited else 0.0,
+        "hard-slack": 4.0 if limited else 0.0,
+    }
 
 
 def loopback(net: int, number: int, port: int) -> Address:
@@ -149,8 +164,13 @@
         tenant, kind = self.picks[self.serial % PICKS]
         name = b"%04x%012x" % (self.door, self.serial)
         key = b",k=%b" % name if kind.effect is Effect.KEYED else b""
-        fields = (b"c=%b,t=plan-%d,d=1900%b,units=1,spread=%d,first=%d"
-                  % (kind.name.encode(), tenant.plan, key, self.spread, tenant.first))
+        fields = b"c=%b,t=plan-%d,d=1900%b,units=1,spread=%d,first=%d" % (
+            kind.name.encode(),
+            tenant.plan,
+            key,
+            self.spread,
+            tenant.first,
+        )
         words = [b"SVC.SUBMIT" if kind.is_write else b"SVC.QUERY", tenant.name.encode(), name, fields]
         return [*words, b"body"] if kind.is_write else words
 
--- a/benchmarks/scale/troubles.py
+++ b/benchmarks/scale/troubles.py
@@ -33,8 +33,13 @@
     window = await look.window()
     last = await stage.ask("backends", "last", since_s=told["at_s"], numbers=numbers)
     force = [max(0.0, last.get(door, told["at_s"]) - told["at_s"]) for door in had]
-    return {**shares(window, stage.names), **latencies(window, stage.names),
-            "force_s": max(force, default=0.0), "force_seen": len(force), "line_bytes": told["line_bytes"]}
+    return {
+        **shares(window, stage.names),
+        **latencies(window, stage.names),
+        "force_s": max(force, default=0.0),
+        "force_seen": len(force),
+        "line_bytes": told["line_bytes"],
+    }
 
 
 async def rack(stage: Stage, random: Random, seconds: float) -> Figures:
@@ -63,10 +68,14 @@
     await asyncio.sleep(seconds)
     window = await look.window()
     cold = await stage.ask("backends", "busiest", since_s=told["at_s"], numbers=back)
-    return {**figures, "back_served_share": window.served_share(stage.names),
-            "back_line_bytes": told["line_bytes"],
-            **{f"back_{name}": figure for name, figure in latencies(window, stage.names).items()},
-            "back_cold_most_per_s": cold["most"], "back_cold_requests": cold["all"]}
+    return {
+        **figures,
+        "back_served_share": window.served_share(stage.names),
+        "back_line_bytes": told["line_bytes"],
+        **{f"back_{name}": figure for name, figure in latencies(window, stage.names).items()},
+        "back_cold_most_per_s": cold["most"],
+        "back_cold_requests": cold["all"],
+    }
 
 
 def least(used: Mapping[str, list[list[int]]]) -> int:
@@ -82,9 +91,14 @@
     asked = [number for counts in used.values() for number, _ in counts[:3]]
     await day.drain(asked, seconds, quiet_s=QUIET_S)
     window = await look.window()
-    return {**shares(window, stage.names), **latencies(window, stage.names),
-            "whole_bytes": sent["line_bytes"], **forced(day),
-            "share": max(window.cpu_s[name] for name in stage.names) / window.seconds, **memory(stage)}
+    return {
+        **shares(window, stage.names),
+        **latencies(window, stage.names),
+        "whole_bytes": sent["line_bytes"],
+        **forced(day),
+        "share": max(window.cpu_s[name] for name in stage.names) / window.seconds,
+        **memory(stage),
+    }
 
 
 async def restarts(stage: Stage, rounds: int, before: list[tuple[float, float]]) -> Figures:
@@ -106,17 +120,26 @@
             ready_s, served_s = seen.pop(0)
             sent = (await stage.ask("agent", "take"))[str(first.number)]
             now_mb, most_mb = first.memory_mb()
-            found |= {"fresh_ready_s": ready_s, "fresh_served_s": served_s,
-                      "fresh_served": int(served_s < READY_S), "fresh_calls": sent["calls"],
-                      "fresh_whole_bytes": sent["whole"], "fresh_memory_mb": now_mb,
-                      "fresh_peak_memory_mb": most_mb}
+            found |= {
+                "fresh_ready_s": ready_s,
+                "fresh_served_s": served_s,
+                "fresh_served": int(served_s < READY_S),
+                "fresh_calls": sent["calls"],
+                "fresh_whole_bytes": sent["whole"],
+                "fresh_memory_mb": now_mb,
+                "fresh_peak_memory_mb": most_mb,
+            }
         times += seen
     ready, serves = [ready_s for ready_s, _ in times], [served_s for _, served_s in times]
-    return {**found, "starts": len(ready), "ready_s": quantile(ready, 0.9), "slowest_ready_s": max(ready),
-            "first_served_s": quantile(serves, 0.9)}
+    return {
+        **found,
+        "starts": len(ready),
+        "ready_s": quantile(ready, 0.9),
+        "slowest_ready_s": max(ready),
+        "first_served_s": quantile(serves, 0.9),
+    }
 
 
 async def stop(door: Door) -> None:
     door.kill()
     await door.ended.wait()
-
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -16,16 +16,38 @@
 SEEDS, QUICK_SEEDS = 10, 1
 AT_ONCE = 4
 WAIT_S = 180
-KEPT = ("requests", "served", "refused", "failed", "lost_to_kills", "clients_gone", "unaccounted",
-        "broken_rules", "broken", "rig_late_ms", "repeats_dropped", "rig_trouble")
+KEPT = (
+    "requests",
+    "served",
+    "refused",
+    "failed",
+    "lost_to_kills",
+    "clients_gone",
+    "unaccounted",
+    "broken_rules",
+    "broken",
+    "rig_late_ms",
+    "repeats_dropped",
+    "rig_trouble",
+)
 
 
 def play(name: str, seed: int) -> dict[str, Any]:
-    done = subprocess.run([sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
-                          capture_output=True, text=True, check=False, timeout=WAIT_S)
+    done = subprocess.run(
+        [sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=WAIT_S,
+    )
     found = json.loads(done.stdout) if done.stdout else {}
-    return {"scenario": name, "seed": seed, "exit": done.returncode, "errors": done.stderr.strip(),
-            **{key: found.get(key) for key in KEPT}}
+    return {
+        "scenario": name,
+        "seed": seed,
+        "exit": done.returncode,
+        "errors": done.stderr.strip(),
+        **{key: found.get(key) for key in KEPT},
+    }
 
 
 def days(seeds: range, progress: bool) -> Iterator[dict[str, Any]]:
@@ -44,7 +66,8 @@
     rows = list(days(range(seed, seed + count), progress))
     judged = [row for row in rows if row["exit"] == 0]
     figures = {
-        "days": float(len(rows)), "days_in_order": float(len(judged)),
+        "days": float(len(rows)),
+        "days_in_order": float(len(judged)),
         "requests": float(sum(row["requests"] or 0 for row in rows)),
         "unaccounted": float(sum(row["unaccounted"] or 0 for row in rows)),
         "rules_broken": float(sum(len(row["broken_rules"] or ()) for row in rows)),
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -35,9 +35,13 @@
 BASE = "MOLEREACH_BASE"
 PAIRS, PAIR_REQUESTS = 24, 3000
 RULES = {
-    "drop": {"unaccounted", "no request is lost"}, "twice": {"no effect happens twice"},
-    "drain": {"drains are kept"}, "crash": {"no request is lost"}, "foreign": {"no request is lost"},
-    "hold": {"no request is lost", "unaccounted"}, "ceiling": {"ceilings are kept"},
+    "drop": {"unaccounted", "no request is lost"},
+    "twice": {"no effect happens twice"},
+    "drain": {"drains are kept"},
+    "crash": {"no request is lost"},
+    "foreign": {"no request is lost"},
+    "hold": {"no request is lost", "unaccounted"},
+    "ceiling": {"ceilings are kept"},
     "cold": {"no cold server is pushed over"},
 }
 
@@ -58,8 +62,13 @@
 
 
 def real(name: str, seed: int) -> dict[str, Any]:
-    done = subprocess.run([sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
-                          capture_output=True, text=True, check=False, timeout=180)
+    done = subprocess.run(
+        [sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=180,
+    )
     found: dict[str, Any] = json.loads(done.stdout)
     return found
 
@@ -91,14 +100,37 @@
 
 def broken(mode: str) -> dict[str, Any]:
     """Random days until a broken front door is found, and to how many faults the day was shrunk."""
-    done = subprocess.run([sys.executable, "-m", "molereach", "simulate", "--broken", mode, "--seeds",
-                           f"1..{BROKEN_DAYS}", "--seconds", str(BROKEN_SECONDS), "--jobs", "4", "--json"],
-                          capture_output=True, text=True, check=False, timeout=900)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "molereach",
+            "simulate",
+            "--broken",
+            mode,
+            "--seeds",
+            f"1..{BROKEN_DAYS}",
+            "--seconds",
+            str(BROKEN_SECONDS),
+            "--jobs",
+            "4",
+            "--json",
+        ],
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=900,
+    )
     found = json.loads(done.stdout)
     small = found.get("small", {})
     hit = bool(RULES[mode] & set(found["failed"][0]["why"])) if found["failed"] else False
-    return {"mode": mode, "days": found["days"], "found": hit, "faults": small.get("faults"),
-            "why": small.get("why")}
+    return {
+        "mode": mode,
+        "days": found["days"],
+        "found": hit,
+        "faults": small.get("faults"),
+        "why": small.get("why"),
+    }
 
 
 async def paired(base: str) -> dict[str, float]:
@@ -124,8 +156,10 @@
             agent.close()
         backend.end()
     more = [one / two - 1 for one, two in zip(taken["here"], taken["there"], strict=True)]
-    return {"door_cpu_more_percent": round(100 * statistics.median(more), 2),
-            "door_us": round(statistics.median(taken["here"]), 1)}
+    return {
+        "door_cpu_more_percent": round(100 * statistics.median(more), 2),
+        "door_us": round(statistics.median(taken["here"]), 1),
+    }
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
@@ -135,8 +169,11 @@
     large, large_s, _ = speed(QUICK_LARGE if quick else LARGE)
     count = QUICK_SAME_SEEDS if quick else SAME_SEEDS
     figures = {
-        "speed_3_doors": round(fast, 2), "speed_50_doors": round(large, 3), "large_real_s": round(large_s, 1),
-        "callbacks_a_virtual_s": round(callbacks / small.seconds), "same": float(sameness(count)),
+        "speed_3_doors": round(fast, 2),
+        "speed_50_doors": round(large, 3),
+        "large_real_s": round(large_s, 1),
+        "callbacks_a_virtual_s": round(callbacks / small.seconds),
+        "same": float(sameness(count)),
         "memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
     }
     aims = {"speed_3_doors": 10.0, "same": float(count)}
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -58,7 +58,9 @@
 
 
 WAYS: dict[str, Callable[[Sequence[str], int, int], Subsets]] = {
-    "ring": ring, "subsetting": subsetting, "rendezvous": rendezvous,
+    "ring": ring,
+    "subsetting": subsetting,
+    "rendezvous": rendezvous,
 }
 
 
@@ -92,9 +94,18 @@
         for subset in subsets:
             seen.update(subset)
             load.update(dict.fromkeys(subset, backends / doors / len(subset)))
-        rows.append(asdict(Way(
-            name, doors, backends, min(seen[each] for each in names), max(seen.values()),
-            round(max(load.values()), 3), round(moved(subsets, choose(gone, doors, size)), 6),
-            round(moved(subsets, choose(names, doors - 1, size)), 6),
-        )))
+        rows.append(
+            asdict(
+                Way(
+                    name,
+                    doors,
+                    backends,
+                    min(seen[each] for each in names),
+                    max(seen.values()),
+                    round(max(load.values()), 3),
+                    round(moved(subsets, choose(gone, doors, size)), 6),
+                    round(moved(subsets, choose(names, doors - 1, size)), 6),
+                )
+            )
+        )
     return rows
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -103,7 +103,8 @@
         """Old and new views of those that a change concerns and may move: the others come out as they are."""
         touches = holding(before) if before is not None else reaching(self.whole, place, after or b"")
         me = [
-            number for number, view in enumerate(self.views)
+            number
+            for number, view in enumerate(self.views)
             if touches(view) and view.concerns(self.whole, place, before, after)
         ]
         return [self.views[number] for number in me], [self.fill(number) for number in me]
@@ -169,12 +170,25 @@
         touched, events = zone_told(self.servers, self.doors, self.cells)
         ratios = [pairs / own for pairs, own in [*goes, *(each[:2] for each in comes)] if own]
         return Row(
-            self.doors, self.backends, self.cells, min(sizes), round(statistics.mean(sizes), 1), max(sizes),
-            min(seen[name] for name in names), max(seen.values()), round(max(load.values()), 3),
+            self.doors,
+            self.backends,
+            self.cells,
+            min(sizes),
+            round(statistics.mean(sizes), 1),
+            max(sizes),
+            min(seen[name] for name in names),
+            max(seen.values()),
+            round(max(load.values()), 3),
             round(min(load.get(name, 0.0) for name in names), 3),
             self.part(statistics.mean(each[0] for each in goes)),
-            self.part(statistics.mean(each[0] for each in comes)), round(max(ratios), 2), self.part(door),
-            self.part(zone), round(zone / max(1, lost), 2), not_full, touched, events,
+            self.part(statistics.mean(each[0] for each in comes)),
+            round(max(ratios), 2),
+            self.part(door),
+            self.part(zone),
+            round(zone / max(1, lost), 2),
+            not_full,
+            touched,
+            events,
             round(max(each[2] for each in comes), 3),
         )
 
--- a/fennelwinch/codec.py
+++ b/fennelwinch/codec.py
@@ -47,21 +47,28 @@
 
 def read_report(values: Iterable[tuple[str, str]]) -> i.LoadReport:
     """A load report from names and values; unknown names and absent values are skipped."""
-    return i.LoadReport(**{
-        REPORT_FIELDS[name]: read_reported(REPORT_FIELDS[name], value)
-        for name, value in values
-        if name in REPORT_FIELDS and value not in ("", "-")
-    })
+    return i.LoadReport(
+        **{
+            REPORT_FIELDS[name]: read_reported(REPORT_FIELDS[name], value)
+            for name, value in values
+            if name in REPORT_FIELDS and value not in ("", "-")
+        }
+    )
 
 
 def pack_words(words: Iterable[i.Word]) -> list[bytes]:
     """Messages between gateways, each as long as the wire allows."""
     packed = [
         WORD.pack(
-            word.customer, word.plan_index, word.set_first, word.set_size,
+            word.customer,
+            word.plan_index,
+            word.set_first,
+            word.set_size,
             word.is_answer * ANSWER | word.granted * GRANTED | DRAWN[word.inside],
-            *(max(-32768, min(32767, round(amount * UNIT)))
-              for amount in (word.demand, word.spent, word.asked, word.level)),
+            *(
+                max(-32768, min(32767, round(amount * UNIT)))
+                for amount in (word.demand, word.spent, word.asked, word.level)
+            ),
         )
         for word in words
     ]
@@ -75,8 +82,16 @@
         return ()
     return tuple(
         i.Word(
-            customer, plan, first, size, bool(flags & ANSWER),
-            demand / UNIT, spent / UNIT, asked / UNIT, level / UNIT, bool(flags & GRANTED),
+            customer,
+            plan,
+            first,
+            size,
+            bool(flags & ANSWER),
+            demand / UNIT,
+            spent / UNIT,
+            asked / UNIT,
+            level / UNIT,
+            bool(flags & GRANTED),
             DREW.get(flags & OUTSIDE | flags & INSIDE),
         )
         for customer, plan, first, size, flags, demand, spent, asked, level in WORD.iter_unpack(data)
--- a/fennelwinch/rules/admission.py
+++ b/fennelwinch/rules/admission.py
@@ -32,7 +32,10 @@
     __slots__ = ("customers", "decide", "peers", "random", "set", "waits", "words")
 
     def __init__(
-        self, settings: i.Settings, random: Random, customers: Customers,
+        self,
+        settings: i.Settings,
+        random: Random,
+        customers: Customers,
         decide: Callable[[Job, float], None],
     ) -> None:
         self.set, self.random, self.customers, self.decide = settings, random, customers, decide
--- a/fennelwinch/rules/attempts.py
+++ b/fennelwinch/rules/attempts.py
@@ -42,8 +42,12 @@
 
     def overdue(self, now: int) -> list[float]:
         """The ages of attempts that are out for longer than usual, as parts of their aims."""
-        return [min(1.0, (now - sent) / job.rule.aim_us) for job in self.jobs.values()
-                for sent in job.out.values() if now - sent > self.mean_us[job.req.class_index]]
+        return [
+            min(1.0, (now - sent) / job.rule.aim_us)
+            for job in self.jobs.values()
+            for sent in job.out.values()
+            if now - sent > self.mean_us[job.req.class_index]
+        ]
 
     def begin(self, now: int, job: Job, server: Server) -> i.Send:
         """An attempt leaves for that server."""
--- a/fennelwinch/rules/cap.py
+++ b/fennelwinch/rules/cap.py
@@ -23,8 +23,17 @@
 class Cap:
     """N and its control period; `accepted` and `wanted` count this period."""
 
-    __slots__ = ("accepted", "cc_us", "gateways", "n_past", "overhead", "period_us", "second", "signals",
-                 "wanted")
+    __slots__ = (
+        "accepted",
+        "cc_us",
+        "gateways",
+        "n_past",
+        "overhead",
+        "period_us",
+        "second",
+        "signals",
+        "wanted",
+    )
 
     def __init__(self, settings: i.Settings) -> None:
         aims = [rule.aim_us for rule in settings.classes]
@@ -80,8 +89,14 @@
         return free and (self.n_past is None or self.accepted < math.ceil(self.n_past * part))
 
 
-def next_n(n_past: int, na_past: float, occup: float, overhead: float, targets: tuple[float, ...],
-           seconds: float = 1.0) -> int:
+def next_n(
+    n_past: int,
+    na_past: float,
+    occup: float,
+    overhead: float,
+    targets: tuple[float, ...],
+    seconds: float = 1.0,
+) -> int:
     """The paper's update of N, rounded down; `targets` are max_occup, occ_too_high and min_occup."""
     max_occup, occ_too_high, min_occup = targets
     if occup < min_occup and na_past < MIN_FRACTION_CALLS * n_past:
--- a/fennelwinch/rules/fleet.py
+++ b/fennelwinch/rules/fleet.py
@@ -69,8 +69,13 @@
         """The least expected wait among a few of those that the rules and their health allow."""
         free = job.ran_on is None  # nothing binds it to a group
         allowed = self.up if free else [server for server in self.up if job.may_run_on(now, server)]
-        usable = [server for server in allowed if now >= server.avoid_until and server not in job.servers
-                  and not (server.on_trial and (server.out or job.rule.effect is i.Effect.UNSAFE))] or allowed
+        usable = [
+            server
+            for server in allowed
+            if now >= server.avoid_until
+            and server not in job.servers
+            and not (server.on_trial and (server.out or job.rule.effect is i.Effect.UNSAFE))
+        ] or allowed
         best, least = None, 0.0
         for server in self.candidates(now, usable):
             if (cost := self.cost(now, server)) < least or best is None:
--- a/fennelwinch/rules/gateway.py
+++ b/fennelwinch/rules/gateway.py
@@ -40,9 +40,13 @@
         self.ended = dict.fromkeys(ENDS, 0)  # requests given up on, by why
         self.actions: list[i.Action] = []
         self.on: dict[type, Callable[..., object]] = {
-            i.Request: self.on_request, i.Outcome: self.on_outcome, i.Timer: self.on_tick,
-            i.ServerList: self.on_list, i.PeerMessage: self.on_peer,
-            i.ClientGone: self.on_end, i.StreamStarted: self.on_end,
+            i.Request: self.on_request,
+            i.Outcome: self.on_outcome,
+            i.Timer: self.on_tick,
+            i.ServerList: self.on_list,
+            i.PeerMessage: self.on_peer,
+            i.ClientGone: self.on_end,
+            i.StreamStarted: self.on_end,
         }
 
     def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
--- a/fennelwinch/rules/job.py
+++ b/fennelwinch/rules/job.py
@@ -9,9 +9,28 @@
 class Job:
     """A request from its event to its last attempt's end; times are those of the events."""
 
-    __slots__ = ("aim_us", "asked_us", "asks", "customer", "decide_us", "end_us", "half_us", "in_quota",
-                 "let_in", "out", "over", "ran_as", "ran_on", "ran_us", "req", "rule", "servers", "unrun",
-                 "unsent", "worth")
+    __slots__ = (
+        "aim_us",
+        "asked_us",
+        "asks",
+        "customer",
+        "decide_us",
+        "end_us",
+        "half_us",
+        "in_quota",
+        "let_in",
+        "out",
+        "over",
+        "ran_as",
+        "ran_on",
+        "ran_us",
+        "req",
+        "rule",
+        "servers",
+        "unrun",
+        "unsent",
+        "worth",
+    )
 
     def __init__(
         self, req: i.Request, rule: i.RequestClass, customer: Customer, now: int, gone_us: int
--- a/fennelwinch/rules/server.py
+++ b/fennelwinch/rules/server.py
@@ -16,8 +16,23 @@
 class Server:
     """What is known of a server; all times are those of the events."""
 
-    __slots__ = ("avoid_until", "backoff_us", "credit", "entry", "fails", "heard_us", "kept", "kept_at",
-                 "load", "load_at", "on_trial", "out", "sent_us", "slowness", "warm_from")
+    __slots__ = (
+        "avoid_until",
+        "backoff_us",
+        "credit",
+        "entry",
+        "fails",
+        "heard_us",
+        "kept",
+        "kept_at",
+        "load",
+        "load_at",
+        "on_trial",
+        "out",
+        "sent_us",
+        "slowness",
+        "warm_from",
+    )
 
     def __init__(self, entry: i.Server) -> None:
         self.entry = entry
--- a/fennelwinch/rules/store.py
+++ b/fennelwinch/rules/store.py
@@ -22,11 +22,37 @@
 class Customer:
     """A customer's part of quota and ceiling here, and what is known of its whole set: all, at its home."""
 
-    __slots__ = ("asked_us", "at", "ceiling", "given", "heard_us", "home", "key", "level", "others", "out",
-                 "own", "part", "plan", "pool", "pooled", "reach", "size", "spent", "split", "told", "untold")
+    __slots__ = (
+        "asked_us",
+        "at",
+        "ceiling",
+        "given",
+        "heard_us",
+        "home",
+        "key",
+        "level",
+        "others",
+        "out",
+        "own",
+        "part",
+        "plan",
+        "pool",
+        "pooled",
+        "reach",
+        "size",
+        "spent",
+        "split",
+        "told",
+        "untold",
+    )
 
     def __init__(
-        self, plan: i.Plan, key: i.Key, set_: i.Settings, now: int, since: int,
+        self,
+        plan: i.Plan,
+        key: i.Key,
+        set_: i.Settings,
+        now: int,
+        since: int,
         split: bool = False,
     ) -> None:
         self.plan, self.key, self.size, self.at = plan, key, key[3], now
--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -21,8 +21,20 @@
 class Attempt:
     """One command for one backend; `done` is called once, with how it ended."""
 
-    __slots__ = ("connection", "done", "number", "over", "payload", "pool", "request_id", "sent_us",
-                 "server", "timers", "whole_by_us", "written")
+    __slots__ = (
+        "connection",
+        "done",
+        "number",
+        "over",
+        "payload",
+        "pool",
+        "request_id",
+        "sent_us",
+        "server",
+        "timers",
+        "whole_by_us",
+        "written",
+    )
 
     def __init__(
         self, request_id: str, number: int, server: str, payload: bytes, done: Done, whole_by_us: int = 0
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -26,7 +26,10 @@
         self.reuse, self.fades_us = Reuse(), 0
 
     def update(
-        self, states: dict[str, i.ServerState], addresses: dict[str, Address], whole: bool,
+        self,
+        states: dict[str, i.ServerState],
+        addresses: dict[str, Address],
+        whole: bool,
         started: Mapping[str, int] = MappingProxyType({}),
     ) -> None:
         """Take over news of the list: the whole of it, or those whose state, start or address changed.
--- a/molereach/backends/reuse.py
+++ b/molereach/backends/reuse.py
@@ -30,8 +30,11 @@
 
     def judge(self) -> None:
         fresh = self.resets[0] / max(LEAST_USES, self.uses[0])
-        bad = (age for age in range(1, AGES) if self.uses[age] >= LEAST_USES
-               and self.resets[age] / self.uses[age] > fresh + STALE_MARGIN)
+        bad = (
+            age
+            for age in range(1, AGES)
+            if self.uses[age] >= LEAST_USES and self.resets[age] / self.uses[age] > fresh + STALE_MARGIN
+        )
         self.most = min(bad, default=AGES)
 
     def fade(self) -> None:
--- a/molereach/cache/driver.py
+++ b/molereach/cache/driver.py
@@ -99,7 +99,7 @@
         while pending:
             if self._of(pending[-1]).proof() is not None:
                 return [self._propose(now_us, pending[-1])]
-            pending = pending[:len(pending) // 2]
+            pending = pending[: len(pending) // 2]
         return []
 
     def _propose(self, now_us: int, last: Asked) -> Propose:
--- a/molereach/cache/fills/fills.py
+++ b/molereach/cache/fills/fills.py
@@ -31,9 +31,7 @@
         self.store, self.marks = store, marks
         self.fates = dict.fromkeys(Fate, 0)  # since the start
 
-    def begin(
-        self, now_us: int, member: str, class_name: str, asked: bytes, applied: int
-    ) -> Ticket | None:
+    def begin(self, now_us: int, member: str, class_name: str, asked: bytes, applied: int) -> Ticket | None:
         """Before the request is sent, with the log applied up to `applied`; None where its answer is not to
         be kept."""
         if class_name not in self.store.settings.ages_us or len(asked) > MOST_ASKED_BYTES:
@@ -50,5 +48,6 @@
         if ticket.applied < self.marks.newest(ticket.member, ticket.class_name):
             return Fate.PURGED
         reading = Reading(
-            ticket.member, ticket.class_name, ticket.asked, value, ticket.sent_us, ticket.applied)
+            ticket.member, ticket.class_name, ticket.asked, value, ticket.sent_us, ticket.applied
+        )
         return Fate.KEPT if self.store.put(now_us, reading) else Fate.NOT_KEPT
--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -78,6 +78,9 @@
     if known is None:
         return TooOld(purge_id) if purges.forgot(purge_id) else NotHere(purge_id, applied)
     whys = {each.door: each.why for each in missing or ()}
-    doors = [Waiting(opened.life, known.at_ms, whys.get(opened.life, UNTOLD))
-             for opened in purges.waiting(known) if missing is None or opened.life in whys]
+    doors = [
+        Waiting(opened.life, known.at_ms, whys.get(opened.life, UNTOLD))
+        for opened in purges.waiting(known)
+        if missing is None or opened.life in whys
+    ]
     return Pending(purge_id, known.position, known.at_ms, applied, tuple(doors))
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -79,8 +79,9 @@
 
     def waiting(self, asked: Asked) -> tuple[Opened, ...]:
         """Whose session was open then and is still: their word is needed."""
-        return tuple(opened for opened in self.cohorts[asked.cohort]
-                     if self.sessions.open(opened.life.name) == opened)
+        return tuple(
+            opened for opened in self.cohorts[asked.cohort] if self.sessions.open(opened.life.name) == opened
+        )
 
     def oldest(self, most: int) -> list[Asked]:
         """Of those that are pending."""
@@ -113,8 +114,15 @@
         opened = cohort(self.sessions)
         if self.cohorts.rows + self.cohorts.costs(opened) > self.bounds.most_rows:
             return Outcome("front doors changed too often while purges are pending: ask again later")
-        asked = Asked(body.id, body.member, body.class_name, body.shards, entry.position, entry.at_ms,
-                      self.cohorts.use(opened))
+        asked = Asked(
+            body.id,
+            body.member,
+            body.class_name,
+            body.shards,
+            entry.position,
+            entry.at_ms,
+            self.cohorts.use(opened),
+        )
         self._pending[body.id] = asked
         self.past.add(Past(body.member, body.class_name, entry.position, entry.at_ms))
         return Outcome(value=msgspec.json.encode(Standing(body.id, entry.position)))
@@ -179,21 +187,32 @@
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        return msgspec.json.encode(_State(
-            tuple(self._pending.values()), tuple(self._done.values()), self.forgotten, self.cohorts.state(),
-            self.cohorts.next, self.rosters.state(), self.rosters.next, self.past.floor, self.past.all()))
+        return msgspec.json.encode(
+            _State(
+                tuple(self._pending.values()),
+                tuple(self._done.values()),
+                self.forgotten,
+                self.cohorts.state(),
+                self.cohorts.next,
+                self.rosters.state(),
+                self.rosters.next,
+                self.past.floor,
+                self.past.all(),
+            )
+        )
 
     def restore(self, data: bytes) -> None:
         try:
             state = msgspec.json.decode(data, type=_State)
-            cohorts = Interned.of(state.cohorts, (asked.cohort for asked in state.pending),
-                                  state.next_cohort)
-            rosters = Interned.of(state.rosters, (done.roster for done in state.done),
-                                  state.next_roster)
+            cohorts = Interned.of(state.cohorts, (asked.cohort for asked in state.pending), state.next_cohort)
+            rosters = Interned.of(state.rosters, (done.roster for done in state.done), state.next_roster)
         except (msgspec.DecodeError, ValueError) as error:
             raise ValueError(f"not a snapshot of purges: {error}") from None
-        positions = [[asked.position for asked in state.pending], [done.position for done in state.done],
-                     [past.position for past in state.past]]
+        positions = [
+            [asked.position for asked in state.pending],
+            [done.position for done in state.done],
+            [past.position for past in state.past],
+        ]
         ids = {each.id for each in state.pending} | {each.asked.id for each in state.done}
         if any(each != sorted(each) for each in positions) or len(ids) < len(state.pending) + len(state.done):
             raise ValueError("not a snapshot of purges: not as any log leaves it")
--- a/molereach/cache/purge/receipt.py
+++ b/molereach/cache/purge/receipt.py
@@ -54,7 +54,20 @@
 def receipt_of(done: Finished, roster: tuple[Accounted, ...]) -> Receipt:
     """The receipt of a purge that is done; those in the list that said so did so of this purge's position."""
     asked = done.asked
-    doors = tuple(Accounted(each.door, each.known, asked.position) if each.known is Known.SAID else each
-                  for each in roster)
-    return sealed(Receipt(asked.id, asked.member, asked.class_name, asked.shards, asked.position, asked.at_ms,
-                          done.position, done.at_ms, doors))
+    doors = tuple(
+        Accounted(each.door, each.known, asked.position) if each.known is Known.SAID else each
+        for each in roster
+    )
+    return sealed(
+        Receipt(
+            asked.id,
+            asked.member,
+            asked.class_name,
+            asked.shards,
+            asked.position,
+            asked.at_ms,
+            done.position,
+            done.at_ms,
+            doors,
+        )
+    )
--- a/molereach/cache/readings/sweeps.py
+++ b/molereach/cache/readings/sweeps.py
@@ -56,6 +56,9 @@
     def _list(self, sweep: Sweep) -> int:
         """List it; the steps that this took. What was sent since the purge is not part of it."""
         readings = self.store.of(sweep.member)
-        sweep.left = [reading for reading in readings if reading.applied < sweep.position
-                      and sweep.class_name in (ALL_CLASSES, reading.class_name)]
+        sweep.left = [
+            reading
+            for reading in readings
+            if reading.applied < sweep.position and sweep.class_name in (ALL_CLASSES, reading.class_name)
+        ]
         return len(readings) // LISTED_A_STEP
--- a/molereach/clients/intake.py
+++ b/molereach/clients/intake.py
@@ -25,8 +25,16 @@
 from molereach.door.config import Address
 
 __all__ = [  # with what all connections share, which is of one piece with it for whoever asks from outside
-    "FIRST_US", "IDLE_US", "LEAST_IDLE_US", "LINGER_US", "READS_US", "REST_OF_COMMAND_US", "WAITS_US",
-    "Connection", "Intake", "State",
+    "FIRST_US",
+    "IDLE_US",
+    "LEAST_IDLE_US",
+    "LINGER_US",
+    "READS_US",
+    "REST_OF_COMMAND_US",
+    "WAITS_US",
+    "Connection",
+    "Intake",
+    "State",
 ]
 
 log = logging.getLogger(__name__)
@@ -45,7 +53,10 @@
     """All client connections, bounded in number."""
 
     def __init__(
-        self, most: int, most_bytes: int, make: Callable[[], Connection],
+        self,
+        most: int,
+        most_bytes: int,
+        make: Callable[[], Connection],
         spawn: Callable[[Coroutine[None, None, None]], object],
     ) -> None:
         """At most `most` sockets and about `most_bytes` that wait; `make` gives the protocol of each."""
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -38,7 +38,11 @@
         self.classes, self.plans, self.settings = config.class_numbers, config.plan_numbers, config.settings
 
     def check(
-        self, customer: bytes, request_id: bytes, values: Mapping[str, str], is_write: bool,
+        self,
+        customer: bytes,
+        request_id: bytes,
+        values: Mapping[str, str],
+        is_write: bool,
         answer_margin_us: int,
     ) -> i.Request:
         """The request that the fields describe; a CommandError for one that is wrong.
@@ -58,10 +62,16 @@
         wait_ms = whole(values.get("d", ""), "time", 0, most_ms)
         size, first = self.customers_set(values)
         return i.Request(
-            id=identity, class_index=number, plan_index=plan, customer=name,
+            id=identity,
+            class_index=number,
+            plan_index=plan,
+            customer=name,
             left_us=max(0, wait_ms * 1000 - answer_margin_us),
-            units=self.units(values, self.settings.plans[plan]), set_size=size, set_first=first,
-            is_repeat=values.get("r") == "1", is_write=is_write,
+            units=self.units(values, self.settings.plans[plan]),
+            set_size=size,
+            set_first=first,
+            is_repeat=values.get("r") == "1",
+            is_write=is_write,
         )
 
     def customer(self, word: bytes) -> str:
--- a/molereach/clients/states.py
+++ b/molereach/clients/states.py
@@ -34,15 +34,23 @@
 
 
 WAITS_US = {
-    State.NEW: FIRST_US, State.GREETED: IDLE_US, State.IDLE: IDLE_US,
-    State.PARTIAL: REST_OF_COMMAND_US, State.BUSY: NEVER, State.CLOGGED: READS_US, State.CLOSING: LINGER_US,
+    State.NEW: FIRST_US,
+    State.GREETED: IDLE_US,
+    State.IDLE: IDLE_US,
+    State.PARTIAL: REST_OF_COMMAND_US,
+    State.BUSY: NEVER,
+    State.CLOGGED: READS_US,
+    State.CLOSING: LINGER_US,
 }
 
 
 # Who gives way when all places are taken, and after how long in that state: a good client keeps its place
 # for its least time, but one that has only greeted does so before a new one is turned away.
 GIVE_WAY = (
-    (State.NEW, 0), (State.PARTIAL, 0), (State.GREETED, LEAST_IDLE_US), (State.IDLE, LEAST_IDLE_US),
+    (State.NEW, 0),
+    (State.PARTIAL, 0),
+    (State.GREETED, LEAST_IDLE_US),
+    (State.IDLE, LEAST_IDLE_US),
     (State.GREETED, 0),
 )
 
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -129,19 +129,27 @@
 
     if not installed(*FLEET_PACKAGES):
         for name in ("fleet", "agent"):
+
             @top.command(name, context_settings={"ignore_unknown_options": True})
             @click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
             def missing(arguments: tuple[str, ...]) -> None:
                 """Not installed: install the package with its extra, molereach[fleet]."""
                 raise SystemExit(complain("install the package with its extra, molereach[fleet]"))
+
         return
     from molereach.fleet.cli.commands.group import fleet
 
     top.add_command(fleet)
 
     @top.command()
-    @click.option("--config", "file", type=click.Path(path_type=Path), required=True, metavar="FILE",
-                  help="The agent's file.")
+    @click.option(
+        "--config",
+        "file",
+        type=click.Path(path_type=Path),
+        required=True,
+        metavar="FILE",
+        help="The agent's file.",
+    )
     def agent(file: Path) -> None:
         """Run the agent of this machine's front doors."""
         from molereach.fleet.agent import run as agent_run
@@ -154,8 +162,13 @@
     import click
 
     @click.group("molereach", invoke_without_command=True, epilog=EPILOG)
-    @click.option(OPERATOR_OPTION, "path", type=click.Path(path_type=Path), metavar="PATH",
-                  help="Operator file of the front door to start.")
+    @click.option(
+        OPERATOR_OPTION,
+        "path",
+        type=click.Path(path_type=Path),
+        metavar="PATH",
+        help="Operator file of the front door to start.",
+    )
     @click.pass_context
     def top(context: click.Context, path: Path | None) -> None:
         """A front door that keeps customers' quotas, and what goes with it."""
@@ -169,7 +182,8 @@
         as_is = click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
         loose = {"ignore_unknown_options": True}
         top.command(name, add_help_option=False, help=text, context_settings=loose)(
-            as_is(lambda arguments, name=name: sys.exit(become(name, arguments))))
+            as_is(lambda arguments, name=name: sys.exit(become(name, arguments)))
+        )
 
     @top.group()
     def config() -> None:
--- a/molereach/council/leases/accounts.py
+++ b/molereach/council/leases/accounts.py
@@ -53,7 +53,12 @@
     """
 
     def __init__(
-        self, position: int, sessions: Sessions, sayings: Sayings, since_us: int, clear: bool = False,
+        self,
+        position: int,
+        sessions: Sessions,
+        sayings: Sayings,
+        since_us: int,
+        clear: bool = False,
     ) -> None:
         self.position, self.since_us, self.clear = position, since_us, clear
         self._sessions, self._sayings = sessions, sayings
@@ -65,8 +70,11 @@
 
     def pending(self) -> tuple[Missing, ...]:
         """Who is missing, by name."""
-        missing = [self._missing(session) for session in self._sessions.at(self.position)
-                   if self._accounted(session) is None]
+        missing = [
+            self._missing(session)
+            for session in self._sessions.at(self.position)
+            if self._accounted(session) is None
+        ]
         return tuple(sorted(missing, key=lambda each: each.door))
 
     def proof(self) -> tuple[Accounted, ...] | None:
--- a/molereach/council/leases/keeper.py
+++ b/molereach/council/leases/keeper.py
@@ -126,8 +126,11 @@
 
     def _follow(self, now_us: int) -> None:
         """Keep to what the log says is open; a session opened counts from here, or anything later."""
-        kept = {opened.life.name: self.said(opened.life.name, opened.fence)
-                or Kept(opened.life, opened.fence, now_us) for opened in self.sessions.all_open()}
+        kept = {
+            opened.life.name: self.said(opened.life.name, opened.fence)
+            or Kept(opened.life, opened.fence, now_us)
+            for opened in self.sessions.all_open()
+        }
         self._kept = kept
         if self._ballot is not None and self.sessions.ballot > self._ballot:  # deposed, and not told yet
             self._ballot = None
--- a/molereach/council/links/board.py
+++ b/molereach/council/links/board.py
@@ -40,8 +40,14 @@
     """The owner of all links."""
 
     def __init__(
-        self, me: Life, addresses: Mapping[str, Address], key: bytes, words: Words, rules: Mapping[str, Rule],
-        draw: Callable[[], float], settings: LinkSettings,
+        self,
+        me: Life,
+        addresses: Mapping[str, Address],
+        key: bytes,
+        words: Words,
+        rules: Mapping[str, Rule],
+        draw: Callable[[], float],
+        settings: LinkSettings,
     ) -> None:
         self.me, self.addresses, self.key, self.words = me, addresses, key, words
         self.rules, self.draw, self.settings = rules, draw, settings
--- a/molereach/council/links/hello.py
+++ b/molereach/council/links/hello.py
@@ -151,7 +151,12 @@
     """The listener's side of one handshake."""
 
     def __init__(
-        self, me: Life, known: Container[str], parts: tuple[str, ...], key: bytes, nonce: bytes,
+        self,
+        me: Life,
+        known: Container[str],
+        parts: tuple[str, ...],
+        key: bytes,
+        nonce: bytes,
     ) -> None:
         self.me, self.known, self.parts, self.key = me, known, parts, key
         self.greeting = _encoder.encode(Greeting(VERSION, nonce))
--- a/molereach/council/links/peer.py
+++ b/molereach/council/links/peer.py
@@ -16,7 +16,11 @@
     when it begins."""
 
     def __init__(
-        self, name: str, outbox: Outbox, retry: Retry, dial: "Callable[[Peer], None]",
+        self,
+        name: str,
+        outbox: Outbox,
+        retry: Retry,
+        dial: "Callable[[Peer], None]",
     ) -> None:
         self.name, self.outbox, self.retry, self.dial = name, outbox, retry, dial
         self.link: Link | None = None
@@ -98,9 +102,14 @@
         state = "up" if link else "dialling" if self.dialling else "waiting" if self.timer else "idle"
         live = [one for one in (link, self.dialling) if one and one.phase is not Phase.OVER]
         return PeerStats(
-            state, link.life.number if link else None,
-            len(self.outbox), self.outbox.size, self.outbox.dropped,
+            state,
+            link.life.number if link else None,
+            len(self.outbox),
+            self.outbox.size,
+            self.outbox.dropped,
             self.bytes_in + sum(one.bytes_in for one in live),
             self.bytes_out + sum(one.bytes_out for one in live),
-            now_us() - link.heard_us if link else None, self.retry.failures, self.reason,
+            now_us() - link.heard_us if link else None,
+            self.retry.failures,
+            self.reason,
         )
--- a/molereach/council/links/pulse.py
+++ b/molereach/council/links/pulse.py
@@ -22,8 +22,21 @@
 class Pulse:
     """One link's. Figures are in beats."""
 
-    __slots__ = ("acked", "drained", "fresh", "heard", "idle", "most_idle", "most_silent", "most_stalled",
-                 "quiet", "sent", "silent", "stalled", "told")
+    __slots__ = (
+        "acked",
+        "drained",
+        "fresh",
+        "heard",
+        "idle",
+        "most_idle",
+        "most_silent",
+        "most_stalled",
+        "quiet",
+        "sent",
+        "silent",
+        "stalled",
+        "told",
+    )
 
     def __init__(self, most_silent: int, most_stalled: int, most_idle: int) -> None:
         self.most_silent, self.most_stalled, self.most_idle = most_silent, most_stalled, most_idle
--- a/molereach/council/links/service.py
+++ b/molereach/council/links/service.py
@@ -29,11 +29,18 @@
     """
 
     def __init__(
-        self, me: Life, addresses: Mapping[str, Address], key: bytes, parts: Mapping[str, Any],
-        deliver: Callable[[str, Heard], None], draw: Callable[[], float], *,
+        self,
+        me: Life,
+        addresses: Mapping[str, Address],
+        key: bytes,
+        parts: Mapping[str, Any],
+        deliver: Callable[[str, Heard], None],
+        draw: Callable[[], float],
+        *,
         up: Callable[[Life], None] = lambda life: None,
         down: Callable[[str, str], None] = lambda name, reason: None,
-        rules: Mapping[str, Rule] | None = None, settings: LinkSettings = LinkSettings(),  # noqa: B008
+        rules: Mapping[str, Rule] | None = None,
+        settings: LinkSettings = LinkSettings(),  # noqa: B008
     ) -> None:
         """ValueError for a key of another size than BLAKE2b takes, or that is too short to be one."""
         if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
@@ -116,7 +123,11 @@
     def stats(self) -> LinksStats:
         board = self.board
         return LinksStats(
-            {name: peer.stats() for name, peer in board.peers.items()}, len(board.accepted()),
-            board.places.taken.total(), board.refused + board.places.refused, self.unsaid, board.failed,
+            {name: peer.stats() for name, peer in board.peers.items()},
+            len(board.accepted()),
+            board.places.taken.total(),
+            board.refused + board.places.refused,
+            self.unsaid,
+            board.failed,
             board.turns.taken,
         )
--- a/molereach/council/log/catchup.py
+++ b/molereach/council/log/catchup.py
@@ -130,5 +130,5 @@
         made, data, digest = self.given
         if position != made or offset >= len(data):
             offset = 0
-        piece = data[offset:offset + MOST_PIECE_BYTES]
+        piece = data[offset : offset + MOST_PIECE_BYTES]
         self.outbox.say(to, Piece(made, len(data), offset, digest, piece))
--- a/molereach/council/log/core.py
+++ b/molereach/council/log/core.py
@@ -77,8 +77,15 @@
     """
 
     def __init__(
-        self, me: Life, disk: str, recovered: Recovered, panel: Panel, machines: Mapping[str, StateMachine],
-        settings: Settings, draw: Callable[[], float], wall_ms: Callable[[int], int],
+        self,
+        me: Life,
+        disk: str,
+        recovered: Recovered,
+        panel: Panel,
+        machines: Mapping[str, StateMachine],
+        settings: Settings,
+        draw: Callable[[], float],
+        wall_ms: Callable[[int], int],
     ) -> None:
         if recovered.disk not in ("", disk):
             raise ValueError("these records are another disk's")
--- a/molereach/council/log/learner.py
+++ b/molereach/council/log/learner.py
@@ -121,10 +121,21 @@
     # --- snapshots ---
 
     def snapshot(self) -> Snapshot:
-        machines = {name: machine.snapshot() for name, machine in sorted(self.machines.items())
-                    if name not in self.failed}
-        return Snapshot(self.position, self.last, self.chain, self.panel, tuple(self.once.done.values()),
-                        self.once.floor, machines, tuple(sorted(self.failed)))
+        machines = {
+            name: machine.snapshot()
+            for name, machine in sorted(self.machines.items())
+            if name not in self.failed
+        }
+        return Snapshot(
+            self.position,
+            self.last,
+            self.chain,
+            self.panel,
+            tuple(self.once.done.values()),
+            self.once.floor,
+            machines,
+            tuple(sorted(self.failed)),
+        )
 
     def restore(self, snapshot: Snapshot) -> list[MachineFailed]:
         """Be what a snapshot says. A machine that cannot is stopped here."""
--- a/molereach/council/log/ledger.py
+++ b/molereach/council/log/ledger.py
@@ -111,7 +111,7 @@
             self._count(entry)
         self.acceptor.decided(new[-1])
         for begin in range(0, len(new), MOST_BATCH):
-            self.outbox.write(Decided(new[begin:begin + MOST_BATCH]))
+            self.outbox.write(Decided(new[begin : begin + MOST_BATCH]))
         self.raise_to_others()
         self._compact()
         return True
@@ -142,7 +142,14 @@
     def rebase(self) -> None:
         acceptor, recovery = self.acceptor, self.recovery
         self.entries_since_base, self.bytes_since_base = 0, 0
-        self.outbox.rebase(Base(
-            recovery.run.disk, recovery.run.starts, tuple(recovery.runs.values()), acceptor.promised,
-            acceptor.accepted_at, acceptor.accepted, self.learner.snapshot(),
-        ))
+        self.outbox.rebase(
+            Base(
+                recovery.run.disk,
+                recovery.run.starts,
+                tuple(recovery.runs.values()),
+                acceptor.promised,
+                acceptor.accepted_at,
+                acceptor.accepted,
+                self.learner.snapshot(),
+            )
+        )
--- a/molereach/council/log/starts.py
+++ b/molereach/council/log/starts.py
@@ -62,10 +62,18 @@
             self.outbox.say(sender.name, Exists(word.run, known), sender.number)
             return
         acceptor = self.ledger.acceptor
-        self.outbox.vote(sender.name, Noted(
-            word.run, self.recovery.run, self.ledger.position, acceptor.promised, acceptor.accepted_at,
-            acceptor.accepted,
-        ), sender.number)
+        self.outbox.vote(
+            sender.name,
+            Noted(
+                word.run,
+                self.recovery.run,
+                self.ledger.position,
+                acceptor.promised,
+                acceptor.accepted_at,
+                acceptor.accepted,
+            ),
+            sender.number,
+        )
 
     def on_noted(self, sender: Life, word: Noted) -> None:
         if self.recovery.answered(sender, word, self.ledger.panel):
--- a/molereach/council/log/voting.py
+++ b/molereach/council/log/voting.py
@@ -61,9 +61,17 @@
             return
         self.election.listen(now_us)
         acceptor = self.ledger.acceptor
-        self.outbox.vote(sender.name, Promise(
-            word.ballot, word.after, self.ledger.voter(), acceptor.accepted_at, acceptor.accepted,
-        ), sender.number)
+        self.outbox.vote(
+            sender.name,
+            Promise(
+                word.ballot,
+                word.after,
+                self.ledger.voter(),
+                acceptor.accepted_at,
+                acceptor.accepted,
+            ),
+            sender.number,
+        )
 
     def on_accept(self, now_us: int, sender: Life, word: Accept) -> None:
         after = word.entries[0].position - 1
--- a/molereach/council/log/words.py
+++ b/molereach/council/log/words.py
@@ -204,6 +204,22 @@
 
 
 Message = (
-    Start | Noted | Exists | Poll | Polled | Prepare | Promise | Outbid | Accept | Accepted | Beat | Follow
-    | Want | Known | WantPiece | Piece | Ask | Leader
+    Start
+    | Noted
+    | Exists
+    | Poll
+    | Polled
+    | Prepare
+    | Promise
+    | Outbid
+    | Accept
+    | Accepted
+    | Beat
+    | Follow
+    | Want
+    | Known
+    | WantPiece
+    | Piece
+    | Ask
+    | Leader
 )
--- a/molereach/council/membership/settings.py
+++ b/molereach/council/membership/settings.py
@@ -30,7 +30,13 @@
             raise ValueError("direct_us must be above 0 and below beat_us")
         if min(self.indirect_asks, self.most_doubt, self.confirmations) < 0:
             raise ValueError("indirect_asks, most_doubt and confirmations must not be negative")
-        positive = (self.suspicion_beats, self.suspicion_longest, self.most_words, self.sync_beats,
-                    self.retry_beats, self.stall_us)
+        positive = (
+            self.suspicion_beats,
+            self.suspicion_longest,
+            self.most_words,
+            self.sync_beats,
+            self.retry_beats,
+            self.stall_us,
+        )
         if min(positive) < 1 or self.forget_us < self.beat_us:
             raise ValueError("times and numbers of beats must be above 0, forget_us a beat at least")
--- a/molereach/council/node/parts.py
+++ b/molereach/council/node/parts.py
@@ -22,7 +22,9 @@
 
 MEMBERSHIP, LOG, SPREAD = "membership", "log", "spread"
 WORDS: dict[str, Any] = {
-    MEMBERSHIP: membership_words.Message, LOG: log_words.Message, SPREAD: spread_words.Message,
+    MEMBERSHIP: membership_words.Message,
+    LOG: log_words.Message,
+    SPREAD: spread_words.Message,
 }
 
 
@@ -30,14 +32,22 @@
     """All cores of one front door. `machines` are those that stand on the log beside the sessions."""
 
     def __init__(
-        self, me: Life, settings: CouncilSettings, disk: str, recovered: Recovered, panel: Panel,
-        machines: Mapping[str, StateMachine], draw: Callable[[], float], wall_ms: Callable[[int], int],
+        self,
+        me: Life,
+        settings: CouncilSettings,
+        disk: str,
+        recovered: Recovered,
+        panel: Panel,
+        machines: Mapping[str, StateMachine],
+        draw: Callable[[], float],
+        wall_ms: Callable[[int], int],
     ) -> None:
         beat_us = settings.beat_us
         self.sessions = Sessions()
         on_log = {self.sessions.name: self.sessions, **machines}
         self.membership = Membership(
-            me, MembershipSettings(beat_us=beat_us, direct_us=beat_us * 2 // 5), draw)
+            me, MembershipSettings(beat_us=beat_us, direct_us=beat_us * 2 // 5), draw
+        )
         self.log = LogCore(me, disk, recovered, panel, on_log, LogSettings(), draw, wall_ms)
         self.holder = Holder(me, self.sessions, settings.terms, draw, beat_us)
         self.keeper = Keeper(self.sessions, settings.terms, beat_us)
@@ -45,5 +55,10 @@
 
     @property
     def wake_us(self) -> int:
-        return min(self.membership.wake_us, self.log.wake_us, self.holder.wake_us, self.keeper.wake_us,
-                   self.spread.wake_us)
+        return min(
+            self.membership.wake_us,
+            self.log.wake_us,
+            self.holder.wake_us,
+            self.keeper.wake_us,
+            self.spread.wake_us,
+        )
--- a/molereach/council/node/service.py
+++ b/molereach/council/node/service.py
@@ -84,8 +84,13 @@
     """Made within the running loop; `opened` is the folder of a seat, None for one that only learns."""
 
     def __init__(
-        self, name: str, settings: CouncilSettings, key: bytes, opened: Opened | None,
-        machines: Mapping[str, StateMachine], addresses: Mapping[str, Address] | None = None,
+        self,
+        name: str,
+        settings: CouncilSettings,
+        key: bytes,
+        opened: Opened | None,
+        machines: Mapping[str, StateMachine],
+        addresses: Mapping[str, Address] | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings, self.figures, self.watchers = settings, Figures(), Watchers()
@@ -93,8 +98,15 @@
         kept = recover(opened.base, opened.records) if opened else Recovered()
         wall_ms = time.time_ns() // 1_000_000 - now_us() // 1000
         self.core = Council(
-            self.me, settings, opened.identity if opened else NO_DISK, kept, first_panel(key, settings.panel),
-            machines, random.random, lambda at_us: wall_ms + at_us // 1000)
+            self.me,
+            settings,
+            opened.identity if opened else NO_DISK,
+            kept,
+            first_panel(key, settings.panel),
+            machines,
+            random.random,
+            lambda at_us: wall_ms + at_us // 1000,
+        )
         # Its word comes in a turn of its own: that too much waits is said while an action is carried out.
         self.worker = Worker(opened.store, self.from_disk) if opened else None
         self.links = Links(self.me, addresses or settings.doors, key, WORDS, self.heard, random.random)
@@ -104,11 +116,20 @@
         self.left = asyncio.Event()
         self.closed = False
         self.act: dict[type, Callable[..., None]] = {
-            To: self.on_to, Persist: self.on_persist, ProposalOver: self.on_over, Applied: self.on_applied,
-            Restored: self.on_restored, Left: lambda action: self.left.set(), Ended: self.on_ended,
-            Leads: self.on_leads, Held: self.on_held, Lost: self.on_lost, Changed: self.on_changed,
+            To: self.on_to,
+            Persist: self.on_persist,
+            ProposalOver: self.on_over,
+            Applied: self.on_applied,
+            Restored: self.on_restored,
+            Left: lambda action: self.left.set(),
+            Ended: self.on_ended,
+            Leads: self.on_leads,
+            Held: self.on_held,
+            Lost: self.on_lost,
+            Changed: self.on_changed,
             Stopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
-            SetBack: self.on_set_back, MachineFailed: self.on_machine_failed,
+            SetBack: self.on_set_back,
+            MachineFailed: self.on_machine_failed,
         }
 
     # --- start and end ---
@@ -253,8 +274,12 @@
             log.info("council: %s is %s", action.life.name, action.status.name.lower())
 
     def on_set_back(self, action: SetBack) -> None:
-        log.error("council: the folder was set back (start %d, %d is known): it votes no more; give it "
-                  "a new folder", action.starts, action.known)
+        log.error(
+            "council: the folder was set back (start %d, %d is known): it votes no more; give it "
+            "a new folder",
+            action.starts,
+            action.known,
+        )
 
     def on_machine_failed(self, action: MachineFailed) -> None:
         log.error("council: %s is stopped here: %s", action.machine, action.reason)
@@ -266,10 +291,12 @@
         stats, core = self.links.stats(), self.core
         session = core.parts.holder.fence if self.holds() else 0
         return {
-            "council_position": core.position, "council_session": session,
+            "council_position": core.position,
+            "council_session": session,
             "council_leads": int(core.leader == self.me.name),
             "council_alive": len(core.parts.membership.alive()),
             "council_links": len([peer for peer in stats.peers.values() if peer.state == "up"]),
-            "council_turns": self.figures.turns, "council_longest_turn_us": self.figures.longest_us,
+            "council_turns": self.figures.turns,
+            "council_longest_turn_us": self.figures.longest_us,
             "council_sessions_lost": self.figures.lost,
         }
--- a/molereach/council/node/wiring.py
+++ b/molereach/council/node/wiring.py
@@ -84,7 +84,7 @@
     why: str
 
 
-Event = (Begin | Leave | Tick | From | Persisted | DiskFailed | Propose)
+Event = Begin | Leave | Tick | From | Persisted | DiskFailed | Propose
 Notice = Changed | Doubts | Leads | lease.Held | lease.Lost | Stopped | SetBack | MachineFailed | tree.Parent
 Action = To | Persist | Applied | Restored | ProposalOver | Left | Ended | Notice
 Route = Callable[["Council", int, Any], None]
@@ -94,8 +94,15 @@
     """Sans-I/O: `handle` takes an event with the time, and returns what is to be done, in order."""
 
     def __init__(
-        self, me: Life, settings: CouncilSettings, disk: str, recovered: Recovered, panel: Panel,
-        machines: Mapping[str, StateMachine], draw: Callable[[], float], wall_ms: Callable[[int], int],
+        self,
+        me: Life,
+        settings: CouncilSettings,
+        disk: str,
+        recovered: Recovered,
+        panel: Panel,
+        machines: Mapping[str, StateMachine],
+        draw: Callable[[], float],
+        wall_ms: Callable[[int], int],
     ) -> None:
         self.me, self.settings = me, settings
         self.parts = Parts(me, settings, disk, recovered, panel, machines, draw, wall_ms)
@@ -149,8 +156,12 @@
                 self._tick(now_us)
             case From(part, heard):
                 self.heard_us = now_us
-                self._run(part, {MEMBERSHIP: parts.membership, LOG: parts.log, SPREAD: parts.spread}[part],
-                          now_us, heard)
+                self._run(
+                    part,
+                    {MEMBERSHIP: parts.membership, LOG: parts.log, SPREAD: parts.spread}[part],
+                    now_us,
+                    heard,
+                )
             case Persisted() | DiskFailed() | Propose():
                 self._run(LOG, parts.log, now_us, event)
             case Begin():
@@ -166,8 +177,13 @@
     def _tick(self, now_us: int) -> None:
         """Each part whose time has come. The holder is asked last: it is to say what was applied by now."""
         parts = self.parts
-        for name, core in ((MEMBERSHIP, parts.membership), (LOG, parts.log), (SPREAD, parts.spread),
-                           ("keeper", parts.keeper), ("holder", parts.holder)):
+        for name, core in (
+            (MEMBERSHIP, parts.membership),
+            (LOG, parts.log),
+            (SPREAD, parts.spread),
+            ("keeper", parts.keeper),
+            ("holder", parts.holder),
+        ):
             if core.wake_us <= now_us:
                 self._run(name, core, now_us, Tick())
 
@@ -277,9 +293,20 @@
 
 
 ROUTES: dict[type, Route] = {
-    Applied: Council._applied, Restored: Council._restored, Leads: Council._leads,
-    Changed: Council._changed, Displaced: Council._displaced, ProposalOver: Council._over,
-    lease.Lost: Council._lost, Propose: _to_log, Confirm: _to_log, Confirmed: _to_keeper,
-    Ask: _mine, lease.Given: _given, tree.Gathered: _gathered, tree.Granted: _granted,
-    tree.Learn: _learn, tree.Fetch: _fetch,
+    Applied: Council._applied,
+    Restored: Council._restored,
+    Leads: Council._leads,
+    Changed: Council._changed,
+    Displaced: Council._displaced,
+    ProposalOver: Council._over,
+    lease.Lost: Council._lost,
+    Propose: _to_log,
+    Confirm: _to_log,
+    Confirmed: _to_keeper,
+    Ask: _mine,
+    lease.Given: _given,
+    tree.Gathered: _gathered,
+    tree.Granted: _granted,
+    tree.Learn: _learn,
+    tree.Fetch: _fetch,
 }
--- a/molereach/council/spread/ranks.py
+++ b/molereach/council/spread/ranks.py
@@ -29,4 +29,4 @@
     @cached_property
     def children(self) -> frozenset[str]:
         first = self.rank[self.me] * self.fan + 1
-        return frozenset(self.names[first:first + self.fan])
+        return frozenset(self.names[first : first + self.fan])
--- a/molereach/council/store/reader.py
+++ b/molereach/council/store/reader.py
@@ -27,8 +27,12 @@
     if owner.door != door:
         raise FileError(f"{IDENTITY}: is of front door '{owner.door}', not '{door}'")
     most = whole.BASE_HEAD_BYTES + whole.MOST_BASE_BYTES
-    seed, base = judge(disk, base_name(generation), most,
-                       lambda data: (whole.seed_of(data), whole.decode_base(owner, generation, data)))
+    seed, base = judge(
+        disk,
+        base_name(generation),
+        most,
+        lambda data: (whole.seed_of(data), whole.decode_base(owner, generation, data)),
+    )
 
     def records_of(data: bytes) -> list[bytes]:
         whole.check_tail_head(seed, data)
--- a/molereach/council/store/store.py
+++ b/molereach/council/store/store.py
@@ -69,8 +69,12 @@
         self.broken = False  # a write or sync has failed: what is on the disk is open until the next start
 
     @staticmethod
-    def open(folder: Path, door: str, draw: Callable[[], bytes] = draw_identity,
-             disk: Callable[[Path], Disk] = Disk) -> Opened:
+    def open(
+        folder: Path,
+        door: str,
+        draw: Callable[[], bytes] = draw_identity,
+        disk: Callable[[Path], Disk] = Disk,
+    ) -> Opened:
         """The folder's state; made anew where there is none. StoreError, and then nothing was changed that
         counts, and the folder is not locked."""
         try:
@@ -118,8 +122,10 @@
         frame = tail.chain.frame(records)
         tail.size += len(frame)
         if tail.size > MOST_TAIL_BYTES:
-            raise ValueError(f"{tail_name(tail.generation)} would hold {tail.size} bytes without a new base; "
-                             f"{MOST_TAIL_BYTES} at most")
+            raise ValueError(
+                f"{tail_name(tail.generation)} would hold {tail.size} bytes without a new base; "
+                f"{MOST_TAIL_BYTES} at most"
+            )
         return frame
 
     def _begin(self, generation: int, base: bytes | None, records: Sequence[bytes]) -> None:
--- a/molereach/door/catalog.py
+++ b/molereach/door/catalog.py
@@ -127,9 +127,7 @@
             raise ValueError("the whole list names a server twice")
         return News(i.ServerList(kind, int(value["generation"]), tuple(servers)), addresses)
 
-    def long_news(
-        self, value: Mapping[str, Any], staged: Staged, kind: i.ListKind | None = None
-    ) -> LongNews:
+    def long_news(self, value: Mapping[str, Any], staged: Staged, kind: i.ListKind | None = None) -> LongNews:
         """The end of an object whose parts have been staged; what came with it is staged too."""
         staged.add(*self.entries(value["instances"]))
         return LongNews(staged, kind or kind_of(value), int(value["generation"]))
--- a/molereach/door/discovery.py
+++ b/molereach/door/discovery.py
@@ -26,11 +26,15 @@
     """Hands on the news of one source; another address takes over once it has told its whole list."""
 
     def __init__(
-        self, address: Address, catalog: Catalog, version: int,
+        self,
+        address: Address,
+        catalog: Catalog,
+        version: int,
         heard: Callable[[News | LongNews], Steps | None],
         spawn: Callable[[Coroutine[None, None, None]], object],
         pacing: Callable[[], CallPacing] = lambda: CallPacing(1),
-        draw: Callable[[], float] = random.random, stage: Callable[[], Staged] = no_stage,
+        draw: Callable[[], float] = random.random,
+        stage: Callable[[], Staged] = no_stage,
     ) -> None:
         self.catalog, self.heard, self.spawn = catalog, heard, spawn
         self.first = asyncio.Event()
--- a/molereach/door/frontdoor.py
+++ b/molereach/door/frontdoor.py
@@ -88,8 +88,10 @@
         self.backends = Backends(config.conn_idle_us, config.connect_timeout_us, sockets - most_clients)
         self.parser = CommandParser(config)
         self.clients = Intake(
-            most_clients, round(memory * WAITING_SHARE),
-            lambda: ClientConnection(self.clients, self), self.backends.spawn,
+            most_clients,
+            round(memory * WAITING_SHARE),
+            lambda: ClientConnection(self.clients, self),
+            self.backends.spawn,
         )
         view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
         most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
@@ -99,15 +101,26 @@
         self.known: News | None = None  # the list that it started with, as it was heard
         version = self.read_known()
         self.discovery = Discovery(
-            config.discovery, self.catalog, version, self.list_heard, self.backends.spawn,
-            lambda: CallPacing.of(config.settings), random.Random(config.settings.seed ^ CALLS_SEED).random,
+            config.discovery,
+            self.catalog,
+            version,
+            self.list_heard,
+            self.backends.spawn,
+            lambda: CallPacing.of(config.settings),
+            random.Random(config.settings.seed ^ CALLS_SEED).random,
             self.lists.stage,
         )
         self.carry_out: dict[type, Callable[..., None]] = {
-            i.Send: self.send, i.Cancel: self.cancel, i.Refuse: self.refuse, i.Fail: self.fail,
-            i.SetTimer: self.set_timer, i.Tell: self.peers.tell, i.Log: self.log_line,
+            i.Send: self.send,
+            i.Cancel: self.cancel,
+            i.Refuse: self.refuse,
+            i.Fail: self.fail,
+            i.SetTimer: self.set_timer,
+            i.Tell: self.peers.tell,
+            i.Log: self.log_line,
             i.CloseIdle: lambda action: self.backends.close_idle(action.server),
-            i.Subscribe: lambda action: None, i.FetchList: lambda action: None,  # the watch is always on
+            i.Subscribe: lambda action: None,
+            i.FetchList: lambda action: None,  # the watch is always on
         }
 
     # --- start and end ---
@@ -157,10 +170,18 @@
 
     def reconfigure(self, config: Config) -> None:
         """Take over what can change while it serves: the address of discovery."""
-        fixed = replace(config, discovery=self.config.discovery, known=self.config.known, known_parts=[],
-                        settings=replace(config.settings, seed=self.settings.seed))
-        changed = [field.name for field in fields(fixed)
-                   if getattr(fixed, field.name) != getattr(self.config, field.name)]
+        fixed = replace(
+            config,
+            discovery=self.config.discovery,
+            known=self.config.known,
+            known_parts=[],
+            settings=replace(config.settings, seed=self.settings.seed),
+        )
+        changed = [
+            field.name
+            for field in fields(fixed)
+            if getattr(fixed, field.name) != getattr(self.config, field.name)
+        ]
         if changed:
             log.warning("a restart is needed for new values of: %s", ", ".join(changed))
         log.info("takes over the configuration: discovery at %s:%d", *config.discovery)
--- a/molereach/door/source.py
+++ b/molereach/door/source.py
@@ -44,9 +44,14 @@
     """One address of discovery, with its news handed on as they come."""
 
     def __init__(
-        self, address: Address, catalog: Catalog, version: int | None,
-        heard: Callable[["Source", News | LongNews], Steps | None], pacing: CallPacing,
-        draw: Callable[[], float], stage: Callable[[], Staged],
+        self,
+        address: Address,
+        catalog: Catalog,
+        version: int | None,
+        heard: Callable[["Source", News | LongNews], Steps | None],
+        pacing: CallPacing,
+        draw: Callable[[], float],
+        stage: Callable[[], Staged],
         make_room: Callable[["Source", int], bool] = lambda source, number: False,
     ) -> None:
         """`make_room`: whether what else is staged gives way to what a call of this one brings."""
@@ -101,8 +106,10 @@
     def call(self, number: int) -> None:
         whole = self.version is None
         connection = WatchConnection(
-            LIST if whole else f"{LIST}?watch=1&after={self.version}", "{}:{}".format(*self.address),
-            lambda word: self.word(number, whole, word), lambda begun: self.bytes_came(number, begun),
+            LIST if whole else f"{LIST}?watch=1&after={self.version}",
+            "{}:{}".format(*self.address),
+            lambda word: self.word(number, whole, word),
+            lambda begun: self.bytes_came(number, begun),
             lambda text: self.part(number, text),
         )
         task = asyncio.get_running_loop().create_task(self.play(number, connection))
--- a/molereach/door/watch.py
+++ b/molereach/door/watch.py
@@ -36,7 +36,11 @@
     the answer has begun."""
 
     def __init__(
-        self, target: str, host: str, word: Callable[[bytes], Steps | None], heard: Callable[[bool], None],
+        self,
+        target: str,
+        host: str,
+        word: Callable[[bytes], Steps | None],
+        heard: Callable[[bool], None],
         part: Callable[[bytes], None],
     ) -> None:
         self.target, self.host, self.word, self.heard, self.part = target, host, word, heard, part
--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -53,8 +53,14 @@
     """One agent; `fetch` asks a peer for a book that is past a revision."""
 
     def __init__(
-        self, name: str, fleet: tuple[str, ...], folder: Path, journal: Journal, fetch: Fetch,
-        start_alone_s: float = 3.0, random: Random | None = None,
+        self,
+        name: str,
+        fleet: tuple[str, ...],
+        folder: Path,
+        journal: Journal,
+        fetch: Fetch,
+        start_alone_s: float = 3.0,
+        random: Random | None = None,
     ) -> None:
         self.name, self.fleet, self.folder, self.journal, self.fetch = name, fleet, folder, journal, fetch
         self.start_alone_s, self.random = start_alone_s, random or Random()
@@ -109,8 +115,9 @@
 
     def scan(self) -> None:
         try:
-            names = frozenset(path.name.removesuffix(SUFFIX) for path in self.folder.iterdir()
-                              if path.name.endswith(SUFFIX))
+            names = frozenset(
+                path.name.removesuffix(SUFFIX) for path in self.folder.iterdir() if path.name.endswith(SUFFIX)
+            )
         except OSError as error:
             log.error("the folder of sockets cannot be read", folder=str(self.folder), error=error.strerror)
             return
@@ -165,7 +172,11 @@
             await link.close()
 
     async def ask(
-        self, name: str, what: What, within_s: float = ASK_S, customer: str = "",
+        self,
+        name: str,
+        what: What,
+        within_s: float = ASK_S,
+        customer: str = "",
         book: BookState | None = None,
     ) -> Answer:
         if (link := self.links.get(name)) is None:
@@ -224,9 +235,16 @@
                 await self.save()
                 now, order = acceptor.state, acceptor.state.accepted
                 if order and now.accepted_at != before[0].accepted_at:
-                    log.info("order accepted", by=by, order=order.id, verb=order.verb.value,
-                             subject=order.subject, issuer=order.issuer, reason=order.reason,
-                             revision=now.revision)
+                    log.info(
+                        "order accepted",
+                        by=by,
+                        order=order.id,
+                        verb=order.verb.value,
+                        subject=order.subject,
+                        issuer=order.issuer,
+                        reason=order.reason,
+                        revision=now.revision,
+                    )
                 self.entered(before[1])
         return replies
 
@@ -250,8 +268,16 @@
 
     def note_order(self, decided: Decided) -> None:
         order = decided.order
-        log.info("order decided", order=order.id, verb=order.verb.value, subject=order.subject,
-                 issuer=order.issuer, reason=order.reason, revision=decided.revision, forced=order.forced)
+        log.info(
+            "order decided",
+            order=order.id,
+            verb=order.verb.value,
+            subject=order.subject,
+            issuer=order.issuer,
+            reason=order.reason,
+            revision=decided.revision,
+            forced=order.forced,
+        )
         text = f"{order.verb.value} {order.subject} by {order.issuer}: {order.reason}"
         self.note("order", order.id, f"revision {decided.revision}: {text}")
 
@@ -280,8 +306,11 @@
     def become_ready(self, alone: bool) -> None:
         self.alone = alone
         if alone:
-            log.warning("no majority of agents was heard: front doors are told what is known here",
-                        heard=len(self.heard), fleet=len(self.fleet))
+            log.warning(
+                "no majority of agents was heard: front doors are told what is known here",
+                heard=len(self.heard),
+                fleet=len(self.fleet),
+            )
         self.tell_roster(r.Wanted(self.acceptor.book.revision, True))
         for name in list(self.links):
             self.spawn(self.put(name))
@@ -324,8 +353,15 @@
 
     def status(self) -> Status:
         acceptor = self.acceptor
-        return Status(self.name, self.fleet, acceptor.book.revision, self.synced, self.journal_error,
-                      acceptor.pending(), self.roster.views(self.now_ms()))
+        return Status(
+            self.name,
+            self.fleet,
+            acceptor.book.revision,
+            self.synced,
+            self.journal_error,
+            acceptor.pending(),
+            self.roster.views(self.now_ms()),
+        )
 
     async def view(self) -> View:
         answers, _ = await self.ask_all("members")
--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -35,7 +35,8 @@
 log = structlog.get_logger()
 _encode = msgspec.json.Encoder().encode
 _message: msgspec.json.Decoder[Message] = msgspec.json.Decoder(
-    Prepare | Promise | Accept | Accepted | Outbid | Known | Behind)
+    Prepare | Promise | Accept | Accepted | Outbid | Known | Behind
+)
 
 
 class RefusedError(Exception):
@@ -96,18 +97,21 @@
     def app(self) -> Starlette:
         """The ASGI application."""
         read, operate = Role.READ, Role.OPERATE
-        return Starlette(routes=[
-            Route("/v1/status", self.guarded(read, self.status)),
-            Route("/v1/view", self.guarded(read, self.view)),
-            Route("/v1/members", self.guarded(read, self.members)),
-            Route("/v1/orders", self.guarded(read, self.orders)),
-            Route("/v1/quota/{customer}", self.guarded(read, self.quota)),
-            Route("/v1/book", self.guarded(read, self.book)),
-            Route("/v1/events", self.guarded(read, self.events)),
-            Route("/v1/watch", self.guarded(read, self.watch)),
-            Route("/v1/agreement", self.guarded(operate, self.agreement), methods=["POST"]),
-            Route("/v1/openapi.json", self.guarded(read, self.openapi)),
-        ], middleware=[Middleware(ReadFirst)])
+        return Starlette(
+            routes=[
+                Route("/v1/status", self.guarded(read, self.status)),
+                Route("/v1/view", self.guarded(read, self.view)),
+                Route("/v1/members", self.guarded(read, self.members)),
+                Route("/v1/orders", self.guarded(read, self.orders)),
+                Route("/v1/quota/{customer}", self.guarded(read, self.quota)),
+                Route("/v1/book", self.guarded(read, self.book)),
+                Route("/v1/events", self.guarded(read, self.events)),
+                Route("/v1/watch", self.guarded(read, self.watch)),
+                Route("/v1/agreement", self.guarded(operate, self.agreement), methods=["POST"]),
+                Route("/v1/openapi.json", self.guarded(read, self.openapi)),
+            ],
+            middleware=[Middleware(ReadFirst)],
+        )
 
     def guarded(
         self, role: Role, call: Callable[[Request, str], Awaitable[Response]]
@@ -127,8 +131,14 @@
                 return await self.counted(call, request, name)
             except RefusedError as refused:
                 peer = request.client.host if request.client else ""
-                log.warning("call refused", path=request.url.path, status=refused.status, peer=peer,
-                            client=name, why=refused.text)
+                log.warning(
+                    "call refused",
+                    path=request.url.path,
+                    status=refused.status,
+                    peer=peer,
+                    client=name,
+                    why=refused.text,
+                )
                 return answer(Problem(refused.text), refused.status, refused.headers)
             except ClientDisconnect:
                 return Response(status_code=499)
--- a/molereach/fleet/agent/openapi.py
+++ b/molereach/fleet/agent/openapi.py
@@ -12,16 +12,39 @@
 from molereach.fleet import agreement, orders, view
 
 TEMPLATE = "#/components/schemas/{name}"
-MESSAGES = (agreement.Prepare, agreement.Promise, agreement.Accept, agreement.Accepted, agreement.Outbid,
-            agreement.Known, agreement.Behind)
-BODIES = (view.Status, view.View, view.Members, view.Orders, view.Quota, view.Event, view.Problem,
-          orders.BookState)
-PROBLEMS = {"400": "what came makes no sense", "401": "no token that is known", "403": "not with this role",
-            "503": "not now"}
+MESSAGES = (
+    agreement.Prepare,
+    agreement.Promise,
+    agreement.Accept,
+    agreement.Accepted,
+    agreement.Outbid,
+    agreement.Known,
+    agreement.Behind,
+)
+BODIES = (
+    view.Status,
+    view.View,
+    view.Members,
+    view.Orders,
+    view.Quota,
+    view.Event,
+    view.Problem,
+    orders.BookState,
+)
+PROBLEMS = {
+    "400": "what came makes no sense",
+    "401": "no token that is known",
+    "403": "not with this role",
+    "503": "not now",
+}
 
 AFTER = {"name": "after", "in": "query", "required": False, "schema": {"type": "integer", "minimum": 0}}
-CUSTOMER = {"name": "customer", "in": "path", "required": True,
-            "schema": {"type": "string", "pattern": "^[0-9A-Fa-f]{16}$"}}
+CUSTOMER = {
+    "name": "customer",
+    "in": "path",
+    "required": True,
+    "schema": {"type": "string", "pattern": "^[0-9A-Fa-f]{16}$"},
+}
 
 
 def reference(kind: type) -> dict[str, str]:
@@ -32,11 +55,17 @@
     return {"description": "the answer", "content": {media: {"schema": schema}}}
 
 
-def call(summary: str, schema: dict[str, Any], *parameters: dict[str, Any], media: str = "application/json",
-         **more: Any) -> dict[str, Any]:  # noqa: ANN401
-    problems = {status: {"description": text,
-                         "content": {"application/json": {"schema": reference(view.Problem)}}}
-                for status, text in PROBLEMS.items()}
+def call(
+    summary: str,
+    schema: dict[str, Any],
+    *parameters: dict[str, Any],
+    media: str = "application/json",
+    **more: Any,  # noqa: ANN401
+) -> dict[str, Any]:
+    problems = {
+        status: {"description": text, "content": {"application/json": {"schema": reference(view.Problem)}}}
+        for status, text in PROBLEMS.items()
+    }
     made: dict[str, Any] = {"summary": summary, "responses": {"200": reply(schema, media), **problems}}
     return made | ({"parameters": list(parameters)} if parameters else {}) | more
 
@@ -46,8 +75,11 @@
     messages = {"oneOf": [reference(kind) for kind in MESSAGES]}
     book = call("the book, where it is past a revision", reference(orders.BookState), AFTER)
     book["responses"]["204"] = {"description": "it is not past it"}
-    take = call("a message of the agreement, and the replies to it", {"type": "array", "items": messages},
-                requestBody={"required": True, "content": {"application/json": {"schema": messages}}})
+    take = call(
+        "a message of the agreement, and the replies to it",
+        {"type": "array", "items": messages},
+        requestBody={"required": True, "content": {"application/json": {"schema": messages}}},
+    )
     take["responses"]["413"] = {"description": "a body that is too large"}
     events = {"type": "array", "items": reference(view.Event)}
     return {
@@ -58,8 +90,13 @@
         "/v1/quota/{customer}": {"get": call("a customer's quota", reference(view.Quota), CUSTOMER)},
         "/v1/book": {"get": book},
         "/v1/events": {"get": call("the history past a number", events, AFTER)},
-        "/v1/watch": {"get": call("events as they happen, one JSON object a line", reference(view.Event),
-                                  media="application/x-ndjson")},
+        "/v1/watch": {
+            "get": call(
+                "events as they happen, one JSON object a line",
+                reference(view.Event),
+                media="application/x-ndjson",
+            )
+        },
         "/v1/agreement": {"post": take},
         "/v1/openapi.json": {"get": call("this document", {"type": "object"})},
     }
@@ -70,13 +107,18 @@
     _, schemas = msgspec.json.schema_components((*BODIES, *MESSAGES), ref_template=TEMPLATE)
     return {
         "openapi": "3.1.0",
-        "info": {"title": "molereach agent", "version": __version__,
-                 "description": "State of an agent's front doors, and the agreement on orders. The same over "
-                                "HTTP/1.1 and HTTP/2."},
+        "info": {
+            "title": "molereach agent",
+            "version": __version__,
+            "description": "State of an agent's front doors, and the agreement on orders. The same over "
+            "HTTP/1.1 and HTTP/2.",
+        },
         "security": [{"token": []}],
         "paths": paths(),
-        "components": {"schemas": schemas,
-                       "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}}},
+        "components": {
+            "schemas": schemas,
+            "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}},
+        },
     }
 
 
--- a/molereach/fleet/agent/run.py
+++ b/molereach/fleet/agent/run.py
@@ -34,8 +34,10 @@
     """One JSON object a line on standard error: an event's name and its fields."""
     structlog.configure(
         processors=[
-            structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso", utc=True),
-            structlog.processors.format_exc_info, structlog.processors.JSONRenderer(sort_keys=True),
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(sort_keys=True),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stderr),
@@ -80,8 +82,9 @@
 
 def connection_failed(loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
     """A fault within the HTTP server costs its connection; it is one line of the log."""
-    structlog.get_logger().error("a connection failed", what=str(context.get("message")),
-                                 error=repr(context.get("exception")))
+    structlog.get_logger().error(
+        "a connection failed", what=str(context.get("message")), error=repr(context.get("exception"))
+    )
 
 
 async def run_agent(file: Path, own: AgentFile, fleet_path: Path, fleet: FleetFile, tokens: Tokens) -> None:
@@ -94,8 +97,9 @@
     verify = settings.client_tls(fleet_path, fleet)
     journal = Journal(beside(file, own.journal), own.name)
     async with httpx.AsyncClient(headers=headers, verify=verify, timeout=fleet.timeout_s) as client:
-        agent = Agent(own.name, fleet.names, beside(file, own.sockets), journal, peers(client, fleet),
-                      own.start_alone_s)
+        agent = Agent(
+            own.name, fleet.names, beside(file, own.sockets), journal, peers(client, fleet), own.start_alone_s
+        )
         agent.start()
         config = hypercorn_config(own.listen, own.tls, file)
         app: ASGIFramework = Api(agent, tokens).app()  # type: ignore[assignment]
--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -236,8 +236,11 @@
         if len(self.promises) < self.majority:
             return []
         # What a majority may have accepted already must be finished, whoever gave it.
-        earlier = [(promise.accepted_at, promise.accepted) for promise in self.promises.values()
-                   if promise.accepted_at and promise.accepted]
+        earlier = [
+            (promise.accepted_at, promise.accepted)
+            for promise in self.promises.values()
+            if promise.accepted_at and promise.accepted
+        ]
         self.chosen = max(earlier, key=lambda pair: pair[0])[1] if earlier else self.order
         self.phase = Phase.ACCEPTING
         return [Accept(self.revision, self.ballot, self.chosen)]
--- a/molereach/fleet/campaign/account.py
+++ b/molereach/fleet/campaign/account.py
@@ -47,9 +47,13 @@
         if not missing and self.told() == len(self.agents):
             return Verdict.DONE, stands
         away = [word.agent for word in self.agent_words() if not word.told]
-        return Verdict.PARTLY, "; ".join([stands, *(f"front door {name} has not said that it has it"
-                                                    for name in missing),
-                                          *(f"agent {name} has not said that it knows it" for name in away)])
+        return Verdict.PARTLY, "; ".join(
+            [
+                stands,
+                *(f"front door {name} has not said that it has it" for name in missing),
+                *(f"agent {name} has not said that it knows it" for name in away),
+            ]
+        )
 
     def not_decided(self) -> str:
         heard = len(self.agents) - len(self.sight.silent)
--- a/molereach/fleet/campaign/course.py
+++ b/molereach/fleet/campaign/course.py
@@ -37,8 +37,15 @@
     chance; `expected` names the front doors of each agent, where the fleet's file does."""
 
     def __init__(
-        self, agents: tuple[str, ...], draft: ev.Draft, run: str, draws: Iterator[float], wall_ms: int,
-        floor: int = 1, times: ev.Times | None = None, expected: Mapping[str, tuple[str, ...]] | None = None,
+        self,
+        agents: tuple[str, ...],
+        draft: ev.Draft,
+        run: str,
+        draws: Iterator[float],
+        wall_ms: int,
+        floor: int = 1,
+        times: ev.Times | None = None,
+        expected: Mapping[str, tuple[str, ...]] | None = None,
     ) -> None:
         self.agents, self.draft, self.times = agents, draft, times or ev.Times()
         self.wall_ms = wall_ms  # Unix time at the beginning; from then on the monotonic clock counts
@@ -192,6 +199,13 @@
         if winner is None and self.decided and self.draft.id != self.decided.order.id:
             winner = self.decided
         account = self.account()
-        self.report = Report(verdict, self.draft.id, text, self.decided, winner,
-                             tuple(account.agent_words()), tuple(account.door_words()))
+        self.report = Report(
+            verdict,
+            self.draft.id,
+            text,
+            self.decided,
+            winner,
+            tuple(account.agent_words()),
+            tuple(account.door_words()),
+        )
         return [ev.Step("reported")]
--- a/molereach/fleet/campaign/events.py
+++ b/molereach/fleet/campaign/events.py
@@ -89,8 +89,9 @@
 class Step:
     """How far it has come, for people and for tests that cut it there."""
 
-    name: Literal["looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming",
-                  "reported"]
+    name: Literal[
+        "looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming", "reported"
+    ]
 
 
 Event = Viewed | Replied | Silent | Tick
--- a/molereach/fleet/campaign/judgment.py
+++ b/molereach/fleet/campaign/judgment.py
@@ -36,8 +36,16 @@
         if self.order is None:
             draft = self.draft
             based_on = draft.based_on if draft.based_on is not None else self.book.revision
-            self.order = Order(draft.id, draft.verb, draft.subject, draft.issuer, draft.reason, based_on,
-                               draft.lapses_ms, draft.forced)
+            self.order = Order(
+                draft.id,
+                draft.verb,
+                draft.subject,
+                draft.issuer,
+                draft.reason,
+                based_on,
+                draft.lapses_ms,
+                draft.forced,
+            )
         return self.order
 
     def judge(self, wall_ms: int, ready: dict[str, str]) -> Lost | Decided | None:
--- a/molereach/fleet/campaign/sight.py
+++ b/molereach/fleet/campaign/sight.py
@@ -60,7 +60,8 @@
             return False
         seen = {door.name: door for door in view.status.doors}
         return all(door.revision >= revision or door.reach == "ended" for door in seen.values()) and all(
-            name in seen for name in self.expected.get(agent, ()))
+            name in seen for name in self.expected.get(agent, ())
+        )
 
     def unheard_of(self, order: Order) -> str:
         """A name that is mistyped is not to stand as an order; '' if it is known."""
--- a/molereach/fleet/cli/campaigns.py
+++ b/molereach/fleet/cli/campaigns.py
@@ -19,5 +19,13 @@
 def campaign_for(settings: FleetFile, draft: ev.Draft, confirm_s: float | None = None) -> Campaign:
     """A campaign whose run has a name that no other has ever had."""
     times = ev.Times(round(settings.agree_s * 1e6), round((confirm_s or settings.confirm_s) * 1e6))
-    return Campaign(settings.names, draft, secrets.token_hex(16), draws(), time.time_ns() // 1_000_000,
-                      settings.floor, times, settings.expected())
+    return Campaign(
+        settings.names,
+        draft,
+        secrets.token_hex(16),
+        draws(),
+        time.time_ns() // 1_000_000,
+        settings.floor,
+        times,
+        settings.expected(),
+    )
--- a/molereach/fleet/cli/client.py
+++ b/molereach/fleet/cli/client.py
@@ -56,10 +56,17 @@
         tls = client_tls(file, settings) if encrypted else False
         # Without TLS there is nothing to negotiate by: HTTP/2 with prior knowledge (RFC 9113, section 3.3). A
         # client for each agent: one pool for all looks at each of its connections for each call.
-        self.clients = {name: httpx.AsyncClient(
-            headers=headers, verify=tls, timeout=settings.timeout_s, http2=not http1,
-            http1=http1 or encrypted, trust_env=False,
-        ) for name in self.urls}
+        self.clients = {
+            name: httpx.AsyncClient(
+                headers=headers,
+                verify=tls,
+                timeout=settings.timeout_s,
+                http2=not http1,
+                http1=http1 or encrypted,
+                trust_env=False,
+            )
+            for name in self.urls
+        }
         self.stack = AsyncExitStack()
 
     async def __aenter__(self) -> "Fleet":
@@ -73,7 +80,11 @@
         await self.stack.aclose()
 
     async def call(
-        self, agent: str, path: str, kind: type[T], message: Message | None = None,
+        self,
+        agent: str,
+        path: str,
+        kind: type[T],
+        message: Message | None = None,
         within_s: float | None = None,
     ) -> T:
         """One call of one agent; CallError says why there is no answer."""
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -25,25 +25,50 @@
     out.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
     if report.winner:
         other = report.winner.order
-        out.line(f"  stands: {other.verb.value} {other.subject} at revision {report.winner.revision}, by "
-                 f"{other.issuer}: {other.reason} (order {other.id})")
+        out.line(
+            f"  stands: {other.verb.value} {other.subject} at revision {report.winner.revision}, by "
+            f"{other.issuer}: {other.reason} (order {other.id})"
+        )
     for word in report.agents:
         if word.why or (report.decided and not word.told):
             out.line(f"  agent {word.agent}: {word.why or 'has not said that it knows the order'}")
     if report.decided and report.doors:
-        out.table("", ("agent", "front door", "carried out", "reach", "revision", "heard", ""), (
-            (word.agent, word.door, "yes" if word.carried_out else "NOT KNOWN", word.reach, word.revision,
-             age(word.heard_ago_ms), word.why) for word in report.doors))
+        out.table(
+            "",
+            ("agent", "front door", "carried out", "reach", "revision", "heard", ""),
+            (
+                (
+                    word.agent,
+                    word.door,
+                    "yes" if word.carried_out else "NOT KNOWN",
+                    word.reach,
+                    word.revision,
+                    age(word.heard_ago_ms),
+                    word.why,
+                )
+                for word in report.doors
+            ),
+        )
 
 
 def give(
-    file: Path | None, verb: Verb, subject: str, json_only: bool, reason: str, issuer: str, order_id: str,
-    lapse: float, forced: bool, based_on: int | None, wait_s: float | None,
+    file: Path | None,
+    verb: Verb,
+    subject: str,
+    json_only: bool,
+    reason: str,
+    issuer: str,
+    order_id: str,
+    lapse: float,
+    forced: bool,
+    based_on: int | None,
+    wait_s: float | None,
 ) -> None:
     """Give an order and end with the exit code of what became of it."""
     lapses_ms = time.time_ns() // 1_000_000 + round(lapse * 1000) if lapse else 0
-    draft = ev.Draft(order_id or secrets.token_hex(8), verb, subject, issuer, reason, lapses_ms, forced,
-                    based_on)
+    draft = ev.Draft(
+        order_id or secrets.token_hex(8), verb, subject, issuer, reason, lapses_ms, forced, based_on
+    )
 
     async def job(made: Fleet) -> int:
         Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
@@ -67,21 +92,42 @@
 def giving(verb: Verb, what: str, text: str) -> click.Command:
     """The command of one verb."""
     options = [
-        click.argument("subject", metavar=what), as_json,
+        click.argument("subject", metavar=what),
+        as_json,
         click.option("--reason", required=True, help="Why; others read it."),
         click.option("--issuer", default=getpass.getuser, help="Who gives it (default: the user)."),
         click.option("--id", "order_id", default="", help="Given twice with one id, it is one order."),
-        click.option("--lapse", type=click.FloatRange(0.0, 30 * 86400.0), default=0.0, metavar="S",
-                     help="It is void after so many seconds (default: never)."),
-        click.option("--based-on", type=click.IntRange(0), default=None, metavar="REVISION",
-                     help="The revision that was looked at (default: the latest)."),
+        click.option(
+            "--lapse",
+            type=click.FloatRange(0.0, 30 * 86400.0),
+            default=0.0,
+            metavar="S",
+            help="It is void after so many seconds (default: never).",
+        ),
+        click.option(
+            "--based-on",
+            type=click.IntRange(0),
+            default=None,
+            metavar="REVISION",
+            help="The revision that was looked at (default: the latest).",
+        ),
     ]
     if verb in (Verb.DRAIN, Verb.HOLD):
-        options.append(click.option("--force", "forced", is_flag=True,
-                                    help="Also below the floor, and of what nobody knows."))
+        options.append(
+            click.option(
+                "--force", "forced", is_flag=True, help="Also below the floor, and of what nobody knows."
+            )
+        )
     if verb is Verb.DRAIN:
-        options.append(click.option("--wait", "wait_s", type=click.FloatRange(0.0, 3600.0), metavar="S",
-                                    help="Then wait until nothing is in flight there, so long at most."))
+        options.append(
+            click.option(
+                "--wait",
+                "wait_s",
+                type=click.FloatRange(0.0, 3600.0),
+                metavar="S",
+                help="Then wait until nothing is in flight there, so long at most.",
+            )
+        )
 
     def command(file: Path | None, forced: bool = False, wait_s: float | None = None, **more: Any) -> None:  # noqa: ANN401
         give(file, verb, forced=forced, wait_s=wait_s, **more)
--- a/molereach/fleet/cli/commands/group.py
+++ b/molereach/fleet/cli/commands/group.py
@@ -15,8 +15,14 @@
 
 
 @click.group("fleet", epilog=EXIT_TEXT)
-@click.option("--fleet", "file", type=click.Path(path_type=Path), envvar=FLEET_VARIABLE, metavar="FILE",
-              help=f"The fleet's file: its agents, and how to speak with them (or {FLEET_VARIABLE}).")
+@click.option(
+    "--fleet",
+    "file",
+    type=click.Path(path_type=Path),
+    envvar=FLEET_VARIABLE,
+    metavar="FILE",
+    help=f"The fleet's file: its agents, and how to speak with them (or {FLEET_VARIABLE}).",
+)
 @click.pass_context
 def fleet(context: click.Context, file: Path | None) -> None:
     """See and steer many front doors as one."""
--- a/molereach/fleet/cli/commands/orders.py
+++ b/molereach/fleet/cli/commands/orders.py
@@ -30,9 +30,24 @@
         out.result({"orders": rows, "not_reached": errors(found)})
         if not json_only:
             columns = ("order", "what", "of", "by", "reason", "revision", "agents", "front doors", "lacking")
-            out.table("orders", columns, (
-                (row["id"], row["verb"], row["subject"], row["issuer"], row["reason"], row["stands"],
-                 row["agents"], row["doors"], " ".join(row["lacking"])) for row in rows))
+            out.table(
+                "orders",
+                columns,
+                (
+                    (
+                        row["id"],
+                        row["verb"],
+                        row["subject"],
+                        row["issuer"],
+                        row["reason"],
+                        row["stands"],
+                        row["agents"],
+                        row["doors"],
+                        " ".join(row["lacking"]),
+                    )
+                    for row in rows
+                ),
+            )
             complain(out, errors(found))
         return reading_exit(found, False)
 
@@ -43,8 +58,15 @@
     found: dict[str, Orders], stood: dict[str, Status], total: int, everything: bool
 ) -> Iterator[dict[str, Any]]:
     """A row for each order: decided ones by revision, then those that are under way."""
-    ids, doors = {}, [(f"{agent}/{door.name}", door) for agent, each in stood.items() for door in each.doors
-                      if door.reach != "ended"]
+    ids, doors = (
+        {},
+        [
+            (f"{agent}/{door.name}", door)
+            for agent, each in stood.items()
+            for door in each.doors
+            if door.reach != "ended"
+        ],
+    )
     for each in found.values():
         for decided in (*each.recent, *each.in_force) if everything else each.in_force:
             ids[decided.revision] = decided
@@ -52,13 +74,22 @@
         know = [agent for agent, each in found.items() if each.revision >= revision]
         have = [name for name, door in doors if door.revision >= revision]
         lacking = sorted((found.keys() - set(know)) | {name for name, _ in doors if name not in have})
-        yield {**msgspec.to_builtins(decided.order), "stands": revision, "agents": f"{len(know)}/{total}",
-               "doors": f"{len(have)}/{len(doors)}", "lacking": lacking}
+        yield {
+            **msgspec.to_builtins(decided.order),
+            "stands": revision,
+            "agents": f"{len(know)}/{total}",
+            "doors": f"{len(have)}/{len(doors)}",
+            "lacking": lacking,
+        }
     pending: dict[str, list[str]] = {}
     for agent, each in found.items():
         if each.pending:
             pending.setdefault(json.dumps(msgspec.to_builtins(each.pending)), []).append(agent)
     for text, accepted in pending.items():
-        yield {**json.loads(text), "stands": "not decided: give it again",
-               "agents": f"accepted {len(accepted)}/{total}",
-               "doors": f"0/{len(doors)}", "lacking": sorted(found.keys() - set(accepted))}
+        yield {
+            **json.loads(text),
+            "stands": "not decided: give it again",
+            "agents": f"accepted {len(accepted)}/{total}",
+            "doors": f"0/{len(doors)}",
+            "lacking": sorted(found.keys() - set(accepted)),
+        }
--- a/molereach/fleet/cli/commands/seen.py
+++ b/molereach/fleet/cli/commands/seen.py
@@ -20,14 +20,29 @@
     async def job(made: Fleet) -> int:
         out, found = Printer(json_only), await made.all("/v1/members", Members)
         heard: dict[str, Members] = good(found)
-        missing = {f"{agent}/{door}": text for agent, each in heard.items()
-                   for door, text in each.missing.items()}
+        missing = {
+            f"{agent}/{door}": text for agent, each in heard.items() for door, text in each.missing.items()
+        }
         out.result({"agents": list(heard.values()), "not_reached": errors(found)})
         if not json_only:
             columns = ("server", "building", "front door", "listed", "by order", "in flight")
-            out.table("servers", columns, sorted(
-                (one.name, one.building, door, one.listed, "drained" if one.drained else "", one.in_flight)
-                for each in heard.values() for door, seen in each.doors.items() for one in seen))
+            out.table(
+                "servers",
+                columns,
+                sorted(
+                    (
+                        one.name,
+                        one.building,
+                        door,
+                        one.listed,
+                        "drained" if one.drained else "",
+                        one.in_flight,
+                    )
+                    for each in heard.values()
+                    for door, seen in each.doors.items()
+                    for one in seen
+                ),
+            )
             complain(out, errors(found))
             for name, text in missing.items():
                 out.line(f"front door {name}: not reached: {text}")
@@ -56,21 +71,63 @@
         out.result({"customer": customer, "agents": list(heard.values()), "not_reached": errors(found)})
         if not json_only:
             columns = ("front door", "plan", "level units", "part", "ceiling part", "demand units/s", "heard")
-            out.table(f"customer {customer}", columns, (
-                (door, one.plan, f"{one.level:.1f}", f"{one.part:.2f}", f"{one.ceiling_part:.2f}",
-                 f"{one.demand:.1f}",
-                 age(None if one.heard_s_ago is None else round(one.heard_s_ago * 1000)))
-                for each in heard.values() for door, seen in each.doors.items() for one in seen))
-            held = [(door, one.plan, one.shares) for each in heard.values()
-                    for door, seen in each.doors.items() for one in seen if one.shares]
+            out.table(
+                f"customer {customer}",
+                columns,
+                (
+                    (
+                        door,
+                        one.plan,
+                        f"{one.level:.1f}",
+                        f"{one.part:.2f}",
+                        f"{one.ceiling_part:.2f}",
+                        f"{one.demand:.1f}",
+                        age(None if one.heard_s_ago is None else round(one.heard_s_ago * 1000)),
+                    )
+                    for each in heard.values()
+                    for door, seen in each.doors.items()
+                    for one in seen
+                ),
+            )
+            held = [
+                (door, one.plan, one.shares)
+                for each in heard.values()
+                for door, seen in each.doors.items()
+                for one in seen
+                if one.shares
+            ]
             if held:
-                names = ("front door", "plan", "share", "units", "lent to", "borrowed of", "oldest loan",
-                         "sent on", "quota spent", "apart")
-                out.table("shares of ceilings", names, (
-                    (door, plan, f"{shares.share:.3f}", f"{shares.store:.1f}", parts(shares.lent),
-                     parts(shares.borrowed), f"{shares.oldest_s:.1f} s", f"{shares.taken:.0f}",
-                     f"{shares.spent:.0f}", ", ".join(map(str, shares.apart)))
-                    for door, plan, shares in held))
+                names = (
+                    "front door",
+                    "plan",
+                    "share",
+                    "units",
+                    "lent to",
+                    "borrowed of",
+                    "oldest loan",
+                    "sent on",
+                    "quota spent",
+                    "apart",
+                )
+                out.table(
+                    "shares of ceilings",
+                    names,
+                    (
+                        (
+                            door,
+                            plan,
+                            f"{shares.share:.3f}",
+                            f"{shares.store:.1f}",
+                            parts(shares.lent),
+                            parts(shares.borrowed),
+                            f"{shares.oldest_s:.1f} s",
+                            f"{shares.taken:.0f}",
+                            f"{shares.spent:.0f}",
+                            ", ".join(map(str, shares.apart)),
+                        )
+                        for door, plan, shares in held
+                    ),
+                )
             complain(out, errors(found))
         return reading_exit(found, any(each.missing for each in heard.values()))
 
--- a/molereach/fleet/cli/commands/status.py
+++ b/molereach/fleet/cli/commands/status.py
@@ -21,10 +21,19 @@
     async def job(made: Fleet) -> int:
         out, found = Printer(json_only), await made.all("/v1/status", Status)
         heard: dict[str, Status] = good(found)
-        unseen = [(agent, door) for agent, doors in made.settings.expected().items() for door in doors
-                  if agent not in heard or door not in {each.name for each in heard[agent].doors}]
-        out.result({"agents": list(heard.values()), "not_reached": errors(found),
-                    "not_seen": [{"agent": agent, "door": door} for agent, door in unseen]})
+        unseen = [
+            (agent, door)
+            for agent, doors in made.settings.expected().items()
+            for door in doors
+            if agent not in heard or door not in {each.name for each in heard[agent].doors}
+        ]
+        out.result(
+            {
+                "agents": list(heard.values()),
+                "not_reached": errors(found),
+                "not_seen": [{"agent": agent, "door": door} for agent, door in unseen],
+            }
+        )
         if not json_only:
             show_status(out, heard, unseen)
             complain(out, errors(found))
@@ -39,13 +48,40 @@
     for agent, each in heard.items():
         for door in each.doors:
             state = door.state
-            rows.append((agent, door.name, door.reach, age(door.heard_ago_ms), door.revision,
-                         state and ("held" if state.held else "open"), state and state.clients,
-                         state and state.open_requests, state and f"{state.up_s:.0f}", door.why))
-    rows += [(agent, door, "unknown", "never", None, None, None, None, None, "named in the fleet's file only")
-             for agent, door in unseen]
-    out.table("front doors", ("agent", "door", "reach", "heard", "revision", "clients are", "clients",
-                              "requests", "up s", ""), rows)
-    out.table("agents", ("agent", "revision", "synced", "pending", "journal"), (
-        (agent, each.revision, "yes" if each.synced else "NO", each.pending and each.pending.id,
-         each.journal or "well") for agent, each in heard.items()))
+            rows.append(
+                (
+                    agent,
+                    door.name,
+                    door.reach,
+                    age(door.heard_ago_ms),
+                    door.revision,
+                    state and ("held" if state.held else "open"),
+                    state and state.clients,
+                    state and state.open_requests,
+                    state and f"{state.up_s:.0f}",
+                    door.why,
+                )
+            )
+    rows += [
+        (agent, door, "unknown", "never", None, None, None, None, None, "named in the fleet's file only")
+        for agent, door in unseen
+    ]
+    out.table(
+        "front doors",
+        ("agent", "door", "reach", "heard", "revision", "clients are", "clients", "requests", "up s", ""),
+        rows,
+    )
+    out.table(
+        "agents",
+        ("agent", "revision", "synced", "pending", "journal"),
+        (
+            (
+                agent,
+                each.revision,
+                "yes" if each.synced else "NO",
+                each.pending and each.pending.id,
+                each.journal or "well",
+            )
+            for agent, each in heard.items()
+        ),
+    )
--- a/molereach/fleet/cli/exits.py
+++ b/molereach/fleet/cli/exits.py
@@ -7,8 +7,13 @@
 from molereach.fleet.cli.tables import Printer
 
 DONE, FAILED, BAD_INPUT, PARTLY, CONFLICT, UNREACHABLE, REFUSED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
-EXITS = {Verdict.DONE: DONE, Verdict.PARTLY: PARTLY, Verdict.CONFLICT: CONFLICT,
-         Verdict.UNREACHABLE: UNREACHABLE, Verdict.REFUSED: REFUSED}
+EXITS = {
+    Verdict.DONE: DONE,
+    Verdict.PARTLY: PARTLY,
+    Verdict.CONFLICT: CONFLICT,
+    Verdict.UNREACHABLE: UNREACHABLE,
+    Verdict.REFUSED: REFUSED,
+}
 EXIT_TEXT = """\b
 exit codes: 0 done everywhere; 1 a fault of the tool's own; 2 bad input;
 3 partly: it stands, and not everybody said so, or not everybody answered;
--- a/molereach/fleet/cli/in_flight.py
+++ b/molereach/fleet/cli/in_flight.py
@@ -31,8 +31,10 @@
         unknown = {f"agent {name}": text for name, text in errors(found).items()}
         for agent, each in good(found).items():
             unknown |= {f"{agent}/{door}": text for door, text in each.missing.items()}
-            out |= {f"{agent}/{door}": sum(one.in_flight for one in seen if one.name == server)
-                    for door, seen in each.doors.items()}
+            out |= {
+                f"{agent}/{door}": sum(one.in_flight for one in seen if one.name == server)
+                for door, seen in each.doors.items()
+            }
         quiet = 0 if any(out.values()) or unknown else quiet + 1
         if quiet >= QUIET_LOOKS or now_us() >= until:
             left = {name: count for name, count in out.items() if count}
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -118,8 +118,13 @@
             self.overlay.on_list(door.known.event)
         door.see = self.overlay.on_list
         self.answers: dict[str, Callable[[wire.Ask, ControlConnection], wire.Answer]] = {
-            "state": self.on_state, "members": self.on_members, "orders": self.on_orders,
-            "counters": self.on_counters, "quota": self.on_quota, "put": self.on_put, "watch": self.on_watch,
+            "state": self.on_state,
+            "members": self.on_members,
+            "orders": self.on_orders,
+            "counters": self.on_counters,
+            "quota": self.on_quota,
+            "put": self.on_put,
+            "watch": self.on_watch,
         }
 
     # --- start and end ---
@@ -130,7 +135,8 @@
         before = os.umask(0o177)  # nobody else, not for a moment
         try:
             self.server = await self.door.loop.create_unix_server(
-                lambda: ControlConnection(self), str(self.path))
+                lambda: ControlConnection(self), str(self.path)
+            )
         except OSError as error:
             raise ControlError(f"{self.path}: {error.strerror or error}") from error
         finally:
@@ -193,8 +199,14 @@
     def state(self) -> wire.State:
         door = self.door
         return wire.State(
-            door.config.name, os.getpid(), round((now_us() - self.started_us) / 1e6, 3), door.clients.held,
-            self.book.revision, self.overlay.version, len(door.clients.connections), len(door.open),
+            door.config.name,
+            os.getpid(),
+            round((now_us() - self.started_us) / 1e6, 3),
+            door.clients.held,
+            self.book.revision,
+            self.overlay.version,
+            len(door.clients.connections),
+            len(door.open),
         )
 
     def on_members(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
@@ -204,8 +216,13 @@
                 out[attempt.server] = out.get(attempt.server, 0) + 1
         buildings = {number: name for name, number in self.door.config.zone_numbers.items()}
         members = tuple(
-            wire.Member(name, buildings.get(server.zone, str(server.zone)), server.state.value,
-                        name in self.overlay.drained, out.get(name, 0))
+            wire.Member(
+                name,
+                buildings.get(server.zone, str(server.zone)),
+                server.state.value,
+                name in self.overlay.drained,
+                out.get(name, 0),
+            )
             for name, server in self.overlay.listed.items()
         )
         return wire.Answer(wire.VERSION, ask.number, members=members)
@@ -215,9 +232,14 @@
         return wire.Answer(wire.VERSION, ask.number, orders=found, state=self.state())
 
     def on_counters(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
-        counters = {"asks": self.asks, "connections_refused": self.refused,
-                    "clients": len(self.door.clients.connections), "open_requests": len(self.door.open),
-                    "backend_connections": self.door.backends.count(), "held_bytes": self.door.held_bytes}
+        counters = {
+            "asks": self.asks,
+            "connections_refused": self.refused,
+            "clients": len(self.door.clients.connections),
+            "open_requests": len(self.door.open),
+            "backend_connections": self.door.backends.count(),
+            "held_bytes": self.door.held_bytes,
+        }
         for beside in self.door.counted:
             counters |= beside()
         return wire.Answer(wire.VERSION, ask.number, counters=counters)
@@ -225,10 +247,14 @@
     def on_quota(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
         now, customer = now_us(), ask.customer.lower()
         shares = {held.plan: held for held in self.door.gateway.shares_held(customer, now)}
-        return wire.Answer(wire.VERSION, ask.number, quota=tuple(
-            wire.Standing(plan, level, part, ceiling, demand, heard, shares.get(plan))
-            for plan, level, part, ceiling, demand, heard in self.door.gateway.standing(customer, now)
-        ))
+        return wire.Answer(
+            wire.VERSION,
+            ask.number,
+            quota=tuple(
+                wire.Standing(plan, level, part, ceiling, demand, heard, shares.get(plan))
+                for plan, level, part, ceiling, demand, heard in self.door.gateway.standing(customer, now)
+            ),
+        )
 
     def on_put(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
         """All orders in force at a revision; one that is behind what holds here changes nothing."""
@@ -236,8 +262,15 @@
         if ask.book and self.book.adopt(ask.book):
             for key, one in self.book.in_force.items():
                 if before.get(key) != one:
-                    log.info("order %s: %s %s, by %s at revision %d: %s", one.order.id, one.order.verb.value,
-                             one.order.subject, one.order.issuer, one.revision, one.order.reason)
+                    log.info(
+                        "order %s: %s %s, by %s at revision %d: %s",
+                        one.order.id,
+                        one.order.verb.value,
+                        one.order.subject,
+                        one.order.issuer,
+                        one.revision,
+                        one.order.reason,
+                    )
             for verb, subject in before.keys() - self.book.in_force.keys():
                 log.info("order ended: %s %s, at revision %d", verb.value, subject, self.book.revision)
             self.carry_out()
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -57,9 +57,12 @@
 
     def check(self) -> None:
         """OrderError where a field is empty, too long, not printable or out of range."""
-        for name, text, most in (("id", self.id, MOST_NAME_BYTES), ("subject", self.subject, MOST_NAME_BYTES),
-                                 ("issuer", self.issuer, MOST_NAME_BYTES),
-                                 ("reason", self.reason, MOST_REASON_BYTES)):
+        for name, text, most in (
+            ("id", self.id, MOST_NAME_BYTES),
+            ("subject", self.subject, MOST_NAME_BYTES),
+            ("issuer", self.issuer, MOST_NAME_BYTES),
+            ("reason", self.reason, MOST_REASON_BYTES),
+        ):
             if not text or len(text.encode("utf-8", "replace")) > most or not text.isprintable():
                 raise OrderError(f"{name}: not 1 to {most} bytes of printable text")
         if not 0 <= self.based_on <= MOST_REVISION or not 0 <= self.lapses_ms <= MOST_REVISION:
@@ -90,8 +93,10 @@
         """OrderError where no book can be like that."""
         if not 0 <= self.revision <= MOST_REVISION:
             raise OrderError(f"revision: not 0 to {MOST_REVISION}")
-        for name, found, most in (("in_force", self.in_force, MOST_IN_FORCE),
-                                  ("recent", self.recent, MOST_RECENT)):
+        for name, found, most in (
+            ("in_force", self.in_force, MOST_IN_FORCE),
+            ("recent", self.recent, MOST_RECENT),
+        ):
             revisions = [decided.revision for decided in found]
             if len(found) > most or sorted(set(revisions)) != revisions:
                 raise OrderError(f"{name}: not {most} orders at most, in order of revision")
@@ -190,13 +195,17 @@
 
     def wanted(self, verb: Verb, now_ms: int) -> frozenset[str]:
         """The subjects of the orders of a verb that are in force and have not lapsed."""
-        return frozenset(subject for (found, subject), decided in self.in_force.items()
-                         if found is verb and not lapsed(decided.order, now_ms))
+        return frozenset(
+            subject
+            for (found, subject), decided in self.in_force.items()
+            if found is verb and not lapsed(decided.order, now_ms)
+        )
 
     def forget_lapsed(self, now_ms: int) -> None:
         """What has lapsed takes no place any more. What is in force is the same before and after."""
-        self.in_force = {key: decided for key, decided in self.in_force.items()
-                         if not lapsed(decided.order, now_ms)}
+        self.in_force = {
+            key: decided for key, decided in self.in_force.items() if not lapsed(decided.order, now_ms)
+        }
 
     def judge(
         self, order: Order, now_ms: int, ready: Mapping[str, str], floor: int
@@ -215,16 +224,17 @@
         winner = self.last_about(order.subject)
         if winner and winner.revision > order.based_on and winner.order.verb is not order.verb:
             by = winner.order
-            return Refusal(Why.CONFLICT, f"{by.verb.value} by {by.issuer} stands at revision "
-                                         f"{winner.revision}: {by.reason}", winner)
+            return Refusal(
+                Why.CONFLICT,
+                f"{by.verb.value} by {by.issuer} stands at revision {winner.revision}: {by.reason}",
+                winner,
+            )
         standing = sum(not lapsed(each.order, now_ms) for each in self.in_force.values())
         if order.verb.takes_back is None and standing >= MOST_IN_FORCE:
             return Refusal(Why.FULL, f"{MOST_IN_FORCE} orders are in force")
         return self.judge_floor(order, now_ms, ready, floor) if order.verb is Verb.DRAIN else None
 
-    def judge_floor(
-        self, order: Order, now_ms: int, ready: Mapping[str, str], floor: int
-    ) -> Refusal | None:
+    def judge_floor(self, order: Order, now_ms: int, ready: Mapping[str, str], floor: int) -> Refusal | None:
         """A drain leaves each building its floor, unless it is forced."""
         building = ready.get(order.subject)
         if order.forced or building is None:  # one that is not ready is no loss
@@ -233,8 +243,11 @@
         left = sum(where == building and name not in drained for name, where in ready.items())
         if left >= floor:
             return None
-        others = [decided for (verb, name), decided in self.in_force.items()
-                  if verb is Verb.DRAIN and ready.get(name) == building and name != order.subject]
+        others = [
+            decided
+            for (verb, name), decided in self.in_force.items()
+            if verb is Verb.DRAIN and ready.get(name) == building and name != order.subject
+        ]
         winner = max(others, key=lambda decided: decided.revision, default=None)
         text = f"{left} ready servers would be left in {building}, {floor} must be"
         return Refusal(Why.FLOOR, text, winner)
@@ -277,8 +290,11 @@
     def on_orders(self, drained: Iterable[str]) -> i.ServerList | None:
         """The servers that are to be drained from now on; changes for the module, or None."""
         before, self.drained = self.drained, frozenset(drained)
-        changed = [self.over(server) for name, server in self.listed.items()
-                   if server.state is i.ServerState.UP and (name in before) != (name in self.drained)]
+        changed = [
+            self.over(server)
+            for name, server in self.listed.items()
+            if server.state is i.ServerState.UP and (name in before) != (name in self.drained)
+        ]
         if not changed:
             return None
         return i.ServerList(i.ListKind.CHANGES, self.version, tuple(changed), self.seen_by)
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -147,8 +147,12 @@
 
     def lacks(self, record: Record) -> bool:
         """Whether a front door that answers is to be told of orders."""
-        return (self.ready and record.reach in ("up", "silent") and record.state is not None
-                and record.state.revision < self.revision)
+        return (
+            self.ready
+            and record.reach in ("up", "silent")
+            and record.state is not None
+            and record.state.revision < self.revision
+        )
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
         for name in sorted(names - self.doors.keys()):
--- a/molereach/fleet/settings.py
+++ b/molereach/fleet/settings.py
@@ -63,8 +63,10 @@
     key: str = ""
 
     def __post_init__(self) -> None:
-        for what, names in (("agents", [agent.name for agent in self.agents]),
-                            ("doors", [door for agent in self.agents for door in agent.doors])):
+        for what, names in (
+            ("agents", [agent.name for agent in self.agents]),
+            ("doors", [door for agent in self.agents for door in agent.doors]),
+        ):
             for name in names:
                 if names.count(name) > 1:
                     raise ValueError(f"{what}: '{name}' stands there twice")
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -120,8 +120,11 @@
         if over or now_us < self.hello_us:
             return []
         self.hello_us = now_us + REPEAT_US
-        return [(peer, i.Hello()) for peer in range(self.doors)
-                if peer != self.me and peer not in self.escrow.cleared]
+        return [
+            (peer, i.Hello())
+            for peer in range(self.doors)
+            if peer != self.me and peer not in self.escrow.cleared
+        ]
 
     def may_tell(self, now_us: int, peer: int) -> bool:
         """Words past the budget are left out: asks and hellos come again, totals grow."""
@@ -147,8 +150,12 @@
 
     def held(self, customer: int, now_us: int) -> list[i.Held]:
         """What is known of a customer, by the checksum of its name; it only reads."""
-        keys = {key: None for known in (self.escrow.accounts, self.reach_of.mine, self.reach_of.homes)
-                for key in known if key[0] == customer}
+        keys = {
+            key: None
+            for known in (self.escrow.accounts, self.reach_of.mine, self.reach_of.homes)
+            for key in known
+            if key[0] == customer
+        }
         return [self.held_of(key, now_us) for key in keys]
 
     def held_of(self, key: i.Key, now_us: int) -> i.Held:
@@ -160,6 +167,14 @@
         lent = {peer: part / WHOLE for peer, loan in account.loans.items() if (part := loan.lent(now_us))}
         debts = {peer: debt for peer, debt in account.debts.items() if debt.held(now_us)}
         ages = [now_us - debt.asked_us for debt in debts.values()]
-        return i.Held(key[1], account.share(now_us) / WHOLE, account.store, lent,
-                    {peer: debt.share / WHOLE for peer, debt in debts.items()},
-                    round(max(ages, default=0) / S, 3), account.taken, spent, apart)
+        return i.Held(
+            key[1],
+            account.share(now_us) / WHOLE,
+            account.store,
+            lent,
+            {peer: debt.share / WHOLE for peer, debt in debts.items()},
+            round(max(ages, default=0) / S, 3),
+            account.taken,
+            spent,
+            apart,
+        )
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -31,8 +31,18 @@
 class _Loan:
     """What is lent to one borrower."""
 
-    __slots__ = ("before", "before_until", "generation", "grant", "number", "other", "other_until", "share",
-                 "units", "until")
+    __slots__ = (
+        "before",
+        "before_until",
+        "generation",
+        "grant",
+        "number",
+        "other",
+        "other_until",
+        "share",
+        "units",
+        "until",
+    )
 
     def __init__(self) -> None:
         self.number, self.generation = -1, -1  # of the last ask, and its borrower's life
@@ -43,8 +53,11 @@
         self.grant: LoanGrant | None = None
 
     def lent(self, now: int) -> int:
-        return max(self.share if now < self.until else 0, self.before if now < self.before_until else 0,
-                   self.other if now < self.other_until else 0)
+        return max(
+            self.share if now < self.until else 0,
+            self.before if now < self.before_until else 0,
+            self.other if now < self.other_until else 0,
+        )
 
     def ends(self) -> tuple[int, int, int]:
         return self.until, self.before_until, self.other_until
@@ -56,8 +69,20 @@
 class _Debt:
     """What is borrowed from one lender, and the ask that is out."""
 
-    __slots__ = ("accepted", "ask", "asked_us", "hurry", "kept_us", "next_us", "number", "repeats", "sent_us",
-                 "share", "short", "until")
+    __slots__ = (
+        "accepted",
+        "ask",
+        "asked_us",
+        "hurry",
+        "kept_us",
+        "next_us",
+        "number",
+        "repeats",
+        "sent_us",
+        "share",
+        "short",
+        "until",
+    )
 
     def __init__(self) -> None:
         self.number, self.accepted = 0, 0
@@ -75,8 +100,21 @@
 class _Account:
     """One customer's ceiling, here."""
 
-    __slots__ = ("at", "base", "burst", "debts", "demand", "fresh_us", "loans", "members", "planned_us",
-                 "pressed_us", "rate", "store", "taken")
+    __slots__ = (
+        "at",
+        "base",
+        "burst",
+        "debts",
+        "demand",
+        "fresh_us",
+        "loans",
+        "members",
+        "planned_us",
+        "pressed_us",
+        "rate",
+        "store",
+        "taken",
+    )
 
     def __init__(self, plan: Plan, members: tuple[int, ...], now: int) -> None:
         self.rate, self.burst, self.members = plan.ceiling_rate, plan.ceiling_burst, members
@@ -163,8 +201,12 @@
     def fresh_us(self, members: tuple[int, ...]) -> int:
         """From when on the own share is here: the last of the others' words, or when all must have let go."""
         latest = self.start_us + self.settings.quiet_us
-        return min(latest, max((self.cleared.get(peer, latest) for peer in members if peer != self.me),
-                               default=self.start_us))
+        return min(
+            latest,
+            max(
+                (self.cleared.get(peer, latest) for peer in members if peer != self.me), default=self.start_us
+            ),
+        )
 
     def want(self, now: int, key: Key, units: float) -> None:
         if account := self.account(now, key):
@@ -232,8 +274,11 @@
                 self.repeat(now, debt, lender)
             elif now >= debt.next_us or self.too_far(now, debt, missing):
                 missing += self.turn(now, key, account, debt, lender, missing)
-        account.debts = {lender: debt for lender, debt in account.debts.items()
-                         if debt.ask or debt.held(now) or now < max(debt.next_us, debt.kept_us)}
+        account.debts = {
+            lender: debt
+            for lender, debt in account.debts.items()
+            if debt.ask or debt.held(now) or now < max(debt.next_us, debt.kept_us)
+        }
         due = [self.look_again(now, debt) for debt in account.debts.values()]
         planned = max(now + 1, min(due)) if due else 0
         if planned and planned != account.planned_us:
@@ -265,9 +310,7 @@
         assert debt.ask is not None
         self.out.append((lender, debt.ask))
 
-    def turn(
-        self, now: int, key: Key, account: _Account, debt: _Debt, lender: int, missing: int
-    ) -> int:
+    def turn(self, now: int, key: Key, account: _Account, debt: _Debt, lender: int, missing: int) -> int:
         """Ask one lender for more, for less, or for the same again; the share that was given up."""
         held = debt.held(now)
         wanted = min(WHOLE // len(account.members), max(0, held + missing))
--- a/molereach/limits/reach.py
+++ b/molereach/limits/reach.py
@@ -107,8 +107,11 @@
 
     def beats(self, now: int) -> list[int]:
         """Peers that have heard nothing from here for a beat."""
-        return [peer for peer in range(self.doors)
-                if peer != self.me and now - self.told_us.get(peer, LONG_AGO) >= self.beat_us]
+        return [
+            peer
+            for peer in range(self.doors)
+            if peer != self.me and now - self.told_us.get(peer, LONG_AGO) >= self.beat_us
+        ]
 
     # --- the part to go by ---
 
--- a/molereach/limits/words.py
+++ b/molereach/limits/words.py
@@ -45,8 +45,9 @@
     match word:
         case i.Word():
             key = word.customer, word.plan_index, word.set_first, word.set_size
-            return PLAIN.pack(1, *key, word.is_answer,
-                              *map(steps, (word.demand, word.spent, word.asked, word.level)))
+            return PLAIN.pack(
+                1, *key, word.is_answer, *map(steps, (word.demand, word.spent, word.asked, word.level))
+            )
         case i.LoanAsk(key, number, accepted, held, wanted, returned):
             return ASK.pack(2, *key, number, accepted, held, wanted, units(returned))
         case i.LoanGrant(key, number, share, amount):
@@ -63,8 +64,9 @@
 
 def plain(values: tuple[int, ...]) -> i.Word:
     customer, plan, first, size, answer, demand, spent, asked, level = values
-    return i.Word(customer, plan, first, size, bool(answer),
-                  demand / UNIT, spent / UNIT, asked / UNIT, level / UNIT)
+    return i.Word(
+        customer, plan, first, size, bool(answer), demand / UNIT, spent / UNIT, asked / UNIT, level / UNIT
+    )
 
 
 def ask(values: tuple[int, ...]) -> i.LoanAsk:
@@ -88,8 +90,12 @@
 
 Read = Callable[[tuple[int, ...]], "i.Word | i.LimitWord"]
 READ: dict[int, tuple[struct.Struct, Read]] = {
-    1: (PLAIN, plain), 2: (ASK, ask), 3: (GRANT, grant), 4: (HELLO, lambda values: i.Hello()),
-    5: (CLEAR, lambda values: i.Clear(values[0], values[1])), 6: (TOTAL, total),
+    1: (PLAIN, plain),
+    2: (ASK, ask),
+    3: (GRANT, grant),
+    4: (HELLO, lambda values: i.Hello()),
+    5: (CLEAR, lambda values: i.Clear(values[0], values[1])),
+    6: (TOTAL, total),
     7: (HELLO, lambda values: i.Bye()),
 }
 
@@ -102,7 +108,11 @@
     """
 
     def __init__(
-        self, me: int, generation: int, speaks: Callable[[int], bool] = lambda peer: True, key: bytes = b"",
+        self,
+        me: int,
+        generation: int,
+        speaks: Callable[[int], bool] = lambda peer: True,
+        key: bytes = b"",
         hears: Callable[[int], bool] = lambda peer: True,
     ) -> None:
         self.me, self.generation, self.key, self.speaks, self.hears = me, generation, key, speaks, hears
--- a/molereach/routing/interface.py
+++ b/molereach/routing/interface.py
@@ -45,8 +45,6 @@
     def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
         """An object that came whole; None where nothing of it concerns the view."""
 
-    def take_over(
-        self, staged: Staged, kind: i.ListKind, version: int
-    ) -> Generator[None, None, Seen | None]:
+    def take_over(self, staged: Staged, kind: i.ListKind, version: int) -> Generator[None, None, Seen | None]:
         """All that was staged; each step is short enough for one turn of the loop, and the list before holds
         until the last. ListError where it cannot be."""
--- a/molereach/routing/records.py
+++ b/molereach/routing/records.py
@@ -36,8 +36,13 @@
     state, zone, kind, cell, size, started_us, port, length = HEAD.unpack_from(record)
     name, host = record[HEAD.size : HEAD.size + length], record[HEAD.size + length :]
     server = i.Server(
-        name.decode(*TEXT), zone, kind, cell,
-        i.ServerState.UP if state == UP else i.ServerState.DRAINING, size, started_us,
+        name.decode(*TEXT),
+        zone,
+        kind,
+        cell,
+        i.ServerState.UP if state == UP else i.ServerState.DRAINING,
+        size,
+        started_us,
     )
     return server, (host.decode(*TEXT), port) if port else None
 
--- a/molereach/routing/view.py
+++ b/molereach/routing/view.py
@@ -43,7 +43,8 @@
     def alike(self, before: bytes, after: bytes) -> bool:
         """Whether both stand for the same in the choice of a view."""
         return is_up(before) == is_up(after) and all(
-            groups.of(before) == groups.of(after) for groups in self.groups)
+            groups.of(before) == groups.of(after) for groups in self.groups
+        )
 
     def regroup(self, place: int, before: bytes | None, after: bytes | None) -> None:
         was, now = before is not None and is_up(before), after is not None and is_up(after)
@@ -103,6 +104,7 @@
             return True
         return any(
             groups.of(record) in held
-            for record in (before, after) if record is not None
+            for record in (before, after)
+            if record is not None
             for groups, held in zip(whole.groups, self.held, strict=True)
         )
--- a/molereach/shards/counts/counter.py
+++ b/molereach/shards/counts/counter.py
@@ -36,8 +36,11 @@
 
     def add(self, shard: int, size_bytes: int) -> None:
         before = self.counts.get(shard, NONE)
-        if (shard not in self.counts and len(self.counts) >= MOST_ROWS) or size_bytes < 0 or (
-                before.bytes + size_bytes > MOST_BYTES):
+        if (
+            (shard not in self.counts and len(self.counts) >= MOST_ROWS)
+            or size_bytes < 0
+            or (before.bytes + size_bytes > MOST_BYTES)
+        ):
             self.uncounted += 1
             return
         self.counts[shard] = before.plus(Count(1, size_bytes))
--- a/molereach/shards/counts/cut.py
+++ b/molereach/shards/counts/cut.py
@@ -49,8 +49,10 @@
 def nearest(inside: list[tuple[int, int, int]], total: int, first: int) -> tuple[int, float]:
     """The cut between two nodes that comes nearest to half; what spans it counts half to each side."""
     marks = sorted({cut for low, high, _ in inside for cut in (low, high + 1) if cut > first})
-    starts, ends = sorted((low, weight) for low, _, weight in inside), sorted(
-        (high + 1, weight) for _, high, weight in inside)
+    starts, ends = (
+        sorted((low, weight) for low, _, weight in inside),
+        sorted((high + 1, weight) for _, high, weight in inside),
+    )
     best, begun, ended, at_start, at_end = (first, 0.0), 0, 0, 0, 0
     for cut in marks:
         while at_start < len(starts) and starts[at_start][0] < cut:
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -137,10 +137,15 @@
 
     def _make_room(self, life: Life, wanted: int) -> bool:
         """Also a life without rows takes a place."""
-        while sum(max(1, len(found)) for each, found in self._kept.items() if each != life) + max(
-                1, wanted) > self._most_rows:
-            dead = [each for each in self._kept if each.name != life.name and (
-                self.dead(each) or self._sessions.life(each.name) is None)]
+        while (
+            sum(max(1, len(found)) for each, found in self._kept.items() if each != life) + max(1, wanted)
+            > self._most_rows
+        ):
+            dead = [
+                each
+                for each in self._kept
+                if each.name != life.name and (self.dead(each) or self._sessions.life(each.name) is None)
+            ]
             if not dead or len(self._horizon) >= MOST_NAMES:
                 return False
             first = min(dead, key=lambda each: self._begun[each])
@@ -163,7 +168,8 @@
             raise ValueError(f"not a snapshot of counts: {error}") from None
         lives = [each.life for each in state.kept]
         if lives != sorted(set(lives)) or any(
-                life.number <= state.horizon.get(life.name, -1) for life in lives):
+            life.number <= state.horizon.get(life.name, -1) for life in lives
+        ):
             raise ValueError("not a snapshot of counts: not as any log leaves it")
         self._base = _counts(state.base)
         self._kept = {each.life: _counts(each.rows) for each in state.kept}
--- a/molereach/shards/counts/merged.py
+++ b/molereach/shards/counts/merged.py
@@ -74,8 +74,13 @@
         """What the log lacks of a life."""
         kept = self._folded.kept().get(life, {})
         mine = self._lives.get(life, {})
-        return rows({shard: count for shard, count in mine.items()
-                     if count.max(kept.get(shard, NONE)) != kept.get(shard, NONE)})
+        return rows(
+            {
+                shard: count
+                for shard, count in mine.items()
+                if count.max(kept.get(shard, NONE)) != kept.get(shard, NONE)
+            }
+        )
 
     def totals(self) -> dict[int, Count]:
         """By shard, over all lives."""
--- a/molereach/shards/counts/words.py
+++ b/molereach/shards/counts/words.py
@@ -66,4 +66,4 @@
 
 def told(life: Life, rows: tuple[Row, ...]) -> tuple[Told, ...]:
     """In words that are as large as may be."""
-    return tuple(Told(life, rows[at:at + MOST_ROWS_TOLD]) for at in range(0, len(rows), MOST_ROWS_TOLD))
+    return tuple(Told(life, rows[at : at + MOST_ROWS_TOLD]) for at in range(0, len(rows), MOST_ROWS_TOLD))
--- a/molereach/shards/forecast/changes.py
+++ b/molereach/shards/forecast/changes.py
@@ -28,13 +28,13 @@
     while len(changes) < MOST_CHANGES and len(steps) and steps.max() > 0:
         at = int(steps.argmax())
         changes.append(first_day + at)
-        steps[max(0, at - 2 * SIDE_DAYS):at + 2 * SIDE_DAYS] = 0
+        steps[max(0, at - 2 * SIDE_DAYS) : at + 2 * SIDE_DAYS] = 0
     return sorted(changes)
 
 
 def _step(flat: Floats, at: int) -> float:
     """How large the step at this day is; 0 where it is none."""
-    before, after = flat[max(0, at - SIDE_DAYS):at], flat[at:at + SIDE_DAYS]
+    before, after = flat[max(0, at - SIDE_DAYS) : at], flat[at : at + SIDE_DAYS]
     before, after = before[np.isfinite(before)], after[np.isfinite(after)]
     if min(len(before), len(after)) < LEAST_KNOWN_DAYS:
         return 0.0
--- a/molereach/shards/forecast/model.py
+++ b/molereach/shards/forecast/model.py
@@ -37,7 +37,8 @@
             result = model.fit(disp=False, maxiter=MOST_ITERATIONS, method="lbfgs")
         else:
             result = model.smooth(np.array(fit.params))
-        drawn = result.simulate(len(later), anchor="end", repetitions=PATHS, exog=later,
-                                rng=np.random.default_rng(seed))
+        drawn = result.simulate(
+            len(later), anchor="end", repetitions=PATHS, exog=later, rng=np.random.default_rng(seed)
+        )
     found = np.asarray(drawn, dtype=np.float64).reshape(len(later), PATHS)
     return np.clip(found, -MOST_LOG, MOST_LOG), Fit(tuple(float(each) for each in result.params))
