--- a/molereach/shards/forecast/outlook.py
+++ b/molereach/shards/forecast/outlook.py
@@ -64,8 +64,15 @@
         wide.append(f"counter: it started anew {history.restarts} times")
     daily = np.exp(drawn)
     low, middle, high = np.quantile(past.size_bytes + np.cumsum(daily, axis=0), QUANTILES, axis=1)
-    return Outlook(later[0], tuple(low), tuple(middle), tuple(high), tuple(np.median(daily, axis=1)),
-                   tuple(wide), learned)
+    return Outlook(
+        later[0],
+        tuple(low),
+        tuple(middle),
+        tuple(high),
+        tuple(np.median(daily, axis=1)),
+        tuple(wide),
+        learned,
+    )
 
 
 def _new(history: Growth, typical_bytes: float, horizon: int, seed: int) -> Floats:
@@ -88,11 +95,16 @@
     seen = khareef_seen(days, known.astype(np.float64))
     given = [day for day in past.changes if days[0] + 7 <= day <= days[-1] - 6]
     steps = given or found_changes(history.first_day, history.log - _khareef_step(days, history.log, seen))
-    steps = [day for day in steps if known[:day - days[0]].sum() >= 7 <= known[day - days[0]:].sum()]
+    steps = [day for day in steps if known[: day - days[0]].sum() >= 7 <= known[day - days[0] :].sum()]
     if steps and days[-1] - steps[-1] < LEAST_DAYS:
         wide.append(f"tariff: changed {days[-1] - steps[-1] + 1} days ago")
-    drawn, learned = paths(history.log, columns(days, seen, steps), columns(later, seen, steps), seed,
-                           fit if fit and _fits(fit, known) else None)
+    drawn, learned = paths(
+        history.log,
+        columns(days, seen, steps),
+        columns(later, seen, steps),
+        seed,
+        fit if fit and _fits(fit, known) else None,
+    )
     draw = np.random.default_rng(seed + 1)
     if not seen and any(in_khareef(day) for day in later) and not in_khareef(days[-1]):
         wide.append("khareef: none was seen yet")
--- a/molereach/shards/map/cutting.py
+++ b/molereach/shards/map/cutting.py
@@ -31,5 +31,5 @@
     assert index is not None
     piece, last = found.pieces[index], found.last_shard
     halves = (piece, Piece(cut, last + 1, to))
-    pieces = (*found.pieces[:index], *halves, *found.pieces[index + 1:])
+    pieces = (*found.pieces[:index], *halves, *found.pieces[index + 1 :])
     return ShardMap(found.version + 1, pieces, last + 1)
--- a/molereach/shards/schedule/full.py
+++ b/molereach/shards/schedule/full.py
@@ -45,8 +45,10 @@
 
 
 def full(sizes: Sizes, capacity_bytes: float) -> Full:
-    return Full(_first(sizes.first_day, bound(sizes), capacity_bytes),
-                _first(sizes.first_day, sizes.middle, capacity_bytes))
+    return Full(
+        _first(sizes.first_day, bound(sizes), capacity_bytes),
+        _first(sizes.first_day, sizes.middle, capacity_bytes),
+    )
 
 
 def _first(first_day: int, sizes: Sequence[float], capacity_bytes: float) -> int | None:
--- a/molereach/shards/schedule/takes.py
+++ b/molereach/shards/schedule/takes.py
@@ -31,6 +31,6 @@
     rates = [math.log(each.bytes / each.days) for each in whole]
     number = PRIOR_SEEN + len(rates)
     middle = (PRIOR_SEEN * math.log(PRIOR_BYTES_A_DAY) + sum(rates)) / number
-    squares = PRIOR_SEEN * PRIOR_SPREAD ** 2 + sum((rate - middle) ** 2 for rate in rates)
+    squares = PRIOR_SEEN * PRIOR_SPREAD**2 + sum((rate - middle) ** 2 for rate in rates)
     spread = math.sqrt(squares / number * (1 + 1 / number))
     return FIXED_DAYS + bytes_to_copy / math.exp(middle - sure * spread)
--- a/molereach/shards/splits/book.py
+++ b/molereach/shards/splits/book.py
@@ -49,12 +49,19 @@
 
     def split_of(self, home: Home) -> str:
         """What to say where a split of this cell is open; empty where none is."""
-        return next((f"{home.cell}: split {each.id} is {each.state.value}" for each in self.open.values()
-                     if home in each.homes), "")
+        return next(
+            (
+                f"{home.cell}: split {each.id} is {each.state.value}"
+                for each in self.open.values()
+                if home in each.homes
+            ),
+            "",
+        )
 
     def at_work(self, home: Home) -> str:
-        return next((each.id for each in self.open.values()
-                     if home in each.homes and each.state in AT_WORK), "")
+        return next(
+            (each.id for each in self.open.values() if home in each.homes and each.state in AT_WORK), ""
+        )
 
     def snapshot(self) -> bytes:
         """The history's deltas are not in it: who is further behind is given the whole map."""
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/door.py
@@ -119,8 +119,10 @@
 
     def _pin(self, now_us: int, member: int) -> Record | None:
         """The hand-over of the member's range that is in its window: one at most, as its cells are taken."""
-        return next((pin.split for pin in self._pins.values()
-                     if pin.split.moves(member) and now_us < pin.until_us), None)
+        return next(
+            (pin.split for pin in self._pins.values() if pin.split.moves(member) and now_us < pin.until_us),
+            None,
+        )
 
     def _at(self, piece: Piece) -> Place:
         assert self._lookup is not None  # as `place` has asked
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -109,9 +109,12 @@
         self._unneeded = {id: why for id, why in self._unneeded.items() if id in book.open}
 
     def _orders(self, now_us: int, split: Record) -> list[Action]:
-        return [Tell(home, order, split) for home, order in owed(split)
-                if not self._answered(split, order, home.cell)
-                and self._due(now_us, (split.id, split.position, f"{order.value} {home.cell}"))]
+        return [
+            Tell(home, order, split)
+            for home, order in owed(split)
+            if not self._answered(split, order, home.cell)
+            and self._due(now_us, (split.id, split.position, f"{order.value} {home.cell}"))
+        ]
 
     def _answered(self, split: Record, order: Order, cell: str) -> Done | None:
         return self._done.get((split.id, split.position, order, cell))
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -112,9 +112,19 @@
         for each in (home, body.to):
             if said := self.in_the_way(each):
                 raise RefusedError(said)
-        return self.book.put(Record(
-            body.id, body.shard, body.cut, found.end(index), home, body.to, State.PLANNED, entry.position,
-            entry.at_ms))
+        return self.book.put(
+            Record(
+                body.id,
+                body.shard,
+                body.cut,
+                found.end(index),
+                home,
+                body.to,
+                State.PLANNED,
+                entry.position,
+                entry.at_ms,
+            )
+        )
 
     def in_the_way(self, home: Home) -> str:
         """The split of a cell that is open; there is one at most."""
@@ -128,8 +138,9 @@
 
     def no_room(self, record: Record, at_ms: int) -> str:
         """The upkeep that has one of the cells."""
-        return next((f"{home.cell}: {said}" for home in record.homes
-                     if (said := self._rooms.taken(home, at_ms))), "")
+        return next(
+            (f"{home.cell}: {said}" for home in record.homes if (said := self._rooms.taken(home, at_ms))), ""
+        )
 
     def _close(self, entry: Entry, body: Close) -> Record:
         record = self._stepped(entry, body.id, Step.CLOSE, body.begun)
@@ -192,6 +203,11 @@
 
 
 _TAKES: dict[type, Callable[[Shards, Entry, Any], Record | None]] = {
-    Found: Shards._found, Plan: Shards._plan, Copy: Shards._copy, Close: Shards._close, Hand: Shards._hand,
-    Clear: Shards._clear, GiveUp: Shards._give_up,
+    Found: Shards._found,
+    Plan: Shards._plan,
+    Copy: Shards._copy,
+    Close: Shards._close,
+    Hand: Shards._hand,
+    Clear: Shards._clear,
+    GiveUp: Shards._give_up,
 }
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -120,8 +120,16 @@
     set_size, set_first = int(fields.number(1.0)), int(fields.number(0.0))
     marks = fields.whole(0)
     return i.Request(
-        request_id, class_index, plan_index, customer, left_us, units, max(1, set_size), set_first,
-        bool(marks & 2), bool(marks & 4),
+        request_id,
+        class_index,
+        plan_index,
+        customer,
+        left_us,
+        units,
+        max(1, set_size),
+        set_first,
+        bool(marks & 2),
+        bool(marks & 4),
     )
 
 
--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -137,8 +137,10 @@
         at_ms = self.at_ms(now_us)
         out = self._tell(now_us)
         if self._book.records:
-            for step, records in ((Step.RECALL, recalled(self._book, at_ms)),
-                                  (Step.HURRY, hurried(self._book, at_ms))):
+            for step, records in (
+                (Step.RECALL, recalled(self._book, at_ms)),
+                (Step.HURRY, hurried(self._book, at_ms)),
+            ):
                 for record in records:
                     out += self._move(now_us, record, step)
             for record in list(self._book.records.values()):
--- a/molereach/upkeep/order/passing.py
+++ b/molereach/upkeep/order/passing.py
@@ -43,8 +43,11 @@
             name = each.work.machine
             self._first[name] = min(each.asked, self._first.get(name, each.asked))
         self._taken = dict(scene.taken)
-        self._ends = [(ends_ms.get(name, scene.at_ms), name) for name, each in scene.taken.items()
-                      if each.off is not Off.LOST]
+        self._ends = [
+            (ends_ms.get(name, scene.at_ms), name)
+            for name, each in scene.taken.items()
+            if each.off is not Off.LOST
+        ]
         heapq.heapify(self._ends)
         self._walk = self._all()
 
--- a/molereach/upkeep/order/plan.py
+++ b/molereach/upkeep/order/plan.py
@@ -38,7 +38,10 @@
     """Makes one plan; `plan` is None until it is made."""
 
     def __init__(
-        self, scene: Scene, waiting: Sequence[Waiting], ends_ms: Mapping[str, int],
+        self,
+        scene: Scene,
+        waiting: Sequence[Waiting],
+        ends_ms: Mapping[str, int],
         rules: tuple[Rule, ...] = PLAN_RULES,
     ) -> None:
         scene = hopeful(scene)
@@ -71,8 +74,10 @@
     away = {name for name, each in scene.taken.items() if each.off is not Off.LOST}
     facts = scene.fleet.facts
     servers = tuple(_back(each) if each.name in away and not each.ready else each for each in facts.servers)
-    doors = tuple(Door(each.name, each.address, each.cell, each.zone, True, each.number)
-                  if each.name in away else each for each in facts.doors)
+    doors = tuple(
+        Door(each.name, each.address, each.cell, each.zone, True, each.number) if each.name in away else each
+        for each in facts.doors
+    )
     seats = () if facts.spares else facts.panel
     return replace(scene, fleet=Fleet(Facts(facts.at_ms, servers, doors, seats, 0, facts.ordered)))
 
--- a/molereach/upkeep/order/priority.py
+++ b/molereach/upkeep/order/priority.py
@@ -46,8 +46,10 @@
         by_machine[work.machine] = by_machine.get(work.machine, 0) + work.minutes
         for name in work.not_with:
             against[name] = against.get(name, 0) + work.minutes
-    return {work.id: against.get(work.machine, 0) + sum(by_machine.get(name, 0) for name in work.not_with)
-            for work in works}
+    return {
+        work.id: against.get(work.machine, 0) + sum(by_machine.get(name, 0) for name in work.not_with)
+        for work in works
+    }
 
 
 def keys(waiting: Sequence[Waiting]) -> tuple[Key, ...]:
--- a/molereach/upkeep/order/stands.py
+++ b/molereach/upkeep/order/stands.py
@@ -7,8 +7,14 @@
 from molereach.upkeep.rules.facts import WHOLE, Fleet, Server
 
 
-def stands(fleet: Fleet, share: int, now: Collection[str], busy: Collection[str], away: Collection[str],
-           besides: str = "") -> tuple[str, ...]:
+def stands(
+    fleet: Fleet,
+    share: int,
+    now: Collection[str],
+    busy: Collection[str],
+    away: Collection[str],
+    besides: str = "",
+) -> tuple[str, ...]:
     """`busy` have open works, `away` are on their way; `besides` is to go next, and stands only if it
     must."""
     cells: dict[str, list[Server]] = {}
@@ -17,9 +23,21 @@
     found: list[str] = []
     for cell in cells.values():
         most = min(-(-len(cell) * share // WHOLE), len(cell) - 1)
-        able = [server for server in cell if server.name not in away and server.name not in fleet.ordered
-                and (server.ready or server.name in now)]
-        able.sort(key=lambda server: (server.name == besides, not server.ready, server.name in busy,
-                                      server.name not in now, server.name))
+        able = [
+            server
+            for server in cell
+            if server.name not in away
+            and server.name not in fleet.ordered
+            and (server.ready or server.name in now)
+        ]
+        able.sort(
+            key=lambda server: (
+                server.name == besides,
+                not server.ready,
+                server.name in busy,
+                server.name not in now,
+                server.name,
+            )
+        )
         found += [server.name for server in able[:most]]
     return tuple(sorted(found))
--- a/molereach/upkeep/permits/book.py
+++ b/molereach/upkeep/permits/book.py
@@ -67,8 +67,12 @@
 
     def earlier(self, record: Record) -> bool:
         """Whether another work of the machine goes first."""
-        return any(each.work.machine == record.work.machine and each.asked < record.asked
-                   and each.state is not State.LOST for each in self.records.values())
+        return any(
+            each.work.machine == record.work.machine
+            and each.asked < record.asked
+            and each.state is not State.LOST
+            for each in self.records.values()
+        )
 
     def pass_over(self, begun: Record, at_ms: int) -> None:
         """Count it for those that were asked for earlier and could not go."""
@@ -88,8 +92,11 @@
             if each.state in GONE and not each.gone and (machine is None or not machine.ready):
                 self.put(msgspec.structs.replace(each, gone=True))
             if each.state is State.LOST and machine is None and self.fleet.get(each.now) is None:
-                self.put(msgspec.structs.replace(
-                    each, state=State.WITHDRAWN, since_ms=at_ms, why="lost, and not listed any more"))
+                self.put(
+                    msgspec.structs.replace(
+                        each, state=State.WITHDRAWN, since_ms=at_ms, why="lost, and not listed any more"
+                    )
+                )
 
     def fresh(self, at_ms: int) -> Stop | None:
         """Facts that are too old decide nothing."""
@@ -100,8 +107,12 @@
 
     def taken(self) -> dict[str, Taken]:
         if self._taken is None:
-            self._taken = {name: taken for each in self.records.values() if each.state not in WAITING
-                           for name, taken in each.taken().items()}
+            self._taken = {
+                name: taken
+                for each in self.records.values()
+                if each.state not in WAITING
+                for name, taken in each.taken().items()
+            }
         return self._taken
 
     def scene(self, at_ms: int) -> Scene:
@@ -116,7 +127,10 @@
         return pressing(self.waiting(), at_ms, self.settings)
 
     def stop_begin(
-        self, record: Record, at_ms: int, press: tuple[Pressing, ...] | None = None,
+        self,
+        record: Record,
+        at_ms: int,
+        press: tuple[Pressing, ...] | None = None,
         scene: Scene | None = None,
     ) -> Stop | None:
         """What keeps it from beginning: the rules, and those that it would hold up. With what presses then
--- a/molereach/upkeep/permits/gathering.py
+++ b/molereach/upkeep/permits/gathering.py
@@ -34,10 +34,19 @@
     else:
         raise ValueError("part: not the next")
     facts = Facts(
-        min(before.at_ms, measured_ms), (*before.servers, *seen.servers), (*before.doors, *seen.doors),
-        (*before.panel, *seen.panel), max(before.spares, seen.spares), (*before.ordered, *seen.ordered))
-    for field, found, most in (("servers", facts.servers, MOST_SERVERS), ("doors", facts.doors, MOST_DOORS),
-                               ("panel", facts.panel, MOST_SEATS), ("ordered", facts.ordered, MOST_ORDERED)):
+        min(before.at_ms, measured_ms),
+        (*before.servers, *seen.servers),
+        (*before.doors, *seen.doors),
+        (*before.panel, *seen.panel),
+        max(before.spares, seen.spares),
+        (*before.ordered, *seen.ordered),
+    )
+    for field, found, most in (
+        ("servers", facts.servers, MOST_SERVERS),
+        ("doors", facts.doors, MOST_DOORS),
+        ("panel", facts.panel, MOST_SEATS),
+        ("ordered", facts.ordered, MOST_ORDERED),
+    ):
         if len(found) > most:
             raise ValueError(f"{field}: more than {most}")
     if said := unsound(facts):
@@ -50,10 +59,20 @@
     for parts in range(1, MOST_PARTS + 1):
         servers, doors = -(-len(facts.servers) // parts), -(-len(facts.doors) // parts)
         orders = -(-len(facts.ordered) // parts)
-        found = tuple(Seen(
-            number, part, parts, age_ms, facts.servers[part * servers:(part + 1) * servers],
-            facts.doors[part * doors:(part + 1) * doors], facts.panel if part == 0 else (), facts.spares,
-            facts.ordered[part * orders:(part + 1) * orders]) for part in range(parts))
+        found = tuple(
+            Seen(
+                number,
+                part,
+                parts,
+                age_ms,
+                facts.servers[part * servers : (part + 1) * servers],
+                facts.doors[part * doors : (part + 1) * doors],
+                facts.panel if part == 0 else (),
+                facts.spares,
+                facts.ordered[part * orders : (part + 1) * orders],
+            )
+            for part in range(parts)
+        )
         if all(len(encode(each)) <= most_bytes for each in found):
             return found
     raise ValueError(f"facts: more than {MOST_PARTS} parts")
--- a/molereach/upkeep/permits/guards.py
+++ b/molereach/upkeep/permits/guards.py
@@ -67,6 +67,12 @@
 
 
 GUARDS: dict[Step, Guard] = {
-    Step.QUEUE: queue, Step.DRAIN: drain, Step.OUT: out, Step.LAPSE: lapse, Step.OVERDUE: overdue,
-    Step.LOST: lost, Step.WARM: warm, Step.DONE: done,
+    Step.QUEUE: queue,
+    Step.DRAIN: drain,
+    Step.OUT: out,
+    Step.LAPSE: lapse,
+    Step.OVERDUE: overdue,
+    Step.LOST: lost,
+    Step.WARM: warm,
+    Step.DONE: done,
 }
--- a/molereach/upkeep/permits/machine.py
+++ b/molereach/upkeep/permits/machine.py
@@ -113,8 +113,9 @@
         machine = self.book.fleet.get(record.work.machine)
         assert machine is not None  # as the rules have asked
         (_, cell), (_, zone) = groups(machine)
-        record = replace(record, begun=entry.position, begun_ms=entry.at_ms, cell=cell, zone=zone,
-                         address=machine.address)
+        record = replace(
+            record, begun=entry.position, begun_ms=entry.at_ms, cell=cell, zone=zone, address=machine.address
+        )
         self.book.put(record)
         self.book.pass_over(record, entry.at_ms)
         return record
@@ -163,8 +164,9 @@
     def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
         """What the proof lacks for this machine."""
         unstood = self.book.unstood.get(record.work.machine, -1)
-        return fault(words, self.sessions, record.begun, unstood,
-                     lambda position: self.waited(position, at_ms))
+        return fault(
+            words, self.sessions, record.begun, unstood, lambda position: self.waited(position, at_ms)
+        )
 
     def waited(self, position: int, at_ms: int) -> bool:
         return waited(self.book.marks, position, at_ms, self.settings.over_wait_ms)
@@ -183,6 +185,10 @@
 
 
 _TAKES: dict[type, Callable[[Upkeep, Entry, Any], Record | None]] = {
-    Ask: Upkeep._ask, Seen: Upkeep._seen, Stand: Upkeep._stand, Move: Upkeep._move, Out: Upkeep._out,
+    Ask: Upkeep._ask,
+    Seen: Upkeep._seen,
+    Stand: Upkeep._stand,
+    Move: Upkeep._move,
+    Out: Upkeep._out,
     Back: Upkeep._back,
 }
--- a/molereach/upkeep/permits/nexts.py
+++ b/molereach/upkeep/permits/nexts.py
@@ -22,8 +22,12 @@
 from molereach.upkeep.rules.window import window
 
 BY_TIME: dict[State, tuple[Step, ...]] = {  # the first that may be
-    State.ASKED: (Step.LAPSE, Step.QUEUE), State.QUEUED: (Step.LAPSE,), State.OUT: (Step.OVERDUE,),
-    State.BACK: (Step.WARM, Step.OVERDUE), State.WARM: (Step.DONE,), State.OVERDUE: (Step.LOST,),
+    State.ASKED: (Step.LAPSE, Step.QUEUE),
+    State.QUEUED: (Step.LAPSE,),
+    State.OUT: (Step.OVERDUE,),
+    State.BACK: (Step.WARM, Step.OVERDUE),
+    State.WARM: (Step.DONE,),
+    State.OVERDUE: (Step.LOST,),
 }
 NEEDED = (window, seasons, orders, floor, room, sets, panel)  # that call back one that drains
 
@@ -55,8 +59,11 @@
         return ()
     scene = book.scene(at_ms)
     lacking = set(short(scene))
-    out = [each for each in book.records.values()
-           if each.state in (State.OUT, State.OVERDUE) and not each.hurried]
+    out = [
+        each
+        for each in book.records.values()
+        if each.state in (State.OUT, State.OVERDUE) and not each.hurried
+    ]
     return tuple(each for each in out if _lacks(scene, each, lacking))
 
 
--- a/molereach/upkeep/permits/planning.py
+++ b/molereach/upkeep/permits/planning.py
@@ -27,8 +27,12 @@
 
     def go_on(self, at_ms: int) -> None:
         if self._planner is None and self._stale:
-            ends_ms = {name: self._ends_ms(each, at_ms) for each in self._book.records.values()
-                       if each.state not in WAITING for name in each.names}
+            ends_ms = {
+                name: self._ends_ms(each, at_ms)
+                for each in self._book.records.values()
+                if each.state not in WAITING
+                for name in each.names
+            }
             self._planner = Planner(self._book.scene(at_ms), self._book.waiting(), ends_ms)
             self._stale = False  # to make it ready is one turn's work
         elif self._planner and self._planner.run():
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -50,8 +50,12 @@
 def alone(sessions: SessionsAt, session: Past) -> bool:
     """Whether the front door that had this session may serve on without any."""
     last = sessions.past(session.life.name)
-    return (session.known is Known.OVER and sessions.open(session.life.name) is None
-            and last is not None and last.known is Known.OVER)
+    return (
+        session.known is Known.OVER
+        and sessions.open(session.life.name) is None
+        and last is not None
+        and last.known is Known.OVER
+    )
 
 
 def fault(
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -51,8 +51,10 @@
         if self.state is State.WARM:
             off = Off.WARMING
         old = Off.LOST if off is Off.WARMING else off
-        return {name: Taken(self.work, off if name == self.now else old, groups, self.begun_ms)
-                for name in self.names}
+        return {
+            name: Taken(self.work, off if name == self.now else old, groups, self.begun_ms)
+            for name in self.names
+        }
 
     @property
     def unsendable(self) -> tuple[str, ...]:
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -32,9 +32,18 @@
 def snapshot(book: Book) -> bytes:
     records = tuple(sorted(book.records.values(), key=lambda each: each.asked))
     unstood = {name: book.unstood[name] for name in sorted(book.unstood)}
-    return msgspec.json.encode(_State(
-        records, tuple(book.past.values()), book.permits, book.fleet.facts, book.part,
-        tuple(sorted(book.standing)), unstood, book.marks))
+    return msgspec.json.encode(
+        _State(
+            records,
+            tuple(book.past.values()),
+            book.permits,
+            book.fleet.facts,
+            book.part,
+            tuple(sorted(book.standing)),
+            unstood,
+            book.marks,
+        )
+    )
 
 
 def restore(book: Book, data: bytes) -> None:
@@ -46,10 +55,13 @@
     ids = [each.work.id for each in (*state.records, *state.past)]
     numbers = [each.permit for each in (*state.records, *state.past) if each.permit]
     sound = (
-        len(set(ids)) == len(ids) and len(set(numbers)) == len(numbers)
-        and max(numbers, default=0) <= state.permits and not unsound(state.facts)
+        len(set(ids)) == len(ids)
+        and len(set(numbers)) == len(numbers)
+        and max(numbers, default=0) <= state.permits
+        and not unsound(state.facts)
         and all(each.state not in FINAL for each in state.records)
-        and all(each.state in FINAL for each in state.past))
+        and all(each.state in FINAL for each in state.past)
+    )
     if not sound:
         raise ValueError("not a snapshot of works: not as any log leaves it")
     book.clear()
--- a/molereach/upkeep/permits/way.py
+++ b/molereach/upkeep/permits/way.py
@@ -73,5 +73,15 @@
 GONE = frozenset({State.OUT, State.OVERDUE, State.LOST})
 FINAL = frozenset({State.DONE, State.WITHDRAWN})
 UNSENDABLE = frozenset({*LEAVING, *GONE, State.BACK})  # to which nothing new is sent
-BOUND = frozenset({  # steps that are for one time of draining alone: one that was settled late is void
-    Step.EMPTY, Step.OUT, Step.RECALL, Step.HURRY, Step.OVERDUE, Step.LOST, Step.WARM, Step.DONE})
+BOUND = frozenset(
+    {  # steps that are for one time of draining alone: one that was settled late is void
+        Step.EMPTY,
+        Step.OUT,
+        Step.RECALL,
+        Step.HURRY,
+        Step.OVERDUE,
+        Step.LOST,
+        Step.WARM,
+        Step.DONE,
+    }
+)
--- a/molereach/upkeep/requests/checks.py
+++ b/molereach/upkeep/requests/checks.py
@@ -11,7 +11,10 @@
 
 
 def wrong(
-    work: Work, open_works: Collection[Work], taken: Mapping[str, Work], machines: Mapping[str, Kind],
+    work: Work,
+    open_works: Collection[Work],
+    taken: Mapping[str, Work],
+    machines: Mapping[str, Kind],
     at_ms: int,
 ) -> Wrong | None:
     """`taken` are all works remembered by id, those that are over too; the same again is not wrong."""
--- a/molereach/upkeep/rules/facts.py
+++ b/molereach/upkeep/rules/facts.py
@@ -74,7 +74,9 @@
         self.servers: Mapping[str, Server] = {each.name: each for each in facts.servers}
         self.doors: Mapping[str, Door] = {each.name: each for each in facts.doors}
         self.kinds: Mapping[str, Kind] = {
-            **dict.fromkeys(self.servers, Kind.SERVER), **dict.fromkeys(self.doors, Kind.DOOR)}
+            **dict.fromkeys(self.servers, Kind.SERVER),
+            **dict.fromkeys(self.doors, Kind.DOOR),
+        }
         self.ring = tuple(sorted(facts.doors, key=lambda door: door.number))
         self.ordered, self.panel = frozenset(facts.ordered), frozenset(facts.panel)
         self.sums: dict[tuple[str, str], Sum] = {}
--- a/molereach/upkeep/rules/judge.py
+++ b/molereach/upkeep/rules/judge.py
@@ -15,7 +15,17 @@
 from molereach.upkeep.rules.window import window
 
 RULES: tuple[Rule, ...] = (
-    window, seasons, orders, first, apart, limits, floor, room, sets, panel, standing,
+    window,
+    seasons,
+    orders,
+    first,
+    apart,
+    limits,
+    floor,
+    room,
+    sets,
+    panel,
+    standing,
 )
 
 
--- a/molereach/upkeep/rules/left.py
+++ b/molereach/upkeep/rules/left.py
@@ -23,10 +23,17 @@
     """With `besides`, as if that server were away too; it is not among those named."""
     total = scene.fleet.sums.get(group, Sum())
     names = {name for name in scene.taken if scene.bears_nothing(name)} | {besides}
-    away = [other for name in names if (other := scene.fleet.servers.get(name)) is not None
-            and other.ready and group in groups(other)]
-    return Left(total.ready - len(away), total.capacity - sum(other.warmth for other in away), total.demand,
-                tuple(sorted(other.name for other in away if other.name != besides)))
+    away = [
+        other
+        for name in names
+        if (other := scene.fleet.servers.get(name)) is not None and other.ready and group in groups(other)
+    ]
+    return Left(
+        total.ready - len(away),
+        total.capacity - sum(other.warmth for other in away),
+        total.demand,
+        tuple(sorted(other.name for other in away if other.name != besides)),
+    )
 
 
 def least(scene: Scene, group: Group) -> int:
--- a/molereach/upkeep/rules/sets.py
+++ b/molereach/upkeep/rules/sets.py
@@ -16,8 +16,11 @@
     place = next(number for number, door in enumerate(ring) if door.name == work.machine)
     for first in range(place - size + 1, place + 1):
         run = [ring[(first + number) % len(ring)] for number in range(size)]
-        gone = [door.name for door in run
-                if door.name != work.machine and (not door.ready or scene.bears_nothing(door.name))]
+        gone = [
+            door.name
+            for door in run
+            if door.name != work.machine and (not door.ready or scene.bears_nothing(door.name))
+        ]
         left = size - 1 - len(gone)
         if left < scene.settings.least_in_set:
             number = ring[first % len(ring)].number
--- a/rig/audit/ceilings.py
+++ b/rig/audit/ceilings.py
@@ -23,9 +23,7 @@
         judge_ceiling(ledger, ceilings[plan], customer, sent)
 
 
-def judge_ceiling(
-    ledger: Ledger, ceiling: Ceiling, customer: str, sent: list[tuple[Arrived, Asked]]
-) -> None:
+def judge_ceiling(ledger: Ledger, ceiling: Ceiling, customer: str, sent: list[tuple[Arrived, Asked]]) -> None:
     """One customer's store: it starts full, fills at the rate, and each first attempt takes its units."""
     sent.sort(key=lambda pair: pair[0].at_us)
     late_us = CEILING_SLACK_US + ledger.late_us
@@ -36,6 +34,11 @@
         at_us = arrival.at_us
         ledger.units_over = max(ledger.units_over, -level)
         if level < lowest - EPS:
-            ledger.note(Rule.CEILING, f"customer {customer}",
-                      f"{-level:.1f} units above its ceiling, {-lowest:.1f} allowed", previous, arrival)
+            ledger.note(
+                Rule.CEILING,
+                f"customer {customer}",
+                f"{-level:.1f} units above its ceiling, {-lowest:.1f} allowed",
+                previous,
+                arrival,
+            )
         previous = arrival
--- a/rig/audit/effects.py
+++ b/rig/audit/effects.py
@@ -29,8 +29,10 @@
 
 def proven(request: Request, arrival: Arrived) -> bool:
     """Whether the server said that this attempt never ran, before anything else was done."""
-    return any(turned.server == arrival.server and turned.door == arrival.door
-               and turned.at_us >= arrival.at_us for turned in request.turned)
+    return any(
+        turned.server == arrival.server and turned.door == arrival.door and turned.at_us >= arrival.at_us
+        for turned in request.turned
+    )
 
 
 def judge_second(ledger: Ledger, name: str, ask: Asked, first: Arrived, second: Arrived) -> None:
--- a/rig/audit/requests.py
+++ b/rig/audit/requests.py
@@ -24,7 +24,13 @@
     def sort(self) -> None:
         """Journals come in any order; what happened first is judged first."""
         journals: tuple[list[Any], ...] = (
-            self.asks, self.answers, self.ends, self.arrivals, self.turned, self.runs)
+            self.asks,
+            self.answers,
+            self.ends,
+            self.arrivals,
+            self.turned,
+            self.runs,
+        )
         for facts in journals:
             facts.sort(key=lambda fact: (fact.at_us, str(fact)))
 
--- a/rig/audit/servers.py
+++ b/rig/audit/servers.py
@@ -46,21 +46,29 @@
 
     def judge_cold(self, ledger: Ledger) -> None:
         for fell in self.fell:
-            start = max((start for start in self.started.get(fell.server, ()) if start.at_us <= fell.at_us),
-                        key=lambda fact: fact.at_us, default=None)
+            start = max(
+                (start for start in self.started.get(fell.server, ()) if start.at_us <= fell.at_us),
+                key=lambda fact: fact.at_us,
+                default=None,
+            )
             if start and self.knew_share(fell, start) >= TOLD_SHARE:
                 ledger.note(Rule.COLD, fell.server, "pushed over while it was cold", start, fell)
 
     def knew_share(self, fell: Fell, start: Started) -> float:
         """The share of the work that pushed a server over, from front doors that were told of its start."""
         since = max(start.at_us, fell.at_us - self.figures.fall_us)
-        pushed = [arrival for arrival in self.arrivals.get(fell.server, ())
-                  if since <= arrival.at_us <= fell.at_us]
+        pushed = [
+            arrival for arrival in self.arrivals.get(fell.server, ()) if since <= arrival.at_us <= fell.at_us
+        ]
         total = sum(arrival.work_us for arrival in pushed)
-        knew = sum(arrival.work_us for arrival in pushed if any(
-            start.at_us <= telling.at_us <= arrival.at_us
-            for telling in self.told.get((arrival.door, fell.server), ())
-        ))
+        knew = sum(
+            arrival.work_us
+            for arrival in pushed
+            if any(
+                start.at_us <= telling.at_us <= arrival.at_us
+                for telling in self.told.get((arrival.door, fell.server), ())
+            )
+        )
         return knew / total if total else 0.0
 
 
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -103,9 +103,16 @@
 
     def broken(self: FrontDoor, config: Config) -> None:
         settings = config.settings
-        plans = tuple(replace(plan, rate=plan.rate * 10, burst=plan.burst * 10,
-                              ceiling_rate=plan.ceiling_rate * 10, ceiling_burst=plan.ceiling_burst * 10)
-                      for plan in settings.plans)
+        plans = tuple(
+            replace(
+                plan,
+                rate=plan.rate * 10,
+                burst=plan.burst * 10,
+                ceiling_rate=plan.ceiling_rate * 10,
+                ceiling_burst=plan.ceiling_burst * 10,
+            )
+            for plan in settings.plans
+        )
         make(self, replace(config, settings=replace(settings, plans=plans)))
 
     FrontDoor.__init__ = broken  # type: ignore[method-assign]
@@ -123,8 +130,16 @@
     FrontDoor.__init__ = broken  # type: ignore[method-assign]
 
 
-MODES = {"drop": drop, "twice": twice, "drain": drain, "crash": crash, "foreign": foreign, "hold": hold,
-         "ceiling": ceiling, "cold": cold}
+MODES = {
+    "drop": drop,
+    "twice": twice,
+    "drain": drain,
+    "crash": crash,
+    "foreign": foreign,
+    "hold": hold,
+    "ceiling": ceiling,
+    "cold": cold,
+}
 
 if __name__ == "__main__":
     MODES[sys.argv[1]]()
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -154,7 +154,12 @@
     """All clients of a world."""
 
     def __init__(
-        self, pools: list[DoorPool], front: Front, facts: list[Fact], random: Random, seed: int,
+        self,
+        pools: list[DoorPool],
+        front: Front,
+        facts: list[Fact],
+        random: Random,
+        seed: int,
     ) -> None:
         self.pools, self.front, self.facts, self.random = pools, front, facts, random
         self.seed, self.serial = seed, 0
@@ -211,8 +216,12 @@
         fields += [f"k={key}"] if key else []
         fields += ["units=1", f"spread={len(customer.weights)}", f"first={customer.first}"]
         fields += ["r=1"] if number else []
-        words = [b"SVC.SUBMIT" if kind.is_write else b"SVC.QUERY", customer.name.encode(), name.encode(),
-                 ",".join(fields).encode()]
+        words = [
+            b"SVC.SUBMIT" if kind.is_write else b"SVC.QUERY",
+            customer.name.encode(),
+            name.encode(),
+            ",".join(fields).encode(),
+        ]
         words += [b"BODY"] if kind.is_write else []
         made = Try(name, words, work_us(kind, self.random), key, door, wait_us)
         self.tries[name] = made
@@ -265,14 +274,31 @@
 
     def note_ask(self, arrival: Arrival, made: Try, pool: DoorPool, taken: bool = True) -> int:
         now, kind, customer = now_us(), arrival.kind, arrival.customer
-        self.facts.append(Asked(
-            now, made.id, pool.name, customer.name, kind.effect, kind.group, kind.window_us,
-            customer.plan.name, 1.0, now + made.wait_us, made.key, taken,
-        ))
+        self.facts.append(
+            Asked(
+                now,
+                made.id,
+                pool.name,
+                customer.name,
+                kind.effect,
+                kind.group,
+                kind.window_us,
+                customer.plan.name,
+                1.0,
+                now + made.wait_us,
+                made.key,
+                taken,
+            )
+        )
         return now
 
     def judge(
-        self, arrival: Arrival, made: Try, pool: DoorPool, connection: ClientConnection, reply: object,
+        self,
+        arrival: Arrival,
+        made: Try,
+        pool: DoorPool,
+        connection: ClientConnection,
+        reply: object,
         asked_us: int,
     ) -> int | None:
         now = now_us()
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -47,8 +47,14 @@
             case _:
                 core = self.service.core
                 alive = [life.name for life in core.parts.membership.alive()]
-                return {**self.service.counters(), "marks": self.marks.seen, "alive": alive,
-                        "leader": core.leader, "digest": core.parts.log.digest(), "ended": core.ended}
+                return {
+                    **self.service.counters(),
+                    "marks": self.marks.seen,
+                    "alive": alive,
+                    "leader": core.leader,
+                    "digest": core.parts.log.digest(),
+                    "ended": core.ended,
+                }
 
 
 async def run(config: dict[str, Any]) -> None:
--- a/rig/council/relay.py
+++ b/rig/council/relay.py
@@ -126,7 +126,10 @@
         self.changed.set()
 
     async def carry(
-        self, carried: Carried, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
+        self,
+        carried: Carried,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
         try:
             if self.held:
@@ -144,7 +147,11 @@
             self.changed.set()
 
     async def pump(
-        self, carried: Carried, way: Direction, reader: asyncio.StreamReader, writer: asyncio.StreamWriter,
+        self,
+        carried: Carried,
+        way: Direction,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
     ) -> None:
         while True:
             await self.gates[way].wait()
@@ -162,7 +169,7 @@
             if flip is not None and begin <= flip < begin + len(data):
                 data[flip - begin] ^= 1
             if cut is not None and carried.count[way] >= cut:
-                del data[max(0, cut - begin):]
+                del data[max(0, cut - begin) :]
             if way not in self.lost:
                 carried.passed[way] = (carried.passed[way] + data)[-MOST_KEPT_BYTES:]
                 writer.write(bytes(data))
--- a/rig/council/tier.py
+++ b/rig/council/tier.py
@@ -47,16 +47,25 @@
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "rig.council.member", str(self.config), preexec_fn=die_with_parent(),
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "rig.council.member",
+            str(self.config),
+            preexec_fn=die_with_parent(),
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         assert self.process.stdout and self.process.stderr
         async with asyncio.timeout(READY_S):
             line = await self.process.stdout.readline()
         if not line:
             self.log.append((await self.process.stderr.read()).decode())
             raise MemberEndedError(f"{self.name} ended at its start: {self.log[-1][-300:]}")
-        self.tasks = [asyncio.create_task(self.answers(self.process.stdout)),
-                      asyncio.create_task(self.lines(self.process.stderr))]
+        self.tasks = [
+            asyncio.create_task(self.answers(self.process.stdout)),
+            asyncio.create_task(self.lines(self.process.stderr)),
+        ]
 
     async def answers(self, stream: asyncio.StreamReader) -> None:
         while line := await stream.readline():
@@ -101,8 +110,15 @@
 class Tier:
     """`count` members, of which the first `seats` accept. With `faulty`, every way between two is a relay."""
 
-    def __init__(self, home: Path, count: int, seats: int, faulty: bool = False, beat_ms: int = 100,
-                 session_ms: int = 1000) -> None:
+    def __init__(
+        self,
+        home: Path,
+        count: int,
+        seats: int,
+        faulty: bool = False,
+        beat_ms: int = 100,
+        session_ms: int = 1000,
+    ) -> None:
         self.home, self.seats, self.faulty = home, seats, faulty
         self.beat_us, self.session_us = beat_ms * 1000, session_ms * 1000
         self.key = b"0123456789abcdef-council".hex()  # a trial has no secrets
@@ -134,11 +150,21 @@
             if name != member.name:
                 relay = self.ways[member.name, name] = Relay(doors[name])
                 ways[name] = await relay.start()
-        member.config.write_text(json.dumps({
-            "name": member.name, "key": self.key, "listen": member.listen, "doors": doors, "ways": ways,
-            "panel": self.names[: self.seats], "folder": str(member.folder) if member.folder else None,
-            "beat_us": self.beat_us, "session_us": self.session_us,
-        }))
+        member.config.write_text(
+            json.dumps(
+                {
+                    "name": member.name,
+                    "key": self.key,
+                    "listen": member.listen,
+                    "doors": doors,
+                    "ways": ways,
+                    "panel": self.names[: self.seats],
+                    "folder": str(member.folder) if member.folder else None,
+                    "beat_us": self.beat_us,
+                    "session_us": self.session_us,
+                }
+            )
+        )
 
     def operator_file(self, name: str) -> Path:
         """The same for a front door that takes a member's place."""
@@ -152,7 +178,8 @@
             f"[council]\npanel = {json.dumps(self.names[: self.seats])}\nkey_file = {json.dumps(str(key))}\n"
             f"beat_ms = {self.beat_us // 1000}\nsession_ms = {self.session_us // 1000}\n"
             + (f"folder = {json.dumps(str(member.folder))}\nforming = true\n" if member.folder else "")
-            + f"[council.doors]\n{doors}\n")
+            + f"[council.doors]\n{doors}\n"
+        )
         return file
 
     def between(self, one: str, other: str) -> list[Relay]:
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -81,9 +81,7 @@
             fleet.close()
 
 
-def play(
-    scenario: sc.Scenario, seed: int, as_json: bool, folder: Path | None, operator: Path | None
-) -> int:
+def play(scenario: sc.Scenario, seed: int, as_json: bool, folder: Path | None, operator: Path | None) -> int:
     """Play and print a day; the exit code."""
     live = sys.stdout.isatty() and not as_json
     console = Console(width=None if sys.stdout.isatty() else WIDTH)
@@ -120,19 +118,39 @@
 
 
 @click.command("molereach demo", epilog=EPILOG)
-@click.option("--scenario", "name", default="calm", metavar="NAME|FILE", show_default=True,
-              help=f"A TOML file, or one of: {', '.join(scenario_files.shipped())}.")
+@click.option(
+    "--scenario",
+    "name",
+    default="calm",
+    metavar="NAME|FILE",
+    show_default=True,
+    help=f"A TOML file, or one of: {', '.join(scenario_files.shipped())}.",
+)
 @click.option("--doors", type=int, metavar="N", help="Front doors, instead of the scenario's number.")
 @click.option("--seconds", type=float, metavar="S", help="Length of the load.")
 @click.option("--seed", type=int, default=1, metavar="N", show_default=True, help="Of all that is drawn.")
-@click.option("--fleet", "folder", type=click.Path(path_type=Path), metavar="FOLDER",
-              help="Run an agent beside each front door, with its files in this empty folder.")
-@click.option("--operator", type=click.Path(path_type=Path, exists=True, dir_okay=False), metavar="FILE",
-              help="Operator file of all front doors; with --fleet without [control].")
+@click.option(
+    "--fleet",
+    "folder",
+    type=click.Path(path_type=Path),
+    metavar="FOLDER",
+    help="Run an agent beside each front door, with its files in this empty folder.",
+)
+@click.option(
+    "--operator",
+    type=click.Path(path_type=Path, exists=True, dir_okay=False),
+    metavar="FILE",
+    help="Operator file of all front doors; with --fleet without [control].",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object and nothing else.")
 def demo(
-    name: str, doors: int | None, seconds: float | None, seed: int, folder: Path | None,
-    operator: Path | None, as_json: bool,
+    name: str,
+    doors: int | None,
+    seconds: float | None,
+    seed: int,
+    folder: Path | None,
+    operator: Path | None,
+    as_json: bool,
 ) -> None:
     """Front doors, servers, discovery and clients on loopback, then an audit of the day."""
     try:
--- a/rig/discovery.py
+++ b/rig/discovery.py
@@ -62,11 +62,23 @@
         return self.body(self.view.whole(), whole=True)
 
     def body(self, entries: list[Entry], whole: bool) -> dict[str, object]:
-        return {"generation": self.view.version, "reset": whole, "instances": [{
-            "instanceId": entry.name, "hostPort": "{}:{}".format(*self.address_of(entry.name)),
-            "zone": entry.zone, "machineType": "two-core", "cell": 0, "lifecycle": entry.state.value,
-            "weight": 1.0, "startedAtMs": entry.started_ms,
-        } for entry in entries]}
+        return {
+            "generation": self.view.version,
+            "reset": whole,
+            "instances": [
+                {
+                    "instanceId": entry.name,
+                    "hostPort": "{}:{}".format(*self.address_of(entry.name)),
+                    "zone": entry.zone,
+                    "machineType": "two-core",
+                    "cell": 0,
+                    "lifecycle": entry.state.value,
+                    "weight": 1.0,
+                    "startedAtMs": entry.started_ms,
+                }
+                for entry in entries
+            ],
+        }
 
     def note(self, entries: list[Entry], whole: bool) -> None:
         """Journal what the front door is told: what its agent has counts as told, asked or not, unless it is
@@ -111,7 +123,10 @@
                 return None
 
     async def answer(
-        self, http: h11.Connection, request: h11.Request, reader: asyncio.StreamReader,
+        self,
+        http: h11.Connection,
+        request: h11.Request,
+        reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         async with self.changed:
@@ -155,6 +170,7 @@
 
     async def hear(self, version: int | None, gone: "asyncio.Future[bytes]") -> None:
         """Wait for something to say, at most for a beat; while silent for as long as that lasts."""
+
         async def news() -> None:
             async with self.changed:
                 await self.changed.wait_for(lambda: not self.silent and self.view.version != version)
--- a/rig/doors.py
+++ b/rig/doors.py
@@ -50,7 +50,12 @@
     """One front door, over all its starts."""
 
     def __init__(
-        self, name: str, number: int, host: str, facts: list[Fact], command: Sequence[str] = FRONT_DOOR,
+        self,
+        name: str,
+        number: int,
+        host: str,
+        facts: list[Fact],
+        command: Sequence[str] = FRONT_DOOR,
     ) -> None:
         self.name, self.number, self.facts, self.command = name, number, facts, command
         self.holder, self.address = reserve(host)
@@ -78,15 +83,24 @@
         self.told_to_end = self.killed = False
         self.ended, self.log_ended = asyncio.Event(), asyncio.Event()
         self.starts += 1
-        env = {name: text for name, text in os.environ.items()
-               if not name.startswith(("PROXY_", "MOLEREACH_"))}
+        env = {
+            name: text for name, text in os.environ.items() if not name.startswith(("PROXY_", "MOLEREACH_"))
+        }
         root = str(Path(__file__).parents[1])
-        env |= {"PROXY_NAME": self.name, "PROXY_LISTEN": "{}:{}".format(*self.address),
-                "PROXY_CONFIG": f"/proc/self/fd/{self.memory}",
-                "PYTHONPATH": os.pathsep.join(filter(None, (root, env.get("PYTHONPATH"))))}
+        env |= {
+            "PROXY_NAME": self.name,
+            "PROXY_LISTEN": "{}:{}".format(*self.address),
+            "PROXY_CONFIG": f"/proc/self/fd/{self.memory}",
+            "PYTHONPATH": os.pathsep.join(filter(None, (root, env.get("PYTHONPATH")))),
+        }
         self.process = subprocess.Popen(
-            self.command, env=env, stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL,
-            stderr=subprocess.PIPE, pass_fds=(self.memory,), preexec_fn=die_with_parent(),
+            self.command,
+            env=env,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.PIPE,
+            pass_fds=(self.memory,),
+            preexec_fn=die_with_parent(),
             start_new_session=True,  # Ctrl-C is for the rig, which ends them in its own way
         )
         self.watch(self.process)
--- a/rig/facts.py
+++ b/rig/facts.py
@@ -205,6 +205,19 @@
 
 
 Fact = (
-    Asked | Answered | Extra | Ended | Left | Arrived | TurnedAway | Ran | Repeat | Started | Fell | Told
-    | DoorUp | DoorDown | Late
+    Asked
+    | Answered
+    | Extra
+    | Ended
+    | Left
+    | Arrived
+    | TurnedAway
+    | Ran
+    | Repeat
+    | Started
+    | Fell
+    | Told
+    | DoorUp
+    | DoorDown
+    | Late
 )
--- a/rig/fakedoor.py
+++ b/rig/fakedoor.py
@@ -33,5 +33,6 @@
         if ask.book:
             self.book.adopt(ask.book)
         state = State(self.name, os.getpid(), 1.0, False, self.book.revision, 1, 0, 0)
-        return Answer(wire.VERSION, ask.number, state=state,
-                      members=SERVERS if ask.what == "members" else None)
+        return Answer(
+            wire.VERSION, ask.number, state=state, members=SERVERS if ask.what == "members" else None
+        )
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -43,13 +43,19 @@
         listen = "{}:{}".format(*self.address)
         self.file.write_text(
             f'name = "{self.name}"\nfleet = "fleet.toml"\nsockets = "{self.name}"\n'
-            f'journal = "{self.name}.journal"\nlisten = "{listen}"\ntokens = "tokens"\n')
+            f'journal = "{self.name}.journal"\nlisten = "{listen}"\ntokens = "tokens"\n'
+        )
 
     def start(self) -> None:
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                (*AGENT, str(self.file)), env=self.env, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                preexec_fn=die_with_parent(), start_new_session=True,
+                (*AGENT, str(self.file)),
+                env=self.env,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                preexec_fn=die_with_parent(),
+                start_new_session=True,
             )
 
     async def ready(self, token: str) -> None:
@@ -103,10 +109,12 @@
         folder.chmod(HELD_OPEN)
         self.folder, self.doors = folder, doors
         self.token = os.urandom(TOKEN_BYTES).hex()
-        env = {name: text for name, text in os.environ.items()
-               if not name.startswith(("PROXY_", "MOLEREACH_"))}
-        env["PYTHONPATH"] = os.pathsep.join(filter(None, (str(Path(__file__).parents[1]),
-                                                          env.get("PYTHONPATH"))))
+        env = {
+            name: text for name, text in os.environ.items() if not name.startswith(("PROXY_", "MOLEREACH_"))
+        }
+        env["PYTHONPATH"] = os.pathsep.join(
+            filter(None, (str(Path(__file__).parents[1]), env.get("PYTHONPATH")))
+        )
         self.agents = [AgentProcess(f"a{door.number}", folder, host, env) for door in doors]
         self.file = folder / "fleet.toml"
         self.write(floor)
@@ -120,8 +128,12 @@
     def write(self, floor: int) -> None:
         lines = [f"floor = {floor}", 'token = "token"']
         for agent, door in zip(self.agents, self.doors, strict=True):
-            lines += ["[[agents]]", f'name = "{agent.name}"', f'url = "{agent.url}"',
-                      f'doors = ["{door.name}"]']
+            lines += [
+                "[[agents]]",
+                f'name = "{agent.name}"',
+                f'url = "{agent.url}"',
+                f'doors = ["{door.name}"]',
+            ]
             agent.write()
         self.file.write_text("\n".join(lines) + "\n")
         for name, text in (("token", self.token), ("tokens", f"operate duty {self.token}")):
--- a/rig/front.py
+++ b/rig/front.py
@@ -30,8 +30,9 @@
     def pick(self, now_us: int, first: int, size: int, weights: tuple[float, ...], draw: float) -> int:
         """One of the `size` doors from number `first` on, by weights in that order and a draw from 0 to 1."""
         members = [(first + step) % self.doors for step in range(size)]
-        known = [pair for pair in zip(members, weights, strict=True)
-                 if now_us < self.out_from.get(pair[0], NEVER)]
+        known = [
+            pair for pair in zip(members, weights, strict=True) if now_us < self.out_from.get(pair[0], NEVER)
+        ]
         pairs = known or list(zip(members, weights, strict=True))
         if self.gathered and any(door == self.gathered[0] for door, _ in pairs):
             door, share = self.gathered
--- a/rig/member.py
+++ b/rig/member.py
@@ -44,8 +44,9 @@
 
     def remember(self, now_us: int, customer: str, key: str, value: bytes) -> None:
         self.values[customer, key] = now_us, value
-        while self.values and (len(self.values) > MOST_KEYS
-                               or next(iter(self.values.values()))[0] < now_us - self.window_us):
+        while self.values and (
+            len(self.values) > MOST_KEYS or next(iter(self.values.values()))[0] < now_us - self.window_us
+        ):
             self.values.popitem(last=False)
 
     def find(self, now_us: int, customer: str, key: str) -> bytes | None:
@@ -202,8 +203,9 @@
         return self.running[0][0] if self.running and not self.fallen else None
 
     def on_command(self, now_us: int, command: Command) -> list[Action]:
-        self.notes.append(Arrived(now_us, command.id, self.name, self.zone, command.door,
-                                  command.first_us, command.work_us))
+        self.notes.append(
+            Arrived(now_us, command.id, self.name, self.zone, command.door, command.first_us, command.work_us)
+        )
         if self.fallen:
             return []
         if self.push(now_us, command.work_us):
@@ -229,8 +231,18 @@
             self.notes.append(Repeat(now_us, command.id, self.name, command.door, command.key, known))
             return [Reply(command.connection, self.answer(now_us, known))]
         work.value = b"%b.%d.%b" % (self.name.encode(), self.serial, command.id.encode())
-        self.notes.append(Ran(now_us, command.id, self.name, command.door, command.customer, command.units,
-                              command.key, work.value))
+        self.notes.append(
+            Ran(
+                now_us,
+                command.id,
+                self.name,
+                command.door,
+                command.customer,
+                command.units,
+                command.key,
+                work.value,
+            )
+        )
         if command.key:
             self.building.remember(now_us, command.customer, command.key, work.value)
         took_us = round(command.work_us * self.times / self.warmth(now_us))
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -23,8 +23,17 @@
 from rig.world.report import Report
 from rig.world.world import World
 
-STEPS = ("looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming",
-         "reported")
+STEPS = (
+    "looking",
+    "judged",
+    "promised",
+    "accepting",
+    "accepted",
+    "decided",
+    "told",
+    "confirming",
+    "reported",
+)
 SERVER = "s-1"
 LATE_US = 1_000_000  # after a front door was told of a drain
 DOWN_S, TAIL_S, SECONDS = 0.5, 1.5, 7.0
--- a/rig/registry.py
+++ b/rig/registry.py
@@ -49,5 +49,7 @@
         return [entry for entry in self.entries.values() if entry.state is not Listed.DELETED]
 
     def since(self, version: int) -> list[Entry]:
-        return sorted((entry for entry in self.entries.values() if entry.version > version),
-                      key=lambda entry: entry.version)
+        return sorted(
+            (entry for entry in self.entries.values() if entry.version > version),
+            key=lambda entry: entry.version,
+        )
--- a/rig/relay.py
+++ b/rig/relay.py
@@ -52,8 +52,10 @@
 
     def peers_of(self, door: int) -> list[Address]:
         """The addresses that front door `door` has for all of the tier, its own among them."""
-        return [self.doors[door] if peer == door else self.addresses[door, peer]
-                for peer in range(len(self.doors))]
+        return [
+            self.doors[door] if peer == door else self.addresses[door, peer]
+            for peer in range(len(self.doors))
+        ]
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
         draws = (self.random.random(), self.random.random(), self.random.random(), self.random.random())
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -192,8 +192,27 @@
 
 
 AnyFault = (
-    Kill | End | Stop | Reload | Cut | Silence | Vanish | Reset | Spoil | Slow | Drain | ColdDeploy | Replace
-    | DiscoveryDown | DiscoveryLate | DiscoveryMoved | Split | Mail | Moved | Crowd | Hostile
+    Kill
+    | End
+    | Stop
+    | Reload
+    | Cut
+    | Silence
+    | Vanish
+    | Reset
+    | Spoil
+    | Slow
+    | Drain
+    | ColdDeploy
+    | Replace
+    | DiscoveryDown
+    | DiscoveryLate
+    | DiscoveryMoved
+    | Split
+    | Mail
+    | Moved
+    | Crowd
+    | Hostile
 )
 
 
@@ -236,7 +255,7 @@
 def meant(name: str, names: list[str]) -> list[str]:
     """Whom a fault may befall that says `name`; `names` are all front doors or all servers, in order."""
     if name in ZONES:
-        return names[ZONES.index(name)::len(ZONES)]
+        return names[ZONES.index(name) :: len(ZONES)]
     return names if name == ANY else [name] if name in names else []
 
 
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -70,7 +70,12 @@
     """One member server."""
 
     def __init__(
-        self, member: Member, doors: list[str], host: str, facts: list[Fact], random: Random,
+        self,
+        member: Member,
+        doors: list[str],
+        host: str,
+        facts: list[Fact],
+        random: Random,
         work_of: Callable[[str], tuple[int, str, list[bytes]] | None],
     ) -> None:
         """`work_of` gives the work in microseconds, the key and the words of a request that a client sent."""
@@ -118,8 +123,18 @@
             return
         work_us, key, _ = known
         fields = dict(part.partition("=")[::2] for part in words[3].decode("ascii", "replace").split(","))
-        self.tell(Command(connection.number, connection.door, name, words[1].decode("ascii", "replace"),
-                          key, str(fields.get("units", "1")), first_us, work_us))
+        self.tell(
+            Command(
+                connection.number,
+                connection.door,
+                name,
+                words[1].decode("ascii", "replace"),
+                key,
+                str(fields.get("units", "1")),
+                first_us,
+                work_us,
+            )
+        )
 
     def tell(self, event: Command | Closed | Tick | SetDraining | SetSlow | Start) -> None:
         """Hand an event to the core and carry out what it says."""
--- a/rig/table.py
+++ b/rig/table.py
@@ -9,8 +9,20 @@
 from rig.world.report import DoorReport, Report
 from rig.world.world import World
 
-COLUMNS = ("door", "state", "served", "refused", "failed", "lost", "open", "p50 ms", "p99 ms", "cpu s", "MB",
-           "starts")
+COLUMNS = (
+    "door",
+    "state",
+    "served",
+    "refused",
+    "failed",
+    "lost",
+    "open",
+    "p50 ms",
+    "p99 ms",
+    "cpu s",
+    "MB",
+    "starts",
+)
 MOST_FINDINGS = 20
 
 
@@ -21,8 +33,16 @@
         table.add_column(column, justify="left" if number < 2 else "right")
     for door in doors:
         counts = map(str, (door.served, door.refused, door.failed, door.lost, door.open))
-        table.add_row(door.name, door.state, *counts, f"{door.p50_ms:.1f}", f"{door.p99_ms:.1f}",
-                      f"{door.cpu_s:.2f}", f"{door.memory_mb:.1f}", str(door.starts))
+        table.add_row(
+            door.name,
+            door.state,
+            *counts,
+            f"{door.p50_ms:.1f}",
+            f"{door.p99_ms:.1f}",
+            f"{door.cpu_s:.2f}",
+            f"{door.memory_mb:.1f}",
+            str(door.starts),
+        )
     return table
 
 
--- a/rig/timeline.py
+++ b/rig/timeline.py
@@ -95,9 +95,12 @@
 
 
 SPANS = {  # faults that begin and end: the two verbs
-    sc.Stop: (Verb.STOP, Verb.CONTINUE), sc.Cut: (Verb.CUT, Verb.JOIN),
-    sc.Silence: (Verb.SILENCE, Verb.SPEAK), sc.Vanish: (Verb.VANISH, Verb.RETURN),
-    sc.Drain: (Verb.DRAIN, Verb.UNDRAIN), sc.DiscoveryDown: (Verb.DISCOVERY_DOWN, Verb.DISCOVERY_UP),
+    sc.Stop: (Verb.STOP, Verb.CONTINUE),
+    sc.Cut: (Verb.CUT, Verb.JOIN),
+    sc.Silence: (Verb.SILENCE, Verb.SPEAK),
+    sc.Vanish: (Verb.VANISH, Verb.RETURN),
+    sc.Drain: (Verb.DRAIN, Verb.UNDRAIN),
+    sc.DiscoveryDown: (Verb.DISCOVERY_DOWN, Verb.DISCOVERY_UP),
 }
 POINTS = {sc.Reload: Verb.RELOAD, sc.DiscoveryMoved: Verb.DISCOVERY_MOVE}
 
--- a/rig/workload.py
+++ b/rig/workload.py
@@ -98,8 +98,9 @@
         weight = plan.rate * (spec.greedy_times if random.random() < spec.greedy else 1.0)
         drawn.append((f"{random.randrange(1 << 33):016x}", plan, random.randrange(doors), weights, weight))
     total = sum(weight for *_, weight in drawn)
-    return [Customer(name, plan, first, weights, weight / total)
-            for name, plan, first, weights, weight in drawn]
+    return [
+        Customer(name, plan, first, weights, weight / total) for name, plan, first, weights, weight in drawn
+    ]
 
 
 def arrivals(spec: LoadSpec, everyone: list[Customer], span_us: int, random: Random) -> list[Arrival]:
@@ -109,10 +110,16 @@
     shares, kinds = [one.share for one in everyone], [kind.share for kind in CLASSES]
     while at < span_us:
         leaves = random.random() < spec.impatient
-        drawn.append(Arrival(
-            round(at), random.choices(everyone, shares)[0], random.choices(CLASSES, kinds)[0],
-            random.uniform(0.5, 1.0), random.uniform(0.003, 0.06) if leaves else 1.0, random.random(),
-        ))
+        drawn.append(
+            Arrival(
+                round(at),
+                random.choices(everyone, shares)[0],
+                random.choices(CLASSES, kinds)[0],
+                random.uniform(0.5, 1.0),
+                random.uniform(0.003, 0.06) if leaves else 1.0,
+                random.random(),
+            )
+        )
         at += random.expovariate(spec.rate) * S
     return drawn
 
--- a/rig/world/faults.py
+++ b/rig/world/faults.py
@@ -29,8 +29,15 @@
     """What befalls a world; a front door that starts again starts with `start_list`."""
 
     def __init__(
-        self, doors: Sequence[Door], machines: Machines, front: Front, network: Network, facts: list[Fact],
-        random: Random, start_list: StartList, jobs: Jobs,
+        self,
+        doors: Sequence[Door],
+        machines: Machines,
+        front: Front,
+        network: Network,
+        facts: list[Fact],
+        random: Random,
+        start_list: StartList,
+        jobs: Jobs,
     ) -> None:
         self.by_name = {door.name: door for door in doors}
         self.machines, self.front, self.network, self.facts = machines, front, network, facts
@@ -154,9 +161,9 @@
             case Verb.DISCOVERY_LATE:
                 self.machines.late_list_us = LIST_LATE_US + round(step.amount * S)
             case Verb.SPLIT:
-                self.network.mail.split(tuple(
-                    frozenset(self.by_name[name].number for name in group) for group in step.groups
-                ))
+                self.network.mail.split(
+                    tuple(frozenset(self.by_name[name].number for name in group) for group in step.groups)
+                )
             case Verb.HEAL:
                 self.network.mail.heal()
             case Verb.MAIL:
--- a/rig/world/machines.py
+++ b/rig/world/machines.py
@@ -23,8 +23,14 @@
     `work_of` says what a server needs of a request."""
 
     def __init__(
-        self, doors: Sequence[str], host: str, spec: MemberSpec, facts: list[Fact], random: Random,
-        work_of: Callable[[str], Work | None], jobs: Jobs,
+        self,
+        doors: Sequence[str],
+        host: str,
+        spec: MemberSpec,
+        facts: list[Fact],
+        random: Random,
+        work_of: Callable[[str], Work | None],
+        jobs: Jobs,
     ) -> None:
         self.doors, self.host, self.spec, self.facts, self.random = doors, host, spec, facts, random
         self.work_of, self.jobs = work_of, jobs
@@ -42,8 +48,7 @@
     def add_server(self, name: str, zone: str, cold: bool = False) -> Server:
         member = Member(name, zone, self.spec, self.buildings[zone])
         host = host_of(self.host, len(self.servers))  # it listens for each front door
-        server = Server(member, list(self.doors), host, self.facts, self.random,
-                        self.work_of)
+        server = Server(member, list(self.doors), host, self.facts, self.random, self.work_of)
         self.servers[name] = server
         if cold:
             server.come_back(cold=True)
--- a/rig/world/report.py
+++ b/rig/world/report.py
@@ -46,21 +46,31 @@
         """One object for machines; times in milliseconds, CPU in seconds, memory in megabytes."""
         counts = self.ledger.counts
         return {
-            "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "ok": self.ok,
-            "requests": self.ledger.requests, "served": counts[Outcome.SERVED],
-            "refused": counts[Outcome.REFUSED], "failed": counts[Outcome.FAILED],
-            "lost_to_kills": counts[Outcome.LOST_TO_KILL], "clients_gone": counts[Outcome.CLIENT_GONE],
-            "unaccounted": self.ledger.unaccounted, "broken_rules": self.ledger.rules_broken(),
+            "scenario": self.scenario,
+            "seed": self.seed,
+            "seconds": self.seconds,
+            "ok": self.ok,
+            "requests": self.ledger.requests,
+            "served": counts[Outcome.SERVED],
+            "refused": counts[Outcome.REFUSED],
+            "failed": counts[Outcome.FAILED],
+            "lost_to_kills": counts[Outcome.LOST_TO_KILL],
+            "clients_gone": counts[Outcome.CLIENT_GONE],
+            "unaccounted": self.ledger.unaccounted,
+            "broken_rules": self.ledger.rules_broken(),
             "broken": [broken.line() for broken in self.ledger.broken],
             "rig_late_ms": round(self.ledger.late_us / 1000, 1),
-            "times_judged": self.ledger.times_judged, "rig_trouble": self.trouble,
+            "times_judged": self.ledger.times_judged,
+            "rig_trouble": self.trouble,
             "repeats_dropped": self.ledger.repeats_dropped,
             "most_over_ceiling_units": round(self.ledger.units_over, 2),
             "most_over_quota_units": round(self.ledger.quota_over, 2),
             "quota_granted": round(self.ledger.quota_granted, 4),
-            "datagrams_lost": self.mail_lost, "datagrams_delivered": self.mail_delivered,
-            "doors": [{name: getattr(door, name) for name in DoorReport.__dataclass_fields__}
-                      for door in self.doors],
+            "datagrams_lost": self.mail_lost,
+            "datagrams_delivered": self.mail_delivered,
+            "doors": [
+                {name: getattr(door, name) for name in DoorReport.__dataclass_fields__} for door in self.doors
+            ],
         }
 
 
--- a/rig/world/world.py
+++ b/rig/world/world.py
@@ -32,28 +32,46 @@
     """One run of a scenario."""
 
     def __init__(
-        self, scenario: sc.Scenario, seed: int, command: Sequence[str] = FRONT_DOOR,
-        spec: MemberSpec | None = None, door_type: type[Door] = Door,
+        self,
+        scenario: sc.Scenario,
+        seed: int,
+        command: Sequence[str] = FRONT_DOOR,
+        spec: MemberSpec | None = None,
+        door_type: type[Door] = Door,
     ) -> None:
         self.scenario, self.seed, self.spec = scenario, seed, spec or MemberSpec()
         self.host = own_host()
         self.facts: list[Fact] = []
         self.jobs = Jobs()
         # A source of chance for each concern: what one draws does not change what another does.
-        self.randoms = {name: Random(f"{seed}:{name}")
-                        for name in ("load", "faults", "mail", "servers", "clients")}
+        self.randoms = {
+            name: Random(f"{seed}:{name}") for name in ("load", "faults", "mail", "servers", "clients")
+        }
         names = scenario.door_names()
-        self.doors = [door_type(name, number, self.host, self.facts, command)
-                      for number, name in enumerate(names)]
+        self.doors = [
+            door_type(name, number, self.host, self.facts, command) for number, name in enumerate(names)
+        ]
         self.front = Front(scenario.doors, NOTICE_US)
         self.pools = [DoorPool(door.name, door.address, self.facts) for door in self.doors]
         self.clients = Clients(self.pools, self.front, self.facts, self.randoms["clients"], seed)
-        self.machines = Machines(names, self.host, self.spec, self.facts, self.randoms["servers"],
-                                 self.clients.work_of, self.jobs)
-        self.network = Network(Mail(MailSpec(intake_per_s=MAIL_PER_S)),
-                               [door.peer_address for door in self.doors], self.randoms["mail"])
-        self.faults = Faults(self.doors, self.machines, self.front, self.network, self.facts,
-                             self.randoms["faults"], scenario.start_list, self.jobs)
+        self.machines = Machines(
+            names, self.host, self.spec, self.facts, self.randoms["servers"], self.clients.work_of, self.jobs
+        )
+        self.network = Network(
+            Mail(MailSpec(intake_per_s=MAIL_PER_S)),
+            [door.peer_address for door in self.doors],
+            self.randoms["mail"],
+        )
+        self.faults = Faults(
+            self.doors,
+            self.machines,
+            self.front,
+            self.network,
+            self.facts,
+            self.randoms["faults"],
+            scenario.start_list,
+            self.jobs,
+        )
         self.heart = Heartbeat(self.facts)
         self.start_us = 0
 
@@ -80,9 +98,10 @@
             await agent.learn(list(self.machines.registry.entries.values()))
             discovery = await agent.start(self.host)
             door.write_config(
-                name=door.name, listen="{}:{}".format(*door.address),
-                discovery="{}:{}".format(*discovery), limits={"cores": 1.0, "memory_mb": MEMORY_MB,
-                                                              "sockets": SOCKETS},
+                name=door.name,
+                listen="{}:{}".format(*door.address),
+                discovery="{}:{}".format(*discovery),
+                limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
                 peer_listen="{}:{}".format(*door.peer_address),
                 peers=["{}:{}".format(*address) for address in self.network.peers_of(door.number)],
                 settings=settings(door.number, len(self.doors), self.spec),
@@ -95,8 +114,9 @@
     async def play(self) -> None:
         span_us = round(self.scenario.seconds * S)
         load = self.scenario.load
-        spec = LoadSpec(load.rate, load.customers, load.greedy, impatient=load.impatient,
-                        set_doors=load.set_doors)
+        spec = LoadSpec(
+            load.rate, load.customers, load.greedy, impatient=load.impatient, set_doors=load.set_doors
+        )
         random = self.randoms["load"]
         everyone: list[Customer] = customers(spec, len(self.doors), random)
         day = arrivals(spec, everyone, span_us, random)
@@ -134,9 +154,19 @@
         cpu_s, memory = door.usage()
         count = pool.count
         return DoorReport(
-            door.name, count.served, count.refused, count.failed, count.lost, count.open,
-            quantile(pool.took_us, 0.5), quantile(pool.took_us, 0.99), round(cpu_s, 2),
-            round(memory / (1 << 20), 1), door.starts, door.tracebacks, door.state,
+            door.name,
+            count.served,
+            count.refused,
+            count.failed,
+            count.lost,
+            count.open,
+            quantile(pool.took_us, 0.5),
+            quantile(pool.took_us, 0.99),
+            round(cpu_s, 2),
+            round(memory / (1 << 20), 1),
+            door.starts,
+            door.tracebacks,
+            door.state,
         )
 
     def report(self) -> Report:
@@ -152,5 +182,13 @@
             counts = ledger.by_door[door.name]
             door.served, door.refused = counts[Outcome.SERVED], counts[Outcome.REFUSED]
             door.failed, door.lost = counts[Outcome.FAILED], counts[Outcome.LOST_TO_KILL]
-        return Report(self.scenario.name, self.seed, self.scenario.seconds, ledger, doors,
-                      self.jobs.trouble + self.clients.trouble, mail.lost, mail.delivered)
+        return Report(
+            self.scenario.name,
+            self.seed,
+            self.scenario.seconds,
+            ledger,
+            doors,
+            self.jobs.trouble + self.clients.trouble,
+            mail.lost,
+            mail.delivered,
+        )
--- a/sim/__main__.py
+++ b/sim/__main__.py
@@ -79,8 +79,11 @@
     virtual_s = sum(verdict.seconds for verdict in found)
     failed = sorted((verdict for verdict in found if not verdict.ok), key=lambda verdict: verdict.seed)
     return {
-        "days": len(found), "in_order": len(found) - len(failed), "virtual_s": virtual_s,
-        "real_s": round(took_s, 1), "virtual_per_real": round(virtual_s / max(took_s, 1e-9), 1),
+        "days": len(found),
+        "in_order": len(found) - len(failed),
+        "virtual_s": virtual_s,
+        "real_s": round(took_s, 1),
+        "virtual_per_real": round(virtual_s / max(took_s, 1e-9), 1),
         "requests": sum(verdict.requests for verdict in found),
         "unaccounted": sum(verdict.unaccounted for verdict in found),
         "failed": [msgspec.to_builtins(verdict) for verdict in failed],
@@ -89,41 +92,88 @@
 
 def write_trace(options: Options, seed: int, file: Path) -> None:
     """What happened, in order: time in microseconds, node, callback."""
-    played = play(day_of(options, seed), seed, trace=True, cost_us=options.cost_us, shuffle=options.shuffle,
-                  clocks=Clocks(options.skew_ms * 1000, options.drift))
+    played = play(
+        day_of(options, seed),
+        seed,
+        trace=True,
+        cost_us=options.cost_us,
+        shuffle=options.shuffle,
+        clocks=Clocks(options.skew_ms * 1000, options.drift),
+    )
     file.write_text("".join(played.trace or ()))
 
 
 @click.command("molereach simulate", epilog=EPILOG)
-@click.option("--scenario", "name", default="", metavar="NAME|FILE|JSON",
-              help="One day for all seeds, as for `demo`; without it each seed draws a random day.")
+@click.option(
+    "--scenario",
+    "name",
+    default="",
+    metavar="NAME|FILE|JSON",
+    help="One day for all seeds, as for `demo`; without it each seed draws a random day.",
+)
 @click.option("--seeds", type=Seeds(), default="1..100", show_default=True, help="The days to play.")
 @click.option("--seconds", type=click.FloatRange(1.0, sc.MOST_SECONDS), help="Length of a day (random: 60).")
-@click.option("--hours", type=click.FloatRange(0.0), default=0.0, metavar="H",
-              help="Take seeds until so many virtual hours are begun.")
+@click.option(
+    "--hours",
+    type=click.FloatRange(0.0),
+    default=0.0,
+    metavar="H",
+    help="Take seeds until so many virtual hours are begun.",
+)
 @click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="Days side by side.")
-@click.option("--cost-us", type=click.IntRange(0, 100_000), default=0, metavar="US",
-              help="Virtual time that each callback of a front door takes.")
-@click.option("--skew-ms", type=click.IntRange(0, 10_000_000), default=0, metavar="MS",
-              help="Front doors' clocks are apart by so much at most, either way.")
-@click.option("--drift", type=click.FloatRange(0.0, 0.1), default=0.0, metavar="SHARE",
-              help="And go faster or slower by so much at most.")
+@click.option(
+    "--cost-us",
+    type=click.IntRange(0, 100_000),
+    default=0,
+    metavar="US",
+    help="Virtual time that each callback of a front door takes.",
+)
+@click.option(
+    "--skew-ms",
+    type=click.IntRange(0, 10_000_000),
+    default=0,
+    metavar="MS",
+    help="Front doors' clocks are apart by so much at most, either way.",
+)
+@click.option(
+    "--drift",
+    type=click.FloatRange(0.0, 0.1),
+    default=0.0,
+    metavar="SHARE",
+    help="And go faster or slower by so much at most.",
+)
 @click.option("--limits", is_flag=True, help="Front doors with [limits] in their operator file.")
 @click.option("--broken", default="", hidden=True)
 @click.option("--go-on", is_flag=True, help="Play all days, also after one that is not in order.")
-@click.option("--trace", type=click.Path(path_type=Path), metavar="FILE",
-              help="Write the callbacks of the first seed's day, in order.")
+@click.option(
+    "--trace",
+    type=click.Path(path_type=Path),
+    metavar="FILE",
+    help="Write the callbacks of the first seed's day, in order.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object and nothing else.")
 def simulate(
-    name: str, seeds: range, seconds: float | None, hours: float, jobs: int, cost_us: int, skew_ms: int,
-    drift: float, limits: bool, broken: str, go_on: bool, trace: Path | None, as_json: bool,
+    name: str,
+    seeds: range,
+    seconds: float | None,
+    hours: float,
+    jobs: int,
+    cost_us: int,
+    skew_ms: int,
+    drift: float,
+    limits: bool,
+    broken: str,
+    go_on: bool,
+    trace: Path | None,
+    as_json: bool,
 ) -> None:
     """Days of the whole program in virtual time, judged by the auditor.
 
     The first that is not in order is made small, and printed as one line that plays it again.
     """
-    options = Options(scenario_text(name, seconds), seconds or 60.0, cost_us, skew_ms, drift, broken,
-                      limits=limits)
+    options = Options(
+        scenario_text(name, seconds), seconds or 60.0, cost_us, skew_ms, drift, broken, limits=limits
+    )
     if trace:
         write_trace(options, seeds[0], trace)
     begun = time.perf_counter()
@@ -132,8 +182,13 @@
     failed = next((verdict for verdict in found if not verdict.ok), None)
     small = make_small(options, failed) if failed else None
     if small:
-        result["small"] = {"faults": small.faults, "runs": small.runs, "why": small.verdict.why,
-                           "lines": small.verdict.lines, "again": small.line()}
+        result["small"] = {
+            "faults": small.faults,
+            "runs": small.runs,
+            "why": small.verdict.why,
+            "lines": small.verdict.lines,
+            "again": small.line(),
+        }
     if as_json:
         click.echo(json.dumps(result))
     else:
@@ -142,9 +197,11 @@
 
 
 def show(result: dict[str, Any]) -> None:
-    click.echo(f"{result['in_order']} of {result['days']} days in order: {result['requests']} requests, "
-               f"{result['virtual_s'] / 3600:.2f} virtual hours in {result['real_s']} s "
-               f"({result['virtual_per_real']} times as fast)")
+    click.echo(
+        f"{result['in_order']} of {result['days']} days in order: {result['requests']} requests, "
+        f"{result['virtual_s'] / 3600:.2f} virtual hours in {result['real_s']} s "
+        f"({result['virtual_per_real']} times as fast)"
+    )
     for failed in result["failed"]:
         click.echo(f"seed {failed['seed']}: {', '.join(failed['why'])}")
     if small := result.get("small"):
--- a/sim/council.py
+++ b/sim/council.py
@@ -71,8 +71,15 @@
 class CouncilHistory(History):
     """`doors` front doors of which the first `seats` accept. Nothing befalls them but what is called for."""
 
-    def __init__(self, seed: int, doors: int, seats: int, drift: float = 0.001, offset_us: int = 0,
-                 cores: type[Council] = Council) -> None:
+    def __init__(
+        self,
+        seed: int,
+        doors: int,
+        seats: int,
+        drift: float = 0.001,
+        offset_us: int = 0,
+        cores: type[Council] = Council,
+    ) -> None:
         super().__init__(seed, doors, drift, offset_us)
         self.cores = cores
         self.names = [f"n{number:03d}" for number in range(doors)]
@@ -108,8 +115,16 @@
         draw = Random(f"{life.number}").random
         wall = 1_700_000_000_000 + self.random.randint(-3000, 3000)
         identity, kept = (disk.identity, recover(disk.base, disk.records)) if disk else (NO_DISK, Recovered())
-        core = self.cores(life, self.settings, identity, kept, self.panel, {NAME: Marks()}, draw,
-                          lambda now_us: wall + now_us // 1000)
+        core = self.cores(
+            life,
+            self.settings,
+            identity,
+            kept,
+            self.panel,
+            {NAME: Marks()},
+            draw,
+            lambda now_us: wall + now_us // 1000,
+        )
         self.cored[node.number] = core
         self.step(node, Begin())
         self.wake(node, node.life)
@@ -118,6 +133,7 @@
         """The loop's timer: it looks at the clock, and comes again."""
         if not node.up or node.life != life:
             return
+
         def look() -> None:
             if self.cored[node.number].wake_us <= node.clock(self.now):
                 self.step(node, Tick())
@@ -180,8 +196,10 @@
             if self.random.random() >= self.mail.loss:
                 late = S // 2 if node.number in self.slow else 0
                 most = 9 * S if self.random.random() < self.mail.old else 24_000
-                self.at(self.now + late + self.random.randint(1_000, most),
-                        lambda: self.on(self.nodes[peer], hear))
+                self.at(
+                    self.now + late + self.random.randint(1_000, most),
+                    lambda: self.on(self.nodes[peer], hear),
+                )
 
     # --- what is asked ---
 
@@ -214,8 +232,11 @@
         return door in self.cored and node.up and self.cored[door].holds(node.clock(self.now))
 
     def leaders(self) -> list[int]:
-        return [door for door in self.living() if self.cored[door].leader == self.names[door]
-                and self.cored[door].parts.keeper.keeps]
+        return [
+            door
+            for door in self.living()
+            if self.cored[door].leader == self.names[door] and self.cored[door].parts.keeper.keeps
+        ]
 
     # --- the judge ---
 
@@ -253,8 +274,11 @@
         for told in self.marks.values():
             if not told.position or (told.proof_us and told.everywhere_us):
                 continue
-            lacking = [door for door in range(len(self.nodes)) if door in self.cored
-                       and self.cored[door].position < told.position]
+            lacking = [
+                door
+                for door in range(len(self.nodes))
+                if door in self.cored and self.cored[door].position < told.position
+            ]
             if not told.everywhere_us and not any(door in lacking for door in self.living()):
                 told.everywhere_us = self.now
             for door in self.leaders():
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -91,8 +91,10 @@
         self.random, self.now, self.serial = Random(f"{seed}:history"), 0, itertools.count()
         self.mail, self.offset_us = Mail(), offset_us
         self.agenda: list[tuple[int, int, Callable[[], None]]] = []
-        self.nodes = [Node(number, self.random.randint(-offset_us, offset_us),
-                           1 + self.random.uniform(-drift, drift)) for number in range(doors)]
+        self.nodes = [
+            Node(number, self.random.randint(-offset_us, offset_us), 1 + self.random.uniform(-drift, drift))
+            for number in range(doors)
+        ]
         self.messages = self.bytes = 0
 
     def at(self, when: int, what: Callable[[], None]) -> None:
@@ -164,8 +166,13 @@
         self.figures = figures or LimitSettings(lease_us, drift=0.01, floor=floor)
         doors = draw.randint(2, 5)
         super().__init__(seed, doors, self.figures.drift, draw.choice((0, S, 3600 * S)))
-        self.plan = i.Plan(rate=1.0, burst=1.0, ceiling_rate=draw.uniform(5, 40),
-                           ceiling_burst=draw.uniform(10, 60), ceiling_slack=1.0)
+        self.plan = i.Plan(
+            rate=1.0,
+            burst=1.0,
+            ceiling_rate=draw.uniform(5, 40),
+            ceiling_burst=draw.uniform(10, 60),
+            ceiling_slack=1.0,
+        )
         size = draw.randint(2, doors)
         self.key: i.Key = (draw.getrandbits(32), 0, draw.randrange(doors), size)
         self.members = [(self.key[2] + number) % doors for number in range(size)]
@@ -181,8 +188,13 @@
     def start(self, node: Node) -> None:
         node.up = True
         settings = i.Settings(
-            seed=self.random.getrandbits(64), me=node.number, gateways=len(self.nodes), classes=(),
-            plans=(self.plan,), may_tell=True, peer_messages_per_s=60.0,
+            seed=self.random.getrandbits(64),
+            me=node.number,
+            gateways=len(self.nodes),
+            classes=(),
+            plans=(self.plan,),
+            may_tell=True,
+            peer_messages_per_s=60.0,
         )
         limits = self.limits[node.number] = self.make(settings)
         self.codecs[node.number] = Codec(node.number, limits.generation)
@@ -248,8 +260,12 @@
             while at < min(until, span):
                 node = busy if random.random() < 0.9 else self.nodes[random.choice(self.members)]
                 units = random.choice((1.0, 1.0, 3.0))
-                self.at(at, lambda node=node, units=units: self.on(  # type: ignore[misc]
-                    node, lambda: self.ask(node, units)))
+                self.at(
+                    at,
+                    lambda node=node, units=units: self.on(  # type: ignore[misc]
+                        node, lambda: self.ask(node, units)
+                    ),
+                )
                 at += random.randint(1, 2 * gap)
         for _ in range(random.randint(0, 8)):
             self.at(random.randrange(span), self.fault)
@@ -264,8 +280,10 @@
             case "stop" if node.up and not node.stopped:
                 self.stop(node)
                 life = node.life
-                self.at(self.now + random.randint(100 * MS, 10 * S),
-                        lambda: self.resume(node) if node.life == life and node.stopped else None)
+                self.at(
+                    self.now + random.randint(100 * MS, 10 * S),
+                    lambda: self.resume(node) if node.life == life and node.stopped else None,
+                )
             case "split":
                 names = [each.number for each in self.nodes]
                 random.shuffle(names)
@@ -290,7 +308,11 @@
     """Whole gateways of one customer's set, with servers that always answer; with limits or as before."""
 
     def __init__(
-        self, seed: int, doors: int = 3, with_limits: bool = True, plan: i.Plan = PLAN,
+        self,
+        seed: int,
+        doors: int = 3,
+        with_limits: bool = True,
+        plan: i.Plan = PLAN,
         figures: LimitSettings | None = None,
     ) -> None:
         super().__init__(seed, doors, 0.001, 3600 * S)
@@ -310,8 +332,14 @@
     def start(self, node: Node) -> None:
         node.up = True
         settings = i.Settings(
-            seed=self.random.getrandbits(64), me=node.number, gateways=len(self.nodes), classes=(READS,),
-            plans=(self.plan,), max_attempts=3, may_tell=True, peer_messages_per_s=60.0,
+            seed=self.random.getrandbits(64),
+            me=node.number,
+            gateways=len(self.nodes),
+            classes=(READS,),
+            plans=(self.plan,),
+            max_attempts=3,
+            may_tell=True,
+            peer_messages_per_s=60.0,
         )
         limits = Limits(settings, self.figures) if self.with_limits else None
         self.forms[node.number] = (
--- a/sim/loop.py
+++ b/sim/loop.py
@@ -121,7 +121,12 @@
 
     # --- scheduling ---
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any, context: Context | None = None) -> events.Handle:  # noqa: ANN401, E501
+    def call_soon(
+        self,
+        callback: Callable[..., Any],
+        *args: Any,  # noqa: ANN401
+        context: Context | None = None,
+    ) -> events.Handle:
         handle = events.Handle(callback, args, self, context or copy_context())
         self.ready.append(handle)
         return handle
@@ -129,12 +134,24 @@
     def call_soon_threadsafe(self, *args: Any, **more: Any) -> NoReturn:  # noqa: ANN401
         raise SimulationError("a thread: call_soon_threadsafe")
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any, context: Context | None = None) -> events.TimerHandle:  # noqa: ANN401, E501
+    def call_later(
+        self,
+        delay: float,
+        callback: Callable[..., Any],
+        *args: Any,  # noqa: ANN401
+        context: Context | None = None,
+    ) -> events.TimerHandle:
         node = NODE.get()
         rate = node.rate if node else 1.0
         return self.call_at(self.time() + delay / rate, callback, *args, context=context)
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any, context: Context | None = None) -> events.TimerHandle:  # noqa: ANN401, E501
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[..., Any],
+        *args: Any,  # noqa: ANN401
+        context: Context | None = None,
+    ) -> events.TimerHandle:
         handle = events.TimerHandle(when, callback, args, self, context or copy_context())
         self.push(max(self.now_us, math.ceil(round(when * S, 3))), handle)
         return handle
@@ -145,7 +162,11 @@
         heapq.heappush(self.timers, (when_us, tie, self.serial, handle))
 
     def at(
-        self, when_us: int, node: Node | None, callback: Callable[..., Any], *args: Any  # noqa: ANN401
+        self,
+        when_us: int,
+        node: Node | None,
+        callback: Callable[..., Any],
+        *args: Any,  # noqa: ANN401
     ) -> events.TimerHandle:
         """A callback in a node's context at a time."""
         context = node.context if node else OUTSIDE
@@ -250,7 +271,9 @@
         self.running = False
         events._set_running_loop(None)
 
-    def run_until_complete(self, future: Generator[Any, None, Any] | Coroutine[Any, Any, Any] | asyncio.Future[Any]) -> Any:  # noqa: ANN401, E501
+    def run_until_complete(
+        self, future: Generator[Any, None, Any] | Coroutine[Any, Any, Any] | asyncio.Future[Any]
+    ) -> Any:  # noqa: ANN401
         task = asyncio.ensure_future(future, loop=self)
         self.begin()
         try:
@@ -287,7 +310,13 @@
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro: Any, *, name: str | None = None, context: Context | None = None) -> asyncio.Task[Any]:  # noqa: ANN401, E501
+    def create_task(
+        self,
+        coro: Any,  # noqa: ANN401
+        *,
+        name: str | None = None,
+        context: Context | None = None,
+    ) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name or "", context=context)
         if node := NODE.get():
             node.tasks.append(task)
@@ -383,16 +412,33 @@
     def remove_reader(self, fd: Any) -> bool:  # noqa: ANN401
         return bool(fd.on_readable(None, ()))
 
-    async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:  # noqa: ANN401, E501
+    async def create_connection(
+        self,
+        protocol_factory: Any,  # noqa: ANN401
+        host: Any = None,  # noqa: ANN401
+        port: Any = None,  # noqa: ANN401
+        **more: Any,  # noqa: ANN401
+    ) -> Any:  # noqa: ANN401
         return await self.network.connect(protocol_factory, (host, port), more)
 
     async def connect_accepted_socket(self, protocol_factory: Any, sock: Any, **more: Any) -> Any:  # noqa: ANN401
         return await self.network.adopt(protocol_factory, sock)
 
-    async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:  # noqa: ANN401, E501
+    async def create_server(
+        self,
+        protocol_factory: Any,  # noqa: ANN401
+        host: Any = None,  # noqa: ANN401
+        port: Any = None,  # noqa: ANN401
+        **more: Any,  # noqa: ANN401
+    ) -> Any:  # noqa: ANN401
         return self.network.serve(protocol_factory, (host, port))
 
-    async def create_datagram_endpoint(self, protocol_factory: Any, local_addr: Any = None, **more: Any) -> Any:  # noqa: ANN401, E501
+    async def create_datagram_endpoint(
+        self,
+        protocol_factory: Any,  # noqa: ANN401
+        local_addr: Any = None,  # noqa: ANN401
+        **more: Any,  # noqa: ANN401
+    ) -> Any:  # noqa: ANN401
         return self.network.datagrams(protocol_factory, local_addr)
 
 
--- a/sim/network/modules.py
+++ b/sim/network/modules.py
@@ -72,8 +72,19 @@
 
 def socket_module(tcp: Tcp, udp: Udp) -> SimpleNamespace:
     """In place of `socket`, where a shell goes past the loop."""
-    names = ("AF_INET", "AF_INET6", "AF_UNIX", "SOL_SOCKET", "SO_REUSEADDR", "SO_LINGER", "SOCK_DGRAM",
-             "SOCK_STREAM", "SO_PEERCRED", "SO_RCVBUF", "SO_SNDBUF")
+    names = (
+        "AF_INET",
+        "AF_INET6",
+        "AF_UNIX",
+        "SOL_SOCKET",
+        "SO_REUSEADDR",
+        "SO_LINGER",
+        "SOCK_DGRAM",
+        "SOCK_STREAM",
+        "SO_PEERCRED",
+        "SO_RCVBUF",
+        "SO_SNDBUF",
+    )
     return SimpleNamespace(
         **{name: getattr(real, name) for name in names},
         socket=lambda family=real.AF_INET, type=real.SOCK_STREAM: SimSocket(tcp, udp),
--- a/sim/network/tcp.py
+++ b/sim/network/tcp.py
@@ -46,8 +46,9 @@
     def __init__(self, kernel: Kernel) -> None:
         self.kernel, self.way, self.loop = kernel, kernel.way, kernel.loop
 
-    def syn(self, endpoint: Endpoint, address: Address, done: Callable[[OSError | None], None],
-            tries: int = 0) -> None:
+    def syn(
+        self, endpoint: Endpoint, address: Address, done: Callable[[OSError | None], None], tries: int = 0
+    ) -> None:
         """Open a connection; `done` hears how that went, unless nobody ever answers."""
 
         def arrive() -> None:
--- a/sim/run.py
+++ b/sim/run.py
@@ -57,8 +57,14 @@
     """Play a day and say what became of it."""
     names = tuple(type(fault).__name__.lower() for fault in day.fault)
     try:
-        played = play(day, seed, shuffle=options.shuffle, cost_us=options.cost_us,
-                      clocks=Clocks(options.skew_ms * 1000, options.drift), limits=options.limits)
+        played = play(
+            day,
+            seed,
+            shuffle=options.shuffle,
+            cost_us=options.cost_us,
+            clocks=Clocks(options.skew_ms * 1000, options.drift),
+            limits=options.limits,
+        )
     except SimulationError as error:
         return Verdict(seed, False, ("the simulation",), (str(error),), 0, 0, day.seconds, 0, "", names)
     ledger = played.report.ledger
@@ -70,8 +76,18 @@
     why += ["the loop's own handler"] if played.troubles else []
     lines = [broken.line() for broken in ledger.broken[:MOST_LINES]]
     lines += [*played.report.trouble[:MOST_LINES], *played.troubles[:MOST_LINES]]
-    return Verdict(seed, not why, tuple(why), tuple(lines), ledger.requests, ledger.unaccounted, day.seconds,
-                   played.callbacks, played.digest, names)
+    return Verdict(
+        seed,
+        not why,
+        tuple(why),
+        tuple(lines),
+        ledger.requests,
+        ledger.unaccounted,
+        day.seconds,
+        played.callbacks,
+        played.digest,
+        names,
+    )
 
 
 def play_one(text: str, seed: int) -> bytes:
--- a/sim/seam.py
+++ b/sim/seam.py
@@ -21,11 +21,26 @@
 
 DESCRIPTORS = 1 << 16
 GUARDED: tuple[tuple[object, str, str], ...] = (
-    *((random, name, "chance without a seed") for name in (
-        "random", "randint", "randrange", "choice", "choices", "shuffle", "sample", "uniform", "getrandbits",
-        "gauss", "expovariate")),
-    (os, "urandom", "chance without a seed"), (threading.Thread, "start", "a thread"),
-    (socket, "socket", "a real socket"), (socket, "create_server", "a real socket"),
+    *(
+        (random, name, "chance without a seed")
+        for name in (
+            "random",
+            "randint",
+            "randrange",
+            "choice",
+            "choices",
+            "shuffle",
+            "sample",
+            "uniform",
+            "getrandbits",
+            "gauss",
+            "expovariate",
+        )
+    ),
+    (os, "urandom", "chance without a seed"),
+    (threading.Thread, "start", "a thread"),
+    (socket, "socket", "a real socket"),
+    (socket, "create_server", "a real socket"),
     (time, "sleep", "a real sleep"),
 )
 
@@ -47,12 +62,16 @@
     """Each name that is exchanged, and for what."""
     sockets = network.socket_module()
     for module, name, value in (
-        ("molereach.clients.intake", "socket", sockets), ("rig.sockets", "socket", sockets),
+        ("molereach.clients.intake", "socket", sockets),
+        ("rig.sockets", "socket", sockets),
         ("molereach.resp", "select", network.select_module()),
         ("molereach.__main__", "gc", SimpleNamespace(collect=lambda: None, freeze=lambda: None)),
         ("molereach.__main__", "reload", reload),
-        ("molereach.door.frontdoor", "resource",
-         SimpleNamespace(RLIMIT_NOFILE=0, getrlimit=lambda which: (DESCRIPTORS, DESCRIPTORS))),
+        (
+            "molereach.door.frontdoor",
+            "resource",
+            SimpleNamespace(RLIMIT_NOFILE=0, getrlimit=lambda which: (DESCRIPTORS, DESCRIPTORS)),
+        ),
         ("rig.sockets", "os", SimpleNamespace(getpid=lambda: 1)),
     ):
         yield importlib.import_module(module), name, value
--- a/sim/swarm.py
+++ b/sim/swarm.py
@@ -36,19 +36,26 @@
     "vanish": lambda r, s, at: sc.Vanish(at=at, server=sc.ANY, lasts=lasts(r)),
     "reset": lambda r, s, at: sc.Reset(at=at, server=sc.ANY, share=round(r.random(), 2), lasts=lasts(r)),
     "spoil": lambda r, s, at: sc.Spoil(at=at, server=sc.ANY, share=round(r.random(), 2), lasts=lasts(r)),
-    "slow": lambda r, s, at: sc.Slow(at=at, server=sc.ANY, times=round(r.uniform(1.0, 20.0), 1),
-                                     lasts=lasts(r)),
+    "slow": lambda r, s, at: sc.Slow(
+        at=at, server=sc.ANY, times=round(r.uniform(1.0, 20.0), 1), lasts=lasts(r)
+    ),
     "drain": lambda r, s, at: sc.Drain(at=at, server=sc.ANY, lasts=lasts(r)),
-    "cold-deploy": lambda r, s, at: sc.ColdDeploy(at=at, servers=r.randint(1, min(4, s.servers)),
-                                                  every=round(r.uniform(0.5, 3.0), 3)),
+    "cold-deploy": lambda r, s, at: sc.ColdDeploy(
+        at=at, servers=r.randint(1, min(4, s.servers)), every=round(r.uniform(0.5, 3.0), 3)
+    ),
     "discovery-down": lambda r, s, at: sc.DiscoveryDown(at=at, lasts=lasts(r)),
-    "discovery-late": lambda r, s, at: sc.DiscoveryLate(at=at, by=round(r.uniform(0.1, 2.0), 3),
-                                                        lasts=lasts(r)),
+    "discovery-late": lambda r, s, at: sc.DiscoveryLate(
+        at=at, by=round(r.uniform(0.1, 2.0), 3), lasts=lasts(r)
+    ),
     "discovery-moved": lambda r, s, at: sc.DiscoveryMoved(at=at, door=sc.ANY),
     "split": lambda r, s, at: sc.Split(at=at, groups=halves(r, s), lasts=lasts(r)),
-    "mail": lambda r, s, at: sc.Mail(at=at, lasts=lasts(r), loss=round(r.random() * 0.6, 2),
-                                     duplicate=round(r.random() * 0.3, 2),
-                                     reorder=round(r.random() * 0.3, 2)),
+    "mail": lambda r, s, at: sc.Mail(
+        at=at,
+        lasts=lasts(r),
+        loss=round(r.random() * 0.6, 2),
+        duplicate=round(r.random() * 0.3, 2),
+        reorder=round(r.random() * 0.3, 2),
+    ),
     "moved": lambda r, s, at: sc.Moved(at=at, door=sc.ANY, share=round(r.random(), 2), lasts=lasts(r)),
     "crowd": lambda r, s, at: sc.Crowd(at=at, door=sc.ANY, clients=r.randint(1, 200), lasts=lasts(r)),
     "hostile": lambda r, s, at: sc.Hostile(at=at, door=sc.ANY, clients=r.randint(1, 12)),
@@ -66,24 +73,37 @@
     """The random day of a seed, with every fault's door, server and time settled."""
     random = Random(f"{seed}:swarm")
     day = sc.Scenario(
-        f"swarm-{seed}", "a random day", seconds, random.randint(LEAST_DOORS, MOST_DOORS),
+        f"swarm-{seed}",
+        "a random day",
+        seconds,
+        random.randint(LEAST_DOORS, MOST_DOORS),
         random.randint(LEAST_SERVERS, MOST_SERVERS),
-        sc.Load(round(random.uniform(*RATES), 1), random.randint(2, 48), round(random.random() * 0.5, 2),
-                round(random.random() * 0.1, 2)),
+        sc.Load(
+            round(random.uniform(*RATES), 1),
+            random.randint(2, 48),
+            round(random.random() * 0.5, 2),
+            round(random.random() * 0.1, 2),
+        ),
     )
     kinds = [name for name in KINDS if random.random() < 0.5] or ["kill"]
     last = max(1.0, seconds - QUIET_S)
-    faults = [KINDS[random.choice(kinds)](random, day, round(random.uniform(0.5, last), 3))
-              for _ in range(random.randint(1, MOST_FAULTS))]
-    return replace(day, fault=tuple(sorted((settled(day, fault, random) for fault in faults),
-                                           key=lambda fault: fault.at)))
+    faults = [
+        KINDS[random.choice(kinds)](random, day, round(random.uniform(0.5, last), 3))
+        for _ in range(random.randint(1, MOST_FAULTS))
+    ]
+    return replace(
+        day,
+        fault=tuple(sorted((settled(day, fault, random) for fault in faults), key=lambda fault: fault.at)),
+    )
 
 
 def settled(day: sc.Scenario, fault: sc.AnyFault, random: Random) -> sc.AnyFault:
     """A fault whose door and server are named, so that leaving out another changes nothing about it."""
-    changes = {what: pick(getattr(fault, what), names, random)
-               for what, names in (("door", day.door_names()), ("server", day.server_names()))
-               if hasattr(fault, what)}
+    changes = {
+        what: pick(getattr(fault, what), names, random)
+        for what, names in (("door", day.door_names()), ("server", day.server_names()))
+        if hasattr(fault, what)
+    }
     return replace(fault, **changes) if changes else fault
 
 
--- a/sim/world.py
+++ b/sim/world.py
@@ -51,7 +51,12 @@
     clocks = Clocks()
 
     def __init__(
-        self, name: str, number: int, host: str, facts: list[Fact], command: Sequence[str] = FRONT_DOOR,
+        self,
+        name: str,
+        number: int,
+        host: str,
+        facts: list[Fact],
+        command: Sequence[str] = FRONT_DOOR,
     ) -> None:
         self.name, self.number, self.facts, self.command = name, number, facts, command
         self.holder, self.address = reserve(host)
@@ -78,7 +83,8 @@
         self.starts += 1
         random = self.loop.random
         node = self.loop.new_node(
-            self.name, cost_us=self.cost_us,
+            self.name,
+            cost_us=self.cost_us,
             offset_us=random.randint(-self.clocks.offset_us, self.clocks.offset_us),
             rate=1.0 + random.uniform(-self.clocks.drift, self.clocks.drift),
         )
@@ -233,9 +239,17 @@
 
 
 def play_day(
-    scenario: sc.Scenario, seed: int, *, shuffle: bool = True, trace: bool = False, cost_us: int = 0,
-    clocks: Clocks = Clocks(), network: Spec | None = None, spec: MemberSpec | None = None,
-    serve_with: Callable[[Config], Any] | None = None, limits: bool = False,
+    scenario: sc.Scenario,
+    seed: int,
+    *,
+    shuffle: bool = True,
+    trace: bool = False,
+    cost_us: int = 0,
+    clocks: Clocks = Clocks(),
+    network: Spec | None = None,
+    spec: MemberSpec | None = None,
+    serve_with: Callable[[Config], Any] | None = None,
+    limits: bool = False,
     kill_at: dict[str, int] | None = None,
 ) -> Played:
     """One day, and what it leaves behind."""
@@ -276,8 +290,14 @@
         with watched(loop), simulated(loop, links, reload, end_process):
             report = loop.run_until_complete(day())
         assert world is not None
-        return Played(report, loop.digest.hexdigest(), loop.trace, loop.callbacks, loop.troubles,
-                      sum(door.tracebacks for door in world.doors))
+        return Played(
+            report,
+            loop.digest.hexdigest(),
+            loop.trace,
+            loop.callbacks,
+            loop.troubles,
+            sum(door.tracebacks for door in world.doors),
+        )
     finally:
         for logger, level, propagate in levels:
             logger.removeHandler(handler)
--- a/tests/backends/test_answers.py
+++ b/tests/backends/test_answers.py
@@ -37,9 +37,10 @@
     assert parsed(data, cuts) == [Answer(body, report=report) for body, report in answers]
 
 
-PIECES = st.one_of(st.binary(max_size=20), st.sampled_from(
-    [b"*3\r\n", b"$3\r\nabc\r\n", b"$-1\r\n", b"-ERR failed\r\n", b"-BUSY\r\n", b"\r\n"]
-))
+PIECES = st.one_of(
+    st.binary(max_size=20),
+    st.sampled_from([b"*3\r\n", b"$3\r\nabc\r\n", b"$-1\r\n", b"-ERR failed\r\n", b"-BUSY\r\n", b"\r\n"]),
+)
 
 
 @given(st.lists(PIECES), st.lists(st.integers(0, 200)))
--- a/tests/backends/test_counts.py
+++ b/tests/backends/test_counts.py
@@ -9,6 +9,7 @@
 
 def test_number_of_connections_is_that_of_all_pools_after_all_kinds_of_ends() -> None:
     """It is kept as a number, as each dial asks for it: one that is off would hold the door open or shut."""
+
     async def job() -> None:
         answers = [value(b"x"), b"", b"?", None, b"-BUSY\r\n"]
         backend = Backend(lambda words: answers[len(backend.commands) % len(answers)])
@@ -40,6 +41,7 @@
 
 def test_connection_that_is_let_go_of_twice_counts_once() -> None:
     """A dial that failed may still be told of its connection's end."""
+
     async def job() -> None:
         async with deaf() as (silent, _):
             sender = Sender(silent)
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -196,10 +196,23 @@
 
 
 SPOILT = [
-    b"*1000000000\r\n", b"*3\r\n$3000000000\r\n", b"*3\r\n$-7\r\n", b"*3\r\n$-1\r\n", b"*3\r\n*3\r\n",
-    b":5\r\n", b"+OK\r\n", b"*2\r\n", b"$2\r\nok\r\n", b"*3\r\n$4\r\nabcdefgh\r\n", b"_\r\n", b"x" * 20,
+    b"*1000000000\r\n",
+    b"*3\r\n$3000000000\r\n",
+    b"*3\r\n$-7\r\n",
+    b"*3\r\n$-1\r\n",
+    b"*3\r\n*3\r\n",
+    b":5\r\n",
+    b"+OK\r\n",
+    b"*2\r\n",
+    b"$2\r\nok\r\n",
+    b"*3\r\n$4\r\nabcdefgh\r\n",
+    b"_\r\n",
+    b"x" * 20,
     b"-" + b"x" * 600,
-    b"*3\r\n$2\r\nok\r\n$-1\r\n$99999\r\n", b"*3\r\n$2\r\nok\r\n:1\r\n:2\r\n", b"*3\r\n+ok\r\n", b"*-1\r\n",
+    b"*3\r\n$2\r\nok\r\n$-1\r\n$99999\r\n",
+    b"*3\r\n$2\r\nok\r\n:1\r\n:2\r\n",
+    b"*3\r\n+ok\r\n",
+    b"*-1\r\n",
 ]
 
 
@@ -317,8 +330,9 @@
 
     async def job() -> None:
         backend = Backend()
-        backend.answer = lambda words: b"" if backend.writers.index(backend.writers[-1]) < len(
-            backend.writers) - 1 else value(b"ok")  # the second command on a connection
+        backend.answer = lambda words: (
+            b"" if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1 else value(b"ok")
+        )  # the second command on a connection
         sender = Sender(await backend.start())
         results = []
         for _ in range(40):
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -54,8 +54,15 @@
         self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
         self.seen: asyncio.Queue[tuple[i.ServerList, Mapping[str, Address]]] = asyncio.Queue()
         self.discovery = Discovery(
-            address, Catalog(configuration(TIER, 0)), version, self.hear, self.spawn,
-            lambda: CallPacing(1, must_ask=False), random.Random(1).random, self.lists.stage)
+            address,
+            Catalog(configuration(TIER, 0)),
+            version,
+            self.hear,
+            self.spawn,
+            lambda: CallPacing(1, must_ask=False),
+            random.Random(1).random,
+            self.lists.stage,
+        )
         self.discovery.start()
 
     def spawn(self, job: Coroutine[None, None, None]) -> None:
@@ -128,7 +135,8 @@
                     answers.put_nowait(data)
 
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            Real, local_addr=peer_address(0, port))
+            Real, local_addr=peer_address(0, port)
+        )
         await hollow.do_begin(tier.shown(), [0], [1], [])
         await hollow.do_pause(True)
         (data,) = pack_words([i.Word(key, 0, 0, 3, asked=1.0, demand=1.0)])
@@ -160,13 +168,17 @@
                     words.put_nowait(word)
 
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            Real, local_addr=peer_address(0, port))
+            Real, local_addr=peer_address(0, port)
+        )
         hollow = Hollow()
         begun = await hollow.do_begin(tier.shown(), [0], tier.neighbours(0), [])
         try:
             assert begun["doors"] == 4 and begun["rate"] > 0  # type: ignore[operator]
-            seen = {(word.set_first, word.set_size) for word in [await words.get() for _ in range(20)]
-                    if word.plan_index != i.SPLIT_MARK}
+            seen = {
+                (word.set_first, word.set_size)
+                for word in [await words.get() for _ in range(20)]
+                if word.plan_index != i.SPLIT_MARK
+            }
             assert seen and all(size == 3 and (0 - first) % 8 < 3 for first, size in seen)
         finally:
             await hollow.do_end()
--- a/tests/benchmarks/test_scale_page.py
+++ b/tests/benchmarks/test_scale_page.py
@@ -6,8 +6,14 @@
 from benchmarks.scale.fit import fit
 from benchmarks.scale.page import page_faults
 
-FIGURES = {"memory_mb_93000": 141.62, "control_share_93000": 0.0125, "words_bytes_per_s": 12345.6,
-           "starts": 12, "half": 2.5, "below": -3.24}
+FIGURES = {
+    "memory_mb_93000": 141.62,
+    "control_share_93000": 0.0125,
+    "words_bytes_per_s": 12345.6,
+    "starts": 12,
+    "half": 2.5,
+    "below": -3.24,
+}
 
 
 def test_fit_of_points_on_a_line_is_that_line_and_leaves_nothing() -> None:
@@ -29,30 +35,43 @@
         fit([(200, 1.0), (200, 2.0)])
 
 
-@pytest.mark.parametrize("text", [
-    "a door takes 142 MB<!-- scale: memory_mb_93000 --> and",
-    "141.6 MB<!-- scale: memory_mb_93000 -->",
-    "**141.62 MB**<!--scale:memory_mb_93000-->",
-    "| 12,346 bytes a second<!-- scale: words_bytes_per_s --> | 12<!-- scale: starts --> |",
-    "0.013 of a core<!-- scale: control_share_93000 -->, 0.012<!-- scale: control_share_93000 -->",
-    "2<!-- scale: half --> and 3<!-- scale: half --> and -3.2 ms<!-- scale: below -->",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "a door takes 142 MB<!-- scale: memory_mb_93000 --> and",
+        "141.6 MB<!-- scale: memory_mb_93000 -->",
+        "**141.62 MB**<!--scale:memory_mb_93000-->",
+        "| 12,346 bytes a second<!-- scale: words_bytes_per_s --> | 12<!-- scale: starts --> |",
+        "0.013 of a core<!-- scale: control_share_93000 -->, 0.012<!-- scale: control_share_93000 -->",
+        "2<!-- scale: half --> and 3<!-- scale: half --> and -3.2 ms<!-- scale: below -->",
+    ],
+)
 def test_figure_rounded_to_its_digits_is_no_fault(text: str) -> None:
     assert page_faults(text, FIGURES) == []
 
 
-@pytest.mark.parametrize("text, fault", [
-    ("141 MB<!-- scale: memory_mb_93000 -->", "line 1: memory_mb_93000 is 141, and 141.62 in the file"),
-    ("141.7 MB<!-- scale: memory_mb_93000 -->", "line 1: memory_mb_93000 is 141.7, and 141.62 in the file"),
-    ("one\n\n5 MB<!-- scale: memory_mb_20000 -->", "line 3: memory_mb_20000 is in no file"),
-    ("142 and some words that end it.<!-- scale: memory_mb_93000 -->",
-     "line 1: no number stands before memory_mb_93000"),
-    ("142<!-- scale: starts --><!-- scale: memory_mb_93000 -->",
-     "line 1: no number stands before memory_mb_93000"),
-    ("142<!-- scale: memory mb -->", "line 1: 'memory mb' is no figure's name"),
-    ("142 MB and no comment", "the page holds no figure of a run"),
-    ("10 MB<!-- scale: below -->", "line 1: below is 10, and -3.24 in the file"),
-])
+@pytest.mark.parametrize(
+    "text, fault",
+    [
+        ("141 MB<!-- scale: memory_mb_93000 -->", "line 1: memory_mb_93000 is 141, and 141.62 in the file"),
+        (
+            "141.7 MB<!-- scale: memory_mb_93000 -->",
+            "line 1: memory_mb_93000 is 141.7, and 141.62 in the file",
+        ),
+        ("one\n\n5 MB<!-- scale: memory_mb_20000 -->", "line 3: memory_mb_20000 is in no file"),
+        (
+            "142 and some words that end it.<!-- scale: memory_mb_93000 -->",
+            "line 1: no number stands before memory_mb_93000",
+        ),
+        (
+            "142<!-- scale: starts --><!-- scale: memory_mb_93000 -->",
+            "line 1: no number stands before memory_mb_93000",
+        ),
+        ("142<!-- scale: memory mb -->", "line 1: 'memory mb' is no figure's name"),
+        ("142 MB and no comment", "the page holds no figure of a run"),
+        ("10 MB<!-- scale: below -->", "line 1: below is 10, and -3.24 in the file"),
+    ],
+)
 def test_what_differs_is_a_fault(text: str, fault: str) -> None:
     assert fault in page_faults(text, FIGURES)
 
@@ -63,10 +82,19 @@
 
 
 def test_figures_of_a_size_carry_the_moves_names_and_the_worst_of_all() -> None:
-    parts = {"ordinary": {"p99_ms": 5.0, "bare_p99_ms": 1.5, "force_s": 0.5, "force_seen": 3,
-                          "words_bytes_per_s": 100.0, "words_payload_bytes_per_s": 60.0},
-             "idle": {"changes_bytes_per_s": 20.0}, "reset": {"turn_ms": 3.0},
-             "zone": {"force_s": 2.25, "force_seen": 4, "turn_ms": 7.0}}
+    parts = {
+        "ordinary": {
+            "p99_ms": 5.0,
+            "bare_p99_ms": 1.5,
+            "force_s": 0.5,
+            "force_seen": 3,
+            "words_bytes_per_s": 100.0,
+            "words_payload_bytes_per_s": 60.0,
+        },
+        "idle": {"changes_bytes_per_s": 20.0},
+        "reset": {"turn_ms": 3.0},
+        "zone": {"force_s": 2.25, "force_seen": 4, "turn_ms": 7.0},
+    }
     found = joined(parts, 200)
     assert found["added_p99_ms_200"] == 3.5 and found["force_s_200"] == 2.25 and found["force_seen_200"] == 7
     assert found["control_bytes_per_s_200"] == 120.0 and found["control_payload_bytes_per_s_200"] == 80.0
--- a/tests/benchmarks/test_scale_run.py
+++ b/tests/benchmarks/test_scale_run.py
@@ -66,8 +66,13 @@
 
 
 def test_window_sums_what_doors_were_asked() -> None:
-    window = Window(2.0, {"a": {"due": 10, "served": 9, "took_ms": [1.0]},
-                          "b": {"due": 10, "served": 10, "took_ms": [2.0, 3.0]}})
+    window = Window(
+        2.0,
+        {
+            "a": {"due": 10, "served": 9, "took_ms": [1.0]},
+            "b": {"due": 10, "served": 10, "took_ms": [2.0, 3.0]},
+        },
+    )
     assert window.served_share(["a", "b"]) == 0.95 and window.served_share(["c"]) == 0.0
     assert window.times_ms(["a", "b"]) == [1.0, 2.0, 3.0]
     assert least({"1": [[1, 1], [2, 1]], "2": [[3, 5]]}) == 1 and least({}) == 0
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -23,8 +23,13 @@
 class _LateFills(Fills):
     def end(self, now_us: int, ticket: Ticket, value: bytes) -> Fate:
         newest = self.marks.newest(ticket.member, ticket.class_name)
-        return super().end(now_us, Ticket(ticket.member, ticket.class_name, ticket.asked, ticket.sent_us,
-                                          max(newest, ticket.applied)), value)
+        return super().end(
+            now_us,
+            Ticket(
+                ticket.member, ticket.class_name, ticket.asked, ticket.sent_us, max(newest, ticket.applied)
+            ),
+            value,
+        )
 
 
 class LateFillKept(Door):
@@ -37,8 +42,9 @@
 
 class _AnswerFills(Fills):
     def end(self, now_us: int, ticket: Ticket, value: bytes) -> Fate:
-        return super().end(now_us, Ticket(ticket.member, ticket.class_name, ticket.asked, now_us,
-                                          ticket.applied), value)
+        return super().end(
+            now_us, Ticket(ticket.member, ticket.class_name, ticket.asked, now_us, ticket.applied), value
+        )
 
 
 class FetchedWhenAnswered(Door):
@@ -195,9 +201,22 @@
 
 
 DOORS: Sequence[type[Door]] = (
-    LateFillKept, FetchedWhenAnswered, HitCheckedOnce, LapseIgnored, ClearTooEarly, MarkForgottenEarly,
-    SnapshotUnread, FloorPassedOver, EverythingDropped, RepeatPurges, EvictionCrosses,
+    LateFillKept,
+    FetchedWhenAnswered,
+    HitCheckedOnce,
+    LapseIgnored,
+    ClearTooEarly,
+    MarkForgottenEarly,
+    SnapshotUnread,
+    FloorPassedOver,
+    EverythingDropped,
+    RepeatPurges,
+    EvictionCrosses,
 )
 MACHINES: Sequence[type[Purges]] = (
-    DoorLeftOut, UnsortedRoster, PastForgottenEarly, ForgottenIsNew, WordOfNobody,
+    DoorLeftOut,
+    UnsortedRoster,
+    PastForgottenEarly,
+    ForgottenIsNew,
+    WordOfNobody,
 )
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -28,8 +28,10 @@
 
 
 def ages(load_us: int, meter_us: int) -> Ages:
-    return Ages(ReadingSettings({"load": load_us, "meter": meter_us}, 1 << 20, MEMBER_BYTES, VALUE_BYTES),
-                Bounds(12, most_done=2, most_rows=60, most_past=8, keep_ms=load_us // 1000 + 200))
+    return Ages(
+        ReadingSettings({"load": load_us, "meter": meter_us}, 1 << 20, MEMBER_BYTES, VALUE_BYTES),
+        Bounds(12, most_done=2, most_rows=60, most_past=8, keep_ms=load_us // 1000 + 200),
+    )
 
 
 SHORT, LONG = ages(S, 3 * S // 4), ages(9 * S, 5 * S)
--- a/tests/cache/purge/finding.py
+++ b/tests/cache/purge/finding.py
@@ -113,8 +113,11 @@
         module.read(tree)
         self.kinds += [kind_of(module, node) for node in ast.walk(tree) if isinstance(node, ast.ClassDef)]
         for node in tree.body:
-            if isinstance(node, ast.Assign) and isinstance(node.targets[0], ast.Name) and isinstance(
-                    node.value, (ast.BinOp, ast.Subscript, ast.Attribute)):
+            if (
+                isinstance(node, ast.Assign)
+                and isinstance(node.targets[0], ast.Name)
+                and isinstance(node.value, (ast.BinOp, ast.Subscript, ast.Attribute))
+            ):
                 self.aliases.append((module, node.targets[0].id, ast.unparse(node.value)))
 
     def carries(self, module: Module, said: str) -> bool:
@@ -123,12 +126,15 @@
     def close(self) -> None:
         """Follow what is made of what until nothing more is found to carry."""
         while True:
-            more = {kind.full for kind in self.kinds
-                    for name, said in (*kind.parts.items(), *kind.arguments.items())
-                    if name in SEEDS or (
-                        self.carries(kind.module, said) and not self.grows(kind.module, said))}
-            more |= {f"{module.name}.{name}" for module, name, said in self.aliases
-                     if self.carries(module, said)}
+            more = {
+                kind.full
+                for kind in self.kinds
+                for name, said in (*kind.parts.items(), *kind.arguments.items())
+                if name in SEEDS or (self.carries(kind.module, said) and not self.grows(kind.module, said))
+            }
+            more |= {
+                f"{module.name}.{name}" for module, name, said in self.aliases if self.carries(module, said)
+            }
             if more <= self.carrying:
                 return
             self.carrying |= more
@@ -136,13 +142,18 @@
     def holdings(self) -> dict[tuple[str, str], str]:
         """By class and attribute, the annotation of what holds many that carry a customer."""
         self.close()
-        return {(kind.full, name): said for kind in self.kinds for name, said in kind.parts.items()
-                if self.grows(kind.module, said) and self.carries(kind.module, said)}
+        return {
+            (kind.full, name): said
+            for kind in self.kinds
+            for name, said in kind.parts.items()
+            if self.grows(kind.module, said) and self.carries(kind.module, said)
+        }
 
     def grows(self, module: Module, said: str) -> bool:
         found = module.names(said)
         return any(name.rpartition(".")[2] in GROWING for name in found) or any(
-            f"{of.name}.{name}" in found and self.grows(of, value) for of, name, value in self.aliases)
+            f"{of.name}.{name}" in found and self.grows(of, value) for of, name, value in self.aliases
+        )
 
 
 def code_of(root: Path, packages: tuple[str, ...], without: tuple[str, ...] = ()) -> Code:
--- a/tests/cache/purge/test_holdings.py
+++ b/tests/cache/purge/test_holdings.py
@@ -36,14 +36,13 @@
 
 def test_all_that_is_declared_is_there_once_and_says_what_a_purge_does() -> None:
     assert len({(each.owner, each.attribute) for each in HOLDINGS}) == len(HOLDINGS)
-    parts = {(kind.full, name) for kind in product().kinds
-             for name in kind.parts}
+    parts = {(kind.full, name) for kind in product().kinds for name in kind.parts}
     assert declared().keys() <= parts
     assert {each.effect for each in HOLDINGS} == set(Effect) and all(each.stays for each in HOLDINGS)
 
 
 def test_a_new_holding_is_found_however_it_is_typed() -> None:
-    source = '''
+    source = """
 from collections import OrderedDict, deque
 from fennelwinch import interface as i
 from fennelwinch.interface import Key, Request as Asked
@@ -62,7 +61,7 @@
         self.inner: dict[str, Inner] = {}
         self.counts: dict[str, int] = {}
         self.servers: list[i.Server] = []
-'''
+"""
     code = code_of(ROOT, ("fennelwinch",))
     code.add("molereach.new", source)
     new = {name for owner, name in code.holdings() if owner == "molereach.new.Holder"}
--- a/tests/cache/purge/test_machine.py
+++ b/tests/cache/purge/test_machine.py
@@ -52,7 +52,10 @@
     log.lease(leases.Ended(C, log.fence(C), 7))
     assert not log.purge(Done(asked.asked, fences)).error
     assert receipt(log, asked.id).doors == (
-        Accounted(A, Known.SAID, 4), Accounted(B, Known.ANEW, 5), Accounted(C, Known.OVER, 7))
+        Accounted(A, Known.SAID, 4),
+        Accounted(B, Known.ANEW, 5),
+        Accounted(C, Known.OVER, 7),
+    )
 
 
 def test_one_that_ended_too_often_since_to_be_remembered_is_still_in_the_receipt() -> None:
@@ -244,7 +247,8 @@
     missing = (Missing(B, 5, 2, None, "applied only to 2"),)
     told = answer(log.purges, 3, asked.id, missing=missing)
     assert isinstance(told, Pending) and [(each.door, each.why) for each in told.doors] == [
-        (B, "applied only to 2")]
+        (B, "applied only to 2")
+    ]
     assert answer(log.purges, 3, asked.id, least=4) == Behind(asked.id, 3)
     assert answer(log.purges, 3, purge_id(0, 5), least=4) == Behind(purge_id(0, 5), 3)
     log.purge(Done(3, (1, 2)))
@@ -299,12 +303,17 @@
     log.purge(Done(first.asked, (1,)))
     log.ask(3)
     state = msgspec.json.decode(log.purges.snapshot())
-    wrong = [b"", b"{}", msgspec.json.encode({**state, "cohorts": []}),
-             msgspec.json.encode({**state, "rosters": state["rosters"] + state["rosters"]}),
-             msgspec.json.encode({**state, "pending": state["pending"] + state["pending"]}),
-             msgspec.json.encode({**state, "pending": state["pending"][::-1]}),
-             msgspec.json.encode({**state, "past": [["x", "", 1, 1]]}),
-             msgspec.json.encode({**state, "next_cohort": 1}), msgspec.json.encode({**state, "more": 1})]
+    wrong = [
+        b"",
+        b"{}",
+        msgspec.json.encode({**state, "cohorts": []}),
+        msgspec.json.encode({**state, "rosters": state["rosters"] + state["rosters"]}),
+        msgspec.json.encode({**state, "pending": state["pending"] + state["pending"]}),
+        msgspec.json.encode({**state, "pending": state["pending"][::-1]}),
+        msgspec.json.encode({**state, "past": [["x", "", 1, 1]]}),
+        msgspec.json.encode({**state, "next_cohort": 1}),
+        msgspec.json.encode({**state, "more": 1}),
+    ]
     for data in wrong:
         purges = Purges(log.sessions, SMALL)
         with pytest.raises(ValueError, match="not a snapshot"):
@@ -312,13 +321,19 @@
         assert purges.snapshot() == Purges(log.sessions, SMALL).snapshot()
 
 
-@pytest.mark.parametrize("body", [
-    b"", b"x" * 9000, b'{"kind":"ask","id":"1","member":"00000000000000aa"}',
-    b'{"kind":"ask","id":"0-0000000000000000","member":"AA"}',
-    b'{"kind":"ask","id":"0-0000000000000000","member":"00000000000000aa\\n"}',
-    b'{"kind":"ask","id":"0-0000000000000000","member":"00000000000000aa","shards":["a","b","c"]}',
-    b'{"kind":"done","upto":-1,"said":[]}', b'{"kind":"done","upto":1,"said":[],"x":1}',
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"x" * 9000,
+        b'{"kind":"ask","id":"1","member":"00000000000000aa"}',
+        b'{"kind":"ask","id":"0-0000000000000000","member":"AA"}',
+        b'{"kind":"ask","id":"0-0000000000000000","member":"00000000000000aa\\n"}',
+        b'{"kind":"ask","id":"0-0000000000000000","member":"00000000000000aa","shards":["a","b","c"]}',
+        b'{"kind":"done","upto":-1,"said":[]}',
+        b'{"kind":"done","upto":1,"said":[],"x":1}',
+    ],
+)
 def test_a_body_that_is_not_understood_changes_nothing(body: bytes) -> None:
     log = Log()
     before = log.purges.snapshot()
--- a/tests/cache/readings/test_store.py
+++ b/tests/cache/readings/test_store.py
@@ -143,8 +143,12 @@
         match chance.randrange(5):
             case 0 | 1:
                 sent_us = now_us - chance.randrange(3 * S)
-                store.put(now_us, reading(member, asked, chance.randrange(4 * KB), sent_us,
-                                          chance.choice(("load", "meter"))))
+                store.put(
+                    now_us,
+                    reading(
+                        member, asked, chance.randrange(4 * KB), sent_us, chance.choice(("load", "meter"))
+                    ),
+                )
             case 2 | 3:
                 found = store.get(now_us, member, chance.choice(("load", "meter")), asked.encode())
                 assert found is None or (found.member, found.asked) == (member, asked.encode())
@@ -165,13 +169,24 @@
     assert isinstance(store._shares[A], Share)
 
 
-@pytest.mark.parametrize(("key", "changed"), [
-    ("ages", {"ages_us": {}}), ("ages", {"ages_us": {"x": 0}}), ("ages", {"ages_us": {"x": 61 * S}}),
-    ("reading_bytes", {"reading_bytes": 0}), ("reading_bytes", {"reading_bytes": 1 << 20}),
-    ("member_bytes", {"member_bytes": 4 * KB}), ("total_bytes", {"total_bytes": 31 * KB}),
-])
+@pytest.mark.parametrize(
+    ("key", "changed"),
+    [
+        ("ages", {"ages_us": {}}),
+        ("ages", {"ages_us": {"x": 0}}),
+        ("ages", {"ages_us": {"x": 61 * S}}),
+        ("reading_bytes", {"reading_bytes": 0}),
+        ("reading_bytes", {"reading_bytes": 1 << 20}),
+        ("member_bytes", {"member_bytes": 4 * KB}),
+        ("total_bytes", {"total_bytes": 31 * KB}),
+    ],
+)
 def test_settings_that_cannot_be_name_their_key(key: str, changed: dict[str, object]) -> None:
-    fields: dict[str, object] = {"ages_us": {"load": S}, "total_bytes": 64 * KB, "member_bytes": 16 * KB,
-                                 "reading_bytes": 4 * KB}
+    fields: dict[str, object] = {
+        "ages_us": {"load": S},
+        "total_bytes": 64 * KB,
+        "member_bytes": 16 * KB,
+        "reading_bytes": 4 * KB,
+    }
     with pytest.raises(ValueError, match=f"^{key}: "):
         ReadingSettings(**{**fields, **changed})  # type: ignore[arg-type]
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -82,7 +82,7 @@
     assert missing and [(each.door, each.since_us) for each in missing] == [(B, 10)]
     place.heard.by_fence[2] = asked.position
     assert list(place.driver.handle(11 + LOOK_US, Tick())) == []  # not its time yet
-    propose, = place.driver.handle(10 + 2 * LOOK_US, Tick())
+    (propose,) = place.driver.handle(10 + 2 * LOOK_US, Tick())
     assert decode(propose.body) == Done(asked.position, (1, 2))
     assert ended_by(place.settle(2 * LOOK_US + 1, propose)) == (1, asked.position)
     assert place.driver.wake_us == NEVER_US and not place.driver._since
@@ -93,11 +93,11 @@
     place.lead(0)
     _, asked = place.ask(0)
     place.heard.by_fence = {1: 9, 2: 9}
-    first, = place.driver.handle(LOOK_US, Tick())
+    (first,) = place.driver.handle(LOOK_US, Tick())
     assert list(place.driver.handle(2 * LOOK_US, Tick())) == []
     assert list(place.driver.handle(3 * LOOK_US, ProposalOver("other", Over.UNKNOWN))) == []
     assert place.driver.wake_us == LOOK_US + AGAIN_US
-    again, = place.driver.handle(LOOK_US + AGAIN_US, Tick())
+    (again,) = place.driver.handle(LOOK_US + AGAIN_US, Tick())
     assert again.id != first.id and again.body == first.body
     assert ended_by(place.settle(0, again)) == (1, asked.position)
     assert place.log.purge(first.body).error == "nothing is pending up to there"
@@ -108,14 +108,14 @@
     place.lead(0)
     positions = [place.ask(0, number)[1].position for number in range(8)]
     place.heard.by_fence = {1: 1 << 50, 2: positions[2]}
-    propose, = place.driver.handle(LOOK_US, Tick())
+    (propose,) = place.driver.handle(LOOK_US, Tick())
     body = decode(propose.body)
     assert isinstance(body, Done) and body.upto == positions[1]  # of eight, four, two
     assert ended_by(place.settle(LOOK_US, propose)) == (2, positions[1])
-    propose, = place.next
+    (propose,) = place.next
     assert ended_by(place.settle(LOOK_US + 1, propose)) == (1, positions[2])
     place.heard.by_fence[2] = positions[7]
-    propose, = place.driver.handle(3 * LOOK_US, Tick())
+    (propose,) = place.driver.handle(3 * LOOK_US, Tick())
     assert ended_by(place.settle(3 * LOOK_US, propose)) == (5, positions[7])
 
 
@@ -144,5 +144,5 @@
     _, asked = place.ask(0)
     place.log.opens(type(B)("b", 2))
     place.heard.by_fence = {1: asked.position, 2: asked.position}
-    propose, = place.driver.handle(LOOK_US, Tick())
+    (propose,) = place.driver.handle(LOOK_US, Tick())
     assert decode(propose.body) == Done(asked.position, (1,))
--- a/tests/cache/test_histories.py
+++ b/tests/cache/test_histories.py
@@ -13,9 +13,18 @@
 HISTORIES, STEPS, CALM_EVERY = 2000, 160, 4
 MOST_TRIED = 600  # histories, until one finds a mutation
 FIRST = {  # one that does, tried first
-    "LateFillKept": 131, "FetchedWhenAnswered": 45, "HitCheckedOnce": 51, "LapseIgnored": 422,
-    "MarkForgottenEarly": 108, "FloorPassedOver": 24, "RepeatPurges": 163, "EvictionCrosses": 43,
-    "UnsortedRoster": 52, "PastForgottenEarly": 12, "ForgottenIsNew": 51, "WordOfNobody": 400,
+    "LateFillKept": 131,
+    "FetchedWhenAnswered": 45,
+    "HitCheckedOnce": 51,
+    "LapseIgnored": 422,
+    "MarkForgottenEarly": 108,
+    "FloorPassedOver": 24,
+    "RepeatPurges": 163,
+    "EvictionCrosses": 43,
+    "UnsortedRoster": 52,
+    "PastForgottenEarly": 12,
+    "ForgottenIsNew": 51,
+    "WordOfNobody": 400,
 }
 
 
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -68,8 +68,16 @@
         purges = self.cores.purges(sessions, self.ages.bounds)
         door = self.cores.door(self.ages.settings, purges, lease, 3)
         driver = Driver(purges, lambda position, since: Account(position, sessions, seat, since, True))
-        seat = Seat(Life(name, number), self.chance.randrange(1 << 30), self.chance.choice(RATES), sessions,
-                    purges, lease, door, driver)
+        seat = Seat(
+            Life(name, number),
+            self.chance.randrange(1 << 30),
+            self.chance.choice(RATES),
+            sessions,
+            purges,
+            lease,
+            door,
+            driver,
+        )
         return seat
 
     def restart(self, index: int) -> None:
@@ -148,7 +156,7 @@
     def learn(self, seat: Seat, most: int) -> None:
         if self.now < seat.lags_until:
             return
-        for entry in self.order[seat.position:seat.position + most]:
+        for entry in self.order[seat.position : seat.position + most]:
             machine = seat.sessions if entry.machine == leases.MACHINE else seat.purges
             outcome = machine.apply(entry)
             if outcome != self.outcomes[entry.position - 1]:
@@ -299,8 +307,11 @@
         if self.bodies and self.chance.random() < 0.2:
             body = self.chance.choice(self.bodies)  # the same again, however old
         else:
-            body = Ask(draw_id(seat.position, self.chance.random), self.chance.choice(MEMBERS),
-                       self.chance.choice(("", "", *CLASSES)))
+            body = Ask(
+                draw_id(seat.position, self.chance.random),
+                self.chance.choice(MEMBERS),
+                self.chance.choice(("", "", *CLASSES)),
+            )
             self.asked_us[body.id] = self.now
             self.bodies.append(body)
         self.send(lambda: self.append(MACHINE, encode(body), seat.life))
@@ -329,8 +340,12 @@
             return
         for ticket, count in seat.kept:
             dead = seat.now(self.now) - ticket.sent_us >= self.ages.settings.ages_us[ticket.class_name]
-            purged = any(position > ticket.applied and body.member == ticket.member
-                         and body.class_name in ("", ticket.class_name) for position, body, _ in self.purged)
+            purged = any(
+                position > ticket.applied
+                and body.member == ticket.member
+                and body.class_name in ("", ticket.class_name)
+                for position, body, _ in self.purged
+            )
             keys = [reading.key for reading in seat.door.store.of(ticket.member)]
             crowded = seat.crowded.get(ticket.member, 0) > count
             if not (dead or purged or crowded) and (ticket.class_name, ticket.asked) not in keys:
@@ -358,10 +373,23 @@
                 self.restart(index)
             return
         for below, act in (
-            (0.20, self.fetch), (0.25, self.server_reads), (0.41, self.answered), (0.57, self.take),
-            (0.61, self.write), (0.67, self.learn_some), (0.71, self.restore), (0.76, self.turn),
-            (0.82, self.renew), (0.87, self.ask), (0.90, self.stop), (0.91, self.leave), (0.93, self.lead),
-            (0.94, self.hear), (0.95, self.rash), (0.97, self.lag), (0.985, self.check),
+            (0.20, self.fetch),
+            (0.25, self.server_reads),
+            (0.41, self.answered),
+            (0.57, self.take),
+            (0.61, self.write),
+            (0.67, self.learn_some),
+            (0.71, self.restore),
+            (0.76, self.turn),
+            (0.82, self.renew),
+            (0.87, self.ask),
+            (0.90, self.stop),
+            (0.91, self.leave),
+            (0.93, self.lead),
+            (0.94, self.hear),
+            (0.95, self.rash),
+            (0.97, self.lag),
+            (0.985, self.check),
         ):
             if kind < below:
                 act(seat)
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -36,12 +36,25 @@
     run(job())
 
 
-@pytest.mark.parametrize("data", [
-    b"PING\r\n", b"*1\r\n:1\r\n", b"*2\r\n*100000000\r\n", b"*100000000\r\n", b"$4\r\nPING\r\n", b"*x\r\n",
-    b"*-1\r\n", b"*0\r\n" * 1000, b"*1\r\n$-1\r\n",
-    b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
-    b"*1\r\n$70000\r\n", b"*1\r\n$1\r\nab\r\n", b"*1\r\n$" + b"1" * 40, b"\x16\x03\x01\x02\x00",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"PING\r\n",
+        b"*1\r\n:1\r\n",
+        b"*2\r\n*100000000\r\n",
+        b"*100000000\r\n",
+        b"$4\r\nPING\r\n",
+        b"*x\r\n",
+        b"*-1\r\n",
+        b"*0\r\n" * 1000,
+        b"*1\r\n$-1\r\n",
+        b"*2\r\n$40000\r\n" + b"x" * 40000 + b"\r\n$40000\r\n",
+        b"*1\r\n$70000\r\n",
+        b"*1\r\n$1\r\nab\r\n",
+        b"*1\r\n$" + b"1" * 40,
+        b"\x16\x03\x01\x02\x00",
+    ],
+)
 def test_malformed_resp_is_an_error_and_a_close(data: bytes) -> None:
     async def job() -> None:
         backend = Backend()
@@ -59,27 +72,46 @@
 FIELDS = "c=read,t=team,d=500"
 
 
-@pytest.mark.parametrize("words", [
-    ("GET", "x"), ("svc.query", CUSTOMER, "a", FIELDS), ("SVC.QUERY",), ("SVC.QUERY", CUSTOMER, "a"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS, "BODY"), ("SVC.SUBMIT", CUSTOMER, "a", "c=settle,t=team,d=500"),
-    ("SVC.QUERY", "b4d65521", "a", FIELDS), ("SVC.QUERY", "0" * 15 + "g", "a", FIELDS),
-    ("SVC.QUERY", "f" * 16, "a", FIELDS), ("SVC.QUERY", CUSTOMER, "", FIELDS),
-    ("SVC.QUERY", CUSTOMER, "a b", FIELDS), ("SVC.QUERY", CUSTOMER, "a", ""),
-    ("SVC.QUERY", CUSTOMER, "a", "c=what,t=team,d=500"), ("SVC.QUERY", CUSTOMER, "a", "c=read,t=what,d=500"),
-    ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team"), ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=-5"),
-    ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=1e3"),
-    ("SVC.QUERY", CUSTOMER, "a", "c=settle,t=team,d=500"),
-    ("SVC.SUBMIT", CUSTOMER, "a", FIELDS, "B"), ("SVC.SUBMIT", CUSTOMER, "a", "c=book,t=team,d=500", "B"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",units=nan"), ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",units=0"),
-    *[("SVC.QUERY", CUSTOMER, "a", FIELDS + f",units={units}")
-      for units in ("-1", "inf", "1_0", " 1", "1e3", "x", "", "1001", "0x1", "1.", "+1")],
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=1,first=1"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=0"),
-    ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=86400000"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=3"), ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",first=2"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",d=900"), ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",é=1"),
-    ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",odd"), ("PING", "a", "b"),
-])
+@pytest.mark.parametrize(
+    "words",
+    [
+        ("GET", "x"),
+        ("svc.query", CUSTOMER, "a", FIELDS),
+        ("SVC.QUERY",),
+        ("SVC.QUERY", CUSTOMER, "a"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS, "BODY"),
+        ("SVC.SUBMIT", CUSTOMER, "a", "c=settle,t=team,d=500"),
+        ("SVC.QUERY", "b4d65521", "a", FIELDS),
+        ("SVC.QUERY", "0" * 15 + "g", "a", FIELDS),
+        ("SVC.QUERY", "f" * 16, "a", FIELDS),
+        ("SVC.QUERY", CUSTOMER, "", FIELDS),
+        ("SVC.QUERY", CUSTOMER, "a b", FIELDS),
+        ("SVC.QUERY", CUSTOMER, "a", ""),
+        ("SVC.QUERY", CUSTOMER, "a", "c=what,t=team,d=500"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=read,t=what,d=500"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=-5"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=1e3"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=settle,t=team,d=500"),
+        ("SVC.SUBMIT", CUSTOMER, "a", FIELDS, "B"),
+        ("SVC.SUBMIT", CUSTOMER, "a", "c=book,t=team,d=500", "B"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",units=nan"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",units=0"),
+        *[
+            ("SVC.QUERY", CUSTOMER, "a", FIELDS + f",units={units}")
+            for units in ("-1", "inf", "1_0", " 1", "1e3", "x", "", "1001", "0x1", "1.", "+1")
+        ],
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=1,first=1"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=0"),
+        ("SVC.QUERY", CUSTOMER, "a", "c=read,t=team,d=86400000"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",spread=3"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",first=2"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",d=900"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",é=1"),
+        ("SVC.QUERY", CUSTOMER, "a", FIELDS + ",odd"),
+        ("PING", "a", "b"),
+    ],
+)
 def test_wrong_command_is_an_error_and_the_connection_lives(words: tuple[str, ...]) -> None:
     async def job() -> None:
         backend = Backend()
@@ -165,17 +197,27 @@
     monkeypatch.setattr(intake, "SWEEP_S", 0.01)
     monkeypatch.setattr(intake, name, TEST_US)
     monkeypatch.setitem(intake.WAITS_US, intake.State.GREETED, intake.IDLE_US)
-    states = {"FIRST_US": intake.State.NEW, "IDLE_US": intake.State.IDLE,
-              "REST_OF_COMMAND_US": intake.State.PARTIAL, "READS_US": intake.State.CLOGGED,
-              "LINGER_US": intake.State.CLOSING}
+    states = {
+        "FIRST_US": intake.State.NEW,
+        "IDLE_US": intake.State.IDLE,
+        "REST_OF_COMMAND_US": intake.State.PARTIAL,
+        "READS_US": intake.State.CLOGGED,
+        "LINGER_US": intake.State.CLOSING,
+    }
     if name in states:
         monkeypatch.setitem(intake.WAITS_US, states[name], TEST_US)
 
 
-@pytest.mark.parametrize(("name", "data", "answers"), [
-    ("FIRST_US", b"", 0), ("FIRST_US", b"*4\r\n$9\r\nSVC.", 0), ("FIRST_US", resp("WHAT"), 1),
-    ("REST_OF_COMMAND_US", resp("PING") + b"*4\r\n$9\r\nSVC.", 1), ("IDLE_US", resp("PING"), 1),
-])
+@pytest.mark.parametrize(
+    ("name", "data", "answers"),
+    [
+        ("FIRST_US", b"", 0),
+        ("FIRST_US", b"*4\r\n$9\r\nSVC.", 0),
+        ("FIRST_US", resp("WHAT"), 1),
+        ("REST_OF_COMMAND_US", resp("PING") + b"*4\r\n$9\r\nSVC.", 1),
+        ("IDLE_US", resp("PING"), 1),
+    ],
+)
 def test_connection_that_is_of_no_use_ends(
     monkeypatch: pytest.MonkeyPatch, name: str, data: bytes, answers: int
 ) -> None:
@@ -226,7 +268,7 @@
 
 
 def test_close_is_bounded_where_the_client_reads_nothing_and_sends_on(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     hurry(monkeypatch, "LINGER_US")
 
--- a/tests/council/leases/mutants.py
+++ b/tests/council/leases/mutants.py
@@ -125,8 +125,14 @@
     def apply(self, entry: Entry) -> Outcome:
         body = decode(entry.body)
         if isinstance(body, Ended):
-            entry = Entry(entry.position, entry.machine, entry.id, entry.proposer, entry.at_ms,
-                          encode(Ended(body.life, body.fence, self.ballot)))
+            entry = Entry(
+                entry.position,
+                entry.machine,
+                entry.id,
+                entry.proposer,
+                entry.at_ms,
+                encode(Ended(body.life, body.fence, self.ballot)),
+            )
         return super().apply(entry)
 
 
--- a/tests/council/leases/test_accounts.py
+++ b/tests/council/leases/test_accounts.py
@@ -51,7 +51,12 @@
 
 OPENED: list[tuple[Life, Body | None]] = [(D, Open(D)), (C, Open(C)), (B, Open(B)), (A, Open(A)), (A, None)]
 SINCE: list[tuple[Life, Body | None]] = [
-    (A, Keeping(1)), (ANEW, Open(ANEW)), (A, Ended(C, 2, 1)), (D, Close(D, 1)), (C, Open(C))]
+    (A, Keeping(1)),
+    (ANEW, Open(ANEW)),
+    (A, Ended(C, 2, 1)),
+    (D, Close(D, 1)),
+    (C, Open(C)),
+]
 
 
 def test_who_is_missing_since_when_and_why() -> None:
@@ -81,8 +86,11 @@
     assert account.proof() is None and [each.door for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
-        Accounted(A, Known.SAID, 5), Accounted(B, Known.ANEW, 7), Accounted(C, Known.OVER, 8),
-        Accounted(D, Known.LEFT, 9))
+        Accounted(A, Known.SAID, 5),
+        Accounted(B, Known.ANEW, 7),
+        Accounted(C, Known.OVER, 8),
+        Accounted(D, Known.LEFT, 9),
+    )
 
 
 def test_one_that_opened_after_the_entry_needs_no_account() -> None:
--- a/tests/council/leases/test_bounds.py
+++ b/tests/council/leases/test_bounds.py
@@ -24,8 +24,9 @@
 
 
 def holding(world: World) -> str:
-    return "".join(name for name, each in sorted(world.doors.items())
-                   if each.holder.holds(each.clock.at(world.now)))
+    return "".join(
+        name for name, each in sorted(world.doors.items()) if each.holder.holds(each.clock.at(world.now))
+    )
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/council/leases/test_sessions.py
+++ b/tests/council/leases/test_sessions.py
@@ -42,12 +42,26 @@
     assert not opened(sessions, 6, A2).error
 
 
-@pytest.mark.parametrize("body, proposer", [
-    (Ended(A, 2, 5), A), (Ended(A2, 1, 5), A), (Ended(B, 1, 5), A), (Close(A, 2), A), (Close(A, 1), B),
-    (Open(B), A), (Ended(A, 1, 4), A), (Ended(A, 1, 6), A), (Keeping(5), B), (Keeping(4), B),
-    (b"{}", A), (b"\xff", A), (b'{"kind":"open","life":{"name":"-","number":1}}', A),
-    (b'{"kind":"keeping","ballot":9,"more":1}', A), (b'{"a":' + b"[" * (MOST_BODY_BYTES - 5), A),
-])
+@pytest.mark.parametrize(
+    "body, proposer",
+    [
+        (Ended(A, 2, 5), A),
+        (Ended(A2, 1, 5), A),
+        (Ended(B, 1, 5), A),
+        (Close(A, 2), A),
+        (Close(A, 1), B),
+        (Open(B), A),
+        (Ended(A, 1, 4), A),
+        (Ended(A, 1, 6), A),
+        (Keeping(5), B),
+        (Keeping(4), B),
+        (b"{}", A),
+        (b"\xff", A),
+        (b'{"kind":"open","life":{"name":"-","number":1}}', A),
+        (b'{"kind":"keeping","ballot":9,"more":1}', A),
+        (b'{"a":' + b"[" * (MOST_BODY_BYTES - 5), A),
+    ],
+)
 def test_what_breaks_a_rule_is_an_error_and_changes_nothing(body: Body | bytes, proposer: Life) -> None:
     sessions = Sessions()
     sessions.apply(entry(0, Keeping(5)))
@@ -111,8 +125,15 @@
         open_now = sessions.open(life.name)
         if open_now and chance.random() < 0.7:
             life, fence = open_now.life, open_now.fence
-        body = chance.choice((Open(life), Open(life), Ended(life, fence, sessions.ballot), Close(life, fence),
-                              Keeping(chance.randrange(position))))
+        body = chance.choice(
+            (
+                Open(life),
+                Open(life),
+                Ended(life, fence, sessions.ballot),
+                Close(life, fence),
+                Keeping(chance.randrange(position)),
+            )
+        )
         sessions.apply(entry(position, body, life))
     return sessions
 
@@ -129,15 +150,21 @@
     assert other.snapshot() == one.snapshot() and len(list(other.at(203))) <= MOST_PAST
 
 
-@pytest.mark.parametrize("data", [
-    b"", b"{}", b'{"ballot":-1,"doors":[]}', b'{"ballot":0,"doors":[{"name":"a"}]}',
-    b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"b","number":1},"fence":1}}]}',
-    b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":1},"past":['
-    b'{"life":{"name":"a","number":1},"fence":2,"known":"over","position":3}]}]}',
-    b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":4},"dropped":2}]}',
-    b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":4},"past":['
-    b'{"life":{"name":"a","number":2},"fence":2,"known":"over","position":3}]}]}',
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"{}",
+        b'{"ballot":-1,"doors":[]}',
+        b'{"ballot":0,"doors":[{"name":"a"}]}',
+        b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"b","number":1},"fence":1}}]}',
+        b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":1},"past":['
+        b'{"life":{"name":"a","number":1},"fence":2,"known":"over","position":3}]}]}',
+        b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":4},"dropped":2}]}',
+        b'{"ballot":0,"doors":[{"name":"a","open":{"life":{"name":"a","number":1},"fence":4},"past":['
+        b'{"life":{"name":"a","number":2},"fence":2,"known":"over","position":3}]}]}',
+    ],
+)
 def test_a_snapshot_that_makes_no_sense_is_refused_and_nothing_changes(data: bytes) -> None:
     sessions = history(1)
     before = sessions.snapshot()
--- a/tests/council/leases/test_words.py
+++ b/tests/council/leases/test_words.py
@@ -12,10 +12,19 @@
     assert len(data) <= 48 and msgspec.msgpack.decode(data, type=Ask) == ask
 
 
-@pytest.mark.parametrize("fields", [
-    ["", 1, 1, 1, 1], ["a" * 65, 1, 1, 1, 1], ["a", -1, 1, 1, 1], ["a", 1, 1, 0, 1], ["a", 1, 1, 1, 1 << 63],
-    ["a", 1, 1, 1, 1, -1], ["a", 1, 1, 1], ["a", 1, 1, "1", 1]
-])
+@pytest.mark.parametrize(
+    "fields",
+    [
+        ["", 1, 1, 1, 1],
+        ["a" * 65, 1, 1, 1, 1],
+        ["a", -1, 1, 1, 1],
+        ["a", 1, 1, 0, 1],
+        ["a", 1, 1, 1, 1 << 63],
+        ["a", 1, 1, 1, 1, -1],
+        ["a", 1, 1, 1],
+        ["a", 1, 1, "1", 1],
+    ],
+)
 def test_an_ask_that_is_not_one_is_refused(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(fields, Ask)
--- a/tests/council/leases/world.py
+++ b/tests/council/leases/world.py
@@ -135,8 +135,13 @@
         rate = self.chance.choice(self.rates) if self.rates else 1.0
         sessions, terms = self.cores.sessions(), self.cores.terms
         holder = self.cores.holder(life, sessions, terms, self.chance.random)
-        door = Door(life, Clock(self.chance.randrange(1 << 40), rate), sessions, holder,
-                    self.cores.keeper(sessions, terms))
+        door = Door(
+            life,
+            Clock(self.chance.randrange(1 << 40), rate),
+            sessions,
+            holder,
+            self.cores.keeper(sessions, terms),
+        )
         self.doors[name] = door
         self.after(0, lambda: self.to(door, lambda: self.learn(door, len(self.order))))
         self.after(0, lambda: self.to(door, lambda: self.cores_handle(door, Tick())))
@@ -241,8 +246,12 @@
         for each in self.doors.values():
             if each is door or not self.lossy or self.chance.random() < 0.85:  # some go on in an old belief
                 news = Leads(door.life.name, self.ballot, each is door)
-                self.after(self.delay(), lambda each=each, news=news: self.to(  # type: ignore[misc]
-                    each, lambda: self.hear(each, news)))
+                self.after(
+                    self.delay(),
+                    lambda each=each, news=news: self.to(  # type: ignore[misc]
+                        each, lambda: self.hear(each, news)
+                    ),
+                )
 
     def hear(self, door: Door, news: Leads) -> None:
         door.leader = news.leader
@@ -253,13 +262,15 @@
             if self.leader is door and self.now >= door.cut_until:
                 answer = Confirmed(confirm.token, self.ballot)
                 self.after(self.delay(), lambda: self.to(door, lambda: self.cores_handle(door, answer)))
+
         self.after(self.delay(), followed)
 
     def propose(self, door: Door, propose: Propose) -> None:
         door.out.add(propose.id)
         unknown = ProposalOver(propose.id, Over.UNKNOWN)
-        self.after(int(propose.within_us / door.clock.rate),
-                   lambda: self.to(door, lambda: self.word(door, unknown)))
+        self.after(
+            int(propose.within_us / door.clock.rate), lambda: self.to(door, lambda: self.word(door, unknown))
+        )
         draw = self.chance.random() if self.lossy else 0.5
         if draw < 0.03:
             refused = ProposalOver(propose.id, Over.REFUSED)
@@ -283,6 +294,7 @@
                 self.word(door, over)
             else:
                 door.waiting[propose.id] = over
+
         self.after(self.delay(), lambda: self.to(door, told))
 
     def append(self, propose: Propose, proposer: Life) -> Entry:
@@ -302,8 +314,12 @@
         self.snapshots.append(self.truth.snapshot())
         self.ids[propose.id] = position
         for each in self.doors.values():
-            self.after(self.delay(), lambda each=each: self.to(  # type: ignore[misc]
-                each, lambda: self.learn(each, position)))
+            self.after(
+                self.delay(),
+                lambda each=each: self.to(  # type: ignore[misc]
+                    each, lambda: self.learn(each, position)
+                ),
+            )
         return entry
 
     def learn(self, door: Door, position: int) -> None:
@@ -347,8 +363,11 @@
         self.proven += 1
         known, were = {each.door.name: each for each in proof}, self.open_at[position]
         often = {name for name, each in door.sessions._doors.items() if each.dropped}  # the last are kept
-        if were.keys() - known.keys() or known.keys() - were.keys() - often or any(
-                known[name].door != were[name].life for name in were.keys() - often):
+        if (
+            were.keys() - known.keys()
+            or known.keys() - were.keys() - often
+            or any(known[name].door != were[name].life for name in were.keys() - often)
+        ):
             raise BrokenError(f"the proof of {position} is not of those that were open")
         if self.proofs.setdefault((position, door.learnt), proof) != proof:
             raise BrokenError(f"two proofs of {position} at {door.learnt}")
--- a/tests/council/links/doors.py
+++ b/tests/council/links/doors.py
@@ -49,8 +49,13 @@
     """One front door; `book` has the addresses, which each fills in when it starts."""
 
     def __init__(
-        self, name: str, book: dict[str, Address], number: int = 1, key: bytes = KEY,
-        parts: dict[str, Any] = PARTS, settings: LinkSettings = BY_HAND,
+        self,
+        name: str,
+        book: dict[str, Address],
+        number: int = 1,
+        key: bytes = KEY,
+        parts: dict[str, Any] = PARTS,
+        settings: LinkSettings = BY_HAND,
     ) -> None:
         self.name, self.book = name, book
         self.heard: list[Any] = []  # messages
@@ -58,8 +63,18 @@
         self.events: list[str] = []
         self.changed = asyncio.Event()
         self.fail: set[int] = set()  # numbers of words over which it raises
-        self.links = Links(Life(name, number), book, key, parts, self.deliver, lambda: 0.999, up=self.on_up,
-                           down=self.on_down, rules=RULES, settings=settings)
+        self.links = Links(
+            Life(name, number),
+            book,
+            key,
+            parts,
+            self.deliver,
+            lambda: 0.999,
+            up=self.on_up,
+            down=self.on_down,
+            rules=RULES,
+            settings=settings,
+        )
 
     async def start(self, *, listed: bool = True) -> Address:
         address = await self.links.start((HOST, 0))
--- a/tests/council/links/test_cores.py
+++ b/tests/council/links/test_cores.py
@@ -11,7 +11,9 @@
 from molereach.council.links.retry import Retry
 
 RULES = {
-    "log": Rule(4, 100, losable=False), "spread": Rule(6, 100, latest=frozenset({int})), "hint": Rule(6, 100),
+    "log": Rule(4, 100, losable=False),
+    "spread": Rule(6, 100, latest=frozenset({int})),
+    "hint": Rule(6, 100),
 }
 
 
@@ -78,10 +80,22 @@
     assert said(box) == [b"1", b"3", b"5"]
 
 
-@given(st.lists(st.tuples(st.sampled_from(sorted(RULES)), st.integers(0, 130), st.sampled_from((int, str)),
-                          st.sampled_from((None, 1, 2)))), st.integers(1, 12), st.integers(1, 200))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(sorted(RULES)),
+            st.integers(0, 130),
+            st.sampled_from((int, str)),
+            st.sampled_from((None, 1, 2)),
+        )
+    ),
+    st.integers(1, 12),
+    st.integers(1, 200),
+)
 def test_bounds_hold_after_each_message_and_all_are_accounted_for(
-    many: list[tuple[str, int, type, int | None]], most: int, most_bytes: int,
+    many: list[tuple[str, int, type, int | None]],
+    most: int,
+    most_bytes: int,
 ) -> None:
     box = Outbox(RULES, Room(most, most_bytes))
     for part, size, kind, life in many:
--- a/tests/council/links/test_faults.py
+++ b/tests/council/links/test_faults.py
@@ -93,11 +93,15 @@
     run(job())
 
 
-@pytest.mark.parametrize(("body", "reason"), [
-    (msgspec.msgpack.encode((9, Word(1))), "part 9 is not known"), (b"\x93\1\2\3", "not understood"),
-    (msgspec.msgpack.encode((1, {"kind": "word", "number": 1, "more": 1})), "not understood"),
-    (msgspec.msgpack.encode((1, Word(1))) + b"!", "not understood"),
-])
+@pytest.mark.parametrize(
+    ("body", "reason"),
+    [
+        (msgspec.msgpack.encode((9, Word(1))), "part 9 is not known"),
+        (b"\x93\1\2\3", "not understood"),
+        (msgspec.msgpack.encode((1, {"kind": "word", "number": 1, "more": 1})), "not understood"),
+        (msgspec.msgpack.encode((1, Word(1))) + b"!", "not understood"),
+    ],
+)
 def test_a_body_that_says_nothing_costs_the_link(body: bytes, reason: str) -> None:
     async def job() -> None:
         b = await alone()
--- a/tests/council/links/test_frames.py
+++ b/tests/council/links/test_frames.py
@@ -14,13 +14,19 @@
     return b"".join(map(sealer.seal, BODIES))
 
 
-def opened(data: bytes, step: int = 1 << 20, *, key: bytes = KEY, session: bytes = SESSION,
-           direction: bytes = DIALLER) -> list[bytes]:
+def opened(
+    data: bytes,
+    step: int = 1 << 20,
+    *,
+    key: bytes = KEY,
+    session: bytes = SESSION,
+    direction: bytes = DIALLER,
+) -> list[bytes]:
     """What opens of a stream that comes in pieces of `step` bytes."""
     cutter, opener = Cutter(frames.MOST_BODY_BYTES, TAG_BYTES), Opener(key, session, direction)
     found = []
     for start in range(0, len(data), step):
-        cutter.feed(data[start:start + step])
+        cutter.feed(data[start : start + step])
         while (frame := cutter.next()) is not None:
             found.append(opener.open(frame))
     return found
--- a/tests/council/links/test_hello.py
+++ b/tests/council/links/test_hello.py
@@ -28,11 +28,16 @@
     assert KEY not in theirs.greeting + ours.said + said
 
 
-@pytest.mark.parametrize(("ours", "reason"), [
-    (dialling(key=b"o" * 32), "proof"), (dialling(to="c"), "b is here, not c"),
-    (dialling(me=Life("b", 9)), "name of who is asked"), (dialling(me=Life("x", 9)), "not of this council"),
-    (dialling(parts=("log",)), "other parts"),
-])
+@pytest.mark.parametrize(
+    ("ours", "reason"),
+    [
+        (dialling(key=b"o" * 32), "proof"),
+        (dialling(to="c"), "b is here, not c"),
+        (dialling(me=Life("b", 9)), "name of who is asked"),
+        (dialling(me=Life("x", 9)), "not of this council"),
+        (dialling(parts=("log",)), "other parts"),
+    ],
+)
 def test_a_listener_refuses(ours: Dialling, reason: str) -> None:
     theirs = answering()
     with pytest.raises(HelloError, match=reason):
--- a/tests/council/links/test_service.py
+++ b/tests/council/links/test_service.py
@@ -149,12 +149,20 @@
     run(job())
 
 
-@pytest.mark.parametrize(("me", "to", "key", "reason"), [
-    (Life("c", 1), "a", b"o" * 32, "proof"), (Life("a", 2), "a", b"k" * 32, "name of who is asked"),
-    (Life("c", 1), "b", b"k" * 32, "a is here, not b"), (Life("x", 1), "a", b"k" * 32, "not of this council"),
-])
+@pytest.mark.parametrize(
+    ("me", "to", "key", "reason"),
+    [
+        (Life("c", 1), "a", b"o" * 32, "proof"),
+        (Life("a", 2), "a", b"k" * 32, "name of who is asked"),
+        (Life("c", 1), "b", b"k" * 32, "a is here, not b"),
+        (Life("x", 1), "a", b"k" * 32, "not of this council"),
+    ],
+)
 def test_a_stranger_is_told_why_in_one_line_and_takes_no_place(
-    me: Life, to: str, key: bytes, reason: str,
+    me: Life,
+    to: str,
+    key: bytes,
+    reason: str,
 ) -> None:
     async def job() -> None:
         (a,) = await doors("a")
--- a/tests/council/log/explore.py
+++ b/tests/council/log/explore.py
@@ -58,8 +58,9 @@
         return Acceptor(self.promised, self.accepted_at, self.accepted)
 
     def having(self, acceptor: Acceptor) -> "SeatState":
-        return replace(self, promised=acceptor.promised, accepted_at=acceptor.accepted_at,
-                       accepted=acceptor.accepted)
+        return replace(
+            self, promised=acceptor.promised, accepted_at=acceptor.accepted_at, accepted=acceptor.accepted
+        )
 
     def recovery(self, name: str) -> Recovery:
         runs = {run.disk: run for run in self.knows}
@@ -122,8 +123,9 @@
     def first_seat(self, index: int) -> SeatState:
         """All had answered one another at the first start."""
         run = RUNS[index]
-        answers = tuple((seat, Noted(run, by, 0, NOBODY)) for seat, by in zip(PANEL, RUNS, strict=True)
-                        if by != run)
+        answers = tuple(
+            (seat, Noted(run, by, 0, NOBODY)) for seat, by in zip(PANEL, RUNS, strict=True) if by != run
+        )
         return SeatState(run=run, knows=tuple(each for each in RUNS if each != run), answers=answers)
 
     def first(self, elected: tuple[int, ...]) -> State:
@@ -160,16 +162,24 @@
         for index, number in to_seats:
             key = (index, state[index], number)
             if key not in self.seat_steps:
-                self.seat_steps[key] = self.number(self.seats, self.at_seat(
-                    index, self.seats.things[state[index]], self.words.things[number]))
+                self.seat_steps[key] = self.number(
+                    self.seats,
+                    self.at_seat(index, self.seats.things[state[index]], self.words.things[number]),
+                )
             if (step := self.seat_steps[key]) and not self.told(state, step):
                 yield after(state, index, step)
         for index, one, other in to_leaders:
             pair = (index, state[index], one, other)
             if pair not in self.leader_steps:
-                self.leader_steps[pair] = self.number(self.leaders, self.at_leader(
-                    index - 3, self.leaders.things[state[index]], self.words.things[one],
-                    self.words.things[other]))
+                self.leader_steps[pair] = self.number(
+                    self.leaders,
+                    self.at_leader(
+                        index - 3,
+                        self.leaders.things[state[index]],
+                        self.words.things[one],
+                        self.words.things[other],
+                    ),
+                )
             if step := self.leader_steps[pair]:
                 self.check(state, index, step)
                 yield after(state, index, step)
@@ -192,8 +202,11 @@
                     seats.append((2, number))
                 case Prepare() | Accept() | Known() | Start():
                     seats += [(index, number) for index in range(3)]
-        leaders = [(3 + BALLOTS.index(ballot), one, other) for (_, ballot), numbers in votes.items()
-                   for one, other in combinations(numbers, 2)]
+        leaders = [
+            (3 + BALLOTS.index(ballot), one, other)
+            for (_, ballot), numbers in votes.items()
+            for one, other in combinations(numbers, 2)
+        ]
         self.splits[said] = seats, leaders
         return self.splits[said]
 
@@ -230,8 +243,9 @@
         match word:
             case Prepare(ballot, after) if voting and after == len(seat.decided):
                 if acceptor.promise(ballot):
-                    return seat.having(acceptor), [Promise(
-                        ballot, after, recovery.voter(PANEL), acceptor.accepted_at, acceptor.accepted)]
+                    return seat.having(acceptor), [
+                        Promise(ballot, after, recovery.voter(PANEL), acceptor.accepted_at, acceptor.accepted)
+                    ]
             case Accept(ballot, entries) if voting and entries[0].position == len(seat.decided) + 1:
                 if acceptor.accept(ballot, entries):
                     vote = Accepted(ballot, entries[-1].position, recovery.voter(PANEL))
@@ -246,8 +260,9 @@
                     return seat, [Exists(run, known)]
                 recovery.write(run, PANEL)
                 knows = tuple(sorted(recovery.runs.values(), key=lambda each: each.disk))
-                return replace(seat, knows=knows), [Noted(
-                    run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted)]
+                return replace(seat, knows=knows), [
+                    Noted(run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted)
+                ]
             case Noted(run) if run.disk == seat.run.disk:
                 if recovery.answered(Life(NAMES[DISKS.index(word.by.disk)], word.by.life), word, PANEL):
                     recovery.raise_to(acceptor, Learned(seat.decided))  # type: ignore[arg-type]
@@ -301,7 +316,7 @@
     words = state[5]
     for word in step[1]:
         words |= 1 << word
-    return (*state[:index], step[0], *state[index + 1:5], words)  # type: ignore[return-value]
+    return (*state[:index], step[0], *state[index + 1 : 5], words)  # type: ignore[return-value]
 
 
 ONE = (((entry(1, "x"),),), ((entry(1, "y"),),))
--- a/tests/council/log/histories.py
+++ b/tests/council/log/histories.py
@@ -9,8 +9,9 @@
 from tests.council.log.world import MS, Disk, Node, S, World
 
 FAULTS_US, HEAL_US = 2_500 * MS, 25 * S
-QUICK = Settings(beat_us=100 * MS, election_least_us=300 * MS, election_most_us=600 * MS, again_us=200 * MS,
-                 most_tail=24)
+QUICK = Settings(
+    beat_us=100 * MS, election_least_us=300 * MS, election_most_us=600 * MS, again_us=200 * MS, most_tail=24
+)
 
 
 class History:
@@ -37,8 +38,9 @@
     def some(self) -> Node:
         """Any front door; more often one that leads."""
         leading = [node for node in self.world.nodes.values() if node.core and node.core.leading.leadership]
-        return self.random.choice(leading if leading and self.random.random() < 0.4 else
-                                  list(self.world.nodes.values()))
+        return self.random.choice(
+            leading if leading and self.random.random() < 0.4 else list(self.world.nodes.values())
+        )
 
     def may_break(self, name: str) -> bool:
         """Three bear no lost disk; and one without a seat may just be given one with the disk that it had."""
@@ -54,6 +56,7 @@
         def back() -> None:
             if node.core is None:
                 self.world.start(node.name)
+
         self.world.at(self.random.randrange(800 * MS), back)
 
     def copy_disk(self) -> None:
@@ -149,8 +152,18 @@
 
     def fault(self) -> None:
         kinds: list[Callable[[], None]] = [
-            self.kill, self.kill, self.copy_disk, self.set_back, self.lose_disk, self.fail_disk, self.stall,
-            self.stall, self.split, self.cut_off, self.change_panel, self.change_panel,
+            self.kill,
+            self.kill,
+            self.copy_disk,
+            self.set_back,
+            self.lose_disk,
+            self.fail_disk,
+            self.stall,
+            self.stall,
+            self.split,
+            self.cut_off,
+            self.change_panel,
+            self.change_panel,
         ]
         if not self.over:
             self.random.choice(kinds)()
@@ -177,8 +190,15 @@
         self.over = True
         world.loss, world.slowest_us, world.sync_us = 0.0, 40 * MS, 10 * MS
         self.join()
-        settled = world.run(HEAL_US, lambda: not self.broken and world.leader() is not None and world.level()
-                            and not any(node.stalled or node.disk_fails for node in world.nodes.values()))
+        settled = world.run(
+            HEAL_US,
+            lambda: (
+                not self.broken
+                and world.leader() is not None
+                and world.level()
+                and not any(node.stalled or node.disk_fails for node in world.nodes.values())
+            ),
+        )
         assert settled, f"not level: {self.state()}"
         for name in world.nodes:
             world.propose(name, f"last-{name}")
@@ -186,8 +206,26 @@
         assert all(world.words[f"last-{name}"][0].over is Over.SETTLED for name in world.nodes)
 
     def state(self) -> list[object]:
-        return [self.broken, self.seats(), len(self.world.entries), [
-            (node.name, node.disk.identity[-2:], node.core and (
-                node.core.position, node.core.ledger.may_vote, node.core.leading.mine, node.core.leader,
-                node.stopped, node.set_back, len(node.open), len(node.core.recovery.answers),
-            )) for node in self.world.nodes.values()]]
+        return [
+            self.broken,
+            self.seats(),
+            len(self.world.entries),
+            [
+                (
+                    node.name,
+                    node.disk.identity[-2:],
+                    node.core
+                    and (
+                        node.core.position,
+                        node.core.ledger.may_vote,
+                        node.core.leading.mine,
+                        node.core.leader,
+                        node.stopped,
+                        node.set_back,
+                        len(node.open),
+                        len(node.core.recovery.answers),
+                    ),
+                )
+                for node in self.world.nodes.values()
+            ],
+        ]
--- a/tests/council/log/test_explore.py
+++ b/tests/council/log/test_explore.py
@@ -21,13 +21,17 @@
 MOST = 200_000
 
 
-@pytest.mark.parametrize(("own", "restart", "elected", "states"), [
-    (ONE, "", (), 6109), (TWO, "", (), 21454), (ONE, "kept", ELECTED, 48407),
-    (ONE, "copy", ELECTED, 52082), (ONE, "before", ELECTED, 3840),
-])
-def test_one_value_at_each_position(
-    own: Own, restart: str, elected: tuple[int, ...], states: int
-) -> None:
+@pytest.mark.parametrize(
+    ("own", "restart", "elected", "states"),
+    [
+        (ONE, "", (), 6109),
+        (TWO, "", (), 21454),
+        (ONE, "kept", ELECTED, 48407),
+        (ONE, "copy", ELECTED, 52082),
+        (ONE, "before", ELECTED, 3840),
+    ],
+)
+def test_one_value_at_each_position(own: Own, restart: str, elected: tuple[int, ...], states: int) -> None:
     assert Scope(own, restart).explore(MOST, elected) == states
 
 
@@ -41,6 +45,7 @@
 def one_answer_less(patch: Patch) -> None:
     def may_vote(self: Recovery, panel: Panel, position: int) -> bool:
         return bool(self.answers) and self.seat in panel
+
     patch.setattr(Recovery, "may_vote", may_vote)
 
 
@@ -55,6 +60,7 @@
 def set_back_not_told(patch: Patch) -> None:
     def note(self: Recovery, run: Run) -> Run | None:
         return None
+
     patch.setattr(Recovery, "note", note)
 
 
@@ -64,6 +70,7 @@
     def forgets(self: Acceptor, ballot: Ballot) -> bool:
         self.accepted_at, self.accepted = NOBODY, ()
         return promise(self, ballot)
+
     patch.setattr(Acceptor, "promise", forgets)
 
 
@@ -75,6 +82,7 @@
         if led:
             self.batch, self.inherited = (), False
         return led
+
     patch.setattr(Leadership, "promised", own)
 
 
@@ -85,6 +93,7 @@
         led = promised(self, disk, word, panel)
         self.batch = self.batch[:1]
         return led
+
     patch.setattr(Leadership, "promised", half)
 
 
@@ -93,19 +102,26 @@
         patch.setattr(module, "majority", lambda panel: len(panel) // 2)
 
 
-@pytest.mark.parametrize(("breaks", "own", "restart", "elected"), [
-    (votes_at_once, ONE, "copy", ELECTED),
-    (one_answer_less, ONE, "copy", ELECTED),
-    (answers_not_taken_over, ONE, "copy", ELECTED),
-    (void_votes_counted, ONE, "copy", ELECTED),
-    (set_back_not_told, ONE, "before", ELECTED),
-    (promise_forgets_the_vote, ONE, "", ()),
-    (proposes_its_own, ONE, "", ()),
-    (proposes_half_of_a_batch, TWO, "", ()),
-    (half_is_enough, ONE, "", ()),
-], ids=lambda value: getattr(value, "__name__", ""))
+@pytest.mark.parametrize(
+    ("breaks", "own", "restart", "elected"),
+    [
+        (votes_at_once, ONE, "copy", ELECTED),
+        (one_answer_less, ONE, "copy", ELECTED),
+        (answers_not_taken_over, ONE, "copy", ELECTED),
+        (void_votes_counted, ONE, "copy", ELECTED),
+        (set_back_not_told, ONE, "before", ELECTED),
+        (promise_forgets_the_vote, ONE, "", ()),
+        (proposes_its_own, ONE, "", ()),
+        (proposes_half_of_a_batch, TWO, "", ()),
+        (half_is_enough, ONE, "", ()),
+    ],
+    ids=lambda value: getattr(value, "__name__", ""),
+)
 def test_each_rule_is_needed(
-    breaks: Callable[[Patch], None], own: Own, restart: str, elected: tuple[int, ...],
+    breaks: Callable[[Patch], None],
+    own: Own,
+    restart: str,
+    elected: tuple[int, ...],
     monkeypatch: Patch,
 ) -> None:
     breaks(monkeypatch)
--- a/tests/council/log/test_mutations.py
+++ b/tests/council/log/test_mutations.py
@@ -33,6 +33,7 @@
             ballot = self.election.poll(now_us, self.me.name, self.me.number)
             self.leadership = Leadership(ballot, self.ledger.position, now_us)
             self.repeat(now_us, self.leadership)
+
     patch.setattr(Leading, "poll", poll)
 
 
@@ -48,6 +49,7 @@
     def confirm(self: Leading, now_us: int, token: int) -> None:
         if self.leadership and self.leadership.leads:
             self.outbox.act(Confirmed(token, self.leadership.ballot.number))
+
     patch.setattr(Leading, "confirm", confirm)
 
 
@@ -60,6 +62,7 @@
     def remembers(self: Ledger, *args: object) -> None:
         init(self, *args)  # type: ignore[arg-type]
         self.first = self.learner.panel  # type: ignore[attr-defined]
+
     patch.setattr(ledger.Ledger, "__init__", remembers)
     patch.setattr(ledger.Ledger, "panel", property(panel))
 
@@ -67,12 +70,14 @@
 def votes_before_its_start_is_vouched_for(patch: Patch) -> None:
     def may_vote(self: Recovery, panel: Panel, position: int) -> bool:
         return self.seat in panel and not self.set_back
+
     patch.setattr(Recovery, "may_vote", may_vote)
 
 
 def starts_are_not_compared(patch: Patch) -> None:
     def note(self: Recovery, run: Run) -> Run | None:
         return None
+
     patch.setattr(Recovery, "note", note)
 
 
@@ -89,19 +94,26 @@
         patch.setattr(module, "majority", lambda panel: len(panel) // 2)
 
 
-@pytest.mark.parametrize(("breaks", "seen_by"), [
-    (said_before_it_is_written, core.test_nothing_is_promised_before_it_is_written),
-    (no_pre_vote, core.test_a_seat_that_was_cut_off_deposes_nobody),
-    (granted_though_a_leader_is_heard, core.test_a_seat_that_does_not_hear_the_leader_deposes_nobody),
-    (no_quorum_check, core.test_a_leader_that_is_cut_off_steps_down_and_is_replaced),
-    (confirmed_at_once, core.test_confirmed_by_a_majority_alone),
-    (confirmed_at_once, core.test_a_leader_that_was_stopped_is_not_confirmed_when_it_wakes),
-    (counted_from_the_old_panel, core.test_the_new_panel_decides_and_the_old_one_does_not),
-    (votes_before_its_start_is_vouched_for, core.test_the_first_start_takes_one_seat_more_than_a_majority),
-    (starts_are_not_compared, core.test_a_disk_set_back_is_found_and_its_seat_replaced),
-    (ids_are_forgotten, core.test_one_id_one_outcome),
-    (half_is_enough, core.test_confirmed_by_a_majority_alone),
-], ids=lambda value: value.__name__)
+@pytest.mark.parametrize(
+    ("breaks", "seen_by"),
+    [
+        (said_before_it_is_written, core.test_nothing_is_promised_before_it_is_written),
+        (no_pre_vote, core.test_a_seat_that_was_cut_off_deposes_nobody),
+        (granted_though_a_leader_is_heard, core.test_a_seat_that_does_not_hear_the_leader_deposes_nobody),
+        (no_quorum_check, core.test_a_leader_that_is_cut_off_steps_down_and_is_replaced),
+        (confirmed_at_once, core.test_confirmed_by_a_majority_alone),
+        (confirmed_at_once, core.test_a_leader_that_was_stopped_is_not_confirmed_when_it_wakes),
+        (counted_from_the_old_panel, core.test_the_new_panel_decides_and_the_old_one_does_not),
+        (
+            votes_before_its_start_is_vouched_for,
+            core.test_the_first_start_takes_one_seat_more_than_a_majority,
+        ),
+        (starts_are_not_compared, core.test_a_disk_set_back_is_found_and_its_seat_replaced),
+        (ids_are_forgotten, core.test_one_id_one_outcome),
+        (half_is_enough, core.test_confirmed_by_a_majority_alone),
+    ],
+    ids=lambda value: value.__name__,
+)
 def test_each_is_seen(
     breaks: Callable[[Patch], None], seen_by: Callable[[], None], monkeypatch: Patch
 ) -> None:
--- a/tests/council/log/test_parts.py
+++ b/tests/council/log/test_parts.py
@@ -79,8 +79,14 @@
 
 def test_records_are_read_back() -> None:
     low, high = Ballot(1, "a", 1), Ballot(2, "b", 1)
-    records = [Started(RUNS[0]), Wrote(RUNS[1]), Promised(low), Voted(low, (entry(1), entry(2))),
-               Decided((entry(1),)), Raised(high, NOBODY, ())]
+    records = [
+        Started(RUNS[0]),
+        Wrote(RUNS[1]),
+        Promised(low),
+        Voted(low, (entry(1), entry(2))),
+        Decided((entry(1),)),
+        Raised(high, NOBODY, ()),
+    ]
     now = recover(None, [encode(record) for record in records])
     assert (now.disk, now.starts, now.position) == (RUNS[0].disk, 1, 1)
     assert now.runs == {RUNS[1].disk: RUNS[1]}
@@ -88,13 +94,16 @@
     assert now.acceptor.accepted == (entry(2),)
 
 
-@pytest.mark.parametrize("records", [
-    [Promised(Ballot(2, "a", 1)), Promised(Ballot(1, "a", 1))],
-    [Decided((entry(2),))],
-    [Voted(Ballot(1, "a", 1), (entry(2),))],
-    [Raised(Ballot(1, "a", 1), Ballot(1, "a", 1), (entry(2),))],
-    [Started(RUNS[0]), Started(RUNS[1])],
-])
+@pytest.mark.parametrize(
+    "records",
+    [
+        [Promised(Ballot(2, "a", 1)), Promised(Ballot(1, "a", 1))],
+        [Decided((entry(2),))],
+        [Voted(Ballot(1, "a", 1), (entry(2),))],
+        [Raised(Ballot(1, "a", 1), Ballot(1, "a", 1), (entry(2),))],
+        [Started(RUNS[0]), Started(RUNS[1])],
+    ],
+)
 def test_records_that_make_no_sense(records: list[Started]) -> None:
     with pytest.raises(ValueError):
         recover(None, [encode(record) for record in records])
@@ -235,25 +244,29 @@
 def test_a_repeat_and_an_unknown_machine() -> None:
     learner = Learner(PANEL, {"sum": Sum()}, Settings())
     entries = [entry(1), entry(2, identity="p1"), entry(3, machine="none")]
-    outcomes = [action.outcome for each in entries for action in learner.apply(each)
-                if isinstance(action, Applied)]
+    outcomes = [
+        action.outcome for each in entries for action in learner.apply(each) if isinstance(action, Applied)
+    ]
     assert outcomes == [Outcome(value=b"1"), Outcome(REPEATED.format(1)), Outcome("no such machine")]
 
 
 # --- the panel ---
 
 
-@pytest.mark.parametrize(("change", "error"), [
-    (Replace(SEATS[0], SEATS[7]), ""),
-    (Replace(SEATS[7], SEATS[8]), "no such seat"),
-    (Replace(SEATS[0], SEATS[1]), "the seat is taken"),
-    (Replace(SEATS[0], Seat("d1", SEATS[8].disk)), "a front door and a disk have one seat each"),
-    (Replace(SEATS[0], Seat("d0", SEATS[8].disk)), ""),
-    (Grow((SEATS[7], SEATS[8])), ""),
-    (Grow((SEATS[7], SEATS[7])), "the seat is taken"),
-    (Shrink((SEATS[0], SEATS[1])), ""),
-    (Shrink((SEATS[0], SEATS[0])), "the seat is taken"),
-])
+@pytest.mark.parametrize(
+    ("change", "error"),
+    [
+        (Replace(SEATS[0], SEATS[7]), ""),
+        (Replace(SEATS[7], SEATS[8]), "no such seat"),
+        (Replace(SEATS[0], SEATS[1]), "the seat is taken"),
+        (Replace(SEATS[0], Seat("d1", SEATS[8].disk)), "a front door and a disk have one seat each"),
+        (Replace(SEATS[0], Seat("d0", SEATS[8].disk)), ""),
+        (Grow((SEATS[7], SEATS[8])), ""),
+        (Grow((SEATS[7], SEATS[7])), "the seat is taken"),
+        (Shrink((SEATS[0], SEATS[1])), ""),
+        (Shrink((SEATS[0], SEATS[0])), "the seat is taken"),
+    ],
+)
 def test_changes_of_the_panel(change: Replace, error: str) -> None:
     after, outcome = changed(PANEL, msgspec.json.encode(change))
     assert outcome == Outcome(error)
@@ -274,9 +287,13 @@
     decoder = msgspec.json.Decoder(Message)
     assert decoder.decode(msgspec.json.encode(Want(3))) == Want(3)
     many = tuple(entry(position) for position in range(1, MOST_BATCH + 2))
-    for wrong in (b'{"kind":"l.want","after":3,"more":1}', b'{"kind":"l.want","after":-1}',
-                  b'{"kind":"want","after":1}', msgspec.json.encode(Known(many, 1)),
-                  msgspec.json.encode(Voter(RUNS[0]))):
+    for wrong in (
+        b'{"kind":"l.want","after":3,"more":1}',
+        b'{"kind":"l.want","after":-1}',
+        b'{"kind":"want","after":1}',
+        msgspec.json.encode(Known(many, 1)),
+        msgspec.json.encode(Voter(RUNS[0])),
+    ):
         with pytest.raises(msgspec.MsgspecError):
             decoder.decode(wrong)
 
--- a/tests/council/log/test_scripted.py
+++ b/tests/council/log/test_scripted.py
@@ -60,8 +60,16 @@
     """The first seat of three; its disk is quick unless told otherwise."""
 
     def __init__(self, answered: bool = True) -> None:
-        self.core = LogCore(LIVES[0], PANEL[0].disk, Recovered(), PANEL, {"sum": Sum()}, Settings(),
-                            lambda: 0.5, lambda now_us: now_us)
+        self.core = LogCore(
+            LIVES[0],
+            PANEL[0].disk,
+            Recovered(),
+            PANEL,
+            {"sum": Sum()},
+            Settings(),
+            lambda: 0.5,
+            lambda now_us: now_us,
+        )
         self.now_us, self.quick = S, True
         self.acted: list[Any] = []
         self.give(Tick())
@@ -150,7 +158,8 @@
     said = door.give(Persisted(99))
     assert [action.message.run for action in said if isinstance(action, Say)] == [again]
     assert door.hear(1, Start(Run(PANEL[1].disk, 2, 8), 0), life=8) == [
-        Exists(Run(PANEL[1].disk, 2, 8), again)]
+        Exists(Run(PANEL[1].disk, 2, 8), again)
+    ]
     assert door.core.ledger.voter().knows == (again,)
 
 
@@ -173,10 +182,16 @@
     assert door.hear(1, Prepare(LOW, 1)) == [Outbid(LOW, HIGH)]
 
 
-@pytest.mark.parametrize("event", [
-    Heard(LIVES[2], Prepare(HIGH, 0)), Learn((entry(1),)), Heard(LIVES[2], Beat(HIGH, 0, 1)),
-    Heard(LIVES[1], Outbid(Ballot(1, "d0", 1), HIGH)), DiskFailed("no space"),
-])
+@pytest.mark.parametrize(
+    "event",
+    [
+        Heard(LIVES[2], Prepare(HIGH, 0)),
+        Learn((entry(1),)),
+        Heard(LIVES[2], Beat(HIGH, 0, 1)),
+        Heard(LIVES[1], Outbid(Ballot(1, "d0", 1), HIGH)),
+        DiskFailed("no space"),
+    ],
+)
 def test_what_ends_a_leadership(event: object) -> None:
     door = Door()
     door.lead()
--- a/tests/council/log/world.py
+++ b/tests/council/log/world.py
@@ -138,8 +138,13 @@
         node.stopped = node.set_back = node.stalled = node.disk_fails = False
         shift = self.random.randrange(-5000, 5000)  # clocks show different times
         node.core = LogCore(
-            Life(name, node.life), node.disk.identity, recover(node.disk.base, node.disk.records), self.panel,
-            {machine.name: machine for machine in self.machines()}, self.settings, self.random.random,
+            Life(name, node.life),
+            node.disk.identity,
+            recover(node.disk.base, node.disk.records),
+            self.panel,
+            {machine.name: machine for machine in self.machines()},
+            self.settings,
+            self.random.random,
             lambda now_us: 1_000_000 + shift + now_us // MS,
         )
         self.give(node, Tick())
@@ -277,8 +282,9 @@
 
     # --- what doors do ---
 
-    def propose(self, name: str, identity: str, body: bytes = b"1", within_us: int = 3 * S,
-                machine: str = "sum") -> None:
+    def propose(
+        self, name: str, identity: str, body: bytes = b"1", within_us: int = 3 * S, machine: str = "sum"
+    ) -> None:
         node = self.nodes[name]
         if node.core and not node.stalled:
             node.open.add(identity)
@@ -341,5 +347,7 @@
     def level(self) -> bool:
         """All that are up have all that was settled, and nothing is open."""
         top = len(self.entries)
-        return all(node.core is not None and node.core.position == top and not node.open
-                   for node in self.nodes.values())
+        return all(
+            node.core is not None and node.core.position == top and not node.open
+            for node in self.nodes.values()
+        )
--- a/tests/council/membership/test_histories.py
+++ b/tests/council/membership/test_histories.py
@@ -99,8 +99,11 @@
                 assert last.get(change.life, change.previous) is change.previous or change.previous is None
                 assert last.get(change.life) is not LEFT or change.status is LEFT
                 last[change.life] = change.status
-            assert all(status in (DEAD, LEFT) for life, status in last.items() if life in self.ended
-                       and node.name in world.nodes and world.nodes[node.name] is node)
+            assert all(
+                status in (DEAD, LEFT)
+                for life, status in last.items()
+                if life in self.ended and node.name in world.nodes and world.nodes[node.name] is node
+            )
 
 
 @pytest.mark.parametrize("seed", range(15))
@@ -119,7 +122,18 @@
 def test_whatever_happens_all_agree_when_it_is_over(seed: int) -> None:
     history = History(seed)
     for _ in range(STEPS):
-        history.chance.choice([history.bad_link, history.kill, history.start, history.start, history.leave,
-                               history.stall, history.cut, history.heal, history.lose])()
+        history.chance.choice(
+            [
+                history.bad_link,
+                history.kill,
+                history.start,
+                history.start,
+                history.leave,
+                history.stall,
+                history.cut,
+                history.heal,
+                history.lose,
+            ]
+        )()
         history.run(history.chance.randint(1, 15))
     history.end()
--- a/tests/council/membership/test_lives.py
+++ b/tests/council/membership/test_lives.py
@@ -91,7 +91,9 @@
     one = One("a", "b")
     actions = one.hear("a", Ping(1), number=2)
     assert [action for action in actions if isinstance(action, Changed)] == [
-        Changed(Life("a", 1), DEAD, ALIVE), Changed(Life("a", 2), ALIVE, None)]
+        Changed(Life("a", 1), DEAD, ALIVE),
+        Changed(Life("a", 2), ALIVE, None),
+    ]
     for status in (SUSPECT, DEAD, LEFT):
         one.hear("b", Ping(1, (Rumour("a", 1, 99, status, "b"),)))
     assert one.core.status("a") is ALIVE and Life("a", 2) in one.core.alive()
@@ -105,8 +107,9 @@
     assert one.core.status("z") is None
 
 
-@pytest.mark.parametrize("event", [
-    Heard(Life("me", 6), Ping(1)), Heard(Life("a", 1), Ping(1, (Rumour("me", 6, 0, DEAD, "a"),)))])
+@pytest.mark.parametrize(
+    "event", [Heard(Life("me", 6), Ping(1)), Heard(Life("a", 1), Ping(1, (Rumour("me", 6, 0, DEAD, "a"),)))]
+)
 def test_a_higher_run_under_the_own_name_ends_this_one(event: Heard) -> None:
     one = One("a", "b")
     actions = one.do(event)
--- a/tests/council/membership/test_parts.py
+++ b/tests/council/membership/test_parts.py
@@ -59,8 +59,14 @@
 
 
 def test_the_order_in_which_rumours_come_does_not_matter() -> None:
-    rumours = [told(1, 0, ALIVE), told(1, 0, SUSPECT), told(1, 1, ALIVE), told(1, 1, DEAD), told(2, 0, ALIVE),
-               told(2, 0, SUSPECT)]
+    rumours = [
+        told(1, 0, ALIVE),
+        told(1, 0, SUSPECT),
+        told(1, 1, ALIVE),
+        told(1, 1, DEAD),
+        told(2, 0, ALIVE),
+        told(2, 0, SUSPECT),
+    ]
     for order in permutations(rumours):
         table = Table()
         table.put(0, told(1, 0, ALIVE))
@@ -75,7 +81,9 @@
     table = Table()
     table.put(0, told(1, 0, ALIVE))
     assert table.put(0, told(2, 0, ALIVE)) == [
-        Changed(Life("a", 1), DEAD, ALIVE), Changed(Life("a", 2), ALIVE, None)]
+        Changed(Life("a", 1), DEAD, ALIVE),
+        Changed(Life("a", 2), ALIVE, None),
+    ]
 
 
 def test_of_an_unknown_name_a_death_is_no_news() -> None:
@@ -148,8 +156,17 @@
     assert doubt.change(100) and doubt.level == 8 and not doubt.change(1)
 
 
-@pytest.mark.parametrize("wrong", [{"direct_us": 500_000}, {"direct_us": 0}, {"suspicion_beats": 0},
-                                   {"most_doubt": -1}, {"forget_us": 1}, {"retry_beats": 0}])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"direct_us": 500_000},
+        {"direct_us": 0},
+        {"suspicion_beats": 0},
+        {"most_doubt": -1},
+        {"forget_us": 1},
+        {"retry_beats": 0},
+    ],
+)
 def test_settings_that_make_no_sense_are_refused(wrong: dict[str, int]) -> None:
     with pytest.raises(ValueError, match="must"):
         MembershipSettings(**wrong)
@@ -185,28 +202,34 @@
 def test_a_list_goes_in_pieces_and_none_is_lost() -> None:
     parts = pieces(LONGEST)
     assert sorted(rumour for part in parts for rumour in [rumour.name for rumour in part]) == sorted(
-        rumour.name for rumour in LONGEST)
+        rumour.name for rumour in LONGEST
+    )
     assert all(len(encode(Sync(part, True))) <= MOST_MESSAGE_BYTES for part in parts)
 
 
 PING = {"type": "m.ping", "seq": 1, "rumours": []}
 
 
-@pytest.mark.parametrize("wrong", [
-    {"type": "m.pong", "seq": 1},
-    {**PING, "more": 1},
-    {**PING, "seq": -1},
-    {**PING, "seq": 1 << 32},
-    {**PING, "rumours": [["a", 1, 0, 4, None]]},
-    {**PING, "rumours": [["a", 1, 0, 0, None, 5]]},
-    {**PING, "rumours": [["a/b", 1, 0, 0, None]]},
-    {**PING, "rumours": [["a" * 65, 1, 0, 0, None]]},
-    {**PING, "rumours": [["a", -1, 0, 0, None]]},
-    {**PING, "rumours": [["a", 1, 1 << 60, 0, None]]},
-    {**PING, "rumours": [["a", 1, 0, 0, ""]]},
-    {**PING, "rumours": [["a", 1, 0, 0, None]] * (MOST_RUMOURS + 1)},
-    [1, 2], "x", None,
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"type": "m.pong", "seq": 1},
+        {**PING, "more": 1},
+        {**PING, "seq": -1},
+        {**PING, "seq": 1 << 32},
+        {**PING, "rumours": [["a", 1, 0, 4, None]]},
+        {**PING, "rumours": [["a", 1, 0, 0, None, 5]]},
+        {**PING, "rumours": [["a/b", 1, 0, 0, None]]},
+        {**PING, "rumours": [["a" * 65, 1, 0, 0, None]]},
+        {**PING, "rumours": [["a", -1, 0, 0, None]]},
+        {**PING, "rumours": [["a", 1, 1 << 60, 0, None]]},
+        {**PING, "rumours": [["a", 1, 0, 0, ""]]},
+        {**PING, "rumours": [["a", 1, 0, 0, None]] * (MOST_RUMOURS + 1)},
+        [1, 2],
+        "x",
+        None,
+    ],
+)
 def test_what_is_not_a_message_is_refused(wrong: object) -> None:
     with pytest.raises(ValueError):
         decode(msgspec.msgpack.encode(wrong))
--- a/tests/council/membership/test_world.py
+++ b/tests/council/membership/test_world.py
@@ -138,8 +138,11 @@
         for node in nodes:
             if node is not nodes[2]:
                 assert node.dead_at(before) and node.core.status("d002") is ALIVE
-                assert not [change for _, change in node.changes
-                            if change.life == after.core.me and change.status is not ALIVE]
+                assert not [
+                    change
+                    for _, change in node.changes
+                    if change.life == after.core.me and change.status is not ALIVE
+                ]
 
 
 def test_leaving_is_no_death() -> None:
--- a/tests/council/membership/world.py
+++ b/tests/council/membership/world.py
@@ -129,7 +129,7 @@
             return
         if node.held:
             held, node.held = node.held, []
-            for waiting in ([TICK, *held] if self.chance.random() < 0.5 else [*held, TICK]):
+            for waiting in [TICK, *held] if self.chance.random() < 0.5 else [*held, TICK]:
                 self.give(node, waiting)
         if event is not TICK or node.core.wake_us <= self.now:
             self.give(node, event)
--- a/tests/council/node/test_council.py
+++ b/tests/council/node/test_council.py
@@ -102,7 +102,8 @@
     account = leader.account(position, 0, clear=True)
     assert account.proof() is None
     assert [(each.door.name, each.why) for each in account.pending()] == [
-        ("n006", "something is under way there still")]
+        ("n006", "something is under way there still")
+    ]
     busy.clear = lambda position: position
     play.run(play.now + 2 * S)
     assert account.proof() is not None
@@ -127,13 +128,16 @@
     calm(play)
 
 
-@pytest.mark.parametrize(("panel", "doors", "beat_us", "reason"), [
-    (("a", "b"), "abc", 500_000, "panel: 2 front doors"),
-    (("a", "b", "x"), "abc", 500_000, "panel: 'x' is not among the doors"),
-    (("a", "b", "b"), "abc", 500_000, "panel: 'b' stands there twice"),
-    (("a", "b", "c"), "", 500_000, "doors: 0 of them"),
-    (("a", "b", "c"), "abc", 2_000_000, "session_ms: less than 4 beats"),
-])
+@pytest.mark.parametrize(
+    ("panel", "doors", "beat_us", "reason"),
+    [
+        (("a", "b"), "abc", 500_000, "panel: 2 front doors"),
+        (("a", "b", "x"), "abc", 500_000, "panel: 'x' is not among the doors"),
+        (("a", "b", "b"), "abc", 500_000, "panel: 'b' stands there twice"),
+        (("a", "b", "c"), "", 500_000, "doors: 0 of them"),
+        (("a", "b", "c"), "abc", 2_000_000, "session_ms: less than 4 beats"),
+    ],
+)
 def test_settings_that_cannot_be(panel: tuple[str, ...], doors: str, beat_us: int, reason: str) -> None:
     addresses = {name: ("127.0.0.1", 7000 + number) for number, name in enumerate(doors)}
     with pytest.raises(ValueError, match=reason):
--- a/tests/council/processes/test_faults.py
+++ b/tests/council/processes/test_faults.py
@@ -43,7 +43,8 @@
     """One leads, all hold sessions and see all."""
     leaders = [name for name, state in states.items() if state["council_leads"]]
     return len(leaders) == 1 and all(
-        state["council_session"] and len(state["alive"]) == len(states) for state in states.values())
+        state["council_session"] and len(state["alive"]) == len(states) for state in states.values()
+    )
 
 
 async def until(tier: Tier, true: Callable[[States], bool]) -> States:
@@ -88,8 +89,9 @@
         await asyncio.gather(*asked)
         await tier.members[first].end()
         last = await mark(others[0], "last")
-        states = await until(tier, lambda states: same(states) and all(
-            len(state["alive"]) == 4 for state in states.values()))
+        states = await until(
+            tier, lambda states: same(states) and all(len(state["alive"]) == 4 for state in states.values())
+        )
         for state in states.values():
             assert sorted(state["marks"]) == sorted([*(f"m{number}" for number in range(12)), "last"])
         known = await proof(tier, last["position"])
