--- a/tests/council/spread/test_bounds.py
+++ b/tests/council/spread/test_bounds.py
@@ -45,8 +45,11 @@
 
 
 def said(actions: list[Any], kind: type) -> dict[str, Any]:
-    return {action.to: action.message for action in actions
-            if isinstance(action, Say) and isinstance(action.message, kind)}
+    return {
+        action.to: action.message
+        for action in actions
+        if isinstance(action, Say) and isinstance(action.message, kind)
+    }
 
 
 def ask(name: str, number: int = 1, life: int = 10, fence: int = 5) -> Ask:
@@ -63,20 +66,27 @@
 def test_an_ask_is_48_bytes_and_words_come_back_as_they_were() -> None:
     largest = Ask("front-door-123.site-a", (1 << 62) - 1, (1 << 32) - 1, (1 << 32) - 1, (1 << 32) - 1)
     assert len(msgspec.msgpack.encode(largest)) <= 48
-    for word in (Up(1, 2, (largest,)), Down(1, 2, "a", 0, 3, (entry(3),), (Grant("a", 1, 2, 3),)), Whom(),
-                 Redirect("a", 4, None)):
+    for word in (
+        Up(1, 2, (largest,)),
+        Down(1, 2, "a", 0, 3, (entry(3),), (Grant("a", 1, 2, 3),)),
+        Whom(),
+        Redirect("a", 4, None),
+    ):
         assert msgspec.msgpack.decode(msgspec.msgpack.encode(word), type=Message) == word
 
 
-@pytest.mark.parametrize("word", [
-    ["s.up", 0, 1, [["a", 1, 1, 1, 1]] * (MOST_DOORS + 1)],
-    ["s.up", 0, 0, []],
-    ["s.up", 0, 1, [["a", 1, 1, 1, 1, -1]]],
-    ["s.down", 1, 1, "a", 65, 0],
-    ["s.down", 1, 1, "a", 0, 0, [], [["a", 1, 1, 1]] * (MOST_DOORS + 1)],
-    ["s.down", 1, 1, "a", 0, 0, [entry(1)] * (MOST_ENTRIES + 1)],
-    ["s.redirect", "x" * 65, 1, None],
-])
+@pytest.mark.parametrize(
+    "word",
+    [
+        ["s.up", 0, 1, [["a", 1, 1, 1, 1]] * (MOST_DOORS + 1)],
+        ["s.up", 0, 0, []],
+        ["s.up", 0, 1, [["a", 1, 1, 1, 1, -1]]],
+        ["s.down", 1, 1, "a", 65, 0],
+        ["s.down", 1, 1, "a", 0, 0, [], [["a", 1, 1, 1]] * (MOST_DOORS + 1)],
+        ["s.down", 1, 1, "a", 0, 0, [entry(1)] * (MOST_ENTRIES + 1)],
+        ["s.redirect", "x" * 65, 1, None],
+    ],
+)
 def test_words_out_of_bounds_are_refused(word: list[Any]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(msgspec.msgpack.encode(word), type=Message)
--- a/tests/council/spread/test_faults.py
+++ b/tests/council/spread/test_faults.py
@@ -164,7 +164,7 @@
     for _ in range(8):
         match rnd.randrange(6):
             case 0 if len(world.living) > 3:
-                name = rnd.choice(world.living[:count // 2 + 2])
+                name = rnd.choice(world.living[: count // 2 + 2])
                 if name != world.leader:
                     world.kill(name)
             case 1 if len(world.living) > 3:
--- a/tests/council/spread/world.py
+++ b/tests/council/spread/world.py
@@ -175,7 +175,7 @@
         if other.dead or (name, source) in self.cut or (source, name) in self.cut:
             return
         if self.nodes[name].stopped_until <= self.now:
-            self.grow(name, other.applied, tuple(self.entries[:other.applied][-8:]))
+            self.grow(name, other.applied, tuple(self.entries[: other.applied][-8:]))
 
     # --- what a test does ---
 
@@ -186,7 +186,7 @@
     def propose(self, body: bytes = b"{}") -> int:
         self.entries.append(entry(len(self.entries) + 1, body))
         leader = self.nodes[self.leader]  # of a new leader, the log has all that was settled
-        self.grow(self.leader, len(self.entries), tuple(self.entries[leader.applied:][-8:]))
+        self.grow(self.leader, len(self.entries), tuple(self.entries[leader.applied :][-8:]))
         return len(self.entries)
 
     def view(self, names: Iterable[str] = (), within_us: int = 0, alive: Iterable[str] | None = None) -> None:
@@ -212,8 +212,11 @@
 
     def ungranted(self, since: int) -> list[str]:
         """Front doors that had no grant for any ask made since then."""
-        return [name for name in self.living
-                if not any(self.nodes[name].asked[number] >= since for number in self.nodes[name].granted)]
+        return [
+            name
+            for name in self.living
+            if not any(self.nodes[name].asked[number] >= since for number in self.nodes[name].granted)
+        ]
 
     def parents(self) -> dict[str, str | None]:
         return {name: self.nodes[name].core.above.name for name in self.living}
--- a/tests/council/store/medium.py
+++ b/tests/council/store/medium.py
@@ -48,20 +48,27 @@
         """Each state that a loss of power may leave: of changes to the folder any first part, or all but one;
         of bytes that were not synced none, all, half, or as many zeroes, or all but the end."""
         changes = self.pending
-        for kept in (*(changes[:count] for count in range(len(changes) + 1)),
-                     *(changes[:lost] + changes[lost + 1:] for lost in range(len(changes) - 1))):
+        for kept in (
+            *(changes[:count] for count in range(len(changes) + 1)),
+            *(changes[:lost] + changes[lost + 1 :] for lost in range(len(changes) - 1)),
+        ):
             names = dict(self.durable)
             for what in kept:
                 what(names)
-            for left in (lambda data: b"", bytes, lambda data: data[:len(data) // 2],
-                         lambda data: bytes(len(data)), lambda data: data[:-1] + b"\0"[:len(data)]):
+            for left in (
+                lambda data: b"",
+                bytes,
+                lambda data: data[: len(data) // 2],
+                lambda data: bytes(len(data)),
+                lambda data: data[:-1] + b"\0"[: len(data)],
+            ):
                 yield Medium({name: Node(self.plate(node, left)) for name, node in names.items()})
 
     @staticmethod
     def plate(node: Node, left: Callable[[bytes], bytes]) -> bytes:
         if node.clean or not node.data.startswith(node.synced):
             return node.synced
-        return node.synced + left(node.data[len(node.synced):])
+        return node.synced + left(node.data[len(node.synced) :])
 
     def restarted(self) -> "Medium":
         """The process is gone and the system is not."""
@@ -109,7 +116,7 @@
         try:
             self.medium.step(f"write {file.name}")
         except (Crash, OSError):
-            node.data += data[:max(0, self.medium.most_written)]
+            node.data += data[: max(0, self.medium.most_written)]
             raise
         node.data += data
 
--- a/tests/council/store/test_crash.py
+++ b/tests/council/store/test_crash.py
@@ -79,7 +79,7 @@
             found = opened(left)
             assert sorted(name.split(".")[0] for name in left.names) == ["base", "identity", "tail"]
             batches = max(0, len(before) - 1)
-            assert state(found) in states()[batches:batches + 2], (cut, whole.calls[cut - 1:cut + 1])
+            assert state(found) in states()[batches : batches + 2], (cut, whole.calls[cut - 1 : cut + 1])
             assert not before or found.identity == before[0]
             seen += 1
     assert seen > 500
@@ -112,7 +112,7 @@
                 break
             except Crash:
                 for left in medium.after_crash():
-                    assert state(opened(left)) in states()[batches:batches + 2], (first, second)
+                    assert state(opened(left)) in states()[batches : batches + 2], (first, second)
         else:
             raise AssertionError("an opening has no end")
 
@@ -130,7 +130,7 @@
                 done.append(identity)
         for left in (*medium.after_crash(), medium.restarted()):
             batches = max(0, len(done) - 1)
-            assert state(opened(left)) in states()[batches:batches + 2], (cut, whole.calls[cut])
+            assert state(opened(left)) in states()[batches : batches + 2], (cut, whole.calls[cut])
 
 
 def test_nothing_is_written_or_synced_after_a_failure() -> None:
--- a/tests/council/store/test_folder.py
+++ b/tests/council/store/test_folder.py
@@ -77,7 +77,8 @@
 
 
 def test_files_folder_and_its_name_are_synced_and_a_failure_names_its_file(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     synced: list[str] = []
     for call in ("fsync", "fdatasync"):
         monkeypatch.setattr(os, call, lambda number: synced.append(os.readlink(f"/proc/self/fd/{number}")))
@@ -104,8 +105,10 @@
 def test_two_processes_do_not_share_a_folder_and_a_refused_one_is_not_kept(tmp_path: Path) -> None:
     identity = filled(tmp_path)
     held = opened(tmp_path)
-    program = "import sys; from pathlib import Path; from molereach.council.store.store import Store\n" \
-              "Store.open(Path(sys.argv[1]), 'd1')"
+    program = (
+        "import sys; from pathlib import Path; from molereach.council.store.store import Store\n"
+        "Store.open(Path(sys.argv[1]), 'd1')"
+    )
     command = [sys.executable, "-c", program, str(tmp_path)]
     child = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert child.returncode and "another process has it" in child.stderr
@@ -116,8 +119,11 @@
 
 def test_lost_file_of_the_set_is_refused(tmp_path: Path) -> None:
     filled(tmp_path / "seat", b"base")
-    for name, reason in (("identity", "identity: is missing"), ("base", "base: there is none"),
-                         ("tail", r"tail\.\d+: is missing")):
+    for name, reason in (
+        ("identity", "identity: is missing"),
+        ("base", "base: there is none"),
+        ("tail", r"tail\.\d+: is missing"),
+    ):
         folder = tmp_path / name
         shutil.copytree(tmp_path / "seat", folder)
         (folder / "identity" if name == "identity" else last(folder, name)).unlink()
@@ -129,7 +135,7 @@
     for path in (tmp_path / "identity", last(tmp_path, "base"), last(tmp_path, "tail")):
         data = path.read_bytes()
         for at in range(len(data)):
-            path.write_bytes(data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1:])
+            path.write_bytes(data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :])
             with pytest.raises(StoreError, match=path.name):
                 opened(tmp_path)
         path.write_bytes(data)
@@ -161,7 +167,8 @@
     for path, data, reason in (
         (base, other.read_bytes(), "is of another folder or another generation"),
         (tail, last(tmp_path / "other", "tail").read_bytes(), "does not belong to the base"),
-        (base, kept[tail], "is no base file"), (tail, b"", "is no tail file"),
+        (base, kept[tail], "is no base file"),
+        (tail, b"", "is no tail file"),
         (base, kept[base] + b"x", "is not as long as it says"),
         (seat / "identity", whole.seal("identity", b'{"door": "d1", "identity": "12"}'), "identity: "),
     ):
@@ -192,13 +199,21 @@
     refused(tmp_path, "holds more than 256 files")
 
 
-@pytest.mark.parametrize(("name", "most", "persist", "reason"), [
-    ("whole.MOST_BASE_BYTES", 4, Persist(1, (), b"12345"), "a base of 5 bytes; 4 at most"),
-    ("frames.MOST_RECORD_BYTES", 4, Persist(1, (b"12345",)), "a record of 5 bytes; 4 at most"),
-    ("store.MOST_TAIL_BYTES", 60, Persist(1, (b"12345678901234",)), r"tail\.0 would hold 63 bytes"),
-])
+@pytest.mark.parametrize(
+    ("name", "most", "persist", "reason"),
+    [
+        ("whole.MOST_BASE_BYTES", 4, Persist(1, (), b"12345"), "a base of 5 bytes; 4 at most"),
+        ("frames.MOST_RECORD_BYTES", 4, Persist(1, (b"12345",)), "a record of 5 bytes; 4 at most"),
+        ("store.MOST_TAIL_BYTES", 60, Persist(1, (b"12345678901234",)), r"tail\.0 would hold 63 bytes"),
+    ],
+)
 def test_too_large_to_write_breaks_the_store_and_writes_nothing(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, name: str, most: int, persist: Persist, reason: str,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    name: str,
+    most: int,
+    persist: Persist,
+    reason: str,
 ) -> None:
     found = opened(tmp_path)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
@@ -252,8 +267,9 @@
 def test_killed_at_twenty_points_all_that_was_told_is_there_in_order(tmp_path: Path) -> None:
     chance, told = Random(20), 0
     for _ in range(20):
-        child = subprocess.Popen([sys.executable, "-c", CHILD, str(tmp_path / "seat")], cwd=ROOT,
-                                 stdout=subprocess.PIPE)
+        child = subprocess.Popen(
+            [sys.executable, "-c", CHILD, str(tmp_path / "seat")], cwd=ROOT, stdout=subprocess.PIPE
+        )
         assert child.stdout
         lines = [int(child.stdout.readline()) for _ in range(chance.randint(1, 40))]
         os.kill(child.pid, signal.SIGKILL)
--- a/tests/council/store/test_plan.py
+++ b/tests/council/store/test_plan.py
@@ -7,34 +7,40 @@
 SET = ("identity", "base.3", "tail.3")
 
 
-@pytest.mark.parametrize(("names", "found"), [
-    ((), Fresh()),
-    (("lost+found", "base.1x", "tail.01", "base"), Fresh()),
-    (("identity.new",), Fresh()),
-    (("identity.new", "base.0", "tail.0"), Fresh()),
-    (("identity.new", "base.0.new", "tail.0"), Fresh()),
-    (SET, Kept(3)),
-    ((*SET, "base.4.new"), Kept(3, ("base.4.new",))),
-    ((*SET, "base.4.new", "tail.4"), Kept(3, ("tail.4", "base.4.new"))),
-    (("identity", "base.10", "tail.10", "base.9", "tail.9"), Kept(10, ("tail.9", "base.9"))),
-    ((*SET, "base.2", "identity.new"), Kept(3, ("base.2", "identity.new"))),
-])
+@pytest.mark.parametrize(
+    ("names", "found"),
+    [
+        ((), Fresh()),
+        (("lost+found", "base.1x", "tail.01", "base"), Fresh()),
+        (("identity.new",), Fresh()),
+        (("identity.new", "base.0", "tail.0"), Fresh()),
+        (("identity.new", "base.0.new", "tail.0"), Fresh()),
+        (SET, Kept(3)),
+        ((*SET, "base.4.new"), Kept(3, ("base.4.new",))),
+        ((*SET, "base.4.new", "tail.4"), Kept(3, ("tail.4", "base.4.new"))),
+        (("identity", "base.10", "tail.10", "base.9", "tail.9"), Kept(10, ("tail.9", "base.9"))),
+        ((*SET, "base.2", "identity.new"), Kept(3, ("base.2", "identity.new"))),
+    ],
+)
 def test_what_counts_and_what_goes(names: tuple[str, ...], found: Fresh | Kept) -> None:
     assert plan(names) == found
 
 
-@pytest.mark.parametrize(("names", "reason"), [
-    (("base.3", "tail.3"), "^identity: is missing, and base.3"),
-    (("tail.0",), "^identity: is missing"),
-    (("base.0.new",), "^identity: is missing"),
-    (("identity.new", "base.3", "tail.3"), "^identity: is missing"),
-    (("identity",), "^base: there is none"),
-    (("identity", "tail.3"), "^base: there is none"),
-    (("identity", "base.3.new", "tail.3"), "^base: there is none"),
-    (("identity", "base.3"), "^tail.3: is missing"),
-    ((*SET, "base.4"), "^tail.4: is missing"),
-    ((*SET, "tail.4"), "^base.4: is missing"),
-])
+@pytest.mark.parametrize(
+    ("names", "reason"),
+    [
+        (("base.3", "tail.3"), "^identity: is missing, and base.3"),
+        (("tail.0",), "^identity: is missing"),
+        (("base.0.new",), "^identity: is missing"),
+        (("identity.new", "base.3", "tail.3"), "^identity: is missing"),
+        (("identity",), "^base: there is none"),
+        (("identity", "tail.3"), "^base: there is none"),
+        (("identity", "base.3.new", "tail.3"), "^base: there is none"),
+        (("identity", "base.3"), "^tail.3: is missing"),
+        ((*SET, "base.4"), "^tail.4: is missing"),
+        ((*SET, "tail.4"), "^base.4: is missing"),
+    ],
+)
 def test_one_of_the_set_is_gone(names: tuple[str, ...], reason: str) -> None:
     with pytest.raises(FileError, match=reason):
         plan(names)
--- a/tests/council/store/test_worker.py
+++ b/tests/council/store/test_worker.py
@@ -65,6 +65,7 @@
         case = Case()
         await play(case)
         return case
+
     return asyncio.run(main())
 
 
@@ -172,6 +173,7 @@
         def fault(event: Persisted | DiskFailed) -> None:
             case.done(event)
             raise RuntimeError("a fault of the log's")
+
         case.worker.done = fault
         case.worker.append(0, [b"a"])
         case.worker.append(1, [b"b"])
--- a/tests/council/test_attach.py
+++ b/tests/council/test_attach.py
@@ -27,7 +27,12 @@
 
 def section(home: Path, doors: dict[str, str], **more: object) -> str:
     values: dict[str, object] = {
-        "panel": list(NAMES), "key_file": str(key_file(home)), "beat_ms": 100, "session_ms": 1000, **more}
+        "panel": list(NAMES),
+        "key_file": str(key_file(home)),
+        "beat_ms": 100,
+        "session_ms": 1000,
+        **more,
+    }
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if value is not None]
     addresses = [f'{name} = "{address}"' for name, address in doors.items()]
     return "\n".join(["[council]", *lines, "[council.doors]", *addresses])
@@ -37,18 +42,21 @@
     return {name: f"{HOST}:{refusing_address()[1]}" for name in NAMES}
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    ({"panel": ["n0", "n1"]}, "council.panel: 2 front doors"),
-    ({"panel": ["n0", "n1", "n9"]}, "council.panel: 'n9' is not among the doors"),
-    ({"panel": ["n0", "n1", "n1"]}, "council.panel: 'n1' stands there twice"),
-    ({"session_ms": 300}, "council.session_ms: less than 4 beats"),
-    ({"drift": 0.5}, "$.council.drift"),
-    ({"beat_ms": "fast"}, "$.council.beat_ms"),
-    ({"panel": None}, "`panel`"),
-    ({"forming": True}, "forming: without a folder"),
-    ({"key_file": "none/such"}, "council.key_file: none/such: No such file"),
-    ({"tea": 1}, "unknown field `tea`"),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"panel": ["n0", "n1"]}, "council.panel: 2 front doors"),
+        ({"panel": ["n0", "n1", "n9"]}, "council.panel: 'n9' is not among the doors"),
+        ({"panel": ["n0", "n1", "n1"]}, "council.panel: 'n1' stands there twice"),
+        ({"session_ms": 300}, "council.session_ms: less than 4 beats"),
+        ({"drift": 0.5}, "$.council.drift"),
+        ({"beat_ms": "fast"}, "$.council.beat_ms"),
+        ({"panel": None}, "`panel`"),
+        ({"forming": True}, "forming: without a folder"),
+        ({"key_file": "none/such"}, "council.key_file: none/such: No such file"),
+        ({"tea": 1}, "unknown field `tea`"),
+    ],
+)
 def test_what_cannot_be_is_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: dict[str, object], reason: str
 ) -> None:
@@ -60,10 +68,13 @@
     assert str(file) in line and reason in line
 
 
-@pytest.mark.parametrize(("doors", "reason"), [
-    ({"n0": "here", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "doors.n0: 'here' is not HOST:PORT"),
-    ({"n0": f"{HOST}:7", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "council.doors: two have one address"),
-])
+@pytest.mark.parametrize(
+    ("doors", "reason"),
+    [
+        ({"n0": "here", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "doors.n0: 'here' is not HOST:PORT"),
+        ({"n0": f"{HOST}:7", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "council.doors: two have one address"),
+    ],
+)
 def test_addresses_that_cannot_be(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], doors: dict[str, str], reason: str
 ) -> None:
@@ -98,8 +109,15 @@
         file.write_text(json.dumps(values))
         settings.write_text(f'[control]\nsocket = "{self.home}/c.sock"\n' + operator)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "molereach", "--operator", str(settings), cwd=ROOT,
-            env={**os.environ, "PROXY_CONFIG": str(file)}, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "molereach",
+            "--operator",
+            str(settings),
+            cwd=ROOT,
+            env={**os.environ, "PROXY_CONFIG": str(file)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         self.said = asyncio.Event()
         self.reading = asyncio.create_task(self.read())
         return self
@@ -181,10 +199,13 @@
     run(job())
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    ({"folder": None, "forming": False}, "council.folder: 'n0' is on the panel and has none"),
-    ({"folder": "/proc/none"}, "council.folder: "),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"folder": None, "forming": False}, "council.folder: 'n0' is on the panel and has none"),
+        ({"folder": "/proc/none"}, "council.folder: "),
+    ],
+)
 def test_a_start_that_cannot_be_is_one_line(tmp_path: Path, change: dict[str, object], reason: str) -> None:
     async def job() -> None:
         (tmp_path / "folder").mkdir(mode=0o700)
--- a/tests/crossings/listing.py
+++ b/tests/crossings/listing.py
@@ -42,9 +42,13 @@
         self.heard: asyncio.Queue[News] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
         self.discovery = Discovery(
-            address, Catalog(CONFIG), version, self.heard.put_nowait,
+            address,
+            Catalog(CONFIG),
+            version,
+            self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
-            lambda: CallPacing(1, must_ask=must_ask), lambda: 0.5,
+            lambda: CallPacing(1, must_ask=must_ask),
+            lambda: 0.5,
         )
 
     async def next(self) -> tuple[int, dict[str, i.ServerState]]:
--- a/tests/crossings/test_attempts_drain.py
+++ b/tests/crossings/test_attempts_drain.py
@@ -33,7 +33,8 @@
         other = Backend()
         with machine() as held:
             async with front_door(
-                addresses=[held.address], connect_timeout_us=5_000_000,
+                addresses=[held.address],
+                connect_timeout_us=5_000_000,
                 settings=replace(SETTINGS, max_attempts=2),
             ) as (door, address):
                 client = await Client.open(address)
--- a/tests/crossings/test_attempts_gone.py
+++ b/tests/crossings/test_attempts_gone.py
@@ -96,9 +96,10 @@
 
     async def job() -> None:
         with machine() as held:
-            async with front_door(
-                addresses=[held.address], settings=KEPT, connect_timeout_us=5_000_000
-            ) as (door, _):
+            async with front_door(addresses=[held.address], settings=KEPT, connect_timeout_us=5_000_000) as (
+                door,
+                _,
+            ):
                 with Dials() as dials:
                     client = await asked(door)
                     await dials.came.wait()
--- a/tests/crossings/test_attempts_place.py
+++ b/tests/crossings/test_attempts_place.py
@@ -44,9 +44,13 @@
 @pytest.mark.parametrize(
     ("first", "second", "more"),
     [
-        ([i.Result.CONNECT_FAILED], i.Result.RESET, 0), ([i.Result.FULL], i.Result.TIMEOUT, 0),
+        ([i.Result.CONNECT_FAILED], i.Result.RESET, 0),
+        ([i.Result.FULL], i.Result.TIMEOUT, 0),
         ([i.Result.CONNECT_FAILED, i.Result.FULL], i.Result.CONNECT_FAILED, 1),
-        ([], i.Result.RESET, 0), ([], i.Result.TIMEOUT, 0), ([], i.Result.ERROR, 0), ([], i.Result.SPOILT, 0),
+        ([], i.Result.RESET, 0),
+        ([], i.Result.TIMEOUT, 0),
+        ([], i.Result.ERROR, 0),
+        ([], i.Result.SPOILT, 0),
     ],
 )
 def test_unsafe_request_is_never_sent_again_once_in_doubt(
--- a/tests/crossings/test_clients_close.py
+++ b/tests/crossings/test_clients_close.py
@@ -181,7 +181,7 @@
 
 
 def test_requests_before_a_garbled_command_are_answered_also_after_a_clog(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connection is closing, and its answers were not read for a while: then they are, and it goes on."""
     monkeypatch.setitem(intake.WAITS_US, State.CLOGGED, 0)
--- a/tests/crossings/test_clients_places.py
+++ b/tests/crossings/test_clients_places.py
@@ -203,7 +203,7 @@
 
 
 def test_command_that_comes_in_the_moment_of_giving_way_has_another_one_leave(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """After the first look and before the half-close: it is served, and the place is found elsewhere."""
 
--- a/tests/crossings/test_clients_tries.py
+++ b/tests/crossings/test_clients_tries.py
@@ -29,8 +29,10 @@
                 await until(lambda: written(door, "a1"))
                 sent: list[str] = []
                 start = door.backends.send
-                door.backends.send = lambda attempt, timeout: (sent.append(attempt.request_id),
-                                                               start(attempt, timeout))
+                door.backends.send = lambda attempt, timeout: (
+                    sent.append(attempt.request_id),
+                    start(attempt, timeout),
+                )
                 (connection,) = door.clients.connections
                 heard_from(door, "a1", b"-BUSY\r\n")
                 connection.eof_received()
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -55,9 +55,14 @@
         entries = [entry("s1", known)]
         with machine() as first:
             address = first.address
-            door = Process(tmp_path / "n0", DESCRIPTORS, discovery="{}:{}".format(*address),
-                           limits={"sockets": DESCRIPTORS}, settings=AMPLE,
-                           known=json.loads(catalog(4, entries)))
+            door = Process(
+                tmp_path / "n0",
+                DESCRIPTORS,
+                discovery="{}:{}".format(*address),
+                limits={"sockets": DESCRIPTORS},
+                settings=AMPLE,
+                known=json.loads(catalog(4, entries)),
+            )
             async with processes(door):
                 await door.start()
                 watch = await first.accept()
--- a/tests/crossings/test_discovery_answers.py
+++ b/tests/crossings/test_discovery_answers.py
@@ -51,6 +51,7 @@
     cut: int, said: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Its end looks clean: nothing else tells whoever runs it that lists come in part."""
+
     async def job() -> None:
         with machine() as agent:
             async with asked(agent):
@@ -66,6 +67,7 @@
 
 def test_answer_with_no_length_that_is_reset_is_not_complete() -> None:
     """What was whole before counts; what was not is dropped, and asked for again."""
+
     async def job() -> None:
         with machine() as agent:
             async with asked(agent) as door:
@@ -103,6 +105,7 @@
     end: Callable[[Peer], None], cut: bytes
 ) -> None:
     """Cut before a chunk, in its size, behind that, within the chunk, or between two that hold an object."""
+
     async def job() -> None:
         with machine() as agent:
             async with asked(agent) as door:
@@ -119,13 +122,20 @@
 REFUSAL = changes(9, s9="DRAINING")  # whatever it is, the status goes before it
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(REFUSAL) + REFUSAL,
-    b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", b"nonsense\r\n\r\n", HEAD + chunk(b"\n{not json\n"),
-    HEAD + chunk(b'{"generation": 1e999, "instances": []}\n'),
-    HEAD + chunk(b'{"generation": 9, "instances": null}\n'), HEAD + b"fffffffffffffffffffff\r\n",
-])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(REFUSAL) + REFUSAL,
+        b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+        b"nonsense\r\n\r\n",
+        HEAD + chunk(b"\n{not json\n"),
+        HEAD + chunk(b'{"generation": 1e999, "instances": []}\n'),
+        HEAD + chunk(b'{"generation": 9, "instances": null}\n'),
+        HEAD + b"fffffffffffffffffffff\r\n",
+    ],
+)
 def test_answer_that_makes_no_sense_costs_its_call_alone(answer: bytes) -> None:
     async def job() -> None:
         with machine() as agent:
@@ -141,6 +151,7 @@
 
 def test_news_that_nobody_could_take_are_asked_for_again() -> None:
     """The version goes on only once they were handed on."""
+
     async def job() -> None:
         with machine() as agent:
             async with asked(agent) as door:
@@ -164,6 +175,7 @@
 @pytest.mark.parametrize("senseless", [b"{}\n", b"nonsense\n", b'{"a\n'])
 def test_what_came_before_an_object_that_makes_no_sense_counts_and_nothing_after_it(senseless: bytes) -> None:
     """All in one chunk. Else what always comes with such a one would never be heard."""
+
     async def job() -> None:
         with machine() as agent:
             async with asked(agent) as door:
--- a/tests/crossings/test_discovery_calls.py
+++ b/tests/crossings/test_discovery_calls.py
@@ -132,6 +132,7 @@
 
 def test_agent_that_refuses_is_asked_again_soon_however_long_it_was_down(agent: Machine) -> None:
     """What it has at its return counts at once, with a grace of a second."""
+
     async def job() -> None:
         async with asked(agent) as door:
             pacing = door.discovery.source.pacing
--- a/tests/crossings/test_discovery_documents.py
+++ b/tests/crossings/test_discovery_documents.py
@@ -15,7 +15,8 @@
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é😀,: ', max_size=8)
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | TEXTS,
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3), max_leaves=8,
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3),
+    max_leaves=8,
 )
 OBJECTS = st.lists(st.tuples(st.dictionaries(TEXTS, VALUES, max_size=3), st.sampled_from([None, 0, 2])))
 
@@ -46,10 +47,19 @@
     assert list(cut.feed(b'\\"}\n')) == [b'{"a":\n"}\\"\\\\"}', b""]
 
 
-@pytest.mark.parametrize("bad", [
-    b"not json", b"[1]", b'{"a', b"{not json", b'{"a":1,}', b'{"a":' * (MOST_DEPTH + 1), b"[" * 9,
-    b'{"a":{"b":[1}]},\n"c" 1',
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"not json",
+        b"[1]",
+        b'{"a',
+        b"{not json",
+        b'{"a":1,}',
+        b'{"a":' * (MOST_DEPTH + 1),
+        b"[" * 9,
+        b'{"a":{"b":[1}]},\n"c" 1',
+    ],
+)
 def test_what_can_never_be_an_object_is_an_error_at_its_lines_end(bad: bytes) -> None:
     cut = Documents()
     with pytest.raises(ValueError):
--- a/tests/crossings/test_discovery_lists.py
+++ b/tests/crossings/test_discovery_lists.py
@@ -25,19 +25,39 @@
     return {server.name: server.state for server in news.event.servers}, news.addresses
 
 
-@pytest.mark.parametrize("odd", [
-    {"hostPort": None}, {"hostPort": "nowhere"}, {"hostPort": "1.2.3.4:99999"}, {"cell": "x"},
-    {"cell": math.inf}, {"weight": []}, {"startedAtMs": "soon"}, {"zone": {}}, {"machineType": 7},
-])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        {"hostPort": None},
+        {"hostPort": "nowhere"},
+        {"hostPort": "1.2.3.4:99999"},
+        {"cell": "x"},
+        {"cell": math.inf},
+        {"weight": []},
+        {"startedAtMs": "soon"},
+        {"zone": {}},
+        {"machineType": 7},
+    ],
+)
 def test_server_that_drains_is_heard_of_whatever_else_its_entry_says(odd: dict[str, object]) -> None:
     for state, known in (("DRAINING", DRAINING), ("DELETED", GONE), ("RESTING", DRAINING)):
         assert read({**entry("s1", AT), "lifecycle": state, **odd})[0] == {"s1": known}
 
 
-@pytest.mark.parametrize("odd", [
-    None, 7, "s1", [], {}, {"instanceId": None}, {"instanceId": ""}, {"instanceId": [1]},
-    {"hostPort": "nowhere"},
-])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        None,
+        7,
+        "s1",
+        [],
+        {},
+        {"instanceId": None},
+        {"instanceId": ""},
+        {"instanceId": [1]},
+        {"hostPort": "nowhere"},
+    ],
+)
 def test_entry_that_makes_no_sense_is_passed_over_alone(odd: object) -> None:
     bad = {**entry("s1", AT), **odd} if isinstance(odd, dict) and odd else odd
     assert read(entry("s0", AT), bad, entry("s2", AT)) == ({"s0": UP, "s2": UP}, {"s0": AT, "s2": AT})
@@ -74,10 +94,15 @@
         self.gateway.handle(self.now, i.Outcome(send.id, False, 0, send.server, result, 1))
 
 
-@pytest.mark.parametrize("away", [
-    [(server(state=DRAINING),)], [(server(state=GONE),)], [(server(state=DRAINING),), (server(state=GONE),)],
-    [(server(), server(state=GONE))],
-])
+@pytest.mark.parametrize(
+    "away",
+    [
+        [(server(state=DRAINING),)],
+        [(server(state=GONE),)],
+        [(server(state=DRAINING),), (server(state=GONE),)],
+        [(server(), server(state=GONE))],
+    ],
+)
 @pytest.mark.parametrize("started_us", [0, S])
 def test_server_gets_nothing_while_away_and_work_once_it_is_back(
     away: list[tuple[i.Server, ...]], started_us: int
@@ -150,6 +175,7 @@
 def test_connections_that_rest_are_closed_when_their_server_started_anew() -> None:
     """Same name and address, and nothing was said of its end: they lead to a process that is no more, and the
     next request on one would be reset, which an unsafe class cannot repeat."""
+
     async def job() -> None:
         async with one_backend() as made:
             peer = await made.serve("r1")
--- a/tests/crossings/test_discovery_moves.py
+++ b/tests/crossings/test_discovery_moves.py
@@ -28,6 +28,7 @@
     agent: Machine, other: Machine, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The object is whole, also where it does not say so, and the watch is opened; the rest is not heard."""
+
     async def job() -> None:
         async with asked(agent) as door:
             door.discovery.move(other.address)
@@ -47,6 +48,7 @@
     agent: Machine, other: Machine
 ) -> None:
     """The new one accepts and says nothing, and the old watch breaks meanwhile."""
+
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
@@ -68,6 +70,7 @@
 
 def test_moves_back_before_the_new_address_has_spoken(agent: Machine, other: Machine) -> None:
     """A, B, A: the watch on A was never left, and what B says at last is not heard."""
+
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
@@ -87,6 +90,7 @@
 
 def test_moves_back_after_the_new_address_has_spoken(agent: Machine, other: Machine) -> None:
     """A, B, A: A is asked anew and whole, and its smaller count of versions is taken over."""
+
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
@@ -108,6 +112,7 @@
 
 def test_version_that_goes_back_on_a_watch_is_taken_over(agent: Machine) -> None:
     """An agent that has started anew counts from the beginning, and says its whole list."""
+
     async def job() -> None:
         async with asked(agent) as door:
             peer = await watch(agent)
--- a/tests/crossings/test_peers_home.py
+++ b/tests/crossings/test_peers_home.py
@@ -18,8 +18,11 @@
 
 def answers_to(world: World, name: str) -> list[i.Action]:
     """Final answers and sends for a request."""
-    return [action for _, action in world.log
-            if isinstance(action, i.Send | i.Refuse | i.Fail) and action.id == name]
+    return [
+        action
+        for _, action in world.log
+        if isinstance(action, i.Send | i.Refuse | i.Fail) and action.id == name
+    ]
 
 
 def restart(gates: Set, me: int, settings: i.Settings) -> None:
@@ -132,7 +135,12 @@
     actions = world.tell(i.PeerMessage(199, (i.Word(*key, demand=1.0, asked=1.0, level=20.0),)))
     (told,) = of(i.Tell, actions)
     assert isinstance(told, i.Tell) and told.peer == 199 and told.words[0].is_answer and told.words[0].inside
-    others = [action for first in (0, 1, 198) for action in of(i.Tell, world.tell(
-        i.PeerMessage(5, (i.Word(key[0], 0, first, 1, demand=1.0, asked=1.0),))))]
+    others = [
+        action
+        for first in (0, 1, 198)
+        for action in of(
+            i.Tell, world.tell(i.PeerMessage(5, (i.Word(key[0], 0, first, 1, demand=1.0, asked=1.0),)))
+        )
+    ]
     assert len(others) == 1  # of the set that is this one alone
     assert len(world.gateway.customers.known) == 2
--- a/tests/crossings/test_restarts_known.py
+++ b/tests/crossings/test_restarts_known.py
@@ -11,8 +11,16 @@
     infinite = {"instanceId": "s1", "hostPort": f"{HOST}:7", "lifecycle": "SERVING", "cell": float("inf")}
 
     async def job() -> None:
-        for known in ("x", [1], 7, {}, {"instances": 1}, {**good, "generation": float("inf")},
-                      {**good, "generation": None}, {**good, "instances": [7]}):
+        for known in (
+            "x",
+            [1],
+            7,
+            {},
+            {"instances": 1},
+            {**good, "generation": float("inf")},
+            {**good, "generation": None},
+            {**good, "instances": [7]},
+        ):
             async with front_door(known=known) as (door, _):
                 assert door.known is None or not door.known.event.servers
         async with front_door(known={**good, "instances": [infinite]}) as (door, _):
--- a/tests/crossings/test_restarts_ready.py
+++ b/tests/crossings/test_restarts_ready.py
@@ -60,13 +60,24 @@
             filler.connect_ex(full.getsockname())
         with machine() as silent:
             found = [answers, refuses, silent.address, full.getsockname()]
-            doors = [Process(tmp_path / f"n{n}", discovery="{}:{}".format(*found[n % 4]),
-                             known=json.loads(listed), name=f"n{n}") for n in range(DOORS)]
+            doors = [
+                Process(
+                    tmp_path / f"n{n}",
+                    discovery="{}:{}".format(*found[n % 4]),
+                    known=json.loads(listed),
+                    name=f"n{n}",
+                )
+                for n in range(DOORS)
+            ]
             async with processes(*doors):
                 await asyncio.gather(*(door.start() for door in doors[:AGAIN]))
                 await asyncio.gather(*(door.ready() for door in doors[:AGAIN]))
-                await asyncio.gather(*(door.end((signal.SIGKILL, signal.SIGTERM)[n % 2])
-                                       for n, door in enumerate(doors[:AGAIN])))
+                await asyncio.gather(
+                    *(
+                        door.end((signal.SIGKILL, signal.SIGTERM)[n % 2])
+                        for n, door in enumerate(doors[:AGAIN])
+                    )
+                )
                 ready = await started(doors)
                 assert len(ready) >= READY_PART * DOORS
                 for client in ready:
--- a/tests/crossings/test_restarts_start.py
+++ b/tests/crossings/test_restarts_start.py
@@ -116,8 +116,13 @@
         # Its part of the burst holds no whole request, so that it has to ask.
         settings = replace(SETTINGS, plans=(i.Plan(rate=5.0, burst=1.0),))
         customer = next(name for name in map("{:016x}".format, range(99)) if zlib.crc32(name.encode()) % 2)
-        async with started(refusing_address(), known=known(backend), settings=settings, peer_listen=listen,
-                           peers=(listen, peer.getsockname())) as (_, client):
+        async with started(
+            refusing_address(),
+            known=known(backend),
+            settings=settings,
+            peer_listen=listen,
+            peers=(listen, peer.getsockname()),
+        ) as (_, client):
             assert await client.ask(request("a1", customer, spread="2", first="0")) == b"ok"
             assert peer.recv(2048)  # it was asked
         peer.close()
--- a/tests/crossings/test_settings_short.py
+++ b/tests/crossings/test_settings_short.py
@@ -20,8 +20,9 @@
 
 
 def asks(world: World) -> list[int]:
-    return [at for at, action in world.log if isinstance(action, i.Tell)
-            for word in action.words if word.asked]
+    return [
+        at for at, action in world.log if isinstance(action, i.Tell) for word in action.words if word.asked
+    ]
 
 
 def test_word_that_was_lost_is_asked_for_again_where_the_wait_is_short() -> None:
--- a/tests/crossings/test_settings_wrong.py
+++ b/tests/crossings/test_settings_wrong.py
@@ -16,40 +16,94 @@
 
 Path_ = tuple[str | int, ...]
 SETTINGS: dict[str, Any] = {
-    "me": 0, "balancers": 3, "zone": 1, "zones": ["a", "b"], "kinds": ["m2"], "registry-mode": "automatic",
+    "me": 0,
+    "balancers": 3,
+    "zone": 1,
+    "zones": ["a", "b"],
+    "kinds": ["m2"],
+    "registry-mode": "automatic",
     "categories": [
         {"name": "read", "on-time-us": 750000, "deadline-us": 2000000, "idempotency": "read_like"},
-        {"name": "book", "on-time-us": 750000, "deadline-us": 2000000, "idempotency": "idempotency_key",
-         "group": "zone", "late-worth": 0.2, "points": 3.0, "streamed": False, "window-us": 5000000},
+        {
+            "name": "book",
+            "on-time-us": 750000,
+            "deadline-us": 2000000,
+            "idempotency": "idempotency_key",
+            "group": "zone",
+            "late-worth": 0.2,
+            "points": 3.0,
+            "streamed": False,
+            "window-us": 5000000,
+        },
+    ],
+    "plans": [
+        {
+            "name": "team",
+            "units-per-s": 9.0,
+            "burst": 4.0,
+            "max-out": 2,
+            "value-factor": 1.3,
+            "extra-worth": 0.1,
+            "overrun-cost": 0.5,
+            "never-over-rate": 19.0,
+            "hard-burst": 23.0,
+            "hard-slack": 2.0,
+        }
     ],
-    "plans": [{
-        "name": "team", "units-per-s": 9.0, "burst": 4.0, "max-out": 2, "value-factor": 1.3,
-        "extra-worth": 0.1, "overrun-cost": 0.5, "never-over-rate": 19.0, "hard-burst": 23.0,
-        "hard-slack": 2.0,
-    }],
     "ceilings": {
-        "max-attempts": 4, "conn-idle-us": 7000000, "connect-timeout-us": 250000, "max-open": 20000,
-        "retry-after": True, "max-retry-after-us": 500000, "may-cancel": True, "may-probe": False,
-        "parallel-tries": True, "peers": True,
+        "max-attempts": 4,
+        "conn-idle-us": 7000000,
+        "connect-timeout-us": 250000,
+        "max-open": 20000,
+        "retry-after": True,
+        "max-retry-after-us": 500000,
+        "may-cancel": True,
+        "may-probe": False,
+        "parallel-tries": True,
+        "peers": True,
     },
     "extra": {"mail-per-s": 60.0, "trued-up": False, "counter": False},
-    "prices": {"cross-zone": 0.01, "waste": 0.05, "late-fail": 0.03, "peer": 0.02, "probe": 0.0,
-               "handshake": 0.0},
+    "prices": {
+        "cross-zone": 0.01,
+        "waste": 0.05,
+        "late-fail": 0.03,
+        "peer": 0.02,
+        "probe": 0.0,
+        "handshake": 0.0,
+    },
     "obligations": {
-        "grace-to-answer-us": 16000, "ask-within-us": 10000000, "cold-from": 0.25, "fall-multiple": 2.5,
-        "fall-us": 1000000, "warm-within-us": 17000000,
+        "grace-to-answer-us": 16000,
+        "ask-within-us": 10000000,
+        "cold-from": 0.25,
+        "fall-multiple": 2.5,
+        "fall-us": 1000000,
+        "warm-within-us": 17000000,
     },
 }
 VALUES: dict[str, Any] = {
-    "name": "n0", "listen": f"{HOST}:7", "discovery": f"{HOST}:8", "seed": "8c1f30d27a5be964",
-    "limits": {"sockets": 512, "memory_mb": 64}, "peer_listen": f"{HOST}:9",
-    "peers": [f"{HOST}:9", f"{HOST}:10"], "settings": SETTINGS,
+    "name": "n0",
+    "listen": f"{HOST}:7",
+    "discovery": f"{HOST}:8",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"sockets": 512, "memory_mb": 64},
+    "peer_listen": f"{HOST}:9",
+    "peers": [f"{HOST}:9", f"{HOST}:10"],
+    "settings": SETTINGS,
 }
 REQUIRED = [
-    ("name",), ("listen",), ("discovery",), ("seed",), ("settings",), ("settings", "balancers"),
-    ("settings", "me"), ("settings", "categories"), ("settings", "categories", 0, "on-time-us"),
-    ("settings", "categories", 1, "deadline-us"), ("settings", "categories", 1, "idempotency"),
-    ("settings", "plans"), ("settings", "plans", 0, "name"),
+    ("name",),
+    ("listen",),
+    ("discovery",),
+    ("seed",),
+    ("settings",),
+    ("settings", "balancers"),
+    ("settings", "me"),
+    ("settings", "categories"),
+    ("settings", "categories", 0, "on-time-us"),
+    ("settings", "categories", 1, "deadline-us"),
+    ("settings", "categories", 1, "idempotency"),
+    ("settings", "plans"),
+    ("settings", "plans", 0, "name"),
 ]
 WRONG: dict[type, list[object]] = {  # by the type of what is right: no key takes any of these
     str: [7, 1.5, True, [], {}, ["a"], {"a": 1}],
@@ -124,16 +178,29 @@
         assert line_for(tmp_path, values).startswith(named(at[:3]))
 
 
-@pytest.mark.parametrize(("at", "wrong"), [
-    (("settings", "me"), 3), (("settings", "zone"), 2), (("settings", "balancers"), 70_000),
-    (("settings", "balancers"), 0), (("settings", "obligations", "cold-from"), 1.5),
-    (("settings", "ceilings", "max-attempts"), 0), (("settings", "categories", 0, "on-time-us"), 0),
-    (("settings", "categories", 1, "name"), "read"), (("settings", "zones", 1), "a"),
-    (("settings", "categories", 0, "idempotency"), "sometimes"),
-    (("settings", "categories", 1, "group"), "rack"),
-    (("limits", "sockets"), 47), (("limits", "memory_mb"), 0), (("seed",), "0xg"), (("seed",), ""),
-    (("listen",), "127.0.0.1"), (("discovery",), "127.0.0.1:70000"), (("peers", 1), "x:y"),
-])
+@pytest.mark.parametrize(
+    ("at", "wrong"),
+    [
+        (("settings", "me"), 3),
+        (("settings", "zone"), 2),
+        (("settings", "balancers"), 70_000),
+        (("settings", "balancers"), 0),
+        (("settings", "obligations", "cold-from"), 1.5),
+        (("settings", "ceilings", "max-attempts"), 0),
+        (("settings", "categories", 0, "on-time-us"), 0),
+        (("settings", "categories", 1, "name"), "read"),
+        (("settings", "zones", 1), "a"),
+        (("settings", "categories", 0, "idempotency"), "sometimes"),
+        (("settings", "categories", 1, "group"), "rack"),
+        (("limits", "sockets"), 47),
+        (("limits", "memory_mb"), 0),
+        (("seed",), "0xg"),
+        (("seed",), ""),
+        (("listen",), "127.0.0.1"),
+        (("discovery",), "127.0.0.1:70000"),
+        (("peers", 1), "x:y"),
+    ],
+)
 def test_value_out_of_its_range_is_named(tmp_path: Path, at: Path_, wrong: object) -> None:
     key = named(at[:-1] if at[-1] == "name" else at)
     assert line_for(tmp_path, changed(at, wrong)).startswith(key)
--- a/tests/crossings/test_sigterm_ends.py
+++ b/tests/crossings/test_sigterm_ends.py
@@ -84,12 +84,15 @@
     run(job())
 
 
-@pytest.mark.parametrize(("sent", "heard"), [
-    (query("a1")[:40], ENDS),  # the rest may be on its way: a whole answer, whenever it comes
-    (resp("PING") + query("a1")[:40], b"+PONG\r\n" + ENDS),
-    (resp("PING"), b"+PONG\r\n"),  # between requests: an end, and no word that answers nothing
-    (query("a0") + b"*", OK + ENDS),
-])
+@pytest.mark.parametrize(
+    ("sent", "heard"),
+    [
+        (query("a1")[:40], ENDS),  # the rest may be on its way: a whole answer, whenever it comes
+        (resp("PING") + query("a1")[:40], b"+PONG\r\n" + ENDS),
+        (resp("PING"), b"+PONG\r\n"),  # between requests: an end, and no word that answers nothing
+        (query("a0") + b"*", OK + ENDS),
+    ],
+)
 def test_who_stops_within_a_command_is_told_before_the_kill(
     sent: bytes, heard: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/crossings/test_sigterm_listener.py
+++ b/tests/crossings/test_sigterm_listener.py
@@ -21,8 +21,11 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            before(door.clients, "stop_listening",
-                   lambda: asked.extend(dial_and_ask(address, f"r{number}") for number in range(40)))
+            before(
+                door.clients,
+                "stop_listening",
+                lambda: asked.extend(dial_and_ask(address, f"r{number}") for number in range(40)),
+            )
             await drained(door)
             answers = [await client.hear_all() for client in asked]
             assert len(answers) == 40 and all(map(is_answer, answers))
--- a/tests/crossings/test_sigterm_process.py
+++ b/tests/crossings/test_sigterm_process.py
@@ -61,17 +61,25 @@
     # A held program is asked nothing: short deadlines make its drain short.
     rules = [{**rule, "deadline-us": 100_000} if held_at else rule for rule in SETTINGS["categories"]]
     # Nor is a dial given up on a busy machine.
-    settings = {**SETTINGS, "categories": rules,
-                "ceilings": {**SETTINGS["ceilings"], "connect-timeout-us": 10_000_000}}
-    values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known,
-                    settings=settings)
+    settings = {
+        **SETTINGS,
+        "categories": rules,
+        "ceilings": {**SETTINGS["ceilings"], "connect-timeout-us": 10_000_000},
+    }
+    values = config(
+        listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known, settings=settings
+    )
     env = {**os.environ, **write(path, values)}
     if held_at:
         (path / "sitecustomize.py").write_text(HOLD)
         os.mkfifo(path / "pipe")
         env |= {"PYTHONPATH": str(path), "HELD_BY": str(path / "pipe"), "HELD_AT": held_at}
     return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", RUN.replace(".venv/bin/python", sys.executable), cwd=ROOT, env=env,
+        "/bin/sh",
+        "-c",
+        RUN.replace(".venv/bin/python", sys.executable),
+        cwd=ROOT,
+        env=env,
         stderr=asyncio.subprocess.PIPE,
     )
 
--- a/tests/crossings/test_sigterm_times.py
+++ b/tests/crossings/test_sigterm_times.py
@@ -18,8 +18,15 @@
 @pytest.mark.parametrize("longest_ms", DEADLINES_MS)
 def test_all_ends_before_the_kill_and_in_order(longest_ms: int) -> None:
     end = Ending(TOLD, (10 * MS, longest_ms * MS))
-    moments = [TOLD + NEW_UNTIL, end.settled_us, end.takes_until_us, end.answers_by_us, end.reads_until_us,
-               end.ends_us, kill_us(longest_ms)]
+    moments = [
+        TOLD + NEW_UNTIL,
+        end.settled_us,
+        end.takes_until_us,
+        end.answers_by_us,
+        end.reads_until_us,
+        end.ends_us,
+        kill_us(longest_ms),
+    ]
     assert moments == sorted(moments)
     assert end.settled_us > TOLD + NEW_UNTIL and end.reads_until_us < end.ends_us < kill_us(longest_ms)
 
--- a/tests/docs/conftest.py
+++ b/tests/docs/conftest.py
@@ -26,8 +26,11 @@
 @pytest.fixture(scope="session")
 def verdicts(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Verdicts]:
     """The faults of each page, as soon as it has been played."""
-    wanted = [Path(str(each.callspec.params["path"])) for each in request.session.items
-              if isinstance(each, pytest.Function) and each.originalname == PLAYED]
+    wanted = [
+        Path(str(each.callspec.params["path"]))
+        for each in request.session.items
+        if isinstance(each, pytest.Function) and each.originalname == PLAYED
+    ]
     base = tmp_path_factory.mktemp("pages")
     with ThreadPoolExecutor(AT_ONCE) as pool:
         yield {path: pool.submit(Player(read(path), base / path.stem).play) for path in wanted}
--- a/tests/docs/options.py
+++ b/tests/docs/options.py
@@ -55,8 +55,14 @@
         with contextlib.redirect_stdout(said := io.StringIO()):
             code = command.run([*path[1:], "--help"], {}, lambda *_: 1)
         return code, said.getvalue()
-    done = subprocess.run([sys.executable, "-m", *path, "--help"], cwd=ROOT, capture_output=True, text=True,
-                          check=False, timeout=MOST_HELP_S)
+    done = subprocess.run(
+        [sys.executable, "-m", *path, "--help"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=MOST_HELP_S,
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -91,7 +97,7 @@
     """The command in a text that runs in an instant anywhere; '' for none."""
     for call in calls(text):
         for words in TRIVIAL:
-            if any(call[n:n + len(words)] == words for n in range(len(call))):
+            if any(call[n : n + len(words)] == words for n in range(len(call))):
                 return " ".join(call)
     return ""
 
--- a/tests/docs/outputs.py
+++ b/tests/docs/outputs.py
@@ -19,7 +19,10 @@
 
 def differences(shown: str, printed: str, varies: Sequence[str] = ()) -> list[str]:
     """Lines that differ, `-` shown and `+` printed; and the patterns that match nothing that is shown."""
-    unused = [f"the pattern '{pattern}' matches nothing that is shown"
-              for pattern in varies if not re.search(pattern, shown)]
+    unused = [
+        f"the pattern '{pattern}' matches nothing that is shown"
+        for pattern in varies
+        if not re.search(pattern, shown)
+    ]
     lines = difflib.ndiff(plain(shown, varies), plain(printed, varies))
     return unused + [line for line in lines if line.startswith(("- ", "+ "))]
--- a/tests/docs/page.py
+++ b/tests/docs/page.py
@@ -24,16 +24,21 @@
     def play(self) -> list[str]:
         """All faults of the page."""
         try:
-            faults = [f"{self.page.name}:{block.line}: {fault}"
-                      for block in self.page.blocks for fault in self.block(block)]
+            faults = [
+                f"{self.page.name}:{block.line}: {fault}"
+                for block in self.page.blocks
+                for fault in self.block(block)
+            ]
         finally:
             ended = [one.close() for one in self.shell.staying]
             for holder in self.held:
                 holder.close()
         for (block, code), done in zip(self.stays, ended, strict=True):
             if done.code != code or done.timed_out:
-                faults.append(f"{self.page.name}:{block.line}: ended with {done.code}, not {code}: "
-                              f"{done.text[-MOST_SHOWN:]}")
+                faults.append(
+                    f"{self.page.name}:{block.line}: ended with {done.code}, not {code}: "
+                    f"{done.text[-MOST_SHOWN:]}"
+                )
         return faults
 
     def block(self, block: b.Block) -> Iterator[str]:
--- a/tests/docs/shell.py
+++ b/tests/docs/shell.py
@@ -53,8 +53,13 @@
 def environment(folder: Path) -> dict[str, str]:
     """Nothing of who runs the tests, but for the way to the interpreter's packages."""
     return {
-        "PATH": f"{folder / 'bin'}:/usr/local/bin:/usr/bin:/bin", "PYTHONPATH": str(ROOT),
-        "HOME": str(folder), "TMPDIR": str(folder), "LANG": "C.UTF-8", "TERM": "dumb", "COLUMNS": "120",
+        "PATH": f"{folder / 'bin'}:/usr/local/bin:/usr/bin:/bin",
+        "PYTHONPATH": str(ROOT),
+        "HOME": str(folder),
+        "TMPDIR": str(folder),
+        "LANG": "C.UTF-8",
+        "TERM": "dumb",
+        "COLUMNS": "120",
         "PYTHONDONTWRITEBYTECODE": "1",
     }
 
@@ -120,8 +125,14 @@
 
     def start(self, command: list[str]) -> subprocess.Popen[bytes]:
         return subprocess.Popen(
-            command, cwd=self.folder, env=self.env, stdin=subprocess.DEVNULL, stdout=subprocess.PIPE,
-            stderr=subprocess.STDOUT, start_new_session=True)
+            command,
+            cwd=self.folder,
+            env=self.env,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            start_new_session=True,
+        )
 
     def run(self, line: str, within_s: float = MOST_COMMAND_S) -> Done:
         """One command line, as bash takes it."""
--- a/tests/door/made.py
+++ b/tests/door/made.py
@@ -27,7 +27,10 @@
 
 def list_text(version: int, entries: bytes, reset: bool = True) -> bytes:
     return b'{"generation": %d, "reset": %b, "instances": [%b]}\n' % (
-        version, json.dumps(reset).encode(), entries)
+        version,
+        json.dumps(reset).encode(),
+        entries,
+    )
 
 
 class Held:
@@ -62,9 +65,7 @@
     def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
         return Seen(event, dict(addresses))
 
-    def take_over(
-        self, staged: Staged, kind: i.ListKind, version: int
-    ) -> Generator[None, None, Seen | None]:
+    def take_over(self, staged: Staged, kind: i.ListKind, version: int) -> Generator[None, None, Seen | None]:
         assert isinstance(staged, Held)
         for _ in range(5):
             self.steps += 1
@@ -91,8 +92,9 @@
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
     settings = replace(CONFIG.settings, must_subscribe=False)
-    door = FrontDoor(replace(
-        CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=memory_mb))
+    door = FrontDoor(
+        replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=memory_mb)
+    )
     door.discovery.start()
     try:
         yield door, watch
--- a/tests/door/test_calls.py
+++ b/tests/door/test_calls.py
@@ -84,8 +84,13 @@
         tasks = []
         doors, draw = AT_ONCE + 5, 0.1
         found = Discovery(
-            await watch.start(), Catalog(CONFIG), 4, heard.put_nowait,
-            lambda job: tasks.append(asyncio.create_task(job)), lambda: CallPacing(doors), lambda: draw,
+            await watch.start(),
+            Catalog(CONFIG),
+            4,
+            heard.put_nowait,
+            lambda job: tasks.append(asyncio.create_task(job)),
+            lambda: CallPacing(doors),
+            lambda: draw,
         )
         started = time.monotonic()
         found.start()
@@ -101,6 +106,7 @@
 
 def test_agent_of_ones_own_machine_is_called_at_once_in_any_tier() -> None:
     """What it has counts as told: 148 of 212 were killed and sent to drained servers meanwhile."""
+
     async def job() -> None:
         settings = replace(CONFIG.settings, gateways=200, must_subscribe=False, ask_within_us=10_000_000)
         door = FrontDoor(replace(CONFIG, settings=settings))
--- a/tests/door/test_discovery.py
+++ b/tests/door/test_discovery.py
@@ -24,7 +24,10 @@
     heard: asyncio.Queue[News] = asyncio.Queue()
     tasks = []
     found = Discovery(
-        await watch.start(), Catalog(CONFIG), version, heard.put_nowait,
+        await watch.start(),
+        Catalog(CONFIG),
+        version,
+        heard.put_nowait,
         lambda job: tasks.append(asyncio.create_task(job)),
     )
     found.start()
@@ -156,7 +159,10 @@
         self.heard: asyncio.Queue[News] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
         self.discovery = Discovery(
-            address, Catalog(CONFIG), 3, self.heard.put_nowait,
+            address,
+            Catalog(CONFIG),
+            3,
+            self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
         )
         self.discovery.start()
--- a/tests/door/test_documents.py
+++ b/tests/door/test_documents.py
@@ -16,7 +16,8 @@
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é, :', max_size=6)
 SCALARS = st.none() | st.booleans() | st.integers() | TEXTS
 VALUES = st.recursive(
-    SCALARS, lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3),
+    SCALARS,
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3),
     max_leaves=6,
 )
 ENTRIES = st.lists(st.dictionaries(TEXTS, VALUES, max_size=3) | VALUES, max_size=8)
@@ -51,13 +52,22 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(
-    st.dictionaries(TEXTS, VALUES, max_size=2), ENTRIES, st.dictionaries(TEXTS, VALUES, max_size=2),
-    st.lists(st.integers(0, 10_000), max_size=40), st.sampled_from([None, 0, 2]), st.booleans(),
+    st.dictionaries(TEXTS, VALUES, max_size=2),
+    ENTRIES,
+    st.dictionaries(TEXTS, VALUES, max_size=2),
+    st.lists(st.integers(0, 10_000), max_size=40),
+    st.sampled_from([None, 0, 2]),
+    st.booleans(),
     st.booleans(),
 )
 def test_parts_and_the_rest_are_the_whole_however_it_is_laid_out_and_cut(
-    head: dict[str, Any], entries: list[Any], tail: dict[str, Any], ends: list[int], indent: int | None,
-    deep: bool, by_byte: bool,
+    head: dict[str, Any],
+    entries: list[Any],
+    tail: dict[str, Any],
+    ends: list[int],
+    indent: int | None,
+    deep: bool,
+    by_byte: bool,
 ) -> None:
     said: dict[str, Any] = {"h" + key: value for key, value in head.items()}
     said |= {"instances": entries} | {"t" + key: value for key, value in tail.items()}
@@ -87,29 +97,48 @@
     assert parts >= len(ends) - 1 and held <= 250
 
 
-@pytest.mark.parametrize("odd", [
-    b'"a}b"', b'["}"]', b'{"a":["}",{}]}', b'7', b'"},{"', b'[{}]', b'"\\\\}\\""',
-])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        b'"a}b"',
+        b'["}"]',
+        b'{"a":["}",{}]}',
+        b"7",
+        b'"},{"',
+        b"[{}]",
+        b'"\\\\}\\""',
+    ],
+)
 def test_brace_within_a_string_ends_no_entry(odd: bytes) -> None:
     text = b'{"instances":[' + (b'{"a":"b"},' + odd + b",") * 20 + b"{}]}"
     for size in range(1, 60):
         assert joined(fed(Documents(), text, list(range(0, len(text), size))))[0] == json.loads(text)
 
 
-@pytest.mark.parametrize("order", [
-    b'{"instances":[%b],"reset":true,"generation":7}', b'{"reset":true,"instances":[%b],"generation":7}',
-    b'{"reset":true,"generation":7,\n "instances" :\n [ %b ] \n}',
-])
+@pytest.mark.parametrize(
+    "order",
+    [
+        b'{"instances":[%b],"reset":true,"generation":7}',
+        b'{"reset":true,"instances":[%b],"generation":7}',
+        b'{"reset":true,"generation":7,\n "instances" :\n [ %b ] \n}',
+    ],
+)
 def test_what_else_the_object_says_may_stand_on_either_side(order: bytes) -> None:
     entries = b",\n".join(b'{"name":"s%d"}' % number for number in range(50))
     whole, parts = joined(fed(Documents(), order % entries, list(range(0, 2000, 30))))
     assert parts > 5 and (whole["reset"], whole["generation"], len(whole["instances"])) == (True, 7, 50)
 
 
-@pytest.mark.parametrize("text", [
-    b'{"other":[%b]}', b'{"a":{"instances":[%b]}}', b'{"instances":{"a":[%b]}}', b'{"x\\"instances":[%b]}',
-    b'{"a":[{"instances":[%b]}]}',
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        b'{"other":[%b]}',
+        b'{"a":{"instances":[%b]}}',
+        b'{"instances":{"a":[%b]}}',
+        b'{"x\\"instances":[%b]}',
+        b'{"a":[{"instances":[%b]}]}',
+    ],
+)
 def test_no_other_list_is_cut(text: bytes) -> None:
     text %= b",".join([b'{"a":"b"}'] * 30)
     assert fed(Documents(), text, list(range(0, len(text), 9))) == [text]
@@ -119,21 +148,36 @@
 BEGUN = b'{"instances":[' + ENTRY * 9
 
 
-@pytest.mark.parametrize("bad", [
-    BEGUN + b"]}", BEGUN + b'{"a":1} {"a":2}]}', BEGUN + b',{"a":1}]}', BEGUN + b"7}}", BEGUN + b"{]]}",
-    BEGUN + b'{"a":1}] 7}', b'{"instances":[7 ' + ENTRY * 9 + b"{}]}",
-    BEGUN + b'{"a":1}],"instances":[]}', BEGUN + b'{"a":1}],"instances":[{},' + ENTRY * 9 + b"{}]}",
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        BEGUN + b"]}",
+        BEGUN + b'{"a":1} {"a":2}]}',
+        BEGUN + b',{"a":1}]}',
+        BEGUN + b"7}}",
+        BEGUN + b"{]]}",
+        BEGUN + b'{"a":1}] 7}',
+        b'{"instances":[7 ' + ENTRY * 9 + b"{}]}",
+        BEGUN + b'{"a":1}],"instances":[]}',
+        BEGUN + b'{"a":1}],"instances":[{},' + ENTRY * 9 + b"{}]}",
+    ],
+)
 @pytest.mark.parametrize("step", [1, 7])
 def test_what_would_be_no_json_as_a_whole_is_none_in_parts(bad: bytes, step: int) -> None:
     with pytest.raises(ValueError):
         joined(fed(Documents(), bad, list(range(0, len(bad), step))))
 
 
-@pytest.mark.parametrize("text", [
-    BEGUN + b'{"a":[' + b"7," * 200, BEGUN + b'{"a":"' + b"x" * 400, BEGUN + b'{}],"other":[' + ENTRY * 40,
-    b'{"instances":[' + b"7," * 200, b'{"other":"' + b"x" * 400,
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        BEGUN + b'{"a":[' + b"7," * 200,
+        BEGUN + b'{"a":"' + b"x" * 400,
+        BEGUN + b'{}],"other":[' + ENTRY * 40,
+        b'{"instances":[' + b"7," * 200,
+        b'{"other":"' + b"x" * 400,
+    ],
+)
 def test_what_cannot_be_cut_is_bounded_as_before(text: bytes) -> None:
     cut = Documents(most_bytes=150)
     with pytest.raises(DocumentError, match="without an end"):
@@ -156,8 +200,10 @@
     found = fed(Documents(), text, list(range(0, len(text), 11)))
     wholes = [number for number, one in enumerate(found) if isinstance(one, bytes)]
     assert len(wholes) == 2 + 1
-    assert [len(joined(found[at:end + 1])[0]["instances"]) for at, end in
-            zip([0, *[at + 1 for at in wholes]], wholes, strict=False)] == [30, 2, 40]
+    assert [
+        len(joined(found[at : end + 1])[0]["instances"])
+        for at, end in zip([0, *[at + 1 for at in wholes]], wholes, strict=False)
+    ] == [30, 2, 40]
 
 
 def test_long_list_is_looked_at_once_and_not_parsed_as_it_grows(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/door/test_frontdoor.py
+++ b/tests/door/test_frontdoor.py
@@ -262,13 +262,19 @@
     run(job())
 
 
-@pytest.mark.parametrize(("at_us", "asked_us", "left_us", "over"), [
-    (0, (), 2_000_000, False), (599_999, (), 2_000_000, False),
-    (1_100_000, (), 2_000_000, True),  # nobody asks
-    (1_100_000, (1_000_000,), 2_000_000, False), (1_550_000, (1_000_000,), 1_950_000, True),
-    (2_799_999, (2_700_000,), 700_001, False), (2_800_000, (2_750_000,), 700_000, True),
-    (9_000_000, (), 1, True),
-])
+@pytest.mark.parametrize(
+    ("at_us", "asked_us", "left_us", "over"),
+    [
+        (0, (), 2_000_000, False),
+        (599_999, (), 2_000_000, False),
+        (1_100_000, (), 2_000_000, True),  # nobody asks
+        (1_100_000, (1_000_000,), 2_000_000, False),
+        (1_550_000, (1_000_000,), 1_950_000, True),
+        (2_799_999, (2_700_000,), 700_001, False),
+        (2_800_000, (2_750_000,), 700_000, True),
+        (9_000_000, (), 1, True),
+    ],
+)
 def test_ending_takes_requests_only_for_as_long_as_they_can_be_answered(
     at_us: int, asked_us: tuple[int, ...], left_us: int, over: bool
 ) -> None:
--- a/tests/door/test_long_config.py
+++ b/tests/door/test_long_config.py
@@ -60,7 +60,8 @@
     assert listed == json.loads(b"[%b]" % entries_text(COUNT))
     assert max(map(len, long.known_parts)) < 1 << 17
     assert [getattr(long, name) for name in ("settings", "listen", "peers", "sockets")] == [
-        getattr(short, name) for name in ("settings", "listen", "peers", "sockets")]
+        getattr(short, name) for name in ("settings", "listen", "peers", "sockets")
+    ]
 
 
 def test_long_file_is_read_in_short_steps_and_a_reload_holds_no_part(tmp_path: Path) -> None:
@@ -69,18 +70,26 @@
     assert not reload(env).known_parts
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    (b'{"a":1}' + b" " * (1 << 18) + b"7", "cannot read the configuration: no object"),
-    (b'{"a":1}' + b" " * (1 << 18) + b"{}", "cannot read the configuration: more than one object"),
-    (b'{"a":1}' + b" " * (1 << 18) + b'{"a":', "cannot read the configuration: the file ends within"),
-    (long_text(entries_text(COUNT))[:-9], "cannot read the configuration: the file ends within an object"),
-    (b" " * (1 << 19), "cannot read the configuration: no object"),
-    (b"[" * (1 << 19), "cannot read the configuration: no object"),
-    (long_text(entries_text(COUNT)).replace(b'"seed": ', b'"seed": x'),
-     "cannot read the configuration: Expect"),
-    (long_text(entries_text(COUNT), seed="xyz"), "seed: is 'xyz', which is no hexadecimal number"),
-    (long_text(entries_text(COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        (b'{"a":1}' + b" " * (1 << 18) + b"7", "cannot read the configuration: no object"),
+        (b'{"a":1}' + b" " * (1 << 18) + b"{}", "cannot read the configuration: more than one object"),
+        (b'{"a":1}' + b" " * (1 << 18) + b'{"a":', "cannot read the configuration: the file ends within"),
+        (
+            long_text(entries_text(COUNT))[:-9],
+            "cannot read the configuration: the file ends within an object",
+        ),
+        (b" " * (1 << 19), "cannot read the configuration: no object"),
+        (b"[" * (1 << 19), "cannot read the configuration: no object"),
+        (
+            long_text(entries_text(COUNT)).replace(b'"seed": ', b'"seed": x'),
+            "cannot read the configuration: Expect",
+        ),
+        (long_text(entries_text(COUNT), seed="xyz"), "seed: is 'xyz', which is no hexadecimal number"),
+        (long_text(entries_text(COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
+    ],
+)
 def test_long_file_that_is_wrong_is_one_line(tmp_path: Path, text: bytes, said: str) -> None:
     with pytest.raises(ConfigError) as caught:
         load(env_of(tmp_path, text))
@@ -119,9 +128,14 @@
     run(job())
 
 
-@pytest.mark.parametrize("wrong", [
-    b'{"instanceId": }', b'{"instanceId":"s9"} {"a":1}', b'{"instanceId":"s9", 7}',
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        b'{"instanceId": }',
+        b'{"instanceId":"s9"} {"a":1}',
+        b'{"instanceId":"s9", 7}',
+    ],
+)
 def test_known_list_that_is_wrong_within_does_not_keep_it_from_a_start(
     tmp_path: Path, wrong: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -216,6 +230,7 @@
 
 def test_process_with_long_lists_answers_while_it_reads(tmp_path: Path) -> None:
     """All but one backend of both lists drain, so that who answers is known."""
+
     async def job() -> None:
         backend = Backend()
         own = json.dumps(entry("s-own", await backend.start())).encode()
@@ -235,10 +250,19 @@
 
         address = await Watch(discovery).start()
         listen = refusing_address()
-        text = long_text(own + b"," + others, listen=f"{HOST}:{listen[1]}", settings=WIDE, limits={
-            "sockets": 512, "memory_mb": 128}, discovery=f"{HOST}:{address[1]}")
+        text = long_text(
+            own + b"," + others,
+            listen=f"{HOST}:{listen[1]}",
+            settings=WIDE,
+            limits={"sockets": 512, "memory_mb": 128},
+            discovery=f"{HOST}:{address[1]}",
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "molereach", cwd=ROOT, env={**os.environ, **env_of(tmp_path, text)},
+            sys.executable,
+            "-m",
+            "molereach",
+            cwd=ROOT,
+            env={**os.environ, **env_of(tmp_path, text)},
             stderr=asyncio.subprocess.PIPE,
         )
         try:
--- a/tests/door/test_long_lists.py
+++ b/tests/door/test_long_lists.py
@@ -56,8 +56,13 @@
 
     async def __aenter__(self) -> "Heard":
         self.discovery = Discovery(
-            await self.watch.start(), Catalog(CONFIG), self.version, self.hear,
-            lambda job: self.tasks.append(asyncio.create_task(job)), lambda: AGENT, lambda: 0.5,
+            await self.watch.start(),
+            Catalog(CONFIG),
+            self.version,
+            self.hear,
+            lambda job: self.tasks.append(asyncio.create_task(job)),
+            lambda: AGENT,
+            lambda: 0.5,
             lambda: self.lists.stage(),
         )
         self.discovery.start()
@@ -106,6 +111,7 @@
 
 def test_requests_are_answered_while_a_long_list_is_read() -> None:
     """The list before it serves until the last step."""
+
     async def job() -> None:
         backend = Served(lambda words: value(b"ok"))
         at = await backend.start()
@@ -142,6 +148,7 @@
 
 def test_list_counts_at_its_last_step() -> None:
     """The version, the first list and the change of address: all at once; the old one is heard till then."""
+
     async def job() -> None:
         gate = asyncio.Event()
 
@@ -220,7 +227,9 @@
     "a name twice in a short list": (list_text(5, entries_text(3) + b"," + entries_text(1)), "server twice"),
     "more than memory": (list_text(5, entries_text(3000)), "3000|over"),
     "an entry without an end": (
-        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (documents.MOST_BYTES + TURN_BYTES), "without an end"),
+        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (documents.MOST_BYTES + TURN_BYTES),
+        "without an end",
+    ),
     "no end at all": (list_text(5, b",".join([b'{"odd":"%b"}' % (b"x" * 90)] * 3000)), "an object of over"),
     "half": (list_text(5, SOME)[:-9], "ends within an object"),
     "a comma missing": (list_text(5, SOME + b" " + SOME), "delimiter|no comma"),
--- a/tests/door/test_room.py
+++ b/tests/door/test_room.py
@@ -73,8 +73,9 @@
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry(f"k{number}", AT) for number in range(LONG)]}
     settings = replace(CONFIG.settings, must_subscribe=False)
-    door = FrontDoor(replace(
-        CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4))
+    door = FrontDoor(
+        replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4)
+    )
     door.discovery.start()
     try:
         yield door, watch
@@ -97,6 +98,7 @@
     held: Held, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The old one's call is lost with one line, and the move succeeds at its first call."""
+
     async def job() -> None:
         async with long_door(says(HEAD + chunk(text_of(4)[:-9])), says(HEAD)) as (door, watch):
             await until(lambda: staged(door, old=True) > LONG - 100)
@@ -117,6 +119,7 @@
     held: Held, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is held by what its steps have left open, and by nothing once its call is lost."""
+
     async def job() -> None:
         begun, lost = asyncio.Event(), asyncio.Event()
         gone: list[int] = []
@@ -169,6 +172,7 @@
     held: Held, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Its call is lost, as for any list without room; what it says in short is heard as before."""
+
     async def job() -> None:
         gate, end = asyncio.Event(), asyncio.Event()
 
@@ -209,6 +213,7 @@
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old address tells it when that list has come; nothing goes there after the move either."""
+
     async def job() -> None:
         begun = asyncio.Event()
         monkeypatch.setattr("molereach.routing.staging.STEP_ENTRIES", 1)
@@ -244,6 +249,7 @@
 
 def test_new_address_is_given_way_to_in_one_call(held: Held, caplog: pytest.LogCaptureFixture) -> None:
     """One whose lists cannot be taken must not keep the old one from telling its own."""
+
     async def job() -> None:
         half, refused = says(HEAD + chunk(text_of(4)[:-9])), list[int]()
         gate = asyncio.Event()
--- a/tests/door/test_told.py
+++ b/tests/door/test_told.py
@@ -106,8 +106,14 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.booleans(), DOORS, st.integers(0, 1 << 30), st.sampled_from(WATCHES),
-       st.lists(st.sampled_from(FATES), min_size=1, max_size=4), st.floats(0, 60))
+@given(
+    st.booleans(),
+    DOORS,
+    st.integers(0, 1 << 30),
+    st.sampled_from(WATCHES),
+    st.lists(st.sampled_from(FATES), min_size=1, max_size=4),
+    st.floats(0, 60),
+)
 @example(True, 7500, 1, "none", ["refused"], 59.0)
 @example(True, 7500, 1, "silent", ["forgotten"], 30.0)
 @example(True, 7500, 1, "trickles", ["begins"], 30.0)
@@ -188,8 +194,11 @@
 
     def call(door: Door, number: int) -> None:
         answered_s = line.call(door.now_s)
-        door.later(0.001 if answered_s is None else answered_s - door.now_s,
-                   "ended" if answered_s is None else "word", number)
+        door.later(
+            0.001 if answered_s is None else answered_s - door.now_s,
+            "ended" if answered_s is None else "word",
+            number,
+        )
 
     for door in doors:
         door.call = lambda number, door=door: call(door, number)  # type: ignore[method-assign,misc]
--- a/tests/door/test_view.py
+++ b/tests/door/test_view.py
@@ -16,9 +16,15 @@
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
-@pytest.mark.parametrize(("sockets", "memory_mb", "view", "most"), [
-    (48, 1, 256, 819), (1024, 64, 256, 52_428), (2000, 128, 394, 104_857), (4000, 128, 512, 104_857),
-])
+@pytest.mark.parametrize(
+    ("sockets", "memory_mb", "view", "most"),
+    [
+        (48, 1, 256, 819),
+        (1024, 64, 256, 52_428),
+        (2000, 128, 394, 104_857),
+        (4000, 128, 512, 104_857),
+    ],
+)
 def test_view_follows_from_the_connections_and_the_list_from_the_memory(
     sockets: int, memory_mb: int, view: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -38,6 +44,7 @@
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Of a list that is whole or in parts; nothing where nothing of it concerns the view."""
+
     class First(AllSeen):
         """A view of one server, or of none."""
 
@@ -88,7 +95,7 @@
 
 
 def test_known_list_of_which_nothing_is_in_the_view_has_a_version_all_the_same(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Blind(AllSeen):
         def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
--- a/tests/door/test_watch.py
+++ b/tests/door/test_watch.py
@@ -46,7 +46,10 @@
         self.told: list[object] = []
         self.steps = steps
         self.connection = WatchConnection(
-            "/", "h", self.word, lambda begun: self.told.append("heard"),
+            "/",
+            "h",
+            self.word,
+            lambda begun: self.told.append("heard"),
             lambda text: self.told.append(len(json.loads(text))),
         )
         self.transport = Transport()
@@ -98,6 +101,7 @@
 @pytest.mark.parametrize("lost", [True, False])
 def test_end_that_comes_while_pieces_wait_is_heard_of_behind_them(lost: bool) -> None:
     """An answer with no length ends with its stream; what it holds is whole only then."""
+
     async def job() -> None:
         call = Call()
         call.say(NO_LENGTH + list_text(4, LONG) + b'{"generation":5}')
@@ -141,6 +145,7 @@
 
 def test_close_while_a_lost_connections_pieces_wait_ends_the_call() -> None:
     """Else whoever waits for its end would wait for ever."""
+
     async def job() -> None:
         call = Call()
         call.say(HEAD + chunk(list_text(4, LONG)))
@@ -177,10 +182,14 @@
     run(job())
 
 
-@pytest.mark.parametrize(("error", "line"), [
-    (ValueError("odd"), "makes no sense: odd"), (ZeroDivisionError(), "makes no sense"),
-    (RuntimeError("a fault of ours"), "a fault of ours"),
-])
+@pytest.mark.parametrize(
+    ("error", "line"),
+    [
+        (ValueError("odd"), "makes no sense: odd"),
+        (ZeroDivisionError(), "makes no sense"),
+        (RuntimeError("a fault of ours"), "a fault of ours"),
+    ],
+)
 def test_error_in_a_step_costs_the_connection(
     error: Exception, line: str, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/fennelwinch/replay.py
+++ b/tests/fennelwinch/replay.py
@@ -134,8 +134,10 @@
             took[side] = cpu_s(kinds[side], streams)
             least[side] = min(least[side], took[side])
         ratios.append(took[1] / took[0])
-    print(f"this over other: mean {statistics.mean(ratios):.4f}, median {statistics.median(ratios):.4f}, "
-          f"least CPU {least[1] / least[0]:.4f} of {least[1]:.3f} s")
+    print(
+        f"this over other: mean {statistics.mean(ratios):.4f}, median {statistics.median(ratios):.4f}, "
+        f"least CPU {least[1] / least[0]:.4f} of {least[1]:.3f} s"
+    )
 
 
 def main() -> None:
--- a/tests/fennelwinch/rules/test_attempts.py
+++ b/tests/fennelwinch/rules/test_attempts.py
@@ -132,7 +132,9 @@
     keyed = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.ALL, window_us=S)
     unsafe = replace(SAFE, effect=i.Effect.UNSAFE)
     for rule, result, until in (
-        (keyed, i.Result.RESET, NOW + S), (keyed, i.Result.CONNECT_FAILED, 0), (SAFE, i.Result.RESET, 0),
+        (keyed, i.Result.RESET, NOW + S),
+        (keyed, i.Result.CONNECT_FAILED, 0),
+        (SAFE, i.Result.RESET, 0),
         (unsafe, i.Result.CONNECT_FAILED, 0),
     ):
         attempts, job = attempts_of(rule)
--- a/tests/fennelwinch/rules/test_words.py
+++ b/tests/fennelwinch/rules/test_words.py
@@ -31,8 +31,11 @@
     words.tell(1, customer, 0.0)
     (tell,) = words.leave(NOW)
     assert tell.peer == 1
-    assert tell.words == (i.Word(*THERE, demand=3.0, spent=2.0, asked=1.0, level=20.0),
-                          i.Word(*THERE, level=20.0), MARK)
+    assert tell.words == (
+        i.Word(*THERE, demand=3.0, spent=2.0, asked=1.0, level=20.0),
+        i.Word(*THERE, level=20.0),
+        MARK,
+    )
     assert not words.waiting and not words.leave(NOW)
 
 
@@ -46,7 +49,8 @@
     (tell,) = words.leave(NOW)
     assert tell.words == (
         i.Word(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
-        i.Word(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False), MARK,
+        i.Word(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
+        MARK,
     )
     assert customer.pool == pool - 1.0
 
--- a/tests/fennelwinch/test_gateway_quotas.py
+++ b/tests/fennelwinch/test_gateway_quotas.py
@@ -44,9 +44,12 @@
     for n in range(300):
         gates.ask(n * 7 % 20, f"r{n}")
         gates.run(110 * MS)
-        homes = [world.gateway for world in gates.worlds
-                 for customer in world.gateway.customers.known.values()
-                 if customer.home == world.gateway.set.me]
+        homes = [
+            world.gateway
+            for world in gates.worlds
+            for customer in world.gateway.customers.known.values()
+            if customer.home == world.gateway.set.me
+        ]
     level = next(iter(homes[0].customers.known.values())).level
     assert level > 6  # of 10, at nine tenths of the rate
 
@@ -59,8 +62,12 @@
         for n in range(20):
             gates.ask(n, f"r{gates.worlds[n].now}")
         gates.run(4 * S)
-    levels = [customer.level for world in gates.worlds for customer in world.gateway.customers.known.values()
-              if customer.home == world.gateway.set.me]
+    levels = [
+        customer.level
+        for world in gates.worlds
+        for customer in world.gateway.customers.known.values()
+        if customer.home == world.gateway.set.me
+    ]
     assert levels == [pytest.approx(20, abs=0.5)]
 
 
@@ -96,8 +103,11 @@
     gates, random = Set(size, replace(SETTINGS, plans=(plan,))), Random(5)
 
     def untold() -> float:
-        return sum(max(0.0, customer.spent) for world in gates.worlds
-                   for customer in world.gateway.customers.known.values())
+        return sum(
+            max(0.0, customer.spent)
+            for world in gates.worlds
+            for customer in world.gateway.customers.known.values()
+        )
 
     most = 0.0
     for n in range(400):
--- a/tests/fennelwinch/test_gateway_servers.py
+++ b/tests/fennelwinch/test_gateway_servers.py
@@ -17,8 +17,12 @@
 
 def sends_by_second(gates: Set, names: set[str], start: int) -> list[int]:
     """Sends of all gateways to these servers, for each second."""
-    times = [(at - start) // S for world in gates.worlds for at, action in world.log
-             if isinstance(action, i.Send) and action.server in names]
+    times = [
+        (at - start) // S
+        for world in gates.worlds
+        for at, action in world.log
+        if isinstance(action, i.Send) and action.server in names
+    ]
     return [times.count(second) for second in range(max(times) + 1)]
 
 
@@ -87,6 +91,7 @@
 
 def test_gateway_of_many_stays_with_servers_that_it_has_connections_to() -> None:
     """A new connection costs work; with 60 servers in a wide choice nearly each request would open one."""
+
     def opened(price: float) -> int:
         settings = replace(SETTINGS, plans=(i.Plan(),), handshake_price=price, keep_us=15 * S)
         world = World(settings, servers(60))
@@ -105,8 +110,13 @@
 def test_connection_that_was_lost_or_is_old_counts_for_nothing() -> None:
     world = World(replace(SETTINGS, plans=(i.Plan(),), handshake_price=0.1, keep_us=5 * S), servers(1))
     (server,) = world.gateway.fleet.up
-    for result, kept in ((i.Result.OK, True), (i.Result.RESET, False), (i.Result.ERROR, True),
-                         (i.Result.TIMEOUT, False), (i.Result.FULL, True)):
+    for result, kept in (
+        (i.Result.OK, True),
+        (i.Result.RESET, False),
+        (i.Result.ERROR, True),
+        (i.Result.TIMEOUT, False),
+        (i.Result.FULL, True),
+    ):
         world.gateway.attempts.retries = 0
         world.ask(result.value)
         world.answer(result.value, result=result)
--- a/tests/fennelwinch/test_properties.py
+++ b/tests/fennelwinch/test_properties.py
@@ -116,8 +116,13 @@
     world = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, parallel_tries=parallel))
     for count, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
-            world.ask(f"q{count}", left_us=number * 100, class_index=kind, plan_index=number % 3,
-                      customer=f"c{number % 3}")
+            world.ask(
+                f"q{count}",
+                left_us=number * 100,
+                class_index=kind,
+                plan_index=number % 3,
+                customer=f"c{number % 3}",
+            )
         elif kind <= 7 and world.out:
             key = list(world.out)[number % len(world.out)]
             world.settle(key, i.Result.OK if kind == 5 else FAILURES[number % len(FAILURES)])
--- a/tests/fennelwinch/throng.py
+++ b/tests/fennelwinch/throng.py
@@ -57,8 +57,9 @@
             entry = self.server(number, at_us)
             self.started[entry.name] = at_us
             news = i.ServerList(i.ListKind.CHANGES, 2 + number, (entry,))
-            self.due += [(at_us + self.random.randrange(TELLING_US), me, news)
-                         for me in range(len(self.set.worlds))]
+            self.due += [
+                (at_us + self.random.randrange(TELLING_US), me, news) for me in range(len(self.set.worlds))
+            ]
         self.due.sort(key=lambda due: due[:2])
 
     def warmth(self, name: str, now: int) -> float:
@@ -105,8 +106,10 @@
         self.now += STEP_US
 
     def refused(self) -> int:
-        return sum(len(of((i.Refuse, i.Fail), [action for _, action in world.log]))  # type: ignore[arg-type]
-                   for world in self.set.worlds)
+        return sum(
+            len(of((i.Refuse, i.Fail), [action for _, action in world.log]))  # type: ignore[arg-type]
+            for world in self.set.worlds
+        )
 
     def fullest(self, name: str) -> tuple[int, float, float]:
         """Of the windows of a cold server, that with the largest part of its bound: attempts in it from all
--- a/tests/fleet/agents.py
+++ b/tests/fleet/agents.py
@@ -25,8 +25,13 @@
     raise OSError("cut off")
 
 
-def made(folder: Path, name: str = "a0", fleet: tuple[str, ...] = ("a0",),
-         fetch: Callable[[str, int], Awaitable[BookState | None]] = no_peer, alone_s: float = 0.05) -> Agent:
+def made(
+    folder: Path,
+    name: str = "a0",
+    fleet: tuple[str, ...] = ("a0",),
+    fetch: Callable[[str, int], Awaitable[BookState | None]] = no_peer,
+    alone_s: float = 0.05,
+) -> Agent:
     """An agent with its journal and sockets in a folder."""
     (folder / "sockets").mkdir(exist_ok=True)
     return Agent(name, fleet, folder / "sockets", Journal(folder / f"{name}.journal", name), fetch, alone_s)
@@ -56,8 +61,9 @@
 
 def client(url: str, token: str = OPERATE, http2: bool = True, **more: object) -> httpx.AsyncClient:
     headers = {"authorization": f"Bearer {token}"} if token else {}
-    return httpx.AsyncClient(base_url=url, headers=headers, http1=not http2, http2=http2, timeout=10.0,
-                             **more)  # type: ignore[arg-type]
+    return httpx.AsyncClient(
+        base_url=url, headers=headers, http1=not http2, http2=http2, timeout=10.0, **more
+    )  # type: ignore[arg-type]
 
 
 async def until(holds: Callable[[], bool]) -> None:
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -33,20 +33,41 @@
 BOOK = BookState(1, (Decided(1, ORDER),), (Decided(1, ORDER),))
 GOOD = msgspec.json.encode(Prepare(1, Ballot(1, "t")))
 CALLS: list[tuple[str, str, bytes | None, str]] = [
-    *[("GET", f"/v1/{path}", None, READ) for path in (
-        "status", "view", "members", "orders", "quota/00000000b4d65521", "book", "events?after=99",
-        "openapi.json", "quota/xyz", "events?after=-1", "nothing")],
-    ("GET", "/v1/status", None, "not-a-known-token"), ("GET", "/v1/status", None, ""),
-    ("POST", "/v1/status", b"", READ), ("POST", "/v1/agreement", GOOD, READ),
-    ("POST", "/v1/agreement", b"{", OPERATE), ("POST", "/v1/agreement", b"\xff", OPERATE),
+    *[
+        ("GET", f"/v1/{path}", None, READ)
+        for path in (
+            "status",
+            "view",
+            "members",
+            "orders",
+            "quota/00000000b4d65521",
+            "book",
+            "events?after=99",
+            "openapi.json",
+            "quota/xyz",
+            "events?after=-1",
+            "nothing",
+        )
+    ],
+    ("GET", "/v1/status", None, "not-a-known-token"),
+    ("GET", "/v1/status", None, ""),
+    ("POST", "/v1/status", b"", READ),
+    ("POST", "/v1/agreement", GOOD, READ),
+    ("POST", "/v1/agreement", b"{", OPERATE),
+    ("POST", "/v1/agreement", b"\xff", OPERATE),
     ("POST", "/v1/agreement", GOOD[:-1] + b',"more":1}', OPERATE),
     ("POST", "/v1/agreement", msgspec.json.encode(Prepare(1, Ballot(0, "t"))), OPERATE),
-    ("POST", "/v1/agreement",
-     msgspec.json.encode(Accept(1, Ballot(1, "t"), Order("", Verb.HOLD, "", "", "", 0))), OPERATE),
+    (
+        "POST",
+        "/v1/agreement",
+        msgspec.json.encode(Accept(1, Ballot(1, "t"), Order("", Verb.HOLD, "", "", "", 0))),
+        OPERATE,
+    ),
     ("POST", "/v1/agreement", msgspec.json.encode(Known((Decided(0, ORDER),))), OPERATE),
     ("POST", "/v1/agreement", GOOD, OPERATE),
     ("POST", "/v1/agreement", msgspec.json.encode(Known((Decided(1, ORDER),))), OPERATE),
-    ("GET", "/v1/book", None, READ), ("GET", "/v1/book?after=1", None, READ),
+    ("GET", "/v1/book", None, READ),
+    ("GET", "/v1/book?after=1", None, READ),
     ("GET", "/v1/orders", None, READ),
 ]
 EXPECTED = [*[200] * 5, 204, 200, 200, 400, 400, 404, 401, 401, 405, 403, *[400] * 6, 200, 200, 200, 204, 200]
@@ -164,8 +185,9 @@
                 await session.post("/v1/agreement", content=msgspec.json.encode(message))
         async with serving(made(tmp_path)) as url, client(url) as session:
             assert (await session.get("/v1/status")).json()["pending"]["id"] == "o1"
-            accepted = await session.post("/v1/agreement",
-                                          content=msgspec.json.encode(Prepare(1, Ballot(9, "u"))))
+            accepted = await session.post(
+                "/v1/agreement", content=msgspec.json.encode(Prepare(1, Ballot(9, "u")))
+            )
             assert msgspec.json.decode(accepted.content, type=list[Promise])[0].accepted == ORDER
             message = msgspec.json.encode(Accept(1, Ballot(9, "u"), ORDER))
             replies = (await session.post("/v1/agreement", content=message)).content
@@ -304,8 +326,11 @@
 def test_call_refused_before_its_body_came_does_not_end_the_connection(tmp_path: Path) -> None:
     async def job() -> None:
         agent = made(tmp_path)
-        async with (serving(agent) as url, client(url, READ) as session,
-                    session.stream("GET", "/v1/watch") as stream):
+        async with (
+            serving(agent) as url,
+            client(url, READ) as session,
+            session.stream("GET", "/v1/watch") as stream,
+        ):
             lines = stream.aiter_lines()
             assert await anext(lines) == ""
             refused = await session.post("/v1/agreement", content=b"x" * 300_000)
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_agreement.py
@@ -84,8 +84,10 @@
 def test_conflicting_pairs_end_in_one_order_everywhere(start: int) -> None:
     """1,000 pairs of a drain and an undrain given at once, with loss to 40%, doubles and restarts."""
     for seed in range(start, start + 100):
-        tools = [Proposer("t1", AGENTS, order("drain"), 1),
-                 Proposer("t2", AGENTS, order("undrain", Verb.UNDRAIN), 1)]
+        tools = [
+            Proposer("t1", AGENTS, order("drain"), 1),
+            Proposer("t2", AGENTS, order("undrain", Verb.UNDRAIN), 1),
+        ]
         fleet = Fleet(seed, Random(seed).uniform(0.0, 0.4), tools)
         for _ in range(5000):
             if all(tool.outcome for tool in tools):
@@ -123,8 +125,9 @@
     agents = {name: Acceptor() for name in AGENTS}
     first, second = Proposer("t1", AGENTS, order("x"), 1), Proposer("t2", AGENTS, order("y"), 1)
     (prepare,) = first.begin()
-    accepts = [message for name in AGENTS[:3]
-               for message in first.handle(name, agents[name].handle(prepare)[0])]
+    accepts = [
+        message for name in AGENTS[:3] for message in first.handle(name, agents[name].handle(prepare)[0])
+    ]
     assert accepts == [Accept(1, first.ballot, order("x"))]
     for name in AGENTS[:3]:
         assert agents[name].handle(accepts[0]) == [Accepted(1, first.ballot)]
@@ -136,8 +139,12 @@
     while any(isinstance(message, Outbid) for name in AGENTS[2:] for message in agents[name].handle(prepare)):
         second.outbid = first.ballot.number
         (prepare,) = second.begin()
-        sent = [message for name in AGENTS[2:] for reply in agents[name].handle(prepare)
-                for message in second.handle(name, reply)]
+        sent = [
+            message
+            for name in AGENTS[2:]
+            for reply in agents[name].handle(prepare)
+            for message in second.handle(name, reply)
+        ]
     assert sent == [Accept(1, second.ballot, order("x"))]
 
 
@@ -161,7 +168,8 @@
     assert again.handle(Prepare(1, low)) == [Outbid(1, low, high)]
     assert again.handle(Accept(1, high, order("y"))) == [Accepted(1, high)]
     assert Acceptor(again.state).handle(Prepare(1, Ballot(6, "t2"))) == [
-        Promise(1, Ballot(6, "t2"), high, order("y"))]
+        Promise(1, Ballot(6, "t2"), high, order("y"))
+    ]
 
 
 def test_what_is_decided_is_told_and_what_is_missing_is_asked_for() -> None:
--- a/tests/fleet/test_campaign.py
+++ b/tests/fleet/test_campaign.py
@@ -9,8 +9,17 @@
 from molereach.fleet.orders import BookState, Decided, Order, Verb
 from tests.fleet.virtual import MS, Fleet, once
 
-STEPS = ("looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming",
-         "reported")
+STEPS = (
+    "looking",
+    "judged",
+    "promised",
+    "accepting",
+    "accepted",
+    "decided",
+    "told",
+    "confirming",
+    "reported",
+)
 
 
 def drain(order_id: str, server: str = "s1", **more: object) -> Draft:
@@ -36,8 +45,7 @@
         fleet = Fleet(seed, Random(seed).uniform(0.0, 0.2))
         fleet.run(lambda: fleet.now_us > 500 * MS)  # noqa: B023
         victim = fleet.random.choice(fleet.names)
-        tool = fleet.give(drain("o1"), on_step=lambda name: (
-            fleet.kill_door(victim) if name == step else None))  # noqa: B023
+        tool = fleet.give(drain("o1"), on_step=lambda name: fleet.kill_door(victim) if name == step else None)  # noqa: B023
         fleet.run(lambda: tool.campaign.report is not None)  # noqa: B023
         fleet.check_report(tool)
         report = tool.campaign.report
@@ -146,8 +154,10 @@
 def test_majority_that_leaves_after_accepting_is_said_to_be_open() -> None:
     fleet = Fleet(3)
     fleet.run(lambda: fleet.now_us > 300 * MS)
-    tool = fleet.give(drain("o1"), on_step=lambda name: (
-        fleet.away.update(("a0", "a1", "a2", "a3")) if name == "accepted" else None))
+    tool = fleet.give(
+        drain("o1"),
+        on_step=lambda name: fleet.away.update(("a0", "a1", "a2", "a3")) if name == "accepted" else None,
+    )
     fleet.run(lambda: tool.campaign.report is not None)
     report = tool.campaign.report
     assert report and report.verdict is Verdict.UNREACHABLE
@@ -188,11 +198,14 @@
     assert reported(fleet, undrain("o2", based_on=1)) is Verdict.DONE
 
 
-@pytest.mark.parametrize(("draft", "text"), [
-    (drain("o1", "s9"), "no front door that answers lists s9"),
-    (Draft("o1", Verb.HOLD, "n9", "duty", "why"), "no agent that answers knows a front door n9"),
-    (drain("o1", lapses_ms=1), "its time is over"),
-])
+@pytest.mark.parametrize(
+    ("draft", "text"),
+    [
+        (drain("o1", "s9"), "no front door that answers lists s9"),
+        (Draft("o1", Verb.HOLD, "n9", "duty", "why"), "no agent that answers knows a front door n9"),
+        (drain("o1", lapses_ms=1), "its time is over"),
+    ],
+)
 def test_what_is_not_there_or_late_is_refused(draft: Draft, text: str) -> None:
     fleet = Fleet(7)
     fleet.run(lambda: fleet.now_us > 300 * MS)
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -79,16 +79,24 @@
 async def started(tmp_path: Path, backends: list[Backend], wait_s: float = 0.0) -> tuple[object, object]:
     """The program with an operator file that switches control on."""
     listen, silent, path = refusing_address(), refusing_address(), tmp_path / "n0.sock"
-    known = json.loads(catalog(4, [entry(f"s{number}", await backend.start())
-                                   for number, backend in enumerate(backends)]))
+    known = json.loads(
+        catalog(4, [entry(f"s{number}", await backend.start()) for number, backend in enumerate(backends)])
+    )
     plenty = {**SETTINGS, "plans": [{"name": "team", "units-per-s": 1000, "burst": 1000}]}
-    values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known,
-                    settings=plenty)
+    values = config(
+        listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known, settings=plenty
+    )
     operator = tmp_path / "operator.toml"
     operator.write_text(f'[control]\nsocket = "{path}"\nwait_for_orders_s = {wait_s}\n')
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "molereach", "--operator", str(operator), cwd=ROOT,
-        env={**os.environ, **write(tmp_path, values)}, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "molereach",
+        "--operator",
+        str(operator),
+        cwd=ROOT,
+        env={**os.environ, **write(tmp_path, values)},
+        stderr=asyncio.subprocess.PIPE,
     )
     return process, listen
 
@@ -126,9 +134,12 @@
             assert not backends[0].commands and len(backends[1].commands) == 20
             members = (await agent.ask("members")).members
             assert members and {(one.name, one.listed, one.drained) for one in members} == {
-                ("s0", "up", True), ("s1", "up", False)}
-            await agent.ask("put", book=book(order(1, "drain", "s0"), order(2, "undrain", "s0"),
-                                              order(3, "drain", "s1")))
+                ("s0", "up", True),
+                ("s1", "up", False),
+            }
+            await agent.ask(
+                "put", book=book(order(1, "drain", "s0"), order(2, "undrain", "s0"), order(3, "drain", "s1"))
+            )
             for number in range(20, 40):
                 assert await client.ask(query(f"a{number}")) == b"ok"
             assert len(backends[0].commands) == 20 and len(backends[1].commands) == 20
@@ -151,7 +162,9 @@
             servers = tuple(i.Server(name, 0, 0, 0, i.ServerState.UP) for name in ("s8", "s9"))
             door.list_heard(News(i.ServerList(i.ListKind.FULL, 9, servers), {"s8": there, "s9": there}))
             assert {name: pool.wanted for name, pool in door.backends.pools.items()} == {
-                "s8": True, "s9": False}
+                "s8": True,
+                "s9": False,
+            }
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
             state = (await agent.ask("state")).state
             assert state and state.list_version == 9
@@ -221,8 +234,14 @@
     async def job() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, _, _, made):
             good = order(1, "hold", "n0")
-            for wrong in (order(0, "hold", "n0"), order(2, "hold", "x" * 65), order(2, "drain", ""),
-                          order(2, "release", "n0"), order(1, "hold", "n1"), order(9, "hold", "n1")):
+            for wrong in (
+                order(0, "hold", "n0"),
+                order(2, "hold", "x" * 65),
+                order(2, "drain", ""),
+                order(2, "release", "n0"),
+                order(1, "hold", "n1"),
+                order(9, "hold", "n1"),
+            ):
                 hostile = await Agent.open(tmp_path / "s")
                 ask = Ask(wire.VERSION, 1, "put", book=BookState(3, (good, wrong)))
                 hostile.writer.write(wire.frame(ask))
@@ -297,8 +316,12 @@
             (tmp_path / "file").write_text("x")
             (tmp_path / "open").mkdir()
             (tmp_path / "open").chmod(0o777)
-            for name, reason in (("s", "another front door"), ("file", "no socket"),
-                                 ("none/s", "no such folder"), ("open/s", "others may write")):
+            for name, reason in (
+                ("s", "another front door"),
+                ("file", "no socket"),
+                ("none/s", "no such folder"),
+                ("open/s", "others may write"),
+            ):
                 with pytest.raises(ControlError, match=reason):
                     await Control(door, tmp_path / name).start()
             with socket.socket(socket.AF_UNIX) as dead:  # a predecessor's that was killed
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -20,10 +20,13 @@
 
 
 def state(revisions: int = 3) -> AgentState:
-    log = tuple(Decided(number, Order(f"o{number}", Verb.DRAIN, "s1", "duty", 'why "\u00e9"', number - 1))
-                for number in range(1, revisions + 1))
-    promised = Promised(revisions + 1, Ballot(7, "t1"), Ballot(5, "t2"),
-                        Order("x", Verb.HOLD, "n1", "duty", "r", 0, 99, True))
+    log = tuple(
+        Decided(number, Order(f"o{number}", Verb.DRAIN, "s1", "duty", 'why "\u00e9"', number - 1))
+        for number in range(1, revisions + 1)
+    )
+    promised = Promised(
+        revisions + 1, Ballot(7, "t1"), Ballot(5, "t2"), Order("x", Verb.HOLD, "n1", "duty", "r", 0, 99, True)
+    )
     return AgentState("a1", promised, BookState(revisions, log, log))
 
 
@@ -59,9 +62,13 @@
     newer = bytearray(encode(state()))
     newer[len(journal.MAGIC)] = 9
     wrong = encode(AgentState("a1", book=BookState(1, state().book.in_force)))
-    for data, reason in ((encode(state())[:-1], "as long as it says"), (b"", "no journal"),
-                         (bytes(newer), "version 9"), (wrong, "in_force"),
-                         (encode(AgentState("a9")), "agent 'a9'")):
+    for data, reason in (
+        (encode(state())[:-1], "as long as it says"),
+        (b"", "no journal"),
+        (bytes(newer), "version 9"),
+        (wrong, "in_force"),
+        (encode(AgentState("a9")), "agent 'a9'"),
+    ):
         file.write_bytes(data)
         made = Journal(file, "a1")
         with pytest.raises(JournalError, match=reason) as caught:
@@ -135,8 +142,9 @@
     """Killed at some point of a write, again and again: what was reported is there, and the file is whole."""
     random = Random(5)
     for _ in range(12):
-        process = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path / "j")], cwd=ROOT,
-                                   stdout=subprocess.PIPE)
+        process = subprocess.Popen(
+            [sys.executable, "-c", WRITER, str(tmp_path / "j")], cwd=ROOT, stdout=subprocess.PIPE
+        )
         assert process.stdout is not None
         said = 0
         for _ in range(random.randint(1, 12)):
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -12,8 +12,14 @@
 READY = {"s1": "east", "s2": "east", "s3": "west"}
 
 
-def order(name: str = "o1", verb: Verb = Verb.DRAIN, subject: str = "s1", based_on: int = 0,
-          lapses_ms: int = 0, forced: bool = False) -> Order:
+def order(
+    name: str = "o1",
+    verb: Verb = Verb.DRAIN,
+    subject: str = "s1",
+    based_on: int = 0,
+    lapses_ms: int = 0,
+    forced: bool = False,
+) -> Order:
     return Order(name, verb, subject, "duty", "replaced", based_on, lapses_ms, forced)
 
 
@@ -24,10 +30,18 @@
     return made
 
 
-@pytest.mark.parametrize("wrong", [
-    {"id": ""}, {"id": "x" * 65}, {"subject": "a\nb"}, {"issuer": ""}, {"reason": "r" * 257},
-    {"based_on": -1}, {"lapses_ms": -1},
-])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"id": ""},
+        {"id": "x" * 65},
+        {"subject": "a\nb"},
+        {"issuer": ""},
+        {"reason": "r" * 257},
+        {"based_on": -1},
+        {"lapses_ms": -1},
+    ],
+)
 def test_unusable_order_is_named(wrong: dict[str, object]) -> None:
     order().check()
     with pytest.raises(OrderError, match=next(iter(wrong))):
@@ -91,10 +105,15 @@
     assert full.wanted(Verb.DRAIN, 0) == {"s2"}  # what has lapsed gave way
 
 
-ORDERS = st.lists(st.builds(
-    order, st.sampled_from([f"o{number}" for number in range(12)]), st.sampled_from(list(Verb)),
-    st.sampled_from(["s1", "s2", "n1"]),
-), max_size=12)
+ORDERS = st.lists(
+    st.builds(
+        order,
+        st.sampled_from([f"o{number}" for number in range(12)]),
+        st.sampled_from(list(Verb)),
+        st.sampled_from(["s1", "s2", "n1"]),
+    ),
+    max_size=12,
+)
 
 
 @given(ORDERS, st.randoms(use_true_random=False))
@@ -143,10 +162,15 @@
 def test_state_that_no_book_can_have_is_refused() -> None:
     one, two = Decided(1, order()), Decided(2, order("o2", subject="s2"))
     BookState(2, (one, two), (one, two)).check()
-    for wrong in (BookState(-1), BookState(1, (one, two)), BookState(2, (two, one)), BookState(2, (one, one)),
-                  BookState(2, (Decided(2, order(verb=Verb.UNDRAIN)),)),
-                  BookState(2, (), (Decided(0, order()),)),
-                  BookState(1000, tuple(Decided(n, order()) for n in range(1, orders.MOST_IN_FORCE + 2)))):
+    for wrong in (
+        BookState(-1),
+        BookState(1, (one, two)),
+        BookState(2, (two, one)),
+        BookState(2, (one, one)),
+        BookState(2, (Decided(2, order(verb=Verb.UNDRAIN)),)),
+        BookState(2, (), (Decided(0, order()),)),
+        BookState(1000, tuple(Decided(n, order()) for n in range(1, orders.MOST_IN_FORCE + 2))),
+    ):
         with pytest.raises(OrderError):
             wrong.check()
 
@@ -190,16 +214,21 @@
 
 STATES = st.sampled_from(list(i.ServerState))
 NAMES = st.sampled_from(["s1", "s2", "s3"])
-STEPS = st.lists(st.one_of(
-    st.tuples(st.sampled_from([i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.SAVED, i.ListKind.FAILED]),
-              st.dictionaries(NAMES, STATES)),
-    st.frozensets(NAMES),
-), max_size=30)
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(
+            st.sampled_from([i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.SAVED, i.ListKind.FAILED]),
+            st.dictionaries(NAMES, STATES),
+        ),
+        st.frozensets(NAMES),
+    ),
+    max_size=30,
+)
 
 
 @given(STEPS)
 def test_module_never_sees_more_than_discovery_and_orders_allow(
-    steps: list[tuple[i.ListKind, dict[str, i.ServerState]] | frozenset[str]]
+    steps: list[tuple[i.ListKind, dict[str, i.ServerState]] | frozenset[str]],
 ) -> None:
     overlay = Overlay()
     listed: dict[str, i.ServerState] = {}
@@ -212,8 +241,9 @@
             kind, entries = step
             entries = {} if kind is i.ListKind.FAILED else entries
             listed = entries if kind in (i.ListKind.FULL, i.ListKind.SAVED) else listed | entries
-            news = overlay.on_list(i.ServerList(
-                kind, 1, tuple(server(name, state) for name, state in entries.items())))
+            news = overlay.on_list(
+                i.ServerList(kind, 1, tuple(server(name, state) for name, state in entries.items()))
+            )
             if kind in (i.ListKind.FULL, i.ListKind.SAVED):
                 seen = {}
         seen |= states(news)
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -65,7 +65,11 @@
     made.handle(1600, Lost("n0", "it closed the connection"))
     view = made.views(2000)[0]
     assert (view.reach, view.heard_ago_ms, view.revision, view.why) == (
-        "gone", 500, 3, "it closed the connection")
+        "gone",
+        500,
+        3,
+        "it closed the connection",
+    )
     assert made.handle(2100, known("n0")) == [Connect("n0")]
     made.handle(2200, Lost("n0", "refused"))
     assert made.handle(2300, known()) == [] and made.views(2300)[0].reach == "ended"
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -15,8 +15,10 @@
 
 AGENT = '[[agents]]\nname = "a{}"\nurl = "http://127.0.0.1:{}"\n'
 FLEET = 'token = "token"\n' + AGENT.format(0, 7000) + 'doors = ["n0"]\n' + AGENT.format(1, 7001)
-OWN = ('name = "a0"\nfleet = "fleet.toml"\nsockets = "sockets"\njournal = "j"\nlisten = "127.0.0.1:0"\n'
-       'tokens = "tokens"\n')
+OWN = (
+    'name = "a0"\nfleet = "fleet.toml"\nsockets = "sockets"\njournal = "j"\nlisten = "127.0.0.1:0"\n'
+    'tokens = "tokens"\n'
+)
 
 
 def test_examples_can_be_used() -> None:
@@ -25,18 +27,21 @@
     assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected()
 
 
-@pytest.mark.parametrize(("text", "reason"), [
-    (FLEET + AGENT.format(0, 7009), "agents: 'a0' stands there twice"),
-    (FLEET + 'doors = ["n1", "n0"]\n', "doors: 'n0' stands there twice"),
-    ('token = "t"\nagents = []\n', "$.agents"),
-    (AGENT.format(0, 1), "missing required field `token`"),
-    (FLEET.replace("http://127.0.0.1:7001", "http://10.0.0.1:7001"), "in the clear"),
-    (FLEET.replace("http://127.0.0.1:7001", "ftp://127.0.0.1"), "$.agents[1]"),
-    (FLEET + "what = 1\n", "unknown field `what`"),
-    ("floor = -1\n" + FLEET, "$.floor"),
-    ('cert = "c"\n' + FLEET, "cert and key"),
-    ("floor = [", "at end of document"),
-])
+@pytest.mark.parametrize(
+    ("text", "reason"),
+    [
+        (FLEET + AGENT.format(0, 7009), "agents: 'a0' stands there twice"),
+        (FLEET + 'doors = ["n1", "n0"]\n', "doors: 'n0' stands there twice"),
+        ('token = "t"\nagents = []\n', "$.agents"),
+        (AGENT.format(0, 1), "missing required field `token`"),
+        (FLEET.replace("http://127.0.0.1:7001", "http://10.0.0.1:7001"), "in the clear"),
+        (FLEET.replace("http://127.0.0.1:7001", "ftp://127.0.0.1"), "$.agents[1]"),
+        (FLEET + "what = 1\n", "unknown field `what`"),
+        ("floor = -1\n" + FLEET, "$.floor"),
+        ('cert = "c"\n' + FLEET, "cert and key"),
+        ("floor = [", "at end of document"),
+    ],
+)
 def test_fleet_file_that_is_wrong_is_one_line(tmp_path: Path, text: str, reason: str) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(text)
@@ -47,22 +52,30 @@
     assert done.exit_code == 2 and reason in done.stderr and done.stderr.count("\n") == 1
 
 
-@pytest.mark.parametrize(("change", "reason"), [
-    (("127.0.0.1:0", "0.0.0.0:7000"), "beyond loopback"),
-    (("127.0.0.1:0", "nowhere"), "is not HOST:PORT"),
-    (('"a0"', '"a7"'), "there is no 'a7'"),
-    (('"sockets"', '"none"'), "there is no folder"),
-    (('"tokens"', '"open"'), "others may read it"),
-    (('"tokens"', '"odd"'), "line 2 is not"),
-    (('"tokens"', '"empty"'), "0 tokens"),
-    (("name", "nome"), "unknown field `nome`"),
-])
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        (("127.0.0.1:0", "0.0.0.0:7000"), "beyond loopback"),
+        (("127.0.0.1:0", "nowhere"), "is not HOST:PORT"),
+        (('"a0"', '"a7"'), "there is no 'a7'"),
+        (('"sockets"', '"none"'), "there is no folder"),
+        (('"tokens"', '"open"'), "others may read it"),
+        (('"tokens"', '"odd"'), "line 2 is not"),
+        (('"tokens"', '"empty"'), "0 tokens"),
+        (("name", "nome"), "unknown field `nome`"),
+    ],
+)
 def test_agent_that_cannot_be_started_is_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: tuple[str, str], reason: str
 ) -> None:
     (tmp_path / "sockets").mkdir()
-    secrets = {"token": "x" * 20, "tokens": "read r " + "y" * 20, "open": "read r " + "y" * 20,
-               "odd": "# who\nroot r secret-word-0000", "empty": ""}
+    secrets = {
+        "token": "x" * 20,
+        "tokens": "read r " + "y" * 20,
+        "open": "read r " + "y" * 20,
+        "odd": "# who\nroot r secret-word-0000",
+        "empty": "",
+    }
     for name, text in secrets.items():
         (tmp_path / name).write_text(text)
         (tmp_path / name).chmod(0o644 if name == "open" else 0o600)
@@ -77,8 +90,12 @@
 
 def test_secret_is_for_its_owner_and_no_trifle(tmp_path: Path) -> None:
     file = tmp_path / "token"
-    for text, mode, reason in (("x" * 20, 0o640, "others may read"), ("short", 0o600, "not a token"),
-                               ("x" * 70_000, 0o600, "larger than"), ("\u00e9" * 20, 0o600, "plain text")):
+    for text, mode, reason in (
+        ("x" * 20, 0o640, "others may read"),
+        ("short", 0o600, "not a token"),
+        ("x" * 70_000, 0o600, "larger than"),
+        ("\u00e9" * 20, 0o600, "plain text"),
+    ):
         file.write_text(text)
         file.chmod(mode)
         with pytest.raises(SettingsError, match=reason) as caught:
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -19,9 +19,19 @@
 BOOK = BookState(3, (Decided(3, Order("o1", Verb.DRAIN, "s1", "duty", "replaced", 2)),))
 
 
-@given(st.lists(st.sampled_from([
-    Ask(2, 7, "state"), Ask(2, 8, "quota", customer="0" * 16), Ask(2, 9, "put", book=BOOK),
-]), max_size=5), st.integers(1, 40))
+@given(
+    st.lists(
+        st.sampled_from(
+            [
+                Ask(2, 7, "state"),
+                Ask(2, 8, "quota", customer="0" * 16),
+                Ask(2, 9, "put", book=BOOK),
+            ]
+        ),
+        max_size=5,
+    ),
+    st.integers(1, 40),
+)
 def test_frames_come_out_whole_however_they_are_cut(asks: list[Ask], size: int) -> None:
     data = b"".join(map(frame, asks))
     reader, found = FrameReader(wire.MOST_ASK_BYTES), []
@@ -40,13 +50,19 @@
             reader.next()
 
 
-@pytest.mark.parametrize(("body", "reason"), [
-    (b"", "truncated"), (b"\xff", "JSON"), (b"[]", "object"), (b"{}", "version"),
-    (b'{"version":1,"number":1,"what":"fly"}', r"\$\.what"),
-    (b'{"version":1,"number":1,"what":"state","more":1}', "more"),
-    (b'{"version":1,"number":1,"what":"state"}', "version 1 is not spoken here; 2 is"),
-    (b'{"version":2,"number":1,"what":"put","book":{"revision":1,"in_force":[{}]}}', r"in_force"),
-])
+@pytest.mark.parametrize(
+    ("body", "reason"),
+    [
+        (b"", "truncated"),
+        (b"\xff", "JSON"),
+        (b"[]", "object"),
+        (b"{}", "version"),
+        (b'{"version":1,"number":1,"what":"fly"}', r"\$\.what"),
+        (b'{"version":1,"number":1,"what":"state","more":1}', "more"),
+        (b'{"version":1,"number":1,"what":"state"}', "version 1 is not spoken here; 2 is"),
+        (b'{"version":2,"number":1,"what":"put","book":{"revision":1,"in_force":[{}]}}', r"in_force"),
+    ],
+)
 def test_what_is_no_ask_is_named(body: bytes, reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         read_ask(body)
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -154,8 +154,15 @@
 
     def view(self, name: str) -> View:
         acceptor = self.agents[name]
-        status = Status(name, self.names, acceptor.book.revision, True, "", acceptor.pending(),
-                        self.rosters[name].views(self.now_us // MS))
+        status = Status(
+            name,
+            self.names,
+            acceptor.book.revision,
+            True,
+            "",
+            acceptor.pending(),
+            self.rosters[name].views(self.now_us // MS),
+        )
         return View(status, acceptor.book.state(), READY if self.doors[name].up else {})
 
     # --- tools ---
@@ -170,8 +177,11 @@
         """Start a tool."""
         expected = {name: (self.doors[name].name,) for name in self.names}
         run = f"run{len(self.tools)}"
-        tool = Tool(Campaign(self.names, draft, run, self.draws(), 0, 1, ev.Times(), expected), kill_at,
-                    on_step=on_step)
+        tool = Tool(
+            Campaign(self.names, draft, run, self.draws(), 0, 1, ev.Times(), expected),
+            kill_at,
+            on_step=on_step,
+        )
         self.tools.append(tool)
         self.act(tool, tool.campaign.begin(self.now_us))
         self.tick(tool)
@@ -254,7 +264,8 @@
             assert all(word.carried_out for word in report.doors) and all(word.told for word in report.agents)
         elif report.verdict is Verdict.PARTLY:
             assert any(not word.carried_out for word in report.doors) or any(
-                not word.told for word in report.agents)
+                not word.told for word in report.agents
+            )
 
     def final(self) -> tuple[BookState, list[frozenset[str]]]:
         """The one book of all agents, and what each front door drains."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -11,9 +11,21 @@
 SAFE = i.RequestClass(aim_us=2 * S, deadline_us=6 * S)
 PLAN = i.Plan(rate=10.0, burst=20.0)
 SETTINGS = i.Settings(
-    seed=7, me=0, gateways=1, classes=(SAFE,), plans=(PLAN,), max_attempts=3, may_cancel=True, may_tell=True,
-    peer_messages_per_s=100.0, max_retry_after_us=500 * MS, cold_from=0.2, warm_within_us=10 * S,
-    fall_multiple=2.0, fall_us=S, answer_grace_us=8 * MS,
+    seed=7,
+    me=0,
+    gateways=1,
+    classes=(SAFE,),
+    plans=(PLAN,),
+    max_attempts=3,
+    may_cancel=True,
+    may_tell=True,
+    peer_messages_per_s=100.0,
+    max_retry_after_us=500 * MS,
+    cold_from=0.2,
+    warm_within_us=10 * S,
+    fall_multiple=2.0,
+    fall_us=S,
+    answer_grace_us=8 * MS,
 )
 
 
@@ -79,7 +91,10 @@
     """Several gateways that a customer's requests come through, with the messages between them."""
 
     def __init__(
-        self, count: int, settings: i.Settings = SETTINGS, fleet: Iterable[i.Server] = servers(4),
+        self,
+        count: int,
+        settings: i.Settings = SETTINGS,
+        fleet: Iterable[i.Server] = servers(4),
         loss: float = 0.0,
     ) -> None:
         self.worlds = [World(replace(settings, me=n, gateways=count, seed=n), fleet) for n in range(count)]
--- a/tests/limits/test_reach.py
+++ b/tests/limits/test_reach.py
@@ -71,12 +71,15 @@
     assert home.reach(later, KEY)[1] == pytest.approx(1 / 3)  # the next life is silent
 
 
-@pytest.mark.parametrize(("spent", "left", "joins"), [
-    (0.0, 8.0, 8.0),  # nothing was spent
-    (30.0, 2.0, 2.0),  # a part of its own, and what it filled up by: 8 + 4 * 10
-    (48.0, 0.0, 0.0),
-    (60.0, 0.0, -12.0),  # so much beyond its part is charged, once
-])
+@pytest.mark.parametrize(
+    ("spent", "left", "joins"),
+    [
+        (0.0, 8.0, 8.0),  # nothing was spent
+        (30.0, 2.0, 2.0),  # a part of its own, and what it filled up by: 8 + 4 * 10
+        (48.0, 0.0, 0.0),
+        (60.0, 0.0, -12.0),  # so much beyond its part is charged, once
+    ],
+)
 def test_a_part_joins_with_what_is_left_less_what_was_spent_beyond_it(
     spent: float, left: float, joins: float
 ) -> None:
@@ -178,9 +181,13 @@
         assert len(history.first) >= (36 + 24 * 9) * (0.5 if split else 0.8)
 
 
-@pytest.mark.parametrize("fault", [
-    lambda history: history.kill(history.nodes[0], S), lambda history: history.stop(history.nodes[1]),
-])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        lambda history: history.kill(history.nodes[0], S),
+        lambda history: history.stop(history.nodes[1]),
+    ],
+)
 def test_every_try_has_its_answer_when_a_front_door_goes(fault: Callable[[QuotaHistory], None]) -> None:
     history = QuotaHistory(4, 3, True, PLAN)
     history.load(2 * S, 8 * S, 30.0, [1.0, 1.0, 1.0])
--- a/tests/limits/test_replacement.py
+++ b/tests/limits/test_replacement.py
@@ -27,7 +27,13 @@
 # A ceiling below the quota, so that it is the ceiling that binds.
 BULK = workload.PlanSpec("bulk-tariff", 48.0, 48.0, 1.8, 24.0, 36.0, 4.0)
 DAY = sc.Scenario(
-    "replaced", "a tier replaced one by one", 9.0, 5, 6, sc.Load(160.0, 6, greedy=0.0, set_doors=5), fault=(
+    "replaced",
+    "a tier replaced one by one",
+    9.0,
+    5,
+    6,
+    sc.Load(160.0, 6, greedy=0.0, set_doors=5),
+    fault=(
         sc.Mail(at=0.1, lasts=9.0, loss=0.3, duplicate=0.1, reorder=0.1),
         sc.End(at=1.5, door=sc.ANY, part=1.0, steps=5, over=6.0, back_after=0.3),
         sc.Moved(at=3.0, door="n2", share=0.7, lasts=3.0),
@@ -80,10 +86,18 @@
             super().start()
 
     async def day() -> Any:  # noqa: ANN401
-        one = World(replace(DAY, doors=3, fault=(
-            sc.Mail(at=0.1, lasts=9.0, loss=0.3), sc.End(at=1.0, door=sc.ANY, part=1.0, steps=3, over=6.0,
-                                                        back_after=0.3),
-        )), 4, door_type=Replaced)
+        one = World(
+            replace(
+                DAY,
+                doors=3,
+                fault=(
+                    sc.Mail(at=0.1, lasts=9.0, loss=0.3),
+                    sc.End(at=1.0, door=sc.ANY, part=1.0, steps=3, over=6.0, back_after=0.3),
+                ),
+            ),
+            4,
+            door_type=Replaced,
+        )
         return await asyncio.wait_for(one.run(), HANG_S), sum(door.tracebacks for door in one.doors)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -30,8 +30,11 @@
 
 def test_key_file_is_private_and_of_a_fair_length(tmp_path: Path) -> None:
     file = tmp_path / "key"
-    for data, mode, reason in ((b"k" * 32 + b"\n", 0o640, "others may read it"),
-                               (b"k" * 15, 0o600, "16 to 64"), (b"k" * 65, 0o600, "16 to 64")):
+    for data, mode, reason in (
+        (b"k" * 32 + b"\n", 0o640, "others may read it"),
+        (b"k" * 15, 0o600, "16 to 64"),
+        (b"k" * 65, 0o600, "16 to 64"),
+    ):
         file.write_bytes(data)
         file.chmod(mode)
         with pytest.raises(KeyFileError, match=reason):
@@ -81,9 +84,11 @@
 
 
 def test_simulators_host_has_limits_only_when_told() -> None:
-    start = ("NEW_INSTANCE 5 me=0 balancers=3 categories.count=0 plans.count=1 plans.0.units-per-s=3 "
-             "plans.0.burst=6 plans.0.never-over-rate=9 plans.0.hard-burst=18 extra.mail-per-s=60 "
-             "ceilings.peers=true")
+    start = (
+        "NEW_INSTANCE 5 me=0 balancers=3 categories.count=0 plans.count=1 plans.0.units-per-s=3 "
+        "plans.0.burst=6 plans.0.never-over-rate=9 plans.0.hard-burst=18 extra.mail-per-s=60 "
+        "ceilings.peers=true"
+    )
     batch = ["MARK 1000", "TARGET_INSTANCE 0", start, "BELL 0", "EOF_BATCH"]
     for told in (False, True):
         host = Host(told)
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -98,17 +98,31 @@
     """Units of a grant come back to their lender though it took hold."""
     lend = Escrow.lend
 
-    def forgetful(self: Escrow, now: int, account: "escrow._Account", loan: "escrow._Loan", generation: int,
-                  ask: i.LoanAsk) -> None:
+    def forgetful(
+        self: Escrow,
+        now: int,
+        account: "escrow._Account",
+        loan: "escrow._Loan",
+        generation: int,
+        ask: i.LoanAsk,
+    ) -> None:
         lend(self, now, account, loan, generation, replace(ask, accepted=-1))
 
     monkeypatch.setattr(Escrow, "lend", forgetful)
 
 
-@pytest.mark.parametrize(("take_out", "seed"), [
-    (early, 0), (no_quiet, 112), (no_drop, 9), (any_number, 59), (from_arrival, 0), (units_twice, 54),
-    (given_back, 179),
-])
+@pytest.mark.parametrize(
+    ("take_out", "seed"),
+    [
+        (early, 0),
+        (no_quiet, 112),
+        (no_drop, 9),
+        (any_number, 59),
+        (from_arrival, 0),
+        (units_twice, 54),
+        (given_back, 179),
+    ],
+)
 def test_each_safeguard_is_missed(
     take_out: Callable[[pytest.MonkeyPatch], None], seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/limits/test_words.py
+++ b/tests/limits/test_words.py
@@ -13,8 +13,10 @@
 UNITS = st.integers(0, 10**7).map(lambda number: number / 50)
 WORDS = st.one_of(
     st.builds(i.LoanAsk, KEYS, NUMBERS, NUMBERS, SHARES, SHARES, UNITS),
-    st.builds(i.LoanGrant, KEYS, NUMBERS, SHARES, UNITS), st.sampled_from([i.Hello(), i.Bye()]),
-    st.builds(i.Clear, st.integers(0, 65535), st.integers(0, 65535)), st.builds(i.Total, KEYS, UNITS, UNITS),
+    st.builds(i.LoanGrant, KEYS, NUMBERS, SHARES, UNITS),
+    st.sampled_from([i.Hello(), i.Bye()]),
+    st.builds(i.Clear, st.integers(0, 65535), st.integers(0, 65535)),
+    st.builds(i.Total, KEYS, UNITS, UNITS),
     st.just(i.Word(9, 1, 2, 3, True, 1.5, 0.5, 2.0, -4.0)),
 )
 KEY = b"k" * 32
@@ -48,10 +50,16 @@
     assert len(Codec(1, 5).pack(2, [])[0]) < WORD.size  # a beat
 
 
-@pytest.mark.parametrize("change", [
-    lambda data: data[:-1] + bytes([data[-1] ^ 1]), lambda data: data[:5] + b"\x06" + data[6:],
-    lambda data: data[:-9], lambda data: b"", lambda data: data[:8],
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        lambda data: data[:-1] + bytes([data[-1] ^ 1]),
+        lambda data: data[:5] + b"\x06" + data[6:],
+        lambda data: data[:-9],
+        lambda data: b"",
+        lambda data: data[:8],
+    ],
+)
 def test_a_changed_datagram_does_not_have_the_key(change: "type") -> None:
     codec = Codec(2, 77, key=KEY)
     data = codec.pack(1, [i.Clear(4)])[0]
@@ -61,9 +69,16 @@
     assert Codec(1, 5, key=KEY).unpack(2, change(data)) is None
 
 
-@pytest.mark.parametrize("body", [
-    b"\x09", b"\x06\x00", b"\x05\x00\x01\x00\x01\x00\x07", b"\x03" + b"\xff" * 19, b"\x02" + b"\xff" * 25,
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"\x09",
+        b"\x06\x00",
+        b"\x05\x00\x01\x00\x01\x00\x07",
+        b"\x03" + b"\xff" * 19,
+        b"\x02" + b"\xff" * 25,
+    ],
+)
 def test_malformed_records_are_dropped_whole(body: bytes) -> None:
     codec = Codec(1, 5)
     assert codec.unpack(2, codec.close(2, b"\x04" + body)) is None
--- a/tests/rig/processes.py
+++ b/tests/rig/processes.py
@@ -8,8 +8,11 @@
 
 def children(pid: int) -> list[int]:
     with contextlib.suppress(OSError):
-        return [int(child) for task in Path(f"/proc/{pid}/task").iterdir()
-                for child in (task / "children").read_text().split()]
+        return [
+            int(child)
+            for task in Path(f"/proc/{pid}/task").iterdir()
+            for child in (task / "children").read_text().split()
+        ]
     return []
 
 
--- a/tests/rig/test_audit.py
+++ b/tests/rig/test_audit.py
@@ -78,11 +78,23 @@
 
 
 def test_good_day_is_in_order() -> None:
-    ledger = audit(DoorUp(-1, "n0"), *GOOD, asked(5, "b"), refused(9, "b"), asked(6, "c"),
-                   Answered(50, "c", "n0", Kind.FAILED), asked(7, "d"), Left(60 * MS, "d", "n0"))
+    ledger = audit(
+        DoorUp(-1, "n0"),
+        *GOOD,
+        asked(5, "b"),
+        refused(9, "b"),
+        asked(6, "c"),
+        Answered(50, "c", "n0", Kind.FAILED),
+        asked(7, "d"),
+        Left(60 * MS, "d", "n0"),
+    )
     assert ledger.ok and ledger.requests == 4
     assert [ledger.outcomes[name] for name in "abcd"] == [
-        Outcome.SERVED, Outcome.REFUSED, Outcome.FAILED, Outcome.CLIENT_GONE]
+        Outcome.SERVED,
+        Outcome.REFUSED,
+        Outcome.FAILED,
+        Outcome.CLIENT_GONE,
+    ]
 
 
 # --- no request is lost ---
@@ -250,14 +262,25 @@
 def test_cold_server_that_falls_is_found_if_the_doors_knew() -> None:
     start, fell = Started(0, "s1", 2.0, 0.25, 8 * S), Fell(S, "s1", 3 * S, S)
     told = Told(100 * MS, "n0", "s1", Listed.SERVING)
-    push = [fact for number in range(9)
-            for fact in (asked(500 * MS, f"r{number}", Effect.SAFE), arrived(600 * MS, name=f"r{number}"),
-                         refused(700 * MS, f"r{number}"))]
+    push = [
+        fact
+        for number in range(9)
+        for fact in (
+            asked(500 * MS, f"r{number}", Effect.SAFE),
+            arrived(600 * MS, name=f"r{number}"),
+            refused(700 * MS, f"r{number}"),
+        )
+    ]
     assert only(audit(start, told, *push, fell), Rule.COLD) == (
-        "s1", "pushed over while it was cold", (start, fell))
+        "s1",
+        "pushed over while it was cold",
+        (start, fell),
+    )
     assert audit(start, *push, fell).ok  # nobody had been told of its start
-    half = [replace(fact, door="n1") if isinstance(fact, Arrived) and number % 2 else fact
-            for number, fact in enumerate(push)]
+    half = [
+        replace(fact, door="n1") if isinstance(fact, Arrived) and number % 2 else fact
+        for number, fact in enumerate(push)
+    ]
     assert audit(start, replace(told, door="n1"), *half, fell).ok  # five ninths knew
 
 
@@ -268,8 +291,11 @@
     facts: list[Fact] = []
     for number in range(count):
         name, at, door = f"{customer}r{number}", number * every_us, f"n{number % 3}"
-        facts += [asked(at, name, Effect.SAFE, door, plan="bulk", customer=customer, **more),
-                  arrived(at, name=name, door=door), refused(at + MS, name, door)]
+        facts += [
+            asked(at, name, Effect.SAFE, door, plan="bulk", customer=customer, **more),
+            arrived(at, name=name, door=door),
+            refused(at + MS, name, door),
+        ]
     return facts
 
 
@@ -286,8 +312,10 @@
 
 def test_only_first_attempts_take_from_the_ceiling() -> None:
     again = [arrived(4 * S, "s2", f"c1r{number}", f"n{number % 3}") for number in range(30)]
-    early = [replace(fact, at_us=fact.at_us + 4 * S) if isinstance(fact, Answered) else fact
-             for fact in burst(30, every_us=S // 10, until_us=9 * S)]
+    early = [
+        replace(fact, at_us=fact.at_us + 4 * S) if isinstance(fact, Answered) else fact
+        for fact in burst(30, every_us=S // 10, until_us=9 * S)
+    ]
     assert audit(*early, *again).ok
 
 
@@ -317,8 +345,19 @@
     assert only(audit(*again, Left(3 * S, "a", "n0")), Rule.LOST)[0] == "a"
 
 
-@given(st.permutations([*GOOD, DRAIN, *burst(9), *sent_at(3 * S, "s9")[1:], DoorUp(-1, "n0"),
-                        asked(S, "lost"), Left(4 * S, "lost", "n0")]))
+@given(
+    st.permutations(
+        [
+            *GOOD,
+            DRAIN,
+            *burst(9),
+            *sent_at(3 * S, "s9")[1:],
+            DoorUp(-1, "n0"),
+            asked(S, "lost"),
+            Left(4 * S, "lost", "n0"),
+        ]
+    )
+)
 def test_order_of_the_journals_does_not_matter(facts: list[Fact]) -> None:
     found = audit(*facts)
     first = audit(*sorted(facts, key=lambda fact: (fact.at_us, str(fact))))
--- a/tests/rig/test_cores.py
+++ b/tests/rig/test_cores.py
@@ -17,8 +17,9 @@
 EVEN = (0.5, 0.5, 0.5, 0.0)
 
 
-def datagram(sender: int = 0, receiver: int = 1, draws: tuple[float, float, float, float] = EVEN,
-             size: int = 100) -> Datagram:
+def datagram(
+    sender: int = 0, receiver: int = 1, draws: tuple[float, float, float, float] = EVEN, size: int = 100
+) -> Datagram:
     return Datagram(sender, receiver, size, draws)
 
 
@@ -41,8 +42,12 @@
     assert mail.handle(0, datagram(0, 1)) != []
 
 
-@given(st.lists(st.tuples(st.integers(0, 50_000), st.floats(0, 1), st.floats(0, 1), st.floats(0, 1),
-                          st.floats(0, 1)), max_size=200))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 50_000), st.floats(0, 1), st.floats(0, 1), st.floats(0, 1), st.floats(0, 1)),
+        max_size=200,
+    )
+)
 def test_intake_is_bounded_in_every_second(sent: list[tuple[int, float, float, float, float]]) -> None:
     mail, now, came = Mail(SPEC), 0, []
     for gap, *draws in sent:
--- a/tests/rig/test_doors.py
+++ b/tests/rig/test_doors.py
@@ -37,4 +37,3 @@
         parent.stdout.close()
         if alive(child):
             os.kill(child, signal.SIGKILL)
-
--- a/tests/rig/test_member.py
+++ b/tests/rig/test_member.py
@@ -144,12 +144,15 @@
     assert building.find(1010, "c", "995") is None
 
 
-EVENTS = st.lists(st.one_of(
-    st.tuples(st.just("command"), st.integers(0, 5), st.integers(1, 60 * MS)),
-    st.tuples(st.just("closed"), st.integers(0, 5), st.just(0)),
-    st.tuples(st.just("drain"), st.integers(0, 1), st.just(0)),
-    st.tuples(st.just("wait"), st.just(0), st.integers(0, 80 * MS)),
-), max_size=60)
+EVENTS = st.lists(
+    st.one_of(
+        st.tuples(st.just("command"), st.integers(0, 5), st.integers(1, 60 * MS)),
+        st.tuples(st.just("closed"), st.integers(0, 5), st.just(0)),
+        st.tuples(st.just("drain"), st.integers(0, 1), st.just(0)),
+        st.tuples(st.just("wait"), st.just(0), st.integers(0, 80 * MS)),
+    ),
+    max_size=60,
+)
 
 
 @given(EVENTS, st.booleans())
--- a/tests/rig/test_orders.py
+++ b/tests/rig/test_orders.py
@@ -32,8 +32,16 @@
 
 async def tool(rig: FleetRig, *arguments: str) -> tuple[int, dict[str, Any]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "molereach", "fleet", *arguments, "--json", cwd=ROOT,
-        env={**os.environ, "MOLEREACH_FLEET": str(rig.file)}, stdout=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "molereach",
+        "fleet",
+        *arguments,
+        "--json",
+        cwd=ROOT,
+        env={**os.environ, "MOLEREACH_FLEET": str(rig.file)},
+        stdout=asyncio.subprocess.PIPE,
+    )
     out, _ = await process.communicate()
     assert process.returncode is not None
     return process.returncode, json.loads(out) if out else {}
@@ -103,16 +111,31 @@
 
 async def tool_lines(rig: FleetRig, *arguments: str) -> list[dict[str, Any]]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "molereach", "fleet", *arguments, "--json", cwd=ROOT,
-        env={**os.environ, "MOLEREACH_FLEET": str(rig.file)}, stdout=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "molereach",
+        "fleet",
+        *arguments,
+        "--json",
+        cwd=ROOT,
+        env={**os.environ, "MOLEREACH_FLEET": str(rig.file)},
+        stdout=asyncio.subprocess.PIPE,
+    )
     out, _ = await process.communicate()
     return [json.loads(line) for line in out.splitlines()]
 
 
 def test_judge_of_reports_finds_each_untruth() -> None:
     words = (DoorWord("a0", "n0", True, "up", 1, 3), DoorWord("a1", "n1", False, "gone", 0, 900, "refused"))
-    true = Report(Verdict.PARTLY, "o1", "front door n1 has not said that it has it", None, None,
-                  (AgentWord("a0", True),), words)
+    true = Report(
+        Verdict.PARTLY,
+        "o1",
+        "front door n1 has not said that it has it",
+        None,
+        None,
+        (AgentWord("a0", True),),
+        words,
+    )
     assert not wrong_words(true, {"n0": True, "n1": False}, "n1")
     assert not wrong_words(true, {"n0": True, "n1": True}, "n1")  # its last word was lost: not known
     assert wrong_words(true, {"n0": False, "n1": False}, "n1")
@@ -128,8 +151,18 @@
 def test_interrupted_demo_leaves_one_line_and_no_traceback(tmp_path: Path) -> None:
     async def job() -> None:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "molereach", "demo", "--seconds", "60", "--fleet", str(tmp_path / "f"),
-            cwd=ROOT, stderr=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "molereach",
+            "demo",
+            "--seconds",
+            "60",
+            "--fleet",
+            str(tmp_path / "f"),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert process.stderr is not None
         assert b"MOLEREACH_FLEET" in await process.stderr.readline()
         await asyncio.sleep(2.5)  # within the day
--- a/tests/rig/test_scenario.py
+++ b/tests/rig/test_scenario.py
@@ -13,7 +13,14 @@
 
 ROOT = Path(__file__).parents[2]
 SHIPPED = [
-    "calm", "cold-deploy", "crowd", "garbled-servers", "kill-a-door", "move-in-split", "split", "vanish",
+    "calm",
+    "cold-deploy",
+    "crowd",
+    "garbled-servers",
+    "kill-a-door",
+    "move-in-split",
+    "split",
+    "vanish",
 ]
 HEAD = 'name = "x"\ntitle = "x"\n'
 
@@ -40,12 +47,21 @@
 
 
 def test_what_begins_also_ends() -> None:
-    text = "".join(f'[[fault]]\nfault = "{kind}"\nat = 1\nlasts = 2\n{more}\n' for kind, more in (
-        ("stop", 'door = "n0"'), ("cut", 'door = "n0"\nserver = "s-1"'), ("silence", 'server = "s-1"'),
-        ("vanish", 'server = "s-1"'), ("drain", 'server = "s-1"'), ("discovery-down", ""),
-        ("split", 'groups = [["n0"]]'), ("moved", 'door = "n0"\nshare = 0.5'),
-        ("crowd", 'door = "n0"\nclients = 3'), ("slow", 'server = "s-1"\ntimes = 2'),
-    ))
+    text = "".join(
+        f'[[fault]]\nfault = "{kind}"\nat = 1\nlasts = 2\n{more}\n'
+        for kind, more in (
+            ("stop", 'door = "n0"'),
+            ("cut", 'door = "n0"\nserver = "s-1"'),
+            ("silence", 'server = "s-1"'),
+            ("vanish", 'server = "s-1"'),
+            ("drain", 'server = "s-1"'),
+            ("discovery-down", ""),
+            ("split", 'groups = [["n0"]]'),
+            ("moved", 'door = "n0"\nshare = 0.5'),
+            ("crowd", 'door = "n0"\nclients = 3'),
+            ("slow", 'server = "s-1"\ntimes = 2'),
+        )
+    )
     steps = expand(sc.decode(HEAD + text), Random(1))
     assert [step.at_us for step in steps] == [1_000_000] * 10 + [3_000_000] * 10
     ends = {Verb.CONTINUE, Verb.JOIN, Verb.SPEAK, Verb.RETURN, Verb.UNDRAIN, Verb.DISCOVERY_UP, Verb.HEAL}
@@ -76,9 +92,12 @@
     (fault('fault = "kill"\nat = 1\ndoor = "any"\npart = 1.5'), "$.fault[0].part"),
     (fault('fault = "kill"\nat = 1\ndoor = "any"\nsteps = 0'), "$.fault[0].steps"),
     ("doors = 1\n" + fault('fault = "end"\nat = 1\ndoor = "store-building"'), "no door 'store-building'"),
-    ("doors = 9\nservers = 64\n" + HEAD + 18 * (
-        '[[fault]]\nfault = "cut"\nat = 1\nlasts = 1\ndoor = "any"\nserver = "any"\npart = 1\n'
-    ), "more than 20000 steps"),
+    (
+        "doors = 9\nservers = 64\n"
+        + HEAD
+        + 18 * ('[[fault]]\nfault = "cut"\nat = 1\nlasts = 1\ndoor = "any"\nserver = "any"\npart = 1\n'),
+        "more than 20000 steps",
+    ),
     (f'start-list = "none"\n{HEAD}', "$.start-list"),
     (fault('fault = "melt"\nat = 1'), "melt"),
     (fault('fault = "kill"\nat = 1\ndoor = "n7"'), "there is no door 'n7' - at `$.fault[0].door`"),
@@ -91,7 +110,9 @@
     (fault('fault = "split"\nat = 1\nlasts = 1\ngroups = [["n9"]]'), "there is no door 'n9'"),
     (fault('fault = "cold-deploy"\nat = 1\nservers = 9\nevery = 1'), "only 6 servers"),
     ("seconds = 600\n" + HEAD + "[load]\nrate = 2000\n", "more than 200000 requests"),
-    ("doors = 99\n" + HEAD, "$.doors"), (HEAD + "[load\n", "line"), ('title = "x"\n', "`name`"),
+    ("doors = 99\n" + HEAD, "$.doors"),
+    (HEAD + "[load\n", "line"),
+    ('title = "x"\n', "`name`"),
 ]
 
 
@@ -105,11 +126,23 @@
     assert "\n" not in str(caught.value)
 
 
-@pytest.mark.parametrize("arguments", [
-    ["--scenario", "melt"], ["--scenario", "none.toml"], ["--doors", "77"], ["--seconds", "-1"],
-])
+@pytest.mark.parametrize(
+    "arguments",
+    [
+        ["--scenario", "melt"],
+        ["--scenario", "none.toml"],
+        ["--doors", "77"],
+        ["--seconds", "-1"],
+    ],
+)
 def test_command_ends_with_2_and_one_line(arguments: list[str]) -> None:
-    done = subprocess.run([sys.executable, "-m", "molereach", "demo", "--json", *arguments], cwd=ROOT,
-                          capture_output=True, text=True, check=False, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "molereach", "demo", "--json", *arguments],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
+    )
     assert done.returncode == 2 and done.stdout == ""
     assert done.stderr.startswith("molereach demo: ") and done.stderr.count("\n") == 1
--- a/tests/rig/test_world.py
+++ b/tests/rig/test_world.py
@@ -32,8 +32,14 @@
 
 
 def demo(*arguments: str, **more: Any) -> "subprocess.Popen[str]":  # noqa: ANN401
-    return subprocess.Popen([sys.executable, "-m", "molereach", "demo", "--json", *arguments], cwd=ROOT,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "molereach", "demo", "--json", *arguments],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        **more,
+    )
 
 
 def run_demo(name: str, seed: int) -> tuple[int, dict[str, Any], str]:
@@ -124,20 +130,29 @@
 """
 
 
-@pytest.mark.parametrize(("mode", "rule", "text"), [
-    ("drop", Rule.LOST, "taken and never answered"),
-    ("twice", Rule.TWICE, "an unsafe request ran twice"),
-    ("drain", Rule.DRAIN, "sent to s-5 after n"),
-    ("crash", Rule.LOST, "the front door crashed"),
-    ("foreign", Rule.LOST, "served with what no server made for it"),
-    ("hold", Rule.LOST, "answered"),
-    ("ceiling", Rule.CEILING, "units above its ceiling"),
-])
+@pytest.mark.parametrize(
+    ("mode", "rule", "text"),
+    [
+        ("drop", Rule.LOST, "taken and never answered"),
+        ("twice", Rule.TWICE, "an unsafe request ran twice"),
+        ("drain", Rule.DRAIN, "sent to s-5 after n"),
+        ("crash", Rule.LOST, "the front door crashed"),
+        ("foreign", Rule.LOST, "served with what no server made for it"),
+        ("hold", Rule.LOST, "answered"),
+        ("ceiling", Rule.CEILING, "units above its ceiling"),
+    ],
+)
 def test_broken_front_door_is_caught(mode: str, rule: Rule, text: str) -> None:
     """The real program with one fault in it, in virtual time, on a day that the real one passes."""
     day = CROWDED if mode == "ceiling" else SCENARIO
-    done = subprocess.run([sys.executable, "-c", IN_SIMULATION, mode, day], cwd=ROOT, check=True,
-                          capture_output=True, text=True, timeout=HANG_S)
+    done = subprocess.run(
+        [sys.executable, "-c", IN_SIMULATION, mode, day],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+        timeout=HANG_S,
+    )
     ok, trouble, unaccounted, broken = json.loads(done.stdout)
     found = [each for each in broken if each[0] == rule.value and text in each[1]]
     assert not ok and not trouble and found, done.stdout
@@ -145,9 +160,13 @@
     assert unaccounted or mode not in ("drop", "hold")
 
 
-@pytest.mark.parametrize(("mode", "rule", "text"), [
-    ("drop", Rule.LOST, "taken and never answered"), ("drain", Rule.DRAIN, "sent to s-5 after n"),
-])
+@pytest.mark.parametrize(
+    ("mode", "rule", "text"),
+    [
+        ("drop", Rule.LOST, "taken and never answered"),
+        ("drain", Rule.DRAIN, "sent to s-5 after n"),
+    ],
+)
 def test_broken_front_door_is_caught_in_real_time(mode: str, rule: Rule, text: str) -> None:
     report = day_of(SCENARIO, sys.executable, "-m", "rig.broken", mode)
     assert not report.ok and not report.trouble
--- a/tests/routing/model.py
+++ b/tests/routing/model.py
@@ -21,7 +21,8 @@
     for group in (i.Group.ZONE, i.Group.CELL, i.Group.ALL)
 )
 KINDS: dict[i.Group, Callable[[i.Server], int]] = {
-    i.Group.ZONE: lambda server: server.zone, i.Group.CELL: lambda server: server.cell,
+    i.Group.ZONE: lambda server: server.zone,
+    i.Group.CELL: lambda server: server.cell,
 }
 Known = dict[str, tuple[i.Server, Address | None]]
 Place = Callable[[bytes], int]
@@ -34,9 +35,7 @@
 
 
 def server(number: int, cells: int = 5, zones: int = 3, **changes: object) -> i.Server:
-    return replace(
-        i.Server(f"b{number}", number % zones, 0, number % cells, UP, 1.0, 1 + number), **changes
-    )
+    return replace(i.Server(f"b{number}", number % zones, 0, number % cells, UP, 1.0, 1 + number), **changes)
 
 
 def address_of(server: i.Server) -> Address | None:
@@ -69,7 +68,9 @@
 
 
 def naive_view(
-    known: Mapping[str, tuple[i.Server, Address | None]], settings: i.Settings, size: int,
+    known: Mapping[str, tuple[i.Server, Address | None]],
+    settings: i.Settings,
+    size: int,
     place: Place = place_of,
 ) -> Known:
     """Those up, sorted by how far they lie behind the front door, each with the next ones of its groups."""
--- a/tests/routing/test_meanwhile.py
+++ b/tests/routing/test_meanwhile.py
@@ -61,10 +61,17 @@
 
 
 @pytest.mark.parametrize("count", [10, 600])
-@pytest.mark.parametrize("change", [
-    server(5, started_us=50), server(5, state=DRAINING, started_us=40), server(5, started_us=40),
-    server(1_700), server(1_700, state=DRAINING), server(1_700, state=GONE),
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        server(5, started_us=50),
+        server(5, state=DRAINING, started_us=40),
+        server(5, started_us=40),
+        server(1_700),
+        server(1_700, state=DRAINING),
+        server(1_700, state=GONE),
+    ],
+)
 def test_what_the_new_list_does_not_name_or_knows_better_is_left_to_its_own_changes(
     count: int, change: i.Server
 ) -> None:
--- a/tests/routing/test_ring.py
+++ b/tests/routing/test_ring.py
@@ -35,9 +35,13 @@
 
 
 @settings(max_examples=50)
-@given(st.text(max_size=20), st.integers(-1, 1 << 30), st.integers(-(1 << 60), 1 << 60),
-       st.sampled_from((UP, DRAINING)),
-       st.one_of(st.none(), st.tuples(st.text(max_size=20), st.integers(1, 65_535))))
+@given(
+    st.text(max_size=20),
+    st.integers(-1, 1 << 30),
+    st.integers(-(1 << 60), 1 << 60),
+    st.sampled_from((UP, DRAINING)),
+    st.one_of(st.none(), st.tuples(st.text(max_size=20), st.integers(1, 65_535))),
+)
 def test_record_gives_back_what_was_packed(
     name: str, figure: int, started_us: int, state: i.ServerState, address: tuple[str, int] | None
 ) -> None:
@@ -56,8 +60,10 @@
     for place, record in records.items():
         groups.add(place, record)
     for place, cell in members:
-        others = sorted((other for other, its in members if its == cell and other != place),
-                        key=lambda other: (other < place, other))
+        others = sorted(
+            (other for other, its in members if its == cell and other != place),
+            key=lambda other: (other < place, other),
+        )
         assert list(groups.standins(place, records[place])) == others[:2]
     for place, record in records.items():
         groups.remove(place, record)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -32,8 +32,11 @@
 NUMBERS = 40
 MOST_AT_ONCE = 500  # entries taken over in one turn of the loop
 # What becomes of one, which one, and a figure to it.
-CHANGE = st.tuples(st.sampled_from(("up", "drain", "restart", "move", "gone", "unknown")),
-                   st.integers(0, NUMBERS - 1), st.integers(0, 4))
+CHANGE = st.tuples(
+    st.sampled_from(("up", "drain", "restart", "move", "gone", "unknown")),
+    st.integers(0, NUMBERS - 1),
+    st.integers(0, 4),
+)
 NEWS = st.one_of(
     st.tuples(st.just(CHANGES), st.lists(CHANGE, max_size=6), st.integers(0, 3)),
     st.tuples(st.just(CHANGES), st.lists(CHANGE, min_size=20, max_size=60), st.integers(0, 3)),
@@ -90,10 +93,18 @@
 
 
 @settings(max_examples=100)
-@given(st.integers(1, 6), st.integers(0, 5), st.sampled_from(GROUPS), st.integers(2, 8),
-       st.lists(NEWS, max_size=8))
+@given(
+    st.integers(1, 6),
+    st.integers(0, 5),
+    st.sampled_from(GROUPS),
+    st.integers(2, 8),
+    st.lists(NEWS, max_size=8),
+)
 def test_module_knows_the_view_by_the_letter_after_any_list_and_any_change(
-    doors: int, me: int, groups: Sequence[i.Group], size: int,
+    doors: int,
+    me: int,
+    groups: Sequence[i.Group],
+    size: int,
     news: list[tuple[i.ListKind, list[tuple[str, int, int]], int]],
 ) -> None:
     world = World(settings_of(me % doors, doors, groups), size)
@@ -105,10 +116,18 @@
 
 
 @settings(max_examples=60)
-@given(st.integers(1, 5), st.sampled_from(GROUPS), st.integers(2, 6), st.integers(1, 9),
-       st.lists(NEWS, max_size=6))
+@given(
+    st.integers(1, 5),
+    st.sampled_from(GROUPS),
+    st.integers(2, 6),
+    st.integers(1, 9),
+    st.lists(NEWS, max_size=6),
+)
 def test_names_that_share_a_place_do_no_harm(
-    doors: int, groups: Sequence[i.Group], size: int, places: int,
+    doors: int,
+    groups: Sequence[i.Group],
+    size: int,
+    places: int,
     news: list[tuple[i.ListKind, list[tuple[str, int, int]], int]],
 ) -> None:
     def place(name: bytes) -> int:
@@ -133,8 +152,13 @@
 def test_short_list_passes_as_the_very_same_objects() -> None:
     world = World(settings_of(groups=(i.Group.CELL,)), 4)
     first = i.ServerList(FULL, 1, tuple(server(number) for number in range(8)))
-    for event in (first, i.ServerList(CHANGES, 2, (server(3, state=DRAINING), server(2, state=GONE))),
-                  i.ServerList(FAILED, 2), i.ServerList(SAVED, 3, (server(1),)), first):
+    for event in (
+        first,
+        i.ServerList(CHANGES, 2, (server(3, state=DRAINING), server(2, state=GONE))),
+        i.ServerList(FAILED, 2),
+        i.ServerList(SAVED, 3, (server(1),)),
+        first,
+    ):
         seen = world.routing.take(event, addresses_of(event.servers))
         assert seen is not None and seen.event is event
         assert seen.addresses == addresses_of(event.servers)
--- a/tests/routing/test_scale.py
+++ b/tests/routing/test_scale.py
@@ -75,8 +75,11 @@
 def test_change_of_what_no_view_holds_costs_next_to_nothing() -> None:
     def change(routing: Routing, count: int) -> None:
         members, groups = set(seen_of(routing)), routing.view.held[0]
-        others = [each for each in (entry(number, count) for number in range(count - 900, count))
-                  if each.name not in members and each.cell not in groups][:20]
+        others = [
+            each
+            for each in (entry(number, count) for number in range(count - 900, count))
+            if each.name not in members and each.cell not in groups
+        ][:20]
         assert len(others) == 20
         for each in others:
             drained = steps_of(lambda each=each: learn(routing, [replace(each, state=DRAINING)]))  # type: ignore[misc]
@@ -127,7 +130,7 @@
     for count in SIZES:
         buckets = [bucket for bucket in long(count)[0].whole.ring.buckets if bucket]
         mean = count / 4_096
-        assert max(len(bucket.places) for bucket in buckets) < 6 + mean + 6 * mean ** 0.5
+        assert max(len(bucket.places) for bucket in buckets) < 6 + mean + 6 * mean**0.5
 
 
 class Counting(list[i.Server]):
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -229,8 +229,11 @@
     found.over(B)
     assert said(b=Word(fences[B], Known.OVER, begun + 2)) == f"b is over by {begun + 1}"
     assert said(b=Word(fences[B], Known.OVER, begun + 1)) == ""
-    account = [Accounted(B, Known.OVER, begun + 1), Accounted(A, Known.SAID, begun),
-               Accounted(C, Known.SAID, begun)]
+    account = [
+        Accounted(B, Known.OVER, begun + 1),
+        Accounted(A, Known.SAID, begun),
+        Accounted(C, Known.SAID, begun),
+    ]
     assert fault(pack(sessions, begun, account), sessions, begun) == ""
 
 
@@ -306,8 +309,12 @@
     folds = Folds(Reader(A).sessions, AllCounted())
     before = folds.snapshot()
     kept = '{"life":{"name":"a","number":1},"begun":3,"rows":[[1,1,5]]}'
-    for broken in (b"", b"{}", f'{{"base":[],"kept":[{kept},{kept}],"horizon":{{}},"hurried":0}}'.encode(),
-                   f'{{"base":[],"kept":[{kept}],"horizon":{{"a":1}},"hurried":0}}'.encode()):
+    for broken in (
+        b"",
+        b"{}",
+        f'{{"base":[],"kept":[{kept},{kept}],"horizon":{{}},"hurried":0}}'.encode(),
+        f'{{"base":[],"kept":[{kept}],"horizon":{{"a":1}},"hurried":0}}'.encode(),
+    ):
         with pytest.raises(ValueError):
             folds.restore(broken)
     assert folds.snapshot() == before
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -72,7 +72,7 @@
 
     def catch_up(self, life: Life, most: int = 1 << 30) -> None:
         reader = self.readers[life]
-        for entry in self.entries[reader.applied:reader.applied + most]:
+        for entry in self.entries[reader.applied : reader.applied + most]:
             reader.take(self.now_us, entry)
 
     def write(self, life: Life, shard: int, size: int) -> None:
--- a/tests/shards/forecast/drawn.py
+++ b/tests/shards/forecast/drawn.py
@@ -32,5 +32,5 @@
         counts[anew:] = [each - base for each in counts[anew:] if each is not None]
     for _ in range(int(draw.integers(0, 4))):
         gap = int(draw.integers(1, until - 8))
-        counts[gap:gap + 5] = [None] * 5
-    return Past(int(daily[:until].sum()), FIRST_DAY - 1, tuple(counts[:until + 1]))
+        counts[gap : gap + 5] = [None] * 5
+    return Past(int(daily[:until].sum()), FIRST_DAY - 1, tuple(counts[: until + 1]))
--- a/tests/shards/forecast/test_forecast.py
+++ b/tests/shards/forecast/test_forecast.py
@@ -22,11 +22,11 @@
         daily = drawn_days(seed, 720)
         for until in (480,):
             found = outlook(past_of(daily, seed, until), HORIZON, seed)
-            later = daily[until:until + HORIZON]
+            later = daily[until : until + HORIZON]
             sizes = daily[:until].sum() + np.cumsum(later)
             covered.append(((sizes >= np.array(found.low)) & (sizes <= np.array(found.high))).mean())
             error = np.abs(np.array(found.growth) - later).mean()
-            seasonal = np.abs(np.tile(daily[until - 7:until], 9)[:HORIZON] - later).mean()
+            seasonal = np.abs(np.tile(daily[until - 7 : until], 9)[:HORIZON] - later).mean()
             scaled.append(error / np.abs(np.diff(daily[:until])).mean())
             ratio.append(error / seasonal)
     assert 0.75 <= np.mean(covered) <= 0.99  # 8 origins; 0.85 to 0.95 is judged on 400
@@ -49,8 +49,12 @@
     week = outlook(Past(0, FIRST_DAY, flat(7), typical_bytes=1e8), 30, 1)
     known = Past(0, FIRST_DAY, flat(120))
     assert new.wide == ("new: 0 days are known",) and week.wide == ("new: 7 days are known",)
-    assert new.high[-1] / new.low[-1] > week.high[-1] / week.low[-1] > 2 > 1.5 * (
-        outlook(known, 30, 1).high[-1] / outlook(known, 30, 1).low[-1])
+    assert (
+        new.high[-1] / new.low[-1]
+        > week.high[-1] / week.low[-1]
+        > 2
+        > 1.5 * (outlook(known, 30, 1).high[-1] / outlook(known, 30, 1).low[-1])
+    )
     assert new.low[-1] < 30 * 1e8 < new.high[-1]
 
 
@@ -85,8 +89,9 @@
     announced = replace(past, changes=(FIRST_DAY + 105,))
     assert width(announced) > 1.5 * width(past)
     assert outlook(announced, 30, 1).wide[0].startswith("tariff")
-    last = next(day for day in range(FIRST_DAY + 100, FIRST_DAY + 500)
-                if in_khareef(day + 5) and not in_khareef(day))
+    last = next(
+        day for day in range(FIRST_DAY + 100, FIRST_DAY + 500) if in_khareef(day + 5) and not in_khareef(day)
+    )
     unseen = Past(0, last - 60, flat(60))
     assert "khareef: none was seen yet" in outlook(unseen, 30, 1).wide
     assert width(unseen) > 1.5 * width(Past(0, last - 200, flat(60)))
--- a/tests/shards/map/test_map.py
+++ b/tests/shards/map/test_map.py
@@ -23,18 +23,25 @@
         found = after(found, piece.shard, cut, to)
         look = Lookup(found)
         for member in (0, cut - 1, cut, MEMBERS - 1, int(draw() * MEMBERS)):
-            inside = [each.shard for at, each in enumerate(found.pieces)
-                      if each.first <= member < found.end(at)]
+            inside = [
+                each.shard for at, each in enumerate(found.pieces) if each.first <= member < found.end(at)
+            ]
             assert inside == [look.at(member).shard]
         assert look.at(cut).home == to and look.at(cut - 1).home == piece.home
     assert found.version > 200
 
 
-@pytest.mark.parametrize("pieces", [
-    (), (Piece(5, 1, HOMES[0]),), (Piece(0, 1, HOMES[0]), Piece(0, 2, HOMES[0])),
-    (Piece(0, 1, HOMES[0]), Piece(9, 2, HOMES[0]), Piece(7, 3, HOMES[0])),
-    (Piece(0, 1, HOMES[0]), Piece(9, 1, HOMES[0])), (Piece(0, 9, HOMES[0]),),
-])
+@pytest.mark.parametrize(
+    "pieces",
+    [
+        (),
+        (Piece(5, 1, HOMES[0]),),
+        (Piece(0, 1, HOMES[0]), Piece(0, 2, HOMES[0])),
+        (Piece(0, 1, HOMES[0]), Piece(9, 2, HOMES[0]), Piece(7, 3, HOMES[0])),
+        (Piece(0, 1, HOMES[0]), Piece(9, 1, HOMES[0])),
+        (Piece(0, 9, HOMES[0]),),
+    ],
+)
 def test_a_map_that_leaves_out_or_doubles_a_member_is_refused(pieces: tuple[Piece, ...]) -> None:
     found = ShardMap(1, pieces, 3)
     assert unsound(found)
@@ -44,10 +51,16 @@
         History(found)
 
 
-@pytest.mark.parametrize(("shard", "cut", "to", "said"), [
-    (9, 5, HOMES[1], "shard"), (1, 0, HOMES[1], "cut"), (1, MEMBERS // 2, HOMES[1], "cut"),
-    (1, 5, HOMES[0], "to"), (1, 5, Home("b9", "c1"), "to"),
-])
+@pytest.mark.parametrize(
+    ("shard", "cut", "to", "said"),
+    [
+        (9, 5, HOMES[1], "shard"),
+        (1, 0, HOMES[1], "cut"),
+        (1, MEMBERS // 2, HOMES[1], "cut"),
+        (1, 5, HOMES[0], "to"),
+        (1, 5, Home("b9", "c1"), "to"),
+    ],
+)
 def test_cuts_that_cannot_be(shard: int, cut: int, to: Home, said: str) -> None:
     assert wrong(even_map(2), shard, cut, to).startswith(said)
     with pytest.raises(ValueError):
@@ -107,9 +120,13 @@
     three = after(two, 2, 200, HOMES[0])
     assert applied(one, between(one, three)) == three
     change = between(one, two)
-    for broken in (between(two, three), Delta(1, 1, (), 3), msgspec.structs.replace(change, last_shard=1),
-                   msgspec.structs.replace(change, new=(Piece(0, 2, HOMES[1]),)),
-                   msgspec.structs.replace(change, new=(Piece(7, 1, HOMES[1]),))):
+    for broken in (
+        between(two, three),
+        Delta(1, 1, (), 3),
+        msgspec.structs.replace(change, last_shard=1),
+        msgspec.structs.replace(change, new=(Piece(0, 2, HOMES[1]),)),
+        msgspec.structs.replace(change, new=(Piece(7, 1, HOMES[1]),)),
+    ):
         with pytest.raises(ValueError):
             applied(one, broken)
     for later in (two, even_map(2, version=9)):
--- a/tests/shards/schedule/test_calendar.py
+++ b/tests/shards/schedule/test_calendar.py
@@ -91,11 +91,16 @@
 def test_drawn_calendars_never_take_a_cell_with_upkeep_nor_two_at_once() -> None:
     draw = drawn_by(5)
     for _ in range(200):
-        spans = tuple((home, start, start + 1 + 4 * draw()) for home in (A, B, C, D)
-                      for start in (10 + 25 * draw(), 45 + 25 * draw()))
+        spans = tuple(
+            (home, start, start + 1 + 4 * draw())
+            for home in (A, B, C, D)
+            for start in (10 + 25 * draw(), 45 + 25 * draw())
+        )
         rooms = Taken(spans)
-        wanted = [Wanted(number, (A, C)[number % 2], (B, D)[number % 2], 20 + 90 * draw(), 1 + 6 * draw())
-                  for number in range(int(1 + 4 * draw()))]
+        wanted = [
+            Wanted(number, (A, C)[number % 2], (B, D)[number % 2], 20 + 90 * draw(), 1 + 6 * draw())
+            for number in range(int(1 + 4 * draw()))
+        ]
         found = calendar(wanted, 10, rooms)
         before = 0.0
         for slot in found.slots:
--- a/tests/shards/splits/servers.py
+++ b/tests/shards/splits/servers.py
@@ -99,8 +99,10 @@
                 else:
                     self.pinned.pop(split.id, None)
                     self.memory = {id: at for id, at in self.memory.items() if not split.moves(at)}
-                self.owns = [(first, split.cut if shard == split.shard else end, shard)
-                             for first, end, shard in self.owns]
+                self.owns = [
+                    (first, split.cut if shard == split.shard else end, shard)
+                    for first, end, shard in self.owns
+                ]
                 self.stored = {member: size for member, size in self.stored.items() if member not in inside}
             case Order.UNDO:
                 self.closed.pop(split.id, None)
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -218,12 +218,27 @@
     return False
 
 
-@pytest.mark.parametrize("kinds", [
-    Kinds(shards=AnyProof), Kinds(shards=TwoOfOneCell), Kinds(shards=NoRooms), Kinds(door=UnsafeAnywhere),
-    Kinds(door=KeyedByTheMap), Kinds(door=RepeatsByTheMap), Kinds(door=OldMap), Kinds(cell=AnyOrder),
-    Kinds(cell=KeepsOpen), Kinds(cell=RunsRepeats), Kinds(door=ClearAtOnce),
-], ids=lambda kinds: next(kind.__name__ for kind in (kinds.shards, kinds.door, kinds.cell)
-                         if kind not in (Shards, DoorShards, Cell)))
+@pytest.mark.parametrize(
+    "kinds",
+    [
+        Kinds(shards=AnyProof),
+        Kinds(shards=TwoOfOneCell),
+        Kinds(shards=NoRooms),
+        Kinds(door=UnsafeAnywhere),
+        Kinds(door=KeyedByTheMap),
+        Kinds(door=RepeatsByTheMap),
+        Kinds(door=OldMap),
+        Kinds(cell=AnyOrder),
+        Kinds(cell=KeepsOpen),
+        Kinds(cell=RunsRepeats),
+        Kinds(door=ClearAtOnce),
+    ],
+    ids=lambda kinds: next(
+        kind.__name__
+        for kind in (kinds.shards, kinds.door, kinds.cell)
+        if kind not in (Shards, DoorShards, Cell)
+    ),
+)
 def test_a_broken_rule_is_found(kinds: Kinds) -> None:
     assert seeds_that_find(kinds, range(30))
 
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -119,8 +119,9 @@
     world.check_stores()
 
 
-@pytest.mark.parametrize(("mute", "ends"), [
-    (Order.COPY, State.COPYING), (Order.CLOSE, State.UNDONE), (Order.OPEN, State.CLEARED)])
+@pytest.mark.parametrize(
+    ("mute", "ends"), [(Order.COPY, State.COPYING), (Order.CLOSE, State.UNDONE), (Order.OPEN, State.CLEARED)]
+)
 def test_a_cell_that_does_not_answer(mute: Order, ends: State) -> None:
     class Mute(Cell):
         def tell(self, order: Order, split: Record) -> Done | None:
@@ -204,8 +205,12 @@
     snapshot = shards.snapshot()
     shards.restore(snapshot)
     assert shards.snapshot() == snapshot
-    for broken in (b"{}", snapshot.replace(b'"state":"planned"', b'"state":"undone"', 1),
-                   snapshot.replace(b'"id":"s1"', b'"id":"s0"', 1), snapshot.replace(b'"d3"', b'"d2"')):
+    for broken in (
+        b"{}",
+        snapshot.replace(b'"state":"planned"', b'"state":"undone"', 1),
+        snapshot.replace(b'"id":"s1"', b'"id":"s0"', 1),
+        snapshot.replace(b'"d3"', b'"d2"'),
+    ):
         with pytest.raises(ValueError):
             shards.restore(broken)
     assert shards.snapshot() == snapshot
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -192,7 +192,7 @@
             self.add(leases.MACHINE, leases.encode(ended), opened.life)
 
     def catch_up(self, reader: Reader, most: int = 1 << 30) -> None:
-        for entry in self.entries[reader.applied:reader.applied + most]:
+        for entry in self.entries[reader.applied : reader.applied + most]:
             reader.take(self.now_us, entry)
 
     def say(self, reader: Reader) -> None:
@@ -350,11 +350,15 @@
             for attempt in cell.ran:
                 written[attempt.member] = written.get(attempt.member, 0) + attempt.size
         for index, piece in enumerate(found.pieces):
-            inside = {member: size for member, size in written.items()
-                      if piece.first <= member < found.end(index)}
+            inside = {
+                member: size for member, size in written.items() if piece.first <= member < found.end(index)
+            }
             for name, cell in self.cells.items():
-                stored = {member: size for member, size in cell.stored.items()
-                          if piece.first <= member < found.end(index)}
+                stored = {
+                    member: size
+                    for member, size in cell.stored.items()
+                    if piece.first <= member < found.end(index)
+                }
                 assert stored == (inside if name == piece.home.cell else {}), f"{name} has {piece.shard}"
             counted = sum(cell.by_shard.get(piece.shard, 0) for cell in self.cells.values())
             assert self.truth.shards.base(piece.shard) + counted == sum(inside.values())
--- a/tests/sim/test_loop.py
+++ b/tests/sim/test_loop.py
@@ -217,19 +217,26 @@
         loop.run_until_complete(job(loop))
 
 
-@pytest.mark.parametrize(("what", "call"), [
-    ("chance without a seed", lambda: random.random()), ("chance without a seed", lambda: os.urandom(8)),
-    ("a thread", lambda: threading.Thread(target=print).start()), ("a real socket", lambda: socket.socket()),
-    ("a real sleep", lambda: time.sleep(0.1)),
-])
+@pytest.mark.parametrize(
+    ("what", "call"),
+    [
+        ("chance without a seed", lambda: random.random()),
+        ("chance without a seed", lambda: os.urandom(8)),
+        ("a thread", lambda: threading.Thread(target=print).start()),
+        ("a real socket", lambda: socket.socket()),
+        ("a real sleep", lambda: time.sleep(0.1)),
+    ],
+)
 def test_what_a_simulation_must_not_do_names_its_caller(what: str, call: Callable[[], object]) -> None:
     async def job(loop: SimLoop) -> None:
         with contextlib.suppress(BaseException):  # also where the program catches everything
             call()
 
     loop = SimLoop()
-    with (simulated(loop, Network(loop, 0), lambda env: None, lambda code: None),
-          pytest.raises(SimulationError, match=f"{what} in a simulation, at test_loop.py:")):
+    with (
+        simulated(loop, Network(loop, 0), lambda env: None, lambda code: None),
+        pytest.raises(SimulationError, match=f"{what} in a simulation, at test_loop.py:"),
+    ):
         loop.run_until_complete(job(loop))
     assert random.random() >= 0 and len(os.urandom(4)) == 4  # all is put back
 
--- a/tests/sim/test_loopback.py
+++ b/tests/sim/test_loopback.py
@@ -50,7 +50,9 @@
 
 @pytest.mark.parametrize(("module", "test"), cases())
 def test_on_the_simulated_loop(
-    module: ModuleType, test: Callable[..., None], monkeypatch: pytest.MonkeyPatch,
+    module: ModuleType,
+    test: Callable[..., None],
+    monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     if reason := KERNEL.get(test.__name__):
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -328,6 +328,7 @@
 
 def test_port_that_was_handed_out_is_nobody_elses_however_many_are_asked_for() -> None:
     """A front door that is down comes back to its own port; 200 of them with 200 servers go round all."""
+
     async def job() -> None:
         network = asyncio.get_running_loop().network  # type: ignore[attr-defined]
         with network.socket_module().socket(socket.AF_INET, socket.SOCK_DGRAM) as kept:
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -75,8 +75,15 @@
 def test_same_seed_is_the_same_to_the_byte_under_any_hash_seed() -> None:
     def digest(seed: int, hash_seed: str) -> str:
         env = {**os.environ, "PYTHONHASHSEED": hash_seed}
-        done = subprocess.run([sys.executable, "-c", DIGEST, str(seed)], cwd=ROOT, env=env, check=True,
-                              capture_output=True, text=True, timeout=120)
+        done = subprocess.run(
+            [sys.executable, "-c", DIGEST, str(seed)],
+            cwd=ROOT,
+            env=env,
+            check=True,
+            capture_output=True,
+            text=True,
+            timeout=120,
+        )
         return done.stdout
 
     assert digest(5, "0") == digest(5, "12345") != digest(6, "0")
@@ -144,13 +151,23 @@
 """
 
 
-@pytest.mark.parametrize(("mode", "rule"), [
-    ("drop", "unaccounted"), ("twice", "no effect happens twice"),
-])
+@pytest.mark.parametrize(
+    ("mode", "rule"),
+    [
+        ("drop", "unaccounted"),
+        ("twice", "no effect happens twice"),
+    ],
+)
 def test_broken_front_door_is_found_and_made_small(mode: str, rule: str) -> None:
     """By random days, without being told where to look. The benchmark finds the others, and has time."""
-    done = subprocess.run([sys.executable, "-c", BROKEN, mode, rule], cwd=ROOT, check=True,
-                          capture_output=True, text=True, timeout=120)
+    done = subprocess.run(
+        [sys.executable, "-c", BROKEN, mode, rule],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     seed, why, faults, line = json.loads(done.stdout)
     assert seed and rule in why and len(faults) <= 3, done.stdout
     again = json.loads(line.partition("--scenario '")[2].rpartition("' --seeds")[0])
@@ -196,8 +213,11 @@
         return replace(base, ok=not bad, why=("drains are kept",) if bad else ())
 
     monkeypatch.setattr(module, "judge", verdict)
-    faults = (sc.Reload(at=0.1, door="n0"), sc.Drain(at=0.2, server="s-1", lasts=0.3),
-              sc.Kill(at=0.3, door="n1", back_after=0.2))
+    faults = (
+        sc.Reload(at=0.1, door="n0"),
+        sc.Drain(at=0.2, server="s-1", lasts=0.3),
+        sc.Kill(at=0.3, door="n1", back_after=0.2),
+    )
     text = json.dumps({"name": "x", "title": "x", "seconds": 1.0, "doors": 2, "servers": 3})
     base = replace(CALM, fault=faults)
     monkeypatch.setattr(module, "day_of", lambda options, seed: base)
@@ -209,15 +229,22 @@
 
 
 def simulate(*arguments: str) -> tuple[int, str, str]:
-    done = subprocess.run([sys.executable, "-m", "molereach", "simulate", *arguments], cwd=ROOT, check=False,
-                          capture_output=True, text=True, timeout=120)
+    done = subprocess.run(
+        [sys.executable, "-m", "molereach", "simulate", *arguments],
+        cwd=ROOT,
+        check=False,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
     return done.returncode, done.stdout, done.stderr
 
 
 def test_command_plays_days_and_says_what_became_of_them(tmp_path: Path) -> None:
     trace = tmp_path / "trace"
-    code, out, err = simulate("--seeds", "1..3", "--seconds", "5", "--jobs", "2", "--json",
-                              "--trace", str(trace))
+    code, out, err = simulate(
+        "--seeds", "1..3", "--seconds", "5", "--jobs", "2", "--json", "--trace", str(trace)
+    )
     found = json.loads(out)
     assert code == 0 and not err and found["days"] == found["in_order"] == 3 and found["unaccounted"] == 0
     assert found["virtual_s"] == 15.0 and found["requests"] > 100
@@ -226,11 +253,17 @@
     assert len(lines) > 1000 and times == sorted(times)
 
 
-@pytest.mark.parametrize(("arguments", "reason"), [
-    (["--seeds", "9..1"], "seeds"), (["--seeds", "x"], "is not A..B"),
-    (["--scenario", "none"], "no scenario"), (["--scenario", "{}"], "name"),
-    (["--seconds", "0"], "--seconds"), (["--fly"], "--fly"),
-])
+@pytest.mark.parametrize(
+    ("arguments", "reason"),
+    [
+        (["--seeds", "9..1"], "seeds"),
+        (["--seeds", "x"], "is not A..B"),
+        (["--scenario", "none"], "no scenario"),
+        (["--scenario", "{}"], "name"),
+        (["--seconds", "0"], "--seconds"),
+        (["--fly"], "--fly"),
+    ],
+)
 def test_bad_input_is_2(arguments: list[str], reason: str) -> None:
     code, out, err = simulate(*arguments)
     assert code == 2 and reason in err and not out
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -41,8 +41,14 @@
 def run(text: str, hash_seed: str = "0") -> subprocess.CompletedProcess[str]:
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     return subprocess.run(
-        [sys.executable, "-m", "molereach.simulator.adapter"], input=text, text=True, capture_output=True,
-        cwd=ROOT, env=environment, check=False, timeout=60,
+        [sys.executable, "-m", "molereach.simulator.adapter"],
+        input=text,
+        text=True,
+        capture_output=True,
+        cwd=ROOT,
+        env=environment,
+        check=False,
+        timeout=60,
     )
 
 
@@ -167,8 +173,11 @@
 
 
 def test_words_keep_their_flags_and_older_versions_pass_over_the_mark() -> None:
-    told = (i.Word(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, granted=True, inside=False),
-            i.Word(7, 1, 2, 3, True, inside=True), i.Word(0, i.SPLIT_MARK, 0, 0))
+    told = (
+        i.Word(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, granted=True, inside=False),
+        i.Word(7, 1, 2, 3, True, inside=True),
+        i.Word(0, i.SPLIT_MARK, 0, 0),
+    )
     (data,) = pack_words(told)
     assert unpack_words(data) == told
     assert len(data) == 3 * WORD.size and data[8] != 0  # any flag is an answer to an older version: so it is
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -23,14 +23,32 @@
     i.RequestClass(2_000_000, 6_000_000, effect=i.Effect.UNSAFE),
 )
 SETTINGS = i.Settings(
-    seed=3, me=0, gateways=2, classes=CLASSES, plans=(i.Plan(rate=1000.0, burst=1000.0),), max_attempts=3,
-    max_retry_after_us=750_000, may_cancel=True, may_tell=True, peer_messages_per_s=100.0,
+    seed=3,
+    me=0,
+    gateways=2,
+    classes=CLASSES,
+    plans=(i.Plan(rate=1000.0, burst=1000.0),),
+    max_attempts=3,
+    max_retry_after_us=750_000,
+    may_cancel=True,
+    may_tell=True,
+    peer_messages_per_s=100.0,
 )
 CONFIG = Config(
-    name="n0", listen=(HOST, 0), discovery=(HOST, 1), settings=SETTINGS,
-    class_numbers={"read": 0, "book": 1, "settle": 2}, plan_numbers={"team": 0},
-    zone_numbers={"a": 0, "b": 1}, kind_numbers={"m2": 0}, conn_idle_us=30_000_000,
-    connect_timeout_us=250_000, max_open=100, sockets=256, memory_mb=64, known={},
+    name="n0",
+    listen=(HOST, 0),
+    discovery=(HOST, 1),
+    settings=SETTINGS,
+    class_numbers={"read": 0, "book": 1, "settle": 2},
+    plan_numbers={"team": 0},
+    zone_numbers={"a": 0, "b": 1},
+    kind_numbers={"m2": 0},
+    conn_idle_us=30_000_000,
+    connect_timeout_us=250_000,
+    max_open=100,
+    sockets=256,
+    memory_mb=64,
+    known={},
 )
 
 
@@ -126,8 +144,16 @@
 
 
 def entry(name: str, address: Address, lifecycle: str = "SERVING", started_ms: int = 0) -> dict[str, Any]:
-    return {"instanceId": name, "hostPort": f"{address[0]}:{address[1]}", "zone": "a", "machineType": "m2",
-            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": started_ms}
+    return {
+        "instanceId": name,
+        "hostPort": f"{address[0]}:{address[1]}",
+        "zone": "a",
+        "machineType": "m2",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": started_ms,
+    }
 
 
 def catalog(version: int, entries: Iterable[dict[str, Any]], reset: bool = True) -> bytes:
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -25,7 +25,7 @@
 
 
 def test_longest_turn_is_one_of_cpu_and_is_forgotten_when_counting_begins_anew(
-    caplog: pytest.LogCaptureFixture
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def job() -> tuple[float, float]:
         loop = asyncio.get_running_loop()
@@ -48,13 +48,23 @@
 def test_front_door_of_another_checkout_is_measured_and_not_this_one(tmp_path: Path) -> None:
     """Wherever the benchmark is started, also in the root of this one."""
     (tmp_path / "molereach" / "door").mkdir(parents=True)
-    for name, text in (("__init__", ""), ("door/__init__", ""), ("door/frontdoor", "FrontDoor = object"),
-                       ("__main__", "def front_door(**more): print('other'); return 0\nfront_door()")):
+    for name, text in (
+        ("__init__", ""),
+        ("door/__init__", ""),
+        ("door/frontdoor", "FrontDoor = object"),
+        ("__main__", "def front_door(**more): print('other'); return 0\nfront_door()"),
+    ):
         (tmp_path / "molereach" / f"{name}.py").write_text(text)
     sides = Sides("127.0.0.1", ("127.0.0.1", 1), str(tmp_path))
     for command in (DOOR, TURNS):
-        done = subprocess.run(sides.command("against_", command), cwd=ROOT, capture_output=True, text=True,
-                              check=True, timeout=30)
+        done = subprocess.run(
+            sides.command("against_", command),
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
+            timeout=30,
+        )
         assert done.stdout.startswith("other")
         assert list(sides.command("", command)) == list(command)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,8 +19,13 @@
         (tree / "KNOWN-RED.txt").write_text(red)
     env = {**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
     done = subprocess.run(
-        [sys.executable, "-m", "pytest", "-p", "tests.known_red", "-p", "no:cacheprovider", *args], cwd=tree,
-        env=env, capture_output=True, text=True, check=False, timeout=60,
+        [sys.executable, "-m", "pytest", "-p", "tests.known_red", "-p", "no:cacheprovider", *args],
+        cwd=tree,
+        env=env,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=60,
     )
     return done.returncode, done.stdout + done.stderr
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -19,16 +19,19 @@
     assert found.sections_on() == ["log"] and operator.decode("").sections_on() == []
 
 
-@pytest.mark.parametrize(("text", "reason"), [
-    ("[log]\nlevel = 3\n", "$.log.level"),
-    ('[log]\nlevel = "loud"\n', "$.log.level"),
-    ("[log]\nwhat = 1\n", "unknown field `what`"),
-    ("[unheard_of]\n", "unknown field `unheard_of`"),
-    ("[log\n", "line 1"),
-    ("log = 1\n", "$.log"),
-    ("[limits]\nlease_ms = 100\n", "$.limits.lease_ms"),
-    ("[limits]\nkey_file = 'none/such'\n", "limits.key_file: none/such: No such file"),
-])
+@pytest.mark.parametrize(
+    ("text", "reason"),
+    [
+        ("[log]\nlevel = 3\n", "$.log.level"),
+        ('[log]\nlevel = "loud"\n', "$.log.level"),
+        ("[log]\nwhat = 1\n", "unknown field `what`"),
+        ("[unheard_of]\n", "unknown field `unheard_of`"),
+        ("[log\n", "line 1"),
+        ("log = 1\n", "$.log"),
+        ("[limits]\nlease_ms = 100\n", "$.limits.lease_ms"),
+        ("[limits]\nkey_file = 'none/such'\n", "limits.key_file: none/such: No such file"),
+    ],
+)
 def test_what_is_wrong_is_one_line_with_file_key_and_reason(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, reason: str
 ) -> None:
@@ -77,8 +80,13 @@
 def test_help_and_usage_have_their_exit_codes() -> None:
     cases = ((["--help"], 0), (["config", "check", "--help"], 0), (["fly"], 2), (["config"], 2))
     for arguments, code in cases:
-        done = subprocess.run([sys.executable, "-m", "molereach", *arguments], cwd=ROOT, check=False,
-                              capture_output=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "molereach", *arguments],
+            cwd=ROOT,
+            check=False,
+            capture_output=True,
+            timeout=60,
+        )
         assert done.returncode == code, done.stderr
 
 
@@ -86,10 +94,27 @@
     """What `run` imports with no operator file is the front door and nothing that stands beside it."""
     code = "import sys, molereach.__main__; print(*sorted(sys.modules))"
     env = {name: text for name, text in os.environ.items() if name != operator.ENVIRONMENT}
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, env=env, check=True, capture_output=True,
-                          text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        env=env,
+        check=True,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     loaded = set(done.stdout.split())
     assert "molereach.door.frontdoor" in loaded
-    off = ("msgspec", "argparse", "tomllib", "molereach.operator", "molereach.command", "rig", "hiredis",
-           "molereach.limits", "molereach.council", "molereach.keyfile")
+    off = (
+        "msgspec",
+        "argparse",
+        "tomllib",
+        "molereach.operator",
+        "molereach.command",
+        "rig",
+        "hiredis",
+        "molereach.limits",
+        "molereach.council",
+        "molereach.keyfile",
+    )
     assert not loaded.intersection(off)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -30,22 +30,36 @@
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = {
-    "me": 0, "balancers": 2, "zones": ["a", "b"], "kinds": ["m2"],
+    "me": 0,
+    "balancers": 2,
+    "zones": ["a", "b"],
+    "kinds": ["m2"],
     "plans": [{"name": "team", "units-per-s": 9}],
     "categories": [
         {"name": "read", "on-time-us": 750000, "deadline-us": 2000000, "idempotency": "read_like"},
         {"name": "settle", "on-time-us": 750000, "deadline-us": 2000000, "idempotency": "non_idempotent"},
     ],
-    "ceilings": {"max-attempts": 4, "conn-idle-us": 7000000, "retry-after": True,
-                 "max-retry-after-us": 500000},
+    "ceilings": {
+        "max-attempts": 4,
+        "conn-idle-us": 7000000,
+        "retry-after": True,
+        "max-retry-after-us": 500000,
+    },
     "stats": {"how": "inline", "names": ["util", "latency_ms"]},
 }
 
 
 def config(**changes: object) -> dict[str, object]:
     known = json.loads(catalog(4, []))
-    values = {"name": "n0", "listen": f"{HOST}:7", "discovery": f"{HOST}:8", "seed": "8c1f30d27a5be964",
-              "limits": {"sockets": 512}, "known": known, "settings": SETTINGS}
+    values = {
+        "name": "n0",
+        "listen": f"{HOST}:7",
+        "discovery": f"{HOST}:8",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 512},
+        "known": known,
+        "settings": SETTINGS,
+    }
     return {key: value for key, value in {**values, **changes}.items() if value is not None}
 
 
@@ -65,17 +79,33 @@
     assert found.conn_idle_us == 7_000_000 and found.connect_timeout_us == 250_000
 
 
-@pytest.mark.parametrize("values", [
-    "{", "[]", {}, config(settings={}), config(seed="xyz"), config(listen="nowhere"), config(discovery=None),
-    config(settings={**SETTINGS, "me": 2}), config(settings={**SETTINGS, "plans": []}),
-    config(settings={**SETTINGS, "categories": [{"name": "read", "idempotency": "what"}]}),
-    config(peers=["x:y"]), None,
-])
+@pytest.mark.parametrize(
+    "values",
+    [
+        "{",
+        "[]",
+        {},
+        config(settings={}),
+        config(seed="xyz"),
+        config(listen="nowhere"),
+        config(discovery=None),
+        config(settings={**SETTINGS, "me": 2}),
+        config(settings={**SETTINGS, "plans": []}),
+        config(settings={**SETTINGS, "categories": [{"name": "read", "idempotency": "what"}]}),
+        config(peers=["x:y"]),
+        None,
+    ],
+)
 def test_unusable_configuration_is_one_plain_line(tmp_path: Path, values: object) -> None:
     env = {key: text for key, text in os.environ.items() if not key.startswith("PROXY_")}
     env |= write(tmp_path, values) if values is not None else {}
     done = subprocess.run(
-        [sys.executable, "-m", "molereach"], cwd=ROOT, env=env, capture_output=True, text=True, check=False,
+        [sys.executable, "-m", "molereach"],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        check=False,
         timeout=60,
     )
     assert done.returncode == 2
@@ -89,7 +119,11 @@
     known = json.loads(catalog(4, [entry("s1", await backend.start())]))
     values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "molereach", cwd=ROOT, env={**os.environ, **write(tmp_path, values), **env},
+        sys.executable,
+        "-m",
+        "molereach",
+        cwd=ROOT,
+        env={**os.environ, **write(tmp_path, values), **env},
         stderr=asyncio.subprocess.PIPE,
     )
     while b"serves at" not in await process.stderr.readline():
@@ -162,7 +196,11 @@
         taken = await Backend().start()
         values = config(listen=f"{HOST}:{taken[1]}")
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "molereach", cwd=ROOT, env={**os.environ, **write(tmp_path, values)},
+            sys.executable,
+            "-m",
+            "molereach",
+            cwd=ROOT,
+            env={**os.environ, **write(tmp_path, values)},
             stderr=asyncio.subprocess.PIPE,
         )
         _, errors = await process.communicate()
--- a/tests/upkeep/led.py
+++ b/tests/upkeep/led.py
@@ -70,8 +70,10 @@
         return out + list(self.driver.handle(self.now_us, over))
 
     def change(self, *names: str, **more: object) -> None:
-        found = tuple(msgspec.structs.replace(each, **more) if each.name in names else each
-                      for each in self.facts.servers)
+        found = tuple(
+            msgspec.structs.replace(each, **more) if each.name in names else each
+            for each in self.facts.servers
+        )
         self.facts = msgspec.structs.replace(self.facts, servers=found)
 
     def state(self, id: str = "w") -> State:
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -102,8 +102,11 @@
         """As if all that are open had said so by now."""
         now = self.position if said is None else said
         return tuple(
-            Word(each.fence, each.known, each.position) if isinstance(each, Past)
-            else Word(each.fence, Known.SAID, now) for each in needed(self.sessions, self.record(id).begun))
+            Word(each.fence, each.known, each.position)
+            if isinstance(each, Past)
+            else Word(each.fence, Known.SAID, now)
+            for each in needed(self.sessions, self.record(id).begun)
+        )
 
     def out(self, id: str = "w", proof: Sequence[Word] | None = None) -> Outcome:
         words = self.proof(id) if proof is None else tuple(proof)
@@ -129,10 +132,17 @@
 _LEAVE = (Step.QUEUE, Step.DRAIN)
 _OUT = (*_LEAVE, Step.EMPTY, Step.OUT)
 WAYS: dict[State, tuple[Step, ...]] = {
-    State.ASKED: (), State.QUEUED: (Step.QUEUE,), State.DRAINING: _LEAVE, State.EMPTY: (*_LEAVE, Step.EMPTY),
-    State.OUT: _OUT, State.BACK: (*_OUT, Step.BACK), State.WARM: (*_OUT, Step.BACK, Step.WARM),
-    State.DONE: (*_OUT, Step.BACK, Step.WARM, Step.DONE), State.WITHDRAWN: (Step.WITHDRAW,),
-    State.OVERDUE: (*_OUT, Step.OVERDUE), State.LOST: (*_OUT, Step.OVERDUE, Step.LOST),
+    State.ASKED: (),
+    State.QUEUED: (Step.QUEUE,),
+    State.DRAINING: _LEAVE,
+    State.EMPTY: (*_LEAVE, Step.EMPTY),
+    State.OUT: _OUT,
+    State.BACK: (*_OUT, Step.BACK),
+    State.WARM: (*_OUT, Step.BACK, Step.WARM),
+    State.DONE: (*_OUT, Step.BACK, Step.WARM, Step.DONE),
+    State.WITHDRAWN: (Step.WITHDRAW,),
+    State.OVERDUE: (*_OUT, Step.OVERDUE),
+    State.LOST: (*_OUT, Step.OVERDUE, Step.LOST),
 }
 
 
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -23,8 +23,9 @@
     """A word is enough, whatever it says."""
 
     def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
-        taken = [Word(word.fence, word.known, record.begun) if word.known is Known.SAID else word
-                 for word in words]
+        taken = [
+            Word(word.fence, word.known, record.begun) if word.known is Known.SAID else word for word in words
+        ]
         return super().fault(record, taken, at_ms)
 
 
@@ -45,10 +46,16 @@
 
     def _taken(self) -> dict[str, Taken]:
         book = self.book
-        found = {name: taken for each in book.records.values() for name, taken in each.taken().items()
-                 if each.state not in (State.ASKED, State.QUEUED)}
-        return {name: replace(each, off=Off.WARMING) if book.records[each.work.id].state in LEAVING else each
-                for name, each in found.items()}
+        found = {
+            name: taken
+            for each in book.records.values()
+            for name, taken in each.taken().items()
+            if each.state not in (State.ASKED, State.QUEUED)
+        }
+        return {
+            name: replace(each, off=Off.WARMING) if book.records[each.work.id].state in LEAVING else each
+            for name, each in found.items()
+        }
 
 
 class DoubledNumber(Upkeep):
@@ -63,7 +70,8 @@
 
     def next_state(self, record: Record, step: Step) -> State | None:
         return super().next_state(record, step) or (
-            State.OUT if record.state is State.QUEUED and step is Step.OUT else None)
+            State.OUT if record.state is State.QUEUED and step is Step.OUT else None
+        )
 
 
 class NotWaitedFor(Upkeep):
@@ -84,8 +92,13 @@
     """Those that had no session when the draining began are not asked for."""
 
     def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
-        return fault(words, _Without(self.sessions), record.begun, -1,  # type: ignore[arg-type]
-                     lambda position: self.waited(position, at_ms))
+        return fault(
+            words,
+            _Without(self.sessions),
+            record.begun,
+            -1,  # type: ignore[arg-type]
+            lambda position: self.waited(position, at_ms),
+        )
 
 
 class _Without:
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/players.py
@@ -15,9 +15,23 @@
 
 STEP_US = 5 * S
 SETTINGS = UpkeepSettings(
-    most_out=2, most_out_cell=2, most_out_zone=2, least_ready_cell=3, least_ready_zone=2, target=1000,
-    least_in_set=0, fresh_ms=25_000, drain_ms=20_000, warming_ms=30_000, closing_ms=60_000, most_passed=2,
-    slack_ms=60_000, lost_ms=120_000, alone_ms=50_000, flight_ms=15_000)
+    most_out=2,
+    most_out_cell=2,
+    most_out_zone=2,
+    least_ready_cell=3,
+    least_ready_zone=2,
+    target=1000,
+    least_in_set=0,
+    fresh_ms=25_000,
+    drain_ms=20_000,
+    warming_ms=30_000,
+    closing_ms=60_000,
+    most_passed=2,
+    slack_ms=60_000,
+    lost_ms=120_000,
+    alone_ms=50_000,
+    flight_ms=15_000,
+)
 
 
 class BrokenError(AssertionError):
--- a/tests/upkeep/plays.py
+++ b/tests/upkeep/plays.py
@@ -20,9 +20,15 @@
     for number in range(chance.randint(2, 5)):
         machine = SERVERS[number % len(SERVERS)]
         other = chance.choice([name for name in SERVERS if name != machine])
-        found.append(work(
-            f"w{number}", machine, minutes=1, not_with=(other,) if chance.random() < 0.3 else (),
-            after=(SERVERS[number - 1],) if number and chance.random() < 0.2 else ()))
+        found.append(
+            work(
+                f"w{number}",
+                machine,
+                minutes=1,
+                not_with=(other,) if chance.random() < 0.3 else (),
+                after=(SERVERS[number - 1],) if number and chance.random() < 0.2 else (),
+            )
+        )
     return found
 
 
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -35,8 +35,9 @@
     one = led(work("w"))
     one.silent = {"b"}
     one.run(5)
-    assert [(each.door, each.why) for each in one.driver.missed["w"]] \
-        == [(B, f"has said 0 of {one.log.record().begun}")]
+    assert [(each.door, each.why) for each in one.driver.missed["w"]] == [
+        (B, f"has said 0 of {one.log.record().begun}")
+    ]
     one.silent = set()
     one.run(2)
     assert one.state() is State.OUT
--- a/tests/upkeep/test_histories.py
+++ b/tests/upkeep/test_histories.py
@@ -23,8 +23,13 @@
 AT_ONCE = 20
 MOST_HISTORIES = 150  # in which a mutant must be found
 FIRST = {  # where rare ones are begun at
-    "permit before the last word": 20, "what stood is let go": 70, "alone with all servers": 25,
-    "alone from waking": 75, "clear as applied": 10, "over is enough": 12}
+    "permit before the last word": 20,
+    "what stood is let go": 70,
+    "alone with all servers": 25,
+    "alone from waking": 75,
+    "clear as applied": 10,
+    "over is enough": 12,
+}
 
 
 @pytest.mark.parametrize("first", range(0, 80, AT_ONCE))
@@ -46,6 +51,7 @@
 
 def test_without_ageing_a_history_is_found_in_which_a_work_starves() -> None:
     """One work may not be out beside four others, which are asked for again and again."""
+
     def passed(settings: UpkeepSettings) -> int:
         return max(starving(seed, Cores(settings=settings)) for seed in range(4))
 
--- a/tests/upkeep/test_machine_ends.py
+++ b/tests/upkeep/test_machine_ends.py
@@ -22,8 +22,14 @@
     log.to(State.OUT)
     log.to(State.OUT, "x")
     by_address = server("s9")
-    moved = Facts(servers=(*FLEET.servers[2:], server("s0b"), server("s8"),
-                           msgspec.structs.replace(by_address, address=FLEET.servers[1].address)))
+    moved = Facts(
+        servers=(
+            *FLEET.servers[2:],
+            server("s0b"),
+            server("s8"),
+            msgspec.structs.replace(by_address, address=FLEET.servers[1].address),
+        )
+    )
     log.seen(moved)
     assert "name: s8 is neither s0 nor its successor" in log.error(Back("w", 1, "s8"))
     log.ok(Back("w", 1, "s0b"))
@@ -83,8 +89,13 @@
 def test_later_works_wait_for_one_that_was_passed_too_often() -> None:
     kept = replace(LOOSE, least_ready_cell=4, most_passed=2)
     # While one of the others is away, the first may not go.
-    log = logged(work("w", not_with=("s1", "s2", "s3")), work("1", "s1"), work("2", "s2"), work("3", "s3"),
-                 settings=kept)
+    log = logged(
+        work("w", not_with=("s1", "s2", "s3")),
+        work("1", "s1"),
+        work("2", "s2"),
+        work("3", "s3"),
+        settings=kept,
+    )
     for id in ("w", "1", "2", "3"):
         log.move(Step.QUEUE, id)
     log.move(Step.DRAIN, "1")
@@ -98,8 +109,13 @@
 
 
 def test_only_those_that_could_go_and_were_asked_for_earlier_are_passed_over() -> None:
-    log = logged(work("a", "s0"), work("b", "s1"), work("c", "s2"), work("d", "s3"),
-                 settings=replace(LOOSE, most_passed=1))
+    log = logged(
+        work("a", "s0"),
+        work("b", "s1"),
+        work("c", "s2"),
+        work("d", "s3"),
+        settings=replace(LOOSE, most_passed=1),
+    )
     for id in ("a", "c", "d"):
         log.move(Step.QUEUE, id)
     log.move(Step.DRAIN, "c")
@@ -123,15 +139,27 @@
     assert log.error(Stand(("s99",))) == "servers: s99 cannot stand"
 
 
-@pytest.mark.parametrize("body", [
-    b"", b"{}", b"\xff", b'{"kind":"move"}', b'{"id":"w","kind":"move","step":"out"}',
-    b'{"kind":"ask","work":{}}',
-    b'{"kind":"move","id":"w","step":"queue","more":1}', b'{"kind":"' + b"[" * 9000,
-    b'{"kind":"stand","servers":' + b"[" * 9000, b'{"kind":"stand","servers":["\xff"]}',
-    b'{"kind":"stand","servers":[]}' + b" " * MOST_BODY_BYTES,
-    encode(Move("w", Step.OUT)), encode(Move("w", Step.BACK)), encode(Move("none", Step.QUEUE)),
-    encode(Back("w", 1, "s0")), encode(Ask(work("w2", "s77"))),
-])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"{}",
+        b"\xff",
+        b'{"kind":"move"}',
+        b'{"id":"w","kind":"move","step":"out"}',
+        b'{"kind":"ask","work":{}}',
+        b'{"kind":"move","id":"w","step":"queue","more":1}',
+        b'{"kind":"' + b"[" * 9000,
+        b'{"kind":"stand","servers":' + b"[" * 9000,
+        b'{"kind":"stand","servers":["\xff"]}',
+        b'{"kind":"stand","servers":[]}' + b" " * MOST_BODY_BYTES,
+        encode(Move("w", Step.OUT)),
+        encode(Move("w", Step.BACK)),
+        encode(Move("none", Step.QUEUE)),
+        encode(Back("w", 1, "s0")),
+        encode(Ask(work("w2", "s77"))),
+    ],
+)
 def test_what_is_not_understood_or_breaks_a_rule_changes_nothing(body: bytes) -> None:
     log = logged(work("w"))
     before = log.machine.snapshot()
@@ -156,13 +184,23 @@
     assert other.apply(entry) == log.machine.apply(entry) and other.snapshot() == log.machine.snapshot()
 
 
-@pytest.mark.parametrize("change", [
-    lambda state: {**state, "permits": 0}, lambda state: {**state, "records": state["records"] * 2},
-    lambda state: {**state, "past": state["records"], "records": []}, lambda state: {**state, "more": 1},
-    lambda state: {**state, "permits": 9, "records": state["records"] + [
-        {**state["records"][0], "work": {**state["records"][0]["work"], "id": "x"}}]},
-    lambda state: [], lambda state: {**state, "facts": {"servers": FLEET.servers[:1] * 2}},
-])
+@pytest.mark.parametrize(
+    "change",
+    [
+        lambda state: {**state, "permits": 0},
+        lambda state: {**state, "records": state["records"] * 2},
+        lambda state: {**state, "past": state["records"], "records": []},
+        lambda state: {**state, "more": 1},
+        lambda state: {
+            **state,
+            "permits": 9,
+            "records": state["records"]
+            + [{**state["records"][0], "work": {**state["records"][0]["work"], "id": "x"}}],
+        },
+        lambda state: [],
+        lambda state: {**state, "facts": {"servers": FLEET.servers[:1] * 2}},
+    ],
+)
 def test_a_snapshot_that_makes_no_sense_is_refused_and_changes_nothing(change: object) -> None:
     log = logged(work("w"))
     log.to(State.OUT)
