--- a/tests/upkeep/test_order.py
+++ b/tests/upkeep/test_order.py
@@ -18,8 +18,16 @@
 from molereach.upkeep.rules.settings import Season, UpkeepSettings
 from tests.upkeep.made import DAY_MS, LOOSE, NOON_MS, scene, server, servers, work
 
-TIGHT = replace(LOOSE, least_ready_cell=2, target=700, most_out=3, most_out_cell=2, most_out_zone=2,
-                drain_ms=2 * MINUTE_MS, warming_ms=3 * MINUTE_MS)
+TIGHT = replace(
+    LOOSE,
+    least_ready_cell=2,
+    target=700,
+    most_out=3,
+    most_out_cell=2,
+    most_out_zone=2,
+    drain_ms=2 * MINUTE_MS,
+    warming_ms=3 * MINUTE_MS,
+)
 EVER = NOON_MS + 300 * DAY_MS
 
 
@@ -43,22 +51,31 @@
     chance = random.Random(seed)
     fleet = tuple(
         server(f"s{number}", chance.choice("ab"), chance.choice("xy"), load=chance.choice((100, 300, 400)))
-        for number in range(9))
+        for number in range(9)
+    )
     works = []
     for number in range(chance.randint(2, 6)):
         others = [f"s{other}" for other in range(9) if other != number]
         before = [f"s{other}" for other in range(number)]
-        works.append(work(
-            f"w{number}", f"s{number}", minutes=chance.choice((10, 20, 40, 80)), not_after_ms=EVER,
-            not_with=tuple(chance.sample(others, chance.choice((0, 0, 1)))),
-            after=tuple(chance.sample(before, 1)) if before and chance.random() < 0.25 else ()))
+        works.append(
+            work(
+                f"w{number}",
+                f"s{number}",
+                minutes=chance.choice((10, 20, 40, 80)),
+                not_after_ms=EVER,
+                not_with=tuple(chance.sample(others, chance.choice((0, 0, 1)))),
+                after=tuple(chance.sample(before, 1)) if before and chance.random() < 0.25 else (),
+            )
+        )
     settings = replace(TIGHT, most_out=chance.choice((1, 2, 3)), least_ready_cell=chance.choice((1, 2)))
     return scene(Facts(servers=fleet), settings), waiting(*works)
 
 
 def away(now: Scene, works: list[Planned]) -> dict[str, Taken]:
-    return {one.work.machine: Taken(one.work, Off.AWAY, groups(now.fleet.servers[one.work.machine]))
-            for one in works}
+    return {
+        one.work.machine: Taken(one.work, Off.AWAY, groups(now.fleet.servers[one.work.machine]))
+        for one in works
+    }
 
 
 def test_no_plan_breaks_a_rule_and_each_work_is_planned_or_named() -> None:
@@ -68,8 +85,14 @@
         assert {one.work.id for one in plan.planned} | set(plan.stopped) == {each.work.id for each in works}
         assert not {one.work.id for one in plan.planned} & set(plan.stopped)
         for one in plan.planned:
-            beside = away(now, [other for other in plan.planned if other is not one
-                                and other.begins_ms <= one.begins_ms < other.ends_ms])
+            beside = away(
+                now,
+                [
+                    other
+                    for other in plan.planned
+                    if other is not one and other.begins_ms <= one.begins_ms < other.ends_ms
+                ],
+            )
             undone = {other.work.machine for other in plan.planned if other.ends_ms > one.begins_ms}
             then = replace(now, at_ms=one.begins_ms, taken=beside, waiting=undone)
             assert judge(then, one.work, PLAN_RULES) is None
@@ -126,8 +149,12 @@
 
 def test_two_hundred_machines_are_planned_in_slices_within_the_stated_steps() -> None:
     fleet = tuple(server(f"s{number}", f"c{number % 10}", f"z{number % 3}") for number in range(200))
-    works = waiting(*(work(f"w{number}", f"s{number}", minutes=10 + number % 50, not_after_ms=EVER)
-                      for number in range(200)))
+    works = waiting(
+        *(
+            work(f"w{number}", f"s{number}", minutes=10 + number % 50, not_after_ms=EVER)
+            for number in range(200)
+        )
+    )
     now = scene(Facts(servers=fleet), UpkeepSettings(most_out=12, most_out_cell=2, most_out_zone=6))
     plan, steps, most = planned(now, works, 256)
     assert len(plan.planned) == 200 and 200 <= steps <= most_steps(200) and most <= 256
@@ -138,8 +165,9 @@
     never = work("never", "s1", not_after_ms=EVER, not_with=("s2",))
     now = scene(Facts(servers=servers(3)), kept, {"s2": Off.AWAY})
     plan, _, _ = planned(now, waiting(work("w", not_after_ms=EVER), never))
-    assert {one.work.id: one.begins_ms for one in plan.planned} \
-        == dict.fromkeys(("w", "never"), NOON_MS + 12 * 60 * MINUTE_MS + 12 * DAY_MS)
+    assert {one.work.id: one.begins_ms for one in plan.planned} == dict.fromkeys(
+        ("w", "never"), NOON_MS + 12 * 60 * MINUTE_MS + 12 * DAY_MS
+    )
     one_left = scene(Facts(servers=servers(2)), UpkeepSettings())
     plan, _, _ = planned(one_left, waiting(work("w")))
     assert plan.planned == () and plan.stopped["w"].rule == "floor"
@@ -155,8 +183,11 @@
 
 
 def test_what_is_away_now_comes_back_when_it_is_thought_to() -> None:
-    now = scene(Facts(servers=servers(6)), replace(LOOSE, most_out=2, drain_ms=0, warming_ms=0),
-                {"s5": Off.AWAY, "s4": Off.WARMING, "s3": Off.LOST})
+    now = scene(
+        Facts(servers=servers(6)),
+        replace(LOOSE, most_out=2, drain_ms=0, warming_ms=0),
+        {"s5": Off.AWAY, "s4": Off.WARMING, "s3": Off.LOST},
+    )
     ends_ms = {"s5": NOON_MS + 50 * MINUTE_MS, "s4": NOON_MS + 20 * MINUTE_MS}
     planner = Planner(now, waiting(work("w", "s0"), work("x", "s1")), ends_ms)
     while not planner.run():
@@ -169,17 +200,25 @@
 def test_a_work_presses_that_was_passed_too_often_or_whose_window_closes_and_what_it_waits_for() -> None:
     soon = work("soon", "s1", not_after_ms=NOON_MS + 80 * MINUTE_MS, after=("s2",))
     often = Waiting(work("often", "s3"), 2, passed_ms=NOON_MS - 5)
-    found = pressing([Waiting(soon, 1), often, *waiting(work("free", "s4"))[:1], Waiting(work("x", "s2"), 9)],
-                     NOON_MS, LOOSE)
+    found = pressing(
+        [Waiting(soon, 1), often, *waiting(work("free", "s4"))[:1], Waiting(work("x", "s2"), 9)],
+        NOON_MS,
+        LOOSE,
+    )
     assert [one.waiting.work.id for one in found] == ["soon", "x", "often"]
     assert found[0].since_ms == found[1].since_ms == NOON_MS - 10 * MINUTE_MS
 
 
 def test_what_presses_is_inherited_along_a_chain_and_by_earlier_works_of_a_machine() -> None:
     soon = work("soon", "s1", not_after_ms=NOON_MS + 80 * MINUTE_MS, after=("s2",))
-    chain = [Waiting(work("near", "s2", after=("s3",)), 1), Waiting(work("far", "s3"), 2),
-             Waiting(work("own", "s1"), 3), Waiting(soon, 4), Waiting(work("later", "s1"), 5),
-             Waiting(work("free", "s4"), 6)]
+    chain = [
+        Waiting(work("near", "s2", after=("s3",)), 1),
+        Waiting(work("far", "s3"), 2),
+        Waiting(work("own", "s1"), 3),
+        Waiting(soon, 4),
+        Waiting(work("later", "s1"), 5),
+        Waiting(work("free", "s4"), 6),
+    ]
     for order in (chain, chain[::-1]):
         found = pressing(order, NOON_MS, LOOSE)
         assert [one.waiting.work.id for one in found] == ["near", "far", "own", "soon"]
@@ -205,8 +244,10 @@
     # The long work may be out with none of the short ones; one of those is always out.
     others = tuple(f"s{number}" for number in range(1, 7))
     wide = Waiting(work("wide", "s0", not_with=others, not_after_ms=NOON_MS + 120 * MINUTE_MS), 1)
-    short = [Waiting(work(f"n{number}", name, minutes=25 + 15 * (number % 2), not_after_ms=EVER), number + 2)
-             for number, name in enumerate(others)]
+    short = [
+        Waiting(work(f"n{number}", name, minutes=25 + 15 * (number % 2), not_after_ms=EVER), number + 2)
+        for number, name in enumerate(others)
+    ]
     now = scene(Facts(servers=servers(8)), replace(LOOSE, most_out=2))
     for ageing, goes in ((LOOSE.closing_ms, True), (-DAY_MS, False)):
         settings = replace(LOOSE, most_out=2, closing_ms=ageing)
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -34,8 +34,10 @@
     proof = log.proof()
     short = tuple(word for number, word in enumerate(proof) if number != missing)
     assert log.out(proof=short).error == f"proof: no word of {'abc'[missing]}"
-    late = tuple(Word(word.fence, word.known, log.record().begun - 1) if number == missing else word
-                 for number, word in enumerate(proof))
+    late = tuple(
+        Word(word.fence, word.known, log.record().begun - 1) if number == missing else word
+        for number, word in enumerate(proof)
+    )
     assert "has said" in log.out(proof=late).error
     assert log.out(proof=(*proof, Word(77, Known.SAID, 5))).error == "", "more than is needed does no harm"
 
@@ -196,7 +198,9 @@
     accounting.look(5)
     words, missed = accounting.account(5, begun, -1)
     assert [(each.door, each.why) for each in missed] == [
-        (B, f"has said {begun - 1} of {begun}"), (C, "is without a session for too short a time")]
+        (B, f"has said {begun - 1} of {begun}"),
+        (C, "is without a session for too short a time"),
+    ]
     said.said["b"] = begun
     wait_us = LOOSE.over_wait_ms * 1000
     assert len(accounting.account(5 + wait_us - 1, begun, -1)[1]) == 1
--- a/tests/upkeep/test_requests.py
+++ b/tests/upkeep/test_requests.py
@@ -13,30 +13,46 @@
 MACHINES = {**{f"s{number}": Kind.SERVER for number in range(300)}, "d0": Kind.DOOR}
 
 
-@pytest.mark.parametrize("more, said", [
-    ({"not_before_ms": 9, "not_after_ms": 9}, "not_after_ms: the window ends before it begins"),
-    ({"not_before_ms": 0, "not_after_ms": 29 * 60_000}, "not_after_ms: the window is shorter than 30 min"),
-    ({"after": ("s0",)}, "after: s0 itself is among them"),
-    ({"not_with": ("s0",)}, "not_with: s0 itself is among them"),
-    ({"after": ("s1", "s1")}, "after: a machine is named twice"),
-    ({"successor": "s0"}, "successor: the machine's own name"),
-    ({"reason": "two\nlines"}, "reason: not printable text"),
-    ({"machine": "s999"}, "machine: s999 is not known"),
-    ({"kind": Kind.DOOR}, "kind: s0 is a server"),
-    ({"after": ("gone",)}, "after: gone is not known"),
-    ({"not_with": ("gone",)}, "not_with: gone is not known"),
-    ({"successor": "s9"}, "successor: s9 is another machine"),
-    ({"not_after_ms": NOON_MS}, "not_after_ms: the window has passed"),
-])
+@pytest.mark.parametrize(
+    "more, said",
+    [
+        ({"not_before_ms": 9, "not_after_ms": 9}, "not_after_ms: the window ends before it begins"),
+        (
+            {"not_before_ms": 0, "not_after_ms": 29 * 60_000},
+            "not_after_ms: the window is shorter than 30 min",
+        ),
+        ({"after": ("s0",)}, "after: s0 itself is among them"),
+        ({"not_with": ("s0",)}, "not_with: s0 itself is among them"),
+        ({"after": ("s1", "s1")}, "after: a machine is named twice"),
+        ({"successor": "s0"}, "successor: the machine's own name"),
+        ({"reason": "two\nlines"}, "reason: not printable text"),
+        ({"machine": "s999"}, "machine: s999 is not known"),
+        ({"kind": Kind.DOOR}, "kind: s0 is a server"),
+        ({"after": ("gone",)}, "after: gone is not known"),
+        ({"not_with": ("gone",)}, "not_with: gone is not known"),
+        ({"successor": "s9"}, "successor: s9 is another machine"),
+        ({"not_after_ms": NOON_MS}, "not_after_ms: the window has passed"),
+    ],
+)
 def test_what_is_wrong_is_one_line_with_the_field(more: dict[str, Any], said: str) -> None:
     asked = msgspec.structs.replace(work("w"), **more)
     assert str(wrong(asked, (), {}, MACHINES, NOON_MS)) == said
 
 
-@pytest.mark.parametrize("field, value", [
-    ("minutes", 0), ("minutes", 10_081), ("id", ""), ("machine", "-x"), ("reason", ""), ("not_before_ms", -1),
-    ("after", [f"s{n}" for n in range(9)]), ("kind", "rack"), ("more", 1),
-])
+@pytest.mark.parametrize(
+    "field, value",
+    [
+        ("minutes", 0),
+        ("minutes", 10_081),
+        ("id", ""),
+        ("machine", "-x"),
+        ("reason", ""),
+        ("not_before_ms", -1),
+        ("after", [f"s{n}" for n in range(9)]),
+        ("kind", "rack"),
+        ("more", 1),
+    ],
+)
 def test_what_is_out_of_range_is_not_read(field: str, value: object) -> None:
     fields = {**msgspec.to_builtins(work("w")), field: value}
     with pytest.raises(msgspec.ValidationError):
@@ -57,8 +73,10 @@
     said = wrong(work("4", "s0", after=("s1",)), others, {}, MACHINES, NOON_MS)
     assert str(said) == "after: a cycle: s0 after s1 after s2 after s0"
     own = (work("1", "s0", after=("s1",)),)
-    assert str(wrong(work("2", "s1", after=("s0",)), own, {}, MACHINES, NOON_MS)) \
+    assert (
+        str(wrong(work("2", "s1", after=("s0",)), own, {}, MACHINES, NOON_MS))
         == "after: a cycle: s1 after s0 after s1"
+    )
 
 
 def test_open_works_are_bounded_in_all_and_for_each_machine() -> None:
--- a/tests/upkeep/test_rules.py
+++ b/tests/upkeep/test_rules.py
@@ -27,10 +27,21 @@
     assert named(judge(scene(TEN, at_ms=NOON_MS + 1), asked)) == ("window", ())
 
 
-@pytest.mark.parametrize("days, expected", [
-    (0, (1, 1)), (58, (2, 28)), (59, (3, 1)), (364, (12, 31)), (365, (1, 1)), (789, (2, 29)), (790, (3, 1)),
-    (11_016, (2, 29)), (47_540, (2, 28)), (47_541, (3, 1)),  # 2000 has a leap day, 2100 has none
-])
+@pytest.mark.parametrize(
+    "days, expected",
+    [
+        (0, (1, 1)),
+        (58, (2, 28)),
+        (59, (3, 1)),
+        (364, (12, 31)),
+        (365, (1, 1)),
+        (789, (2, 29)),
+        (790, (3, 1)),
+        (11_016, (2, 29)),
+        (47_540, (2, 28)),
+        (47_541, (3, 1)),  # 2000 has a leap day, 2100 has none
+    ],
+)
 def test_the_day_of_a_time(days: int, expected: tuple[int, int]) -> None:
     assert month_day(days * DAY_MS) == expected == month_day(days * DAY_MS + DAY_MS - 1)
 
@@ -38,8 +49,13 @@
 def test_a_season_holds_from_its_first_day_to_its_last_also_over_the_years_end() -> None:
     summer, winter = Season((6, 1), (8, 31)), Season((12, 9), (1, 6))
     assert [within(day, summer) for day in ((5, 31), (6, 1), (8, 31), (9, 1))] == [False, True, True, False]
-    assert [within(day, winter) for day in ((12, 8), (12, 9), (1, 1), (1, 6), (1, 7))] \
-        == [False, True, True, True, False]
+    assert [within(day, winter) for day in ((12, 8), (12, 9), (1, 1), (1, 6), (1, 7))] == [
+        False,
+        True,
+        True,
+        True,
+        False,
+    ]
     kept = UpkeepSettings(seasons=(winter,))
     midnight = NOON_MS + 12 * 60 * MINUTE_MS
     assert judge(scene(TEN, kept, at_ms=midnight - 31 * MINUTE_MS), work("w")) is None
@@ -74,8 +90,15 @@
 
 
 def test_so_many_at_once_in_all_by_cell_and_by_zone() -> None:
-    mixed = Facts(servers=(server("s0", load=0), server("s1", load=0), server("s2", zone="z2", load=0),
-                           server("s3", "c2", "z2", load=0), server("s4", "c2", "z3", load=0)))
+    mixed = Facts(
+        servers=(
+            server("s0", load=0),
+            server("s1", load=0),
+            server("s2", zone="z2", load=0),
+            server("s3", "c2", "z2", load=0),
+            server("s4", "c2", "z3", load=0),
+        )
+    )
 
     def stops(off: dict[str, Off], **more: int) -> tuple[str, tuple[str, ...]] | None:
         return named(judge(scene(mixed, replace(LOOSE, **more), off), work("w")))
@@ -92,8 +115,10 @@
     facts = Facts(servers=(*servers(4), server("s8", ready=False)))
     kept = replace(LOOSE, least_ready_cell=2)
     assert judge(scene(facts, kept, {"s1": Off.AWAY}), work("w")) is None
-    assert named(judge(scene(facts, kept, {"s1": Off.AWAY, "s8": Off.AWAY, "s2": Off.LOST}),
-                       work("w"))) == ("floor", ("s1", "s2"))
+    assert named(judge(scene(facts, kept, {"s1": Off.AWAY, "s8": Off.AWAY, "s2": Off.LOST}), work("w"))) == (
+        "floor",
+        ("s1", "s2"),
+    )
     assert judge(scene(facts, kept, {"s1": Off.WARMING}), work("w")) is None
     least = scene(facts, replace(kept, least_ready_cell=4), {"s1": Off.AWAY})
     assert judge(least, work("w", "s8")) is None, "it is not ready anyway"
@@ -151,13 +176,17 @@
 def test_facts_that_cannot_be() -> None:
     assert unsound(TEN) == ""
     assert unsound(Facts(servers=(server("d1"),), doors=(door(1),))) == "a machine is there twice"
-    assert unsound(Facts(doors=(door(1), type(door(1))("e", "", "c", "z", True, 1)))) \
+    assert (
+        unsound(Facts(doors=(door(1), type(door(1))("e", "", "c", "z", True, 1))))
         == "two front doors have one number"
+    )
     assert isinstance(TEN.servers[0], Server)
 
 
-@pytest.mark.parametrize("key, value", [
-    ("most_out", 0), ("target", 0), ("target", 1001), ("least_in_set", 4), ("spread", 0), ("warm", 901)])
+@pytest.mark.parametrize(
+    "key, value",
+    [("most_out", 0), ("target", 0), ("target", 1001), ("least_in_set", 4), ("spread", 0), ("warm", 901)],
+)
 def test_settings_that_cannot_be(key: str, value: int) -> None:
     with pytest.raises(ValueError, match=key):
         UpkeepSettings(**{key: value})
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -81,8 +81,15 @@
         sessions = LoneSessions()
         machine, held = self.cores.machine(self.cores.settings, sessions), Held()
         rate = self.chance.choice((0.996, 1.0, 1.004))
-        door = Door(Life(name, number), rate, sessions, machine, held, self.cores.door(machine, held),
-                    Driver(Life(name, number), machine, self))
+        door = Door(
+            Life(name, number),
+            rate,
+            sessions,
+            machine,
+            held,
+            self.cores.door(machine, held),
+            Driver(Life(name, number), machine, self),
+        )
         if self.eager:
             door.driver._accounting = Accounting(sessions, self, 0)
         for each in self.servers.values():
@@ -97,8 +104,12 @@
         self.leader, self.ballot = door, self.ballot + 1
         for each in self.doors.values():
             if each is door or self.chance.random() < 0.6:  # some believe still that they lead
-                self.act(each, each.driver.handle(each.now_us(self.now), Leads(
-                    door.life.name, self.ballot, each is door)))
+                self.act(
+                    each,
+                    each.driver.handle(
+                        each.now_us(self.now), Leads(door.life.name, self.ballot, each is door)
+                    ),
+                )
 
     def act(self, door: Door, actions: object) -> None:
         assert isinstance(actions, list | tuple)
@@ -213,8 +224,14 @@
 
     def journal(self, door: Door, name: str) -> None:
         machine = self.servers[name]
-        holder = next((each for each in self.truth.book.records.values()
-                       if each.work.machine == name and each.state in GONE), None)
+        holder = next(
+            (
+                each
+                for each in self.truth.book.records.values()
+                if each.work.machine == name and each.state in GONE
+            ),
+            None,
+        )
         if holder is not None:
             raise BrokenError(f"{door.life} sent to {name}, out by {holder.permit}, at step {self.now}")
         self.sent += 1
@@ -232,7 +249,9 @@
             door.learnt = last
             door.side.handle(now_us, Restored(last))
             self.act(door, door.driver.handle(now_us, Restored(last)))
-        for entry, outcome in zip(self.order[door.learnt:last], self.outcomes[door.learnt:last], strict=True):
+        for entry, outcome in zip(
+            self.order[door.learnt : last], self.outcomes[door.learnt : last], strict=True
+        ):
             found = (door.sessions if entry.machine == "sessions" else door.machine).apply(entry)
             if found != outcome:
                 raise BrokenError(f"another outcome at {entry.position}: {found} for {outcome}")
@@ -284,8 +303,12 @@
     until = 1 << 30  # the step at which trouble ends
 
     def facts(self) -> Facts:
-        return Facts(servers=tuple(server(name, ready=each.ready, warmth=each.warmth, load=100)
-                                   for name, each in self.servers.items()))
+        return Facts(
+            servers=tuple(
+                server(name, ready=each.ready, warmth=each.warmth, load=100)
+                for name, each in self.servers.items()
+            )
+        )
 
     def serve_servers(self) -> None:
         for name, each in self.servers.items():
@@ -334,9 +357,11 @@
             self.append("upkeep", encode(Move(record.work.id, step, record.begun)), door.life)
         else:
             words = tuple(
-                Word(each.fence, each.known, each.position) if isinstance(each, Past)
+                Word(each.fence, each.known, each.position)
+                if isinstance(each, Past)
                 else Word(each.fence, Known.SAID, self.said.get(each.fence, 0))
-                for each in needed(self.sessions, record.begun))
+                for each in needed(self.sessions, record.begun)
+            )
             if record.state is State.DRAINING:
                 self.append("upkeep", encode(Move(record.work.id, Step.EMPTY, record.begun)), door.life)
             self.append("upkeep", encode(Out(record.work.id, record.begun, words)), door.life)
@@ -360,5 +385,7 @@
     @property
     def finished(self) -> bool:
         """Whether all is over, but for what was lost and never came."""
-        return all(each.state is State.LOST and not self.servers[each.work.machine].ready
-                   for each in self.truth.book.records.values())
+        return all(
+            each.state is State.LOST and not self.servers[each.work.machine].ready
+            for each in self.truth.book.records.values()
+        )
