--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -18,10 +18,11 @@
 import msgspec
 
 from benchmarks.result import Result
-from fennelwinch import interface as i
-from fennelwinch.rules import DEMAND_US, Gateway
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
+from molereach.policy.quota import DEMAND_US
 from rig import scenario_files
 from sim.histories import PLAN, READS, BrokenError, QuotaHistory, ShareHistory, Store
 from sim.run import JOBS_CONTEXT
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -12,11 +12,11 @@
 from typing import Any, cast
 
 from benchmarks.scale.tier import Tenant, Tier, peer_address
-from fennelwinch import interface as i
-from fennelwinch.codec import PlainForm
-from fennelwinch.rules import Gateway
 from molereach.clock import now_us
 from molereach.door.config import Config, parse
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
+from molereach.protocol.gossip_codec import PlainForm
 from rig.sockets import Address
 from rig.workload import CLASSES
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -11,7 +11,7 @@
 from heapq import nlargest
 from random import Random
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.places import door_place, least_reach, place_of
 from molereach.routing.records import pack
 from molereach.routing.view import View, Whole
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.routing import Routing
 
 SIZE = 256  # of a view
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -12,7 +12,7 @@
 from benchmarks.shared import SharedWhole, SharingView
 from benchmarks.told import LOST_ZONE, SIZE, zone_told
 from benchmarks.touches import holding, reaching
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.places import LEAST_DOORS, RING, behind, door_place
 from molereach.routing.records import cell_of, name_of
 from molereach.routing.routing import LONG
--- a/fennelwinch/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""fennelwinch: the decisions of a quota-keeping gateway for a shared API."""
--- a/molereach/__init__.py
+++ b/molereach/__init__.py
@@ -1,3 +1,3 @@
-"""molereach: a front door on real sockets around the decisions of fennelwinch."""
+"""molereach: a load balancer for RESP clients that keeps customers' quotas."""
 
 __version__ = "0.4.0"
--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -2,8 +2,8 @@
 
 import logging
 
-from fennelwinch import interface as i
-from fennelwinch.codec import read_report
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import read_report
 from molereach.resp import Answer
 
 log = logging.getLogger(__name__)
--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
 from molereach.clock import now_us
+from molereach.policy import interface as i
 
 if TYPE_CHECKING:
     from molereach.backends.connection import Connection
--- a/molereach/backends/connection.py
+++ b/molereach/backends/connection.py
@@ -5,11 +5,11 @@
 import socket
 from typing import TYPE_CHECKING, cast
 
-from fennelwinch import interface as i
 from molereach.backends.answers import outcome_of
 from molereach.backends.attempt import Attempt
 from molereach.backends.reuse import Reuse
 from molereach.clock import now_us
+from molereach.policy import interface as i
 from molereach.resp import AnswerReader, ProtocolError
 
 if TYPE_CHECKING:
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
 from molereach.backends.connection import Connection
 from molereach.clock import now_us
 from molereach.door.config import Address
+from molereach.policy import interface as i
 from molereach.resp import has_unread
 
 if TYPE_CHECKING:
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -4,12 +4,12 @@
 from collections.abc import Coroutine, Mapping
 from types import MappingProxyType
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
 from molereach.backends.pool import Pool
 from molereach.backends.reuse import FADE_S, Reuse
 from molereach.clock import now_us
 from molereach.door.config import Address
+from molereach.policy import interface as i
 
 IDLE_SHARE = 0.5  # of the backend's idle time: a request that crosses its close would end as a reset
 
--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -30,7 +30,7 @@
     stays: str
 
 
-RULES, DOOR, LIMITS = "fennelwinch.rules", "molereach.door.frontdoor.FrontDoor", "molereach.limits"
+RULES, DOOR, LIMITS = "molereach.policy", "molereach.door.frontdoor.FrontDoor", "molereach.limits"
 CACHE, CLIENT = "molereach.cache", "molereach.clients.resp.ClientConnection"
 REQUEST = "until its request is answered and its last attempt is over"
 FULL_AGAIN = "until its stores are full again: as good as new then"
@@ -74,8 +74,8 @@
     Holding(f"{LIMITS}.reach.Reach", "mine", "spending told home", Effect.KEPT, FULL_AGAIN),
     Holding(f"{LIMITS}.reach.Reach", "homes", "spending told here", Effect.KEPT, FULL_AGAIN),
     # Words to homes
-    Holding(f"{RULES}.words.Words", "waiting", "words to homes", Effect.ENDS, "80 ms"),
-    Holding(f"{RULES}.words.Words", "late", "words to homes", Effect.ENDS, "0.5 s"),
+    Holding(f"{RULES}.gossip.Words", "waiting", "words to homes", Effect.ENDS, "80 ms"),
+    Holding(f"{RULES}.gossip.Words", "late", "words to homes", Effect.ENDS, "0.5 s"),
     Holding(f"{LIMITS}.escrow.Escrow", "out", "words of loans", Effect.ENDS, "the next look, 20 ms"),
     Holding(f"{LIMITS}.core.Limits", "answers", "words of limits", Effect.ENDS, "the next look, 20 ms"),
     Holding(f"{LIMITS}.reach.Reach", "fresh", "spending to be told", Effect.ENDS, "until it is told"),
--- a/molereach/clients/commands.py
+++ b/molereach/clients/commands.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-from fennelwinch import interface as i
 from molereach.clients.requests import CommandError, RequestChecks
 from molereach.door.config import Config
+from molereach.policy import interface as i
 from molereach.resp import encode
 
 
--- a/molereach/door/calls.py
+++ b/molereach/door/calls.py
@@ -20,7 +20,7 @@
 
 import math
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 
 CALL_S = 0.2  # of discovery's time, for each front door of the tier: it takes one call from each in so long
 AT_ONCE = 8  # calls that may come in step and are no burden
--- a/molereach/door/config.py
+++ b/molereach/door/config.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any, BinaryIO, TypeVar
 
-from fennelwinch import interface as i
-from fennelwinch.settings import Pairs, SettingsError, read_settings, shown
 from molereach.door.documents import DocumentError, Documents, Part
+from molereach.policy import interface as i
+from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
 
 Address = tuple[str, int]
 Section = TypeVar("Section", dict[str, Any], list[Any])
--- a/molereach/door/frontdoor.py
+++ b/molereach/door/frontdoor.py
@@ -12,9 +12,6 @@
 from collections.abc import Awaitable, Callable, Generator
 from dataclasses import fields, replace
 
-from fennelwinch import interface as i
-from fennelwinch.codec import Form
-from fennelwinch.rules import Gateway
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.clients.commands import Command, CommandParser
@@ -30,6 +27,9 @@
 from molereach.door.ending import Ending
 from molereach.door.peers import Peers
 from molereach.door.watch import Steps
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
+from molereach.protocol.gossip_codec import Form
 from molereach.routing.interface import Lists, Seen
 from molereach.routing.room import COPIES
 from molereach.routing.routing import Routing
--- a/molereach/door/source.py
+++ b/molereach/door/source.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from fennelwinch import interface as i
 from molereach.door.calling import Calling
 from molereach.door.calls import CallPacing
 from molereach.door.catalog import Catalog, LongNews, News
 from molereach.door.config import Address
 from molereach.door.watch import Steps, WatchConnection
+from molereach.policy import interface as i
 from molereach.routing.interface import RoomError, Staged
 
 log = logging.getLogger(__name__)
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 
 MOST_NAME_BYTES = 64  # of an id, a subject or an issuer, in UTF-8
 MOST_REASON_BYTES = 256
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from fennelwinch.interface import Held
 from molereach.fleet.orders import BookState, Decided, OrderError
+from molereach.policy.interface import Held
 
 VERSION = 2
 HEAD_BYTES = 4
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -1,12 +1,12 @@
-"""What the decisions consult on limits, `Limits` in fennelwinch/interface. A core, over the two others.
+"""What the decisions consult on limits, `Limits` in molereach/policy/interface. A core, over the two others.
 
 `Escrow` has the ceilings, `Reach` the quotas. Words of both go out within a budget for each peer.
 """
 
-from fennelwinch import interface as i
 from molereach.limits.escrow import REPEAT_US, WHOLE, Escrow
 from molereach.limits.reach import Reach
 from molereach.limits.settings import LimitSettings, S
+from molereach.policy import interface as i
 
 GENERATIONS = 1 << 16
 TOTALS_AT_ONCE = 2  # at each look: 100 a second, to all homes together
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -11,8 +11,8 @@
 import math
 from collections.abc import Sequence
 
-from fennelwinch.interface import Key, LoanAsk, LoanGrant, Plan
 from molereach.limits.settings import LimitSettings, S
+from molereach.policy.interface import Key, LoanAsk, LoanGrant, Plan
 
 WHOLE = 10_000  # parts of a ceiling
 DEMAND_US = 400_000  # ageing of what customers ask for here
--- a/molereach/limits/reach.py
+++ b/molereach/limits/reach.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Sequence
 
-from fennelwinch.interface import Key, Plan, Total
 from molereach.limits.settings import LimitSettings, S
+from molereach.policy.interface import Key, Plan, Total
 
 BEATS = 4  # that are missed before a front door counts as cut off
 BEATS_PART = 0.3  # of the messages that a front door takes in may be beats
--- a/molereach/limits/words.py
+++ b/molereach/limits/words.py
@@ -12,8 +12,8 @@
 import struct
 from collections.abc import Callable, Sequence
 
-from fennelwinch import interface as i
-from fennelwinch.codec import MESSAGE_BYTES, UNIT, WORD, pack_words, unpack_words
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import MESSAGE_BYTES, UNIT, WORD, pack_words, unpack_words
 
 MAGIC, VERSION = 0xB7, 1
 HEADER = struct.Struct("!BBHB")
--- a/fennelwinch/rules/admission.py
+++ b/molereach/policy/admission.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.rules.customers import Customers
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.peers import Peers
-from fennelwinch.rules.store import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer
-from fennelwinch.rules.times import NEVER, TICK_US, S
-from fennelwinch.rules.words import Words
+from molereach.policy import interface as i
+from molereach.policy.customers import Customers
+from molereach.policy.gossip import Words
+from molereach.policy.peer_liveness import Peers
+from molereach.policy.pending_request import Job
+from molereach.policy.quota import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer
+from molereach.policy.time_units import NEVER, TICK_US, S
 
 # The wait for word from home, its part of the aim, and how often it is asked.
 ASK_US, ASK_PART, ASKS = 160_000, 3, 3
--- a/fennelwinch/rules/attempts.py
+++ b/molereach/policy/attempts.py
@@ -4,9 +4,9 @@
 of first ones, so that they cannot feed an overload (a retry budget).
 """
 
-from fennelwinch import interface as i
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.server import Server
+from molereach.policy import interface as i
+from molereach.policy.backend_state import Server
+from molereach.policy.pending_request import Job
 
 PATIENCE_STEPS = 200  # first tries by which the known patience of clients can rise by about its double
 SMOOTH = 0.1  # weight of a new latency in a running mean
--- a/fennelwinch/rules/server.py
+++ b/molereach/policy/backend_state.py
@@ -4,8 +4,8 @@
 ramp of cold servers. All is of this gateway's own attempts: no server is probed.
 """
 
-from fennelwinch import interface as i
-from fennelwinch.rules.times import S
+from molereach.policy import interface as i
+from molereach.policy.time_units import S
 
 SUSPECT_AT = 1.7  # two failures running, or a mix with more failures than answers
 BROKEN_PART = 0.5  # of a failure: how much a spoilt answer or a reset counts
--- a/fennelwinch/rules/customers.py
+++ b/molereach/policy/customers.py
@@ -6,9 +6,9 @@
 
 import zlib
 
-from fennelwinch import interface as i
-from fennelwinch.rules.store import SMALL_PART, Customer, full_again_us
-from fennelwinch.rules.times import NEVER, S
+from molereach.policy import interface as i
+from molereach.policy.quota import SMALL_PART, Customer, full_again_us
+from molereach.policy.time_units import NEVER, S
 
 LEAST_KEPT_US = 10 * S  # for which a customer is remembered in any case
 SILENT_US = 500_000  # a peer is silent that answers no ask for so long
--- a/fennelwinch/rules/gateway.py
+++ b/molereach/policy/gateway.py
@@ -1,7 +1,7 @@
 """The order of steps: what a gateway does at each event, by what its parts say.
 
 A request is admitted by its customer's quota, held until the cap, its ceiling and a server allow it, sent on,
-and perhaps sent again; each gets one final answer. Events, actions and settings: fennelwinch/interface.
+and perhaps sent again; each gets one final answer. Events, actions and settings: molereach/policy/interface.
 """
 
 import itertools
@@ -10,15 +10,15 @@
 from bisect import insort
 from collections.abc import Callable
 
-from fennelwinch import interface as i
-from fennelwinch.rules.admission import Admission
-from fennelwinch.rules.attempts import Attempts
-from fennelwinch.rules.cap import Cap
-from fennelwinch.rules.customers import Customers
-from fennelwinch.rules.fleet import Fleet
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.server import Server
-from fennelwinch.rules.times import NEVER, TICK_US
+from molereach.policy import interface as i
+from molereach.policy.admission import Admission
+from molereach.policy.attempts import Attempts
+from molereach.policy.backend_state import Server
+from molereach.policy.customers import Customers
+from molereach.policy.load_balancing import Fleet
+from molereach.policy.overload_control import Cap
+from molereach.policy.pending_request import Job
+from molereach.policy.time_units import NEVER, TICK_US
 
 NEEDED_NEW, NEEDED_HELD = 0.5, 2.0  # mean latencies left: else all that is held would leave just too late
 ENDS = ("quota", "ceiling", "cap", "server", "late", "attempts")  # why a request was given up on
--- a/fennelwinch/rules/words.py
+++ b/molereach/policy/gossip.py
@@ -6,11 +6,11 @@
 
 from collections.abc import Sequence
 
-from fennelwinch import interface as i
-from fennelwinch.rules.customers import Customers
-from fennelwinch.rules.peers import Peers
-from fennelwinch.rules.store import WORD_FRESH_US, Customer
-from fennelwinch.rules.times import NEVER, S
+from molereach.policy import interface as i
+from molereach.policy.customers import Customers
+from molereach.policy.peer_liveness import Peers
+from molereach.policy.quota import WORD_FRESH_US, Customer
+from molereach.policy.time_units import NEVER, S
 
 MARK_US = 3 * S  # how often a peer is told that this is kept to; older ones speak without
 SPACE_US = 80_000  # between words to one peer, at most
--- a/fennelwinch/interface/__init__.py
+++ b/molereach/policy/interface/__init__.py
@@ -2,10 +2,10 @@
 
 In reading order: `settings`, `words` between gateways, `events`, `actions`, `protocols`, what the decisions
 consult. All times are whole microseconds. Settings are given once, at start. Each event is handed to
-`rules.Gateway.handle(now_us, event)`, which answers with the actions to carry out, in order.
+`Gateway.handle(now_us, event)`, which answers with the actions to carry out, in order.
 """
 
-from fennelwinch.interface.actions import (
+from molereach.policy.interface.actions import (
     Action,
     Cancel,
     CloseIdle,
@@ -20,7 +20,7 @@
     Subscribe,
     Tell,
 )
-from fennelwinch.interface.events import (
+from molereach.policy.interface.events import (
     ClientGone,
     Counted,
     Event,
@@ -37,9 +37,7 @@
     StreamStarted,
     Timer,
 )
-from fennelwinch.interface.protocols import Held, Limits
-from fennelwinch.interface.settings import Effect, Group, Plan, RequestClass, Settings
-from fennelwinch.interface.words import (
+from molereach.policy.interface.messages import (
     SPLIT_MARK,
     Bye,
     Clear,
@@ -51,6 +49,8 @@
     Total,
     Word,
 )
+from molereach.policy.interface.protocols import Held, Limits
+from molereach.policy.interface.settings import Effect, Group, Plan, RequestClass, Settings
 
 __all__ = [
     "SPLIT_MARK",
--- a/fennelwinch/interface/actions.py
+++ b/molereach/policy/interface/actions.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from fennelwinch.interface.words import LimitWord, Word
+from molereach.policy.interface.messages import LimitWord, Word
 
 
 @dataclass(frozen=True, slots=True)
--- a/fennelwinch/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -1,4 +1,4 @@
-"""What a gateway is told: each event is handed to `rules.Gateway.handle(now_us, event)`.
+"""What a gateway is told: each event is handed to `Gateway.handle(now_us, event)`.
 
 All times are whole microseconds.
 """
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from fennelwinch.interface.words import LimitWord, Word
+from molereach.policy.interface.messages import LimitWord, Word
 
 
 class Result(Enum):
--- a/fennelwinch/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from fennelwinch.interface.events import PeerMessage
-from fennelwinch.interface.words import Key, LimitWord, Total
+from molereach.policy.interface.events import PeerMessage
+from molereach.policy.interface.messages import Key, LimitWord, Total
 
 
 @dataclass(frozen=True, slots=True)
--- a/fennelwinch/rules/fleet.py
+++ b/molereach/policy/load_balancing.py
@@ -5,10 +5,10 @@
 
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.server import Server
-from fennelwinch.rules.times import S
+from molereach.policy import interface as i
+from molereach.policy.backend_state import Server
+from molereach.policy.pending_request import Job
+from molereach.policy.time_units import S
 
 SMOOTH, RATE_SMOOTH = 0.1, 0.3  # weight of a new load, and of a period's sends, in a running mean
 KEPT_CHOICES, HANDSHAKE_WEIGHT = 6, 10  # of these, with a connection that rests; cost of a new one
--- a/fennelwinch/rules/cap.py
+++ b/molereach/policy/overload_control.py
@@ -7,8 +7,8 @@
 import math
 from collections.abc import Callable
 
-from fennelwinch import interface as i
-from fennelwinch.rules.times import TICK_US, S
+from molereach.policy import interface as i
+from molereach.policy.time_units import TICK_US, S
 
 FAIR_N, MOST_PERIODS = 10, 2  # control period and OPPUI: 1 or 2 s, for a fair-sized N
 MAX_INCREASE, MAX_DECREASE = 0.2, 0.1  # the largest step of N in a second, against noise
--- a/fennelwinch/rules/peers.py
+++ b/molereach/policy/peer_liveness.py
@@ -1,7 +1,7 @@
 """What is known of each peer: whether it answers, and whether it keeps to the smaller share of ceilings."""
 
-from fennelwinch.rules.customers import SILENT_US
-from fennelwinch.rules.times import S
+from molereach.policy.customers import SILENT_US
+from molereach.policy.time_units import S
 
 ASK_AGAIN_US = 300_000  # a peer that is silent is asked again
 MARKED_US = 10 * S  # for how long it counts that a peer said that ceilings are split there
--- a/fennelwinch/rules/job.py
+++ b/molereach/policy/pending_request.py
@@ -1,9 +1,9 @@
 """One request that a gateway owes a final answer: its times, its worth and its attempts."""
 
-from fennelwinch import interface as i
-from fennelwinch.rules.server import Server
-from fennelwinch.rules.store import Customer
-from fennelwinch.rules.times import NEVER
+from molereach.policy import interface as i
+from molereach.policy.backend_state import Server
+from molereach.policy.quota import Customer
+from molereach.policy.time_units import NEVER
 
 
 class Job:
--- a/fennelwinch/rules/store.py
+++ b/molereach/policy/quota.py
@@ -6,8 +6,8 @@
 
 import math
 
-from fennelwinch import interface as i
-from fennelwinch.rules.times import NEVER, S
+from molereach.policy import interface as i
+from molereach.policy.time_units import NEVER, S
 
 DEMAND_US = 0.1 * S  # ageing of demand: short, as the level of the store carries the longer memory
 SMALL_STORE_US = 0.5 * S  # of its rate, that a store which holds no whole request may owe
--- a/fennelwinch/codec.py
+++ b/molereach/protocol/gossip_codec.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 
 # The fields of a load report: as the wire names them, and as the servers themselves do.
 REPORT_FIELDS = {
--- a/fennelwinch/settings.py
+++ b/molereach/protocol/settings.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 
 Value = TypeVar("Value")
 
--- a/molereach/routing/interface.py
+++ b/molereach/routing/interface.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 
 Address = tuple[str, int]
 
--- a/molereach/routing/meanwhile.py
+++ b/molereach/routing/meanwhile.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Generator, Iterable, Mapping
 from weakref import WeakSet
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.interface import Address, ListError
 from molereach.routing.records import is_later, name_of
 from molereach.routing.staging import Entry, Staging, entry_of
--- a/molereach/routing/records.py
+++ b/molereach/routing/records.py
@@ -2,7 +2,7 @@
 
 from struct import Struct, error
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.interface import Address, ListError
 
 # State, zone, kind, cell, size, start in microseconds, port, bytes of the name; then the name and the host.
--- a/molereach/routing/routing.py
+++ b/molereach/routing/routing.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Generator, Mapping, Sequence
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.groups import kinds
 from molereach.routing.interface import Address, ListError, Seen, Staged
 from molereach.routing.meanwhile import Meanwhile
--- a/molereach/routing/staging.py
+++ b/molereach/routing/staging.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Iterator, Mapping, Sequence
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.interface import Address, ListError
 from molereach.routing.places import place_of
 from molereach.routing.records import name_bytes, pack
--- a/molereach/shards/splits/consulted.py
+++ b/molereach/shards/splits/consulted.py
@@ -1,9 +1,9 @@
-"""What the decisions ask of shards: the text for `fennelwinch/interface.py`, and the types that it takes."""
+"""What the decisions ask of shards: the text for `policy/interface`, and the types that it takes."""
 
 from dataclasses import dataclass
 from typing import Protocol
 
-from fennelwinch.interface import Effect
+from molereach.policy.interface import Effect
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from fennelwinch import interface as i
-from fennelwinch.codec import Form, PlainForm, read_report
-from fennelwinch.rules import Gateway
-from fennelwinch.settings import Pairs, read_settings
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
+from molereach.protocol.gossip_codec import Form, PlainForm, read_report
+from molereach.protocol.settings import Pairs, read_settings
 
 RESULTS = {
     "served": i.Result.OK,
@@ -330,7 +330,7 @@
             sink.flush()
     except (WireError, ValueError, KeyError, StopIteration) as error:
         text = f"unknown word {error}" if isinstance(error, KeyError) else str(error) or "a list is cut off"
-        print(f"fennelwinch: line {count}: {one_line(text)}", file=sys.stderr)
+        print(f"molereach: line {count}: {one_line(text)}", file=sys.stderr)
         return 2
     return 0
 
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -12,7 +12,6 @@
 import sys
 from dataclasses import replace
 
-from fennelwinch import interface as i
 from molereach.__main__ import front_door
 from molereach.backends.attempt import Attempt
 from molereach.clients.replies import Reply
@@ -20,6 +19,7 @@
 from molereach.door.discovery import LongNews, News
 from molereach.door.frontdoor import FrontDoor
 from molereach.door.watch import Steps
+from molereach.policy import interface as i
 
 EVERY = 40
 LATE_S = 2.0
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.codec import Form, PlainForm
-from fennelwinch.rules import Gateway
 from molereach.limits.core import Limits
 from molereach.limits.escrow import WHOLE
 from molereach.limits.settings import LimitSettings
 from molereach.limits.words import Codec
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
+from molereach.protocol.gossip_codec import Form, PlainForm
 
 S, MS = 1_000_000, 1_000
 TICK_US = 20 * MS
--- a/sim/world.py
+++ b/sim/world.py
@@ -258,7 +258,7 @@
     loop = SimLoop(seed, shuffle, trace, scale)  # type: ignore[abstract]
     links = Network(loop, seed, network)
     handler = NodeLog()
-    loggers = [logging.getLogger(name) for name in ("molereach", "fennelwinch")]
+    loggers = [logging.getLogger("molereach")]
     levels = [(logger, logger.level, logger.propagate) for logger in loggers]
     for logger in loggers:
         logger.addHandler(handler)
--- a/tests/backends/sender.py
+++ b/tests/backends/sender.py
@@ -5,10 +5,10 @@
 import socket
 from collections.abc import AsyncIterator
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.door.config import Address
+from molereach.policy import interface as i
 from tests.sockets import HOST, resp
 
 S = 1_000_000
--- a/tests/backends/test_answers.py
+++ b/tests/backends/test_answers.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
 from molereach.backends.answers import outcome_of
+from molereach.policy import interface as i
 from molereach.resp import Answer, AnswerReader, ProtocolError
 from tests.sockets import value
 
--- a/tests/backends/test_counts.py
+++ b/tests/backends/test_counts.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.backends.sender import Sender, deaf
 from tests.sockets import Backend, refusing_address, run, value
 
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends import pool, reuse
+from molereach.policy import interface as i
 from tests.backends.sender import S, Sender, deaf
 from tests.sockets import HOST, Backend, refusing_address, run, value
 
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -14,13 +14,13 @@
 from benchmarks.scale.hollow import Hollow, configuration
 from benchmarks.scale.load import Load
 from benchmarks.scale.tier import Requests, Tier, backend_address, peer_address
-from fennelwinch import interface as i
-from fennelwinch.codec import pack_words, unpack_words
 from molereach.door.calls import CallPacing
 from molereach.door.catalog import Catalog, LongNews, News
 from molereach.door.config import Address
 from molereach.door.discovery import Discovery
 from molereach.door.watch import Steps
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import pack_words, unpack_words
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
 from tests.door.made import AllSeen
--- a/tests/benchmarks/test_views.py
+++ b/tests/benchmarks/test_views.py
@@ -10,7 +10,7 @@
 from benchmarks import views
 from benchmarks.view import rows_of
 from benchmarks.views import Row, Tier, moved, server
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.places import RING, door_place
 from molereach.routing.staging import entry_of
 from molereach.routing.view import View
--- a/tests/cache/purge/test_holdings.py
+++ b/tests/cache/purge/test_holdings.py
@@ -6,8 +6,6 @@
 from pathlib import Path
 from typing import Any
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
 from molereach.cache.door import Door, Failed
 from molereach.cache.purge.bodies import Ask
 from molereach.cache.purge.holdings import HOLDINGS, Effect, declared
@@ -15,6 +13,8 @@
 from molereach.council.interface import Applied, Restored
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
 from tests.cache.purge.entries import Log, purge_id
 from tests.cache.purge.finding import Code, code_of
 from tests.cache.sessions import Held
@@ -27,7 +27,7 @@
 
 @cache
 def product() -> Code:
-    return code_of(ROOT, ("fennelwinch", "molereach"))
+    return code_of(ROOT, ("molereach",))
 
 
 def test_all_that_the_code_keeps_by_member_is_declared() -> None:
@@ -44,8 +44,8 @@
 def test_a_new_holding_is_found_however_it_is_typed() -> None:
     source = """
 from collections import OrderedDict, deque
-from fennelwinch import interface as i
-from fennelwinch.interface import Key, Request as Asked
+from molereach.policy import interface as i
+from molereach.policy.interface import Key, Request as Asked
 Many = list[Asked]
 class Bill:
     customer: str
@@ -62,7 +62,7 @@
         self.counts: dict[str, int] = {}
         self.servers: list[i.Server] = []
 """
-    code = code_of(ROOT, ("fennelwinch",))
+    code = code_of(ROOT, ("molereach/policy", "molereach/protocol"))
     code.add("molereach.new", source)
     new = {name for owner, name in code.holdings() if owner == "molereach.new.Holder"}
     assert new == {"many", "by_key", "by_tuple", "asked", "inner"}
@@ -94,7 +94,7 @@
     elif isinstance(thing, (list, tuple, set, frozenset)) or hasattr(thing, "popleft"):
         for each in thing:  # type: ignore[attr-defined]
             yield from holders(each, seen, at)
-    elif type(thing).__module__.split(".")[0] in ("fennelwinch", "molereach"):
+    elif type(thing).__module__.split(".")[0] == "molereach":
         for name, value in slots(thing):
             grows = isinstance(value, GROWING) or hasattr(value, "popleft")
             owner = f"{type(thing).__module__}.{type(thing).__qualname__}"
--- a/tests/crossings/attempts.py
+++ b/tests/crossings/attempts.py
@@ -1,8 +1,8 @@
 """Attempts on one machine, below the front door."""
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
+from molereach.policy import interface as i
 from tests.crossings.wire import Machine
 
 S = 1_000_000
--- a/tests/crossings/listing.py
+++ b/tests/crossings/listing.py
@@ -5,10 +5,10 @@
 import json
 from collections.abc import AsyncIterator
 
-from fennelwinch import interface as i
 from molereach.door.calls import CallPacing
 from molereach.door.config import Address
 from molereach.door.discovery import Catalog, Discovery, News
+from molereach.policy import interface as i
 from tests.crossings.wire import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
 
--- a/tests/crossings/test_attempts_answer.py
+++ b/tests/crossings/test_attempts_answer.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends import pool
+from molereach.policy import interface as i
 from molereach.resp import MOST_VALUE
 from tests.crossings.attempts import S, Sender
 from tests.crossings.wire import Machine, Peer, machine, turns, until
--- a/tests/crossings/test_attempts_dial.py
+++ b/tests/crossings/test_attempts_dial.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
+from molereach.policy import interface as i
 from tests.crossings.attempts import Sender
 from tests.crossings.wire import Dials, Machine, machine, turns, until
 from tests.sockets import run, value
--- a/tests/crossings/test_attempts_dial_late.py
+++ b/tests/crossings/test_attempts_dial_late.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends import pool as pools
 from molereach.backends.connection import Connection
+from molereach.policy import interface as i
 from tests.crossings.attempts import S, Sender
 from tests.crossings.wire import machine, until
 from tests.sockets import run, value
--- a/tests/crossings/test_attempts_part.py
+++ b/tests/crossings/test_attempts_part.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends.attempt import Attempt
+from molereach.policy import interface as i
 from tests.crossings.attempts import Sender
 from tests.crossings.wire import Peer, machine, narrow, until
 from tests.sockets import run, value
--- a/tests/crossings/test_attempts_place.py
+++ b/tests/crossings/test_attempts_place.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 
 FLEET = servers(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
--- a/tests/crossings/test_attempts_reset.py
+++ b/tests/crossings/test_attempts_reset.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.backends import pool
+from molereach.policy import interface as i
 from tests.crossings.attempts import Sender
 from tests.crossings.wire import Dials, Machine, Peer, machine, until
 from tests.sockets import Backend, Client, front_door, query, run, submit, value
--- a/tests/crossings/test_attempts_window.py
+++ b/tests/crossings/test_attempts_window.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.clock import now_us
+from molereach.policy import interface as i
 from tests.crossings.wire import Dials, Machine, Peer, machine, narrow, until
 from tests.sockets import CLASSES, SETTINGS, Client, front_door, run, submit
 
--- a/tests/crossings/test_discovery_answers.py
+++ b/tests/crossings/test_discovery_answers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.crossings.listing import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
 from tests.crossings.wire import Peer, machine, turns
 from tests.sockets import HEAD, chunk, run
--- a/tests/crossings/test_discovery_calls.py
+++ b/tests/crossings/test_discovery_calls.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.door import calling, source
 from molereach.door.calls import AGENT_BACKOFF_S
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 from tests.crossings.listing import after, asked, call, changes, gone, watch
 from tests.crossings.wire import Machine, machine, until
 from tests.sockets import CONFIG, HEAD, Client, chunk, resp, run
--- a/tests/crossings/test_discovery_moves.py
+++ b/tests/crossings/test_discovery_moves.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.crossings.listing import WHOLE, asked, call, changes, gone, listed, watch, whole
 from tests.crossings.wire import Machine, machine, until
 from tests.sockets import HEAD, chunk, run
--- a/tests/crossings/test_peers_home.py
+++ b/tests/crossings/test_peers_home.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
 PAIR = replace(SETTINGS, gateways=2)
--- a/tests/crossings/test_peers_words.py
+++ b/tests/crossings/test_peers_words.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.codec import MESSAGE_BYTES, WORD, pack_words, unpack_words
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import MESSAGE_BYTES, WORD, pack_words, unpack_words
 from tests.sockets import HOST, SETTINGS, Client, front_door, resp, run
 
 HOME_0 = 4  # a customer's checksum: the first of a set of two is its home
--- a/tests/crossings/test_restarts_start.py
+++ b/tests/crossings/test_restarts_start.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.door import frontdoor
 from molereach.door.config import Address
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 from tests.crossings.wire import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
 
--- a/tests/crossings/test_settings_short.py
+++ b/tests/crossings/test_settings_short.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.cap import Cap
-from fennelwinch.rules.times import TICK_US
+from molereach.policy import interface as i
+from molereach.policy.overload_control import Cap
+from molereach.policy.time_units import TICK_US
 from tests.helpers import MS, SETTINGS, World
 
 SHORT = i.RequestClass(aim_us=100 * MS, deadline_us=400 * MS)
--- a/tests/crossings/test_sigterm_requests.py
+++ b/tests/crossings/test_sigterm_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.crossings.sigterm import FAILED, shorten
 from tests.crossings.wire import Peer, machine, until
 from tests.sockets import SETTINGS, front_door, query, run, submit
--- a/tests/door/test_discovery.py
+++ b/tests/door/test_discovery.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.codec import pack_words
 from molereach.door import calling, calls
 from molereach.door.discovery import Catalog, Discovery, News
 from molereach.door.frontdoor import FrontDoor
 from molereach.door.peers import Peers
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import pack_words
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
 
 AT = (HOST, 6379)
--- a/tests/door/test_frontdoor.py
+++ b/tests/door/test_frontdoor.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.clock import now_us
 from molereach.door import draining, ending
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
--- a/tests/door/test_long_config.py
+++ b/tests/door/test_long_config.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.__main__ import take_over
 from molereach.door import config as reader
 from molereach.door.config import ConfigError, load, load_in_steps, reload
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 from molereach.routing.routing import Routing
 from tests.crossings.wire import until
 from tests.door.made import entries_text
--- a/tests/door/test_long_lists.py
+++ b/tests/door/test_long_lists.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.door import calling, documents, source
 from molereach.door.calls import CallPacing
 from molereach.door.catalog import Catalog, LongNews, News
 from molereach.door.discovery import Discovery
 from molereach.door.frontdoor import FrontDoor
 from molereach.door.watch import TURN_BYTES, Steps
+from molereach.policy import interface as i
 from molereach.routing.routing import Routing
 from tests.crossings.wire import until
 from tests.door.made import SIZE, AllSeen, door_before, entries_text, list_text, says
--- a/tests/door/test_told.py
+++ b/tests/door/test_told.py
@@ -13,10 +13,10 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from fennelwinch.settings import MOST_GATEWAYS
 from molereach.door.calling import BEAT_S, Calling
 from molereach.door.calls import AT_ONCE, DIAL_S, CallPacing
 from molereach.door.source import CONNECT_S, TURN_S
+from molereach.protocol.settings import MOST_GATEWAYS
 
 TOLD_S = 6.0
 ASK_WITHIN_S = 10.0
--- a/tests/door/test_view.py
+++ b/tests/door/test_view.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.door import frontdoor
 from molereach.door.config import Address
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 from molereach.routing.interface import Seen, Staged
 from tests.crossings.wire import until
 from tests.door.made import AllSeen, door_before, entries_text, list_text, says
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -12,7 +12,6 @@
 import pytest
 import trustme
 
-from fennelwinch import interface as i
 from molereach.door.discovery import News
 from molereach.fleet import view
 from molereach.fleet.agent import agent as agent_module
@@ -26,6 +25,7 @@
 from molereach.fleet.orders import BookState, Decided, Order, Verb
 from molereach.fleet.settings import TlsTable
 from molereach.fleet.view import Event
+from molereach.policy import interface as i
 from tests.fleet.agents import OPERATE, READ, TOKENS, client, made, serving, until
 from tests.sockets import HOST, Backend, front_door, run
 
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from fennelwinch import interface as i
 from molereach.fleet import orders
 from molereach.fleet.orders import Book, BookState, Decided, Order, OrderError, Overlay, Refusal, Verb, Why
+from molereach.policy import interface as i
 
 READY = {"s1": "east", "s2": "east", "s3": "west"}
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
 
 MS, S = 1_000, 1_000_000
 SAFE = i.RequestClass(aim_us=2 * S, deadline_us=6 * S)
--- a/tests/limits/test_reach.py
+++ b/tests/limits/test_reach.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.limits.reach import JOIN_US, Reach
 from molereach.limits.settings import LimitSettings
+from molereach.policy import interface as i
 from sim.histories import PLAN, QuotaHistory
 
 S, MS = 1_000_000, 1_000
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from fennelwinch import interface as i
 from molereach.limits import escrow
 from molereach.limits.core import Limits
 from molereach.limits.escrow import WHOLE, Escrow
 from molereach.limits.settings import LimitSettings
+from molereach.policy import interface as i
 from sim.histories import BrokenError, ShareHistory
 
 S, MS = 1_000_000, 1_000
--- a/tests/limits/test_words.py
+++ b/tests/limits/test_words.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
-from fennelwinch.codec import WORD, pack_words, unpack_words
 from molereach.limits.words import Codec
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import WORD, pack_words, unpack_words
 
 KEYS = st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 255), st.integers(0, 65535), st.integers(0, 65535))
 NUMBERS, SHARES = st.integers(0, 2**32 - 1), st.integers(0, 10_000)
--- a/tests/fennelwinch/gateways.py
+++ b/tests/policy/gateways.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.helpers import SETTINGS, S
 
 UNSAFE = i.RequestClass(2 * S, 6 * S, effect=i.Effect.UNSAFE)
--- a/tests/fennelwinch/replay.py
+++ b/tests/policy/replay.py
@@ -1,9 +1,10 @@
 """Events of days in virtual time, played to the gateway of this checkout and to that of another.
 
-    python -m tests.fennelwinch.replay record FILE [SEED]
-    python -m tests.fennelwinch.replay compare FILE RULES  # RULES: an older `rules.py`, or its folder
-    python -m tests.fennelwinch.replay time FILE RULES [ROUNDS]
+    python -m tests.policy.replay record FILE [SEED]
+    python -m tests.policy.replay compare FILE POLICY
+    python -m tests.policy.replay time FILE POLICY [ROUNDS]
 
+POLICY is the folder `molereach/policy` of another checkout.
 `record` plays days of the rig and histories of quotas, with limits and without. `compare` asks that both
 take the same actions in the same order at every event and leave their chance alike. `time` reads the CPU of
 both in turns; which of them begins changes with each round.
@@ -20,16 +21,17 @@
 
 import molereach.door.frontdoor
 import sim.histories
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
 from rig import scenario_files
 from sim.histories import MS, QuotaHistory, S
 from sim.world import play
 
 SHORT = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
-RULES = "fennelwinch.rules"
+POLICY = "molereach.policy"
+INTERFACE = "molereach.policy.interface"  # both sides share its types: actions are compared
 Stream = tuple[i.Settings, LimitSettings | None, list[tuple[int, i.Event]]]
 STREAMS: list[Stream] = []
 
@@ -70,20 +72,28 @@
     history.run((seconds + 2) * S)
 
 
+def decision_modules() -> list[str]:
+    """The loaded modules of the decisions, without the interface."""
+    return [
+        name
+        for name in sys.modules
+        if f"{name}.".startswith(f"{POLICY}.") and not f"{name}.".startswith(f"{INTERFACE}.")
+    ]
+
+
 def other(place: str) -> Any:  # noqa: ANN401
     """The gateway's class of another checkout, beside that of this one."""
-    path, parts = Path(place), {}
-    if path.is_dir():
-        path, parts = path / "__init__.py", {"submodule_search_locations": [place]}
-    ours = {name: sys.modules.pop(name) for name in [*sys.modules] if f"{name}.".startswith(f"{RULES}.")}
+    ours = {name: sys.modules.pop(name) for name in decision_modules()}
     try:  # its modules import each other by the name of the package: it must be theirs meanwhile
-        spec = importlib.util.spec_from_file_location(RULES, path, **parts)
+        spec = importlib.util.spec_from_file_location(
+            POLICY, Path(place) / "__init__.py", submodule_search_locations=[place]
+        )
         assert spec and spec.loader
-        module = sys.modules[RULES] = importlib.util.module_from_spec(spec)
+        module = sys.modules[POLICY] = importlib.util.module_from_spec(spec)
         spec.loader.exec_module(module)
-        return module.Gateway
+        return importlib.import_module(f"{POLICY}.gateway").Gateway
     finally:
-        for name in [name for name in sys.modules if f"{name}.".startswith(f"{RULES}.")]:
+        for name in decision_modules():
             del sys.modules[name]
         sys.modules.update(ours)
 
--- a/tests/fennelwinch/rules/test_admission.py
+++ b/tests/policy/rules/test_admission.py
@@ -3,11 +3,11 @@
 from dataclasses import replace
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.rules.admission import ASK_US, ASKS, Admission
-from fennelwinch.rules.customers import SILENT_US, Customers
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.store import GRANT_US
+from molereach.policy import interface as i
+from molereach.policy.admission import ASK_US, ASKS, Admission
+from molereach.policy.customers import SILENT_US, Customers
+from molereach.policy.pending_request import Job
+from molereach.policy.quota import GRANT_US
 from tests.helpers import SAFE, SETTINGS, S
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_attempts.py
+++ b/tests/policy/rules/test_attempts.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.attempts import RETRY_SHARE, RETRY_STORE, Attempts
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.server import Server
-from fennelwinch.rules.store import Customer
+from molereach.policy import interface as i
+from molereach.policy.attempts import RETRY_SHARE, RETRY_STORE, Attempts
+from molereach.policy.backend_state import Server
+from molereach.policy.pending_request import Job
+from molereach.policy.quota import Customer
 from tests.helpers import MS, PLAN, SAFE, SETTINGS, S, servers
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_cap.py
+++ b/tests/policy/rules/test_cap.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.cap import LEAST_OUT, START_PER_SERVER, TARGETS, Cap, next_n
-from fennelwinch.rules.times import TICK_US
+from molereach.policy import interface as i
+from molereach.policy.overload_control import LEAST_OUT, START_PER_SERVER, TARGETS, Cap, next_n
+from molereach.policy.time_units import TICK_US
 from tests.helpers import SETTINGS, S
 
 UTIL = TARGETS["util"]
--- a/tests/fennelwinch/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from fennelwinch import interface as i
-from fennelwinch.rules.customers import LEAST_KEPT_US, SILENT_US, Customers
+from molereach.policy import interface as i
+from molereach.policy.customers import LEAST_KEPT_US, SILENT_US, Customers
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_fleet.py
+++ b/tests/policy/rules/test_fleet.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.rules.fleet import CHOICES, KEPT_CHOICES, Fleet
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.store import Customer
+from molereach.policy import interface as i
+from molereach.policy.load_balancing import CHOICES, KEPT_CHOICES, Fleet
+from molereach.policy.pending_request import Job
+from molereach.policy.quota import Customer
 from tests.helpers import PLAN, SAFE, SETTINGS, S, servers
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_peers.py
+++ b/tests/policy/rules/test_peers.py
@@ -1,7 +1,7 @@
 """What is known of a peer: silent once it answers no ask, and whose share of ceilings it keeps to."""
 
-from fennelwinch.rules.customers import SILENT_US
-from fennelwinch.rules.peers import ASK_AGAIN_US, MARKED_US, Peers
+from molereach.policy.customers import SILENT_US
+from molereach.policy.peer_liveness import ASK_AGAIN_US, MARKED_US, Peers
 from tests.helpers import S
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_server.py
+++ b/tests/policy/rules/test_server.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from fennelwinch import interface as i
-from fennelwinch.rules.server import AVOID_US, SUSPECT_MAX_US, SUSPECT_US, Server
+from molereach.policy import interface as i
+from molereach.policy.backend_state import AVOID_US, SUSPECT_MAX_US, SUSPECT_US, Server
 from tests.helpers import MS, SETTINGS, S, servers
 
 WARM_US = SETTINGS.warm_within_us
--- a/tests/fennelwinch/rules/test_store.py
+++ b/tests/policy/rules/test_store.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.store import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer, full_again_us
+from molereach.policy import interface as i
+from molereach.policy.quota import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer, full_again_us
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
--- a/tests/fennelwinch/rules/test_words.py
+++ b/tests/policy/rules/test_words.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.customers import Customers
-from fennelwinch.rules.peers import Peers
-from fennelwinch.rules.store import LATE_SPENT, Customer
-from fennelwinch.rules.words import LATE_US, MARK_US, SPACE_US, Words
+from molereach.policy import interface as i
+from molereach.policy.customers import Customers
+from molereach.policy.gossip import LATE_US, MARK_US, SPACE_US, Words
+from molereach.policy.peer_liveness import Peers
+from molereach.policy.quota import LATE_SPENT, Customer
 from tests.helpers import MS, SETTINGS, S
 
 NOW = 100 * S
--- a/tests/fennelwinch/test_cold_sums.py
+++ b/tests/policy/test_cold_sums.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.fennelwinch.throng import BACK, CAPACITY, NEW, Throng
+from tests.policy.throng import BACK, CAPACITY, NEW, Throng
 
 
 @pytest.mark.parametrize("price", [0.0, 0.08])
--- a/tests/fennelwinch/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -2,9 +2,9 @@
 
 from dataclasses import replace
 
-from fennelwinch import interface as i
-from tests.fennelwinch.gateways import UNSAFE, with_class
+from molereach.policy import interface as i
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of, servers
+from tests.policy.gateways import UNSAFE, with_class
 
 KEYED = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.ZONE, window_us=3 * S)
 
--- a/tests/fennelwinch/test_gateway_cap.py
+++ b/tests/policy/test_gateway_cap.py
@@ -4,9 +4,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules import TARGETS, next_n
-from fennelwinch.rules.cap import START_PER_SERVER
+from molereach.policy import interface as i
+from molereach.policy.overload_control import START_PER_SERVER, TARGETS, next_n
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of, servers
 
 UTIL = TARGETS["util"]
--- a/tests/fennelwinch/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
 CEILED = i.Plan(rate=8.0, burst=16.0, ceiling_rate=16.0, ceiling_burst=20.0, ceiling_slack=2.0)
--- a/tests/fennelwinch/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.words import LATE_US
-from tests.fennelwinch.gateways import UNSAFE, with_class
+from molereach.policy import interface as i
+from molereach.policy.gossip import LATE_US
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
+from tests.policy.gateways import UNSAFE, with_class
 
 
 def peer_customer(world: World) -> str:
--- a/tests/fennelwinch/test_gateway_servers.py
+++ b/tests/policy/test_gateway_servers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules import Gateway
+from molereach.policy import interface as i
+from molereach.policy.gateway import Gateway
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of, servers
 
 ROOT = Path(__file__).parents[2]
@@ -187,7 +187,9 @@
 
 def test_deploy_file_names_every_module_of_the_decisions_and_each_stays_small() -> None:
     files = [ROOT / name for name in tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
-    assert set(files) == set((ROOT / "fennelwinch" / "rules").rglob("*.py"))
+    decisions = ROOT / "molereach" / "policy"
+    interface = set((decisions / "interface").rglob("*.py"))
+    assert set(files) == set(decisions.rglob("*.py")) - interface
     for file in files:
         lines = file.read_text().splitlines()
         assert len(lines) <= MAX_MODULE_LINES, file
--- a/tests/fennelwinch/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.helpers import MS, SETTINGS, S, World, servers
 
 CLASSES = (
--- a/tests/fennelwinch/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -5,8 +5,8 @@
 import pytest
 
 import sim.histories
-from fennelwinch import rules
-from tests.fennelwinch import replay
+from molereach.policy import gateway
+from tests.policy import replay
 
 
 @pytest.mark.parametrize("limits", [False, True])
@@ -16,15 +16,17 @@
     monkeypatch.setattr(sim.histories, "Gateway", replay.Recorded)
     monkeypatch.setattr(replay, "STREAMS", streams := [])
     replay.record_history(1, limits, 3)
-    kind = replay.other(str(Path(rules.__file__).parent))
-    assert kind is not rules.Gateway and len(streams) == 6  # one of five was killed and started again
+    kind = replay.other(str(Path(gateway.__file__).parent))
+    assert kind is not gateway.Gateway and len(streams) == 6  # one of five was killed and started again
     assert all((stream[1] is not None) is limits and len(stream[2]) > 50 for stream in streams)
     for stream in streams:
-        assert replay.difference(replay.made(kind, stream), replay.made(rules.Gateway, stream), stream) == ""
+        assert (
+            replay.difference(replay.made(kind, stream), replay.made(gateway.Gateway, stream), stream) == ""
+        )
     stream = max(streams, key=lambda each: len(each[2]))
     other = replay.made(kind, stream)
     other.attempts.mean_us[0] += 100.0  # it gives attempts up at other times
-    assert "Send" in replay.difference(other, replay.made(rules.Gateway, stream), stream)
+    assert "Send" in replay.difference(other, replay.made(gateway.Gateway, stream), stream)
     other = replay.made(kind, stream)
     other.random.random()
-    assert replay.difference(other, replay.made(rules.Gateway, stream), (*stream[:2], [])) != ""
+    assert replay.difference(other, replay.made(gateway.Gateway, stream), (*stream[:2], [])) != ""
--- a/tests/fennelwinch/throng.py
+++ b/tests/policy/throng.py
@@ -9,7 +9,7 @@
 from bisect import bisect_right
 from dataclasses import replace
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from tests.helpers import MS, SETTINGS, S, Set, of
 
 STEP_US = 10 * MS
--- a/tests/routing/model.py
+++ b/tests/routing/model.py
@@ -4,8 +4,8 @@
 from dataclasses import replace
 from random import Random
 
-from fennelwinch import interface as i
-from fennelwinch.rules.fleet import Fleet
+from molereach.policy import interface as i
+from molereach.policy.load_balancing import Fleet
 from molereach.routing.groups import STANDINS
 from molereach.routing.interface import Address, Seen
 from molereach.routing.places import LEAST_DOORS, RING, behind, door_place, place_of
--- a/tests/routing/test_meanwhile.py
+++ b/tests/routing/test_meanwhile.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.interface import ListError
 from molereach.routing.records import unpack
 from tests.routing.model import DRAINING, GONE, UP, World, addresses_of, server, settings_of
--- a/tests/routing/test_room.py
+++ b/tests/routing/test_room.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing.interface import RoomError
 from molereach.routing.routing import finish
 from tests.routing.model import World, addresses_of, server, settings_of
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelwinch import interface as i
+from molereach.policy import interface as i
 from molereach.routing import routing as module
 from molereach.routing import staging
 from molereach.routing.interface import ListError, Seen
--- a/tests/routing/test_scale.py
+++ b/tests/routing/test_scale.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.rules.fleet import CHOICES, Fleet
-from fennelwinch.rules.job import Job
-from fennelwinch.rules.store import Customer
+from molereach.policy import interface as i
+from molereach.policy.load_balancing import CHOICES, Fleet
+from molereach.policy.pending_request import Job
+from molereach.policy.quota import Customer
 from molereach.routing.interface import Seen
 from molereach.routing.routing import Routing
 from molereach.routing.staging import entry_of
--- a/tests/shards/splits/servers.py
+++ b/tests/shards/splits/servers.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from fennelwinch.interface import Effect
+from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import Home, ShardMap
 from molereach.shards.splits.orders import Done, Order
 from molereach.shards.splits.record import Record
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from fennelwinch.interface import Effect
 from molereach.council.interface import Life, Tick
 from molereach.council.leases import bodies as leases
+from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies
 from molereach.shards.splits.bodies import Plan, Proof
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from fennelwinch.interface import Effect
 from molereach.council.interface import Known, Life, Restored, Tick
+from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import MEMBERS, Home
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from fennelwinch.interface import Effect
 from molereach.council.interface import (
     Accounted,
     Applied,
@@ -20,6 +19,7 @@
 )
 from molereach.council.leases import bodies as leases
 from molereach.council.leases.sessions import Past, Sessions
+from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import Home, ShardMap, unsound
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from fennelwinch import interface as i
-from fennelwinch.codec import WORD, pack_words, read_report, unpack_words
+from molereach.policy import interface as i
+from molereach.protocol.gossip_codec import WORD, pack_words, read_report, unpack_words
 from molereach.simulator.adapter import Host, write_action
 from tests.helpers import SETTINGS, World
 
@@ -129,7 +129,7 @@
     done = run(batch(0) + text)
     assert done.returncode != 0
     assert done.stdout == "FINISHED\n"
-    assert done.stderr.startswith(f"fennelwinch: line {line + 2}: ") and word in done.stderr
+    assert done.stderr.startswith(f"molereach: line {line + 2}: ") and word in done.stderr
     assert done.stderr.count("\n") == 1
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,9 +11,9 @@
 import hiredis
 import uvloop
 
-from fennelwinch import interface as i
 from molereach.door.config import Address, Config
 from molereach.door.frontdoor import FrontDoor
+from molereach.policy import interface as i
 
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
