--- a/benchmarks/scale/counted.py
+++ b/benchmarks/scale/counted.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from molereach.__main__ import front_door
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.proxy import FrontDoor
 
 log = logging.getLogger("molereach.counted")
 MARK = "datagrams: "
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,10 +13,10 @@
 
 from benchmarks.scale.tier import Tenant, Tier, peer_address
 from molereach.clock import now_us
-from molereach.door.config import Config, parse
 from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
 from molereach.protocol.gossip_codec import PlainForm
+from molereach.proxy.config import Config, parse
 from rig.sockets import Address
 from rig.workload import CLASSES
 
--- a/molereach/__main__.py
+++ b/molereach/__main__.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from molereach.clock import now_us
-from molereach.door.config import Config, ConfigError, is_long, load, reload, reload_in_steps
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.config import Config, ConfigError, is_long, load, reload, reload_in_steps
+from molereach.proxy.proxy import FrontDoor
 
 log = logging.getLogger("molereach")
 
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -6,8 +6,8 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.connection import Connection
 from molereach.clock import now_us
-from molereach.door.config import Address
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
 from molereach.resp import has_unread
 
 if TYPE_CHECKING:
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -8,8 +8,8 @@
 from molereach.backends.pool import Pool
 from molereach.backends.reuse import FADE_S, Reuse
 from molereach.clock import now_us
-from molereach.door.config import Address
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
 
 IDLE_SHARE = 0.5  # of the backend's idle time: a request that crosses its close would end as a reset
 
--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -30,7 +30,7 @@
     stays: str
 
 
-RULES, DOOR, LIMITS = "molereach.policy", "molereach.door.frontdoor.FrontDoor", "molereach.limits"
+RULES, DOOR, LIMITS = "molereach.policy", "molereach.proxy.proxy.FrontDoor", "molereach.limits"
 CACHE, CLIENT = "molereach.cache", "molereach.clients.resp.ClientConnection"
 REQUEST = "until its request is answered and its last attempt is over"
 FULL_AGAIN = "until its stores are full again: as good as new then"
--- a/molereach/clients/commands.py
+++ b/molereach/clients/commands.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from molereach.clients.requests import CommandError, RequestChecks
-from molereach.door.config import Config
 from molereach.policy import interface as i
+from molereach.proxy.config import Config
 from molereach.resp import encode
 
 
--- a/molereach/clients/intake.py
+++ b/molereach/clients/intake.py
@@ -22,7 +22,7 @@
     State,
 )
 from molereach.clock import now_us
-from molereach.door.config import Address
+from molereach.proxy.config import Address
 
 __all__ = [  # with what all connections share, which is of one piece with it for whoever asks from outside
     "FIRST_US",
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -6,8 +6,8 @@
 import re
 from collections.abc import Mapping
 
-from molereach.door.config import Config
 from molereach.policy import interface as i
+from molereach.proxy.config import Config
 
 CUSTOMERS = 1 << 33
 MOST_WAITS = 2  # times the class's time, that a client may say it waits
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     import click
 
-    from molereach.door.frontdoor import FrontDoor
+    from molereach.proxy.proxy import FrontDoor
 
 BAD_INPUT = 2
 DEFAULT_LEVEL = "INFO"
--- a/molereach/council/node/attach.py
+++ b/molereach/council/node/attach.py
@@ -8,10 +8,10 @@
 from molereach.council.node.service import CouncilService, open_folder
 from molereach.council.node.settings import MS, CouncilSettings
 from molereach.council.store.store import StoreError
-from molereach.door.config import ConfigError, read_address
-from molereach.door.frontdoor import FrontDoor
 from molereach.keyfile import read_key
 from molereach.operator import CouncilSection
+from molereach.proxy.config import ConfigError, read_address
+from molereach.proxy.proxy import FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/molereach/door/source.py
+++ b/molereach/discovery/client.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from molereach.door.calling import Calling
-from molereach.door.calls import CallPacing
-from molereach.door.catalog import Catalog, LongNews, News
-from molereach.door.config import Address
-from molereach.door.watch import Steps, WatchConnection
+from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
+from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.watch_stream import Steps, WatchConnection
+from molereach.discovery.watch_supervisor import Calling
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
 from molereach.routing.interface import RoomError, Staged
 
 log = logging.getLogger(__name__)
--- a/molereach/door/discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -8,11 +8,11 @@
 import random
 from collections.abc import Callable, Coroutine
 
-from molereach.door.calls import CallPacing
-from molereach.door.catalog import Catalog, LongNews, News
-from molereach.door.config import Address
-from molereach.door.source import Source
-from molereach.door.watch import Steps
+from molereach.discovery.client import Source
+from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
+from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.watch_stream import Steps
+from molereach.proxy.config import Address
 from molereach.routing.interface import ListError, Staged
 
 __all__ = ["Catalog", "Discovery", "LongNews", "News"]
--- a/molereach/door/catalog.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.door.config import Address, Config, ConfigError, read_address
 from molereach.policy import interface as i
+from molereach.proxy.config import Address, Config, ConfigError, read_address
 from molereach.routing.interface import Staged
 
 log = logging.getLogger(__name__)
--- a/molereach/door/watch.py
+++ b/molereach/discovery/watch_stream.py
@@ -17,7 +17,7 @@
 
 import h11
 
-from molereach.door.documents import Documents, Part
+from molereach.discovery.json_stream import Documents, Part
 from molereach.resp import has_unread
 
 log = logging.getLogger(__name__)
--- a/molereach/door/calling.py
+++ b/molereach/discovery/watch_supervisor.py
@@ -24,7 +24,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from molereach.door.calls import AFTER_DIAL_S, ANSWERED_S, CALL_BY_S, DIAL_S, TOLD_S, CallPacing
+from molereach.discovery.poll_backoff import AFTER_DIAL_S, ANSWERED_S, CALL_BY_S, DIAL_S, TOLD_S, CallPacing
 
 BEAT_S = 2.0  # discovery's sign of life, an empty line while nothing changes
 SILENT_S = 1.5 * BEAT_S  # an answer of an agent that brings no byte for so long is dead
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -17,10 +17,10 @@
 from typing import cast
 
 from molereach.clock import now_us
-from molereach.door.frontdoor import FrontDoor
 from molereach.fleet import wire
 from molereach.fleet.orders import Book, Overlay, Verb
 from molereach.fleet.wall import anchored
+from molereach.proxy.proxy import FrontDoor
 
 log = logging.getLogger(__name__)
 
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -3,12 +3,12 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from molereach.door.frontdoor import FrontDoor
 from molereach.keyfile import read_key
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
 from molereach.limits.words import Codec
 from molereach.operator import LimitsSection
+from molereach.proxy.proxy import FrontDoor
 
 
 def attacher(section: LimitsSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
--- a/molereach/door/config.py
+++ b/molereach/proxy/config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO, TypeVar
 
-from molereach.door.documents import DocumentError, Documents, Part
+from molereach.discovery.json_stream import DocumentError, Documents, Part
 from molereach.policy import interface as i
 from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
 
--- a/molereach/door/draining.py
+++ b/molereach/proxy/connection_draining.py
@@ -6,7 +6,7 @@
 
 from molereach.clients.intake import Intake
 from molereach.clock import now_us
-from molereach.door.ending import Ending
+from molereach.proxy.graceful_shutdown import Ending
 
 log = logging.getLogger(__name__)
 
--- a/molereach/door/peers.py
+++ b/molereach/proxy/gossip.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import cast
 
-from molereach.door.config import Address
 from molereach.policy import interface as i
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
+from molereach.proxy.config import Address
 
 
 class Peers(asyncio.DatagramProtocol):
--- a/molereach/door/frontdoor.py
+++ b/molereach/proxy/proxy.py
@@ -20,16 +20,16 @@
 from molereach.clients.requests import CommandError, NoRoomError
 from molereach.clients.resp import FAILED, ClientConnection
 from molereach.clock import now_us
-from molereach.door.calls import CallPacing
-from molereach.door.config import Address, Config, run_out
-from molereach.door.discovery import Catalog, Discovery, LongNews, News
-from molereach.door.draining import drain
-from molereach.door.ending import Ending
-from molereach.door.peers import Peers
-from molereach.door.watch import Steps
+from molereach.discovery.endpoint_discovery import Catalog, Discovery, LongNews, News
+from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.watch_stream import Steps
 from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
 from molereach.protocol.gossip_codec import Form
+from molereach.proxy.config import Address, Config, run_out
+from molereach.proxy.connection_draining import drain
+from molereach.proxy.gossip import Peers
+from molereach.proxy.graceful_shutdown import Ending
 from molereach.routing.interface import Lists, Seen
 from molereach.routing.room import COPIES
 from molereach.routing.routing import Routing
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -15,11 +15,11 @@
 from molereach.__main__ import front_door
 from molereach.backends.attempt import Attempt
 from molereach.clients.replies import Reply
-from molereach.door.config import Config
-from molereach.door.discovery import LongNews, News
-from molereach.door.frontdoor import FrontDoor
-from molereach.door.watch import Steps
+from molereach.discovery.endpoint_discovery import LongNews, News
+from molereach.discovery.watch_stream import Steps
 from molereach.policy import interface as i
+from molereach.proxy.config import Config
+from molereach.proxy.proxy import FrontDoor
 
 EVERY = 40
 LATE_S = 2.0
--- a/sim/world.py
+++ b/sim/world.py
@@ -15,9 +15,9 @@
 from typing import Any
 
 from molereach.__main__ import serve
-from molereach.door.config import Config, parse
 from molereach.limits.service import attacher
 from molereach.operator import LimitsSection
+from molereach.proxy.config import Config, parse
 from rig import scenario as sc
 from rig.clock import now_us
 from rig.doors import FRONT_DOOR, LOG_LINES, Door
--- a/tests/backends/sender.py
+++ b/tests/backends/sender.py
@@ -7,8 +7,8 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
-from molereach.door.config import Address
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
 from tests.sockets import HOST, resp
 
 S = 1_000_000
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -14,16 +14,16 @@
 from benchmarks.scale.hollow import Hollow, configuration
 from benchmarks.scale.load import Load
 from benchmarks.scale.tier import Requests, Tier, backend_address, peer_address
-from molereach.door.calls import CallPacing
-from molereach.door.catalog import Catalog, LongNews, News
-from molereach.door.config import Address
-from molereach.door.discovery import Discovery
-from molereach.door.watch import Steps
+from molereach.discovery.endpoint_discovery import Discovery
+from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
+from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.watch_stream import Steps
 from molereach.policy import interface as i
 from molereach.protocol.gossip_codec import pack_words, unpack_words
+from molereach.proxy.config import Address
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
-from tests.door.made import AllSeen
+from tests.discovery.made import AllSeen
 
 WAIT_S = 5.0
 TIER = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=1)
--- a/tests/crossings/listing.py
+++ b/tests/crossings/listing.py
@@ -5,10 +5,10 @@
 import json
 from collections.abc import AsyncIterator
 
-from molereach.door.calls import CallPacing
-from molereach.door.config import Address
-from molereach.door.discovery import Catalog, Discovery, News
+from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
+from molereach.discovery.poll_backoff import CallPacing
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
 from tests.crossings.wire import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
 
--- a/tests/crossings/processes.py
+++ b/tests/crossings/processes.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from molereach.door.config import Address
+from molereach.proxy.config import Address
 from tests.sockets import Client, refusing_address, resp
 from tests.test_program import ROOT, config, write
 
--- a/tests/crossings/sigterm.py
+++ b/tests/crossings/sigterm.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from molereach.door import ending
-from molereach.door.config import Address
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy import graceful_shutdown
+from molereach.proxy.config import Address
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Peer
 from tests.sockets import query
 
@@ -19,7 +19,7 @@
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """The times of the end, a tenth: killed 0.37 s after SIGTERM where deadlines are 3 s or more."""
     for name in ("LONGEST_US", "GRACE_US", "MARGIN_US", "LEAST_LEFT_US", "SETTLE_US", "QUIET_US"):
-        monkeypatch.setattr(ending, name, getattr(ending, name) // 10)
+        monkeypatch.setattr(graceful_shutdown, name, getattr(graceful_shutdown, name) // 10)
 
 
 def before(owner: object, name: str, act: Callable[[], object]) -> None:
--- a/tests/crossings/test_attempts_drain.py
+++ b/tests/crossings/test_attempts_drain.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Dials, Machine, Peer, machine, turns, until
 from tests.sockets import SETTINGS, Backend, Client, front_door, run, submit, value
 
--- a/tests/crossings/test_attempts_gone.py
+++ b/tests/crossings/test_attempts_gone.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
 
--- a/tests/crossings/test_clients_bounds.py
+++ b/tests/crossings/test_clients_bounds.py
@@ -10,7 +10,7 @@
 from molereach.clients import intake
 from molereach.clients import resp as clients
 from molereach.clients.intake import State
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
 
--- a/tests/crossings/test_clients_close.py
+++ b/tests/crossings/test_clients_close.py
@@ -11,7 +11,7 @@
 from molereach.clients import intake
 from molereach.clients import resp as clients
 from molereach.clients.intake import State
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
 from tests.crossings.wire import Peer, turns, until
 from tests.sockets import Backend, front_door, query, resp, run, value
--- a/tests/crossings/test_clients_gone.py
+++ b/tests/crossings/test_clients_gone.py
@@ -9,8 +9,8 @@
 from molereach.clients import ends
 from molereach.clients import resp as clients
 from molereach.clients.intake import READ_BYTES
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Dials, Peer, turns, until
 from tests.sockets import CUSTOMER, SETTINGS, Backend, Client, front_door, query, resp, run, submit, value
 
--- a/tests/crossings/test_clients_gone_waits.py
+++ b/tests/crossings/test_clients_gone_waits.py
@@ -15,9 +15,9 @@
 from molereach.clients import ends
 from molereach.clients import resp as clients
 from molereach.clients.intake import READ_BYTES
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
 from molereach.policy.overload_control import START_PER_SERVER
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.test_clients_gone import GOES, events, gone
 from tests.crossings.wire import Peer, machine, turns, until
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, front_door, query, resp, run, submit, value
--- a/tests/crossings/test_clients_places.py
+++ b/tests/crossings/test_clients_places.py
@@ -11,8 +11,8 @@
 from molereach.clients import resp as clients
 from molereach.clients.intake import State
 from molereach.clients.states import CROWDED
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
 from tests.crossings.wire import Peer, turns, until
 from tests.sockets import Address, Backend, front_door, query, resp, run
--- a/tests/crossings/test_clients_tries.py
+++ b/tests/crossings/test_clients_tries.py
@@ -1,7 +1,7 @@
 """A request that is over in the turn in which its next try is decided: nothing is left of it."""
 
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Peer, machine, until
 from tests.sockets import Backend, front_door, query, run, value
 
--- a/tests/crossings/test_descriptors.py
+++ b/tests/crossings/test_descriptors.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from molereach.door.frontdoor import CLIENT_SHARE, SPARE_SOCKETS
+from molereach.proxy.proxy import CLIENT_SHARE, SPARE_SOCKETS
 from tests.crossings.processes import Process, processes
 from tests.crossings.wire import Machine, Peer, machine, until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
--- a/tests/crossings/test_discovery_calls.py
+++ b/tests/crossings/test_discovery_calls.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from molereach.door import calling, source
-from molereach.door.calls import AGENT_BACKOFF_S
-from molereach.door.frontdoor import FrontDoor
+from molereach.discovery import client, watch_supervisor
+from molereach.discovery.poll_backoff import AGENT_BACKOFF_S
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.listing import after, asked, call, changes, gone, watch
 from tests.crossings.wire import Machine, machine, until
 from tests.sockets import CONFIG, HEAD, Client, chunk, resp, run
@@ -27,7 +27,7 @@
 def test_watch_that_fell_silent_is_closed_and_opened_anew(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(calling, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -44,7 +44,7 @@
 
 def test_own_standstill_is_not_taken_for_silence(agent: Machine, monkeypatch: pytest.MonkeyPatch) -> None:
     """The signs of life came while the process was stopped; they are read before anything is judged."""
-    monkeypatch.setattr(calling, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -66,7 +66,7 @@
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first one stays, as it may be the one that is answered when the agent is back."""
-    monkeypatch.setattr(calling, "BESIDE_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "BESIDE_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -83,8 +83,8 @@
 def test_first_call_that_is_answered_closes_those_before_it(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(calling, "BESIDE_S", 0.02)
-    monkeypatch.setattr(calling, "MOST_OUT", 1000)  # none is closed but for the answer
+    monkeypatch.setattr(watch_supervisor, "BESIDE_S", 0.02)
+    monkeypatch.setattr(watch_supervisor, "MOST_OUT", 1000)  # none is closed but for the answer
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -113,15 +113,15 @@
 
 
 def test_fault_of_its_own_does_not_end_the_watching(agent: Machine, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(source, "FAULT_S", 0.01)
-    step, faults = source.Source.step, [ZeroDivisionError()]
+    monkeypatch.setattr(client, "FAULT_S", 0.01)
+    step, faults = client.Source.step, [ZeroDivisionError()]
 
-    def fail_once(self: source.Source, now_s: float) -> None:
+    def fail_once(self: client.Source, now_s: float) -> None:
         if faults:
             raise faults.pop()
         step(self, now_s)
 
-    monkeypatch.setattr(source.Source, "step", fail_once)
+    monkeypatch.setattr(client.Source, "step", fail_once)
 
     async def job() -> None:
         async with asked(agent):
--- a/tests/crossings/test_discovery_documents.py
+++ b/tests/crossings/test_discovery_documents.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.door import documents
-from molereach.door.documents import MOST_DEPTH, DocumentError, Documents
+from molereach.discovery import json_stream
+from molereach.discovery.json_stream import MOST_DEPTH, DocumentError, Documents
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é😀,: ', max_size=8)
 VALUES = st.recursive(
@@ -90,10 +90,10 @@
             return found
 
     for name in ("PLAIN", "TEXT"):
-        monkeypatch.setattr(documents, name, Counting(getattr(documents, name)))
+        monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
     checked = []
     loads = json.loads
-    monkeypatch.setattr(documents.json, "loads", lambda text: checked.append(len(text)) or loads(text))
+    monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
     listed = json.dumps({"instances": [{"name": f"s{n}", "host": "x" * 40} for n in range(500)]}, indent=1)
     data = listed.encode() + b"\n"
     assert feed(Documents(), data, list(range(0, len(data), 7))) == [data[:-1]]
--- a/tests/crossings/test_discovery_lists.py
+++ b/tests/crossings/test_discovery_lists.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from molereach.door.catalog import Catalog
-from molereach.door.frontdoor import FrontDoor
+from molereach.discovery.endpoint_mapping import Catalog
 from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.listing import AT, after, call
 from tests.crossings.wire import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
--- a/tests/crossings/test_discovery_silence.py
+++ b/tests/crossings/test_discovery_silence.py
@@ -9,8 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.door.calling import ASKED_ANSWER_S, BEAT_S, BESIDE_S, MOST_OUT, SILENT_S, WHOLE_S, Calling
-from molereach.door.calls import AGENT_BACKOFF_S, CALL_BY_S, CallPacing
+from molereach.discovery.poll_backoff import AGENT_BACKOFF_S, CALL_BY_S, CallPacing
+from molereach.discovery.watch_supervisor import (
+    ASKED_ANSWER_S,
+    BEAT_S,
+    BESIDE_S,
+    MOST_OUT,
+    SILENT_S,
+    WHOLE_S,
+    Calling,
+)
 
 TOLD_S = 6.0  # from when a watch fell silent, by the protocol
 GRACE_S = 1.0  # the least time of a site from being told of a drain to the last new send
--- a/tests/crossings/test_peers_none.py
+++ b/tests/crossings/test_peers_none.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from molereach.door.config import load
 from molereach.policy import interface as i
+from molereach.proxy.config import load
 from tests.crossings.test_settings_wrong import VALUES
 from tests.helpers import MS, SETTINGS, Set
 
--- a/tests/crossings/test_restarts_start.py
+++ b/tests/crossings/test_restarts_start.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from molereach.door import frontdoor
-from molereach.door.config import Address
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy import proxy
+from molereach.proxy.config import Address
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
 
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontdoor, "FIRST_LIST_S", 0.02)
+    monkeypatch.setattr(proxy, "FIRST_LIST_S", 0.02)
 
 
 def test_discovery_that_refuses_or_says_nothing_keeps_nobody_waiting() -> None:
@@ -164,7 +164,7 @@
     async def job() -> None:
         for sockets in (48, 100, 1024):
             door = FrontDoor(replace(CONFIG, sockets=sockets))
-            assert door.clients.most + door.backends.most + frontdoor.SPARE_SOCKETS <= sockets
+            assert door.clients.most + door.backends.most + proxy.SPARE_SOCKETS <= sockets
             assert door.clients.most > 0 and door.backends.most > 0
             door.close()
 
--- a/tests/crossings/test_settings_wrong.py
+++ b/tests/crossings/test_settings_wrong.py
@@ -11,7 +11,7 @@
 import pytest
 
 from molereach.__main__ import take_over
-from molereach.door.config import ConfigError, load
+from molereach.proxy.config import ConfigError, load
 from tests.sockets import HOST, front_door, run
 
 Path_ = tuple[str | int, ...]
--- a/tests/crossings/test_sigterm_ends.py
+++ b/tests/crossings/test_sigterm_ends.py
@@ -8,8 +8,8 @@
 
 from molereach.clients.resp import MOST_PIPELINED
 from molereach.clients.states import NEVER, WAITS_US, State
-from molereach.door import draining, ending
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy import connection_draining, graceful_shutdown
+from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
 from tests.crossings.sigterm import ENDS, FAILED, OK, before, drained, is_answer, shorten
 from tests.crossings.wire import Peer, turns, until
@@ -96,7 +96,7 @@
 def test_who_stops_within_a_command_is_told_before_the_kill(
     sent: bytes, heard: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(draining, "LAST_WRITES_S", 60.0)  # not for being quiet: by the time
+    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)  # not for being quiet: by the time
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
@@ -174,8 +174,8 @@
 def test_answers_not_read_yet_leave_whole_where_their_client_reads_before_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ending, "GRACE_US", 20_000_000)  # the kill is far
-    monkeypatch.setattr(draining, "LAST_WRITES_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "GRACE_US", 20_000_000)  # the kill is far
+    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 0.05)
 
     async def job() -> None:
         async with front_door(Backend(lambda words: LARGE)) as (door, address):
@@ -184,7 +184,7 @@
             ended = asyncio.Event()
 
             def end() -> None:
-                monkeypatch.setattr(draining, "LAST_WRITES_S", 60.0)
+                monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)
                 ended.set()
 
             before(door.clients, "end", end)
@@ -201,7 +201,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It can tell that what it gets of the last value is not whole."""
-    monkeypatch.setattr(draining, "LAST_WRITES_S", 60.0)
+    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)
     monkeypatch.setitem(WAITS_US, State.CLOGGED, NEVER)  # not by the time that it has to read
 
     async def job() -> None:
--- a/tests/crossings/test_sigterm_process.py
+++ b/tests/crossings/test_sigterm_process.py
@@ -19,8 +19,8 @@
 
 from molereach.__main__ import serve
 from molereach.clock import now_us
-from molereach.door.ending import Ending
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.graceful_shutdown import Ending
+from molereach.proxy.proxy import FrontDoor
 from tests.crossings.sigterm import shorten
 from tests.crossings.wire import Machine, Peer, machine, turns, until
 from tests.sockets import CONFIG, CUSTOMER, HOST, Backend, catalog, entry, refusing_address, resp, run, value
--- a/tests/crossings/test_sigterm_times.py
+++ b/tests/crossings/test_sigterm_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.door.ending import Ending
+from molereach.proxy.graceful_shutdown import Ending
 
 MS = 1_000
 TOLD = 7_000_000
--- a/tests/crossings/wire.py
+++ b/tests/crossings/wire.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from typing import Any
 
-from molereach.door.config import Address
+from molereach.proxy.config import Address
 from tests.sockets import HOST
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
--- a/tests/door/made.py
+++ b/tests/discovery/made.py
@@ -6,9 +6,9 @@
 from collections.abc import AsyncIterator, Generator, Iterable, Mapping
 from dataclasses import replace
 
-from molereach.door.config import Address
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.config import Address
+from molereach.proxy.proxy import FrontDoor
 from molereach.routing.interface import ListError, Seen, Staged
 from tests.sockets import CONFIG, HOST, Watch, entry
 
--- a/tests/door/test_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from molereach.door import calling, calls
-from molereach.door.discovery import Catalog, Discovery, News
-from molereach.door.frontdoor import FrontDoor
-from molereach.door.peers import Peers
+from molereach.discovery import poll_backoff, watch_supervisor
+from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
 from molereach.policy import interface as i
 from molereach.protocol.gossip_codec import pack_words
+from molereach.proxy.gossip import Peers
+from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
 
 AT = (HOST, 6379)
@@ -81,13 +81,13 @@
         assert [news.event.version for news in found] == [5, 9]
         afters = [target.partition("after=")[2] for target in watch.targets]
         assert afters == ["3", "5", "5", "5", "5"]
-        assert time.monotonic() - started > 4 * calls.BACKOFF_S  # no busy loop
+        assert time.monotonic() - started > 4 * poll_backoff.BACKOFF_S  # no busy loop
 
     run(job())
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(calling, "ASKED_SILENT_S", 0.2)
+    monkeypatch.setattr(watch_supervisor, "ASKED_SILENT_S", 0.2)
 
     async def job() -> None:
         watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
--- a/tests/door/test_room.py
+++ b/tests/discovery/test_entry_budget.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from molereach.door.discovery import LongNews, News
-from molereach.door.frontdoor import FrontDoor
-from molereach.door.source import Source
-from molereach.door.watch import Steps
+from molereach.discovery.client import Source
+from molereach.discovery.endpoint_discovery import LongNews, News
+from molereach.discovery.watch_stream import Steps
+from molereach.proxy.proxy import FrontDoor
 from molereach.routing.ring import Ring
 from molereach.routing.routing import Routing
 from molereach.routing.staging import Slice, Staging
 from tests.crossings.wire import until
-from tests.door.made import entries_text, list_text, says
+from tests.discovery.made import entries_text, list_text, says
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
 
 MOST = 3_276  # entries of one list at 4 MB
@@ -63,7 +63,7 @@
         found.look()
 
     monkeypatch.setattr(Staging, "add", spied)
-    monkeypatch.setattr("molereach.door.calls.AGENT_BACKOFF_S", 0.02)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.AGENT_BACKOFF_S", 0.02)
     yield found
 
 
--- a/tests/door/test_documents.py
+++ b/tests/discovery/test_json_stream.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.door import documents
-from molereach.door.documents import DocumentError, Documents, Part
+from molereach.discovery import json_stream
+from molereach.discovery.json_stream import DocumentError, Documents, Part
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é, :', max_size=6)
 SCALARS = st.none() | st.booleans() | st.integers() | TEXTS
@@ -27,7 +27,7 @@
 @pytest.fixture(autouse=True, scope="module")
 def short() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(documents, "LONG_BYTES", ROOM)
+        patch.setattr(json_stream, "LONG_BYTES", ROOM)
         yield
 
 
@@ -186,7 +186,7 @@
 
 
 def test_whole_object_with_its_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(documents, "MOST_LIST_BYTES", 1000)
+    monkeypatch.setattr(json_stream, "MOST_LIST_BYTES", 1000)
     cut, count = Documents(), 0
     with pytest.raises(DocumentError, match="an object of over"):
         for piece in itertools.chain([b'{"instances":['], itertools.repeat(ENTRY, 200)):
@@ -222,8 +222,8 @@
             return found
 
     for name in ("PLAIN", "TEXT"):
-        monkeypatch.setattr(documents, name, Counting(getattr(documents, name)))
-    monkeypatch.setattr(documents.json, "loads", lambda text: checked.append(len(text)) or loads(text))
+        monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
+    monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
     found = fed(Documents(), data, [at.end() for at in re.finditer(rb"\n", data)])
     assert seen <= len(data) and sum(checked) < 4 * ROOM
     assert len(found) > 1900
--- a/tests/door/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from molereach.door import calling, documents, source
-from molereach.door.calls import CallPacing
-from molereach.door.catalog import Catalog, LongNews, News
-from molereach.door.discovery import Discovery
-from molereach.door.frontdoor import FrontDoor
-from molereach.door.watch import TURN_BYTES, Steps
+from molereach.discovery import client, json_stream, watch_supervisor
+from molereach.discovery.endpoint_discovery import Discovery
+from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
+from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.watch_stream import TURN_BYTES, Steps
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from molereach.routing.routing import Routing
 from tests.crossings.wire import until
-from tests.door.made import SIZE, AllSeen, door_before, entries_text, list_text, says
+from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
 
@@ -79,14 +79,14 @@
 ) -> None:
     feeds: list[tuple[int, int]] = []  # the turn, and the bytes
     held, turn = [0], [0]
-    feed = documents.Documents.feed
+    feed = json_stream.Documents.feed
 
-    def spied(self: documents.Documents, data: bytes) -> object:
+    def spied(self: json_stream.Documents, data: bytes) -> object:
         feeds.append((turn[0], len(data)))
         yield from feed(self, data)
         held[0] = max(held[0], len(self.buffer))
 
-    monkeypatch.setattr(documents.Documents, "feed", spied)
+    monkeypatch.setattr(json_stream.Documents, "feed", spied)
 
     async def job() -> None:
         text = long_text()
@@ -103,8 +103,8 @@
             sizes = door.lists.staged[0].sizes
         pieces = [size for _, size in feeds]
         assert max(pieces) <= TURN_BYTES and len({at for at, _ in feeds}) == len(feeds)
-        assert held[0] <= documents.LONG_BYTES + 2 * TURN_BYTES
-        assert max(sizes) * len(text) / SIZE <= documents.LONG_BYTES + 2 * TURN_BYTES
+        assert held[0] <= json_stream.LONG_BYTES + 2 * TURN_BYTES
+        assert max(sizes) * len(text) / SIZE <= json_stream.LONG_BYTES + 2 * TURN_BYTES
 
     run(job())
 
@@ -182,7 +182,7 @@
 
 
 def test_taking_over_is_no_silence_of_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(calling, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
 
     async def job() -> None:
         async with Heard(says(HEAD + chunk(list_text(5, entries_text(1000))))) as door:
@@ -227,7 +227,7 @@
     "a name twice in a short list": (list_text(5, entries_text(3) + b"," + entries_text(1)), "server twice"),
     "more than memory": (list_text(5, entries_text(3000)), "3000|over"),
     "an entry without an end": (
-        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (documents.MOST_BYTES + TURN_BYTES),
+        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (json_stream.MOST_BYTES + TURN_BYTES),
         "without an end",
     ),
     "no end at all": (list_text(5, b",".join([b'{"odd":"%b"}' % (b"x" * 90)] * 3000)), "an object of over"),
@@ -245,10 +245,10 @@
     """And further calls come as after any failure: failures add up until an object was taken."""
     text, line = BAD[what]
     if what == "too slow":
-        monkeypatch.setattr(source, "LIST_S", -1.0)
+        monkeypatch.setattr(client, "LIST_S", -1.0)
     if what == "no end at all":
-        monkeypatch.setattr(documents, "MOST_LIST_BYTES", 200_000)
-    monkeypatch.setattr("molereach.door.calls.AGENT_BACKOFF_S", 0.02)
+        monkeypatch.setattr(json_stream, "MOST_LIST_BYTES", 200_000)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.AGENT_BACKOFF_S", 0.02)
 
     async def job() -> None:
         bad = says(HEAD, chunk(text), chunk(b""), stay=False)
--- a/tests/door/test_told.py
+++ b/tests/discovery/test_notification_delay.py
@@ -13,9 +13,9 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from molereach.door.calling import BEAT_S, Calling
-from molereach.door.calls import AT_ONCE, DIAL_S, CallPacing
-from molereach.door.source import CONNECT_S, TURN_S
+from molereach.discovery.client import CONNECT_S, TURN_S
+from molereach.discovery.poll_backoff import AT_ONCE, DIAL_S, CallPacing
+from molereach.discovery.watch_supervisor import BEAT_S, Calling
 from molereach.protocol.settings import MOST_GATEWAYS
 
 TOLD_S = 6.0
--- a/tests/door/test_calls.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -6,7 +6,8 @@
 import time
 from dataclasses import replace
 
-from molereach.door.calls import (
+from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
+from molereach.discovery.poll_backoff import (
     AGENT_BACKOFF_S,
     AT_ONCE,
     BACKOFF_S,
@@ -15,8 +16,7 @@
     MOST_BACKOFF_S,
     CallPacing,
 )
-from molereach.door.discovery import Catalog, Discovery, News
-from molereach.door.frontdoor import FrontDoor
+from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CONFIG, HEAD, Watch, catalog, chunk, run
 
 DOORS = 40
@@ -59,7 +59,7 @@
 
 def test_calls_as_if_each_front_door_were_alone_never_end() -> None:
     """What the pacing is for: a line called by 40 front doors that each think they are few, and that give up
-    the calls which wait in it. That they don't, and have their lists soon: tests/door/test_told.py."""
+    the calls which wait in it. That they don't, and have their lists soon: test_notification_delay.py."""
     assert len(after_mass_break(1, DOORS / 8, 1)) < DOORS / 2
 
 
--- a/tests/door/test_view.py
+++ b/tests/discovery/test_subset.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from molereach.door import frontdoor
-from molereach.door.config import Address
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy import proxy
+from molereach.proxy.config import Address
+from molereach.proxy.proxy import FrontDoor
 from molereach.routing.interface import Seen, Staged
 from tests.crossings.wire import until
-from tests.door.made import AllSeen, door_before, entries_text, list_text, says
+from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
@@ -29,8 +29,8 @@
     sockets: int, memory_mb: int, view: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked = []
-    monkeypatch.setattr(frontdoor, "Routing", lambda *values: asked.append(values) or AllSeen())
-    monkeypatch.setattr(frontdoor.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
+    monkeypatch.setattr(proxy, "Routing", lambda *values: asked.append(values) or AllSeen())
+    monkeypatch.setattr(proxy.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
 
     async def job() -> None:
         FrontDoor(replace(CONFIG, sockets=sockets, memory_mb=memory_mb)).close()
@@ -66,7 +66,7 @@
             return self.shown(seen.event, seen.addresses)
 
     lists = First()
-    monkeypatch.setattr(frontdoor, "Routing", lambda *values: lists)
+    monkeypatch.setattr(proxy, "Routing", lambda *values: lists)
 
     async def job() -> None:
         gate = asyncio.Event()
@@ -101,7 +101,7 @@
         def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
             return None
 
-    monkeypatch.setattr(frontdoor, "Routing", lambda *values: Blind())
+    monkeypatch.setattr(proxy, "Routing", lambda *values: Blind())
 
     async def job() -> None:
         async with door_before(says(HEAD)) as (door, _):
--- a/tests/door/test_watch.py
+++ b/tests/discovery/test_watch_stream.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from molereach.door.watch import TURN_BYTES, Steps, WatchConnection
+from molereach.discovery.watch_stream import TURN_BYTES, Steps, WatchConnection
 from tests.crossings.wire import turns
-from tests.door.made import entries_text, list_text
+from tests.discovery.made import entries_text, list_text
 from tests.sockets import HEAD, chunk, run
 
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -12,7 +12,7 @@
 import pytest
 import trustme
 
-from molereach.door.discovery import News
+from molereach.discovery.endpoint_discovery import News
 from molereach.fleet import view
 from molereach.fleet.agent import agent as agent_module
 from molereach.fleet.agent import api, openapi
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from molereach.door.discovery import News
-from molereach.door.frontdoor import FrontDoor
+from molereach.discovery.endpoint_discovery import News
 from molereach.fleet import control, wire
 from molereach.fleet.control import Control, ControlError, attach
 from molereach.fleet.orders import Book, BookState, Decided, Order, Verb
 from molereach.fleet.wire import Answer, Ask
 from molereach.policy import interface as i
+from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CUSTOMER, HOST, Backend, Client, catalog, entry, front_door, query, refusing_address
 from tests.sockets import run as run_job
 from tests.test_program import ROOT, SETTINGS, config, write
--- a/tests/limits/test_replacement.py
+++ b/tests/limits/test_replacement.py
@@ -13,7 +13,7 @@
 from msgspec.structs import replace
 
 from molereach.__main__ import serve
-from molereach.door.config import Config
+from molereach.proxy.config import Config
 from rig import scenario as sc
 from rig import workload
 from rig.audit.ledger import Ledger
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -8,13 +8,13 @@
 from msgspec.structs import replace
 
 from molereach import operator
-from molereach.door.config import parse
-from molereach.door.frontdoor import FrontDoor
 from molereach.keyfile import KeyFileError, read_key
 from molereach.limits.core import Limits
 from molereach.limits.service import attacher
 from molereach.limits.words import Codec
 from molereach.policy import interface as i
+from molereach.proxy.config import parse
+from molereach.proxy.proxy import FrontDoor
 from molereach.simulator.adapter import Host, run_batch
 from rig import scenario_files
 from rig.audit.figures import Quota
--- a/tests/policy/replay.py
+++ b/tests/policy/replay.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-import molereach.door.frontdoor
+import molereach.proxy.proxy
 import sim.histories
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
@@ -53,7 +53,7 @@
 
 def record(file: str, seed: int) -> None:
     """Days of the rig and histories of quotas, by that seed."""
-    molereach.door.frontdoor.Gateway = sim.histories.Gateway = Recorded  # type: ignore[misc]
+    molereach.proxy.proxy.Gateway = sim.histories.Gateway = Recorded  # type: ignore[misc]
     for limits in (False, True):
         record_history(seed, limits, 30)
         for name in (*scenario_files.LARGE, "crowd", "cold-deploy", "garbled-servers", "vanish"):
--- a/tests/door/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -10,13 +10,13 @@
 import pytest
 
 from molereach.__main__ import take_over
-from molereach.door import config as reader
-from molereach.door.config import ConfigError, load, load_in_steps, reload
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy import config as reader
+from molereach.proxy.config import ConfigError, load, load_in_steps, reload
+from molereach.proxy.proxy import FrontDoor
 from molereach.routing.routing import Routing
 from tests.crossings.wire import until
-from tests.door.made import entries_text
+from tests.discovery.made import entries_text
 from tests.sockets import (
     CUSTOMER,
     HEAD,
@@ -111,7 +111,7 @@
         left.append(len(found.known_parts))
         return part(self, text)
 
-    monkeypatch.setattr("molereach.door.catalog.Catalog.part", spied)
+    monkeypatch.setattr("molereach.discovery.endpoint_mapping.Catalog.part", spied)
 
     async def job() -> None:
         door = FrontDoor(found)
--- a/tests/door/test_frontdoor.py
+++ b/tests/proxy/test_proxy.py
@@ -9,9 +9,9 @@
 import pytest
 
 from molereach.clock import now_us
-from molereach.door import draining, ending
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy import connection_draining, graceful_shutdown
+from molereach.proxy.proxy import FrontDoor
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
@@ -241,7 +241,7 @@
 
 def test_drain_serves_clients_that_go_on_asking_while_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Until an answer might come too late: then connections are closed, and what hangs is answered before."""
-    monkeypatch.setattr(ending, "LONGEST_US", 1_000_000)
+    monkeypatch.setattr(graceful_shutdown, "LONGEST_US", 1_000_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
@@ -279,7 +279,7 @@
     at_us: int, asked_us: tuple[int, ...], left_us: int, over: bool
 ) -> None:
     told = 7_000_000
-    end = ending.Ending(told, (2_000_000, 5_000_000))  # the longer one counts for 3 s: killed at 3.7 s
+    end = graceful_shutdown.Ending(told, (2_000_000, 5_000_000))  # the longer counts for 3 s: killed at 3.7 s
     for each in asked_us:
         end.take(told + each, 1)
     assert end.over(told + at_us) is over
@@ -287,9 +287,9 @@
 
 
 def test_drain_waits_for_a_request_that_comes_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ending, "SETTLE_US", 0)
-    monkeypatch.setattr(ending, "QUIET_US", 0)
-    monkeypatch.setattr(draining, "LAST_WRITES_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "SETTLE_US", 0)
+    monkeypatch.setattr(graceful_shutdown, "QUIET_US", 0)
+    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 0.1)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
--- a/tests/sim/test_loopback.py
+++ b/tests/sim/test_loopback.py
@@ -16,9 +16,10 @@
 from sim.seam import simulated
 from tests.backends import test_counts, test_pools
 from tests.clients import test_resp
-from tests.door import test_discovery, test_frontdoor
+from tests.discovery import test_endpoint_discovery
+from tests.proxy import test_proxy
 
-MODULES = (test_pools, test_counts, test_resp, test_discovery, test_frontdoor)
+MODULES = (test_pools, test_counts, test_resp, test_endpoint_discovery, test_proxy)
 SHARED = (tests.sockets, tests.backends.sender)  # what they share opens sockets as well
 # These are about the kernel itself: its buffers, sockets made by hand, its way with descriptors.
 KERNEL = {
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace
 
-from molereach.door.calls import CallPacing
+from molereach.discovery.poll_backoff import CallPacing
 from rig import scenario as sc
 from rig import scenario_files
 from rig.audit.ledger import Outcome, Rule
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,9 +11,9 @@
 import hiredis
 import uvloop
 
-from molereach.door.config import Address, Config
-from molereach.door.frontdoor import FrontDoor
 from molereach.policy import interface as i
+from molereach.proxy.config import Address, Config
+from molereach.proxy.proxy import FrontDoor
 
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -47,11 +47,11 @@
 
 def test_front_door_of_another_checkout_is_measured_and_not_this_one(tmp_path: Path) -> None:
     """Wherever the benchmark is started, also in the root of this one."""
-    (tmp_path / "molereach" / "door").mkdir(parents=True)
+    (tmp_path / "molereach" / "proxy").mkdir(parents=True)
     for name, text in (
         ("__init__", ""),
-        ("door/__init__", ""),
-        ("door/frontdoor", "FrontDoor = object"),
+        ("proxy/__init__", ""),
+        ("proxy/proxy", "FrontDoor = object"),
         ("__main__", "def front_door(**more): print('other'); return 0\nfront_door()"),
     ):
         (tmp_path / "molereach" / f"{name}.py").write_text(text)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -104,7 +104,7 @@
         timeout=60,
     )
     loaded = set(done.stdout.split())
-    assert "molereach.door.frontdoor" in loaded
+    assert "molereach.proxy.proxy" in loaded
     off = (
         "msgspec",
         "argparse",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,7 +12,7 @@
 import pytest
 
 from molereach.__main__ import LINES_AT_ONCE, LINES_SPAN_S, RateLimit
-from molereach.door.config import load
+from molereach.proxy.config import load
 from tests.sockets import (
     CUSTOMER,
     HEAD,
