--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator, Sequence
 from itertools import chain, islice
 
-from molereach.routing.places import RING
-from molereach.routing.ring import Ring
-from molereach.routing.view import View, Whole
+from molereach.subsetting.placement import RING
+from molereach.subsetting.ring import Ring
+from molereach.subsetting.subset import View, Whole
 
 Standins = tuple[dict[bytes, bytes], list[set[int]]]  # by name, and the groups of the one they stand in for
 
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -12,9 +12,9 @@
 from random import Random
 
 from molereach.policy import interface as i
-from molereach.routing.places import door_place, least_reach, place_of
-from molereach.routing.records import pack
-from molereach.routing.view import View, Whole
+from molereach.subsetting.packed_records import pack
+from molereach.subsetting.placement import door_place, least_reach, place_of
+from molereach.subsetting.subset import View, Whole
 
 Subsets = list[set[str]]
 MASK = (1 << 64) - 1
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from molereach.policy import interface as i
-from molereach.routing.routing import Routing
+from molereach.subsetting.endpoint_subsetting import Routing
 
 SIZE = 256  # of a view
 LOST_ZONE = 3
--- a/benchmarks/touches.py
+++ b/benchmarks/touches.py
@@ -7,10 +7,10 @@
 from bisect import bisect_left
 from collections.abc import Callable
 
-from molereach.routing.groups import STANDINS, Groups
-from molereach.routing.places import behind
-from molereach.routing.records import name_of
-from molereach.routing.view import View, Whole
+from molereach.subsetting.idempotency_groups import STANDINS, Groups
+from molereach.subsetting.packed_records import name_of
+from molereach.subsetting.placement import behind
+from molereach.subsetting.subset import View, Whole
 
 Touches = Callable[[View], bool]
 
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -14,7 +14,7 @@
 from benchmarks.subsets import compare
 from benchmarks.told import SIZE
 from benchmarks.views import Row, Tier, reaches
-from molereach.routing.places import LEAST_DOORS, least_reach
+from molereach.subsetting.placement import LEAST_DOORS, least_reach
 from sim.run import JOBS_CONTEXT
 
 DOORS, QUICK_DOORS = (5, 40, 200, 1_000, 7_500), (5, 40)
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -13,11 +13,11 @@
 from benchmarks.told import LOST_ZONE, SIZE, zone_told
 from benchmarks.touches import holding, reaching
 from molereach.policy import interface as i
-from molereach.routing.places import LEAST_DOORS, RING, behind, door_place
-from molereach.routing.records import cell_of, name_of
-from molereach.routing.routing import LONG
-from molereach.routing.staging import entry_of
-from molereach.routing.view import View
+from molereach.subsetting.endpoint_subsetting import LONG
+from molereach.subsetting.packed_records import cell_of, name_of
+from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place
+from molereach.subsetting.staging import entry_of
+from molereach.subsetting.subset import View
 
 ZONES, CELLS, OF_BACKENDS = 26, 2_900, 93_000
 LEAST_SAMPLE = 3  # of backends that go, and come, one by one
--- a/molereach/clients/__init__.py
+++ b/molereach/clients/__init__.py
@@ -1,4 +1,4 @@
 """Clients: taking them in, what they speak, and the checks that all of them share.
 
-In reading order: `states`, `ends`, `intake`, `requests`, `commands`, `replies`, `resp`.
+In reading order: `connection_state`, `disconnect_watch`, `listener`, `requests`, `commands`, `replies`, `resp`.
 """
--- a/molereach/clients/ends.py
+++ b/molereach/clients/disconnect_watch.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from molereach.clients.states import Connection
+from molereach.clients.connection_state import Connection
 from molereach.resp import have_ended
 
 LOOK_S = 0.05  # no attempt may begin more than 0.1 s after its client went: a look, and a turn of the loop
--- a/molereach/clients/intake.py
+++ b/molereach/clients/listener.py
@@ -7,8 +7,7 @@
 from collections.abc import Callable, Coroutine
 from itertools import islice
 
-from molereach.clients.ends import EndWatch
-from molereach.clients.states import (
+from molereach.clients.connection_state import (
     CROWDED,
     FIRST_US,
     GIVE_WAY,
@@ -21,6 +20,7 @@
     Connection,
     State,
 )
+from molereach.clients.disconnect_watch import EndWatch
 from molereach.clock import now_us
 from molereach.proxy.config import Address
 
--- a/molereach/clients/resp.py
+++ b/molereach/clients/resp.py
@@ -9,10 +9,10 @@
 from collections import deque
 from typing import cast
 
-from molereach.clients.intake import READ_BYTES, WAITS_US, Connection, Intake, State
+from molereach.clients.connection_state import CROWDED
+from molereach.clients.listener import READ_BYTES, WAITS_US, Connection, Intake, State
 from molereach.clients.replies import Front, Reply
 from molereach.clients.requests import CommandError, NoRoomError
-from molereach.clients.states import CROWDED
 from molereach.clock import now_us
 from molereach.resp import CommandReader, ProtocolError, has_unread
 
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from molereach import operator
+from molereach import operator_config
 
 if TYPE_CHECKING:
     import click
@@ -40,11 +40,11 @@
 def check_config(path: Path, as_json: bool) -> int:
     """Say whether an operator file can be used; starts nothing."""
     try:
-        settings = operator.load(path)
+        settings = operator_config.load(path)
         limits_of(path, settings)
         council_of(path, settings)
         sections = settings.sections_on()
-    except operator.OperatorError as error:
+    except operator_config.OperatorError as error:
         if as_json:
             print(json.dumps({"file": str(path), "ok": False, "error": str(error)}))
             return BAD_INPUT
@@ -69,7 +69,7 @@
     os.execv(sys.executable, [sys.executable, "-m", package, *arguments])
 
 
-def limits_of(path: Path, settings: operator.OperatorFile) -> Attach | None:
+def limits_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
     """What switches `[limits]` on; OperatorError where its key cannot be used."""
     if settings.limits is None:
         return None
@@ -79,10 +79,10 @@
     try:
         return service.attacher(settings.limits)
     except keyfile.KeyFileError as error:
-        raise operator.OperatorError(f"{path}: {error}") from error
+        raise operator_config.OperatorError(f"{path}: {error}") from error
 
 
-def council_of(path: Path, settings: operator.OperatorFile) -> Attach | None:
+def council_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
     """What switches `[council]` on; OperatorError where its settings or its key cannot be used."""
     if settings.council is None:
         return None
@@ -92,17 +92,17 @@
     try:
         return attach.attacher(settings.council)
     except (keyfile.KeyFileError, ValueError) as error:
-        raise operator.OperatorError(f"{path}: {error}") from error
+        raise operator_config.OperatorError(f"{path}: {error}") from error
 
 
 def start(path: Path, serve: Serve) -> int:
     """Start the front door with an operator file; one that cannot be used starts nothing."""
     try:
-        settings = operator.load(path)
+        settings = operator_config.load(path)
         limits, council = limits_of(path, settings), council_of(path, settings)
-    except operator.OperatorError as error:
+    except operator_config.OperatorError as error:
         return complain(str(error))
-    level = (settings.log or operator.LogSection()).level.name
+    level = (settings.log or operator_config.LogSection()).level.name
     # Off means not imported.
     attach = [each for each in (limits, council) if each]
     if section := settings.control:
@@ -208,7 +208,7 @@
     if len(arguments) == 2 and arguments[0] == OPERATOR_OPTION:
         return start(Path(arguments[1]), serve)
     if not arguments:
-        path = env.get(operator.ENVIRONMENT)
+        path = env.get(operator_config.ENVIRONMENT)
         return start(Path(path), serve) if path else serve(DEFAULT_LEVEL)
     try:
         group(serve).main(list(arguments), prog_name="molereach")
--- a/molereach/council/node/attach.py
+++ b/molereach/council/node/attach.py
@@ -9,7 +9,7 @@
 from molereach.council.node.settings import MS, CouncilSettings
 from molereach.council.store.store import StoreError
 from molereach.keyfile import read_key
-from molereach.operator import CouncilSection
+from molereach.operator_config import CouncilSection
 from molereach.proxy.config import ConfigError, read_address
 from molereach.proxy.proxy import FrontDoor
 
--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -19,7 +19,7 @@
 from molereach.discovery.watch_supervisor import Calling
 from molereach.policy import interface as i
 from molereach.proxy.config import Address
-from molereach.routing.interface import RoomError, Staged
+from molereach.subsetting.interface import RoomError, Staged
 
 log = logging.getLogger(__name__)
 
--- a/molereach/discovery/endpoint_discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -13,7 +13,7 @@
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import Steps
 from molereach.proxy.config import Address
-from molereach.routing.interface import ListError, Staged
+from molereach.subsetting.interface import ListError, Staged
 
 __all__ = ["Catalog", "Discovery", "LongNews", "News"]
 
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -9,7 +9,7 @@
 
 from molereach.policy import interface as i
 from molereach.proxy.config import Address, Config, ConfigError, read_address
-from molereach.routing.interface import Staged
+from molereach.subsetting.interface import Staged
 
 log = logging.getLogger(__name__)
 
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -4,7 +4,7 @@
 """
 
 from molereach.limits.escrow import REPEAT_US, WHOLE, Escrow
-from molereach.limits.reach import Reach
+from molereach.limits.partition_quota import Reach
 from molereach.limits.settings import LimitSettings, S
 from molereach.policy import interface as i
 
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -5,9 +5,9 @@
 
 from molereach.keyfile import read_key
 from molereach.limits.core import Limits
+from molereach.limits.messages import Codec
 from molereach.limits.settings import LimitSettings
-from molereach.limits.words import Codec
-from molereach.operator import LimitsSection
+from molereach.operator_config import LimitsSection
 from molereach.proxy.proxy import FrontDoor
 
 
--- a/molereach/proxy/connection_draining.py
+++ b/molereach/proxy/connection_draining.py
@@ -4,7 +4,7 @@
 import logging
 from collections.abc import Sized
 
-from molereach.clients.intake import Intake
+from molereach.clients.listener import Intake
 from molereach.clock import now_us
 from molereach.proxy.graceful_shutdown import Ending
 
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -15,7 +15,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.clients.commands import Command, CommandParser
-from molereach.clients.intake import Intake
+from molereach.clients.listener import Intake
 from molereach.clients.replies import Reply
 from molereach.clients.requests import CommandError, NoRoomError
 from molereach.clients.resp import FAILED, ClientConnection
@@ -30,9 +30,9 @@
 from molereach.proxy.connection_draining import drain
 from molereach.proxy.gossip import Peers
 from molereach.proxy.graceful_shutdown import Ending
-from molereach.routing.interface import Lists, Seen
-from molereach.routing.room import COPIES
-from molereach.routing.routing import Routing
+from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.entry_budget import COPIES
+from molereach.subsetting.interface import Lists, Seen
 
 log = logging.getLogger(__name__)
 
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -263,8 +263,8 @@
             self.forms[instance] = PLAIN
             return Gateway(settings)
         from molereach.limits.core import Limits
+        from molereach.limits.messages import Codec
         from molereach.limits.settings import LimitSettings
-        from molereach.limits.words import Codec
 
         limits = Limits(settings, LimitSettings())
         self.forms[instance] = Codec(limits.me, limits.generation, limits.counts, hears=limits.hears)
--- a/molereach/routing/routing.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -8,14 +8,14 @@
 from collections.abc import Generator, Mapping, Sequence
 
 from molereach.policy import interface as i
-from molereach.routing.groups import kinds
-from molereach.routing.interface import Address, ListError, Seen, Staged
-from molereach.routing.meanwhile import Meanwhile
-from molereach.routing.places import LEAST_DOORS, door_place, least_reach
-from molereach.routing.records import name_of, unpack
-from molereach.routing.room import COPIES, Room
-from molereach.routing.staging import STEP_ENTRIES, Staging, entry_of
-from molereach.routing.view import View, Whole
+from molereach.subsetting.entry_budget import COPIES, Room
+from molereach.subsetting.idempotency_groups import kinds
+from molereach.subsetting.interface import Address, ListError, Seen, Staged
+from molereach.subsetting.packed_records import name_of, unpack
+from molereach.subsetting.placement import LEAST_DOORS, door_place, least_reach
+from molereach.subsetting.staging import STEP_ENTRIES, Staging, entry_of
+from molereach.subsetting.subset import View, Whole
+from molereach.subsetting.takeover_overlay import Meanwhile
 
 LONG = 2  # times the view's size: from there on a list has a view
 WHOLE_KINDS = (i.ListKind.FULL, i.ListKind.SAVED)
--- a/molereach/routing/room.py
+++ b/molereach/subsetting/entry_budget.py
@@ -7,7 +7,7 @@
 from typing import Protocol, TypeVar
 from weakref import WeakSet
 
-from molereach.routing.interface import RoomError
+from molereach.subsetting.interface import RoomError
 
 COPIES = 2  # of the longest list: the one in service, and one that comes or is let go of
 
--- a/molereach/routing/groups.py
+++ b/molereach/subsetting/idempotency_groups.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 
 from molereach.policy import interface as i
-from molereach.routing.records import cell_of, zone_of
+from molereach.subsetting.packed_records import cell_of, zone_of
 
 STANDINS = 2  # of each backend in a view, of each kind of group: for two repeats
 
--- a/molereach/routing/records.py
+++ b/molereach/subsetting/packed_records.py
@@ -3,7 +3,7 @@
 from struct import Struct, error
 
 from molereach.policy import interface as i
-from molereach.routing.interface import Address, ListError
+from molereach.subsetting.interface import Address, ListError
 
 # State, zone, kind, cell, size, start in microseconds, port, bytes of the name; then the name and the host.
 HEAD = Struct("<BiiidqHH")
--- a/molereach/routing/ring.py
+++ b/molereach/subsetting/ring.py
@@ -9,8 +9,8 @@
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterator
 
-from molereach.routing.places import BITS
-from molereach.routing.records import is_up, name_of
+from molereach.subsetting.packed_records import is_up, name_of
+from molereach.subsetting.placement import BITS
 
 BUCKET_BITS = 12
 BUCKETS = 1 << BUCKET_BITS
--- a/molereach/routing/staging.py
+++ b/molereach/subsetting/staging.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator, Mapping, Sequence
 
 from molereach.policy import interface as i
-from molereach.routing.interface import Address, ListError
-from molereach.routing.places import place_of
-from molereach.routing.records import name_bytes, pack
-from molereach.routing.room import Room
+from molereach.subsetting.entry_budget import Room
+from molereach.subsetting.interface import Address, ListError
+from molereach.subsetting.packed_records import name_bytes, pack
+from molereach.subsetting.placement import place_of
 
 STEP_ENTRIES = 500  # taken over in one turn: some milliseconds
 Entry = tuple[int, bytes, bool]  # the place, the record (or the name of one that is gone), whether it is gone
--- a/molereach/routing/view.py
+++ b/molereach/subsetting/subset.py
@@ -6,10 +6,10 @@
 
 from collections.abc import Callable, Sequence
 
-from molereach.routing.groups import Groups
-from molereach.routing.places import behind
-from molereach.routing.records import is_up, name_of
-from molereach.routing.ring import Ring
+from molereach.subsetting.idempotency_groups import Groups
+from molereach.subsetting.packed_records import is_up, name_of
+from molereach.subsetting.placement import behind
+from molereach.subsetting.ring import Ring
 
 
 class Whole:
--- a/molereach/routing/meanwhile.py
+++ b/molereach/subsetting/takeover_overlay.py
@@ -12,10 +12,10 @@
 from weakref import WeakSet
 
 from molereach.policy import interface as i
-from molereach.routing.interface import Address, ListError
-from molereach.routing.records import is_later, name_of
-from molereach.routing.staging import Entry, Staging, entry_of
-from molereach.routing.view import Whole
+from molereach.subsetting.interface import Address, ListError
+from molereach.subsetting.packed_records import is_later, name_of
+from molereach.subsetting.staging import Entry, Staging, entry_of
+from molereach.subsetting.subset import Whole
 
 
 class Meanwhile:
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -15,8 +15,8 @@
 
 from molereach.limits.core import Limits
 from molereach.limits.escrow import WHOLE
+from molereach.limits.messages import Codec
 from molereach.limits.settings import LimitSettings
-from molereach.limits.words import Codec
 from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
 from molereach.protocol.gossip_codec import Form, PlainForm
--- a/sim/seam.py
+++ b/sim/seam.py
@@ -62,7 +62,7 @@
     """Each name that is exchanged, and for what."""
     sockets = network.socket_module()
     for module, name, value in (
-        ("molereach.clients.intake", "socket", sockets),
+        ("molereach.clients.listener", "socket", sockets),
         ("rig.sockets", "socket", sockets),
         ("molereach.resp", "select", network.select_module()),
         ("molereach.__main__", "gc", SimpleNamespace(collect=lambda: None, freeze=lambda: None)),
--- a/sim/world.py
+++ b/sim/world.py
@@ -16,7 +16,7 @@
 
 from molereach.__main__ import serve
 from molereach.limits.service import attacher
-from molereach.operator import LimitsSection
+from molereach.operator_config import LimitsSection
 from molereach.proxy.config import Config, parse
 from rig import scenario as sc
 from rig.clock import now_us
--- a/tests/benchmarks/test_views.py
+++ b/tests/benchmarks/test_views.py
@@ -11,9 +11,9 @@
 from benchmarks.view import rows_of
 from benchmarks.views import Row, Tier, moved, server
 from molereach.policy import interface as i
-from molereach.routing.places import RING, door_place
-from molereach.routing.staging import entry_of
-from molereach.routing.view import View
+from molereach.subsetting.placement import RING, door_place
+from molereach.subsetting.staging import entry_of
+from molereach.subsetting.subset import View
 from tests.docs.shell import ROOT
 
 ROWS = [  # as measured at commit 40dc8ad, seed 1, three backends that go and three that come
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.clients import intake
+from molereach.clients import listener
 from molereach.clients import resp as clients
 from molereach.clients.commands import CommandParser
 from molereach.clients.requests import CommandError
@@ -146,8 +146,8 @@
             early = await Client.open(address)  # the others have not been idle for long enough
             assert await early.answer() == "-ERR max number of clients reached"
             assert await early.ended()
-            for connection in door.clients.leaving[intake.State.IDLE]:
-                connection.since_us -= intake.LEAST_IDLE_US
+            for connection in door.clients.leaving[listener.State.IDLE]:
+                connection.since_us -= listener.LEAST_IDLE_US
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
             assert await first.ended()
@@ -194,18 +194,18 @@
 
 def hurry(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
     """Make one of the times short."""
-    monkeypatch.setattr(intake, "SWEEP_S", 0.01)
-    monkeypatch.setattr(intake, name, TEST_US)
-    monkeypatch.setitem(intake.WAITS_US, intake.State.GREETED, intake.IDLE_US)
+    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, name, TEST_US)
+    monkeypatch.setitem(listener.WAITS_US, listener.State.GREETED, listener.IDLE_US)
     states = {
-        "FIRST_US": intake.State.NEW,
-        "IDLE_US": intake.State.IDLE,
-        "REST_OF_COMMAND_US": intake.State.PARTIAL,
-        "READS_US": intake.State.CLOGGED,
-        "LINGER_US": intake.State.CLOSING,
+        "FIRST_US": listener.State.NEW,
+        "IDLE_US": listener.State.IDLE,
+        "REST_OF_COMMAND_US": listener.State.PARTIAL,
+        "READS_US": listener.State.CLOGGED,
+        "LINGER_US": listener.State.CLOSING,
     }
     if name in states:
-        monkeypatch.setitem(intake.WAITS_US, states[name], TEST_US)
+        monkeypatch.setitem(listener.WAITS_US, states[name], TEST_US)
 
 
 @pytest.mark.parametrize(
@@ -239,11 +239,11 @@
 
 
 def test_times_keep_the_protocol() -> None:
-    sweep_us = intake.SWEEP_S * 1e6
-    assert 2_000_000 < intake.FIRST_US < 3_000_000 - 2 * sweep_us
-    assert intake.REST_OF_COMMAND_US + 2 * sweep_us < 3_000_000
-    assert intake.READS_US + 2 * sweep_us < 3_000_000
-    assert min(intake.IDLE_US, intake.LEAST_IDLE_US) > 2_000_000
+    sweep_us = listener.SWEEP_S * 1e6
+    assert 2_000_000 < listener.FIRST_US < 3_000_000 - 2 * sweep_us
+    assert listener.REST_OF_COMMAND_US + 2 * sweep_us < 3_000_000
+    assert listener.READS_US + 2 * sweep_us < 3_000_000
+    assert min(listener.IDLE_US, listener.LEAST_IDLE_US) > 2_000_000
 
 
 def test_answers_that_nobody_reads_end_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -280,14 +280,14 @@
             (connection,) = door.clients.connections
             read = len(connection.reader.buffer)
             assert await client.ended()
-            assert read <= intake.READ_BYTES  # nothing was taken in behind the head
+            assert read <= listener.READ_BYTES  # nothing was taken in behind the head
             assert await door.clients.left(20)
 
     run(job())
 
 
 def test_bytes_that_wait_are_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(intake, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
 
     async def job() -> None:
         async with front_door() as (door, address):
--- a/tests/crossings/test_clients_bounds.py
+++ b/tests/crossings/test_clients_bounds.py
@@ -7,9 +7,9 @@
 import pytest
 
 from molereach.__main__ import RateLimit
-from molereach.clients import intake
+from molereach.clients import listener
 from molereach.clients import resp as clients
-from molereach.clients.intake import State
+from molereach.clients.listener import State
 from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
@@ -60,7 +60,7 @@
 def test_fault_at_one_connections_time_out_stops_no_others(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(intake, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
 
     async def job() -> None:
         async with front_door() as (door, address):
@@ -160,7 +160,7 @@
                 assert await other.ask(resp("PING")) == b"PONG"
                 door_most = max(door_most, connection.waiting_bytes())
             await until(lambda: not connection.reading)
-            assert max(door_most, connection.waiting_bytes()) <= 3 * intake.READ_BYTES
+            assert max(door_most, connection.waiting_bytes()) <= 3 * listener.READ_BYTES
             assert len(door.open) <= clients.MOST_PIPELINED
             sending.cancel()
             await turns()
@@ -172,7 +172,7 @@
     async def job() -> None:
         door = FrontDoor(replace(CONFIG, sockets=1000))
         assert door.clients.most + door.backends.most <= 1000
-        assert door.clients.most > intake.MOST_SPARE
+        assert door.clients.most > listener.MOST_SPARE
         door.close()
 
     run(job())
--- a/tests/crossings/test_clients_close.py
+++ b/tests/crossings/test_clients_close.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from molereach.clients import intake
+from molereach.clients import listener
 from molereach.clients import resp as clients
-from molereach.clients.intake import State
+from molereach.clients.listener import State
 from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
 from tests.crossings.wire import Peer, turns, until
@@ -21,8 +21,8 @@
 
 @pytest.fixture
 def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(intake, "SWEEP_S", 0.01)
-    monkeypatch.setitem(intake.WAITS_US, State.CLOSING, LINGER_US)
+    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setitem(listener.WAITS_US, State.CLOSING, LINGER_US)
 
 
 def crossed_by(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
@@ -173,7 +173,7 @@
 
             flooding = asyncio.create_task(flood())
             assert await door.clients.left(10)
-            assert connection.discarded <= clients.DISCARD_BYTES + intake.READ_BYTES
+            assert connection.discarded <= clients.DISCARD_BYTES + listener.READ_BYTES
             assert not connection.reader.buffer[64:]
             await asyncio.wait([flooding])
 
@@ -184,7 +184,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connection is closing, and its answers were not read for a while: then they are, and it goes on."""
-    monkeypatch.setitem(intake.WAITS_US, State.CLOGGED, 0)
+    monkeypatch.setitem(listener.WAITS_US, State.CLOGGED, 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -214,7 +214,7 @@
     monkeypatch: pytest.MonkeyPatch, short: None
 ) -> None:
     """A transport that closes waits without end for what the kernel does not take."""
-    monkeypatch.setitem(intake.WAITS_US, State.CLOGGED, LINGER_US)
+    monkeypatch.setitem(listener.WAITS_US, State.CLOGGED, LINGER_US)
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
--- a/tests/crossings/test_clients_gone.py
+++ b/tests/crossings/test_clients_gone.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from molereach.clients import ends
+from molereach.clients import disconnect_watch
 from molereach.clients import resp as clients
-from molereach.clients.intake import READ_BYTES
+from molereach.clients.listener import READ_BYTES
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
 from tests.crossings.wire import Dials, Peer, turns, until
@@ -105,7 +105,7 @@
     monkeypatch: pytest.MonkeyPatch, go: Callable[[Peer], None]
 ) -> None:
     """Its end stands behind bytes that stay unread: it is looked for."""
-    monkeypatch.setattr(ends, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
 
     async def job() -> None:
         most = clients.MOST_PIPELINED
@@ -126,7 +126,7 @@
 
 def test_client_that_goes_while_it_reads_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clogged: what it sent behind is not taken, and its end, which stands behind that, is seen."""
-    monkeypatch.setattr(ends, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
 
     async def job() -> None:
         body = b"x" * 65_000
@@ -160,7 +160,7 @@
 
 def test_half_close_with_answers_unread_is_noticed_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The transport would wait for the last byte to be read before it says that the connection is lost."""
-    monkeypatch.setattr("molereach.clients.intake.SWEEP_S", 0.01)
+    monkeypatch.setattr("molereach.clients.listener.SWEEP_S", 0.01)
     monkeypatch.setitem(clients.WAITS_US, clients.State.CLOGGED, 50_000)
 
     async def job() -> None:
--- a/tests/crossings/test_clients_gone_waits.py
+++ b/tests/crossings/test_clients_gone_waits.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from molereach.clients import ends
+from molereach.clients import disconnect_watch
 from molereach.clients import resp as clients
-from molereach.clients.intake import READ_BYTES
+from molereach.clients.listener import READ_BYTES
 from molereach.policy import interface as i
 from molereach.policy.overload_control import START_PER_SERVER
 from molereach.proxy.proxy import FrontDoor
@@ -35,7 +35,7 @@
 
 def test_end_behind_what_is_not_read_is_looked_for_soon_enough() -> None:
     """A connection that is not read is looked at that often; one that is read tells its end by itself."""
-    assert ends.LOOK_S + TURN_S < GONE_S
+    assert disconnect_watch.LOOK_S + TURN_S < GONE_S
 
 
 @GOES
--- a/tests/crossings/test_clients_places.py
+++ b/tests/crossings/test_clients_places.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from molereach.clients import intake
+from molereach.clients import listener
 from molereach.clients import resp as clients
-from molereach.clients.intake import State
-from molereach.clients.states import CROWDED
+from molereach.clients.connection_state import CROWDED
+from molereach.clients.listener import State
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
@@ -29,7 +29,7 @@
         assert await peer.hear_until(OK) == OK
         peers.append(peer)
     for connection in door.clients.leaving[State.IDLE]:
-        connection.since_us -= intake.LEAST_IDLE_US
+        connection.since_us -= listener.LEAST_IDLE_US
     return peers
 
 
--- a/tests/crossings/test_sigterm_ends.py
+++ b/tests/crossings/test_sigterm_ends.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from molereach.clients.connection_state import NEVER, WAITS_US, State
 from molereach.clients.resp import MOST_PIPELINED
-from molereach.clients.states import NEVER, WAITS_US, State
 from molereach.proxy import connection_draining, graceful_shutdown
 from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
--- a/tests/crossings/test_sigterm_listener.py
+++ b/tests/crossings/test_sigterm_listener.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molereach.clients import intake
+from molereach.clients import listener
 from tests.crossings.sigterm import ENDS, before, dial_and_ask, drained, is_answer, shorten
 from tests.crossings.wire import Peer, until
 from tests.sockets import Backend, front_door, query, run
@@ -47,7 +47,7 @@
             before(door.clients, "end", lambda: held.append(door.clients.sockets))
             await drained(door)
             heard = [await client.hear_all() for client in came]
-            assert heard == [ENDS] * 4 + [intake.CROWDED] * 6 and held == [4]
+            assert heard == [ENDS] * 4 + [listener.CROWDED] * 6 and held == [4]
 
     run(job())
 
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -9,7 +9,7 @@
 from molereach.policy import interface as i
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from molereach.routing.interface import ListError, Seen, Staged
+from molereach.subsetting.interface import ListError, Seen, Staged
 from tests.sockets import CONFIG, HOST, Watch, entry
 
 SIZE = 93_000  # backends of the fleet that is coming
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -12,9 +12,9 @@
 from molereach.discovery.endpoint_discovery import LongNews, News
 from molereach.discovery.watch_stream import Steps
 from molereach.proxy.proxy import FrontDoor
-from molereach.routing.ring import Ring
-from molereach.routing.routing import Routing
-from molereach.routing.staging import Slice, Staging
+from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.ring import Ring
+from molereach.subsetting.staging import Slice, Staging
 from tests.crossings.wire import until
 from tests.discovery.made import entries_text, list_text, says
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
@@ -123,7 +123,7 @@
     async def job() -> None:
         begun, lost = asyncio.Event(), asyncio.Event()
         gone: list[int] = []
-        monkeypatch.setattr("molereach.routing.staging.STEP_ENTRIES", 1)
+        monkeypatch.setattr("molereach.subsetting.staging.STEP_ENTRIES", 1)
 
         async def whole(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD)
@@ -216,7 +216,7 @@
 
     async def job() -> None:
         begun = asyncio.Event()
-        monkeypatch.setattr("molereach.routing.staging.STEP_ENTRIES", 1)
+        monkeypatch.setattr("molereach.subsetting.staging.STEP_ENTRIES", 1)
 
         async def old(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(list_text(4, entries_text(count))))
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -10,7 +10,7 @@
 from molereach.proxy import proxy
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from molereach.routing.interface import Seen, Staged
+from molereach.subsetting.interface import Seen, Staged
 from tests.crossings.wire import until
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
 from tests.sockets import CONFIG, HEAD, chunk, run
--- a/tests/docs/files.py
+++ b/tests/docs/files.py
@@ -4,7 +4,7 @@
 import tomllib
 from pathlib import Path
 
-from molereach import command, operator
+from molereach import command, operator_config
 from molereach.fleet.settings import AgentFile, FleetFile, SettingsError, load
 from rig import scenario_files
 from tests.docs.marks import FILE_KINDS
@@ -12,7 +12,7 @@
 
 def operator_file(path: Path) -> None:
     """What `molereach config check` does."""
-    command.limits_of(path, operator.load(path))
+    command.limits_of(path, operator_config.load(path))
 
 
 def scenario(path: Path) -> None:
@@ -37,7 +37,7 @@
     """What is wrong with a file of a kind, in the program's own words; '' for nothing."""
     try:
         CHECKERS[kind](path)
-    except (operator.OperatorError, SettingsError, scenario_files.ScenarioError) as error:
+    except (operator_config.OperatorError, SettingsError, scenario_files.ScenarioError) as error:
         return str(error)
     return ""
 
--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molereach import operator
+from molereach import operator_config
 from tests.docs import blocks, files, page
 from tests.docs.conftest import NOTES, PAGES, Verdicts, read
 from tests.docs.shell import ROOT
@@ -51,4 +51,6 @@
 def test_every_section_of_the_operator_file_by_example() -> None:
     """Its key file is not there: only what the file says is checked."""
     text = files.switched_on((ROOT / "deploy" / "operator.toml").read_text())
-    assert set(operator.decode(text).sections_on()) == set(operator.OperatorFile.__struct_fields__)
+    assert set(operator_config.decode(text).sections_on()) == set(
+        operator_config.OperatorFile.__struct_fields__
+    )
--- a/tests/limits/test_words.py
+++ b/tests/limits/test_messages.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.limits.words import Codec
+from molereach.limits.messages import Codec
 from molereach.policy import interface as i
 from molereach.protocol.gossip_codec import WORD, pack_words, unpack_words
 
--- a/tests/limits/test_reach.py
+++ b/tests/limits/test_partition_quota.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.limits.reach import JOIN_US, Reach
+from molereach.limits.partition_quota import JOIN_US, Reach
 from molereach.limits.settings import LimitSettings
 from molereach.policy import interface as i
 from sim.histories import PLAN, QuotaHistory
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -7,11 +7,11 @@
 import pytest
 from msgspec.structs import replace
 
-from molereach import operator
+from molereach import operator_config
 from molereach.keyfile import KeyFileError, read_key
 from molereach.limits.core import Limits
+from molereach.limits.messages import Codec
 from molereach.limits.service import attacher
-from molereach.limits.words import Codec
 from molereach.policy import interface as i
 from molereach.proxy.config import parse
 from molereach.proxy.proxy import FrontDoor
@@ -44,7 +44,7 @@
 
 
 def test_section_switches_limits_on_before_the_first_event(tmp_path: Path) -> None:
-    section = operator.decode("[limits]\nlease_ms = 500\n").limits
+    section = operator_config.decode("[limits]\nlease_ms = 500\n").limits
     assert section
     attach = attacher(section)
 
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -14,7 +14,7 @@
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
 from molereach.proxy.proxy import FrontDoor
-from molereach.routing.routing import Routing
+from molereach.subsetting.endpoint_subsetting import Routing
 from tests.crossings.wire import until
 from tests.discovery.made import entries_text
 from tests.sockets import (
--- a/tests/routing/model.py
+++ b/tests/subsetting/model.py
@@ -6,13 +6,13 @@
 
 from molereach.policy import interface as i
 from molereach.policy.load_balancing import Fleet
-from molereach.routing.groups import STANDINS
-from molereach.routing.interface import Address, Seen
-from molereach.routing.places import LEAST_DOORS, RING, behind, door_place, place_of
-from molereach.routing.records import name_bytes
-from molereach.routing.routing import LONG, Routing
-from molereach.routing.staging import entry_of
-from molereach.routing.view import View, Whole
+from molereach.subsetting.endpoint_subsetting import LONG, Routing
+from molereach.subsetting.idempotency_groups import STANDINS
+from molereach.subsetting.interface import Address, Seen
+from molereach.subsetting.packed_records import name_bytes
+from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place, place_of
+from molereach.subsetting.staging import entry_of
+from molereach.subsetting.subset import View, Whole
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
--- a/tests/routing/test_routing.py
+++ b/tests/subsetting/test_endpoint_subsetting.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from molereach.policy import interface as i
-from molereach.routing import routing as module
-from molereach.routing import staging
-from molereach.routing.interface import ListError, Seen
-from molereach.routing.places import LEAST_DOORS
-from molereach.routing.records import name_bytes
-from molereach.routing.routing import LONG, finish
-from tests.routing.model import (
+from molereach.subsetting import endpoint_subsetting as module
+from molereach.subsetting import staging
+from molereach.subsetting.endpoint_subsetting import LONG, finish
+from molereach.subsetting.interface import ListError, Seen
+from molereach.subsetting.packed_records import name_bytes
+from molereach.subsetting.placement import LEAST_DOORS
+from tests.subsetting.model import (
     DRAINING,
     GONE,
     UP,
--- a/tests/routing/test_room.py
+++ b/tests/subsetting/test_entry_budget.py
@@ -5,9 +5,9 @@
 import pytest
 
 from molereach.policy import interface as i
-from molereach.routing.interface import RoomError
-from molereach.routing.routing import finish
-from tests.routing.model import World, addresses_of, server, settings_of
+from molereach.subsetting.endpoint_subsetting import finish
+from molereach.subsetting.interface import RoomError
+from tests.subsetting.model import World, addresses_of, server, settings_of
 
 FULL, CHANGES = i.ListKind.FULL, i.ListKind.CHANGES
 
--- a/tests/routing/test_ring.py
+++ b/tests/subsetting/test_ring.py
@@ -3,10 +3,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.routing.groups import Groups, kinds
-from molereach.routing.records import cell_of, is_up, name_of, pack, unpack, zone_of
-from molereach.routing.ring import Ring
-from tests.routing.model import DRAINING, GONE, UP, i, server, settings_of
+from molereach.subsetting.idempotency_groups import Groups, kinds
+from molereach.subsetting.packed_records import cell_of, is_up, name_of, pack, unpack, zone_of
+from molereach.subsetting.ring import Ring
+from tests.subsetting.model import DRAINING, GONE, UP, i, server, settings_of
 
 PLACES = st.one_of(st.integers(0, 5), st.integers(0, (1 << 64) - 1), st.just((1 << 64) - 1))
 STEP = st.tuples(st.sampled_from(("put", "drain", "remove")), st.integers(0, 12), PLACES)
--- a/tests/routing/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -14,13 +14,13 @@
 from molereach.policy.load_balancing import CHOICES, Fleet
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import Customer
-from molereach.routing.interface import Seen
-from molereach.routing.routing import Routing
-from molereach.routing.staging import entry_of
-from molereach.routing.view import View
+from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.interface import Seen
+from molereach.subsetting.staging import entry_of
+from molereach.subsetting.subset import View
 from tests.helpers import PLAN, SAFE
-from tests.routing.model import DRAINING, GONE, NOW, S, addresses_of, server, settings_of
-from tests.routing.steps import steps_of
+from tests.subsetting.model import DRAINING, GONE, NOW, S, addresses_of, server, settings_of
+from tests.subsetting.steps import steps_of
 
 SIZES = (1_000, 10_000, 50_000)
 SIZE, STANDINS_MOST = 64, 4  # of the view; what the stand-ins of the last one may add
--- a/tests/routing/test_view.py
+++ b/tests/subsetting/test_subset.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.routing.groups import STANDINS
-from molereach.routing.places import LEAST_DOORS, RING, behind, door_place, least_reach, place_of
-from molereach.routing.records import cell_of, zone_of
-from molereach.routing.view import View, Whole
-from tests.routing.model import DRAINING, entries_of, naive_reach, names_of, server, whole_of
+from molereach.subsetting.idempotency_groups import STANDINS
+from molereach.subsetting.packed_records import cell_of, zone_of
+from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place, least_reach, place_of
+from molereach.subsetting.subset import View, Whole
+from tests.subsetting.model import DRAINING, entries_of, naive_reach, names_of, server, whole_of
 
 CELLS = (cell_of,)
 BOTH = (zone_of, cell_of)
--- a/tests/routing/test_meanwhile.py
+++ b/tests/subsetting/test_takeover_overlay.py
@@ -5,9 +5,9 @@
 import pytest
 
 from molereach.policy import interface as i
-from molereach.routing.interface import ListError
-from molereach.routing.records import unpack
-from tests.routing.model import DRAINING, GONE, UP, World, addresses_of, server, settings_of
+from molereach.subsetting.interface import ListError
+from molereach.subsetting.packed_records import unpack
+from tests.subsetting.model import DRAINING, GONE, UP, World, addresses_of, server, settings_of
 
 MOST_AT_ONCE = 500  # entries taken over in one turn of the loop
 FULL, CHANGES = i.ListKind.FULL, i.ListKind.CHANGES
--- a/tests/test_operator.py
+++ b/tests/test_operator_config.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from molereach import command, operator
+from molereach import command, operator_config
 
 ROOT = Path(__file__).parents[1]
 
 
 def test_example_can_be_used() -> None:
-    found = operator.load(ROOT / "deploy" / "operator.toml")
-    assert found.log and found.log.level is operator.LogLevel.INFO
-    assert found.sections_on() == ["log"] and operator.decode("").sections_on() == []
+    found = operator_config.load(ROOT / "deploy" / "operator.toml")
+    assert found.log and found.log.level is operator_config.LogLevel.INFO
+    assert found.sections_on() == ["log"] and operator_config.decode("").sections_on() == []
 
 
 @pytest.mark.parametrize(
@@ -48,17 +48,17 @@
         line = capsys.readouterr().err
         assert line.startswith("molereach: ") and line.count("\n") == 1
         assert str(file) in line and reason in line
-    assert command.run([], {operator.ENVIRONMENT: str(file)}, serve) == 2
+    assert command.run([], {operator_config.ENVIRONMENT: str(file)}, serve) == 2
     assert not started  # nothing starts with a file that cannot be used
 
 
 def test_file_that_is_not_there_too_large_or_no_text(tmp_path: Path) -> None:
     large, odd = tmp_path / "large", tmp_path / "odd"
-    large.write_bytes(b"#" * (operator.MOST_FILE_BYTES + 1))
+    large.write_bytes(b"#" * (operator_config.MOST_FILE_BYTES + 1))
     odd.write_bytes(b"\xff\xfe")
     for path, reason in ((tmp_path / "none", "No such file"), (large, "larger than"), (odd, "utf-8")):
-        with pytest.raises(operator.OperatorError, match=reason) as caught:
-            operator.load(path)
+        with pytest.raises(operator_config.OperatorError, match=reason) as caught:
+            operator_config.load(path)
         assert str(path) in str(caught.value)
 
 
@@ -93,7 +93,7 @@
 def test_off_means_not_imported() -> None:
     """What `run` imports with no operator file is the front door and nothing that stands beside it."""
     code = "import sys, molereach.__main__; print(*sorted(sys.modules))"
-    env = {name: text for name, text in os.environ.items() if name != operator.ENVIRONMENT}
+    env = {name: text for name, text in os.environ.items() if name != operator_config.ENVIRONMENT}
     done = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
@@ -109,7 +109,7 @@
         "msgspec",
         "argparse",
         "tomllib",
-        "molereach.operator",
+        "molereach.operator_config",
         "molereach.command",
         "rig",
         "hiredis",
