--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,11 +15,11 @@
 from benchmarks.door import Instant, Loop, cost, start_door
 from benchmarks.result import Result, quantile
 from molereach.fleet.agent.link import Link
-from molereach.fleet.campaign.report import Verdict
+from molereach.fleet.api_bodies import Status
 from molereach.fleet.cli.client import CallError, Fleet
 from molereach.fleet.orders import Verb
+from molereach.fleet.rollout.report import Verdict
 from molereach.fleet.settings import FleetFile, load
-from molereach.fleet.view import Status
 from rig.clock import now_us
 from rig.doors import FRONT_DOOR, Door, die_with_parent
 from rig.fleet import FleetRig
--- a/molereach/cache/driver.py
+++ b/molereach/cache/driver.py
@@ -11,7 +11,7 @@
 from molereach.cache.purge.bodies import MACHINE, Ask, Done, decode, encode, ended, standing
 from molereach.cache.purge.machine import MOST_DONE_AT_ONCE, Purges
 from molereach.cache.purge.records import Asked
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Accounted,
     Applied,
@@ -22,7 +22,7 @@
     S,
     Tick,
 )
-from molereach.council.leases.accounts import Missing
+from molereach.coordination.leases.accounts import Missing
 
 LOOK_US = S // 10  # between two looks at whether a proof is complete
 WITHIN_US = 2 * S  # after that the log says UNKNOWN
--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -11,8 +11,8 @@
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.receipt import Receipt
 from molereach.cache.purge.records import Finished
-from molereach.council.interface import Life
-from molereach.council.leases.accounts import Missing
+from molereach.coordination.interface import Life
+from molereach.coordination.leases.accounts import Missing
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/cache/purge/bodies.py
+++ b/molereach/cache/purge/bodies.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 
 from molereach.cache.purge.ids import PurgeId
-from molereach.council.interface import MOST_DOORS, Name, Position, Wire
+from molereach.coordination.interface import MOST_DOORS, Name, Position, Wire
 
 MACHINE = "purge"
 MOST_PURGE_BODY_BYTES = 8 << 10  # the longest takes 5,300: `Done` with 256 fences
--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -78,8 +78,16 @@
     Holding(f"{RULES}.gossip.Words", "late", "words to homes", Effect.ENDS, "0.5 s"),
     Holding(f"{LIMITS}.escrow.Escrow", "out", "words of loans", Effect.ENDS, "the next look, 20 ms"),
     Holding(f"{LIMITS}.core.Limits", "answers", "words of limits", Effect.ENDS, "the next look, 20 ms"),
-    Holding(f"{LIMITS}.partition_quota.Reach", "fresh", "spending to be told", Effect.ENDS, "until it is told"),
-    Holding(f"{LIMITS}.partition_quota.Reach", "again", "spending to be told again", Effect.ENDS, "until it is told"),
+    Holding(
+        f"{LIMITS}.partition_quota.Reach", "fresh", "spending to be told", Effect.ENDS, "until it is told"
+    ),
+    Holding(
+        f"{LIMITS}.partition_quota.Reach",
+        "again",
+        "spending to be told again",
+        Effect.ENDS,
+        "until it is told",
+    ),
     # Requests under way
     Holding(f"{RULES}.attempts.Attempts", "jobs", "requests", Effect.ENDS, REQUEST),
     Holding(f"{RULES}.gateway.Gateway", "held", "requests that wait for a server", Effect.ENDS, REQUEST),
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -20,8 +20,8 @@
 from molereach.cache.purge.receipt import Receipt, receipt_of
 from molereach.cache.purge.records import Asked, Finished, Number
 from molereach.cache.readings.settings import MOST_AGE_US
-from molereach.council.interface import MOST_DOORS, Accounted, Entry, Outcome, Position, Wire
-from molereach.council.leases.sessions import Opened
+from molereach.coordination.interface import MOST_DOORS, Accounted, Entry, Outcome, Position, Wire
+from molereach.coordination.leases.sessions import Opened
 
 CLOCKS_MS = 5_000  # by which the wall clocks of front doors may differ
 MOST_DONE_AT_ONCE = 128  # purges, by one entry
--- a/molereach/cache/purge/past.py
+++ b/molereach/cache/purge/past.py
@@ -9,7 +9,7 @@
 
 from molereach.cache.purge.bodies import ClassName, Member
 from molereach.cache.purge.records import Millis
-from molereach.council.interface import Position, Wire
+from molereach.coordination.interface import Position, Wire
 
 MOST_AT_ONCE = 64  # let go of by one entry
 
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -3,14 +3,14 @@
 
 A session that has ended needs no word of its holder: the entry that ended it says how that is known. Only of
 one that is still open its own word is needed. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
-2.7; molereach/council/leases/accounts.py has the argument.
+2.7; molereach/coordination/leases/accounts.py has the argument.
 """
 
 from collections.abc import Container, Iterable
 from typing import Protocol
 
-from molereach.council.interface import Accounted, Known
-from molereach.council.leases.sessions import Opened, Past
+from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.leases.sessions import Opened, Past
 
 
 class SessionsView(Protocol):
--- a/molereach/cache/purge/receipt.py
+++ b/molereach/cache/purge/receipt.py
@@ -14,7 +14,7 @@
 from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
 from molereach.cache.purge.records import Finished, Millis
-from molereach.council.interface import MOST_DOORS, Accounted, Known, Name, Position, Wire
+from molereach.coordination.interface import MOST_DOORS, Accounted, Known, Name, Position, Wire
 
 HASH_BYTES = 32
 
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -87,7 +87,7 @@
     if settings.council is None:
         return None
     from molereach import keyfile
-    from molereach.council.node import attach
+    from molereach.coordination.node import attach
 
     try:
         return attach.attacher(settings.council)
--- a/molereach/council/spread/beat.py
+++ b/molereach/coordination/dissemination/beat.py
@@ -4,8 +4,8 @@
 leaves all the same, a little more than a beat after the last, so that who is cut off goes on asking.
 """
 
-from molereach.council.interface import NEVER_US
-from molereach.council.spread.settings import Settings
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.interface import NEVER_US
 
 
 class Beat:
--- a/molereach/council/spread/children.py
+++ b/molereach/coordination/dissemination/children.py
@@ -6,9 +6,9 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import MOST_DOORS, Life
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import Up
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import Up
+from molereach.coordination.interface import MOST_DOORS, Life
 
 
 @dataclass(slots=True)
--- a/molereach/council/spread/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -7,12 +7,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from molereach.council.interface import MOST_DOORS, NEVER_US, Heard, Life, Say, Tick
-from molereach.council.spread.beat import Beat
-from molereach.council.spread.listening import Listening
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.telling import Actions, Telling
-from molereach.council.spread.words import (
+from molereach.coordination.dissemination.beat import Beat
+from molereach.coordination.dissemination.listening import Listening
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.telling import Actions, Telling
+from molereach.coordination.dissemination.words import (
     Down,
     Fetch,
     Gathered,
@@ -27,6 +26,7 @@
     View,
     Whom,
 )
+from molereach.coordination.interface import MOST_DOORS, NEVER_US, Heard, Life, Say, Tick
 
 
 class Spread:
--- a/molereach/council/spread/gather.py
+++ b/molereach/coordination/dissemination/gather.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from molereach.council.interface import MOST_DOORS
-from molereach.council.spread.words import Ask, Grant
+from molereach.coordination.dissemination.words import Ask, Grant
+from molereach.coordination.interface import MOST_DOORS
 
 K = TypeVar("K")
 V = TypeVar("V")
--- a/molereach/council/spread/listening.py
+++ b/molereach/coordination/dissemination/listening.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable, Collection
 
-from molereach.council.interface import Life
-from molereach.council.spread.parent import Above, Mark
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.standing import Standing
-from molereach.council.spread.words import Redirect, View
+from molereach.coordination.dissemination.parent import Above, Mark
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.standing import Standing
+from molereach.coordination.dissemination.words import Redirect, View
+from molereach.coordination.interface import Life
 
 
 class Listening:
--- a/molereach/council/spread/parent.py
+++ b/molereach/coordination/dissemination/parent.py
@@ -11,9 +11,9 @@
 
 from collections.abc import Callable, Collection
 
-from molereach.council.interface import NEVER_US
-from molereach.council.spread.ranks import Ranks
-from molereach.council.spread.settings import Settings
+from molereach.coordination.dissemination.ranks import Ranks
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.interface import NEVER_US
 
 Mark = tuple[int, int]  # ballot and number of a pulse
 ROUND = 6  # candidates before the first is asked again
--- a/molereach/council/spread/pass_on.py
+++ b/molereach/coordination/dissemination/pass_on.py
@@ -7,9 +7,9 @@
 from collections import deque
 from collections.abc import Sequence
 
-from molereach.council.interface import Entry
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import MOST_ENTRIES
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import MOST_ENTRIES
+from molereach.coordination.interface import Entry
 
 ENTRY_BYTES = 320  # of an entry, its body not counted: most for names and the id, and what frames them
 
--- a/molereach/council/spread/ranks.py
+++ b/molereach/coordination/dissemination/ranks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from functools import cached_property
 
-from molereach.council.interface import MOST_DOORS
+from molereach.coordination.interface import MOST_DOORS
 
 
 class Ranks:
--- a/molereach/council/spread/settings.py
+++ b/molereach/coordination/dissemination/settings.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import MOST_DOORS, S
+from molereach.coordination.interface import MOST_DOORS, S
 
 MOST_CHILDREN = 64  # whatever the settings say
 
--- a/molereach/council/spread/standing.py
+++ b/molereach/coordination/dissemination/standing.py
@@ -1,8 +1,8 @@
 """Who lives and who leads, as far as is known here. A ballot never goes back, whoever tells of it."""
 
-from molereach.council.interface import MOST_DOORS, Life
-from molereach.council.spread.ranks import Ranks
-from molereach.council.spread.words import View
+from molereach.coordination.dissemination.ranks import Ranks
+from molereach.coordination.dissemination.words import View
+from molereach.coordination.interface import MOST_DOORS, Life
 
 
 class Standing:
--- a/molereach/council/spread/telling.py
+++ b/molereach/coordination/dissemination/telling.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Iterable
 
-from molereach.council.interface import Say
-from molereach.council.spread.children import Children
-from molereach.council.spread.gather import Gather
-from molereach.council.spread.parent import Above
-from molereach.council.spread.pass_on import PassOn
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.standing import Standing
-from molereach.council.spread.words import Action, Down, Grant, Granted, Grown, Redirect
+from molereach.coordination.dissemination.children import Children
+from molereach.coordination.dissemination.gather import Gather
+from molereach.coordination.dissemination.parent import Above
+from molereach.coordination.dissemination.pass_on import PassOn
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.standing import Standing
+from molereach.coordination.dissemination.words import Action, Down, Grant, Granted, Grown, Redirect
+from molereach.coordination.interface import Say
 
 Actions = list[Action | Say]
 
--- a/molereach/council/spread/words.py
+++ b/molereach/coordination/dissemination/words.py
@@ -9,7 +9,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import MOST_DOORS, Ask, Entry, Grant, Life, Name, Position, Wire
+from molereach.coordination.interface import MOST_DOORS, Ask, Entry, Grant, Life, Name, Position, Wire
 
 __all__ = ["MOST_ENTRIES", "Ask", "Down", "Grant", "Message", "Redirect", "Up", "Whom"]
 
--- a/molereach/council/leases/accounts.py
+++ b/molereach/coordination/leases/accounts.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.council.interface import Accounted, Known, Life
-from molereach.council.leases.sessions import Opened, Past, Sessions
+from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.leases.sessions import Opened, Past, Sessions
 
 
 class Saying(Protocol):
--- a/molereach/council/leases/asks.py
+++ b/molereach/coordination/leases/asks.py
@@ -4,8 +4,8 @@
 used again within a life, so a grant that is old, doubled or for an ask that was forgotten finds nothing.
 """
 
-from molereach.council.interface import Life
-from molereach.council.leases.words import Ask, Grant
+from molereach.coordination.interface import Life
+from molereach.coordination.leases.words import Ask, Grant
 
 MOST_ASKS = 16  # remembered without a grant
 
--- a/molereach/council/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Life, Position, Wire
+from molereach.coordination.interface import Life, Position, Wire
 
 MACHINE = "sessions"
 MOST_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
--- a/molereach/council/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Sequence
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Leads,
@@ -22,11 +22,11 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.asks import Asks
-from molereach.council.leases.bodies import Body, Close, Open
-from molereach.council.leases.proposal import WITHIN_BEATS, Proposal
-from molereach.council.leases.sessions import Sessions
-from molereach.council.leases.words import BEAT_US, Ask, Granted, Held, Leave, Lost, Phase
+from molereach.coordination.leases.asks import Asks
+from molereach.coordination.leases.bodies import Body, Close, Open
+from molereach.coordination.leases.proposal import WITHIN_BEATS, Proposal
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.words import BEAT_US, Ask, Granted, Held, Leave, Lost, Phase
 
 MOST_BACKOFF_BEATS = 10
 
--- a/molereach/council/leases/keeper.py
+++ b/molereach/coordination/leases/keeper.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Confirm,
@@ -27,11 +27,11 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.bodies import MACHINE, Ended, Keeping, encode
-from molereach.council.leases.proposal import WITHIN_BEATS
-from molereach.council.leases.rounds import Rounds
-from molereach.council.leases.sessions import Sessions
-from molereach.council.leases.words import BEAT_US, Ask, Asked, Given, Grant
+from molereach.coordination.leases.bodies import MACHINE, Ended, Keeping, encode
+from molereach.coordination.leases.proposal import WITHIN_BEATS
+from molereach.coordination.leases.rounds import Rounds
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.words import BEAT_US, Ask, Asked, Given, Grant
 
 Event = Leads | Asked | Confirmed | Tick | Applied | Restored | ProposalOver
 Action = Confirm | Given | Propose
--- a/molereach/council/leases/rounds.py
+++ b/molereach/coordination/leases/rounds.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from molereach.council.leases.words import Ask
+from molereach.coordination.leases.words import Ask
 
 MOST_ROUNDS = 4  # without an answer; the oldest is then forgotten, and its asks are made anew
 
--- a/molereach/council/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import MOST_DOORS, Entry, Known, Life, Name, Outcome, Position, Wire
-from molereach.council.leases.bodies import MACHINE, BallotNumber, Close, Ended, Keeping, Open, decode
+from molereach.coordination.interface import MOST_DOORS, Entry, Known, Life, Name, Outcome, Position, Wire
+from molereach.coordination.leases.bodies import MACHINE, BallotNumber, Close, Ended, Keeping, Open, decode
 
 MOST_PAST = 4  # ended sessions kept of each name, for accounts under way
 
--- a/molereach/council/leases/words.py
+++ b/molereach/coordination/leases/words.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.council.interface import Ask, Grant, S
+from molereach.coordination.interface import Ask, Grant, S
 
 __all__ = ["BEAT_US", "Ask", "Asked", "Given", "Grant", "Granted", "Held", "Leave", "Lost", "Phase"]
 
--- a/molereach/council/membership/beliefs.py
+++ b/molereach/coordination/membership/beliefs.py
@@ -7,14 +7,14 @@
 
 import msgspec
 
-from molereach.council.interface import NEVER_US, Life
-from molereach.council.membership.doubt import Doubt
-from molereach.council.membership.events import Changed, Displaced, Doubts
-from molereach.council.membership.gossip import Gossip
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.membership.suspicion import Suspicion
-from molereach.council.membership.table import Table
-from molereach.council.membership.words import MOST_INCARNATION, Rumour, Status
+from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.membership.doubt import Doubt
+from molereach.coordination.membership.events import Changed, Displaced, Doubts
+from molereach.coordination.membership.gossip import Gossip
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.membership.suspicion import Suspicion
+from molereach.coordination.membership.table import Table
+from molereach.coordination.membership.words import MOST_INCARNATION, Rumour, Status
 
 News = Changed | Displaced | Doubts
 
--- a/molereach/council/membership/core.py
+++ b/molereach/coordination/membership/core.py
@@ -9,16 +9,16 @@
 
 from collections.abc import Sequence
 
-from molereach.council.interface import MOST_DOORS, NEVER_US, Heard, Life, Tick
-from molereach.council.membership.beliefs import Beliefs
-from molereach.council.membership.doubt import Doubt
-from molereach.council.membership.events import Displaced, Join, Leave
-from molereach.council.membership.gossip import most_told
-from molereach.council.membership.outbox import Action, Outbox
-from molereach.council.membership.probes import Draw, Rounds, sample
-from molereach.council.membership.probing import Probing
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.membership.words import Ack, Message, Nack, Ping, PingReq, Status, Sync
+from molereach.coordination.interface import MOST_DOORS, NEVER_US, Heard, Life, Tick
+from molereach.coordination.membership.beliefs import Beliefs
+from molereach.coordination.membership.doubt import Doubt
+from molereach.coordination.membership.events import Displaced, Join, Leave
+from molereach.coordination.membership.gossip import most_told
+from molereach.coordination.membership.outbox import Action, Outbox
+from molereach.coordination.membership.probes import Draw, Rounds, sample
+from molereach.coordination.membership.probing import Probing
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.membership.words import Ack, Message, Nack, Ping, PingReq, Status, Sync
 
 MOST_SEEDS_ASKED = 3  # at once
 MOST_TOLD_AT_ONCE = 3  # of a refutation, beside those that it rides to on the next messages
--- a/molereach/council/membership/events.py
+++ b/molereach/coordination/membership/events.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import Life
-from molereach.council.membership.words import Status
+from molereach.coordination.interface import Life
+from molereach.coordination.membership.words import Status
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/council/membership/gossip.py
+++ b/molereach/coordination/membership/gossip.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Iterable
 
-from molereach.council.membership.words import Rumour, Status, fit
+from molereach.coordination.membership.words import Rumour, Status, fit
 
 TOLD_FACTOR = 3
 
--- a/molereach/council/membership/outbox.py
+++ b/molereach/coordination/membership/outbox.py
@@ -5,11 +5,11 @@
 
 from collections.abc import Iterable, Sequence
 
-from molereach.council.interface import Say
-from molereach.council.membership.beliefs import Beliefs, News
-from molereach.council.membership.events import Changed, Displaced, Doubts
-from molereach.council.membership.probes import Rounds
-from molereach.council.membership.words import Ack, Message, Nack, Ping, PingReq, Rumour, Sync, pieces
+from molereach.coordination.interface import Say
+from molereach.coordination.membership.beliefs import Beliefs, News
+from molereach.coordination.membership.events import Changed, Displaced, Doubts
+from molereach.coordination.membership.probes import Rounds
+from molereach.coordination.membership.words import Ack, Message, Nack, Ping, PingReq, Rumour, Sync, pieces
 
 Action = Say | News
 
--- a/molereach/council/membership/probing.py
+++ b/molereach/coordination/membership/probing.py
@@ -3,11 +3,11 @@
 Source: SWIM, section 3.1; Lifeguard, section IV.A (times that grow with the doubt of oneself).
 """
 
-from molereach.council.interface import NEVER_US, Life
-from molereach.council.membership.beliefs import Beliefs
-from molereach.council.membership.outbox import Outbox
-from molereach.council.membership.probes import Draw, Probe, Relays, sample
-from molereach.council.membership.words import MOST_SEQ, PingReq
+from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.membership.beliefs import Beliefs
+from molereach.coordination.membership.outbox import Outbox
+from molereach.coordination.membership.probes import Draw, Probe, Relays, sample
+from molereach.coordination.membership.words import MOST_SEQ, PingReq
 
 
 class Probing:
--- a/molereach/council/membership/settings.py
+++ b/molereach/coordination/membership/settings.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import S
+from molereach.coordination.interface import S
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/council/membership/suspicion.py
+++ b/molereach/coordination/membership/suspicion.py
@@ -6,7 +6,7 @@
 
 import math
 
-from molereach.council.membership.settings import MembershipSettings
+from molereach.coordination.membership.settings import MembershipSettings
 
 
 def shortest_us(settings: MembershipSettings, members: int) -> int:
--- a/molereach/council/membership/table.py
+++ b/molereach/coordination/membership/table.py
@@ -14,9 +14,9 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import MOST_DOORS, Life
-from molereach.council.membership.events import Changed
-from molereach.council.membership.words import Rumour, Status
+from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.membership.events import Changed
+from molereach.coordination.membership.words import Rumour, Status
 
 
 @dataclass(slots=True)
--- a/molereach/council/membership/words.py
+++ b/molereach/coordination/membership/words.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Life, LifeNumber, Name, Wire
+from molereach.coordination.interface import Life, LifeNumber, Name, Wire
 
 MOST_MESSAGE_BYTES = 1_200
 MOST_FRAME_BYTES = 150  # of a message without its rumours: the longest is a PingReq with a name of 64
--- a/molereach/council/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -4,10 +4,10 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from molereach.council.interface import Terms
-from molereach.council.node.service import CouncilService, open_folder
-from molereach.council.node.settings import MS, CouncilSettings
-from molereach.council.store.store import StoreError
+from molereach.coordination.interface import Terms
+from molereach.coordination.node.service import CouncilService, open_folder
+from molereach.coordination.node.settings import MS, CouncilSettings
+from molereach.coordination.storage.store import StoreError
 from molereach.keyfile import read_key
 from molereach.operator_config import CouncilSection
 from molereach.proxy.config import ConfigError, read_address
--- a/molereach/council/node/first.py
+++ b/molereach/coordination/node/first.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections.abc import Sequence
 
-from molereach.council.log.words import Panel, Seat
+from molereach.coordination.replicated_log.words import Panel, Seat
 
 IDENTITY_BYTES = 16
 NO_DISK = "0" * 32  # of a front door without a folder: it learns, and has no seat
--- a/molereach/council/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -3,22 +3,22 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.council.interface import Life, StateMachine
-from molereach.council.leases.holder import Holder
-from molereach.council.leases.keeper import Keeper
-from molereach.council.leases.sessions import Sessions
-from molereach.council.log import words as log_words
-from molereach.council.log.core import LogCore
-from molereach.council.log.records import Recovered
-from molereach.council.log.settings import Settings as LogSettings
-from molereach.council.log.words import Panel
-from molereach.council.membership import words as membership_words
-from molereach.council.membership.core import Membership
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.node.settings import CouncilSettings
-from molereach.council.spread import words as spread_words
-from molereach.council.spread.core import Spread
-from molereach.council.spread.settings import Settings as SpreadSettings
+from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.dissemination.core import Spread
+from molereach.coordination.dissemination.settings import Settings as SpreadSettings
+from molereach.coordination.interface import Life, StateMachine
+from molereach.coordination.leases.holder import Holder
+from molereach.coordination.leases.keeper import Keeper
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.membership import words as membership_words
+from molereach.coordination.membership.core import Membership
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log.core import LogCore
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.settings import Settings as LogSettings
+from molereach.coordination.replicated_log.words import Panel
 
 MEMBERSHIP, LOG, SPREAD = "membership", "log", "spread"
 WORDS: dict[str, Any] = {
--- a/molereach/council/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from molereach.clock import now_us
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     DiskFailed,
@@ -29,19 +29,19 @@
     StateMachine,
     Tick,
 )
-from molereach.council.leases.words import Held, Lost
-from molereach.council.links.service import Links
-from molereach.council.log.learner import MachineFailed
-from molereach.council.log.outbox import Stopped
-from molereach.council.log.records import Recovered, recover
-from molereach.council.log.starts import SetBack
-from molereach.council.membership.events import Changed
-from molereach.council.node.first import NO_DISK, first_identity, first_panel
-from molereach.council.node.parts import WORDS
-from molereach.council.node.settings import Address, CouncilSettings
-from molereach.council.node.wiring import Action, Begin, Council, Ended, Event, From, Leave, Left, To
-from molereach.council.store.store import Opened, Store, draw_identity
-from molereach.council.store.worker import Worker
+from molereach.coordination.leases.words import Held, Lost
+from molereach.coordination.membership.events import Changed
+from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
+from molereach.coordination.node.parts import WORDS
+from molereach.coordination.node.settings import Address, CouncilSettings
+from molereach.coordination.node.wiring import Action, Begin, Council, Ended, Event, From, Leave, Left, To
+from molereach.coordination.replicated_log.learner import MachineFailed
+from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.records import Recovered, recover
+from molereach.coordination.replicated_log.starts import SetBack
+from molereach.coordination.storage.store import Opened, Store, draw_identity
+from molereach.coordination.storage.worker import Worker
+from molereach.coordination.transport.service import Links
 
 log = logging.getLogger(__name__)
 
--- a/molereach/council/node/settings.py
+++ b/molereach/coordination/node/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from molereach.council.interface import MOST_DOORS, PANEL_SIZES, S, Terms
+from molereach.coordination.interface import MOST_DOORS, PANEL_SIZES, S, Terms
 
 MS = 1000  # microseconds in a millisecond
 LEAST_SESSION_BEATS = 4  # or one lost word ends a session
--- a/molereach/council/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.council.interface import (
+from molereach.coordination.dissemination import words as tree
+from molereach.coordination.interface import (
     Applied,
     Ask,
     Confirm,
@@ -28,20 +29,19 @@
     StateMachine,
     Tick,
 )
-from molereach.council.leases import words as lease
-from molereach.council.leases.accounts import Account
-from molereach.council.leases.words import Phase
-from molereach.council.log.core import CatchUp, Learn
-from molereach.council.log.learner import MachineFailed
-from molereach.council.log.outbox import Stopped
-from molereach.council.log.records import Recovered
-from molereach.council.log.starts import SetBack
-from molereach.council.log.words import Panel
-from molereach.council.membership.events import Changed, Displaced, Doubts, Join
-from molereach.council.membership.events import Leave as LeaveMembers
-from molereach.council.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
-from molereach.council.node.settings import CouncilSettings
-from molereach.council.spread import words as tree
+from molereach.coordination.leases import words as lease
+from molereach.coordination.leases.accounts import Account
+from molereach.coordination.leases.words import Phase
+from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join
+from molereach.coordination.membership.events import Leave as LeaveMembers
+from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
+from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.replicated_log.core import CatchUp, Learn
+from molereach.coordination.replicated_log.learner import MachineFailed
+from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.starts import SetBack
+from molereach.coordination.replicated_log.words import Panel
 
 MOST_RECENT = 64  # entries that were just applied, handed to the tree at once
 
--- a/molereach/council/log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -10,8 +10,8 @@
 from collections.abc import Sequence
 from itertools import pairwise
 
-from molereach.council.interface import Entry
-from molereach.council.log.words import NOBODY, Ballot
+from molereach.coordination.interface import Entry
+from molereach.coordination.replicated_log.words import NOBODY, Ballot
 
 
 class Acceptor:
--- a/molereach/council/log/catchup.py
+++ b/molereach/coordination/replicated_log/catchup.py
@@ -6,10 +6,10 @@
 
 from hashlib import blake2b
 
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.records import decode_snapshot, encode
-from molereach.council.log.settings import MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
-from molereach.council.log.words import Known, Piece, Want, WantPiece
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.records import decode_snapshot, encode
+from molereach.coordination.replicated_log.settings import MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
+from molereach.coordination.replicated_log.words import Known, Piece, Want, WantPiece
 
 MOST_REPEATS = 5  # of a question that is not answered
 
--- a/molereach/council/log/confirm.py
+++ b/molereach/coordination/replicated_log/confirm.py
@@ -5,8 +5,8 @@
 was elected by then. A leader that was stopped finds the same, however old its last round is.
 """
 
-from molereach.council.log.recovery import settled
-from molereach.council.log.words import Follow, Panel, Voter
+from molereach.coordination.replicated_log.recovery import settled
+from molereach.coordination.replicated_log.words import Follow, Panel, Voter
 
 MOST_QUESTIONS = 1024
 
--- a/molereach/council/log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Confirm,
     DiskFailed,
     Entry,
@@ -15,22 +15,22 @@
     StateMachine,
     Tick,
 )
-from molereach.council.log.acceptor import in_order
-from molereach.council.log.catchup import CatchingUp
-from molereach.council.log.election import Election
-from molereach.council.log.leader import Queue
-from molereach.council.log.leading import Leading
-from molereach.council.log.learner import OWN, Learner
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.outbox import Outbox
-from molereach.council.log.panel import check
-from molereach.council.log.proposals import Proposals
-from molereach.council.log.records import Recovered
-from molereach.council.log.recovery import Recovery
-from molereach.council.log.settings import Settings
-from molereach.council.log.starts import Starts
-from molereach.council.log.voting import Voting
-from molereach.council.log.words import (
+from molereach.coordination.replicated_log.acceptor import in_order
+from molereach.coordination.replicated_log.catchup import CatchingUp
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.leader import Queue
+from molereach.coordination.replicated_log.leading import Leading
+from molereach.coordination.replicated_log.learner import OWN, Learner
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.outbox import Outbox
+from molereach.coordination.replicated_log.panel import check
+from molereach.coordination.replicated_log.proposals import Proposals
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.starts import Starts
+from molereach.coordination.replicated_log.voting import Voting
+from molereach.coordination.replicated_log.words import (
     Accept,
     Accepted,
     Ask,
--- a/molereach/council/log/election.py
+++ b/molereach/coordination/replicated_log/election.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from molereach.council.log.panel import majority
-from molereach.council.log.settings import Settings
-from molereach.council.log.words import Ballot, Panel, Polled
+from molereach.coordination.replicated_log.panel import majority
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.words import Ballot, Panel, Polled
 
 
 class Election:
--- a/molereach/council/log/leader.py
+++ b/molereach/coordination/replicated_log/leader.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from enum import Enum
 
-from molereach.council.interface import Entry
-from molereach.council.log.confirm import Rounds
-from molereach.council.log.learner import OWN, Learner
-from molereach.council.log.panel import majority
-from molereach.council.log.recovery import settled
-from molereach.council.log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
-from molereach.council.log.words import Ask, Ballot, Panel, Promise, Voter
+from molereach.coordination.interface import Entry
+from molereach.coordination.replicated_log.confirm import Rounds
+from molereach.coordination.replicated_log.learner import OWN, Learner
+from molereach.coordination.replicated_log.panel import majority
+from molereach.coordination.replicated_log.recovery import settled
+from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
+from molereach.coordination.replicated_log.words import Ask, Ballot, Panel, Promise, Voter
 
 
 class Phase(Enum):
--- a/molereach/council/log/leading.py
+++ b/molereach/coordination/replicated_log/leading.py
@@ -4,13 +4,13 @@
 log moves by anything but its own decisions while it leads was replaced, and steps down as well.
 """
 
-from molereach.council.interface import Confirmed, Leads, Life
-from molereach.council.log.acceptor import in_order
-from molereach.council.log.election import Election
-from molereach.council.log.leader import Leadership, Phase, Queue
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.panel import seat_of
-from molereach.council.log.words import (
+from molereach.coordination.interface import Confirmed, Leads, Life
+from molereach.coordination.replicated_log.acceptor import in_order
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.leader import Leadership, Phase, Queue
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.panel import seat_of
+from molereach.coordination.replicated_log.words import (
     Accept,
     Accepted,
     Ask,
--- a/molereach/council/log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from molereach.council.interface import Applied, Entry, Outcome, StateMachine
-from molereach.council.log.once import REPEATED, USED, Done, Once
-from molereach.council.log.panel import changed
-from molereach.council.log.records import Snapshot
-from molereach.council.log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
-from molereach.council.log.words import Panel
+from molereach.coordination.interface import Applied, Entry, Outcome, StateMachine
+from molereach.coordination.replicated_log.once import REPEATED, USED, Done, Once
+from molereach.coordination.replicated_log.panel import changed
+from molereach.coordination.replicated_log.records import Snapshot
+from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
+from molereach.coordination.replicated_log.words import Panel
 
 OWN = "log"  # the machine of entries of the log's own; `Entry.machine` cannot be empty once it was sent
 
--- a/molereach/council/log/ledger.py
+++ b/molereach/coordination/replicated_log/ledger.py
@@ -6,11 +6,11 @@
 
 from collections.abc import Sequence
 
-from molereach.council.interface import Applied, Entry, Restored
-from molereach.council.log.acceptor import Acceptor
-from molereach.council.log.learner import Learner
-from molereach.council.log.outbox import Outbox
-from molereach.council.log.records import (
+from molereach.coordination.interface import Applied, Entry, Restored
+from molereach.coordination.replicated_log.acceptor import Acceptor
+from molereach.coordination.replicated_log.learner import Learner
+from molereach.coordination.replicated_log.outbox import Outbox
+from molereach.coordination.replicated_log.records import (
     Base,
     Decided,
     Promised,
@@ -21,9 +21,9 @@
     Voted,
     Wrote,
 )
-from molereach.council.log.recovery import Recovery
-from molereach.council.log.settings import MOST_BATCH, Settings
-from molereach.council.log.words import Ballot, Panel, Run, Voter
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.settings import MOST_BATCH, Settings
+from molereach.coordination.replicated_log.words import Ballot, Panel, Run, Voter
 
 
 class Ledger:
--- a/molereach/council/log/once.py
+++ b/molereach/coordination/replicated_log/once.py
@@ -12,7 +12,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import Entry, Id, Outcome, Position, Wire
+from molereach.coordination.interface import Entry, Id, Outcome, Position, Wire
 
 REPEATED = "a repeat of the entry at {}"
 USED = "an id used for something else"
--- a/molereach/council/log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.council.interface import Life, Persist, Say
-from molereach.council.log.records import Base, Record, encode
-from molereach.council.log.words import Message
+from molereach.coordination.interface import Life, Persist, Say
+from molereach.coordination.replicated_log.records import Base, Record, encode
+from molereach.coordination.replicated_log.words import Message
 
 MOST_UNSYNCED = 1024  # writes under way: with more, a disk that hangs is given nothing new to vote for
 MOST_WAITING = 4096  # words that wait for the disk
--- a/molereach/council/log/panel.py
+++ b/molereach/coordination/replicated_log/panel.py
@@ -11,8 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import PANEL_SIZES, Outcome, Wire
-from molereach.council.log.words import Panel, Seat
+from molereach.coordination.interface import PANEL_SIZES, Outcome, Wire
+from molereach.coordination.replicated_log.words import Panel, Seat
 
 Pair = Annotated[tuple[Seat, ...], Meta(min_length=2, max_length=2)]
 
--- a/molereach/council/log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     MOST_BODY_BYTES,
     MOST_ID_CHARS,
     NEVER_US,
@@ -15,9 +15,9 @@
     ProposalOver,
     Propose,
 )
-from molereach.council.log.learner import OWN, Learner
-from molereach.council.log.settings import Settings
-from molereach.council.log.words import Ask
+from molereach.coordination.replicated_log.learner import OWN, Learner
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.words import Ask
 
 
 @dataclass(slots=True)
--- a/molereach/council/log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -11,11 +11,11 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Entry, Position, Wire
-from molereach.council.log.acceptor import Acceptor, in_order
-from molereach.council.log.once import Done
-from molereach.council.log.settings import MOST_RUNS
-from molereach.council.log.words import NOBODY, Ballot, Batch, Disk, Panel, Run, Starts
+from molereach.coordination.interface import Entry, Position, Wire
+from molereach.coordination.replicated_log.acceptor import Acceptor, in_order
+from molereach.coordination.replicated_log.once import Done
+from molereach.coordination.replicated_log.settings import MOST_RUNS
+from molereach.coordination.replicated_log.words import NOBODY, Ballot, Batch, Disk, Panel, Run, Starts
 
 Runs = Annotated[tuple[Run, ...], Meta(max_length=MOST_RUNS)]
 
--- a/molereach/council/log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -15,12 +15,12 @@
 
 from collections.abc import Mapping
 
-from molereach.council.interface import Life
-from molereach.council.log.acceptor import Acceptor, rest
-from molereach.council.log.learner import Learner
-from molereach.council.log.panel import majority
-from molereach.council.log.settings import MOST_RUNS
-from molereach.council.log.words import NOBODY, Exists, Noted, Panel, Run, Seat, Voter
+from molereach.coordination.interface import Life
+from molereach.coordination.replicated_log.acceptor import Acceptor, rest
+from molereach.coordination.replicated_log.learner import Learner
+from molereach.coordination.replicated_log.panel import majority
+from molereach.coordination.replicated_log.settings import MOST_RUNS
+from molereach.coordination.replicated_log.words import NOBODY, Exists, Noted, Panel, Run, Seat, Voter
 
 
 class Recovery:
--- a/molereach/council/log/starts.py
+++ b/molereach/coordination/replicated_log/starts.py
@@ -5,11 +5,11 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import NEVER_US, Life
-from molereach.council.log.catchup import CatchingUp
-from molereach.council.log.election import Election
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.words import Exists, Noted, Start
+from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.replicated_log.catchup import CatchingUp
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.words import Exists, Noted, Start
 
 SLOWER = 8  # times `again_us` between words to seats whose answers are not needed any more
 
--- a/molereach/council/log/voting.py
+++ b/molereach/coordination/replicated_log/voting.py
@@ -4,12 +4,12 @@
 more tells it, one that has less asks. A ballot is believed only from its own run.
 """
 
-from molereach.council.interface import Life
-from molereach.council.log.acceptor import in_order
-from molereach.council.log.catchup import CatchingUp
-from molereach.council.log.election import Election
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.words import (
+from molereach.coordination.interface import Life
+from molereach.coordination.replicated_log.acceptor import in_order
+from molereach.coordination.replicated_log.catchup import CatchingUp
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.words import (
     Accept,
     Accepted,
     Ballot,
--- a/molereach/council/log/words.py
+++ b/molereach/coordination/replicated_log/words.py
@@ -8,8 +8,17 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import MOST_BODY_BYTES, Entry, Id, Life, LifeNumber, Name, Position, Wire
-from molereach.council.log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
+from molereach.coordination.interface import (
+    MOST_BODY_BYTES,
+    Entry,
+    Id,
+    Life,
+    LifeNumber,
+    Name,
+    Position,
+    Wire,
+)
+from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
 
 MOST_SEATS = 7
 
--- a/molereach/council/store/reader.py
+++ b/molereach/coordination/storage/reader.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from molereach.council.store import frames, whole
-from molereach.council.store.disk import Disk
-from molereach.council.store.plan import IDENTITY, FileError, base_name, tail_name
-from molereach.council.store.whole import Owner
+from molereach.coordination.storage import frames, whole
+from molereach.coordination.storage.disk import Disk
+from molereach.coordination.storage.plan import IDENTITY, FileError, base_name, tail_name
+from molereach.coordination.storage.whole import Owner
 
 T = TypeVar("T")
 
--- a/molereach/council/store/store.py
+++ b/molereach/coordination/storage/store.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from molereach.council.interface import Persist
-from molereach.council.store import whole
-from molereach.council.store.disk import Disk, File
-from molereach.council.store.frames import MOST_TAIL_BYTES, Chain
-from molereach.council.store.plan import (
+from molereach.coordination.interface import Persist
+from molereach.coordination.storage import whole
+from molereach.coordination.storage.disk import Disk, File
+from molereach.coordination.storage.frames import MOST_TAIL_BYTES, Chain
+from molereach.coordination.storage.plan import (
     IDENTITY,
     MOST_NAMES,
     NEW,
@@ -28,8 +28,8 @@
     plan,
     tail_name,
 )
-from molereach.council.store.reader import load
-from molereach.council.store.whole import IDENTITY_BYTES, Owner
+from molereach.coordination.storage.reader import load
+from molereach.coordination.storage.whole import IDENTITY_BYTES, Owner
 
 
 class StoreError(Exception):
--- a/molereach/council/store/whole.py
+++ b/molereach/coordination/storage/whole.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from molereach.council.interface import Name, Wire
-from molereach.council.store.frames import DIGEST_BYTES, digest
+from molereach.coordination.interface import Name, Wire
+from molereach.coordination.storage.frames import DIGEST_BYTES, digest
 
 MAGIC = b"molereach-council-"
 VERSION = 1
--- a/molereach/council/store/worker.py
+++ b/molereach/coordination/storage/worker.py
@@ -13,9 +13,9 @@
 from queue import SimpleQueue
 from threading import Thread
 
-from molereach.council.interface import DiskFailed, Persist, Persisted
-from molereach.council.store.frames import size
-from molereach.council.store.store import Store, StoreError
+from molereach.coordination.interface import DiskFailed, Persist, Persisted
+from molereach.coordination.storage.frames import size
+from molereach.coordination.storage.store import Store, StoreError
 
 MOST_GROUP_BYTES = 4 << 20  # in one write; a larger one goes alone
 MOST_WAITING_BYTES = 32 << 20  # a base and a full tail behind it
--- a/molereach/council/links/board.py
+++ b/molereach/coordination/transport/board.py
@@ -15,17 +15,17 @@
 from typing import Any
 
 from molereach.clock import now_us
-from molereach.council.interface import Heard, Life
-from molereach.council.links.hello import NONCE_BYTES, Answering, Dialling
-from molereach.council.links.link import Link
-from molereach.council.links.owner import Phase
-from molereach.council.links.peer import Peer
-from molereach.council.links.places import Places
-from molereach.council.links.queue import Item, Outbox, Rule
-from molereach.council.links.retry import Retry
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.turns import Turns
-from molereach.council.links.words import Words
+from molereach.coordination.interface import Heard, Life
+from molereach.coordination.transport.hello import NONCE_BYTES, Answering, Dialling
+from molereach.coordination.transport.link import Link
+from molereach.coordination.transport.owner import Phase
+from molereach.coordination.transport.peer import Peer
+from molereach.coordination.transport.places import Places
+from molereach.coordination.transport.queue import Item, Outbox, Rule
+from molereach.coordination.transport.retry import Retry
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.turns import Turns
+from molereach.coordination.transport.words import Words
 
 log = logging.getLogger(__name__)
 
--- a/molereach/council/links/hello.py
+++ b/molereach/coordination/transport/hello.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Life, Name, Wire
+from molereach.coordination.interface import Life, Name, Wire
 
 VERSION = 1
 NONCE_BYTES = 16
--- a/molereach/council/links/link.py
+++ b/molereach/coordination/transport/link.py
@@ -10,9 +10,9 @@
 from typing import cast
 
 from molereach.clock import now_us
-from molereach.council.interface import Life
-from molereach.council.links.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter, FrameError, head
-from molereach.council.links.hello import (
+from molereach.coordination.interface import Life
+from molereach.coordination.transport.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter, FrameError, head
+from molereach.coordination.transport.hello import (
     MOST_HELLO_BYTES,
     Answering,
     Dialling,
@@ -21,10 +21,10 @@
     line,
     refusal,
 )
-from molereach.council.links.owner import Owner, Phase
-from molereach.council.links.pulse import Pulse, Verdict
-from molereach.council.links.speech import Speech
-from molereach.council.links.words import OWN, Bye, WordError
+from molereach.coordination.transport.owner import Owner, Phase
+from molereach.coordination.transport.pulse import Pulse, Verdict
+from molereach.coordination.transport.speech import Speech
+from molereach.coordination.transport.words import OWN, Bye, WordError
 
 log = logging.getLogger(__name__)
 
--- a/molereach/council/links/owner.py
+++ b/molereach/coordination/transport/owner.py
@@ -3,13 +3,13 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any, Protocol
 
-from molereach.council.interface import Life
-from molereach.council.links.queue import Item
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.words import Words
+from molereach.coordination.interface import Life
+from molereach.coordination.transport.queue import Item
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.words import Words
 
 if TYPE_CHECKING:
-    from molereach.council.links.link import Link
+    from molereach.coordination.transport.link import Link
 
 
 class Phase(Enum):
--- a/molereach/council/links/peer.py
+++ b/molereach/coordination/transport/peer.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable
 
 from molereach.clock import now_us
-from molereach.council.links.link import Link
-from molereach.council.links.owner import Phase
-from molereach.council.links.queue import DOWN_ROOM, FULL_ROOM, Item, Outbox
-from molereach.council.links.retry import Retry
-from molereach.council.links.stats import PeerStats
+from molereach.coordination.transport.link import Link
+from molereach.coordination.transport.owner import Phase
+from molereach.coordination.transport.queue import DOWN_ROOM, FULL_ROOM, Item, Outbox
+from molereach.coordination.transport.retry import Retry
+from molereach.coordination.transport.stats import PeerStats
 
 
 class Peer:
--- a/molereach/council/links/service.py
+++ b/molereach/coordination/transport/service.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.council.interface import Heard, Life, Say
-from molereach.council.links.board import Address, Board
-from molereach.council.links.frames import MOST_BODY_BYTES
-from molereach.council.links.owner import Phase
-from molereach.council.links.peer import Peer
-from molereach.council.links.queue import Item, Rule
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.stats import LinksStats
-from molereach.council.links.words import Words
+from molereach.coordination.interface import Heard, Life, Say
+from molereach.coordination.transport.board import Address, Board
+from molereach.coordination.transport.frames import MOST_BODY_BYTES
+from molereach.coordination.transport.owner import Phase
+from molereach.coordination.transport.peer import Peer
+from molereach.coordination.transport.queue import Item, Rule
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.stats import LinksStats
+from molereach.coordination.transport.words import Words
 from molereach.keyfile import LEAST_KEY_BYTES, MOST_KEY_BYTES
 
 log = logging.getLogger(__name__)
--- a/molereach/council/links/speech.py
+++ b/molereach/coordination/transport/speech.py
@@ -6,10 +6,10 @@
 
 from typing import Any
 
-from molereach.council.links.frames import DIALLER, LISTENER, Opener, Sealer
-from molereach.council.links.hello import Session
-from molereach.council.links.pulse import Pulse, Verdict
-from molereach.council.links.words import OWN, Beat, Bye, WordError, Words
+from molereach.coordination.transport.frames import DIALLER, LISTENER, Opener, Sealer
+from molereach.coordination.transport.hello import Session
+from molereach.coordination.transport.pulse import Pulse, Verdict
+from molereach.coordination.transport.words import OWN, Beat, Bye, WordError, Words
 
 
 class Speech:
--- a/molereach/council/links/turns.py
+++ b/molereach/coordination/transport/turns.py
@@ -4,8 +4,8 @@
 from collections import deque
 from collections.abc import Callable
 
-from molereach.council.links.budget import Turn
-from molereach.council.links.link import Link
+from molereach.coordination.transport.budget import Turn
+from molereach.coordination.transport.link import Link
 
 
 class Turns:
--- a/molereach/council/links/words.py
+++ b/molereach/coordination/transport/words.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Wire
-from molereach.council.links.hello import MOST_PARTS, Reason, line
+from molereach.coordination.interface import Wire
+from molereach.coordination.transport.hello import MOST_PARTS, Reason, line
 
 OWN = ""  # the part of the links' own words
 
--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -16,10 +16,10 @@
 from molereach.fleet import roster as r
 from molereach.fleet.agent.link import ASK_S, Link, LinkError
 from molereach.fleet.agreement import Acceptor, Message
+from molereach.fleet.anchored_clock import anchored
+from molereach.fleet.api_bodies import Event, Members, Orders, Quota, Status, View, ready_servers
 from molereach.fleet.journal import AgentState, Journal, JournalError
 from molereach.fleet.orders import BookState, Decided
-from molereach.fleet.view import Event, Members, Orders, Quota, Status, View, ready_servers
-from molereach.fleet.wall import anchored
 from molereach.fleet.wire import Answer, What
 
 SCAN_S = 0.1  # between looks into the folder of sockets, and at how old the doors' words are
--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -21,9 +21,9 @@
 from molereach.fleet.agent.agent import MOST_WATCHERS, Agent, Watcher
 from molereach.fleet.agent.auth import Role, Tokens
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
+from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
-from molereach.fleet.view import MOST_BODY_BYTES, Event, Problem
 
 DROP_S = 1.0  # for the rest of a body that nobody wants
 MOST_AT_ONCE = 64  # calls under way, watchers apart
--- a/molereach/fleet/agent/openapi.py
+++ b/molereach/fleet/agent/openapi.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from molereach import __version__
-from molereach.fleet import agreement, orders, view
+from molereach.fleet import agreement, api_bodies, orders
 
 TEMPLATE = "#/components/schemas/{name}"
 MESSAGES = (
@@ -22,13 +22,13 @@
     agreement.Behind,
 )
 BODIES = (
-    view.Status,
-    view.View,
-    view.Members,
-    view.Orders,
-    view.Quota,
-    view.Event,
-    view.Problem,
+    api_bodies.Status,
+    api_bodies.View,
+    api_bodies.Members,
+    api_bodies.Orders,
+    api_bodies.Quota,
+    api_bodies.Event,
+    api_bodies.Problem,
     orders.BookState,
 )
 PROBLEMS = {
@@ -63,7 +63,10 @@
     **more: Any,  # noqa: ANN401
 ) -> dict[str, Any]:
     problems = {
-        status: {"description": text, "content": {"application/json": {"schema": reference(view.Problem)}}}
+        status: {
+            "description": text,
+            "content": {"application/json": {"schema": reference(api_bodies.Problem)}},
+        }
         for status, text in PROBLEMS.items()
     }
     made: dict[str, Any] = {"summary": summary, "responses": {"200": reply(schema, media), **problems}}
@@ -81,19 +84,21 @@
         requestBody={"required": True, "content": {"application/json": {"schema": messages}}},
     )
     take["responses"]["413"] = {"description": "a body that is too large"}
-    events = {"type": "array", "items": reference(view.Event)}
+    events = {"type": "array", "items": reference(api_bodies.Event)}
     return {
-        "/v1/status": {"get": call("the agent and its front doors", reference(view.Status))},
-        "/v1/view": {"get": call("all that a tool needs to give an order", reference(view.View))},
-        "/v1/members": {"get": call("servers as each front door sees them", reference(view.Members))},
-        "/v1/orders": {"get": call("orders in force, the latest, one under way", reference(view.Orders))},
-        "/v1/quota/{customer}": {"get": call("a customer's quota", reference(view.Quota), CUSTOMER)},
+        "/v1/status": {"get": call("the agent and its front doors", reference(api_bodies.Status))},
+        "/v1/view": {"get": call("all that a tool needs to give an order", reference(api_bodies.View))},
+        "/v1/members": {"get": call("servers as each front door sees them", reference(api_bodies.Members))},
+        "/v1/orders": {
+            "get": call("orders in force, the latest, one under way", reference(api_bodies.Orders))
+        },
+        "/v1/quota/{customer}": {"get": call("a customer's quota", reference(api_bodies.Quota), CUSTOMER)},
         "/v1/book": {"get": book},
         "/v1/events": {"get": call("the history past a number", events, AFTER)},
         "/v1/watch": {
             "get": call(
                 "events as they happen, one JSON object a line",
-                reference(view.Event),
+                reference(api_bodies.Event),
                 media="application/x-ndjson",
             )
         },
--- a/molereach/fleet/agent/run.py
+++ b/molereach/fleet/agent/run.py
@@ -18,10 +18,10 @@
 from molereach.fleet.agent.agent import Agent, Fetch
 from molereach.fleet.agent.api import Api
 from molereach.fleet.agent.auth import Tokens
+from molereach.fleet.api_bodies import MOST_BODY_BYTES
 from molereach.fleet.journal import Journal, JournalError
 from molereach.fleet.orders import BookState
 from molereach.fleet.settings import AgentFile, FleetFile, SettingsError, TlsTable, beside, load
-from molereach.fleet.view import MOST_BODY_BYTES
 
 DONE, FAILED, BAD_INPUT = 0, 1, 2
 GRACE_S = 0.5  # for calls under way at the end
--- a/molereach/fleet/cli/campaigns.py
+++ b/molereach/fleet/cli/campaigns.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from random import SystemRandom
 
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign.course import Campaign
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout.course import Campaign
 from molereach.fleet.settings import FleetFile
 
 
--- a/molereach/fleet/cli/client.py
+++ b/molereach/fleet/cli/client.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign.course import STEP_US, Campaign
-from molereach.fleet.campaign.report import Report
+from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem, View
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout.course import STEP_US, Campaign
+from molereach.fleet.rollout.report import Report
 from molereach.fleet.settings import FleetFile, beside, client_tls, load_token
-from molereach.fleet.view import MOST_BODY_BYTES, Event, Problem, View
 
 T = TypeVar("T")
 LAST_WORDS_S = 0.3  # for what is still on its way when the report is there
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -10,8 +10,6 @@
 import click
 import msgspec
 
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign.report import Report
 from molereach.fleet.cli.campaigns import campaign_for
 from molereach.fleet.cli.client import Fleet, Giver
 from molereach.fleet.cli.exits import DONE, EXITS, PARTLY
@@ -19,6 +17,8 @@
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
 from molereach.fleet.orders import Order, Verb
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout.report import Report
 
 
 def show_report(out: Printer, report: Report) -> None:
--- a/molereach/fleet/cli/commands/orders.py
+++ b/molereach/fleet/cli/commands/orders.py
@@ -9,11 +9,11 @@
 import click
 import msgspec
 
+from molereach.fleet.api_bodies import Orders, Status
 from molereach.fleet.cli.client import Fleet
 from molereach.fleet.cli.exits import complain, errors, good, reading_exit
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer
-from molereach.fleet.view import Orders, Status
 
 
 @click.command()
--- a/molereach/fleet/cli/commands/seen.py
+++ b/molereach/fleet/cli/commands/seen.py
@@ -4,11 +4,11 @@
 
 import click
 
+from molereach.fleet.api_bodies import Members, Quota
 from molereach.fleet.cli.client import Fleet
 from molereach.fleet.cli.exits import complain, errors, good, reading_exit
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
-from molereach.fleet.view import Members, Quota
 
 
 @click.command()
--- a/molereach/fleet/cli/commands/status.py
+++ b/molereach/fleet/cli/commands/status.py
@@ -5,11 +5,11 @@
 
 import click
 
+from molereach.fleet.api_bodies import Status
 from molereach.fleet.cli.client import Fleet
 from molereach.fleet.cli.exits import complain, errors, good, reading_exit
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
-from molereach.fleet.view import Status
 
 
 @click.command()
--- a/molereach/fleet/cli/commands/watch.py
+++ b/molereach/fleet/cli/commands/watch.py
@@ -8,10 +8,10 @@
 import click
 import msgspec
 
+from molereach.fleet.api_bodies import Event
 from molereach.fleet.cli.client import CallError, Fleet
 from molereach.fleet.cli.exits import DONE, PARTLY, UNREACHABLE
 from molereach.fleet.cli.session import as_json, run
-from molereach.fleet.view import Event
 
 
 @click.command()
--- a/molereach/fleet/cli/exits.py
+++ b/molereach/fleet/cli/exits.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
-from molereach.fleet.campaign.report import Verdict
 from molereach.fleet.cli.client import CallError, RefusedCallError
 from molereach.fleet.cli.tables import Printer
+from molereach.fleet.rollout.report import Verdict
 
 DONE, FAILED, BAD_INPUT, PARTLY, CONFLICT, UNREACHABLE, REFUSED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
 EXITS = {
--- a/molereach/fleet/cli/in_flight.py
+++ b/molereach/fleet/cli/in_flight.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
+from molereach.fleet.api_bodies import Members
 from molereach.fleet.cli.client import Fleet, now_us
 from molereach.fleet.cli.exits import errors, good
 from molereach.fleet.cli.tables import Printer
-from molereach.fleet.view import Members
 
 WAIT_POLL_S = 0.2
 QUIET_LOOKS = 2  # in a row without anything in flight
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -18,8 +18,8 @@
 
 from molereach.clock import now_us
 from molereach.fleet import wire
+from molereach.fleet.anchored_clock import anchored
 from molereach.fleet.orders import Book, Overlay, Verb
-from molereach.fleet.wall import anchored
 from molereach.proxy.proxy import FrontDoor
 
 log = logging.getLogger(__name__)
--- a/molereach/fleet/campaign/account.py
+++ b/molereach/fleet/rollout/account.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 
 from molereach.fleet.agreement import Phase, Proposer
-from molereach.fleet.campaign.report import AgentWord, DoorWord, Verdict
-from molereach.fleet.campaign.sight import Sight
+from molereach.fleet.api_bodies import DoorView
 from molereach.fleet.orders import Decided
-from molereach.fleet.view import DoorView
+from molereach.fleet.rollout.report import AgentWord, DoorWord, Verdict
+from molereach.fleet.rollout.sight import Sight
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/fleet/campaign/ballots.py
+++ b/molereach/fleet/rollout/ballots.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from molereach.fleet.agreement import Accept, Message, Phase, Prepare, Proposer
-from molereach.fleet.campaign.events import Action, Say, Step, to_all
 from molereach.fleet.orders import Order
+from molereach.fleet.rollout.events import Action, Say, Step, to_all
 
 RETRY_US = 150_000  # until a ballot is tried again, at least, and up to three times that by chance
 PATIENCE = 3  # and as many times as a majority took to be seen: replies of a large fleet take their time
--- a/molereach/fleet/campaign/course.py
+++ b/molereach/fleet/rollout/course.py
@@ -9,14 +9,14 @@
 from enum import Enum
 
 from molereach.fleet.agreement import Behind, Known, Message, Phase
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign.account import Account
-from molereach.fleet.campaign.ballots import Ballots, again, take
-from molereach.fleet.campaign.judgment import Judgment, Lost
-from molereach.fleet.campaign.report import Report, Verdict
-from molereach.fleet.campaign.sight import Sight
+from molereach.fleet.api_bodies import View
 from molereach.fleet.orders import Decided
-from molereach.fleet.view import View
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout.account import Account
+from molereach.fleet.rollout.ballots import Ballots, again, take
+from molereach.fleet.rollout.judgment import Judgment, Lost
+from molereach.fleet.rollout.report import Report, Verdict
+from molereach.fleet.rollout.sight import Sight
 
 LOOK_US = 1_000_000  # for the views of all agents; with a majority of them it goes on after that
 POLL_US = 50_000  # between looks at agents whose front doors have not all confirmed
--- a/molereach/fleet/campaign/events.py
+++ b/molereach/fleet/rollout/events.py
@@ -8,8 +8,8 @@
 from typing import Literal
 
 from molereach.fleet.agreement import Message
+from molereach.fleet.api_bodies import View
 from molereach.fleet.orders import Verb
-from molereach.fleet.view import View
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/fleet/campaign/judgment.py
+++ b/molereach/fleet/rollout/judgment.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from molereach.fleet.campaign.events import Draft
-from molereach.fleet.campaign.report import Verdict
+from molereach.fleet.api_bodies import View
 from molereach.fleet.orders import Book, Decided, Order, Refusal, Why
-from molereach.fleet.view import View
+from molereach.fleet.rollout.events import Draft
+from molereach.fleet.rollout.report import Verdict
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/fleet/campaign/sight.py
+++ b/molereach/fleet/rollout/sight.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from molereach.fleet.campaign.events import Action, Look
+from molereach.fleet.api_bodies import View
 from molereach.fleet.orders import Order, Verb
-from molereach.fleet.view import View
+from molereach.fleet.rollout.events import Action, Look
 
 
 @dataclass(slots=True)
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from molereach.fleet.view import DoorView, Event, Reach
+from molereach.fleet.api_bodies import DoorView, Event, Reach
 from molereach.fleet.wire import State
 
 MOST_DOORS = 64
--- a/molereach/shards/counts/bodies.py
+++ b/molereach/shards/counts/bodies.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import MOST_BODY_BYTES, MOST_DOORS, Life, Position, Wire
+from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Life, Position, Wire
 from molereach.shards.counts.words import Rows
 from molereach.shards.proof import Word
 
--- a/molereach/shards/counts/door.py
+++ b/molereach/shards/counts/door.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from molereach.council.interface import NEVER_US, Applied, Heard, Life, Propose, Restored, S, Say, Tick
+from molereach.coordination.interface import NEVER_US, Applied, Heard, Life, Propose, Restored, S, Say, Tick
 from molereach.shards.counts.bodies import MACHINE, Fold, decode, encode
 from molereach.shards.counts.counter import Counter
 from molereach.shards.counts.folds import Folds
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Entry, Known, Life, LifeNumber, Name, Outcome, Position, Wire
+from molereach.coordination.interface import Entry, Known, Life, LifeNumber, Name, Outcome, Position, Wire
 from molereach.shards.counts.bodies import MACHINE, Fold, Forget, decode
 from molereach.shards.counts.counter import NONE, Count, rows
 from molereach.shards.counts.words import MOST_ROWS, Row
--- a/molereach/shards/counts/words.py
+++ b/molereach/shards/counts/words.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import Life, Wire
+from molereach.coordination.interface import Life, Wire
 from molereach.shards.map.pieces import MEMBERS, MOST_SHARDS, ShardNumber
 
 MOST_BYTES = 1 << 62  # of one row
--- a/molereach/shards/map/delta.py
+++ b/molereach/shards/map/delta.py
@@ -1,6 +1,6 @@
 """What changed from one version of a map to a later one: shards are cut, so pieces are only added."""
 
-from molereach.council.interface import Wire
+from molereach.coordination.interface import Wire
 from molereach.shards.map.pieces import MOST_SHARDS, Pieces, ShardMap, ShardNumber, Version, unsound
 
 
--- a/molereach/shards/map/pieces.py
+++ b/molereach/shards/map/pieces.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import Name, Wire
+from molereach.coordination.interface import Name, Wire
 
 MEMBERS = 1 << 33  # ids are below
 MOST_SHARDS = 512  # of one map
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from molereach.council.interface import Accounted, Known, Life, Position, Wire
-from molereach.council.leases.sessions import Opened, Past
+from molereach.coordination.interface import Accounted, Known, Life, Position, Wire
+from molereach.coordination.leases.sessions import Opened, Past
 
 
 class Word(Wire, frozen=True, array_like=True):
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Position, Wire
+from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Position, Wire
 from molereach.shards.counts.words import Total
 from molereach.shards.map.pieces import Home, Member, Piece, ShardNumber
 from molereach.shards.proof import Word
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/door.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from molereach.council.interface import NEVER_US, Applied, Restored, Tick
+from molereach.coordination.interface import NEVER_US, Applied, Restored, Tick
 from molereach.policy.interface import Effect
 from molereach.shards.map.lookup import Lookup
 from molereach.shards.map.pieces import Piece
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.council.interface import NEVER_US, Accounted, Propose, S, Tick
+from molereach.coordination.interface import NEVER_US, Accounted, Propose, S, Tick
 from molereach.shards.proof import SessionsAt, pack
 from molereach.shards.splits.bodies import MACHINE, Body, Clear, Close, Copy, GiveUp, Hand, Plan, encode
 from molereach.shards.splits.machine import Shards
--- a/molereach/upkeep/door.py
+++ b/molereach/upkeep/door.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.council.interface import NEVER_US, Applied, Restored, Session, Tick
+from molereach.coordination.interface import NEVER_US, Applied, Restored, Session, Tick
 from molereach.upkeep.permits.bodies import MACHINE
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.permits.way import State
--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Leads,
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.council.interface import Accounted, Known, Life
-from molereach.council.leases.sessions import Opened, Past
+from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
 
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.council.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Known, Name, Position, Wire
+from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Known, Name, Position, Wire
 from molereach.upkeep.permits.way import Step
 from molereach.upkeep.requests.work import MOST_MS, Work
 from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
--- a/molereach/upkeep/permits/marks.py
+++ b/molereach/upkeep/permits/marks.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import Position, Wire
+from molereach.coordination.interface import Position, Wire
 from molereach.upkeep.requests.work import Ms
 
 MOST_MARKS = 32
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from molereach.council.interface import Accounted, Known
-from molereach.council.leases.sessions import Opened, Past
+from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 
 
--- a/molereach/upkeep/permits/proposals.py
+++ b/molereach/upkeep/permits/proposals.py
@@ -5,7 +5,7 @@
 again.
 """
 
-from molereach.council.interface import Life, Over, ProposalOver, Propose, S
+from molereach.coordination.interface import Life, Over, ProposalOver, Propose, S
 from molereach.upkeep.permits.bodies import MACHINE, Body, encode
 
 WITHIN_US = 2 * S  # after which the log says UNKNOWN
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -1,6 +1,6 @@
 """What is kept of one work."""
 
-from molereach.council.interface import Life, Name, Position, Wire
+from molereach.coordination.interface import Life, Name, Position, Wire
 from molereach.upkeep.order.ageing import Waiting
 from molereach.upkeep.permits.way import UNSENDABLE, State
 from molereach.upkeep.requests.work import Ms, Work
--- a/molereach/upkeep/permits/telling.py
+++ b/molereach/upkeep/permits/telling.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from molereach.council.interface import MOST_BODY_BYTES, S
+from molereach.coordination.interface import MOST_BODY_BYTES, S
 from molereach.upkeep.permits.bodies import Seen
 from molereach.upkeep.permits.gathering import cut
 from molereach.upkeep.rules.facts import Facts
--- a/molereach/upkeep/requests/work.py
+++ b/molereach/upkeep/requests/work.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import Id, Name, Wire
+from molereach.coordination.interface import Id, Name, Wire
 
 MINUTE_MS = 60_000
 MOST_MINUTES = 7 * 24 * 60
--- a/molereach/upkeep/rules/facts.py
+++ b/molereach/upkeep/rules/facts.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.council.interface import MOST_DOORS, Name, Wire
+from molereach.coordination.interface import MOST_DOORS, Name, Wire
 from molereach.upkeep.requests.work import Kind, Ms
 
 WHOLE = 1000
--- a/rig/council/marks.py
+++ b/rig/council/marks.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from molereach.council.interface import Entry, Outcome
+from molereach.coordination.interface import Entry, Outcome
 
 NAME = "marks"
 BODY = b"{}"
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from molereach.council.interface import Terms
-from molereach.council.node.service import CouncilService, open_folder
-from molereach.council.node.settings import CouncilSettings
+from molereach.coordination.interface import Terms
+from molereach.coordination.node.service import CouncilService, open_folder
+from molereach.coordination.node.settings import CouncilSettings
 from rig.council.marks import BODY, NAME, Marks
 
 
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign import report as words
 from molereach.fleet.cli.campaigns import campaign_for
 from molereach.fleet.cli.client import Fleet, Giver
 from molereach.fleet.cli.in_flight import wait_for_end
 from molereach.fleet.orders import Verb
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout import report as words
 from molereach.fleet.settings import FleetFile, load
 from rig import scenario as sc
 from rig.clock import now_us
--- a/sim/council.py
+++ b/sim/council.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Applied,
     DiskFailed,
     Entry,
@@ -26,15 +26,15 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.bodies import MACHINE as SESSIONS
-from molereach.council.leases.bodies import Ended as SessionEnded
-from molereach.council.leases.bodies import decode
-from molereach.council.links.words import Words
-from molereach.council.log.records import Recovered, recover
-from molereach.council.node.first import NO_DISK, first_identity, first_panel
-from molereach.council.node.parts import WORDS
-from molereach.council.node.settings import CouncilSettings
-from molereach.council.node.wiring import Action, Begin, Council, Event, From, To
+from molereach.coordination.leases.bodies import MACHINE as SESSIONS
+from molereach.coordination.leases.bodies import Ended as SessionEnded
+from molereach.coordination.leases.bodies import decode
+from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
+from molereach.coordination.node.parts import WORDS
+from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.node.wiring import Action, Begin, Council, Event, From, To
+from molereach.coordination.replicated_log.records import Recovered, recover
+from molereach.coordination.transport.words import Words
 from rig.council.marks import BODY, NAME, Marks
 from sim.histories import BrokenError, History, Node, S
 
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -16,8 +16,8 @@
 from molereach.cache.readings.reading import Reading
 from molereach.cache.readings.settings import ReadingSettings
 from molereach.cache.readings.store import Store
-from molereach.council.interface import Applied, Entry, Outcome
-from molereach.council.leases.sessions import Opened
+from molereach.coordination.interface import Applied, Entry, Outcome
+from molereach.coordination.leases.sessions import Opened
 
 
 class _LateFills(Fills):
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -8,8 +8,8 @@
 from molereach.cache.hit import Hit
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
-from molereach.council.interface import Life, Terms
-from molereach.council.leases.sessions import Sessions
+from molereach.coordination.interface import Life, Terms
+from molereach.coordination.leases.sessions import Sessions
 
 TERMS = Terms(2 * S, 0.02)
 RATES = (1 - TERMS.drift / 2, 1.0, 1 + TERMS.drift / 2)  # between any two, the drift at most
--- a/tests/cache/purge/entries.py
+++ b/tests/cache/purge/entries.py
@@ -2,9 +2,9 @@
 
 from molereach.cache.purge.bodies import MACHINE, Ask, Body, Standing, encode, ended, standing
 from molereach.cache.purge.machine import Bounds, Purges
-from molereach.council.interface import Entry, Life, Outcome
-from molereach.council.leases import bodies as leases
-from molereach.council.leases.sessions import Sessions
+from molereach.coordination.interface import Entry, Life, Outcome
+from molereach.coordination.leases import bodies as leases
+from molereach.coordination.leases.sessions import Sessions
 
 A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
 MEMBER, OTHER = "00000000000000aa", "00000000000000bb"
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -5,7 +5,7 @@
 from molereach.cache.driver import AGAIN_US, LOOK_US, Driver
 from molereach.cache.purge.bodies import Ask, Done, decode
 from molereach.cache.purge.records import Asked
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Leads,
@@ -16,7 +16,7 @@
     Restored,
     Tick,
 )
-from molereach.council.leases.accounts import Account
+from molereach.coordination.leases.accounts import Account
 from tests.cache.purge.entries import MEMBER, A, B, Log, ended_by, purge_id
 
 
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -1,8 +1,8 @@
 """A small world of front doors over one toy log, with a server that says when it read what it tells.
 
-The log keeps to what `molereach/council/interface.py` promises and to no more: one true order, entries that
+The log keeps to what `coordination/interface.py` promises and to no more: one true order, entries that
 come late, in part or by snapshot, proposals settled late, twice or never. Sessions are counted by clocks at
-the bound of their drift, renewed and ended as `molereach/council/leases` does. Times are true microseconds;
+the bound of their drift, renewed and ended as `coordination/leases` does. Times are true microseconds;
 each front door sees its own clock only. `check` functions raise `BrokenError` where a promise is broken.
 """
 
@@ -19,10 +19,10 @@
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.cache.purge.records import Asked, Finished
 from molereach.cache.readings.settings import S
-from molereach.council.interface import Applied, Entry, Leads, Life, Outcome, Propose, Restored, Tick
-from molereach.council.leases import bodies as leases
-from molereach.council.leases.accounts import Account
-from molereach.council.leases.sessions import Sessions
+from molereach.coordination.interface import Applied, Entry, Leads, Life, Outcome, Propose, Restored, Tick
+from molereach.coordination.leases import bodies as leases
+from molereach.coordination.leases.accounts import Account
+from molereach.coordination.leases.sessions import Sessions
 from tests.cache.players import (
     CLASSES,
     LONG,
--- a/tests/council/spread/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -5,10 +5,9 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import MOST_DOORS, Heard, Life, Say, Tick
-from molereach.council.spread.core import Spread
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import (
+from molereach.coordination.dissemination.core import Spread
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import (
     MOST_ENTRIES,
     Ask,
     Down,
@@ -26,7 +25,8 @@
     View,
     Whom,
 )
-from tests.council.spread.world import BEAT, entry
+from molereach.coordination.interface import MOST_DOORS, Heard, Life, Say, Tick
+from tests.coordination.dissemination.world import BEAT, entry
 
 NAMES = [f"d{at:02}" for at in range(20)]  # d00 leads; d01 to d08 are below it, d09 to d16 below d01
 LIVES = {name: Life(name, 10) for name in NAMES}
--- a/tests/council/spread/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from molereach.council.interface import Heard
-from molereach.council.spread.core import Spread
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import Down
-from tests.council.spread.world import BEAT, World
+from molereach.coordination.dissemination.core import Spread
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import Down
+from molereach.coordination.interface import Heard
+from tests.coordination.dissemination.world import BEAT, World
 
 FAN = Settings().fan
 HEALED = 10  # beats
--- a/tests/council/spread/test_parent.py
+++ b/tests/coordination/dissemination/test_parent.py
@@ -3,14 +3,25 @@
 from itertools import pairwise
 from typing import Any
 
-from molereach.council.interface import Life, Say, Tick
-from molereach.council.spread.core import Spread
-from molereach.council.spread.parent import MOST_HOPS
-from molereach.council.spread.ranks import Ranks
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import Ask, Down, Give, Grant, Grown, Parent, Redirect, Up, View, Whom
-from tests.council.spread.test_bounds import LIVES, VIEW, door, inner, said, tell
-from tests.council.spread.world import BEAT, entry
+from molereach.coordination.dissemination.core import Spread
+from molereach.coordination.dissemination.parent import MOST_HOPS
+from molereach.coordination.dissemination.ranks import Ranks
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import (
+    Ask,
+    Down,
+    Give,
+    Grant,
+    Grown,
+    Parent,
+    Redirect,
+    Up,
+    View,
+    Whom,
+)
+from molereach.coordination.interface import Life, Say, Tick
+from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
+from tests.coordination.dissemination.world import BEAT, entry
 
 ALIVE = tuple(LIVES.values())
 
--- a/tests/council/spread/test_steady.py
+++ b/tests/coordination/dissemination/test_steady.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from molereach.council.spread.settings import Settings
-from tests.council.spread.world import BEAT, World
+from molereach.coordination.dissemination.settings import Settings
+from tests.coordination.dissemination.world import BEAT, World
 
 FAN = Settings().fan
 
--- a/tests/council/spread/world.py
+++ b/tests/coordination/dissemination/world.py
@@ -9,10 +9,9 @@
 
 import msgspec
 
-from molereach.council.interface import NEVER_US, Entry, Heard, Life, Say, Tick
-from molereach.council.spread.core import Spread
-from molereach.council.spread.settings import Settings
-from molereach.council.spread.words import (
+from molereach.coordination.dissemination.core import Spread
+from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.words import (
     Ask,
     Down,
     Fetch,
@@ -27,6 +26,7 @@
     Up,
     View,
 )
+from molereach.coordination.interface import NEVER_US, Entry, Heard, Life, Say, Tick
 
 BEAT = Settings().beat_us
 KEEPER_US = 40_000  # from what was gathered to what is given
--- a/tests/council/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from molereach.council.interface import Entry, Life, Outcome
-from molereach.council.leases.bodies import MACHINE, Body, Open, encode
-from molereach.council.leases.sessions import Opened, Sessions
+from molereach.coordination.interface import Entry, Life, Outcome
+from molereach.coordination.leases.bodies import MACHINE, Body, Open, encode
+from molereach.coordination.leases.sessions import Opened, Sessions
 
 A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
 
--- a/tests/council/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -1,8 +1,8 @@
 """Random histories: what goes wrong, and when, drawn from a seed."""
 
-from molereach.council.interface import Propose, S
-from molereach.council.leases.words import Leave
-from tests.council.leases.world import MS, TERMS, Cores, World
+from molereach.coordination.interface import Propose, S
+from molereach.coordination.leases.words import Leave
+from tests.coordination.leases.world import MS, TERMS, Cores, World
 
 NAMES = ("a", "b", "c", "d")
 LENGTH_US = 16 * S
--- a/tests/council/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Sequence
 
-from molereach.council.interface import Accounted, Entry, Known, Outcome, Terms
-from molereach.council.leases.accounts import Account
-from molereach.council.leases.asks import Asks
-from molereach.council.leases.bodies import Ended, decode, encode
-from molereach.council.leases.holder import Holder
-from molereach.council.leases.keeper import Keeper
-from molereach.council.leases.sessions import Opened, Past, Sessions
-from molereach.council.leases.words import Ask, Asked, Given, Grant, Granted
-from tests.council.leases.world import TERMS, Cores
+from molereach.coordination.interface import Accounted, Entry, Known, Outcome, Terms
+from molereach.coordination.leases.accounts import Account
+from molereach.coordination.leases.asks import Asks
+from molereach.coordination.leases.bodies import Ended, decode, encode
+from molereach.coordination.leases.holder import Holder
+from molereach.coordination.leases.keeper import Keeper
+from molereach.coordination.leases.sessions import Opened, Past, Sessions
+from molereach.coordination.leases.words import Ask, Asked, Given, Grant, Granted
+from tests.coordination.leases.world import TERMS, Cores
 
 
 class CountedFromTheAnswer(Holder):
--- a/tests/council/leases/test_accounts.py
+++ b/tests/coordination/leases/test_accounts.py
@@ -1,6 +1,6 @@
 """The account of an entry: who is missing and why, and when the proof is whole."""
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Accounted,
     Applied,
     Known,
@@ -12,13 +12,13 @@
     Session,
     Terms,
 )
-from molereach.council.leases.accounts import Account, Missing
-from molereach.council.leases.bodies import Body, Close, Ended, Keeping, Open
-from molereach.council.leases.keeper import Keeper
-from molereach.council.leases.permits import RULES, Use, may
-from molereach.council.leases.sessions import Sessions
-from molereach.council.leases.words import Ask, Asked
-from tests.council.leases.entries import A, B, C, entry
+from molereach.coordination.leases.accounts import Account, Missing
+from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open
+from molereach.coordination.leases.keeper import Keeper
+from molereach.coordination.leases.permits import RULES, Use, may
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.words import Ask, Asked
+from tests.coordination.leases.entries import A, B, C, entry
 
 D = Life("d", 1)
 ANEW = Life("b", 2)
--- a/tests/council/leases/test_bounds.py
+++ b/tests/coordination/leases/test_bounds.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from molereach.council.interface import S, Terms
-from molereach.council.leases.words import BEAT_US
-from tests.council.leases.world import Cores, World
+from molereach.coordination.interface import S, Terms
+from molereach.coordination.leases.words import BEAT_US
+from tests.coordination.leases.world import Cores, World
 
 TERMS = Terms()
 RATES = (1 - TERMS.drift, 1 + TERMS.drift)
--- a/tests/council/leases/test_histories.py
+++ b/tests/coordination/leases/test_histories.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from tests.council.leases.histories import history
-from tests.council.leases.mutants import MUTANTS, QUICK_MUTANTS
-from tests.council.leases.world import BrokenError, Cores
+from tests.coordination.leases.histories import history
+from tests.coordination.leases.mutants import MUTANTS, QUICK_MUTANTS
+from tests.coordination.leases.world import BrokenError, Cores
 
 AT_ONCE = 50
 MOST_HISTORIES = 400  # in which a mutant must be found; most take under 50
--- a/tests/council/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Leads,
@@ -21,13 +21,13 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.asks import MOST_ASKS
-from molereach.council.leases.bodies import Body, Close, Ended, Open, decode
-from molereach.council.leases.holder import Holder
-from molereach.council.leases.sessions import Sessions
-from molereach.council.leases.words import BEAT_US, Ask, Grant, Granted, Held, Leave, Lost, Phase
-from tests.council.leases.entries import A, B, entry
-from tests.council.leases.mutants import NumbersUsedAgain
+from molereach.coordination.leases.asks import MOST_ASKS
+from molereach.coordination.leases.bodies import Body, Close, Ended, Open, decode
+from molereach.coordination.leases.holder import Holder
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.words import BEAT_US, Ask, Grant, Granted, Held, Leave, Lost, Phase
+from tests.coordination.leases.entries import A, B, entry
+from tests.coordination.leases.mutants import NumbersUsedAgain
 
 TERMS = Terms()
 LATER = 100 * S
--- a/tests/council/leases/test_keeper.py
+++ b/tests/coordination/leases/test_keeper.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     NEVER_US,
     Applied,
     Confirm,
@@ -18,12 +18,12 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.bodies import Body, Close, Ended, Keeping, Open, decode
-from molereach.council.leases.keeper import Keeper
-from molereach.council.leases.rounds import MOST_ROUNDS
-from molereach.council.leases.sessions import Sessions
-from molereach.council.leases.words import BEAT_US, Ask, Asked, Given, Grant
-from tests.council.leases.entries import A, B, entry
+from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, decode
+from molereach.coordination.leases.keeper import Keeper
+from molereach.coordination.leases.rounds import MOST_ROUNDS
+from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.words import BEAT_US, Ask, Asked, Given, Grant
+from tests.coordination.leases.entries import A, B, entry
 
 TERMS = Terms()
 OVER_US = TERMS.over_us + 1  # by whole microseconds of a clock
--- a/tests/council/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import MOST_BODY_BYTES, MOST_DOORS, Known, Life, Outcome
-from molereach.council.leases.bodies import Body, Close, Ended, Keeping, Open, encode
-from molereach.council.leases.sessions import MOST_PAST, Opened, Past, Sessions
-from tests.council.leases.entries import A, B, entry, fence_of, opened
+from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Known, Life, Outcome
+from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, encode
+from molereach.coordination.leases.sessions import MOST_PAST, Opened, Past, Sessions
+from tests.coordination.leases.entries import A, B, entry, fence_of, opened
 
 A2 = Life("a", 2)
 
--- a/tests/council/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -1,6 +1,6 @@
 """A virtual world of front doors with clocks of their own, one true log, and what can go wrong between them.
 
-The log here keeps to what `molereach/council/interface.py` promises and to no more: one order, each id once,
+The log here keeps to what `coordination/interface.py` promises and to no more: one order, each id once,
 any proposal settled at any time or never, also when its proposer leads no more; `Confirmed` only if its asker
 truly led after it asked. True time is in microseconds; each front door sees its own clock only.
 """
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Accounted,
     Applied,
     Confirm,
@@ -28,12 +28,12 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.accounts import Account
-from molereach.council.leases.bodies import MACHINE, Close, Ended, decode
-from molereach.council.leases.holder import Holder
-from molereach.council.leases.keeper import Keeper
-from molereach.council.leases.sessions import Opened, Sessions
-from molereach.council.leases.words import Ask, Asked, Given, Granted, Leave
+from molereach.coordination.leases.accounts import Account
+from molereach.coordination.leases.bodies import MACHINE, Close, Ended, decode
+from molereach.coordination.leases.holder import Holder
+from molereach.coordination.leases.keeper import Keeper
+from molereach.coordination.leases.sessions import Opened, Sessions
+from molereach.coordination.leases.words import Ask, Asked, Given, Granted, Leave
 
 MS = 1000
 TERMS = Terms(2 * S, 0.02)
--- a/tests/council/membership/one.py
+++ b/tests/coordination/membership/one.py
@@ -4,11 +4,11 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from molereach.council.interface import Heard, Life, S, Say, Tick
-from molereach.council.membership.core import Membership
-from molereach.council.membership.events import Changed, Join
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.membership.words import Ack, Ping, Status, Sync
+from molereach.coordination.interface import Heard, Life, S, Say, Tick
+from molereach.coordination.membership.core import Membership
+from molereach.coordination.membership.events import Changed, Join
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.membership.words import Ack, Ping, Status, Sync
 
 ALIVE, SUSPECT, DEAD, LEFT = Status
 ME = Life("me", 5)
--- a/tests/council/membership/test_core.py
+++ b/tests/coordination/membership/test_core.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from molereach.council.interface import S
-from molereach.council.membership.core import Membership
-from molereach.council.membership.events import Doubts, Join
-from molereach.council.membership.probes import MOST_RELAYS
-from molereach.council.membership.words import Ack, Nack, Ping, PingReq, Rumour, Sync
-from tests.council.membership.one import (
+from molereach.coordination.interface import S
+from molereach.coordination.membership.core import Membership
+from molereach.coordination.membership.events import Doubts, Join
+from molereach.coordination.membership.probes import MOST_RELAYS
+from molereach.coordination.membership.words import Ack, Nack, Ping, PingReq, Rumour, Sync
+from tests.coordination.membership.one import (
     ALIVE,
     BEAT,
     DEAD,
--- a/tests/council/membership/test_histories.py
+++ b/tests/coordination/membership/test_histories.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from molereach.council.interface import MOST_DOORS, Life
-from molereach.council.membership.words import MOST_MESSAGE_BYTES, Status
-from tests.council.membership.world import BEAT, SETTINGS, Node, World
+from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
+from tests.coordination.membership.world import BEAT, SETTINGS, Node, World
 
 ALIVE, SUSPECT, DEAD, LEFT = Status
 STEPS = 12
--- a/tests/council/membership/test_lives.py
+++ b/tests/coordination/membership/test_lives.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from molereach.council.interface import MOST_DOORS, NEVER_US, Heard, Life, S, Tick
-from molereach.council.membership.events import Changed, Displaced, Doubts, Leave
-from molereach.council.membership.words import Ack, Ping, PingReq, Rumour, Sync
-from tests.council.membership.one import (
+from molereach.coordination.interface import MOST_DOORS, NEVER_US, Heard, Life, S, Tick
+from molereach.coordination.membership.events import Changed, Displaced, Doubts, Leave
+from molereach.coordination.membership.words import Ack, Ping, PingReq, Rumour, Sync
+from tests.coordination.membership.one import (
     ALIVE,
     BEAT,
     DEAD,
--- a/tests/council/membership/test_parts.py
+++ b/tests/coordination/membership/test_parts.py
@@ -7,15 +7,15 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import MOST_DOORS, MOST_NAME_CHARS, Life, S
-from molereach.council.membership.doubt import Doubt
-from molereach.council.membership.events import Changed
-from molereach.council.membership.gossip import Gossip, most_told
-from molereach.council.membership.probes import Rounds
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.membership.suspicion import Suspicion
-from molereach.council.membership.table import Table
-from molereach.council.membership.words import (
+from molereach.coordination.interface import MOST_DOORS, MOST_NAME_CHARS, Life, S
+from molereach.coordination.membership.doubt import Doubt
+from molereach.coordination.membership.events import Changed
+from molereach.coordination.membership.gossip import Gossip, most_told
+from molereach.coordination.membership.probes import Rounds
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.membership.suspicion import Suspicion
+from molereach.coordination.membership.table import Table
+from molereach.coordination.membership.words import (
     MOST_MESSAGE_BYTES,
     MOST_RUMOURS,
     MOST_SEQ,
--- a/tests/council/membership/test_world.py
+++ b/tests/coordination/membership/test_world.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from molereach.council.interface import S
-from molereach.council.membership.words import MOST_MESSAGE_BYTES, Status
-from tests.council.membership.world import BEAT, World
+from molereach.coordination.interface import S
+from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
+from tests.coordination.membership.world import BEAT, World
 
 ALIVE, SUSPECT, DEAD, LEFT = Status
 
--- a/tests/council/membership/world.py
+++ b/tests/coordination/membership/world.py
@@ -8,11 +8,11 @@
 import random
 from dataclasses import dataclass, field
 
-from molereach.council.interface import NEVER_US, Heard, Life, S, Say, Tick
-from molereach.council.membership.core import Event, Membership
-from molereach.council.membership.events import Changed, Displaced, Doubts, Join, Leave
-from molereach.council.membership.settings import MembershipSettings
-from molereach.council.membership.words import Status, Sync, decode, encode, pieces
+from molereach.coordination.interface import NEVER_US, Heard, Life, S, Say, Tick
+from molereach.coordination.membership.core import Event, Membership
+from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join, Leave
+from molereach.coordination.membership.settings import MembershipSettings
+from molereach.coordination.membership.words import Status, Sync, decode, encode, pieces
 
 SETTINGS = MembershipSettings()
 BEAT = SETTINGS.beat_us
--- a/tests/council/node/test_council.py
+++ b/tests/coordination/node/test_council.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from molereach.council.node.first import first_identity, first_panel
-from molereach.council.node.settings import CouncilSettings
+from molereach.coordination.node.first import first_identity, first_panel
+from molereach.coordination.node.settings import CouncilSettings
 from sim.council import KEY, CouncilHistory
 from sim.histories import Mail, S
 from sim.troubles import calm, trouble
--- a/tests/council/node/test_service.py
+++ b/tests/coordination/node/test_service.py
@@ -3,11 +3,11 @@
 import asyncio
 from pathlib import Path
 
-from molereach.council.interface import Persist
-from molereach.council.node.first import first_identity
-from molereach.council.node.service import CouncilService, open_folder
-from molereach.council.node.settings import CouncilSettings
-from molereach.council.store import worker
+from molereach.coordination.interface import Persist
+from molereach.coordination.node.first import first_identity
+from molereach.coordination.node.service import CouncilService, open_folder
+from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.storage import worker
 from tests.sockets import HOST, run
 
 KEY = b"a key of the whole council"
--- a/tests/council/log/explore.py
+++ b/tests/coordination/replicated_log/explore.py
@@ -12,11 +12,11 @@
 from itertools import combinations
 from typing import Any
 
-from molereach.council.interface import Entry, Life
-from molereach.council.log.acceptor import Acceptor
-from molereach.council.log.leader import Leadership, Phase
-from molereach.council.log.recovery import Recovery
-from molereach.council.log.words import (
+from molereach.coordination.interface import Entry, Life
+from molereach.coordination.replicated_log.acceptor import Acceptor
+from molereach.coordination.replicated_log.leader import Leadership, Phase
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.words import (
     NOBODY,
     Accept,
     Accepted,
--- a/tests/council/log/histories.py
+++ b/tests/coordination/replicated_log/histories.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from molereach.council.interface import Over
-from molereach.council.log.panel import Grow, Replace, Shrink
-from molereach.council.log.settings import Settings
-from molereach.council.log.words import Panel, Seat
-from tests.council.log.world import MS, Disk, Node, S, World
+from molereach.coordination.interface import Over
+from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.words import Panel, Seat
+from tests.coordination.replicated_log.world import MS, Disk, Node, S, World
 
 FAULTS_US, HEAL_US = 2_500 * MS, 25 * S
 QUICK = Settings(
--- a/tests/council/log/test_core.py
+++ b/tests/coordination/replicated_log/test_core.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from molereach.council.interface import Heard, Life, Outcome, Over, Persist, Persisted, Say, Tick
-from molereach.council.log.core import LogCore
-from molereach.council.log.once import USED
-from molereach.council.log.panel import Grow, Replace, Shrink
-from molereach.council.log.records import Recovered
-from molereach.council.log.settings import Settings
-from molereach.council.log.words import NOBODY, Ballot, Noted, Prepare, Promise, Run, Seat
-from tests.council.log.machine import Sum
-from tests.council.log.world import MS, S, World
+from molereach.coordination.interface import Heard, Life, Outcome, Over, Persist, Persisted, Say, Tick
+from molereach.coordination.replicated_log.core import LogCore
+from molereach.coordination.replicated_log.once import USED
+from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.words import NOBODY, Ballot, Noted, Prepare, Promise, Run, Seat
+from tests.coordination.replicated_log.machine import Sum
+from tests.coordination.replicated_log.world import MS, S, World
 
 
 def led(seed: int = 1, size: int = 5, learners: int = 0) -> World:
--- a/tests/council/log/test_explore.py
+++ b/tests/coordination/replicated_log/test_explore.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from molereach.council.log import leader, recovery
-from molereach.council.log.acceptor import Acceptor
-from molereach.council.log.leader import Leadership
-from molereach.council.log.recovery import Recovery
-from molereach.council.log.words import NOBODY, Ballot, Panel, Promise, Run
-from tests.council.log.explore import ONE, TWO, Own, Scope
+from molereach.coordination.replicated_log import leader, recovery
+from molereach.coordination.replicated_log.acceptor import Acceptor
+from molereach.coordination.replicated_log.leader import Leadership
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.words import NOBODY, Ballot, Panel, Promise, Run
+from tests.coordination.replicated_log.explore import ONE, TWO, Own, Scope
 
 ELECTED = (0, 2)
 MOST = 200_000
--- a/tests/council/log/test_mutations.py
+++ b/tests/coordination/replicated_log/test_mutations.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from molereach.council.interface import Confirmed
-from molereach.council.log import leader, ledger, recovery
-from molereach.council.log.election import Election
-from molereach.council.log.leader import Leadership
-from molereach.council.log.leading import Leading
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.once import Once
-from molereach.council.log.outbox import Outbox
-from molereach.council.log.recovery import Recovery
-from molereach.council.log.words import Panel, Run
-from tests.council.log import test_core as core
+from molereach.coordination.interface import Confirmed
+from molereach.coordination.replicated_log import leader, ledger, recovery
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.leader import Leadership
+from molereach.coordination.replicated_log.leading import Leading
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.once import Once
+from molereach.coordination.replicated_log.outbox import Outbox
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.words import Panel, Run
+from tests.coordination.replicated_log import test_core as core
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/council/log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -3,16 +3,16 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import Applied, Entry, Life, Outcome, Persist, Say
-from molereach.council.log.acceptor import Acceptor, in_order, rest
-from molereach.council.log.catchup import CatchingUp
-from molereach.council.log.leader import Queue
-from molereach.council.log.learner import OWN, Learner
-from molereach.council.log.ledger import Ledger
-from molereach.council.log.once import REPEATED, Once
-from molereach.council.log.outbox import Outbox
-from molereach.council.log.panel import Grow, Replace, Shrink, changed
-from molereach.council.log.records import (
+from molereach.coordination.interface import Applied, Entry, Life, Outcome, Persist, Say
+from molereach.coordination.replicated_log.acceptor import Acceptor, in_order, rest
+from molereach.coordination.replicated_log.catchup import CatchingUp
+from molereach.coordination.replicated_log.leader import Queue
+from molereach.coordination.replicated_log.learner import OWN, Learner
+from molereach.coordination.replicated_log.ledger import Ledger
+from molereach.coordination.replicated_log.once import REPEATED, Once
+from molereach.coordination.replicated_log.outbox import Outbox
+from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink, changed
+from molereach.coordination.replicated_log.records import (
     Decided,
     Promised,
     Raised,
@@ -23,9 +23,9 @@
     encode,
     recover,
 )
-from molereach.council.log.recovery import Recovery, counted
-from molereach.council.log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_RUNS, Settings
-from molereach.council.log.words import (
+from molereach.coordination.replicated_log.recovery import Recovery, counted
+from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_RUNS, Settings
+from molereach.coordination.replicated_log.words import (
     NOBODY,
     Ask,
     Ballot,
@@ -39,7 +39,7 @@
     Voter,
     Want,
 )
-from tests.council.log.machine import Sum
+from tests.coordination.replicated_log.machine import Sum
 
 ME = Life("d0", 1)
 SEATS = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(9))
--- a/tests/council/log/test_scripted.py
+++ b/tests/coordination/replicated_log/test_scripted.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Confirm,
     Confirmed,
     DiskFailed,
@@ -17,11 +17,11 @@
     Say,
     Tick,
 )
-from molereach.council.log.core import Learn, LogCore
-from molereach.council.log.outbox import MOST_UNSYNCED
-from molereach.council.log.records import Recovered
-from molereach.council.log.settings import Settings
-from molereach.council.log.words import (
+from molereach.coordination.replicated_log.core import Learn, LogCore
+from molereach.coordination.replicated_log.outbox import MOST_UNSYNCED
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.words import (
     NOBODY,
     Accept,
     Accepted,
@@ -43,7 +43,7 @@
     Voter,
     Want,
 )
-from tests.council.log.machine import Sum
+from tests.coordination.replicated_log.machine import Sum
 
 S = 1_000_000
 PANEL = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
--- a/tests/council/log/world.py
+++ b/tests/coordination/replicated_log/world.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Applied,
     Confirm,
     Confirmed,
@@ -31,15 +31,15 @@
     Say,
     Tick,
 )
-from molereach.council.log.core import CatchUp, Learn, LogCore
-from molereach.council.log.learner import MachineFailed
-from molereach.council.log.outbox import Stopped
-from molereach.council.log.panel import Change
-from molereach.council.log.records import recover
-from molereach.council.log.settings import Settings
-from molereach.council.log.starts import SetBack
-from molereach.council.log.words import Message, Panel, Seat
-from tests.council.log.machine import Sum
+from molereach.coordination.replicated_log.core import CatchUp, Learn, LogCore
+from molereach.coordination.replicated_log.learner import MachineFailed
+from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.panel import Change
+from molereach.coordination.replicated_log.records import recover
+from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.starts import SetBack
+from molereach.coordination.replicated_log.words import Message, Panel, Seat
+from tests.coordination.replicated_log.machine import Sum
 
 MS = 1000
 S = 1_000_000
--- a/tests/council/store/medium.py
+++ b/tests/coordination/storage/medium.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from molereach.council.store.disk import Disk, File
+from molereach.coordination.storage.disk import Disk, File
 
 
 class Crash(BaseException):
--- a/tests/council/store/test_crash.py
+++ b/tests/coordination/storage/test_crash.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from molereach.council.interface import Persist
-from molereach.council.store.store import Opened, Store, StoreError
-from tests.council.store.medium import Crash, Medium, MemoryDisk
+from molereach.coordination.interface import Persist
+from molereach.coordination.storage.store import Opened, Store, StoreError
+from tests.coordination.storage.medium import Crash, Medium, MemoryDisk
 
 BATCHES = [
     [Persist(1, (b"a",))],
--- a/tests/council/store/test_folder.py
+++ b/tests/coordination/storage/test_folder.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from molereach.council.interface import Persist
-from molereach.council.store import frames, plan, whole
-from molereach.council.store.store import Opened, Store, StoreError
+from molereach.coordination.interface import Persist
+from molereach.coordination.storage import frames, plan, whole
+from molereach.coordination.storage.store import Opened, Store, StoreError
 
 ROOT = Path(__file__).parents[3]
 
@@ -106,7 +106,7 @@
     identity = filled(tmp_path)
     held = opened(tmp_path)
     program = (
-        "import sys; from pathlib import Path; from molereach.council.store.store import Store\n"
+        "import sys; from pathlib import Path; from molereach.coordination.storage.store import Store\n"
         "Store.open(Path(sys.argv[1]), 'd1')"
     )
     command = [sys.executable, "-c", program, str(tmp_path)]
@@ -217,7 +217,7 @@
 ) -> None:
     found = opened(tmp_path)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    monkeypatch.setattr(f"molereach.council.store.{name}", most)
+    monkeypatch.setattr(f"molereach.coordination.storage.{name}", most)
     with pytest.raises(StoreError, match=f"^{tmp_path}: {reason}"):
         found.store.write([persist])
     with pytest.raises(StoreError, match="has failed before"):
@@ -243,9 +243,9 @@
 CHILD = """
 import asyncio, sys
 from pathlib import Path
-from molereach.council.interface import Persisted
-from molereach.council.store.store import Store
-from molereach.council.store.worker import Worker
+from molereach.coordination.interface import Persisted
+from molereach.coordination.storage.store import Store
+from molereach.coordination.storage.worker import Worker
 
 async def main():
     found = Store.open(Path(sys.argv[1]), "d1")
--- a/tests/council/store/test_frames.py
+++ b/tests/coordination/storage/test_frames.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.council.store import frames
-from molereach.council.store.frames import FRAME_BYTES, Chain, DamageError, digest, read
+from molereach.coordination.storage import frames
+from molereach.coordination.storage.frames import FRAME_BYTES, Chain, DamageError, digest, read
 
 SEED = digest(b"seed")
 WRITES = [[b"one"], [b"two", b""], [b"x" * 700], [b"four" * 9, b"five"]]
--- a/tests/council/store/test_plan.py
+++ b/tests/coordination/storage/test_plan.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.store.plan import FileError, Fresh, Kept, plan
+from molereach.coordination.storage.plan import FileError, Fresh, Kept, plan
 
 SET = ("identity", "base.3", "tail.3")
 
--- a/tests/council/store/test_worker.py
+++ b/tests/coordination/storage/test_worker.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from molereach.council.interface import DiskFailed, Persisted
-from molereach.council.store import worker as module
-from molereach.council.store.store import Store
-from molereach.council.store.worker import PERSIST_BYTES, TOO_MUCH, Worker
-from tests.council.store.medium import Medium, MemoryDisk
+from molereach.coordination.interface import DiskFailed, Persisted
+from molereach.coordination.storage import worker as module
+from molereach.coordination.storage.store import Store
+from molereach.coordination.storage.worker import PERSIST_BYTES, TOO_MUCH, Worker
+from tests.coordination.storage.medium import Medium, MemoryDisk
 
 TIMEOUT_S = 10
 
--- a/tests/council/links/doors.py
+++ b/tests/coordination/transport/doors.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from molereach.council.interface import Heard, Life, Say, Wire
-from molereach.council.links.board import Address
-from molereach.council.links.frames import (
+from molereach.coordination.interface import Heard, Life, Say, Wire
+from molereach.coordination.transport.board import Address
+from molereach.coordination.transport.frames import (
     DIALLER,
     LISTENER,
     MOST_BODY_BYTES,
@@ -17,11 +17,11 @@
     Sealer,
     head,
 )
-from molereach.council.links.hello import MOST_HELLO_BYTES, NONCE_BYTES, Dialling
-from molereach.council.links.queue import Rule
-from molereach.council.links.service import Links
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.words import Words
+from molereach.coordination.transport.hello import MOST_HELLO_BYTES, NONCE_BYTES, Dialling
+from molereach.coordination.transport.queue import Rule
+from molereach.coordination.transport.service import Links
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.words import Words
 
 KEY = b"k" * 32
 HOST = "127.0.0.1"
--- a/tests/council/links/test_cores.py
+++ b/tests/coordination/transport/test_cores.py
@@ -3,12 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.council.links import retry
-from molereach.council.links.budget import BEGIN_US, MOST_STEPS, MOST_TURN_US, Turn
-from molereach.council.links.places import Places
-from molereach.council.links.pulse import Pulse, Verdict
-from molereach.council.links.queue import Item, Outbox, Room, Rule
-from molereach.council.links.retry import Retry
+from molereach.coordination.transport import retry
+from molereach.coordination.transport.budget import BEGIN_US, MOST_STEPS, MOST_TURN_US, Turn
+from molereach.coordination.transport.places import Places
+from molereach.coordination.transport.pulse import Pulse, Verdict
+from molereach.coordination.transport.queue import Item, Outbox, Room, Rule
+from molereach.coordination.transport.retry import Retry
 
 RULES = {
     "log": Rule(4, 100, losable=False),
--- a/tests/council/links/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -3,12 +3,12 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import Life
-from molereach.council.links.hello import HelloError
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.words import OWN, Beat
+from molereach.coordination.interface import Life
+from molereach.coordination.transport.hello import HelloError
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.words import OWN, Beat
 from rig.council.relay import Relay
-from tests.council.links.doors import HOST, Door, Raw, Word, doors, spin
+from tests.coordination.transport.doors import HOST, Door, Raw, Word, doors, spin
 from tests.sockets import run
 
 GIANT = b"\xff\xff\xff\xff"
--- a/tests/council/links/test_frames.py
+++ b/tests/coordination/transport/test_frames.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from molereach.council.links import frames
-from molereach.council.links.frames import DIALLER, LISTENER, TAG_BYTES, Cutter, FrameError, Opener
+from molereach.coordination.transport import frames
+from molereach.coordination.transport.frames import DIALLER, LISTENER, TAG_BYTES, Cutter, FrameError, Opener
 
 KEY, SESSION = b"k" * 32, b"s" * 32
 BODIES = [b"one", b"two" * 100, b"\0"]
--- a/tests/council/links/test_hello.py
+++ b/tests/coordination/transport/test_hello.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import Life
-from molereach.council.links import hello
-from molereach.council.links.hello import Answering, Dialling, Greeting, Hello, HelloError
+from molereach.coordination.interface import Life
+from molereach.coordination.transport import hello
+from molereach.coordination.transport.hello import Answering, Dialling, Greeting, Hello, HelloError
 
 KEY, PARTS = b"k" * 32, ("leases", "log")
 A, B = Life("a", 10), Life("b", 20)
--- a/tests/council/links/test_room.py
+++ b/tests/coordination/transport/test_room.py
@@ -3,14 +3,25 @@
 import asyncio
 import socket
 
-from molereach.council.interface import Life, Say
-from molereach.council.links.board import BEATS_AT_ONCE, DIALS_AT_ONCE
-from molereach.council.links.budget import MOST_STEPS
-from molereach.council.links.queue import DOWN_ROOM
-from molereach.council.links.settings import LinkSettings
-from molereach.council.links.words import Bye
+from molereach.coordination.interface import Life, Say
+from molereach.coordination.transport.board import BEATS_AT_ONCE, DIALS_AT_ONCE
+from molereach.coordination.transport.budget import MOST_STEPS
+from molereach.coordination.transport.queue import DOWN_ROOM
+from molereach.coordination.transport.settings import LinkSettings
+from molereach.coordination.transport.words import Bye
 from rig.council.relay import Relay
-from tests.council.links.doors import BY_HAND, HOST, PARTS, Door, Other, Raw, State, Word, doors, spin
+from tests.coordination.transport.doors import (
+    BY_HAND,
+    HOST,
+    PARTS,
+    Door,
+    Other,
+    Raw,
+    State,
+    Word,
+    doors,
+    spin,
+)
 from tests.sockets import run
 
 
--- a/tests/council/links/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from molereach.council.interface import Life, Say
-from molereach.council.links.board import MOST_LINES
-from molereach.council.links.hello import HelloError
+from molereach.coordination.interface import Life, Say
+from molereach.coordination.transport.board import MOST_LINES
+from molereach.coordination.transport.hello import HelloError
 from rig.council.relay import Relay
-from tests.council.links.doors import HOST, Door, Raw, Word, doors, spin
+from tests.coordination.transport.doors import HOST, Door, Raw, Word, doors, spin
 from tests.sockets import run
 
 
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -15,8 +15,8 @@
 from molereach.subsetting.endpoint_subsetting import Routing
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import Slice, Staging
-from tests.crossings.wire import until
 from tests.discovery.made import entries_text, list_text, says
+from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
 
 MOST = 3_276  # entries of one list at 4 MB
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -16,8 +16,8 @@
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import Routing
-from tests.crossings.wire import until
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
+from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
 
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -11,8 +11,8 @@
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.interface import Seen, Staged
-from tests.crossings.wire import until
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
+from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -7,8 +7,8 @@
 import pytest
 
 from molereach.discovery.watch_stream import TURN_BYTES, Steps, WatchConnection
-from tests.crossings.wire import turns
 from tests.discovery.made import entries_text, list_text
+from tests.races.wire import turns
 from tests.sockets import HEAD, chunk, run
 
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -13,18 +13,18 @@
 import trustme
 
 from molereach.discovery.endpoint_discovery import News
-from molereach.fleet import view
+from molereach.fleet import api_bodies
 from molereach.fleet.agent import agent as agent_module
 from molereach.fleet.agent import api, openapi
 from molereach.fleet.agent.agent import Watcher
 from molereach.fleet.agent.api import Api
 from molereach.fleet.agent.auth import Tokens
 from molereach.fleet.agreement import Accept, Accepted, Acceptor, Ballot, Known, Prepare, Promise
+from molereach.fleet.api_bodies import Event
 from molereach.fleet.control import Control
 from molereach.fleet.journal import Journal, JournalError
 from molereach.fleet.orders import BookState, Decided, Order, Verb
 from molereach.fleet.settings import TlsTable
-from molereach.fleet.view import Event
 from molereach.policy import interface as i
 from tests.fleet.agents import OPERATE, READ, TOKENS, client, made, serving, until
 from tests.sockets import HOST, Backend, front_door, run
@@ -393,8 +393,8 @@
 
 
 def test_ready_servers_are_up_wherever_they_are_listed() -> None:
-    def member(name: str, listed: str) -> view.Member:
-        return view.Member(name, "east", listed, True, 0)
+    def member(name: str, listed: str) -> api_bodies.Member:
+        return api_bodies.Member(name, "east", listed, True, 0)
 
     doors = [(member("s1", "up"), member("s2", "up")), (member("s1", "draining"),), ()]
-    assert view.ready_servers(doors) == {"s2": "east"}
+    assert api_bodies.ready_servers(doors) == {"s2": "east"}
--- a/tests/fleet/test_campaign.py
+++ b/tests/fleet/test_rollout.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from molereach.fleet.campaign.events import Draft
-from molereach.fleet.campaign.report import Verdict
 from molereach.fleet.orders import BookState, Decided, Order, Verb
+from molereach.fleet.rollout.events import Draft
+from molereach.fleet.rollout.report import Verdict
 from tests.fleet.virtual import MS, Fleet, once
 
 STEPS = (
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from molereach.fleet import anchored_clock
 from molereach.fleet import roster as module
-from molereach.fleet import wall
 from molereach.fleet.roster import (
     Connect,
     Drop,
@@ -88,9 +88,9 @@
 
 def test_orders_lapse_by_a_clock_that_does_not_step(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = {"wall": 1_700_000_000_000, "monotonic": 5_000}
-    monkeypatch.setattr(wall.time, "time_ns", lambda: clock["wall"] * 1_000_000)
-    monkeypatch.setattr(wall.time, "monotonic_ns", lambda: clock["monotonic"] * 1_000_000)
-    now_ms = wall.anchored()
+    monkeypatch.setattr(anchored_clock.time, "time_ns", lambda: clock["wall"] * 1_000_000)
+    monkeypatch.setattr(anchored_clock.time, "monotonic_ns", lambda: clock["monotonic"] * 1_000_000)
+    now_ms = anchored_clock.anchored()
     assert now_ms() == 1_700_000_000_000
     for step_ms in (3_600_000, -7_200_000):  # the machine's clock is set, on and back
         clock["wall"] += step_ms
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -6,12 +6,12 @@
 from random import Random
 
 from molereach.fleet.agreement import Acceptor, Message
-from molereach.fleet.campaign import events as ev
-from molereach.fleet.campaign.course import Campaign
-from molereach.fleet.campaign.report import Verdict
+from molereach.fleet.api_bodies import Status, View
 from molereach.fleet.orders import Book, BookState, Decided, Verb
+from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout.course import Campaign
+from molereach.fleet.rollout.report import Verdict
 from molereach.fleet.roster import Heard, Lost, Opened, Put, Roster, Sockets, Wanted
-from molereach.fleet.view import Status, View
 from molereach.fleet.wire import State
 
 MS = 1000
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -15,8 +15,8 @@
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import Routing
-from tests.crossings.wire import until
 from tests.discovery.made import entries_text
+from tests.races.wire import until
 from tests.sockets import (
     CUSTOMER,
     HEAD,
--- a/tests/crossings/attempts.py
+++ b/tests/races/attempts.py
@@ -3,7 +3,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.policy import interface as i
-from tests.crossings.wire import Machine
+from tests.races.wire import Machine
 
 S = 1_000_000
 
--- a/tests/crossings/listing.py
+++ b/tests/races/listing.py
@@ -9,7 +9,7 @@
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.policy import interface as i
 from molereach.proxy.config import Address
-from tests.crossings.wire import Machine, Peer
+from tests.races.wire import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
 
 AT = (HOST, 6379)
--- a/tests/crossings/sigterm.py
+++ b/tests/races/sigterm.py
@@ -8,7 +8,7 @@
 from molereach.proxy import graceful_shutdown
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Peer
+from tests.races.wire import Peer
 from tests.sockets import query
 
 OK = b"$2\r\nok\r\n"
--- a/tests/crossings/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -8,8 +8,8 @@
 from molereach.backends import pool
 from molereach.policy import interface as i
 from molereach.resp import MOST_VALUE
-from tests.crossings.attempts import S, Sender
-from tests.crossings.wire import Machine, Peer, machine, turns, until
+from tests.races.attempts import S, Sender
+from tests.races.wire import Machine, Peer, machine, turns, until
 from tests.sockets import Client, front_door, query, run, submit, value
 
 
--- a/tests/crossings/test_attempts_dial.py
+++ b/tests/races/test_attempts_dial.py
@@ -4,8 +4,8 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.policy import interface as i
-from tests.crossings.attempts import Sender
-from tests.crossings.wire import Dials, Machine, machine, turns, until
+from tests.races.attempts import Sender
+from tests.races.wire import Dials, Machine, machine, turns, until
 from tests.sockets import run, value
 
 
--- a/tests/crossings/test_attempts_dial_late.py
+++ b/tests/races/test_attempts_dial_late.py
@@ -8,8 +8,8 @@
 from molereach.backends import pool as pools
 from molereach.backends.connection import Connection
 from molereach.policy import interface as i
-from tests.crossings.attempts import S, Sender
-from tests.crossings.wire import machine, until
+from tests.races.attempts import S, Sender
+from tests.races.wire import machine, until
 from tests.sockets import run, value
 
 DIAL_S = 0.02
--- a/tests/crossings/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -7,7 +7,7 @@
 
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Dials, Machine, Peer, machine, turns, until
+from tests.races.wire import Dials, Machine, Peer, machine, turns, until
 from tests.sockets import SETTINGS, Backend, Client, front_door, run, submit, value
 
 OLD = i.Server("s0", 0, 0, 0, i.ServerState.UP)
--- a/tests/crossings/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -11,7 +11,7 @@
 
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Dials, Peer, machine, narrow, turns, until
+from tests.races.wire import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
 
 STREAMED = replace(SETTINGS, classes=tuple(replace(rule, streamed=True) for rule in CLASSES))
--- a/tests/crossings/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -6,8 +6,8 @@
 
 from molereach.backends import pool
 from molereach.policy import interface as i
-from tests.crossings.attempts import Sender
-from tests.crossings.wire import Dials, Machine, Peer, machine, until
+from tests.races.attempts import Sender
+from tests.races.wire import Dials, Machine, Peer, machine, until
 from tests.sockets import Backend, Client, front_door, query, run, submit, value
 
 ENDS = [Peer.close, Peer.reset, lambda peer: peer.say(b"-BUSY\r\n") or peer.close()]
--- a/tests/crossings/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -11,7 +11,7 @@
 from molereach.clients import resp as clients
 from molereach.clients.listener import State
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Peer, turns, until
+from tests.races.wire import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
 
 OK = b"$2\r\nok\r\n"
--- a/tests/crossings/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -11,7 +11,7 @@
 from molereach.clients.listener import READ_BYTES
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Dials, Peer, turns, until
+from tests.races.wire import Dials, Peer, turns, until
 from tests.sockets import CUSTOMER, SETTINGS, Backend, Client, front_door, query, resp, run, submit, value
 
 GOES = pytest.mark.parametrize("go", [Peer.close, Peer.finish, Peer.reset])
--- a/tests/crossings/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -18,8 +18,8 @@
 from molereach.policy import interface as i
 from molereach.policy.overload_control import START_PER_SERVER
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.test_clients_gone import GOES, events, gone
-from tests.crossings.wire import Peer, machine, turns, until
+from tests.races.test_clients_gone import GOES, events, gone
+from tests.races.wire import Peer, machine, turns, until
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, front_door, query, resp, run, submit, value
 
 GONE_S = 0.1  # from a close until when the last attempt for its client may begin
--- a/tests/crossings/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -14,7 +14,7 @@
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
-from tests.crossings.wire import Peer, turns, until
+from tests.races.wire import Peer, turns, until
 from tests.sockets import Address, Backend, front_door, query, resp, run
 
 OK = b"$2\r\nok\r\n"
--- a/tests/crossings/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -2,7 +2,7 @@
 
 from molereach.policy import interface as i
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Peer, machine, until
+from tests.races.wire import Peer, machine, until
 from tests.sockets import Backend, front_door, query, run, value
 
 
--- a/tests/crossings/test_descriptors.py
+++ b/tests/races/test_descriptors.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from molereach.proxy.proxy import CLIENT_SHARE, SPARE_SOCKETS
-from tests.crossings.processes import Process, processes
-from tests.crossings.wire import Machine, Peer, machine, until
+from tests.races.processes import Process, processes
+from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
 from tests.test_program import SETTINGS
 
--- a/tests/crossings/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.policy import interface as i
-from tests.crossings.listing import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
-from tests.crossings.wire import Peer, machine, turns
+from tests.races.listing import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
+from tests.races.wire import Peer, machine, turns
 from tests.sockets import HEAD, chunk, run
 
 UP, DRAINING, GONE = i.ServerState.UP, i.ServerState.DRAINING, i.ServerState.GONE
--- a/tests/crossings/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -13,8 +13,8 @@
 from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.listing import AT, after, call
-from tests.crossings.wire import Machine, Peer, machine, until
+from tests.races.listing import AT, after, call
+from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
 
 UP, DRAINING, GONE = i.ServerState.UP, i.ServerState.DRAINING, i.ServerState.GONE
--- a/tests/crossings/test_discovery_moves.py
+++ b/tests/races/test_discovery_moves.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.policy import interface as i
-from tests.crossings.listing import WHOLE, asked, call, changes, gone, listed, watch, whole
-from tests.crossings.wire import Machine, machine, until
+from tests.races.listing import WHOLE, asked, call, changes, gone, listed, watch, whole
+from tests.races.wire import Machine, machine, until
 from tests.sockets import HEAD, chunk, run
 
 UP, DRAINING = i.ServerState.UP, i.ServerState.DRAINING
--- a/tests/crossings/test_peers_none.py
+++ b/tests/races/test_peers_none.py
@@ -8,8 +8,8 @@
 
 from molereach.policy import interface as i
 from molereach.proxy.config import load
-from tests.crossings.test_settings_wrong import VALUES
 from tests.helpers import MS, SETTINGS, Set
+from tests.races.test_settings_wrong import VALUES
 
 ALONE = replace(SETTINGS, may_tell=False, peer_messages_per_s=0.0)
 
--- a/tests/crossings/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -14,7 +14,7 @@
 from molereach.proxy import proxy
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from tests.crossings.wire import Dials, Peer, machine
+from tests.races.wire import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
 
 
--- a/tests/crossings/test_sigterm_requests.py
+++ b/tests/races/test_sigterm_requests.py
@@ -6,8 +6,8 @@
 import pytest
 
 from molereach.policy import interface as i
-from tests.crossings.sigterm import FAILED, shorten
-from tests.crossings.wire import Peer, machine, until
+from tests.races.sigterm import FAILED, shorten
+from tests.races.wire import Peer, machine, until
 from tests.sockets import SETTINGS, front_door, query, run, submit
 
 
--- a/tests/rig/test_orders.py
+++ b/tests/rig/test_orders.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from molereach.fleet.campaign.report import AgentWord, DoorWord, Report, Verdict
+from molereach.fleet.rollout.report import AgentWord, DoorWord, Report, Verdict
 from rig.fleet import FleetRig
 from rig.orders import Trial, carried_out, kill_at, scenario, wrong_words
 from rig.world.world import World
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import Accounted, Heard, Known, Life, Restored, Tick
-from molereach.council.leases import bodies as leases
+from molereach.coordination.interface import Accounted, Heard, Known, Life, Restored, Tick
+from molereach.coordination.leases import bodies as leases
 from molereach.shards.counts.bodies import MACHINE, Fold, encode
 from molereach.shards.counts.counter import Count, Counter
 from molereach.shards.counts.door import BEAT_US, DoorCounts, StartAnew
--- a/tests/shards/counts/test_cut.py
+++ b/tests/shards/counts/test_cut.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.interface import Life
+from molereach.coordination.interface import Life
 from molereach.shards.counts.cut import Cut, NoCut, OneMember, place
 from molereach.shards.counts.digest import FACTOR, LEVELS, MOST_HELD, Digest
 from molereach.shards.counts.sketches import MOST_WATCHED, Sketches
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from molereach.council.interface import Applied, Entry, Heard, Known, Life, Outcome, Propose, Say, Tick
-from molereach.council.leases import bodies as leases
-from molereach.council.leases.sessions import Past, Sessions
+from molereach.coordination.interface import Applied, Entry, Heard, Known, Life, Outcome, Propose, Say, Tick
+from molereach.coordination.leases import bodies as leases
+from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.shards.counts import bodies
 from molereach.shards.counts.bodies import Forget
 from molereach.shards.counts.door import BEAT_US, Confirmed, DoorCounts, Leader
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import Life, Tick
-from molereach.council.leases import bodies as leases
+from molereach.coordination.interface import Life, Tick
+from molereach.coordination.leases import bodies as leases
 from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.interface import Known, Life, Restored, Tick
+from molereach.coordination.interface import Known, Life, Restored, Tick
 from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import MEMBERS, Home
 from molereach.shards.proof import Word
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Accounted,
     Applied,
     Entry,
@@ -17,8 +17,8 @@
     Restored,
     Tick,
 )
-from molereach.council.leases import bodies as leases
-from molereach.council.leases.sessions import Past, Sessions
+from molereach.coordination.leases import bodies as leases
+from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.policy.interface import Effect
 from molereach.shards.map.pieces import Home, ShardMap, unsound
 from molereach.shards.proof import Word
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -114,7 +114,7 @@
         "rig",
         "hiredis",
         "molereach.limits",
-        "molereach.council",
+        "molereach.coordination",
         "molereach.keyfile",
     )
     assert not loaded.intersection(off)
--- a/tests/upkeep/led.py
+++ b/tests/upkeep/led.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Applied,
     Leads,
     Life,
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from molereach.council.interface import Entry, Known, Life, Outcome
-from molereach.council.leases.bodies import Close, Ended, Open
-from molereach.council.leases.bodies import encode as encode_session
-from molereach.council.leases.sessions import Past, Sessions
+from molereach.coordination.interface import Entry, Known, Life, Outcome
+from molereach.coordination.leases.bodies import Close, Ended, Open
+from molereach.coordination.leases.bodies import encode as encode_session
+from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.upkeep.permits.bodies import Ask, Back, Body, Move, Out, Seen, Stand, Word, encode
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.permits.proof import needed
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from molereach.council.interface import Known
+from molereach.coordination.interface import Known
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.machine import Upkeep
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/players.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Life,
     ProposalOver,
     S,
--- a/tests/upkeep/test_door.py
+++ b/tests/upkeep/test_door.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.interface import Applied, Entry, Outcome, Restored, Tick
+from molereach.coordination.interface import Applied, Entry, Outcome, Restored, Tick
 from molereach.upkeep.door import Began, DoorSide, Ended, Hurry, Permitted, Resume, Stop
 from molereach.upkeep.permits.bodies import Back, Body, Move, Stand, encode
 from molereach.upkeep.permits.machine import Upkeep
--- a/tests/upkeep/test_driver.py
+++ b/tests/upkeep/test_driver.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Life,
     S,
 )
--- a/tests/upkeep/test_machine_ends.py
+++ b/tests/upkeep/test_machine_ends.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from molereach.council.interface import MOST_BODY_BYTES, Entry, Life
+from molereach.coordination.interface import MOST_BODY_BYTES, Entry, Life
 from molereach.upkeep.permits import machine
 from molereach.upkeep.permits.bodies import Ask, Back, Move, Seen, Stand, encode
 from molereach.upkeep.permits.record import Record
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.interface import Known, Life
+from molereach.coordination.interface import Known, Life
 from molereach.upkeep.permits.accounting import Accounting
 from molereach.upkeep.permits.bodies import MOST_BODY_BYTES, Move, Out, Stand, Word, encode
 from molereach.upkeep.permits.marks import MOST_MARKS, Mark, marked, waited
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from molereach.council.interface import (
+from molereach.coordination.interface import (
     Applied,
     Entry,
     Known,
@@ -24,10 +24,10 @@
     Terms,
     Tick,
 )
-from molereach.council.leases.bodies import Ended as SessionEnded
-from molereach.council.leases.bodies import Open
-from molereach.council.leases.bodies import encode as encode_session
-from molereach.council.leases.sessions import Past
+from molereach.coordination.leases.bodies import Ended as SessionEnded
+from molereach.coordination.leases.bodies import Open
+from molereach.coordination.leases.bodies import encode as encode_session
+from molereach.coordination.leases.sessions import Past
 from molereach.upkeep.door import Began, Ended
 from molereach.upkeep.driver import Driver
 from molereach.upkeep.permits.accounting import Accounting
