--- /dev/null
+++ b/tests/compatibility/__init__.py
@@ -0,0 +1,1 @@
+"""Bytes that earlier releases stored or sent: read and written unchanged."""
--- /dev/null
+++ b/tests/compatibility/council_families.py
@@ -0,0 +1,111 @@
+"""Families of messages that share a codec: their samples, how they are encoded, and how they are decoded."""
+
+import json
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, get_args
+
+import msgspec
+
+from molereach.council.interface import Ask as SessionAsk
+from molereach.council.interface import Grant
+from molereach.council.leases import bodies as lease_bodies
+from molereach.council.links import hello as link_hello
+from molereach.council.links import words as link_words
+from molereach.council.log import records as log_records
+from molereach.council.log import words as log_words
+from molereach.council.membership import words as membership_words
+from molereach.council.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.council.spread import words as spread_words
+from tests.compatibility import council_samples as samples
+
+RECORD_TYPES = (
+    log_records.Started
+    | log_records.Wrote
+    | log_records.Promised
+    | log_records.Voted
+    | log_records.Raised
+    | log_records.Decided
+)
+HANDSHAKE_TYPES = link_hello.Greeting | link_hello.Hello | link_hello.Welcome | link_hello.Refused
+
+
+@dataclass(frozen=True, slots=True)
+class Family:
+    """Messages of one codec; `types` are all that the codec knows."""
+
+    name: str
+    samples: Mapping[str, Any]
+    types: tuple[type, ...]
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
+
+    @property
+    def file_name(self) -> str:
+        """The recorded file."""
+        return f"council_{self.name}.hex"
+
+    def encoded(self) -> dict[str, bytes]:
+        """Each sample's bytes."""
+        return {name: self.encode(sample) for name, sample in self.samples.items()}
+
+
+def link_family(name: str, part: str, messages: Mapping[str, Any], types: Any) -> Family:  # noqa: ANN401
+    """Messages of one part in the envelope in which a link sends them."""
+    words = link_words.Words(WORDS)
+
+    def decode(body: bytes) -> Any:  # noqa: ANN401
+        read_part, message = words.read(body)
+        assert read_part == part
+        return message
+
+    return Family(name, messages, get_args(types), lambda message: words.pack(part, message), decode)
+
+
+def binary_family(name: str, messages: Mapping[str, Any], types: Any) -> Family:  # noqa: ANN401
+    """Messages that are msgpack without an envelope."""
+    decoder = msgspec.msgpack.Decoder(types)
+    return Family(name, messages, get_args(types) or (types,), msgspec.msgpack.encode, decoder.decode)
+
+
+def membership_family() -> Family:
+    """Datagrams of the membership protocol."""
+    return Family(
+        "membership_messages",
+        samples.membership_messages(),
+        get_args(membership_words.Message),
+        membership_words.encode,
+        membership_words.decode,
+    )
+
+
+def lease_family() -> Family:
+    """Bodies of entries about sessions."""
+    return Family(
+        "lease_bodies",
+        samples.lease_body_samples(),
+        get_args(lease_bodies.Body),
+        lease_bodies.encode,
+        lease_bodies.decode,
+    )
+
+
+FAMILIES = (
+    membership_family(),
+    lease_family(),
+    link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_words.Message),
+    link_family("link_log", LOG, samples.log_messages(), log_words.Message),
+    link_family("link_spread", SPREAD, samples.spread_messages(), spread_words.Message),
+    link_family("link_own", link_words.OWN, samples.link_own_messages(), link_words.Beat | link_words.Bye),
+    binary_family("handshake", samples.handshake_messages(), HANDSHAKE_TYPES),
+    binary_family("log_records", samples.log_record_samples(), RECORD_TYPES),
+    binary_family("log_bases", {"base": samples.log_base()}, log_records.Base),
+    binary_family("log_snapshots", {"snapshot": samples.log_snapshot()}, log_records.Snapshot),
+    binary_family("session_asks", samples.session_asks(), SessionAsk),
+    binary_family("session_grants", samples.session_grants(), Grant),
+)
+
+
+def part_numbers() -> str:
+    """The parts' numbers on a link, which both sides must have alike."""
+    return json.dumps(link_words.Words(WORDS).numbers, indent=2) + "\n"
--- /dev/null
+++ b/tests/compatibility/council_samples.py
@@ -0,0 +1,258 @@
+"""Council messages and records with fixed content: one of each type, built by the program's own types."""
+
+from molereach.council.interface import Ask as SessionAsk
+from molereach.council.interface import Entry, Grant, Life, Outcome
+from molereach.council.leases import bodies as lease_bodies
+from molereach.council.links import hello as link_hello
+from molereach.council.links import words as link_words
+from molereach.council.log import records as log_records
+from molereach.council.log import words as log_words
+from molereach.council.log.once import Done
+from molereach.council.membership import words as membership_words
+from molereach.council.spread import words as spread_words
+
+FIRST_DOOR = Life(name="door-a", number=1_900_000_000_001 << 20)
+SECOND_DOOR = Life(name="door-b", number=(1_900_000_000_002 << 20) + 7)
+FIRST_DISK = "0123456789abcdef" * 2
+SECOND_DISK = "fedcba9876543210" * 2
+AT_MS = 1_796_731_200_000
+
+
+def entry(position: int, machine: str = "sessions", body: bytes = b'{"kind":"keeping","ballot":3}') -> Entry:
+    """An entry of the replicated log."""
+    return Entry(
+        position=position,
+        machine=machine,
+        id=f"entry-{position}",
+        proposer=FIRST_DOOR,
+        at_ms=AT_MS + position,
+        body=body,
+    )
+
+
+def membership_messages() -> dict[str, membership_words.Message]:
+    """Datagrams of the membership protocol, with every status in their rumours."""
+    rumours = tuple(
+        membership_words.Rumour(
+            name=f"door-{status.name.lower()}",
+            number=5 + status,
+            incarnation=2 * status,
+            status=status,
+            accuser="door-a" if status is membership_words.Status.SUSPECT else None,
+        )
+        for status in membership_words.Status
+    )
+    return {
+        "ping": membership_words.Ping(seq=1, rumours=rumours),
+        "ping-without-rumours": membership_words.Ping(seq=0),
+        "ping-request": membership_words.PingReq(seq=2, name="door-c", number=9, rumours=rumours[:1]),
+        "ack": membership_words.Ack(seq=membership_words.MOST_SEQ, rumours=rumours[1:2]),
+        "nack": membership_words.Nack(seq=4, rumours=rumours[2:3]),
+        "sync": membership_words.Sync(rumours=rumours, answer=True),
+        "sync-reply": membership_words.Sync(rumours=rumours[:2]),
+    }
+
+
+def ballot(number: int = 3) -> log_words.Ballot:
+    """A ballot of the first front door."""
+    return log_words.Ballot(number=number, name=FIRST_DOOR.name, life=FIRST_DOOR.number)
+
+
+def first_run() -> log_words.Run:
+    """The fourth start of the first disk."""
+    return log_words.Run(disk=FIRST_DISK, starts=4, life=FIRST_DOOR.number)
+
+
+def second_run() -> log_words.Run:
+    """The first start of the second disk."""
+    return log_words.Run(disk=SECOND_DISK, starts=1, life=SECOND_DOOR.number)
+
+
+def voter() -> log_words.Voter:
+    """A vote of the first disk that knows the second."""
+    return log_words.Voter(run=first_run(), knows=(second_run(),))
+
+
+def log_start_messages() -> dict[str, log_words.Message]:
+    """Messages of a disk's start."""
+    return {
+        "start": log_words.Start(run=first_run(), after=16),
+        "noted": log_words.Noted(
+            run=first_run(),
+            by=second_run(),
+            after=16,
+            promised=ballot(5),
+            accepted_at=ballot(4),
+            accepted=(entry(17), entry(18, machine="log")),
+        ),
+        "noted-empty": log_words.Noted(run=first_run(), by=second_run(), after=0, promised=log_words.NOBODY),
+        "exists": log_words.Exists(run=first_run(), known=second_run()),
+    }
+
+
+def log_election_messages() -> dict[str, log_words.Message]:
+    """Messages of an election."""
+    return {
+        "poll": log_words.Poll(ballot=ballot(), after=17),
+        "polled": log_words.Polled(ballot=ballot(), disk=SECOND_DISK, granted=True, promised=ballot(2)),
+        "prepare": log_words.Prepare(ballot=ballot(), after=17),
+        "promise": log_words.Promise(
+            ballot=ballot(), after=17, voter=voter(), accepted_at=ballot(2), accepted=(entry(18),)
+        ),
+        "promise-empty": log_words.Promise(ballot=ballot(), after=17, voter=voter()),
+        "outbid": log_words.Outbid(ballot=ballot(), promised=ballot(9)),
+    }
+
+
+def log_leader_messages() -> dict[str, log_words.Message]:
+    """Messages of a leader, of those that follow it, and of proposers."""
+    return {
+        "accept": log_words.Accept(ballot=ballot(), entries=(entry(18), entry(19, body=b""))),
+        "accepted": log_words.Accepted(ballot=ballot(), last=19, voter=voter()),
+        "beat": log_words.Beat(ballot=ballot(), decided=19, round=77),
+        "follow": log_words.Follow(ballot=ballot(), round=77, voter=voter()),
+        "ask": log_words.Ask(
+            machine="upkeep", id="proposal-1", proposer=SECOND_DOOR, since=18, body=b'{"kind":"ask"}'
+        ),
+        "leader": log_words.Leader(ballot=ballot()),
+    }
+
+
+def log_catch_up_messages() -> dict[str, log_words.Message]:
+    """Messages by which a replica catches up."""
+    return {
+        "want": log_words.Want(after=12),
+        "known": log_words.Known(entries=(entry(13), entry(14)), decided=19),
+        "want-piece": log_words.WantPiece(position=19, offset=65_536),
+        "piece": log_words.Piece(
+            position=19, total=100_000, offset=65_536, digest=bytes(range(16)), data=b"snapshot\x00\xff"
+        ),
+    }
+
+
+def log_messages() -> dict[str, log_words.Message]:
+    """All messages of the replicated log."""
+    return {
+        **log_start_messages(),
+        **log_election_messages(),
+        **log_leader_messages(),
+        **log_catch_up_messages(),
+    }
+
+
+def log_snapshot() -> log_records.Snapshot:
+    """A snapshot of the log's state with one machine."""
+    return log_records.Snapshot(
+        position=12,
+        last=entry(12),
+        chain=bytes(range(32)),
+        panel=(
+            log_words.Seat(name=FIRST_DOOR.name, disk=FIRST_DISK),
+            log_words.Seat(name=SECOND_DOOR.name, disk=SECOND_DISK),
+        ),
+        once=(
+            Done(
+                id="entry-12",
+                machine="sessions",
+                body=bytes(range(16)),
+                position=12,
+                outcome=Outcome(error="", value=b"{}"),
+            ),
+            Done(id="entry-11", machine="", body=b"", position=11, outcome=Outcome(error="refused")),
+        ),
+        once_floor=3,
+        machines={"sessions": b'{"ballot":3,"doors":[]}'},
+        failed=("upkeep",),
+    )
+
+
+def log_base() -> log_records.Base:
+    """What takes the place of all records before it."""
+    return log_records.Base(
+        disk=FIRST_DISK,
+        starts=3,
+        runs=(second_run(),),
+        promised=ballot(3),
+        accepted_at=ballot(2),
+        accepted=(entry(13),),
+        snapshot=log_snapshot(),
+    )
+
+
+def log_record_samples() -> dict[str, log_records.Record]:
+    """Records in an order in which a disk holds them behind `log_base`."""
+    return {
+        "started": log_records.Started(run=first_run()),
+        "wrote": log_records.Wrote(run=second_run()),
+        "promised": log_records.Promised(ballot=ballot(4)),
+        "voted": log_records.Voted(ballot=ballot(4), entries=(entry(13), entry(14))),
+        "decided": log_records.Decided(entries=(entry(13), entry(14))),
+        "raised": log_records.Raised(promised=ballot(7), accepted_at=ballot(6), accepted=(entry(15),)),
+    }
+
+
+def lease_body_samples() -> dict[str, lease_bodies.Body]:
+    """Bodies of the entries about sessions."""
+    return {
+        "open": lease_bodies.Open(life=FIRST_DOOR),
+        "ended": lease_bodies.Ended(life=FIRST_DOOR, fence=11, ballot=3),
+        "close": lease_bodies.Close(life=SECOND_DOOR, fence=12),
+        "keeping": lease_bodies.Keeping(ballot=3),
+    }
+
+
+def session_asks() -> dict[str, SessionAsk]:
+    """Renewals as they are asked for."""
+    first, second = FIRST_DOOR, SECOND_DOOR
+    return {
+        "ask": SessionAsk(name=first.name, life=first.number, fence=11, number=8, applied=19, lag=2),
+        "ask-without-lag": SessionAsk(name=second.name, life=second.number, fence=0, number=1, applied=0),
+    }
+
+
+def session_grants() -> dict[str, Grant]:
+    """Renewals as they are granted."""
+    return {"grant": Grant(name=FIRST_DOOR.name, life=FIRST_DOOR.number, fence=11, number=8)}
+
+
+def spread_messages() -> dict[str, spread_words.Message]:
+    """Messages along the dissemination tree."""
+    return {
+        "up": spread_words.Up(applied=19, below=2, asks=tuple(session_asks().values())),
+        "up-without-asks": spread_words.Up(applied=0, below=1),
+        "down": spread_words.Down(
+            ballot=3,
+            number=120,
+            leader=FIRST_DOOR.name,
+            depth=1,
+            decided=19,
+            entries=(entry(19),),
+            grants=tuple(session_grants().values()),
+        ),
+        "down-empty": spread_words.Down(ballot=3, number=121, leader="door-a", depth=0, decided=19),
+        "whom": spread_words.Whom(),
+        "redirect": spread_words.Redirect(parent="door-b", ballot=3, leader="door-a"),
+        "redirect-without-leader": spread_words.Redirect(parent="door-b", ballot=0),
+    }
+
+
+def link_own_messages() -> dict[str, link_words.Beat | link_words.Bye]:
+    """The links' own messages."""
+    return {"beat": link_words.Beat(heard=300), "bye": link_words.Bye(reason="room for another")}
+
+
+def handshake_messages() -> dict[str, object]:
+    """Each word of a link's handshake."""
+    return {
+        "greeting": link_hello.Greeting(version=link_hello.VERSION, nonce=bytes(range(16))),
+        "hello": link_hello.Hello(
+            version=link_hello.VERSION,
+            me=FIRST_DOOR,
+            to=SECOND_DOOR.name,
+            parts=("log", "membership", "spread"),
+            nonce=bytes(range(16, 32)),
+            proof=bytes(range(32)),
+        ),
+        "welcome": link_hello.Welcome(me=SECOND_DOOR, proof=bytes(range(32, 64))),
+        "refused": link_hello.Refused(reason="closed"),
+    }
