--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -12,6 +12,7 @@
 from molereach.council.leases import bodies as lease_bodies
 from molereach.council.links import hello as link_hello
 from molereach.council.links import words as link_words
+from molereach.council.log import panel as log_panel
 from molereach.council.log import records as log_records
 from molereach.council.log import words as log_words
 from molereach.council.membership import words as membership_words
@@ -90,8 +91,20 @@
     )
 
 
+def panel_family() -> Family:
+    """Bodies of the log's own entries, which change the panel."""
+    changes, types = samples.panel_changes(), get_args(log_panel.Change)
+    return Family("panel_changes", changes, types, msgspec.json.encode, read_change)
+
+
+def read_change(body: bytes) -> log_panel.Change:
+    """A change of the panel."""
+    return msgspec.json.decode(body, type=log_panel.Change)
+
+
 FAMILIES = (
     membership_family(),
+    panel_family(),
     lease_family(),
     link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_words.Message),
     link_family("link_log", LOG, samples.log_messages(), log_words.Message),
--- a/tests/compatibility/council_recording.py
+++ b/tests/compatibility/council_recording.py
@@ -4,7 +4,11 @@
 release stored or sent does not change with the program.
 """
 
-from tests.compatibility import council_families
+import tempfile
+from pathlib import Path
+
+from molereach.council.node.first import first_panel
+from tests.compatibility import council_families, council_folder, council_session
 from tests.compatibility.council_files import RECORDED, hex_text
 
 
@@ -25,10 +29,32 @@
     write_once("council_link_parts.json", council_families.part_numbers().encode("ascii"))
 
 
+def record_folder() -> None:
+    """One file for each step in which a folder is written."""
+    with tempfile.TemporaryDirectory() as parent:
+        for step, files in council_folder.folder_steps(Path(parent) / "council").items():
+            write_once(council_folder.file_name(step), hex_text(files).encode("ascii"))
+
+
+def record_first_panel() -> None:
+    """The disks of a first panel, which follow from the key and the names."""
+    seats = first_panel(council_session.KEY, ("door-a", "door-b", "door-c"))
+    disks = {seat.name: bytes.fromhex(seat.disk) for seat in seats}
+    write_once("council_first_panel.hex", hex_text(disks).encode("ascii"))
+
+
+def record_session() -> None:
+    """The handshake and the frames of one link."""
+    write_once(council_session.FILE_NAME, hex_text(council_session.session_values()).encode("ascii"))
+
+
 def main() -> None:
     """Write all that is not there yet."""
     RECORDED.mkdir(exist_ok=True)
     record_messages()
+    record_folder()
+    record_session()
+    record_first_panel()
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -5,6 +5,7 @@
 from molereach.council.leases import bodies as lease_bodies
 from molereach.council.links import hello as link_hello
 from molereach.council.links import words as link_words
+from molereach.council.log import panel as log_panel
 from molereach.council.log import records as log_records
 from molereach.council.log import words as log_words
 from molereach.council.log.once import Done
@@ -201,6 +202,17 @@
     }
 
 
+def panel_changes() -> dict[str, log_panel.Change]:
+    """Bodies of the log's own entries: a seat for another, two more, two less."""
+    first = log_words.Seat(name=FIRST_DOOR.name, disk=FIRST_DISK)
+    second = log_words.Seat(name=SECOND_DOOR.name, disk=SECOND_DISK)
+    return {
+        "replace": log_panel.Replace(out=first, into=second),
+        "grow": log_panel.Grow(seats=(first, second)),
+        "shrink": log_panel.Shrink(seats=(first, second)),
+    }
+
+
 def session_asks() -> dict[str, SessionAsk]:
     """Renewals as they are asked for."""
     first, second = FIRST_DOOR, SECOND_DOOR
--- /dev/null
+++ b/tests/compatibility/council_session.py
@@ -0,0 +1,109 @@
+"""One link between two front doors, with fixed nonces and a fixed key: its handshake and its first frames."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Any
+
+from molereach.council.links.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter
+from molereach.council.links.hello import Answering, Dialling, Session, refusal
+from molereach.council.links.pulse import Pulse
+from molereach.council.links.speech import Speech
+from molereach.council.links.words import OWN, Words
+from molereach.council.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from tests.compatibility import council_samples as samples
+
+KEY = bytes(range(100, 132))
+DIALLER_NONCE, LISTENER_NONCE = bytes(range(16)), bytes(range(16, 32))
+FILE_NAME = "council_link_session.hex"
+REFUSAL = "crossed: the dial of the smaller name stays"
+DIALLER, LISTENER = "dialler", "listener"
+
+Spoken = tuple[str, Any]  # a part and its message
+
+
+@dataclass(frozen=True, slots=True)
+class Handshake:
+    """The words of a finished handshake, and the session as each side has it."""
+
+    greeting: bytes
+    hello: bytes
+    welcome: bytes
+    dialler: Session
+    listener: Session
+
+
+def part_names() -> tuple[str, ...]:
+    """The parts as a handshake names them."""
+    return Words(WORDS).names
+
+
+def dialling() -> Dialling:
+    """The dialler's side."""
+    first, second = samples.FIRST_DOOR, samples.SECOND_DOOR
+    return Dialling(first, second.name, part_names(), KEY, DIALLER_NONCE)
+
+
+def answering() -> Answering:
+    """The listener's side."""
+    known = {samples.FIRST_DOOR.name, samples.SECOND_DOOR.name}
+    return Answering(samples.SECOND_DOOR, known, part_names(), KEY, LISTENER_NONCE)
+
+
+def shake_hands() -> Handshake:
+    """Both sides of the handshake."""
+    dialler, listener = dialling(), answering()
+    hello = dialler.greeted(listener.greeting)
+    peer = listener.hello(hello)
+    welcome, listener_session = listener.welcome(peer)
+    return Handshake(listener.greeting, hello, welcome, dialler.ended(welcome), listener_session)
+
+
+def speech(session: Session, side: str) -> Speech:
+    """One side's sealed conversation."""
+    pulse = Pulse(most_silent=8, most_stalled=8, most_idle=1000)
+    return Speech(KEY, session, side == DIALLER, Words(WORDS), pulse)
+
+
+def spoken(side: str) -> list[Spoken]:
+    """What a side says, in order: all messages of the dialler, the links' own of the listener."""
+    if side == LISTENER:
+        beat, bye = samples.link_own_messages().values()
+        return [(SPREAD, message) for message in samples.spread_messages().values()] + [
+            (OWN, beat),
+            (OWN, bye),
+        ]
+    membership = [(MEMBERSHIP, message) for message in samples.membership_messages().values()]
+    return membership + [(LOG, message) for message in samples.log_messages().values()]
+
+
+def frames(session: Session, side: str) -> list[bytes]:
+    """The sealed frames of what a side says."""
+    talk, words = speech(session, side), Words(WORDS)
+    return [
+        talk.own(message) if part == OWN else talk.say(words.pack(part, message))
+        for part, message in spoken(side)
+    ]
+
+
+def heard(session: Session, side: str, data: Iterable[bytes]) -> list[Spoken]:
+    """What the other side takes out of a side's frames."""
+    other = LISTENER if side == DIALLER else DIALLER
+    talk, cutter = speech(session, other), Cutter(MOST_BODY_BYTES, TAG_BYTES)
+    for _ in range(1000):
+        talk.pulse.on_sent()  # so that any count of messages may be acknowledged
+    for part in data:
+        cutter.feed(part)
+    found = []
+    while (frame := cutter.next()) is not None:
+        found.append(talk.hear(frame))
+    return found
+
+
+def session_values() -> dict[str, bytes]:
+    """All bytes of the link, by name."""
+    done = shake_hands()
+    values = {"greeting": done.greeting, "hello": done.hello, "welcome": done.welcome}
+    values |= {"session": done.dialler.id, "refusal": refusal(REFUSAL)}
+    for side, session in ((DIALLER, done.dialler), (LISTENER, done.listener)):
+        values |= {f"{side}-{at}": frame for at, frame in enumerate(frames(session, side))}
+    return values
--- a/tests/compatibility/test_council_messages.py
+++ b/tests/compatibility/test_council_messages.py
@@ -2,8 +2,10 @@
 
 import pytest
 
-from molereach.council.log import records
-from tests.compatibility import council_families, council_samples
+from molereach.council.log import panel, records
+from molereach.council.log.words import Seat
+from molereach.council.node.first import first_panel
+from tests.compatibility import council_families, council_samples, council_session
 from tests.compatibility.council_families import FAMILIES, Family
 from tests.compatibility.council_files import recorded_bytes, recorded_values
 
@@ -51,3 +53,22 @@
     data = recorded_values("council_log_snapshots.hex")["snapshot"]
     assert records.decode_snapshot(data) == council_samples.log_snapshot()
     assert records.encode(council_samples.log_snapshot()) == data
+
+
+def test_the_recorded_changes_are_applied_to_a_panel() -> None:
+    changes = recorded_values("council_panel_changes.hex")
+    panel_of_three = tuple(Seat(name=f"door-{at}", disk=f"{at:032x}") for at in range(3))
+    grown, outcome = panel.changed(panel_of_three, changes["grow"])
+    assert outcome.error == "" and len(grown) == 5
+    assert panel.changed(grown, changes["shrink"])[0] == panel_of_three
+    first, second = council_samples.panel_changes()["grow"].seats
+    with_first = tuple(sorted((*panel_of_three[:2], first)))
+    with_second = tuple(sorted((*panel_of_three[:2], second)))
+    assert panel.changed(with_first, changes["replace"])[0] == with_second
+
+
+def test_the_first_panel_has_the_recorded_disks() -> None:
+    seats = first_panel(council_session.KEY, ("door-c", "door-a", "door-b"))
+    assert {seat.name: bytes.fromhex(seat.disk) for seat in seats} == recorded_values(
+        "council_first_panel.hex"
+    )
--- /dev/null
+++ b/tests/compatibility/test_council_session.py
@@ -0,0 +1,50 @@
+"""A link's handshake and sealed frames, under a fixed key, keep their recorded bytes."""
+
+import pytest
+
+from molereach.council.links.hello import HelloError, Session
+from tests.compatibility import council_samples, council_session
+from tests.compatibility.council_files import recorded_values
+from tests.compatibility.council_session import DIALLER, FILE_NAME, LISTENER
+
+
+def recorded_session() -> dict[str, bytes]:
+    """All recorded bytes of the link."""
+    return recorded_values(FILE_NAME)
+
+
+def recorded_frames(side: str) -> list[bytes]:
+    """One side's recorded frames, in order."""
+    return [data for name, data in recorded_session().items() if name.startswith(f"{side}-")]
+
+
+def test_a_link_is_spoken_with_the_recorded_bytes() -> None:
+    assert council_session.session_values() == recorded_session()
+
+
+def test_a_listener_takes_the_recorded_hello() -> None:
+    recorded, listener = recorded_session(), council_session.answering()
+    assert listener.greeting == recorded["greeting"]
+    peer = listener.hello(recorded["hello"])
+    assert peer == council_samples.FIRST_DOOR
+    assert listener.welcome(peer) == (recorded["welcome"], Session(recorded["session"], peer))
+
+
+def test_a_dialler_takes_the_recorded_greeting_and_welcome() -> None:
+    recorded, dialler = recorded_session(), council_session.dialling()
+    assert dialler.greeted(recorded["greeting"]) == recorded["hello"]
+    assert dialler.ended(recorded["welcome"]) == Session(recorded["session"], council_samples.SECOND_DOOR)
+
+
+def test_a_dialler_understands_the_recorded_refusal() -> None:
+    dialler = council_session.dialling()
+    dialler.greeted(recorded_session()["greeting"])
+    with pytest.raises(HelloError, match=f"^refused: {council_session.REFUSAL}$"):
+        dialler.ended(recorded_session()["refusal"])
+
+
+@pytest.mark.parametrize("side", [DIALLER, LISTENER])
+def test_recorded_frames_are_opened_to_the_same_messages(side: str) -> None:
+    peer = council_samples.FIRST_DOOR if side == DIALLER else council_samples.SECOND_DOOR
+    session = Session(recorded_session()["session"], peer)
+    assert council_session.heard(session, side, recorded_frames(side)) == council_session.spoken(side)
