--- a/tests/compatibility/council_files.py
+++ b/tests/compatibility/council_files.py
@@ -21,3 +21,13 @@
 def recorded_bytes(file_name: str) -> bytes:
     """The whole of a recorded file."""
     return (RECORDED / file_name).read_bytes()
+
+
+def write_once(file_name: str, data: bytes) -> None:
+    """Write a file that is not there yet; only the recording calls this."""
+    path = RECORDED / file_name
+    if path.exists():
+        print(f"kept    {file_name}")
+        return
+    path.write_bytes(data)
+    print(f"written {file_name}")
--- a/tests/compatibility/council_recording.py
+++ b/tests/compatibility/council_recording.py
@@ -9,17 +9,8 @@
 
 from molereach.council.node.first import first_panel
 from tests.compatibility import council_families, council_folder, council_session
-from tests.compatibility.council_files import RECORDED, hex_text
-
-
-def write_once(file_name: str, data: bytes) -> None:
-    """Write a file that is not there yet."""
-    path = RECORDED / file_name
-    if path.exists():
-        print(f"kept    {file_name}")
-        return
-    path.write_bytes(data)
-    print(f"written {file_name}")
+from tests.compatibility.council_files import RECORDED, hex_text, write_once
+from tests.compatibility.machines_recording import record_machines
 
 
 def record_messages() -> None:
@@ -55,6 +46,7 @@
     record_folder()
     record_session()
     record_first_panel()
+    record_machines()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/compatibility/machines_samples.py
@@ -0,0 +1,341 @@
+"""One log with commands for every state machine: each kind of body once at least, by the program's own types.
+
+An entry's position is its place in `commands`, from 1. A body that names the position of an earlier entry
+does so by one of the constants below.
+"""
+
+from dataclasses import dataclass
+from typing import Any
+
+from molereach.cache.purge import bodies as purge_bodies
+from molereach.council.interface import Known, Life
+from molereach.council.leases import bodies as lease_bodies
+from molereach.council.log import panel as log_panel
+from molereach.council.log import words as log_words
+from molereach.council.log.learner import OWN
+from molereach.shards import proof as shard_proof
+from molereach.shards.counts import bodies as count_bodies
+from molereach.shards.counts import words as count_words
+from molereach.shards.map.pieces import MEMBERS, Home, Piece
+from molereach.shards.splits import bodies as split_bodies
+from molereach.upkeep.permits import bodies as upkeep_bodies
+from molereach.upkeep.permits.way import Step
+from molereach.upkeep.requests.work import Kind, Work
+from molereach.upkeep.rules.facts import Door, Server
+
+START_MS = 1_796_731_200_000  # 2026-12-08 12:00 UTC
+ENTRY_MS = 250  # between two entries
+WINDOW_MS = 600_000
+DAY_MS = 24 * 60 * 60_000
+
+FIRST = Life(name="door-a", number=1_900_000_000_001 << 20)
+SECOND = Life(name="door-b", number=1_900_000_000_002 << 20)
+THIRD = Life(name="door-c", number=1_900_000_000_003 << 20)
+FIRST_ANEW = Life(name="door-a", number=1_900_000_600_000 << 20)
+
+# Positions that later entries name.
+OPENED_FIRST, OPENED_SECOND, OPENED_THIRD, KEPT = 1, 2, 3, 4
+COPIED, CLOSED, HANDED, PLANNED_AGAIN = 7, 8, 9, 10
+DRAINED = 18
+PURGED = 27
+ENDED_SECOND, CLOSED_THIRD, OPENED_ANEW = 30, 31, 32
+FOLDED_SECOND, FOLDED_THIRD = 34, 35
+PERMIT = 1
+
+MEMBER, OTHER_MEMBER = "00000000000000aa", "00000000000000bb"
+HOMES = tuple(Home(building="b0", cell=f"c{number}") for number in range(4))
+DISKS = tuple(f"{number:032x}" for number in range(1, 5))
+
+
+@dataclass(frozen=True, slots=True)
+class Command:
+    """A body for a machine, who proposes it, and how much later than the entry before it is settled.
+
+    A body of bytes is none that the machine's codec can read. Only a repeated proposal has its own `id`.
+    """
+
+    name: str
+    machine: str
+    body: Any
+    proposer: Life = FIRST
+    later_ms: int = ENTRY_MS
+    id: str = ""
+
+
+def panel() -> log_words.Panel:
+    """The seats before any entry."""
+    doors = (FIRST, SECOND, THIRD)
+    return tuple(log_words.Seat(name=life.name, disk=disk) for life, disk in zip(doors, DISKS, strict=False))
+
+
+# --- sessions ---
+
+
+def session_beginnings() -> list[Command]:
+    """Three sessions, and a leader that keeps them."""
+    machine = lease_bodies.MACHINE
+    opens = [
+        Command("open", machine, lease_bodies.Open(life=life), proposer=life)
+        for life in (FIRST, SECOND, THIRD)
+    ]
+    return [*opens, Command("keeping", machine, lease_bodies.Keeping(ballot=3))]
+
+
+def session_ends() -> list[Command]:
+    """Sessions that end by time, in order, and by a new life."""
+    machine = lease_bodies.MACHINE
+    ended = lease_bodies.Ended(life=SECOND, fence=OPENED_SECOND, ballot=3)
+    closed = lease_bodies.Close(life=THIRD, fence=OPENED_THIRD)
+    return [
+        Command("ended", machine, ended),
+        Command("close", machine, closed, proposer=THIRD),
+        Command("open-anew", machine, lease_bodies.Open(life=FIRST_ANEW), proposer=FIRST_ANEW),
+        Command("keeping-late", machine, lease_bodies.Keeping(ballot=2)),
+    ]
+
+
+# --- shards ---
+
+
+def shard_word(fence: int, position: int, known: Known = Known.SAID) -> shard_proof.Word:
+    """What a proof about shards says of one session."""
+    return shard_proof.Word(fence=fence, known=known, position=position)
+
+
+def all_said(position: int) -> tuple[shard_proof.Word, ...]:
+    """Each of the first three sessions has said this position."""
+    return tuple(shard_word(fence, position) for fence in (OPENED_FIRST, OPENED_SECOND, OPENED_THIRD))
+
+
+def found_map() -> split_bodies.Found:
+    """The first map: two shards."""
+    pieces = (
+        Piece(first=0, shard=1, home=HOMES[0]),
+        Piece(first=MEMBERS // 2, shard=2, home=HOMES[1]),
+    )
+    return split_bodies.Found(pieces=pieces, bytes=(1_000, 2_000))
+
+
+def splits() -> list[Command]:
+    """A map, a split up to its hand-over, and one that is given up."""
+    plan = split_bodies.Plan(id="split-1", shard=1, cut=MEMBERS // 4, to=HOMES[2])
+    close = split_bodies.Close(id="split-1", begun=COPIED, proof=all_said(COPIED))
+    again = split_bodies.Plan(id="split-2", shard=2, cut=3 * (MEMBERS // 4), to=HOMES[3])
+    bodies = {
+        "found": found_map(),
+        "plan": plan,
+        "copy": split_bodies.Copy(id="split-1"),
+        "close": close,
+        "hand": split_bodies.Hand(id="split-1", begun=CLOSED, moved=400),
+        "plan-again": again,
+        "give-up": split_bodies.GiveUp(id="split-2", begun=PLANNED_AGAIN, why="growth has turned"),
+    }
+    return [Command(name, split_bodies.MACHINE, body) for name, body in bodies.items()]
+
+
+def split_ends() -> list[Command]:
+    """The first split is cleared, by a proof with each way in which a session ends; another is planned."""
+    proof = (
+        shard_word(OPENED_FIRST, OPENED_ANEW, Known.ANEW),
+        shard_word(OPENED_SECOND, ENDED_SECOND, Known.OVER),
+        shard_word(OPENED_THIRD, CLOSED_THIRD, Known.LEFT),
+    )
+    clear = split_bodies.Clear(id="split-1", begun=HANDED, proof=proof)
+    plan = split_bodies.Plan(id="split-3", shard=2, cut=3 * (MEMBERS // 4), to=HOMES[3])
+    return [
+        Command("clear", split_bodies.MACHINE, clear, later_ms=WINDOW_MS),
+        Command("plan-third", split_bodies.MACHINE, plan),
+    ]
+
+
+# --- upkeep ---
+
+
+def servers(*away: str) -> tuple[Server, ...]:
+    """Six servers, of which some are not ready."""
+    return tuple(
+        Server(
+            name=f"s{number}",
+            address=f"10.0.0.{number}:80",
+            cell=f"c{number % 2}",
+            zone=f"z{number % 3}",
+            ready=f"s{number}" not in away,
+            warmth=900 + number,
+            load=300,
+        )
+        for number in range(6)
+    )
+
+
+def doors() -> tuple[Door, ...]:
+    """Five front doors."""
+    return tuple(
+        Door(
+            name=f"d{number}",
+            address=f"10.1.0.{number}:80",
+            cell="c0",
+            zone=f"z{number % 3}",
+            ready=True,
+            number=number,
+        )
+        for number in range(5)
+    )
+
+
+def first_facts() -> list[upkeep_bodies.Seen]:
+    """A set of facts in two parts."""
+    first = upkeep_bodies.Seen(number=1, part=0, parts=2, age_ms=40, servers=servers())
+    second = upkeep_bodies.Seen(
+        number=1,
+        part=1,
+        parts=2,
+        age_ms=90,
+        doors=doors(),
+        panel=("d0", "d1", "d2"),
+        spares=2,
+        ordered=("s5",),
+    )
+    return [first, second]
+
+
+def later_facts(number: int, part: int, parts: int) -> upkeep_bodies.Seen:
+    """Facts in which the first server is away."""
+    return upkeep_bodies.Seen(
+        number=number,
+        part=part,
+        parts=parts,
+        age_ms=10,
+        servers=servers("s0"),
+        doors=doors(),
+        panel=("d0", "d1", "d2"),
+        spares=2,
+    )
+
+
+def work(id: str, machine: str, kind: Kind, **more: Any) -> Work:  # noqa: ANN401
+    """A work of half an hour."""
+    return Work(
+        id=id,
+        machine=machine,
+        kind=kind,
+        minutes=30,
+        not_before_ms=START_MS - DAY_MS,
+        not_after_ms=START_MS + DAY_MS,
+        reason="new disk",
+        **more,
+    )
+
+
+def upkeep_beginnings() -> list[Command]:
+    """Facts, works that are asked for, and one that drains."""
+    door_work = work("work-2", "d0", Kind.DOOR, not_with=("d1", "s1"), after=("s0",), successor="d0-anew")
+    bodies: dict[str, upkeep_bodies.Body] = {
+        "seen-first": first_facts()[0],
+        "seen-second": first_facts()[1],
+        "ask": upkeep_bodies.Ask(work=work("work-1", "s0", Kind.SERVER)),
+        "ask-door": upkeep_bodies.Ask(work=door_work),
+        "stand": upkeep_bodies.Stand(servers=("s1", "s2")),
+        "queue": upkeep_bodies.Move(id="work-1", step=Step.QUEUE),
+        "drain": upkeep_bodies.Move(id="work-1", step=Step.DRAIN),
+        "empty": upkeep_bodies.Move(id="work-1", step=Step.EMPTY, begun=DRAINED),
+    }
+    return [Command(name, upkeep_bodies.MACHINE, body) for name, body in bodies.items()]
+
+
+def upkeep_ends() -> list[Command]:
+    """A permit and its end, a work that is withdrawn, and facts of which a part is missing."""
+    proof = tuple(
+        upkeep_bodies.Word(fence=fence, known=Known.SAID, position=DRAINED)
+        for fence in (OPENED_FIRST, OPENED_SECOND, OPENED_THIRD)
+    )
+    bodies: dict[str, upkeep_bodies.Body] = {
+        "out": upkeep_bodies.Out(id="work-1", begun=DRAINED, proof=proof),
+        "seen-away": later_facts(number=2, part=0, parts=1),
+        "back": upkeep_bodies.Back(id="work-1", permit=PERMIT, name="s0"),
+        "ask-third": upkeep_bodies.Ask(work=work("work-3", "s3", Kind.SERVER)),
+        "withdraw": upkeep_bodies.Move(id="work-3", step=Step.WITHDRAW),
+        "stand-again": upkeep_bodies.Stand(servers=("s2",)),
+        "seen-part": later_facts(number=3, part=0, parts=2),
+    }
+    return [Command(name, upkeep_bodies.MACHINE, body) for name, body in bodies.items()]
+
+
+# --- purges ---
+
+
+def purge_id(position: int, number: int) -> str:
+    """An id drawn where the log was at `position`."""
+    return f"{position:x}-{number:016x}"
+
+
+def purges() -> list[Command]:
+    """Two purges, of which the first is done."""
+    first = purge_bodies.Ask(
+        id=purge_id(20, 1), member=MEMBER, class_name="profile", shards=("shard-1", "shard-2")
+    )
+    second = purge_bodies.Ask(id=purge_id(21, 2), member=OTHER_MEMBER)
+    done = purge_bodies.Done(upto=PURGED, said=(OPENED_FIRST, OPENED_SECOND, OPENED_THIRD))
+    bodies = {"ask-class": first, "ask-all": second, "done": done}
+    return [Command(name, purge_bodies.MACHINE, body) for name, body in bodies.items()]
+
+
+def later_purge() -> Command:
+    """A purge that is asked for while one session is open."""
+    body = purge_bodies.Ask(id=purge_id(36, 3), member=MEMBER)
+    return Command("ask-later", purge_bodies.MACHINE, body, proposer=FIRST_ANEW)
+
+
+def purge_done_by_ends() -> Command:
+    """The second purge is done by how the sessions have ended, without a word of any."""
+    return Command("done-by-ends", purge_bodies.MACHINE, purge_bodies.Done(upto=PURGED + 1, said=()))
+
+
+# --- counts ---
+
+
+def rows(writes: int) -> tuple[count_words.Row, ...]:
+    """What one life has written."""
+    return (
+        count_words.Row(shard=1, writes=writes, bytes=100 * writes),
+        count_words.Row(shard=2, writes=1, bytes=7),
+    )
+
+
+def counts() -> list[Command]:
+    """Two lives that are over, of which one is forgotten."""
+    proof = (shard_word(OPENED_ANEW, FOLDED_THIRD),)
+    forget = count_bodies.Forget(life=THIRD, begun=FOLDED_THIRD, proof=proof)
+    bodies = {
+        "fold": count_bodies.Fold(life=SECOND, rows=rows(5)),
+        "fold-left": count_bodies.Fold(life=THIRD, rows=rows(9)),
+        "forget": forget,
+    }
+    return [Command(name, count_bodies.MACHINE, body, proposer=FIRST_ANEW) for name, body in bodies.items()]
+
+
+# --- the log ---
+
+
+def panel_change() -> Command:
+    """One seat for another."""
+    body = log_panel.Replace(
+        out=log_words.Seat(name=THIRD.name, disk=DISKS[2]), into=log_words.Seat(name="door-d", disk=DISKS[3])
+    )
+    return Command("panel", OWN, body)
+
+
+def commands() -> list[Command]:
+    """Commands that all change something but one, in order."""
+    return [
+        *session_beginnings(),
+        *splits(),
+        *upkeep_beginnings(),
+        *upkeep_ends(),
+        *purges(),
+        *session_ends(),
+        *counts(),
+        later_purge(),
+        *split_ends(),
+        panel_change(),
+        purge_done_by_ends(),
+    ]
--- /dev/null
+++ b/tests/compatibility/machines_values.py
@@ -0,0 +1,118 @@
+"""Values beside the log: counts that front doors tell one another, digests, accounts, and values of enums."""
+
+import json
+from dataclasses import dataclass
+from enum import Enum
+
+import msgspec
+
+from molereach.council.interface import Accounted, Known
+from molereach.council.leases.accounts import Account
+from molereach.council.membership.words import Status
+from molereach.shards.counts import words as count_words
+from molereach.shards.counts.digest import Digest
+from molereach.shards.map.pieces import MEMBERS
+from molereach.shards.splits import way as split_way
+from molereach.upkeep.permits import way as upkeep_way
+from molereach.upkeep.requests.work import Kind
+from tests.compatibility import machines_samples as samples
+from tests.compatibility.machines_replica import Replica
+
+COUNTS_FILE, ACCOUNTS_FILE, ENUMS_FILE = (
+    "machines_counts.hex",
+    "machines_accounts.json",
+    "machines_enums.json",
+)
+WRITES = 3_000  # in a digest: enough for nodes to be joined
+ENUMS: dict[str, type[Enum]] = {
+    "how a front door is known": Known,
+    "life of a front door": Status,
+    "kind of a machine out for work": Kind,
+    "state of a work": upkeep_way.State,
+    "step of a work": upkeep_way.Step,
+    "state of a split": split_way.State,
+    "step of a split": split_way.Step,
+}
+
+
+def digest() -> Digest:
+    """Writes of many members, spread over all ids, and one heavy one."""
+    found = Digest()
+    for number in range(WRITES):
+        found.add(number * 2_654_435_761 % MEMBERS, 1 + number % 7)
+    found.add(12_345, 5_000)
+    return found
+
+
+def told() -> count_words.Told:
+    """Counts of one life."""
+    return count_words.Told(life=samples.FIRST, rows=samples.rows(5))
+
+
+def sketch() -> count_words.Sketch:
+    """Which members of a shard wrote."""
+    nodes = (
+        count_words.Node(number=MEMBERS + 12_345, weight=5_000),
+        count_words.Node(number=1, weight=9),
+    )
+    return count_words.Sketch(life=samples.FIRST, shard=1, nodes=nodes)
+
+
+def digest_sketch() -> count_words.Sketch:
+    """The sample digest as it is told."""
+    return count_words.Sketch(life=samples.FIRST, shard=2, nodes=digest().told())
+
+
+def joined_sketch(heard: count_words.Sketch) -> count_words.Sketch:
+    """What a front door tells of a shard when it has joined another's nodes to none of its own."""
+    joined = Digest()
+    joined.join(heard.nodes)
+    return count_words.Sketch(life=samples.SECOND, shard=heard.shard, nodes=joined.told())
+
+
+def count_messages() -> dict[str, count_words.Word]:
+    """Each kind of word about counts."""
+    heard = digest_sketch()
+    return {"told": told(), "sketch": sketch(), "digest": heard, "joined": joined_sketch(heard)}
+
+
+def encoded_counts() -> dict[str, bytes]:
+    """The words about counts, encoded."""
+    return {name: msgspec.json.encode(word) for name, word in count_messages().items()}
+
+
+@dataclass(frozen=True, slots=True)
+class Said:
+    """What an open session has said of itself."""
+
+    applied: int
+    clear: int
+    heard_us: int | None
+
+
+@dataclass(frozen=True, slots=True)
+class Sayings:
+    """All open sessions have said the same."""
+
+    position: int
+
+    def said(self, name: str, fence: int) -> Said | None:
+        """What is known of an open session."""
+        return Said(applied=self.position, clear=self.position, heard_us=0)
+
+
+def account(replica: Replica, position: int) -> tuple[Accounted, ...] | None:
+    """The proof that an entry holds everywhere."""
+    sayings = Sayings(replica.learner.position)
+    return Account(position, replica.sessions, sayings, since_us=0, clear=True).proof()
+
+
+def accounts(replica: Replica) -> dict[str, tuple[Accounted, ...] | None]:
+    """Proofs for an entry before all sessions ended, and for one after it."""
+    return {"before": account(replica, samples.HANDED), "after": account(replica, samples.FOLDED_THIRD)}
+
+
+def enum_values() -> str:
+    """The values of each enum, which stand in messages and in snapshots."""
+    found = {name: [member.value for member in kind] for name, kind in ENUMS.items()}
+    return json.dumps(found, indent=2) + "\n"
--- /dev/null
+++ b/tests/compatibility/test_machines_values.py
@@ -0,0 +1,45 @@
+"""Words about counts, digests, accounts, and the values of enums keep their recorded bytes."""
+
+from typing import get_args
+
+import msgspec
+import pytest
+
+from molereach.council.interface import Accounted
+from molereach.shards.counts import words as count_words
+from tests.compatibility import machines_replica, machines_values
+from tests.compatibility.council_files import recorded_bytes, recorded_values
+
+MESSAGES = machines_values.count_messages()
+
+
+def test_words_about_counts_are_encoded_to_the_recorded_bytes() -> None:
+    assert machines_values.encoded_counts() == recorded_values(machines_values.COUNTS_FILE)
+    assert {type(message) for message in MESSAGES.values()} == set(get_args(count_words.Word))
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_recorded_word_about_counts_is_decoded_to_the_same_value(name: str) -> None:
+    decoded = count_words.decode(recorded_values(machines_values.COUNTS_FILE)[name])
+    assert type(decoded) is type(MESSAGES[name])
+    assert decoded == MESSAGES[name]
+
+
+def test_a_digest_of_the_recorded_nodes_is_the_recorded_one() -> None:
+    recorded = recorded_values(machines_values.COUNTS_FILE)
+    heard, joined = (count_words.decode(recorded[name]) for name in ("digest", "joined"))
+    assert isinstance(heard, count_words.Sketch)
+    assert machines_values.joined_sketch(heard) == joined
+    assert sum(node.weight for node in heard.nodes) == machines_values.digest().total
+
+
+def test_accounts_have_the_recorded_bytes() -> None:
+    replica = machines_replica.replica_at(machines_replica.MOMENTS["end"])
+    recorded = recorded_bytes(machines_values.ACCOUNTS_FILE)
+    accounts = machines_values.accounts(replica)
+    assert msgspec.json.encode(accounts) == recorded
+    assert msgspec.json.decode(recorded, type=dict[str, tuple[Accounted, ...]]) == accounts
+
+
+def test_enums_have_the_recorded_values() -> None:
+    assert machines_values.enum_values().encode() == recorded_bytes(machines_values.ENUMS_FILE)
