--- a/tests/compatibility/machines_recording.py
+++ b/tests/compatibility/machines_recording.py
@@ -28,10 +28,12 @@
 
 
 def record_values() -> None:
-    """The receipt of a purge, words about counts, accounts, and values of enums."""
+    """The receipt of a purge, words about counts, accounts, maps, ids, and values of enums."""
     replica = machines_replica.replica_at(machines_replica.MOMENTS["end"])
     write_once(machines_replica.RECEIPT_FILE, replica.receipt())
     write_once(machines_values.COUNTS_FILE, hex_text(machines_values.encoded_counts()).encode("ascii"))
+    write_once(machines_values.MAPS_FILE, hex_text(machines_values.encoded_maps()).encode("ascii"))
+    write_once(machines_values.PURGE_IDS_FILE, machines_values.purge_ids().encode("ascii"))
     write_once(machines_values.ACCOUNTS_FILE, msgspec.json.encode(machines_values.accounts(replica)))
     write_once(machines_values.ENUMS_FILE, machines_values.enum_values().encode("ascii"))
 
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -6,12 +6,15 @@
 
 import msgspec
 
+from molereach.cache.purge.ids import draw_id
 from molereach.council.interface import Accounted, Known
 from molereach.council.leases.accounts import Account
 from molereach.council.membership.words import Status
 from molereach.shards.counts import words as count_words
 from molereach.shards.counts.digest import Digest
-from molereach.shards.map.pieces import MEMBERS
+from molereach.shards.map.cutting import after
+from molereach.shards.map.delta import Delta, between
+from molereach.shards.map.pieces import MEMBERS, ShardMap
 from molereach.shards.splits import way as split_way
 from molereach.upkeep.permits import way as upkeep_way
 from molereach.upkeep.requests.work import Kind
@@ -23,6 +26,7 @@
     "machines_accounts.json",
     "machines_enums.json",
 )
+MAPS_FILE, PURGE_IDS_FILE = "machines_maps.hex", "machines_purge_ids.json"
 WRITES = 3_000  # in a digest: enough for nodes to be joined
 ENUMS: dict[str, type[Enum]] = {
     "how a front door is known": Known,
@@ -112,6 +116,24 @@
     return {"before": account(replica, samples.HANDED), "after": account(replica, samples.FOLDED_THIRD)}
 
 
+def map_values() -> dict[str, ShardMap | Delta]:
+    """A map, the one after a cut, and what has changed between the two."""
+    first = ShardMap(version=1, pieces=samples.found_map().pieces, last_shard=2)
+    second = after(first, shard=1, cut=MEMBERS // 4, to=samples.HOMES[2])
+    return {"first": first, "second": second, "delta": between(first, second)}
+
+
+def encoded_maps() -> dict[str, bytes]:
+    """The maps and their difference, encoded."""
+    return {name: msgspec.json.encode(value) for name, value in map_values().items()}
+
+
+def purge_ids() -> str:
+    """Ids of purges as they are drawn at some positions by fixed draws."""
+    found = {str(position): draw_id(position, lambda: 0.75) for position in (0, 20, 1 << 40)}
+    return json.dumps(found, indent=2) + "\n"
+
+
 def enum_values() -> str:
     """The values of each enum, which stand in messages and in snapshots."""
     found = {name: [member.value for member in kind] for name, kind in ENUMS.items()}
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -3,9 +3,13 @@
 import msgspec
 import pytest
 
+from molereach.cache.purge.bodies import Ended, Standing
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.council.interface import Entry, Outcome
+from molereach.council.leases.sessions import Opened
 from molereach.council.log import records
+from molereach.shards.splits.record import Record as SplitRecord
+from molereach.upkeep.permits.record import Record as WorkRecord
 from tests.compatibility import machines_log, machines_replica
 from tests.compatibility.council_files import recorded_bytes, recorded_values
 from tests.compatibility.machines_replica import MACHINES, MOMENTS, Replica
@@ -60,6 +64,24 @@
     assert outcomes == [msgspec.msgpack.decode(data, type=Outcome) for data in recorded.values()]
 
 
+VALUE_TYPES = {
+    "01-sessions-open": Opened,
+    "09-shards-hand": SplitRecord,
+    "22-upkeep-back": WorkRecord,
+    "27-purge-ask-class": Standing,
+    "29-purge-done": Ended,
+}
+
+
+@pytest.mark.parametrize("name", VALUE_TYPES)
+def test_the_value_of_a_recorded_outcome_is_decoded_and_encoded_again(name: str) -> None:
+    recorded = recorded_values(machines_replica.OUTCOMES_FILE)[name]
+    outcome = msgspec.msgpack.decode(recorded, type=Outcome)
+    value = msgspec.json.decode(outcome.value, type=VALUE_TYPES[name])
+    again = Outcome(error="", value=msgspec.json.encode(value))
+    assert msgspec.msgpack.encode(again) == recorded
+
+
 @pytest.mark.parametrize("moment", MOMENTS)
 @pytest.mark.parametrize("machine", MACHINES)
 def test_the_recorded_entries_come_to_the_recorded_snapshot(machine: str, moment: str) -> None:
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -1,12 +1,16 @@
-"""Words about counts, digests, accounts, and the values of enums keep their recorded bytes."""
+"""Words about counts, digests, accounts, maps, ids, and the values of enums keep their recorded bytes."""
 
+import json
 from typing import get_args
 
 import msgspec
 import pytest
 
+from molereach.cache.purge.ids import drawn_at
 from molereach.council.interface import Accounted
 from molereach.shards.counts import words as count_words
+from molereach.shards.map.delta import Delta, applied
+from molereach.shards.map.pieces import ShardMap
 from tests.compatibility import machines_replica, machines_values
 from tests.compatibility.council_files import recorded_bytes, recorded_values
 
@@ -33,6 +37,24 @@
     assert sum(node.weight for node in heard.nodes) == machines_values.digest().total
 
 
+def test_maps_and_their_difference_are_encoded_to_the_recorded_bytes() -> None:
+    assert machines_values.encoded_maps() == recorded_values(machines_values.MAPS_FILE)
+
+
+def test_a_recorded_difference_is_applied_to_the_recorded_map() -> None:
+    recorded, values = recorded_values(machines_values.MAPS_FILE), machines_values.map_values()
+    first, second = (msgspec.json.decode(recorded[name], type=ShardMap) for name in ("first", "second"))
+    delta = msgspec.json.decode(recorded["delta"], type=Delta)
+    assert {"first": first, "second": second, "delta": delta} == values
+    assert applied(first, delta) == second
+
+
+def test_ids_of_purges_are_drawn_as_recorded() -> None:
+    recorded = recorded_bytes(machines_values.PURGE_IDS_FILE)
+    assert machines_values.purge_ids().encode() == recorded
+    assert all(drawn_at(drawn) == int(position) for position, drawn in json.loads(recorded).items())
+
+
 def test_accounts_have_the_recorded_bytes() -> None:
     replica = machines_replica.replica_at(machines_replica.MOMENTS["end"])
     recorded = recorded_bytes(machines_values.ACCOUNTS_FILE)
