--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -7,6 +7,7 @@
 import msgspec
 
 from molereach.cache.purge.machine import Purges
+from molereach.cache.purge.records import Finished
 from molereach.council.interface import Applied, Entry, Outcome, StateMachine
 from molereach.council.log.learner import Learner
 from molereach.council.log.settings import Settings
@@ -79,6 +80,7 @@
     def receipt(self) -> bytes:
         """Of the purge that is done."""
         finished = self.purges.find(samples.purge_id(20, 1))
+        assert isinstance(finished, Finished)
         return msgspec.json.encode(self.purges.receipt(finished))
 
 
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -8,7 +8,7 @@
 
 from molereach.cache.purge.ids import draw_id
 from molereach.council.interface import Accounted, Known
-from molereach.council.leases.accounts import Account
+from molereach.council.leases.accounts import Account, Saying
 from molereach.council.membership.words import Status
 from molereach.shards.counts import words as count_words
 from molereach.shards.counts.digest import Digest
@@ -85,7 +85,7 @@
     return {name: msgspec.json.encode(word) for name, word in count_messages().items()}
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Said:
     """What an open session has said of itself."""
 
@@ -94,13 +94,13 @@
     heard_us: int | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Sayings:
     """All open sessions have said the same."""
 
     position: int
 
-    def said(self, name: str, fence: int) -> Said | None:
+    def said(self, name: str, fence: int) -> Saying | None:
         """What is known of an open session."""
         return Said(applied=self.position, clear=self.position, heard_us=0)
 
--- a/tests/compatibility/test_council_messages.py
+++ b/tests/compatibility/test_council_messages.py
@@ -61,9 +61,10 @@
     grown, outcome = panel.changed(panel_of_three, changes["grow"])
     assert outcome.error == "" and len(grown) == 5
     assert panel.changed(grown, changes["shrink"])[0] == panel_of_three
-    first, second = council_samples.panel_changes()["grow"].seats
-    with_first = tuple(sorted((*panel_of_three[:2], first)))
-    with_second = tuple(sorted((*panel_of_three[:2], second)))
+    replaced = council_samples.panel_changes()["replace"]
+    assert isinstance(replaced, panel.Replace)
+    with_first = tuple(sorted((*panel_of_three[:2], replaced.out)))
+    with_second = tuple(sorted((*panel_of_three[:2], replaced.into)))
     assert panel.changed(with_first, changes["replace"])[0] == with_second
 
 
