--- /dev/null
+++ b/tests/compatibility/test_recorded_bytes.py
@@ -0,0 +1,14 @@
+"""The program makes the recorded bytes; that it reads them as well is tested by kind beside this file."""
+
+import pytest
+
+from tests.compatibility.recording import FILES, FOLDER, recorded
+
+
+def test_every_file_is_recorded_and_none_is_left_over() -> None:
+    assert sorted(path.name for path in FOLDER.iterdir()) == sorted(FILES)
+
+
+@pytest.mark.parametrize("name", FILES)
+def test_the_program_makes_the_recorded_bytes(name: str) -> None:
+    assert FILES[name]() == recorded(name)
