--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -3,12 +3,16 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tests.compatibility import fleet_samples, gossip_samples
+from tests.compatibility import command_samples, fleet_samples, gossip_samples
 
 FOLDER = Path(__file__).with_name("recorded")
 
 # What makes the content of each recorded file.
-FILES: dict[str, Callable[[], bytes]] = {**gossip_samples.FILES, **fleet_samples.FILES}
+FILES: dict[str, Callable[[], bytes]] = {
+    **gossip_samples.FILES,
+    **fleet_samples.FILES,
+    **command_samples.FILES,
+}
 
 
 def recorded(name: str) -> bytes:
