--- /dev/null
+++ b/tests/compatibility/campaign_samples.py
@@ -0,0 +1,137 @@
+"""An order's whole way through a fleet of three agents, as the messages that the tool sends and receives.
+
+Time stands still unless a campaign waits, chance is a constant, and replies come at once.
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+from itertools import repeat
+
+import msgspec
+
+from molereach.fleet import agreement, orders, view
+from molereach.fleet.campaign import events
+from molereach.fleet.campaign.course import LOOK_US, Campaign
+from molereach.fleet.campaign.report import Report
+
+AGENTS = ("a", "b", "c")
+BEGUN_US, BEGUN_MS = 1_000_000, 1_700_000_000_000
+READY = {"s0": "east", "s1": "east"}
+
+OTHER_HOLD = orders.Order(
+    id="o8", verb=orders.Verb.HOLD, subject="n0", issuer="night", reason="disk", based_on=0
+)
+EARLIER_BALLOT = agreement.Ballot(number=1, proposer="run-0")
+
+
+@dataclass(frozen=True)
+class Case:
+    """What is given, and which order two agents have accepted before."""
+
+    draft: events.Draft
+    accepted: orders.Order | None = None
+
+
+CASES: Mapping[str, Case] = {
+    "done": Case(
+        draft=events.Draft(
+            id="o9",
+            verb=orders.Verb.DRAIN,
+            subject="s0",
+            issuer="duty",
+            reason="fan",
+            lapses_ms=BEGUN_MS + 60_000,
+            forced=True,
+        )
+    ),
+    "refused": Case(
+        draft=events.Draft(
+            id="o9", verb=orders.Verb.HOLD, subject="n5", issuer="duty", reason="disk", based_on=0
+        )
+    ),
+    "finishes-another": Case(
+        draft=events.Draft(
+            id="o9", verb=orders.Verb.RELEASE, subject="n0", issuer="duty", reason="well", based_on=0
+        ),
+        accepted=OTHER_HOLD,
+    ),
+}
+
+
+@dataclass
+class Run:
+    """A campaign and its agents; `lines` is what went over the wire, a line each."""
+
+    campaign: Campaign
+    agents: dict[str, agreement.Acceptor]
+    lines: list[str] = field(default_factory=list)
+
+    def note(self, what: str, agent: str, message: agreement.Message) -> None:
+        self.lines.append(f"{what} {agent} {msgspec.json.encode(message).decode()}")
+
+    def carry_out(self, actions: list[events.Action]) -> None:
+        """All actions, and those that come of them."""
+        pending = list(actions)
+        while pending:
+            action = pending.pop(0)
+            if isinstance(action, events.Look):
+                event = events.Viewed(agent=action.agent, view=self.view(action.agent))
+                pending += self.campaign.handle(BEGUN_US, event)
+            elif isinstance(action, events.Say):
+                pending += self.say(action.agent, action.message)
+
+    def say(self, agent: str, message: agreement.Message) -> list[events.Action]:
+        """Tell an agent a message, and hand in its replies."""
+        self.note("to", agent, message)
+        found: list[events.Action] = []
+        for reply in self.agents[agent].handle(message):
+            self.note("from", agent, reply)
+            found += self.campaign.handle(BEGUN_US, events.Replied(agent=agent, message=reply))
+        return found
+
+    def view(self, agent: str) -> view.View:
+        """How an agent stands, with no front doors."""
+        acceptor = self.agents[agent]
+        status = view.Status(
+            agent=agent,
+            fleet=AGENTS,
+            revision=acceptor.book.revision,
+            synced=True,
+            journal="",
+            pending=acceptor.pending(),
+            doors=(),
+        )
+        return view.View(status=status, book=acceptor.book.state(), ready=READY)
+
+
+def acceptors(accepted: orders.Order | None) -> dict[str, agreement.Acceptor]:
+    """The agents; the first and the second have accepted an order that nobody knows to be decided."""
+    found = {agent: agreement.Acceptor() for agent in AGENTS}
+    if accepted:
+        for agent in AGENTS[:2]:
+            found[agent].handle(agreement.Accept(revision=1, ballot=EARLIER_BALLOT, order=accepted))
+    return found
+
+
+def run(name: str) -> tuple[list[str], Report]:
+    """The messages of a case, and its report."""
+    case = CASES[name]
+    campaign = Campaign(AGENTS, case.draft, "run-1", repeat(0.5), BEGUN_MS)
+    made = Run(campaign, acceptors(case.accepted))
+    made.carry_out(campaign.begin(BEGUN_US))
+    if campaign.report is None:
+        made.carry_out(campaign.handle(BEGUN_US + 10 * LOOK_US, events.Tick()))
+    assert campaign.report is not None
+    return made.lines, campaign.report
+
+
+def recorded_run(name: str) -> bytes:
+    """A text file: a line for each message, and the report as the last one."""
+    lines, report = run(name)
+    return "".join(f"{line}\n" for line in [*lines, msgspec.json.encode(report).decode()]).encode()
+
+
+# The recorded files of this module, and what makes each.
+FILES: dict[str, Callable[[], bytes]] = {
+    f"campaign-{name}.txt": lambda name=name: recorded_run(name) for name in CASES
+}
--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tests.compatibility import command_samples, fleet_samples, gossip_samples
+from tests.compatibility import campaign_samples, command_samples, fleet_samples, gossip_samples
 
 FOLDER = Path(__file__).with_name("recorded")
 
@@ -11,6 +11,7 @@
 FILES: dict[str, Callable[[], bytes]] = {
     **gossip_samples.FILES,
     **fleet_samples.FILES,
+    **campaign_samples.FILES,
     **command_samples.FILES,
 }
 
