--- a/tests/compatibility/campaign_samples.py
+++ b/tests/compatibility/campaign_samples.py
@@ -21,15 +21,22 @@
 OTHER_HOLD = orders.Order(
     id="o8", verb=orders.Verb.HOLD, subject="n0", issuer="night", reason="disk", based_on=0
 )
-EARLIER_BALLOT = agreement.Ballot(number=1, proposer="run-0")
+LOST_HOLD = orders.Order(
+    id="o7", verb=orders.Verb.HOLD, subject="n3", issuer="night", reason="disk", based_on=0
+)
+# What agents have accepted that nobody knows to be decided; the higher ballot goes before the lower one.
+ACCEPTED_BEFORE: Mapping[str, agreement.Accept] = {
+    "a": agreement.Accept(revision=1, ballot=agreement.Ballot(number=1, proposer="run-00"), order=OTHER_HOLD),
+    "b": agreement.Accept(revision=1, ballot=agreement.Ballot(number=1, proposer="run-0"), order=LOST_HOLD),
+}
 
 
 @dataclass(frozen=True)
 class Case:
-    """What is given, and which order two agents have accepted before."""
+    """What is given, and what agents have accepted before."""
 
     draft: events.Draft
-    accepted: orders.Order | None = None
+    accepted: Mapping[str, agreement.Accept] = field(default_factory=dict)
 
 
 CASES: Mapping[str, Case] = {
@@ -53,7 +60,7 @@
         draft=events.Draft(
             id="o9", verb=orders.Verb.RELEASE, subject="n0", issuer="duty", reason="well", based_on=0
         ),
-        accepted=OTHER_HOLD,
+        accepted=ACCEPTED_BEFORE,
     ),
 }
 
@@ -104,12 +111,11 @@
         return view.View(status=status, book=acceptor.book.state(), ready=READY)
 
 
-def acceptors(accepted: orders.Order | None) -> dict[str, agreement.Acceptor]:
-    """The agents; the first and the second have accepted an order that nobody knows to be decided."""
+def acceptors(accepted: Mapping[str, agreement.Accept]) -> dict[str, agreement.Acceptor]:
+    """The agents, after what they have accepted."""
     found = {agent: agreement.Acceptor() for agent in AGENTS}
-    if accepted:
-        for agent in AGENTS[:2]:
-            found[agent].handle(agreement.Accept(revision=1, ballot=EARLIER_BALLOT, order=accepted))
+    for agent, message in accepted.items():
+        found[agent].handle(message)
     return found
 
 
