--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -3,7 +3,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tests.compatibility import campaign_samples, command_samples, fleet_samples, gossip_samples
+from tests.compatibility import (
+    campaign_samples,
+    command_samples,
+    fleet_samples,
+    gossip_samples,
+    settings_samples,
+)
 
 FOLDER = Path(__file__).with_name("recorded")
 
@@ -13,6 +19,7 @@
     **fleet_samples.FILES,
     **campaign_samples.FILES,
     **command_samples.FILES,
+    **settings_samples.FILES,
 }
 
 
