--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -6,6 +6,7 @@
 from tests.compatibility import (
     campaign_samples,
     command_samples,
+    control_samples,
     fleet_samples,
     gossip_samples,
     settings_samples,
@@ -17,6 +18,7 @@
 FILES: dict[str, Callable[[], bytes]] = {
     **gossip_samples.FILES,
     **fleet_samples.FILES,
+    **control_samples.FILES,
     **campaign_samples.FILES,
     **command_samples.FILES,
     **settings_samples.FILES,
--- /dev/null
+++ b/tests/compatibility/test_control.py
@@ -0,0 +1,87 @@
+"""Recorded frames go through the two ends of a control socket: an agent's link and a front door's control."""
+
+import asyncio
+from pathlib import Path
+
+from molereach.fleet import wire
+from molereach.fleet.agent.link import Link
+from tests.compatibility import fleet_samples as samples
+from tests.compatibility.control_samples import controlled_front_door
+from tests.compatibility.recording import recorded
+from tests.sockets import run
+
+
+def test_link_sends_the_recorded_asks(tmp_path: Path) -> None:
+    received = bytearray()
+
+    async def answer_all(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        frames = wire.FrameReader(wire.MOST_ASK_BYTES)
+        while data := await reader.read(1 << 16):
+            received.extend(data)
+            frames.feed(data)
+            while (body := frames.next()) is not None:
+                number = wire.read_ask(body).number
+                writer.write(wire.frame(wire.Answer(version=wire.VERSION, number=number)))
+        writer.close()
+
+    async def job() -> None:
+        path = tmp_path / "n0.sock"
+        async with await asyncio.start_unix_server(answer_all, str(path)):
+            link = Link(lambda state: None, lambda why: None)
+            await link.open(path)
+            for ask in samples.ASKS:
+                await link.ask(ask.what, customer=ask.customer, book=ask.book)
+            await link.close()
+
+    run(job())
+    assert bytes(received) == recorded("fleet-control-asks.bin")
+
+
+def test_link_takes_the_recorded_answers(tmp_path: Path) -> None:
+    answers, news = [answer for answer in samples.ANSWERS if answer.number != wire.NEWS], samples.ANSWERS[-1]
+    heard: list[wire.State] = []
+
+    async def answer_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(wire.HEAD_BYTES)
+        await asyncio.sleep(0)
+        writer.write(recorded("fleet-control-answers.bin"))
+        await reader.read()
+        writer.close()
+
+    async def job() -> None:
+        path = tmp_path / "n0.sock"
+        async with await asyncio.start_unix_server(answer_at_once, str(path)):
+            link = Link(heard.append, lambda why: None)
+            await link.open(path)
+            asks = [link.ask("state") for _ in answers]
+            found = await asyncio.gather(*asks, return_exceptions=True)
+            assert found[:-1] == answers[:-1]
+            assert str(found[-1]) == answers[-1].error
+            await link.close()
+
+    run(job())
+    assert heard == [news.state]
+
+
+def test_front_door_answers_the_recorded_asks(tmp_path: Path) -> None:
+    found: list[wire.Answer] = []
+
+    async def job() -> None:
+        async with controlled_front_door(tmp_path) as control:
+            reader, writer = await asyncio.open_unix_connection(str(control.path))
+            writer.write(recorded("fleet-control-asks.bin"))
+            frames = wire.FrameReader(wire.MOST_ANSWER_BYTES)
+            while len(found) < len(samples.ASKS):
+                data = await reader.read(1 << 16)
+                assert data, "the front door has closed the connection"
+                frames.feed(data)
+                while (body := frames.next()) is not None:
+                    answer = wire.read_answer(body)
+                    found.extend([answer] if answer.number != wire.NEWS else [])
+            writer.close()
+
+    run(job())
+    assert [answer.number for answer in found] == [ask.number for ask in samples.ASKS]
+    assert not any(answer.error for answer in found)
+    assert found[-1].state is not None
+    assert found[-1].state.revision == samples.FULL_BOOK.revision
