--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -9,6 +9,7 @@
     control_samples,
     fleet_samples,
     gossip_samples,
+    roster_samples,
     settings_samples,
 )
 
@@ -19,6 +20,7 @@
     **gossip_samples.FILES,
     **fleet_samples.FILES,
     **control_samples.FILES,
+    **roster_samples.FILES,
     **campaign_samples.FILES,
     **command_samples.FILES,
     **settings_samples.FILES,
