--- a/tests/compatibility/recording.py
+++ b/tests/compatibility/recording.py
@@ -4,6 +4,7 @@
 from pathlib import Path
 
 from tests.compatibility import (
+    api_samples,
     campaign_samples,
     command_samples,
     control_samples,
@@ -21,6 +22,7 @@
     **fleet_samples.FILES,
     **control_samples.FILES,
     **roster_samples.FILES,
+    **api_samples.FILES,
     **campaign_samples.FILES,
     **command_samples.FILES,
     **settings_samples.FILES,
