--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -7,17 +7,17 @@
 
 import msgspec
 
-from molereach.council.interface import Ask as SessionAsk
-from molereach.council.interface import Grant
-from molereach.council.leases import bodies as lease_bodies
-from molereach.council.links import hello as link_hello
-from molereach.council.links import words as link_words
-from molereach.council.log import panel as log_panel
-from molereach.council.log import records as log_records
-from molereach.council.log import words as log_words
-from molereach.council.membership import words as membership_words
-from molereach.council.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
-from molereach.council.spread import words as spread_words
+from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.interface import Ask as SessionAsk
+from molereach.coordination.interface import Grant
+from molereach.coordination.leases import bodies as lease_bodies
+from molereach.coordination.membership import words as membership_words
+from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import records as log_records
+from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.transport import hello as link_hello
+from molereach.coordination.transport import words as link_words
 from tests.compatibility import council_samples as samples
 
 RECORD_TYPES = (
--- a/tests/compatibility/council_files.py
+++ b/tests/compatibility/council_files.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-RECORDED = Path(__file__).parent / "recorded"
+RECORDED = Path(__file__).parent / "recorded" / "council"
 
 
 def hex_text(values: Mapping[str, bytes]) -> str:
--- a/tests/compatibility/council_folder.py
+++ b/tests/compatibility/council_folder.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from molereach.council.interface import Persist
-from molereach.council.log import records as log_records
-from molereach.council.store.store import Opened, Store
+from molereach.coordination.interface import Persist
+from molereach.coordination.replicated_log import records as log_records
+from molereach.coordination.storage.store import Opened, Store
 from tests.compatibility import council_samples as samples
 
 DOOR = samples.FIRST_DOOR.name
--- a/tests/compatibility/council_recording.py
+++ b/tests/compatibility/council_recording.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from molereach.council.node.first import first_panel
+from molereach.coordination.node.first import first_panel
 from tests.compatibility import council_families, council_folder, council_session
 from tests.compatibility.council_files import RECORDED, hex_text, write_once
 from tests.compatibility.machines_recording import record_machines
@@ -41,7 +41,7 @@
 
 def main() -> None:
     """Write all that is not there yet."""
-    RECORDED.mkdir(exist_ok=True)
+    RECORDED.mkdir(parents=True, exist_ok=True)
     record_messages()
     record_folder()
     record_session()
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -1,16 +1,16 @@
 """Council messages and records with fixed content: one of each type, built by the program's own types."""
 
-from molereach.council.interface import Ask as SessionAsk
-from molereach.council.interface import Entry, Grant, Life, Outcome
-from molereach.council.leases import bodies as lease_bodies
-from molereach.council.links import hello as link_hello
-from molereach.council.links import words as link_words
-from molereach.council.log import panel as log_panel
-from molereach.council.log import records as log_records
-from molereach.council.log import words as log_words
-from molereach.council.log.once import Done
-from molereach.council.membership import words as membership_words
-from molereach.council.spread import words as spread_words
+from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.interface import Ask as SessionAsk
+from molereach.coordination.interface import Entry, Grant, Life, Outcome
+from molereach.coordination.leases import bodies as lease_bodies
+from molereach.coordination.membership import words as membership_words
+from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import records as log_records
+from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log.once import Done
+from molereach.coordination.transport import hello as link_hello
+from molereach.coordination.transport import words as link_words
 
 FIRST_DOOR = Life(name="door-a", number=1_900_000_000_001 << 20)
 SECOND_DOOR = Life(name="door-b", number=(1_900_000_000_002 << 20) + 7)
--- a/tests/compatibility/council_session.py
+++ b/tests/compatibility/council_session.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.council.links.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter
-from molereach.council.links.hello import Answering, Dialling, Session, refusal
-from molereach.council.links.pulse import Pulse
-from molereach.council.links.speech import Speech
-from molereach.council.links.words import OWN, Words
-from molereach.council.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.coordination.transport.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter
+from molereach.coordination.transport.hello import Answering, Dialling, Session, refusal
+from molereach.coordination.transport.pulse import Pulse
+from molereach.coordination.transport.speech import Speech
+from molereach.coordination.transport.words import OWN, Words
 from tests.compatibility import council_samples as samples
 
 KEY = bytes(range(100, 132))
--- a/tests/compatibility/machines_log.py
+++ b/tests/compatibility/machines_log.py
@@ -6,10 +6,10 @@
 import msgspec
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.council.interface import Entry
-from molereach.council.leases import bodies as lease_bodies
-from molereach.council.log import panel as log_panel
-from molereach.council.log.learner import OWN
+from molereach.coordination.interface import Entry
+from molereach.coordination.leases import bodies as lease_bodies
+from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log.learner import OWN
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.council.leases import bodies as lease_bodies
-from molereach.council.log.learner import OWN
+from molereach.coordination.leases import bodies as lease_bodies
+from molereach.coordination.replicated_log.learner import OWN
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.map.pieces import Home
 from molereach.shards.splits import bodies as split_bodies
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -8,9 +8,9 @@
 
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.records import Finished
-from molereach.council.interface import Applied, Entry, Outcome, StateMachine
-from molereach.council.log.learner import Learner
-from molereach.council.log.settings import Settings
+from molereach.coordination.interface import Applied, Entry, Outcome, StateMachine
+from molereach.coordination.replicated_log.learner import Learner
+from molereach.coordination.replicated_log.settings import Settings
 from molereach.shards.counts.folds import Folds
 from molereach.shards.splits.machine import Shards, SplitSettings
 from molereach.shards.splits.rooms import NoUpkeep
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.council.interface import Known, Life
-from molereach.council.leases import bodies as lease_bodies
-from molereach.council.log import panel as log_panel
-from molereach.council.log import words as log_words
-from molereach.council.log.learner import OWN
+from molereach.coordination.interface import Known, Life
+from molereach.coordination.leases import bodies as lease_bodies
+from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log.learner import OWN
 from molereach.shards import proof as shard_proof
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.counts import words as count_words
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from molereach.cache.purge.ids import draw_id
-from molereach.council.interface import Accounted, Known
-from molereach.council.leases.accounts import Account, Saying
-from molereach.council.membership.words import Status
+from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.leases.accounts import Account, Saying
+from molereach.coordination.membership.words import Status
 from molereach.shards.counts import words as count_words
 from molereach.shards.counts.digest import Digest
 from molereach.shards.map.cutting import after
--- a/tests/compatibility/test_council_messages.py
+++ b/tests/compatibility/test_council_messages.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from molereach.council.log import panel, records
-from molereach.council.log.words import Seat
-from molereach.council.node.first import first_panel
+from molereach.coordination.node.first import first_panel
+from molereach.coordination.replicated_log import panel, records
+from molereach.coordination.replicated_log.words import Seat
 from tests.compatibility import council_families, council_samples, council_session
 from tests.compatibility.council_families import FAMILIES, Family
 from tests.compatibility.council_files import recorded_bytes, recorded_values
--- a/tests/compatibility/test_council_session.py
+++ b/tests/compatibility/test_council_session.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.council.links.hello import HelloError, Session
+from molereach.coordination.transport.hello import HelloError, Session
 from tests.compatibility import council_samples, council_session
 from tests.compatibility.council_files import recorded_values
 from tests.compatibility.council_session import DIALLER, FILE_NAME, LISTENER
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -5,9 +5,9 @@
 
 from molereach.cache.purge.bodies import Ended, Standing
 from molereach.cache.purge.receipt import Receipt, intact
-from molereach.council.interface import Entry, Outcome
-from molereach.council.leases.sessions import Opened
-from molereach.council.log import records
+from molereach.coordination.interface import Entry, Outcome
+from molereach.coordination.leases.sessions import Opened
+from molereach.coordination.replicated_log import records
 from molereach.shards.splits.record import Record as SplitRecord
 from molereach.upkeep.permits.record import Record as WorkRecord
 from tests.compatibility import machines_log, machines_replica
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molereach.cache.purge.ids import drawn_at
-from molereach.council.interface import Accounted
+from molereach.coordination.interface import Accounted
 from molereach.shards.counts import words as count_words
 from molereach.shards.map.delta import Delta, applied
 from molereach.shards.map.pieces import ShardMap
