--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -20,8 +20,18 @@
 from benchmarks.result import Result
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    RequestReceived,
+)
+from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.quota import DEMAND_US
 from rig import scenario_files
 from sim.histories import PLAN, READS, BrokenError, QuotaHistory, ShareHistory, Store
@@ -157,7 +167,7 @@
 # --- a building that stands at one front door, or moves at once ---
 
 
-def entitled(plan: i.Plan, history: QuotaHistory, since: int, until: int, asked: int) -> float:
+def entitled(plan: Plan, history: QuotaHistory, since: int, until: int, asked: int) -> float:
     """What one front door that sees all tries would have sent on between two times."""
     rate, burst = (plan.rate, plan.burst) if plan.rate else (plan.ceiling_rate, plan.ceiling_burst)
     store = Store(rate, burst, burst, 0)
@@ -174,7 +184,7 @@
 
     limit: str
     name: str
-    plan: i.Plan
+    plan: Plan
     moves: bool
     loss: float
     split_s: float
@@ -264,7 +274,7 @@
         size = min(3, doors)
         first = (node.number - draw.randrange(size)) % doors
         customer = f"{draw.randrange(customers):016x}"
-        request = i.Request(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
+        request = RequestReceived(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
         history.at(
             2 * S + number * S // TIER_RATE,
             lambda node=node, request=request: history.tell(node, request),  # type: ignore[misc]
@@ -278,7 +288,7 @@
 
 def try_us(with_limits: bool, seed: int) -> float:
     """CPU microseconds in the module for a try, of one customer in ten with a ceiling, all served."""
-    settings = i.Settings(
+    settings = Settings(
         seed=seed,
         me=0,
         gateways=3,
@@ -288,23 +298,25 @@
         peer_messages_per_s=60.0,
     )
     gateway = Gateway(settings, Limits(settings, LimitSettings()) if with_limits else None)
-    servers = tuple(i.Server(f"s{n}", n % 3, 0, 0, i.ServerState.UP) for n in range(9))
-    gateway.handle(0, i.ServerList(i.ListKind.FULL, 1, servers))
+    servers = tuple(Endpoint(f"s{n}", n % 3, 0, 0, EndpointState.UP) for n in range(9))
+    gateway.handle(0, EndpointListReceived(EndpointListKind.FULL, 1, servers))
     now = 20 * S
     begun = time.process_time()
     for number in range(COST_TRIES):
         now += 2000
         name = f"r{number}"
-        actions = gateway.handle(now, i.Request(name, 0, 0, f"{number % 50:016x}", 1_900_000, 1.0, 3, 0))
+        actions = gateway.handle(
+            now, RequestReceived(name, 0, 0, f"{number % 50:016x}", 1_900_000, 1.0, 3, 0)
+        )
         for action in actions:
-            if isinstance(action, i.Send):
-                gateway.handle(now, i.Outcome(name, True, 0, action.server, i.Result.OK, 30_000))
+            if isinstance(action, ForwardAttempt):
+                gateway.handle(now, AttemptEnded(name, True, 0, action.server, AttemptResult.OK, 30_000))
     return (time.process_time() - begun) * 1e6 / COST_TRIES
 
 
 def memory(count: int) -> float:
     """Bytes that limits hold for each customer with a ceiling, a quota spent here and its home elsewhere."""
-    settings = i.Settings(
+    settings = Settings(
         seed=1, me=0, gateways=3, classes=(READS,), plans=(PLAN,), may_tell=True, peer_messages_per_s=60.0
     )
     limits = Limits(settings, LimitSettings())
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,8 +13,9 @@
 
 from benchmarks.scale.tier import Tenant, Tier, peer_address
 from molereach.clock import now_us
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import SendGossip, SetTimer
+from molereach.policy.interface.events import Event, RequestReceived, TimerExpired
 from molereach.protocol.gossip_codec import PlainForm
 from molereach.proxy.config import Config, parse
 from rig.sockets import Address
@@ -87,7 +88,7 @@
     def ask(self, tenant: Tenant, kind: int) -> None:
         name, rule = f"{self.door:x}-{next(self.serial)}", CLASSES[kind]
         self.post(
-            i.Request(
+            RequestReceived(
                 name,
                 kind,
                 tenant.plan,
@@ -99,13 +100,13 @@
             )
         )
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         """Hand it to the module, and do what peers hear of."""
         for action in self.gateway.handle(now_us(), event):
-            if isinstance(action, i.Tell):
+            if isinstance(action, SendGossip):
                 for data in self.form.pack(action.peer, action.words):
                     self.tell(action.peer, data)
-            elif isinstance(action, i.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.ring(now_us() + action.delay_us, action.token)
 
     def ring(self, due_us: int, token: int) -> None:
@@ -113,7 +114,7 @@
         if left > 0:
             self.loop.call_later(max(1000, left) / 1e6, self.ring, due_us, token)
         elif self.transport and not self.transport.is_closing():
-            self.post(i.Timer(token))
+            self.post(TimerExpired(token))
 
     def tell(self, peer: int, data: bytes) -> None:
         self.role.count(peer, "received", data)  # by the real door, if it is one
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -11,7 +11,7 @@
 from heapq import nlargest
 from random import Random
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.packed_records import pack
 from molereach.subsetting.placement import door_place, least_reach, place_of
 from molereach.subsetting.subset import View, Whole
@@ -49,7 +49,7 @@
     """The view, without groups."""
     whole, subsets = Whole(()), list[set[str]]()
     for name in names:
-        whole.put(place_of(name.encode()), pack(i.Server(name, 0, 0, 0, i.ServerState.UP), None))
+        whole.put(place_of(name.encode()), pack(Endpoint(name, 0, 0, 0, EndpointState.UP), None))
     for door in range(doors):
         view = View(door_place(door), least_reach(door, doors), size)
         view.fill(whole)
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -3,22 +3,23 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointState
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.subsetting.endpoint_subsetting import Routing
 
 SIZE = 256  # of a view
 LOST_ZONE = 3
-KEYED = i.RequestClass(1, 3, effect=i.Effect.KEYED, group=i.Group.CELL, window_us=1)
+KEYED = RequestClass(1, 3, effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window_us=1)
 
 
-def zone_told(servers: Sequence[i.Server], doors: int, cells: bool) -> tuple[int, int]:
+def zone_told(servers: Sequence[Endpoint], doors: int, cells: bool) -> tuple[int, int]:
     """Entries touched by the loss, and events after it until full."""
-    settings = i.Settings(1, 0, doors, (KEYED,) if cells else (), ())
+    settings = Settings(1, 0, doors, (KEYED,) if cells else (), ())
     routing = Routing(settings, SIZE, 2 * len(servers))
-    take(routing, i.ListKind.FULL, servers)
+    take(routing, EndpointListKind.FULL, servers)
     start = routing.whole.ring.touched
     lost = [each for each in servers if each.zone == LOST_ZONE]
-    take(routing, i.ListKind.CHANGES, [replace(each, state=i.ServerState.GONE) for each in lost])
+    take(routing, EndpointListKind.CHANGES, [replace(each, state=EndpointState.GONE) for each in lost])
     touched = routing.whole.ring.touched - start
     told = routing.told if routing.short is None else routing.short
     left = len(servers) - len(lost)
@@ -26,7 +27,7 @@
     return touched, 0 if is_full else 1
 
 
-def take(routing: Routing, kind: i.ListKind, servers: Sequence[i.Server]) -> None:
+def take(routing: Routing, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
     """As an object that came in parts."""
     staged = routing.stage()
     staged.add(servers, {each.name: ("10.0.0.1", 80) for each in servers})
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -12,7 +12,7 @@
 from benchmarks.shared import SharedWhole, SharingView
 from benchmarks.told import LOST_ZONE, SIZE, zone_told
 from benchmarks.touches import holding, reaching
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.endpoint_subsetting import LONG
 from molereach.subsetting.packed_records import cell_of, name_of
 from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place
@@ -52,9 +52,9 @@
     cold_over_fair: float
 
 
-def server(number: int, backends: int, seed: int) -> i.Server:
+def server(number: int, backends: int, seed: int) -> Endpoint:
     cell = number % max(1, backends * CELLS // OF_BACKENDS)
-    return i.Server(f"s{seed}-{number}", cell % ZONES, 0, cell, i.ServerState.UP, 1.0, 1)
+    return Endpoint(f"s{seed}-{number}", cell % ZONES, 0, cell, EndpointState.UP, 1.0, 1)
 
 
 def reaches(doors: int) -> list[int]:
@@ -94,7 +94,7 @@
     def fill(self, me: int) -> View:
         return filled(self.whole, me, self.reach[me], self.is_long)
 
-    def put(self, each: i.Server) -> tuple[int, bytes]:
+    def put(self, each: Endpoint) -> tuple[int, bytes]:
         place, record, _ = entry_of(each, ("10.0.0.1", 80))
         self.whole.put(place, record)
         return place, record
@@ -109,7 +109,7 @@
         ]
         return [self.views[number] for number in me], [self.fill(number) for number in me]
 
-    def one_goes(self, each: i.Server) -> tuple[int, int]:
+    def one_goes(self, each: Endpoint) -> tuple[int, int]:
         """Pairs moved, and those of its own."""
         place, record, _ = entry_of(each, ("10.0.0.1", 80))
         self.whole.remove(place, name_of(record))
@@ -117,7 +117,7 @@
         self.whole.put(place, record)
         return moved(old, new), sum(name_of(record) in view.members for view in old)
 
-    def one_comes(self, each: i.Server) -> tuple[int, int, float]:
+    def one_comes(self, each: Endpoint) -> tuple[int, int, float]:
         """Pairs moved, those of its own, and the usual rate to it while cold over the fair one."""
         place, record = self.put(each)
         old, new = self.refill(place, None, record)
@@ -142,7 +142,7 @@
         """Pairs moved, pairs lost, and views that are not full after it."""
         lost = [self.servers[n] for n in range(self.backends) if self.servers[n].zone == LOST_ZONE]
         for each in lost:
-            place, name, _ = entry_of(replace(each, state=i.ServerState.GONE), None)
+            place, name, _ = entry_of(replace(each, state=EndpointState.GONE), None)
             self.whole.remove(place, name)
         gone = {each.name.encode() for each in lost}
         wanted, changed, lost_pairs, not_full = min(SIZE, self.whole.ring.up), 0, 0, 0
--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -2,25 +2,25 @@
 
 import logging
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, LoadReport
 from molereach.protocol.gossip_codec import read_report
 from molereach.resp import Answer
 
 log = logging.getLogger(__name__)
 
 
-def outcome_of(answer: Answer) -> tuple[i.Result, bytes | None, i.LoadReport | None]:
+def outcome_of(answer: Answer) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
     """What a backend's answer means."""
     load = read_load(answer.report)
     if answer.error is None:
-        return i.Result.OK, answer.value, load
+        return AttemptResult.OK, answer.value, load
     word = answer.error.partition(b" ")[0]
     if word not in (b"BUSY", b"ERR"):
         log.error("a backend answers %.200r", answer.error)
-    return (i.Result.FULL if word == b"BUSY" else i.Result.ERROR), None, load
+    return (AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR), None, load
 
 
-def read_load(text: bytes | None) -> i.LoadReport | None:
+def read_load(text: bytes | None) -> LoadReport | None:
     """A load report `name=value,...`; one that is malformed says nothing."""
     if not text or b"=" not in text:
         return None
--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -9,13 +9,13 @@
 from typing import TYPE_CHECKING
 
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, LoadReport
 
 if TYPE_CHECKING:
     from molereach.backends.connection import Connection
     from molereach.backends.pool import Pool
 
-Done = Callable[["Attempt", i.Result, bytes | None, i.LoadReport | None], None]
+Done = Callable[["Attempt", AttemptResult, bytes | None, LoadReport | None], None]
 
 
 class Attempt:
@@ -53,14 +53,14 @@
         self.timers.append(later(timeout_us / 1e6, self.time_out))
         if self.whole_by_us:
             left = max(0, self.whole_by_us - now_us())
-            self.timers.append(later(left / 1e6, self.withdraw, i.Result.MOOT))
+            self.timers.append(later(left / 1e6, self.withdraw, AttemptResult.MOOT))
 
     def is_late(self) -> bool:
         """Whether nothing of it may be written any more; the loop may come to its timer only later."""
         return 0 < self.whole_by_us <= now_us()
 
     def finish(
-        self, result: i.Result, value: bytes | None = None, report: i.LoadReport | None = None
+        self, result: AttemptResult, value: bytes | None = None, report: LoadReport | None = None
     ) -> None:
         if self.over:
             return
@@ -71,19 +71,19 @@
 
     def cancel(self) -> None:
         """Stop waiting for it."""
-        self.give_up(i.Result.CANCELLED)
+        self.give_up(AttemptResult.CANCELLED)
 
     def time_out(self) -> None:
         if self.written and self.pool:
             self.pool.doubt(self.sent_us)
-        self.give_up(i.Result.TIMEOUT if self.written else i.Result.CONNECT_FAILED)
+        self.give_up(AttemptResult.TIMEOUT if self.written else AttemptResult.CONNECT_FAILED)
 
-    def withdraw(self, result: i.Result) -> None:
+    def withdraw(self, result: AttemptResult) -> None:
         """Take it back where its last byte is not written: it never runs, whatever comes up later."""
         if not self.written:
             self.give_up(result)
 
-    def give_up(self, result: i.Result) -> None:
+    def give_up(self, result: AttemptResult) -> None:
         if self.pool:
             self.pool.waiting.pop(self, None)  # its dial, should it come up, is another's
         connection, self.connection = self.connection, None
--- a/molereach/backends/connection.py
+++ b/molereach/backends/connection.py
@@ -9,7 +9,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.reuse import Reuse
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from molereach.resp import AnswerReader, ProtocolError
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
             self.abort()  # nothing was asked: it came behind an answer, and belongs to nobody
             return
         if not attempt.written:  # answered before it was whole, if only in part: it must not get whole now
-            attempt.give_up(i.Result.CONNECT_FAILED)
+            attempt.give_up(AttemptResult.CONNECT_FAILED)
             return
         self.reader.feed(data)
         try:
@@ -96,7 +96,7 @@
         log.warning("spoilt answer from %s: %s", self.pool.name, error)
         self.attempt = attempt.connection = None
         self.abort()
-        attempt.finish(i.Result.SPOILT)
+        attempt.finish(AttemptResult.SPOILT)
 
     def eof_received(self) -> None:
         """No answer can come any more. Without the abort the loop would wait until all is written."""
@@ -111,7 +111,7 @@
             if not self.reader.buffer:  # within an answer it is no matter of age
                 self.pool.owner.reuse.note(self.age, reset=True)
             self.pool.close_unheard(attempt.sent_us)
-            attempt.finish(i.Result.RESET if attempt.written else i.Result.CONNECT_FAILED)
+            attempt.finish(AttemptResult.RESET if attempt.written else AttemptResult.CONNECT_FAILED)
 
     def usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -6,7 +6,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.connection import Connection
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from molereach.proxy.config import Address
 from molereach.resp import has_unread
 
@@ -29,13 +29,15 @@
     def start(self, attempt: Attempt) -> None:
         attempt.pool = self
         if not self.wanted:  # decided before the news of it were known
-            attempt.finish(i.Result.CONNECT_FAILED)
+            attempt.finish(AttemptResult.CONNECT_FAILED)
             return
         if connection := self.take_idle():
             connection.send(attempt)
             return
         if not self.owner.may_open():
-            attempt.finish(i.Result.MOOT)  # a shortage of ours, which is not to be held against the backend
+            attempt.finish(
+                AttemptResult.MOOT
+            )  # a shortage of ours, which is not to be held against the backend
             return
         self.waiting[attempt] = None
         self.connecting += 1
@@ -93,14 +95,14 @@
         elif connected:
             connection.close()
         elif attempt and len(self.waiting) > self.connecting:
-            attempt.give_up(i.Result.CONNECT_FAILED)
+            attempt.give_up(AttemptResult.CONNECT_FAILED)
 
     def first_waiting(self) -> Attempt | None:
         """Who waits longest; one whose time to be written is over waits no more."""
         while attempt := next(iter(self.waiting), None):
             if not attempt.is_late():
                 break
-            attempt.withdraw(i.Result.MOOT)
+            attempt.withdraw(AttemptResult.MOOT)
         return attempt
 
     def rest(self, connection: Connection) -> None:
@@ -149,4 +151,4 @@
         self.wanted = False
         self.close_idle()
         for attempt in list(self.waiting):
-            attempt.give_up(i.Result.CONNECT_FAILED)
+            attempt.give_up(AttemptResult.CONNECT_FAILED)
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -8,7 +8,7 @@
 from molereach.backends.pool import Pool
 from molereach.backends.reuse import FADE_S, Reuse
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, EndpointState
 from molereach.proxy.config import Address
 
 IDLE_SHARE = 0.5  # of the backend's idle time: a request that crosses its close would end as a reset
@@ -27,7 +27,7 @@
 
     def update(
         self,
-        states: dict[str, i.ServerState],
+        states: dict[str, EndpointState],
         addresses: dict[str, Address],
         whole: bool,
         started: Mapping[str, int] = MappingProxyType({}),
@@ -43,12 +43,12 @@
             pool = self.pools.get(name)
             address = addresses.get(name) or (pool and pool.address)
             start = started.get(name, pool.started_us if pool else 0)
-            if state is i.ServerState.GONE or (pool and (pool.address, pool.started_us) != (address, start)):
+            if state is EndpointState.GONE or (pool and (pool.address, pool.started_us) != (address, start)):
                 self.retire(name)
-            if state is not i.ServerState.GONE and address and name not in self.pools:
+            if state is not EndpointState.GONE and address and name not in self.pools:
                 self.pools[name] = Pool(self, name, address, start)
             if pool := self.pools.get(name):
-                pool.wanted = state is i.ServerState.UP
+                pool.wanted = state is EndpointState.UP
                 if not pool.wanted:
                     pool.stop()
 
@@ -60,10 +60,10 @@
     def send(self, attempt: Attempt, timeout_us: int) -> None:
         pool = self.pools.get(attempt.server)
         if pool is None:
-            attempt.finish(i.Result.CONNECT_FAILED)
+            attempt.finish(AttemptResult.CONNECT_FAILED)
             return
         if attempt.is_late():
-            attempt.finish(i.Result.MOOT)
+            attempt.finish(AttemptResult.MOOT)
             return
         attempt.limit(timeout_us)
         pool.start(attempt)
--- a/molereach/clients/commands.py
+++ b/molereach/clients/commands.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from molereach.clients.requests import CommandError, RequestChecks
-from molereach.policy import interface as i
+from molereach.policy.interface.events import RequestReceived
 from molereach.proxy.config import Config
 from molereach.resp import encode
 
@@ -12,7 +12,7 @@
 class Command:
     """A request as the module sees it, and the words to pass on."""
 
-    request: i.Request
+    request: RequestReceived
     words: list[bytes]
     fields_head: bytes  # the list of names and values before and after the time that the client waits
     fields_tail: bytes
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -6,7 +6,8 @@
 import re
 from collections.abc import Mapping
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import RequestReceived
+from molereach.policy.interface.settings import Idempotency, Plan
 from molereach.proxy.config import Config
 
 CUSTOMERS = 1 << 33
@@ -44,7 +45,7 @@
         values: Mapping[str, str],
         is_write: bool,
         answer_margin_us: int,
-    ) -> i.Request:
+    ) -> RequestReceived:
         """The request that the fields describe; a CommandError for one that is wrong.
 
         `values` go by the protocol's names: c (class), t (plan), d (ms that the client waits), k (key),
@@ -61,7 +62,7 @@
         most_ms = MOST_WAITS * self.settings.classes[number].deadline_us // 1000
         wait_ms = whole(values.get("d", ""), "time", 0, most_ms)
         size, first = self.customers_set(values)
-        return i.Request(
+        return RequestReceived(
             id=identity,
             class_index=number,
             plan_index=plan,
@@ -89,13 +90,13 @@
         if number is None:
             raise CommandError("unknown class")
         effect = self.settings.classes[number].effect
-        if is_write == (effect is i.Effect.SAFE):
+        if is_write == (effect is Idempotency.SAFE):
             raise CommandError("the command does not serve this class")
-        if effect is i.Effect.KEYED and not values.get("k"):
+        if effect is Idempotency.KEYED and not values.get("k"):
             raise CommandError("a key is missing")
         return number
 
-    def units(self, values: Mapping[str, str], plan: i.Plan) -> float:
+    def units(self, values: Mapping[str, str], plan: Plan) -> float:
         """More than a plan lets through at once would only drain what is its customer's."""
         text = values.get("units", "1")
         most = min((burst for burst in (plan.burst, plan.ceiling_burst) if burst > 0), default=MOST_UNITS)
--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -17,7 +17,7 @@
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import Steps, WatchConnection
 from molereach.discovery.watch_supervisor import Calling
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy.config import Address
 from molereach.subsetting.interface import RoomError, Staged
 
@@ -194,14 +194,14 @@
         if not word:
             self.calling.taken()
             return None
-        news = self.news(json.loads(word), i.ListKind.FULL if whole else None, number)
+        news = self.news(json.loads(word), EndpointListKind.FULL if whole else None, number)
         version = news.version if isinstance(news, LongNews) else news.event.version
         if steps := self.heard(self, news):
             return self.take_over(steps, number, whole, version)
         self.taken(number, whole, version)
         return None
 
-    def news(self, value: Mapping[str, Any], kind: i.ListKind | None, number: int) -> News | LongNews:
+    def news(self, value: Mapping[str, Any], kind: EndpointListKind | None, number: int) -> News | LongNews:
         if staging := self.staged.get(number):
             return self.with_room(number, lambda: self.catalog.long_news(value, staging.staged, kind))
         return self.catalog.news(value, kind)
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -7,16 +7,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.config import Address, Config, ConfigError, read_address
 from molereach.subsetting.interface import Staged
 
 log = logging.getLogger(__name__)
 
 STATES = {
-    "SERVING": i.ServerState.UP,
-    "DRAINING": i.ServerState.DRAINING,
-    "DELETED": i.ServerState.GONE,
+    "SERVING": EndpointState.UP,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
 }
 # What an entry that makes no sense runs into.
 SENSELESS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError, ConfigError)
@@ -25,14 +25,14 @@
 MOST_TIME_MS = 1e14  # some thousands of years
 
 
-Read = tuple[list[i.Server], dict[str, Address]]  # entries in their order, and the addresses that they give
+Read = tuple[list[Endpoint], dict[str, Address]]  # entries in their order, and the addresses that they give
 
 
 @dataclass(frozen=True, slots=True)
 class News:
     """News of the list for the module, and the addresses that go with it."""
 
-    event: i.ServerList
+    event: EndpointListReceived
     addresses: dict[str, Address]
 
 
@@ -41,7 +41,7 @@
     """News of a list that came in parts: what is to be taken over, in turns."""
 
     staged: Staged
-    kind: i.ListKind
+    kind: EndpointListKind
     version: int
 
 
@@ -67,35 +67,35 @@
         """0 stays 0, for long ago; nothing else becomes 0."""
         return (round(unix_ms * 1000) + self.offset_us) or 1 if unix_ms else 0
 
-    def server(self, entry: Mapping[str, Any]) -> i.Server:
+    def server(self, entry: Mapping[str, Any]) -> Endpoint:
         name, get = entry["instanceId"], entry.get
         if not isinstance(name, str) or not name:
             raise ValueError("no name")
         started_ms = number(get("startedAtMs"), MOST_TIME_MS)
-        return i.Server(
+        return Endpoint(
             name,
             self.zones.get(str(get("zone")), -1),
             self.kinds.get(str(get("machineType")), -1),
             int(number(get("cell"), MOST_CELL)),
             # In a state that we do not know it is not said to serve: nothing new goes there.
-            STATES.get(str(get("lifecycle")), i.ServerState.DRAINING),
+            STATES.get(str(get("lifecycle")), EndpointState.DRAINING),
             number(get("weight"), MOST_WEIGHT) or 1.0,
             self.started_us(started_ms) if started_ms else 0,
         )
 
     @staticmethod
-    def address(entry: Mapping[str, Any], state: i.ServerState) -> Address | None:
+    def address(entry: Mapping[str, Any], state: EndpointState) -> Address | None:
         """One that is to get nothing new must be heard of in any case, and needs no address for that."""
         try:
-            return read_address(entry["hostPort"]) if state is not i.ServerState.GONE else None
+            return read_address(entry["hostPort"]) if state is not EndpointState.GONE else None
         except SENSELESS:
-            if state is i.ServerState.UP or "lifecycle" not in entry:
+            if state is EndpointState.UP or "lifecycle" not in entry:
                 raise
             return None
 
     def entries(self, listed: Iterable[Any]) -> Read:
         """Entries of a list; those that make no sense are passed over, with one line for all of them."""
-        servers: list[i.Server] = []
+        servers: list[Endpoint] = []
         addresses: dict[str, Address] = {}
         odd, first = 0, ""
         for entry in listed:
@@ -118,20 +118,22 @@
         """Entries of an object that comes in parts."""
         return self.entries(json.loads(text))
 
-    def news(self, value: Mapping[str, Any], kind: i.ListKind | None = None) -> News:
+    def news(self, value: Mapping[str, Any], kind: EndpointListKind | None = None) -> News:
         """A list or changes to it. A whole list that names a server twice is a ValueError: which of the two
         holds, nobody can say."""
         kind = kind or kind_of(value)
         servers, addresses = self.entries(value["instances"])
-        if kind is i.ListKind.FULL and len({server.name for server in servers}) < len(servers):
+        if kind is EndpointListKind.FULL and len({server.name for server in servers}) < len(servers):
             raise ValueError("the whole list names a server twice")
-        return News(i.ServerList(kind, int(value["generation"]), tuple(servers)), addresses)
+        return News(EndpointListReceived(kind, int(value["generation"]), tuple(servers)), addresses)
 
-    def long_news(self, value: Mapping[str, Any], staged: Staged, kind: i.ListKind | None = None) -> LongNews:
+    def long_news(
+        self, value: Mapping[str, Any], staged: Staged, kind: EndpointListKind | None = None
+    ) -> LongNews:
         """The end of an object whose parts have been staged; what came with it is staged too."""
         staged.add(*self.entries(value["instances"]))
         return LongNews(staged, kind or kind_of(value), int(value["generation"]))
 
 
-def kind_of(value: Mapping[str, Any]) -> i.ListKind:
-    return i.ListKind.FULL if value.get("reset") else i.ListKind.CHANGES
+def kind_of(value: Mapping[str, Any]) -> EndpointListKind:
+    return EndpointListKind.FULL if value.get("reset") else EndpointListKind.CHANGES
--- a/molereach/discovery/poll_backoff.py
+++ b/molereach/discovery/poll_backoff.py
@@ -20,7 +20,7 @@
 
 import math
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Settings
 
 CALL_S = 0.2  # of discovery's time, for each front door of the tier: it takes one call from each in so long
 AT_ONCE = 8  # calls that may come in step and are no burden
@@ -48,7 +48,7 @@
         self.failures = 0
 
     @classmethod
-    def of(cls, settings: i.Settings) -> "CallPacing":
+    def of(cls, settings: Settings) -> "CallPacing":
         return cls(settings.gateways, settings.must_subscribe, settings.ask_within_us / 1e6)
 
     def first(self, draw: float) -> float:
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 
 MOST_NAME_BYTES = 64  # of an id, a subject or an issuer, in UTF-8
 MOST_REASON_BYTES = 256
@@ -264,37 +264,37 @@
     """
 
     def __init__(self) -> None:
-        self.listed: dict[str, i.Server] = {}  # as discovery has them
+        self.listed: dict[str, Endpoint] = {}  # as discovery has them
         self.version = self.seen_by = 0
         self.drained: frozenset[str] = frozenset()
 
-    def over(self, server: i.Server) -> i.Server:
+    def over(self, server: Endpoint) -> Endpoint:
         """What the decision module is to see of a server."""
-        if server.state is i.ServerState.UP and server.name in self.drained:
-            return replace(server, state=i.ServerState.DRAINING)
+        if server.state is EndpointState.UP and server.name in self.drained:
+            return replace(server, state=EndpointState.DRAINING)
         return server
 
-    def on_list(self, news: i.ServerList) -> i.ServerList:
+    def on_list(self, news: EndpointListReceived) -> EndpointListReceived:
         """Discovery's news, as the module is to hear it."""
-        if news.kind in (i.ListKind.FULL, i.ListKind.SAVED):
+        if news.kind in (EndpointListKind.FULL, EndpointListKind.SAVED):
             self.listed = {}
-        if news.kind is not i.ListKind.FAILED:
+        if news.kind is not EndpointListKind.FAILED:
             self.version, self.seen_by = news.version, news.seen_by
         for server in news.servers:
-            if server.state is i.ServerState.GONE:
+            if server.state is EndpointState.GONE:
                 self.listed.pop(server.name, None)
             else:
                 self.listed[server.name] = server
         return replace(news, servers=tuple(map(self.over, news.servers)))
 
-    def on_orders(self, drained: Iterable[str]) -> i.ServerList | None:
+    def on_orders(self, drained: Iterable[str]) -> EndpointListReceived | None:
         """The servers that are to be drained from now on; changes for the module, or None."""
         before, self.drained = self.drained, frozenset(drained)
         changed = [
             self.over(server)
             for name, server in self.listed.items()
-            if server.state is i.ServerState.UP and (name in before) != (name in self.drained)
+            if server.state is EndpointState.UP and (name in before) != (name in self.drained)
         ]
         if not changed:
             return None
-        return i.ServerList(i.ListKind.CHANGES, self.version, tuple(changed), self.seen_by)
+        return EndpointListReceived(EndpointListKind.CHANGES, self.version, tuple(changed), self.seen_by)
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from molereach.fleet.orders import BookState, Decided, OrderError
-from molereach.policy.interface import Held
+from molereach.policy.interface.protocols import CustomerLimits
 
 VERSION = 2
 HEAD_BYTES = 4
@@ -67,7 +67,7 @@
     ceiling_part: float
     demand: float
     heard_s_ago: float | None  # since its home's word came; None for never
-    shares: Held | None = None  # None where shares do not move
+    shares: CustomerLimits | None = None  # None where shares do not move
 
 
 class Answer(msgspec.Struct, frozen=True, omit_defaults=True):
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -6,7 +6,19 @@
 from molereach.limits.escrow import REPEAT_US, WHOLE, Escrow
 from molereach.limits.partition_quota import Reach
 from molereach.limits.settings import LimitSettings, S
-from molereach.policy import interface as i
+from molereach.policy.interface.events import GossipReceived
+from molereach.policy.interface.messages import (
+    CustomerKey,
+    Join,
+    JoinAcknowledged,
+    Leave,
+    LimitMessage,
+    LoanGrant,
+    LoanRequest,
+    SpendingTotal,
+)
+from molereach.policy.interface.protocols import CustomerLimits
+from molereach.policy.interface.settings import Settings
 
 GENERATIONS = 1 << 16
 TOTALS_AT_ONCE = 2  # at each look: 100 a second, to all homes together
@@ -18,7 +30,7 @@
 class Limits:
     """Limits of one front door; with several, each has one."""
 
-    def __init__(self, settings: i.Settings, figures: LimitSettings) -> None:
+    def __init__(self, settings: Settings, figures: LimitSettings) -> None:
         self.me, self.doors = settings.me, settings.gateways
         self.generation = settings.seed % GENERATIONS
         self.settings = figures
@@ -28,7 +40,7 @@
         )
         self.start_us = self.hello_us = self.look_us = self.forget_us = self.now_us = -1
         self.budget: dict[int, tuple[float, int]] = {}  # by peer: words that may go, and at what time
-        self.answers: list[tuple[int, i.LimitWord]] = []
+        self.answers: list[tuple[int, LimitMessage]] = []
 
     def start(self, now_us: int) -> None:
         self.start_us = self.hello_us = self.look_us = self.forget_us = now_us
@@ -37,24 +49,24 @@
 
     # --- ceilings ---
 
-    def want(self, now_us: int, key: i.Key, units: float) -> None:
+    def want(self, now_us: int, key: CustomerKey, units: float) -> None:
         self.escrow.want(now_us, key, units)
 
-    def room(self, now_us: int, key: i.Key, units: float) -> bool:
+    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.escrow.room(now_us, key, units) >= units
 
-    def take(self, now_us: int, key: i.Key, units: float) -> None:
+    def take(self, now_us: int, key: CustomerKey, units: float) -> None:
         self.escrow.take(now_us, key, units)
 
     # --- quotas ---
 
-    def reach(self, now_us: int, key: i.Key) -> tuple[int, float, float]:
+    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
         return self.reach_of.reach(now_us, key)
 
-    def spend(self, now_us: int, key: i.Key, units: float, left: float) -> None:
+    def spend(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
         self.reach_of.spend(now_us, key, units, left)
 
-    def spent(self, now_us: int, sender: int, total: i.Total) -> float:
+    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
         return self.reach_of.spent(now_us, sender, total)
 
     def counts(self, sender: int) -> bool:
@@ -62,7 +74,7 @@
 
     # --- words ---
 
-    def hear(self, now_us: int, message: i.PeerMessage) -> None:
+    def hear(self, now_us: int, message: GossipReceived) -> None:
         sender, generation = message.sender, message.generation
         self.now_us = now_us
         self.reach_of.heard(now_us, sender, generation, message.hears)
@@ -70,23 +82,25 @@
             return
         for word in message.words:
             match word:
-                case i.LoanAsk():
+                case LoanRequest():
                     self.escrow.asked(now_us, sender, generation, word)
-                case i.LoanGrant():
+                case LoanGrant():
                     self.escrow.granted(now_us, sender, word)
-                case i.Hello():
+                case Join():
                     self.escrow.drop(now_us, sender)
-                    self.answers.append((sender, i.Clear(generation, self.reach_of.tell_all(sender))))
-                case i.Bye():
+                    self.answers.append(
+                        (sender, JoinAcknowledged(generation, self.reach_of.tell_all(sender)))
+                    )
+                case Leave():
                     self.reach_of.left(now_us, sender, generation)
-                case i.Clear(wanted, totals) if wanted == self.generation:
+                case JoinAcknowledged(wanted, totals) if wanted == self.generation:
                     self.escrow.clear(now_us, sender)
                     if not totals:
                         self.reach_of.nothing_to_tell(sender)
 
-    def bye(self) -> list[tuple[int, i.LimitWord]]:
+    def bye(self) -> list[tuple[int, LimitMessage]]:
         """Nothing is spent here from now on: the last words, to all peers."""
-        return [(peer, i.Bye()) for peer in range(self.doors) if peer != self.me]
+        return [(peer, Leave()) for peer in range(self.doors) if peer != self.me]
 
     def hears(self, peer: int) -> bool:
         """Whether the peer has been heard of late, as of the last event."""
@@ -96,12 +110,12 @@
         self.now_us = now_us
         self.reach_of.told_us[peer] = now_us
 
-    def due(self, now_us: int) -> list[tuple[int, i.LimitWord | None]]:
+    def due(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
         """Words to peers by now; None is a beat, which needs no word."""
         waiting = self.answers or self.escrow.out
         if not waiting and now_us < min(self.look_us, self.escrow.wake_us):
             return []
-        found: list[tuple[int, i.LimitWord | None]] = [*self.answers]
+        found: list[tuple[int, LimitMessage | None]] = [*self.answers]
         self.answers = []
         found += self.escrow.due(now_us)
         if now_us >= self.look_us:
@@ -115,13 +129,13 @@
             self.reach_of.forget(now_us)
         return [each for each in found if each[1] is None or self.may_tell(now_us, each[0])]
 
-    def hellos(self, now_us: int) -> list[tuple[int, i.LimitWord]]:
+    def hellos(self, now_us: int) -> list[tuple[int, LimitMessage]]:
         over = now_us - self.start_us > self.settings.quiet_us
         if over or now_us < self.hello_us:
             return []
         self.hello_us = now_us + REPEAT_US
         return [
-            (peer, i.Hello())
+            (peer, Join())
             for peer in range(self.doors)
             if peer != self.me and peer not in self.escrow.cleared
         ]
@@ -148,7 +162,7 @@
 
     # --- for those who look ---
 
-    def held(self, customer: int, now_us: int) -> list[i.Held]:
+    def held(self, customer: int, now_us: int) -> list[CustomerLimits]:
         """What is known of a customer, by the checksum of its name; it only reads."""
         keys = {
             key: None
@@ -158,16 +172,16 @@
         }
         return [self.held_of(key, now_us) for key in keys]
 
-    def held_of(self, key: i.Key, now_us: int) -> i.Held:
+    def held_of(self, key: CustomerKey, now_us: int) -> CustomerLimits:
         account, mine = self.escrow.accounts.get(key), self.reach_of.mine.get(key)
         home = self.reach_of.homes.get(key)
         spent, apart = mine.spent if mine else 0.0, sorted(home.apart) if home else []
         if account is None:
-            return i.Held(key[1], 0.0, 0.0, {}, {}, 0.0, 0.0, spent, apart)
+            return CustomerLimits(key[1], 0.0, 0.0, {}, {}, 0.0, 0.0, spent, apart)
         lent = {peer: part / WHOLE for peer, loan in account.loans.items() if (part := loan.lent(now_us))}
         debts = {peer: debt for peer, debt in account.debts.items() if debt.held(now_us)}
         ages = [now_us - debt.asked_us for debt in debts.values()]
-        return i.Held(
+        return CustomerLimits(
             key[1],
             account.share(now_us) / WHOLE,
             account.store,
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -12,7 +12,8 @@
 from collections.abc import Sequence
 
 from molereach.limits.settings import LimitSettings, S
-from molereach.policy.interface import Key, LoanAsk, LoanGrant, Plan
+from molereach.policy.interface.messages import CustomerKey, LoanGrant, LoanRequest
+from molereach.policy.interface.settings import Plan
 
 WHOLE = 10_000  # parts of a ceiling
 DEMAND_US = 400_000  # ageing of what customers ask for here
@@ -86,7 +87,7 @@
 
     def __init__(self) -> None:
         self.number, self.accepted = 0, 0
-        self.ask: LoanAsk | None = None  # without its grant yet
+        self.ask: LoanRequest | None = None  # without its grant yet
         self.asked_us = self.sent_us = self.next_us = 0  # the third: when it may ask anew
         self.repeats = self.share = self.until = 0
         self.short = False  # the last grant was of less than was wanted
@@ -159,16 +160,16 @@
 
 
 class Escrow:
-    """The accounts of one front door. Key numbers and shares in words are checked against the settings."""
+    """The accounts of one front door. Key numbers and shares in messages are checked against the settings."""
 
     def __init__(self, me: int, doors: int, plans: Sequence[Plan], settings: LimitSettings) -> None:
         self.me, self.doors, self.plans, self.settings = me, doors, plans, settings
         self.slow = 1 - settings.drift  # a clock that is fast must not fill a store too soon
-        self.accounts: dict[Key, _Account] = {}  # the one used last at the end
+        self.accounts: dict[CustomerKey, _Account] = {}  # the one used last at the end
         self.start_us = -1
         self.cleared: dict[int, int] = {}  # since when others hold nothing of ours from before the start
-        self.late: list[tuple[int, Key]] = []  # heap: when an account's loans are to be looked at
-        self.out: list[tuple[int, LoanAsk | LoanGrant]] = []
+        self.late: list[tuple[int, CustomerKey]] = []  # heap: when an account's loans are to be looked at
+        self.out: list[tuple[int, LoanRequest | LoanGrant]] = []
         fill = [plan.ceiling_burst / plan.ceiling_rate for plan in plans if plan.ceiling_rate]
         self.forget_us = max([LEAST_KEPT_US, *(round(S * took) for took in fill)]) + 3 * settings.lease_us
 
@@ -177,7 +178,7 @@
     def start(self, now: int) -> None:
         self.start_us = now
 
-    def account(self, now: int, key: Key) -> _Account | None:
+    def account(self, now: int, key: CustomerKey) -> _Account | None:
         """The account, filled up to `now`; None where the plan has no ceiling or the key cannot be."""
         account = self.accounts.pop(key, None)
         if account is None:
@@ -190,7 +191,7 @@
         account.refill(now, self.slow)
         return account
 
-    def members(self, key: Key) -> tuple[int, ...]:
+    def members(self, key: CustomerKey) -> tuple[int, ...]:
         _, plan, first, size = key
         if not 0 <= plan < len(self.plans) or not self.plans[plan].ceiling_rate:
             return ()
@@ -208,12 +209,12 @@
             ),
         )
 
-    def want(self, now: int, key: Key, units: float) -> None:
+    def want(self, now: int, key: CustomerKey, units: float) -> None:
         if account := self.account(now, key):
             account.demand += units
             self.look(now, key, account)
 
-    def room(self, now: int, key: Key, units: float = 0.0) -> float:
+    def room(self, now: int, key: CustomerKey, units: float = 0.0) -> float:
         """Units in store; where they are fewer than `units`, more are asked for."""
         account = self.account(now, key)
         if account is None:
@@ -223,7 +224,7 @@
             self.look(now, key, account)
         return account.store
 
-    def take(self, now: int, key: Key, units: float) -> None:
+    def take(self, now: int, key: CustomerKey, units: float) -> None:
         if account := self.account(now, key):
             account.store -= units
             account.taken += units
@@ -251,14 +252,14 @@
 
     # --- borrowing ---
 
-    def look(self, now: int, key: Key, account: _Account) -> None:
+    def look(self, now: int, key: CustomerKey, account: _Account) -> None:
         """Look at the loans at once if they may be too small, and nothing was asked of late."""
         if account.planned_us and now < account.planned_us and account.planned_us - now <= REPEAT_US:
             return
         if account.debts or account.need(now) > account.share(now):
             self.plan(now, key, account)
 
-    def plan(self, now: int, key: Key, account: _Account) -> None:
+    def plan(self, now: int, key: CustomerKey, account: _Account) -> None:
         """Ask for what is missing, give back what is too much, renew what is about to end."""
         need, share = account.need(now), account.share(now)
         missing = need - share
@@ -310,7 +311,9 @@
         assert debt.ask is not None
         self.out.append((lender, debt.ask))
 
-    def turn(self, now: int, key: Key, account: _Account, debt: _Debt, lender: int, missing: int) -> int:
+    def turn(
+        self, now: int, key: CustomerKey, account: _Account, debt: _Debt, lender: int, missing: int
+    ) -> int:
         """Ask one lender for more, for less, or for the same again; the share that was given up."""
         held = debt.held(now)
         wanted = min(WHOLE // len(account.members), max(0, held + missing))
@@ -329,7 +332,7 @@
             account.cap(now)
         debt.number, debt.asked_us, debt.sent_us = self.next_number(now, debt), now, now
         debt.repeats, debt.hurry = 0, False
-        debt.ask = LoanAsk(key, debt.number, debt.accepted, min(held, wanted), wanted, given)
+        debt.ask = LoanRequest(key, debt.number, debt.accepted, min(held, wanted), wanted, given)
         self.out.append((lender, debt.ask))
         return held - wanted if wanted < held else 0
 
@@ -360,7 +363,7 @@
 
     # --- lending ---
 
-    def asked(self, now: int, borrower: int, generation: int, ask: LoanAsk) -> None:
+    def asked(self, now: int, borrower: int, generation: int, ask: LoanRequest) -> None:
         """Answer an ask: what is not needed here, less its floor, is lent. Who asks may want its own back."""
         if ask.key not in self.accounts and len(self.accounts) >= MOST_ACCOUNTS:
             return
@@ -381,7 +384,7 @@
             debt.hurry, debt.next_us = True, now
             self.plan(now, ask.key, account)
 
-    def lend(self, now: int, account: _Account, loan: _Loan, generation: int, ask: LoanAsk) -> None:
+    def lend(self, now: int, account: _Account, loan: _Loan, generation: int, ask: LoanRequest) -> None:
         before = account.share(now)
         # What the borrower holds until it hears otherwise; a claim of more than was lent is not believed.
         lent = loan.lent(now)
@@ -414,7 +417,7 @@
 
     # --- time ---
 
-    def due(self, now: int) -> list[tuple[int, LoanAsk | LoanGrant]]:
+    def due(self, now: int) -> list[tuple[int, LoanRequest | LoanGrant]]:
         """What is to be told to others by now."""
         while self.late and self.late[0][0] <= now:
             at, key = heapq.heappop(self.late)
--- a/molereach/limits/messages.py
+++ b/molereach/limits/messages.py
@@ -12,7 +12,17 @@
 import struct
 from collections.abc import Callable, Sequence
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import GossipReceived
+from molereach.policy.interface.messages import (
+    GossipMessage,
+    Join,
+    JoinAcknowledged,
+    Leave,
+    LimitMessage,
+    LoanGrant,
+    LoanRequest,
+    SpendingTotal,
+)
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, UNIT, WORD, pack_words, unpack_words
 
 MAGIC, VERSION = 0xB7, 1
@@ -29,7 +39,7 @@
 TOTAL = struct.Struct(f"!B{_KEY}II")
 PLAIN = struct.Struct("!B" + WORD.format.lstrip("!"))
 
-Words = Sequence[i.Word | i.LimitWord]
+Words = Sequence[GossipMessage | LimitMessage]
 
 
 def units(amount: float) -> int:
@@ -41,62 +51,62 @@
     return max(-32768, min(32767, round(amount * UNIT)))
 
 
-def pack_record(word: i.Word | i.LimitWord) -> bytes:
+def pack_record(word: GossipMessage | LimitMessage) -> bytes:
     match word:
-        case i.Word():
+        case GossipMessage():
             key = word.customer, word.plan_index, word.set_first, word.set_size
             return PLAIN.pack(
                 1, *key, word.is_answer, *map(steps, (word.demand, word.spent, word.asked, word.level))
             )
-        case i.LoanAsk(key, number, accepted, held, wanted, returned):
+        case LoanRequest(key, number, accepted, held, wanted, returned):
             return ASK.pack(2, *key, number, accepted, held, wanted, units(returned))
-        case i.LoanGrant(key, number, share, amount):
+        case LoanGrant(key, number, share, amount):
             return GRANT.pack(3, *key, number, share, units(amount))
-        case i.Hello():
+        case Join():
             return HELLO.pack(4)
-        case i.Clear(generation, totals):
+        case JoinAcknowledged(generation, totals):
             return CLEAR.pack(5, generation, min(totals, 0xFFFF))
-        case i.Total(key, spent, left):
+        case SpendingTotal(key, spent, left):
             return TOTAL.pack(6, *key, units(spent), units(left))
-        case i.Bye():
+        case Leave():
             return HELLO.pack(7)
 
 
-def plain(values: tuple[int, ...]) -> i.Word:
+def plain(values: tuple[int, ...]) -> GossipMessage:
     customer, plan, first, size, answer, demand, spent, asked, level = values
-    return i.Word(
+    return GossipMessage(
         customer, plan, first, size, bool(answer), demand / UNIT, spent / UNIT, asked / UNIT, level / UNIT
     )
 
 
-def ask(values: tuple[int, ...]) -> i.LoanAsk:
+def ask(values: tuple[int, ...]) -> LoanRequest:
     *key, number, accepted, held, wanted, returned = values
     if max(held, wanted) > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return i.LoanAsk((key[0], key[1], key[2], key[3]), number, accepted, held, wanted, returned / UNIT)
+    return LoanRequest((key[0], key[1], key[2], key[3]), number, accepted, held, wanted, returned / UNIT)
 
 
-def grant(values: tuple[int, ...]) -> i.LoanGrant:
+def grant(values: tuple[int, ...]) -> LoanGrant:
     *key, number, share, amount = values
     if share > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return i.LoanGrant((key[0], key[1], key[2], key[3]), number, share, amount / UNIT)
+    return LoanGrant((key[0], key[1], key[2], key[3]), number, share, amount / UNIT)
 
 
-def total(values: tuple[int, ...]) -> i.Total:
+def total(values: tuple[int, ...]) -> SpendingTotal:
     *key, spent, left = values
-    return i.Total((key[0], key[1], key[2], key[3]), spent / UNIT, left / UNIT)
+    return SpendingTotal((key[0], key[1], key[2], key[3]), spent / UNIT, left / UNIT)
 
 
-Read = Callable[[tuple[int, ...]], "i.Word | i.LimitWord"]
+Read = Callable[[tuple[int, ...]], "GossipMessage | LimitMessage"]
 READ: dict[int, tuple[struct.Struct, Read]] = {
     1: (PLAIN, plain),
     2: (ASK, ask),
     3: (GRANT, grant),
-    4: (HELLO, lambda values: i.Hello()),
-    5: (CLEAR, lambda values: i.Clear(values[0], values[1])),
+    4: (HELLO, lambda values: Join()),
+    5: (CLEAR, lambda values: JoinAcknowledged(values[0], values[1])),
     6: (TOTAL, total),
-    7: (HELLO, lambda values: i.Bye()),
+    7: (HELLO, lambda values: Leave()),
 }
 
 
@@ -124,10 +134,10 @@
     def pack(self, peer: int, words: Words) -> list[bytes]:
         """Datagrams with the words, and one in any case."""
         plain_form = not self.key and not self.speaks(peer)
-        packed = pack_words(word for word in words if plain_form and isinstance(word, i.Word))
+        packed = pack_words(word for word in words if plain_form and isinstance(word, GossipMessage))
         body = b""
         for word in words:
-            if plain_form and isinstance(word, i.Word):
+            if plain_form and isinstance(word, GossipMessage):
                 continue
             record = pack_record(word)
             if len(body) + len(record) > self.room:
@@ -144,11 +154,11 @@
             data += bytes([PAD])
         return data + self.tag(self.me, data) if self.key else data
 
-    def unpack(self, sender: int, data: bytes) -> i.PeerMessage | None:
+    def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
         """What a datagram says; None for one that is malformed, of another version or without the key."""
         if len(data) % WORD.size == 0:
             words = () if self.key else unpack_words(data)
-            return i.PeerMessage(sender, words) if words else None
+            return GossipReceived(sender, words) if words else None
         if self.key:
             data, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
             if not hmac.compare_digest(tag, self.tag(sender, data)):
@@ -159,14 +169,14 @@
         if (magic, version) != (MAGIC, VERSION) or hears > 1:
             return None
         try:
-            return i.PeerMessage(sender, tuple(records(data)), generation, bool(hears))
+            return GossipReceived(sender, tuple(records(data)), generation, bool(hears))
         except (KeyError, ValueError, struct.error):
             return None
 
 
-def records(data: bytes) -> list[i.Word | i.LimitWord]:
+def records(data: bytes) -> list[GossipMessage | LimitMessage]:
     """The records of a datagram; KeyError, ValueError or struct.error where it is malformed."""
-    found: list[i.Word | i.LimitWord] = []
+    found: list[GossipMessage | LimitMessage] = []
     at = HEADER.size
     while at < len(data) and data[at] != PAD:
         form, read = READ[data[at]]
--- a/molereach/limits/partition_quota.py
+++ b/molereach/limits/partition_quota.py
@@ -10,7 +10,8 @@
 from collections.abc import Sequence
 
 from molereach.limits.settings import LimitSettings, S
-from molereach.policy.interface import Key, Plan, Total
+from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.settings import Plan
 
 BEATS = 4  # that are missed before a front door counts as cut off
 BEATS_PART = 0.3  # of the messages that a front door takes in may be beats
@@ -57,10 +58,10 @@
         self.lives: dict[int, int] = {}  # generations of those that tell totals
         self.gone: dict[int, int] = {}  # generations of those that ended in order: they spend nothing
         self.told_us: dict[int, int] = {}
-        self.mine: dict[Key, _Mine] = {}  # both: the one used last at the end
-        self.homes: dict[Key, _Home] = {}
-        self.fresh: dict[Key, None] = {}  # spending that the home has not been told of
-        self.again: dict[Key, int] = {}  # that it is told of once more, at that time
+        self.mine: dict[CustomerKey, _Mine] = {}  # both: the one used last at the end
+        self.homes: dict[CustomerKey, _Home] = {}
+        self.fresh: dict[CustomerKey, None] = {}  # spending that the home has not been told of
+        self.again: dict[CustomerKey, int] = {}  # that it is told of once more, at that time
         fill = [plan.burst / plan.rate for plan in plans if plan.rate]
         self.forget_us = max([LEAST_KEPT_US, *(round(2 * S * took) for took in fill)])
 
@@ -115,11 +116,11 @@
 
     # --- the part to go by ---
 
-    def home(self, key: Key) -> int:
+    def home(self, key: CustomerKey) -> int:
         name, _, first, size = key
         return (first + name % size) % self.doors
 
-    def acting(self, now: int, key: Key) -> int:
+    def acting(self, now: int, key: CustomerKey) -> int:
         """The home as seen from here: the first that is heard, in the set's order from the home on."""
         name, _, first, size = key
         for number in range(name % size, name % size + size):
@@ -128,11 +129,11 @@
                 return member
         return self.me
 
-    def others(self, key: Key) -> list[int]:
+    def others(self, key: CustomerKey) -> list[int]:
         _, _, first, size = key
         return [peer for number in range(size) if (peer := (first + number) % self.doors) != self.me]
 
-    def reach(self, now: int, key: Key) -> tuple[int, float, float]:
+    def reach(self, now: int, key: CustomerKey) -> tuple[int, float, float]:
         """The home to go by, the part of the quota that is its side's, and units that joined the store here
         just now."""
         size, plan = key[3], self.plans[key[1]]
@@ -153,7 +154,7 @@
                 joined += plan.burst / size
         return home, 1 - len(known.apart) / size, joined
 
-    def at_home(self, now: int, key: Key) -> _Home:
+    def at_home(self, now: int, key: CustomerKey) -> _Home:
         """The customer here, at its home. Soon after a start nothing is known of what the others spent."""
         known = self.homes.pop(key, None)
         if known is None:
@@ -164,7 +165,7 @@
 
     # --- totals ---
 
-    def spend(self, now: int, key: Key, units: float, left: float) -> None:
+    def spend(self, now: int, key: CustomerKey, units: float, left: float) -> None:
         """So much was spent here, and so much of the part here is left."""
         if self.acting(now, key) == self.me:
             return
@@ -174,15 +175,15 @@
         self.again.pop(key, None)
         self.fresh[key] = None
 
-    def total(self, now: int, key: Key) -> Total:
+    def total(self, now: int, key: CustomerKey) -> SpendingTotal:
         """What the home is told; what has been refilled since the last spending is left as well."""
         mine, plan, size = self.mine[key], self.plans[key[1]], key[3]
         left = min(plan.burst / size, mine.left + plan.rate / size * (now - mine.at) / S)
-        return Total(key, mine.spent, left)
+        return SpendingTotal(key, mine.spent, left)
 
-    def due(self, now: int, most: int) -> list[tuple[int, Total]]:
+    def due(self, now: int, most: int) -> list[tuple[int, SpendingTotal]]:
         """Totals to be told to homes now, at most so many."""
-        found: list[tuple[int, Total]] = []
+        found: list[tuple[int, SpendingTotal]] = []
         while self.again and len(found) < most:
             key, at = next(iter(self.again.items()))
             if at > now:
@@ -199,7 +200,7 @@
                     self.again[key] = now + TELL_AGAIN_US
         return found
 
-    def spent(self, now: int, sender: int, total: Total) -> float:
+    def spent(self, now: int, sender: int, total: SpendingTotal) -> float:
         """What a total adds to what is known, in units for the customer's store; below 0 where a part joins.
 
         A part that was apart joins with what is left of it, less what was spent beyond it; a total that is
--- a/molereach/policy/admission.py
+++ b/molereach/policy/admission.py
@@ -8,9 +8,11 @@
 from collections.abc import Callable
 from random import Random
 
-from molereach.policy import interface as i
 from molereach.policy.customers import Customers
 from molereach.policy.gossip import Words
+from molereach.policy.interface.events import GossipReceived
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage, SpendingTotal
+from molereach.policy.interface.settings import Settings
 from molereach.policy.peer_liveness import Peers
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer
@@ -33,7 +35,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: Settings,
         random: Random,
         customers: Customers,
         decide: Callable[[Job, float], None],
@@ -105,24 +107,24 @@
             job.customer.spent -= 0 if self.customers.limits else job.req.units * counted
             self.decide(job, chance)
 
-    def hear(self, now: int, message: i.PeerMessage) -> None:
+    def hear(self, now: int, message: GossipReceived) -> None:
         """A message of a peer."""
         self.peers.hear(now, message.sender)
         limits = self.customers.limits
         if limits:
             limits.hear(now, message)
         for word in message.words:
-            if not isinstance(word, i.Word):
-                if limits and isinstance(word, i.Total) and self.in_my_set(word.key):
+            if not isinstance(word, GossipMessage):
+                if limits and isinstance(word, SpendingTotal) and self.in_my_set(word.key):
                     self.customers.take_total(now, message.sender, word)
                 continue
-            if word.plan_index == i.SPLIT_MARK:
+            if word.plan_index == SPLIT_CEILING_MARK:
                 self.peers.marks_us[message.sender] = now
             key = (word.customer, word.plan_index, word.set_first, word.set_size)
             if self.in_my_set(key):
                 self.hear_word(now, message.sender, key, word)
 
-    def hear_word(self, now: int, sender: int, key: i.Key, word: i.Word) -> None:
+    def hear_word(self, now: int, sender: int, key: CustomerKey, word: GossipMessage) -> None:
         """The home adds up what its set asks and spends, or takes over at its start, and answers."""
         customer = self.customers.get(now, key)
         if word.is_answer:
@@ -145,7 +147,7 @@
                 self.words.tell(sender, customer, word.asked, inside)
             customer.spend(0.0 if counted or not inside else word.asked)
 
-    def in_my_set(self, key: i.Key) -> bool:
+    def in_my_set(self, key: CustomerKey) -> bool:
         _, plan, first, size = key
         known = plan < len(self.set.plans) and first < self.set.gateways and 0 < size <= self.set.gateways
         return known and (self.set.me - first) % self.set.gateways < size
--- a/molereach/policy/attempts.py
+++ b/molereach/policy/attempts.py
@@ -4,8 +4,10 @@
 of first ones, so that they cannot feed an overload (a retry budget).
 """
 
-from molereach.policy import interface as i
 from molereach.policy.backend_state import Server
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.interface.events import AttemptEnded, AttemptResult, RequestReceived
+from molereach.policy.interface.settings import Idempotency, Settings
 from molereach.policy.pending_request import Job
 
 PATIENCE_STEPS = 200  # first tries by which the known patience of clients can rise by about its double
@@ -18,14 +20,14 @@
 
     __slots__ = ("jobs", "mean_us", "out", "patience_us", "retries", "set")
 
-    def __init__(self, settings: i.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.set, self.out = settings, 0  # attempts out
         self.jobs: dict[str, Job] = {}
         self.mean_us = [rule.aim_us / 4 for rule in settings.classes]
         self.patience_us = [0] * len(settings.classes)  # how long clients wait for their first tries
         self.retries = RETRY_STORE / 2
 
-    def gone_us(self, req: i.Request) -> int:
+    def gone_us(self, req: RequestReceived) -> int:
         """How long ago the client first asked, at least: a retry has that much less of its time left.
 
         What a retry would be served after the aim is worth nothing, and takes its customer's quota.
@@ -49,7 +51,7 @@
             if now - sent > self.mean_us[job.req.class_index]
         ]
 
-    def begin(self, now: int, job: Job, server: Server) -> i.Send:
+    def begin(self, now: int, job: Job, server: Server) -> ForwardAttempt:
         """An attempt leaves for that server."""
         number = len(job.servers)
         if not number:
@@ -61,16 +63,16 @@
         server.sent_us, server.credit, whole_by_us = now, 0.0, job.whole_by_us()
         if job.ran_on is None:
             job.ran_on, job.ran_as, job.ran_us = server, server.entry, now
-        return i.Send(job.req.id, server.entry.name, self.time_out(now, job), whole_by_us, number)
+        return ForwardAttempt(job.req.id, server.entry.name, self.time_out(now, job), whole_by_us, number)
 
     def time_out(self, now: int, job: Job) -> int:
         """For the attempt that leaves now."""
         left, mean = job.end_us - now, self.mean_us[job.req.class_index]
         early = round(job.aim_us - now - 2 * mean)
-        last = job.rule.effect is i.Effect.UNSAFE or len(job.servers) >= self.set.max_attempts
+        last = job.rule.effect is Idempotency.UNSAFE or len(job.servers) >= self.set.max_attempts
         return max(1, left if last or early < 2 * mean else min(left, early))
 
-    def end(self, now: int, event: i.Outcome) -> Job | None:
+    def end(self, now: int, event: AttemptEnded) -> Job | None:
         """An attempt has ended: whose it was, or None where nothing is known of it."""
         job = self.jobs.get(event.id)
         if job is None or event.attempt not in job.out:
@@ -78,17 +80,17 @@
         server, job.customer.out, self.out = job.servers[event.attempt], job.customer.out - 1, self.out - 1
         del job.out[event.attempt], server.out[(event.id, event.attempt)]
         result = event.result
-        if result is i.Result.OK:
+        if result is AttemptResult.OK:
             self.learn(now, job, server, event)
         server.note_end(now, result, event.latency_us, self.set.warm_within_us)
-        if result in (i.Result.OK, i.Result.ERROR, i.Result.FULL):
+        if result in (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL):
             server.kept, server.kept_at = server.kept + 1, now
-        job.unsent += result in (i.Result.CONNECT_FAILED, i.Result.MOOT)
-        job.unrun += result in (i.Result.FULL, i.Result.CONNECT_FAILED, i.Result.MOOT)
+        job.unsent += result in (AttemptResult.CONNECT_FAILED, AttemptResult.MOOT)
+        job.unrun += result in (AttemptResult.FULL, AttemptResult.CONNECT_FAILED, AttemptResult.MOOT)
         job.ran_on = None if job.unrun == len(job.servers) else job.ran_on
         return job
 
-    def learn(self, now: int, job: Job, server: Server, event: i.Outcome) -> None:
+    def learn(self, now: int, job: Job, server: Server, event: AttemptEnded) -> None:
         """An attempt was answered."""
         index, took = job.req.class_index, event.latency_us
         server.heard_us = now
@@ -98,12 +100,12 @@
         if self.set.trued_up and event.true_units and job.in_quota:
             job.customer.spend(event.true_units - job.req.units)
 
-    def has_another(self, now: int, job: Job, why: i.Result) -> bool:
+    def has_another(self, now: int, job: Job, why: AttemptResult) -> bool:
         """Whether one more attempt may follow one that ended so; `pay` where it does."""
-        costs = why is not i.Result.CONNECT_FAILED
-        late = why is i.Result.MOOT or now + self.mean_us[job.req.class_index] / 2 >= job.end_us
+        costs = why is not AttemptResult.CONNECT_FAILED
+        late = why is AttemptResult.MOOT or now + self.mean_us[job.req.class_index] / 2 >= job.end_us
         return not (late or len(job.servers) >= self.set.max_attempts or (costs and self.retries < 1))
 
-    def pay(self, why: i.Result) -> None:
+    def pay(self, why: AttemptResult) -> None:
         """A further attempt leaves; one after a failed connect costs nothing, as nothing was sent."""
-        self.retries -= why is not i.Result.CONNECT_FAILED
+        self.retries -= why is not AttemptResult.CONNECT_FAILED
--- a/molereach/policy/backend_state.py
+++ b/molereach/policy/backend_state.py
@@ -4,7 +4,8 @@
 ramp of cold servers. All is of this gateway's own attempts: no server is probed.
 """
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, Endpoint
+from molereach.policy.interface.settings import Settings
 from molereach.policy.time_units import S
 
 SUSPECT_AT = 1.7  # two failures running, or a mix with more failures than answers
@@ -34,7 +35,7 @@
         "warm_from",
     )
 
-    def __init__(self, entry: i.Server) -> None:
+    def __init__(self, entry: Endpoint) -> None:
         self.entry = entry
         self.out: dict[tuple[str, int], int] = {}  # attempts out and when each was sent
         self.heard_us = self.avoid_until = self.sent_us = self.backoff_us = 0
@@ -49,7 +50,7 @@
         """Whether a connection to it rests, as far as the module can know."""
         return self.kept > 0 and now - self.kept_at < keep_us
 
-    def warmth(self, now: int, settings: i.Settings) -> float:
+    def warmth(self, now: int, settings: Settings) -> float:
         """The least part of its capacity that a started or returned server has by now."""
         if not self.warm_from:
             return 1.0
@@ -72,12 +73,12 @@
         self.fails += BROKEN_PART - 1
         self.note_result(now, False, warm_within_us)
 
-    def note_end(self, now: int, result: i.Result, took: int, warm_within_us: int) -> None:
+    def note_end(self, now: int, result: AttemptResult, took: int, warm_within_us: int) -> None:
         """How an attempt there ended, after `took`."""
-        long = result is i.Result.TIMEOUT and self.heard_us >= now - took  # but it answered others
-        if result is i.Result.FULL:
+        long = result is AttemptResult.TIMEOUT and self.heard_us >= now - took  # but it answered others
+        if result is AttemptResult.FULL:
             self.avoid_until = max(self.avoid_until, now + AVOID_US)
-        elif result in (i.Result.SPOILT, i.Result.RESET):
+        elif result in (AttemptResult.SPOILT, AttemptResult.RESET):
             self.note_broken(now, warm_within_us)
-        elif not long and result not in (i.Result.CANCELLED, i.Result.MOOT):
-            self.note_result(now, result is i.Result.OK, warm_within_us)
+        elif not long and result not in (AttemptResult.CANCELLED, AttemptResult.MOOT):
+            self.note_result(now, result is AttemptResult.OK, warm_within_us)
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -6,7 +6,9 @@
 
 import zlib
 
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.protocols import LimitPolicy
+from molereach.policy.interface.settings import Settings
 from molereach.policy.quota import SMALL_PART, Customer, full_again_us
 from molereach.policy.time_units import NEVER, S
 
@@ -19,10 +21,10 @@
 
     __slots__ = ("ceilings", "forget_us", "known", "limits", "set", "sets", "since_us")
 
-    def __init__(self, settings: i.Settings, limits: i.Limits | None) -> None:
+    def __init__(self, settings: Settings, limits: LimitPolicy | None) -> None:
         self.set, self.limits = settings, limits
-        self.known: dict[i.Key, Customer] = {}
-        self.sets: dict[tuple[int, int], i.Key] = {}  # under which a customer came first
+        self.known: dict[CustomerKey, Customer] = {}
+        self.sets: dict[tuple[int, int], CustomerKey] = {}  # under which a customer came first
         self.since_us, self.forget_us = 0, max(LEAST_KEPT_US, *map(full_again_us, settings.plans))
         self.ceilings = any(plan.ceiling_rate for plan in settings.plans)
 
@@ -30,7 +32,7 @@
         """Whether a part of each ceiling is left to the customer's home; not where limits move the shares."""
         return self.ceilings and self.set.may_tell and not self.limits
 
-    def get(self, now: int, key: i.Key) -> Customer:
+    def get(self, now: int, key: CustomerKey) -> Customer:
         """The customer, refilled."""
         known = self.known.pop(key, None)
         if known is None:
@@ -84,7 +86,7 @@
         if self.limits and customer.plan.ceiling_rate:
             self.limits.take(now, customer.key, units)
 
-    def take_total(self, now: int, sender: int, total: i.Total) -> None:
+    def take_total(self, now: int, sender: int, total: SpendingTotal) -> None:
         """What a peer spent since its last word; what joins of a part that was apart lifts the store."""
         assert self.limits
         customer, units = self.get(now, total.key), self.limits.spent(now, sender, total)
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -10,11 +10,32 @@
 from bisect import insort
 from collections.abc import Callable
 
-from molereach.policy import interface as i
 from molereach.policy.admission import Admission
 from molereach.policy.attempts import Attempts
 from molereach.policy.backend_state import Server
 from molereach.policy.customers import Customers
+from molereach.policy.interface.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    Reject,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    GossipReceived,
+    RequestReceived,
+    ResponseStreamStarted,
+    TimerExpired,
+)
+from molereach.policy.interface.protocols import CustomerLimits, LimitPolicy
+from molereach.policy.interface.settings import Settings
 from molereach.policy.load_balancing import Fleet
 from molereach.policy.overload_control import Cap
 from molereach.policy.pending_request import Job
@@ -27,7 +48,7 @@
 class Gateway:
     """One gateway; `handle` is given each event in turn, and answers with the actions to carry out."""
 
-    def __init__(self, settings: i.Settings, limits: i.Limits | None = None) -> None:
+    def __init__(self, settings: Settings, limits: LimitPolicy | None = None) -> None:
         self.set = settings
         self.random = random.Random(settings.seed)
         self.fleet = Fleet(settings, self.random)
@@ -38,18 +59,18 @@
         self.words = self.admission.words
         self.cap, self.attempts = Cap(settings), Attempts(settings)
         self.ended = dict.fromkeys(ENDS, 0)  # requests given up on, by why
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
         self.on: dict[type, Callable[..., object]] = {
-            i.Request: self.on_request,
-            i.Outcome: self.on_outcome,
-            i.Timer: self.on_tick,
-            i.ServerList: self.on_list,
-            i.PeerMessage: self.on_peer,
-            i.ClientGone: self.on_end,
-            i.StreamStarted: self.on_end,
+            RequestReceived: self.on_request,
+            AttemptEnded: self.on_outcome,
+            TimerExpired: self.on_tick,
+            EndpointListReceived: self.on_list,
+            GossipReceived: self.on_peer,
+            ClientDisconnected: self.on_end,
+            ResponseStreamStarted: self.on_end,
         }
 
-    def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         self.now, self.actions = now_us, []
         limits, cap = self.customers.limits, self.cap
         if cap.period_us < 0:
@@ -66,16 +87,16 @@
             due = min(due, max(now_us + TICK_US, limits.wake_us))
         if due < self.alarm_us:
             self.alarm_us = due
-            self.actions.append(i.SetTimer(due - now_us, 0))
+            self.actions.append(SetTimer(due - now_us, 0))
         return self.actions
 
     @property
-    def limits(self) -> i.Limits | None:
+    def limits(self) -> LimitPolicy | None:
         """What is consulted on limits; it may be handed in after the start, before the first event."""
         return self.customers.limits
 
     @limits.setter
-    def limits(self, limits: i.Limits | None) -> None:
+    def limits(self, limits: LimitPolicy | None) -> None:
         self.customers.limits = limits
 
     def standing(
@@ -84,11 +105,11 @@
         """As `Customers.standing`."""
         return self.customers.standing(customer, now_us)
 
-    def shares_held(self, customer: str, now_us: int) -> list[i.Held]:
+    def shares_held(self, customer: str, now_us: int) -> list[CustomerLimits]:
         """Shares of the customer's ceilings here, where shares move."""
         return self.limits.held(zlib.crc32(customer.encode()), now_us) if self.limits else []
 
-    def on_tick(self, _: i.Timer) -> None:
+    def on_tick(self, _: TimerExpired) -> None:
         if self.now < self.alarm_us:
             return
         self.alarm_us = NEVER
@@ -98,7 +119,7 @@
         self.held = [entry for entry in self.held if not self.expire(entry[2], NEEDED_HELD)]
         self.release()
 
-    def on_request(self, req: i.Request) -> None:
+    def on_request(self, req: RequestReceived) -> None:
         key = (zlib.crc32(req.customer.encode()), req.plan_index, req.set_first, req.set_size)
         customer = self.customers.get(self.now, key)
         rule = self.set.classes[req.class_index]
@@ -107,13 +128,13 @@
         if not self.expire(job, NEEDED_NEW):  # some come with no time left: they cost no quota
             self.admission.admit(self.now, job)
 
-    def on_list(self, news: i.ServerList) -> None:
-        if self.set.must_subscribe and news.kind in (i.ListKind.SAVED, i.ListKind.FAILED):
-            self.actions.append(i.Subscribe(True))
+    def on_list(self, news: EndpointListReceived) -> None:
+        if self.set.must_subscribe and news.kind in (EndpointListKind.SAVED, EndpointListKind.FAILED):
+            self.actions.append(SubscribeToEndpoints(True))
         self.fleet.learn(self.now, news)
         self.cap.gateways = self.fleet.sharers
 
-    def on_peer(self, message: i.PeerMessage) -> None:
+    def on_peer(self, message: GossipReceived) -> None:
         self.admission.hear(self.now, message)
 
     def end_period(self) -> None:
@@ -178,7 +199,7 @@
             self.customers.pass_ceiling(self.now, job.customer, job.req.units)
         self.actions.append(self.attempts.begin(self.now, job, server))
 
-    def again(self, job: Job, why: i.Result) -> bool:
+    def again(self, job: Job, why: AttemptResult) -> bool:
         """Whether the request has a further attempt, or waits for one as nothing of it has run."""
         if not self.attempts.has_another(self.now, job, why):
             return False
@@ -189,7 +210,7 @@
             insort(self.held, (-job.worth, next(self.serial), job))
         return server is not None or job.ran_on is None
 
-    def on_outcome(self, event: i.Outcome) -> None:
+    def on_outcome(self, event: AttemptEnded) -> None:
         job = self.attempts.end(self.now, event)
         if job is None:
             return
@@ -197,7 +218,7 @@
             if report.util is not None:
                 self.cap.signals["util"].append(report.util)
             self.fleet.hear_load(self.now, job.servers[event.attempt], report)
-        if event.result in (i.Result.OK, i.Result.TIMEOUT):
+        if event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
             self.cap.signals["latency"].append(min(1.0, event.latency_us / job.rule.aim_us))
         if event.over or job.over:
             self.drop(job)
@@ -207,10 +228,10 @@
     def end(self, job: Job, why: str) -> None:
         self.ended[why] += 1
         wait = self.set.max_retry_after_us
-        self.actions.append(i.Refuse(job.req.id, wait) if self.may_refuse(job) else i.Fail(job.req.id))
+        self.actions.append(Reject(job.req.id, wait) if self.may_refuse(job) else FailRequest(job.req.id))
         self.drop(job)
 
-    def on_end(self, event: i.ClientGone | i.StreamStarted) -> None:
+    def on_end(self, event: ClientDisconnected | ResponseStreamStarted) -> None:
         if job := self.attempts.jobs.get(event.id):
             self.drop(job)
 
@@ -218,6 +239,6 @@
         if job.in_quota and not job.servers and not job.over:
             self.customers.spend(self.now, job.customer, -job.req.units)
         calls_off, job.over = self.set.may_cancel and not job.over and not job.rule.streamed, True
-        self.actions += [i.Cancel(job.req.id, number) for number in job.out if calls_off]
+        self.actions += [CancelAttempt(job.req.id, number) for number in job.out if calls_off]
         if not job.out:
             self.attempts.jobs.pop(job.req.id, None)
--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -6,8 +6,10 @@
 
 from collections.abc import Sequence
 
-from molereach.policy import interface as i
 from molereach.policy.customers import Customers
+from molereach.policy.interface.actions import SendGossip
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage, LimitMessage
+from molereach.policy.interface.settings import Settings
 from molereach.policy.peer_liveness import Peers
 from molereach.policy.quota import WORD_FRESH_US, Customer
 from molereach.policy.time_units import NEVER, S
@@ -22,10 +24,10 @@
 
     __slots__ = ("customers", "late", "marked_us", "peers", "set", "since_us", "told_us", "waiting")
 
-    def __init__(self, settings: i.Settings, customers: Customers, peers: Peers) -> None:
+    def __init__(self, settings: Settings, customers: Customers, peers: Peers) -> None:
         self.set, self.customers, self.peers = settings, customers, peers
-        self.waiting: dict[int, list[i.Word | i.LimitWord]] = {}
-        self.late: dict[int, dict[i.Key, Customer]] = {}  # of whom there is something to tell late
+        self.waiting: dict[int, list[GossipMessage | LimitMessage]] = {}
+        self.late: dict[int, dict[CustomerKey, Customer]] = {}  # of whom there is something to tell late
         self.since_us: dict[int, int] = {}  # from when, the eldest first
         self.told_us: dict[int, int] = {}  # when words last left for it
         self.marked_us: dict[int, int] = {}  # when each peer was told that ceilings are split here
@@ -36,7 +38,9 @@
         demand = customer.demand if answer else customer.untold
         wanted = answer and asked > 0 and inside is not False and customer.plan.ceiling_rate > 0
         granted = wanted and self.give(customer, asked)
-        word = i.Word(*customer.key, answer, demand, customer.spent, asked, customer.level, granted, inside)
+        word = GossipMessage(
+            *customer.key, answer, demand, customer.spent, asked, customer.level, granted, inside
+        )
         if peer != self.set.me:
             self.waiting.setdefault(peer, []).append(word)
         customer.untold = customer.spent = 0.0
@@ -78,7 +82,7 @@
         customer.pool -= units
         return True
 
-    def leave(self, now: int) -> Sequence[i.Tell]:
+    def leave(self, now: int) -> Sequence[SendGossip]:
         """Words leave at once, but in a small set spaced so that all peers together take half an intake."""
         limits, waiting = self.customers.limits, self.waiting
         self.tell_late(now)
@@ -92,8 +96,8 @@
             self.told_us[peer] = now
             if self.customers.splits() and now - self.marked_us.get(peer, -MARK_US) >= MARK_US:
                 self.marked_us[peer] = now
-                waiting[peer].append(i.Word(0, i.SPLIT_MARK, 0, 0))
-            leaving.append(i.Tell(peer, tuple(waiting.pop(peer))))
+                waiting[peer].append(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
+            leaving.append(SendGossip(peer, tuple(waiting.pop(peer))))
             if limits:
                 limits.told(now, peer)
         return leaving
--- a/molereach/policy/interface/actions.py
+++ b/molereach/policy/interface/actions.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-from molereach.policy.interface.messages import LimitWord, Word
+from molereach.policy.interface.messages import GossipMessage, LimitMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class ForwardAttempt:
     """Start an attempt; a time-out of 0 lasts until the client gives up.
 
     Its last byte is sent before `whole_by_us`, on the clock of the events, or never: it may wait for a
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     id: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not taken, and trying again is harmless."""
 
     id: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, with no promise about effects."""
 
     id: str
@@ -52,29 +52,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Check whether a server answers."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close this gateway's idle connections to a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendGossip:
     """Send words to one peer."""
 
     peer: int
-    words: tuple[Word | LimitWord, ...]
+    words: tuple[GossipMessage | LimitMessage, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class AddToCounter:
     """Add to a number that the shared counter keeps."""
 
     name: int
@@ -83,24 +83,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subscribe:
+class SubscribeToEndpoints:
     """Follow the changes of the server list, or stop."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEndpoints:
     """Ask for the whole server list once."""
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
+class WriteLog:
     """A line for those on call."""
 
     text: str
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | SetTimer | Probe | CloseIdle | Tell | Count | Subscribe | FetchList | Log
+    ForwardAttempt
+    | CancelAttempt
+    | Reject
+    | FailRequest
+    | SetTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | SendGossip
+    | AddToCounter
+    | SubscribeToEndpoints
+    | FetchEndpoints
+    | WriteLog
 )
--- a/molereach/policy/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.policy.interface.messages import LimitWord, Word
+from molereach.policy.interface.messages import GossipMessage, LimitMessage
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How an attempt, a probe or a counter call ended."""
 
     OK = "ok"
@@ -23,7 +23,7 @@
     MOOT = "moot"
 
 
-class ServerState(Enum):
+class EndpointState(Enum):
     """What the server list says of a server."""
 
     UP = "up"
@@ -31,7 +31,7 @@
     GONE = "gone"
 
 
-class ListKind(Enum):
+class EndpointListKind(Enum):
     """What a piece of news from the server list holds."""
 
     FULL = "full"
@@ -53,32 +53,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class Endpoint:
     """An entry of the server list."""
 
     name: str
     zone: int
     kind: int
     cell: int
-    state: ServerState
+    state: EndpointState
     size: float = 1.0
     started_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class EndpointListReceived:
     """News of the servers: the whole list, changes to it, or word that a call failed.
 
     `seen_by` is how many gateways share each of the servers; 0: all do."""
 
-    kind: ListKind
+    kind: EndpointListKind
     version: int
-    servers: tuple[Server, ...] = ()
+    servers: tuple[Endpoint, ...] = ()
     seen_by: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class RequestReceived:
     """A client's request; the gateway now owes one final answer."""
 
     id: str
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamStarted:
+class ResponseStreamStarted:
     """A streamed answer has begun: the attempt belongs to the client."""
 
     id: str
@@ -104,14 +104,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptEnded:
     """How an attempt ended; each Send gets one."""
 
     id: str
     over: bool
     attempt: int
     server: str
-    result: Result
+    result: AttemptResult
     latency_us: int
     used_percent: int = 0
     true_units: float = 0.0
@@ -119,50 +119,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client left; nothing is owed any more."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerExpired:
     """A timer that the gateway set has come due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckEnded:
     """The result of a Probe."""
 
     server: str
-    result: Result
+    result: AttemptResult
     latency_us: int
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class GossipReceived:
     """A message from another gateway. `generation` is new with each start of a sender that tells totals;
     `hears` says whether it has heard this gateway of late."""
 
     sender: int
-    words: tuple[Word | LimitWord, ...]
+    words: tuple[GossipMessage | LimitMessage, ...]
     generation: int | None = None
     hears: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterUpdated:
     """The shared counter's reply to a Count."""
 
     name: int
-    result: Result
+    result: AttemptResult
     total: float
     latency_us: int
 
 
 Event = (
-    ServerList | Request | StreamStarted | Outcome | ClientGone | Timer | ProbeResult | PeerMessage | Counted
+    EndpointListReceived
+    | RequestReceived
+    | ResponseStreamStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerExpired
+    | HealthCheckEnded
+    | GossipReceived
+    | CounterUpdated
 )
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class GossipMessage:
     """What one gateway tells another of a customer: to its home, or from there when it answers.
 
     A customer goes by a checksum of its name. `demand` and `spent` are new to the home; in an answer,
@@ -26,19 +26,21 @@
     inside: bool | None = None
 
 
-SPLIT_MARK = 255  # in place of a plan: the sender keeps no more of any ceiling than its split share
-Key = tuple[int, int, int, int]  # of a customer: the checksum of its name, plan, first of its set, size of it
+SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps no more of any ceiling than its split share
+CustomerKey = tuple[
+    int, int, int, int
+]  # of a customer: the checksum of its name, plan, first of its set, size of it
 
 
 @dataclass(frozen=True, slots=True)
-class LoanAsk:
+class LoanRequest:
     """A borrower's state with one lender of a ceiling's share, and what it would hold; shares in 1/10,000.
 
     A higher number voids all grants to lower ones. `accepted` is the last ask whose grant took hold,
     `returned` are units that go back with what is given up.
     """
 
-    key: Key
+    key: CustomerKey
     number: int
     accepted: int
     held: int
@@ -50,19 +52,19 @@
 class LoanGrant:
     """A lender's answer to the ask of that number: the whole share lent, and units that come with it once."""
 
-    key: Key
+    key: CustomerKey
     number: int
     share: int
     units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Hello:
+class Join:
     """A gateway has started: what it lent in an earlier life must not be used from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Clear:
+class JoinAcknowledged:
     """The answer: nothing of the shares of the gateway with that generation's hello is held here, and totals
     are told of so many customers whose home it is."""
 
@@ -71,17 +73,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Total:
+class SpendingTotal:
     """All that a gateway has spent of a customer's quota since its start, and what is left of its part."""
 
-    key: Key
+    key: CustomerKey
     spent: float
     left: float
 
 
 @dataclass(frozen=True, slots=True)
-class Bye:
+class Leave:
     """A gateway has ended in order: it spends nothing any more."""
 
 
-LimitWord = LoanAsk | LoanGrant | Hello | Clear | Total | Bye
+LimitMessage = LoanRequest | LoanGrant | Join | JoinAcknowledged | SpendingTotal | Leave
--- a/molereach/policy/interface/settings.py
+++ b/molereach/policy/interface/settings.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a class of requests may run more than once."""
 
     SAFE = "safe"
@@ -12,7 +12,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -28,8 +28,8 @@
     deadline_us: int
     worth: float = 1.0
     late_worth: float = 0.0
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
+    effect: Idempotency = Idempotency.SAFE
+    group: DeduplicationScope = DeduplicationScope.ALL
     window_us: int = 0
     streamed: bool = False
 
--- a/molereach/policy/load_balancing.py
+++ b/molereach/policy/load_balancing.py
@@ -5,8 +5,14 @@
 
 from random import Random
 
-from molereach.policy import interface as i
 from molereach.policy.backend_state import Server
+from molereach.policy.interface.events import (
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    LoadReport,
+)
+from molereach.policy.interface.settings import Idempotency, Settings
 from molereach.policy.pending_request import Job
 from molereach.policy.time_units import S
 
@@ -21,7 +27,7 @@
 
     __slots__ = ("mean_load", "random", "rate", "servers", "set", "sharers", "up", "warm")
 
-    def __init__(self, settings: i.Settings, random: Random) -> None:
+    def __init__(self, settings: Settings, random: Random) -> None:
         self.set, self.random = settings, random
         self.servers: dict[str, Server] = {}
         self.up: list[Server] = []  # those that may be sent new work
@@ -29,12 +35,15 @@
         self.sharers = settings.gateways  # how many gateways share each server
         self.rate, self.mean_load = 0.0, 0.0  # first attempts a second; load of the servers, as they say
 
-    def learn(self, now: int, news: i.ServerList) -> None:
+    def learn(self, now: int, news: EndpointListReceived) -> None:
         """News of the server list."""
         named = {entry.name for entry in news.servers}
-        if news.kind is not i.ListKind.FAILED:
+        if news.kind is not EndpointListKind.FAILED:
             self.sharers = news.seen_by or self.set.gateways
-        part = news.kind in (i.ListKind.CHANGES, i.ListKind.FAILED)  # after a failure the old list holds
+        part = news.kind in (
+            EndpointListKind.CHANGES,
+            EndpointListKind.FAILED,
+        )  # after a failure the old list holds
         self.servers = {name: known for name, known in self.servers.items() if part or name in named}
         for entry in news.servers:
             known = self.servers.get(entry.name)
@@ -43,9 +52,9 @@
                 if known.warmth(now, self.set) < 1:  # all gateways hear of it at once: each has its own time
                     known.sent_us, known.credit = now, self.random.random()
             known.entry = entry
-            if entry.state is i.ServerState.GONE:  # its id does not come again
+            if entry.state is EndpointState.GONE:  # its id does not come again
                 del self.servers[entry.name]
-        self.up = [server for server in self.servers.values() if server.entry.state is i.ServerState.UP]
+        self.up = [server for server in self.servers.values() if server.entry.state is EndpointState.UP]
         self.weigh(now)
 
     def weigh(self, now: int) -> None:
@@ -58,7 +67,7 @@
         self.rate += (RATE_SMOOTH if self.rate else 1) * (sent * S / period_us - self.rate)
         self.weigh(now)
 
-    def hear_load(self, now: int, server: Server, report: i.LoadReport) -> None:
+    def hear_load(self, now: int, server: Server, report: LoadReport) -> None:
         """Busy cores are the signal; a count only ranks servers."""
         loads = [load for load in (report.util, report.inflight, report.queue) if load is not None]
         if loads:
@@ -74,7 +83,7 @@
             for server in allowed
             if now >= server.avoid_until
             and server not in job.servers
-            and not (server.on_trial and (server.out or job.rule.effect is i.Effect.UNSAFE))
+            and not (server.on_trial and (server.out or job.rule.effect is Idempotency.UNSAFE))
         ] or allowed
         best, least = None, 0.0
         for server in self.candidates(now, usable):
--- a/molereach/policy/overload_control.py
+++ b/molereach/policy/overload_control.py
@@ -7,7 +7,7 @@
 import math
 from collections.abc import Callable
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Settings
 from molereach.policy.time_units import TICK_US, S
 
 FAIR_N, MOST_PERIODS = 10, 2  # control period and OPPUI: 1 or 2 s, for a fair-sized N
@@ -35,7 +35,7 @@
         "wanted",
     )
 
-    def __init__(self, settings: i.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         aims = [rule.aim_us for rule in settings.classes]
         second = round(S * min(1.0, sum(aims) / max(1, len(aims)) / USUAL_AIM_US))  # of this deployment
         self.second = max(TICK_US, second)  # a tick ends each period that is over: they must not be many
--- a/molereach/policy/pending_request.py
+++ b/molereach/policy/pending_request.py
@@ -1,7 +1,8 @@
 """One request that a gateway owes a final answer: its times, its worth and its attempts."""
 
-from molereach.policy import interface as i
 from molereach.policy.backend_state import Server
+from molereach.policy.interface.events import Endpoint, RequestReceived
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
 from molereach.policy.quota import Customer
 from molereach.policy.time_units import NEVER
 
@@ -33,7 +34,7 @@
     )
 
     def __init__(
-        self, req: i.Request, rule: i.RequestClass, customer: Customer, now: int, gone_us: int
+        self, req: RequestReceived, rule: RequestClass, customer: Customer, now: int, gone_us: int
     ) -> None:
         """`gone_us` is how long ago the client's first try was: a retry's aim counts from there."""
         self.req, self.rule, self.customer = req, rule, customer
@@ -44,7 +45,7 @@
         self.servers: list[Server] = []  # of its attempts, in order
         self.out: dict[int, int] = {}  # attempts out and when each was sent
         self.ran_on: Server | None = None  # where it may first have run, and since when
-        self.ran_as: i.Server | None = None  # what the list said of it then; that may change
+        self.ran_as: Endpoint | None = None  # what the list said of it then; that may change
         self.over, self.in_quota, self.ran_us, self.unrun = False, False, 0, 0  # unrun: proven so
         self.unsent = 0  # attempts that never came whole to a server
         self.decide_us, self.asks = NEVER, 0  # until when it waits for word of its quota
@@ -53,21 +54,21 @@
 
     def may_refuse(self, again_us: int) -> bool:
         """Whether trying again then is harmless, for all that is known of its attempts: a refusal says so."""
-        dropped = self.rule.effect is i.Effect.KEYED and self.rule.group is i.Group.ALL
-        repeatable = self.rule.effect is i.Effect.SAFE or (dropped and again_us < self.whole_by_us())
+        dropped = self.rule.effect is Idempotency.KEYED and self.rule.group is DeduplicationScope.ALL
+        repeatable = self.rule.effect is Idempotency.SAFE or (dropped and again_us < self.whole_by_us())
         return self.ran_on is None or repeatable
 
     def whole_by_us(self) -> int:
         """Until when a further attempt may still begin to run; 0 where it may at any time. The window counts
         from the earliest moment at which the first one may have run: when it was let go."""
-        repeats = self.ran_on is not None and self.rule.effect is i.Effect.KEYED
+        repeats = self.ran_on is not None and self.rule.effect is Idempotency.KEYED
         return self.ran_us + self.rule.window_us if repeats else 0
 
     def may_run_on(self, now: int, server: Server) -> bool:
         """A keyed request that may have run stays where its repeats are dropped, while they are."""
         rule, first = self.rule, self.ran_as
-        if self.ran_on is None or rule.effect is i.Effect.SAFE:
+        if self.ran_on is None or rule.effect is Idempotency.SAFE:
             return True
-        place = "zone" if rule.group is i.Group.ZONE else "cell"
-        same = rule.group is i.Group.ALL or getattr(server.entry, place) == getattr(first, place)
-        return same and rule.effect is i.Effect.KEYED and now < self.whole_by_us()
+        place = "zone" if rule.group is DeduplicationScope.ZONE else "cell"
+        same = rule.group is DeduplicationScope.ALL or getattr(server.entry, place) == getattr(first, place)
+        return same and rule.effect is Idempotency.KEYED and now < self.whole_by_us()
--- a/molereach/policy/quota.py
+++ b/molereach/policy/quota.py
@@ -6,7 +6,8 @@
 
 import math
 
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import CustomerKey
+from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.time_units import NEVER, S
 
 DEMAND_US = 0.1 * S  # ageing of demand: short, as the level of the store carries the longer memory
@@ -48,9 +49,9 @@
 
     def __init__(
         self,
-        plan: i.Plan,
-        key: i.Key,
-        set_: i.Settings,
+        plan: Plan,
+        key: CustomerKey,
+        set_: Settings,
         now: int,
         since: int,
         split: bool = False,
@@ -141,7 +142,7 @@
         self.level = max(self.level - units, least)
 
 
-def full_again_us(plan: i.Plan) -> int:
+def full_again_us(plan: Plan) -> int:
     """How long the stores of a customer take at most to be full, from what it may owe."""
     quota = plan.burst / plan.rate + SMALL_STORE_US / S if plan.rate else 0.0
     ceiling = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0
--- a/molereach/protocol/gossip_codec.py
+++ b/molereach/protocol/gossip_codec.py
@@ -5,7 +5,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import GossipReceived, LoadReport
+from molereach.policy.interface.messages import GossipMessage, LimitMessage
 
 # The fields of a load report: as the wire names them, and as the servers themselves do.
 REPORT_FIELDS = {
@@ -45,9 +46,9 @@
     return value if value <= MOST_REPORTED.get(name, MOST_OTHERS) else None
 
 
-def read_report(values: Iterable[tuple[str, str]]) -> i.LoadReport:
+def read_report(values: Iterable[tuple[str, str]]) -> LoadReport:
     """A load report from names and values; unknown names and absent values are skipped."""
-    return i.LoadReport(
+    return LoadReport(
         **{
             REPORT_FIELDS[name]: read_reported(REPORT_FIELDS[name], value)
             for name, value in values
@@ -56,7 +57,7 @@
     )
 
 
-def pack_words(words: Iterable[i.Word]) -> list[bytes]:
+def pack_words(words: Iterable[GossipMessage]) -> list[bytes]:
     """Messages between gateways, each as long as the wire allows."""
     packed = [
         WORD.pack(
@@ -76,12 +77,12 @@
     return [b"".join(packed[n : n + most]) for n in range(0, len(packed), most)]
 
 
-def unpack_words(data: bytes) -> tuple[i.Word, ...]:
+def unpack_words(data: bytes) -> tuple[GossipMessage, ...]:
     """The words of a message; none where it is not of this version's form."""
     if len(data) % WORD.size:
         return ()
     return tuple(
-        i.Word(
+        GossipMessage(
             customer,
             plan,
             first,
@@ -101,19 +102,19 @@
 class Form(Protocol):
     """How words stand in datagrams."""
 
-    def pack(self, peer: int, words: tuple[i.Word | i.LimitWord, ...]) -> list[bytes]:
+    def pack(self, peer: int, words: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
         """The datagrams to a peer."""
 
-    def unpack(self, sender: int, data: bytes) -> i.PeerMessage | None:
+    def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
         """What one from a peer says; None for one that is malformed."""
 
 
 class PlainForm:
     """Words on quotas alone."""
 
-    def pack(self, peer: int, words: tuple[i.Word | i.LimitWord, ...]) -> list[bytes]:
-        return pack_words(word for word in words if isinstance(word, i.Word))
+    def pack(self, peer: int, words: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
+        return pack_words(word for word in words if isinstance(word, GossipMessage))
 
-    def unpack(self, sender: int, data: bytes) -> i.PeerMessage | None:
+    def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
         words = unpack_words(data)
-        return i.PeerMessage(sender, words) if words else None
+        return GossipReceived(sender, words) if words else None
--- a/molereach/protocol/settings.py
+++ b/molereach/protocol/settings.py
@@ -9,16 +9,16 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 Value = TypeVar("Value")
 
 EFFECTS = {
-    "read_like": i.Effect.SAFE,
-    "idempotency_key": i.Effect.KEYED,
-    "non_idempotent": i.Effect.UNSAFE,
+    "read_like": Idempotency.SAFE,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.UNSAFE,
 }
-GROUPS = {group.value: group for group in i.Group}
+GROUPS = {group.value: group for group in DeduplicationScope}
 FLAGS = {"true": True, "1": True, "false": False, "0": False}
 MOST = 1e15  # of any figure: past it, sums of times are no longer whole microseconds
 MOST_GATEWAYS = 0xFFFF  # as words between gateways hold their numbers
@@ -94,21 +94,21 @@
     return f"{value!r:.40}"
 
 
-def read_class(pairs: Pairs, at: str) -> i.RequestClass:
-    return i.RequestClass(
+def read_class(pairs: Pairs, at: str) -> RequestClass:
+    return RequestClass(
         aim_us=pairs.whole(f"{at}.on-time-us", None, 1),
         deadline_us=pairs.whole(f"{at}.deadline-us", None, 1),
         worth=pairs.number(f"{at}.points", 1.0),
         late_worth=pairs.number(f"{at}.late-worth"),
         effect=pairs.one_of(f"{at}.idempotency", EFFECTS),  # one that is not told must not pass for safe
-        group=pairs.one_of(f"{at}.group", GROUPS, i.Group.ALL.value),
+        group=pairs.one_of(f"{at}.group", GROUPS, DeduplicationScope.ALL.value),
         window_us=pairs.whole(f"{at}.window-us"),
         streamed=pairs.flag(f"{at}.streamed"),
     )
 
 
-def read_plan(pairs: Pairs, at: str) -> i.Plan:
-    return i.Plan(
+def read_plan(pairs: Pairs, at: str) -> Plan:
+    return Plan(
         rate=pairs.number(f"{at}.units-per-s"),
         burst=pairs.number(f"{at}.burst"),
         max_out=pairs.whole(f"{at}.max-out"),
@@ -121,11 +121,11 @@
     )
 
 
-def read_settings(seed: int, pairs: Pairs) -> i.Settings:
+def read_settings(seed: int, pairs: Pairs) -> Settings:
     classes = range(pairs.whole("categories.count"))
     plans = range(pairs.whole("plans.count"))
     gateways = pairs.whole("balancers", None, 1, MOST_GATEWAYS)
-    return i.Settings(
+    return Settings(
         seed=seed,
         me=pairs.whole("me", None, 0, gateways - 1),
         gateways=gateways,
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -9,7 +9,7 @@
 from typing import Any, BinaryIO, TypeVar
 
 from molereach.discovery.json_stream import DocumentError, Documents, Part
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Settings
 from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
 
 Address = tuple[str, int]
@@ -34,7 +34,7 @@
     name: str
     listen: Address
     discovery: Address
-    settings: i.Settings
+    settings: Settings
     class_numbers: Mapping[str, int]
     plan_numbers: Mapping[str, int]
     zone_numbers: Mapping[str, int]
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import SendGossip
+from molereach.policy.interface.events import GossipReceived
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
 from molereach.proxy.config import Address
 
@@ -13,7 +14,7 @@
     """Words to and from the other front doors; what strangers send or what is malformed is dropped."""
 
     def __init__(
-        self, addresses: tuple[Address, ...], me: int, heard: Callable[[i.PeerMessage], None]
+        self, addresses: tuple[Address, ...], me: int, heard: Callable[[GossipReceived], None]
     ) -> None:
         self.addresses, self.me, self.heard = addresses, me, heard
         self.senders = {address: number for number, address in enumerate(addresses) if number != me}
@@ -33,7 +34,7 @@
     def error_received(self, error: Exception) -> None:
         """A peer that is down may show as an error here; words may be lost in any case."""
 
-    def tell(self, action: i.Tell) -> None:
+    def tell(self, action: SendGossip) -> None:
         if self.transport and action.peer != self.me and action.peer < len(self.addresses):
             for data in self.form.pack(action.peer, action.words):
                 self.transport.sendto(data, self.addresses[action.peer])
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -23,8 +23,31 @@
 from molereach.discovery.endpoint_discovery import Catalog, Discovery, LongNews, News
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import Steps
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    ForwardAttempt,
+    Reject,
+    SendGossip,
+    SetTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    LoadReport,
+    TimerExpired,
+)
+from molereach.policy.interface.protocols import LimitPolicy
 from molereach.protocol.gossip_codec import Form
 from molereach.proxy.config import Address, Config, run_out
 from molereach.proxy.connection_draining import drain
@@ -70,8 +93,10 @@
         self.config, self.settings = config, config.settings
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway(config.settings)
-        self.inbox: list[i.Event] = []
-        self.see: Callable[[i.ServerList], i.ServerList] = lambda news: news  # orders may lie over the list
+        self.inbox: list[Event] = []
+        self.see: Callable[[EndpointListReceived], EndpointListReceived] = lambda news: (
+            news
+        )  # orders may lie over the list
         self.counted: list[Callable[[], dict[str, int]]] = []  # counters of what stands beside
         self.last: list[Callable[[], Awaitable[None]]] = []  # what ends after all clients
         self.open: dict[str, Exchange] = {}  # requests that are owed an answer
@@ -111,16 +136,16 @@
             self.lists.stage,
         )
         self.carry_out: dict[type, Callable[..., None]] = {
-            i.Send: self.send,
-            i.Cancel: self.cancel,
-            i.Refuse: self.refuse,
-            i.Fail: self.fail,
-            i.SetTimer: self.set_timer,
-            i.Tell: self.peers.tell,
-            i.Log: self.log_line,
-            i.CloseIdle: lambda action: self.backends.close_idle(action.server),
-            i.Subscribe: lambda action: None,
-            i.FetchList: lambda action: None,  # the watch is always on
+            ForwardAttempt: self.send,
+            CancelAttempt: self.cancel,
+            Reject: self.refuse,
+            FailRequest: self.fail,
+            SetTimer: self.set_timer,
+            SendGossip: self.peers.tell,
+            WriteLog: self.log_line,
+            CloseIdleConnections: lambda action: self.backends.close_idle(action.server),
+            SubscribeToEndpoints: lambda action: None,
+            FetchEndpoints: lambda action: None,  # the watch is always on
         }
 
     # --- start and end ---
@@ -134,7 +159,7 @@
         if not known:
             return 0
         try:
-            news = self.staged_known(parts) if parts else self.catalog.news(known, i.ListKind.SAVED)
+            news = self.staged_known(parts) if parts else self.catalog.news(known, EndpointListKind.SAVED)
             seen = run_out(self.take_over(news)) if isinstance(news, LongNews) else self.take_whole(news)
         except (KeyError, TypeError, ValueError, ArithmeticError) as error:
             log.error("the known list makes no sense: %s", error)
@@ -150,9 +175,9 @@
         parts.reverse()
         while parts:
             staged.add(*self.catalog.part(parts.pop()))
-        return self.catalog.long_news(self.config.known, staged, i.ListKind.SAVED)
+        return self.catalog.long_news(self.config.known, staged, EndpointListKind.SAVED)
 
-    def use_limits(self, limits: i.Limits, form: Form) -> None:
+    def use_limits(self, limits: LimitPolicy, form: Form) -> None:
         """Have limits consulted, and their words told; before the first event."""
         self.gateway.limits, self.peers.form = limits, form
 
@@ -195,7 +220,7 @@
         self.hurry(self.ending.answers_by_us)
         await drain(self.ending, self.clients, self.open)
         for peer, word in self.gateway.limits.bye() * BYES if self.gateway.limits else ():
-            self.peers.tell(i.Tell(peer, (word,)))
+            self.peers.tell(SendGossip(peer, (word,)))
         for end in self.last:
             await end()
         self.close()
@@ -220,7 +245,7 @@
 
     # --- events ---
 
-    def post(self, event: i.Event) -> None:
+    def post(self, event: Event) -> None:
         if not self.inbox:
             self.loop.call_soon(self.run_batch)
         self.inbox.append(event)
@@ -231,17 +256,17 @@
             for action in self.decide(now, event):
                 self.act(action)
 
-    def decide(self, now: int, event: i.Event) -> list[i.Action]:
+    def decide(self, now: int, event: Event) -> list[Action]:
         try:
             return self.gateway.handle(now, event)
         except Exception:
             log.exception("the module failed on %r", event)
             self.give_up(getattr(event, "id", ""))
-            if isinstance(event, i.Timer):  # the module lives by it: it comes again
-                self.set_timer(i.SetTimer(RING_AGAIN_US, event.token))
+            if isinstance(event, TimerExpired):  # the module lives by it: it comes again
+                self.set_timer(SetTimer(RING_AGAIN_US, event.token))
             return []
 
-    def act(self, action: i.Action) -> None:
+    def act(self, action: Action) -> None:
         try:
             self.carry_out[type(action)](action)
         except Exception:
@@ -252,7 +277,7 @@
         """Fail a request over a fault, and have the module forget it."""
         if request_id in self.open:
             self.answer(request_id, FAILED)
-            self.post(i.ClientGone(request_id))
+            self.post(ClientDisconnected(request_id))
 
     def list_heard(self, news: News | LongNews) -> Steps | None:
         """News of the list; where they came in parts, what is to be done in turns. ListError where it cannot
@@ -277,9 +302,9 @@
             self.hear(self.see(seen.event), seen.addresses)
         return seen
 
-    def hear(self, event: i.ServerList, addresses: dict[str, Address]) -> None:
+    def hear(self, event: EndpointListReceived, addresses: dict[str, Address]) -> None:
         """News of the list as the module is to have them, and the addresses that are new with them."""
-        whole = event.kind is not i.ListKind.CHANGES
+        whole = event.kind is not EndpointListKind.CHANGES
         states = {server.name: server.state for server in event.servers}
         started = {server.name: server.started_us for server in event.servers}
         self.post(event)  # first: what the backends hand back because of it is decided with the new list
@@ -311,15 +336,15 @@
 
     def client_gone(self, reply: Reply) -> None:
         if reply.id is not None and self.settle(reply.id):
-            self.post(i.ClientGone(reply.id))
+            self.post(ClientDisconnected(reply.id))
 
     # --- actions ---
 
-    def send(self, action: i.Send) -> None:
+    def send(self, action: ForwardAttempt) -> None:
         exchange = self.open.get(action.id)
         if exchange is None or exchange.attempts >= self.settings.max_attempts:
             over = exchange is None
-            self.post(i.Outcome(action.id, over, action.attempt, action.server, i.Result.MOOT, 0))
+            self.post(AttemptEnded(action.id, over, action.attempt, action.server, AttemptResult.MOOT, 0))
             return
         left = max(1, exchange.end_us - now_us())
         timeout = min(left, action.timeout_us) if action.timeout_us > 0 else left
@@ -332,11 +357,11 @@
         self.backends.send(attempt, timeout)
 
     def attempt_done(
-        self, attempt: Attempt, result: i.Result, value: bytes | None, report: i.LoadReport | None
+        self, attempt: Attempt, result: AttemptResult, value: bytes | None, report: LoadReport | None
     ) -> None:
         """An attempt's one outcome; the first value goes to the client at once and closes the request."""
         name = attempt.request_id
-        if result is i.Result.OK and value is not None and name in self.open:
+        if result is AttemptResult.OK and value is not None and name in self.open:
             self.answer(name, b"$%d\r\n%b\r\n" % (len(value), value))
         over = name not in self.open
         exchange = self.ended.get(name) if over else self.open[name]
@@ -345,19 +370,19 @@
             if over and not exchange.out:
                 del self.ended[name]
         took = now_us() - attempt.sent_us
-        self.post(i.Outcome(name, over, attempt.number, attempt.server, result, took, report=report))
+        self.post(AttemptEnded(name, over, attempt.number, attempt.server, result, took, report=report))
 
-    def cancel(self, action: i.Cancel) -> None:
+    def cancel(self, action: CancelAttempt) -> None:
         exchange = self.open.get(action.id) or self.ended.get(action.id)
         attempt = exchange.out.get(action.attempt) if exchange else None
         if attempt:
             attempt.cancel()
 
-    def refuse(self, action: i.Refuse) -> None:
+    def refuse(self, action: Reject) -> None:
         wait_ms = action.retry_after_us // 1000
         self.answer(action.id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
 
-    def fail(self, action: i.Fail) -> None:
+    def fail(self, action: FailRequest) -> None:
         self.answer(action.id, FAILED)
 
     def answer(self, name: str, data: bytes) -> None:
@@ -375,10 +400,10 @@
         if exchange.out:
             self.ended[name] = exchange
         for attempt in list(exchange.out.values()):
-            attempt.withdraw(i.Result.CANCELLED)  # not sent yet: no settings are needed to take it back
+            attempt.withdraw(AttemptResult.CANCELLED)  # not sent yet: no settings are needed to take it back
         return exchange
 
-    def set_timer(self, action: i.SetTimer) -> None:
+    def set_timer(self, action: SetTimer) -> None:
         self.ring(now_us() + action.delay_us, action.token)
 
     def ring(self, due_us: int, token: int) -> None:
@@ -388,7 +413,7 @@
         if left > 0:
             self.loop.call_later(max(1000, left) / 1e6, self.ring, due_us, token)
         else:
-            self.post(i.Timer(token))
+            self.post(TimerExpired(token))
 
-    def log_line(self, action: i.Log) -> None:
+    def log_line(self, action: WriteLog) -> None:
         log.info("%s", action.text)
--- a/molereach/shards/splits/consulted.py
+++ b/molereach/shards/splits/consulted.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,12 @@
     """
 
     def place(
-        self, now_us: int, member: int, effect: Effect, is_repeat: bool = False, tried: Place | None = None
+        self,
+        now_us: int,
+        member: int,
+        effect: Idempotency,
+        is_repeat: bool = False,
+        tried: Place | None = None,
     ) -> Place | None:
         """Where this attempt may go; None for nowhere: answer that the service is busy. ValueError if
         `member` is no id."""
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/door.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from molereach.coordination.interface import NEVER_US, Applied, Restored, Tick
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.lookup import Lookup
 from molereach.shards.map.pieces import Piece
 from molereach.shards.splits.consulted import Place
@@ -91,18 +91,23 @@
     # --- what the decisions ask ---
 
     def place(
-        self, now_us: int, member: int, effect: Effect, is_repeat: bool = False, tried: Place | None = None
+        self,
+        now_us: int,
+        member: int,
+        effect: Idempotency,
+        is_repeat: bool = False,
+        tried: Place | None = None,
     ) -> Place | None:
         if self._lookup is None:
             return None
         piece = self._lookup.at(member)
         pin = self._pin(now_us, member)
         match effect:
-            case Effect.SAFE:
+            case Idempotency.SAFE:
                 return self._at(piece)
-            case Effect.UNSAFE:
+            case Idempotency.UNSAFE:
                 return self.unsafe(piece, tried)
-            case Effect.KEYED:
+            case Idempotency.KEYED:
                 return self.keyed(piece, pin, is_repeat, tried)
 
     def unsafe(self, piece: Piece, tried: Place | None) -> Place | None:
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -8,27 +8,59 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    ForwardAttempt,
+    Reject,
+    SendGossip,
+    SetTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    CounterUpdated,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    GossipReceived,
+    HealthCheckEnded,
+    LoadReport,
+    RequestReceived,
+    ResponseStreamStarted,
+    TimerExpired,
+)
+from molereach.policy.interface.settings import Settings
 from molereach.protocol.gossip_codec import Form, PlainForm, read_report
 from molereach.protocol.settings import Pairs, read_settings
 
 RESULTS = {
-    "served": i.Result.OK,
-    "server_error": i.Result.ERROR,
-    "turned_away": i.Result.FULL,
-    "no_answer": i.Result.TIMEOUT,
-    "no_connection": i.Result.CONNECT_FAILED,
-    "connection_lost": i.Result.RESET,
-    "called_off": i.Result.CANCELLED,
-    "not_sent": i.Result.MOOT,
+    "served": AttemptResult.OK,
+    "server_error": AttemptResult.ERROR,
+    "turned_away": AttemptResult.FULL,
+    "no_answer": AttemptResult.TIMEOUT,
+    "no_connection": AttemptResult.CONNECT_FAILED,
+    "connection_lost": AttemptResult.RESET,
+    "called_off": AttemptResult.CANCELLED,
+    "not_sent": AttemptResult.MOOT,
 }
-STATES = {"U": i.ServerState.UP, "L": i.ServerState.DRAINING, "D": i.ServerState.GONE}
+STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
 LISTS = {
-    "snapshot": i.ListKind.FULL,
-    "disk": i.ListKind.SAVED,
-    "diff": i.ListKind.CHANGES,
-    "error": i.ListKind.FAILED,
+    "snapshot": EndpointListKind.FULL,
+    "disk": EndpointListKind.SAVED,
+    "diff": EndpointListKind.CHANGES,
+    "error": EndpointListKind.FAILED,
 }
 PLAIN = PlainForm()
 
@@ -86,7 +118,7 @@
     return Pairs(values)
 
 
-def read_load(fields: Fields, names: list[str]) -> i.LoadReport | None:
+def read_load(fields: Fields, names: list[str]) -> LoadReport | None:
     """A load report, whose values stand in the order of their names."""
     if not fields.given():
         return None
@@ -96,12 +128,12 @@
     return read_report(zip(names, values, strict=False))
 
 
-def read_server(line: str) -> i.Server:
+def read_server(line: str) -> Endpoint:
     name, *parts = line.split(" ")
     if name != "M":
         raise WireError("a list entry is missing")
     fields = Fields(parts)
-    return i.Server(
+    return Endpoint(
         name=fields.text(),
         zone=fields.whole(),
         kind=fields.whole(),
@@ -112,14 +144,14 @@
     )
 
 
-def read_request(fields: Fields) -> i.Request:
+def read_request(fields: Fields) -> RequestReceived:
     request_id, class_index = fields.text(), fields.whole()
     plan_index = fields.whole(0)
     customer = fields.text() if fields.given() else ""
     left_us, units = fields.whole(), fields.number(1.0)
     set_size, set_first = int(fields.number(1.0)), int(fields.number(0.0))
     marks = fields.whole(0)
-    return i.Request(
+    return RequestReceived(
         request_id,
         class_index,
         plan_index,
@@ -133,8 +165,8 @@
     )
 
 
-def read_outcome(fields: Fields, names: list[str]) -> i.Outcome:
-    return i.Outcome(
+def read_outcome(fields: Fields, names: list[str]) -> AttemptEnded:
+    return AttemptEnded(
         id=fields.text(),
         over=fields.flag(),
         attempt=fields.whole(),
@@ -151,51 +183,51 @@
     return bytes.fromhex(fields.text()) if fields.given() else b""
 
 
-def read_event(name: str, fields: Fields, names: list[str]) -> i.Event:
+def read_event(name: str, fields: Fields, names: list[str]) -> Event:
     """One event other than the start, the end and the server list of an instance."""
     if name == "NEW_REQUEST":
         return read_request(fields)
     if name == "ATTEMPT_END":
         return read_outcome(fields, names)
     if name == "ACK_FIRST":
-        return i.StreamStarted(fields.text(), fields.whole(), fields.text(), fields.whole(0))
+        return ResponseStreamStarted(fields.text(), fields.whole(), fields.text(), fields.whole(0))
     if name == "HANGUP":
-        return i.ClientGone(fields.text())
+        return ClientDisconnected(fields.text())
     if name == "BELL":
-        return i.Timer(fields.whole())
+        return TimerExpired(fields.whole())
     if name == "CHECK_RESULT":
         server, result = fields.text(), RESULTS[fields.text()]
-        return i.ProbeResult(server, result, fields.whole(0), read_load(fields, names))
+        return HealthCheckEnded(server, result, fields.whole(0), read_load(fields, names))
     if name == "TOTAL":
-        return i.Counted(fields.whole(), RESULTS[fields.text()], fields.number(0.0), fields.whole(0))
+        return CounterUpdated(fields.whole(), RESULTS[fields.text()], fields.number(0.0), fields.whole(0))
     raise WireError(f"unknown message '{name}'")
 
 
-def write_action(action: i.Action, form: Form = PLAIN) -> str:
+def write_action(action: Action, form: Form = PLAIN) -> str:
     match action:
-        case i.Tell(peer, words):
+        case SendGossip(peer, words):
             return "\n".join(f"TELL {peer} {data.hex()}" for data in form.pack(peer, words))
-        case i.Send(request_id, server, timeout_us):
+        case ForwardAttempt(request_id, server, timeout_us):
             return f"TRY {request_id} {server} {timeout_us}"
-        case i.Cancel(request_id, attempt):
+        case CancelAttempt(request_id, attempt):
             return f"CANCEL {request_id} {attempt}"
-        case i.Refuse(request_id, retry_after_us):
+        case Reject(request_id, retry_after_us):
             return f"TURN_AWAY {request_id} {retry_after_us}"
-        case i.Fail(request_id):
+        case FailRequest(request_id):
             return f"END_FAILED {request_id}"
-        case i.SetTimer(delay_us, token):
+        case SetTimer(delay_us, token):
             return f"ARM {delay_us} {token}"
-        case i.Probe(server):
+        case CheckHealth(server):
             return f"CHECK {server}"
-        case i.CloseIdle(server):
+        case CloseIdleConnections(server):
             return f"HANG_UP {server}"
-        case i.Count(name, amount, lifetime_us):
+        case AddToCounter(name, amount, lifetime_us):
             return f"ADD_TO {name} {amount:g} {lifetime_us}"
-        case i.Subscribe(on):
+        case SubscribeToEndpoints(on):
             return f"STREAM_CHANGES {int(on)}"
-        case i.FetchList():
+        case FetchEndpoints():
             return "SNAPSHOT"
-        case i.Log(text):
+        case WriteLog(text):
             return f"EMIT {one_line(text)}"
     raise TypeError(f"not an action: {action!r}")
 
@@ -216,7 +248,7 @@
         self.forms: dict[int, Form] = {}
         self.gateways: dict[int, Gateway] = {}
         self.report_names: dict[int, list[str]] = {}
-        self.sheets: dict[int, tuple[i.Server, ...]] = {}
+        self.sheets: dict[int, tuple[Endpoint, ...]] = {}
         self.target: int | None = None
         self.context: int | None = None
         self.now_us = 0
@@ -248,16 +280,16 @@
             del self.gateways[self.target]
             return []
         if name == "UPDATE":
-            event: i.Event = self.read_list(fields)
+            event: Event = self.read_list(fields)
         elif name == "FROM_PEER":
             sender, data = fields.whole(), read_bytes(fields)
             heard = self.forms[self.target].unpack(sender, data)
-            event = heard or i.PeerMessage(sender, ())
+            event = heard or GossipReceived(sender, ())
         else:
             event = read_event(name, fields, self.report_names[self.target])
         return self.decide(event)
 
-    def gateway(self, instance: int, settings: i.Settings) -> Gateway:
+    def gateway(self, instance: int, settings: Settings) -> Gateway:
         """A gateway, and how its words stand in messages; with limits only where they are asked for."""
         if not self.with_limits:
             self.forms[instance] = PLAIN
@@ -270,15 +302,15 @@
         self.forms[instance] = Codec(limits.me, limits.generation, limits.counts, hears=limits.hears)
         return Gateway(settings, limits)
 
-    def read_list(self, fields: Fields) -> i.ServerList:
+    def read_list(self, fields: Fields) -> EndpointListReceived:
         kind, version, sheet = LISTS[fields.text()], fields.whole(0), fields.whole(0)
-        if kind is i.ListKind.FAILED:
-            return i.ServerList(kind, version)
+        if kind is EndpointListKind.FAILED:
+            return EndpointListReceived(kind, version)
         if sheet not in self.sheets:
             raise WireError(f"there is no list {sheet}")
-        return i.ServerList(kind, version, self.sheets[sheet])
+        return EndpointListReceived(kind, version, self.sheets[sheet])
 
-    def decide(self, event: i.Event) -> list[str]:
+    def decide(self, event: Event) -> list[str]:
         assert self.target is not None
         try:
             actions = self.gateways[self.target].handle(self.now_us, event)
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -7,7 +7,8 @@
 
 from collections.abc import Generator, Mapping, Sequence
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
+from molereach.policy.interface.settings import Settings
 from molereach.subsetting.entry_budget import COPIES, Room
 from molereach.subsetting.idempotency_groups import kinds
 from molereach.subsetting.interface import Address, ListError, Seen, Staged
@@ -18,16 +19,16 @@
 from molereach.subsetting.takeover_overlay import Meanwhile
 
 LONG = 2  # times the view's size: from there on a list has a view
-WHOLE_KINDS = (i.ListKind.FULL, i.ListKind.SAVED)
+WHOLE_KINDS = (EndpointListKind.FULL, EndpointListKind.SAVED)
 MORE_ENTRIES = 2 * STEP_ENTRIES  # that a list may have beyond the most between the steps of changes to it
 Steps = Generator[None, None, Seen | None]
-Short = dict[str, tuple[i.Server, Address | None]]
+Short = dict[str, tuple[Endpoint, Address | None]]
 
 
 class Routing:
     """The whole list and the view of it; `size` is the view's, `most` the entries that the list may have."""
 
-    def __init__(self, settings: i.Settings, size: int, most: int) -> None:
+    def __init__(self, settings: Settings, size: int, most: int) -> None:
         self.doors, self.size, self.most, self.kinds = settings.gateways, size, most, kinds(settings)
         self.short: Short | None = {}  # None: the list is long, and stands in `whole`
         self.room = Room(COPIES * most + MORE_ENTRIES)
@@ -49,9 +50,9 @@
     def stage(self) -> Staging:
         return self.room.count(Staging(self.most, self.room))
 
-    def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
         """An object that came whole, and so holds few entries."""
-        if event.kind is i.ListKind.FAILED:
+        if event.kind is EndpointListKind.FAILED:
             return Seen(event, {})
         if self.short is not None:
             known = {} if event.kind in WHOLE_KINDS else dict(self.short)
@@ -65,7 +66,7 @@
         staged.add(event.servers, addresses)
         return finish(self.take_over(staged, event.kind, event.version))
 
-    def take_over(self, staged: Staged, kind: i.ListKind, version: int) -> Steps:
+    def take_over(self, staged: Staged, kind: EndpointListKind, version: int) -> Steps:
         """All that was staged, in short steps; what the module has holds until the last."""
         assert isinstance(staged, Staging)
         if kind in WHOLE_KINDS:
@@ -113,15 +114,15 @@
             if staged.slices:
                 yield
 
-    def shorten(self, kind: i.ListKind, version: int) -> Seen:
+    def shorten(self, kind: EndpointListKind, version: int) -> Seen:
         """The list is short: all of it is told, and kept as it is."""
-        kind = kind if kind in WHOLE_KINDS else i.ListKind.FULL
+        kind = kind if kind in WHOLE_KINDS else EndpointListKind.FULL
         listed = [unpack(record) for record in self.whole.ring]
         self.short = {server.name: (server, address) for server, address in listed}
         self.whole, self.told, self.stale = self.empty(), {}, False
         return seen(kind, version, listed)
 
-    def tell(self, kind: i.ListKind, version: int, whole: bool) -> Seen | None:
+    def tell(self, kind: EndpointListKind, version: int, whole: bool) -> Seen | None:
         """The view, or what has changed of it."""
         if not (self.stale or whole or kind in WHOLE_KINDS):
             return None
@@ -134,7 +135,7 @@
         up = max(1, self.whole.ring.up)
         seen_by = min(self.doors, max(LEAST_DOORS, round(self.doors * len(self.told) / up)))
         if whole or kind in WHOLE_KINDS:
-            kind = kind if kind in WHOLE_KINDS else i.ListKind.FULL
+            kind = kind if kind in WHOLE_KINDS else EndpointListKind.FULL
             return seen(kind, version, [unpack(record) for record in self.told.values()], seen_by)
         left = [gone(unpack(record)[0]) for name, record in before.items() if name not in self.told]
         new = [unpack(record) for name, record in self.told.items() if before.get(name) != record]
@@ -143,25 +144,25 @@
         return seen(kind, version, [*left, *new], seen_by)
 
 
-def learn(short: Short, servers: Sequence[i.Server], addresses: Mapping[str, Address]) -> None:
+def learn(short: Short, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
     """Keep a short list."""
     for server in servers:
         known = short.pop(server.name, None)
-        if server.state is not i.ServerState.GONE:
+        if server.state is not EndpointState.GONE:
             short[server.name] = server, addresses.get(server.name) or (known and known[1])
 
 
-def gone(server: i.Server) -> tuple[i.Server, Address | None]:
-    return i.Server(
-        server.name, server.zone, server.kind, server.cell, i.ServerState.GONE, server.size, server.started_us
+def gone(server: Endpoint) -> tuple[Endpoint, Address | None]:
+    return Endpoint(
+        server.name, server.zone, server.kind, server.cell, EndpointState.GONE, server.size, server.started_us
     ), None
 
 
 def seen(
-    kind: i.ListKind, version: int, listed: Sequence[tuple[i.Server, Address | None]], seen_by: int = 0
+    kind: EndpointListKind, version: int, listed: Sequence[tuple[Endpoint, Address | None]], seen_by: int = 0
 ) -> Seen:
     """News for the module; changes where they are not the whole of it."""
-    event = i.ServerList(kind, version, tuple(server for server, _ in listed), seen_by)
+    event = EndpointListReceived(kind, version, tuple(server for server, _ in listed), seen_by)
     return Seen(event, {server.name: address for server, address in listed if address})
 
 
--- a/molereach/subsetting/idempotency_groups.py
+++ b/molereach/subsetting/idempotency_groups.py
@@ -8,7 +8,7 @@
 from bisect import bisect_left, bisect_right
 from collections.abc import Callable, Iterator
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Settings
 from molereach.subsetting.packed_records import cell_of, zone_of
 
 STANDINS = 2  # of each backend in a view, of each kind of group: for two repeats
@@ -45,7 +45,11 @@
             yield places[(after + step) % len(places)]
 
 
-def kinds(settings: i.Settings) -> list[Callable[[bytes], int]]:
+def kinds(settings: Settings) -> list[Callable[[bytes], int]]:
     """The kinds of groups within which some class is repeated."""
-    groups = {rule.group for rule in settings.classes if rule.effect is i.Effect.KEYED}
-    return [of for kind, of in ((i.Group.ZONE, zone_of), (i.Group.CELL, cell_of)) if kind in groups]
+    groups = {rule.group for rule in settings.classes if rule.effect is Idempotency.KEYED}
+    return [
+        of
+        for kind, of in ((DeduplicationScope.ZONE, zone_of), (DeduplicationScope.CELL, cell_of))
+        if kind in groups
+    ]
--- a/molereach/subsetting/interface.py
+++ b/molereach/subsetting/interface.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
 
 Address = tuple[str, int]
 
@@ -24,14 +24,14 @@
 class Seen:
     """News for the module, and the addresses of the servers that it names."""
 
-    event: i.ServerList
+    event: EndpointListReceived
     addresses: dict[str, Address]
 
 
 class Staged(Protocol):
     """Entries of one object that comes in parts; nothing of them counts until they are taken over."""
 
-    def add(self, servers: Sequence[i.Server], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
         """The next part; ListError where the list would need more memory than it may have, RoomError where
         others have it just now. Then nothing of the part was added."""
 
@@ -42,9 +42,11 @@
     def stage(self) -> Staged:
         """For an object of which a part has come."""
 
-    def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
         """An object that came whole; None where nothing of it concerns the view."""
 
-    def take_over(self, staged: Staged, kind: i.ListKind, version: int) -> Generator[None, None, Seen | None]:
+    def take_over(
+        self, staged: Staged, kind: EndpointListKind, version: int
+    ) -> Generator[None, None, Seen | None]:
         """All that was staged; each step is short enough for one turn of the loop, and the list before holds
         until the last. ListError where it cannot be."""
--- a/molereach/subsetting/packed_records.py
+++ b/molereach/subsetting/packed_records.py
@@ -2,7 +2,7 @@
 
 from struct import Struct, error
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.interface import Address, ListError
 
 # State, zone, kind, cell, size, start in microseconds, port, bytes of the name; then the name and the host.
@@ -18,12 +18,12 @@
         return name.encode(*TEXT)
 
 
-def pack(server: i.Server, address: Address | None, name: bytes = b"") -> bytes:
+def pack(server: Endpoint, address: Address | None, name: bytes = b"") -> bytes:
     """ListError for what fits no record, as a name of over 65,535 bytes. One that is gone has none. `name` is
     the server's in bytes, where it is there already."""
     host, port = address or ("", 0)
     name = name or name_bytes(server.name)
-    state = UP if server.state is i.ServerState.UP else DRAINING
+    state = UP if server.state is EndpointState.UP else DRAINING
     figures = server.zone, server.kind, server.cell, server.size, server.started_us, port
     try:
         head = HEAD.pack(state, *figures, len(name))
@@ -32,15 +32,15 @@
     return head + name + name_bytes(host)
 
 
-def unpack(record: bytes) -> tuple[i.Server, Address | None]:
+def unpack(record: bytes) -> tuple[Endpoint, Address | None]:
     state, zone, kind, cell, size, started_us, port, length = HEAD.unpack_from(record)
     name, host = record[HEAD.size : HEAD.size + length], record[HEAD.size + length :]
-    server = i.Server(
+    server = Endpoint(
         name.decode(*TEXT),
         zone,
         kind,
         cell,
-        i.ServerState.UP if state == UP else i.ServerState.DRAINING,
+        EndpointState.UP if state == UP else EndpointState.DRAINING,
         size,
         started_us,
     )
--- a/molereach/subsetting/staging.py
+++ b/molereach/subsetting/staging.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Iterator, Mapping, Sequence
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.entry_budget import Room
 from molereach.subsetting.interface import Address, ListError
 from molereach.subsetting.packed_records import name_bytes, pack
@@ -14,9 +14,9 @@
 Entry = tuple[int, bytes, bool]  # the place, the record (or the name of one that is gone), whether it is gone
 
 
-def entry_of(server: i.Server, address: Address | None) -> Entry:
+def entry_of(server: Endpoint, address: Address | None) -> Entry:
     name = name_bytes(server.name)
-    if server.state is i.ServerState.GONE:
+    if server.state is EndpointState.GONE:
         return place_of(name), name, True
     return place_of(name), pack(server, address, name), False
 
@@ -54,7 +54,7 @@
         self.most, self.room = most, room
         self.count = self.held = 0  # all that came, and those that have not been taken
 
-    def add(self, servers: Sequence[i.Server], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
         """ListError where the list needs more memory than it may have; RoomError where others have it."""
         if self.count + len(servers) > self.most:
             raise ListError(f"a list of over {self.most} entries has no room in memory")
--- a/molereach/subsetting/takeover_overlay.py
+++ b/molereach/subsetting/takeover_overlay.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Generator, Iterable, Mapping
 from weakref import WeakSet
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint
 from molereach.subsetting.interface import Address, ListError
 from molereach.subsetting.packed_records import is_later, name_of
 from molereach.subsetting.staging import Entry, Staging, entry_of
@@ -38,7 +38,7 @@
                 if since.count <= since.most:  # one more shows that it was not all
                     since.append(entry)
 
-    def note_short(self, servers: Iterable[i.Server], addresses: Mapping[str, Address]) -> None:
+    def note_short(self, servers: Iterable[Endpoint], addresses: Mapping[str, Address]) -> None:
         """Changes to a short list, which needs no records."""
         if self.notes:
             for server in servers:
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -17,7 +17,9 @@
 from molereach.clients.replies import Reply
 from molereach.discovery.endpoint_discovery import LongNews, News
 from molereach.discovery.watch_stream import Steps
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.interface.events import EndpointState
+from molereach.policy.interface.settings import Idempotency
 from molereach.proxy.config import Config
 from molereach.proxy.proxy import FrontDoor
 
@@ -39,12 +41,12 @@
 def twice() -> None:
     send = FrontDoor.send
 
-    def broken(self: FrontDoor, action: i.Send) -> None:
+    def broken(self: FrontDoor, action: ForwardAttempt) -> None:
         send(self, action)
         exchange = self.open.get(action.id)
         others = [name for name in self.backends.pools if name != action.server]
         effect = self.settings.classes[exchange.command.request.class_index].effect if exchange else None
-        if exchange and others and effect is i.Effect.UNSAFE:
+        if exchange and others and effect is Idempotency.UNSAFE:
             payload = exchange.command.payload(1_000_000)
             unheard = Attempt(action.id, 99, others[0], payload, lambda *outcome: None)
             self.backends.send(unheard, 1_000_000)
@@ -57,7 +59,7 @@
 
     def broken(self: FrontDoor, news: News | LongNews) -> Steps | None:
         servers = news.event.servers if isinstance(news, News) else ()
-        up = [server for server in servers if server.state is i.ServerState.UP]
+        up = [server for server in servers if server.state is EndpointState.UP]
         if len(up) == len(servers):
             return heard(self, news)
         self.loop.call_later(LATE_S, heard, self, news)
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -17,8 +17,28 @@
 from molereach.limits.escrow import WHOLE
 from molereach.limits.messages import Codec
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import (
+    Action,
+    FailRequest,
+    ForwardAttempt,
+    Reject,
+    SendGossip,
+    SetTimer,
+)
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    RequestReceived,
+    TimerExpired,
+)
+from molereach.policy.interface.messages import CustomerKey, LimitMessage
+from molereach.policy.interface.settings import Plan, RequestClass, Settings
 from molereach.protocol.gossip_codec import Form, PlainForm
 
 S, MS = 1_000_000, 1_000
@@ -28,7 +48,7 @@
 SERVICE_US = 60 * MS
 EPOCH_US = 10_000 * S  # what the clocks show about at the start
 
-Make = Callable[[i.Settings], Limits]
+Make = Callable[[Settings], Limits]
 
 
 @dataclass(slots=True)
@@ -166,7 +186,7 @@
         self.figures = figures or LimitSettings(lease_us, drift=0.01, floor=floor)
         doors = draw.randint(2, 5)
         super().__init__(seed, doors, self.figures.drift, draw.choice((0, S, 3600 * S)))
-        self.plan = i.Plan(
+        self.plan = Plan(
             rate=1.0,
             burst=1.0,
             ceiling_rate=draw.uniform(5, 40),
@@ -174,7 +194,7 @@
             ceiling_slack=1.0,
         )
         size = draw.randint(2, doors)
-        self.key: i.Key = (draw.getrandbits(32), 0, draw.randrange(doors), size)
+        self.key: CustomerKey = (draw.getrandbits(32), 0, draw.randrange(doors), size)
         self.members = [(self.key[2] + number) % doors for number in range(size)]
         self.make = make or (lambda settings: Limits(settings, self.figures))
         self.store = Store(self.plan.ceiling_rate, self.plan.ceiling_burst, self.plan.ceiling_burst, 0)
@@ -187,7 +207,7 @@
 
     def start(self, node: Node) -> None:
         node.up = True
-        settings = i.Settings(
+        settings = Settings(
             seed=self.random.getrandbits(64),
             me=node.number,
             gateways=len(self.nodes),
@@ -208,7 +228,7 @@
         self.at(self.now + TICK_US, lambda: self.tick(node, life))
 
     def tell(self, node: Node) -> None:
-        words: dict[int, list[i.LimitWord]] = {}
+        words: dict[int, list[LimitMessage]] = {}
         for peer, word in self.limits[node.number].due(node.clock(self.now)):
             words.setdefault(peer, []).extend([word] if word else [])
         for peer, each in words.items():
@@ -299,9 +319,9 @@
         self.mail.groups = ()
 
 
-PLAN = i.Plan(rate=12.0, burst=24.0, ceiling_rate=24.0, ceiling_burst=36.0, ceiling_slack=4.0)
-READS = i.RequestClass(aim_us=750 * MS, deadline_us=2 * S)
-FLEET = tuple(i.Server(f"s-{number}", number % 3, 0, 0, i.ServerState.UP) for number in range(24))
+PLAN = Plan(rate=12.0, burst=24.0, ceiling_rate=24.0, ceiling_burst=36.0, ceiling_slack=4.0)
+READS = RequestClass(aim_us=750 * MS, deadline_us=2 * S)
+FLEET = tuple(Endpoint(f"s-{number}", number % 3, 0, 0, EndpointState.UP) for number in range(24))
 
 
 class QuotaHistory(History):
@@ -312,7 +332,7 @@
         seed: int,
         doors: int = 3,
         with_limits: bool = True,
-        plan: i.Plan = PLAN,
+        plan: Plan = PLAN,
         figures: LimitSettings | None = None,
     ) -> None:
         super().__init__(seed, doors, 0.001, 3600 * S)
@@ -331,7 +351,7 @@
 
     def start(self, node: Node) -> None:
         node.up = True
-        settings = i.Settings(
+        settings = Settings(
             seed=self.random.getrandbits(64),
             me=node.number,
             gateways=len(self.nodes),
@@ -346,33 +366,33 @@
             Codec(limits.me, limits.generation, limits.counts, hears=limits.hears) if limits else PlainForm()
         )
         self.gateways[node.number] = Gateway(settings, limits)
-        self.tell(node, i.ServerList(i.ListKind.FULL, 1, FLEET))
+        self.tell(node, EndpointListReceived(EndpointListKind.FULL, 1, FLEET))
 
-    def tell(self, node: Node, event: i.Event) -> None:
+    def tell(self, node: Node, event: Event) -> None:
         for action in self.gateways[node.number].handle(node.clock(self.now), event):
             self.act(node, action)
 
-    def act(self, node: Node, action: i.Action) -> None:
+    def act(self, node: Node, action: Action) -> None:
         match action:
-            case i.Send(name, server):
+            case ForwardAttempt(name, server):
                 if name not in self.first:
                     self.first.add(name)
                     self.sent.append((self.now, node.number))
                     self.quota.take(self.now, 1.0)
                     self.ceiling.take(self.now, 1.0)
-                outcome = i.Outcome(name, True, 0, server, i.Result.OK, SERVICE_US)
+                outcome = AttemptEnded(name, True, 0, server, AttemptResult.OK, SERVICE_US)
                 self.later(node, SERVICE_US, outcome)
-            case i.Refuse() | i.Fail():
+            case Reject() | FailRequest():
                 self.refused += 1
-            case i.SetTimer(delay_us, token):
-                self.later(node, delay_us, i.Timer(token))
-            case i.Tell(peer, words):
+            case SetTimer(delay_us, token):
+                self.later(node, delay_us, TimerExpired(token))
+            case SendGossip(peer, words):
                 for data in self.forms[node.number].pack(peer, words):
                     self.post(node, peer, data)
             case _:
                 pass
 
-    def later(self, node: Node, delay_us: int, event: i.Event) -> None:
+    def later(self, node: Node, delay_us: int, event: Event) -> None:
         life = node.life
 
         def come() -> None:
@@ -388,7 +408,7 @@
     def ask(self, node: Node) -> None:
         self.asked += 1
         name = f"r{self.asked}"
-        request = i.Request(name, 0, 0, self.customer, 1_900 * MS, 1.0, len(self.nodes), 0)
+        request = RequestReceived(name, 0, 0, self.customer, 1_900 * MS, 1.0, len(self.nodes), 0)
         self.on(node, lambda: self.tell(node, request))
 
     def load(self, since_us: int, until_us: int, rate: float, weights: list[float]) -> None:
--- a/tests/backends/sender.py
+++ b/tests/backends/sender.py
@@ -7,7 +7,7 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, EndpointState, LoadReport
 from molereach.proxy.config import Address
 from tests.sockets import HOST, resp
 
@@ -19,15 +19,15 @@
 
     def __init__(self, address: Address, idle_us: int = 30 * S, most: int = 50) -> None:
         self.backends = Backends(idle_us, 200_000, most)
-        self.backends.update({"s": i.ServerState.UP}, {"s": address}, whole=True)
-        self.ended: asyncio.Queue[tuple[i.Result, bytes | None, i.LoadReport | None]] = asyncio.Queue()
+        self.backends.update({"s": EndpointState.UP}, {"s": address}, whole=True)
+        self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
         attempt = Attempt("a", 0, "s", payload, lambda _, *how: self.ended.put_nowait(how))
         self.backends.send(attempt, timeout_us)
         return attempt
 
-    async def result(self) -> i.Result:
+    async def result(self) -> AttemptResult:
         return (await self.ended.get())[0]
 
 
--- a/tests/backends/test_counts.py
+++ b/tests/backends/test_counts.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointState
 from tests.backends.sender import Sender, deaf
 from tests.sockets import Backend, refusing_address, run, value
 
@@ -20,7 +20,7 @@
             for number in range(60):
                 address = (at, at, refusing_address(), silent)[number % 4]
                 if number % 3 == 0:  # moves: what is out stays out on the old pool
-                    backends.update({"s": i.ServerState.UP}, {"s": address}, True, {"s": number})
+                    backends.update({"s": EndpointState.UP}, {"s": address}, True, {"s": number})
                 sender.send(timeout_us=20_000)
                 walked = sum(len(pool.connections) for pool in (*backends.pools.values(), *backends.old))
                 assert backends.count() == walked
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -8,7 +8,7 @@
 import pytest
 
 from molereach.backends import pool, reuse
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, EndpointState
 from tests.backends.sender import S, Sender, deaf
 from tests.sockets import HOST, Backend, refusing_address, run, value
 
@@ -27,11 +27,11 @@
         assert backend.opened == 2
         for writer in backend.writers:
             writer.write(value(b"x"))
-        assert [await sender.result(), await sender.result()] == [i.Result.OK] * 2
+        assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda words: value(b"y")
         for _ in range(5):
             sender.send()
-            assert await sender.result() is i.Result.OK
+            assert await sender.result() is AttemptResult.OK
         assert backend.opened == 2
         sender.backends.close()
 
@@ -45,7 +45,7 @@
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
-        assert await sender.result() is i.Result.CANCELLED
+        assert await sender.result() is AttemptResult.CANCELLED
         await backend.left.wait()  # an answer that is still due must not meet the next command
         backend.answer = lambda words: value(b"fresh")
         sender.send()
@@ -60,7 +60,7 @@
     async def job() -> None:
         sender = Sender(await Backend(lambda words: b"").start())
         sender.send()
-        assert await sender.result() is i.Result.RESET
+        assert await sender.result() is AttemptResult.RESET
 
     run(job())
 
@@ -70,7 +70,7 @@
         async with deaf() as (address, _):
             sender = Sender(address)
             sender.send(timeout_us=50_000)
-            assert await sender.result() is i.Result.TIMEOUT
+            assert await sender.result() is AttemptResult.TIMEOUT
 
     run(job())
 
@@ -79,18 +79,18 @@
     async def job() -> None:
         sender = Sender(refusing_address())
         sender.send()
-        assert await sender.result() is i.Result.CONNECT_FAILED
+        assert await sender.result() is AttemptResult.CONNECT_FAILED
         async with deaf() as (address, _):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20), timeout_us=300_000)  # more than the kernel takes in
-            assert await sender.result() is i.Result.CONNECT_FAILED
+            assert await sender.result() is AttemptResult.CONNECT_FAILED
         async with deaf() as (address, listener):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20))
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.close()  # with bytes unread: a reset
-            assert await sender.result() is i.Result.CONNECT_FAILED
+            assert await sender.result() is AttemptResult.CONNECT_FAILED
 
     run(job())
 
@@ -103,7 +103,10 @@
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.close()  # before the loop comes to know that the connection is up
-            assert await asyncio.wait_for(sender.result(), 5) in (i.Result.CONNECT_FAILED, i.Result.RESET)
+            assert await asyncio.wait_for(sender.result(), 5) in (
+                AttemptResult.CONNECT_FAILED,
+                AttemptResult.RESET,
+            )
 
     run(job())
 
@@ -120,7 +123,7 @@
                 filler.connect_ex(listener.getsockname())
             sender = Sender(listener.getsockname())
             sender.send(timeout_us=20 * S)
-            assert await asyncio.wait_for(sender.result(), 5) is i.Result.CONNECT_FAILED
+            assert await asyncio.wait_for(sender.result(), 5) is AttemptResult.CONNECT_FAILED
 
     run(job())
 
@@ -131,7 +134,7 @@
         sender = Sender(await backend.start(), idle_us=200_000)
         sender.backends.sweep()
         sender.send()
-        assert await sender.result() is i.Result.OK
+        assert await sender.result() is AttemptResult.OK
         await backend.left.wait()
         assert sender.backends.count() == 0
 
@@ -152,11 +155,11 @@
                 await backend.came.wait()
             for writer in backend.writers:
                 writer.write(value(b"x"))
-            assert [await sender.result(), await sender.result()] == [i.Result.OK] * 2
+            assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
             assert len(sender.backends.pools["s"].idle) == 2
             backend.answer = lambda words, broken=broken: broken
             sender.send(timeout_us=100_000)
-            assert await sender.result() in (i.Result.TIMEOUT, i.Result.RESET)
+            assert await sender.result() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
             assert sender.backends.pools["s"].idle == []
 
     run(job())
@@ -169,10 +172,10 @@
         first = sender.send()
         sender.send()
         sender.send()
-        assert await sender.result() is i.Result.MOOT  # a shortage of ours is no fault of the backend
+        assert await sender.result() is AttemptResult.MOOT  # a shortage of ours is no fault of the backend
         assert sender.backends.count() == 2
         first.cancel()
-        assert await sender.result() is i.Result.CANCELLED
+        assert await sender.result() is AttemptResult.CANCELLED
         await backend.came.wait()
         sender.backends.close()
 
@@ -187,10 +190,10 @@
         await backend.came.wait()
         sender.backends.update({}, {}, whole=True)
         backend.writers[0].write(value(b"x"))
-        assert await sender.result() is i.Result.OK
+        assert await sender.result() is AttemptResult.OK
         await backend.left.wait()
         sender.send()
-        assert await sender.result() is i.Result.CONNECT_FAILED
+        assert await sender.result() is AttemptResult.CONNECT_FAILED
 
     run(job())
 
@@ -233,15 +236,15 @@
             await backend.came.wait()
         for writer in backend.writers:
             writer.write(value(b"x"))
-        assert [await sender.result(), await sender.result()] == [i.Result.OK] * 2
+        assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda words: answer
         sender.send(timeout_us=20 * S)
-        assert await sender.result() is i.Result.SPOILT
+        assert await sender.result() is AttemptResult.SPOILT
         await backend.left.wait()
         assert len(sender.backends.pools["s"].idle) == 1
         backend.answer = lambda words: value(b"good")
         sender.send()
-        assert await sender.ended.get() == (i.Result.OK, b"good", None)
+        assert await sender.ended.get() == (AttemptResult.OK, b"good", None)
         assert backend.opened == 2
         sender.backends.close()
 
@@ -284,7 +287,7 @@
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             with accepted:
                 accepted.send(value(b"of another"))
-                assert await sender.result() is i.Result.CONNECT_FAILED
+                assert await sender.result() is AttemptResult.CONNECT_FAILED
 
     run(job())
 
@@ -294,8 +297,8 @@
         async with deaf() as (address, listener):
             sender = Sender(address)
             sender.send()
-            sender.backends.update({"s": i.ServerState.GONE}, {}, whole=False)
-            assert await sender.result() is i.Result.CONNECT_FAILED  # never ran: it may go elsewhere
+            sender.backends.update({"s": EndpointState.GONE}, {}, whole=False)
+            assert await sender.result() is AttemptResult.CONNECT_FAILED  # never ran: it may go elsewhere
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.setblocking(False)
@@ -315,10 +318,10 @@
         assert sender.backends.count() == 1  # closed only when the loop has come to it
         await backend.left.wait()
         assert sender.backends.count() == 0
-        sender.backends.update({"s": i.ServerState.UP}, {"s": refusing_address()}, whole=True)
+        sender.backends.update({"s": EndpointState.UP}, {"s": refusing_address()}, whole=True)
         sender.send()
-        assert await sender.result() is i.Result.CANCELLED
-        assert await sender.result() is i.Result.CONNECT_FAILED
+        assert await sender.result() is AttemptResult.CANCELLED
+        assert await sender.result() is AttemptResult.CONNECT_FAILED
         assert sender.backends.count() == 0 and sender.backends.pools["s"].connecting == 0
 
     run(job())
@@ -338,9 +341,9 @@
         for _ in range(40):
             sender.send()
             results.append(await sender.result())
-        assert i.Result.RESET in results
-        assert results.count(i.Result.RESET) <= reuse.LEAST_USES
-        assert results[-20:] == [i.Result.OK] * 20
+        assert AttemptResult.RESET in results
+        assert results.count(AttemptResult.RESET) <= reuse.LEAST_USES
+        assert results[-20:] == [AttemptResult.OK] * 20
         for _ in range(9):
             sender.backends.reuse.fade()
         assert sender.backends.reuse.most == reuse.AGES  # it is tried again after a while
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -18,7 +18,8 @@
 from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import Steps
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
 from molereach.protocol.gossip_codec import pack_words, unpack_words
 from molereach.proxy.config import Address
 from rig.clients import encode
@@ -52,7 +53,7 @@
 
     def __init__(self, address: Address, version: int) -> None:
         self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
-        self.seen: asyncio.Queue[tuple[i.ServerList, Mapping[str, Address]]] = asyncio.Queue()
+        self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, Address]]] = asyncio.Queue()
         self.discovery = Discovery(
             address,
             Catalog(configuration(TIER, 0)),
@@ -89,21 +90,21 @@
         reader = Reader(first, 0)
         try:
             event, addresses = await reader.seen.get()  # by a watch from before all versions
-            assert event.kind is i.ListKind.FULL and len(event.servers) == size
+            assert event.kind is EndpointListKind.FULL and len(event.servers) == size
             assert addresses["s-00000007"] == backend_address(7, 7)
             told = await agent.do_change([(7, DRAINING, 0), (size, SERVING, 5)])
             event, _ = await reader.seen.get()
-            assert told["watching"] == 1 and event.kind is i.ListKind.CHANGES
+            assert told["watching"] == 1 and event.kind is EndpointListKind.CHANGES
             assert [server.name for server in event.servers] == ["s-00000007", f"s-{size:08x}"]
-            assert [server.state for server in event.servers] == [i.ServerState.DRAINING, i.ServerState.UP]
+            assert [server.state for server in event.servers] == [EndpointState.DRAINING, EndpointState.UP]
             reader.discovery.move(second)  # asked for whole, and then watched
             event, _ = await reader.seen.get()
-            assert event.kind is i.ListKind.FULL and len(event.servers) == size + 1
+            assert event.kind is EndpointListKind.FULL and len(event.servers) == size + 1
             while len(agent.watching) != 1 or not agent.sent[1].calls > 1:
                 await asyncio.sleep(0.01)
             await agent.do_reset()
             event, _ = await reader.seen.get()
-            assert event.kind is i.ListKind.FULL and len(event.servers) == size + 1
+            assert event.kind is EndpointListKind.FULL and len(event.servers) == size + 1
             assert reader.discovery.version == agent.version
             sent = await agent.do_take()
             assert sent["0"]["changes"] > told["line_bytes"]  # type: ignore[index,operator]
@@ -139,10 +140,10 @@
         )
         await hollow.do_begin(tier.shown(), [0], [1], [])
         await hollow.do_pause(True)
-        (data,) = pack_words([i.Word(key, 0, 0, 3, asked=1.0, demand=1.0)])
+        (data,) = pack_words([GossipMessage(key, 0, 0, 3, asked=1.0, demand=1.0)])
         try:
             transport.sendto(data, peer_address(1, port))
-            heard: tuple[i.Word, ...] = ()
+            heard: tuple[GossipMessage, ...] = ()
             while not any(word.is_answer and word.customer == key for word in heard):
                 heard = unpack_words(await answers.get())
             taken = await hollow.do_take()
@@ -160,7 +161,7 @@
     async def play() -> None:
         _, port = free_datagram_port(own_host())
         tier = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=port)
-        words: asyncio.Queue[i.Word] = asyncio.Queue()
+        words: asyncio.Queue[GossipMessage] = asyncio.Queue()
 
         class Real(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
@@ -177,7 +178,7 @@
             seen = {
                 (word.set_first, word.set_size)
                 for word in [await words.get() for _ in range(20)]
-                if word.plan_index != i.SPLIT_MARK
+                if word.plan_index != SPLIT_CEILING_MARK
             }
             assert seen and all(size == 3 and (0 - first) % 8 < 3 for first, size in seen)
         finally:
--- a/tests/benchmarks/test_views.py
+++ b/tests/benchmarks/test_views.py
@@ -10,7 +10,7 @@
 from benchmarks import views
 from benchmarks.view import rows_of
 from benchmarks.views import Row, Tier, moved, server
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint
 from molereach.subsetting.placement import RING, door_place
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import View
@@ -212,7 +212,7 @@
     return view
 
 
-def anew(tier: Tier, each: i.Server, goes: bool) -> tuple[int, int]:
+def anew(tier: Tier, each: Endpoint, goes: bool) -> tuple[int, int]:
     """Pairs moved, and those of its own, where all views are chosen anew."""
     place, record, _ = entry_of(each, ("10.0.0.1", 80))
     name = each.name.encode()
--- a/tests/cache/purge/test_holdings.py
+++ b/tests/cache/purge/test_holdings.py
@@ -13,8 +13,20 @@
 from molereach.coordination.interface import Applied, Restored
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    GossipReceived,
+    RequestReceived,
+    TimerExpired,
+)
+from molereach.policy.interface.messages import LoanRequest
+from molereach.policy.interface.settings import Plan, RequestClass, Settings
 from tests.cache.purge.entries import Log, purge_id
 from tests.cache.purge.finding import Code, code_of
 from tests.cache.sessions import Held
@@ -44,8 +56,9 @@
 def test_a_new_holding_is_found_however_it_is_typed() -> None:
     source = """
 from collections import OrderedDict, deque
-from molereach.policy import interface as i
-from molereach.policy.interface import Key, Request as Asked
+from molereach.policy.interface import events as i
+from molereach.policy.interface.events import RequestReceived as Asked
+from molereach.policy.interface.messages import CustomerKey
 Many = list[Asked]
 class Bill:
     customer: str
@@ -55,12 +68,12 @@
 class Holder:
     many: Many
     def __init__(self) -> None:
-        self.by_key: dict[Key, int] = {}
+        self.by_key: dict[CustomerKey, int] = {}
         self.by_tuple: OrderedDict[tuple[int, int, int, int], str] = OrderedDict()
-        self.asked: "deque[i.Request]" = deque()
+        self.asked: "deque[i.RequestReceived]" = deque()
         self.inner: dict[str, Inner] = {}
         self.counts: dict[str, int] = {}
-        self.servers: list[i.Server] = []
+        self.servers: list[i.Endpoint] = []
 """
     code = code_of(ROOT, ("molereach/policy", "molereach/protocol"))
     code.add("molereach.new", source)
@@ -102,23 +115,23 @@
 
 
 def test_all_that_a_live_gateway_holds_of_a_member_is_declared() -> None:
-    rules = (i.RequestClass(S, 2 * S),)
-    plans = (i.Plan(rate=10, burst=2, ceiling_rate=5, ceiling_burst=8),)
-    settings = i.Settings(1, 0, 3, rules, plans, max_attempts=2, may_tell=True, peer_messages_per_s=100)
+    rules = (RequestClass(S, 2 * S),)
+    plans = (Plan(rate=10, burst=2, ceiling_rate=5, ceiling_burst=8),)
+    settings = Settings(1, 0, 3, rules, plans, max_attempts=2, may_tell=True, peer_messages_per_s=100)
     gateway = Gateway(settings, Limits(settings, LimitSettings()))
-    server = i.Server("s", 0, 0, 0, i.ServerState.UP)
-    gateway.handle(0, i.ServerList(i.ListKind.FULL, 1, (server,)))
+    server = Endpoint("s", 0, 0, 0, EndpointState.UP)
+    gateway.handle(0, EndpointListReceived(EndpointListKind.FULL, 1, (server,)))
     seen: set[tuple[str, str]] = set()
     for number in range(40):
         now_us = number * S // 20
-        request = i.Request(f"r{number}", 0, 0, MEMBER, S, set_size=3)
+        request = RequestReceived(f"r{number}", 0, 0, MEMBER, S, set_size=3)
         gateway.handle(now_us, request)
         seen |= set(holders(gateway, set(), None))
-        gateway.handle(now_us + 1, i.Timer(0))
+        gateway.handle(now_us + 1, TimerExpired(0))
         if number % 3:
-            gateway.handle(now_us + 2, i.Outcome(f"r{number}", False, 0, "s", i.Result.OK, 9))
-        ask = i.LoanAsk((zlib.crc32(MEMBER.encode()), 0, 0, 3), number + 1, 0, 0, 500)
-        gateway.handle(now_us + 3, i.PeerMessage(1, (ask,), 7))
+            gateway.handle(now_us + 2, AttemptEnded(f"r{number}", False, 0, "s", AttemptResult.OK, 9))
+        ask = LoanRequest((zlib.crc32(MEMBER.encode()), 0, 0, 3), number + 1, 0, 0, 500)
+        gateway.handle(now_us + 3, GossipReceived(1, (ask,), 7))
         seen |= set(holders(gateway, set(), None))
     assert len(seen) >= 6 and seen - declared().keys() == set()
 
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -10,7 +10,7 @@
 from molereach.fleet import agreement, api_bodies, journal, orders, wire
 from molereach.fleet.agent import api
 from molereach.fleet.rollout import report
-from molereach.policy import interface as i
+from molereach.policy.interface.protocols import CustomerLimits
 
 AGENT, PEER = "a", "b"
 
@@ -87,7 +87,7 @@
     clients=5,
     open_requests=2,
 )
-HELD = i.Held(
+HELD = CustomerLimits(
     plan=1,
     share=0.25,
     store=12.5,
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -8,16 +8,27 @@
 from itertools import product
 
 from molereach.limits.messages import Codec
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import (
+    SPLIT_CEILING_MARK,
+    CustomerKey,
+    GossipMessage,
+    Join,
+    JoinAcknowledged,
+    Leave,
+    LimitMessage,
+    LoanGrant,
+    LoanRequest,
+    SpendingTotal,
+)
 from molereach.protocol.gossip_codec import PlainForm
 
 SENDER, PEER, GENERATION = 3, 1, 0xBEEF
 KEY = bytes(range(16))
-CUSTOMER_KEY: i.Key = (0xDEADBEEF, 2, 1, 3)
+CUSTOMER_KEY: CustomerKey = (0xDEADBEEF, 2, 1, 3)
 
 # Every combination of the flags of a word.
 QUOTA_WORDS = tuple(
-    i.Word(
+    GossipMessage(
         customer=0x01020304 + number,
         plan_index=number,
         set_first=number + 1,
@@ -38,7 +49,7 @@
 # The form with limits carries of the flags only whether a word is an answer.
 QUOTA_WORDS_IN_LIMIT_FORM = tuple(replace(word, granted=False, inside=None) for word in QUOTA_WORDS)
 LIMIT_FORM_WORDS = tuple(
-    i.Word(
+    GossipMessage(
         customer=0xDEADBEEF,
         plan_index=2,
         set_first=1,
@@ -52,25 +63,27 @@
     for is_answer in (False, True)
 )
 
-LIMIT_WORDS: dict[str, i.LimitWord] = {
-    "loan-ask": i.LoanAsk(
+LIMIT_WORDS: dict[str, LimitMessage] = {
+    "loan-ask": LoanRequest(
         key=CUSTOMER_KEY, number=0x10203040, accepted=7, held=2500, wanted=10_000, returned=3.14
     ),
-    "loan-ask-split": i.LoanAsk(key=(1, i.SPLIT_MARK, 0, 2), number=1, accepted=0, held=0, wanted=1),
-    "loan-grant": i.LoanGrant(key=CUSTOMER_KEY, number=0x10203040, share=10_000, units=42_949_672.94),
-    "loan-grant-empty": i.LoanGrant(key=CUSTOMER_KEY, number=2, share=0),
-    "hello": i.Hello(),
-    "clear": i.Clear(generation=GENERATION, totals=300),
-    "clear-no-totals": i.Clear(generation=0),
-    "total": i.Total(key=CUSTOMER_KEY, spent=1234.56, left=0.02),
-    "bye": i.Bye(),
+    "loan-ask-split": LoanRequest(key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, held=0, wanted=1),
+    "loan-grant": LoanGrant(key=CUSTOMER_KEY, number=0x10203040, share=10_000, units=42_949_672.94),
+    "loan-grant-empty": LoanGrant(key=CUSTOMER_KEY, number=2, share=0),
+    "hello": Join(),
+    "clear": JoinAcknowledged(generation=GENERATION, totals=300),
+    "clear-no-totals": JoinAcknowledged(generation=0),
+    "total": SpendingTotal(key=CUSTOMER_KEY, spent=1234.56, left=0.02),
+    "bye": Leave(),
 }
 
 # A word that has more than its field holds, and what is read back.
-TOO_LARGE = i.Word(customer=1, plan_index=0, set_first=0, set_size=1, demand=1e9, spent=-1e9)
-TOO_LARGE_READ = i.Word(customer=1, plan_index=0, set_first=0, set_size=1, demand=655.34, spent=-655.36)
+TOO_LARGE = GossipMessage(customer=1, plan_index=0, set_first=0, set_size=1, demand=1e9, spent=-1e9)
+TOO_LARGE_READ = GossipMessage(
+    customer=1, plan_index=0, set_first=0, set_size=1, demand=655.34, spent=-655.36
+)
 
-Words = Sequence[i.Word | i.LimitWord]
+Words = Sequence[GossipMessage | LimitMessage]
 
 
 def codec(keyed: bool, hears: bool, speaks: bool = True) -> Codec:
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -3,7 +3,8 @@
 import pytest
 
 from molereach.limits.messages import Codec
-from molereach.policy import interface as i
+from molereach.policy.interface.events import GossipReceived
+from molereach.policy.interface.messages import GossipMessage, LimitMessage
 from molereach.protocol.gossip_codec import PlainForm
 from tests.compatibility import gossip_samples as samples
 from tests.compatibility.recording import recorded_lines
@@ -14,9 +15,9 @@
     return [bytes.fromhex(line) for line in recorded_lines(name)]
 
 
-def read_all(packing: Codec, found: list[bytes]) -> list[i.Word | i.LimitWord]:
+def read_all(packing: Codec, found: list[bytes]) -> list[GossipMessage | LimitMessage]:
     """The words of all datagrams; each of them has to be readable."""
-    words: list[i.Word | i.LimitWord] = []
+    words: list[GossipMessage | LimitMessage] = []
     for data in found:
         message = packing.unpack(samples.SENDER, data)
         assert message is not None
@@ -33,7 +34,7 @@
 
 def test_amounts_past_their_field_are_read_as_its_bounds() -> None:
     (data,) = datagrams("gossip-plain-too-large.hex")
-    assert PlainForm().unpack(samples.SENDER, data) == i.PeerMessage(
+    assert PlainForm().unpack(samples.SENDER, data) == GossipReceived(
         sender=samples.SENDER, words=(samples.TOO_LARGE_READ,)
     )
 
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator, Generator, Iterable, Mapping
 from dataclasses import replace
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.interface import ListError, Seen, Staged
@@ -39,10 +39,10 @@
     def __init__(self, most: int) -> None:
         self.most, self.sizes = most, []
         self.sizes: list[int]
-        self.servers: list[i.Server] = []
+        self.servers: list[Endpoint] = []
         self.addresses: dict[str, Address] = {}
 
-    def add(self, servers: Iterable[i.Server], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Iterable[Endpoint], addresses: Mapping[str, Address]) -> None:
         some = list(servers)
         self.servers += some
         self.sizes.append(len(some))
@@ -62,17 +62,19 @@
         self.staged.append(Held(self.most))
         return self.staged[-1]
 
-    def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
         return Seen(event, dict(addresses))
 
-    def take_over(self, staged: Staged, kind: i.ListKind, version: int) -> Generator[None, None, Seen | None]:
+    def take_over(
+        self, staged: Staged, kind: EndpointListKind, version: int
+    ) -> Generator[None, None, Seen | None]:
         assert isinstance(staged, Held)
         for _ in range(5):
             self.steps += 1
             yield
-        if kind is i.ListKind.FULL and len({one.name for one in staged.servers}) < len(staged.servers):
+        if kind is EndpointListKind.FULL and len({one.name for one in staged.servers}) < len(staged.servers):
             raise ListError("the whole list names a server twice")
-        return Seen(i.ServerList(kind, version, tuple(staged.servers)), staged.addresses)
+        return Seen(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
 
 
 def says(*pieces: bytes, stay: bool = True) -> object:
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -10,7 +10,9 @@
 
 from molereach.discovery import poll_backoff, watch_supervisor
 from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import SendGossip
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState, Event
+from molereach.policy.interface.messages import GossipMessage
 from molereach.protocol.gossip_codec import pack_words
 from molereach.proxy.gossip import Peers
 from molereach.proxy.proxy import FrontDoor
@@ -58,11 +60,11 @@
         pieces = [stream[n : n + 50] for n in range(0, len(stream), 50)]
         first, second = await news_of(Watch(script(*pieces)), 2)
         states = {server.name: server.state for server in first.event.servers}
-        assert (first.event.kind, first.event.version) == (i.ListKind.FULL, 5)
-        draining = i.ServerState.DRAINING
-        assert states == {"s1": i.ServerState.UP, "s2": draining, "s3": draining}
-        assert (second.event.kind, second.event.version) == (i.ListKind.CHANGES, 6)
-        assert second.event.servers[0].state is i.ServerState.GONE
+        assert (first.event.kind, first.event.version) == (EndpointListKind.FULL, 5)
+        draining = EndpointState.DRAINING
+        assert states == {"s1": EndpointState.UP, "s2": draining, "s3": draining}
+        assert (second.event.kind, second.event.version) == (EndpointListKind.CHANGES, 6)
+        assert second.event.servers[0].state is EndpointState.GONE
 
     run(job())
 
@@ -118,10 +120,12 @@
     async def job() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
         door = FrontDoor(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
-        heard: list[i.Event] = []
+        heard: list[Event] = []
         door.gateway.handle = lambda now, event: heard.append(event) or []
         await door.start()
-        assert [event.kind for event in heard if isinstance(event, i.ServerList)] == [i.ListKind.SAVED]
+        assert [event.kind for event in heard if isinstance(event, EndpointListReceived)] == [
+            EndpointListKind.SAVED
+        ]
         assert door.discovery.version == 3 and list(door.backends.pools) == ["s1"]
         door.close()
 
@@ -136,13 +140,13 @@
         me, friend = (Peers(tuple(ports), number, heard.put_nowait) for number in (0, 1))
         for peers, at in zip((me, friend), ports, strict=True):
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
-        words = tuple(i.Word(n, 0, 0, 2, demand=1.0) for n in range(30))
+        words = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
         with stranger:
             stranger.sendto(pack_words(words[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
         friend.transport.sendto(pack_words(words)[0] * 2, ports[0])  # longer than the wire allows
-        friend.tell(i.Tell(0, words))
-        got: tuple[i.Word, ...] = ()
+        friend.tell(SendGossip(0, words))
+        got: tuple[GossipMessage, ...] = ()
         while len(got) < len(words):
             message = await heard.get()
             assert message.sender == 1
@@ -167,7 +171,7 @@
         )
         self.discovery.start()
 
-    async def names(self) -> tuple[i.ListKind, list[str]]:
+    async def names(self) -> tuple[EndpointListKind, list[str]]:
         event = (await self.heard.get()).event
         return event.kind, [server.name for server in event.servers]
 
@@ -191,11 +195,11 @@
         old = Watch(old_watch)
         new = Watch(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
         moved = Moved(await old.start())
-        assert await moved.names() == (i.ListKind.FULL, ["s1"])
+        assert await moved.names() == (EndpointListKind.FULL, ["s1"])
         moved.discovery.move(await new.start())
-        assert await moved.names() == (i.ListKind.FULL, ["s2"])
+        assert await moved.names() == (EndpointListKind.FULL, ["s2"])
         late.set()
-        assert await moved.names() == (i.ListKind.CHANGES, [])
+        assert await moved.names() == (EndpointListKind.CHANGES, [])
         assert new.targets == ["/catalog/members", "/catalog/members?watch=1&after=2"]
         assert len(old.targets) == 1
         await moved.tasks[0]  # the old watch has ended for good
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -13,7 +13,7 @@
 from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import TURN_BYTES, Steps
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import Routing
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
@@ -40,7 +40,7 @@
     def __init__(self, *scripts: object, version: int = 3) -> None:
         self.watch, self.version = Watch(*scripts), version  # type: ignore[arg-type]
         self.lists = AllSeen()
-        self.seen: asyncio.Queue[i.ServerList] = asyncio.Queue()
+        self.seen: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
 
     def hear(self, news: News | LongNews) -> Steps | None:
@@ -98,7 +98,7 @@
         async with Heard(says(answer(text)), version=0) as door:
             tick()
             event = await door.seen.get()
-            assert (event.kind, event.version, len(event.servers)) == (i.ListKind.FULL, 5, SIZE)
+            assert (event.kind, event.version, len(event.servers)) == (EndpointListKind.FULL, 5, SIZE)
             assert event.servers[7].name == "s-00000007" and event.servers[-1].cell == (SIZE - 1) % 2900
             sizes = door.lists.staged[0].sizes
         pieces = [size for _, size in feeds]
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy import proxy
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
@@ -50,16 +50,16 @@
 
         size = 1
 
-        def shown(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+        def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
             some = event.servers[: self.size]
             addresses = {server.name: addresses[server.name] for server in some}
             return Seen(replace(event, servers=some), addresses) if some else None
 
-        def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
             return self.shown(event, addresses)
 
         def take_over(
-            self, staged: Staged, kind: i.ListKind, version: int
+            self, staged: Staged, kind: EndpointListKind, version: int
         ) -> Generator[None, None, Seen | None]:
             seen = yield from super().take_over(staged, kind, version)
             assert seen
@@ -79,7 +79,7 @@
 
         async with door_before(play) as (door, _):
             assert door.known and door.known.event.servers[0].name == "s1"
-            heard: list[i.ServerList] = []
+            heard: list[EndpointListReceived] = []
             door.see = lambda news: replace(news, seen_by=7)
             hear = door.hear
             door.hear = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
@@ -98,7 +98,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Blind(AllSeen):
-        def take(self, event: i.ServerList, addresses: Mapping[str, Address]) -> Seen | None:
+        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
             return None
 
     monkeypatch.setattr(proxy, "Routing", lambda *values: Blind())
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -25,7 +25,7 @@
 from molereach.fleet.journal import Journal, JournalError
 from molereach.fleet.orders import BookState, Decided, Order, Verb
 from molereach.fleet.settings import TlsTable
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from tests.fleet.agents import OPERATE, READ, TOKENS, client, made, serving, until
 from tests.sockets import HOST, Backend, front_door, run
 
@@ -209,8 +209,8 @@
             await until(lambda: first.book.revision == 1)
             assert first.overlay.drained == {"s0"}
             await until(lambda: agent.status().doors[0].revision == 1)
-            servers = (i.Server("s0", 0, 0, 0, i.ServerState.UP),)
-            door.list_heard(News(i.ServerList(i.ListKind.FULL, 9, servers), {}))
+            servers = (Endpoint("s0", 0, 0, 0, EndpointState.UP),)
+            door.list_heard(News(EndpointListReceived(EndpointListKind.FULL, 9, servers), {}))
             assert (await agent.view()).ready == {"s0": "a"}
             assert (await agent.members()).doors["n0"][0].drained
             first.close()  # as a kill, if its socket stays
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -17,7 +17,7 @@
 from molereach.fleet.control import Control, ControlError, attach
 from molereach.fleet.orders import Book, BookState, Decided, Order, Verb
 from molereach.fleet.wire import Answer, Ask
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CUSTOMER, HOST, Backend, Client, catalog, entry, front_door, query, refusing_address
 from tests.sockets import run as run_job
@@ -159,8 +159,10 @@
         async with controlled(tmp_path / "s", backend) as (door, address, agent, _):
             await agent.ask("put", book=book(order(1, "drain", "s9")))
             there = backend.server.sockets[0].getsockname()
-            servers = tuple(i.Server(name, 0, 0, 0, i.ServerState.UP) for name in ("s8", "s9"))
-            door.list_heard(News(i.ServerList(i.ListKind.FULL, 9, servers), {"s8": there, "s9": there}))
+            servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
+            door.list_heard(
+                News(EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there})
+            )
             assert {name: pool.wanted for name, pool in door.backends.pools.items()} == {
                 "s8": True,
                 "s9": False,
