--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -7,7 +7,7 @@
 
 from molereach.fleet import orders
 from molereach.fleet.orders import Book, BookState, Decided, Order, OrderError, Overlay, Refusal, Verb, Why
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 
 READY = {"s1": "east", "s2": "east", "s3": "west"}
 
@@ -178,46 +178,55 @@
 # --- the list with orders over it ---
 
 
-def server(name: str, state: i.ServerState = i.ServerState.UP) -> i.Server:
-    return i.Server(name, 0, 0, 0, state)
+def server(name: str, state: EndpointState = EndpointState.UP) -> Endpoint:
+    return Endpoint(name, 0, 0, 0, state)
 
 
-def states(news: i.ServerList | None) -> dict[str, i.ServerState]:
+def states(news: EndpointListReceived | None) -> dict[str, EndpointState]:
     return {one.name: one.state for one in news.servers} if news else {}
 
 
 def test_module_sees_a_drained_server_as_draining_and_nothing_added() -> None:
     overlay = Overlay()
-    full = i.ServerList(i.ListKind.FULL, 4, (server("s1"), server("s2", i.ServerState.DRAINING)))
+    full = EndpointListReceived(
+        EndpointListKind.FULL, 4, (server("s1"), server("s2", EndpointState.DRAINING))
+    )
     assert overlay.on_list(full) == full
     changes = overlay.on_orders({"s1", "s2", "unheard"})
-    assert states(changes) == {"s1": i.ServerState.DRAINING} and changes and changes.version == 4
+    assert states(changes) == {"s1": EndpointState.DRAINING} and changes and changes.version == 4
     assert overlay.on_orders({"s1", "s2", "unheard"}) is None
-    again = overlay.on_list(i.ServerList(i.ListKind.CHANGES, 5, (server("s1"), server("s3"))))
-    assert states(again) == {"s1": i.ServerState.DRAINING, "s3": i.ServerState.UP}
-    assert states(overlay.on_orders(())) == {"s1": i.ServerState.UP}  # and s2 stays as discovery has it
+    again = overlay.on_list(EndpointListReceived(EndpointListKind.CHANGES, 5, (server("s1"), server("s3"))))
+    assert states(again) == {"s1": EndpointState.DRAINING, "s3": EndpointState.UP}
+    assert states(overlay.on_orders(())) == {"s1": EndpointState.UP}  # and s2 stays as discovery has it
 
 
 def test_drain_waits_for_a_server_that_is_not_listed_yet() -> None:
     overlay = Overlay()
     assert overlay.on_orders({"s1"}) is None
-    first = overlay.on_list(i.ServerList(i.ListKind.FULL, 1, (server("s1"),)))
-    assert states(first) == {"s1": i.ServerState.DRAINING}  # before any request could reach it
+    first = overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"),)))
+    assert states(first) == {"s1": EndpointState.DRAINING}  # before any request could reach it
 
 
 def test_server_that_is_listed_no_more_is_not_told_of() -> None:
     overlay = Overlay()
-    overlay.on_list(i.ServerList(i.ListKind.FULL, 1, (server("s1"), server("s2"))))
-    overlay.on_list(i.ServerList(i.ListKind.FULL, 2, (server("s2"),)))
+    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"), server("s2"))))
+    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 2, (server("s2"),)))
     assert overlay.on_orders({"s1"}) is None
 
 
-STATES = st.sampled_from(list(i.ServerState))
+STATES = st.sampled_from(list(EndpointState))
 NAMES = st.sampled_from(["s1", "s2", "s3"])
 STEPS = st.lists(
     st.one_of(
         st.tuples(
-            st.sampled_from([i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.SAVED, i.ListKind.FAILED]),
+            st.sampled_from(
+                [
+                    EndpointListKind.FULL,
+                    EndpointListKind.CHANGES,
+                    EndpointListKind.SAVED,
+                    EndpointListKind.FAILED,
+                ]
+            ),
             st.dictionaries(NAMES, STATES),
         ),
         st.frozensets(NAMES),
@@ -228,34 +237,34 @@
 
 @given(STEPS)
 def test_module_never_sees_more_than_discovery_and_orders_allow(
-    steps: list[tuple[i.ListKind, dict[str, i.ServerState]] | frozenset[str]],
+    steps: list[tuple[EndpointListKind, dict[str, EndpointState]] | frozenset[str]],
 ) -> None:
     overlay = Overlay()
-    listed: dict[str, i.ServerState] = {}
-    seen: dict[str, i.ServerState] = {}
+    listed: dict[str, EndpointState] = {}
+    seen: dict[str, EndpointState] = {}
     drained: frozenset[str] = frozenset()
     for step in steps:
         if isinstance(step, frozenset):
             drained, news = step, overlay.on_orders(step)
         else:
             kind, entries = step
-            entries = {} if kind is i.ListKind.FAILED else entries
-            listed = entries if kind in (i.ListKind.FULL, i.ListKind.SAVED) else listed | entries
+            entries = {} if kind is EndpointListKind.FAILED else entries
+            listed = entries if kind in (EndpointListKind.FULL, EndpointListKind.SAVED) else listed | entries
             news = overlay.on_list(
-                i.ServerList(kind, 1, tuple(server(name, state) for name, state in entries.items()))
+                EndpointListReceived(kind, 1, tuple(server(name, state) for name, state in entries.items()))
             )
-            if kind in (i.ListKind.FULL, i.ListKind.SAVED):
+            if kind in (EndpointListKind.FULL, EndpointListKind.SAVED):
                 seen = {}
         seen |= states(news)
         for name in ("s1", "s2", "s3"):
-            up = listed.get(name) is i.ServerState.UP and name not in drained
-            assert (seen.get(name) is i.ServerState.UP) == up
-            if name in listed and listed[name] is not i.ServerState.UP:
+            up = listed.get(name) is EndpointState.UP and name not in drained
+            assert (seen.get(name) is EndpointState.UP) == up
+            if name in listed and listed[name] is not EndpointState.UP:
                 assert seen[name] is listed[name]  # discovery's own word on what is not up goes through
 
 
 def test_orders_over_a_view_say_how_many_share_its_servers() -> None:
-    overlay, one = Overlay(), i.Server("s0", 0, 0, 0, i.ServerState.UP)
-    overlay.on_list(i.ServerList(i.ListKind.FULL, 4, (one,), seen_by=21))
+    overlay, one = Overlay(), Endpoint("s0", 0, 0, 0, EndpointState.UP)
+    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), seen_by=21))
     news = overlay.on_orders({"s0"})
     assert news is not None and news.seen_by == 21 and news.version == 4
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,13 +4,28 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import Action, ForwardAttempt, SendGossip, SetTimer
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    GossipReceived,
+    LoadReport,
+    RequestReceived,
+    TimerExpired,
+)
+from molereach.policy.interface.messages import GossipMessage
+from molereach.policy.interface.settings import Plan, RequestClass, Settings
 
 MS, S = 1_000, 1_000_000
-SAFE = i.RequestClass(aim_us=2 * S, deadline_us=6 * S)
-PLAN = i.Plan(rate=10.0, burst=20.0)
-SETTINGS = i.Settings(
+SAFE = RequestClass(aim_us=2 * S, deadline_us=6 * S)
+PLAN = Plan(rate=10.0, burst=20.0)
+SETTINGS = Settings(
     seed=7,
     me=0,
     gateways=1,
@@ -29,61 +44,65 @@
 )
 
 
-def servers(count: int, **changes: object) -> tuple[i.Server, ...]:
+def servers(count: int, **changes: object) -> tuple[Endpoint, ...]:
     return tuple(
-        replace(i.Server(f"s{n}", n % 2, 0, n // 2, i.ServerState.UP), **changes) for n in range(count)
+        replace(Endpoint(f"s{n}", n % 2, 0, n // 2, EndpointState.UP), **changes) for n in range(count)
     )
 
 
 class World:
     """One gateway with the clock, the timers and the attempts that are out."""
 
-    def __init__(self, settings: i.Settings = SETTINGS, fleet: Iterable[i.Server] = servers(4)) -> None:
+    def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = servers(4)) -> None:
         self.now = 100 * S
         self.gateway = Gateway(settings)
         self.timers: list[tuple[int, int]] = []
-        self.log: list[tuple[int, i.Action]] = []
+        self.log: list[tuple[int, Action]] = []
         self.out: dict[tuple[str, int], tuple[str, int, int]] = {}
         self.tries: dict[str, int] = {}
-        self.tell(i.ServerList(i.ListKind.SAVED, 1, tuple(fleet)))
+        self.tell(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(fleet)))
 
-    def tell(self, event: i.Event) -> list[i.Action]:
+    def tell(self, event: Event) -> list[Action]:
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, i.SetTimer):
+            if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_us, action.token))
-            if isinstance(action, i.Send):
+            if isinstance(action, ForwardAttempt):
                 number = self.tries.get(action.id, 0)
                 self.tries[action.id] = number + 1
                 self.out[(action.id, number)] = (action.server, self.now, action.timeout_us)
         return actions
 
-    def run(self, time_us: int) -> list[i.Action]:
+    def run(self, time_us: int) -> list[Action]:
         """Let time pass; the actions that timers brought."""
         end, start = self.now + time_us, len(self.log)
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = due[0]
-            self.tell(i.Timer(due[1]))
+            self.tell(TimerExpired(due[1]))
         self.now = end
         return [action for _, action in self.log[start:]]
 
-    def ask(self, name: str, left_us: int = 6 * S, **values: object) -> list[i.Action]:
-        request = i.Request(name, 0, 0, "c", left_us)
+    def ask(self, name: str, left_us: int = 6 * S, **values: object) -> list[Action]:
+        request = RequestReceived(name, 0, 0, "c", left_us)
         return self.tell(replace(request, **values))
 
     def answer(
-        self, name: str, result: i.Result = i.Result.OK, attempt: int = 0, report: i.LoadReport | None = None
-    ) -> list[i.Action]:
+        self,
+        name: str,
+        result: AttemptResult = AttemptResult.OK,
+        attempt: int = 0,
+        report: LoadReport | None = None,
+    ) -> list[Action]:
         server, sent, _ = self.out.pop((name, attempt))
-        over = result is i.Result.OK
-        event = i.Outcome(name, over, attempt, server, result, self.now - sent, report=report)
+        over = result is AttemptResult.OK
+        event = AttemptEnded(name, over, attempt, server, result, self.now - sent, report=report)
         return self.tell(event)
 
 
-def of(kind: type, actions: Iterable[i.Action]) -> list[i.Action]:
+def of(kind: type, actions: Iterable[Action]) -> list[Action]:
     return [action for action in actions if isinstance(action, kind)]
 
 
@@ -93,16 +112,16 @@
     def __init__(
         self,
         count: int,
-        settings: i.Settings = SETTINGS,
-        fleet: Iterable[i.Server] = servers(4),
+        settings: Settings = SETTINGS,
+        fleet: Iterable[Endpoint] = servers(4),
         loss: float = 0.0,
     ) -> None:
         self.worlds = [World(replace(settings, me=n, gateways=count, seed=n), fleet) for n in range(count)]
-        self.posted: list[tuple[int, int, tuple[i.Word, ...]]] = []
+        self.posted: list[tuple[int, int, tuple[GossipMessage, ...]]] = []
         self.random, self.loss, self.down = random.Random(3), loss, -1
 
-    def carry(self, sender: int, actions: Iterable[i.Action]) -> None:
-        self.posted += [(sender, action.peer, action.words) for action in of(i.Tell, actions)]
+    def carry(self, sender: int, actions: Iterable[Action]) -> None:
+        self.posted += [(sender, action.peer, action.words) for action in of(SendGossip, actions)]
 
     def ask(self, me: int, name: str, **values: object) -> None:
         self.carry(me, self.worlds[me].ask(name, set_size=len(self.worlds), **values))
@@ -113,11 +132,11 @@
             posted, self.posted = self.posted, []
             for sender, peer, words in posted:
                 if self.random.random() >= self.loss and self.down not in (sender, peer):
-                    self.carry(peer, self.worlds[peer].tell(i.PeerMessage(sender, words)))
+                    self.carry(peer, self.worlds[peer].tell(GossipReceived(sender, words)))
             for me, world in enumerate(self.worlds):
                 self.carry(me, world.run(10 * MS))
                 for name, attempt in list(world.out):
                     world.answer(name, attempt=attempt)
 
     def sent(self) -> int:
-        return sum(isinstance(action, i.Send) for world in self.worlds for _, action in world.log)
+        return sum(isinstance(action, ForwardAttempt) for world in self.worlds for _, action in world.log)
--- a/tests/limits/test_messages.py
+++ b/tests/limits/test_messages.py
@@ -5,25 +5,35 @@
 from hypothesis import strategies as st
 
 from molereach.limits.messages import Codec
-from molereach.policy import interface as i
+from molereach.policy.interface.events import GossipReceived
+from molereach.policy.interface.messages import (
+    GossipMessage,
+    Join,
+    JoinAcknowledged,
+    Leave,
+    LimitMessage,
+    LoanGrant,
+    LoanRequest,
+    SpendingTotal,
+)
 from molereach.protocol.gossip_codec import WORD, pack_words, unpack_words
 
 KEYS = st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 255), st.integers(0, 65535), st.integers(0, 65535))
 NUMBERS, SHARES = st.integers(0, 2**32 - 1), st.integers(0, 10_000)
 UNITS = st.integers(0, 10**7).map(lambda number: number / 50)
 WORDS = st.one_of(
-    st.builds(i.LoanAsk, KEYS, NUMBERS, NUMBERS, SHARES, SHARES, UNITS),
-    st.builds(i.LoanGrant, KEYS, NUMBERS, SHARES, UNITS),
-    st.sampled_from([i.Hello(), i.Bye()]),
-    st.builds(i.Clear, st.integers(0, 65535), st.integers(0, 65535)),
-    st.builds(i.Total, KEYS, UNITS, UNITS),
-    st.just(i.Word(9, 1, 2, 3, True, 1.5, 0.5, 2.0, -4.0)),
+    st.builds(LoanRequest, KEYS, NUMBERS, NUMBERS, SHARES, SHARES, UNITS),
+    st.builds(LoanGrant, KEYS, NUMBERS, SHARES, UNITS),
+    st.sampled_from([Join(), Leave()]),
+    st.builds(JoinAcknowledged, st.integers(0, 65535), st.integers(0, 65535)),
+    st.builds(SpendingTotal, KEYS, UNITS, UNITS),
+    st.just(GossipMessage(9, 1, 2, 3, True, 1.5, 0.5, 2.0, -4.0)),
 )
 KEY = b"k" * 32
 
 
 @given(st.lists(WORDS, max_size=60), st.sampled_from([b"", KEY]))
-def test_words_are_read_as_they_were_told(words: list[i.Word | i.LimitWord], key: bytes) -> None:
+def test_words_are_read_as_they_were_told(words: list[GossipMessage | LimitMessage], key: bytes) -> None:
     sender, receiver = Codec(2, 77, key=key), Codec(1, 5, key=key)
     datagrams = sender.pack(1, words)
     assert datagrams and all(len(data) <= 256 for data in datagrams)
@@ -41,11 +51,11 @@
 
 
 def test_old_and_new_versions_understand_each_other() -> None:
-    word = i.Word(9, 1, 2, 3, True, 1.5)
+    word = GossipMessage(9, 1, 2, 3, True, 1.5)
     old = pack_words([word] * 3)[0]
-    assert Codec(1, 5).unpack(2, old) == i.PeerMessage(2, (word,) * 3)
+    assert Codec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
     assert Codec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
-    first, second = Codec(1, 5, speaks=lambda peer: False).pack(2, [word, i.Hello()])
+    first, second = Codec(1, 5, speaks=lambda peer: False).pack(2, [word, Join()])
     assert unpack_words(first) == (word,) and unpack_words(second) == ()
     assert len(Codec(1, 5).pack(2, [])[0]) < WORD.size  # a beat
 
@@ -62,7 +72,7 @@
 )
 def test_a_changed_datagram_does_not_have_the_key(change: "type") -> None:
     codec = Codec(2, 77, key=KEY)
-    data = codec.pack(1, [i.Clear(4)])[0]
+    data = codec.pack(1, [JoinAcknowledged(4)])[0]
     assert Codec(1, 5, key=KEY).unpack(2, data)
     assert Codec(1, 5, key=KEY).unpack(0, data) is None  # another one's word
     assert Codec(1, 5, key=b"x" * 32).unpack(2, data) is None
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -7,12 +7,13 @@
 
 from molereach.limits.partition_quota import JOIN_US, Reach
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.settings import Plan
 from sim.histories import PLAN, QuotaHistory
 
 S, MS = 1_000_000, 1_000
-QUOTA = i.Plan(rate=12.0, burst=24.0)
-KEY: i.Key = (3, 0, 0, 3)  # its home is front door 0
+QUOTA = Plan(rate=12.0, burst=24.0)
+KEY: CustomerKey = (3, 0, 0, 3)  # its home is front door 0
 
 
 def settled(me: int, **heard: int) -> Reach:
@@ -84,25 +85,27 @@
     spent: float, left: float, joins: float
 ) -> None:
     home = settled(0)
-    assert home.spent(0, 1, i.Total(KEY, 100.0, 8.0)) == 0.0
+    assert home.spent(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
     apart = home.silence_us + 1
     home.reach(apart, KEY)
     back = 10 * S
     home.heard(back, 1, 7)
-    assert home.spent(back, 1, i.Total(KEY, 100.0 + spent, left)) == pytest.approx(-joins)
-    assert home.spent(back, 1, i.Total(KEY, 100.0 + spent, left)) == 0.0  # the same word again
-    assert home.spent(back, 1, i.Total(KEY, 101.0 + spent, left)) == pytest.approx(1.0)
-    assert home.spent(back, 1, i.Total(KEY, 90.0, 8.0)) == 0.0  # an older one, overtaken
+    assert home.spent(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == pytest.approx(-joins)
+    assert home.spent(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == 0.0  # the same word again
+    assert home.spent(back, 1, SpendingTotal(KEY, 101.0 + spent, left)) == pytest.approx(1.0)
+    assert home.spent(back, 1, SpendingTotal(KEY, 90.0, 8.0)) == 0.0  # an older one, overtaken
 
 
 def test_totals_make_good_what_was_lost_and_end_with_a_life() -> None:
     home = settled(0)
-    home.spent(0, 1, i.Total(KEY, 5.0, 3.0))
-    assert home.spent(MS, 1, i.Total(KEY, 9.0, 1.0)) == 4.0  # two words between them were lost
+    home.spent(0, 1, SpendingTotal(KEY, 5.0, 3.0))
+    assert home.spent(MS, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0  # two words between them were lost
     home.heard(2 * MS, 1, 8)
-    assert home.spent(2 * MS, 1, i.Total(KEY, 2.0, 6.0)) == 2.0  # a new life counts from nothing
-    fresh: i.Key = (6, 0, 0, 3)
-    assert home.spent(3 * MS, 1, i.Total(fresh, 500.0, 5.0)) == 3.0  # forgotten here: what its part lacks
+    assert home.spent(2 * MS, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0  # a new life counts from nothing
+    fresh: CustomerKey = (6, 0, 0, 3)
+    assert (
+        home.spent(3 * MS, 1, SpendingTotal(fresh, 500.0, 5.0)) == 3.0
+    )  # forgotten here: what its part lacks
 
 
 def test_a_home_that_starts_knows_neither_that_all_is_unused_nor_that_all_is_spent() -> None:
@@ -113,7 +116,7 @@
     assert home.reach(S + 2 * MS, KEY)[1] == pytest.approx(1 / 3)
     home.nothing_to_tell(2)
     assert home.reach(S + 2 * MS, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
-    assert home.spent(S + 3 * MS, 1, i.Total(KEY, 300.0, 2.0)) == -2.0
+    assert home.spent(S + 3 * MS, 1, SpendingTotal(KEY, 300.0, 2.0)) == -2.0
     assert home.reach(S + 4 * MS, KEY)[1] == 1.0
 
 
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -12,7 +12,7 @@
 from molereach.limits.core import Limits
 from molereach.limits.messages import Codec
 from molereach.limits.service import attacher
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
 from molereach.proxy.proxy import FrontDoor
 from molereach.simulator.adapter import Host, run_batch
@@ -95,7 +95,7 @@
         reply = run_batch(host, iter(batch))
         assert reply and any(line.startswith("TELL 1 b7") for line in reply) == told
         assert isinstance(host.gateways[0].limits, Limits) == told
-        clear = Codec(1, 9).pack(0, [i.Clear(5)])[0].hex()
+        clear = Codec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
         assert run_batch(host, iter(["MARK 2000", "TARGET_INSTANCE 0", f"FROM_PEER 1 {clear}", "EOF_BATCH"]))
         limits = host.gateways[0].limits
         assert not told or (isinstance(limits, Limits) and limits.escrow.cleared == {1: 2000})
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -9,12 +9,13 @@
 from molereach.limits.core import Limits
 from molereach.limits.escrow import WHOLE, Escrow
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
+from molereach.policy.interface.messages import CustomerKey, LoanGrant, LoanRequest
+from molereach.policy.interface.settings import Plan, Settings
 from sim.histories import BrokenError, ShareHistory
 
 S, MS = 1_000_000, 1_000
-PLAN = i.Plan(rate=1.0, burst=1.0, ceiling_rate=30.0, ceiling_burst=60.0)
-KEY: i.Key = (7, 0, 0, 3)
+PLAN = Plan(rate=1.0, burst=1.0, ceiling_rate=30.0, ceiling_burst=60.0)
+KEY: CustomerKey = (7, 0, 0, 3)
 FIGURES = LimitSettings(floor=0.1)
 
 
@@ -60,7 +61,7 @@
     """A grant takes hold whatever ask it answers."""
     granted = Escrow.granted
 
-    def careless(self: Escrow, now: int, lender: int, grant: i.LoanGrant) -> None:
+    def careless(self: Escrow, now: int, lender: int, grant: LoanGrant) -> None:
         account = self.accounts.get(grant.key)
         if account and lender in account.debts:
             grant = replace(grant, number=account.debts[lender].number)
@@ -73,7 +74,7 @@
     """A borrower counts a loan's time from when its grant came."""
     granted = Escrow.granted
 
-    def late(self: Escrow, now: int, lender: int, grant: i.LoanGrant) -> None:
+    def late(self: Escrow, now: int, lender: int, grant: LoanGrant) -> None:
         account = self.accounts.get(grant.key)
         if account and (debt := account.debts.get(lender)):
             debt.asked_us = now
@@ -104,7 +105,7 @@
         account: "escrow._Account",
         loan: "escrow._Loan",
         generation: int,
-        ask: i.LoanAsk,
+        ask: LoanRequest,
     ) -> None:
         lend(self, now, account, loan, generation, replace(ask, accepted=-1))
 
@@ -151,8 +152,8 @@
             for sender, peer, word in words:
                 self.hear(sender, peer, word)
 
-    def hear(self, sender: int, peer: int, word: i.LoanAsk | i.LoanGrant) -> None:
-        if isinstance(word, i.LoanAsk):
+    def hear(self, sender: int, peer: int, word: LoanRequest | LoanGrant) -> None:
+        if isinstance(word, LoanRequest):
             self.doors[peer].asked(self.now, sender, 1, word)
         else:
             self.doors[peer].granted(self.now, sender, word)
@@ -205,8 +206,8 @@
     door = pair.doors[0]
     door.room(pair.now, KEY, 1e6)
     (lender, ask), *_ = door.due(pair.now)
-    assert isinstance(ask, i.LoanAsk)
-    grant = i.LoanGrant(KEY, ask.number, WHOLE, 1e9)
+    assert isinstance(ask, LoanRequest)
+    grant = LoanGrant(KEY, ask.number, WHOLE, 1e9)
     pair.hear(lender, 0, replace(grant, number=ask.number - 1))
     assert pair.share(0) < 0.34
     pair.hear(lender, 0, grant)
@@ -221,7 +222,7 @@
     late.pass_by(FIGURES.borrowed_us, carry=False)
     late.doors[0].take(late.now, KEY, 15.0)
     store = late.doors[0].room(late.now, KEY)
-    late.hear(lender, 0, i.LoanGrant(KEY, ask.number, 3000, 10.0))
+    late.hear(lender, 0, LoanGrant(KEY, ask.number, 3000, 10.0))
     assert late.share(0) < 0.34 and late.doors[0].room(late.now, KEY) == store
 
 
@@ -254,18 +255,18 @@
             door.clear(500 * MS, 2)
         assert (door.room(S, KEY) == 0.0) == waits
         assert door.room(FIGURES.quiet_us + 500 * MS, KEY) > 0
-        other: i.Key = (8, 0, 0, 3)  # first seen after the words came
+        other: CustomerKey = (8, 0, 0, 3)  # first seen after the words came
         assert (door.room(S + 1, other) == 0.0) == waits
 
 
 def test_words_of_two_lives_that_overtake_each_other_free_nothing() -> None:
     door = Escrow(0, 3, (PLAN,), FIGURES)
     door.start(0)
-    door.asked(60 * S, 1, 2, i.LoanAsk(KEY, 50, 0, 0, 3000))
+    door.asked(60 * S, 1, 2, LoanRequest(KEY, 50, 0, 0, 3000))
     lent = door.accounts[KEY].loans[1].lent(60 * S)
     assert lent > 2000
     for generation, number in ((1, 90), (2, 51), (1, 91)):  # of a life that is over, whose clock was ahead
-        door.asked(60 * S + 1, 1, generation, i.LoanAsk(KEY, number, 0, 0, 0))
+        door.asked(60 * S + 1, 1, generation, LoanRequest(KEY, number, 0, 0, 0))
         assert door.accounts[KEY].loans[1].lent(60 * S + 1) == lent
     assert door.accounts[KEY].loans[1].lent(60 * S + 2 * FIGURES.lent_us) == 0
 
@@ -274,7 +275,7 @@
     monkeypatch.setattr(escrow, "MOST_ACCOUNTS", 3)
     door = Escrow(0, 3, (PLAN, replace(PLAN, ceiling_rate=0.0)), FIGURES)
     door.start(0)
-    ask = i.LoanAsk(KEY, 1, 0, WHOLE, WHOLE, 1e9)
+    ask = LoanRequest(KEY, 1, 0, WHOLE, WHOLE, 1e9)
     for key in ((1, 7, 0, 3), (1, 1, 0, 3), (1, 0, 9, 3), (1, 0, 0, 4), (1, 0, 1, 2)):
         door.asked(60 * S, 1, 1, replace(ask, key=key))  # no such plan, no ceiling, no such set, not of it
     assert not door.due(60 * S) and not door.accounts
@@ -291,13 +292,13 @@
 
 
 def test_customers_by_the_thousand_leave_nothing_behind() -> None:
-    settings = i.Settings(seed=1, me=0, gateways=3, classes=(), plans=(PLAN,), peer_messages_per_s=60.0)
+    settings = Settings(seed=1, me=0, gateways=3, classes=(), plans=(PLAN,), peer_messages_per_s=60.0)
     limits = Limits(settings, FIGURES)
     limits.start(0)
     told = 0
     for number in range(5000):
         now = 10 * S + number * MS
-        key: i.Key = (number, 0, 0, 3)
+        key: CustomerKey = (number, 0, 0, 3)
         limits.want(now, key, 100.0)
         limits.spend(now, key, 1.0, 0.0)
         told += len([word for _, word in limits.due(now) if word])
--- a/tests/policy/gateways.py
+++ b/tests/policy/gateways.py
@@ -2,11 +2,11 @@
 
 from dataclasses import replace
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Idempotency, RequestClass, Settings
 from tests.helpers import SETTINGS, S
 
-UNSAFE = i.RequestClass(2 * S, 6 * S, effect=i.Effect.UNSAFE)
+UNSAFE = RequestClass(2 * S, 6 * S, effect=Idempotency.UNSAFE)
 
 
-def with_class(rule: i.RequestClass, **changes: object) -> i.Settings:
+def with_class(rule: RequestClass, **changes: object) -> Settings:
     return replace(SETTINGS, classes=(rule,), **changes)
--- a/tests/policy/replay.py
+++ b/tests/policy/replay.py
@@ -23,8 +23,10 @@
 import sim.histories
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import Action
+from molereach.policy.interface.events import Event
+from molereach.policy.interface.settings import Settings
 from rig import scenario_files
 from sim.histories import MS, QuotaHistory, S
 from sim.world import play
@@ -32,18 +34,18 @@
 SHORT = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
 POLICY = "molereach.policy"
 INTERFACE = "molereach.policy.interface"  # both sides share its types: actions are compared
-Stream = tuple[i.Settings, LimitSettings | None, list[tuple[int, i.Event]]]
+Stream = tuple[Settings, LimitSettings | None, list[tuple[int, Event]]]
 STREAMS: list[Stream] = []
 
 
 class Recorded(Gateway):
     """A gateway whose events are kept."""
 
-    def __init__(self, settings: i.Settings, limits: Any = None) -> None:  # noqa: ANN401
+    def __init__(self, settings: Settings, limits: Any = None) -> None:  # noqa: ANN401
         super().__init__(settings, limits)
         self.settings_given, self.heard = settings, []
 
-    def handle(self, now_us: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now_us: int, event: Event) -> list[Action]:
         if not self.heard:  # limits may be handed in between the start and the first event
             figures = self.limits.settings if self.limits else None
             STREAMS.append((self.settings_given, figures, self.heard))
--- a/tests/policy/rules/test_admission.py
+++ b/tests/policy/rules/test_admission.py
@@ -3,24 +3,26 @@
 from dataclasses import replace
 from random import Random
 
-from molereach.policy import interface as i
 from molereach.policy.admission import ASK_US, ASKS, Admission
 from molereach.policy.customers import SILENT_US, Customers
+from molereach.policy.interface.events import GossipReceived, RequestReceived
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
+from molereach.policy.interface.settings import Plan
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import GRANT_US
 from tests.helpers import SAFE, SETTINGS, S
 
 NOW = 100 * S
-PLAN = i.Plan(rate=10.0, burst=20.0)
-CEILED = i.Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE: i.Key = (0, 0, 0, 2)  # its home is the first of the set
-THERE: i.Key = (1, 0, 0, 2)
+PLAN = Plan(rate=10.0, burst=20.0)
+CEILED = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+HERE: CustomerKey = (0, 0, 0, 2)  # its home is the first of the set
+THERE: CustomerKey = (1, 0, 0, 2)
 
 
 class Table:
     """Requests, and what was decided on them."""
 
-    def __init__(self, plan: i.Plan = PLAN) -> None:
+    def __init__(self, plan: Plan = PLAN) -> None:
         settings = replace(SETTINGS, plans=(plan,), gateways=3)
         self.decided: list[tuple[str, float]] = []
         self.customers = Customers(settings, None)
@@ -29,25 +31,25 @@
     def decide(self, job: Job, chance: float) -> None:
         self.decided.append((job.req.id, chance))
 
-    def ask(self, name: str, key: i.Key, now: int = NOW, part: float = 0.0) -> Job:
+    def ask(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> Job:
         customer = self.customers.get(now, key)
         customer.part = part
-        job = Job(i.Request(name, 0, 0, "", 6 * S), SAFE, customer, now, 0)
+        job = Job(RequestReceived(name, 0, 0, "", 6 * S), SAFE, customer, now, 0)
         self.admission.admit(now, job)
         return job
 
     def words(self, now: int = NOW) -> tuple[object, ...]:
         return tuple(word for tell in self.admission.words.leave(now) for word in tell.words)
 
-    def hear(self, *words: i.Word, now: int = NOW) -> None:
-        self.admission.hear(now, i.PeerMessage(1, words))
+    def hear(self, *words: GossipMessage, now: int = NOW) -> None:
+        self.admission.hear(now, GossipReceived(1, words))
 
 
 def test_part_lets_in_and_the_home_is_told_afterwards() -> None:
     table = Table()
     table.ask("a", THERE, part=1.0)
     assert table.decided == [("a", 1.0)] and not table.admission.waits
-    assert table.words() == (i.Word(*THERE, demand=1.0, level=20.0),)
+    assert table.words() == (GossipMessage(*THERE, demand=1.0, level=20.0),)
 
 
 def test_at_the_home_the_chance_rule_decides_at_once() -> None:
@@ -63,10 +65,10 @@
     first, second = table.ask("a", THERE), table.ask("b", THERE)
     assert table.decided == [] and table.admission.waits == [first, second]
     assert [word.asked for word in table.words()] == [1.0, 1.0]
-    table.hear(i.Word(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=False))
+    table.hear(GossipMessage(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=False))
     assert table.decided == [("a", 0.0)] and table.admission.waits == [second]
     assert first.customer.level == 4.0 and first.customer.others == 6.0
-    table.hear(i.Word(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=True))
+    table.hear(GossipMessage(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=True))
     assert table.decided[1:] == [("b", 1.0)] and not table.admission.waits
     assert first.customer.spent == -1.0  # the home has counted it already
 
@@ -107,28 +109,28 @@
 def test_home_adds_up_draws_and_answers() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
-    table.hear(i.Word(*HERE, demand=2.0, spent=3.0, asked=1.0, level=20.0))
+    table.hear(GossipMessage(*HERE, demand=2.0, spent=3.0, asked=1.0, level=20.0))
     assert customer.others == 2.0 and customer.level == 20.0 - 3.0 - 1.0  # of all its demand it has enough
     (answer,) = table.words()
-    assert isinstance(answer, i.Word) and answer.is_answer and answer.inside and answer.level == 17.0
-    table.hear(i.Word(*HERE, demand=1.0, spent=1.0))
+    assert isinstance(answer, GossipMessage) and answer.is_answer and answer.inside and answer.level == 17.0
+    table.hear(GossipMessage(*HERE, demand=1.0, spent=1.0))
     assert not table.admission.words.waiting  # nobody waits, and there is plenty
     customer.level = 0.5
-    table.hear(i.Word(*HERE, demand=1.0, asked=1.0))
+    table.hear(GossipMessage(*HERE, demand=1.0, asked=1.0))
     assert customer.level == 0.5  # it drew no
 
 
 def test_home_that_starts_anew_takes_over_the_level_that_it_is_told() -> None:
     table = Table()
-    table.hear(i.Word(*HERE, level=6.0))
-    table.hear(i.Word(*HERE, level=2.0))
+    table.hear(GossipMessage(*HERE, level=6.0))
+    table.hear(GossipMessage(*HERE, level=2.0))
     assert table.customers.known[HERE].level == 6.0
 
 
 def test_units_that_the_home_grants_come_with_its_word_and_do_not_keep() -> None:
     table = Table(CEILED)
     job = table.ask("a", THERE)
-    word = i.Word(*THERE, is_answer=True, asked=1.0, level=4.0, granted=True, inside=True)
+    word = GossipMessage(*THERE, is_answer=True, asked=1.0, level=4.0, granted=True, inside=True)
     table.hear(word, now=NOW + S // 10)
     assert job.customer.given == [(NOW + GRANT_US, 1.0)]
     home = Table(CEILED)
@@ -140,6 +142,6 @@
 def test_words_of_sets_without_this_gateway_are_passed_over() -> None:
     table = Table()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
-        table.hear(i.Word(*key, level=1.0))
-    table.hear(i.Word(0, i.SPLIT_MARK, 0, 0))
+        table.hear(GossipMessage(*key, level=1.0))
+    table.hear(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
     assert not table.customers.known and table.admission.peers.leaves(1)
--- a/tests/policy/rules/test_attempts.py
+++ b/tests/policy/rules/test_attempts.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from molereach.policy import interface as i
 from molereach.policy.attempts import RETRY_SHARE, RETRY_STORE, Attempts
 from molereach.policy.backend_state import Server
+from molereach.policy.interface.events import AttemptEnded, AttemptResult, RequestReceived
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import Customer
 from tests.helpers import MS, PLAN, SAFE, SETTINGS, S, servers
@@ -15,16 +16,16 @@
 ONE, OTHER = map(Server, servers(2))
 
 
-def attempts_of(rule: i.RequestClass = SAFE, **changes: object) -> tuple[Attempts, Job]:
+def attempts_of(rule: RequestClass = SAFE, **changes: object) -> tuple[Attempts, Job]:
     settings = replace(SETTINGS, classes=(rule,), **changes)
     attempts = Attempts(settings)
     customer = Customer(PLAN, (1, 0, 0, 1), settings, NOW, 0)
-    job = attempts.jobs["a"] = Job(i.Request("a", 0, 0, "c", 6 * S), rule, customer, NOW, 0)
+    job = attempts.jobs["a"] = Job(RequestReceived("a", 0, 0, "c", 6 * S), rule, customer, NOW, 0)
     return attempts, job
 
 
-def outcome(result: i.Result, attempt: int = 0, took: int = 10 * MS, **changes: object) -> i.Outcome:
-    return replace(i.Outcome("a", False, attempt, "", result, took), **changes)
+def outcome(result: AttemptResult, attempt: int = 0, took: int = 10 * MS, **changes: object) -> AttemptEnded:
+    return replace(AttemptEnded("a", False, attempt, "", result, took), **changes)
 
 
 def test_attempt_is_out_until_it_ends_once() -> None:
@@ -32,32 +33,36 @@
     server = Server(servers(1)[0])
     assert attempts.begin(NOW, job, server).server == "s0"
     assert (attempts.out, job.customer.out, len(server.out), job.ran_on) == (1, 1, 1, server)
-    assert attempts.end(NOW, outcome(i.Result.OK, 1)) is None
-    assert attempts.end(NOW, outcome(i.Result.OK, id="b")) is None
-    assert attempts.end(NOW, outcome(i.Result.OK)) is job
+    assert attempts.end(NOW, outcome(AttemptResult.OK, 1)) is None
+    assert attempts.end(NOW, outcome(AttemptResult.OK, id="b")) is None
+    assert attempts.end(NOW, outcome(AttemptResult.OK)) is job
     assert (attempts.out, job.customer.out, len(server.out), server.kept) == (0, 0, 0, 1)
-    assert attempts.end(NOW, outcome(i.Result.OK)) is None
+    assert attempts.end(NOW, outcome(AttemptResult.OK)) is None
     attempts.begin(NOW, job, server)
     assert server.kept == 0  # the connection that rested is in use, if it did
 
 
 def test_request_that_ran_nowhere_may_go_anywhere() -> None:
-    keyed = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.CELL, window_us=S)
-    for result, ran in ((i.Result.FULL, False), (i.Result.CONNECT_FAILED, False), (i.Result.RESET, True)):
+    keyed = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window_us=S)
+    for result, ran in (
+        (AttemptResult.FULL, False),
+        (AttemptResult.CONNECT_FAILED, False),
+        (AttemptResult.RESET, True),
+    ):
         attempts, job = attempts_of(keyed)
         attempts.begin(NOW, job, Server(servers(1)[0]))
         assert not job.may_refuse(NOW) and not job.may_run_on(NOW, Server(servers(4)[3]))
         attempts.end(NOW, outcome(result))
         assert job.may_refuse(NOW) is not ran and job.may_run_on(NOW, Server(servers(4)[3])) is not ran
-        assert job.unsent == (result is i.Result.CONNECT_FAILED)
+        assert job.unsent == (result is AttemptResult.CONNECT_FAILED)
 
 
 def test_refusal_of_what_may_have_run_ends_with_the_window_of_its_repeats() -> None:
     """A refusal says that trying again is harmless: only for as long as servers know the first."""
-    keyed = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.ALL, window_us=S)
+    keyed = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window_us=S)
     attempts, job = attempts_of(keyed)
     attempts.begin(NOW, job, Server(servers(1)[0]))
-    attempts.end(NOW, outcome(i.Result.RESET))
+    attempts.end(NOW, outcome(AttemptResult.RESET))
     assert job.may_refuse(NOW + S - 1) and not job.may_refuse(NOW + S)
 
 
@@ -68,7 +73,7 @@
     assert attempts.begin(NOW, job, ONE).timeout_us == 2 * S - 400 * MS
     assert attempts.begin(NOW + S, job, OTHER).timeout_us == 600 * MS
     assert attempts.begin(NOW + S, job, ONE).timeout_us == 5 * S  # the last that it may have
-    attempts, job = attempts_of(replace(SAFE, effect=i.Effect.UNSAFE))
+    attempts, job = attempts_of(replace(SAFE, effect=Idempotency.UNSAFE))
     assert attempts.begin(NOW, job, ONE).timeout_us == 6 * S
     assert attempts.time_out(NOW + 7 * S, job) == 1
 
@@ -79,11 +84,11 @@
     assert attempts.mean_us == [500.0 * MS]
     attempts.begin(NOW, job, server)
     job.in_quota, level = True, job.customer.level
-    attempts.end(NOW, outcome(i.Result.OK, took=5 * S, true_units=3.0))
+    attempts.end(NOW, outcome(AttemptResult.OK, took=5 * S, true_units=3.0))
     assert server.slowness == pytest.approx(1.3) and attempts.mean_us == [950.0 * MS]
     assert server.heard_us == NOW and job.customer.level == level - 2.0
     attempts.begin(NOW, job, server)
-    attempts.end(NOW, outcome(i.Result.ERROR, 1, took=5 * S))
+    attempts.end(NOW, outcome(AttemptResult.ERROR, 1, took=5 * S))
     assert attempts.mean_us == [950.0 * MS] and server.fails == 1
 
 
@@ -99,23 +104,23 @@
     attempts, job = attempts_of(max_attempts=99)
     attempts.begin(NOW, job, ONE)
     assert attempts.retries == RETRY_STORE / 2 + RETRY_SHARE
-    assert not attempts.has_another(NOW, job, i.Result.MOOT)
+    assert not attempts.has_another(NOW, job, AttemptResult.MOOT)
     for _ in range(4):
-        assert attempts.has_another(NOW, job, i.Result.RESET)
-        attempts.pay(i.Result.RESET)
-    assert not attempts.has_another(NOW, job, i.Result.RESET)
-    assert attempts.has_another(NOW, job, i.Result.CONNECT_FAILED)
-    attempts.pay(i.Result.CONNECT_FAILED)
+        assert attempts.has_another(NOW, job, AttemptResult.RESET)
+        attempts.pay(AttemptResult.RESET)
+    assert not attempts.has_another(NOW, job, AttemptResult.RESET)
+    assert attempts.has_another(NOW, job, AttemptResult.CONNECT_FAILED)
+    attempts.pay(AttemptResult.CONNECT_FAILED)
     assert attempts.retries == pytest.approx(RETRY_SHARE)  # as nothing was sent
-    assert not attempts.has_another(NOW + 6 * S - 250 * MS, job, i.Result.CONNECT_FAILED)
+    assert not attempts.has_another(NOW + 6 * S - 250 * MS, job, AttemptResult.CONNECT_FAILED)
     attempts, job = attempts_of(max_attempts=1)
     attempts.begin(NOW, job, ONE)
-    assert not attempts.has_another(NOW, job, i.Result.CONNECT_FAILED)
+    assert not attempts.has_another(NOW, job, AttemptResult.CONNECT_FAILED)
 
 
 def test_retry_has_that_much_less_of_its_time_left() -> None:
     attempts, _ = attempts_of()
-    first = i.Request("f", 0, 0, "c", 6 * S)
+    first = RequestReceived("f", 0, 0, "c", 6 * S)
     assert attempts.gone_us(replace(first, is_repeat=True)) == 0  # nothing is known yet
     assert attempts.gone_us(first) == 0
     assert attempts.gone_us(replace(first, left_us=4 * S, is_repeat=True)) == 2 * S
@@ -129,13 +134,13 @@
 
 
 def test_repeat_says_until_when_it_may_still_be_written() -> None:
-    keyed = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.ALL, window_us=S)
-    unsafe = replace(SAFE, effect=i.Effect.UNSAFE)
+    keyed = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window_us=S)
+    unsafe = replace(SAFE, effect=Idempotency.UNSAFE)
     for rule, result, until in (
-        (keyed, i.Result.RESET, NOW + S),
-        (keyed, i.Result.CONNECT_FAILED, 0),
-        (SAFE, i.Result.RESET, 0),
-        (unsafe, i.Result.CONNECT_FAILED, 0),
+        (keyed, AttemptResult.RESET, NOW + S),
+        (keyed, AttemptResult.CONNECT_FAILED, 0),
+        (SAFE, AttemptResult.RESET, 0),
+        (unsafe, AttemptResult.CONNECT_FAILED, 0),
     ):
         attempts, job = attempts_of(rule)
         assert attempts.begin(NOW, job, ONE).whole_by_us == 0
--- a/tests/policy/rules/test_cap.py
+++ b/tests/policy/rules/test_cap.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import RequestClass
 from molereach.policy.overload_control import LEAST_OUT, START_PER_SERVER, TARGETS, Cap, next_n
 from molereach.policy.time_units import TICK_US
 from tests.helpers import SETTINGS, S
@@ -90,5 +90,5 @@
 
 def test_second_follows_the_aims_of_the_deployment() -> None:
     for aim_us, second in ((3 * S, S), (3 * S // 4, S // 2)):
-        cap = Cap(replace(SETTINGS, classes=(i.RequestClass(aim_us, 6 * S),)))
+        cap = Cap(replace(SETTINGS, classes=(RequestClass(aim_us, 6 * S),)))
         assert cap.second == cap.cc_us == second
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -2,13 +2,14 @@
 
 from dataclasses import replace
 
-from molereach.policy import interface as i
 from molereach.policy.customers import LEAST_KEPT_US, SILENT_US, Customers
+from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.settings import Plan
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
-PLAN = i.Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
-KEY: i.Key = (5, 0, 0, 2)
+PLAN = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
+KEY: CustomerKey = (5, 0, 0, 2)
 
 
 class Limits:
@@ -19,13 +20,13 @@
         self.reached: tuple[int, float, float] = (1, 0.5, 0.0)
         self.has_room, self.new = False, 3.0
 
-    def reach(self, now_us: int, key: i.Key) -> tuple[int, float, float]:
+    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
         return self.reached
 
-    def room(self, now_us: int, key: i.Key, units: float) -> bool:
+    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.has_room
 
-    def spent(self, now_us: int, sender: int, total: i.Total) -> float:
+    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
         return self.new
 
     def want(self, *values: object) -> None:
@@ -38,7 +39,7 @@
         self.log.append(("spend", *values))
 
 
-def customers_of(plan: i.Plan = PLAN, limits: Limits | None = None) -> Customers:
+def customers_of(plan: Plan = PLAN, limits: Limits | None = None) -> Customers:
     settings = replace(SETTINGS, plans=(plan,), gateways=3)
     return Customers(settings, limits)  # type: ignore[arg-type]
 
@@ -78,7 +79,7 @@
     assert customers.below_ceiling(NOW, known, 30.0) and not customers.below_ceiling(NOW, known, 31.0)
     customers.pass_ceiling(NOW, known, 30.0)
     assert not customers.below_ceiling(NOW, known, 1.0) and customers.below_ceiling(NOW + S, known, 2.0)
-    assert customers_of(i.Plan()).below_ceiling(NOW, customers_of(i.Plan()).get(NOW, KEY), 1e9)
+    assert customers_of(Plan()).below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
 
 
 def test_limits_are_asked_and_told() -> None:
@@ -107,10 +108,10 @@
     limits.reached = (0, 1.0, 0.0)
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
-    customers.take_total(NOW, 2, i.Total(KEY, 3.0, 0.0))
+    customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
     assert known.level == 17
     limits.new = -2.0
-    customers.take_total(NOW, 2, i.Total(KEY, 3.0, 0.0))
+    customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
     assert known.level == 19
 
 
--- a/tests/policy/rules/test_fleet.py
+++ b/tests/policy/rules/test_fleet.py
@@ -3,36 +3,49 @@
 from dataclasses import replace
 from random import Random
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    LoadReport,
+    RequestReceived,
+)
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.policy.load_balancing import CHOICES, KEPT_CHOICES, Fleet
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import Customer
 from tests.helpers import PLAN, SAFE, SETTINGS, S, servers
 
 NOW = 100 * S
-KEYED = i.RequestClass(2 * S, 6 * S, effect=i.Effect.KEYED, group=i.Group.ZONE, window_us=3 * S)
+KEYED = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=3 * S)
 
 
-def fleet_of(entries: tuple[i.Server, ...], settings: i.Settings = SETTINGS) -> Fleet:
+def fleet_of(entries: tuple[Endpoint, ...], settings: Settings = SETTINGS) -> Fleet:
     fleet = Fleet(settings, Random(1))
-    fleet.learn(NOW, i.ServerList(i.ListKind.FULL, 1, entries))
+    fleet.learn(NOW, EndpointListReceived(EndpointListKind.FULL, 1, entries))
     return fleet
 
 
-def job(rule: i.RequestClass = SAFE) -> Job:
+def job(rule: RequestClass = SAFE) -> Job:
     customer = Customer(PLAN, (1, 0, 0, 1), SETTINGS, NOW, 0)
-    return Job(i.Request("a", 0, 0, "c", 6 * S), rule, customer, NOW, 0)
+    return Job(RequestReceived("a", 0, 0, "c", 6 * S), rule, customer, NOW, 0)
 
 
 def test_list_is_followed_by_its_kind() -> None:
     first, second, third = servers(3)
     fleet = fleet_of((first, second))
     kept = fleet.servers["s0"]
-    fleet.learn(NOW, i.ServerList(i.ListKind.CHANGES, 2, (third, replace(second, state=i.ServerState.GONE))))
+    fleet.learn(
+        NOW,
+        EndpointListReceived(EndpointListKind.CHANGES, 2, (third, replace(second, state=EndpointState.GONE))),
+    )
     assert set(fleet.servers) == {"s0", "s2"} and fleet.servers["s0"] is kept
-    fleet.learn(NOW, i.ServerList(i.ListKind.FAILED, 0))
+    fleet.learn(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
     assert set(fleet.servers) == {"s0", "s2"}  # the old list holds
-    fleet.learn(NOW, i.ServerList(i.ListKind.FULL, 3, (replace(first, state=i.ServerState.DRAINING),)))
+    fleet.learn(
+        NOW, EndpointListReceived(EndpointListKind.FULL, 3, (replace(first, state=EndpointState.DRAINING),))
+    )
     assert set(fleet.servers) == {"s0"} and not fleet.up and not fleet.warm
 
 
@@ -44,8 +57,8 @@
     due = {}
     for seen_by in (0, 21):
         fleet = Fleet(many, Random(1))
-        fleet.learn(NOW, i.ServerList(i.ListKind.FULL, 2, cold, seen_by))
-        fleet.learn(NOW, i.ServerList(i.ListKind.FAILED, 0))
+        fleet.learn(NOW, EndpointListReceived(EndpointListKind.FULL, 2, cold, seen_by))
+        fleet.learn(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
         assert fleet.sharers == (seen_by or 7500)
         for server in fleet.up:
             server.credit = 0.0
@@ -56,7 +69,7 @@
 def test_server_that_started_anew_is_cold_and_begins_at_a_time_of_its_own() -> None:
     fleet = fleet_of(servers(2))
     fleet.servers["s0"].fails = 1.0
-    fleet.learn(NOW, i.ServerList(i.ListKind.CHANGES, 2, (servers(1, started_us=NOW)[0],)))
+    fleet.learn(NOW, EndpointListReceived(EndpointListKind.CHANGES, 2, (servers(1, started_us=NOW)[0],)))
     known = fleet.servers["s0"]
     assert known.fails == 0 and known.sent_us == NOW and 0 < known.credit < 1
     assert fleet.warm == 1 + SETTINGS.cold_from
@@ -69,8 +82,8 @@
     assert fleet.choose(NOW, asked) is fast
     asked.servers.append(fast)
     assert fleet.choose(NOW, asked) is slow
-    fleet.hear_load(NOW, slow, i.LoadReport(util=0.9))
-    fleet.hear_load(NOW, busy, i.LoadReport(util=0.01))
+    fleet.hear_load(NOW, slow, LoadReport(util=0.9))
+    fleet.hear_load(NOW, busy, LoadReport(util=0.01))
     assert fleet.choose(NOW, asked) is busy
     assert fleet.choose(NOW + 2 * S, asked) is full  # no more avoided
     assert fleet.cost(NOW, slow) > 1.5 == fleet.cost(NOW + 2 * S, slow)  # reports that old say nothing
@@ -85,7 +98,7 @@
     chosen = {fleet.choose(NOW, keyed) for _ in range(40)}
     assert chosen <= {fleet.servers["s1"], fleet.servers["s3"]}
     assert fleet.choose(NOW + 3 * S, keyed) is None
-    assert fleet.choose(NOW, job(replace(KEYED, effect=i.Effect.UNSAFE))) is not None
+    assert fleet.choose(NOW, job(replace(KEYED, effect=Idempotency.UNSAFE))) is not None
 
 
 def test_a_few_are_looked_at_and_most_have_a_connection_that_rests() -> None:
--- a/tests/policy/rules/test_server.py
+++ b/tests/policy/rules/test_server.py
@@ -2,8 +2,8 @@
 
 from dataclasses import replace
 
-from molereach.policy import interface as i
 from molereach.policy.backend_state import AVOID_US, SUSPECT_MAX_US, SUSPECT_US, Server
+from molereach.policy.interface.events import AttemptResult
 from tests.helpers import MS, SETTINGS, S, servers
 
 WARM_US = SETTINGS.warm_within_us
@@ -42,14 +42,14 @@
 
 def test_full_server_is_avoided_and_a_slow_answer_of_one_that_answers_is_no_failure() -> None:
     known = server()
-    known.note_end(NOW, i.Result.FULL, MS, WARM_US)
+    known.note_end(NOW, AttemptResult.FULL, MS, WARM_US)
     assert known.avoid_until == NOW + AVOID_US and not known.fails
     known.heard_us = NOW
-    known.note_end(NOW + S, i.Result.TIMEOUT, 2 * S, WARM_US)
+    known.note_end(NOW + S, AttemptResult.TIMEOUT, 2 * S, WARM_US)
     assert not known.fails
-    known.note_end(NOW + S, i.Result.TIMEOUT, S // 2, WARM_US)
+    known.note_end(NOW + S, AttemptResult.TIMEOUT, S // 2, WARM_US)
     assert known.fails == 1
-    for result in (i.Result.CANCELLED, i.Result.MOOT):
+    for result in (AttemptResult.CANCELLED, AttemptResult.MOOT):
         known.note_end(NOW + S, result, MS, WARM_US)
     assert known.fails == 1
 
--- a/tests/policy/rules/test_words.py
+++ b/tests/policy/rules/test_words.py
@@ -4,21 +4,22 @@
 
 import pytest
 
-from molereach.policy import interface as i
 from molereach.policy.customers import Customers
 from molereach.policy.gossip import LATE_US, MARK_US, SPACE_US, Words
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
+from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import Peers
 from molereach.policy.quota import LATE_SPENT, Customer
 from tests.helpers import MS, SETTINGS, S
 
 NOW = 100 * S
-PLAN = i.Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE: i.Key = (0, 0, 0, 2)  # its home is the first of the set
-THERE: i.Key = (1, 0, 0, 2)
-MARK = i.Word(0, i.SPLIT_MARK, 0, 0)
+PLAN = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+HERE: CustomerKey = (0, 0, 0, 2)  # its home is the first of the set
+THERE: CustomerKey = (1, 0, 0, 2)
+MARK = GossipMessage(0, SPLIT_CEILING_MARK, 0, 0)
 
 
-def words_of(plan: i.Plan = PLAN, **changes: object) -> Words:
+def words_of(plan: Plan = PLAN, **changes: object) -> Words:
     settings = replace(SETTINGS, plans=(plan,), gateways=2, **changes)
     return Words(settings, Customers(settings, None), Peers())
 
@@ -32,8 +33,8 @@
     (tell,) = words.leave(NOW)
     assert tell.peer == 1
     assert tell.words == (
-        i.Word(*THERE, demand=3.0, spent=2.0, asked=1.0, level=20.0),
-        i.Word(*THERE, level=20.0),
+        GossipMessage(*THERE, demand=3.0, spent=2.0, asked=1.0, level=20.0),
+        GossipMessage(*THERE, level=20.0),
         MARK,
     )
     assert not words.waiting and not words.leave(NOW)
@@ -48,8 +49,8 @@
     words.tell(0, customer, 0.0)  # none to itself
     (tell,) = words.leave(NOW)
     assert tell.words == (
-        i.Word(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
-        i.Word(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
+        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
+        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
         MARK,
     )
     assert customer.pool == pool - 1.0
@@ -63,7 +64,7 @@
         words.tell(1, customer, 0.0)
         marks.append([MARK in tell.words for tell in words.leave(NOW + at)])
     assert marks == [[True], [], [False], [True]]
-    unsplit = words_of(i.Plan(rate=10.0, burst=20.0))
+    unsplit = words_of(Plan(rate=10.0, burst=20.0))
     unsplit.tell(1, unsplit.customers.get(NOW, THERE), 0.0)
     assert MARK not in unsplit.leave(NOW)[0].words
 
@@ -81,7 +82,7 @@
     assert not words.give(customer, 1.0)  # what the quota refuses would be lost
 
 
-def spend(words: Words, key: i.Key, now: int, units: float = 1.0) -> Customer:
+def spend(words: Words, key: CustomerKey, now: int, units: float = 1.0) -> Customer:
     """A request is let in by the part here."""
     customer = words.customers.get(now, key)
     customer.own, customer.untold = customer.own + units, customer.untold + units
@@ -92,7 +93,7 @@
 
 def test_what_a_full_part_spends_is_one_word_in_time() -> None:
     """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
-    words = words_of(i.Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(rate=10.0, burst=40.0))
     assert words.due_us > NOW + MARK_US  # nothing wakes the gateway up for nothing
     for number in range(4):
         spend(words, THERE, NOW + number * MS)
@@ -106,7 +107,7 @@
 
 
 def test_ask_takes_with_it_what_would_have_been_told_late() -> None:
-    words = words_of(i.Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(rate=10.0, burst=40.0))
     customer = spend(words, THERE, NOW)
     words.tell(1, customer, 1.0)
     assert [word.spent for tell in words.leave(NOW + 1) for word in tell.words] == [1.0]
@@ -116,7 +117,7 @@
 @pytest.mark.parametrize(("part", "spent"), [(9.9, 0.0), (20.0, 5.0)])
 def test_part_that_runs_low_and_much_that_is_untold_are_told_at_once(part: float, spent: float) -> None:
     """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
-    words = words_of(i.Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(rate=10.0, burst=40.0))
     customer = words.customers.get(NOW, THERE)
     customer.part, customer.spent = part, spent
     spend(words, THERE, NOW)
@@ -124,13 +125,13 @@
 
 
 def test_small_part_is_told_of_each_unit_at_once() -> None:
-    words = words_of(i.Plan(rate=10.0, burst=2 * (1 / LATE_SPENT - 0.1)))
+    words = words_of(Plan(rate=10.0, burst=2 * (1 / LATE_SPENT - 0.1)))
     spend(words, THERE, NOW)
     assert [word.spent for tell in words.leave(NOW) for word in tell.words] == [1.0]
 
 
 def test_words_told_late_come_in_the_order_in_which_their_time_is_up() -> None:
-    settings = replace(SETTINGS, plans=(i.Plan(rate=10.0, burst=60.0),), gateways=3)
+    settings = replace(SETTINGS, plans=(Plan(rate=10.0, burst=60.0),), gateways=3)
     words = Words(settings, Customers(settings, None), Peers())
     first, second = (1, 0, 0, 3), (2, 0, 0, 3)
     spend(words, second, NOW)
@@ -143,6 +144,6 @@
 
 def test_word_goes_to_the_home_that_there_is_by_then() -> None:
     """Where shares move a customer may have another home by the time it is told of, or be at home here."""
-    words = words_of(i.Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(rate=10.0, burst=40.0))
     spend(words, THERE, NOW).home = 0
     assert not words.leave(NOW + LATE_US) and words.customers.known[THERE].spent == 0
--- a/tests/policy/test_gateway_cap.py
+++ b/tests/policy/test_gateway_cap.py
@@ -4,20 +4,22 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import ForwardAttempt, Reject
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, LoadReport
+from molereach.policy.interface.settings import Plan, RequestClass
 from molereach.policy.overload_control import START_PER_SERVER, TARGETS, next_n
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of, servers
 
 UTIL = TARGETS["util"]
 
 
-def loaded_world(util: float, plans: tuple[i.Plan, ...] = (i.Plan(),)) -> World:
-    patient = (i.RequestClass(aim_us=6 * S, deadline_us=6 * S),)
+def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
+    patient = (RequestClass(aim_us=6 * S, deadline_us=6 * S),)
     world = World(replace(SETTINGS, plans=plans, gateways=2, classes=patient))
     for n in range(20):
         world.ask(f"w{n}")
         world.run(50 * MS)
-        world.answer(f"w{n}", report=i.LoadReport(util=util))
+        world.answer(f"w{n}", report=LoadReport(util=util))
     world.run(20 * MS)
     return world
 
@@ -33,7 +35,7 @@
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
         world.run(10 * MS)
-    sends = [at for at, action in world.log if isinstance(action, i.Send) and at >= start]
+    sends = [at for at, action in world.log if isinstance(action, ForwardAttempt) and at >= start]
     assert len(sends) == allowed
     assert sends[-1] - sends[0] > 0.8 * S
     idle = loaded_world(0.3)
@@ -43,8 +45,8 @@
 
 def test_what_may_be_out_is_counted_over_those_that_share_the_servers() -> None:
     """256 of 93,000 servers, each shared by 21 of 7,500 gateways: without it two attempts could be out."""
-    world = World(replace(SETTINGS, gateways=7500, plans=(i.Plan(),)), servers(256))
-    world.tell(i.ServerList(i.ListKind.FULL, 2, servers(256), seen_by=21))
+    world = World(replace(SETTINGS, gateways=7500, plans=(Plan(),)), servers(256))
+    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(256), seen_by=21))
     for n in range(120):
         world.ask(f"r{n}")
     assert len(world.out) == START_PER_SERVER * 256 // 21
@@ -52,12 +54,12 @@
 
 def test_period_follows_the_rate() -> None:
     """With two requests a second, N of one or two a second would halve or double by rounding alone."""
-    world = World(replace(SETTINGS, plans=(i.Plan(),), gateways=20), servers(10))
+    world = World(replace(SETTINGS, plans=(Plan(),), gateways=20), servers(10))
     for n in range(40):
         world.ask(f"r{n}")
         world.run(500 * MS)
         for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=i.LoadReport(util=0.9))
+            world.answer(name, attempt=attempt, report=LoadReport(util=0.9))
     assert world.gateway.cap.cc_us == 2 * S
     assert 4 <= world.gateway.cap.n_past <= 12
     assert next_n(10, 1, 0.99, 0.1, UTIL, 4.0) == 4  # steps by the second: 10 * 0.9 ** 8
@@ -71,19 +73,19 @@
     for _ in range(110):
         world.run(10 * MS)
         for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=i.LoadReport(util=0.3))
+            world.answer(name, attempt=attempt, report=LoadReport(util=0.3))
     assert world.gateway.cap.n_past == 19  # the largest step from 16
 
 
 def test_held_leave_by_worth_then_arrival() -> None:
-    plans = (i.Plan(worth_factor=1.0), i.Plan(worth_factor=3.0))
+    plans = (Plan(worth_factor=1.0), Plan(worth_factor=3.0))
     world = loaded_world(0.9, plans)
     for n in range(30):
         world.ask(f"fill{n}")
     world.ask("low1")
     world.ask("high1", plan_index=1, customer="d")
     world.ask("high2", plan_index=1, customer="d")
-    order = [action.id for action in of(i.Send, world.run(S))]
+    order = [action.id for action in of(ForwardAttempt, world.run(S))]
     assert order[:2] == ["high1", "high2"]
 
 
@@ -92,14 +94,14 @@
     world.ask("a")
     started = world.now
     world.run(3 * S)
-    answered = [at for at, action in world.log if action == i.Refuse("a", 500 * MS)]
+    answered = [at for at, action in world.log if action == Reject("a", 500 * MS)]
     assert len(answered) == 1
     assert answered[0] - started < 2 * S
 
 
 def test_attempts_out_at_once_are_bounded() -> None:
     """Servers that answer nobody must not be given more and more, whatever the cap says."""
-    worlds = [World(replace(SETTINGS, plans=(i.Plan(),), gateways=5, me=me), servers(10)) for me in range(5)]
+    worlds = [World(replace(SETTINGS, plans=(Plan(),), gateways=5, me=me), servers(10)) for me in range(5)]
     for world in worlds:
         for n in range(200):
             world.ask(f"r{n}")
@@ -112,7 +114,7 @@
 
 def test_overdue_attempts_raise_the_latency_signal() -> None:
     """A jam answers nobody; waiting for answers would leave the cap lifted."""
-    world = World(replace(SETTINGS, plans=(i.Plan(),)))
+    world = World(replace(SETTINGS, plans=(Plan(),)))
     for n in range(20):
         world.ask(f"r{n}")
     world.run(1100 * MS)
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -5,11 +5,13 @@
 
 import pytest
 
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
+from molereach.policy.interface.settings import Plan
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
-CEILED = i.Plan(rate=8.0, burst=16.0, ceiling_rate=16.0, ceiling_burst=20.0, ceiling_slack=2.0)
+CEILED = Plan(rate=8.0, burst=16.0, ceiling_rate=16.0, ceiling_burst=20.0, ceiling_slack=2.0)
 
 
 def ceiling_customer(gates: Set, home: int) -> str:
@@ -27,18 +29,21 @@
 
 
 def test_ceiling_starts_empty_and_is_split() -> None:
-    plan = i.Plan(ceiling_rate=10.0, ceiling_burst=20.0)
+    plan = Plan(ceiling_rate=10.0, ceiling_burst=20.0)
     world = World(replace(SETTINGS, plans=(plan,), gateways=2))
     for n in range(40):
         world.ask(f"r{n}", set_size=2)
     world.run(S)
-    assert len(of(i.Send, [action for _, action in world.log])) in (4, 5)  # half of 10 a second, from none
+    assert len(of(ForwardAttempt, [action for _, action in world.log])) in (
+        4,
+        5,
+    )  # half of 10 a second, from none
     world = World(replace(SETTINGS, plans=(replace(plan, ceiling_burst=7.5),), gateways=2))
     for n in range(40):
         world.ask(f"r{n}", set_size=2)
     world.run(S)
     # Parts of under 4 units: half of that stays here.
-    assert len(of(i.Send, [action for _, action in world.log])) in (2, 3)
+    assert len(of(ForwardAttempt, [action for _, action in world.log])) in (2, 3)
 
 
 def test_ceiling_goes_where_the_traffic_is() -> None:
@@ -114,7 +119,7 @@
     world.out.clear()
     world.timers.clear()
     world.gateway = Gateway(world.gateway.set)
-    world.tell(i.ServerList(i.ListKind.SAVED, 1, servers(4)))
+    world.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
     world.ask("now", customer=name, set_size=10)
     (customer,) = world.gateway.customers.known.values()
     assert customer.pool == 0
@@ -152,7 +157,7 @@
 def test_ceiling_holds_over_a_large_set_with_restarts(loss: float, kind: type[Set], every: int) -> None:
     """All parts together, half of the set restarted in turn, once or often, all traffic on few gateways for a
     while; also while a tier is replaced by a newer version."""
-    plan = i.Plan(rate=40.0, burst=80.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
+    plan = Plan(rate=40.0, burst=80.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
     gates = kind(20, replace(SETTINGS, plans=(plan,)), loss=loss)
     start = gates.worlds[0].now
     for n in range(4800):
@@ -164,8 +169,10 @@
                 world.out.clear()
                 world.timers.clear()
                 world.gateway = Gateway(replace(world.gateway.set, seed=n))
-                world.tell(i.ServerList(i.ListKind.SAVED, 1, servers(4)))
-    times = sorted(at for world in gates.worlds for at, action in world.log if isinstance(action, i.Send))
+                world.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
+    times = sorted(
+        at for world in gates.worlds for at, action in world.log if isinstance(action, ForwardAttempt)
+    )
     store, lowest, last = 40.0, 40.0, start
     for at in times:
         store, last = min(40.0, store + 18.0 * (at - last) / S) - 1, at
@@ -174,9 +181,9 @@
 
 
 def test_ceiling_starts_empty_with_the_gateway_only() -> None:
-    plan = i.Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
+    plan = Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
     world = World(replace(SETTINGS, plans=(plan,)))
-    assert not of(i.Send, world.ask("a"))  # what was let through before a restart is not known
+    assert not of(ForwardAttempt, world.ask("a"))  # what was let through before a restart is not known
     world.run(2 * S)
-    sent = [of(i.Send, world.ask(f"b{number}", customer="another")) for number in range(20)]
+    sent = [of(ForwardAttempt, world.ask(f"b{number}", customer="another")) for number in range(20)]
     assert sum(map(len, sent)) == 20
--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -6,8 +6,17 @@
 
 import pytest
 
-from molereach.policy import interface as i
 from molereach.policy.gossip import LATE_US
+from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject, SendGossip, SetTimer
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointListKind,
+    EndpointListReceived,
+    GossipReceived,
+)
+from molereach.policy.interface.messages import GossipMessage
+from molereach.policy.interface.settings import Plan
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
 from tests.policy.gateways import UNSAFE, with_class
 
@@ -57,7 +66,7 @@
 def test_what_is_granted_but_not_sent_comes_back_to_the_quota() -> None:
     gates = Set(20)
     for world in gates.worlds:
-        world.tell(i.ServerList(i.ListKind.FULL, 2, ()))
+        world.tell(EndpointListReceived(EndpointListKind.FULL, 2, ()))
     for _ in range(3):
         for n in range(20):
             gates.ask(n, f"r{gates.worlds[n].now}")
@@ -129,7 +138,7 @@
         world.ask(f"r{n}", customer=names[n % 10], set_size=2)
         world.answer(f"r{n}")
         world.run(50 * MS)
-    tells = of(i.Tell, [action for _, action in world.log])
+    tells = of(SendGossip, [action for _, action in world.log])
     assert 8 <= len(tells) <= 10 and all(len(tell.words) <= 10 for tell in tells)
     world.run(S)
     world.ask("last", customer=names[0], set_size=2)
@@ -137,23 +146,23 @@
     asked, before = world.now, len(world.log)
     world.run(2 * S)
     after = world.log[before:]
-    (told,) = [at for at, action in after if isinstance(action, i.Tell)]
+    (told,) = [at for at, action in after if isinstance(action, SendGossip)]
     assert LATE_US <= told - asked <= LATE_US + 20 * MS
-    assert len([at for at, action in after if isinstance(action, i.SetTimer) and at <= told]) <= 3
+    assert len([at for at, action in after if isinstance(action, SetTimer) and at <= told]) <= 3
 
 
 def test_words_from_outside_are_checked() -> None:
     world = World(replace(SETTINGS, gateways=2))
-    huge = i.Word(1, 0, 0, 2, demand=1e9, asked=1e9, level=-1e9)
-    for word in (i.Word(1, 9, 0, 2), i.Word(1, 0, 5, 1), i.Word(1, 0, 0, 0), huge):
-        world.tell(i.PeerMessage(1, (word,)))
+    huge = GossipMessage(1, 0, 0, 2, demand=1e9, asked=1e9, level=-1e9)
+    for word in (GossipMessage(1, 9, 0, 2), GossipMessage(1, 0, 5, 1), GossipMessage(1, 0, 0, 0), huge):
+        world.tell(GossipReceived(1, (word,)))
     assert len(world.gateway.customers.known) == 1
 
 
 def test_idle_gateway_wakes_up_once_a_period() -> None:
     world = World()
     world.run(10 * S)
-    assert len(of(i.SetTimer, [action for _, action in world.log])) <= 12
+    assert len(of(SetTimer, [action for _, action in world.log])) <= 12
 
 
 def test_customers_seen_long_ago_are_forgotten() -> None:
@@ -173,18 +182,18 @@
 
 
 def test_max_out_plan() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(max_out=2),)))
-    assert of(i.Send, world.ask("a")) and of(i.Send, world.ask("b"))
-    assert of(i.Refuse, world.ask("c"))
+    world = World(replace(SETTINGS, plans=(Plan(max_out=2),)))
+    assert of(ForwardAttempt, world.ask("a")) and of(ForwardAttempt, world.ask("b"))
+    assert of(Reject, world.ask("c"))
     world.answer("a")
-    assert of(i.Send, world.ask("d"))
+    assert of(ForwardAttempt, world.ask("d"))
 
 
 def test_true_units_are_settled() -> None:
     world = World(replace(SETTINGS, trued_up=True))
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
-    world.tell(i.Outcome("a", True, 0, server, i.Result.OK, world.now - sent, true_units=4.0))
+    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, true_units=4.0))
     assert next(iter(world.gateway.customers.known.values())).level == pytest.approx(16)
 
 
@@ -194,12 +203,12 @@
     gates = Set(20, with_class(replace(UNSAFE, aim_us=2 * S), plans=(replace(PLAN, burst=2.0),)))
     for me, world in enumerate(gates.worlds):
         gates.down = me
-        world.tell(i.ServerList(i.ListKind.FULL, 2, ()))
+        world.tell(EndpointListReceived(EndpointListKind.FULL, 2, ()))
         world.gateway.attempts.mean_us = [20 * MS]
         world.ask("a", left_us=left * MS, set_size=20)
         start = world.now
         world.run(S)
-        ends = [at - start for at, action in world.log if isinstance(action, i.Refuse | i.Fail)]
+        ends = [at - start for at, action in world.log if isinstance(action, Reject | FailRequest)]
         assert len(ends) == 1 and ends[0] <= left * MS
 
 
@@ -210,7 +219,7 @@
     for number in range(11):  # the eleventh is past this one's part of the burst
         world.ask(f"a{number}", customer=name, set_size=2)
     world.run(S)
-    words = [word for _, action in world.log if isinstance(action, i.Tell) for word in action.words]
+    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.words]
     asked = [word for word in words if word.asked]
     assert len(asked) == 3
     (customer,) = world.gateway.customers.known.values()
@@ -222,18 +231,18 @@
 def test_store_that_holds_no_whole_request_serves_its_rate(burst: float) -> None:
     """A plan may name a rate and no burst; or little of it may be spent on this side of a split."""
     for every_ms, least, most in ((200, 45, 50), (20, 80, 110)):  # 5 a second of 9, and 50
-        world = World(replace(SETTINGS, plans=(i.Plan(rate=9.0, burst=burst),)))
+        world = World(replace(SETTINGS, plans=(Plan(rate=9.0, burst=burst),)))
         for n in range(10_000 // every_ms):
             world.ask(f"r{n}")
             world.run(every_ms * MS)
             if (f"r{n}", 0) in world.out:
                 world.answer(f"r{n}")
-        assert least <= sum(isinstance(action, i.Send) for _, action in world.log) <= most
+        assert least <= sum(isinstance(action, ForwardAttempt) for _, action in world.log) <= most
 
 
 def test_home_counts_what_it_let_in_and_not_the_mean_of_it() -> None:
     """Each of 40 gateways asks once, so none tells the home later what came of the chance."""
-    gates = Set(40, replace(SETTINGS, plans=(i.Plan(rate=0.01, burst=12.0),)))
+    gates = Set(40, replace(SETTINGS, plans=(Plan(rate=0.01, burst=12.0),)))
     for number in range(40):
         gates.ask(number, f"r{number}", customer="c9")
         gates.run(20 * MS)
@@ -252,15 +261,15 @@
         world.ask(f"a{number}", customer=name, set_size=2)
     key = next(iter(world.gateway.customers.known))
     level = 0.5 if inside else 20.0  # by which the asker itself would draw the other way
-    actions = world.tell(i.PeerMessage(1, (i.Word(*key, True, 1.0, 0.0, 1.0, level, inside=inside),)))
-    assert bool(of(i.Send, actions)) is inside
-    assert bool(of(i.Refuse, actions)) is not inside
+    actions = world.tell(GossipReceived(1, (GossipMessage(*key, True, 1.0, 0.0, 1.0, level, inside=inside),)))
+    assert bool(of(ForwardAttempt, actions)) is inside
+    assert bool(of(Reject, actions)) is not inside
 
 
 def test_large_set_serves_a_quota_whole_and_nothing_beyond() -> None:
     """With 40 gateways no part of a burst holds one request, so the home's word decides on each. What its
     store does not hold whole is beyond the quota; what was asked a while ago takes nothing from this one."""
-    gates = Set(40, replace(SETTINGS, plans=(i.Plan(rate=0.5, burst=3.0),)))
+    gates = Set(40, replace(SETTINGS, plans=(Plan(rate=0.5, burst=3.0),)))
     for number in range(3):
         gates.ask(number * 7, f"in{number}", customer="c9")
         gates.run(400 * MS)
@@ -276,7 +285,7 @@
 
 
 def test_customer_is_kept_until_its_stores_are_full() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(rate=1.0, burst=30.0),)))
+    world = World(replace(SETTINGS, plans=(Plan(rate=1.0, burst=30.0),)))
     for number in range(30):
         world.ask(f"a{number}")
         world.answer(f"a{number}")
@@ -289,18 +298,18 @@
 
 def test_another_set_of_the_same_customer_opens_no_fresh_burst() -> None:
     world = World(replace(SETTINGS, gateways=2, may_tell=False))
-    sent = [len(of(i.Send, world.ask(f"a{number}", set_size=1 + number % 2))) for number in range(60)]
+    sent = [len(of(ForwardAttempt, world.ask(f"a{number}", set_size=1 + number % 2))) for number in range(60)]
     assert sum(sent) <= 21  # the burst of 20, and chance
     world = World(replace(SETTINGS, gateways=2, may_tell=False))
-    assert of(i.Send, world.ask("other", customer="other", set_size=2))
+    assert of(ForwardAttempt, world.ask("other", customer="other", set_size=2))
 
 
 @pytest.mark.parametrize(("first", "size"), [(0, 3), (0, 0), (0, 65535), (9, 2), (1, 1)])
 def test_words_of_a_set_that_cannot_be_are_passed_over(first: int, size: int) -> None:
     world = World(replace(SETTINGS, gateways=2))
-    world.tell(i.PeerMessage(1, (i.Word(7, 0, first, size, demand=1.0, spent=1.0, asked=1.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(7, 0, first, size, demand=1.0, spent=1.0, asked=1.0),)))
     assert not world.gateway.customers.known
-    world.tell(i.PeerMessage(1, (i.Word(7, 0, 0, 2, demand=1.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(7, 0, 0, 2, demand=1.0),)))
     assert len(world.gateway.customers.known) == 1
 
 
@@ -310,7 +319,7 @@
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
     for number in range(10):
         world.ask(f"a{number}", customer=name, set_size=2)
-    assert not of(i.Send, world.ask("last", customer=name, set_size=2, left_us=200 * MS))
+    assert not of(ForwardAttempt, world.ask("last", customer=name, set_size=2, left_us=200 * MS))
     world.run(100 * MS)
     assert world.tries.get("last") == 1
 
@@ -320,13 +329,13 @@
     world = World(replace(SETTINGS, gateways=2))
     name = peer_customer(world)
     key = zlib.crc32(name.encode()), 0, 0, 2
-    world.tell(i.PeerMessage(1, (i.Word(*key, True, demand=40.0, level=-5.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, level=-5.0),)))
     customer = world.gateway.customers.known[key]
     for number in range(30):
         world.ask(f"a{number}", customer=name, set_size=2, left_us=S)
         world.run(100 * MS)
     assert customer.refill(world.now).demand < 10  # 5 come in the time in which demand ages
-    sent = [at for at, action in world.log if isinstance(action, i.Send) and at > world.now - S]
+    sent = [at for at, action in world.log if isinstance(action, ForwardAttempt) and at > world.now - S]
     assert len(sent) >= 8
 
 
@@ -335,7 +344,7 @@
     name = peer_customer(world)
     waited = 0
     for number in range(30):
-        if not of(i.Send, world.ask(f"a{number}", customer=name, set_size=2)):
+        if not of(ForwardAttempt, world.ask(f"a{number}", customer=name, set_size=2)):
             waited += 1
         world.run(100 * MS)
         for job, attempt in list(world.out):
--- a/tests/policy/test_gateway_servers.py
+++ b/tests/policy/test_gateway_servers.py
@@ -6,8 +6,18 @@
 
 import pytest
 
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import ForwardAttempt, SubscribeToEndpoints
+from molereach.policy.interface.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    RequestReceived,
+    TimerExpired,
+)
+from molereach.policy.interface.settings import Plan
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of, servers
 
 ROOT = Path(__file__).parents[2]
@@ -21,7 +31,7 @@
         (at - start) // S
         for world in gates.worlds
         for at, action in world.log
-        if isinstance(action, i.Send) and action.server in names
+        if isinstance(action, ForwardAttempt) and action.server in names
     ]
     return [times.count(second) for second in range(max(times) + 1)]
 
@@ -29,48 +39,50 @@
 def cold_fleet(cold: int) -> tuple[Set, int]:
     """40 gateways and 20 servers, so many of which have just started, for 9 of the 10 s that they take."""
     fleet = servers(20)
-    gates = Set(40, replace(SETTINGS, plans=(i.Plan(),), cold_from=0.25), fleet)
+    gates = Set(40, replace(SETTINGS, plans=(Plan(),), cold_from=0.25), fleet)
     for n in range(200):  # so that the rate is known
         gates.ask(n * 7 % 40, f"w{n}", customer=f"c{n}")
         gates.run(10 * MS)
     start = gates.worlds[0].now
     for world in gates.worlds:
         new = tuple(replace(server, started_us=start) for server in fleet[:cold])
-        world.tell(i.ServerList(i.ListKind.CHANGES, 2, new))
+        world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, new))
     for n in range(900):
         gates.ask(n * 7 % 40, f"r{n}", customer=f"c{n}")
         gates.run(10 * MS)
     return gates, start
 
 
-@pytest.mark.parametrize("state", [i.ServerState.DRAINING, i.ServerState.GONE])
-def test_nothing_new_to_a_draining_server(state: i.ServerState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_nothing_new_to_a_draining_server(state: EndpointState) -> None:
     world = World(fleet=servers(2))
-    world.tell(i.ServerList(i.ListKind.CHANGES, 2, servers(1, state=state)))
+    world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, servers(1, state=state)))
     for n in range(8):
         world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, i.Send)} == {"s1"}
+    assert {action.server for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s1"}
 
 
 def test_server_missing_from_a_full_list_is_gone() -> None:
     world = World(fleet=servers(2))
-    world.tell(i.ServerList(i.ListKind.FULL, 2, servers(1)))
+    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(1)))
     for n in range(8):
         world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, i.Send)} == {"s0"}
+    assert {action.server for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s0"}
 
 
 def test_cold_server_is_sent_little() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(),)))
+    world = World(replace(SETTINGS, plans=(Plan(),)))
     for n in range(120):
         if n == 60:
             cold = replace(servers(4)[3], started_us=world.now)
-            world.tell(i.ServerList(i.ListKind.CHANGES, 2, (cold,)))
+            world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, (cold,)))
             world.log.clear()
         world.ask(f"r{n}")
         world.run((10 + n * 37 % 50) * MS)
         world.answer(f"r{n}")
-    counts = [sum(a.server == f"s{n}" for _, a in world.log if isinstance(a, i.Send)) for n in range(4)]
+    counts = [
+        sum(a.server == f"s{n}" for _, a in world.log if isinstance(a, ForwardAttempt)) for n in range(4)
+    ]
     assert 1 <= counts[3] <= 0.4 * sum(counts[:3]) / 3  # warmth is 0.2 to 0.36 in these 2 s
 
 
@@ -93,7 +105,7 @@
     """A new connection costs work; with 60 servers in a wide choice nearly each request would open one."""
 
     def opened(price: float) -> int:
-        settings = replace(SETTINGS, plans=(i.Plan(),), handshake_price=price, keep_us=15 * S)
+        settings = replace(SETTINGS, plans=(Plan(),), handshake_price=price, keep_us=15 * S)
         world = World(settings, servers(60))
         used: set[str] = set()
         for n in range(100):
@@ -108,14 +120,14 @@
 
 
 def test_connection_that_was_lost_or_is_old_counts_for_nothing() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(),), handshake_price=0.1, keep_us=5 * S), servers(1))
+    world = World(replace(SETTINGS, plans=(Plan(),), handshake_price=0.1, keep_us=5 * S), servers(1))
     (server,) = world.gateway.fleet.up
     for result, kept in (
-        (i.Result.OK, True),
-        (i.Result.RESET, False),
-        (i.Result.ERROR, True),
-        (i.Result.TIMEOUT, False),
-        (i.Result.FULL, True),
+        (AttemptResult.OK, True),
+        (AttemptResult.RESET, False),
+        (AttemptResult.ERROR, True),
+        (AttemptResult.TIMEOUT, False),
+        (AttemptResult.FULL, True),
     ):
         world.gateway.attempts.retries = 0
         world.ask(result.value)
@@ -129,32 +141,37 @@
 def test_cold_server_is_not_flooded_by_a_hundred_gateways() -> None:
     """Each of them sees a server that has just started as the emptiest."""
     fleet = servers(20)
-    gates = Set(100, replace(SETTINGS, plans=(i.Plan(),), cold_from=0.2), fleet)
+    gates = Set(100, replace(SETTINGS, plans=(Plan(),), cold_from=0.2), fleet)
     cold = replace(fleet[0], started_us=gates.worlds[0].now)
     for world in gates.worlds:
         world.gateway.attempts.mean_us = [10 * MS]
-        world.tell(i.ServerList(i.ListKind.CHANGES, 2, (cold,)))
+        world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, (cold,)))
     for n in range(1000):
         gates.ask(n * 7 % 100, f"r{n}", customer=f"c{n}")
         if n % 5 == 0:
             gates.run(10 * MS)
-    names = [action.server for world in gates.worlds for _, action in world.log if isinstance(action, i.Send)]
+    names = [
+        action.server
+        for world in gates.worlds
+        for _, action in world.log
+        if isinstance(action, ForwardAttempt)
+    ]
     assert len(names) == 1000
     assert 1 <= names.count("s0") <= 0.6 * 1000 / 20  # warmth is 0.2 to 0.36 in these 2 s
 
 
 def test_clock_that_jumps_and_a_list_that_names_twice() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(),)), servers(2) + servers(2))
+    world = World(replace(SETTINGS, plans=(Plan(),)), servers(2) + servers(2))
     world.ask("a")
     world.now += 60 * S
-    world.tell(i.Timer(0))
-    assert len(of(i.Send, world.ask("b"))) == 1
-    world.tell(i.ServerList(i.ListKind.FULL, 3, ()))
-    assert not of(i.Send, world.ask("c"))
+    world.tell(TimerExpired(0))
+    assert len(of(ForwardAttempt, world.ask("b"))) == 1
+    world.tell(EndpointListReceived(EndpointListKind.FULL, 3, ()))
+    assert not of(ForwardAttempt, world.ask("c"))
 
 
 def test_silent_server_is_left_and_tried_again() -> None:
-    world = World(replace(SETTINGS, plans=(i.Plan(),)), servers(3))
+    world = World(replace(SETTINGS, plans=(Plan(),)), servers(3))
     bad, sends, trials = "s0", 0, 0
     for n in range(400):
         world.ask(f"r{n}")
@@ -162,7 +179,7 @@
         for name, attempt in list(world.out):
             hit = world.out[(name, attempt)][0] == bad
             sends, trials = sends + hit, trials + (hit and n > 200)
-            world.answer(name, i.Result.RESET if hit else i.Result.OK, attempt)
+            world.answer(name, AttemptResult.RESET if hit else AttemptResult.OK, attempt)
     assert sends < 20
     assert trials >= 1
 
@@ -180,9 +197,11 @@
 
 def test_list_must_be_asked_for() -> None:
     gateway = Gateway(replace(SETTINGS, must_subscribe=True))
-    assert i.Subscribe(True) in gateway.handle(5, i.ServerList(i.ListKind.SAVED, 1, servers(2)))
-    assert gateway.handle(9, i.ServerList(i.ListKind.FAILED, 0)) == [i.Subscribe(True)]
-    assert of(i.Send, gateway.handle(10, i.Request("a", 0, 0, "c", S)))
+    assert SubscribeToEndpoints(True) in gateway.handle(
+        5, EndpointListReceived(EndpointListKind.SAVED, 1, servers(2))
+    )
+    assert gateway.handle(9, EndpointListReceived(EndpointListKind.FAILED, 0)) == [SubscribeToEndpoints(True)]
+    assert of(ForwardAttempt, gateway.handle(10, RequestReceived("a", 0, 0, "c", S)))
 
 
 def test_deploy_file_names_every_module_of_the_decisions_and_each_stays_small() -> None:
@@ -199,9 +218,11 @@
 def test_servers_that_are_gone_and_customers_that_are_full_again_are_forgotten() -> None:
     world = World(fleet=servers(2))
     for number in range(200):
-        gone = i.Server(f"x{number}", 0, 0, 0, i.ServerState.UP)
-        world.tell(i.ServerList(i.ListKind.CHANGES, number, (gone,)))
-        world.tell(i.ServerList(i.ListKind.CHANGES, number, (replace(gone, state=i.ServerState.GONE),)))
+        gone = Endpoint(f"x{number}", 0, 0, 0, EndpointState.UP)
+        world.tell(EndpointListReceived(EndpointListKind.CHANGES, number, (gone,)))
+        world.tell(
+            EndpointListReceived(EndpointListKind.CHANGES, number, (replace(gone, state=EndpointState.GONE),))
+        )
         world.ask(f"a{number}", customer=f"once{number}")
         world.answer(f"a{number}")
     assert set(world.gateway.fleet.servers) == {"s0", "s1"}
@@ -213,7 +234,7 @@
 
 def test_fleet_that_is_all_cold_is_sent_what_comes() -> None:
     """Spaced by the rate of what was sent, it would never be sent more than it was."""
-    world = World(replace(SETTINGS, plans=(i.Plan(rate=1e4, burst=1e4),), cold_from=0.9), servers(4))
+    world = World(replace(SETTINGS, plans=(Plan(rate=1e4, burst=1e4),), cold_from=0.9), servers(4))
     for server in world.gateway.fleet.servers.values():
         server.warm_from = world.now  # as after a suspicion
     world.gateway.fleet.rate = 1.0
@@ -222,5 +243,5 @@
         world.run(20 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
-    sent = [at for at, action in world.log if isinstance(action, i.Send) and at > world.now - S]
+    sent = [at for at, action in world.log if isinstance(action, ForwardAttempt) and at > world.now - S]
     assert len(sent) > 30  # 50 came in the last second; before, 4 were sent
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -5,60 +5,70 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import Action, FailRequest, ForwardAttempt, Reject
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    RequestReceived,
+)
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from tests.helpers import MS, SETTINGS, S, World, servers
 
 CLASSES = (
-    i.RequestClass(S, 2 * S),
-    i.RequestClass(S, 3 * S, effect=i.Effect.KEYED, group=i.Group.ZONE, window_us=S),
-    i.RequestClass(S, 3 * S, effect=i.Effect.KEYED, group=i.Group.CELL, window_us=2 * S),
-    i.RequestClass(S, 3 * S, effect=i.Effect.KEYED, group=i.Group.ALL, window_us=2 * S),
-    i.RequestClass(S, 3 * S, effect=i.Effect.UNSAFE),
+    RequestClass(S, 2 * S),
+    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=S),
+    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window_us=2 * S),
+    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window_us=2 * S),
+    RequestClass(S, 3 * S, effect=Idempotency.UNSAFE),
 )
 PLANS = (
-    i.Plan(rate=5.0, burst=5.0),
-    i.Plan(max_out=2),
-    i.Plan(rate=9.0, burst=9.0, ceiling_rate=12.0, ceiling_burst=10.0, ceiling_slack=1.0),
+    Plan(rate=5.0, burst=5.0),
+    Plan(max_out=2),
+    Plan(rate=9.0, burst=9.0, ceiling_rate=12.0, ceiling_burst=10.0, ceiling_slack=1.0),
 )
-UNRUN = (i.Result.FULL, i.Result.CONNECT_FAILED)
-FAILURES = (*UNRUN, i.Result.ERROR, i.Result.RESET)
+UNRUN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED)
+FAILURES = (*UNRUN, AttemptResult.ERROR, AttemptResult.RESET)
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
 
 class Referee(World):
     """A world that checks each action against the rules."""
 
-    def __init__(self, conf: i.Settings) -> None:
-        self.requests: dict[str, tuple[i.Request, int]] = {}
+    def __init__(self, conf: Settings) -> None:
+        self.requests: dict[str, tuple[RequestReceived, int]] = {}
         self.over: set[str] = set()
         self.might: dict[str, list[tuple[str, int]]] = {}
         self.states = {server.name: server for server in servers(4)}
         self.store, self.store_at = 10.0, 100 * S
         super().__init__(conf)
 
-    def tell(self, event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Request):
+    def tell(self, event: Event) -> list[Action]:
+        if isinstance(event, RequestReceived):
             self.requests[event.id] = (event, self.now)
         actions = super().tell(event)
         for action in actions:
-            if isinstance(action, i.Send):
+            if isinstance(action, ForwardAttempt):
                 self.check_send(action)
-            elif isinstance(action, i.Refuse | i.Fail):
+            elif isinstance(action, Reject | FailRequest):
                 self.check_end(action)
         return actions
 
-    def check_send(self, action: i.Send) -> None:
+    def check_send(self, action: ForwardAttempt) -> None:
         request, _ = self.requests[action.id]
         rule, before = CLASSES[request.class_index], self.might.setdefault(action.id, [])
         assert action.id not in self.over
-        assert self.states[action.server].state is i.ServerState.UP
+        assert self.states[action.server].state is EndpointState.UP
         outs = [key for key in self.out if key[0] == action.id]
         assert len(outs) == 1 or (self.gateway.set.parallel_tries and len(outs) == 2)
-        if before and rule.effect is not i.Effect.SAFE:
-            assert rule.effect is i.Effect.KEYED
+        if before and rule.effect is not Idempotency.SAFE:
+            assert rule.effect is Idempotency.KEYED
             first, place = self.states[before[0][0]], self.states[action.server]
-            assert rule.group is not i.Group.ZONE or first.zone == place.zone
-            assert rule.group is not i.Group.CELL or first.cell == place.cell
+            assert rule.group is not DeduplicationScope.ZONE or first.zone == place.zone
+            assert rule.group is not DeduplicationScope.CELL or first.cell == place.cell
             assert self.now < before[0][1] + rule.window_us
         if not before and self.tries[action.id] == 1 and request.plan_index == 2:
             self.store = min(10.0, self.store + 12.0 * (self.now - self.store_at) / S) - request.units
@@ -66,25 +76,25 @@
             assert self.store >= -1.0
         before.append((action.server, self.now))
 
-    def check_end(self, action: i.Refuse | i.Fail) -> None:
+    def check_end(self, action: Reject | FailRequest) -> None:
         request, came = self.requests[action.id]
         rule = CLASSES[request.class_index]
         assert action.id not in self.over
         self.over.add(action.id)
         assert self.now <= came + request.left_us + 8 * MS
-        if isinstance(action, i.Refuse) and self.might.get(action.id):
-            keyed = rule.effect is i.Effect.KEYED and rule.group is i.Group.ALL
-            assert rule.effect is i.Effect.SAFE or keyed
+        if isinstance(action, Reject) and self.might.get(action.id):
+            keyed = rule.effect is Idempotency.KEYED and rule.group is DeduplicationScope.ALL
+            assert rule.effect is Idempotency.SAFE or keyed
 
-    def settle(self, key: tuple[str, int], result: i.Result) -> None:
+    def settle(self, key: tuple[str, int], result: AttemptResult) -> None:
         """An attempt ends; one that a proof says never ran no longer binds its request."""
         server, sent, _ = self.out.pop(key)
         if result in UNRUN:
             self.might[key[0]].remove((server, sent))
-        over = key[0] in self.over or result is i.Result.OK
-        if result is i.Result.OK:
+        over = key[0] in self.over or result is AttemptResult.OK
+        if result is AttemptResult.OK:
             self.over.add(key[0])
-        self.tell(i.Outcome(key[0], over, key[1], server, result, self.now - sent))
+        self.tell(AttemptEnded(key[0], over, key[1], server, result, self.now - sent))
 
     def pass_time(self, time_us: int) -> None:
         """Time goes by in steps of a millisecond, with time-outs where they fall due."""
@@ -94,7 +104,7 @@
             for key, (_, sent, timeout) in list(self.out.items()):
                 request, came = self.requests[key[0]]
                 if self.now >= min(sent + timeout, came + request.left_us) and key in self.out:
-                    self.settle(key, i.Result.TIMEOUT)
+                    self.settle(key, AttemptResult.TIMEOUT)
 
     def restart(self) -> None:
         """The gateway is killed: its requests are void, and it starts again knowing only its list."""
@@ -102,14 +112,14 @@
         self.out.clear()
         self.timers.clear()
         self.gateway = type(self.gateway)(self.gateway.set)
-        self.tell(i.ServerList(i.ListKind.SAVED, 1, tuple(self.states.values())))
+        self.tell(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(self.states.values())))
 
     def change_server(self, number: int) -> None:
         name = f"s{number % 4}"
-        state = list(i.ServerState)[number % 3]
+        state = list(EndpointState)[number % 3]
         started = self.now if number % 5 == 0 else self.states[name].started_us
         self.states[name] = replace(self.states[name], state=state, started_us=started)
-        self.tell(i.ServerList(i.ListKind.CHANGES, 2, (self.states[name],)))
+        self.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, (self.states[name],)))
 
 
 def play(parallel: bool, steps: list[tuple[int, int, int]]) -> Referee:
@@ -125,7 +135,7 @@
             )
         elif kind <= 7 and world.out:
             key = list(world.out)[number % len(world.out)]
-            world.settle(key, i.Result.OK if kind == 5 else FAILURES[number % len(FAILURES)])
+            world.settle(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
         elif kind == 8:
             world.change_server(number)
         elif number % 20 == 0:
--- a/tests/policy/throng.py
+++ b/tests/policy/throng.py
@@ -9,7 +9,16 @@
 from bisect import bisect_right
 from dataclasses import replace
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject
+from molereach.policy.interface.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    GossipReceived,
+)
+from molereach.policy.interface.settings import Plan, Settings
 from tests.helpers import MS, SETTINGS, S, Set, of
 
 STEP_US = 10 * MS
@@ -32,8 +41,8 @@
 
     def __init__(self, gateways: int, seed: int, **changes: object) -> None:
         self.random = random.Random(seed)
-        self.settings: i.Settings = replace(
-            SETTINGS, plans=(i.Plan(),), cold_from=0.25, warm_within_us=17 * S, fall_multiple=2.5, **changes
+        self.settings: Settings = replace(
+            SETTINGS, plans=(Plan(),), cold_from=0.25, warm_within_us=17 * S, fall_multiple=2.5, **changes
         )
         old = tuple(self.server(number) for number in range(WARM + BACK))
         self.set = Set(gateways, self.settings, old)
@@ -42,13 +51,13 @@
         self.begins_us = self.now = self.set.worlds[0].now
         self.cold_us = self.begins_us + BEFORE_US
         self.shares = [self.random.uniform(0.4, 2.5) for _ in range(gateways)]
-        self.due: list[tuple[int, int, i.ServerList]] = []  # when which gateway is told what
+        self.due: list[tuple[int, int, EndpointListReceived]] = []  # when which gateway is told what
         self.started: dict[str, int] = {}
         self.sent: dict[str, list[int]] = {}
         self.ended: dict[str, int] = {}
 
-    def server(self, number: int, started_us: int = 0) -> i.Server:
-        return i.Server(f"s{number}", number % 2, 0, number // 2, i.ServerState.UP, started_us=started_us)
+    def server(self, number: int, started_us: int = 0) -> Endpoint:
+        return Endpoint(f"s{number}", number % 2, 0, number // 2, EndpointState.UP, started_us=started_us)
 
     def come_cold(self) -> None:
         """New ones and returned ones start within some time; every gateway hears of each in its own time."""
@@ -56,7 +65,7 @@
             at_us = self.cold_us + self.random.randrange(COLD_AT_US)
             entry = self.server(number, at_us)
             self.started[entry.name] = at_us
-            news = i.ServerList(i.ListKind.CHANGES, 2 + number, (entry,))
+            news = EndpointListReceived(EndpointListKind.CHANGES, 2 + number, (entry,))
             self.due += [
                 (at_us + self.random.randrange(TELLING_US), me, news) for me in range(len(self.set.worlds))
             ]
@@ -85,7 +94,7 @@
             self.pass_time()
         for world in self.set.worlds:
             for at, action in world.log:
-                if isinstance(action, i.Send):
+                if isinstance(action, ForwardAttempt):
                     self.sent.setdefault(action.server, []).append(at)
         return self
 
@@ -94,20 +103,20 @@
         for me, world in enumerate(self.set.worlds):
             for (name, attempt), (server, sent, _) in list(world.out.items()):
                 if self.now - sent >= LATENCY_US / self.warmth(server, self.now):
-                    result = i.Result.SPOILT if self.random.random() < SPOILT else i.Result.OK
+                    result = AttemptResult.SPOILT if self.random.random() < SPOILT else AttemptResult.OK
                     self.set.carry(me, world.answer(name, result, attempt))
 
     def pass_time(self) -> None:
         posted, self.set.posted = self.set.posted, []
         for sender, peer, words in posted:
-            self.set.carry(peer, self.set.worlds[peer].tell(i.PeerMessage(sender, words)))
+            self.set.carry(peer, self.set.worlds[peer].tell(GossipReceived(sender, words)))
         for me, world in enumerate(self.set.worlds):
             self.set.carry(me, world.run(STEP_US))
         self.now += STEP_US
 
     def refused(self) -> int:
         return sum(
-            len(of((i.Refuse, i.Fail), [action for _, action in world.log]))  # type: ignore[arg-type]
+            len(of((Reject, FailRequest), [action for _, action in world.log]))  # type: ignore[arg-type]
             for world in self.set.worlds
         )
 
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -10,7 +10,7 @@
 import pytest
 
 from molereach.__main__ import take_over
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
 from molereach.proxy.proxy import FrontDoor
@@ -117,7 +117,9 @@
         door = FrontDoor(found)
         try:
             assert left == list(range(len(left)))[::-1] and not door.config.known_parts
-            assert door.known and door.known.event.kind is i.ListKind.SAVED and door.discovery.version == 4
+            assert (
+                door.known and door.known.event.kind is EndpointListKind.SAVED and door.discovery.version == 4
+            )
             names = {server.name for server in door.known.event.servers}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -9,7 +9,15 @@
 import pytest
 
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import Action, ForwardAttempt, SetTimer
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Event,
+    RequestReceived,
+    TimerExpired,
+)
 from molereach.proxy import connection_draining, graceful_shutdown
 from molereach.proxy.proxy import FrontDoor
 from tests.sockets import (
@@ -142,8 +150,8 @@
         async with front_door(Backend()) as (door, address):
             handle = door.gateway.handle
 
-            def broken(now: int, event: i.Event) -> list[i.Action]:
-                if isinstance(event, i.Request) and event.id == "bad":
+            def broken(now: int, event: Event) -> list[Action]:
+                if isinstance(event, RequestReceived) and event.id == "bad":
                     raise RuntimeError("a fault of the module")
                 return handle(now, event)
 
@@ -174,12 +182,12 @@
         async with front_door(backend) as (door, address):
             client = await Client.open(address)
             assert await client.ask(query("a1")) == b"ok"
-            seen: list[i.Event] = []
+            seen: list[Event] = []
             door.gateway.handle = lambda now, event: seen.append(event) or []
-            door.send(i.Send("a1", "s0"))
+            door.send(ForwardAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert [event.result for event in seen if isinstance(event, i.Outcome)] == [i.Result.MOOT]
+            assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [AttemptResult.MOOT]
             assert len(backend.commands) == 1
 
     run(job())
@@ -193,8 +201,8 @@
         rung: dict[int, int] = {}
         done = asyncio.Event()
 
-        def handle(now: int, event: i.Event) -> list[i.Action]:
-            if isinstance(event, i.Timer):
+        def handle(now: int, event: Event) -> list[Action]:
+            if isinstance(event, TimerExpired):
                 rung[event.token] = now
                 if len(rung) == len(due):
                     done.set()
@@ -208,9 +216,9 @@
         for token in range(40):
             delay = 5_000 + 37 * token
             due[token] = time.monotonic_ns() // 1000 + delay
-            door.set_timer(i.SetTimer(delay, token))
+            door.set_timer(SetTimer(delay, token))
         for number in range(5):
-            door.post(i.ClientGone(str(number)))
+            door.post(ClientDisconnected(str(number)))
         await done.wait()
         assert all(rung[token] >= due[token] for token in due)
         assert len(moments) == 5 and len(set(moments)) == 1
@@ -320,10 +328,10 @@
         async with front_door(Backend()) as (door, address):
             handle = door.gateway.handle
 
-            def odd(now: int, event: i.Event) -> list[i.Action]:
+            def odd(now: int, event: Event) -> list[Action]:
                 actions = handle(now, event)
-                if isinstance(event, i.Request) and event.id == "bad":
-                    return [i.Send("bad", "s0", timeout_us="soon"), *actions]
+                if isinstance(event, RequestReceived) and event.id == "bad":
+                    return [ForwardAttempt("bad", "s0", timeout_us="soon"), *actions]
                 return actions
 
             door.gateway.handle = odd
--- a/tests/races/attempts.py
+++ b/tests/races/attempts.py
@@ -2,7 +2,7 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult, EndpointState
 from tests.races.wire import Machine
 
 S = 1_000_000
@@ -13,8 +13,8 @@
 
     def __init__(self, held: Machine) -> None:
         self.backends = Backends(30 * S, 5 * S, 50)
-        self.backends.update({"s": i.ServerState.UP}, {"s": held.address}, whole=True)
-        self.ended: list[i.Result] = []
+        self.backends.update({"s": EndpointState.UP}, {"s": held.address}, whole=True)
+        self.ended: list[AttemptResult] = []
 
     def send(self, payload: bytes, timeout_us: int = 5 * S) -> Attempt:
         attempt = Attempt("a", 0, "s", payload, lambda _, result, *more: self.ended.append(result))
--- a/tests/races/listing.py
+++ b/tests/races/listing.py
@@ -7,7 +7,7 @@
 
 from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
 from molereach.discovery.poll_backoff import CallPacing
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointState
 from molereach.proxy.config import Address
 from tests.races.wire import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
@@ -51,7 +51,7 @@
             lambda: 0.5,
         )
 
-    async def next(self) -> tuple[int, dict[str, i.ServerState]]:
+    async def next(self) -> tuple[int, dict[str, EndpointState]]:
         event = (await self.heard.get()).event
         return event.version, {server.name: server.state for server in event.servers}
 
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -6,7 +6,7 @@
 import pytest
 
 from molereach.backends import pool
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from molereach.resp import MOST_VALUE
 from tests.races.attempts import S, Sender
 from tests.races.wire import Machine, Peer, machine, turns, until
@@ -24,7 +24,7 @@
     peer = await held.accept()
     assert await peer.hear_until(b"first")
     peer.say(value(b"ok"))
-    await until(lambda: sender.ended == [i.Result.OK])
+    await until(lambda: sender.ended == [AttemptResult.OK])
     return peer
 
 
@@ -43,7 +43,7 @@
                 peer.reset()
             if first == "time-out":
                 attempt.time_out()
-                assert sender.ended == [i.Result.TIMEOUT]
+                assert sender.ended == [AttemptResult.TIMEOUT]
             stand_still(0.06)
             await turns(5)
             attempt.time_out()  # a timer that the loop had taken out already
@@ -92,7 +92,7 @@
             assert await peer.hear_until(b"second")
             peer.say(value(b"ok"))
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended == [i.Result.OK] * 2
+            assert sender.ended == [AttemptResult.OK] * 2
             sender.backends.close()
 
     run(job())
@@ -112,7 +112,7 @@
             assert await old.hear_all() == b""
             peer.say(value(b"ok"))
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended == [i.Result.OK] * 2 and sender.backends.count() == 1
+            assert sender.ended == [AttemptResult.OK] * 2 and sender.backends.count() == 1
             sender.backends.close()
 
     run(job())
@@ -136,7 +136,7 @@
             await peer.hear_until(b"second")
             peer.say(value(b"ok"))
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended[1] is i.Result.OK
+            assert sender.ended[1] is AttemptResult.OK
             sender.backends.close()
 
     run(job())
@@ -156,7 +156,7 @@
                 except OSError:
                     break
                 await asyncio.sleep(0.005)
-            await until(lambda: sender.ended == [i.Result.TIMEOUT] and sender.backends.count() == 0)
+            await until(lambda: sender.ended == [AttemptResult.TIMEOUT] and sender.backends.count() == 0)
 
     run(job())
 
@@ -181,7 +181,7 @@
                 at += peer.socket.send(answer[at : at + 8192])
                 await asyncio.sleep(0)
                 assert len(connection.reader.buffer) <= MOST_VALUE + 8192
-            await until(lambda: sender.ended == [i.Result.SPOILT] and sender.backends.count() == 0)
+            await until(lambda: sender.ended == [AttemptResult.SPOILT] and sender.backends.count() == 0)
 
     run(job())
 
--- a/tests/races/test_attempts_dial.py
+++ b/tests/races/test_attempts_dial.py
@@ -3,7 +3,7 @@
 import pytest
 
 from molereach.backends.attempt import Attempt
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from tests.races.attempts import Sender
 from tests.races.wire import Dials, Machine, machine, turns, until
 from tests.sockets import run, value
@@ -17,10 +17,11 @@
 
 
 @pytest.mark.parametrize(
-    ("how", "result"), [(Attempt.cancel, i.Result.CANCELLED), (Attempt.time_out, i.Result.CONNECT_FAILED)]
+    ("how", "result"),
+    [(Attempt.cancel, AttemptResult.CANCELLED), (Attempt.time_out, AttemptResult.CONNECT_FAILED)],
 )
 def test_dial_that_comes_up_after_its_attempt_was_given_up_carries_nothing(
-    how: object, result: i.Result
+    how: object, result: AttemptResult
 ) -> None:
     async def job() -> None:
         with machine() as held:
@@ -81,7 +82,7 @@
                 assert await peer.hear() == b"first"
                 peer.say(value(b"ok"))
                 await until(lambda: len(sender.ended) == 2)
-                assert sender.ended == [i.Result.CANCELLED, i.Result.OK]
+                assert sender.ended == [AttemptResult.CANCELLED, AttemptResult.OK]
             sender.backends.close()
 
     run(job())
--- a/tests/races/test_attempts_dial_late.py
+++ b/tests/races/test_attempts_dial_late.py
@@ -7,7 +7,7 @@
 
 from molereach.backends import pool as pools
 from molereach.backends.connection import Connection
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from tests.races.attempts import S, Sender
 from tests.races.wire import machine, until
 from tests.sockets import run, value
@@ -45,7 +45,7 @@
             if not waits:
                 first.cancel()
             await until(lambda: bool(sender.ended) and not pool.connecting)
-            assert sender.ended == [i.Result.CONNECT_FAILED if waits else i.Result.CANCELLED]
+            assert sender.ended == [AttemptResult.CONNECT_FAILED if waits else AttemptResult.CANCELLED]
             assert not pool.idle and not pool.connections and pool.owner.count() == 0
             (await held.accept()).close()  # that of the first
             sender.backends.connect_s = 5
@@ -54,7 +54,7 @@
             assert await peer.hear() == b"second"
             peer.say(value(b"ok"))
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended[1] is i.Result.OK
+            assert sender.ended[1] is AttemptResult.OK
             sender.backends.close()
 
     run(job())
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -5,18 +5,18 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import FrontDoor
 from tests.races.wire import Dials, Machine, Peer, machine, turns, until
 from tests.sockets import SETTINGS, Backend, Client, front_door, run, submit, value
 
-OLD = i.Server("s0", 0, 0, 0, i.ServerState.UP)
-OTHER = i.Server("other", 0, 0, 0, i.ServerState.UP)
+OLD = Endpoint("s0", 0, 0, 0, EndpointState.UP)
+OTHER = Endpoint("other", 0, 0, 0, EndpointState.UP)
 
 
-def tell(door: FrontDoor, *servers: i.Server, **addresses: tuple[str, int]) -> None:
+def tell(door: FrontDoor, *servers: Endpoint, **addresses: tuple[str, int]) -> None:
     """News of the list, as discovery brings them."""
-    door.hear(i.ServerList(i.ListKind.CHANGES, 8, servers), addresses)
+    door.hear(EndpointListReceived(EndpointListKind.CHANGES, 8, servers), addresses)
 
 
 async def nothing_comes(held: Machine) -> None:
@@ -25,8 +25,8 @@
     assert await peer.hear() == b""
 
 
-@pytest.mark.parametrize("state", [i.ServerState.DRAINING, i.ServerState.GONE])
-def test_attempt_that_waits_for_its_dial_goes_elsewhere_once_its_server_drains(state: i.ServerState) -> None:
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_attempt_that_waits_for_its_dial_goes_elsewhere_once_its_server_drains(state: EndpointState) -> None:
     """The list is known to the module before the attempt is back: it wastes no further one there."""
 
     async def job() -> None:
@@ -64,7 +64,7 @@
                 client.say(submit("a1"))
                 while not door.inbox:
                     await asyncio.sleep(0)
-                tell(door, replace(OLD, state=i.ServerState.DRAINING), OTHER, other=at)
+                tell(door, replace(OLD, state=EndpointState.DRAINING), OTHER, other=at)
                 assert await client.hear_until(b"ok\r\n")
                 await turns()
                 assert not held.waiting()
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Settings
 from molereach.proxy.proxy import FrontDoor
 from tests.races.wire import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("settings", [SETTINGS, KEPT, STREAMED])
-def test_attempt_that_waits_for_its_dial_is_withdrawn_with_its_client(settings: i.Settings) -> None:
+def test_attempt_that_waits_for_its_dial_is_withdrawn_with_its_client(settings: Settings) -> None:
     async def job() -> None:
         with machine() as held:
             async with front_door(
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("settings", [SETTINGS, KEPT])
 def test_attempt_that_is_written_in_part_is_withdrawn_with_its_client(
-    settings: i.Settings, monkeypatch: pytest.MonkeyPatch
+    settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     narrow(monkeypatch)
 
--- a/tests/races/test_attempts_part.py
+++ b/tests/races/test_attempts_part.py
@@ -12,7 +12,7 @@
 import pytest
 
 from molereach.backends.attempt import Attempt
-from molereach.policy import interface as i
+from molereach.policy.interface.events import AttemptResult
 from tests.races.attempts import Sender
 from tests.races.wire import Peer, machine, narrow, until
 from tests.sockets import run, value
@@ -64,10 +64,14 @@
 
 @pytest.mark.parametrize(
     ("how", "result"),
-    [("cancel", i.Result.CANCELLED), ("time_out", i.Result.CONNECT_FAILED), ("withdraw", i.Result.MOOT)],
+    [
+        ("cancel", AttemptResult.CANCELLED),
+        ("time_out", AttemptResult.CONNECT_FAILED),
+        ("withdraw", AttemptResult.MOOT),
+    ],
 )
 def test_what_is_given_up_in_part_is_never_whole(
-    how: str, result: i.Result, monkeypatch: pytest.MonkeyPatch
+    how: str, result: AttemptResult, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def job() -> None:
         async with in_part(monkeypatch) as (sender, attempt, peer):
@@ -93,7 +97,7 @@
             peer.finish()
             assert not (heard + await whole(peer)).endswith(b"LAST")
             await until(lambda: bool(sender.ended))
-            assert sender.ended == [i.Result.CONNECT_FAILED] and sender.backends.count() == 0
+            assert sender.ended == [AttemptResult.CONNECT_FAILED] and sender.backends.count() == 0
 
     run(job())
 
@@ -103,6 +107,6 @@
         async with in_part(monkeypatch) as (sender, _, peer):
             peer.reset()
             await until(lambda: bool(sender.ended))
-            assert sender.ended == [i.Result.CONNECT_FAILED]
+            assert sender.ended == [AttemptResult.CONNECT_FAILED]
 
     run(job())
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -5,7 +5,13 @@
 import pytest
 
 from molereach.backends import pool
-from molereach.policy import interface as i
+from molereach.policy.interface.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+)
 from tests.races.attempts import Sender
 from tests.races.wire import Dials, Machine, Peer, machine, until
 from tests.sockets import Backend, Client, front_door, query, run, submit, value
@@ -59,19 +65,19 @@
             peer = await held.accept()
             await peer.hear_until(b"first")
             peer.say(value(b"ok"))
-            await until(lambda: sender.ended == [i.Result.OK])
+            await until(lambda: sender.ended == [AttemptResult.OK])
             next(iter(sender.backends.pools["s"].idle)).idle_since = 0  # it has rested
             monkeypatch.setattr(pool, "has_unread", lambda transport: peer.reset())
             sender.send(b"second")
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended[1] is i.Result.CONNECT_FAILED
+            assert sender.ended[1] is AttemptResult.CONNECT_FAILED
             sender.backends.close()
 
     run(job())
 
 
-def gone() -> i.Server:
-    return i.Server("s0", 0, 0, 0, i.ServerState.GONE)
+def gone() -> Endpoint:
+    return Endpoint("s0", 0, 0, 0, EndpointState.GONE)
 
 
 @pytest.mark.parametrize("said", [b"", b"*3\r\n$2\r\no", b"-ERR fai"])
@@ -93,8 +99,8 @@
                     if said:
                         peer.say(said)
                     if answer == b"ok":
-                        server = i.Server("other", 0, 0, 0, i.ServerState.UP)
-                        news = i.ServerList(i.ListKind.CHANGES, 8, (server, gone()))
+                        server = Endpoint("other", 0, 0, 0, EndpointState.UP)
+                        news = EndpointListReceived(EndpointListKind.CHANGES, 8, (server, gone()))
                         door.hear(news, {"other": await other.start()})
                     end(peer)
                     assert await client.answer() == answer
--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -11,7 +11,7 @@
 import pytest
 
 from molereach.clock import now_us
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import DeduplicationScope, Settings
 from tests.races.wire import Dials, Machine, Peer, machine, narrow, until
 from tests.sockets import CLASSES, SETTINGS, Client, front_door, run, submit
 
@@ -19,7 +19,7 @@
 LONG = b"x" * 65_000 + b"BODY"
 
 
-def settings(**changes: object) -> i.Settings:
+def settings(**changes: object) -> Settings:
     keyed = replace(CLASSES[1], window_us=WINDOW_US, **changes)
     return replace(SETTINGS, classes=(CLASSES[0], keyed, CLASSES[2]))
 
@@ -41,8 +41,8 @@
     peer.reset()
 
 
-@pytest.mark.parametrize("group", [i.Group.ALL, i.Group.ZONE])
-def test_dial_that_comes_up_after_the_window_carries_no_repeat(group: i.Group) -> None:
+@pytest.mark.parametrize("group", [DeduplicationScope.ALL, DeduplicationScope.ZONE])
+def test_dial_that_comes_up_after_the_window_carries_no_repeat(group: DeduplicationScope) -> None:
     async def job() -> None:
         with machine() as held:
             async with front_door(
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -9,7 +9,9 @@
 from molereach.clients import disconnect_watch
 from molereach.clients import resp as clients
 from molereach.clients.listener import READ_BYTES
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import Action
+from molereach.policy.interface.events import ClientDisconnected, Event, RequestReceived
+from molereach.policy.interface.settings import Plan
 from molereach.proxy.proxy import FrontDoor
 from tests.races.wire import Dials, Peer, turns, until
 from tests.sockets import CUSTOMER, SETTINGS, Backend, Client, front_door, query, resp, run, submit, value
@@ -17,12 +19,12 @@
 GOES = pytest.mark.parametrize("go", [Peer.close, Peer.finish, Peer.reset])
 
 
-def events(door: FrontDoor) -> list[i.Event]:
+def events(door: FrontDoor) -> list[Event]:
     """What the module is told from now on, in order."""
-    told: list[i.Event] = []
+    told: list[Event] = []
     handle = door.gateway.handle
 
-    def note(now: int, event: i.Event) -> list[i.Action]:
+    def note(now: int, event: Event) -> list[Action]:
         told.append(event)
         return handle(now, event)
 
@@ -33,11 +35,11 @@
 def hold(door: FrontDoor) -> None:
     """The module takes requests and does nothing with them, as while it waits for a server or for words."""
     handle = door.gateway.handle
-    door.gateway.handle = lambda now, event: [] if isinstance(event, i.Request) else handle(now, event)
+    door.gateway.handle = lambda now, event: [] if isinstance(event, RequestReceived) else handle(now, event)
 
 
-def gone(told: list[i.Event]) -> list[str]:
-    return [event.id for event in told if isinstance(event, i.ClientGone)]
+def gone(told: list[Event]) -> list[str]:
+    return [event.id for event in told if isinstance(event, ClientDisconnected)]
 
 
 async def taken(door: FrontDoor, peer: Peer, data: bytes, count: int) -> None:
@@ -223,7 +225,7 @@
 
 def test_client_that_goes_while_words_of_peers_are_waited_for() -> None:
     async def job() -> None:
-        settings = replace(SETTINGS, plans=(i.Plan(rate=1.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(rate=1.0, burst=1.0),))
         async with front_door(Backend(), settings=settings) as (door, address):
             told, peer = events(door), Peer.dial(address)
             hold(door)
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -15,7 +15,13 @@
 from molereach.clients import disconnect_watch
 from molereach.clients import resp as clients
 from molereach.clients.listener import READ_BYTES
-from molereach.policy import interface as i
+from molereach.policy.interface.events import (
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    TimerExpired,
+)
+from molereach.policy.interface.settings import Plan
 from molereach.policy.overload_control import START_PER_SERVER
 from molereach.proxy.proxy import FrontDoor
 from tests.races.test_clients_gone import GOES, events, gone
@@ -27,10 +33,10 @@
 ROOM = START_PER_SERVER // SETTINGS.gateways  # out at one server at once, for each front door
 
 
-def servers_are(door: FrontDoor, state: i.ServerState) -> None:
+def servers_are(door: FrontDoor, state: EndpointState) -> None:
     """The list says so of all of them, as if discovery had told."""
     entries = tuple(replace(server.entry, state=state) for server in door.gateway.fleet.servers.values())
-    door.hear(i.ServerList(i.ListKind.CHANGES, 8, entries), {})
+    door.hear(EndpointListReceived(EndpointListKind.CHANGES, 8, entries), {})
 
 
 def test_end_behind_what_is_not_read_is_looked_for_soon_enough() -> None:
@@ -73,12 +79,12 @@
             told, peer = events(door), Peer.dial(address)
             peer.say(submit("a1"))
             await until(lambda: bool(backend.commands))
-            servers_are(door, i.ServerState.DRAINING)
+            servers_are(door, EndpointState.DRAINING)
             backend.writers[0].write(b"-BUSY\r\n")
             await until(lambda: len(door.gateway.held) == 1)
             go(peer)
             await until(lambda: gone(told) == ["a1"])
-            servers_are(door, i.ServerState.UP)
+            servers_are(door, EndpointState.UP)
             await until(lambda: door.gateway.fleet.up != [])
             door.gateway.release()
             await turns(9)
@@ -124,7 +130,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind((HOST, 0))
             listen = free.getsockname()
-        settings = replace(SETTINGS, plans=(i.Plan(rate=5.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(rate=5.0, burst=1.0),))
         customer = next(name for name in map("{:016x}".format, range(99)) if zlib.crc32(name.encode()) % 2)
         async with front_door(
             backend, settings=settings, peer_listen=listen, peers=(listen, home.getsockname())
@@ -139,7 +145,7 @@
             await until(lambda: gone(told) == ["a1"])
             await until(lambda: not door.gateway.words.waiting)
             ticks = len(told)
-            await until(lambda: sum(isinstance(event, i.Timer) for event in told[ticks:]) > 0)
+            await until(lambda: sum(isinstance(event, TimerExpired) for event in told[ticks:]) > 0)
             assert backend.commands == [] and not door.gateway.attempts.jobs
         home.close()
 
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -11,7 +11,7 @@
 from molereach.clients import resp as clients
 from molereach.clients.connection_state import CROWDED
 from molereach.clients.listener import State
-from molereach.policy import interface as i
+from molereach.policy.interface.events import RequestReceived
 from molereach.proxy.proxy import FrontDoor
 from molereach.resp import has_unread
 from tests.races.wire import Peer, turns, until
@@ -36,7 +36,7 @@
 async def busy(door: FrontDoor, address: Address, count: int) -> list[Peer]:
     """Connections with a request open on each, which the module holds."""
     handle = door.gateway.handle
-    door.gateway.handle = lambda now, event: [] if isinstance(event, i.Request) else handle(now, event)
+    door.gateway.handle = lambda now, event: [] if isinstance(event, RequestReceived) else handle(now, event)
     peers = [Peer.dial(address) for _ in range(count)]
     for number, peer in enumerate(peers):
         peer.say(query(f"b{number}"))
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -1,6 +1,7 @@
 """A request that is over in the turn in which its next try is decided: nothing is left of it."""
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import Action, ForwardAttempt
+from molereach.policy.interface.events import AttemptEnded, AttemptResult, Event, TimerExpired
 from molereach.proxy.proxy import FrontDoor
 from tests.races.wire import Peer, machine, until
 from tests.sockets import Backend, front_door, query, run, value
@@ -52,21 +53,21 @@
             peer = Peer.dial(address)
             peer.say(query("a1"))
             await until(lambda: written(door, "a1"))
-            told: list[i.Event] = []
-            asks = i.Timer(-1)  # none of the module's own
+            told: list[Event] = []
+            asks = TimerExpired(-1)  # none of the module's own
             handle = door.gateway.handle
 
-            def ask_again(now: int, event: i.Event) -> list[i.Action]:
+            def ask_again(now: int, event: Event) -> list[Action]:
                 told.append(event)
-                return [i.Send("a1", "s0", attempt=1)] if event == asks else handle(now, event)
+                return [ForwardAttempt("a1", "s0", attempt=1)] if event == asks else handle(now, event)
 
             door.gateway.handle = ask_again
             door.post(asks)
             heard_from(door, "a1", value(b"ok"))
             assert await peer.hear_until(b"ok\r\n")
-            await until(lambda: sum(isinstance(event, i.Outcome) for event in told) == 2)
-            outcomes = [(event.attempt, event.result) for event in told if isinstance(event, i.Outcome)]
-            assert outcomes == [(0, i.Result.OK), (1, i.Result.MOOT)]
+            await until(lambda: sum(isinstance(event, AttemptEnded) for event in told) == 2)
+            outcomes = [(event.attempt, event.result) for event in told if isinstance(event, AttemptEnded)]
+            assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.MOOT)]
             assert not door.ended
 
     run(job())
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointState
 from tests.races.listing import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
 from tests.races.wire import Peer, machine, turns
 from tests.sockets import HEAD, chunk, run
 
-UP, DRAINING, GONE = i.ServerState.UP, i.ServerState.DRAINING, i.ServerState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
 
 
 def test_indented_lists_are_read_in_a_watch_and_in_the_whole_list() -> None:
--- a/tests/races/test_discovery_calls.py
+++ b/tests/races/test_discovery_calls.py
@@ -9,13 +9,13 @@
 
 from molereach.discovery import client, watch_supervisor
 from molereach.discovery.poll_backoff import AGENT_BACKOFF_S
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointState
 from molereach.proxy.proxy import FrontDoor
 from tests.races.listing import after, asked, call, changes, gone, watch
 from tests.races.wire import Machine, machine, until
 from tests.sockets import CONFIG, HEAD, Client, chunk, resp, run
 
-UP, DRAINING = i.ServerState.UP, i.ServerState.DRAINING
+UP, DRAINING = EndpointState.UP, EndpointState.DRAINING
 
 
 @pytest.fixture
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -10,17 +10,26 @@
 import pytest
 
 from molereach.discovery.endpoint_mapping import Catalog
-from molereach.policy import interface as i
 from molereach.policy.gateway import Gateway
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.interface.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    RequestReceived,
+)
 from molereach.proxy.proxy import FrontDoor
 from tests.races.listing import AT, after, call
 from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
 
-UP, DRAINING, GONE = i.ServerState.UP, i.ServerState.DRAINING, i.ServerState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
 
 
-def read(*entries: object, reset: bool = False) -> tuple[dict[str, i.ServerState], dict[str, Any]]:
+def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
     news = Catalog(CONFIG).news({"generation": 1, "reset": reset, "instances": list(entries)})
     return {server.name: server.state for server in news.event.servers}, news.addresses
 
@@ -68,8 +77,8 @@
 S = 1_000_000
 
 
-def server(name: str = "s1", state: i.ServerState = UP, started_us: int = 0) -> i.Server:
-    return i.Server(name, 0, 0, 0, state, 1.0, started_us)
+def server(name: str = "s1", state: EndpointState = UP, started_us: int = 0) -> Endpoint:
+    return Endpoint(name, 0, 0, 0, state, 1.0, started_us)
 
 
 class Told:
@@ -77,21 +86,21 @@
 
     def __init__(self) -> None:
         self.gateway, self.now, self.count = Gateway(SETTINGS), S, 0
-        self.say(server(), kind=i.ListKind.FULL)
+        self.say(server(), kind=EndpointListKind.FULL)
 
-    def say(self, *servers: i.Server, kind: i.ListKind = i.ListKind.CHANGES) -> None:
+    def say(self, *servers: Endpoint, kind: EndpointListKind = EndpointListKind.CHANGES) -> None:
         self.now += 1
-        self.gateway.handle(self.now, i.ServerList(kind, 1, servers))
+        self.gateway.handle(self.now, EndpointListReceived(kind, 1, servers))
 
-    def ask(self) -> list[i.Send]:
+    def ask(self) -> list[ForwardAttempt]:
         """A request comes: where it is sent at once."""
         self.now, self.count = self.now + 1, self.count + 1
-        actions = self.gateway.handle(self.now, i.Request(f"r{self.count}", 2, 0, "c", S))
-        return [action for action in actions if isinstance(action, i.Send)]
+        actions = self.gateway.handle(self.now, RequestReceived(f"r{self.count}", 2, 0, "c", S))
+        return [action for action in actions if isinstance(action, ForwardAttempt)]
 
-    def end(self, send: i.Send, result: i.Result) -> None:
+    def end(self, send: ForwardAttempt, result: AttemptResult) -> None:
         self.now += 1
-        self.gateway.handle(self.now, i.Outcome(send.id, False, 0, send.server, result, 1))
+        self.gateway.handle(self.now, AttemptEnded(send.id, False, 0, send.server, result, 1))
 
 
 @pytest.mark.parametrize(
@@ -105,7 +114,7 @@
 )
 @pytest.mark.parametrize("started_us", [0, S])
 def test_server_gets_nothing_while_away_and_work_once_it_is_back(
-    away: list[tuple[i.Server, ...]], started_us: int
+    away: list[tuple[Endpoint, ...]], started_us: int
 ) -> None:
     told = Told()
     assert told.ask()
@@ -119,9 +128,9 @@
 
 def test_whole_list_takes_away_what_it_does_not_name_and_a_failed_call_nothing() -> None:
     told = Told()
-    told.say(kind=i.ListKind.FAILED)
+    told.say(kind=EndpointListKind.FAILED)
     assert told.ask()
-    told.say(server("s2"), kind=i.ListKind.FULL)
+    told.say(server("s2"), kind=EndpointListKind.FULL)
     assert [send.server for send in told.ask()] == ["s2"] == list(told.gateway.fleet.servers)
 
 
@@ -131,7 +140,7 @@
     told.say(server(state=DRAINING))
     told.say(server(started_us=S))
     for send in sent:
-        told.end(send, i.Result.TIMEOUT)
+        told.end(send, AttemptResult.TIMEOUT)
     assert told.ask() and not told.gateway.fleet.servers["s1"].fails
     told.say(server(started_us=S))  # said once more: it is the same one
     assert len(told.gateway.fleet.servers["s1"].out) == 1
--- a/tests/races/test_discovery_moves.py
+++ b/tests/races/test_discovery_moves.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind, EndpointState
 from tests.races.listing import WHOLE, asked, call, changes, gone, listed, watch, whole
 from tests.races.wire import Machine, machine, until
 from tests.sockets import HEAD, chunk, run
 
-UP, DRAINING = i.ServerState.UP, i.ServerState.DRAINING
+UP, DRAINING = EndpointState.UP, EndpointState.DRAINING
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
             assert target == WHOLE
             peer.say(HEAD + chunk(changes(7, s1="SERVING") + changes(8, s1="DRAINING")))
             event = (await door.heard.get()).event
-            assert (event.kind, event.version) == (i.ListKind.FULL, 7)
+            assert (event.kind, event.version) == (EndpointListKind.FULL, 7)
             kept = await watch(other, 7)
             assert await gone(peer) and door.heard.empty() and not kept.pending()
         assert not [line for line in caplog.messages if "no sense" in line]
--- a/tests/races/test_peers_home.py
+++ b/tests/races/test_peers_home.py
@@ -5,7 +5,15 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import Action, FailRequest, ForwardAttempt, Reject, SendGossip
+from molereach.policy.interface.events import (
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListReceived,
+    GossipReceived,
+)
+from molereach.policy.interface.messages import GossipMessage
+from molereach.policy.interface.settings import Plan, Settings
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
 PAIR = replace(SETTINGS, gateways=2)
@@ -16,30 +24,30 @@
     return next(f"c{n}" for n in range(99) if zlib.crc32(f"c{n}".encode()) % 2 == home)
 
 
-def answers_to(world: World, name: str) -> list[i.Action]:
+def answers_to(world: World, name: str) -> list[Action]:
     """Final answers and sends for a request."""
     return [
         action
         for _, action in world.log
-        if isinstance(action, i.Send | i.Refuse | i.Fail) and action.id == name
+        if isinstance(action, ForwardAttempt | Reject | FailRequest) and action.id == name
     ]
 
 
-def restart(gates: Set, me: int, settings: i.Settings) -> None:
+def restart(gates: Set, me: int, settings: Settings) -> None:
     """It is killed, and starts again from nothing: what it had is gone, and so are its stores."""
     fresh = World(replace(settings, me=me, gateways=len(gates.worlds), seed=99 + me), servers(4))
     fresh.now = gates.worlds[me].now
     fresh.log, fresh.timers = [], []
     fresh.gateway = type(fresh.gateway)(replace(settings, me=me, gateways=len(gates.worlds), seed=99 + me))
     gates.worlds[me] = fresh
-    fresh.tell(i.ServerList(i.ListKind.SAVED, 1, servers(4)))
+    fresh.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
 
 
 @pytest.mark.parametrize("own_first", [False, True])
 def test_home_that_starts_again_goes_by_what_the_set_knows_of_the_store(own_first: bool) -> None:
     """Its store is full again, the customer's is not. Where its own request came first, before the first word
     of another, the whole burst was let in once more."""
-    settings = replace(SETTINGS, plans=(i.Plan(rate=4.0, burst=40.0),))
+    settings = replace(SETTINGS, plans=(Plan(rate=4.0, burst=40.0),))
     gates = Set(3, settings)
     home = zlib.crc32(b"c") % 3
     for n in range(300):  # three times what the plan gives: the store is empty
@@ -67,7 +75,7 @@
     assert not answers_to(world, "a10")
     world.run(S - 40 * MS)  # a refusal after half of the time would come too late
     assert len(answers_to(world, "a10")) == 1
-    words = [word for _, action in world.log if isinstance(action, i.Tell) for word in action.words]
+    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.words]
     assert sum(word.asked > 0 for word in words) == 3
 
 
@@ -81,9 +89,9 @@
     world.run(S)
     said = answers_to(world, "a10")
     key = zlib.crc32(name.encode()), 0, 0, 2
-    late = i.Word(*key, True, asked=1.0, level=-2.0, granted=True, inside=inside)
+    late = GossipMessage(*key, True, asked=1.0, level=-2.0, granted=True, inside=inside)
     for _ in range(2):
-        assert not of(i.Send, world.tell(i.PeerMessage(1, (late,))))
+        assert not of(ForwardAttempt, world.tell(GossipReceived(1, (late,))))
     world.run(S)
     assert answers_to(world, "a10") == said and len(said) == 1
     (customer,) = world.gateway.customers.known.values()
@@ -95,9 +103,9 @@
     name = customer_of(world, home=1)
     for number in range(11):
         world.ask(f"a{number}", customer=name, set_size=2, left_us=2 * S)
-    world.tell(i.ClientGone("a10"))
-    answer = i.Word(zlib.crc32(name.encode()), 0, 0, 2, True, asked=1.0, level=5.0, inside=True)
-    world.tell(i.PeerMessage(1, (answer,)))
+    world.tell(ClientDisconnected("a10"))
+    answer = GossipMessage(zlib.crc32(name.encode()), 0, 0, 2, True, asked=1.0, level=5.0, inside=True)
+    world.tell(GossipReceived(1, (answer,)))
     (customer,) = world.gateway.customers.known.values()
     assert customer.level == 5.0  # and it costs the customer nothing
     world.run(S)
@@ -109,10 +117,10 @@
     name = customer_of(world, home=1)
     key = zlib.crc32(name.encode()), 0, 0, 2
     for level in (-5.0, 15.0):  # the second was sent first
-        world.tell(i.PeerMessage(1, (i.Word(*key, True, level=level),)))
+        world.tell(GossipReceived(1, (GossipMessage(*key, True, level=level),)))
     customer = world.gateway.customers.known[key]
     assert customer.part <= 15.0 / 2 and customer.level == 15.0
-    world.tell(i.PeerMessage(1, (i.Word(*key, True, level=-5.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(*key, True, level=-5.0),)))
     assert customer.level == -5.0 and customer.part == 0.0
 
 
@@ -123,7 +131,7 @@
         world.ask(f"a{number}", customer=name, set_size=2)
     world.run(600 * MS)
     assert peers.is_silent(world.now, 1)
-    world.tell(i.PeerMessage(1, (i.Word(7, 0, 0, 2, True),)))
+    world.tell(GossipReceived(1, (GossipMessage(7, 0, 0, 2, True),)))
     assert not peers.is_silent(world.now, 1)
 
 
@@ -132,14 +140,17 @@
     world = World(replace(SETTINGS, gateways=200))  # it is the first
     name = customer_of(world, home=1)  # the second of its set
     key = zlib.crc32(name.encode()), 0, 199, 2
-    actions = world.tell(i.PeerMessage(199, (i.Word(*key, demand=1.0, asked=1.0, level=20.0),)))
-    (told,) = of(i.Tell, actions)
-    assert isinstance(told, i.Tell) and told.peer == 199 and told.words[0].is_answer and told.words[0].inside
+    actions = world.tell(GossipReceived(199, (GossipMessage(*key, demand=1.0, asked=1.0, level=20.0),)))
+    (told,) = of(SendGossip, actions)
+    assert (
+        isinstance(told, SendGossip) and told.peer == 199 and told.words[0].is_answer and told.words[0].inside
+    )
     others = [
         action
         for first in (0, 1, 198)
         for action in of(
-            i.Tell, world.tell(i.PeerMessage(5, (i.Word(key[0], 0, first, 1, demand=1.0, asked=1.0),)))
+            SendGossip,
+            world.tell(GossipReceived(5, (GossipMessage(key[0], 0, first, 1, demand=1.0, asked=1.0),))),
         )
     ]
     assert len(others) == 1  # of the set that is this one alone
--- a/tests/races/test_peers_none.py
+++ b/tests/races/test_peers_none.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Plan
 from molereach.proxy.config import load
 from tests.helpers import MS, SETTINGS, Set
 from tests.races.test_settings_wrong import VALUES
@@ -19,7 +19,7 @@
 def test_each_of_a_set_spends_its_part_of_the_quota(size: int, ceiling: float) -> None:
     """Each was the customer's home for itself and let in the whole quota, so that the set spent it `size`
     times over."""
-    plan = i.Plan(rate=5.0, burst=12.0, ceiling_rate=ceiling, ceiling_burst=2 * ceiling)
+    plan = Plan(rate=5.0, burst=12.0, ceiling_rate=ceiling, ceiling_burst=2 * ceiling)
     gates = Set(size, replace(ALONE, plans=(plan,)))
     for n in range(400):
         gates.ask(n % size, f"r{n}")
--- a/tests/races/test_peers_words.py
+++ b/tests/races/test_peers_words.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import SendGossip
+from molereach.policy.interface.messages import GossipMessage
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, WORD, pack_words, unpack_words
 from tests.sockets import HOST, SETTINGS, Client, front_door, resp, run
 
@@ -22,8 +23,8 @@
     return own
 
 
-def ask(customer: int, first: int = 0, size: int = 2, plan: int = 0) -> i.Word:
-    return i.Word(customer, plan, first, size, demand=1.0, asked=1.0, level=9.0)
+def ask(customer: int, first: int = 0, size: int = 2, plan: int = 0) -> GossipMessage:
+    return GossipMessage(customer, plan, first, size, demand=1.0, asked=1.0, level=9.0)
 
 
 def test_only_good_words_of_a_peer_are_heard(caplog: pytest.LogCaptureFixture) -> None:
@@ -97,7 +98,7 @@
         peers = (listen, nowhere, peer.getsockname())
         async with front_door(peer_listen=listen, peers=peers, settings=settings) as (door, _):
             for number in (1, 2):
-                door.peers.tell(i.Tell(number, (ask(HOME_0),)))
+                door.peers.tell(SendGossip(number, (ask(HOME_0),)))
             assert unpack_words(await asyncio.get_running_loop().sock_recv(peer, 2048))
             peer.sendto(pack_words([ask(6, size=3)])[0], listen)
             await asyncio.get_running_loop().sock_recv(peer, 2048)
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Plan
 from molereach.proxy import proxy
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
@@ -114,7 +114,7 @@
             free.bind((HOST, 0))
             listen = free.getsockname()
         # Its part of the burst holds no whole request, so that it has to ask.
-        settings = replace(SETTINGS, plans=(i.Plan(rate=5.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(rate=5.0, burst=1.0),))
         customer = next(name for name in map("{:016x}".format, range(99)) if zlib.crc32(name.encode()) % 2)
         async with started(
             refusing_address(),
--- a/tests/races/test_settings_short.py
+++ b/tests/races/test_settings_short.py
@@ -5,12 +5,14 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject, SendGossip
+from molereach.policy.interface.events import AttemptResult
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
 from molereach.policy.overload_control import Cap
 from molereach.policy.time_units import TICK_US
 from tests.helpers import MS, SETTINGS, World
 
-SHORT = i.RequestClass(aim_us=100 * MS, deadline_us=400 * MS)
+SHORT = RequestClass(aim_us=100 * MS, deadline_us=400 * MS)
 PAIR = replace(SETTINGS, gateways=2, classes=(SHORT,))
 LEFT_US = SHORT.deadline_us - 25 * MS
 
@@ -21,7 +23,11 @@
 
 def asks(world: World) -> list[int]:
     return [
-        at for at, action in world.log if isinstance(action, i.Tell) for word in action.words if word.asked
+        at
+        for at, action in world.log
+        if isinstance(action, SendGossip)
+        for word in action.words
+        if word.asked
     ]
 
 
@@ -33,14 +39,18 @@
         world.ask(f"a{number}", customer=name, set_size=2, left_us=LEFT_US)
     world.run(LEFT_US // 2)
     assert len(asks(world)) == 3
-    assert [at for at, action in world.log if isinstance(action, i.Send | i.Refuse) and action.id == "a10"]
+    assert [
+        at for at, action in world.log if isinstance(action, ForwardAttempt | Reject) and action.id == "a10"
+    ]
 
 
-@pytest.mark.parametrize("effect", list(i.Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 @pytest.mark.parametrize(("aim_us", "deadline_us"), [(100 * MS, 400 * MS), (60 * MS, 200 * MS)])
-def test_each_request_has_one_answer_in_time(effect: i.Effect, aim_us: int, deadline_us: int) -> None:
+def test_each_request_has_one_answer_in_time(effect: Idempotency, aim_us: int, deadline_us: int) -> None:
     """Servers that answer nothing, and a home that is silent: the final answer comes before the deadline."""
-    rule = i.RequestClass(aim_us, deadline_us, effect=effect, window_us=aim_us // 2, group=i.Group.CELL)
+    rule = RequestClass(
+        aim_us, deadline_us, effect=effect, window_us=aim_us // 2, group=DeduplicationScope.CELL
+    )
     world = World(replace(PAIR, classes=(rule,), max_attempts=2))
     came = {}
     for number in range(40):
@@ -50,13 +60,13 @@
             world.run(10 * MS)
             for (name, attempt), (_, sent, wait) in list(world.out.items()):
                 if wait and world.now - sent >= wait:
-                    world.answer(name, i.Result.TIMEOUT, attempt)
+                    world.answer(name, AttemptResult.TIMEOUT, attempt)
     for _ in range(deadline_us // (10 * MS)):
         world.run(10 * MS)
         for (name, attempt), (_, sent, wait) in list(world.out.items()):
             if wait and world.now - sent >= wait:
-                world.answer(name, i.Result.TIMEOUT, attempt)
-    ended = [(at, action.id) for at, action in world.log if isinstance(action, i.Refuse | i.Fail)]
+                world.answer(name, AttemptResult.TIMEOUT, attempt)
+    ended = [(at, action.id) for at, action in world.log if isinstance(action, Reject | FailRequest)]
     assert sorted(name for _, name in ended) == sorted(came)
     assert all(at - came[name] < deadline_us for at, name in ended)
 
@@ -64,6 +74,6 @@
 def test_periods_are_no_shorter_than_the_steps_that_end_them() -> None:
     """With an aim of a millisecond a period was 667 us, and a tick ended thirty; of 1 us, thousands."""
     for aim_us in (1, 1000, 29 * MS):
-        rule = i.RequestClass(aim_us, 400 * MS)
+        rule = RequestClass(aim_us, 400 * MS)
         assert Cap(replace(SETTINGS, classes=(rule,))).cc_us == TICK_US
     assert Cap(replace(SETTINGS, classes=(SHORT,))).cc_us == pytest.approx(66_667)
--- a/tests/races/test_sigterm_requests.py
+++ b/tests/races/test_sigterm_requests.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import Idempotency, RequestClass
 from tests.races.sigterm import FAILED, shorten
 from tests.races.wire import Peer, machine, until
 from tests.sockets import SETTINGS, front_door, query, run, submit
@@ -35,7 +35,7 @@
 
 
 def test_request_held_for_want_of_a_backend_is_answered_before_the_kill() -> None:
-    patient = i.RequestClass(aim_us=6_000_000, deadline_us=6_000_000, effect=i.Effect.UNSAFE)
+    patient = RequestClass(aim_us=6_000_000, deadline_us=6_000_000, effect=Idempotency.UNSAFE)
     settings = replace(SETTINGS, classes=(patient, patient, patient))
 
     async def job() -> None:
--- a/tests/shards/splits/servers.py
+++ b/tests/shards/splits/servers.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import Home, ShardMap
 from molereach.shards.splits.orders import Done, Order
 from molereach.shards.splits.record import Record
@@ -12,7 +12,7 @@
 class Attempt:
     id: str
     member: int
-    effect: Effect
+    effect: Idempotency
     again: bool  # it may have been tried before
     size: int
 
@@ -53,9 +53,9 @@
         shard = next((shard for first, end, shard in self.owns if first <= attempt.member < end), None)
         if shard is None or self.moved_away(attempt.member):
             return BUSY
-        if attempt.effect is Effect.KEYED and attempt.id in self.memory:
+        if attempt.effect is Idempotency.KEYED and attempt.id in self.memory:
             return Answer(False, False, shard)
-        if attempt.effect is Effect.KEYED:
+        if attempt.effect is Idempotency.KEYED:
             self.memory[attempt.id] = attempt.member
         self.ran.append(attempt)
         self.stored[attempt.member] = self.stored.get(attempt.member, 0) + attempt.size
@@ -63,7 +63,7 @@
         return Answer(True, False, shard)
 
     def pass_on(self, split: Record, attempt: Attempt) -> Answer:
-        if attempt.effect is not Effect.KEYED or not attempt.again:
+        if attempt.effect is not Idempotency.KEYED or not attempt.again:
             return BUSY
         if attempt.id in self.memory:
             return Answer(False, False, split.shard)
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -11,7 +11,7 @@
 
 from molereach.coordination.interface import Life, Tick
 from molereach.coordination.leases import bodies as leases
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies
 from molereach.shards.splits.bodies import Plan, Proof
@@ -35,7 +35,7 @@
     world.step_time()
     if chance < 0.15:
         member = int(draw() * MEMBERS) if draw() < 0.3 else int(draw() * 64) * (MEMBERS // 64)
-        world.ask(name, list(Effect)[int(draw() * 3)], member, 1 + int(draw() * 9))
+        world.ask(name, list(Idempotency)[int(draw() * 3)], member, 1 + int(draw() * 9))
     elif chance < 0.22 and world.keyed:
         world.repeat(name, world.keyed[-1 - int(draw() * min(30, len(world.keyed)))])
     elif chance < 0.58 and world.pool:
@@ -121,7 +121,7 @@
     before = len(world.answers)
     for name in "abc":
         for member in range(0, MEMBERS, MEMBERS // 16):
-            world.ask(name, Effect.UNSAFE, member)
+            world.ask(name, Idempotency.UNSAFE, member)
     world.fair(3)
     assert not any(answer.busy for answer in world.answers[before:]), "requests are turned away for ever"
     world.check_stores()
@@ -203,7 +203,7 @@
     """Runs what it is asked again and does not remember, where it ought to pass it on."""
 
     def pass_on(self, split: Record, attempt: Attempt) -> Answer:
-        if attempt.effect is Effect.KEYED and attempt.again and attempt.id not in self.memory:
+        if attempt.effect is Idempotency.KEYED and attempt.again and attempt.id not in self.memory:
             self.ran.append(attempt)
             return Answer(True, False, split.shard)
         return super().pass_on(split, attempt)
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -3,7 +3,7 @@
 import pytest
 
 from molereach.coordination.interface import Known, Life, Restored, Tick
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
@@ -43,7 +43,7 @@
 
 def asks(world: World) -> None:
     for name in "abc":
-        for effect in Effect:
+        for effect in Idempotency:
             world.ask(name, effect, MOVED)
             world.ask(name, effect, 5)
 
@@ -86,9 +86,9 @@
     assert world.state("s") is State.HANDED
     cut_off.stopped = False  # it goes on by its old map, and hears nothing of the log
     before = len(world.answers)
-    place = cut_off.door.place(world.now_us, MOVED, Effect.UNSAFE)
+    place = cut_off.door.place(world.now_us, MOVED, Idempotency.UNSAFE)
     assert place and place.cell == "c0"
-    world.ask("c", Effect.UNSAFE, MOVED)
+    world.ask("c", Idempotency.UNSAFE, MOVED)
     under_way, world.pool = world.pool, []
     for one in under_way:
         one()
@@ -228,34 +228,34 @@
 
 def test_where_a_front_door_sends_each_kind_of_request() -> None:
     world, door = handed()
-    old = door.place(0, MOVED, Effect.UNSAFE)
+    old = door.place(0, MOVED, Idempotency.UNSAFE)
     assert old and (old.cell, old.shard, old.version) == ("c0", 1, 1)
     assert put(world, Hand("s", at(world), 0)) == ""
-    assert door.place(0, MOVED, Effect.SAFE) == old  # until it has the entry
+    assert door.place(0, MOVED, Idempotency.SAFE) == old  # until it has the entry
     door.turned_away(0, old, 2)
     assert door.handle(0, Tick()) == [Learn(2)] and door.handle(0, Tick()) == []
     world.now_us = 1_000_000
     world.catch_up(world.readers["a"])
-    new = door.place(world.now_us, MOVED, Effect.SAFE)
+    new = door.place(world.now_us, MOVED, Idempotency.SAFE)
     assert new and (new.cell, new.shard, new.version) == ("c2", 3, 2)
     door.turned_away(0, new, 2)
     assert door.handle(world.now_us, Tick()) == []
 
-    def cell(member: int, effect: Effect, now_us: int, **kinds: object) -> str | None:
+    def cell(member: int, effect: Idempotency, now_us: int, **kinds: object) -> str | None:
         place = door.place(now_us, member, effect, **kinds)  # type: ignore[arg-type]
         return place.cell if place else None
 
     later = world.now_us + WINDOW_MS * 1000
-    assert cell(MOVED, Effect.UNSAFE, world.now_us, tried=old) is None
-    assert cell(MOVED, Effect.UNSAFE, world.now_us) == "c2"
-    assert cell(MOVED, Effect.SAFE, world.now_us, tried=old) == "c2"
-    assert cell(MOVED, Effect.KEYED, world.now_us, tried=old) == "c0"
-    assert cell(MOVED, Effect.KEYED, world.now_us) == "c2"
-    assert cell(MOVED, Effect.KEYED, later - 1, is_repeat=True) == "c0"
-    assert cell(MOVED, Effect.KEYED, later, is_repeat=True) == "c2"
-    assert cell(5, Effect.KEYED, world.now_us, is_repeat=True, tried=old) == "c0"
+    assert cell(MOVED, Idempotency.UNSAFE, world.now_us, tried=old) is None
+    assert cell(MOVED, Idempotency.UNSAFE, world.now_us) == "c2"
+    assert cell(MOVED, Idempotency.SAFE, world.now_us, tried=old) == "c2"
+    assert cell(MOVED, Idempotency.KEYED, world.now_us, tried=old) == "c0"
+    assert cell(MOVED, Idempotency.KEYED, world.now_us) == "c2"
+    assert cell(MOVED, Idempotency.KEYED, later - 1, is_repeat=True) == "c0"
+    assert cell(MOVED, Idempotency.KEYED, later, is_repeat=True) == "c2"
+    assert cell(5, Idempotency.KEYED, world.now_us, is_repeat=True, tried=old) == "c0"
     with pytest.raises(ValueError):
-        door.place(0, MEMBERS, Effect.SAFE)
+        door.place(0, MEMBERS, Idempotency.SAFE)
 
 
 def test_clear_is_said_once_the_window_is_over_also_after_a_snapshot() -> None:
@@ -277,4 +277,4 @@
 def test_without_a_map_nothing_is_sent() -> None:
     world = World(drawn_by(1))
     empty = type(world.truth.shards)(world.truth.shards.settings, world.truth.sessions, world.truth.upkeep)
-    assert DoorShards(empty).place(0, 5, Effect.SAFE) is None
+    assert DoorShards(empty).place(0, 5, Idempotency.SAFE) is None
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -19,7 +19,7 @@
 )
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Past, Sessions
-from molereach.policy.interface import Effect
+from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import Home, ShardMap, unsound
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
@@ -263,11 +263,11 @@
 
     # --- requests ---
 
-    def ask(self, name: str, effect: Effect, member: int, size: int = 1) -> None:
+    def ask(self, name: str, effect: Idempotency, member: int, size: int = 1) -> None:
         self.number += 1
         attempt = Attempt(f"r{self.number}", member, effect, False, size)
         self.sent_us[attempt.id] = self.now_us
-        if effect is Effect.KEYED:
+        if effect is Idempotency.KEYED:
             self.keyed.append(attempt)
         self.send(Call(attempt, name))
 
@@ -285,10 +285,10 @@
             return
         again = attempt.again or call.tried is not None
         sent = replace(attempt, again=again)
-        if attempt.effect is Effect.UNSAFE:
+        if attempt.effect is Idempotency.UNSAFE:
             self.sides.setdefault(attempt.id, set()).add(place.cell)
             assert len(self.sides[attempt.id]) == 1, "an unsafe request to both sides"
-        if attempt.effect is Effect.KEYED and call.tried:
+        if attempt.effect is Idempotency.KEYED and call.tried:
             assert place.cell == call.tried.cell, "a keyed request was moved"
         call.tried = place
 
@@ -297,7 +297,7 @@
             self.answers.append(answer)
             if answer.ran:
                 ran = [each for cell in self.cells.values() for each in cell.ran if each.id == sent.id]
-                assert sent.effect is Effect.SAFE or len(ran) == 1, f"{sent.effect} ran twice"
+                assert sent.effect is Idempotency.SAFE or len(ran) == 1, f"{sent.effect} ran twice"
             self.post(lambda: self.answered(call, place, answer))
 
         self.post(arrive)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -8,7 +8,21 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.actions import (
+    AddToCounter,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    Reject,
+    SendGossip,
+    SetTimer,
+    SubscribeToEndpoints,
+    WriteLog,
+)
+from molereach.policy.interface.events import GossipReceived, LoadReport
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
 from molereach.protocol.gossip_codec import WORD, pack_words, read_report, unpack_words
 from molereach.simulator.adapter import Host, write_action
 from tests.helpers import SETTINGS, World
@@ -141,46 +155,49 @@
 
 def test_every_action_has_its_line() -> None:
     actions = [
-        (i.Cancel("a", 1), "CANCEL a 1"),
-        (i.Refuse("a", 5), "TURN_AWAY a 5"),
-        (i.Fail("a"), "END_FAILED a"),
-        (i.SetTimer(5, 7), "ARM 5 7"),
-        (i.Probe("s"), "CHECK s"),
-        (i.CloseIdle("s"), "HANG_UP s"),
-        (i.Tell(2, (i.Word(5, 1, 3, 4, True, level=-1.5),)), f"TELL 2 00000005010003000401{0:012x}ffb5"),
-        (i.Count(4, 1, 9), "ADD_TO 4 1 9"),
-        (i.Subscribe(False), "STREAM_CHANGES 0"),
-        (i.FetchList(), "SNAPSHOT"),
-        (i.Log("a\nb"), "EMIT a b"),
+        (CancelAttempt("a", 1), "CANCEL a 1"),
+        (Reject("a", 5), "TURN_AWAY a 5"),
+        (FailRequest("a"), "END_FAILED a"),
+        (SetTimer(5, 7), "ARM 5 7"),
+        (CheckHealth("s"), "CHECK s"),
+        (CloseIdleConnections("s"), "HANG_UP s"),
+        (
+            SendGossip(2, (GossipMessage(5, 1, 3, 4, True, level=-1.5),)),
+            f"TELL 2 00000005010003000401{0:012x}ffb5",
+        ),
+        (AddToCounter(4, 1, 9), "ADD_TO 4 1 9"),
+        (SubscribeToEndpoints(False), "STREAM_CHANGES 0"),
+        (FetchEndpoints(), "SNAPSHOT"),
+        (WriteLog("a\nb"), "EMIT a b"),
     ]
     assert [write_action(action) for action, _ in actions] == [line for _, line in actions]
 
 
 def test_words_come_back_as_they_went() -> None:
-    words = tuple(i.Word(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
+    words = tuple(GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
     messages = pack_words(words)
     assert len(messages) > 1 and max(map(len, messages)) <= 256
     assert sum((unpack_words(message) for message in messages), ()) == words
     assert unpack_words(messages[0][:-1]) == ()
-    assert unpack_words(pack_words([i.Word(1, 0, 0, 2, level=1e9)])[0])[0].level == 32767 / 50
+    assert unpack_words(pack_words([GossipMessage(1, 0, 0, 2, level=1e9)])[0])[0].level == 32767 / 50
 
 
 def test_load_report_out_of_range_says_nothing() -> None:
     """Not an error: the wire may carry what no server can mean."""
-    assert read_report([("util", "7"), ("queue", "3")]) == i.LoadReport(queue=3.0)
+    assert read_report([("util", "7"), ("queue", "3")]) == LoadReport(queue=3.0)
     with pytest.raises(ValueError, match="nan"):
         read_report([("util", "nan")])
 
 
 def test_words_keep_their_flags_and_older_versions_pass_over_the_mark() -> None:
     told = (
-        i.Word(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, granted=True, inside=False),
-        i.Word(7, 1, 2, 3, True, inside=True),
-        i.Word(0, i.SPLIT_MARK, 0, 0),
+        GossipMessage(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, granted=True, inside=False),
+        GossipMessage(7, 1, 2, 3, True, inside=True),
+        GossipMessage(0, SPLIT_CEILING_MARK, 0, 0),
     )
     (data,) = pack_words(told)
     assert unpack_words(data) == told
     assert len(data) == 3 * WORD.size and data[8] != 0  # any flag is an answer to an older version: so it is
     world = World(replace(SETTINGS, gateways=2))
-    world.tell(i.PeerMessage(1, (i.Word(7, i.SPLIT_MARK, 0, 2, asked=1.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, asked=1.0),)))
     assert not world.gateway.customers.known
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,23 +11,25 @@
 import hiredis
 import uvloop
 
-from molereach.policy import interface as i
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from molereach.proxy.config import Address, Config
 from molereach.proxy.proxy import FrontDoor
 
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
 CLASSES = (
-    i.RequestClass(aim_us=2_000_000, deadline_us=6_000_000),
-    i.RequestClass(2_000_000, 6_000_000, effect=i.Effect.KEYED, group=i.Group.ZONE, window_us=5_000_000),
-    i.RequestClass(2_000_000, 6_000_000, effect=i.Effect.UNSAFE),
+    RequestClass(aim_us=2_000_000, deadline_us=6_000_000),
+    RequestClass(
+        2_000_000, 6_000_000, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=5_000_000
+    ),
+    RequestClass(2_000_000, 6_000_000, effect=Idempotency.UNSAFE),
 )
-SETTINGS = i.Settings(
+SETTINGS = Settings(
     seed=3,
     me=0,
     gateways=2,
     classes=CLASSES,
-    plans=(i.Plan(rate=1000.0, burst=1000.0),),
+    plans=(Plan(rate=1000.0, burst=1000.0),),
     max_attempts=3,
     max_retry_after_us=750_000,
     may_cancel=True,
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -4,7 +4,8 @@
 from dataclasses import replace
 from random import Random
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.policy.load_balancing import Fleet
 from molereach.subsetting.endpoint_subsetting import LONG, Routing
 from molereach.subsetting.idempotency_groups import STANDINS
@@ -17,41 +18,41 @@
 
 NOW = 100 * S
 KEYED = tuple(
-    i.RequestClass(S, 3 * S, effect=i.Effect.KEYED, group=group, window_us=S)
-    for group in (i.Group.ZONE, i.Group.CELL, i.Group.ALL)
+    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=group, window_us=S)
+    for group in (DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL)
 )
-KINDS: dict[i.Group, Callable[[i.Server], int]] = {
-    i.Group.ZONE: lambda server: server.zone,
-    i.Group.CELL: lambda server: server.cell,
+KINDS: dict[DeduplicationScope, Callable[[Endpoint], int]] = {
+    DeduplicationScope.ZONE: lambda server: server.zone,
+    DeduplicationScope.CELL: lambda server: server.cell,
 }
-Known = dict[str, tuple[i.Server, Address | None]]
+Known = dict[str, tuple[Endpoint, Address | None]]
 Place = Callable[[bytes], int]
-UP, DRAINING, GONE = i.ServerState.UP, i.ServerState.DRAINING, i.ServerState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
 
 
-def settings_of(me: int = 0, doors: int = 5, groups: Sequence[i.Group] = ()) -> i.Settings:
+def settings_of(me: int = 0, doors: int = 5, groups: Sequence[DeduplicationScope] = ()) -> Settings:
     rules = tuple(rule for rule in KEYED if rule.group in groups)
     return replace(SETTINGS, me=me, gateways=doors, classes=(*SETTINGS.classes, *rules))
 
 
-def server(number: int, cells: int = 5, zones: int = 3, **changes: object) -> i.Server:
-    return replace(i.Server(f"b{number}", number % zones, 0, number % cells, UP, 1.0, 1 + number), **changes)
+def server(number: int, cells: int = 5, zones: int = 3, **changes: object) -> Endpoint:
+    return replace(Endpoint(f"b{number}", number % zones, 0, number % cells, UP, 1.0, 1 + number), **changes)
 
 
-def address_of(server: i.Server) -> Address | None:
+def address_of(server: Endpoint) -> Address | None:
     """Another one with each start; none for one that is gone."""
     return None if server.state is GONE else (f"h{server.name}", 1 + server.started_us % 9_000)
 
 
-def addresses_of(servers: Iterable[i.Server]) -> dict[str, Address]:
+def addresses_of(servers: Iterable[Endpoint]) -> dict[str, Address]:
     return {server.name: address for server in servers if (address := address_of(server))}
 
 
-def entries_of(servers: Iterable[i.Server]) -> list[tuple[int, bytes, bool]]:
+def entries_of(servers: Iterable[Endpoint]) -> list[tuple[int, bytes, bool]]:
     return [entry_of(server, address_of(server)) for server in servers]
 
 
-def whole_of(servers: Iterable[i.Server], groups: Sequence[Callable[[bytes], int]] = ()) -> Whole:
+def whole_of(servers: Iterable[Endpoint], groups: Sequence[Callable[[bytes], int]] = ()) -> Whole:
     whole = Whole(groups)
     for place, record, _ in entries_of(servers):
         whole.put(place, record)
@@ -68,8 +69,8 @@
 
 
 def naive_view(
-    known: Mapping[str, tuple[i.Server, Address | None]],
-    settings: i.Settings,
+    known: Mapping[str, tuple[Endpoint, Address | None]],
+    settings: Settings,
     size: int,
     place: Place = place_of,
 ) -> Known:
@@ -95,7 +96,7 @@
 class World:
     """The true list, the routing that hears of it, and the module that hears of the routing."""
 
-    def __init__(self, settings: i.Settings, size: int, most: int = 1_000, place: Place = place_of) -> None:
+    def __init__(self, settings: Settings, size: int, most: int = 1_000, place: Place = place_of) -> None:
         self.settings, self.size, self.place = settings, size, place
         self.routing = Routing(settings, size, most)
         self.fleet = Fleet(settings, Random(1))
@@ -119,9 +120,9 @@
             self.addresses |= seen.addresses
             self.fleet.learn(NOW, seen.event)
 
-    def change(self, kind: i.ListKind, servers: Sequence[i.Server]) -> None:
+    def change(self, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
         """The model's own way with news."""
-        if kind is not i.ListKind.CHANGES:
+        if kind is not EndpointListKind.CHANGES:
             self.known = {}
         for entry in servers:
             self.known.pop(entry.name, None)
@@ -129,7 +130,9 @@
                 self.known[entry.name] = entry, address_of(entry)
         self.long = len(self.known) > self.size * (1 if self.long else LONG)
 
-    def give(self, kind: i.ListKind, servers: Sequence[i.Server], parts: int = 0) -> tuple[Seen | None, int]:
+    def give(
+        self, kind: EndpointListKind, servers: Sequence[Endpoint], parts: int = 0
+    ) -> tuple[Seen | None, int]:
         """News, whole or in that many parts; what came back, and in how many steps."""
         steps = 0
         if parts:
@@ -144,4 +147,4 @@
                     steps += 1
                 except StopIteration as done:
                     return done.value, steps
-        return self.routing.take(i.ServerList(kind, 7, tuple(servers)), addresses_of(servers)), steps
+        return self.routing.take(EndpointListReceived(kind, 7, tuple(servers)), addresses_of(servers)), steps
--- a/tests/subsetting/test_endpoint_subsetting.py
+++ b/tests/subsetting/test_endpoint_subsetting.py
@@ -9,7 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
+from molereach.policy.interface.settings import DeduplicationScope
 from molereach.subsetting import endpoint_subsetting as module
 from molereach.subsetting import staging
 from molereach.subsetting.endpoint_subsetting import LONG, finish
@@ -27,8 +28,18 @@
     settings_of,
 )
 
-FULL, SAVED, CHANGES, FAILED = i.ListKind.FULL, i.ListKind.SAVED, i.ListKind.CHANGES, i.ListKind.FAILED
-GROUPS = ((), (i.Group.CELL,), (i.Group.ZONE, i.Group.CELL), (i.Group.ALL,))
+FULL, SAVED, CHANGES, FAILED = (
+    EndpointListKind.FULL,
+    EndpointListKind.SAVED,
+    EndpointListKind.CHANGES,
+    EndpointListKind.FAILED,
+)
+GROUPS = (
+    (),
+    (DeduplicationScope.CELL,),
+    (DeduplicationScope.ZONE, DeduplicationScope.CELL),
+    (DeduplicationScope.ALL,),
+)
 NUMBERS = 40
 MOST_AT_ONCE = 500  # entries taken over in one turn of the loop
 # What becomes of one, which one, and a figure to it.
@@ -44,7 +55,7 @@
 )
 
 
-def changed(world: World, change: tuple[str, int, int]) -> i.Server:
+def changed(world: World, change: tuple[str, int, int]) -> Endpoint:
     what, number, figure = change
     before = world.known.get(f"b{number}", (server(number), None))[0]
     return {
@@ -57,12 +68,12 @@
     }[what]
 
 
-def by_name(servers: Sequence[i.Server]) -> list[i.Server]:
+def by_name(servers: Sequence[Endpoint]) -> list[Endpoint]:
     """Each once, as a whole list names them."""
     return list({entry.name: entry for entry in servers}.values())
 
 
-def play(world: World, kind: i.ListKind, entries: list[i.Server], parts: int) -> None:
+def play(world: World, kind: EndpointListKind, entries: list[Endpoint], parts: int) -> None:
     """One piece of news, and what must hold after it."""
     before, was_long = world.wanted, world.long
     seen, _ = world.give(kind, entries, parts)
@@ -78,7 +89,9 @@
         assert seen is not None and seen.event.servers == tuple(entries) and not seen.event.seen_by
 
 
-def check_view(world: World, kind: i.ListKind, seen: Seen | None, was_long: bool, before: object) -> None:
+def check_view(
+    world: World, kind: EndpointListKind, seen: Seen | None, was_long: bool, before: object
+) -> None:
     wanted = world.wanted
     assert all(entry.state is UP for entry, _ in wanted.values())
     if kind is CHANGES and was_long:
@@ -103,9 +116,9 @@
 def test_module_knows_the_view_by_the_letter_after_any_list_and_any_change(
     doors: int,
     me: int,
-    groups: Sequence[i.Group],
+    groups: Sequence[DeduplicationScope],
     size: int,
-    news: list[tuple[i.ListKind, list[tuple[str, int, int]], int]],
+    news: list[tuple[EndpointListKind, list[tuple[str, int, int]], int]],
 ) -> None:
     world = World(settings_of(me % doors, doors, groups), size)
     with mock.patch.object(module, "STEP_ENTRIES", 7):
@@ -125,10 +138,10 @@
 )
 def test_names_that_share_a_place_do_no_harm(
     doors: int,
-    groups: Sequence[i.Group],
+    groups: Sequence[DeduplicationScope],
     size: int,
     places: int,
-    news: list[tuple[i.ListKind, list[tuple[str, int, int]], int]],
+    news: list[tuple[EndpointListKind, list[tuple[str, int, int]], int]],
 ) -> None:
     def place(name: bytes) -> int:
         return int(name[1:]) % places * ((1 << 64) // places) + 5
@@ -150,13 +163,13 @@
 
 
 def test_short_list_passes_as_the_very_same_objects() -> None:
-    world = World(settings_of(groups=(i.Group.CELL,)), 4)
-    first = i.ServerList(FULL, 1, tuple(server(number) for number in range(8)))
+    world = World(settings_of(groups=(DeduplicationScope.CELL,)), 4)
+    first = EndpointListReceived(FULL, 1, tuple(server(number) for number in range(8)))
     for event in (
         first,
-        i.ServerList(CHANGES, 2, (server(3, state=DRAINING), server(2, state=GONE))),
-        i.ServerList(FAILED, 2),
-        i.ServerList(SAVED, 3, (server(1),)),
+        EndpointListReceived(CHANGES, 2, (server(3, state=DRAINING), server(2, state=GONE))),
+        EndpointListReceived(FAILED, 2),
+        EndpointListReceived(SAVED, 3, (server(1),)),
         first,
     ):
         seen = world.routing.take(event, addresses_of(event.servers))
@@ -167,7 +180,7 @@
 def test_failed_call_passes_and_the_view_holds() -> None:
     world = World(settings_of(), 4)
     play(world, FULL, [server(number) for number in range(30)], 0)
-    event = i.ServerList(FAILED, 0)
+    event = EndpointListReceived(FAILED, 0)
     seen = world.routing.take(event, {})
     world.hear(seen)
     assert seen is not None and seen.event is event and world.told == world.wanted
@@ -187,7 +200,7 @@
 
 
 def test_lost_zone_is_filled_up_in_the_same_event() -> None:
-    world = World(settings_of(doors=200, groups=(i.Group.CELL,)), 30)
+    world = World(settings_of(doors=200, groups=(DeduplicationScope.CELL,)), 30)
     play(world, FULL, [server(number, zones=4, cells=40) for number in range(400)], 0)
     before = set(world.told)
     lost = [entry for entry, _ in world.known.values() if entry.zone == 1]
@@ -240,7 +253,7 @@
 
 
 def test_takeover_left_half_way_is_taken_up_by_the_next() -> None:
-    world = World(settings_of(groups=(i.Group.CELL,)), 5)
+    world = World(settings_of(groups=(DeduplicationScope.CELL,)), 5)
     with mock.patch.object(staging, "STEP_ENTRIES", 4):
         play(world, FULL, [server(number) for number in range(60)], 1)
         news = [server(number, state=GONE) for number in range(30)]
@@ -257,7 +270,7 @@
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
 @pytest.mark.parametrize("count", [0, 300])
-def test_steps_of_a_takeover_are_bounded(kind: i.ListKind, count: int) -> None:
+def test_steps_of_a_takeover_are_bounded(kind: EndpointListKind, count: int) -> None:
     world = World(settings_of(doors=100), 200, most=9_000)
     play(world, FULL, [server(number) for number in range(count)], 0)
     staged = world.routing.stage()
@@ -302,7 +315,7 @@
 
 def test_names_of_any_text_and_odd_figures_come_through() -> None:
     world = World(settings_of(), 1)
-    odd = [i.Server(name, -1, -1, 0, UP, 0.25, -7) for name in ("\ud800", "é" * 40, "", "a b")]
+    odd = [Endpoint(name, -1, -1, 0, UP, 0.25, -7) for name in ("\ud800", "é" * 40, "", "a b")]
     play(world, FULL, odd, 1)
     assert world.told == world.wanted and all(name_bytes(name) for name in world.told if name)
     assert finish(world.routing.take_over(world.routing.stage(), FULL, 1)) is not None
@@ -346,7 +359,7 @@
 
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
-def test_takeover_left_at_any_step_counts_nothing_as_told(kind: i.ListKind) -> None:
+def test_takeover_left_at_any_step_counts_nothing_as_told(kind: EndpointListKind) -> None:
     """What the module has not heard of must not pass for told: it would never hear of it again."""
     for taken in range(1, 100):
         world = World(settings_of(doors=100), 20, most=9_000)
--- a/tests/subsetting/test_entry_budget.py
+++ b/tests/subsetting/test_entry_budget.py
@@ -4,16 +4,18 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import EndpointListKind
 from molereach.subsetting.endpoint_subsetting import finish
 from molereach.subsetting.interface import RoomError
 from tests.subsetting.model import World, addresses_of, server, settings_of
 
-FULL, CHANGES = i.ListKind.FULL, i.ListKind.CHANGES
+FULL, CHANGES = EndpointListKind.FULL, EndpointListKind.CHANGES
 
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
-def test_room_counts_what_is_there_at_each_step_and_after_a_takeover_that_is_left(kind: i.ListKind) -> None:
+def test_room_counts_what_is_there_at_each_step_and_after_a_takeover_that_is_left(
+    kind: EndpointListKind,
+) -> None:
     """Entries move from what was staged to the list; none is counted for what has gone."""
     world = World(settings_of(doors=100), 20, most=2_000)
     world.hear(world.give(FULL, [server(number) for number in range(600)])[0])
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -10,7 +10,13 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    RequestReceived,
+)
+from molereach.policy.interface.settings import DeduplicationScope
 from molereach.policy.load_balancing import CHOICES, Fleet
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import Customer
@@ -24,12 +30,12 @@
 
 SIZES = (1_000, 10_000, 50_000)
 SIZE, STANDINS_MOST = 64, 4  # of the view; what the stand-ins of the last one may add
-SETTINGS = settings_of(me=3, doors=7_500, groups=(i.Group.CELL,))
+SETTINGS = settings_of(me=3, doors=7_500, groups=(DeduplicationScope.CELL,))
 MOST_GROWTH = 1.25  # from 1,000 to 50,000 entries: chance of buckets, far from the 50 of a walk
-CHANGES, FULL = i.ListKind.CHANGES, i.ListKind.FULL
+CHANGES, FULL = EndpointListKind.CHANGES, EndpointListKind.FULL
 
 
-def entry(number: int, count: int) -> i.Server:
+def entry(number: int, count: int) -> Endpoint:
     return server(number, cells=count // 32, zones=26)  # as 93,000 in 2,900 cells
 
 
@@ -49,8 +55,8 @@
             return routing, done.value
 
 
-def learn(routing: Routing, servers: list[i.Server]) -> Seen | None:
-    return routing.take(i.ServerList(CHANGES, 2, tuple(servers)), addresses_of(servers))
+def learn(routing: Routing, servers: list[Endpoint]) -> Seen | None:
+    return routing.take(EndpointListReceived(CHANGES, 2, tuple(servers)), addresses_of(servers))
 
 
 def costs(call: Callable[[Routing, int], object]) -> tuple[list[int], list[int]]:
@@ -133,7 +139,7 @@
         assert max(len(bucket.places) for bucket in buckets) < 6 + mean + 6 * mean**0.5
 
 
-class Counting(list[i.Server]):
+class Counting(list[Endpoint]):
     """The list of those up, which counts how many of them were looked at."""
 
     looked = 0
@@ -159,7 +165,7 @@
         learn(routing, [entry(number, count)])
         assert change is not None and len(change.event.servers) == 1
         customer = Customer(PLAN, (1, 0, 0, 1), SETTINGS, NOW, 0)
-        job = Job(i.Request("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
+        job = Job(RequestReceived("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
         calls: dict[str, Callable[[], object]] = {
             "choose": lambda fleet=fleet, job=job: fleet.choose(NOW, job),  # type: ignore[misc]
             "end_period": lambda fleet=fleet: fleet.end_period(NOW, 9.0, S),  # type: ignore[misc]
--- a/tests/subsetting/test_takeover_overlay.py
+++ b/tests/subsetting/test_takeover_overlay.py
@@ -4,22 +4,22 @@
 
 import pytest
 
-from molereach.policy import interface as i
+from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointState
 from molereach.subsetting.interface import ListError
 from molereach.subsetting.packed_records import unpack
 from tests.subsetting.model import DRAINING, GONE, UP, World, addresses_of, server, settings_of
 
 MOST_AT_ONCE = 500  # entries taken over in one turn of the loop
-FULL, CHANGES = i.ListKind.FULL, i.ListKind.CHANGES
+FULL, CHANGES = EndpointListKind.FULL, EndpointListKind.CHANGES
 NEW = [server(number, started_us=50) for number in range(1_500)]
 
 
-def listed(world: World) -> dict[str, i.Server]:
+def listed(world: World) -> dict[str, Endpoint]:
     assert world.routing.short is None
     return {entry.name: entry for entry, _ in map(unpack, world.routing.whole.ring)}
 
 
-def move(world: World, told: dict[int, list[i.Server]], parts: bool = False) -> int:
+def move(world: World, told: dict[int, list[Endpoint]], parts: bool = False) -> int:
     """The new list in steps, and what the old address tells before each of them. How many they were."""
     staged = world.routing.stage()
     staged.add(NEW, addresses_of(NEW))
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("at", [1, 2, 3])
 @pytest.mark.parametrize(("state", "started_us"), [(DRAINING, 50), (GONE, 50), (UP, 60), (DRAINING, 60)])
 def test_what_ends_or_starts_a_backend_is_later_than_the_list(
-    count: int, at: int, state: i.ServerState, started_us: int, parts: bool
+    count: int, at: int, state: EndpointState, started_us: int, parts: bool
 ) -> None:
     """It was told when the list had come whole, and is true of the new list as well."""
     world = world_of(count)
@@ -73,7 +73,7 @@
     ],
 )
 def test_what_the_new_list_does_not_name_or_knows_better_is_left_to_its_own_changes(
-    count: int, change: i.Server
+    count: int, change: Endpoint
 ) -> None:
     """What it never names again would stay for ever."""
     world = world_of(count)
