--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -50,7 +50,7 @@
 TIER_RATE, TIER_SECONDS = 2000, 4  # tries a second over a tier
 COST_ROUNDS, QUICK_COST_ROUNDS, COST_TRIES = 9, 3, 3000
 # A plan without a quota, so that the ceiling alone binds.
-CEILING = replace(PLAN, rate=0.0, burst=0.0)
+CEILING = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
 
 
 class Share(msgspec.Struct, frozen=True):
@@ -85,7 +85,7 @@
     """docs/design/limits.md: the most that may go beyond a quota, for so many splits, stops and restarts."""
     plan, others = history.plan, len(history.nodes) - 1
     silence_s = 4 * history.figures.beat_us / S
-    return max(1, events) * others * (plan.burst + plan.rate * (silence_s + DEMAND_US / S))
+    return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_US / S))
 
 
 def quota_history(seed: int) -> Over:
@@ -169,7 +169,9 @@
 
 def entitled(plan: Plan, history: QuotaHistory, since: int, until: int, asked: int) -> float:
     """What one front door that sees all tries would have sent on between two times."""
-    rate, burst = (plan.rate, plan.burst) if plan.rate else (plan.ceiling_rate, plan.ceiling_burst)
+    rate, burst = (
+        (plan.quota_rate, plan.quota_burst) if plan.quota_rate else (plan.ceiling_rate, plan.ceiling_burst)
+    )
     store = Store(rate, burst, burst, 0)
     for at, _ in history.sent:
         if at < since:
@@ -208,7 +210,7 @@
     history.run(start)
     before = history.asked
     history.run(end + S)
-    store = history.quota if plan.rate else history.ceiling
+    store = history.quota if plan.quota_rate else history.ceiling
     share = history.sent_between(start, end) / entitled(plan, history, start, end, history.asked - before)
     return min(1.0, share), max(0.0, -store.lowest)
 
@@ -290,12 +292,12 @@
     """CPU microseconds in the module for a try, of one customer in ten with a ceiling, all served."""
     settings = Settings(
         seed=seed,
-        me=0,
-        gateways=3,
+        proxy_index=0,
+        proxy_count=3,
         classes=(READS,),
-        may_tell=True,
-        plans=(replace(PLAN, rate=1e6, burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
-        peer_messages_per_s=60.0,
+        may_gossip=True,
+        plans=(replace(PLAN, quota_rate=1e6, quota_burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
+        gossip_messages_per_s=60.0,
     )
     gateway = Gateway(settings, Limits(settings, LimitSettings()) if with_limits else None)
     servers = tuple(Endpoint(f"s{n}", n % 3, 0, 0, EndpointState.UP) for n in range(9))
@@ -310,14 +312,20 @@
         )
         for action in actions:
             if isinstance(action, ForwardAttempt):
-                gateway.handle(now, AttemptEnded(name, True, 0, action.server, AttemptResult.OK, 30_000))
+                gateway.handle(now, AttemptEnded(name, True, 0, action.endpoint, AttemptResult.OK, 30_000))
     return (time.process_time() - begun) * 1e6 / COST_TRIES
 
 
 def memory(count: int) -> float:
     """Bytes that limits hold for each customer with a ceiling, a quota spent here and its home elsewhere."""
     settings = Settings(
-        seed=1, me=0, gateways=3, classes=(READS,), plans=(PLAN,), may_tell=True, peer_messages_per_s=60.0
+        seed=1,
+        proxy_index=0,
+        proxy_count=3,
+        classes=(READS,),
+        plans=(PLAN,),
+        may_gossip=True,
+        gossip_messages_per_s=60.0,
     )
     limits = Limits(settings, LimitSettings())
     limits.start(0)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -56,7 +56,7 @@
                 self.held.append(entry)
                 continue
             self.customers.pass_ceiling(self.now, job.customer, job.req.units)
-            self.attempts.jobs.pop(job.req.id, None)
+            self.attempts.jobs.pop(job.req.request_id, None)
             job.over = True
 
 
@@ -104,7 +104,7 @@
         """Hand it to the module, and do what peers hear of."""
         for action in self.gateway.handle(now_us(), event):
             if isinstance(action, SendGossip):
-                for data in self.form.pack(action.peer, action.words):
+                for data in self.form.pack(action.peer, action.messages):
                     self.tell(action.peer, data)
             elif isinstance(action, SetTimer):
                 self.ring(now_us() + action.delay_us, action.token)
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -9,7 +9,13 @@
 
 SIZE = 256  # of a view
 LOST_ZONE = 3
-KEYED = RequestClass(1, 3, effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window_us=1)
+KEYED = RequestClass(
+    1,
+    3,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_us=1,
+)
 
 
 def zone_told(servers: Sequence[Endpoint], doors: int, cells: bool) -> tuple[int, int]:
--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -17,7 +17,7 @@
     word = answer.error.partition(b" ")[0]
     if word not in (b"BUSY", b"ERR"):
         log.error("a backend answers %.200r", answer.error)
-    return (AttemptResult.FULL if word == b"BUSY" else AttemptResult.ERROR), None, load
+    return (AttemptResult.REJECTED if word == b"BUSY" else AttemptResult.ERROR), None, load
 
 
 def read_load(text: bytes | None) -> LoadReport | None:
--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -53,7 +53,7 @@
         self.timers.append(later(timeout_us / 1e6, self.time_out))
         if self.whole_by_us:
             left = max(0, self.whole_by_us - now_us())
-            self.timers.append(later(left / 1e6, self.withdraw, AttemptResult.MOOT))
+            self.timers.append(later(left / 1e6, self.withdraw, AttemptResult.NOT_SENT))
 
     def is_late(self) -> bool:
         """Whether nothing of it may be written any more; the loop may come to its timer only later."""
--- a/molereach/backends/connection.py
+++ b/molereach/backends/connection.py
@@ -96,7 +96,7 @@
         log.warning("spoilt answer from %s: %s", self.pool.name, error)
         self.attempt = attempt.connection = None
         self.abort()
-        attempt.finish(AttemptResult.SPOILT)
+        attempt.finish(AttemptResult.MALFORMED)
 
     def eof_received(self) -> None:
         """No answer can come any more. Without the abort the loop would wait until all is written."""
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -36,7 +36,7 @@
             return
         if not self.owner.may_open():
             attempt.finish(
-                AttemptResult.MOOT
+                AttemptResult.NOT_SENT
             )  # a shortage of ours, which is not to be held against the backend
             return
         self.waiting[attempt] = None
@@ -102,7 +102,7 @@
         while attempt := next(iter(self.waiting), None):
             if not attempt.is_late():
                 break
-            attempt.withdraw(AttemptResult.MOOT)
+            attempt.withdraw(AttemptResult.NOT_SENT)
         return attempt
 
     def rest(self, connection: Connection) -> None:
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -63,7 +63,7 @@
             attempt.finish(AttemptResult.CONNECT_FAILED)
             return
         if attempt.is_late():
-            attempt.finish(AttemptResult.MOOT)
+            attempt.finish(AttemptResult.NOT_SENT)
             return
         attempt.limit(timeout_us)
         pool.start(attempt)
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -63,15 +63,15 @@
         wait_ms = whole(values.get("d", ""), "time", 0, most_ms)
         size, first = self.customers_set(values)
         return RequestReceived(
-            id=identity,
+            request_id=identity,
             class_index=number,
             plan_index=plan,
             customer=name,
-            left_us=max(0, wait_ms * 1000 - answer_margin_us),
+            remaining_us=max(0, wait_ms * 1000 - answer_margin_us),
             units=self.units(values, self.settings.plans[plan]),
             set_size=size,
             set_first=first,
-            is_repeat=values.get("r") == "1",
+            is_retry=values.get("r") == "1",
             is_write=is_write,
         )
 
@@ -89,26 +89,28 @@
         number = self.classes.get(values.get("c", ""))
         if number is None:
             raise CommandError("unknown class")
-        effect = self.settings.classes[number].effect
-        if is_write == (effect is Idempotency.SAFE):
+        effect = self.settings.classes[number].idempotency
+        if is_write == (effect is Idempotency.IDEMPOTENT):
             raise CommandError("the command does not serve this class")
-        if effect is Idempotency.KEYED and not values.get("k"):
+        if effect is Idempotency.IDEMPOTENT_WITH_KEY and not values.get("k"):
             raise CommandError("a key is missing")
         return number
 
     def units(self, values: Mapping[str, str], plan: Plan) -> float:
         """More than a plan lets through at once would only drain what is its customer's."""
         text = values.get("units", "1")
-        most = min((burst for burst in (plan.burst, plan.ceiling_burst) if burst > 0), default=MOST_UNITS)
+        most = min(
+            (burst for burst in (plan.quota_burst, plan.ceiling_burst) if burst > 0), default=MOST_UNITS
+        )
         if not UNITS.fullmatch(text) or not 0 < float(text) <= max(1.0, most):
             raise CommandError("invalid units")
         return float(text)
 
     def customers_set(self, values: Mapping[str, str]) -> tuple[int, int]:
         """The customer's front doors, as their number and the first; this one is among them."""
-        gateways = self.settings.gateways
+        gateways = self.settings.proxy_count
         size = whole(values.get("spread", "1"), "spread", 1, gateways)
-        first = whole(values.get("first", str(self.settings.me)), "first", 0, gateways - 1)
-        if (self.settings.me - first) % gateways >= size:
+        first = whole(values.get("first", str(self.settings.proxy_index)), "first", 0, gateways - 1)
+        if (self.settings.proxy_index - first) % gateways >= size:
             raise CommandError("the set is without this front door")
         return size, first
--- a/molereach/discovery/poll_backoff.py
+++ b/molereach/discovery/poll_backoff.py
@@ -49,7 +49,7 @@
 
     @classmethod
     def of(cls, settings: Settings) -> "CallPacing":
-        return cls(settings.gateways, settings.must_subscribe, settings.ask_within_us / 1e6)
+        return cls(settings.proxy_count, settings.must_subscribe, settings.poll_within_us / 1e6)
 
     def first(self, draw: float) -> float:
         """Before the first call of a process that knows a list already: others may have started with it."""
--- a/molereach/fleet/agent/openapi.py
+++ b/molereach/fleet/agent/openapi.py
@@ -47,8 +47,27 @@
 }
 
 
+# Schemas are published under these names, whatever the classes are called: other people's clients use them.
+PUBLISHED_NAMES = {"CustomerLimits": "Held"}
+
+
 def reference(kind: type) -> dict[str, str]:
-    return {"$ref": TEMPLATE.format(name=kind.__name__)}
+    """A reference to the schema of a type, by its published name."""
+    return {"$ref": TEMPLATE.format(name=published_name(kind.__name__))}
+
+
+def published_name(class_name: str) -> str:
+    """The name of a class in the published document."""
+    return PUBLISHED_NAMES.get(class_name, class_name)
+
+
+def published_schemas(schemas: dict[str, Any]) -> dict[str, Any]:
+    """The generated schemas under their published names, sorted by name, references and titles included."""
+    text = json.dumps(schemas)
+    for class_name, published in PUBLISHED_NAMES.items():
+        text = text.replace(f'"{class_name}"', f'"{published}"')
+        text = text.replace(f'"{TEMPLATE.format(name=class_name)}"', f'"{TEMPLATE.format(name=published)}"')
+    return dict(sorted(json.loads(text).items()))
 
 
 def reply(schema: dict[str, Any], media: str = "application/json") -> dict[str, Any]:
@@ -121,7 +140,7 @@
         "security": [{"token": []}],
         "paths": paths(),
         "components": {
-            "schemas": schemas,
+            "schemas": published_schemas(schemas),
             "securitySchemes": {"token": {"type": "http", "scheme": "bearer"}},
         },
     }
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -279,13 +279,13 @@
         if news.kind in (EndpointListKind.FULL, EndpointListKind.SAVED):
             self.listed = {}
         if news.kind is not EndpointListKind.FAILED:
-            self.version, self.seen_by = news.version, news.seen_by
-        for server in news.servers:
+            self.version, self.seen_by = news.version, news.sharing_proxies
+        for server in news.endpoints:
             if server.state is EndpointState.GONE:
                 self.listed.pop(server.name, None)
             else:
                 self.listed[server.name] = server
-        return replace(news, servers=tuple(map(self.over, news.servers)))
+        return replace(news, endpoints=tuple(map(self.over, news.endpoints)))
 
     def on_orders(self, drained: Iterable[str]) -> EndpointListReceived | None:
         """The servers that are to be drained from now on; changes for the module, or None."""
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -31,12 +31,16 @@
     """Limits of one front door; with several, each has one."""
 
     def __init__(self, settings: Settings, figures: LimitSettings) -> None:
-        self.me, self.doors = settings.me, settings.gateways
+        self.me, self.doors = settings.proxy_index, settings.proxy_count
         self.generation = settings.seed % GENERATIONS
         self.settings = figures
-        self.escrow = Escrow(settings.me, settings.gateways, settings.plans, figures)
+        self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, figures)
         self.reach_of = Reach(
-            settings.me, settings.gateways, settings.plans, figures, settings.peer_messages_per_s
+            settings.proxy_index,
+            settings.proxy_count,
+            settings.plans,
+            figures,
+            settings.gossip_messages_per_s,
         )
         self.start_us = self.hello_us = self.look_us = self.forget_us = self.now_us = -1
         self.budget: dict[int, tuple[float, int]] = {}  # by peer: words that may go, and at what time
@@ -75,12 +79,12 @@
     # --- words ---
 
     def hear(self, now_us: int, message: GossipReceived) -> None:
-        sender, generation = message.sender, message.generation
+        sender, generation = message.sender, message.incarnation
         self.now_us = now_us
-        self.reach_of.heard(now_us, sender, generation, message.hears)
+        self.reach_of.heard(now_us, sender, generation, message.is_heard)
         if generation is None:
             return
-        for word in message.words:
+        for word in message.messages:
             match word:
                 case LoanRequest():
                     self.escrow.asked(now_us, sender, generation, word)
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -350,10 +350,10 @@
         if now >= until:
             return
         account.refill(now, self.slow)
-        wanted, debt.hurry, debt.ask = debt.ask.wanted, grant.share < debt.held(now), None
-        debt.share, debt.until, debt.accepted = max(0, min(grant.share, wanted)), until, grant.number
+        wanted, debt.hurry, debt.ask = debt.ask.wanted_share, grant.granted_share < debt.held(now), None
+        debt.share, debt.until, debt.accepted = max(0, min(grant.granted_share, wanted)), until, grant.number
         debt.kept_us = debt.asked_us + 3 * self.settings.lease_us
-        account.store += max(0.0, min(grant.units, account.burst * debt.share / WHOLE))
+        account.store += max(0.0, min(grant.granted_units, account.burst * debt.share / WHOLE))
         account.cap(now)
         debt.short = debt.share < wanted
         debt.next_us = now + AGAIN_US if debt.short or not debt.share else until - self.settings.lease_us // 2
@@ -380,7 +380,7 @@
         assert loan.grant is not None
         self.out.append((borrower, loan.grant))
         debt = account.debts.get(borrower)
-        if ask.wanted > ask.held and debt and debt.held(now) and not debt.ask:
+        if ask.wanted_share > ask.held_share and debt and debt.held(now) and not debt.ask:
             debt.hurry, debt.next_us = True, now
             self.plan(now, ask.key, account)
 
@@ -388,7 +388,7 @@
         before = account.share(now)
         # What the borrower holds until it hears otherwise; a claim of more than was lent is not believed.
         lent = loan.lent(now)
-        held = max(0, min(ask.held, lent))
+        held = max(0, min(ask.held_share, lent))
         if generation != loan.generation:  # words of two lives may overtake: either may be the last
             loan.other, loan.other_until = lent, loan.end_us()
             loan.generation, held = generation, 0
@@ -396,7 +396,7 @@
             # Units come back with the share that they went with or not at all: one that came back by time has
             # filled up since.
             void = ask.accepted != loan.number and now < loan.until
-            back = ask.returned + (loan.units if void else 0.0)
+            back = ask.returned_units + (loan.units if void else 0.0)
             account.store += max(0.0, min(back, account.burst * (lent - held) / WHOLE))
         loan.before, loan.before_until = held, max(loan.until, loan.before_until)
         loan.share = 0
@@ -404,7 +404,7 @@
         free = account.share(now) - sum(debt.held(now) for debt in account.debts.values())
         own = max(min(account.need(now), account.base), round(self.settings.floor * account.base))
         spare = free - own  # below 0: some of what is lent is wanted back
-        wanted = max(0, min(ask.wanted, WHOLE // len(account.members)))
+        wanted = max(0, min(ask.wanted_share, WHOLE // len(account.members)))
         share = max(0, min(wanted, held + spare)) if now >= account.fresh_us else 0
         more = max(0, share - held)
         loan.units = account.store * more / before if before > 0 else 0.0
--- a/molereach/limits/messages.py
+++ b/molereach/limits/messages.py
@@ -54,9 +54,12 @@
 def pack_record(word: GossipMessage | LimitMessage) -> bytes:
     match word:
         case GossipMessage():
-            key = word.customer, word.plan_index, word.set_first, word.set_size
+            key = word.customer_checksum, word.plan_index, word.set_first, word.set_size
             return PLAIN.pack(
-                1, *key, word.is_answer, *map(steps, (word.demand, word.spent, word.asked, word.level))
+                1,
+                *key,
+                word.is_reply,
+                *map(steps, (word.demand, word.spent_units, word.requested_units, word.tokens)),
             )
         case LoanRequest(key, number, accepted, held, wanted, returned):
             return ASK.pack(2, *key, number, accepted, held, wanted, units(returned))
--- a/molereach/limits/partition_quota.py
+++ b/molereach/limits/partition_quota.py
@@ -62,7 +62,7 @@
         self.homes: dict[CustomerKey, _Home] = {}
         self.fresh: dict[CustomerKey, None] = {}  # spending that the home has not been told of
         self.again: dict[CustomerKey, int] = {}  # that it is told of once more, at that time
-        fill = [plan.burst / plan.rate for plan in plans if plan.rate]
+        fill = [plan.quota_burst / plan.quota_rate for plan in plans if plan.quota_rate]
         self.forget_us = max([LEAST_KEPT_US, *(round(2 * S * took) for took in fill)])
 
     # --- who is there ---
@@ -137,7 +137,7 @@
         """The home to go by, the part of the quota that is its side's, and units that joined the store here
         just now."""
         size, plan = key[3], self.plans[key[1]]
-        if size == 1 or not plan.rate:
+        if size == 1 or not plan.quota_rate:
             return self.home(key), 1.0, 0.0
         home = self.acting(now, key)
         if home != self.me:
@@ -146,12 +146,12 @@
         joined = 0.0
         for peer in self.others(key):
             if peer in self.gone:
-                joined += plan.burst / size * (known.apart.pop(peer, None) is not None)
+                joined += plan.quota_burst / size * (known.apart.pop(peer, None) is not None)
             elif self.silent(now, peer):
                 known.apart.setdefault(peer, self.heard_us.get(peer, self.start_us))
             elif peer in known.apart and now - self.back_us[peer] > JOIN_US:
                 del known.apart[peer]  # it had time to tell what it spent here, and had nothing to tell
-                joined += plan.burst / size
+                joined += plan.quota_burst / size
         return home, 1 - len(known.apart) / size, joined
 
     def at_home(self, now: int, key: CustomerKey) -> _Home:
@@ -178,7 +178,7 @@
     def total(self, now: int, key: CustomerKey) -> SpendingTotal:
         """What the home is told; what has been refilled since the last spending is left as well."""
         mine, plan, size = self.mine[key], self.plans[key[1]], key[3]
-        left = min(plan.burst / size, mine.left + plan.rate / size * (now - mine.at) / S)
+        left = min(plan.quota_burst / size, mine.left + plan.quota_rate / size * (now - mine.at) / S)
         return SpendingTotal(key, mine.spent, left)
 
     def due(self, now: int, most: int) -> list[tuple[int, SpendingTotal]]:
@@ -207,21 +207,21 @@
         older than the last one adds nothing.
         """
         key, plan = total.key, self.plans[total.key[1]]
-        if self.acting(now, key) != self.me or not plan.rate:
+        if self.acting(now, key) != self.me or not plan.quota_rate:
             return 0.0
         if key not in self.homes and len(self.homes) >= MOST_HOMES:
             return 0.0
-        known, part = self.at_home(now, key), plan.burst / key[3]
-        left = max(0.0, min(total.left, part))
+        known, part = self.at_home(now, key), plan.quota_burst / key[3]
+        left = max(0.0, min(total.remaining_units, part))
         generation, last = known.theirs.get(sender, (-1, 0.0))
         mine = generation == self.lives.get(sender)
-        since = total.spent - last if mine else total.spent
+        since = total.spent_units - last if mine else total.spent_units
         if mine and since < 0:
             return 0.0
-        known.theirs[sender] = self.lives.get(sender, -1), total.spent
+        known.theirs[sender] = self.lives.get(sender, -1), total.spent_units
         apart_us = known.apart.pop(sender, None)
         if apart_us is not None:
-            entitled = part + plan.rate / key[3] * (now - apart_us) / S
+            entitled = part + plan.quota_rate / key[3] * (now - apart_us) / S
             return max(0.0, since + left - entitled) - left if mine else -left
         return since if mine or generation >= 0 else part - left
 
--- a/molereach/policy/admission.py
+++ b/molereach/policy/admission.py
@@ -16,7 +16,7 @@
 from molereach.policy.peer_liveness import Peers
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer
-from molereach.policy.time_units import NEVER, TICK_US, S
+from molereach.policy.time_units import NEVER_US, SECOND_US, TICK_US
 
 # The wait for word from home, its part of the aim, and how often it is asked.
 ASK_US, ASK_PART, ASKS = 160_000, 3, 3
@@ -25,7 +25,7 @@
 
 def wait_us(job: Job) -> int:
     """For one word from home."""
-    return min(ASK_US, job.rule.aim_us // ASK_PART)
+    return min(ASK_US, job.rule.latency_objective_us // ASK_PART)
 
 
 class Admission:
@@ -49,12 +49,19 @@
         """The part while it lasts; else the chance rule, with word from the home where that is elsewhere."""
         customer, units, home = job.customer, job.req.units, job.customer.home
         customer.own, customer.untold = customer.own + units, customer.untold + units
-        most = ASK_SHARE * self.set.peer_messages_per_s * DEMAND_US / S  # past this the last word must do
+        most = (
+            ASK_SHARE * self.set.gossip_messages_per_s * DEMAND_US / SECOND_US
+        )  # past this the last word must do
         heard = now - customer.heard_us < WORD_FRESH_US and self.random.random() * customer.demand > most
-        if not customer.plan.max_out and customer.part >= units and not customer.is_short(units):
+        if not customer.plan.max_in_flight and customer.part >= units and not customer.is_short(units):
             self.decide(job, 1.0)
             self.words.note(now, customer)
-        elif home == self.set.me or heard or self.peers.is_silent(now, home) or not customer.plan.rate:
+        elif (
+            home == self.set.proxy_index
+            or heard
+            or self.peers.is_silent(now, home)
+            or not customer.plan.quota_rate
+        ):
             self.draw(now, job)
         else:
             self.ask(now, job)
@@ -65,7 +72,7 @@
         customer, units, home = job.customer, job.req.units, job.customer.home
         if not customer.is_short(units):
             self.decide(job, customer.chance(units))
-        elif home == self.set.me:
+        elif home == self.set.proxy_index:
             if self.words.give(customer, units):
                 customer.take_given(now, now + GRANT_US, units)
             self.decide(job, customer.chance(units))
@@ -113,41 +120,51 @@
         limits = self.customers.limits
         if limits:
             limits.hear(now, message)
-        for word in message.words:
+        for word in message.messages:
             if not isinstance(word, GossipMessage):
                 if limits and isinstance(word, SpendingTotal) and self.in_my_set(word.key):
                     self.customers.take_total(now, message.sender, word)
                 continue
             if word.plan_index == SPLIT_CEILING_MARK:
                 self.peers.marks_us[message.sender] = now
-            key = (word.customer, word.plan_index, word.set_first, word.set_size)
+            key = (word.customer_checksum, word.plan_index, word.set_first, word.set_size)
             if self.in_my_set(key):
                 self.hear_word(now, message.sender, key, word)
 
     def hear_word(self, now: int, sender: int, key: CustomerKey, word: GossipMessage) -> None:
         """The home adds up what its set asks and spends, or takes over at its start, and answers."""
         customer = self.customers.get(now, key)
-        if word.is_answer:
-            customer.heard_us, customer.level, customer.asked_us = now, word.level, NEVER
+        if word.is_reply:
+            customer.heard_us, customer.level, customer.asked_us = now, word.tokens, NEVER_US
             customer.others = max(0.0, word.demand - customer.own)
-            customer.part = min(customer.part, max(0.0, word.level / customer.size))
-            self.end_waits(now, customer if word.asked else None, word.granted, word.inside)
-        elif customer.home == self.set.me:
+            customer.part = min(customer.part, max(0.0, word.tokens / customer.size))
+            self.end_waits(
+                now, customer if word.requested_units else None, word.is_ceiling_granted, word.is_within_quota
+            )
+        elif customer.home == self.set.proxy_index:
             if not customer.told:  # a home that has just started is full again; the store need not be
-                customer.told, customer.level = True, min(customer.level, word.level)
+                customer.told, customer.level = True, min(customer.level, word.tokens)
             customer.others += word.demand
             limits = self.customers.limits
             counted = limits is not None and limits.counts(sender)
-            customer.spend(0.0 if counted else word.spent)
+            customer.spend(0.0 if counted else word.spent_units)
             # The chance is drawn here, where it is counted: were its mean counted, and what came of it
             # told with the asker's next word, the store would be wrong until then.
-            draws = word.asked and not word.inside  # else its own draw let in what it asks for
-            inside = self.random.random() < customer.chance(word.asked) if draws else word.inside
-            if word.asked or customer.level < customer.plan.burst / 2:
-                self.words.tell(sender, customer, word.asked, inside)
-            customer.spend(0.0 if counted or not inside else word.asked)
+            draws = (
+                word.requested_units and not word.is_within_quota
+            )  # else its own draw let in what it asks for
+            inside = (
+                self.random.random() < customer.chance(word.requested_units)
+                if draws
+                else word.is_within_quota
+            )
+            if word.requested_units or customer.level < customer.plan.quota_burst / 2:
+                self.words.tell(sender, customer, word.requested_units, inside)
+            customer.spend(0.0 if counted or not inside else word.requested_units)
 
     def in_my_set(self, key: CustomerKey) -> bool:
         _, plan, first, size = key
-        known = plan < len(self.set.plans) and first < self.set.gateways and 0 < size <= self.set.gateways
-        return known and (self.set.me - first) % self.set.gateways < size
+        known = (
+            plan < len(self.set.plans) and first < self.set.proxy_count and 0 < size <= self.set.proxy_count
+        )
+        return known and (self.set.proxy_index - first) % self.set.proxy_count < size
--- a/molereach/policy/backend_state.py
+++ b/molereach/policy/backend_state.py
@@ -6,11 +6,11 @@
 
 from molereach.policy.interface.events import AttemptResult, Endpoint
 from molereach.policy.interface.settings import Settings
-from molereach.policy.time_units import S
+from molereach.policy.time_units import SECOND_US
 
 SUSPECT_AT = 1.7  # two failures running, or a mix with more failures than answers
 BROKEN_PART = 0.5  # of a failure: how much a spoilt answer or a reset counts
-SUSPECT_US, SUSPECT_MAX_US = S, 8 * S  # the first and the longest time without a trial
+SUSPECT_US, SUSPECT_MAX_US = SECOND_US, 8 * SECOND_US  # the first and the longest time without a trial
 AVOID_US = 300_000  # a server that turned a request away is full for about a service time
 
 
@@ -54,7 +54,10 @@
         """The least part of its capacity that a started or returned server has by now."""
         if not self.warm_from:
             return 1.0
-        age, cold = (now - self.warm_from) / max(1, settings.warm_within_us), settings.cold_from
+        age, cold = (
+            (now - self.warm_from) / max(1, settings.slow_start_window_us),
+            settings.slow_start_fraction,
+        )
         return 1.0 if age >= 1 else cold + (1 - cold) * max(0.0, age)
 
     def note_result(self, now: int, ok: bool, warm_within_us: int) -> None:
@@ -76,9 +79,9 @@
     def note_end(self, now: int, result: AttemptResult, took: int, warm_within_us: int) -> None:
         """How an attempt there ended, after `took`."""
         long = result is AttemptResult.TIMEOUT and self.heard_us >= now - took  # but it answered others
-        if result is AttemptResult.FULL:
+        if result is AttemptResult.REJECTED:
             self.avoid_until = max(self.avoid_until, now + AVOID_US)
-        elif result in (AttemptResult.SPOILT, AttemptResult.RESET):
+        elif result in (AttemptResult.MALFORMED, AttemptResult.RESET):
             self.note_broken(now, warm_within_us)
-        elif not long and result not in (AttemptResult.CANCELLED, AttemptResult.MOOT):
+        elif not long and result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
             self.note_result(now, result is AttemptResult.OK, warm_within_us)
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -10,9 +10,9 @@
 from molereach.policy.interface.protocols import LimitPolicy
 from molereach.policy.interface.settings import Settings
 from molereach.policy.quota import SMALL_PART, Customer, full_again_us
-from molereach.policy.time_units import NEVER, S
+from molereach.policy.time_units import NEVER_US, SECOND_US
 
-LEAST_KEPT_US = 10 * S  # for which a customer is remembered in any case
+LEAST_KEPT_US = 10 * SECOND_US  # for which a customer is remembered in any case
 SILENT_US = 500_000  # a peer is silent that answers no ask for so long
 
 
@@ -30,7 +30,7 @@
 
     def splits(self) -> bool:
         """Whether a part of each ceiling is left to the customer's home; not where limits move the shares."""
-        return self.ceilings and self.set.may_tell and not self.limits
+        return self.ceilings and self.set.may_gossip and not self.limits
 
     def get(self, now: int, key: CustomerKey) -> Customer:
         """The customer, refilled."""
@@ -45,7 +45,7 @@
             home, known.reach, joined = self.limits.reach(now, key)
             known.level += joined
             if home != known.home:
-                known.home, known.asked_us = home, NEVER
+                known.home, known.asked_us = home, NEVER_US
             if now - known.asked_us > SILENT_US:  # nobody says what the others spend: its part is all
                 known.reach = 1 / known.size
         return known.refill(now)
@@ -94,7 +94,7 @@
             customer.spend(units)
         else:
             customer.reach = self.limits.reach(now, total.key)[1]
-            customer.level = min(customer.plan.burst * customer.reach, customer.level - units)
+            customer.level = min(customer.plan.quota_burst * customer.reach, customer.level - units)
 
     def standing(self, customer: str, now: int) -> list[tuple[int, float, float, float, float, float | None]]:
         """What is known here of a customer: plan, level, parts of quota and ceiling, demand (units), and how
@@ -103,6 +103,6 @@
         for plan in range(len(self.set.plans)):
             key = self.sets.get((zlib.crc32(customer.encode()), plan))
             if key and (known := self.known.get(key)):
-                heard = round((now - known.heard_us) / S, 3) if known.heard_us >= 0 else None
+                heard = round((now - known.heard_us) / SECOND_US, 3) if known.heard_us >= 0 else None
                 found.append((plan, known.level, known.part, known.ceiling, known.demand, heard))
         return found
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -39,7 +39,7 @@
 from molereach.policy.load_balancing import Fleet
 from molereach.policy.overload_control import Cap
 from molereach.policy.pending_request import Job
-from molereach.policy.time_units import NEVER, TICK_US
+from molereach.policy.time_units import NEVER_US, TICK_US
 
 NEEDED_NEW, NEEDED_HELD = 0.5, 2.0  # mean latencies left: else all that is held would leave just too late
 ENDS = ("quota", "ceiling", "cap", "server", "late", "attempts")  # why a request was given up on
@@ -54,7 +54,7 @@
         self.fleet = Fleet(settings, self.random)
         self.customers = Customers(settings, limits)
         self.held: list[tuple[float, int, Job]] = []  # highest worth first, then by arrival
-        self.now, self.alarm_us, self.serial = 0, NEVER, itertools.count()
+        self.now, self.alarm_us, self.serial = 0, NEVER_US, itertools.count()
         self.admission = Admission(settings, self.random, self.customers, self.decide)
         self.words = self.admission.words
         self.cap, self.attempts = Cap(settings), Attempts(settings)
@@ -112,7 +112,7 @@
     def on_tick(self, _: TimerExpired) -> None:
         if self.now < self.alarm_us:
             return
-        self.alarm_us = NEVER
+        self.alarm_us = NEVER_US
         while self.now - self.cap.period_us >= self.cap.cc_us:
             self.end_period()
         self.admission.end_waits(self.now)
@@ -124,7 +124,7 @@
         customer = self.customers.get(self.now, key)
         rule = self.set.classes[req.class_index]
         gone_us = self.attempts.gone_us(req)
-        job = self.attempts.jobs[req.id] = Job(req, rule, customer, self.now, gone_us)
+        job = self.attempts.jobs[req.request_id] = Job(req, rule, customer, self.now, gone_us)
         if not self.expire(job, NEEDED_NEW):  # some come with no time left: they cost no quota
             self.admission.admit(self.now, job)
 
@@ -167,7 +167,7 @@
     def expire(self, job: Job, means: float) -> bool:
         """A held request is ended in time: refused when its aim is out of reach, where that is allowed, and
         before half of its time is over while nothing of it has been sent."""
-        needed = min(means * self.attempts.mean_us[job.req.class_index], job.rule.aim_us / 2)
+        needed = min(means * self.attempts.mean_us[job.req.class_index], job.rule.latency_objective_us / 2)
         late = self.may_refuse(job) and self.now + needed >= job.aim_us
         late = late or (job.unsent == len(job.servers) and self.now + TICK_US >= job.half_us)
         if not job.over and (late or self.now + 2 * TICK_US >= job.end_us):
@@ -185,7 +185,7 @@
         job.in_quota, plan = self.random.random() < chance, job.customer.plan
         if job.in_quota:
             self.customers.spend(self.now, job.customer, job.req.units)
-        elif plan.over_worth <= plan.over_cost or self.cap.n_past is not None:
+        elif plan.over_quota_value <= plan.over_quota_cost or self.cap.n_past is not None:
             self.end(job, "quota")
             return
         self.cap.wanted += 1
@@ -214,13 +214,13 @@
         job = self.attempts.end(self.now, event)
         if job is None:
             return
-        if (report := event.report) is not None:
-            if report.util is not None:
-                self.cap.signals["util"].append(report.util)
+        if (report := event.load_report) is not None:
+            if report.cpu_utilization is not None:
+                self.cap.signals["util"].append(report.cpu_utilization)
             self.fleet.hear_load(self.now, job.servers[event.attempt], report)
         if event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-            self.cap.signals["latency"].append(min(1.0, event.latency_us / job.rule.aim_us))
-        if event.over or job.over:
+            self.cap.signals["latency"].append(min(1.0, event.latency_us / job.rule.latency_objective_us))
+        if event.is_request_closed or job.over:
             self.drop(job)
         elif not job.out and not self.again(job, event.result):
             self.end(job, "attempts")
@@ -228,17 +228,19 @@
     def end(self, job: Job, why: str) -> None:
         self.ended[why] += 1
         wait = self.set.max_retry_after_us
-        self.actions.append(Reject(job.req.id, wait) if self.may_refuse(job) else FailRequest(job.req.id))
+        self.actions.append(
+            Reject(job.req.request_id, wait) if self.may_refuse(job) else FailRequest(job.req.request_id)
+        )
         self.drop(job)
 
     def on_end(self, event: ClientDisconnected | ResponseStreamStarted) -> None:
-        if job := self.attempts.jobs.get(event.id):
+        if job := self.attempts.jobs.get(event.request_id):
             self.drop(job)
 
     def drop(self, job: Job) -> None:
         if job.in_quota and not job.servers and not job.over:
             self.customers.spend(self.now, job.customer, -job.req.units)
-        calls_off, job.over = self.set.may_cancel and not job.over and not job.rule.streamed, True
-        self.actions += [CancelAttempt(job.req.id, number) for number in job.out if calls_off]
+        calls_off, job.over = self.set.may_cancel and not job.over and not job.rule.is_streamed, True
+        self.actions += [CancelAttempt(job.req.request_id, number) for number in job.out if calls_off]
         if not job.out:
-            self.attempts.jobs.pop(job.req.id, None)
+            self.attempts.jobs.pop(job.req.request_id, None)
--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -12,9 +12,9 @@
 from molereach.policy.interface.settings import Settings
 from molereach.policy.peer_liveness import Peers
 from molereach.policy.quota import WORD_FRESH_US, Customer
-from molereach.policy.time_units import NEVER, S
+from molereach.policy.time_units import NEVER_US, SECOND_US
 
-MARK_US = 3 * S  # how often a peer is told that this is kept to; older ones speak without
+MARK_US = 3 * SECOND_US  # how often a peer is told that this is kept to; older ones speak without
 SPACE_US = 80_000  # between words to one peer, at most
 LATE_US = WORD_FRESH_US // 2  # what may be told late: the home's own words hold for twice as long
 
@@ -34,20 +34,20 @@
 
     def tell(self, peer: int, customer: Customer, asked: float, inside: bool | None = None) -> None:
         """A word to the home of what was asked and spent, or the home's answer with what it knows."""
-        answer = customer.home == self.set.me
+        answer = customer.home == self.set.proxy_index
         demand = customer.demand if answer else customer.untold
         wanted = answer and asked > 0 and inside is not False and customer.plan.ceiling_rate > 0
         granted = wanted and self.give(customer, asked)
         word = GossipMessage(
             *customer.key, answer, demand, customer.spent, asked, customer.level, granted, inside
         )
-        if peer != self.set.me:
+        if peer != self.set.proxy_index:
             self.waiting.setdefault(peer, []).append(word)
         customer.untold = customer.spent = 0.0
 
     def note(self, now: int, customer: Customer) -> None:
         """Something was asked and spent of the part here: told now, or late where the home can do without."""
-        if customer.home == self.set.me or not customer.may_be_late():
+        if customer.home == self.set.proxy_index or not customer.may_be_late():
             return self.tell(customer.home, customer, 0.0)
         self.since_us.setdefault(customer.home, now)
         self.late.setdefault(customer.home, {})[customer.key] = customer
@@ -55,7 +55,7 @@
     @property
     def due_us(self) -> int:
         """When words that are told late leave."""
-        return next(iter(self.since_us.values()), NEVER) + LATE_US
+        return next(iter(self.since_us.values()), NEVER_US) + LATE_US
 
     def tell_late(self, now: int) -> None:
         """What was told late is told now, less what the home has heard of since."""
@@ -73,7 +73,7 @@
         has not been heard since this start has spent nothing that it had to tell.
         """
         _, _, first, size = customer.key
-        members = ((first + n) % self.set.gateways for n in range(size))
+        members = ((first + n) % self.set.proxy_count for n in range(size))
         leave = sum(map(self.peers.leaves, members))
         customer.pooled = (1 - customer.split) * leave / size
         customer.pool = min(customer.pool, customer.most_pooled)
@@ -90,9 +90,11 @@
             waiting.setdefault(peer, []).extend([word] if word else [])
         if not waiting:
             return ()
-        space = min(SPACE_US, 2 * S * (self.set.gateways - 1) / max(1, self.set.peer_messages_per_s))
+        space = min(
+            SPACE_US, 2 * SECOND_US * (self.set.proxy_count - 1) / max(1, self.set.gossip_messages_per_s)
+        )
         leaving = []
-        for peer in [peer for peer in waiting if now - self.told_us.get(peer, -S) >= space]:
+        for peer in [peer for peer in waiting if now - self.told_us.get(peer, -SECOND_US) >= space]:
             self.told_us[peer] = now
             if self.customers.splits() and now - self.marked_us.get(peer, -MARK_US) >= MARK_US:
                 self.marked_us[peer] = now
--- a/molereach/policy/interface/actions.py
+++ b/molereach/policy/interface/actions.py
@@ -13,10 +13,10 @@
     connection, and be taken slowly. 0 is no such bound. `attempt` is its number among the request's.
     """
 
-    id: str
-    server: str
+    request_id: str
+    endpoint: str
     timeout_us: int = 0
-    whole_by_us: int = 0
+    write_deadline_us: int = 0
     attempt: int = 0
 
 
@@ -24,7 +24,7 @@
 class CancelAttempt:
     """Stop waiting for an attempt."""
 
-    id: str
+    request_id: str
     attempt: int
 
 
@@ -32,7 +32,7 @@
 class Reject:
     """Final answer: not taken, and trying again is harmless."""
 
-    id: str
+    request_id: str
     retry_after_us: int = 0
 
 
@@ -40,7 +40,7 @@
 class FailRequest:
     """Final answer: failed, with no promise about effects."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
 class CheckHealth:
     """Check whether a server answers."""
 
-    server: str
+    endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
     """Close this gateway's idle connections to a server."""
 
-    server: str
+    endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     """Send words to one peer."""
 
     peer: int
-    words: tuple[GossipMessage | LimitMessage, ...]
+    messages: tuple[GossipMessage | LimitMessage, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -14,13 +14,13 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    SPOILT = "spoilt"  # an answer that cannot be read: it ran
+    MALFORMED = "spoilt"  # an answer that cannot be read: it ran
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 class EndpointState(Enum):
@@ -44,10 +44,10 @@
 class LoadReport:
     """What a server says of itself; None where it says nothing of the kind."""
 
-    inflight: float | None = None
-    queue: float | None = None
-    util: float | None = None
-    service_ms: float | None = None
+    in_flight: float | None = None
+    queue_length: float | None = None
+    cpu_utilization: float | None = None
+    service_time_ms: float | None = None
     served_per_s: float | None = None
     errors_per_s: float | None = None
 
@@ -73,23 +73,23 @@
 
     kind: EndpointListKind
     version: int
-    servers: tuple[Endpoint, ...] = ()
-    seen_by: int = 0
+    endpoints: tuple[Endpoint, ...] = ()
+    sharing_proxies: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
     """A client's request; the gateway now owes one final answer."""
 
-    id: str
+    request_id: str
     class_index: int
     plan_index: int
     customer: str
-    left_us: int
+    remaining_us: int
     units: float = 1.0
     set_size: int = 1
     set_first: int = 0
-    is_repeat: bool = False
+    is_retry: bool = False
     is_write: bool = False
 
 
@@ -97,9 +97,9 @@
 class ResponseStreamStarted:
     """A streamed answer has begun: the attempt belongs to the client."""
 
-    id: str
+    request_id: str
     attempt: int
-    server: str
+    endpoint: str
     latency_us: int
 
 
@@ -107,22 +107,22 @@
 class AttemptEnded:
     """How an attempt ended; each Send gets one."""
 
-    id: str
-    over: bool
+    request_id: str
+    is_request_closed: bool
     attempt: int
-    server: str
+    endpoint: str
     result: AttemptResult
     latency_us: int
     used_percent: int = 0
-    true_units: float = 0.0
-    report: LoadReport | None = None
+    actual_units: float = 0.0
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
     """The client left; nothing is owed any more."""
 
-    id: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,10 +136,10 @@
 class HealthCheckEnded:
     """The result of a Probe."""
 
-    server: str
+    endpoint: str
     result: AttemptResult
     latency_us: int
-    report: LoadReport | None = None
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,9 +148,9 @@
     `hears` says whether it has heard this gateway of late."""
 
     sender: int
-    words: tuple[GossipMessage | LimitMessage, ...]
-    generation: int | None = None
-    hears: bool = True
+    messages: tuple[GossipMessage | LimitMessage, ...]
+    incarnation: int | None = None
+    is_heard: bool = True
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -13,17 +13,17 @@
     `granted`: units as asked come with the answer from the home's share of the ceiling.
     """
 
-    customer: int
+    customer_checksum: int
     plan_index: int
     set_first: int
     set_size: int
-    is_answer: bool = False
+    is_reply: bool = False
     demand: float = 0.0
-    spent: float = 0.0
-    asked: float = 0.0
-    level: float = 0.0
-    granted: bool = False
-    inside: bool | None = None
+    spent_units: float = 0.0
+    requested_units: float = 0.0
+    tokens: float = 0.0
+    is_ceiling_granted: bool = False
+    is_within_quota: bool | None = None
 
 
 SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps no more of any ceiling than its split share
@@ -43,9 +43,9 @@
     key: CustomerKey
     number: int
     accepted: int
-    held: int
-    wanted: int
-    returned: float = 0.0
+    held_share: int
+    wanted_share: int
+    returned_units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,8 +54,8 @@
 
     key: CustomerKey
     number: int
-    share: int
-    units: float = 0.0
+    granted_share: int
+    granted_units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,8 +68,8 @@
     """The answer: nothing of the shares of the gateway with that generation's hello is held here, and totals
     are told of so many customers whose home it is."""
 
-    generation: int
-    totals: int = 0
+    incarnation: int
+    total_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,8 +77,8 @@
     """All that a gateway has spent of a customer's quota since its start, and what is left of its part."""
 
     key: CustomerKey
-    spent: float
-    left: float
+    spent_units: float
+    remaining_units: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/interface/settings.py
+++ b/molereach/policy/interface/settings.py
@@ -7,9 +7,9 @@
 class Idempotency(Enum):
     """Whether a class of requests may run more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
 
 
 class DeduplicationScope(Enum):
@@ -24,26 +24,26 @@
 class RequestClass:
     """A class of requests: its times, its worth and whether it may be repeated."""
 
-    aim_us: int
+    latency_objective_us: int
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0
-    effect: Idempotency = Idempotency.SAFE
-    group: DeduplicationScope = DeduplicationScope.ALL
-    window_us: int = 0
-    streamed: bool = False
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_us: int = 0
+    is_streamed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
     """A plan's quota and ceiling, which hold for each customer over all gateways; 0 means none."""
 
-    rate: float = 0.0
-    burst: float = 0.0
-    max_out: int = 0
-    worth_factor: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    quota_rate: float = 0.0
+    quota_burst: float = 0.0
+    max_in_flight: int = 0
+    priority_factor: float = 1.0
+    over_quota_value: float = 0.0
+    over_quota_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -54,31 +54,31 @@
     """What a gateway is told at start."""
 
     seed: int
-    me: int
-    gateways: int
+    proxy_index: int
+    proxy_count: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     zone: int = 0
     max_attempts: int = 1
     max_retry_after_us: int = 0
-    parallel_tries: bool = False
-    may_probe: bool = False
+    may_hedge: bool = False
+    may_check_health: bool = False
     may_cancel: bool = False
-    may_tell: bool = False
+    may_gossip: bool = False
     may_count: bool = False
     must_subscribe: bool = False
-    trued_up: bool = False
-    peer_messages_per_s: float = 0.0
+    costs_are_corrected: bool = False
+    gossip_messages_per_s: float = 0.0
     cross_zone_price: float = 0.0
     waste_price: float = 0.0
     late_fail_price: float = 0.0
     message_price: float = 0.0
-    probe_price: float = 0.0
+    health_check_price: float = 0.0
     handshake_price: float = 0.0
-    keep_us: int = 0
+    idle_connection_ttl_us: int = 0
     answer_grace_us: int = 0
-    ask_within_us: int = 0
-    cold_from: float = 1.0
-    warm_within_us: int = 0
-    fall_multiple: float = 1.0
-    fall_us: int = 1
+    poll_within_us: int = 0
+    slow_start_fraction: float = 1.0
+    slow_start_window_us: int = 0
+    overload_multiple: float = 1.0
+    overload_window_us: int = 1
--- a/molereach/policy/overload_control.py
+++ b/molereach/policy/overload_control.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from molereach.policy.interface.settings import Settings
-from molereach.policy.time_units import TICK_US, S
+from molereach.policy.time_units import SECOND_US, TICK_US
 
 FAIR_N, MOST_PERIODS = 10, 2  # control period and OPPUI: 1 or 2 s, for a fair-sized N
 MAX_INCREASE, MAX_DECREASE = 0.2, 0.1  # the largest step of N in a second, against noise
@@ -17,7 +17,9 @@
 TARGETS = {"util": (0.92, 0.97, 0.75), "latency": (0.5, 0.7, 0.35)}
 # For each ready server, by all gateways: attempts a second when the cap engages, and out at once ever.
 START_PER_SERVER, LEAST_OUT = 8, 2  # the second: for one gateway in any case
-USUAL_AIM_US = 1.5 * S  # what the figures for a second are meant for: where aims are shorter, all goes faster
+USUAL_AIM_US = (
+    1.5 * SECOND_US
+)  # what the figures for a second are meant for: where aims are shorter, all goes faster
 
 
 class Cap:
@@ -36,10 +38,12 @@
     )
 
     def __init__(self, settings: Settings) -> None:
-        aims = [rule.aim_us for rule in settings.classes]
-        second = round(S * min(1.0, sum(aims) / max(1, len(aims)) / USUAL_AIM_US))  # of this deployment
+        aims = [rule.latency_objective_us for rule in settings.classes]
+        second = round(
+            SECOND_US * min(1.0, sum(aims) / max(1, len(aims)) / USUAL_AIM_US)
+        )  # of this deployment
         self.second = max(TICK_US, second)  # a tick ends each period that is over: they must not be many
-        self.gateways, self.period_us, self.cc_us = settings.gateways, -1, self.second
+        self.gateways, self.period_us, self.cc_us = settings.proxy_count, -1, self.second
         self.n_past: int | None = None  # no N: the cap is lifted
         self.overhead, self.accepted = 1.0, 0
         self.wanted = 0  # requests let through by their quotas in this period
@@ -54,7 +58,7 @@
         """At so many first attempts a second, to so many ready servers; `overdue` as for `update`."""
         self.period_us += self.cc_us
         self.update(self.accepted, ready, overdue)
-        was, most = self.cc_us, min(MOST_PERIODS, round(FAIR_N / max(1.0, rate * self.second / S)))
+        was, most = self.cc_us, min(MOST_PERIODS, round(FAIR_N / max(1.0, rate * self.second / SECOND_US)))
         self.cc_us = self.second * max(1, most)
         self.n_past = None if self.n_past is None else max(1, self.n_past * self.cc_us // was)
         self.accepted = self.wanted = 0
--- a/molereach/policy/peer_liveness.py
+++ b/molereach/policy/peer_liveness.py
@@ -1,10 +1,10 @@
 """What is known of each peer: whether it answers, and whether it keeps to the smaller share of ceilings."""
 
 from molereach.policy.customers import SILENT_US
-from molereach.policy.time_units import S
+from molereach.policy.time_units import SECOND_US
 
 ASK_AGAIN_US = 300_000  # a peer that is silent is asked again
-MARKED_US = 10 * S  # for how long it counts that a peer said that ceilings are split there
+MARKED_US = 10 * SECOND_US  # for how long it counts that a peer said that ceilings are split there
 
 
 class Peers:
--- a/molereach/policy/quota.py
+++ b/molereach/policy/quota.py
@@ -8,11 +8,11 @@
 
 from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import Plan, Settings
-from molereach.policy.time_units import NEVER, S
+from molereach.policy.time_units import NEVER_US, SECOND_US
 
-DEMAND_US = 0.1 * S  # ageing of demand: short, as the level of the store carries the longer memory
-SMALL_STORE_US = 0.5 * S  # of its rate, that a store which holds no whole request may owe
-WORD_FRESH_US = S  # how long a word from home holds
+DEMAND_US = 0.1 * SECOND_US  # ageing of demand: short, as the level of the store carries the longer memory
+SMALL_STORE_US = 0.5 * SECOND_US  # of its rate, that a store which holds no whole request may owe
+WORD_FRESH_US = SECOND_US  # how long a word from home holds
 # What its home need not hear of at once: a part that is so full, of which so little was spent since.
 LATE_FULL, LATE_SPENT = 1 / 2, 1 / 4
 # Of a ceiling whose parts would hold fewer units than the first: the share that is split over the set. The
@@ -57,42 +57,44 @@
         split: bool = False,
     ) -> None:
         self.plan, self.key, self.size, self.at = plan, key, key[3], now
-        self.home = (key[2] + key[0] % self.size) % set_.gateways if set_.may_tell else set_.me
+        self.home = (key[2] + key[0] % self.size) % set_.proxy_count if set_.may_gossip else set_.proxy_index
         # The part of the quota that may be spent on this side of a split; with no words, each is a side.
-        self.reach = 1.0 if set_.may_tell else 1 / self.size
-        self.part, self.level = plan.burst / self.size, plan.burst * self.reach
+        self.reach = 1.0 if set_.may_gossip else 1 / self.size
+        self.part, self.level = plan.quota_burst / self.size, plan.quota_burst * self.reach
         self.own, self.others = 0.0, 0.0  # aged demand, here and at the others of the set
         # Empty at the gateway's start, as a restart looks like a first one; it fills from then on.
         self.split = SPLIT_SHARE if split else 1.0
-        filled = plan.ceiling_rate * (now - since) / S
+        filled = plan.ceiling_rate * (now - since) / SECOND_US
         self.ceiling = min(plan.ceiling_burst, filled) * self.split / self.size
         self.given: list[tuple[int, float]] = []  # units of its home's that came here: until when, how many
         self.pooled = 1.0 - self.split  # at the home: its share of the ceiling, and a store for the whole set
         self.pool = min(self.most_pooled, filled * self.pooled)
-        self.heard_us, self.out = -NEVER, 0
+        self.heard_us, self.out = -NEVER_US, 0
         self.told = False  # whether others of its set have said what they know of its level
         self.untold = self.spent = 0.0  # demand and spending that the home has not been told of
-        self.asked_us = NEVER  # the first ask that its home has not answered
+        self.asked_us = NEVER_US  # the first ask that its home has not answered
 
     def refill(self, now: int) -> "Customer":
         """Refill the parts. Others' demand and the level stay as told while that is fresh, as others go on
         asking; after that, as when the home has gone, they are what may be by now."""
-        took, plan, part, self.at = (now - self.at) / S, self.plan, 1 / self.size, now
+        took, plan, part, self.at = (now - self.at) / SECOND_US, self.plan, 1 / self.size, now
         share = part * self.split
         self.ceiling = min(plan.ceiling_burst * share, self.ceiling + plan.ceiling_rate * took * share)
         self.pool = min(self.most_pooled, self.pool + plan.ceiling_rate * took * self.pooled)
-        aged = math.exp(-took * S / DEMAND_US)
+        aged = math.exp(-took * SECOND_US / DEMAND_US)
         self.own *= aged
         if now - self.heard_us > WORD_FRESH_US:
-            self.level = min(plan.burst * self.reach, self.level + plan.rate * self.reach * took)
+            self.level = min(plan.quota_burst * self.reach, self.level + plan.quota_rate * self.reach * took)
             self.others *= aged
-        self.part = min(plan.burst * part, self.part + plan.rate * took * part, max(0.0, self.level))
+        self.part = min(
+            plan.quota_burst * part, self.part + plan.quota_rate * took * part, max(0.0, self.level)
+        )
         return self
 
     @property
     def most_pooled(self) -> float:
         """What the home's store holds: less what may still be used of units that it has given out."""
-        return max(0.0, self.plan.ceiling_burst - self.plan.ceiling_rate * GRANT_US / S) * self.pooled
+        return max(0.0, self.plan.ceiling_burst - self.plan.ceiling_rate * GRANT_US / SECOND_US) * self.pooled
 
     @property
     def demand(self) -> float:
@@ -102,19 +104,19 @@
     def may_be_late(self) -> bool:
         """Whether the home need not hear at once of what is spent here: its store is off by a quarter of the
         parts at most then. Of small parts it hears of each unit."""
-        full = self.plan.burst / self.size
+        full = self.plan.quota_burst / self.size
         return self.part >= full * LATE_FULL and self.spent <= full * LATE_SPENT
 
     def chance(self, units: float) -> float:
         """Quota over summed demand: of what the set has left, as the home counts it, and of late asked."""
-        if self.plan.max_out and self.out >= max(1, self.plan.max_out // self.size):
+        if self.plan.max_in_flight and self.out >= max(1, self.plan.max_in_flight // self.size):
             return 0.0
         # A store that does not hold the whole of a request serves none of it: what is sent on then is beyond.
-        if self.plan.burst * self.reach < units:  # never, by its size: then it may owe some
-            quota = self.level + self.plan.rate * self.reach * SMALL_STORE_US / S
+        if self.plan.quota_burst * self.reach < units:  # never, by its size: then it may owe some
+            quota = self.level + self.plan.quota_rate * self.reach * SMALL_STORE_US / SECOND_US
         else:
             quota = self.level if self.level >= units else 0.0
-        return max(0.0, min(1.0, quota / max(units, self.demand))) if self.plan.rate else 1.0
+        return max(0.0, min(1.0, quota / max(units, self.demand))) if self.plan.quota_rate else 1.0
 
     def is_short(self, units: float) -> bool:
         """The share of the ceiling here does not hold so much: some of the home's is wanted."""
@@ -136,14 +138,14 @@
             self.ceiling -= units
 
     def spend(self, units: float) -> None:
-        small = self.plan.burst * self.reach < 1
+        small = self.plan.quota_burst * self.reach < 1
         owes_us = SMALL_STORE_US if small else DEMAND_US  # for no longer
-        least = -self.plan.rate * self.reach * owes_us / S
+        least = -self.plan.quota_rate * self.reach * owes_us / SECOND_US
         self.level = max(self.level - units, least)
 
 
 def full_again_us(plan: Plan) -> int:
     """How long the stores of a customer take at most to be full, from what it may owe."""
-    quota = plan.burst / plan.rate + SMALL_STORE_US / S if plan.rate else 0.0
+    quota = plan.quota_burst / plan.quota_rate + SMALL_STORE_US / SECOND_US if plan.quota_rate else 0.0
     ceiling = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0
-    return round(S * max(quota, ceiling))
+    return round(SECOND_US * max(quota, ceiling))
--- a/molereach/protocol/gossip_codec.py
+++ b/molereach/protocol/gossip_codec.py
@@ -10,23 +10,23 @@
 
 # The fields of a load report: as the wire names them, and as the servers themselves do.
 REPORT_FIELDS = {
-    "busy_reqs": "inflight",
-    "pending": "queue",
-    "cpu_share": "util",
-    "svc_ms": "service_ms",
+    "busy_reqs": "in_flight",
+    "pending": "queue_length",
+    "cpu_share": "cpu_utilization",
+    "svc_ms": "service_time_ms",
     "served_ps": "served_per_s",
     "failed_ps": "errors_per_s",
-    "inflight": "inflight",
-    "queue": "queue",
-    "util": "util",
-    "latency_ms": "service_ms",
+    "inflight": "in_flight",
+    "queue": "queue_length",
+    "util": "cpu_utilization",
+    "latency_ms": "service_time_ms",
     "qps": "served_per_s",
     "eps": "errors_per_s",
 }
 
 # What a server says of itself is not trusted: plain numbers, none below 0, and none that no server can mean.
 REPORTED = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?(e[-+]?[0-9]{1,2})?", re.ASCII)
-MOST_REPORTED = {"util": 2.0}  # busy cores over all; some noise may lie on it
+MOST_REPORTED = {"cpu_utilization": 2.0}  # busy cores over all; some noise may lie on it
 MOST_OTHERS = 1e9
 
 # A word between gateways; amounts in steps of 1 / UNIT.
@@ -61,14 +61,14 @@
     """Messages between gateways, each as long as the wire allows."""
     packed = [
         WORD.pack(
-            word.customer,
+            word.customer_checksum,
             word.plan_index,
             word.set_first,
             word.set_size,
-            word.is_answer * ANSWER | word.granted * GRANTED | DRAWN[word.inside],
+            word.is_reply * ANSWER | word.is_ceiling_granted * GRANTED | DRAWN[word.is_within_quota],
             *(
                 max(-32768, min(32767, round(amount * UNIT)))
-                for amount in (word.demand, word.spent, word.asked, word.level)
+                for amount in (word.demand, word.spent_units, word.requested_units, word.tokens)
             ),
         )
         for word in words
--- a/molereach/protocol/settings.py
+++ b/molereach/protocol/settings.py
@@ -14,9 +14,9 @@
 Value = TypeVar("Value")
 
 EFFECTS = {
-    "read_like": Idempotency.SAFE,
-    "idempotency_key": Idempotency.KEYED,
-    "non_idempotent": Idempotency.UNSAFE,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.IDEMPOTENT_WITH_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 GROUPS = {group.value: group for group in DeduplicationScope}
 FLAGS = {"true": True, "1": True, "false": False, "0": False}
@@ -96,25 +96,25 @@
 
 def read_class(pairs: Pairs, at: str) -> RequestClass:
     return RequestClass(
-        aim_us=pairs.whole(f"{at}.on-time-us", None, 1),
+        latency_objective_us=pairs.whole(f"{at}.on-time-us", None, 1),
         deadline_us=pairs.whole(f"{at}.deadline-us", None, 1),
-        worth=pairs.number(f"{at}.points", 1.0),
-        late_worth=pairs.number(f"{at}.late-worth"),
-        effect=pairs.one_of(f"{at}.idempotency", EFFECTS),  # one that is not told must not pass for safe
-        group=pairs.one_of(f"{at}.group", GROUPS, DeduplicationScope.ALL.value),
-        window_us=pairs.whole(f"{at}.window-us"),
-        streamed=pairs.flag(f"{at}.streamed"),
+        priority_weight=pairs.number(f"{at}.points", 1.0),
+        late_priority_weight=pairs.number(f"{at}.late-worth"),
+        idempotency=pairs.one_of(f"{at}.idempotency", EFFECTS),  # one that is not told must not pass for safe
+        deduplication_scope=pairs.one_of(f"{at}.group", GROUPS, DeduplicationScope.ALL.value),
+        deduplication_window_us=pairs.whole(f"{at}.window-us"),
+        is_streamed=pairs.flag(f"{at}.streamed"),
     )
 
 
 def read_plan(pairs: Pairs, at: str) -> Plan:
     return Plan(
-        rate=pairs.number(f"{at}.units-per-s"),
-        burst=pairs.number(f"{at}.burst"),
-        max_out=pairs.whole(f"{at}.max-out"),
-        worth_factor=pairs.number(f"{at}.value-factor", 1.0),
-        over_worth=pairs.number(f"{at}.extra-worth"),
-        over_cost=pairs.number(f"{at}.overrun-cost"),
+        quota_rate=pairs.number(f"{at}.units-per-s"),
+        quota_burst=pairs.number(f"{at}.burst"),
+        max_in_flight=pairs.whole(f"{at}.max-out"),
+        priority_factor=pairs.number(f"{at}.value-factor", 1.0),
+        over_quota_value=pairs.number(f"{at}.extra-worth"),
+        over_quota_cost=pairs.number(f"{at}.overrun-cost"),
         ceiling_rate=pairs.number(f"{at}.never-over-rate"),
         ceiling_burst=pairs.number(f"{at}.hard-burst"),
         ceiling_slack=pairs.number(f"{at}.hard-slack"),
@@ -127,8 +127,8 @@
     gateways = pairs.whole("balancers", None, 1, MOST_GATEWAYS)
     return Settings(
         seed=seed,
-        me=pairs.whole("me", None, 0, gateways - 1),
-        gateways=gateways,
+        proxy_index=pairs.whole("me", None, 0, gateways - 1),
+        proxy_count=gateways,
         classes=tuple(read_class(pairs, f"categories.{n}") for n in classes),
         plans=tuple(read_plan(pairs, f"plans.{n}") for n in plans),
         zone=pairs.whole("zone"),
@@ -136,25 +136,25 @@
         max_retry_after_us=(
             pairs.whole("ceilings.max-retry-after-us") if pairs.flag("ceilings.retry-after") else 0
         ),
-        parallel_tries=pairs.flag("ceilings.parallel-tries"),
-        may_probe=pairs.flag("ceilings.may-probe"),
+        may_hedge=pairs.flag("ceilings.parallel-tries"),
+        may_check_health=pairs.flag("ceilings.may-probe"),
         may_cancel=pairs.flag("ceilings.may-cancel"),
-        may_tell=pairs.flag("ceilings.peers"),
+        may_gossip=pairs.flag("ceilings.peers"),
         may_count=pairs.flag("extra.counter"),
         must_subscribe=pairs.text("registry-mode") == "subscribe",
-        trued_up=pairs.flag("extra.trued-up"),
-        peer_messages_per_s=pairs.number("extra.mail-per-s"),
+        costs_are_corrected=pairs.flag("extra.trued-up"),
+        gossip_messages_per_s=pairs.number("extra.mail-per-s"),
         cross_zone_price=pairs.number("prices.cross-zone"),
         waste_price=pairs.number("prices.waste"),
         late_fail_price=pairs.number("prices.late-fail"),
         message_price=pairs.number("prices.peer"),
-        probe_price=pairs.number("prices.probe"),
+        health_check_price=pairs.number("prices.probe"),
         handshake_price=pairs.number("prices.handshake"),
-        keep_us=pairs.whole("ceilings.conn-idle-us", 30_000_000, 1) // 2,
+        idle_connection_ttl_us=pairs.whole("ceilings.conn-idle-us", 30_000_000, 1) // 2,
         answer_grace_us=pairs.whole("obligations.grace-to-answer-us"),
-        ask_within_us=pairs.whole("obligations.ask-within-us"),
-        cold_from=pairs.number("obligations.cold-from", 1.0, most=1.0),
-        warm_within_us=pairs.whole("obligations.warm-within-us"),
-        fall_multiple=pairs.number("obligations.fall-multiple", 1.0),
-        fall_us=pairs.whole("obligations.fall-us", 1, 1),
+        poll_within_us=pairs.whole("obligations.ask-within-us"),
+        slow_start_fraction=pairs.number("obligations.cold-from", 1.0, most=1.0),
+        slow_start_window_us=pairs.whole("obligations.warm-within-us"),
+        overload_multiple=pairs.number("obligations.fall-multiple", 1.0),
+        overload_window_us=pairs.whole("obligations.fall-us", 1, 1),
     )
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -139,7 +139,7 @@
         peers=tuple(address({f"peers.{n}": text}, f"peers.{n}") for n, text in enumerate(peers)),
     )
     if not (config.peers and config.peer_listen):  # nobody to tell, or no way to hear what they answer
-        config = replace(config, settings=replace(config.settings, may_tell=False))
+        config = replace(config, settings=replace(config.settings, may_gossip=False))
     if config.zone_numbers and config.settings.zone >= len(config.zone_numbers):
         raise ConfigError(f"settings.zone: is {config.settings.zone}, of {len(config.zone_numbers)} zones")
     return config
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -36,7 +36,7 @@
 
     def tell(self, action: SendGossip) -> None:
         if self.transport and action.peer != self.me and action.peer < len(self.addresses):
-            for data in self.form.pack(action.peer, action.words):
+            for data in self.form.pack(action.peer, action.messages):
                 self.transport.sendto(data, self.addresses[action.peer])
 
     def close(self) -> None:
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -121,7 +121,7 @@
         view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
         most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
         self.lists: Lists = Routing(config.settings, view, most)
-        self.peers = Peers(config.peers, config.settings.me, self.post)
+        self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
         self.catalog = Catalog(config)
         self.known: News | None = None  # the list that it started with, as it was heard
         version = self.read_known()
@@ -184,7 +184,7 @@
     async def start(self) -> None:
         """Serve; returns once clients are answered. An address that cannot be had is an OSError."""
         self.backends.sweep()
-        if self.settings.may_tell and self.config.peer_listen:
+        if self.settings.may_gossip and self.config.peer_listen:
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=self.config.peer_listen)
         self.discovery.start()
         try:
@@ -261,7 +261,7 @@
             return self.gateway.handle(now, event)
         except Exception:
             log.exception("the module failed on %r", event)
-            self.give_up(getattr(event, "id", ""))
+            self.give_up(getattr(event, "request_id", ""))
             if isinstance(event, TimerExpired):  # the module lives by it: it comes again
                 self.set_timer(SetTimer(RING_AGAIN_US, event.token))
             return []
@@ -271,7 +271,7 @@
             self.carry_out[type(action)](action)
         except Exception:
             log.exception("cannot carry out %r", action)
-            self.give_up(getattr(action, "id", ""))
+            self.give_up(getattr(action, "request_id", ""))
 
     def give_up(self, request_id: str) -> None:
         """Fail a request over a fault, and have the module forget it."""
@@ -305,8 +305,8 @@
     def hear(self, event: EndpointListReceived, addresses: dict[str, Address]) -> None:
         """News of the list as the module is to have them, and the addresses that are new with them."""
         whole = event.kind is not EndpointListKind.CHANGES
-        states = {server.name: server.state for server in event.servers}
-        started = {server.name: server.started_us for server in event.servers}
+        states = {server.name: server.state for server in event.endpoints}
+        started = {server.name: server.started_us for server in event.endpoints}
         self.post(event)  # first: what the backends hand back because of it is decided with the new list
         self.backends.update(states, addresses, whole, started)
 
@@ -314,17 +314,17 @@
         """A client's command; one that is wrong is a CommandError."""
         command = self.parser.parse(words, ANSWER_MARGIN_US)
         request = command.request
-        if request.id in self.open or request.id in self.ended:
+        if request.request_id in self.open or request.request_id in self.ended:
             raise CommandError("this id is in use")
         if len(self.open) >= self.config.max_open or self.held_bytes > self.most_held:
             raise NoRoomError("too many requests are open")
         if self.ending:
-            request = replace(request, left_us=self.ending.take(now_us(), request.left_us))
-        exchange = Exchange(command, reply, now_us() + request.left_us)
-        delay = (request.left_us + BACKSTOP_US) / 1e6
-        exchange.timer = self.loop.call_later(delay, self.overdue, request.id)
-        reply.id = request.id
-        self.open[request.id] = exchange
+            request = replace(request, remaining_us=self.ending.take(now_us(), request.remaining_us))
+        exchange = Exchange(command, reply, now_us() + request.remaining_us)
+        delay = (request.remaining_us + BACKSTOP_US) / 1e6
+        exchange.timer = self.loop.call_later(delay, self.overdue, request.request_id)
+        reply.id = request.request_id
+        self.open[request.request_id] = exchange
         self.held_bytes += command.size + REQUEST_BYTES
         self.post(request)
 
@@ -341,17 +341,26 @@
     # --- actions ---
 
     def send(self, action: ForwardAttempt) -> None:
-        exchange = self.open.get(action.id)
+        exchange = self.open.get(action.request_id)
         if exchange is None or exchange.attempts >= self.settings.max_attempts:
             over = exchange is None
-            self.post(AttemptEnded(action.id, over, action.attempt, action.server, AttemptResult.MOOT, 0))
+            self.post(
+                AttemptEnded(
+                    action.request_id, over, action.attempt, action.endpoint, AttemptResult.NOT_SENT, 0
+                )
+            )
             return
         left = max(1, exchange.end_us - now_us())
         timeout = min(left, action.timeout_us) if action.timeout_us > 0 else left
         exchange.attempts += 1
         payload = exchange.command.payload(timeout)
         attempt = Attempt(
-            action.id, action.attempt, action.server, payload, self.attempt_done, action.whole_by_us
+            action.request_id,
+            action.attempt,
+            action.endpoint,
+            payload,
+            self.attempt_done,
+            action.write_deadline_us,
         )
         exchange.out[attempt.number] = attempt
         self.backends.send(attempt, timeout)
@@ -370,20 +379,20 @@
             if over and not exchange.out:
                 del self.ended[name]
         took = now_us() - attempt.sent_us
-        self.post(AttemptEnded(name, over, attempt.number, attempt.server, result, took, report=report))
+        self.post(AttemptEnded(name, over, attempt.number, attempt.server, result, took, load_report=report))
 
     def cancel(self, action: CancelAttempt) -> None:
-        exchange = self.open.get(action.id) or self.ended.get(action.id)
+        exchange = self.open.get(action.request_id) or self.ended.get(action.request_id)
         attempt = exchange.out.get(action.attempt) if exchange else None
         if attempt:
             attempt.cancel()
 
     def refuse(self, action: Reject) -> None:
         wait_ms = action.retry_after_us // 1000
-        self.answer(action.id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
+        self.answer(action.request_id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
 
     def fail(self, action: FailRequest) -> None:
-        self.answer(action.id, FAILED)
+        self.answer(action.request_id, FAILED)
 
     def answer(self, name: str, data: bytes) -> None:
         if exchange := self.settle(name):
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/door.py
@@ -103,11 +103,11 @@
         piece = self._lookup.at(member)
         pin = self._pin(now_us, member)
         match effect:
-            case Idempotency.SAFE:
+            case Idempotency.IDEMPOTENT:
                 return self._at(piece)
-            case Idempotency.UNSAFE:
+            case Idempotency.NON_IDEMPOTENT:
                 return self.unsafe(piece, tried)
-            case Idempotency.KEYED:
+            case Idempotency.IDEMPOTENT_WITH_KEY:
                 return self.keyed(piece, pin, is_repeat, tried)
 
     def unsafe(self, piece: Piece, tried: Place | None) -> Place | None:
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -48,12 +48,12 @@
 RESULTS = {
     "served": AttemptResult.OK,
     "server_error": AttemptResult.ERROR,
-    "turned_away": AttemptResult.FULL,
+    "turned_away": AttemptResult.REJECTED,
     "no_answer": AttemptResult.TIMEOUT,
     "no_connection": AttemptResult.CONNECT_FAILED,
     "connection_lost": AttemptResult.RESET,
     "called_off": AttemptResult.CANCELLED,
-    "not_sent": AttemptResult.MOOT,
+    "not_sent": AttemptResult.NOT_SENT,
 }
 STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
 LISTS = {
@@ -167,15 +167,15 @@
 
 def read_outcome(fields: Fields, names: list[str]) -> AttemptEnded:
     return AttemptEnded(
-        id=fields.text(),
-        over=fields.flag(),
+        request_id=fields.text(),
+        is_request_closed=fields.flag(),
         attempt=fields.whole(),
-        server=fields.text(),
+        endpoint=fields.text(),
         result=RESULTS[fields.text()],
         latency_us=fields.whole(0),
         used_percent=fields.whole(0),
-        true_units=fields.number(0.0),
-        report=read_load(fields, names),
+        actual_units=fields.number(0.0),
+        load_report=read_load(fields, names),
     )
 
 
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -29,11 +29,13 @@
     """The whole list and the view of it; `size` is the view's, `most` the entries that the list may have."""
 
     def __init__(self, settings: Settings, size: int, most: int) -> None:
-        self.doors, self.size, self.most, self.kinds = settings.gateways, size, most, kinds(settings)
+        self.doors, self.size, self.most, self.kinds = settings.proxy_count, size, most, kinds(settings)
         self.short: Short | None = {}  # None: the list is long, and stands in `whole`
         self.room = Room(COPIES * most + MORE_ENTRIES)
         self.whole = self.empty()
-        self.view = View(door_place(settings.me), least_reach(settings.me, settings.gateways), size)
+        self.view = View(
+            door_place(settings.proxy_index), least_reach(settings.proxy_index, settings.proxy_count), size
+        )
         self.told: dict[bytes, bytes] = {}  # members of the view by name, as the module has them
         self.stale = False  # the view is to be chosen anew
         self.meanwhile = Meanwhile(self.stage)
@@ -56,14 +58,14 @@
             return Seen(event, {})
         if self.short is not None:
             known = {} if event.kind in WHOLE_KINDS else dict(self.short)
-            learn(known, event.servers, addresses)
+            learn(known, event.endpoints, addresses)
             if len(known) <= LONG * self.size:
                 self.short = known
                 if event.kind not in WHOLE_KINDS:
-                    self.meanwhile.note_short(event.servers, addresses)
+                    self.meanwhile.note_short(event.endpoints, addresses)
                 return Seen(event, dict(addresses))
         staged = Staging(self.most)
-        staged.add(event.servers, addresses)
+        staged.add(event.endpoints, addresses)
         return finish(self.take_over(staged, event.kind, event.version))
 
     def take_over(self, staged: Staged, kind: EndpointListKind, version: int) -> Steps:
--- a/molereach/subsetting/idempotency_groups.py
+++ b/molereach/subsetting/idempotency_groups.py
@@ -47,7 +47,11 @@
 
 def kinds(settings: Settings) -> list[Callable[[bytes], int]]:
     """The kinds of groups within which some class is repeated."""
-    groups = {rule.group for rule in settings.classes if rule.effect is Idempotency.KEYED}
+    groups = {
+        rule.deduplication_scope
+        for rule in settings.classes
+        if rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    }
     return [
         of
         for kind, of in ((DeduplicationScope.ZONE, zone_of), (DeduplicationScope.CELL, cell_of))
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -43,12 +43,12 @@
 
     def broken(self: FrontDoor, action: ForwardAttempt) -> None:
         send(self, action)
-        exchange = self.open.get(action.id)
-        others = [name for name in self.backends.pools if name != action.server]
-        effect = self.settings.classes[exchange.command.request.class_index].effect if exchange else None
-        if exchange and others and effect is Idempotency.UNSAFE:
+        exchange = self.open.get(action.request_id)
+        others = [name for name in self.backends.pools if name != action.endpoint]
+        effect = self.settings.classes[exchange.command.request.class_index].idempotency if exchange else None
+        if exchange and others and effect is Idempotency.NON_IDEMPOTENT:
             payload = exchange.command.payload(1_000_000)
-            unheard = Attempt(action.id, 99, others[0], payload, lambda *outcome: None)
+            unheard = Attempt(action.request_id, 99, others[0], payload, lambda *outcome: None)
             self.backends.send(unheard, 1_000_000)
 
     FrontDoor.send = broken  # type: ignore[method-assign]
@@ -58,7 +58,7 @@
     heard = FrontDoor.list_heard
 
     def broken(self: FrontDoor, news: News | LongNews) -> Steps | None:
-        servers = news.event.servers if isinstance(news, News) else ()
+        servers = news.event.endpoints if isinstance(news, News) else ()
         up = [server for server in servers if server.state is EndpointState.UP]
         if len(up) == len(servers):
             return heard(self, news)
@@ -108,8 +108,8 @@
         plans = tuple(
             replace(
                 plan,
-                rate=plan.rate * 10,
-                burst=plan.burst * 10,
+                quota_rate=plan.quota_rate * 10,
+                quota_burst=plan.quota_burst * 10,
                 ceiling_rate=plan.ceiling_rate * 10,
                 ceiling_burst=plan.ceiling_burst * 10,
             )
@@ -126,7 +126,7 @@
 
     def broken(self: FrontDoor, config: Config) -> None:
         settings = config.settings
-        make(self, replace(config, settings=replace(settings, cold_from=1.0)))
+        make(self, replace(config, settings=replace(settings, slow_start_fraction=1.0)))
         self.catalog.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
 
     FrontDoor.__init__ = broken  # type: ignore[method-assign]
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -187,8 +187,8 @@
         doors = draw.randint(2, 5)
         super().__init__(seed, doors, self.figures.drift, draw.choice((0, S, 3600 * S)))
         self.plan = Plan(
-            rate=1.0,
-            burst=1.0,
+            quota_rate=1.0,
+            quota_burst=1.0,
             ceiling_rate=draw.uniform(5, 40),
             ceiling_burst=draw.uniform(10, 60),
             ceiling_slack=1.0,
@@ -209,12 +209,12 @@
         node.up = True
         settings = Settings(
             seed=self.random.getrandbits(64),
-            me=node.number,
-            gateways=len(self.nodes),
+            proxy_index=node.number,
+            proxy_count=len(self.nodes),
             classes=(),
             plans=(self.plan,),
-            may_tell=True,
-            peer_messages_per_s=60.0,
+            may_gossip=True,
+            gossip_messages_per_s=60.0,
         )
         limits = self.limits[node.number] = self.make(settings)
         self.codecs[node.number] = Codec(node.number, limits.generation)
@@ -319,8 +319,8 @@
         self.mail.groups = ()
 
 
-PLAN = Plan(rate=12.0, burst=24.0, ceiling_rate=24.0, ceiling_burst=36.0, ceiling_slack=4.0)
-READS = RequestClass(aim_us=750 * MS, deadline_us=2 * S)
+PLAN = Plan(quota_rate=12.0, quota_burst=24.0, ceiling_rate=24.0, ceiling_burst=36.0, ceiling_slack=4.0)
+READS = RequestClass(latency_objective_us=750 * MS, deadline_us=2 * S)
 FLEET = tuple(Endpoint(f"s-{number}", number % 3, 0, 0, EndpointState.UP) for number in range(24))
 
 
@@ -341,7 +341,7 @@
         self.forms: dict[int, Form] = {}
         self.customer = f"{self.random.getrandbits(33):016x}"
         # What the quota lets through, without a floor: below nothing is what went beyond it.
-        self.quota = Store(plan.rate, plan.burst, plan.burst, 0)
+        self.quota = Store(plan.quota_rate, plan.quota_burst, plan.quota_burst, 0)
         self.ceiling = Store(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_burst, 0)
         self.sent: list[tuple[int, int]] = []  # when and where each first attempt was sent on
         self.asked = self.refused = 0
@@ -353,13 +353,13 @@
         node.up = True
         settings = Settings(
             seed=self.random.getrandbits(64),
-            me=node.number,
-            gateways=len(self.nodes),
+            proxy_index=node.number,
+            proxy_count=len(self.nodes),
             classes=(READS,),
             plans=(self.plan,),
             max_attempts=3,
-            may_tell=True,
-            peer_messages_per_s=60.0,
+            may_gossip=True,
+            gossip_messages_per_s=60.0,
         )
         limits = Limits(settings, self.figures) if self.with_limits else None
         self.forms[node.number] = (
--- a/tests/backends/test_answers.py
+++ b/tests/backends/test_answers.py
@@ -49,13 +49,13 @@
 
 
 def test_load_report_is_read_by_name() -> None:
-    load = LoadReport(util=0.61, service_ms=12.5)
+    load = LoadReport(cpu_utilization=0.61, service_time_ms=12.5)
     report = b"util=0.61,latency_ms=12.5,strange=x"
     assert outcome_of(Answer(b"v", report=report)) == (AttemptResult.OK, b"v", load)
     for odd in ("nan", "inf", "-inf", "-1", "-0.1", "1_0", " 1", "1e99", "2.5", "", "=", "0x1", "\xb2"):
         report = f"util={odd},latency_ms=5".encode()
         known = outcome_of(Answer(b"v", report=report))[2]
-        assert known is None or known.util is None
+        assert known is None or known.cpu_utilization is None
     assert outcome_of(Answer(b"v", report=b"util=\xff"))[2] is None
     assert outcome_of(Answer(b"v", report=b"util=what")) == (AttemptResult.OK, b"v", None)
     assert outcome_of(Answer(b"v")) == (AttemptResult.OK, b"v", None)
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -172,7 +172,9 @@
         first = sender.send()
         sender.send()
         sender.send()
-        assert await sender.result() is AttemptResult.MOOT  # a shortage of ours is no fault of the backend
+        assert (
+            await sender.result() is AttemptResult.NOT_SENT
+        )  # a shortage of ours is no fault of the backend
         assert sender.backends.count() == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
@@ -239,7 +241,7 @@
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda words: answer
         sender.send(timeout_us=20 * S)
-        assert await sender.result() is AttemptResult.SPOILT
+        assert await sender.result() is AttemptResult.MALFORMED
         await backend.left.wait()
         assert len(sender.backends.pools["s"].idle) == 1
         backend.answer = lambda words: value(b"good")
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -90,21 +90,21 @@
         reader = Reader(first, 0)
         try:
             event, addresses = await reader.seen.get()  # by a watch from before all versions
-            assert event.kind is EndpointListKind.FULL and len(event.servers) == size
+            assert event.kind is EndpointListKind.FULL and len(event.endpoints) == size
             assert addresses["s-00000007"] == backend_address(7, 7)
             told = await agent.do_change([(7, DRAINING, 0), (size, SERVING, 5)])
             event, _ = await reader.seen.get()
             assert told["watching"] == 1 and event.kind is EndpointListKind.CHANGES
-            assert [server.name for server in event.servers] == ["s-00000007", f"s-{size:08x}"]
-            assert [server.state for server in event.servers] == [EndpointState.DRAINING, EndpointState.UP]
+            assert [server.name for server in event.endpoints] == ["s-00000007", f"s-{size:08x}"]
+            assert [server.state for server in event.endpoints] == [EndpointState.DRAINING, EndpointState.UP]
             reader.discovery.move(second)  # asked for whole, and then watched
             event, _ = await reader.seen.get()
-            assert event.kind is EndpointListKind.FULL and len(event.servers) == size + 1
+            assert event.kind is EndpointListKind.FULL and len(event.endpoints) == size + 1
             while len(agent.watching) != 1 or not agent.sent[1].calls > 1:
                 await asyncio.sleep(0.01)
             await agent.do_reset()
             event, _ = await reader.seen.get()
-            assert event.kind is EndpointListKind.FULL and len(event.servers) == size + 1
+            assert event.kind is EndpointListKind.FULL and len(event.endpoints) == size + 1
             assert reader.discovery.version == agent.version
             sent = await agent.do_take()
             assert sent["0"]["changes"] > told["line_bytes"]  # type: ignore[index,operator]
@@ -140,11 +140,11 @@
         )
         await hollow.do_begin(tier.shown(), [0], [1], [])
         await hollow.do_pause(True)
-        (data,) = pack_words([GossipMessage(key, 0, 0, 3, asked=1.0, demand=1.0)])
+        (data,) = pack_words([GossipMessage(key, 0, 0, 3, requested_units=1.0, demand=1.0)])
         try:
             transport.sendto(data, peer_address(1, port))
             heard: tuple[GossipMessage, ...] = ()
-            while not any(word.is_answer and word.customer == key for word in heard):
+            while not any(word.is_reply and word.customer_checksum == key for word in heard):
                 heard = unpack_words(await answers.get())
             taken = await hollow.do_take()
             counts = taken["doors"]["0"]  # type: ignore[index]
--- a/tests/benchmarks/test_scale_tier.py
+++ b/tests/benchmarks/test_scale_tier.py
@@ -30,7 +30,7 @@
 def test_a_tenant_asks_for_part_of_its_quota() -> None:
     plans = configuration(TIER, 0).settings.plans
     for tenant in TIER.everyone():
-        assert tenant.rate == pytest.approx(QUOTA_PART * plans[tenant.plan].rate)
+        assert tenant.rate == pytest.approx(QUOTA_PART * plans[tenant.plan].quota_rate)
 
 
 def test_neighbours_are_those_that_share_a_tenant() -> None:
@@ -53,6 +53,6 @@
         words = requests.words()
         request = parser.parse(words, 25_000).request
         assert (9 - request.set_first) % TIER.doors < request.set_size == TIER.spread
-        assert door_of(words[2]) == 9 and request.id not in seen
-        seen.add(request.id)
+        assert door_of(words[2]) == 9 and request.request_id not in seen
+        seen.add(request.request_id)
     assert {name for name in seen if len(name) == 16} == seen
--- a/tests/cache/purge/finding.py
+++ b/tests/cache/purge/finding.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-SEEDS = {"customer", "member"}  # names of fields that say whose something is
+SEEDS = {"customer", "customer_checksum", "member"}  # names of fields that say whose something is
 KEY = "tuple[int, int, int, int]"
 GROWING = {"dict", "list", "set", "deque", "OrderedDict", "defaultdict", "Counter"}
 
--- a/tests/cache/purge/test_holdings.py
+++ b/tests/cache/purge/test_holdings.py
@@ -116,8 +116,8 @@
 
 def test_all_that_a_live_gateway_holds_of_a_member_is_declared() -> None:
     rules = (RequestClass(S, 2 * S),)
-    plans = (Plan(rate=10, burst=2, ceiling_rate=5, ceiling_burst=8),)
-    settings = Settings(1, 0, 3, rules, plans, max_attempts=2, may_tell=True, peer_messages_per_s=100)
+    plans = (Plan(quota_rate=10, quota_burst=2, ceiling_rate=5, ceiling_burst=8),)
+    settings = Settings(1, 0, 3, rules, plans, max_attempts=2, may_gossip=True, gossip_messages_per_s=100)
     gateway = Gateway(settings, Limits(settings, LimitSettings()))
     server = Endpoint("s", 0, 0, 0, EndpointState.UP)
     gateway.handle(0, EndpointListReceived(EndpointListKind.FULL, 1, (server,)))
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -412,7 +412,7 @@
 def test_client_may_wait_for_a_little_longer_than_the_class() -> None:
     fields = b"c=read,t=team,d=6200"  # of 6 s
     command = PARSER.parse([b"SVC.QUERY", CUSTOMER.encode(), b"a1", fields], 25_000)
-    assert command.request.left_us == 6_175_000
+    assert command.request.remaining_us == 6_175_000
 
 
 TEXTS = ["read", "book", "team", "500", "", "=", "-1", "²"]
@@ -429,5 +429,5 @@
         command = PARSER.parse(words, 0)
     except CommandError:
         return
-    assert command.request.left_us == 500_000
+    assert command.request.remaining_us == 500_000
     assert text.replace("d=500", "d=7") in command.payload(7_000).decode()
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -29,17 +29,17 @@
 # Every combination of the flags of a word.
 QUOTA_WORDS = tuple(
     GossipMessage(
-        customer=0x01020304 + number,
+        customer_checksum=0x01020304 + number,
         plan_index=number,
         set_first=number + 1,
         set_size=3,
-        is_answer=is_answer,
+        is_reply=is_answer,
         demand=12.5 + number,
-        spent=-0.02 * number,
-        asked=655.34,
-        level=-655.36,
-        granted=granted,
-        inside=inside,
+        spent_units=-0.02 * number,
+        requested_units=655.34,
+        tokens=-655.36,
+        is_ceiling_granted=granted,
+        is_within_quota=inside,
     )
     for number, (is_answer, granted, inside) in enumerate(
         product((False, True), (False, True), (None, True, False))
@@ -47,40 +47,53 @@
 )
 
 # The form with limits carries of the flags only whether a word is an answer.
-QUOTA_WORDS_IN_LIMIT_FORM = tuple(replace(word, granted=False, inside=None) for word in QUOTA_WORDS)
+QUOTA_WORDS_IN_LIMIT_FORM = tuple(
+    replace(word, is_ceiling_granted=False, is_within_quota=None) for word in QUOTA_WORDS
+)
 LIMIT_FORM_WORDS = tuple(
     GossipMessage(
-        customer=0xDEADBEEF,
+        customer_checksum=0xDEADBEEF,
         plan_index=2,
         set_first=1,
         set_size=3,
-        is_answer=is_answer,
+        is_reply=is_answer,
         demand=12.5,
-        spent=-0.02,
-        asked=655.34,
-        level=-655.36,
+        spent_units=-0.02,
+        requested_units=655.34,
+        tokens=-655.36,
     )
     for is_answer in (False, True)
 )
 
 LIMIT_WORDS: dict[str, LimitMessage] = {
     "loan-ask": LoanRequest(
-        key=CUSTOMER_KEY, number=0x10203040, accepted=7, held=2500, wanted=10_000, returned=3.14
+        key=CUSTOMER_KEY,
+        number=0x10203040,
+        accepted=7,
+        held_share=2500,
+        wanted_share=10_000,
+        returned_units=3.14,
+    ),
+    "loan-ask-split": LoanRequest(
+        key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, held_share=0, wanted_share=1
     ),
-    "loan-ask-split": LoanRequest(key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, held=0, wanted=1),
-    "loan-grant": LoanGrant(key=CUSTOMER_KEY, number=0x10203040, share=10_000, units=42_949_672.94),
-    "loan-grant-empty": LoanGrant(key=CUSTOMER_KEY, number=2, share=0),
+    "loan-grant": LoanGrant(
+        key=CUSTOMER_KEY, number=0x10203040, granted_share=10_000, granted_units=42_949_672.94
+    ),
+    "loan-grant-empty": LoanGrant(key=CUSTOMER_KEY, number=2, granted_share=0),
     "hello": Join(),
-    "clear": JoinAcknowledged(generation=GENERATION, totals=300),
-    "clear-no-totals": JoinAcknowledged(generation=0),
-    "total": SpendingTotal(key=CUSTOMER_KEY, spent=1234.56, left=0.02),
+    "clear": JoinAcknowledged(incarnation=GENERATION, total_count=300),
+    "clear-no-totals": JoinAcknowledged(incarnation=0),
+    "total": SpendingTotal(key=CUSTOMER_KEY, spent_units=1234.56, remaining_units=0.02),
     "bye": Leave(),
 }
 
 # A word that has more than its field holds, and what is read back.
-TOO_LARGE = GossipMessage(customer=1, plan_index=0, set_first=0, set_size=1, demand=1e9, spent=-1e9)
+TOO_LARGE = GossipMessage(
+    customer_checksum=1, plan_index=0, set_first=0, set_size=1, demand=1e9, spent_units=-1e9
+)
 TOO_LARGE_READ = GossipMessage(
-    customer=1, plan_index=0, set_first=0, set_size=1, demand=655.34, spent=-655.36
+    customer_checksum=1, plan_index=0, set_first=0, set_size=1, demand=655.34, spent_units=-655.36
 )
 
 Words = Sequence[GossipMessage | LimitMessage]
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -21,21 +21,21 @@
     for data in found:
         message = packing.unpack(samples.SENDER, data)
         assert message is not None
-        words += message.words
+        words += message.messages
     return words
 
 
 def test_plain_datagrams_are_read_as_packed() -> None:
     messages = [PlainForm().unpack(samples.SENDER, data) for data in datagrams("gossip-plain.hex")]
     assert all(message is not None and message.sender == samples.SENDER for message in messages)
-    words = tuple(word for message in messages if message for word in message.words)
+    words = tuple(word for message in messages if message for word in message.messages)
     assert words == samples.QUOTA_WORDS
 
 
 def test_amounts_past_their_field_are_read_as_its_bounds() -> None:
     (data,) = datagrams("gossip-plain-too-large.hex")
     assert PlainForm().unpack(samples.SENDER, data) == GossipReceived(
-        sender=samples.SENDER, words=(samples.TOO_LARGE_READ,)
+        sender=samples.SENDER, messages=(samples.TOO_LARGE_READ,)
     )
 
 
@@ -57,7 +57,7 @@
     for data in datagrams(f"gossip-limits-{name}.hex"):
         message = packing.unpack(samples.SENDER, data)
         assert message is not None
-        assert (message.generation, message.hears) == (samples.GENERATION, packing.hears(samples.PEER))
+        assert (message.incarnation, message.is_heard) == (samples.GENERATION, packing.hears(samples.PEER))
 
 
 def test_a_datagram_is_not_read_with_another_key_or_sender() -> None:
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -59,12 +59,12 @@
         stream += chunk(line[30:] + b"\n" + gone[:9]) + chunk(gone[9:])
         pieces = [stream[n : n + 50] for n in range(0, len(stream), 50)]
         first, second = await news_of(Watch(script(*pieces)), 2)
-        states = {server.name: server.state for server in first.event.servers}
+        states = {server.name: server.state for server in first.event.endpoints}
         assert (first.event.kind, first.event.version) == (EndpointListKind.FULL, 5)
         draining = EndpointState.DRAINING
         assert states == {"s1": EndpointState.UP, "s2": draining, "s3": draining}
         assert (second.event.kind, second.event.version) == (EndpointListKind.CHANGES, 6)
-        assert second.event.servers[0].state is EndpointState.GONE
+        assert second.event.endpoints[0].state is EndpointState.GONE
 
     run(job())
 
@@ -103,7 +103,7 @@
 def test_numbers_that_make_no_sense_say_nothing(odd: object) -> None:
     listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
     news = Catalog(CONFIG).news({"generation": 1, "instances": [listed]})
-    (server,) = news.event.servers
+    (server,) = news.event.endpoints
     assert (server.size, server.started_us) == (1.0, 0)
 
 
@@ -150,7 +150,7 @@
         while len(got) < len(words):
             message = await heard.get()
             assert message.sender == 1
-            got += message.words
+            got += message.messages
         assert got == words and heard.empty()
 
     run(job())
@@ -173,7 +173,7 @@
 
     async def names(self) -> tuple[EndpointListKind, list[str]]:
         event = (await self.heard.get()).event
-        return event.kind, [server.name for server in event.servers]
+        return event.kind, [server.name for server in event.endpoints]
 
 
 def listing(*names: str, version: int = 4) -> object:
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -98,8 +98,8 @@
         async with Heard(says(answer(text)), version=0) as door:
             tick()
             event = await door.seen.get()
-            assert (event.kind, event.version, len(event.servers)) == (EndpointListKind.FULL, 5, SIZE)
-            assert event.servers[7].name == "s-00000007" and event.servers[-1].cell == (SIZE - 1) % 2900
+            assert (event.kind, event.version, len(event.endpoints)) == (EndpointListKind.FULL, 5, SIZE)
+            assert event.endpoints[7].name == "s-00000007" and event.endpoints[-1].cell == (SIZE - 1) % 2900
             sizes = door.lists.staged[0].sizes
         pieces = [size for _, size in feeds]
         assert max(pieces) <= TURN_BYTES and len({at for at, _ in feeds}) == len(feeds)
@@ -212,7 +212,7 @@
 
         async with Heard(broken, says(HEAD + chunk(list_text(6, entries_text(2), reset=False)))) as door:
             event = await door.seen.get()
-            assert (event.version, len(event.servers)) == (6, 2)
+            assert (event.version, len(event.endpoints)) == (6, 2)
             assert not door.discovery.source.staged
             assert door.watch.targets == [f"{WHOLE}?watch=1&after=3"] * 2
 
@@ -292,7 +292,7 @@
 
     async def job() -> None:
         async with Heard(says(answer(text)), version=0) as door:
-            assert len((await door.seen.get()).servers) == 700
+            assert len((await door.seen.get()).endpoints) == 700
 
     run(job())
     (said,) = [one.getMessage() for one in caplog.records if "passed over" in one.getMessage()]
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -108,7 +108,7 @@
     """What it has counts as told: 148 of 212 were killed and sent to drained servers meanwhile."""
 
     async def job() -> None:
-        settings = replace(CONFIG.settings, gateways=200, must_subscribe=False, ask_within_us=10_000_000)
+        settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=False, poll_within_us=10_000_000)
         door = FrontDoor(replace(CONFIG, settings=settings))
         try:
             pacing = door.discovery.source.pacing
@@ -124,7 +124,7 @@
 def test_large_tier_that_must_ask_has_called_before_lists_count_as_told() -> None:
     """However many they are; and after failed calls too: a change counts as told 6 s after discovery could be
     reached, whatever else is allowed."""
-    settings = replace(CONFIG.settings, gateways=200, must_subscribe=True, ask_within_us=10_000_000)
+    settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=True, poll_within_us=10_000_000)
     pacing = CallPacing.of(settings)
     assert 0 < pacing.first(1.0) < ASK_WITHIN_S
     assert pacing.ended(1.0) < ASK_WITHIN_S
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -51,9 +51,9 @@
         size = 1
 
         def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
-            some = event.servers[: self.size]
+            some = event.endpoints[: self.size]
             addresses = {server.name: addresses[server.name] for server in some}
-            return Seen(replace(event, servers=some), addresses) if some else None
+            return Seen(replace(event, endpoints=some), addresses) if some else None
 
         def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
             return self.shown(event, addresses)
@@ -78,14 +78,14 @@
             await asyncio.Event().wait()
 
         async with door_before(play) as (door, _):
-            assert door.known and door.known.event.servers[0].name == "s1"
+            assert door.known and door.known.event.endpoints[0].name == "s1"
             heard: list[EndpointListReceived] = []
-            door.see = lambda news: replace(news, seen_by=7)
+            door.see = lambda news: replace(news, sharing_proxies=7)
             hear = door.hear
             door.hear = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
             await until(lambda: door.discovery.version == 4)
-            assert [[one.name for one in event.servers] for event in heard] == [["s-00000000"]]
-            assert heard[0].seen_by == 7 and list(door.backends.pools) == ["s-00000000"]
+            assert [[one.name for one in event.endpoints] for event in heard] == [["s-00000000"]]
+            assert heard[0].sharing_proxies == 7 and list(door.backends.pools) == ["s-00000000"]
             lists.size = 0
             gate.set()
             await until(lambda: door.discovery.version == 5)
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -183,7 +183,7 @@
 
 
 def states(news: EndpointListReceived | None) -> dict[str, EndpointState]:
-    return {one.name: one.state for one in news.servers} if news else {}
+    return {one.name: one.state for one in news.endpoints} if news else {}
 
 
 def test_module_sees_a_drained_server_as_draining_and_nothing_added() -> None:
@@ -265,6 +265,6 @@
 
 def test_orders_over_a_view_say_how_many_share_its_servers() -> None:
     overlay, one = Overlay(), Endpoint("s0", 0, 0, 0, EndpointState.UP)
-    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), seen_by=21))
+    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), sharing_proxies=21))
     news = overlay.on_orders({"s0"})
-    assert news is not None and news.seen_by == 21 and news.version == 4
+    assert news is not None and news.sharing_proxies == 21 and news.version == 4
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,23 +23,23 @@
 from molereach.policy.interface.settings import Plan, RequestClass, Settings
 
 MS, S = 1_000, 1_000_000
-SAFE = RequestClass(aim_us=2 * S, deadline_us=6 * S)
-PLAN = Plan(rate=10.0, burst=20.0)
+SAFE = RequestClass(latency_objective_us=2 * S, deadline_us=6 * S)
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
 SETTINGS = Settings(
     seed=7,
-    me=0,
-    gateways=1,
+    proxy_index=0,
+    proxy_count=1,
     classes=(SAFE,),
     plans=(PLAN,),
     max_attempts=3,
     may_cancel=True,
-    may_tell=True,
-    peer_messages_per_s=100.0,
+    may_gossip=True,
+    gossip_messages_per_s=100.0,
     max_retry_after_us=500 * MS,
-    cold_from=0.2,
-    warm_within_us=10 * S,
-    fall_multiple=2.0,
-    fall_us=S,
+    slow_start_fraction=0.2,
+    slow_start_window_us=10 * S,
+    overload_multiple=2.0,
+    overload_window_us=S,
     answer_grace_us=8 * MS,
 )
 
@@ -69,9 +69,9 @@
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_us, action.token))
             if isinstance(action, ForwardAttempt):
-                number = self.tries.get(action.id, 0)
-                self.tries[action.id] = number + 1
-                self.out[(action.id, number)] = (action.server, self.now, action.timeout_us)
+                number = self.tries.get(action.request_id, 0)
+                self.tries[action.request_id] = number + 1
+                self.out[(action.request_id, number)] = (action.endpoint, self.now, action.timeout_us)
         return actions
 
     def run(self, time_us: int) -> list[Action]:
@@ -98,7 +98,7 @@
     ) -> list[Action]:
         server, sent, _ = self.out.pop((name, attempt))
         over = result is AttemptResult.OK
-        event = AttemptEnded(name, over, attempt, server, result, self.now - sent, report=report)
+        event = AttemptEnded(name, over, attempt, server, result, self.now - sent, load_report=report)
         return self.tell(event)
 
 
@@ -116,12 +116,14 @@
         fleet: Iterable[Endpoint] = servers(4),
         loss: float = 0.0,
     ) -> None:
-        self.worlds = [World(replace(settings, me=n, gateways=count, seed=n), fleet) for n in range(count)]
+        self.worlds = [
+            World(replace(settings, proxy_index=n, proxy_count=count, seed=n), fleet) for n in range(count)
+        ]
         self.posted: list[tuple[int, int, tuple[GossipMessage, ...]]] = []
         self.random, self.loss, self.down = random.Random(3), loss, -1
 
     def carry(self, sender: int, actions: Iterable[Action]) -> None:
-        self.posted += [(sender, action.peer, action.words) for action in of(SendGossip, actions)]
+        self.posted += [(sender, action.peer, action.messages) for action in of(SendGossip, actions)]
 
     def ask(self, me: int, name: str, **values: object) -> None:
         self.carry(me, self.worlds[me].ask(name, set_size=len(self.worlds), **values))
--- a/tests/limits/test_messages.py
+++ b/tests/limits/test_messages.py
@@ -38,8 +38,8 @@
     datagrams = sender.pack(1, words)
     assert datagrams and all(len(data) <= 256 for data in datagrams)
     heard = [receiver.unpack(2, data) for data in datagrams]
-    assert [word for message in heard if message for word in message.words] == words
-    assert all(message and message.generation == 77 for message in heard)
+    assert [word for message in heard if message for word in message.messages] == words
+    assert all(message and message.incarnation == 77 for message in heard)
     assert all(not unpack_words(data) for data in datagrams)  # a front door of the last version drops them
 
 
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -12,7 +12,7 @@
 from sim.histories import PLAN, QuotaHistory
 
 S, MS = 1_000_000, 1_000
-QUOTA = Plan(rate=12.0, burst=24.0)
+QUOTA = Plan(quota_rate=12.0, quota_burst=24.0)
 KEY: CustomerKey = (3, 0, 0, 3)  # its home is front door 0
 
 
@@ -125,9 +125,9 @@
     other.spend(0, KEY, 1.0, 7.0)
     told = [(at, total) for at in range(0, 2 * S, 100 * MS) for _, total in other.due(at, 8)]
     assert [at for at, _ in told] == [0, 300 * MS]
-    assert told[-1][1].spent == 1.0 and told[-1][1].left == 8.0  # filled up since
+    assert told[-1][1].spent_units == 1.0 and told[-1][1].remaining_units == 8.0  # filled up since
     other.heard(5 * S, 0, 9)
-    assert [total.spent for _, total in other.due(5 * S, 8)] == [1.0]
+    assert [total.spent_units for _, total in other.due(5 * S, 8)] == [1.0]
     other.forget(other.forget_us + 1)
     assert not other.mine
     home = settled(0)
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize("split", [False, True])
 def test_a_ceiling_holds_for_whole_gateways_and_is_granted(split: bool) -> None:
     """Traffic that stands at one front door and then at another, with a third of all words lost."""
-    plan = replace(PLAN, rate=0.0, burst=0.0)
+    plan = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
     for seed in range(2):
         history = QuotaHistory(seed, 3, True, plan)
         history.mail.loss = 0.3
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -14,7 +14,7 @@
 from sim.histories import BrokenError, ShareHistory
 
 S, MS = 1_000_000, 1_000
-PLAN = Plan(rate=1.0, burst=1.0, ceiling_rate=30.0, ceiling_burst=60.0)
+PLAN = Plan(quota_rate=1.0, quota_burst=1.0, ceiling_rate=30.0, ceiling_burst=60.0)
 KEY: CustomerKey = (7, 0, 0, 3)
 FIGURES = LimitSettings(floor=0.1)
 
@@ -237,7 +237,7 @@
     assert pair.doors[lender].due(pair.now) == granted  # the same ask has the same grant, and costs once
     after = pair.doors[lender].room(pair.now, KEY)
     assert after < before / 2
-    again = replace(ask, number=ask.number + 1, wanted=0)  # type: ignore[type-var]
+    again = replace(ask, number=ask.number + 1, wanted_share=0)  # type: ignore[type-var]
     pair.hear(0, lender, again)  # type: ignore[arg-type]
     assert pair.doors[lender].room(pair.now, KEY) == pytest.approx(before, rel=0.1)
     pair.hear(0, lender, replace(again, number=again.number + 1, accepted=again.number))  # type: ignore[arg-type]
@@ -292,7 +292,9 @@
 
 
 def test_customers_by_the_thousand_leave_nothing_behind() -> None:
-    settings = Settings(seed=1, me=0, gateways=3, classes=(), plans=(PLAN,), peer_messages_per_s=60.0)
+    settings = Settings(
+        seed=1, proxy_index=0, proxy_count=3, classes=(), plans=(PLAN,), gossip_messages_per_s=60.0
+    )
     limits = Limits(settings, FIGURES)
     limits.start(0)
     told = 0
--- a/tests/policy/gateways.py
+++ b/tests/policy/gateways.py
@@ -5,7 +5,7 @@
 from molereach.policy.interface.settings import Idempotency, RequestClass, Settings
 from tests.helpers import SETTINGS, S
 
-UNSAFE = RequestClass(2 * S, 6 * S, effect=Idempotency.UNSAFE)
+UNSAFE = RequestClass(2 * S, 6 * S, idempotency=Idempotency.NON_IDEMPOTENT)
 
 
 def with_class(rule: RequestClass, **changes: object) -> Settings:
--- a/tests/policy/rules/test_admission.py
+++ b/tests/policy/rules/test_admission.py
@@ -13,8 +13,8 @@
 from tests.helpers import SAFE, SETTINGS, S
 
 NOW = 100 * S
-PLAN = Plan(rate=10.0, burst=20.0)
-CEILED = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
+CEILED = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
 HERE: CustomerKey = (0, 0, 0, 2)  # its home is the first of the set
 THERE: CustomerKey = (1, 0, 0, 2)
 
@@ -23,13 +23,13 @@
     """Requests, and what was decided on them."""
 
     def __init__(self, plan: Plan = PLAN) -> None:
-        settings = replace(SETTINGS, plans=(plan,), gateways=3)
+        settings = replace(SETTINGS, plans=(plan,), proxy_count=3)
         self.decided: list[tuple[str, float]] = []
         self.customers = Customers(settings, None)
         self.admission = Admission(settings, Random(1), self.customers, self.decide)
 
     def decide(self, job: Job, chance: float) -> None:
-        self.decided.append((job.req.id, chance))
+        self.decided.append((job.req.request_id, chance))
 
     def ask(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> Job:
         customer = self.customers.get(now, key)
@@ -39,7 +39,7 @@
         return job
 
     def words(self, now: int = NOW) -> tuple[object, ...]:
-        return tuple(word for tell in self.admission.words.leave(now) for word in tell.words)
+        return tuple(word for tell in self.admission.words.leave(now) for word in tell.messages)
 
     def hear(self, *words: GossipMessage, now: int = NOW) -> None:
         self.admission.hear(now, GossipReceived(1, words))
@@ -49,7 +49,7 @@
     table = Table()
     table.ask("a", THERE, part=1.0)
     assert table.decided == [("a", 1.0)] and not table.admission.waits
-    assert table.words() == (GossipMessage(*THERE, demand=1.0, level=20.0),)
+    assert table.words() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
 
 
 def test_at_the_home_the_chance_rule_decides_at_once() -> None:
@@ -64,11 +64,19 @@
     table = Table()
     first, second = table.ask("a", THERE), table.ask("b", THERE)
     assert table.decided == [] and table.admission.waits == [first, second]
-    assert [word.asked for word in table.words()] == [1.0, 1.0]
-    table.hear(GossipMessage(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=False))
+    assert [word.requested_units for word in table.words()] == [1.0, 1.0]
+    table.hear(
+        GossipMessage(
+            *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=False
+        )
+    )
     assert table.decided == [("a", 0.0)] and table.admission.waits == [second]
     assert first.customer.level == 4.0 and first.customer.others == 6.0
-    table.hear(GossipMessage(*THERE, is_answer=True, demand=8.0, asked=1.0, level=4.0, inside=True))
+    table.hear(
+        GossipMessage(
+            *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=True
+        )
+    )
     assert table.decided[1:] == [("b", 1.0)] and not table.admission.waits
     assert first.customer.spent == -1.0  # the home has counted it already
 
@@ -109,28 +117,35 @@
 def test_home_adds_up_draws_and_answers() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
-    table.hear(GossipMessage(*HERE, demand=2.0, spent=3.0, asked=1.0, level=20.0))
+    table.hear(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
     assert customer.others == 2.0 and customer.level == 20.0 - 3.0 - 1.0  # of all its demand it has enough
     (answer,) = table.words()
-    assert isinstance(answer, GossipMessage) and answer.is_answer and answer.inside and answer.level == 17.0
-    table.hear(GossipMessage(*HERE, demand=1.0, spent=1.0))
+    assert (
+        isinstance(answer, GossipMessage)
+        and answer.is_reply
+        and answer.is_within_quota
+        and answer.tokens == 17.0
+    )
+    table.hear(GossipMessage(*HERE, demand=1.0, spent_units=1.0))
     assert not table.admission.words.waiting  # nobody waits, and there is plenty
     customer.level = 0.5
-    table.hear(GossipMessage(*HERE, demand=1.0, asked=1.0))
+    table.hear(GossipMessage(*HERE, demand=1.0, requested_units=1.0))
     assert customer.level == 0.5  # it drew no
 
 
 def test_home_that_starts_anew_takes_over_the_level_that_it_is_told() -> None:
     table = Table()
-    table.hear(GossipMessage(*HERE, level=6.0))
-    table.hear(GossipMessage(*HERE, level=2.0))
+    table.hear(GossipMessage(*HERE, tokens=6.0))
+    table.hear(GossipMessage(*HERE, tokens=2.0))
     assert table.customers.known[HERE].level == 6.0
 
 
 def test_units_that_the_home_grants_come_with_its_word_and_do_not_keep() -> None:
     table = Table(CEILED)
     job = table.ask("a", THERE)
-    word = GossipMessage(*THERE, is_answer=True, asked=1.0, level=4.0, granted=True, inside=True)
+    word = GossipMessage(
+        *THERE, is_reply=True, requested_units=1.0, tokens=4.0, is_ceiling_granted=True, is_within_quota=True
+    )
     table.hear(word, now=NOW + S // 10)
     assert job.customer.given == [(NOW + GRANT_US, 1.0)]
     home = Table(CEILED)
@@ -142,6 +157,6 @@
 def test_words_of_sets_without_this_gateway_are_passed_over() -> None:
     table = Table()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
-        table.hear(GossipMessage(*key, level=1.0))
+        table.hear(GossipMessage(*key, tokens=1.0))
     table.hear(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
     assert not table.customers.known and table.admission.peers.leaves(1)
--- a/tests/policy/rules/test_cap.py
+++ b/tests/policy/rules/test_cap.py
@@ -13,7 +13,7 @@
 
 
 def cap_of(util: float | None = None, gateways: int = 2) -> Cap:
-    cap = Cap(replace(SETTINGS, gateways=gateways))
+    cap = Cap(replace(SETTINGS, proxy_count=gateways))
     cap.period_us = 0
     if util is not None:
         cap.signals["util"].append(util)
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -8,7 +8,7 @@
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
-PLAN = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
 KEY: CustomerKey = (5, 0, 0, 2)
 
 
@@ -40,7 +40,7 @@
 
 
 def customers_of(plan: Plan = PLAN, limits: Limits | None = None) -> Customers:
-    settings = replace(SETTINGS, plans=(plan,), gateways=3)
+    settings = replace(SETTINGS, plans=(plan,), proxy_count=3)
     return Customers(settings, limits)  # type: ignore[arg-type]
 
 
--- a/tests/policy/rules/test_fleet.py
+++ b/tests/policy/rules/test_fleet.py
@@ -18,7 +18,13 @@
 from tests.helpers import PLAN, SAFE, SETTINGS, S, servers
 
 NOW = 100 * S
-KEYED = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=3 * S)
+KEYED = RequestClass(
+    2 * S,
+    6 * S,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window_us=3 * S,
+)
 
 
 def fleet_of(entries: tuple[Endpoint, ...], settings: Settings = SETTINGS) -> Fleet:
@@ -52,7 +58,7 @@
 def test_servers_are_shared_by_those_that_see_them() -> None:
     """What is told of a view says how many gateways share it; a failed call says nothing. The least that a
     cold server is sent is one gateway's part among those."""
-    many = replace(SETTINGS, gateways=7500, warm_within_us=100 * S)
+    many = replace(SETTINGS, proxy_count=7500, slow_start_window_us=100 * S)
     cold = servers(4, started_us=NOW)
     due = {}
     for seen_by in (0, 21):
@@ -72,7 +78,7 @@
     fleet.learn(NOW, EndpointListReceived(EndpointListKind.CHANGES, 2, (servers(1, started_us=NOW)[0],)))
     known = fleet.servers["s0"]
     assert known.fails == 0 and known.sent_us == NOW and 0 < known.credit < 1
-    assert fleet.warm == 1 + SETTINGS.cold_from
+    assert fleet.warm == 1 + SETTINGS.slow_start_fraction
 
 
 def test_least_expected_wait_is_chosen_and_none_of_the_tried_or_avoided() -> None:
@@ -82,8 +88,8 @@
     assert fleet.choose(NOW, asked) is fast
     asked.servers.append(fast)
     assert fleet.choose(NOW, asked) is slow
-    fleet.hear_load(NOW, slow, LoadReport(util=0.9))
-    fleet.hear_load(NOW, busy, LoadReport(util=0.01))
+    fleet.hear_load(NOW, slow, LoadReport(cpu_utilization=0.9))
+    fleet.hear_load(NOW, busy, LoadReport(cpu_utilization=0.01))
     assert fleet.choose(NOW, asked) is busy
     assert fleet.choose(NOW + 2 * S, asked) is full  # no more avoided
     assert fleet.cost(NOW, slow) > 1.5 == fleet.cost(NOW + 2 * S, slow)  # reports that old say nothing
@@ -98,11 +104,11 @@
     chosen = {fleet.choose(NOW, keyed) for _ in range(40)}
     assert chosen <= {fleet.servers["s1"], fleet.servers["s3"]}
     assert fleet.choose(NOW + 3 * S, keyed) is None
-    assert fleet.choose(NOW, job(replace(KEYED, effect=Idempotency.UNSAFE))) is not None
+    assert fleet.choose(NOW, job(replace(KEYED, idempotency=Idempotency.NON_IDEMPOTENT))) is not None
 
 
 def test_a_few_are_looked_at_and_most_have_a_connection_that_rests() -> None:
-    fleet = fleet_of(servers(100), replace(SETTINGS, handshake_price=0.1, keep_us=5 * S))
+    fleet = fleet_of(servers(100), replace(SETTINGS, handshake_price=0.1, idle_connection_ttl_us=5 * S))
     for server in fleet.up[:20]:
         server.kept, server.kept_at = 1, NOW
     few = fleet.candidates(NOW, fleet.up)
--- a/tests/policy/rules/test_server.py
+++ b/tests/policy/rules/test_server.py
@@ -6,7 +6,7 @@
 from molereach.policy.interface.events import AttemptResult
 from tests.helpers import MS, SETTINGS, S, servers
 
-WARM_US = SETTINGS.warm_within_us
+WARM_US = SETTINGS.slow_start_window_us
 NOW = 100 * S
 
 
@@ -42,21 +42,21 @@
 
 def test_full_server_is_avoided_and_a_slow_answer_of_one_that_answers_is_no_failure() -> None:
     known = server()
-    known.note_end(NOW, AttemptResult.FULL, MS, WARM_US)
+    known.note_end(NOW, AttemptResult.REJECTED, MS, WARM_US)
     assert known.avoid_until == NOW + AVOID_US and not known.fails
     known.heard_us = NOW
     known.note_end(NOW + S, AttemptResult.TIMEOUT, 2 * S, WARM_US)
     assert not known.fails
     known.note_end(NOW + S, AttemptResult.TIMEOUT, S // 2, WARM_US)
     assert known.fails == 1
-    for result in (AttemptResult.CANCELLED, AttemptResult.MOOT):
+    for result in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
         known.note_end(NOW + S, result, MS, WARM_US)
     assert known.fails == 1
 
 
 def test_warmth_rises_from_cold_and_a_connection_rests_for_its_time() -> None:
     known = server(started_us=NOW)
-    settings = replace(SETTINGS, cold_from=0.2, warm_within_us=10 * S)
+    settings = replace(SETTINGS, slow_start_fraction=0.2, slow_start_window_us=10 * S)
     assert [known.warmth(NOW + at * S, settings) for at in (-1, 0, 10)] == [0.2, 0.2, 1.0]
     assert 0.5 < known.warmth(NOW + 5 * S, settings) < 0.7
     assert server().warmth(1, settings) == 1  # it has been there for long
--- a/tests/policy/rules/test_store.py
+++ b/tests/policy/rules/test_store.py
@@ -7,7 +7,7 @@
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
-PLAN = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
 
 
 def customer(plan: Plan = PLAN, size: int = 4, since: int = 0, split: bool = False) -> Customer:
@@ -45,9 +45,9 @@
     assert known.chance(1.0) == 0.5
     known.level = 0.9
     assert known.chance(1.0) == 0.0  # it does not hold the whole of a request
-    assert customer(Plan(rate=1.0, burst=0.5)).chance(1.0) == 1.0  # never does: it may owe some
+    assert customer(Plan(quota_rate=1.0, quota_burst=0.5)).chance(1.0) == 1.0  # never does: it may owe some
     assert customer(Plan()).chance(1.0) == 1.0
-    busy = customer(Plan(max_out=8))
+    busy = customer(Plan(max_in_flight=8))
     busy.out = 2
     assert busy.chance(1.0) == 0.0
 
@@ -56,7 +56,7 @@
     known = customer()
     known.spend(100.0)
     assert known.level == -10.0 * DEMAND_US / S
-    small = customer(Plan(rate=10.0, burst=0.5))
+    small = customer(Plan(quota_rate=10.0, quota_burst=0.5))
     small.spend(100.0)
     assert small.level == -5.0
 
@@ -75,5 +75,5 @@
 
 
 def test_time_to_be_full_again() -> None:
-    assert full_again_us(Plan(rate=10.0, burst=20.0)) == 2 * S + S // 2
+    assert full_again_us(Plan(quota_rate=10.0, quota_burst=20.0)) == 2 * S + S // 2
     assert full_again_us(Plan(ceiling_rate=1.0, ceiling_burst=30.0)) == 30 * S
--- a/tests/policy/rules/test_words.py
+++ b/tests/policy/rules/test_words.py
@@ -13,14 +13,14 @@
 from tests.helpers import MS, SETTINGS, S
 
 NOW = 100 * S
-PLAN = Plan(rate=10.0, burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
 HERE: CustomerKey = (0, 0, 0, 2)  # its home is the first of the set
 THERE: CustomerKey = (1, 0, 0, 2)
 MARK = GossipMessage(0, SPLIT_CEILING_MARK, 0, 0)
 
 
 def words_of(plan: Plan = PLAN, **changes: object) -> Words:
-    settings = replace(SETTINGS, plans=(plan,), gateways=2, **changes)
+    settings = replace(SETTINGS, plans=(plan,), proxy_count=2, **changes)
     return Words(settings, Customers(settings, None), Peers())
 
 
@@ -32,9 +32,9 @@
     words.tell(1, customer, 0.0)
     (tell,) = words.leave(NOW)
     assert tell.peer == 1
-    assert tell.words == (
-        GossipMessage(*THERE, demand=3.0, spent=2.0, asked=1.0, level=20.0),
-        GossipMessage(*THERE, level=20.0),
+    assert tell.messages == (
+        GossipMessage(*THERE, demand=3.0, spent_units=2.0, requested_units=1.0, tokens=20.0),
+        GossipMessage(*THERE, tokens=20.0),
         MARK,
     )
     assert not words.waiting and not words.leave(NOW)
@@ -48,7 +48,7 @@
     words.tell(1, customer, 1.0, False)
     words.tell(0, customer, 0.0)  # none to itself
     (tell,) = words.leave(NOW)
-    assert tell.words == (
+    assert tell.messages == (
         GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
         GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
         MARK,
@@ -57,16 +57,16 @@
 
 
 def test_words_to_a_peer_are_spaced_and_the_mark_comes_now_and_then() -> None:
-    words = words_of(peer_messages_per_s=1.0)
+    words = words_of(gossip_messages_per_s=1.0)
     customer = words.customers.get(NOW, THERE)
     marks = []
     for at in (0, SPACE_US - 1, SPACE_US, MARK_US):
         words.tell(1, customer, 0.0)
-        marks.append([MARK in tell.words for tell in words.leave(NOW + at)])
+        marks.append([MARK in tell.messages for tell in words.leave(NOW + at)])
     assert marks == [[True], [], [False], [True]]
-    unsplit = words_of(Plan(rate=10.0, burst=20.0))
+    unsplit = words_of(Plan(quota_rate=10.0, quota_burst=20.0))
     unsplit.tell(1, unsplit.customers.get(NOW, THERE), 0.0)
-    assert MARK not in unsplit.leave(NOW)[0].words
+    assert MARK not in unsplit.leave(NOW)[0].messages
 
 
 def test_home_gives_what_the_set_leaves_and_no_more() -> None:
@@ -93,7 +93,7 @@
 
 def test_what_a_full_part_spends_is_one_word_in_time() -> None:
     """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
-    words = words_of(Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(quota_rate=10.0, quota_burst=40.0))
     assert words.due_us > NOW + MARK_US  # nothing wakes the gateway up for nothing
     for number in range(4):
         spend(words, THERE, NOW + number * MS)
@@ -101,37 +101,37 @@
     assert words.due_us == NOW + LATE_US and not words.waiting
     assert not words.leave(NOW + LATE_US - 1)
     (tell,) = words.leave(NOW + LATE_US)
-    (word,) = tell.words
-    assert tell.peer == 1 and word.spent == 4.0 and word.asked == 0 and word.demand < 4.0 / 99
+    (word,) = tell.messages
+    assert tell.peer == 1 and word.spent_units == 4.0 and word.requested_units == 0 and word.demand < 4.0 / 99
     assert not words.late and not words.since_us and not words.leave(NOW + 2 * LATE_US)
 
 
 def test_ask_takes_with_it_what_would_have_been_told_late() -> None:
-    words = words_of(Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(quota_rate=10.0, quota_burst=40.0))
     customer = spend(words, THERE, NOW)
     words.tell(1, customer, 1.0)
-    assert [word.spent for tell in words.leave(NOW + 1) for word in tell.words] == [1.0]
+    assert [word.spent_units for tell in words.leave(NOW + 1) for word in tell.messages] == [1.0]
     assert not words.leave(NOW + LATE_US) and not words.late
 
 
 @pytest.mark.parametrize(("part", "spent"), [(9.9, 0.0), (20.0, 5.0)])
 def test_part_that_runs_low_and_much_that_is_untold_are_told_at_once(part: float, spent: float) -> None:
     """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
-    words = words_of(Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(quota_rate=10.0, quota_burst=40.0))
     customer = words.customers.get(NOW, THERE)
     customer.part, customer.spent = part, spent
     spend(words, THERE, NOW)
-    assert [word.spent for tell in words.leave(NOW) for word in tell.words] == [spent + 1.0]
+    assert [word.spent_units for tell in words.leave(NOW) for word in tell.messages] == [spent + 1.0]
 
 
 def test_small_part_is_told_of_each_unit_at_once() -> None:
-    words = words_of(Plan(rate=10.0, burst=2 * (1 / LATE_SPENT - 0.1)))
+    words = words_of(Plan(quota_rate=10.0, quota_burst=2 * (1 / LATE_SPENT - 0.1)))
     spend(words, THERE, NOW)
-    assert [word.spent for tell in words.leave(NOW) for word in tell.words] == [1.0]
+    assert [word.spent_units for tell in words.leave(NOW) for word in tell.messages] == [1.0]
 
 
 def test_words_told_late_come_in_the_order_in_which_their_time_is_up() -> None:
-    settings = replace(SETTINGS, plans=(Plan(rate=10.0, burst=60.0),), gateways=3)
+    settings = replace(SETTINGS, plans=(Plan(quota_rate=10.0, quota_burst=60.0),), proxy_count=3)
     words = Words(settings, Customers(settings, None), Peers())
     first, second = (1, 0, 0, 3), (2, 0, 0, 3)
     spend(words, second, NOW)
@@ -144,6 +144,6 @@
 
 def test_word_goes_to_the_home_that_there_is_by_then() -> None:
     """Where shares move a customer may have another home by the time it is told of, or be at home here."""
-    words = words_of(Plan(rate=10.0, burst=40.0))
+    words = words_of(Plan(quota_rate=10.0, quota_burst=40.0))
     spend(words, THERE, NOW).home = 0
     assert not words.leave(NOW + LATE_US) and words.customers.known[THERE].spent == 0
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -8,7 +8,13 @@
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of, servers
 from tests.policy.gateways import UNSAFE, with_class
 
-KEYED = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=3 * S)
+KEYED = RequestClass(
+    2 * S,
+    6 * S,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window_us=3 * S,
+)
 
 
 def test_no_time_left_is_answered_at_once() -> None:
@@ -28,7 +34,7 @@
 def test_unsafe_goes_again_only_if_it_never_ran() -> None:
     world = World(with_class(UNSAFE))
     world.ask("a")
-    assert of(ForwardAttempt, world.answer("a", AttemptResult.FULL))
+    assert of(ForwardAttempt, world.answer("a", AttemptResult.REJECTED))
     assert of(ForwardAttempt, world.answer("a", AttemptResult.CONNECT_FAILED, attempt=1))
     assert world.answer("a", AttemptResult.RESET, attempt=2) == [FailRequest("a")]
 
@@ -37,7 +43,7 @@
     world = World(with_class(UNSAFE))
     world.ask("a")
     for attempt in range(3):
-        actions = world.answer("a", AttemptResult.FULL, attempt)
+        actions = world.answer("a", AttemptResult.REJECTED, attempt)
     assert of(Reject, actions)
 
 
@@ -46,7 +52,7 @@
     world.ask("a")
     first = world.out[("a", 0)][0]
     again = of(ForwardAttempt, world.answer("a", AttemptResult.RESET))
-    assert int(again[0].server[1:]) % 2 == int(first[1:]) % 2
+    assert int(again[0].endpoint[1:]) % 2 == int(first[1:]) % 2
     world.run(3 * S)
     assert world.answer("a", AttemptResult.RESET, attempt=1) == [FailRequest("a")]
 
@@ -80,16 +86,16 @@
     world = World(replace(SETTINGS, plans=(Plan(),)))
     for n in range(100):
         for action in of(ForwardAttempt, world.ask(f"r{n}")):
-            more = of(ForwardAttempt, world.answer(action.id, AttemptResult.ERROR))
+            more = of(ForwardAttempt, world.answer(action.request_id, AttemptResult.ERROR))
             while more:
-                attempt = world.tries[action.id] - 1
-                more = of(ForwardAttempt, world.answer(action.id, AttemptResult.ERROR, attempt))
+                attempt = world.tries[action.request_id] - 1
+                more = of(ForwardAttempt, world.answer(action.request_id, AttemptResult.ERROR, attempt))
         world.run(10 * MS)
     assert len(of(ForwardAttempt, [action for _, action in world.log])) <= 100 * 1.1 + 8
 
 
 def test_stream_is_the_clients_once_begun() -> None:
-    world = World(with_class(replace(SAFE, streamed=True)))
+    world = World(with_class(replace(SAFE, is_streamed=True)))
     world.ask("a")
     assert world.tell(ResponseStreamStarted("a", 0, world.out[("a", 0)][0], 5)) == []
     assert of(Reject, world.answer("a", AttemptResult.RESET)) == []
@@ -120,16 +126,16 @@
 def test_retry_that_comes_after_the_aim_of_its_first_try_is_refused_at_once() -> None:
     world = World()
     world.ask("first", left_us=6 * S)
-    assert of(ForwardAttempt, world.ask("soon", left_us=5 * S, is_repeat=True))
-    late = world.ask("late", left_us=4 * S, is_repeat=True)  # asked first 2 s ago, as long as the aim is
+    assert of(ForwardAttempt, world.ask("soon", left_us=5 * S, is_retry=True))
+    late = world.ask("late", left_us=4 * S, is_retry=True)  # asked first 2 s ago, as long as the aim is
     assert of(Reject, late) and not of(ForwardAttempt, late)
-    worth = World(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.5),)))
+    worth = World(replace(SETTINGS, classes=(replace(SAFE, late_priority_weight=0.5),)))
     worth.ask("first", left_us=6 * S)
-    assert of(ForwardAttempt, worth.ask("late", left_us=4 * S, is_repeat=True))
+    assert of(ForwardAttempt, worth.ask("late", left_us=4 * S, is_retry=True))
 
 
 def test_clients_that_wait_for_different_times_are_no_reason_to_refuse_retries() -> None:
     world = World()
     for number, left in enumerate([6 * S, 3 * S, 6 * S, 3 * S]):
         world.ask(f"first{number}", left_us=left)
-    assert of(ForwardAttempt, world.ask("retry", left_us=2 * S, is_repeat=True))
+    assert of(ForwardAttempt, world.ask("retry", left_us=2 * S, is_retry=True))
--- a/tests/policy/test_gateway_cap.py
+++ b/tests/policy/test_gateway_cap.py
@@ -14,12 +14,12 @@
 
 
 def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
-    patient = (RequestClass(aim_us=6 * S, deadline_us=6 * S),)
-    world = World(replace(SETTINGS, plans=plans, gateways=2, classes=patient))
+    patient = (RequestClass(latency_objective_us=6 * S, deadline_us=6 * S),)
+    world = World(replace(SETTINGS, plans=plans, proxy_count=2, classes=patient))
     for n in range(20):
         world.ask(f"w{n}")
         world.run(50 * MS)
-        world.answer(f"w{n}", report=LoadReport(util=util))
+        world.answer(f"w{n}", report=LoadReport(cpu_utilization=util))
     world.run(20 * MS)
     return world
 
@@ -45,8 +45,8 @@
 
 def test_what_may_be_out_is_counted_over_those_that_share_the_servers() -> None:
     """256 of 93,000 servers, each shared by 21 of 7,500 gateways: without it two attempts could be out."""
-    world = World(replace(SETTINGS, gateways=7500, plans=(Plan(),)), servers(256))
-    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(256), seen_by=21))
+    world = World(replace(SETTINGS, proxy_count=7500, plans=(Plan(),)), servers(256))
+    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(256), sharing_proxies=21))
     for n in range(120):
         world.ask(f"r{n}")
     assert len(world.out) == START_PER_SERVER * 256 // 21
@@ -54,12 +54,12 @@
 
 def test_period_follows_the_rate() -> None:
     """With two requests a second, N of one or two a second would halve or double by rounding alone."""
-    world = World(replace(SETTINGS, plans=(Plan(),), gateways=20), servers(10))
+    world = World(replace(SETTINGS, plans=(Plan(),), proxy_count=20), servers(10))
     for n in range(40):
         world.ask(f"r{n}")
         world.run(500 * MS)
         for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=LoadReport(util=0.9))
+            world.answer(name, attempt=attempt, report=LoadReport(cpu_utilization=0.9))
     assert world.gateway.cap.cc_us == 2 * S
     assert 4 <= world.gateway.cap.n_past <= 12
     assert next_n(10, 1, 0.99, 0.1, UTIL, 4.0) == 4  # steps by the second: 10 * 0.9 ** 8
@@ -73,19 +73,19 @@
     for _ in range(110):
         world.run(10 * MS)
         for name, attempt in list(world.out):
-            world.answer(name, attempt=attempt, report=LoadReport(util=0.3))
+            world.answer(name, attempt=attempt, report=LoadReport(cpu_utilization=0.3))
     assert world.gateway.cap.n_past == 19  # the largest step from 16
 
 
 def test_held_leave_by_worth_then_arrival() -> None:
-    plans = (Plan(worth_factor=1.0), Plan(worth_factor=3.0))
+    plans = (Plan(priority_factor=1.0), Plan(priority_factor=3.0))
     world = loaded_world(0.9, plans)
     for n in range(30):
         world.ask(f"fill{n}")
     world.ask("low1")
     world.ask("high1", plan_index=1, customer="d")
     world.ask("high2", plan_index=1, customer="d")
-    order = [action.id for action in of(ForwardAttempt, world.run(S))]
+    order = [action.request_id for action in of(ForwardAttempt, world.run(S))]
     assert order[:2] == ["high1", "high2"]
 
 
@@ -101,7 +101,10 @@
 
 def test_attempts_out_at_once_are_bounded() -> None:
     """Servers that answer nobody must not be given more and more, whatever the cap says."""
-    worlds = [World(replace(SETTINGS, plans=(Plan(),), gateways=5, me=me), servers(10)) for me in range(5)]
+    worlds = [
+        World(replace(SETTINGS, plans=(Plan(),), proxy_count=5, proxy_index=me), servers(10))
+        for me in range(5)
+    ]
     for world in worlds:
         for n in range(200):
             world.ask(f"r{n}")
@@ -124,8 +127,8 @@
 def test_cap_starts_and_moves_by_the_second_of_the_deployment() -> None:
     """Where aims are a third, servers do three times as much in a second, and jams build up as fast."""
     for scale in (1, 3):
-        rule = replace(SAFE, aim_us=round(1.5 * S) // scale)
-        gateway = World(replace(SETTINGS, classes=(rule,), gateways=2)).gateway
+        rule = replace(SAFE, latency_objective_us=round(1.5 * S) // scale)
+        gateway = World(replace(SETTINGS, classes=(rule,), proxy_count=2)).gateway
         assert gateway.cap.cc_us == S // scale
         gateway.cap.signals["util"] = [0.9]
         gateway.cap.update(100, 4, list)
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -11,7 +11,7 @@
 from molereach.policy.interface.settings import Plan
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
-CEILED = Plan(rate=8.0, burst=16.0, ceiling_rate=16.0, ceiling_burst=20.0, ceiling_slack=2.0)
+CEILED = Plan(quota_rate=8.0, quota_burst=16.0, ceiling_rate=16.0, ceiling_burst=20.0, ceiling_slack=2.0)
 
 
 def ceiling_customer(gates: Set, home: int) -> str:
@@ -30,7 +30,7 @@
 
 def test_ceiling_starts_empty_and_is_split() -> None:
     plan = Plan(ceiling_rate=10.0, ceiling_burst=20.0)
-    world = World(replace(SETTINGS, plans=(plan,), gateways=2))
+    world = World(replace(SETTINGS, plans=(plan,), proxy_count=2))
     for n in range(40):
         world.ask(f"r{n}", set_size=2)
     world.run(S)
@@ -38,7 +38,7 @@
         4,
         5,
     )  # half of 10 a second, from none
-    world = World(replace(SETTINGS, plans=(replace(plan, ceiling_burst=7.5),), gateways=2))
+    world = World(replace(SETTINGS, plans=(replace(plan, ceiling_burst=7.5),), proxy_count=2))
     for n in range(40):
         world.ask(f"r{n}", set_size=2)
     world.run(S)
@@ -64,7 +64,7 @@
 def test_what_is_let_in_by_the_last_word_asks_for_units_of_the_ceiling() -> None:
     """A hundred a second at one of twenty gateways are more than may be asked about; the few of them that
     its home's last word lets in still have need of the home's units: the share here is 0.8 a second."""
-    gates = Set(20, replace(SETTINGS, plans=(CEILED,), peer_messages_per_s=60.0))
+    gates = Set(20, replace(SETTINGS, plans=(CEILED,), gossip_messages_per_s=60.0))
     name = ceiling_customer(gates, 3)
     for n in range(40):  # all of the set come to speak with the home
         gates.ask(n % 20, f"w{n}", customer=name)
@@ -157,7 +157,7 @@
 def test_ceiling_holds_over_a_large_set_with_restarts(loss: float, kind: type[Set], every: int) -> None:
     """All parts together, half of the set restarted in turn, once or often, all traffic on few gateways for a
     while; also while a tier is replaced by a newer version."""
-    plan = Plan(rate=40.0, burst=80.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
+    plan = Plan(quota_rate=40.0, quota_burst=80.0, ceiling_rate=18.0, ceiling_burst=40.0, ceiling_slack=4.0)
     gates = kind(20, replace(SETTINGS, plans=(plan,)), loss=loss)
     start = gates.worlds[0].now
     for n in range(4800):
@@ -181,7 +181,7 @@
 
 
 def test_ceiling_starts_empty_with_the_gateway_only() -> None:
-    plan = Plan(rate=10.0, burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
+    plan = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=10.0, ceiling_burst=20.0)
     world = World(replace(SETTINGS, plans=(plan,)))
     assert not of(ForwardAttempt, world.ask("a"))  # what was let through before a restart is not known
     world.run(2 * S)
--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -49,7 +49,7 @@
 
 def test_granted_asks_are_counted_once() -> None:
     """The home counts what it grants; what members tell it later must not be the same units again."""
-    gates, homes = Set(20, replace(SETTINGS, plans=(replace(PLAN, burst=10.0),))), []
+    gates, homes = Set(20, replace(SETTINGS, plans=(replace(PLAN, quota_burst=10.0),))), []
     for n in range(300):
         gates.ask(n * 7 % 20, f"r{n}")
         gates.run(110 * MS)
@@ -57,7 +57,7 @@
             world.gateway
             for world in gates.worlds
             for customer in world.gateway.customers.known.values()
-            if customer.home == world.gateway.set.me
+            if customer.home == world.gateway.set.proxy_index
         ]
     level = next(iter(homes[0].customers.known.values())).level
     assert level > 6  # of 10, at nine tenths of the rate
@@ -75,7 +75,7 @@
         customer.level
         for world in gates.worlds
         for customer in world.gateway.customers.known.values()
-        if customer.home == world.gateway.set.me
+        if customer.home == world.gateway.set.proxy_index
     ]
     assert levels == [pytest.approx(20, abs=0.5)]
 
@@ -108,7 +108,7 @@
 def test_home_is_wrong_by_little_and_for_a_short_time() -> None:
     """What it has not heard of is a quarter of the others' parts at most, at any time, however the customer's
     requests come; and nothing half a second after the last one."""
-    plan, size = replace(PLAN, rate=8.0, burst=64.0), 4
+    plan, size = replace(PLAN, quota_rate=8.0, quota_burst=64.0), 4
     gates, random = Set(size, replace(SETTINGS, plans=(plan,))), Random(5)
 
     def untold() -> float:
@@ -124,7 +124,7 @@
             gates.ask(random.choice((0, 1, 2, 3, 3, 3)), f"r{n}-{m}")
         most = max(most, untold())
         gates.run(20 * MS)
-    full = plan.burst / size
+    full = plan.quota_burst / size
     assert full / 8 < most <= (size - 1) * full / 4
     gates.run(LATE_US + 100 * MS)
     assert untold() == 0
@@ -132,14 +132,16 @@
 
 def test_quiet_customers_cost_few_messages_and_no_wake_ups() -> None:
     """Ten of a home's customers ask at another gateway: they are one message in half a second."""
-    world = World(replace(SETTINGS, gateways=2, plans=(replace(PLAN, rate=40.0, burst=200.0),)))
+    world = World(
+        replace(SETTINGS, proxy_count=2, plans=(replace(PLAN, quota_rate=40.0, quota_burst=200.0),))
+    )
     names = [name for name in (f"c{n}" for n in range(40)) if zlib.crc32(name.encode()) % 2][:10]
     for n in range(100):
         world.ask(f"r{n}", customer=names[n % 10], set_size=2)
         world.answer(f"r{n}")
         world.run(50 * MS)
     tells = of(SendGossip, [action for _, action in world.log])
-    assert 8 <= len(tells) <= 10 and all(len(tell.words) <= 10 for tell in tells)
+    assert 8 <= len(tells) <= 10 and all(len(tell.messages) <= 10 for tell in tells)
     world.run(S)
     world.ask("last", customer=names[0], set_size=2)
     world.answer("last")
@@ -152,8 +154,8 @@
 
 
 def test_words_from_outside_are_checked() -> None:
-    world = World(replace(SETTINGS, gateways=2))
-    huge = GossipMessage(1, 0, 0, 2, demand=1e9, asked=1e9, level=-1e9)
+    world = World(replace(SETTINGS, proxy_count=2))
+    huge = GossipMessage(1, 0, 0, 2, demand=1e9, requested_units=1e9, tokens=-1e9)
     for word in (GossipMessage(1, 9, 0, 2), GossipMessage(1, 0, 5, 1), GossipMessage(1, 0, 0, 0), huge):
         world.tell(GossipReceived(1, (word,)))
     assert len(world.gateway.customers.known) == 1
@@ -182,7 +184,7 @@
 
 
 def test_max_out_plan() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(max_out=2),)))
+    world = World(replace(SETTINGS, plans=(Plan(max_in_flight=2),)))
     assert of(ForwardAttempt, world.ask("a")) and of(ForwardAttempt, world.ask("b"))
     assert of(Reject, world.ask("c"))
     world.answer("a")
@@ -190,17 +192,19 @@
 
 
 def test_true_units_are_settled() -> None:
-    world = World(replace(SETTINGS, trued_up=True))
+    world = World(replace(SETTINGS, costs_are_corrected=True))
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
-    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, true_units=4.0))
+    world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, actual_units=4.0))
     assert next(iter(world.gateway.customers.known.values())).level == pytest.approx(16)
 
 
 @pytest.mark.parametrize("left", [5, 30, 60, 90, 130, 200, 260])
 def test_who_waits_for_word_is_answered_in_time(left: int) -> None:
     """Clients that come with little time left, and a home that never answers."""
-    gates = Set(20, with_class(replace(UNSAFE, aim_us=2 * S), plans=(replace(PLAN, burst=2.0),)))
+    gates = Set(
+        20, with_class(replace(UNSAFE, latency_objective_us=2 * S), plans=(replace(PLAN, quota_burst=2.0),))
+    )
     for me, world in enumerate(gates.worlds):
         gates.down = me
         world.tell(EndpointListReceived(EndpointListKind.FULL, 2, ()))
@@ -214,16 +218,16 @@
 
 def test_home_is_told_off_every_ask_that_it_may_have_counted() -> None:
     """Each ask is counted at the home as spent in part; a second one is no second unit."""
-    world = World(replace(SETTINGS, gateways=2))
+    world = World(replace(SETTINGS, proxy_count=2))
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
     for number in range(11):  # the eleventh is past this one's part of the burst
         world.ask(f"a{number}", customer=name, set_size=2)
     world.run(S)
-    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.words]
-    asked = [word for word in words if word.asked]
+    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.messages]
+    asked = [word for word in words if word.requested_units]
     assert len(asked) == 3
     (customer,) = world.gateway.customers.known.values()
-    told = sum(word.spent for word in words) + customer.spent
+    told = sum(word.spent_units for word in words) + customer.spent
     assert told == pytest.approx(11 - 3 * 10 / 11)  # three times the chance: 10 are left of 11 asked
 
 
@@ -231,7 +235,7 @@
 def test_store_that_holds_no_whole_request_serves_its_rate(burst: float) -> None:
     """A plan may name a rate and no burst; or little of it may be spent on this side of a split."""
     for every_ms, least, most in ((200, 45, 50), (20, 80, 110)):  # 5 a second of 9, and 50
-        world = World(replace(SETTINGS, plans=(Plan(rate=9.0, burst=burst),)))
+        world = World(replace(SETTINGS, plans=(Plan(quota_rate=9.0, quota_burst=burst),)))
         for n in range(10_000 // every_ms):
             world.ask(f"r{n}")
             world.run(every_ms * MS)
@@ -242,7 +246,7 @@
 
 def test_home_counts_what_it_let_in_and_not_the_mean_of_it() -> None:
     """Each of 40 gateways asks once, so none tells the home later what came of the chance."""
-    gates = Set(40, replace(SETTINGS, plans=(Plan(rate=0.01, burst=12.0),)))
+    gates = Set(40, replace(SETTINGS, plans=(Plan(quota_rate=0.01, quota_burst=12.0),)))
     for number in range(40):
         gates.ask(number, f"r{number}", customer="c9")
         gates.run(20 * MS)
@@ -255,13 +259,15 @@
 
 @pytest.mark.parametrize("inside", [True, False])
 def test_what_the_home_drew_holds_at_the_asker(inside: bool) -> None:
-    world = World(replace(SETTINGS, gateways=2))
+    world = World(replace(SETTINGS, proxy_count=2))
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(11):  # the eleventh is past this one's part of the burst
         world.ask(f"a{number}", customer=name, set_size=2)
     key = next(iter(world.gateway.customers.known))
     level = 0.5 if inside else 20.0  # by which the asker itself would draw the other way
-    actions = world.tell(GossipReceived(1, (GossipMessage(*key, True, 1.0, 0.0, 1.0, level, inside=inside),)))
+    actions = world.tell(
+        GossipReceived(1, (GossipMessage(*key, True, 1.0, 0.0, 1.0, level, is_within_quota=inside),))
+    )
     assert bool(of(ForwardAttempt, actions)) is inside
     assert bool(of(Reject, actions)) is not inside
 
@@ -269,7 +275,7 @@
 def test_large_set_serves_a_quota_whole_and_nothing_beyond() -> None:
     """With 40 gateways no part of a burst holds one request, so the home's word decides on each. What its
     store does not hold whole is beyond the quota; what was asked a while ago takes nothing from this one."""
-    gates = Set(40, replace(SETTINGS, plans=(Plan(rate=0.5, burst=3.0),)))
+    gates = Set(40, replace(SETTINGS, plans=(Plan(quota_rate=0.5, quota_burst=3.0),)))
     for number in range(3):
         gates.ask(number * 7, f"in{number}", customer="c9")
         gates.run(400 * MS)
@@ -285,7 +291,7 @@
 
 
 def test_customer_is_kept_until_its_stores_are_full() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(rate=1.0, burst=30.0),)))
+    world = World(replace(SETTINGS, plans=(Plan(quota_rate=1.0, quota_burst=30.0),)))
     for number in range(30):
         world.ask(f"a{number}")
         world.answer(f"a{number}")
@@ -297,24 +303,28 @@
 
 
 def test_another_set_of_the_same_customer_opens_no_fresh_burst() -> None:
-    world = World(replace(SETTINGS, gateways=2, may_tell=False))
+    world = World(replace(SETTINGS, proxy_count=2, may_gossip=False))
     sent = [len(of(ForwardAttempt, world.ask(f"a{number}", set_size=1 + number % 2))) for number in range(60)]
     assert sum(sent) <= 21  # the burst of 20, and chance
-    world = World(replace(SETTINGS, gateways=2, may_tell=False))
+    world = World(replace(SETTINGS, proxy_count=2, may_gossip=False))
     assert of(ForwardAttempt, world.ask("other", customer="other", set_size=2))
 
 
 @pytest.mark.parametrize(("first", "size"), [(0, 3), (0, 0), (0, 65535), (9, 2), (1, 1)])
 def test_words_of_a_set_that_cannot_be_are_passed_over(first: int, size: int) -> None:
-    world = World(replace(SETTINGS, gateways=2))
-    world.tell(GossipReceived(1, (GossipMessage(7, 0, first, size, demand=1.0, spent=1.0, asked=1.0),)))
+    world = World(replace(SETTINGS, proxy_count=2))
+    world.tell(
+        GossipReceived(
+            1, (GossipMessage(7, 0, first, size, demand=1.0, spent_units=1.0, requested_units=1.0),)
+        )
+    )
     assert not world.gateway.customers.known
     world.tell(GossipReceived(1, (GossipMessage(7, 0, 0, 2, demand=1.0),)))
     assert len(world.gateway.customers.known) == 1
 
 
 def test_wait_for_word_ends_before_half_of_the_time() -> None:
-    world = World(replace(SETTINGS, gateways=2))
+    world = World(replace(SETTINGS, proxy_count=2))
     world.gateway.attempts.mean_us = [10.0 * MS]
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
     for number in range(10):
@@ -326,10 +336,10 @@
 
 def test_word_of_a_home_that_has_gone_holds_for_a_second_only() -> None:
     """What it said last stood for 10 s, while own demand only added to what it had said."""
-    world = World(replace(SETTINGS, gateways=2))
+    world = World(replace(SETTINGS, proxy_count=2))
     name = peer_customer(world)
     key = zlib.crc32(name.encode()), 0, 0, 2
-    world.tell(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, level=-5.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, tokens=-5.0),)))
     customer = world.gateway.customers.known[key]
     for number in range(30):
         world.ask(f"a{number}", customer=name, set_size=2, left_us=S)
@@ -340,7 +350,7 @@
 
 
 def test_home_that_answers_nothing_is_not_waited_for() -> None:
-    world = World(replace(SETTINGS, gateways=2))
+    world = World(replace(SETTINGS, proxy_count=2))
     name = peer_customer(world)
     waited = 0
     for number in range(30):
--- a/tests/policy/test_gateway_servers.py
+++ b/tests/policy/test_gateway_servers.py
@@ -31,7 +31,7 @@
         (at - start) // S
         for world in gates.worlds
         for at, action in world.log
-        if isinstance(action, ForwardAttempt) and action.server in names
+        if isinstance(action, ForwardAttempt) and action.endpoint in names
     ]
     return [times.count(second) for second in range(max(times) + 1)]
 
@@ -39,7 +39,7 @@
 def cold_fleet(cold: int) -> tuple[Set, int]:
     """40 gateways and 20 servers, so many of which have just started, for 9 of the 10 s that they take."""
     fleet = servers(20)
-    gates = Set(40, replace(SETTINGS, plans=(Plan(),), cold_from=0.25), fleet)
+    gates = Set(40, replace(SETTINGS, plans=(Plan(),), slow_start_fraction=0.25), fleet)
     for n in range(200):  # so that the rate is known
         gates.ask(n * 7 % 40, f"w{n}", customer=f"c{n}")
         gates.run(10 * MS)
@@ -59,7 +59,7 @@
     world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, servers(1, state=state)))
     for n in range(8):
         world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s1"}
+    assert {action.endpoint for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s1"}
 
 
 def test_server_missing_from_a_full_list_is_gone() -> None:
@@ -67,7 +67,7 @@
     world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(1)))
     for n in range(8):
         world.ask(f"r{n}")
-    assert {action.server for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s0"}
+    assert {action.endpoint for _, action in world.log if isinstance(action, ForwardAttempt)} == {"s0"}
 
 
 def test_cold_server_is_sent_little() -> None:
@@ -81,7 +81,7 @@
         world.run((10 + n * 37 % 50) * MS)
         world.answer(f"r{n}")
     counts = [
-        sum(a.server == f"s{n}" for _, a in world.log if isinstance(a, ForwardAttempt)) for n in range(4)
+        sum(a.endpoint == f"s{n}" for _, a in world.log if isinstance(a, ForwardAttempt)) for n in range(4)
     ]
     assert 1 <= counts[3] <= 0.4 * sum(counts[:3]) / 3  # warmth is 0.2 to 0.36 in these 2 s
 
@@ -105,7 +105,7 @@
     """A new connection costs work; with 60 servers in a wide choice nearly each request would open one."""
 
     def opened(price: float) -> int:
-        settings = replace(SETTINGS, plans=(Plan(),), handshake_price=price, keep_us=15 * S)
+        settings = replace(SETTINGS, plans=(Plan(),), handshake_price=price, idle_connection_ttl_us=15 * S)
         world = World(settings, servers(60))
         used: set[str] = set()
         for n in range(100):
@@ -120,28 +120,30 @@
 
 
 def test_connection_that_was_lost_or_is_old_counts_for_nothing() -> None:
-    world = World(replace(SETTINGS, plans=(Plan(),), handshake_price=0.1, keep_us=5 * S), servers(1))
+    world = World(
+        replace(SETTINGS, plans=(Plan(),), handshake_price=0.1, idle_connection_ttl_us=5 * S), servers(1)
+    )
     (server,) = world.gateway.fleet.up
     for result, kept in (
         (AttemptResult.OK, True),
         (AttemptResult.RESET, False),
         (AttemptResult.ERROR, True),
         (AttemptResult.TIMEOUT, False),
-        (AttemptResult.FULL, True),
+        (AttemptResult.REJECTED, True),
     ):
         world.gateway.attempts.retries = 0
         world.ask(result.value)
         world.answer(result.value, result=result)
-        assert server.is_kept(world.now, world.gateway.set.keep_us) is kept
+        assert server.is_kept(world.now, world.gateway.set.idle_connection_ttl_us) is kept
         world.run(S)
     world.run(5 * S)
-    assert not server.is_kept(world.now, world.gateway.set.keep_us)
+    assert not server.is_kept(world.now, world.gateway.set.idle_connection_ttl_us)
 
 
 def test_cold_server_is_not_flooded_by_a_hundred_gateways() -> None:
     """Each of them sees a server that has just started as the emptiest."""
     fleet = servers(20)
-    gates = Set(100, replace(SETTINGS, plans=(Plan(),), cold_from=0.2), fleet)
+    gates = Set(100, replace(SETTINGS, plans=(Plan(),), slow_start_fraction=0.2), fleet)
     cold = replace(fleet[0], started_us=gates.worlds[0].now)
     for world in gates.worlds:
         world.gateway.attempts.mean_us = [10 * MS]
@@ -151,7 +153,7 @@
         if n % 5 == 0:
             gates.run(10 * MS)
     names = [
-        action.server
+        action.endpoint
         for world in gates.worlds
         for _, action in world.log
         if isinstance(action, ForwardAttempt)
@@ -187,7 +189,7 @@
 def test_same_events_same_actions() -> None:
     logs = []
     for _ in range(2):
-        world = World(replace(SETTINGS, plans=(replace(PLAN, rate=2.0, burst=4.0),)))
+        world = World(replace(SETTINGS, plans=(replace(PLAN, quota_rate=2.0, quota_burst=4.0),)))
         for n in range(100):
             world.ask(f"r{n}")
             world.run(30 * MS)
@@ -234,7 +236,9 @@
 
 def test_fleet_that_is_all_cold_is_sent_what_comes() -> None:
     """Spaced by the rate of what was sent, it would never be sent more than it was."""
-    world = World(replace(SETTINGS, plans=(Plan(rate=1e4, burst=1e4),), cold_from=0.9), servers(4))
+    world = World(
+        replace(SETTINGS, plans=(Plan(quota_rate=1e4, quota_burst=1e4),), slow_start_fraction=0.9), servers(4)
+    )
     for server in world.gateway.fleet.servers.values():
         server.warm_from = world.now  # as after a suspicion
     world.gateway.fleet.rate = 1.0
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -20,17 +20,35 @@
 
 CLASSES = (
     RequestClass(S, 2 * S),
-    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=S),
-    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.CELL, window_us=2 * S),
-    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=DeduplicationScope.ALL, window_us=2 * S),
-    RequestClass(S, 3 * S, effect=Idempotency.UNSAFE),
+    RequestClass(
+        S,
+        3 * S,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_us=S,
+    ),
+    RequestClass(
+        S,
+        3 * S,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_us=2 * S,
+    ),
+    RequestClass(
+        S,
+        3 * S,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=2 * S,
+    ),
+    RequestClass(S, 3 * S, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 PLANS = (
-    Plan(rate=5.0, burst=5.0),
-    Plan(max_out=2),
-    Plan(rate=9.0, burst=9.0, ceiling_rate=12.0, ceiling_burst=10.0, ceiling_slack=1.0),
+    Plan(quota_rate=5.0, quota_burst=5.0),
+    Plan(max_in_flight=2),
+    Plan(quota_rate=9.0, quota_burst=9.0, ceiling_rate=12.0, ceiling_burst=10.0, ceiling_slack=1.0),
 )
-UNRUN = (AttemptResult.FULL, AttemptResult.CONNECT_FAILED)
+UNRUN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED)
 FAILURES = (*UNRUN, AttemptResult.ERROR, AttemptResult.RESET)
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
@@ -48,7 +66,7 @@
 
     def tell(self, event: Event) -> list[Action]:
         if isinstance(event, RequestReceived):
-            self.requests[event.id] = (event, self.now)
+            self.requests[event.request_id] = (event, self.now)
         actions = super().tell(event)
         for action in actions:
             if isinstance(action, ForwardAttempt):
@@ -58,33 +76,36 @@
         return actions
 
     def check_send(self, action: ForwardAttempt) -> None:
-        request, _ = self.requests[action.id]
-        rule, before = CLASSES[request.class_index], self.might.setdefault(action.id, [])
-        assert action.id not in self.over
-        assert self.states[action.server].state is EndpointState.UP
-        outs = [key for key in self.out if key[0] == action.id]
-        assert len(outs) == 1 or (self.gateway.set.parallel_tries and len(outs) == 2)
-        if before and rule.effect is not Idempotency.SAFE:
-            assert rule.effect is Idempotency.KEYED
-            first, place = self.states[before[0][0]], self.states[action.server]
-            assert rule.group is not DeduplicationScope.ZONE or first.zone == place.zone
-            assert rule.group is not DeduplicationScope.CELL or first.cell == place.cell
-            assert self.now < before[0][1] + rule.window_us
-        if not before and self.tries[action.id] == 1 and request.plan_index == 2:
+        request, _ = self.requests[action.request_id]
+        rule, before = CLASSES[request.class_index], self.might.setdefault(action.request_id, [])
+        assert action.request_id not in self.over
+        assert self.states[action.endpoint].state is EndpointState.UP
+        outs = [key for key in self.out if key[0] == action.request_id]
+        assert len(outs) == 1 or (self.gateway.set.may_hedge and len(outs) == 2)
+        if before and rule.idempotency is not Idempotency.IDEMPOTENT:
+            assert rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            first, place = self.states[before[0][0]], self.states[action.endpoint]
+            assert rule.deduplication_scope is not DeduplicationScope.ZONE or first.zone == place.zone
+            assert rule.deduplication_scope is not DeduplicationScope.CELL or first.cell == place.cell
+            assert self.now < before[0][1] + rule.deduplication_window_us
+        if not before and self.tries[action.request_id] == 1 and request.plan_index == 2:
             self.store = min(10.0, self.store + 12.0 * (self.now - self.store_at) / S) - request.units
             self.store_at = self.now
             assert self.store >= -1.0
-        before.append((action.server, self.now))
+        before.append((action.endpoint, self.now))
 
     def check_end(self, action: Reject | FailRequest) -> None:
-        request, came = self.requests[action.id]
+        request, came = self.requests[action.request_id]
         rule = CLASSES[request.class_index]
-        assert action.id not in self.over
-        self.over.add(action.id)
-        assert self.now <= came + request.left_us + 8 * MS
-        if isinstance(action, Reject) and self.might.get(action.id):
-            keyed = rule.effect is Idempotency.KEYED and rule.group is DeduplicationScope.ALL
-            assert rule.effect is Idempotency.SAFE or keyed
+        assert action.request_id not in self.over
+        self.over.add(action.request_id)
+        assert self.now <= came + request.remaining_us + 8 * MS
+        if isinstance(action, Reject) and self.might.get(action.request_id):
+            keyed = (
+                rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+                and rule.deduplication_scope is DeduplicationScope.ALL
+            )
+            assert rule.idempotency is Idempotency.IDEMPOTENT or keyed
 
     def settle(self, key: tuple[str, int], result: AttemptResult) -> None:
         """An attempt ends; one that a proof says never ran no longer binds its request."""
@@ -103,7 +124,7 @@
             self.run(min(MS, end - self.now))
             for key, (_, sent, timeout) in list(self.out.items()):
                 request, came = self.requests[key[0]]
-                if self.now >= min(sent + timeout, came + request.left_us) and key in self.out:
+                if self.now >= min(sent + timeout, came + request.remaining_us) and key in self.out:
                     self.settle(key, AttemptResult.TIMEOUT)
 
     def restart(self) -> None:
@@ -123,7 +144,7 @@
 
 
 def play(parallel: bool, steps: list[tuple[int, int, int]]) -> Referee:
-    world = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, parallel_tries=parallel))
+    world = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=parallel))
     for count, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
             world.ask(
--- a/tests/policy/throng.py
+++ b/tests/policy/throng.py
@@ -42,7 +42,12 @@
     def __init__(self, gateways: int, seed: int, **changes: object) -> None:
         self.random = random.Random(seed)
         self.settings: Settings = replace(
-            SETTINGS, plans=(Plan(),), cold_from=0.25, warm_within_us=17 * S, fall_multiple=2.5, **changes
+            SETTINGS,
+            plans=(Plan(),),
+            slow_start_fraction=0.25,
+            slow_start_window_us=17 * S,
+            overload_multiple=2.5,
+            **changes,
         )
         old = tuple(self.server(number) for number in range(WARM + BACK))
         self.set = Set(gateways, self.settings, old)
@@ -74,7 +79,10 @@
     def warmth(self, name: str, now: int) -> float:
         if name not in self.started:
             return 1.0
-        age, cold = (now - self.started[name]) / self.settings.warm_within_us, self.settings.cold_from
+        age, cold = (
+            (now - self.started[name]) / self.settings.slow_start_window_us,
+            self.settings.slow_start_fraction,
+        )
         return min(1.0, cold + (1 - cold) * max(0.0, age))
 
     def play(self) -> "Throng":
@@ -95,7 +103,7 @@
         for world in self.set.worlds:
             for at, action in world.log:
                 if isinstance(action, ForwardAttempt):
-                    self.sent.setdefault(action.server, []).append(at)
+                    self.sent.setdefault(action.endpoint, []).append(at)
         return self
 
     def answer(self) -> None:
@@ -103,7 +111,7 @@
         for me, world in enumerate(self.set.worlds):
             for (name, attempt), (server, sent, _) in list(world.out.items()):
                 if self.now - sent >= LATENCY_US / self.warmth(server, self.now):
-                    result = AttemptResult.SPOILT if self.random.random() < SPOILT else AttemptResult.OK
+                    result = AttemptResult.MALFORMED if self.random.random() < SPOILT else AttemptResult.OK
                     self.set.carry(me, world.answer(name, result, attempt))
 
     def pass_time(self) -> None:
@@ -126,9 +134,15 @@
         times = sorted(at for at in self.sent.get(name, ()) if at >= self.started[name])
         most = (0, 0.0, 0.0)
         for last, at in enumerate(times):
-            since = max(self.started[name], at - self.settings.fall_us)
-            count = last + 1 - bisect_right(times, at - self.settings.fall_us)
-            n = self.settings.fall_multiple * CAPACITY * self.warmth(name, since) * self.settings.fall_us / S
+            since = max(self.started[name], at - self.settings.overload_window_us)
+            count = last + 1 - bisect_right(times, at - self.settings.overload_window_us)
+            n = (
+                self.settings.overload_multiple
+                * CAPACITY
+                * self.warmth(name, since)
+                * self.settings.overload_window_us
+                / S
+            )
             if self.warmth(name, at) < 1 and count / bound(n) > most[2]:
                 most = count, n, count / bound(n)
         return most
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -120,7 +120,7 @@
             assert (
                 door.known and door.known.event.kind is EndpointListKind.SAVED and door.discovery.version == 4
             )
-            names = {server.name for server in door.known.event.servers}
+            names = {server.name for server in door.known.event.endpoints}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
             assert isinstance(door.lists, Routing) and door.lists.count == COUNT
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -151,7 +151,7 @@
             handle = door.gateway.handle
 
             def broken(now: int, event: Event) -> list[Action]:
-                if isinstance(event, RequestReceived) and event.id == "bad":
+                if isinstance(event, RequestReceived) and event.request_id == "bad":
                     raise RuntimeError("a fault of the module")
                 return handle(now, event)
 
@@ -187,7 +187,9 @@
             door.send(ForwardAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [AttemptResult.MOOT]
+            assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [
+                AttemptResult.NOT_SENT
+            ]
             assert len(backend.commands) == 1
 
     run(job())
@@ -330,7 +332,7 @@
 
             def odd(now: int, event: Event) -> list[Action]:
                 actions = handle(now, event)
-                if isinstance(event, RequestReceived) and event.id == "bad":
+                if isinstance(event, RequestReceived) and event.request_id == "bad":
                     return [ForwardAttempt("bad", "s0", timeout_us="soon"), *actions]
                 return actions
 
--- a/tests/races/listing.py
+++ b/tests/races/listing.py
@@ -53,7 +53,7 @@
 
     async def next(self) -> tuple[int, dict[str, EndpointState]]:
         event = (await self.heard.get()).event
-        return event.version, {server.name: server.state for server in event.servers}
+        return event.version, {server.name: server.state for server in event.endpoints}
 
 
 @contextlib.asynccontextmanager
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -181,7 +181,7 @@
                 at += peer.socket.send(answer[at : at + 8192])
                 await asyncio.sleep(0)
                 assert len(connection.reader.buffer) <= MOST_VALUE + 8192
-            await until(lambda: sender.ended == [AttemptResult.SPOILT] and sender.backends.count() == 0)
+            await until(lambda: sender.ended == [AttemptResult.MALFORMED] and sender.backends.count() == 0)
 
     run(job())
 
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -14,7 +14,7 @@
 from tests.races.wire import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
 
-STREAMED = replace(SETTINGS, classes=tuple(replace(rule, streamed=True) for rule in CLASSES))
+STREAMED = replace(SETTINGS, classes=tuple(replace(rule, is_streamed=True) for rule in CLASSES))
 KEPT = replace(SETTINGS, may_cancel=False)
 
 
--- a/tests/races/test_attempts_part.py
+++ b/tests/races/test_attempts_part.py
@@ -67,7 +67,7 @@
     [
         ("cancel", AttemptResult.CANCELLED),
         ("time_out", AttemptResult.CONNECT_FAILED),
-        ("withdraw", AttemptResult.MOOT),
+        ("withdraw", AttemptResult.NOT_SENT),
     ],
 )
 def test_what_is_given_up_in_part_is_never_whole(
--- a/tests/races/test_attempts_place.py
+++ b/tests/races/test_attempts_place.py
@@ -10,11 +10,11 @@
 from tests.helpers import MS, SETTINGS, S, World, of, servers
 
 FLEET = servers(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
-KEYED = RequestClass(2 * S, 6 * S, effect=Idempotency.KEYED, window_us=3 * S)
+KEYED = RequestClass(2 * S, 6 * S, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_us=3 * S)
 
 
 def sent(world: World) -> list[str]:
-    return [action.server for _, action in world.log if isinstance(action, ForwardAttempt)]
+    return [action.endpoint for _, action in world.log if isinstance(action, ForwardAttempt)]
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
     group: DeduplicationScope, moved: dict[str, int], only: str, restarted: bool
 ) -> None:
     """Its entry changes while the attempt is out: what it did is known where it was."""
-    world = World(replace(SETTINGS, classes=(replace(KEYED, group=group),)), FLEET[:1])
+    world = World(replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=group),)), FLEET[:1])
     world.ask("a")
     assert sent(world) == ["s0"]
     first = replace(FLEET[0], started_us=int(restarted), **moved)
@@ -37,7 +37,9 @@
 
 
 def test_no_repeat_where_the_group_has_no_other_server_by_then() -> None:
-    world = World(replace(SETTINGS, classes=(replace(KEYED, group=DeduplicationScope.ZONE),)), FLEET[:1])
+    world = World(
+        replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=DeduplicationScope.ZONE),)), FLEET[:1]
+    )
     world.ask("a")
     world.tell(EndpointListReceived(EndpointListKind.FULL, 2, (replace(FLEET[0], zone=1), FLEET[1])))
     assert of(FailRequest, world.answer("a", AttemptResult.RESET)) and sent(world) == ["s0"]
@@ -47,18 +49,18 @@
     ("first", "second", "more"),
     [
         ([AttemptResult.CONNECT_FAILED], AttemptResult.RESET, 0),
-        ([AttemptResult.FULL], AttemptResult.TIMEOUT, 0),
-        ([AttemptResult.CONNECT_FAILED, AttemptResult.FULL], AttemptResult.CONNECT_FAILED, 1),
+        ([AttemptResult.REJECTED], AttemptResult.TIMEOUT, 0),
+        ([AttemptResult.CONNECT_FAILED, AttemptResult.REJECTED], AttemptResult.CONNECT_FAILED, 1),
         ([], AttemptResult.RESET, 0),
         ([], AttemptResult.TIMEOUT, 0),
         ([], AttemptResult.ERROR, 0),
-        ([], AttemptResult.SPOILT, 0),
+        ([], AttemptResult.MALFORMED, 0),
     ],
 )
 def test_unsafe_request_is_never_sent_again_once_in_doubt(
     first: list[AttemptResult], second: AttemptResult, more: int
 ) -> None:
-    unsafe = RequestClass(2 * S, 6 * S, effect=Idempotency.UNSAFE)
+    unsafe = RequestClass(2 * S, 6 * S, idempotency=Idempotency.NON_IDEMPOTENT)
     world = World(replace(SETTINGS, classes=(unsafe,), max_attempts=9), FLEET)
     world.ask("a")
     for number, result in enumerate([*first, second]):
--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -20,7 +20,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    keyed = replace(CLASSES[1], window_us=WINDOW_US, **changes)
+    keyed = replace(CLASSES[1], deduplication_window_us=WINDOW_US, **changes)
     return replace(SETTINGS, classes=(CLASSES[0], keyed, CLASSES[2]))
 
 
@@ -46,7 +46,7 @@
     async def job() -> None:
         with machine() as held:
             async with front_door(
-                addresses=[held.address], settings=settings(group=group), connect_timeout_us=5_000_000
+                addresses=[held.address], settings=settings(deduplication_scope=group), connect_timeout_us=5_000_000
             ) as (door, address):
                 client = await Client.open(address)
                 await broken_after_the_last_byte(client, held)
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -39,7 +39,7 @@
 
 
 def gone(told: list[Event]) -> list[str]:
-    return [event.id for event in told if isinstance(event, ClientDisconnected)]
+    return [event.request_id for event in told if isinstance(event, ClientDisconnected)]
 
 
 async def taken(door: FrontDoor, peer: Peer, data: bytes, count: int) -> None:
@@ -225,7 +225,7 @@
 
 def test_client_that_goes_while_words_of_peers_are_waited_for() -> None:
     async def job() -> None:
-        settings = replace(SETTINGS, plans=(Plan(rate=1.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(quota_rate=1.0, quota_burst=1.0),))
         async with front_door(Backend(), settings=settings) as (door, address):
             told, peer = events(door), Peer.dial(address)
             hold(door)
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -30,7 +30,7 @@
 
 GONE_S = 0.1  # from a close until when the last attempt for its client may begin
 TURN_S = 0.02  # the longest turn of the loop
-ROOM = START_PER_SERVER // SETTINGS.gateways  # out at one server at once, for each front door
+ROOM = START_PER_SERVER // SETTINGS.proxy_count  # out at one server at once, for each front door
 
 
 def servers_are(door: FrontDoor, state: EndpointState) -> None:
@@ -130,12 +130,12 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind((HOST, 0))
             listen = free.getsockname()
-        settings = replace(SETTINGS, plans=(Plan(rate=5.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(quota_rate=5.0, quota_burst=1.0),))
         customer = next(name for name in map("{:016x}".format, range(99)) if zlib.crc32(name.encode()) % 2)
         async with front_door(
             backend, settings=settings, peer_listen=listen, peers=(listen, home.getsockname())
         ) as (door, address):
-            assert CONFIG.settings.me == 0
+            assert CONFIG.settings.proxy_index == 0
             told, peer = events(door), Peer.dial(address)
             fields = "c=read,t=team,d=3000,spread=2,first=0"
             peer.say(resp("SVC.QUERY", customer, "a1", fields))
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -67,7 +67,7 @@
             assert await peer.hear_until(b"ok\r\n")
             await until(lambda: sum(isinstance(event, AttemptEnded) for event in told) == 2)
             outcomes = [(event.attempt, event.result) for event in told if isinstance(event, AttemptEnded)]
-            assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.MOOT)]
+            assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.NOT_SENT)]
             assert not door.ended
 
     run(job())
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -31,7 +31,7 @@
 
 def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
     news = Catalog(CONFIG).news({"generation": 1, "reset": reset, "instances": list(entries)})
-    return {server.name: server.state for server in news.event.servers}, news.addresses
+    return {server.name: server.state for server in news.event.endpoints}, news.addresses
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
 
     def end(self, send: ForwardAttempt, result: AttemptResult) -> None:
         self.now += 1
-        self.gateway.handle(self.now, AttemptEnded(send.id, False, 0, send.server, result, 1))
+        self.gateway.handle(self.now, AttemptEnded(send.request_id, False, 0, send.endpoint, result, 1))
 
 
 @pytest.mark.parametrize(
@@ -131,7 +131,7 @@
     told.say(kind=EndpointListKind.FAILED)
     assert told.ask()
     told.say(server("s2"), kind=EndpointListKind.FULL)
-    assert [send.server for send in told.ask()] == ["s2"] == list(told.gateway.fleet.servers)
+    assert [send.endpoint for send in told.ask()] == ["s2"] == list(told.gateway.fleet.servers)
 
 
 def test_what_its_former_life_still_owes_is_not_held_against_a_server_that_started_anew() -> None:
--- a/tests/races/test_peers_home.py
+++ b/tests/races/test_peers_home.py
@@ -16,7 +16,7 @@
 from molereach.policy.interface.settings import Plan, Settings
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
-PAIR = replace(SETTINGS, gateways=2)
+PAIR = replace(SETTINGS, proxy_count=2)
 
 
 def customer_of(world: World, home: int) -> str:
@@ -29,16 +29,18 @@
     return [
         action
         for _, action in world.log
-        if isinstance(action, ForwardAttempt | Reject | FailRequest) and action.id == name
+        if isinstance(action, ForwardAttempt | Reject | FailRequest) and action.request_id == name
     ]
 
 
 def restart(gates: Set, me: int, settings: Settings) -> None:
     """It is killed, and starts again from nothing: what it had is gone, and so are its stores."""
-    fresh = World(replace(settings, me=me, gateways=len(gates.worlds), seed=99 + me), servers(4))
+    fresh = World(replace(settings, proxy_index=me, proxy_count=len(gates.worlds), seed=99 + me), servers(4))
     fresh.now = gates.worlds[me].now
     fresh.log, fresh.timers = [], []
-    fresh.gateway = type(fresh.gateway)(replace(settings, me=me, gateways=len(gates.worlds), seed=99 + me))
+    fresh.gateway = type(fresh.gateway)(
+        replace(settings, proxy_index=me, proxy_count=len(gates.worlds), seed=99 + me)
+    )
     gates.worlds[me] = fresh
     fresh.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
 
@@ -47,7 +49,7 @@
 def test_home_that_starts_again_goes_by_what_the_set_knows_of_the_store(own_first: bool) -> None:
     """Its store is full again, the customer's is not. Where its own request came first, before the first word
     of another, the whole burst was let in once more."""
-    settings = replace(SETTINGS, plans=(Plan(rate=4.0, burst=40.0),))
+    settings = replace(SETTINGS, plans=(Plan(quota_rate=4.0, quota_burst=40.0),))
     gates = Set(3, settings)
     home = zlib.crc32(b"c") % 3
     for n in range(300):  # three times what the plan gives: the store is empty
@@ -75,8 +77,8 @@
     assert not answers_to(world, "a10")
     world.run(S - 40 * MS)  # a refusal after half of the time would come too late
     assert len(answers_to(world, "a10")) == 1
-    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.words]
-    assert sum(word.asked > 0 for word in words) == 3
+    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.messages]
+    assert sum(word.requested_units > 0 for word in words) == 3
 
 
 @pytest.mark.parametrize("inside", [False, True])
@@ -89,7 +91,9 @@
     world.run(S)
     said = answers_to(world, "a10")
     key = zlib.crc32(name.encode()), 0, 0, 2
-    late = GossipMessage(*key, True, asked=1.0, level=-2.0, granted=True, inside=inside)
+    late = GossipMessage(
+        *key, True, requested_units=1.0, tokens=-2.0, is_ceiling_granted=True, is_within_quota=inside
+    )
     for _ in range(2):
         assert not of(ForwardAttempt, world.tell(GossipReceived(1, (late,))))
     world.run(S)
@@ -104,7 +108,9 @@
     for number in range(11):
         world.ask(f"a{number}", customer=name, set_size=2, left_us=2 * S)
     world.tell(ClientDisconnected("a10"))
-    answer = GossipMessage(zlib.crc32(name.encode()), 0, 0, 2, True, asked=1.0, level=5.0, inside=True)
+    answer = GossipMessage(
+        zlib.crc32(name.encode()), 0, 0, 2, True, requested_units=1.0, tokens=5.0, is_within_quota=True
+    )
     world.tell(GossipReceived(1, (answer,)))
     (customer,) = world.gateway.customers.known.values()
     assert customer.level == 5.0  # and it costs the customer nothing
@@ -117,10 +123,10 @@
     name = customer_of(world, home=1)
     key = zlib.crc32(name.encode()), 0, 0, 2
     for level in (-5.0, 15.0):  # the second was sent first
-        world.tell(GossipReceived(1, (GossipMessage(*key, True, level=level),)))
+        world.tell(GossipReceived(1, (GossipMessage(*key, True, tokens=level),)))
     customer = world.gateway.customers.known[key]
     assert customer.part <= 15.0 / 2 and customer.level == 15.0
-    world.tell(GossipReceived(1, (GossipMessage(*key, True, level=-5.0),)))
+    world.tell(GossipReceived(1, (GossipMessage(*key, True, tokens=-5.0),)))
     assert customer.level == -5.0 and customer.part == 0.0
 
 
@@ -137,20 +143,27 @@
 
 def test_set_of_two_of_two_hundred_that_goes_round_the_end() -> None:
     """The last front door and the first: the one at home answers the other, and nobody else counts."""
-    world = World(replace(SETTINGS, gateways=200))  # it is the first
+    world = World(replace(SETTINGS, proxy_count=200))  # it is the first
     name = customer_of(world, home=1)  # the second of its set
     key = zlib.crc32(name.encode()), 0, 199, 2
-    actions = world.tell(GossipReceived(199, (GossipMessage(*key, demand=1.0, asked=1.0, level=20.0),)))
+    actions = world.tell(
+        GossipReceived(199, (GossipMessage(*key, demand=1.0, requested_units=1.0, tokens=20.0),))
+    )
     (told,) = of(SendGossip, actions)
     assert (
-        isinstance(told, SendGossip) and told.peer == 199 and told.words[0].is_answer and told.words[0].inside
+        isinstance(told, SendGossip)
+        and told.peer == 199
+        and told.messages[0].is_reply
+        and told.messages[0].is_within_quota
     )
     others = [
         action
         for first in (0, 1, 198)
         for action in of(
             SendGossip,
-            world.tell(GossipReceived(5, (GossipMessage(key[0], 0, first, 1, demand=1.0, asked=1.0),))),
+            world.tell(
+                GossipReceived(5, (GossipMessage(key[0], 0, first, 1, demand=1.0, requested_units=1.0),))
+            ),
         )
     ]
     assert len(others) == 1  # of the set that is this one alone
--- a/tests/races/test_peers_none.py
+++ b/tests/races/test_peers_none.py
@@ -11,7 +11,7 @@
 from tests.helpers import MS, SETTINGS, Set
 from tests.races.test_settings_wrong import VALUES
 
-ALONE = replace(SETTINGS, may_tell=False, peer_messages_per_s=0.0)
+ALONE = replace(SETTINGS, may_gossip=False, gossip_messages_per_s=0.0)
 
 
 @pytest.mark.parametrize("size", [2, 3])
@@ -19,7 +19,7 @@
 def test_each_of_a_set_spends_its_part_of_the_quota(size: int, ceiling: float) -> None:
     """Each was the customer's home for itself and let in the whole quota, so that the set spent it `size`
     times over."""
-    plan = Plan(rate=5.0, burst=12.0, ceiling_rate=ceiling, ceiling_burst=2 * ceiling)
+    plan = Plan(quota_rate=5.0, quota_burst=12.0, ceiling_rate=ceiling, ceiling_burst=2 * ceiling)
     gates = Set(size, replace(ALONE, plans=(plan,)))
     for n in range(400):
         gates.ask(n % size, f"r{n}")
@@ -41,4 +41,4 @@
     nobody = {**VALUES, "peers": []}
     for values, may_tell in ((VALUES, True), ({**VALUES, absent: None}, False), (nobody, False)):
         (tmp_path / "config.json").write_text(json.dumps(values))
-        assert load({"PROXY_CONFIG": str(tmp_path / "config.json")}).settings.may_tell == may_tell
+        assert load({"PROXY_CONFIG": str(tmp_path / "config.json")}).settings.may_gossip == may_tell
--- a/tests/races/test_peers_words.py
+++ b/tests/races/test_peers_words.py
@@ -24,7 +24,7 @@
 
 
 def ask(customer: int, first: int = 0, size: int = 2, plan: int = 0) -> GossipMessage:
-    return GossipMessage(customer, plan, first, size, demand=1.0, asked=1.0, level=9.0)
+    return GossipMessage(customer, plan, first, size, demand=1.0, requested_units=1.0, tokens=9.0)
 
 
 def test_only_good_words_of_a_peer_are_heard(caplog: pytest.LogCaptureFixture) -> None:
@@ -46,7 +46,7 @@
             peer.sendto(good, listen)
             loop = asyncio.get_running_loop()
             (answer,) = unpack_words(await loop.sock_recv(peer, 2048))
-            assert answer.is_answer and answer.customer == HOME_0
+            assert answer.is_reply and answer.customer_checksum == HOME_0
             assert [key[0] for key in door.gateway.customers.known] == [HOME_0]
             assert not [record for record in caplog.records if record.levelno >= logging.ERROR]
             client = await Client.open(address)
@@ -72,7 +72,7 @@
             while HOME_0 not in heard:
                 data = await asyncio.get_running_loop().sock_recv(peer, 2048)
                 assert len(data) <= MESSAGE_BYTES
-                heard |= {word.customer for word in unpack_words(data)}
+                heard |= {word.customer_checksum for word in unpack_words(data)}
             peer.close()
 
     run(job())
@@ -80,7 +80,7 @@
 
 def test_datagrams_stay_within_the_bound_whatever_is_told() -> None:
     words = [ask(number) for number in range(100)]
-    words += [replace(words[0], demand=1e9, asked=1e9, level=-1e9, spent=-1e9)]
+    words += [replace(words[0], demand=1e9, requested_units=1e9, tokens=-1e9, spent_units=-1e9)]
     messages = pack_words(words)
     assert max(map(len, messages)) <= MESSAGE_BYTES
     assert sum(len(unpack_words(data)) for data in messages) == 101
@@ -94,7 +94,7 @@
             listen = free.getsockname()
         peer = datagrams()
         nowhere = ("255.255.255.255", 9)  # refused to whoever did not ask for broadcast
-        settings = replace(SETTINGS, gateways=3)
+        settings = replace(SETTINGS, proxy_count=3)
         peers = (listen, nowhere, peer.getsockname())
         async with front_door(peer_listen=listen, peers=peers, settings=settings) as (door, _):
             for number in (1, 2):
--- a/tests/races/test_restarts_known.py
+++ b/tests/races/test_restarts_known.py
@@ -22,8 +22,10 @@
             {**good, "instances": [7]},
         ):
             async with front_door(known=known) as (door, _):
-                assert door.known is None or not door.known.event.servers
+                assert door.known is None or not door.known.event.endpoints
         async with front_door(known={**good, "instances": [infinite]}) as (door, _):
-            assert door.known and [server.cell for server in door.known.event.servers] == [0]  # says nothing
+            assert door.known and [server.cell for server in door.known.event.endpoints] == [
+                0
+            ]  # says nothing
 
     run(job())
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -114,7 +114,7 @@
             free.bind((HOST, 0))
             listen = free.getsockname()
         # Its part of the burst holds no whole request, so that it has to ask.
-        settings = replace(SETTINGS, plans=(Plan(rate=5.0, burst=1.0),))
+        settings = replace(SETTINGS, plans=(Plan(quota_rate=5.0, quota_burst=1.0),))
         customer = next(name for name in map("{:016x}".format, range(99)) if zlib.crc32(name.encode()) % 2)
         async with started(
             refusing_address(),
--- a/tests/races/test_settings_names.py
+++ b/tests/races/test_settings_names.py
@@ -16,7 +16,7 @@
     config = replace(CONFIG, class_numbers={name: 0}, plan_numbers={"other": 0, name: 0})
     fields = f"c={name},t={name},d=480,units=1".encode()
     command = CommandParser(config).parse([b"SVC.QUERY", CUSTOMER.encode(), b"a1", fields], 0)
-    assert command.request.plan_index == 0 and command.request.left_us == 480_000
+    assert command.request.plan_index == 0 and command.request.remaining_us == 480_000
     assert command.payload(70_000).endswith(fields.replace(b"d=480", b"d=70") + b"\r\n")
 
 
--- a/tests/races/test_settings_short.py
+++ b/tests/races/test_settings_short.py
@@ -12,8 +12,8 @@
 from molereach.policy.time_units import TICK_US
 from tests.helpers import MS, SETTINGS, World
 
-SHORT = RequestClass(aim_us=100 * MS, deadline_us=400 * MS)
-PAIR = replace(SETTINGS, gateways=2, classes=(SHORT,))
+SHORT = RequestClass(latency_objective_us=100 * MS, deadline_us=400 * MS)
+PAIR = replace(SETTINGS, proxy_count=2, classes=(SHORT,))
 LEFT_US = SHORT.deadline_us - 25 * MS
 
 
@@ -26,8 +26,8 @@
         at
         for at, action in world.log
         if isinstance(action, SendGossip)
-        for word in action.words
-        if word.asked
+        for word in action.messages
+        if word.requested_units
     ]
 
 
@@ -40,7 +40,9 @@
     world.run(LEFT_US // 2)
     assert len(asks(world)) == 3
     assert [
-        at for at, action in world.log if isinstance(action, ForwardAttempt | Reject) and action.id == "a10"
+        at
+        for at, action in world.log
+        if isinstance(action, ForwardAttempt | Reject) and action.request_id == "a10"
     ]
 
 
@@ -49,7 +51,11 @@
 def test_each_request_has_one_answer_in_time(effect: Idempotency, aim_us: int, deadline_us: int) -> None:
     """Servers that answer nothing, and a home that is silent: the final answer comes before the deadline."""
     rule = RequestClass(
-        aim_us, deadline_us, effect=effect, window_us=aim_us // 2, group=DeduplicationScope.CELL
+        aim_us,
+        deadline_us,
+        idempotency=effect,
+        deduplication_window_us=aim_us // 2,
+        deduplication_scope=DeduplicationScope.CELL,
     )
     world = World(replace(PAIR, classes=(rule,), max_attempts=2))
     came = {}
@@ -66,7 +72,7 @@
         for (name, attempt), (_, sent, wait) in list(world.out.items()):
             if wait and world.now - sent >= wait:
                 world.answer(name, AttemptResult.TIMEOUT, attempt)
-    ended = [(at, action.id) for at, action in world.log if isinstance(action, Reject | FailRequest)]
+    ended = [(at, action.request_id) for at, action in world.log if isinstance(action, Reject | FailRequest)]
     assert sorted(name for _, name in ended) == sorted(came)
     assert all(at - came[name] < deadline_us for at, name in ended)
 
--- a/tests/races/test_settings_wrong.py
+++ b/tests/races/test_settings_wrong.py
@@ -160,7 +160,7 @@
 
 def test_the_configuration_itself_is_good(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(VALUES))
-    assert load({"PROXY_CONFIG": str(tmp_path / "config.json")}).settings.gateways == 3
+    assert load({"PROXY_CONFIG": str(tmp_path / "config.json")}).settings.proxy_count == 3
 
 
 @pytest.mark.parametrize("at", ALL, ids=named)
