--- a/tests/races/test_sigterm_requests.py
+++ b/tests/races/test_sigterm_requests.py
@@ -35,7 +35,9 @@
 
 
 def test_request_held_for_want_of_a_backend_is_answered_before_the_kill() -> None:
-    patient = RequestClass(aim_us=6_000_000, deadline_us=6_000_000, effect=Idempotency.UNSAFE)
+    patient = RequestClass(
+        latency_objective_us=6_000_000, deadline_us=6_000_000, idempotency=Idempotency.NON_IDEMPOTENT
+    )
     settings = replace(SETTINGS, classes=(patient, patient, patient))
 
     async def job() -> None:
--- a/tests/shards/splits/servers.py
+++ b/tests/shards/splits/servers.py
@@ -53,9 +53,9 @@
         shard = next((shard for first, end, shard in self.owns if first <= attempt.member < end), None)
         if shard is None or self.moved_away(attempt.member):
             return BUSY
-        if attempt.effect is Idempotency.KEYED and attempt.id in self.memory:
+        if attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY and attempt.id in self.memory:
             return Answer(False, False, shard)
-        if attempt.effect is Idempotency.KEYED:
+        if attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY:
             self.memory[attempt.id] = attempt.member
         self.ran.append(attempt)
         self.stored[attempt.member] = self.stored.get(attempt.member, 0) + attempt.size
@@ -63,7 +63,7 @@
         return Answer(True, False, shard)
 
     def pass_on(self, split: Record, attempt: Attempt) -> Answer:
-        if attempt.effect is not Idempotency.KEYED or not attempt.again:
+        if attempt.effect is not Idempotency.IDEMPOTENT_WITH_KEY or not attempt.again:
             return BUSY
         if attempt.id in self.memory:
             return Answer(False, False, split.shard)
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -121,7 +121,7 @@
     before = len(world.answers)
     for name in "abc":
         for member in range(0, MEMBERS, MEMBERS // 16):
-            world.ask(name, Idempotency.UNSAFE, member)
+            world.ask(name, Idempotency.NON_IDEMPOTENT, member)
     world.fair(3)
     assert not any(answer.busy for answer in world.answers[before:]), "requests are turned away for ever"
     world.check_stores()
@@ -203,7 +203,11 @@
     """Runs what it is asked again and does not remember, where it ought to pass it on."""
 
     def pass_on(self, split: Record, attempt: Attempt) -> Answer:
-        if attempt.effect is Idempotency.KEYED and attempt.again and attempt.id not in self.memory:
+        if (
+            attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY
+            and attempt.again
+            and attempt.id not in self.memory
+        ):
             self.ran.append(attempt)
             return Answer(True, False, split.shard)
         return super().pass_on(split, attempt)
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -86,9 +86,9 @@
     assert world.state("s") is State.HANDED
     cut_off.stopped = False  # it goes on by its old map, and hears nothing of the log
     before = len(world.answers)
-    place = cut_off.door.place(world.now_us, MOVED, Idempotency.UNSAFE)
+    place = cut_off.door.place(world.now_us, MOVED, Idempotency.NON_IDEMPOTENT)
     assert place and place.cell == "c0"
-    world.ask("c", Idempotency.UNSAFE, MOVED)
+    world.ask("c", Idempotency.NON_IDEMPOTENT, MOVED)
     under_way, world.pool = world.pool, []
     for one in under_way:
         one()
@@ -228,15 +228,15 @@
 
 def test_where_a_front_door_sends_each_kind_of_request() -> None:
     world, door = handed()
-    old = door.place(0, MOVED, Idempotency.UNSAFE)
+    old = door.place(0, MOVED, Idempotency.NON_IDEMPOTENT)
     assert old and (old.cell, old.shard, old.version) == ("c0", 1, 1)
     assert put(world, Hand("s", at(world), 0)) == ""
-    assert door.place(0, MOVED, Idempotency.SAFE) == old  # until it has the entry
+    assert door.place(0, MOVED, Idempotency.IDEMPOTENT) == old  # until it has the entry
     door.turned_away(0, old, 2)
     assert door.handle(0, Tick()) == [Learn(2)] and door.handle(0, Tick()) == []
     world.now_us = 1_000_000
     world.catch_up(world.readers["a"])
-    new = door.place(world.now_us, MOVED, Idempotency.SAFE)
+    new = door.place(world.now_us, MOVED, Idempotency.IDEMPOTENT)
     assert new and (new.cell, new.shard, new.version) == ("c2", 3, 2)
     door.turned_away(0, new, 2)
     assert door.handle(world.now_us, Tick()) == []
@@ -246,16 +246,16 @@
         return place.cell if place else None
 
     later = world.now_us + WINDOW_MS * 1000
-    assert cell(MOVED, Idempotency.UNSAFE, world.now_us, tried=old) is None
-    assert cell(MOVED, Idempotency.UNSAFE, world.now_us) == "c2"
-    assert cell(MOVED, Idempotency.SAFE, world.now_us, tried=old) == "c2"
-    assert cell(MOVED, Idempotency.KEYED, world.now_us, tried=old) == "c0"
-    assert cell(MOVED, Idempotency.KEYED, world.now_us) == "c2"
-    assert cell(MOVED, Idempotency.KEYED, later - 1, is_repeat=True) == "c0"
-    assert cell(MOVED, Idempotency.KEYED, later, is_repeat=True) == "c2"
-    assert cell(5, Idempotency.KEYED, world.now_us, is_repeat=True, tried=old) == "c0"
+    assert cell(MOVED, Idempotency.NON_IDEMPOTENT, world.now_us, tried=old) is None
+    assert cell(MOVED, Idempotency.NON_IDEMPOTENT, world.now_us) == "c2"
+    assert cell(MOVED, Idempotency.IDEMPOTENT, world.now_us, tried=old) == "c2"
+    assert cell(MOVED, Idempotency.IDEMPOTENT_WITH_KEY, world.now_us, tried=old) == "c0"
+    assert cell(MOVED, Idempotency.IDEMPOTENT_WITH_KEY, world.now_us) == "c2"
+    assert cell(MOVED, Idempotency.IDEMPOTENT_WITH_KEY, later - 1, is_repeat=True) == "c0"
+    assert cell(MOVED, Idempotency.IDEMPOTENT_WITH_KEY, later, is_repeat=True) == "c2"
+    assert cell(5, Idempotency.IDEMPOTENT_WITH_KEY, world.now_us, is_repeat=True, tried=old) == "c0"
     with pytest.raises(ValueError):
-        door.place(0, MEMBERS, Idempotency.SAFE)
+        door.place(0, MEMBERS, Idempotency.IDEMPOTENT)
 
 
 def test_clear_is_said_once_the_window_is_over_also_after_a_snapshot() -> None:
@@ -277,4 +277,4 @@
 def test_without_a_map_nothing_is_sent() -> None:
     world = World(drawn_by(1))
     empty = type(world.truth.shards)(world.truth.shards.settings, world.truth.sessions, world.truth.upkeep)
-    assert DoorShards(empty).place(0, 5, Idempotency.SAFE) is None
+    assert DoorShards(empty).place(0, 5, Idempotency.IDEMPOTENT) is None
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -267,7 +267,7 @@
         self.number += 1
         attempt = Attempt(f"r{self.number}", member, effect, False, size)
         self.sent_us[attempt.id] = self.now_us
-        if effect is Idempotency.KEYED:
+        if effect is Idempotency.IDEMPOTENT_WITH_KEY:
             self.keyed.append(attempt)
         self.send(Call(attempt, name))
 
@@ -285,10 +285,10 @@
             return
         again = attempt.again or call.tried is not None
         sent = replace(attempt, again=again)
-        if attempt.effect is Idempotency.UNSAFE:
+        if attempt.effect is Idempotency.NON_IDEMPOTENT:
             self.sides.setdefault(attempt.id, set()).add(place.cell)
             assert len(self.sides[attempt.id]) == 1, "an unsafe request to both sides"
-        if attempt.effect is Idempotency.KEYED and call.tried:
+        if attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY and call.tried:
             assert place.cell == call.tried.cell, "a keyed request was moved"
         call.tried = place
 
@@ -297,7 +297,7 @@
             self.answers.append(answer)
             if answer.ran:
                 ran = [each for cell in self.cells.values() for each in cell.ran if each.id == sent.id]
-                assert sent.effect is Idempotency.SAFE or len(ran) == 1, f"{sent.effect} ran twice"
+                assert sent.effect is Idempotency.IDEMPOTENT or len(ran) == 1, f"{sent.effect} ran twice"
             self.post(lambda: self.answered(call, place, answer))
 
         self.post(arrive)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -162,7 +162,7 @@
         (CheckHealth("s"), "CHECK s"),
         (CloseIdleConnections("s"), "HANG_UP s"),
         (
-            SendGossip(2, (GossipMessage(5, 1, 3, 4, True, level=-1.5),)),
+            SendGossip(2, (GossipMessage(5, 1, 3, 4, True, tokens=-1.5),)),
             f"TELL 2 00000005010003000401{0:012x}ffb5",
         ),
         (AddToCounter(4, 1, 9), "ADD_TO 4 1 9"),
@@ -179,25 +179,25 @@
     assert len(messages) > 1 and max(map(len, messages)) <= 256
     assert sum((unpack_words(message) for message in messages), ()) == words
     assert unpack_words(messages[0][:-1]) == ()
-    assert unpack_words(pack_words([GossipMessage(1, 0, 0, 2, level=1e9)])[0])[0].level == 32767 / 50
+    assert unpack_words(pack_words([GossipMessage(1, 0, 0, 2, tokens=1e9)])[0])[0].tokens == 32767 / 50
 
 
 def test_load_report_out_of_range_says_nothing() -> None:
     """Not an error: the wire may carry what no server can mean."""
-    assert read_report([("util", "7"), ("queue", "3")]) == LoadReport(queue=3.0)
+    assert read_report([("util", "7"), ("queue", "3")]) == LoadReport(queue_length=3.0)
     with pytest.raises(ValueError, match="nan"):
         read_report([("util", "nan")])
 
 
 def test_words_keep_their_flags_and_older_versions_pass_over_the_mark() -> None:
     told = (
-        GossipMessage(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, granted=True, inside=False),
-        GossipMessage(7, 1, 2, 3, True, inside=True),
+        GossipMessage(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, is_ceiling_granted=True, is_within_quota=False),
+        GossipMessage(7, 1, 2, 3, True, is_within_quota=True),
         GossipMessage(0, SPLIT_CEILING_MARK, 0, 0),
     )
     (data,) = pack_words(told)
     assert unpack_words(data) == told
     assert len(data) == 3 * WORD.size and data[8] != 0  # any flag is an answer to an older version: so it is
-    world = World(replace(SETTINGS, gateways=2))
-    world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, asked=1.0),)))
+    world = World(replace(SETTINGS, proxy_count=2))
+    world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
     assert not world.gateway.customers.known
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -18,23 +18,27 @@
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
 CLASSES = (
-    RequestClass(aim_us=2_000_000, deadline_us=6_000_000),
+    RequestClass(latency_objective_us=2_000_000, deadline_us=6_000_000),
     RequestClass(
-        2_000_000, 6_000_000, effect=Idempotency.KEYED, group=DeduplicationScope.ZONE, window_us=5_000_000
+        2_000_000,
+        6_000_000,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_us=5_000_000,
     ),
-    RequestClass(2_000_000, 6_000_000, effect=Idempotency.UNSAFE),
+    RequestClass(2_000_000, 6_000_000, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 SETTINGS = Settings(
     seed=3,
-    me=0,
-    gateways=2,
+    proxy_index=0,
+    proxy_count=2,
     classes=CLASSES,
-    plans=(Plan(rate=1000.0, burst=1000.0),),
+    plans=(Plan(quota_rate=1000.0, quota_burst=1000.0),),
     max_attempts=3,
     max_retry_after_us=750_000,
     may_cancel=True,
-    may_tell=True,
-    peer_messages_per_s=100.0,
+    may_gossip=True,
+    gossip_messages_per_s=100.0,
 )
 CONFIG = Config(
     name="n0",
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -18,7 +18,13 @@
 
 NOW = 100 * S
 KEYED = tuple(
-    RequestClass(S, 3 * S, effect=Idempotency.KEYED, group=group, window_us=S)
+    RequestClass(
+        S,
+        3 * S,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=group,
+        deduplication_window_us=S,
+    )
     for group in (DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL)
 )
 KINDS: dict[DeduplicationScope, Callable[[Endpoint], int]] = {
@@ -31,8 +37,8 @@
 
 
 def settings_of(me: int = 0, doors: int = 5, groups: Sequence[DeduplicationScope] = ()) -> Settings:
-    rules = tuple(rule for rule in KEYED if rule.group in groups)
-    return replace(SETTINGS, me=me, gateways=doors, classes=(*SETTINGS.classes, *rules))
+    rules = tuple(rule for rule in KEYED if rule.deduplication_scope in groups)
+    return replace(SETTINGS, proxy_index=me, proxy_count=doors, classes=(*SETTINGS.classes, *rules))
 
 
 def server(number: int, cells: int = 5, zones: int = 3, **changes: object) -> Endpoint:
@@ -76,9 +82,11 @@
 ) -> Known:
     """Those up, sorted by how far they lie behind the front door, each with the next ones of its groups."""
     at = {name: place(name_bytes(name)) for name in known}
-    door, least = door_place(settings.me), naive_reach(settings.me, settings.gateways)
+    door, least = door_place(settings.proxy_index), naive_reach(settings.proxy_index, settings.proxy_count)
     up = [name for name in known if known[name][0].state is UP]
-    kinds = [KINDS[rule.group] for rule in settings.classes if rule.group in KINDS]
+    kinds = [
+        KINDS[rule.deduplication_scope] for rule in settings.classes if rule.deduplication_scope in KINDS
+    ]
     view: Known = {}
     for name in sorted(sorted(up, reverse=True), key=lambda name: behind(at[name], door)):
         if len(view) >= size and behind(at[name], door) >= least:
--- a/tests/subsetting/test_endpoint_subsetting.py
+++ b/tests/subsetting/test_endpoint_subsetting.py
@@ -86,7 +86,7 @@
     if world.long:
         check_view(world, kind, seen, was_long, before)
     elif not parts and not was_long:
-        assert seen is not None and seen.event.servers == tuple(entries) and not seen.event.seen_by
+        assert seen is not None and seen.event.endpoints == tuple(entries) and not seen.event.sharing_proxies
 
 
 def check_view(
@@ -98,11 +98,13 @@
         assert (seen is None) == (before == wanted)  # nothing that concerns it, no word
     else:
         assert seen is not None and seen.event.kind is (FULL if kind is CHANGES else kind)
-        assert {entry.name for entry in seen.event.servers} == set(wanted)
+        assert {entry.name for entry in seen.event.endpoints} == set(wanted)
     up = sum(entry.state is UP for entry, _ in world.known.values())
-    doors = world.settings.gateways
+    doors = world.settings.proxy_count
     if seen:
-        assert seen.event.seen_by == min(doors, max(LEAST_DOORS, round(doors * len(wanted) / max(1, up))))
+        assert seen.event.sharing_proxies == min(
+            doors, max(LEAST_DOORS, round(doors * len(wanted) / max(1, up)))
+        )
 
 
 @settings(max_examples=100)
@@ -172,9 +174,9 @@
         EndpointListReceived(SAVED, 3, (server(1),)),
         first,
     ):
-        seen = world.routing.take(event, addresses_of(event.servers))
+        seen = world.routing.take(event, addresses_of(event.endpoints))
         assert seen is not None and seen.event is event
-        assert seen.addresses == addresses_of(event.servers)
+        assert seen.addresses == addresses_of(event.endpoints)
 
 
 def test_failed_call_passes_and_the_view_holds() -> None:
@@ -305,7 +307,7 @@
     name = next(iter(world.told))
     entry = world.known[name][0]
     seen, _ = world.give(CHANGES, [replace(entry, state=DRAINING)])
-    assert seen is not None and (name, GONE) in {(each.name, each.state) for each in seen.event.servers}
+    assert seen is not None and (name, GONE) in {(each.name, each.state) for each in seen.event.endpoints}
     assert name not in seen.addresses
     world.change(CHANGES, [replace(entry, state=DRAINING)])
     world.hear(seen)
--- a/tests/subsetting/test_ring.py
+++ b/tests/subsetting/test_ring.py
@@ -3,10 +3,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from molereach.policy.interface.events import Endpoint, EndpointState
+from molereach.policy.interface.settings import DeduplicationScope
 from molereach.subsetting.idempotency_groups import Groups, kinds
 from molereach.subsetting.packed_records import cell_of, is_up, name_of, pack, unpack, zone_of
 from molereach.subsetting.ring import Ring
-from tests.subsetting.model import DRAINING, GONE, UP, i, server, settings_of
+from tests.subsetting.model import DRAINING, GONE, UP, server, settings_of
 
 PLACES = st.one_of(st.integers(0, 5), st.integers(0, (1 << 64) - 1), st.just((1 << 64) - 1))
 STEP = st.tuples(st.sampled_from(("put", "drain", "remove")), st.integers(0, 12), PLACES)
@@ -43,9 +45,9 @@
     st.one_of(st.none(), st.tuples(st.text(max_size=20), st.integers(1, 65_535))),
 )
 def test_record_gives_back_what_was_packed(
-    name: str, figure: int, started_us: int, state: i.ServerState, address: tuple[str, int] | None
+    name: str, figure: int, started_us: int, state: EndpointState, address: tuple[str, int] | None
 ) -> None:
-    entry = i.Server(name, figure, figure // 2, figure // 3, state, 0.5, started_us)
+    entry = Endpoint(name, figure, figure // 2, figure // 3, state, 0.5, started_us)
     record = pack(entry, address)
     assert unpack(record) == (entry, address)
     assert name_of(record).decode() == name and is_up(record) == (state is UP)
@@ -71,6 +73,6 @@
 
 
 def test_groups_are_of_the_classes_that_are_repeated_within_them() -> None:
-    assert kinds(settings_of()) == kinds(settings_of(groups=(i.Group.ALL,))) == []
-    assert kinds(settings_of(groups=(i.Group.CELL, i.Group.ZONE))) == [zone_of, cell_of]
+    assert kinds(settings_of()) == kinds(settings_of(groups=(DeduplicationScope.ALL,))) == []
+    assert kinds(settings_of(groups=(DeduplicationScope.CELL, DeduplicationScope.ZONE))) == [zone_of, cell_of]
     assert GONE not in (UP, DRAINING)
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -163,7 +163,7 @@
         number = int(seen_of(routing)[5][1:])
         change = learn(routing, [replace(entry(number, count), started_us=NOW - 5 * S)])
         learn(routing, [entry(number, count)])
-        assert change is not None and len(change.event.servers) == 1
+        assert change is not None and len(change.event.endpoints) == 1
         customer = Customer(PLAN, (1, 0, 0, 1), SETTINGS, NOW, 0)
         job = Job(RequestReceived("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
         calls: dict[str, Callable[[], object]] = {
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -72,9 +72,11 @@
 def test_configuration_is_read(tmp_path: Path) -> None:
     found = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
     assert (found.name, found.listen, found.discovery) == ("n9", (HOST, 6379), (HOST, 8))
-    assert found.settings.seed == 0x8C1F30D27A5BE964 and found.settings.gateways == 2
+    assert found.settings.seed == 0x8C1F30D27A5BE964 and found.settings.proxy_count == 2
     assert found.class_numbers == {"read": 0, "settle": 1} and found.zone_numbers == {"a": 0, "b": 1}
-    assert found.settings.classes[1].effect.value == "unsafe" and found.settings.plans[0].rate == 9.0
+    assert (
+        found.settings.classes[1].idempotency.value == "unsafe" and found.settings.plans[0].quota_rate == 9.0
+    )
     assert found.settings.max_retry_after_us == 500_000 and found.sockets == 512
     assert found.conn_idle_us == 7_000_000 and found.connect_timeout_us == 250_000
 
