--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -46,7 +46,9 @@
     async def job() -> None:
         with machine() as held:
             async with front_door(
-                addresses=[held.address], settings=settings(deduplication_scope=group), connect_timeout_us=5_000_000
+                addresses=[held.address],
+                settings=settings(deduplication_scope=group),
+                connect_timeout_us=5_000_000,
             ) as (door, address):
                 client = await Client.open(address)
                 await broken_after_the_last_byte(client, held)
