--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -16,7 +16,7 @@
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import SendGossip, SetTimer
 from molereach.policy.interface.events import Event, RequestReceived, TimerExpired
-from molereach.protocol.gossip_codec import PlainForm
+from molereach.protocol.gossip_codec import QuotaGossipCodec
 from molereach.proxy.config import Config, parse
 from rig.sockets import Address
 from rig.workload import CLASSES
@@ -65,7 +65,7 @@
 
     def __init__(self, role: "Hollow", tier: Tier, door: int) -> None:
         self.role, self.tier, self.door = role, tier, door
-        self.gateway, self.form = Served(configuration(tier, door).settings), PlainForm()
+        self.gateway, self.form = Served(configuration(tier, door).settings), QuotaGossipCodec()
         self.loop, self.serial = asyncio.get_running_loop(), itertools.count()
         self.transport: asyncio.DatagramTransport | None = None
 
--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -3,7 +3,7 @@
 import logging
 
 from molereach.policy.interface.events import AttemptResult, LoadReport
-from molereach.protocol.gossip_codec import read_report
+from molereach.protocol.load_reports import parse_load_report
 from molereach.resp import Answer
 
 log = logging.getLogger(__name__)
@@ -26,6 +26,6 @@
         return None
     try:
         pairs = (part.split("=", 1) for part in text.decode().split(","))
-        return read_report((name, value) for name, value in pairs)
+        return parse_load_report((name, value) for name, value in pairs)
     except ValueError:
         return None
--- a/molereach/limits/messages.py
+++ b/molereach/limits/messages.py
@@ -23,13 +23,19 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.protocol.gossip_codec import MESSAGE_BYTES, UNIT, WORD, pack_words, unpack_words
+from molereach.protocol.gossip_codec import (
+    MAX_DATAGRAM_BYTES,
+    RECORD,
+    STEPS_PER_UNIT,
+    pack_messages,
+    unpack_messages,
+)
 
 MAGIC, VERSION = 0xB7, 1
 HEADER = struct.Struct("!BBHB")
 TAG_BYTES = 8
 PAD = 0
-MOST_UNITS, MOST_SHARE = 0x7FFFFFFF / UNIT, 10_000
+MOST_UNITS, MOST_SHARE = 0x7FFFFFFF / STEPS_PER_UNIT, 10_000
 
 _KEY = "IBHH"  # as in a word
 ASK = struct.Struct(f"!B{_KEY}IIHHI")
@@ -37,18 +43,18 @@
 HELLO = struct.Struct("!B")
 CLEAR = struct.Struct("!BHH")
 TOTAL = struct.Struct(f"!B{_KEY}II")
-PLAIN = struct.Struct("!B" + WORD.format.lstrip("!"))
+PLAIN = struct.Struct("!B" + RECORD.format.lstrip("!"))
 
 Words = Sequence[GossipMessage | LimitMessage]
 
 
 def units(amount: float) -> int:
     """Units in steps; never more than there are, but for what binary fractions make of a step."""
-    return int(round(max(0.0, min(MOST_UNITS, amount)) * UNIT, 6))
+    return int(round(max(0.0, min(MOST_UNITS, amount)) * STEPS_PER_UNIT, 6))
 
 
 def steps(amount: float) -> int:
-    return max(-32768, min(32767, round(amount * UNIT)))
+    return max(-32768, min(32767, round(amount * STEPS_PER_UNIT)))
 
 
 def pack_record(word: GossipMessage | LimitMessage) -> bytes:
@@ -78,7 +84,15 @@
 def plain(values: tuple[int, ...]) -> GossipMessage:
     customer, plan, first, size, answer, demand, spent, asked, level = values
     return GossipMessage(
-        customer, plan, first, size, bool(answer), demand / UNIT, spent / UNIT, asked / UNIT, level / UNIT
+        customer,
+        plan,
+        first,
+        size,
+        bool(answer),
+        demand / STEPS_PER_UNIT,
+        spent / STEPS_PER_UNIT,
+        asked / STEPS_PER_UNIT,
+        level / STEPS_PER_UNIT,
     )
 
 
@@ -86,19 +100,21 @@
     *key, number, accepted, held, wanted, returned = values
     if max(held, wanted) > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return LoanRequest((key[0], key[1], key[2], key[3]), number, accepted, held, wanted, returned / UNIT)
+    return LoanRequest(
+        (key[0], key[1], key[2], key[3]), number, accepted, held, wanted, returned / STEPS_PER_UNIT
+    )
 
 
 def grant(values: tuple[int, ...]) -> LoanGrant:
     *key, number, share, amount = values
     if share > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return LoanGrant((key[0], key[1], key[2], key[3]), number, share, amount / UNIT)
+    return LoanGrant((key[0], key[1], key[2], key[3]), number, share, amount / STEPS_PER_UNIT)
 
 
 def total(values: tuple[int, ...]) -> SpendingTotal:
     *key, spent, left = values
-    return SpendingTotal((key[0], key[1], key[2], key[3]), spent / UNIT, left / UNIT)
+    return SpendingTotal((key[0], key[1], key[2], key[3]), spent / STEPS_PER_UNIT, left / STEPS_PER_UNIT)
 
 
 Read = Callable[[tuple[int, ...]], "GossipMessage | LimitMessage"]
@@ -129,7 +145,7 @@
         hears: Callable[[int], bool] = lambda peer: True,
     ) -> None:
         self.me, self.generation, self.key, self.speaks, self.hears = me, generation, key, speaks, hears
-        self.room = MESSAGE_BYTES - HEADER.size - (TAG_BYTES if key else 0) - 1  # the last: for a pad
+        self.room = MAX_DATAGRAM_BYTES - HEADER.size - (TAG_BYTES if key else 0) - 1  # the last: for a pad
 
     def tag(self, sender: int, data: bytes) -> bytes:
         return hashlib.blake2b(sender.to_bytes(2, "big") + data, digest_size=TAG_BYTES, key=self.key).digest()
@@ -137,7 +153,7 @@
     def pack(self, peer: int, words: Words) -> list[bytes]:
         """Datagrams with the words, and one in any case."""
         plain_form = not self.key and not self.speaks(peer)
-        packed = pack_words(word for word in words if plain_form and isinstance(word, GossipMessage))
+        packed = pack_messages(word for word in words if plain_form and isinstance(word, GossipMessage))
         body = b""
         for word in words:
             if plain_form and isinstance(word, GossipMessage):
@@ -153,14 +169,14 @@
 
     def close(self, peer: int, body: bytes) -> bytes:
         data = HEADER.pack(MAGIC, VERSION, self.generation, self.hears(peer)) + body
-        if (len(data) + (TAG_BYTES if self.key else 0)) % WORD.size == 0:
+        if (len(data) + (TAG_BYTES if self.key else 0)) % RECORD.size == 0:
             data += bytes([PAD])
         return data + self.tag(self.me, data) if self.key else data
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
         """What a datagram says; None for one that is malformed, of another version or without the key."""
-        if len(data) % WORD.size == 0:
-            words = () if self.key else unpack_words(data)
+        if len(data) % RECORD.size == 0:
+            words = () if self.key else unpack_messages(data)
             return GossipReceived(sender, words) if words else None
         if self.key:
             data, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
--- a/molereach/protocol/gossip_codec.py
+++ b/molereach/protocol/gossip_codec.py
@@ -1,120 +1,112 @@
-"""What the simulator's adapter and the real front door share: load reports and peers' words."""
+"""Gossip on customers' quotas, as records of fixed length in datagrams.
+
+A datagram holds whole records and nothing else, in network byte order. Amounts of units are signed
+16-bit integers, in steps of 1 / `STEPS_PER_UNIT`.
+"""
 
-import re
 import struct
 from collections.abc import Iterable
 from typing import Protocol
 
-from molereach.policy.interface.events import GossipReceived, LoadReport
+from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import GossipMessage, LimitMessage
 
-# The fields of a load report: as the wire names them, and as the servers themselves do.
-REPORT_FIELDS = {
-    "busy_reqs": "in_flight",
-    "pending": "queue_length",
-    "cpu_share": "cpu_utilization",
-    "svc_ms": "service_time_ms",
-    "served_ps": "served_per_s",
-    "failed_ps": "errors_per_s",
-    "inflight": "in_flight",
-    "queue": "queue_length",
-    "util": "cpu_utilization",
-    "latency_ms": "service_time_ms",
-    "qps": "served_per_s",
-    "eps": "errors_per_s",
-}
-
-# What a server says of itself is not trusted: plain numbers, none below 0, and none that no server can mean.
-REPORTED = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?(e[-+]?[0-9]{1,2})?", re.ASCII)
-MOST_REPORTED = {"cpu_utilization": 2.0}  # busy cores over all; some noise may lie on it
-MOST_OTHERS = 1e9
-
-# A word between gateways; amounts in steps of 1 / UNIT.
-WORD = struct.Struct("!IBHHBhhhh")
-ANSWER, GRANTED, INSIDE, OUTSIDE = 1, 2, 4, 8  # flags of a word
-DRAWN = {None: 0, True: INSIDE, False: OUTSIDE}
-DREW = {INSIDE: True, OUTSIDE: False}
-UNIT = 50
-MESSAGE_BYTES = 256
-
-
-def read_reported(name: str, text: str) -> float | None:
-    """One value of a load report; one out of its range says nothing, what is no number is a ValueError."""
-    if not REPORTED.fullmatch(text):
-        raise ValueError(f"a load report says {name}={text:.20}")
-    value = float(text)
-    return value if value <= MOST_REPORTED.get(name, MOST_OTHERS) else None
-
-
-def read_report(values: Iterable[tuple[str, str]]) -> LoadReport:
-    """A load report from names and values; unknown names and absent values are skipped."""
-    return LoadReport(
-        **{
-            REPORT_FIELDS[name]: read_reported(REPORT_FIELDS[name], value)
-            for name, value in values
-            if name in REPORT_FIELDS and value not in ("", "-")
-        }
-    )
+RECORD = struct.Struct("!IBHHBhhhh")
+MAX_DATAGRAM_BYTES = 256
+STEPS_PER_UNIT = 50
+MIN_STEPS = -0x8000
+MAX_STEPS = 0x7FFF
 
+# Flags of a record. Versions that know only the first take any flag for a reply.
+REPLY = 1
+CEILING_GRANTED = 2
+WITHIN_QUOTA = 4
+BEYOND_QUOTA = 8
+FLAG_OF_VERDICT = {None: 0, True: WITHIN_QUOTA, False: BEYOND_QUOTA}
+VERDICT_OF_FLAG = {WITHIN_QUOTA: True, BEYOND_QUOTA: False}
 
-def pack_words(words: Iterable[GossipMessage]) -> list[bytes]:
-    """Messages between gateways, each as long as the wire allows."""
-    packed = [
-        WORD.pack(
-            word.customer_checksum,
-            word.plan_index,
-            word.set_first,
-            word.set_size,
-            word.is_reply * ANSWER | word.is_ceiling_granted * GRANTED | DRAWN[word.is_within_quota],
-            *(
-                max(-32768, min(32767, round(amount * UNIT)))
-                for amount in (word.demand, word.spent_units, word.requested_units, word.tokens)
-            ),
-        )
-        for word in words
-    ]
-    most = MESSAGE_BYTES // WORD.size
-    return [b"".join(packed[n : n + most]) for n in range(0, len(packed), most)]
 
+class GossipCodec(Protocol):
+    """How gossip messages are laid out in datagrams."""
 
-def unpack_words(data: bytes) -> tuple[GossipMessage, ...]:
-    """The words of a message; none where it is not of this version's form."""
-    if len(data) % WORD.size:
-        return ()
-    return tuple(
-        GossipMessage(
-            customer,
-            plan,
-            first,
-            size,
-            bool(flags & ANSWER),
-            demand / UNIT,
-            spent / UNIT,
-            asked / UNIT,
-            level / UNIT,
-            bool(flags & GRANTED),
-            DREW.get(flags & OUTSIDE | flags & INSIDE),
-        )
-        for customer, plan, first, size, flags, demand, spent, asked, level in WORD.iter_unpack(data)
-    )
+    def pack(self, peer: int, messages: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
+        """The datagrams that bring the messages to a peer."""
 
+    def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
+        """The messages of a datagram from a peer; None for one that is malformed."""
 
-class Form(Protocol):
-    """How words stand in datagrams."""
 
-    def pack(self, peer: int, words: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
-        """The datagrams to a peer."""
+class QuotaGossipCodec:
+    """Messages on quotas alone, as front doors without `[limits]` exchange them."""
+
+    def pack(self, peer: int, messages: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
+        """The datagrams that bring the messages to a peer; messages on limits are left out."""
+        return pack_messages(message for message in messages if isinstance(message, GossipMessage))
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
-        """What one from a peer says; None for one that is malformed."""
+        """The messages of a datagram from a peer; None for one that is malformed."""
+        messages = unpack_messages(data)
+        return GossipReceived(sender, messages) if messages else None
 
 
-class PlainForm:
-    """Words on quotas alone."""
+def pack_messages(messages: Iterable[GossipMessage]) -> list[bytes]:
+    """Datagrams with the messages, each as long as the wire allows."""
+    records = [_pack_record(message) for message in messages]
+    max_records = MAX_DATAGRAM_BYTES // RECORD.size
+    return [b"".join(records[n : n + max_records]) for n in range(0, len(records), max_records)]
 
-    def pack(self, peer: int, words: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
-        return pack_words(word for word in words if isinstance(word, GossipMessage))
 
-    def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
-        words = unpack_words(data)
-        return GossipReceived(sender, words) if words else None
+def unpack_messages(data: bytes) -> tuple[GossipMessage, ...]:
+    """The messages of a datagram; none where its length is not that of whole records."""
+    if len(data) % RECORD.size:
+        return ()
+    return tuple(
+        GossipMessage(
+            customer_checksum,
+            plan_index,
+            set_first,
+            set_size,
+            bool(flags & REPLY),
+            demand / STEPS_PER_UNIT,
+            spent / STEPS_PER_UNIT,
+            requested / STEPS_PER_UNIT,
+            tokens / STEPS_PER_UNIT,
+            bool(flags & CEILING_GRANTED),
+            VERDICT_OF_FLAG.get(flags & (WITHIN_QUOTA | BEYOND_QUOTA)),
+        )
+        for (
+            customer_checksum,
+            plan_index,
+            set_first,
+            set_size,
+            flags,
+            demand,
+            spent,
+            requested,
+            tokens,
+        ) in RECORD.iter_unpack(data)
+    )
+
+
+def signed_steps(units: float) -> int:
+    """An amount of units in whole steps, limited to what a record can hold."""
+    return max(MIN_STEPS, min(MAX_STEPS, round(units * STEPS_PER_UNIT)))
+
+
+def _pack_record(message: GossipMessage) -> bytes:
+    flags = (
+        message.is_reply * REPLY
+        | message.is_ceiling_granted * CEILING_GRANTED
+        | FLAG_OF_VERDICT[message.is_within_quota]
+    )
+    return RECORD.pack(
+        message.customer_checksum,
+        message.plan_index,
+        message.set_first,
+        message.set_size,
+        flags,
+        signed_steps(message.demand),
+        signed_steps(message.spent_units),
+        signed_steps(message.requested_units),
+        signed_steps(message.tokens),
+    )
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -10,7 +10,8 @@
 
 from molereach.discovery.json_stream import DocumentError, Documents, Part
 from molereach.policy.interface.settings import Settings
-from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
+from molereach.protocol.settings import read_settings
+from molereach.protocol.settings_reader import SettingsError, SettingsReader, abbreviated
 
 Address = tuple[str, int]
 Section = TypeVar("Section", dict[str, Any], list[Any])
@@ -54,7 +55,7 @@
 def read_address(text: object) -> Address:
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port[:6]) < 65536:
-        raise ConfigError(f"{shown(text)} is not an address")
+        raise ConfigError(f"{abbreviated(text)} is not an address")
     return host, int(port)
 
 
@@ -90,7 +91,9 @@
     if value is None:
         return kind()
     if not isinstance(value, kind):
-        raise ConfigError(f"{at}{key}: is {shown(value)}, not {'a list' if kind is list else 'an object'}")
+        raise ConfigError(
+            f"{at}{key}: is {abbreviated(value)}, not {'a list' if kind is list else 'an object'}"
+        )
     return value
 
 
@@ -100,9 +103,9 @@
     for number, value in enumerate(section(settings, key, list, "settings.")):
         name = value.get("name") if isinstance(value, dict) else value
         if not isinstance(name, str) or (named and not isinstance(value, dict)):
-            raise ConfigError(f"settings.{key}.{number}: is {shown(value)}, which has no name")
+            raise ConfigError(f"settings.{key}.{number}: is {abbreviated(value)}, which has no name")
         if found.setdefault(name, number) != number:
-            raise ConfigError(f"settings.{key}.{number}: the name {shown(name)} is there twice")
+            raise ConfigError(f"settings.{key}.{number}: the name {abbreviated(name)} is there twice")
     if named and not found:
         raise ConfigError(f"settings.{key}: is missing or empty")
     return found
@@ -111,15 +114,15 @@
 def parse(values: object, env: Mapping[str, str]) -> Config:
     """The configuration from the file's values, where the environment goes before them."""
     if not isinstance(values, dict):
-        raise ConfigError(f"the file holds {shown(values)}, not an object")
+        raise ConfigError(f"the file holds {abbreviated(values)}, not an object")
     settings = section(values, "settings", dict)
     for key in ("ceilings", "extra", "obligations", "prices"):
         section(settings, key, dict, "settings.")
-    pairs, own = Pairs(dict(flatten(settings)), False, "settings."), Pairs(values, False)
-    limits = Pairs(section(values, "limits", dict), False, "limits.")
+    pairs, own = SettingsReader(dict(flatten(settings)), False, "settings."), SettingsReader(values, False)
+    limits = SettingsReader(section(values, "limits", dict), False, "limits.")
     seed, peers = own.text("seed", None), section(values, "peers", list)
     if not SEED.fullmatch(seed):
-        raise ConfigError(f"seed: is {shown(seed)}, which is no hexadecimal number")
+        raise ConfigError(f"seed: is {abbreviated(seed)}, which is no hexadecimal number")
     config = Config(
         name=env.get("PROXY_NAME") or own.text("name", None),
         listen=address(values, "listen", env),
@@ -129,11 +132,11 @@
         zone_numbers=numbers(settings, "zones", named=False),
         kind_numbers=numbers(settings, "kinds", named=False),
         settings=read_settings(int(seed, 16), pairs),
-        conn_idle_us=pairs.whole("ceilings.conn-idle-us", 30_000_000, 1),
-        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", 250_000, 1),
-        max_open=pairs.whole("ceilings.max-open", 20_000, 1),
-        sockets=limits.whole("sockets", 1024, LEAST_SOCKETS),
-        memory_mb=limits.whole("memory_mb", 64, 1),
+        conn_idle_us=pairs.integer("ceilings.conn-idle-us", 30_000_000, 1),
+        connect_timeout_us=pairs.integer("ceilings.connect-timeout-us", 250_000, 1),
+        max_open=pairs.integer("ceilings.max-open", 20_000, 1),
+        sockets=limits.integer("sockets", 1024, LEAST_SOCKETS),
+        memory_mb=limits.integer("memory_mb", 64, 1),
         known=values.get("known") or {},  # what is wrong there must not keep it from a start
         peer_listen=None if values.get("peer_listen") in (None, "") else address(values, "peer_listen"),
         peers=tuple(address({f"peers.{n}": text}, f"peers.{n}") for n, text in enumerate(peers)),
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -6,7 +6,7 @@
 
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import GossipReceived
-from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
+from molereach.protocol.gossip_codec import MAX_DATAGRAM_BYTES, GossipCodec, QuotaGossipCodec
 from molereach.proxy.config import Address
 
 
@@ -19,14 +19,14 @@
         self.addresses, self.me, self.heard = addresses, me, heard
         self.senders = {address: number for number, address in enumerate(addresses) if number != me}
         self.transport: asyncio.DatagramTransport | None = None
-        self.form: Form = PlainForm()
+        self.form: GossipCodec = QuotaGossipCodec()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
         sender = self.senders.get(address)
-        if sender is None or len(data) > MESSAGE_BYTES:
+        if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         if message := self.form.unpack(sender, data):
             self.heard(message)
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -48,7 +48,7 @@
     TimerExpired,
 )
 from molereach.policy.interface.protocols import LimitPolicy
-from molereach.protocol.gossip_codec import Form
+from molereach.protocol.gossip_codec import GossipCodec
 from molereach.proxy.config import Address, Config, run_out
 from molereach.proxy.connection_draining import drain
 from molereach.proxy.gossip import Peers
@@ -177,7 +177,7 @@
             staged.add(*self.catalog.part(parts.pop()))
         return self.catalog.long_news(self.config.known, staged, EndpointListKind.SAVED)
 
-    def use_limits(self, limits: LimitPolicy, form: Form) -> None:
+    def use_limits(self, limits: LimitPolicy, form: GossipCodec) -> None:
         """Have limits consulted, and their words told; before the first event."""
         self.gateway.limits, self.peers.form = limits, form
 
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -42,8 +42,10 @@
     TimerExpired,
 )
 from molereach.policy.interface.settings import Settings
-from molereach.protocol.gossip_codec import Form, PlainForm, read_report
-from molereach.protocol.settings import Pairs, read_settings
+from molereach.protocol.gossip_codec import GossipCodec, QuotaGossipCodec
+from molereach.protocol.load_reports import parse_load_report
+from molereach.protocol.settings import read_settings
+from molereach.protocol.settings_reader import SettingsReader
 
 RESULTS = {
     "served": AttemptResult.OK,
@@ -62,7 +64,7 @@
     "diff": EndpointListKind.CHANGES,
     "error": EndpointListKind.FAILED,
 }
-PLAIN = PlainForm()
+PLAIN = QuotaGossipCodec()
 
 
 class WireError(Exception):
@@ -108,14 +110,14 @@
         return word == "1"
 
 
-def read_pairs(parts: Iterable[str]) -> Pairs:
+def read_pairs(parts: Iterable[str]) -> SettingsReader:
     values: dict[str, str] = {}
     for part in parts:
         path, sign, value = part.partition("=")
         if not sign:
             raise WireError(f"'{part}' is not path=value")
         values[path] = value
-    return Pairs(values)
+    return SettingsReader(values)
 
 
 def read_load(fields: Fields, names: list[str]) -> LoadReport | None:
@@ -125,7 +127,7 @@
     values = fields.text().split(",")
     if len(values) > len(names):
         raise WireError("the load report has more values than names")
-    return read_report(zip(names, values, strict=False))
+    return parse_load_report(zip(names, values, strict=False))
 
 
 def read_server(line: str) -> Endpoint:
@@ -203,7 +205,7 @@
     raise WireError(f"unknown message '{name}'")
 
 
-def write_action(action: Action, form: Form = PLAIN) -> str:
+def write_action(action: Action, form: GossipCodec = PLAIN) -> str:
     match action:
         case SendGossip(peer, words):
             return "\n".join(f"TELL {peer} {data.hex()}" for data in form.pack(peer, words))
@@ -245,7 +247,7 @@
 
     def __init__(self, with_limits: bool = False) -> None:
         self.with_limits = with_limits
-        self.forms: dict[int, Form] = {}
+        self.forms: dict[int, GossipCodec] = {}
         self.gateways: dict[int, Gateway] = {}
         self.report_names: dict[int, list[str]] = {}
         self.sheets: dict[int, tuple[Endpoint, ...]] = {}
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -39,7 +39,7 @@
 )
 from molereach.policy.interface.messages import CustomerKey, LimitMessage
 from molereach.policy.interface.settings import Plan, RequestClass, Settings
-from molereach.protocol.gossip_codec import Form, PlainForm
+from molereach.protocol.gossip_codec import GossipCodec, QuotaGossipCodec
 
 S, MS = 1_000_000, 1_000
 TICK_US = 20 * MS
@@ -338,7 +338,7 @@
         super().__init__(seed, doors, 0.001, 3600 * S)
         self.with_limits, self.plan, self.figures = with_limits, plan, figures or LimitSettings()
         self.gateways: dict[int, Gateway] = {}
-        self.forms: dict[int, Form] = {}
+        self.forms: dict[int, GossipCodec] = {}
         self.customer = f"{self.random.getrandbits(33):016x}"
         # What the quota lets through, without a floor: below nothing is what went beyond it.
         self.quota = Store(plan.quota_rate, plan.quota_burst, plan.quota_burst, 0)
@@ -363,7 +363,9 @@
         )
         limits = Limits(settings, self.figures) if self.with_limits else None
         self.forms[node.number] = (
-            Codec(limits.me, limits.generation, limits.counts, hears=limits.hears) if limits else PlainForm()
+            Codec(limits.me, limits.generation, limits.counts, hears=limits.hears)
+            if limits
+            else QuotaGossipCodec()
         )
         self.gateways[node.number] = Gateway(settings, limits)
         self.tell(node, EndpointListReceived(EndpointListKind.FULL, 1, FLEET))
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -20,7 +20,7 @@
 from molereach.discovery.watch_stream import Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
-from molereach.protocol.gossip_codec import pack_words, unpack_words
+from molereach.protocol.gossip_codec import pack_messages, unpack_messages
 from molereach.proxy.config import Address
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
@@ -140,12 +140,12 @@
         )
         await hollow.do_begin(tier.shown(), [0], [1], [])
         await hollow.do_pause(True)
-        (data,) = pack_words([GossipMessage(key, 0, 0, 3, requested_units=1.0, demand=1.0)])
+        (data,) = pack_messages([GossipMessage(key, 0, 0, 3, requested_units=1.0, demand=1.0)])
         try:
             transport.sendto(data, peer_address(1, port))
             heard: tuple[GossipMessage, ...] = ()
             while not any(word.is_reply and word.customer_checksum == key for word in heard):
-                heard = unpack_words(await answers.get())
+                heard = unpack_messages(await answers.get())
             taken = await hollow.do_take()
             counts = taken["doors"]["0"]  # type: ignore[index]
             assert counts["sent_datagrams"] == 1 and counts["sent_bytes"] == len(data)
@@ -165,7 +165,7 @@
 
         class Real(asyncio.DatagramProtocol):
             def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-                for word in unpack_words(data):
+                for word in unpack_messages(data):
                     words.put_nowait(word)
 
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -20,7 +20,7 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.protocol.gossip_codec import PlainForm
+from molereach.protocol.gossip_codec import QuotaGossipCodec
 
 SENDER, PEER, GENERATION = 3, 1, 0xBEEF
 KEY = bytes(range(16))
@@ -128,12 +128,12 @@
 
 def plain_datagrams() -> list[bytes]:
     """Quota words in the form of the last version."""
-    return PlainForm().pack(PEER, QUOTA_WORDS)
+    return QuotaGossipCodec().pack(PEER, QUOTA_WORDS)
 
 
 def too_large_datagrams() -> list[bytes]:
     """A word whose amounts are cut to what fits."""
-    return PlainForm().pack(PEER, (TOO_LARGE,))
+    return QuotaGossipCodec().pack(PEER, (TOO_LARGE,))
 
 
 def limit_datagrams(packing: Codec) -> list[bytes]:
--- a/tests/compatibility/settings_samples.py
+++ b/tests/compatibility/settings_samples.py
@@ -16,7 +16,7 @@
 
 from molereach import operator_config
 from molereach.fleet import settings as fleet_settings
-from molereach.protocol.gossip_codec import read_report
+from molereach.protocol.load_reports import parse_load_report
 from molereach.proxy import config
 
 FLAG = re.compile(r"\b(?:true|false)\b")
@@ -223,7 +223,7 @@
     "agent-whole": lambda: agent(WHOLE_AGENT),
     "operator-least": lambda: operator_config.decode(LEAST_OPERATOR),
     "operator-whole": lambda: operator_config.decode(WHOLE_OPERATOR),
-    "load-reports": lambda: [read_report(report) for report in REPORTS],
+    "load-reports": lambda: [parse_load_report(report) for report in REPORTS],
 }
 
 
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -5,7 +5,7 @@
 from molereach.limits.messages import Codec
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import GossipMessage, LimitMessage
-from molereach.protocol.gossip_codec import PlainForm
+from molereach.protocol.gossip_codec import QuotaGossipCodec
 from tests.compatibility import gossip_samples as samples
 from tests.compatibility.recording import recorded_lines
 
@@ -26,7 +26,7 @@
 
 
 def test_plain_datagrams_are_read_as_packed() -> None:
-    messages = [PlainForm().unpack(samples.SENDER, data) for data in datagrams("gossip-plain.hex")]
+    messages = [QuotaGossipCodec().unpack(samples.SENDER, data) for data in datagrams("gossip-plain.hex")]
     assert all(message is not None and message.sender == samples.SENDER for message in messages)
     words = tuple(word for message in messages if message for word in message.messages)
     assert words == samples.QUOTA_WORDS
@@ -34,7 +34,7 @@
 
 def test_amounts_past_their_field_are_read_as_its_bounds() -> None:
     (data,) = datagrams("gossip-plain-too-large.hex")
-    assert PlainForm().unpack(samples.SENDER, data) == GossipReceived(
+    assert QuotaGossipCodec().unpack(samples.SENDER, data) == GossipReceived(
         sender=samples.SENDER, messages=(samples.TOO_LARGE_READ,)
     )
 
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -13,7 +13,7 @@
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState, Event
 from molereach.policy.interface.messages import GossipMessage
-from molereach.protocol.gossip_codec import pack_words
+from molereach.protocol.gossip_codec import pack_messages
 from molereach.proxy.gossip import Peers
 from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
@@ -142,9 +142,9 @@
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
         words = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
         with stranger:
-            stranger.sendto(pack_words(words[:1])[0], ports[0])
+            stranger.sendto(pack_messages(words[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
-        friend.transport.sendto(pack_words(words)[0] * 2, ports[0])  # longer than the wire allows
+        friend.transport.sendto(pack_messages(words)[0] * 2, ports[0])  # longer than the wire allows
         friend.tell(SendGossip(0, words))
         got: tuple[GossipMessage, ...] = ()
         while len(got) < len(words):
--- a/tests/limits/test_messages.py
+++ b/tests/limits/test_messages.py
@@ -16,7 +16,7 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.protocol.gossip_codec import WORD, pack_words, unpack_words
+from molereach.protocol.gossip_codec import RECORD, pack_messages, unpack_messages
 
 KEYS = st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 255), st.integers(0, 65535), st.integers(0, 65535))
 NUMBERS, SHARES = st.integers(0, 2**32 - 1), st.integers(0, 10_000)
@@ -40,7 +40,7 @@
     heard = [receiver.unpack(2, data) for data in datagrams]
     assert [word for message in heard if message for word in message.messages] == words
     assert all(message and message.incarnation == 77 for message in heard)
-    assert all(not unpack_words(data) for data in datagrams)  # a front door of the last version drops them
+    assert all(not unpack_messages(data) for data in datagrams)  # a front door of the last version drops them
 
 
 @given(st.binary(max_size=256))
@@ -52,12 +52,12 @@
 
 def test_old_and_new_versions_understand_each_other() -> None:
     word = GossipMessage(9, 1, 2, 3, True, 1.5)
-    old = pack_words([word] * 3)[0]
+    old = pack_messages([word] * 3)[0]
     assert Codec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
     assert Codec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
     first, second = Codec(1, 5, speaks=lambda peer: False).pack(2, [word, Join()])
-    assert unpack_words(first) == (word,) and unpack_words(second) == ()
-    assert len(Codec(1, 5).pack(2, [])[0]) < WORD.size  # a beat
+    assert unpack_messages(first) == (word,) and unpack_messages(second) == ()
+    assert len(Codec(1, 5).pack(2, [])[0]) < RECORD.size  # a beat
 
 
 @pytest.mark.parametrize(
--- a/tests/races/test_peers_words.py
+++ b/tests/races/test_peers_words.py
@@ -10,7 +10,7 @@
 
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.messages import GossipMessage
-from molereach.protocol.gossip_codec import MESSAGE_BYTES, WORD, pack_words, unpack_words
+from molereach.protocol.gossip_codec import MAX_DATAGRAM_BYTES, RECORD, pack_messages, unpack_messages
 from tests.sockets import HOST, SETTINGS, Client, front_door, resp, run
 
 HOME_0 = 4  # a customer's checksum: the first of a set of two is its home
@@ -35,17 +35,25 @@
         listen = own.getsockname()
         own.close()  # from now on the front door's
         async with front_door(peer_listen=listen, peers=(listen, peer.getsockname())) as (door, address):
-            good = pack_words([ask(HOME_0)])[0]
-            stranger.sendto(pack_words([ask(HOME_0 + 2)])[0], listen)
+            good = pack_messages([ask(HOME_0)])[0]
+            stranger.sendto(pack_messages([ask(HOME_0 + 2)])[0], listen)
             drawn = random.Random(5)
-            for size in (0, 1, WORD.size - 1, WORD.size + 1, MESSAGE_BYTES - 1, MESSAGE_BYTES + 1, 1400):
+            for size in (
+                0,
+                1,
+                RECORD.size - 1,
+                RECORD.size + 1,
+                MAX_DATAGRAM_BYTES - 1,
+                MAX_DATAGRAM_BYTES + 1,
+                1400,
+            ):
                 peer.sendto(drawn.randbytes(size), listen)
             peer.sendto(good * 15, listen)  # whole words, but longer than a message may be
             others = [ask(8, 1, 1), ask(8, size=3), ask(8, first=9), ask(8, size=0), ask(8, plan=7)]
-            peer.sendto(pack_words(others)[0], listen)
+            peer.sendto(pack_messages(others)[0], listen)
             peer.sendto(good, listen)
             loop = asyncio.get_running_loop()
-            (answer,) = unpack_words(await loop.sock_recv(peer, 2048))
+            (answer,) = unpack_messages(await loop.sock_recv(peer, 2048))
             assert answer.is_reply and answer.customer_checksum == HOME_0
             assert [key[0] for key in door.gateway.customers.known] == [HOME_0]
             assert not [record for record in caplog.records if record.levelno >= logging.ERROR]
@@ -66,13 +74,13 @@
         peer, drawn = datagrams(), random.Random(11)
         async with front_door(peer_listen=listen, peers=(listen, peer.getsockname())):
             for _ in range(200):
-                peer.sendto(drawn.randbytes(WORD.size * drawn.randrange(1, 12)), listen)
-            peer.sendto(pack_words([ask(HOME_0)])[0], listen)
+                peer.sendto(drawn.randbytes(RECORD.size * drawn.randrange(1, 12)), listen)
+            peer.sendto(pack_messages([ask(HOME_0)])[0], listen)
             heard: set[int] = set()
             while HOME_0 not in heard:
                 data = await asyncio.get_running_loop().sock_recv(peer, 2048)
-                assert len(data) <= MESSAGE_BYTES
-                heard |= {word.customer_checksum for word in unpack_words(data)}
+                assert len(data) <= MAX_DATAGRAM_BYTES
+                heard |= {word.customer_checksum for word in unpack_messages(data)}
             peer.close()
 
     run(job())
@@ -81,9 +89,9 @@
 def test_datagrams_stay_within_the_bound_whatever_is_told() -> None:
     words = [ask(number) for number in range(100)]
     words += [replace(words[0], demand=1e9, requested_units=1e9, tokens=-1e9, spent_units=-1e9)]
-    messages = pack_words(words)
-    assert max(map(len, messages)) <= MESSAGE_BYTES
-    assert sum(len(unpack_words(data)) for data in messages) == 101
+    messages = pack_messages(words)
+    assert max(map(len, messages)) <= MAX_DATAGRAM_BYTES
+    assert sum(len(unpack_messages(data)) for data in messages) == 101
 
 
 def test_peer_that_cannot_be_reached_takes_no_way_to_the_others() -> None:
@@ -99,8 +107,8 @@
         async with front_door(peer_listen=listen, peers=peers, settings=settings) as (door, _):
             for number in (1, 2):
                 door.peers.tell(SendGossip(number, (ask(HOME_0),)))
-            assert unpack_words(await asyncio.get_running_loop().sock_recv(peer, 2048))
-            peer.sendto(pack_words([ask(6, size=3)])[0], listen)
+            assert unpack_messages(await asyncio.get_running_loop().sock_recv(peer, 2048))
+            peer.sendto(pack_messages([ask(6, size=3)])[0], listen)
             await asyncio.get_running_loop().sock_recv(peer, 2048)
             peer.close()
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -23,7 +23,8 @@
 )
 from molereach.policy.interface.events import GossipReceived, LoadReport
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
-from molereach.protocol.gossip_codec import WORD, pack_words, read_report, unpack_words
+from molereach.protocol.gossip_codec import RECORD, pack_messages, unpack_messages
+from molereach.protocol.load_reports import parse_load_report
 from molereach.simulator.adapter import Host, write_action
 from tests.helpers import SETTINGS, World
 
@@ -175,18 +176,18 @@
 
 def test_words_come_back_as_they_went() -> None:
     words = tuple(GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
-    messages = pack_words(words)
+    messages = pack_messages(words)
     assert len(messages) > 1 and max(map(len, messages)) <= 256
-    assert sum((unpack_words(message) for message in messages), ()) == words
-    assert unpack_words(messages[0][:-1]) == ()
-    assert unpack_words(pack_words([GossipMessage(1, 0, 0, 2, tokens=1e9)])[0])[0].tokens == 32767 / 50
+    assert sum((unpack_messages(message) for message in messages), ()) == words
+    assert unpack_messages(messages[0][:-1]) == ()
+    assert unpack_messages(pack_messages([GossipMessage(1, 0, 0, 2, tokens=1e9)])[0])[0].tokens == 32767 / 50
 
 
 def test_load_report_out_of_range_says_nothing() -> None:
     """Not an error: the wire may carry what no server can mean."""
-    assert read_report([("util", "7"), ("queue", "3")]) == LoadReport(queue_length=3.0)
+    assert parse_load_report([("util", "7"), ("queue", "3")]) == LoadReport(queue_length=3.0)
     with pytest.raises(ValueError, match="nan"):
-        read_report([("util", "nan")])
+        parse_load_report([("util", "nan")])
 
 
 def test_words_keep_their_flags_and_older_versions_pass_over_the_mark() -> None:
@@ -195,9 +196,11 @@
         GossipMessage(7, 1, 2, 3, True, is_within_quota=True),
         GossipMessage(0, SPLIT_CEILING_MARK, 0, 0),
     )
-    (data,) = pack_words(told)
-    assert unpack_words(data) == told
-    assert len(data) == 3 * WORD.size and data[8] != 0  # any flag is an answer to an older version: so it is
+    (data,) = pack_messages(told)
+    assert unpack_messages(data) == told
+    assert (
+        len(data) == 3 * RECORD.size and data[8] != 0
+    )  # any flag is an answer to an older version: so it is
     world = World(replace(SETTINGS, proxy_count=2))
     world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
     assert not world.gateway.customers.known
