--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -84,7 +84,7 @@
 def bound(history: QuotaHistory, events: int) -> float:
     """docs/design/limits.md: the most that may go beyond a quota, for so many splits, stops and restarts."""
     plan, others = history.plan, len(history.nodes) - 1
-    silence_s = 4 * history.figures.beat_us / S
+    silence_s = 4 * history.figures.heartbeat_us / S
     return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_US / S))
 
 
@@ -333,9 +333,9 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
         key = (number, 0, 0, 3)
-        limits.want(10 * S, key, 1.0)
-        limits.reach(10 * S, key)
-        limits.spend(10 * S, key, 1.0, 1.0)
+        limits.request_capacity(10 * S, key, 1.0)
+        limits.reachable_quota(10 * S, key)
+        limits.record_spending(10 * S, key, 1.0, 1.0)
     taken = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return taken / count
--- a/molereach/limits/messages.py
+++ b/molereach/limits/messages.py
@@ -129,7 +129,7 @@
 }
 
 
-class Codec:
+class LimitGossipCodec:
     """Datagrams of one front door: its number, generation and, where the network is not trusted, a key.
 
     `speaks` tells whether a peer is known to read this form; until then it is told as by the last version.
@@ -144,34 +144,42 @@
         key: bytes = b"",
         hears: Callable[[int], bool] = lambda peer: True,
     ) -> None:
-        self.me, self.generation, self.key, self.speaks, self.hears = me, generation, key, speaks, hears
-        self.room = MAX_DATAGRAM_BYTES - HEADER.size - (TAG_BYTES if key else 0) - 1  # the last: for a pad
-
-    def tag(self, sender: int, data: bytes) -> bytes:
+        self.proxy_index, self.incarnation, self.key, self.understands, self.receives_from = (
+            me,
+            generation,
+            key,
+            speaks,
+            hears,
+        )
+        self.max_body_bytes = (
+            MAX_DATAGRAM_BYTES - HEADER.size - (TAG_BYTES if key else 0) - 1
+        )  # the last: for a pad
+
+    def authentication_tag(self, sender: int, data: bytes) -> bytes:
         return hashlib.blake2b(sender.to_bytes(2, "big") + data, digest_size=TAG_BYTES, key=self.key).digest()
 
     def pack(self, peer: int, words: Words) -> list[bytes]:
         """Datagrams with the words, and one in any case."""
-        plain_form = not self.key and not self.speaks(peer)
+        plain_form = not self.key and not self.understands(peer)
         packed = pack_messages(word for word in words if plain_form and isinstance(word, GossipMessage))
         body = b""
         for word in words:
             if plain_form and isinstance(word, GossipMessage):
                 continue
             record = pack_record(word)
-            if len(body) + len(record) > self.room:
-                packed.append(self.close(peer, body))
+            if len(body) + len(record) > self.max_body_bytes:
+                packed.append(self.seal(peer, body))
                 body = b""
             body += record
         if body or not packed:
-            packed.append(self.close(peer, body))
+            packed.append(self.seal(peer, body))
         return packed
 
-    def close(self, peer: int, body: bytes) -> bytes:
-        data = HEADER.pack(MAGIC, VERSION, self.generation, self.hears(peer)) + body
+    def seal(self, peer: int, body: bytes) -> bytes:
+        data = HEADER.pack(MAGIC, VERSION, self.incarnation, self.receives_from(peer)) + body
         if (len(data) + (TAG_BYTES if self.key else 0)) % RECORD.size == 0:
             data += bytes([PAD])
-        return data + self.tag(self.me, data) if self.key else data
+        return data + self.authentication_tag(self.proxy_index, data) if self.key else data
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
         """What a datagram says; None for one that is malformed, of another version or without the key."""
@@ -180,7 +188,7 @@
             return GossipReceived(sender, words) if words else None
         if self.key:
             data, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
-            if not hmac.compare_digest(tag, self.tag(sender, data)):
+            if not hmac.compare_digest(tag, self.authentication_tag(sender, data)):
                 return None
         if len(data) < HEADER.size:
             return None
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -5,7 +5,7 @@
 
 from molereach.keyfile import read_key
 from molereach.limits.core import Limits
-from molereach.limits.messages import Codec
+from molereach.limits.messages import LimitGossipCodec
 from molereach.limits.settings import LimitSettings
 from molereach.operator_config import LimitsSection
 from molereach.proxy.proxy import FrontDoor
@@ -18,7 +18,12 @@
 
     async def attach(door: FrontDoor) -> Callable[[], None]:
         limits = Limits(door.settings, figures)
-        door.use_limits(limits, Codec(limits.me, limits.generation, limits.counts, key, limits.hears))
+        door.use_limits(
+            limits,
+            LimitGossipCodec(
+                limits.proxy_index, limits.incarnation, limits.sends_totals, key, limits.receives_from
+            ),
+        )
         return lambda: None
 
     return attach
--- a/molereach/policy/admission.py
+++ b/molereach/policy/admission.py
@@ -119,7 +119,7 @@
         self.peers.hear(now, message.sender)
         limits = self.customers.limits
         if limits:
-            limits.hear(now, message)
+            limits.receive(now, message)
         for word in message.messages:
             if not isinstance(word, GossipMessage):
                 if limits and isinstance(word, SpendingTotal) and self.in_my_set(word.key):
@@ -146,7 +146,7 @@
                 customer.told, customer.level = True, min(customer.level, word.tokens)
             customer.others += word.demand
             limits = self.customers.limits
-            counted = limits is not None and limits.counts(sender)
+            counted = limits is not None and limits.sends_totals(sender)
             customer.spend(0.0 if counted else word.spent_units)
             # The chance is drawn here, where it is counted: were its mean counted, and what came of it
             # told with the asker's next word, the store would be wrong until then.
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -42,7 +42,7 @@
                 known.part = known.level = known.ceiling = known.pool = 0.0
         self.known[key] = known
         if self.limits:
-            home, known.reach, joined = self.limits.reach(now, key)
+            home, known.reach, joined = self.limits.reachable_quota(now, key)
             known.level += joined
             if home != known.home:
                 known.home, known.asked_us = home, NEVER_US
@@ -65,17 +65,17 @@
         customer.spend(units)
         customer.part, customer.spent = max(0.0, customer.part - units), customer.spent + units
         if self.limits:
-            self.limits.spend(now, customer.key, units, customer.part)
+            self.limits.record_spending(now, customer.key, units, customer.part)
 
     def want(self, now: int, customer: Customer, units: float) -> None:
         """A request will take so much of the ceiling."""
         if self.limits and customer.plan.ceiling_rate:
-            self.limits.want(now, customer.key, units)
+            self.limits.request_capacity(now, customer.key, units)
 
     def below_ceiling(self, now: int, customer: Customer, units: float) -> bool:
         """Whether so much may be sent on now."""
         if self.limits and customer.plan.ceiling_rate:
-            return self.limits.room(now, customer.key, units)
+            return self.limits.has_capacity(now, customer.key, units)
         if not customer.plan.ceiling_rate or customer.has_given(now, units):
             return True
         return customer.refill(now).ceiling >= units
@@ -84,16 +84,16 @@
         """So much is sent on."""
         customer.pass_ceiling(now, units)
         if self.limits and customer.plan.ceiling_rate:
-            self.limits.take(now, customer.key, units)
+            self.limits.consume(now, customer.key, units)
 
     def take_total(self, now: int, sender: int, total: SpendingTotal) -> None:
         """What a peer spent since its last word; what joins of a part that was apart lifts the store."""
         assert self.limits
-        customer, units = self.get(now, total.key), self.limits.spent(now, sender, total)
+        customer, units = self.get(now, total.key), self.limits.apply_spending_total(now, sender, total)
         if units >= 0:
             customer.spend(units)
         else:
-            customer.reach = self.limits.reach(now, total.key)[1]
+            customer.reach = self.limits.reachable_quota(now, total.key)[1]
             customer.level = min(customer.plan.quota_burst * customer.reach, customer.level - units)
 
     def standing(self, customer: str, now: int) -> list[tuple[int, float, float, float, float, float | None]]:
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -84,7 +84,7 @@
         busy = self.held or self.words.waiting or self.attempts.jobs
         due = max(now_us + TICK_US, 0 if busy else min(cap.period_us + cap.cc_us, self.words.due_us))
         if limits:
-            due = min(due, max(now_us + TICK_US, limits.wake_us))
+            due = min(due, max(now_us + TICK_US, limits.next_due_us))
         if due < self.alarm_us:
             self.alarm_us = due
             self.actions.append(SetTimer(due - now_us, 0))
@@ -107,7 +107,7 @@
 
     def shares_held(self, customer: str, now_us: int) -> list[CustomerLimits]:
         """Shares of the customer's ceilings here, where shares move."""
-        return self.limits.held(zlib.crc32(customer.encode()), now_us) if self.limits else []
+        return self.limits.snapshot(zlib.crc32(customer.encode()), now_us) if self.limits else []
 
     def on_tick(self, _: TimerExpired) -> None:
         if self.now < self.alarm_us:
--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -86,7 +86,7 @@
         """Words leave at once, but in a small set spaced so that all peers together take half an intake."""
         limits, waiting = self.customers.limits, self.waiting
         self.tell_late(now)
-        for peer, word in limits.due(now) if limits else ():
+        for peer, word in limits.due_messages(now) if limits else ():
             waiting.setdefault(peer, []).extend([word] if word else [])
         if not waiting:
             return ()
@@ -101,5 +101,5 @@
                 waiting[peer].append(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
             leaving.append(SendGossip(peer, tuple(waiting.pop(peer))))
             if limits:
-                limits.told(now, peer)
+                limits.mark_sent(now, peer)
         return leaving
--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -31,43 +31,43 @@
     def start(self, now_us: int) -> None:
         """The gateway lives from now on; called once, before all others."""
 
-    def want(self, now_us: int, key: CustomerKey, units: float) -> None:
+    def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
         """A try came that will take so much of its customer's ceiling."""
 
-    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
+    def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
         """Whether so much may be sent on under the customer's ceiling now."""
 
-    def take(self, now_us: int, key: CustomerKey, units: float) -> None:
+    def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
         """So much was sent on."""
 
-    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
         """The customer's home as seen from here; where that is this gateway, the part of the quota, from 0 to
         1, that this side of a split may spend; and units that have joined the store since the last call."""
 
-    def spend(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
+    def record_spending(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
         """So much of the quota was spent here (below 0: given back), and so much of the part here is left."""
 
-    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
+    def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
         """What is new in a total, in units to be taken from the customer's store at its home."""
 
-    def counts(self, sender: int) -> bool:
+    def sends_totals(self, sender: int) -> bool:
         """Whether the other gateway tells totals, so that what its words say of spending is passed over."""
 
-    def hear(self, now_us: int, message: GossipReceived) -> None:
+    def receive(self, now_us: int, message: GossipReceived) -> None:
         """A message from another gateway, before the module looks at its words."""
 
-    def bye(self) -> list[tuple[int, LimitMessage]]:
+    def leave_messages(self) -> list[tuple[int, LimitMessage]]:
         """The last words, for each a peer."""
 
-    def told(self, now_us: int, peer: int) -> None:
+    def mark_sent(self, now_us: int, peer: int) -> None:
         """A message has just left for a peer."""
 
-    def due(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
+    def due_messages(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
         """Words to peers by now; None asks for a message to the peer even if there is no word for it."""
 
     @property
-    def wake_us(self) -> int:
+    def next_due_us(self) -> int:
         """When `due` has something to do without an event."""
 
-    def held(self, customer: int, now_us: int) -> list[CustomerLimits]:
+    def snapshot(self, customer: int, now_us: int) -> list[CustomerLimits]:
         """What is known of a customer, by the checksum of its name; it only reads."""
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -219,7 +219,7 @@
         self.ending = Ending(now_us() if told_us is None else told_us, deadlines_us)
         self.hurry(self.ending.answers_by_us)
         await drain(self.ending, self.clients, self.open)
-        for peer, word in self.gateway.limits.bye() * BYES if self.gateway.limits else ():
+        for peer, word in self.gateway.limits.leave_messages() * BYES if self.gateway.limits else ():
             self.peers.tell(SendGossip(peer, (word,)))
         for end in self.last:
             await end()
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -297,11 +297,13 @@
             self.forms[instance] = PLAIN
             return Gateway(settings)
         from molereach.limits.core import Limits
-        from molereach.limits.messages import Codec
+        from molereach.limits.messages import LimitGossipCodec
         from molereach.limits.settings import LimitSettings
 
         limits = Limits(settings, LimitSettings())
-        self.forms[instance] = Codec(limits.me, limits.generation, limits.counts, hears=limits.hears)
+        self.forms[instance] = LimitGossipCodec(
+            limits.proxy_index, limits.incarnation, limits.sends_totals, hears=limits.receives_from
+        )
         return Gateway(settings, limits)
 
     def read_list(self, fields: Fields) -> EndpointListReceived:
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -14,8 +14,8 @@
 from random import Random
 
 from molereach.limits.core import Limits
-from molereach.limits.escrow import WHOLE
-from molereach.limits.messages import Codec
+from molereach.limits.escrow import FULL_SHARE
+from molereach.limits.messages import LimitGossipCodec
 from molereach.limits.settings import LimitSettings
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import (
@@ -183,7 +183,7 @@
     def __init__(self, seed: int, make: Make | None = None, figures: LimitSettings | None = None) -> None:
         draw = Random(f"{seed}:shares")
         lease_us, floor = draw.choice((S // 2, S, 2 * S)), draw.choice((0.0, 0.1, 0.3))
-        self.figures = figures or LimitSettings(lease_us, drift=0.01, floor=floor)
+        self.figures = figures or LimitSettings(lease_us, drift=0.01, reserved_fraction=floor)
         doors = draw.randint(2, 5)
         super().__init__(seed, doors, self.figures.drift, draw.choice((0, S, 3600 * S)))
         self.plan = Plan(
@@ -199,7 +199,7 @@
         self.make = make or (lambda settings: Limits(settings, self.figures))
         self.store = Store(self.plan.ceiling_rate, self.plan.ceiling_burst, self.plan.ceiling_burst, 0)
         self.limits: dict[int, Limits] = {}
-        self.codecs: dict[int, Codec] = {}
+        self.codecs: dict[int, LimitGossipCodec] = {}
         self.most_share = 0.0
         self.granted = self.steps = 0
         for node in self.nodes:
@@ -217,7 +217,7 @@
             gossip_messages_per_s=60.0,
         )
         limits = self.limits[node.number] = self.make(settings)
-        self.codecs[node.number] = Codec(node.number, limits.generation)
+        self.codecs[node.number] = LimitGossipCodec(node.number, limits.incarnation)
         limits.start(node.clock(self.now))
         self.tick(node, node.life)
 
@@ -229,25 +229,25 @@
 
     def tell(self, node: Node) -> None:
         words: dict[int, list[LimitMessage]] = {}
-        for peer, word in self.limits[node.number].due(node.clock(self.now)):
+        for peer, word in self.limits[node.number].due_messages(node.clock(self.now)):
             words.setdefault(peer, []).extend([word] if word else [])
         for peer, each in words.items():
-            self.limits[node.number].told(node.clock(self.now), peer)
+            self.limits[node.number].mark_sent(node.clock(self.now), peer)
             for data in self.codecs[node.number].pack(peer, each):
                 self.post(node, peer, data)
         self.check()
 
     def hear(self, receiver: Node, sender: int, data: bytes) -> None:
         if message := self.codecs[receiver.number].unpack(sender, data):
-            self.limits[receiver.number].hear(receiver.clock(self.now), message)
+            self.limits[receiver.number].receive(receiver.clock(self.now), message)
             self.tell(receiver)
 
     def ask(self, node: Node, units: float) -> None:
         """A try comes: it is sent on if there is room, and the judge's store pays for it."""
         limits, now = self.limits[node.number], node.clock(self.now)
-        limits.want(now, self.key, units)
-        if limits.room(now, self.key, units):
-            limits.take(now, self.key, units)
+        limits.request_capacity(now, self.key, units)
+        if limits.has_capacity(now, self.key, units):
+            limits.consume(now, self.key, units)
             self.granted += 1
             self.store.take(self.now, units)
         self.tell(node)
@@ -260,13 +260,13 @@
             if node.up and limits and self.key in limits.escrow.accounts:
                 account = limits.escrow.account(clock, self.key)
                 assert account
-                shares, stores = shares + account.share(clock), stores + account.store
+                shares, stores = shares + account.usable_share(clock), stores + account.tokens
         self.store.take(self.now, 0.0)
         if stores > self.store.level + EPS:
             raise BrokenError(f"stores of {stores:.4f}, there are {self.store.level:.4f}, at {self.now} us")
-        self.most_share = max(self.most_share, shares / WHOLE)
-        if shares > WHOLE:
-            raise BrokenError(f"shares of {shares / WHOLE:.4f} of a ceiling at {self.now / S:.3f} s")
+        self.most_share = max(self.most_share, shares / FULL_SHARE)
+        if shares > FULL_SHARE:
+            raise BrokenError(f"shares of {shares / FULL_SHARE:.4f} of a ceiling at {self.now / S:.3f} s")
 
     def play(self, seconds: float = 12.0) -> "ShareHistory":
         """Draw traffic that moves, and faults; run to the end."""
@@ -363,7 +363,9 @@
         )
         limits = Limits(settings, self.figures) if self.with_limits else None
         self.forms[node.number] = (
-            Codec(limits.me, limits.generation, limits.counts, hears=limits.hears)
+            LimitGossipCodec(
+                limits.proxy_index, limits.incarnation, limits.sends_totals, hears=limits.receives_from
+            )
             if limits
             else QuotaGossipCodec()
         )
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from itertools import product
 
-from molereach.limits.messages import Codec
+from molereach.limits.messages import LimitGossipCodec
 from molereach.policy.interface.messages import (
     SPLIT_CEILING_MARK,
     CustomerKey,
@@ -99,15 +99,15 @@
 Words = Sequence[GossipMessage | LimitMessage]
 
 
-def codec(keyed: bool, hears: bool, speaks: bool = True) -> Codec:
+def codec(keyed: bool, hears: bool, speaks: bool = True) -> LimitGossipCodec:
     """The codec of the sending front door."""
-    return Codec(
+    return LimitGossipCodec(
         SENDER, GENERATION, speaks=lambda peer: speaks, key=KEY if keyed else b"", hears=lambda peer: hears
     )
 
 
 # Every way of packing the form with limits: whether a key is set, and whether the receiver was heard of late.
-CODECS: dict[str, Codec] = {
+CODECS: dict[str, LimitGossipCodec] = {
     f"{'keyed' if keyed else 'open'}-{'hears' if hears else 'deaf'}": codec(keyed, hears)
     for keyed, hears in product((False, True), (False, True))
 }
@@ -136,7 +136,7 @@
     return QuotaGossipCodec().pack(PEER, (TOO_LARGE,))
 
 
-def limit_datagrams(packing: Codec) -> list[bytes]:
+def limit_datagrams(packing: LimitGossipCodec) -> list[bytes]:
     """A datagram for each kind of record, then one run of all of them."""
     single = [datagram for words in SINGLE.values() for datagram in packing.pack(PEER, words)]
     return [*single, *packing.pack(PEER, MANY)]
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.limits.messages import Codec
+from molereach.limits.messages import LimitGossipCodec
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import GossipMessage, LimitMessage
 from molereach.protocol.gossip_codec import QuotaGossipCodec
@@ -15,7 +15,7 @@
     return [bytes.fromhex(line) for line in recorded_lines(name)]
 
 
-def read_all(packing: Codec, found: list[bytes]) -> list[GossipMessage | LimitMessage]:
+def read_all(packing: LimitGossipCodec, found: list[bytes]) -> list[GossipMessage | LimitMessage]:
     """The words of all datagrams; each of them has to be readable."""
     words: list[GossipMessage | LimitMessage] = []
     for data in found:
@@ -57,7 +57,10 @@
     for data in datagrams(f"gossip-limits-{name}.hex"):
         message = packing.unpack(samples.SENDER, data)
         assert message is not None
-        assert (message.incarnation, message.is_heard) == (samples.GENERATION, packing.hears(samples.PEER))
+        assert (message.incarnation, message.is_heard) == (
+            samples.GENERATION,
+            packing.receives_from(samples.PEER),
+        )
 
 
 def test_a_datagram_is_not_read_with_another_key_or_sender() -> None:
--- a/tests/limits/test_messages.py
+++ b/tests/limits/test_messages.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.limits.messages import Codec
+from molereach.limits.messages import LimitGossipCodec
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
     GossipMessage,
@@ -34,7 +34,7 @@
 
 @given(st.lists(WORDS, max_size=60), st.sampled_from([b"", KEY]))
 def test_words_are_read_as_they_were_told(words: list[GossipMessage | LimitMessage], key: bytes) -> None:
-    sender, receiver = Codec(2, 77, key=key), Codec(1, 5, key=key)
+    sender, receiver = LimitGossipCodec(2, 77, key=key), LimitGossipCodec(1, 5, key=key)
     datagrams = sender.pack(1, words)
     assert datagrams and all(len(data) <= 256 for data in datagrams)
     heard = [receiver.unpack(2, data) for data in datagrams]
@@ -45,19 +45,19 @@
 
 @given(st.binary(max_size=256))
 def test_garbage_is_no_message_and_no_error(data: bytes) -> None:
-    Codec(1, 5).unpack(2, data)
-    assert Codec(1, 5, key=KEY).unpack(2, data) is None
-    Codec(1, 5).unpack(2, Codec(2, 77).close(1, b"") + data)
+    LimitGossipCodec(1, 5).unpack(2, data)
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data) is None
+    LimitGossipCodec(1, 5).unpack(2, LimitGossipCodec(2, 77).seal(1, b"") + data)
 
 
 def test_old_and_new_versions_understand_each_other() -> None:
     word = GossipMessage(9, 1, 2, 3, True, 1.5)
     old = pack_messages([word] * 3)[0]
-    assert Codec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
-    assert Codec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
-    first, second = Codec(1, 5, speaks=lambda peer: False).pack(2, [word, Join()])
+    assert LimitGossipCodec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
+    first, second = LimitGossipCodec(1, 5, speaks=lambda peer: False).pack(2, [word, Join()])
     assert unpack_messages(first) == (word,) and unpack_messages(second) == ()
-    assert len(Codec(1, 5).pack(2, [])[0]) < RECORD.size  # a beat
+    assert len(LimitGossipCodec(1, 5).pack(2, [])[0]) < RECORD.size  # a beat
 
 
 @pytest.mark.parametrize(
@@ -71,12 +71,12 @@
     ],
 )
 def test_a_changed_datagram_does_not_have_the_key(change: "type") -> None:
-    codec = Codec(2, 77, key=KEY)
+    codec = LimitGossipCodec(2, 77, key=KEY)
     data = codec.pack(1, [JoinAcknowledged(4)])[0]
-    assert Codec(1, 5, key=KEY).unpack(2, data)
-    assert Codec(1, 5, key=KEY).unpack(0, data) is None  # another one's word
-    assert Codec(1, 5, key=b"x" * 32).unpack(2, data) is None
-    assert Codec(1, 5, key=KEY).unpack(2, change(data)) is None
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data)
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(0, data) is None  # another one's word
+    assert LimitGossipCodec(1, 5, key=b"x" * 32).unpack(2, data) is None
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, change(data)) is None
 
 
 @pytest.mark.parametrize(
@@ -90,5 +90,5 @@
     ],
 )
 def test_malformed_records_are_dropped_whole(body: bytes) -> None:
-    codec = Codec(1, 5)
-    assert codec.unpack(2, codec.close(2, b"\x04" + body)) is None
+    codec = LimitGossipCodec(1, 5)
+    assert codec.unpack(2, codec.seal(2, b"\x04" + body)) is None
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.limits.partition_quota import JOIN_US, Reach
+from molereach.limits.partition_quota import JOIN_DELAY_US, PartitionQuota
 from molereach.limits.settings import LimitSettings
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
 from molereach.policy.interface.settings import Plan
@@ -16,34 +16,41 @@
 KEY: CustomerKey = (3, 0, 0, 3)  # its home is front door 0
 
 
-def settled(me: int, **heard: int) -> Reach:
+def settled(me: int, **heard: int) -> PartitionQuota:
     """A front door of three, up for long, that has just heard the others."""
-    reach = Reach(me, 3, (QUOTA,), LimitSettings(), 60.0)
+    reach = PartitionQuota(me, 3, (QUOTA,), LimitSettings(), 60.0)
     reach.start_us = -100 * S
     for peer in {0, 1, 2} - {me}:
-        reach.heard(0, peer, 7)
-    reach.back_us = dict.fromkeys(reach.back_us, -100 * S)
+        reach.record_contact(0, peer, 7)
+    reach.reconnected_us = dict.fromkeys(reach.reconnected_us, -100 * S)
     return reach
 
 
 def test_parts_of_a_split_sum_to_the_whole_and_come_together() -> None:
     home, other, third = settled(0), settled(1), settled(2)
-    assert home.reach(0, KEY) == other.reach(0, KEY) == (0, 1.0, 0.0)
-    late = home.silence_us + 1
+    assert home.reachable_quota(0, KEY) == other.reachable_quota(0, KEY) == (0, 1.0, 0.0)
+    late = home.failure_timeout_us + 1
     for door in (home, other, third):  # all are apart: each is its own home
-        assert door.reach(late, KEY) == (door.me, pytest.approx(1 / 3), 0.0)
-    third.heard(late, 1, 7)  # two hear each other: one of them stands in for the home
-    other.heard(late, 2, 7)
-    assert third.reach(late, KEY) == (1, 1.0, 0.0)
-    assert other.reach(late, KEY)[:2] == (1, pytest.approx(1 / 3))  # first it is to hear what was spent
-    assert other.reach(late + JOIN_US + 1, KEY) == (1, pytest.approx(2 / 3), 8.0)  # there was nothing to tell
+        assert door.reachable_quota(late, KEY) == (door.proxy_index, pytest.approx(1 / 3), 0.0)
+    third.record_contact(late, 1, 7)  # two hear each other: one of them stands in for the home
+    other.record_contact(late, 2, 7)
+    assert third.reachable_quota(late, KEY) == (1, 1.0, 0.0)
+    assert other.reachable_quota(late, KEY)[:2] == (
+        1,
+        pytest.approx(1 / 3),
+    )  # first it is to hear what was spent
+    assert other.reachable_quota(late + JOIN_DELAY_US + 1, KEY) == (
+        1,
+        pytest.approx(2 / 3),
+        8.0,
+    )  # there was nothing to tell
 
 
 def test_a_link_that_works_one_way_is_a_split() -> None:
-    home, late = settled(0), settled(0).silence_us + 1
-    home.heard(late, 1, 7)
-    home.heard(late, 2, 7, mutual=False)
-    assert home.reach(late, KEY)[1] == pytest.approx(2 / 3) and home.hears(late, 2)
+    home, late = settled(0), settled(0).failure_timeout_us + 1
+    home.record_contact(late, 1, 7)
+    home.record_contact(late, 2, 7, mutual=False)
+    assert home.reachable_quota(late, KEY)[1] == pytest.approx(2 / 3) and home.receives_from(late, 2)
     over = []
     for link in ((0, 1), (1, 0), (0, 2)):
         history = QuotaHistory(1, 3, True)
@@ -57,19 +64,19 @@
 
 def test_who_ends_in_order_leaves_its_part_to_the_others() -> None:
     home = settled(0)
-    home.left(0, 1, 7)
-    late = home.silence_us + 1
-    home.heard(late, 2, 7)
-    assert home.reach(late, KEY) == (0, 1.0, 0.0)
-    home.heard(late, 1, 7)  # a word of that life, overtaken by its last one
-    assert home.reach(late, KEY)[1] == 1.0
+    home.record_leave(0, 1, 7)
+    late = home.failure_timeout_us + 1
+    home.record_contact(late, 2, 7)
+    assert home.reachable_quota(late, KEY) == (0, 1.0, 0.0)
+    home.record_contact(late, 1, 7)  # a word of that life, overtaken by its last one
+    assert home.reachable_quota(late, KEY)[1] == 1.0
     other = settled(1)
-    other.left(0, 0, 7)
-    other.heard(MS, 0, 7)  # the same of a home: it is not gone by again
-    assert other.reach(MS, KEY)[0] == 1
-    home.heard(late, 1, 8)
-    later = late + home.silence_us + 1
-    assert home.reach(later, KEY)[1] == pytest.approx(1 / 3)  # the next life is silent
+    other.record_leave(0, 0, 7)
+    other.record_contact(MS, 0, 7)  # the same of a home: it is not gone by again
+    assert other.reachable_quota(MS, KEY)[0] == 1
+    home.record_contact(late, 1, 8)
+    later = late + home.failure_timeout_us + 1
+    assert home.reachable_quota(later, KEY)[1] == pytest.approx(1 / 3)  # the next life is silent
 
 
 @pytest.mark.parametrize(
@@ -85,54 +92,62 @@
     spent: float, left: float, joins: float
 ) -> None:
     home = settled(0)
-    assert home.spent(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
-    apart = home.silence_us + 1
-    home.reach(apart, KEY)
+    assert home.apply_spending_total(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
+    apart = home.failure_timeout_us + 1
+    home.reachable_quota(apart, KEY)
     back = 10 * S
-    home.heard(back, 1, 7)
-    assert home.spent(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == pytest.approx(-joins)
-    assert home.spent(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == 0.0  # the same word again
-    assert home.spent(back, 1, SpendingTotal(KEY, 101.0 + spent, left)) == pytest.approx(1.0)
-    assert home.spent(back, 1, SpendingTotal(KEY, 90.0, 8.0)) == 0.0  # an older one, overtaken
+    home.record_contact(back, 1, 7)
+    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == pytest.approx(
+        -joins
+    )
+    assert (
+        home.apply_spending_total(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == 0.0
+    )  # the same word again
+    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 101.0 + spent, left)) == pytest.approx(1.0)
+    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 90.0, 8.0)) == 0.0  # an older one, overtaken
 
 
 def test_totals_make_good_what_was_lost_and_end_with_a_life() -> None:
     home = settled(0)
-    home.spent(0, 1, SpendingTotal(KEY, 5.0, 3.0))
-    assert home.spent(MS, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0  # two words between them were lost
-    home.heard(2 * MS, 1, 8)
-    assert home.spent(2 * MS, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0  # a new life counts from nothing
+    home.apply_spending_total(0, 1, SpendingTotal(KEY, 5.0, 3.0))
+    assert (
+        home.apply_spending_total(MS, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0
+    )  # two words between them were lost
+    home.record_contact(2 * MS, 1, 8)
+    assert (
+        home.apply_spending_total(2 * MS, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0
+    )  # a new life counts from nothing
     fresh: CustomerKey = (6, 0, 0, 3)
     assert (
-        home.spent(3 * MS, 1, SpendingTotal(fresh, 500.0, 5.0)) == 3.0
+        home.apply_spending_total(3 * MS, 1, SpendingTotal(fresh, 500.0, 5.0)) == 3.0
     )  # forgotten here: what its part lacks
 
 
 def test_a_home_that_starts_knows_neither_that_all_is_unused_nor_that_all_is_spent() -> None:
-    home = Reach(0, 3, (QUOTA,), LimitSettings(), 60.0)
+    home = PartitionQuota(0, 3, (QUOTA,), LimitSettings(), 60.0)
     home.start_us = S
     for peer in (1, 2):
-        home.heard(S + MS, peer, 7)
-    assert home.reach(S + 2 * MS, KEY)[1] == pytest.approx(1 / 3)
-    home.nothing_to_tell(2)
-    assert home.reach(S + 2 * MS, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
-    assert home.spent(S + 3 * MS, 1, SpendingTotal(KEY, 300.0, 2.0)) == -2.0
-    assert home.reach(S + 4 * MS, KEY)[1] == 1.0
+        home.record_contact(S + MS, peer, 7)
+    assert home.reachable_quota(S + 2 * MS, KEY)[1] == pytest.approx(1 / 3)
+    home.record_no_spending(2)
+    assert home.reachable_quota(S + 2 * MS, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
+    assert home.apply_spending_total(S + 3 * MS, 1, SpendingTotal(KEY, 300.0, 2.0)) == -2.0
+    assert home.reachable_quota(S + 4 * MS, KEY)[1] == 1.0
 
 
 def test_what_was_spent_is_told_again_and_all_of_it_to_who_comes_back() -> None:
     other = settled(1)
-    other.spend(0, KEY, 1.0, 7.0)
-    told = [(at, total) for at in range(0, 2 * S, 100 * MS) for _, total in other.due(at, 8)]
+    other.record_spending(0, KEY, 1.0, 7.0)
+    told = [(at, total) for at in range(0, 2 * S, 100 * MS) for _, total in other.due_totals(at, 8)]
     assert [at for at, _ in told] == [0, 300 * MS]
     assert told[-1][1].spent_units == 1.0 and told[-1][1].remaining_units == 8.0  # filled up since
-    other.heard(5 * S, 0, 9)
-    assert [total.spent_units for _, total in other.due(5 * S, 8)] == [1.0]
-    other.forget(other.forget_us + 1)
-    assert not other.mine
+    other.record_contact(5 * S, 0, 9)
+    assert [total.spent_units for _, total in other.due_totals(5 * S, 8)] == [1.0]
+    other.evict_idle(other.retention_us + 1)
+    assert not other.local_spending
     home = settled(0)
-    home.spend(0, KEY, 1.0, 7.0)
-    assert not home.due(0, 8)  # it is its own home
+    home.record_spending(0, KEY, 1.0, 7.0)
+    assert not home.due_totals(0, 8)  # it is its own home
 
 
 # --- whole gateways ---
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -10,7 +10,7 @@
 from molereach import operator_config
 from molereach.keyfile import KeyFileError, read_key
 from molereach.limits.core import Limits
-from molereach.limits.messages import Codec
+from molereach.limits.messages import LimitGossipCodec
 from molereach.limits.service import attacher
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
@@ -54,9 +54,9 @@
         return door
 
     door = asyncio.run(started())
-    assert isinstance(door.gateway.limits, Limits) and isinstance(door.peers.form, Codec)
+    assert isinstance(door.gateway.limits, Limits) and isinstance(door.peers.form, LimitGossipCodec)
     assert door.gateway.limits.settings.lease_us == 500_000
-    assert door.gateway.limits.generation == int("8c1f30d27a5be964", 16) % (1 << 16)
+    assert door.gateway.limits.incarnation == int("8c1f30d27a5be964", 16) % (1 << 16)
 
 
 def test_a_split_day_of_the_whole_program_is_in_order_with_limits() -> None:
@@ -95,7 +95,7 @@
         reply = run_batch(host, iter(batch))
         assert reply and any(line.startswith("TELL 1 b7") for line in reply) == told
         assert isinstance(host.gateways[0].limits, Limits) == told
-        clear = Codec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
+        clear = LimitGossipCodec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
         assert run_batch(host, iter(["MARK 2000", "TARGET_INSTANCE 0", f"FROM_PEER 1 {clear}", "EOF_BATCH"]))
         limits = host.gateways[0].limits
-        assert not told or (isinstance(limits, Limits) and limits.escrow.cleared == {1: 2000})
+        assert not told or (isinstance(limits, Limits) and limits.escrow.acknowledged_us == {1: 2000})
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -20,23 +20,23 @@
         self.reached: tuple[int, float, float] = (1, 0.5, 0.0)
         self.has_room, self.new = False, 3.0
 
-    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
         return self.reached
 
-    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
+    def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.has_room
 
-    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
+    def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
         return self.new
 
-    def want(self, *values: object) -> None:
-        self.log.append(("want", *values))
+    def request_capacity(self, *values: object) -> None:
+        self.log.append(("request_capacity", *values))
 
-    def take(self, *values: object) -> None:
-        self.log.append(("take", *values))
+    def consume(self, *values: object) -> None:
+        self.log.append(("consume", *values))
 
-    def spend(self, *values: object) -> None:
-        self.log.append(("spend", *values))
+    def record_spending(self, *values: object) -> None:
+        self.log.append(("record_spending", *values))
 
 
 def customers_of(plan: Plan = PLAN, limits: Limits | None = None) -> Customers:
@@ -93,7 +93,11 @@
     customers.want(NOW, known, 1.0)
     customers.pass_ceiling(NOW, known, 1.0)
     customers.spend(NOW, known, 4.0)
-    assert limits.log == [("want", NOW, KEY, 1.0), ("take", NOW, KEY, 1.0), ("spend", NOW, KEY, 4.0, 6.0)]
+    assert limits.log == [
+        ("request_capacity", NOW, KEY, 1.0),
+        ("consume", NOW, KEY, 1.0),
+        ("record_spending", NOW, KEY, 4.0, 6.0),
+    ]
     limits.reached, known.asked_us = (1, 0.9, 0.0), NOW
     assert customers.get(NOW + SILENT_US, KEY).reach == 0.9
     assert customers.get(NOW + SILENT_US + 1, KEY).reach == 0.5  # its part alone, of a set of two
