--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -15,7 +15,8 @@
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
 from molereach.proxy.proxy import FrontDoor
-from molereach.simulator.adapter import Host, run_batch
+from molereach.simulator.adapter import run_batch
+from molereach.simulator.host import Host
 from rig import scenario_files
 from rig.audit.figures import Quota
 from rig.audit.quotas import quota_use
@@ -94,8 +95,8 @@
         host = Host(told)
         reply = run_batch(host, iter(batch))
         assert reply and any(line.startswith("TELL 1 b7") for line in reply) == told
-        assert isinstance(host.gateways[0].limits, Limits) == told
+        assert isinstance(host.instances[0].gateway.limits, Limits) == told
         clear = LimitGossipCodec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
         assert run_batch(host, iter(["MARK 2000", "TARGET_INSTANCE 0", f"FROM_PEER 1 {clear}", "EOF_BATCH"]))
-        limits = host.gateways[0].limits
+        limits = host.instances[0].gateway.limits
         assert not told or (isinstance(limits, Limits) and limits.escrow.acknowledged_us == {1: 2000})
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -3,33 +3,14 @@
 import os
 import subprocess
 import sys
-from dataclasses import replace
 from pathlib import Path
 
 import pytest
 
-from molereach.policy.interface.actions import (
-    AddToCounter,
-    CancelAttempt,
-    CheckHealth,
-    CloseIdleConnections,
-    FailRequest,
-    FetchEndpoints,
-    Reject,
-    SendGossip,
-    SetTimer,
-    SubscribeToEndpoints,
-    WriteLog,
-)
-from molereach.policy.interface.events import GossipReceived, LoadReport
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
-from molereach.protocol.gossip_codec import RECORD, pack_messages, unpack_messages
-from molereach.protocol.load_reports import parse_load_report
-from molereach.simulator.adapter import Host, write_action
-from tests.helpers import SETTINGS, World
+from molereach.simulator.host import Host
 
 ROOT = Path(__file__).parents[2]
-PARAMS = (
+SETTINGS = (
     "balancers=3 categories.count=1 categories.0.deadline-us=6000000 categories.0.group=all "
     "categories.0.idempotency=read_like categories.0.on-time-us=2500000 categories.0.points=1.0 "
     "ceilings.max-attempts=4 ceilings.may-cancel=true ceilings.peers=true ceilings.retry-after=true "
@@ -37,11 +18,12 @@
     "plans.0.burst=3.0 plans.0.units-per-s=0.65 plans.0.value-factor=0.55 stats.how=inline "
     "stats.names=strange,cpu_share registry-mode=automatic"
 )
-SHEET = "SHEET 0 2\nM 10.0.0.1:5000 0 0 0 U 1 -\nM 10.0.0.2:5000 0 0 0 U 1.5 6100000\n"
+ENDPOINT_LIST = "SHEET 0 2\nM 10.0.0.1:5000 0 0 0 U 1 -\nM 10.0.0.2:5000 0 0 0 U 1.5 6100000\n"
 
 
-def start(number: int, seed: int = 5) -> str:
-    return f"TARGET_INSTANCE {number}\nNEW_INSTANCE {seed} me={number} {PARAMS}\n{SHEET}UPDATE disk 41 0\n"
+def start_instance(number: int, seed: int = 5) -> str:
+    instance = f"TARGET_INSTANCE {number}\nNEW_INSTANCE {seed} me={number} {SETTINGS}\n"
+    return f"{instance}{ENDPOINT_LIST}UPDATE disk 41 0\n"
 
 
 def batch(now: int, body: str = "") -> str:
@@ -67,12 +49,12 @@
     )
 
 
-def day(numbers: list[int]) -> str:
-    text = batch(7, "".join(start(number, number + 10) for number in numbers))
+def many_batches(numbers: list[int]) -> str:
+    text = batch(7, "".join(start_instance(number, number + 10) for number in numbers))
     for step in range(1, 60):
         now = 7 + step * 20_000
-        bells = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
-        text += batch(now, bells + "".join(requests(now, number) for number in numbers))
+        timers = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
+        text += batch(now, timers + "".join(requests(now, number) for number in numbers))
     return text
 
 
@@ -91,116 +73,64 @@
     assert (done.returncode, done.stdout, done.stderr) == (0, "FINISHED\nFINISHED\n", "")
 
 
-def test_request_is_sent_and_answered() -> None:
+def test_request_is_forwarded() -> None:
     body = "TARGET_INSTANCE 0\nNEW_REQUEST rq_a 0 0 cust/x 900000 1 1 0 1\n"
-    done = run(batch(5, start(0)) + batch(9, body))
+    done = run(batch(5, start_instance(0)) + batch(9, body))
     lines = done.stdout.splitlines()
     assert lines[:3] == ["CONTEXT 0", "ARM 1000000 0", "FINISHED"]
     assert lines[3] == "CONTEXT 0" and lines[4].startswith("TRY rq_a 10.0.0.") and lines[-1] == "FINISHED"
 
 
 def test_same_output_under_other_hash_seeds_and_processes() -> None:
-    together, other = run(day([0, 1, 2]), "1"), run(day([0, 1, 2]), "2")
+    together, other = run(many_batches([0, 1, 2]), "1"), run(many_batches([0, 1, 2]), "2")
     assert together.stdout == other.stdout
     for number in (0, 1, 2):
-        alone = actions_of(run(day([number])).stdout, number)
+        alone = actions_of(run(many_batches([number])).stdout, number)
         assert alone and alone == actions_of(together.stdout, number)
 
 
-def test_kill_and_start_in_one_batch_and_reused_sheet() -> None:
+def test_instance_ends_and_starts_in_one_batch_with_a_list_number_reused() -> None:
     other = "SHEET 0 1\nM 10.0.0.9:5000 0 0 0 U 1 -\nUPDATE snapshot 42 0\n"
-    body = f"TARGET_INSTANCE 0\nKILLED\n{start(0)}{other}NEW_REQUEST rq_a 0 0 cust/x 900000 1 3 0\n"
-    done = run(batch(5, start(0)) + batch(9, body))
+    body = f"TARGET_INSTANCE 0\nKILLED\n{start_instance(0)}{other}NEW_REQUEST rq_a 0 0 cust/x 900000 1 3 0\n"
+    done = run(batch(5, start_instance(0)) + batch(9, body))
     assert "TRY rq_a 10.0.0.9:5000" in done.stdout
 
 
-def test_report_values_go_by_name() -> None:
+def test_values_of_a_load_report_are_found_by_name() -> None:
     host = Host()
-    for line in (start(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
-        name, *parts = line.split(" ")
+    for line in (start_instance(0) + "NEW_REQUEST rq_a 0 0 c 900000 1 1 0 -").splitlines():
+        name, *fields = line.split(" ")
         if name != "M":
-            host.event(name, parts, iter(SHEET.splitlines()[1:]))
-    server = host.gateways[0].attempts.jobs["rq_a"].servers[0].entry.name
-    host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateways[0].cap.signals["util"] == [0.4]
+            host.handle(name, fields, iter(ENDPOINT_LIST.splitlines()[1:]))
+    endpoint = host.instances[0].gateway.attempts.jobs["rq_a"].servers[0].entry.name
+    host.handle("ATTEMPT_END", ["rq_a", "1", "0", endpoint, "served", "9", "-", "-", "9,0.4"], iter(()))
+    assert host.instances[0].gateway.cap.signals["util"] == [0.4]
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "word"),
+    ("text", "line", "reason"),
     [
         ("HELLO\n", 1, "MARK"),
         ("MARK x\n", 1, "invalid"),
         (batch(1, "TARGET_INSTANCE 0\nBELL 0\n"), 3, "no instance 0"),
         (batch(1, "BELL 0\n"), 2, "no instance is named"),
-        (batch(1, f"{start(0)}WHAT 1\n"), 8, "unknown message"),
-        (batch(1, f"{start(0)}NEW_REQUEST rq_a 0\n"), 8, "missing"),
-        (batch(1, f"{start(0)}ATTEMPT_END rq_a 1 0 s odd 5\n"), 8, "unknown word"),
+        (batch(1, f"{start_instance(0)}WHAT 1\n"), 8, "unknown message"),
+        (batch(1, f"{start_instance(0)}NEW_REQUEST rq_a 0\n"), 8, "missing"),
+        (batch(1, f"{start_instance(0)}ATTEMPT_END rq_a 1 0 s odd 5\n"), 8, "unknown word"),
         (batch(1, "TARGET_INSTANCE 0\nSHEET 0 3\nM a 0 0 0 U\n"), 5, "entry"),
         ("MARK 1\nSHEET 0 3\nM a 0 0 0 U\n", 3, "cut off"),
         ("MARK 1\n", 1, "within a batch"),
     ],
 )
-def test_malformed_input_is_one_plain_line(text: str, line: int, word: str) -> None:
+def test_malformed_input_ends_with_one_line(text: str, line: int, reason: str) -> None:
     done = run(batch(0) + text)
     assert done.returncode != 0
     assert done.stdout == "FINISHED\n"
-    assert done.stderr.startswith(f"molereach: line {line + 2}: ") and word in done.stderr
+    assert done.stderr.startswith(f"molereach: line {line + 2}: ") and reason in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_exception_in_the_module_is_reported() -> None:
+def test_exception_of_the_policy_is_reported() -> None:
     body = "TARGET_INSTANCE 0\nNEW_REQUEST rq_a 9 0 cust/x 900000 1 1 0\n"
-    done = run(batch(5, start(0)) + batch(9, body))
+    done = run(batch(5, start_instance(0)) + batch(9, body))
     assert "CONTEXT 0\nFAULT IndexError" in done.stdout and done.stdout.endswith("FINISHED\n")
-
-
-def test_every_action_has_its_line() -> None:
-    actions = [
-        (CancelAttempt("a", 1), "CANCEL a 1"),
-        (Reject("a", 5), "TURN_AWAY a 5"),
-        (FailRequest("a"), "END_FAILED a"),
-        (SetTimer(5, 7), "ARM 5 7"),
-        (CheckHealth("s"), "CHECK s"),
-        (CloseIdleConnections("s"), "HANG_UP s"),
-        (
-            SendGossip(2, (GossipMessage(5, 1, 3, 4, True, tokens=-1.5),)),
-            f"TELL 2 00000005010003000401{0:012x}ffb5",
-        ),
-        (AddToCounter(4, 1, 9), "ADD_TO 4 1 9"),
-        (SubscribeToEndpoints(False), "STREAM_CHANGES 0"),
-        (FetchEndpoints(), "SNAPSHOT"),
-        (WriteLog("a\nb"), "EMIT a b"),
-    ]
-    assert [write_action(action) for action, _ in actions] == [line for _, line in actions]
-
-
-def test_words_come_back_as_they_went() -> None:
-    words = tuple(GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
-    messages = pack_messages(words)
-    assert len(messages) > 1 and max(map(len, messages)) <= 256
-    assert sum((unpack_messages(message) for message in messages), ()) == words
-    assert unpack_messages(messages[0][:-1]) == ()
-    assert unpack_messages(pack_messages([GossipMessage(1, 0, 0, 2, tokens=1e9)])[0])[0].tokens == 32767 / 50
-
-
-def test_load_report_out_of_range_says_nothing() -> None:
-    """Not an error: the wire may carry what no server can mean."""
-    assert parse_load_report([("util", "7"), ("queue", "3")]) == LoadReport(queue_length=3.0)
-    with pytest.raises(ValueError, match="nan"):
-        parse_load_report([("util", "nan")])
-
-
-def test_words_keep_their_flags_and_older_versions_pass_over_the_mark() -> None:
-    told = (
-        GossipMessage(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, is_ceiling_granted=True, is_within_quota=False),
-        GossipMessage(7, 1, 2, 3, True, is_within_quota=True),
-        GossipMessage(0, SPLIT_CEILING_MARK, 0, 0),
-    )
-    (data,) = pack_messages(told)
-    assert unpack_messages(data) == told
-    assert (
-        len(data) == 3 * RECORD.size and data[8] != 0
-    )  # any flag is an answer to an older version: so it is
-    world = World(replace(SETTINGS, proxy_count=2))
-    world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
-    assert not world.gateway.customers.known
