--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -68,20 +68,22 @@
     Holding(f"{RULES}.customers.Customers", "known", "levels of quota and ceiling", Effect.KEPT, FULL_AGAIN),
     Holding(f"{RULES}.customers.Customers", "sets", "the set under which it came", Effect.KEPT, FULL_AGAIN),
     Holding(f"{LIMITS}.escrow.Escrow", "accounts", "shares of ceilings", Effect.KEPT, FULL_AGAIN),
-    Holding(f"{LIMITS}.escrow.Escrow", "plan_queue", "when loans are looked at", Effect.KEPT, LOANS),
-    Holding(f"{LIMITS}.escrow.CeilingAccount", "loans", "what is lent of it", Effect.KEPT, LOANS),
-    Holding(f"{LIMITS}.escrow.CeilingAccount", "borrowed", "what is borrowed of it", Effect.KEPT, LOANS),
+    Holding(f"{LIMITS}.borrowing.Borrowing", "plan_queue", "when loans are planned", Effect.KEPT, LOANS),
+    Holding(f"{LIMITS}.ceiling_account.CeilingAccount", "loans", "what is lent of it", Effect.KEPT, LOANS),
     Holding(
-        f"{LIMITS}.partition_quota.PartitionQuota",
-        "local_spending",
-        "spending told home",
+        f"{LIMITS}.ceiling_account.CeilingAccount", "borrowed", "what is borrowed of it", Effect.KEPT, LOANS
+    ),
+    Holding(
+        f"{LIMITS}.spending_totals.SpendingTotals",
+        "entries",
+        "spending of quotas of other owners",
         Effect.KEPT,
         FULL_AGAIN,
     ),
     Holding(
         f"{LIMITS}.partition_quota.PartitionQuota",
         "owner_states",
-        "spending told here",
+        "spending of others",
         Effect.KEPT,
         FULL_AGAIN,
     ),
@@ -93,14 +95,14 @@
         f"{LIMITS}.core.Limits", "pending_replies", "words of limits", Effect.ENDS, "the next look, 20 ms"
     ),
     Holding(
-        f"{LIMITS}.partition_quota.PartitionQuota",
-        "unsent_totals",
+        f"{LIMITS}.spending_totals.SpendingTotals",
+        "unsent",
         "spending to be told",
         Effect.ENDS,
         "until it is told",
     ),
     Holding(
-        f"{LIMITS}.partition_quota.PartitionQuota",
+        f"{LIMITS}.spending_totals.SpendingTotals",
         "repeat_at_us",
         "spending to be told again",
         Effect.ENDS,
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -1,11 +1,14 @@
-"""What the decisions consult on limits, `Limits` in molereach/policy/interface. A core, over the two others.
+"""The limits that the policy consults, `LimitPolicy` in molereach/policy/interface. A core, over two others.
 
-`Escrow` has the ceilings, `Reach` the quotas. Words of both go out within a budget for each peer.
+`Escrow` has the ceilings, `PartitionQuota` the quotas. Messages of both go out within a budget a peer.
 """
 
-from molereach.limits.escrow import FULL_SHARE, RETRY_US, Escrow
+from molereach.limits.borrowing import NEVER_DUE_US, RETRY_US
+from molereach.limits.escrow import Escrow
+from molereach.limits.message_budget import MessageBudget
 from molereach.limits.partition_quota import PartitionQuota
 from molereach.limits.settings import SECOND_US, LimitSettings
+from molereach.limits.snapshots import customer_snapshots
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
     CustomerKey,
@@ -17,201 +20,172 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.policy.interface.protocols import CustomerLimits
+from molereach.policy.interface.protocols import CustomerLimits, PeerMessage, ReachableQuota
 from molereach.policy.interface.settings import Settings
 
-INCARNATIONS = 1 << 16
-MAX_TOTALS_PER_POLL = 2  # at each look: 100 a second, to all homes together
-POLL_INTERVAL_US = 20_000  # between two looks at what is to be told
-MAX_MESSAGES_PER_S, MAX_MESSAGE_BURST = 100.0, 24.0  # words to one peer; about ten go into a datagram
+INCARNATIONS = 1 << 16  # as gossip has 16 bits for their numbers
+MAX_TOTALS_PER_POLL = 2  # 100 a second, to all owners together
+POLL_INTERVAL_US = 20_000
 EVICTION_INTERVAL_US = SECOND_US
 
 
 class Limits:
-    """Limits of one front door; with several, each has one."""
+    """The limits of one proxy."""
 
-    def __init__(self, settings: Settings, figures: LimitSettings) -> None:
-        self.proxy_index, self.proxy_count = settings.proxy_index, settings.proxy_count
+    def __init__(self, settings: Settings, limit_settings: LimitSettings) -> None:
+        self.proxy_index = settings.proxy_index
+        self.proxy_count = settings.proxy_count
         self.incarnation = settings.seed % INCARNATIONS
-        self.settings = figures
-        self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, figures)
+        self.settings = limit_settings
+        self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, limit_settings)
         self.partition_quota = PartitionQuota(
             settings.proxy_index,
             settings.proxy_count,
             settings.plans,
-            figures,
+            limit_settings,
             settings.gossip_messages_per_s,
         )
-        self.start_us = self.next_join_us = self.next_poll_us = self.next_eviction_us = self.now_us = -1
-        self.message_budgets: dict[
-            int, tuple[float, int]
-        ] = {}  # by peer: words that may go, and at what time
-        self.pending_replies: list[tuple[int, LimitMessage]] = []
+        self.start_us = -1
+        self.next_join_us = -1
+        self.next_poll_us = -1
+        self.next_eviction_us = -1
+        self.now_us = -1
+        self.message_budget = MessageBudget()
+        self.pending_replies: list[PeerMessage[LimitMessage]] = []
 
     def start(self, now_us: int) -> None:
-        self.start_us = self.next_join_us = self.next_poll_us = self.next_eviction_us = now_us
+        """The proxy starts; called once, before all other methods."""
+        self.start_us = now_us
+        self.next_join_us = now_us
+        self.next_poll_us = now_us
+        self.next_eviction_us = now_us
         self.escrow.start(now_us)
         self.partition_quota.start_us = now_us
 
-    # --- ceilings ---
+    # Ceilings
 
     def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
+        """A request came that will take so many units of its customer's ceiling."""
         self.escrow.request_capacity(now_us, key, units)
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
+        """Whether so many units may be forwarded under the customer's ceiling now."""
         return self.escrow.available_units(now_us, key, units) >= units
 
     def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
+        """So many units are forwarded."""
         self.escrow.consume(now_us, key, units)
 
-    # --- quotas ---
+    # Quotas
 
-    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        """The customer's owner as seen from here, and what of the quota may be spent on this side."""
         return self.partition_quota.reachable_quota(now_us, key)
 
-    def record_spending(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
-        self.partition_quota.record_spending(now_us, key, units, left)
+    def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
+        """So much of the quota was spent here, or given back where it is negative."""
+        self.partition_quota.record_spending(now_us, key, units, remaining_units)
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
+        """Units that a peer's total takes from the customer's tokens at its owner."""
         return self.partition_quota.apply_spending_total(now_us, sender, total)
 
     def sends_totals(self, sender: int) -> bool:
-        return sender in self.partition_quota.incarnations
+        """Whether a peer sends totals, so that the spending in its other messages does not count."""
+        return sender in self.partition_quota.contacts.incarnations
 
-    # --- words ---
+    # Messages
 
     def receive(self, now_us: int, message: GossipReceived) -> None:
-        sender, generation = message.sender, message.incarnation
+        """Apply a peer's message, except for the spending totals in it."""
         self.now_us = now_us
-        self.partition_quota.record_contact(now_us, sender, generation, message.is_heard)
-        if generation is None:
+        sender = message.sender
+        incarnation = message.incarnation
+        self.partition_quota.record_message(now_us, sender, incarnation, message.is_heard)
+        if incarnation is None:
             return
-        for word in message.messages:
-            match word:
+        for each in message.messages:
+            match each:
                 case LoanRequest():
-                    self.escrow.handle_request(now_us, sender, generation, word)
+                    self.escrow.handle_request(now_us, sender, incarnation, each)
                 case LoanGrant():
-                    self.escrow.apply_grant(now_us, sender, word)
+                    self.escrow.apply_grant(now_us, sender, each)
                 case Join():
-                    self.escrow.drop_borrowed_from(now_us, sender)
-                    self.pending_replies.append(
-                        (sender, JoinAcknowledged(generation, self.partition_quota.resend_totals(sender)))
-                    )
+                    self._acknowledge_join(now_us, sender, incarnation)
                 case Leave():
-                    self.partition_quota.record_leave(now_us, sender, generation)
-                case JoinAcknowledged(wanted, totals) if wanted == self.incarnation:
-                    self.escrow.record_acknowledgement(now_us, sender)
-                    if not totals:
-                        self.partition_quota.record_no_spending(sender)
+                    self.partition_quota.contacts.record_leave(sender, incarnation)
+                case JoinAcknowledged(joined_incarnation, total_count):
+                    if joined_incarnation == self.incarnation:
+                        self._record_acknowledgement(now_us, sender, total_count)
 
-    def leave_messages(self) -> list[tuple[int, LimitMessage]]:
-        """Nothing is spent here from now on: the last words, to all peers."""
-        return [(peer, Leave()) for peer in range(self.proxy_count) if peer != self.proxy_index]
+    def leave_messages(self) -> list[PeerMessage[LimitMessage]]:
+        """The last messages, to all peers: nothing is spent here from now on."""
+        return [PeerMessage(peer, Leave()) for peer in range(self.proxy_count) if peer != self.proxy_index]
 
     def receives_from(self, peer: int) -> bool:
-        """Whether the peer has been heard of late, as of the last event."""
-        return self.partition_quota.receives_from(self.now_us, peer)
+        """Whether messages of the peer have come of late, as of the last event."""
+        return self.partition_quota.contacts.receives_from(self.now_us, peer)
 
     def mark_sent(self, now_us: int, peer: int) -> None:
+        """A datagram has just been sent to a peer."""
         self.now_us = now_us
-        self.partition_quota.sent_us[peer] = now_us
+        self.partition_quota.contacts.sent_us[peer] = now_us
 
-    def due_messages(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
-        """Words to peers by now; None is a beat, which needs no word."""
-        waiting = self.pending_replies or self.escrow.outbox
-        if not waiting and now_us < min(self.next_poll_us, self.escrow.next_due_us):
+    def due_messages(self, now_us: int) -> list[PeerMessage[LimitMessage | None]]:
+        """Messages to peers by now; one that is None is a heartbeat."""
+        is_waiting = self.pending_replies or self.escrow.outbox
+        if not is_waiting and now_us < min(self.next_poll_us, self.escrow.next_due_us):
             return []
-        found: list[tuple[int, LimitMessage | None]] = [*self.pending_replies]
+        due: list[PeerMessage[LimitMessage | None]] = [*self.pending_replies]
         self.pending_replies = []
-        found += self.escrow.due_messages(now_us)
+        due += self.escrow.due_messages(now_us)
         if now_us >= self.next_poll_us:
             self.next_poll_us = now_us + POLL_INTERVAL_US
-            found += self.partition_quota.due_totals(now_us, MAX_TOTALS_PER_POLL)
-            found += self.due_joins(now_us)
-            found += [(peer, None) for peer in self.partition_quota.due_heartbeats(now_us)]
+            due += self.partition_quota.due_totals(now_us, MAX_TOTALS_PER_POLL)
+            due += self._due_joins(now_us)
+            due += [PeerMessage(peer, None) for peer in self.partition_quota.contacts.due_heartbeats(now_us)]
         if now_us >= self.next_eviction_us:
             self.next_eviction_us = now_us + EVICTION_INTERVAL_US
             self.escrow.evict_idle(now_us)
             self.partition_quota.evict_idle(now_us)
-        return [each for each in found if each[1] is None or self.take_from_budget(now_us, each[0])]
+        # What is beyond the budget is left out: requests and joins are sent again, totals grow.
+        return [each for each in due if each.message is None or self.message_budget.take(now_us, each.peer)]
 
-    def due_joins(self, now_us: int) -> list[tuple[int, LimitMessage]]:
-        over = now_us - self.start_us > self.settings.startup_wait_us
-        if over or now_us < self.next_join_us:
+    @property
+    def next_due_us(self) -> int:
+        """When `due_messages` has something to do without an event."""
+        if self.proxy_count == 1:
+            return NEVER_DUE_US
+        next_poll_us = self.next_poll_us
+        if not self._has_messages_soon():
+            next_poll_us += self.partition_quota.contacts.heartbeat_us // 2
+        return min(self.escrow.next_due_us, next_poll_us)
+
+    def snapshot(self, customer_checksum: int, now_us: int) -> list[CustomerLimits]:
+        """What is known of a customer, by the checksum of its name; it only reads."""
+        return customer_snapshots(self.escrow, self.partition_quota, customer_checksum, now_us)
+
+    def _acknowledge_join(self, now_us: int, peer: int, incarnation: int) -> None:
+        self.escrow.drop_borrowed_from(now_us, peer)
+        total_count = self.partition_quota.resend_totals(peer)
+        self.pending_replies.append(PeerMessage(peer, JoinAcknowledged(incarnation, total_count)))
+
+    def _record_acknowledgement(self, now_us: int, peer: int, total_count: int) -> None:
+        self.escrow.record_acknowledgement(now_us, peer)
+        if not total_count:
+            self.partition_quota.contacts.record_no_spending(peer)
+
+    def _due_joins(self, now_us: int) -> list[PeerMessage[LimitMessage]]:
+        is_started = now_us - self.start_us > self.settings.startup_wait_us
+        if is_started or now_us < self.next_join_us:
             return []
         self.next_join_us = now_us + RETRY_US
         return [
-            (peer, Join())
+            PeerMessage(peer, Join())
             for peer in range(self.proxy_count)
             if peer != self.proxy_index and peer not in self.escrow.acknowledged_us
         ]
 
-    def take_from_budget(self, now_us: int, peer: int) -> bool:
-        """Words past the budget are left out: asks and hellos come again, totals grow."""
-        left, at = self.message_budgets.get(peer, (MAX_MESSAGE_BURST, now_us))
-        left = min(MAX_MESSAGE_BURST, left + MAX_MESSAGES_PER_S * (now_us - at) / SECOND_US)
-        self.message_budgets[peer] = (left - (left >= 1), now_us)
-        return left >= 1
-
-    @property
-    def next_due_us(self) -> int:
-        """When something is to be told without an event: the next look, as long as there is anybody."""
-        if self.proxy_count == 1:
-            return 1 << 62
-        look_us = (
-            self.next_poll_us
-            if self.has_messages_soon
-            else self.next_poll_us + self.partition_quota.heartbeat_us // 2
-        )
-        return min(self.escrow.next_due_us, look_us)
-
-    @property
-    def has_messages_soon(self) -> bool:
-        quiet = self.next_poll_us - self.start_us <= self.settings.startup_wait_us
-        return bool(
-            self.partition_quota.unsent_totals
-            or self.partition_quota.repeat_at_us
-            or self.pending_replies
-            or quiet
-        )
-
-    # --- for those who look ---
-
-    def snapshot(self, customer: int, now_us: int) -> list[CustomerLimits]:
-        """What is known of a customer, by the checksum of its name; it only reads."""
-        keys = {
-            key: None
-            for known in (
-                self.escrow.accounts,
-                self.partition_quota.local_spending,
-                self.partition_quota.owner_states,
-            )
-            for key in known
-            if key[0] == customer
-        }
-        return [self.customer_snapshot(key, now_us) for key in keys]
-
-    def customer_snapshot(self, key: CustomerKey, now_us: int) -> CustomerLimits:
-        account, mine = self.escrow.accounts.get(key), self.partition_quota.local_spending.get(key)
-        home = self.partition_quota.owner_states.get(key)
-        spent, apart = mine.spent_units if mine else 0.0, sorted(home.separated_since_us) if home else []
-        if account is None:
-            return CustomerLimits(key[1], 0.0, 0.0, {}, {}, 0.0, 0.0, spent, apart)
-        lent = {
-            peer: part / FULL_SHARE
-            for peer, loan in account.loans.items()
-            if (part := loan.lent_share(now_us))
-        }
-        debts = {peer: debt for peer, debt in account.borrowed.items() if debt.usable_share(now_us)}
-        ages = [now_us - debt.requested_us for debt in debts.values()]
-        return CustomerLimits(
-            key[1],
-            account.usable_share(now_us) / FULL_SHARE,
-            account.tokens,
-            lent,
-            {peer: debt.granted_share / FULL_SHARE for peer, debt in debts.items()},
-            round(max(ages, default=0) / SECOND_US, 3),
-            account.consumed_units,
-            spent,
-            apart,
-        )
+    def _has_messages_soon(self) -> bool:
+        is_starting = self.next_poll_us - self.start_us <= self.settings.startup_wait_us
+        return is_starting or self.partition_quota.totals.has_pending() or bool(self.pending_replies)
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -1,29 +1,41 @@
-"""Limits beside a running front door: the cores made from the section of the operator file, and the key."""
+"""Limits of a running front door, made from the section of the operator file and its key file."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 from molereach.keyfile import read_key
 from molereach.limits.core import Limits
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.limits.settings import LimitSettings
 from molereach.operator_config import LimitsSection
 from molereach.proxy.proxy import FrontDoor
 
+MILLISECOND_US = 1000
+
 
 def attacher(section: LimitsSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
-    """What switches limits on for a front door that has not had an event yet."""
+    """What switches limits on for a front door that has not had an event yet.
+
+    Raises KeyFileError where the key file cannot be used.
+    """
     key = read_key(Path(section.key_file), "limits.key_file") if section.key_file else b""
-    figures = LimitSettings(section.lease_ms * 1000, section.drift, section.beat_ms * 1000, section.floor)
+    limit_settings = LimitSettings(
+        lease_us=section.lease_ms * MILLISECOND_US,
+        drift=section.drift,
+        heartbeat_us=section.beat_ms * MILLISECOND_US,
+        reserved_fraction=section.floor,
+    )
 
     async def attach(door: FrontDoor) -> Callable[[], None]:
-        limits = Limits(door.settings, figures)
-        door.use_limits(
-            limits,
-            LimitGossipCodec(
-                limits.proxy_index, limits.incarnation, limits.sends_totals, key, limits.receives_from
-            ),
+        limits = Limits(door.settings, limit_settings)
+        codec = LimitGossipCodec(
+            limits.proxy_index,
+            limits.incarnation,
+            understands=limits.sends_totals,
+            key=key,
+            receives_from=limits.receives_from,
         )
+        door.use_limits(limits, codec)
         return lambda: None
 
     return attach
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -93,7 +93,7 @@
         if units >= 0:
             customer.spend(units)
         else:
-            customer.reach = self.limits.reachable_quota(now, total.key)[1]
+            customer.reach = self.limits.reachable_quota(now, total.key).fraction
             customer.level = min(customer.plan.quota_burst * customer.reach, customer.level - units)
 
     def standing(self, customer: str, now: int) -> list[tuple[int, float, float, float, float, float | None]]:
--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -1,11 +1,13 @@
 """What the decisions consult: cores without I/O that are handed in, or not."""
 
 from dataclasses import dataclass
-from typing import Protocol
+from typing import Generic, NamedTuple, Protocol, TypeVar
 
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import CustomerKey, LimitMessage, SpendingTotal
 
+Message = TypeVar("Message", bound=LimitMessage | None, covariant=True)
+
 
 @dataclass(frozen=True, slots=True)
 class CustomerLimits:
@@ -22,52 +24,70 @@
     apart: list[int]  # at the home: whose parts are not in its store
 
 
+class ReachableQuota(NamedTuple):
+    """A customer's quota as seen from one proxy."""
+
+    owner: int  # the proxy that keeps it
+    fraction: float  # at the owner: of the quota, from 0 to 1, that this side of a partition may spend
+    joined_units: float  # at the owner: that have joined its tokens since the last call
+
+
+class PeerMessage(NamedTuple, Generic[Message]):
+    """A message to a peer; None is a heartbeat, for which any message does."""
+
+    peer: int
+    message: Message
+
+
 class LimitPolicy(Protocol):
     """Shares of ceilings that move, and how much of a quota may be spent here; a core without I/O.
 
-    Without one, a gateway has its fixed part of each ceiling and takes the last word on a quota as it is.
+    Without one, a gateway has its fixed share of each ceiling and takes the owner's last message on a quota
+    as it is. Times are microseconds.
     """
 
     def start(self, now_us: int) -> None:
-        """The gateway lives from now on; called once, before all others."""
+        """The proxy starts; called once, before all other methods."""
 
     def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """A try came that will take so much of its customer's ceiling."""
+        """A request came that will take so many units of its customer's ceiling."""
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
-        """Whether so much may be sent on under the customer's ceiling now."""
+        """Whether so many units may be forwarded under the customer's ceiling now."""
 
     def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """So much was sent on."""
+        """So many units are forwarded."""
+
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        """The customer's owner as seen from here, and what of the quota may be spent on this side."""
 
-    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        """The customer's home as seen from here; where that is this gateway, the part of the quota, from 0 to
-        1, that this side of a split may spend; and units that have joined the store since the last call."""
+    def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
+        """So much of the quota was spent here, or given back where it is negative.
 
-    def record_spending(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
-        """So much of the quota was spent here (below 0: given back), and so much of the part here is left."""
+        `remaining_units` are left of the local quota, that of this proxy while it is cut off.
+        """
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        """What is new in a total, in units to be taken from the customer's store at its home."""
+        """Units that a peer's total takes from the customer's tokens at its owner; negative to add some."""
 
     def sends_totals(self, sender: int) -> bool:
-        """Whether the other gateway tells totals, so that what its words say of spending is passed over."""
+        """Whether a peer sends totals, so that the spending in its other messages does not count."""
 
     def receive(self, now_us: int, message: GossipReceived) -> None:
-        """A message from another gateway, before the module looks at its words."""
+        """Apply a peer's message, except for the spending totals in it, before the policy does."""
 
-    def leave_messages(self) -> list[tuple[int, LimitMessage]]:
-        """The last words, for each a peer."""
+    def leave_messages(self) -> list[PeerMessage[LimitMessage]]:
+        """The last messages, to all peers."""
 
     def mark_sent(self, now_us: int, peer: int) -> None:
-        """A message has just left for a peer."""
+        """A datagram has just been sent to a peer."""
 
-    def due_messages(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
-        """Words to peers by now; None asks for a message to the peer even if there is no word for it."""
+    def due_messages(self, now_us: int) -> list[PeerMessage[LimitMessage | None]]:
+        """Messages to peers by now."""
 
     @property
     def next_due_us(self) -> int:
-        """When `due` has something to do without an event."""
+        """When `due_messages` has something to do without an event."""
 
-    def snapshot(self, customer: int, now_us: int) -> list[CustomerLimits]:
+    def snapshot(self, customer_checksum: int, now_us: int) -> list[CustomerLimits]:
         """What is known of a customer, by the checksum of its name; it only reads."""
--- a/molereach/simulator/host.py
+++ b/molereach/simulator/host.py
@@ -126,11 +126,11 @@
 def _instance_with_limits(settings: Settings, load_report_names: list[str]) -> Instance:
     # Imported here: without limits the process loads none of their modules.
     from molereach.limits.core import Limits
-    from molereach.limits.messages import LimitGossipCodec
+    from molereach.limits.gossip_codec import LimitGossipCodec
     from molereach.limits.settings import LimitSettings
 
     limits = Limits(settings, LimitSettings())
     codec = LimitGossipCodec(
-        limits.proxy_index, limits.incarnation, limits.sends_totals, hears=limits.receives_from
+        limits.proxy_index, limits.incarnation, limits.sends_totals, receives_from=limits.receives_from
     )
     return Instance(Gateway(settings, limits), codec, load_report_names)
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -14,8 +14,8 @@
 from random import Random
 
 from molereach.limits.core import Limits
-from molereach.limits.escrow import FULL_SHARE
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
+from molereach.limits.loans import FULL_SHARE
 from molereach.limits.settings import LimitSettings
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import (
@@ -364,7 +364,10 @@
         limits = Limits(settings, self.figures) if self.with_limits else None
         self.forms[node.number] = (
             LimitGossipCodec(
-                limits.proxy_index, limits.incarnation, limits.sends_totals, hears=limits.receives_from
+                limits.proxy_index,
+                limits.incarnation,
+                limits.sends_totals,
+                receives_from=limits.receives_from,
             )
             if limits
             else QuotaGossipCodec()
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from itertools import product
 
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.policy.interface.messages import (
     SPLIT_CEILING_MARK,
     CustomerKey,
@@ -102,7 +102,11 @@
 def codec(keyed: bool, hears: bool, speaks: bool = True) -> LimitGossipCodec:
     """The codec of the sending front door."""
     return LimitGossipCodec(
-        SENDER, GENERATION, speaks=lambda peer: speaks, key=KEY if keyed else b"", hears=lambda peer: hears
+        SENDER,
+        GENERATION,
+        understands=lambda peer: speaks,
+        key=KEY if keyed else b"",
+        receives_from=lambda peer: hears,
     )
 
 
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import GossipMessage, LimitMessage
 from molereach.protocol.gossip_codec import QuotaGossipCodec
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_escrow.py
@@ -6,8 +6,11 @@
 import pytest
 
 from molereach.limits import escrow
+from molereach.limits.ceiling_account import CeilingAccount
 from molereach.limits.core import Limits
-from molereach.limits.escrow import FULL_SHARE, Escrow
+from molereach.limits.escrow import Escrow
+from molereach.limits.lending import Lending
+from molereach.limits.loans import FULL_SHARE, Loan
 from molereach.limits.settings import LimitSettings
 from molereach.policy.interface.messages import CustomerKey, LoanGrant, LoanRequest
 from molereach.policy.interface.settings import Plan, Settings
@@ -85,31 +88,31 @@
 
 def units_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     """What goes with a grant stays with its lender as well."""
-    lend = Escrow.lend
+    lend = Lending.lend
 
-    def generous(self: Escrow, now: int, account: "escrow.CeilingAccount", *more: object) -> None:
+    def generous(self: Lending, now: int, account: CeilingAccount, *more: object) -> None:
         store = account.tokens
         lend(self, now, account, *more)  # type: ignore[arg-type]
         account.tokens = store
 
-    monkeypatch.setattr(Escrow, "lend", generous)
+    monkeypatch.setattr(Lending, "lend", generous)
 
 
 def given_back(monkeypatch: pytest.MonkeyPatch) -> None:
     """Units of a grant come back to their lender though it took hold."""
-    lend = Escrow.lend
+    lend = Lending.lend
 
     def forgetful(
-        self: Escrow,
+        self: Lending,
         now: int,
-        account: "escrow.CeilingAccount",
-        loan: "escrow.Loan",
+        account: CeilingAccount,
+        loan: Loan,
         generation: int,
         ask: LoanRequest,
     ) -> None:
         lend(self, now, account, loan, generation, replace(ask, accepted=-1))
 
-    monkeypatch.setattr(Escrow, "lend", forgetful)
+    monkeypatch.setattr(Lending, "lend", forgetful)
 
 
 @pytest.mark.parametrize(
@@ -323,8 +326,8 @@
         limits.due_messages(end)
     held = (
         limits.escrow.accounts,
-        limits.partition_quota.local_spending,
-        limits.partition_quota.unsent_totals,
-        limits.partition_quota.repeat_at_us,
+        limits.partition_quota.totals.entries,
+        limits.partition_quota.totals.unsent,
+        limits.partition_quota.totals.repeat_at_us,
     )
-    assert not any(held) and len(limits.escrow.plan_queue) < 10
+    assert not any(held) and len(limits.escrow.borrowing.plan_queue) < 10
--- a/tests/limits/test_messages.py
+++ b/tests/limits/test_gossip_codec.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
     GossipMessage,
@@ -55,7 +55,7 @@
     old = pack_messages([word] * 3)[0]
     assert LimitGossipCodec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
-    first, second = LimitGossipCodec(1, 5, speaks=lambda peer: False).pack(2, [word, Join()])
+    first, second = LimitGossipCodec(1, 5, understands=lambda peer: False).pack(2, [word, Join()])
     assert unpack_messages(first) == (word,) and unpack_messages(second) == ()
     assert len(LimitGossipCodec(1, 5).pack(2, [])[0]) < RECORD.size  # a beat
 
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -21,19 +21,19 @@
     reach = PartitionQuota(me, 3, (QUOTA,), LimitSettings(), 60.0)
     reach.start_us = -100 * S
     for peer in {0, 1, 2} - {me}:
-        reach.record_contact(0, peer, 7)
-    reach.reconnected_us = dict.fromkeys(reach.reconnected_us, -100 * S)
+        reach.record_message(0, peer, 7)
+    reach.contacts.reconnected_us = dict.fromkeys(reach.contacts.reconnected_us, -100 * S)
     return reach
 
 
 def test_parts_of_a_split_sum_to_the_whole_and_come_together() -> None:
     home, other, third = settled(0), settled(1), settled(2)
     assert home.reachable_quota(0, KEY) == other.reachable_quota(0, KEY) == (0, 1.0, 0.0)
-    late = home.failure_timeout_us + 1
+    late = home.contacts.failure_timeout_us + 1
     for door in (home, other, third):  # all are apart: each is its own home
         assert door.reachable_quota(late, KEY) == (door.proxy_index, pytest.approx(1 / 3), 0.0)
-    third.record_contact(late, 1, 7)  # two hear each other: one of them stands in for the home
-    other.record_contact(late, 2, 7)
+    third.record_message(late, 1, 7)  # two hear each other: one of them stands in for the home
+    other.record_message(late, 2, 7)
     assert third.reachable_quota(late, KEY) == (1, 1.0, 0.0)
     assert other.reachable_quota(late, KEY)[:2] == (
         1,
@@ -47,10 +47,10 @@
 
 
 def test_a_link_that_works_one_way_is_a_split() -> None:
-    home, late = settled(0), settled(0).failure_timeout_us + 1
-    home.record_contact(late, 1, 7)
-    home.record_contact(late, 2, 7, mutual=False)
-    assert home.reachable_quota(late, KEY)[1] == pytest.approx(2 / 3) and home.receives_from(late, 2)
+    home, late = settled(0), settled(0).contacts.failure_timeout_us + 1
+    home.record_message(late, 1, 7)
+    home.record_message(late, 2, 7, is_mutual=False)
+    assert home.reachable_quota(late, KEY)[1] == pytest.approx(2 / 3) and home.contacts.receives_from(late, 2)
     over = []
     for link in ((0, 1), (1, 0), (0, 2)):
         history = QuotaHistory(1, 3, True)
@@ -64,18 +64,18 @@
 
 def test_who_ends_in_order_leaves_its_part_to_the_others() -> None:
     home = settled(0)
-    home.record_leave(0, 1, 7)
-    late = home.failure_timeout_us + 1
-    home.record_contact(late, 2, 7)
+    home.contacts.record_leave(1, 7)
+    late = home.contacts.failure_timeout_us + 1
+    home.record_message(late, 2, 7)
     assert home.reachable_quota(late, KEY) == (0, 1.0, 0.0)
-    home.record_contact(late, 1, 7)  # a word of that life, overtaken by its last one
+    home.record_message(late, 1, 7)  # a word of that life, overtaken by its last one
     assert home.reachable_quota(late, KEY)[1] == 1.0
     other = settled(1)
-    other.record_leave(0, 0, 7)
-    other.record_contact(MS, 0, 7)  # the same of a home: it is not gone by again
+    other.contacts.record_leave(0, 7)
+    other.record_message(MS, 0, 7)  # the same of a home: it is not gone by again
     assert other.reachable_quota(MS, KEY)[0] == 1
-    home.record_contact(late, 1, 8)
-    later = late + home.failure_timeout_us + 1
+    home.record_message(late, 1, 8)
+    later = late + home.contacts.failure_timeout_us + 1
     assert home.reachable_quota(later, KEY)[1] == pytest.approx(1 / 3)  # the next life is silent
 
 
@@ -93,10 +93,10 @@
 ) -> None:
     home = settled(0)
     assert home.apply_spending_total(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
-    apart = home.failure_timeout_us + 1
+    apart = home.contacts.failure_timeout_us + 1
     home.reachable_quota(apart, KEY)
     back = 10 * S
-    home.record_contact(back, 1, 7)
+    home.record_message(back, 1, 7)
     assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == pytest.approx(
         -joins
     )
@@ -113,7 +113,7 @@
     assert (
         home.apply_spending_total(MS, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0
     )  # two words between them were lost
-    home.record_contact(2 * MS, 1, 8)
+    home.record_message(2 * MS, 1, 8)
     assert (
         home.apply_spending_total(2 * MS, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0
     )  # a new life counts from nothing
@@ -127,9 +127,9 @@
     home = PartitionQuota(0, 3, (QUOTA,), LimitSettings(), 60.0)
     home.start_us = S
     for peer in (1, 2):
-        home.record_contact(S + MS, peer, 7)
+        home.record_message(S + MS, peer, 7)
     assert home.reachable_quota(S + 2 * MS, KEY)[1] == pytest.approx(1 / 3)
-    home.record_no_spending(2)
+    home.contacts.record_no_spending(2)
     assert home.reachable_quota(S + 2 * MS, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
     assert home.apply_spending_total(S + 3 * MS, 1, SpendingTotal(KEY, 300.0, 2.0)) == -2.0
     assert home.reachable_quota(S + 4 * MS, KEY)[1] == 1.0
@@ -141,10 +141,10 @@
     told = [(at, total) for at in range(0, 2 * S, 100 * MS) for _, total in other.due_totals(at, 8)]
     assert [at for at, _ in told] == [0, 300 * MS]
     assert told[-1][1].spent_units == 1.0 and told[-1][1].remaining_units == 8.0  # filled up since
-    other.record_contact(5 * S, 0, 9)
+    other.record_message(5 * S, 0, 9)
     assert [total.spent_units for _, total in other.due_totals(5 * S, 8)] == [1.0]
     other.evict_idle(other.retention_us + 1)
-    assert not other.local_spending
+    assert not other.totals.entries
     home = settled(0)
     home.record_spending(0, KEY, 1.0, 7.0)
     assert not home.due_totals(0, 8)  # it is its own home
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -10,7 +10,7 @@
 from molereach import operator_config
 from molereach.keyfile import KeyFileError, read_key
 from molereach.limits.core import Limits
-from molereach.limits.messages import LimitGossipCodec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.limits.service import attacher
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -4,6 +4,7 @@
 
 from molereach.policy.customers import LEAST_KEPT_US, SILENT_US, Customers
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.protocols import ReachableQuota
 from molereach.policy.interface.settings import Plan
 from tests.helpers import SETTINGS, S
 
@@ -17,11 +18,11 @@
 
     def __init__(self) -> None:
         self.log: list[tuple[object, ...]] = []
-        self.reached: tuple[int, float, float] = (1, 0.5, 0.0)
+        self.quota = ReachableQuota(1, 0.5, 0.0)
         self.has_room, self.new = False, 3.0
 
-    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        return self.reached
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        return self.quota
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.has_room
@@ -98,10 +99,11 @@
         ("consume", NOW, KEY, 1.0),
         ("record_spending", NOW, KEY, 4.0, 6.0),
     ]
-    limits.reached, known.asked_us = (1, 0.9, 0.0), NOW
+    limits.quota = ReachableQuota(1, 0.9, 0.0)
+    known.asked_us = NOW
     assert customers.get(NOW + SILENT_US, KEY).reach == 0.9
     assert customers.get(NOW + SILENT_US + 1, KEY).reach == 0.5  # its part alone, of a set of two
-    limits.reached = (2, 1.0, 1.5)
+    limits.quota = ReachableQuota(2, 1.0, 1.5)
     level = known.level
     assert customers.get(NOW + SILENT_US + 1, KEY).home == 2
     assert known.level == level + 1.5 and known.asked_us > NOW + S  # another home has not been asked
@@ -109,7 +111,7 @@
 
 def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
     limits = Limits()
-    limits.reached = (0, 1.0, 0.0)
+    limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
     customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
