--- a/tests/rig/test_member.py
+++ b/tests/rig/test_member.py
@@ -40,7 +40,7 @@
 
 
 def kinds(server: Member, kind: type) -> list[str]:
-    return [note.request_id for note in server.notes if isinstance(note, kind)]  # type: ignore[attr-defined]
+    return [note.id for note in server.notes if isinstance(note, kind)]  # type: ignore[attr-defined]
 
 
 def test_cores_queue_and_turning_away() -> None:
