--- a/benchmarks/shared.py
+++ b/benchmarks/shared.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Iterator, Sequence
 from itertools import chain, islice
 
-from molereach.subsetting.placement import RING
+from molereach.subsetting.placement import RING_SIZE
 from molereach.subsetting.ring import Ring
-from molereach.subsetting.subset import View, Whole
+from molereach.subsetting.subset import EndpointIndex, Subset
 
 Standins = tuple[dict[bytes, bytes], list[set[int]]]  # by name, and the groups of the one they stand in for
 
@@ -25,15 +25,15 @@
     def forget(self) -> None:
         self.back, self.places = [], []
 
-    def up_back_from(self, start: int) -> Iterator[tuple[int, bytes]]:
+    def up_backwards_from(self, start: int) -> Iterator[tuple[int, bytes]]:
         if not self.back:
-            self.back = list(super().up_back_from(RING - 1))
+            self.back = list(super().up_backwards_from(RING_SIZE - 1))
             self.places = [place for place, _ in reversed(self.back)]
         first = len(self.places) - bisect_left(self.places, start + 1)
         return chain(islice(self.back, first, None), islice(self.back, first))
 
 
-class SharedWhole(Whole):
+class SharedWhole(EndpointIndex):
     __slots__ = ("order", "standins")
 
     def __init__(self, kinds: Sequence[Callable[[bytes], int]]) -> None:
@@ -54,10 +54,10 @@
         self.standins.clear()
 
 
-class SharingView(View):
+class SharingView(Subset):
     __slots__ = ()
 
-    def add_standins(self, whole: Whole, place: int, record: bytes) -> None:
+    def add_substitutes(self, whole: EndpointIndex, place: int, record: bytes) -> None:
         if not whole.groups:
             return
         assert isinstance(whole, SharedWhole)
@@ -65,11 +65,11 @@
         if known is None:
             known = whole.standins[record] = self.look_up(whole, place, record)
         self.members.update(known[0])
-        for held, groups in zip(self.held, known[1], strict=True):
+        for held, groups in zip(self.scopes, known[1], strict=True):
             held |= groups
 
-    def look_up(self, whole: Whole, place: int, record: bytes) -> Standins:
-        alone = View(self.door, self.least, self.size)
-        alone.held = [set() for _ in whole.groups]
-        alone.add_standins(whole, place, record)
-        return alone.members, alone.held
+    def look_up(self, whole: EndpointIndex, place: int, record: bytes) -> Standins:
+        alone = Subset(self.proxy_position, self.min_distance, self.min_size)
+        alone.scopes = [set() for _ in whole.groups]
+        alone.add_substitutes(whole, place, record)
+        return alone.members, alone.scopes
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -13,8 +13,8 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.packed_records import pack
-from molereach.subsetting.placement import door_place, least_reach, place_of
-from molereach.subsetting.subset import View, Whole
+from molereach.subsetting.placement import backend_position, min_subset_distance, proxy_position
+from molereach.subsetting.subset import EndpointIndex, Subset
 
 Subsets = list[set[str]]
 MASK = (1 << 64) - 1
@@ -35,24 +35,24 @@
 
 def rendezvous(names: Sequence[str], doors: int, size: int) -> Subsets:
     """The largest hashes of door and backend."""
-    places = [(place_of(name.encode()), name) for name in names]
+    places = [(backend_position(name.encode()), name) for name in names]
 
     def weights(own: int) -> list[tuple[int, str]]:
         mixed = (((place ^ own) * MIX[0] & MASK, name) for place, name in places)
         return [((each ^ each >> 31) * MIX[1] & MASK, name) for each, name in mixed]
 
-    own = [place_of(b"door %d" % door) for door in range(doors)]
+    own = [backend_position(b"door %d" % door) for door in range(doors)]
     return [{name for _, name in nlargest(size, weights(each))} for each in own]
 
 
 def ring(names: Sequence[str], doors: int, size: int) -> Subsets:
     """The view, without groups."""
-    whole, subsets = Whole(()), list[set[str]]()
+    whole, subsets = EndpointIndex(()), list[set[str]]()
     for name in names:
-        whole.put(place_of(name.encode()), pack(Endpoint(name, 0, 0, 0, EndpointState.UP), None))
+        whole.put(backend_position(name.encode()), pack(Endpoint(name, 0, 0, 0, EndpointState.UP), None))
     for door in range(doors):
-        view = View(door_place(door), least_reach(door, doors), size)
-        view.fill(whole)
+        view = Subset(proxy_position(door), min_subset_distance(door, doors), size)
+        view.select(whole)
         subsets.append({name.decode() for name in view.members})
     return subsets
 
--- a/benchmarks/view.py
+++ b/benchmarks/view.py
@@ -14,7 +14,7 @@
 from benchmarks.subsets import compare
 from benchmarks.told import SIZE
 from benchmarks.views import Row, Tier, reaches
-from molereach.subsetting.placement import LEAST_DOORS, least_reach
+from molereach.subsetting.placement import MIN_PROXIES_PER_BACKEND, min_subset_distance
 from sim.run import JOBS_CONTEXT
 
 DOORS, QUICK_DOORS = (5, 40, 200, 1_000, 7_500), (5, 40)
@@ -23,7 +23,7 @@
 SAMPLE, QUICK_SAMPLE = 20, 3  # backends that go, and come, one by one
 WORKERS = 3  # processes; no figure depends on how many
 AIMS = {
-    "least_doors": LEAST_DOORS,  # each size has more front doors than these
+    "least_doors": MIN_PROXIES_PER_BACKEND,  # each size has more front doors than these
     "most_largest_load": 2.0,  # of a backend, over the fair one
     "most_moved_for_one": 4.0,  # (door, backend) pairs, over the least: those of that backend itself
     "most_views_not_full": 0.0,  # after the event that lost a zone
@@ -60,7 +60,7 @@
     worst: dict[str, Callable[[Iterable[float]], float]] = {"least_doors": min}
     names = [aim.removeprefix("most_") for aim in AIMS]
     figures = {name: float(worst.get(name, max)(getattr(row, name) for row in rows)) for name in names}
-    assert reaches(200)[7] == least_reach(7, 200)
+    assert reaches(200)[7] == min_subset_distance(7, 200)
     for other in others if show else ():
         print(other, file=sys.stderr, flush=True)
     return Result("view", seed, AIMS, figures, {"sizes": [asdict(row) for row in rows], "others": others})
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -13,17 +13,17 @@
 from benchmarks.told import LOST_ZONE, SIZE, zone_told
 from benchmarks.touches import holding, reaching
 from molereach.policy.interface.events import Endpoint, EndpointState
-from molereach.subsetting.endpoint_subsetting import LONG
+from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR
 from molereach.subsetting.packed_records import cell_of, name_of
-from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place
+from molereach.subsetting.placement import MIN_PROXIES_PER_BACKEND, RING_SIZE, distance_behind, proxy_position
 from molereach.subsetting.staging import entry_of
-from molereach.subsetting.subset import View
+from molereach.subsetting.subset import Subset
 
 ZONES, CELLS, OF_BACKENDS = 26, 2_900, 93_000
 LEAST_SAMPLE = 3  # of backends that go, and come, one by one
 SAMPLED_MEMBERS = 100_000  # of views chosen anew, about: where one is seen by many, fewer are sampled
 DOOR_RATE_PER_S = 293.0  # at the peak
-Views = list[View]
+Views = list[Subset]
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,22 +58,22 @@
 
 
 def reaches(doors: int) -> list[int]:
-    """`least_reach` of all front doors in one go."""
-    order = sorted(range(doors), key=door_place)
-    reach = [RING] * doors
-    for at, me in enumerate(order if doors > LEAST_DOORS else ()):
-        reach[me] = behind(door_place(order[at - LEAST_DOORS]), door_place(me))
+    """`min_subset_distance` of all front doors in one go."""
+    order = sorted(range(doors), key=proxy_position)
+    reach = [RING_SIZE] * doors
+    for at, me in enumerate(order if doors > MIN_PROXIES_PER_BACKEND else ()):
+        reach[me] = distance_behind(proxy_position(order[at - MIN_PROXIES_PER_BACKEND]), proxy_position(me))
     return reach
 
 
-def filled(whole: SharedWhole, me: int, reach: int, is_long: bool) -> View:
+def filled(whole: SharedWhole, me: int, reach: int, is_long: bool) -> Subset:
     """A view; all of a short list."""
-    view = SharingView(door_place(me), reach if is_long else RING, SIZE)
-    view.fill(whole)
+    view = SharingView(proxy_position(me), reach if is_long else RING_SIZE, SIZE)
+    view.select(whole)
     return view
 
 
-def moved(before: Iterable[View], after: Iterable[View]) -> int:
+def moved(before: Iterable[Subset], after: Iterable[Subset]) -> int:
     return sum(len(old.members.keys() ^ new.members.keys()) for old, new in zip(before, after, strict=False))
 
 
@@ -82,7 +82,7 @@
 
     def __init__(self, doors: int, backends: int, cells: bool, seed: int) -> None:
         self.doors, self.backends, self.cells, self.seed = doors, backends, cells, seed
-        self.is_long = backends > LONG * SIZE
+        self.is_long = backends > LONG_LIST_FACTOR * SIZE
         self.whole = SharedWhole((cell_of,) if cells else ())
         self.servers = [server(number, backends, seed) for number in range(backends)]
         for each in self.servers:
@@ -91,7 +91,7 @@
         self.views = [self.fill(me) for me in range(doors)]
         self.pairs = sum(len(view.members) for view in self.views)
 
-    def fill(self, me: int) -> View:
+    def fill(self, me: int) -> Subset:
         return filled(self.whole, me, self.reach[me], self.is_long)
 
     def put(self, each: Endpoint) -> tuple[int, bytes]:
@@ -105,7 +105,7 @@
         me = [
             number
             for number, view in enumerate(self.views)
-            if touches(view) and view.concerns(self.whole, place, before, after)
+            if touches(view) and view.is_affected_by(self.whole, place, before, after)
         ]
         return [self.views[number] for number in me], [self.fill(number) for number in me]
 
@@ -127,9 +127,12 @@
         self.whole.remove(place, name_of(record))
         return moved(old, new), len(sees), rate / fair
 
-    def seen_by(self, view: View) -> int:
+    def seen_by(self, view: Subset) -> int:
         """As the module is told."""
-        return min(self.doors, max(LEAST_DOORS, round(self.doors * len(view.members) / self.whole.ring.up)))
+        return min(
+            self.doors,
+            max(MIN_PROXIES_PER_BACKEND, round(self.doors * len(view.members) / self.whole.ring.up)),
+        )
 
     def door_goes(self) -> int:
         """Pairs moved when the last front door goes; only views that must reach further change."""
--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -19,7 +19,7 @@
 from molereach.discovery.watch_supervisor import Calling
 from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy.config import Address
-from molereach.subsetting.interface import RoomError, Staged
+from molereach.subsetting.interface import EntryBudgetExceededError, StagedEndpoints
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
 class Staging:
     """Parts of an object that does not count yet, and when it should have ended, in seconds."""
 
-    staged: Staged
+    staged: StagedEndpoints
     until_s: float
 
 
@@ -51,7 +51,7 @@
         heard: Callable[["Source", News | LongNews], Steps | None],
         pacing: CallPacing,
         draw: Callable[[], float],
-        stage: Callable[[], Staged],
+        stage: Callable[[], StagedEndpoints],
         make_room: Callable[["Source", int], bool] = lambda source, number: False,
     ) -> None:
         """`make_room`: whether what else is staged gives way to what a call of this one brings."""
@@ -169,7 +169,7 @@
         """RoomError where nothing gives way to it."""
         try:
             return add()
-        except RoomError:
+        except EntryBudgetExceededError:
             if not self.make_room(self, number):
                 raise
             return add()
--- a/molereach/discovery/endpoint_discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -13,13 +13,13 @@
 from molereach.discovery.poll_backoff import CallPacing
 from molereach.discovery.watch_stream import Steps
 from molereach.proxy.config import Address
-from molereach.subsetting.interface import ListError, Staged
+from molereach.subsetting.interface import EndpointListError, StagedEndpoints
 
 __all__ = ["Catalog", "Discovery", "LongNews", "News"]
 
 
-def no_stage() -> Staged:
-    raise ListError("nothing is there to hold a list of this length")
+def no_stage() -> StagedEndpoints:
+    raise EndpointListError("nothing is there to hold a list of this length")
 
 
 class Discovery:
@@ -34,7 +34,7 @@
         spawn: Callable[[Coroutine[None, None, None]], object],
         pacing: Callable[[], CallPacing] = lambda: CallPacing(1),
         draw: Callable[[], float] = random.random,
-        stage: Callable[[], Staged] = no_stage,
+        stage: Callable[[], StagedEndpoints] = no_stage,
     ) -> None:
         self.catalog, self.heard, self.spawn = catalog, heard, spawn
         self.first = asyncio.Event()
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -9,7 +9,7 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.config import Address, Config, ConfigError, read_address
-from molereach.subsetting.interface import Staged
+from molereach.subsetting.interface import StagedEndpoints
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
 class LongNews:
     """News of a list that came in parts: what is to be taken over, in turns."""
 
-    staged: Staged
+    staged: StagedEndpoints
     kind: EndpointListKind
     version: int
 
@@ -128,7 +128,7 @@
         return News(EndpointListReceived(kind, int(value["generation"]), tuple(servers)), addresses)
 
     def long_news(
-        self, value: Mapping[str, Any], staged: Staged, kind: EndpointListKind | None = None
+        self, value: Mapping[str, Any], staged: StagedEndpoints, kind: EndpointListKind | None = None
     ) -> LongNews:
         """The end of an object whose parts have been staged; what came with it is staged too."""
         staged.add(*self.entries(value["instances"]))
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -53,9 +53,9 @@
 from molereach.proxy.connection_draining import drain
 from molereach.proxy.gossip import Peers
 from molereach.proxy.graceful_shutdown import Ending
-from molereach.subsetting.endpoint_subsetting import Routing
-from molereach.subsetting.entry_budget import COPIES
-from molereach.subsetting.interface import Lists, Seen
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
+from molereach.subsetting.entry_budget import MAX_LIST_COPIES
+from molereach.subsetting.interface import EndpointList, SubsetUpdate
 
 log = logging.getLogger(__name__)
 
@@ -119,8 +119,8 @@
             self.backends.spawn,
         )
         view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
-        most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
-        self.lists: Lists = Routing(config.settings, view, most)
+        most = round(memory * LIST_SHARE) // (MAX_LIST_COPIES * ENTRY_BYTES)
+        self.lists: EndpointList = EndpointSubsetting(config.settings, view, most)
         self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
         self.catalog = Catalog(config)
         self.known: News | None = None  # the list that it started with, as it was heard
@@ -287,16 +287,16 @@
         self.take_whole(news)
         return None
 
-    def take_whole(self, news: News) -> Seen | None:
-        return self.show(self.lists.take(news.event, news.addresses))
+    def take_whole(self, news: News) -> SubsetUpdate | None:
+        return self.show(self.lists.apply(news.event, news.addresses))
 
-    def take_over(self, news: LongNews) -> Generator[None, None, Seen | None]:
+    def take_over(self, news: LongNews) -> Generator[None, None, SubsetUpdate | None]:
         return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
 
     def take_in_turns(self, news: LongNews) -> Steps:
         yield from self.take_over(news)
 
-    def show(self, seen: Seen | None) -> Seen | None:
+    def show(self, seen: SubsetUpdate | None) -> SubsetUpdate | None:
         """What the view shows of news, with the orders that lie over it; None concerns nothing in it."""
         if seen:
             self.hear(self.see(seen.event), seen.addresses)
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -1,178 +1,246 @@
-"""The list as it comes, and what of it the module hears: all of a short one, the view of a long one. A core.
+"""The endpoint list as it arrives, and what the policy sees of it: a short list, or a subset of a long one.
 
-A list is long from twice the view's size on, and short again at the view's size, so that one that stands at
-a bound does not change its front doors with every backend. What leaves the view, also to drain, is told as
-gone: what is out there ends as it does on any backend that goes.
+A list is long from twice the subset's size on, and short again at the subset's size, so that a list near a
+bound does not change its state with every backend. What leaves the subset, also to drain, is reported as
+gone: attempts there end as they do on any backend that is removed. A core.
 """
 
 from collections.abc import Generator, Mapping, Sequence
 
-from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
+from molereach.policy.interface.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+)
 from molereach.policy.interface.settings import Settings
-from molereach.subsetting.entry_budget import COPIES, Room
-from molereach.subsetting.idempotency_groups import kinds
-from molereach.subsetting.interface import Address, ListError, Seen, Staged
+from molereach.subsetting.entry_budget import MAX_LIST_COPIES, EntryBudget
+from molereach.subsetting.idempotency_groups import scope_keys
+from molereach.subsetting.interface import Address, EndpointListError, StagedEndpoints, SubsetUpdate
 from molereach.subsetting.packed_records import name_of, unpack
-from molereach.subsetting.placement import LEAST_DOORS, door_place, least_reach
+from molereach.subsetting.placement import MIN_PROXIES_PER_BACKEND, min_subset_distance, proxy_position
 from molereach.subsetting.staging import STEP_ENTRIES, Staging, entry_of
-from molereach.subsetting.subset import View, Whole
-from molereach.subsetting.takeover_overlay import Meanwhile
-
-LONG = 2  # times the view's size: from there on a list has a view
-WHOLE_KINDS = (EndpointListKind.FULL, EndpointListKind.SAVED)
-MORE_ENTRIES = 2 * STEP_ENTRIES  # that a list may have beyond the most between the steps of changes to it
-Steps = Generator[None, None, Seen | None]
-Short = dict[str, tuple[Endpoint, Address | None]]
-
-
-class Routing:
-    """The whole list and the view of it; `size` is the view's, `most` the entries that the list may have."""
-
-    def __init__(self, settings: Settings, size: int, most: int) -> None:
-        self.doors, self.size, self.most, self.kinds = settings.proxy_count, size, most, kinds(settings)
-        self.short: Short | None = {}  # None: the list is long, and stands in `whole`
-        self.room = Room(COPIES * most + MORE_ENTRIES)
-        self.whole = self.empty()
-        self.view = View(
-            door_place(settings.proxy_index), least_reach(settings.proxy_index, settings.proxy_count), size
+from molereach.subsetting.subset import EndpointIndex, Subset
+from molereach.subsetting.takeover_overlay import TakeoverOverlay
+
+LONG_LIST_FACTOR = 2  # times the subset's size: from there on a list is long
+FULL_LIST_KINDS = (EndpointListKind.FULL, EndpointListKind.SAVED)
+CHANGE_HEADROOM_ENTRIES = 2 * STEP_ENTRIES  # beyond the bound, between the steps of changes to a list
+MAX_SHOWN_NAME_BYTES = 80
+
+Steps = Generator[None, None, SubsetUpdate | None]
+AddressedEndpoint = tuple[Endpoint, Address | None]
+ShortList = dict[str, AddressedEndpoint]
+
+
+class EndpointSubsetting:
+    """The complete list and the subset of it that the policy sees."""
+
+    def __init__(self, settings: Settings, subset_size: int, max_entries: int) -> None:
+        """`subset_size` is that of the subset, `max_entries` what the complete list may have."""
+        self.proxy_count = settings.proxy_count
+        self.subset_size = subset_size
+        self.max_entries = max_entries
+        self.scope_keys = scope_keys(settings)
+        self.short_list: ShortList | None = {}  # None: the list is long, and is in `index`
+        self.budget = EntryBudget(MAX_LIST_COPIES * max_entries + CHANGE_HEADROOM_ENTRIES)
+        self.index = self.new_index()
+        self.subset = Subset(
+            proxy_position(settings.proxy_index),
+            min_subset_distance(settings.proxy_index, settings.proxy_count),
+            subset_size,
         )
-        self.told: dict[bytes, bytes] = {}  # members of the view by name, as the module has them
-        self.stale = False  # the view is to be chosen anew
-        self.meanwhile = Meanwhile(self.stage)
+        self.reported: dict[bytes, bytes] = {}  # members of the subset by name, as the policy has them
+        self.is_stale = False  # the subset has to be selected anew
+        self.overlay = TakeoverOverlay(self.stage)
 
     @property
     def count(self) -> int:
-        """Entries of the whole list."""
-        return self.whole.ring.count if self.short is None else len(self.short)
+        """Entries of the complete list."""
+        return self.index.ring.count if self.short_list is None else len(self.short_list)
 
-    def empty(self) -> Whole:
-        """A list with nothing in it yet."""
-        return self.room.count(Whole(self.kinds))
+    def new_index(self) -> EndpointIndex:
+        """An empty list whose entries count against the budget."""
+        return self.budget.track(EndpointIndex(self.scope_keys))
 
     def stage(self) -> Staging:
-        return self.room.count(Staging(self.most, self.room))
+        """Begin a list that arrives in pieces."""
+        return self.budget.track(Staging(self.max_entries, self.budget))
 
-    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
-        """An object that came whole, and so holds few entries."""
+    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+        """Apply a list or changes that arrived in one piece, and so have few entries."""
         if event.kind is EndpointListKind.FAILED:
-            return Seen(event, {})
-        if self.short is not None:
-            known = {} if event.kind in WHOLE_KINDS else dict(self.short)
-            learn(known, event.endpoints, addresses)
-            if len(known) <= LONG * self.size:
-                self.short = known
-                if event.kind not in WHOLE_KINDS:
-                    self.meanwhile.note_short(event.endpoints, addresses)
-                return Seen(event, dict(addresses))
-        staged = Staging(self.most)
+            return SubsetUpdate(event, {})
+        if self.short_list is not None:
+            changed = {} if event.kind in FULL_LIST_KINDS else dict(self.short_list)
+            apply_to_short_list(changed, event.endpoints, addresses)
+            if len(changed) <= LONG_LIST_FACTOR * self.subset_size:
+                self.short_list = changed
+                if event.kind not in FULL_LIST_KINDS:
+                    self.overlay.record_short_list(event.endpoints, addresses)
+                return SubsetUpdate(event, dict(addresses))
+        staged = Staging(self.max_entries)
         staged.add(event.endpoints, addresses)
-        return finish(self.take_over(staged, event.kind, event.version))
+        return run_to_end(self.take_over(staged, event.kind, event.version))
 
-    def take_over(self, staged: Staged, kind: EndpointListKind, version: int) -> Steps:
-        """All that was staged, in short steps; what the module has holds until the last."""
+    def take_over(self, staged: StagedEndpoints, kind: EndpointListKind, version: int) -> Steps:
+        """Apply a staged list in short steps; what the policy has stays in force until the last one."""
         assert isinstance(staged, Staging)
-        if kind in WHOLE_KINDS:
-            whole, since = self.empty(), self.meanwhile.begin()
-            yield from self.build(whole, staged)
-            yield from self.meanwhile.catch_up(whole, since)
-            old, self.whole, self.stale = self.whole, whole, True
-            if self.short is None:  # before the view is told: whoever leaves now has told nothing
-                yield from old.ring.release()
+        if kind in FULL_LIST_KINDS:
+            yield from self.replace_index(staged)
         else:
-            if self.short is not None:
-                self.whole, self.stale = self.empty(), True
-                yield from self.build(self.whole, self.stage_short(self.short))
-            yield from self.change(staged)
-        was_short, self.short = self.short is not None, None
-        if self.whole.ring.count <= self.size * (LONG if was_short else 1):
-            return self.shorten(kind, version)
-        return self.tell(kind, version, was_short)
-
-    def stage_short(self, short: Short) -> Staging:
-        staged = Staging(self.most)
-        for known in short.values():
-            staged.append(entry_of(*known))
+            yield from self.change_index(staged)
+        was_short = self.short_list is not None
+        self.short_list = None
+        if self.index.ring.count <= self.subset_size * (LONG_LIST_FACTOR if was_short else 1):
+            return self.become_short(kind, version)
+        return self.report(kind, version, was_short)
+
+    def replace_index(self, staged: Staging) -> Generator[None, None, None]:
+        """Build a new index of a full list, and put it in place of the one in service."""
+        index = self.new_index()
+        recording = self.overlay.begin()
+        yield from self.build_index(index, staged)
+        yield from self.overlay.catch_up(index, recording)
+        replaced = self.index
+        self.index = index
+        self.is_stale = True
+        if self.short_list is None:  # before the update is reported: who stops here has reported nothing
+            yield from replaced.ring.release()
+
+    def change_index(self, staged: Staging) -> Generator[None, None, None]:
+        """Apply changes to the index, which is built first where the list was short."""
+        if self.short_list is not None:
+            self.index = self.new_index()
+            self.is_stale = True
+            yield from self.build_index(self.index, self.stage_short_list(self.short_list))
+        yield from self.apply_changes(staged)
+
+    def stage_short_list(self, short_list: ShortList) -> Staging:
+        """The entries of a short list, packed."""
+        staged = Staging(self.max_entries)
+        for endpoint, address in short_list.values():
+            staged.append(entry_of(endpoint, address))
         return staged
 
-    def build(self, whole: Whole, staged: Staging) -> Generator[None, None, None]:
-        """A whole list; ListError where it names a backend twice, as nobody knows which of them holds."""
-        for entries in staged.take():
-            for place, record, gone in entries:
-                if not gone and whole.put(place, record) is not None:
-                    raise ListError(f"the whole list names a server twice: {name_of(record)[:80]!r}")
+    def build_index(self, index: EndpointIndex, staged: Staging) -> Generator[None, None, None]:
+        """Fill an index with a full list.
+
+        Raises EndpointListError where the list names a backend twice, as nobody knows which entry holds.
+        """
+        for entries in staged.consume_slices():
+            for position, record, is_removed in entries:
+                if not is_removed and index.put(position, record) is not None:
+                    shown = name_of(record)[:MAX_SHOWN_NAME_BYTES]
+                    raise EndpointListError(f"the whole list names a server twice: {shown!r}")
             yield
 
-    def change(self, staged: Staging) -> Generator[None, None, None]:
-        """Changes: each is true by itself. Where they are not taken over to the end, the next call brings
-        them again. What comes may stand before what goes, so the list is counted at the end of a step."""
-        whole, view = self.whole, self.view
-        for entries in staged.take():
-            for place, record, gone in entries:
-                before = whole.remove(place, record) if gone else whole.put(place, record)
-                self.stale = self.stale or view.concerns(whole, place, before, None if gone else record)
-            self.meanwhile.note(entries)
-            if whole.ring.count > self.most + (STEP_ENTRIES if staged.slices else 0):
-                raise ListError(f"a list of over {self.most} entries has no room in memory")
+    def apply_changes(self, staged: Staging) -> Generator[None, None, None]:
+        """Apply changes to the index in steps; raises EndpointListError where the list becomes too long.
+
+        Each change is true by itself: where not all of them are applied, the next call brings them again. An
+        addition may stand before a removal, so the list is counted at the end of a step.
+        """
+        index = self.index
+        subset = self.subset
+        for entries in staged.consume_slices():
+            for position, record, is_removed in entries:
+                before = index.remove(position, record) if is_removed else index.put(position, record)
+                after = None if is_removed else record
+                self.is_stale = self.is_stale or subset.is_affected_by(index, position, before, after)
+            self.overlay.record(entries)
+            if index.ring.count > self.max_entries + (STEP_ENTRIES if staged.slices else 0):
+                raise EndpointListError(f"a list of over {self.max_entries} entries has no room in memory")
             if staged.slices:
                 yield
 
-    def shorten(self, kind: EndpointListKind, version: int) -> Seen:
-        """The list is short: all of it is told, and kept as it is."""
-        kind = kind if kind in WHOLE_KINDS else EndpointListKind.FULL
-        listed = [unpack(record) for record in self.whole.ring]
-        self.short = {server.name: (server, address) for server, address in listed}
-        self.whole, self.told, self.stale = self.empty(), {}, False
-        return seen(kind, version, listed)
-
-    def tell(self, kind: EndpointListKind, version: int, whole: bool) -> Seen | None:
-        """The view, or what has changed of it."""
-        if not (self.stale or whole or kind in WHOLE_KINDS):
-            return None
-        if self.stale:
-            self.view.fill(self.whole)
-            self.stale = False
-        before, self.told = self.told, self.view.members
-        if before is self.told and not whole:  # nothing that concerns it: not looked through
+    def become_short(self, kind: EndpointListKind, version: int) -> SubsetUpdate:
+        """Keep the list as a short one from now on, and report all of it."""
+        listed = [unpack(record) for record in self.index.ring]
+        self.short_list = {endpoint.name: (endpoint, address) for endpoint, address in listed}
+        self.index = self.new_index()
+        self.reported = {}
+        self.is_stale = False
+        return subset_update(full_kind(kind), version, listed)
+
+    def report(self, kind: EndpointListKind, version: int, was_short: bool) -> SubsetUpdate | None:
+        """The subset, or what has changed of it; None where nothing has."""
+        is_full = was_short or kind in FULL_LIST_KINDS
+        if not (self.is_stale or is_full):
             return None
-        up = max(1, self.whole.ring.up)
-        seen_by = min(self.doors, max(LEAST_DOORS, round(self.doors * len(self.told) / up)))
-        if whole or kind in WHOLE_KINDS:
-            kind = kind if kind in WHOLE_KINDS else EndpointListKind.FULL
-            return seen(kind, version, [unpack(record) for record in self.told.values()], seen_by)
-        left = [gone(unpack(record)[0]) for name, record in before.items() if name not in self.told]
-        new = [unpack(record) for name, record in self.told.items() if before.get(name) != record]
-        if not left and not new:
+        if self.is_stale:
+            self.subset.select(self.index)
+            self.is_stale = False
+        before = self.reported
+        self.reported = self.subset.members
+        if before is self.reported and not was_short:  # nothing in the subset changed: it is not searched
             return None
-        return seen(kind, version, [*left, *new], seen_by)
-
-
-def learn(short: Short, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
-    """Keep a short list."""
-    for server in servers:
-        known = short.pop(server.name, None)
-        if server.state is not EndpointState.GONE:
-            short[server.name] = server, addresses.get(server.name) or (known and known[1])
-
-
-def gone(server: Endpoint) -> tuple[Endpoint, Address | None]:
-    return Endpoint(
-        server.name, server.zone, server.kind, server.cell, EndpointState.GONE, server.size, server.started_us
-    ), None
-
-
-def seen(
-    kind: EndpointListKind, version: int, listed: Sequence[tuple[Endpoint, Address | None]], seen_by: int = 0
-) -> Seen:
-    """News for the module; changes where they are not the whole of it."""
-    event = EndpointListReceived(kind, version, tuple(server for server, _ in listed), seen_by)
-    return Seen(event, {server.name: address for server, address in listed if address})
-
-
-def finish(steps: Steps) -> Seen | None:
-    """All steps at once, of an object that holds few entries."""
+        if is_full:
+            members = [unpack(record) for record in self.reported.values()]
+            return subset_update(full_kind(kind), version, members, self.sharing_proxies())
+        changes = self.member_changes(before)
+        return subset_update(kind, version, changes, self.sharing_proxies()) if changes else None
+
+    def sharing_proxies(self) -> int:
+        """How many proxies have each backend in their subsets, on average."""
+        up = max(1, self.index.ring.up)
+        mean = round(self.proxy_count * len(self.reported) / up)
+        return min(self.proxy_count, max(MIN_PROXIES_PER_BACKEND, mean))
+
+    def member_changes(self, before: Mapping[bytes, bytes]) -> list[AddressedEndpoint]:
+        """The members that left the subset, as gone, then those that joined it or changed."""
+        removed = [
+            removed_endpoint(unpack(record)[0])
+            for name, record in before.items()
+            if name not in self.reported
+        ]
+        changed = [unpack(record) for name, record in self.reported.items() if before.get(name) != record]
+        return [*removed, *changed]
+
+
+def full_kind(kind: EndpointListKind) -> EndpointListKind:
+    """The kind under which a full list is reported."""
+    return kind if kind in FULL_LIST_KINDS else EndpointListKind.FULL
+
+
+def apply_to_short_list(
+    short_list: ShortList, endpoints: Sequence[Endpoint], addresses: Mapping[str, Address]
+) -> None:
+    """Apply changes to a short list; a backend keeps its address where a change names none."""
+    for endpoint in endpoints:
+        before = short_list.pop(endpoint.name, None)
+        if endpoint.state is not EndpointState.GONE:
+            short_list[endpoint.name] = endpoint, addresses.get(endpoint.name) or (before and before[1])
+
+
+def removed_endpoint(endpoint: Endpoint) -> AddressedEndpoint:
+    """The entry that reports an endpoint as gone."""
+    removed = Endpoint(
+        endpoint.name,
+        endpoint.zone,
+        endpoint.kind,
+        endpoint.cell,
+        EndpointState.GONE,
+        endpoint.size,
+        endpoint.started_us,
+    )
+    return removed, None
+
+
+def subset_update(
+    kind: EndpointListKind, version: int, listed: Sequence[AddressedEndpoint], sharing_proxies: int = 0
+) -> SubsetUpdate:
+    """An update of these endpoints, with the addresses that are known."""
+    endpoints = tuple(endpoint for endpoint, _ in listed)
+    event = EndpointListReceived(kind, version, endpoints, sharing_proxies)
+    return SubsetUpdate(event, {endpoint.name: address for endpoint, address in listed if address})
+
+
+def run_to_end(steps: Steps) -> SubsetUpdate | None:
+    """All steps at once, for a list of few entries."""
     while True:
         try:
             next(steps)
         except StopIteration as done:
-            result: Seen | None = done.value
+            result: SubsetUpdate | None = done.value
             return result
--- a/molereach/subsetting/entry_budget.py
+++ b/molereach/subsetting/entry_budget.py
@@ -1,43 +1,49 @@
-"""How many entries of long lists there may be at once, wherever they are held. A core.
+"""How many entries of long lists there may be in memory at once, wherever they are. A core.
 
-What is there is counted, and not what was taken: a list or a staging counts for as long as anybody refers to
-it, so that none has to be given back and no way out of a call can forget to.
+Containers are counted for as long as anything refers to them (weak references), so that no entry has to be
+given back and no way out of a call can forget to.
 """
 
 from typing import Protocol, TypeVar
 from weakref import WeakSet
 
-from molereach.subsetting.interface import RoomError
+from molereach.subsetting.interface import EntryBudgetExceededError
 
-COPIES = 2  # of the longest list: the one in service, and one that comes or is let go of
+MAX_LIST_COPIES = 2  # of the longest list: the one in service, and one that arrives or is being released
 
 
-class Holder(Protocol):
+class EntryContainer(Protocol):
+    """Anything that keeps entries in memory."""
+
     @property
-    def held(self) -> int:
-        """Entries in it."""
+    def entry_count(self) -> int:
+        """How many entries it holds."""
 
 
-One = TypeVar("One", bound=Holder)
+Container = TypeVar("Container", bound=EntryContainer)
 
 
-class Room:
-    """For `most` entries in all."""
+class EntryBudget:
+    """A bound of `max_entries` for all containers together."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.holders: WeakSet[Holder] = WeakSet()
+    def __init__(self, max_entries: int) -> None:
+        self.max_entries = max_entries
+        self.containers: WeakSet[EntryContainer] = WeakSet()
 
-    def count(self, one: One) -> One:
-        """It counts from now on."""
-        self.holders.add(one)
-        return one
+    def track(self, container: Container) -> Container:
+        """Count a container's entries from now on; returns it."""
+        self.containers.add(container)
+        return container
 
     @property
-    def held(self) -> int:
-        return sum(holder.held for holder in self.holders)
-
-    def need(self, more: int) -> None:
-        """RoomError where so many more entries would be too many."""
-        if (held := self.held) + more > self.most:
-            raise RoomError(f"no room in memory beside {held} entries of lists, of {self.most} at most")
+    def entry_count(self) -> int:
+        """The entries of all containers."""
+        return sum(container.entry_count for container in self.containers)
+
+    def require(self, more: int) -> None:
+        """Raise EntryBudgetExceededError where so many more entries would exceed the bound."""
+        count = self.entry_count
+        if count + more > self.max_entries:
+            raise EntryBudgetExceededError(
+                f"no room in memory beside {count} entries of lists, of {self.max_entries} at most"
+            )
--- a/molereach/subsetting/idempotency_groups.py
+++ b/molereach/subsetting/idempotency_groups.py
@@ -1,7 +1,8 @@
-"""Which backends stand in for each other: those of a cell or a zone, where repeats are dropped there. A core.
+"""Backends that can substitute each other: those of a cell or zone within which repeats are dropped. A core.
 
-A keyed request that may have run is repeated within its group alone. So a view that holds one of a group
-holds its next ones as well, in the order of their places, round the group.
+A request with an idempotency key that may have run is retried within its deduplication scope alone. So a
+subset that holds one backend of a group holds the next ones as well, in the order of their positions, round
+the group.
 """
 
 from array import array
@@ -11,49 +12,52 @@
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Settings
 from molereach.subsetting.packed_records import cell_of, zone_of
 
-STANDINS = 2  # of each backend in a view, of each kind of group: for two repeats
+SUBSTITUTES = 2  # of each backend in a subset, for each kind of group: enough for two retries
 
+ScopeKey = Callable[[bytes], int]
+"""The number of the zone or cell of a record."""
 
-class Groups:
-    """The places of those that are up, by their groups of one kind."""
 
-    __slots__ = ("members", "of")
+class IdempotencyGroups:
+    """The positions of backends that are up, by zone or by cell."""
 
-    def __init__(self, of: Callable[[bytes], int]) -> None:
-        self.of = of
-        self.members: dict[int, array[int]] = {}
+    __slots__ = ("positions_by_scope", "scope_of")
 
-    def add(self, place: int, record: bytes) -> None:
-        group = self.of(record)
-        places = self.members.get(group)
-        if places is None:
-            places = self.members[group] = array("Q")
-        places.insert(bisect_left(places, place), place)
+    def __init__(self, scope_of: ScopeKey) -> None:
+        self.scope_of = scope_of
+        self.positions_by_scope: dict[int, array[int]] = {}
 
-    def remove(self, place: int, record: bytes) -> None:
-        group = self.of(record)
-        places = self.members[group]
-        del places[bisect_left(places, place)]
-        if not places:
-            del self.members[group]
+    def add(self, position: int, record: bytes) -> None:
+        """Add a backend that is up."""
+        scope = self.scope_of(record)
+        positions = self.positions_by_scope.get(scope)
+        if positions is None:
+            positions = array("Q")
+            self.positions_by_scope[scope] = positions
+        positions.insert(bisect_left(positions, position), position)
 
-    def standins(self, place: int, record: bytes) -> Iterator[int]:
-        """The places of the next ones after it."""
-        places = self.members[self.of(record)]
-        after = bisect_right(places, place)
-        for step in range(min(STANDINS, len(places) - 1)):
-            yield places[(after + step) % len(places)]
+    def remove(self, position: int, record: bytes) -> None:
+        """Remove a backend that was added."""
+        scope = self.scope_of(record)
+        positions = self.positions_by_scope[scope]
+        del positions[bisect_left(positions, position)]
+        if not positions:
+            del self.positions_by_scope[scope]
 
+    def substitutes(self, position: int, record: bytes) -> Iterator[int]:
+        """The positions of the backends next after one in its group."""
+        positions = self.positions_by_scope[self.scope_of(record)]
+        after = bisect_right(positions, position)
+        for step in range(min(SUBSTITUTES, len(positions) - 1)):
+            yield positions[(after + step) % len(positions)]
 
-def kinds(settings: Settings) -> list[Callable[[bytes], int]]:
-    """The kinds of groups within which some class is repeated."""
-    groups = {
-        rule.deduplication_scope
-        for rule in settings.classes
-        if rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+
+def scope_keys(settings: Settings) -> list[ScopeKey]:
+    """The kinds of groups, zones and cells, to which some request class binds its retries."""
+    scopes = {
+        request_class.deduplication_scope
+        for request_class in settings.classes
+        if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     }
-    return [
-        of
-        for kind, of in ((DeduplicationScope.ZONE, zone_of), (DeduplicationScope.CELL, cell_of))
-        if kind in groups
-    ]
+    keys = ((DeduplicationScope.ZONE, zone_of), (DeduplicationScope.CELL, cell_of))
+    return [key for scope, key in keys if scope in scopes]
--- a/molereach/subsetting/interface.py
+++ b/molereach/subsetting/interface.py
@@ -1,6 +1,6 @@
-"""What the front door hands to its view of the list, and what it gets back for the decision module.
+"""What discovery and the proxy use of subsetting: an endpoint list, staged entries, updates of the subset.
 
-A list that is no longer than the view passes through as it came: same events in, same events out.
+A list that is no longer than the subset passes through unchanged: the same events come out as went in.
 """
 
 from collections.abc import Generator, Mapping, Sequence
@@ -12,41 +12,47 @@
 Address = tuple[str, int]
 
 
-class ListError(ValueError):
-    """A list that cannot be taken over; the text is one line, and the list before it holds."""
+class EndpointListError(ValueError):
+    """An endpoint list that cannot be applied. The text is one line; the list in service stays in force."""
 
 
-class RoomError(ListError):
-    """There is no room for it beside the lists that are held: it may be had once one of them has gone."""
+class EntryBudgetExceededError(EndpointListError):
+    """Other lists use up the memory for entries; there may be enough once one of them is released."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """News for the module, and the addresses of the servers that it names."""
+class SubsetUpdate:
+    """An event for the policy, and the addresses of the endpoints that it names."""
 
     event: EndpointListReceived
     addresses: dict[str, Address]
 
 
-class Staged(Protocol):
-    """Entries of one object that comes in parts; nothing of them counts until they are taken over."""
+class StagedEndpoints(Protocol):
+    """Entries of one list that arrives in pieces; none of them is in force before the list is taken over."""
 
     def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
-        """The next part; ListError where the list would need more memory than it may have, RoomError where
-        others have it just now. Then nothing of the part was added."""
+        """Add the entries of the next piece.
 
+        Raises EndpointListError where the list would exceed its own bound, EntryBudgetExceededError where
+        other lists use the memory just now. In both cases nothing of the piece was added.
+        """
 
-class Lists(Protocol):
-    """The whole list, and the view of it."""
 
-    def stage(self) -> Staged:
-        """For an object of which a part has come."""
+class EndpointList(Protocol):
+    """The complete endpoint list, and the subset of it that the policy sees."""
 
-    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
-        """An object that came whole; None where nothing of it concerns the view."""
+    def stage(self) -> StagedEndpoints:
+        """Begin a list of which a first piece has arrived."""
+
+    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+        """Apply a list or changes that arrived in one piece; None where the subset does not change."""
 
     def take_over(
-        self, staged: Staged, kind: EndpointListKind, version: int
-    ) -> Generator[None, None, Seen | None]:
-        """All that was staged; each step is short enough for one turn of the loop, and the list before holds
-        until the last. ListError where it cannot be."""
+        self, staged: StagedEndpoints, kind: EndpointListKind, version: int
+    ) -> Generator[None, None, SubsetUpdate | None]:
+        """Apply a staged list in steps, each short enough for one turn of the event loop.
+
+        The list before stays in force until the last step. Raises EndpointListError where it cannot be
+        applied.
+        """
--- a/molereach/subsetting/packed_records.py
+++ b/molereach/subsetting/packed_records.py
@@ -1,69 +1,84 @@
-"""A backend's entry in few bytes: 33 of figures, its name and its host. A core."""
+"""An endpoint list's entry as a compact record: 33 bytes of figures, the name and the host. A core."""
 
 from struct import Struct, error
 
 from molereach.policy.interface.events import Endpoint, EndpointState
-from molereach.subsetting.interface import Address, ListError
-
-# State, zone, kind, cell, size, start in microseconds, port, bytes of the name; then the name and the host.
-HEAD = Struct("<BiiidqHH")
-UP, DRAINING = 0, 1
-TEXT = "utf-8", "surrogatepass"  # JSON can hold halves of pairs
-
-
-def name_bytes(name: str) -> bytes:
+from molereach.subsetting.interface import Address, EndpointListError
+
+# State, zone, kind, cell, size, start in microseconds, port, length of the name; then the name and the host.
+HEADER = Struct("<BiiidqHH")
+ZONE_FIELD = 1
+CELL_FIELD = 3
+STARTED_US_FIELD = 5
+NAME_LENGTH_FIELD = 7
+STATE_UP = 0
+STATE_DRAINING = 1
+TEXT_ENCODING = "utf-8"
+TEXT_ERRORS = "surrogatepass"  # JSON can hold unpaired surrogates
+MAX_SHOWN_NAME_BYTES = 80
+
+
+def encode_name(name: str) -> bytes:
+    """A name in UTF-8, unpaired surrogates included."""
     try:
         return name.encode()
     except UnicodeEncodeError:
-        return name.encode(*TEXT)
+        return name.encode(TEXT_ENCODING, TEXT_ERRORS)
 
 
 def pack(server: Endpoint, address: Address | None, name: bytes = b"") -> bytes:
-    """ListError for what fits no record, as a name of over 65,535 bytes. One that is gone has none. `name` is
-    the server's in bytes, where it is there already."""
+    """The record of an endpoint that is up or draining.
+
+    `name` is its encoded name where the caller has it already. Raises EndpointListError for what fits no
+    record, such as a name of over 65,535 bytes.
+    """
     host, port = address or ("", 0)
-    name = name or name_bytes(server.name)
-    state = UP if server.state is EndpointState.UP else DRAINING
-    figures = server.zone, server.kind, server.cell, server.size, server.started_us, port
+    name = name or encode_name(server.name)
+    state = STATE_UP if server.state is EndpointState.UP else STATE_DRAINING
+    figures = (server.zone, server.kind, server.cell, server.size, server.started_us, port)
     try:
-        head = HEAD.pack(state, *figures, len(name))
+        header = HEADER.pack(state, *figures, len(name))
     except error as reason:
-        raise ListError(f"an entry that fits no record: {name[:80]!r}: {reason}") from reason
-    return head + name + name_bytes(host)
+        shown = name[:MAX_SHOWN_NAME_BYTES]
+        raise EndpointListError(f"an entry that fits no record: {shown!r}: {reason}") from reason
+    return header + name + encode_name(host)
 
 
 def unpack(record: bytes) -> tuple[Endpoint, Address | None]:
-    state, zone, kind, cell, size, started_us, port, length = HEAD.unpack_from(record)
-    name, host = record[HEAD.size : HEAD.size + length], record[HEAD.size + length :]
-    server = Endpoint(
-        name.decode(*TEXT),
-        zone,
-        kind,
-        cell,
-        EndpointState.UP if state == UP else EndpointState.DRAINING,
-        size,
-        started_us,
-    )
-    return server, (host.decode(*TEXT), port) if port else None
+    """The endpoint of a record, and its address where it has one."""
+    state, zone, kind, cell, size, started_us, port, name_length = HEADER.unpack_from(record)
+    name_end = HEADER.size + name_length
+    name = record[HEADER.size : name_end].decode(TEXT_ENCODING, TEXT_ERRORS)
+    endpoint_state = EndpointState.UP if state == STATE_UP else EndpointState.DRAINING
+    server = Endpoint(name, zone, kind, cell, endpoint_state, size, started_us)
+    if not port:
+        return server, None
+    return server, (record[name_end:].decode(TEXT_ENCODING, TEXT_ERRORS), port)
 
 
 def name_of(record: bytes) -> bytes:
-    return record[HEAD.size : HEAD.size + HEAD.unpack_from(record)[7]]
+    """The encoded name of a record."""
+    name_length = HEADER.unpack_from(record)[NAME_LENGTH_FIELD]
+    return record[HEADER.size : HEADER.size + name_length]
 
 
 def is_up(record: bytes) -> bool:
-    return record[0] == UP
+    """Whether the endpoint may be sent new requests."""
+    return record[0] == STATE_UP
 
 
 def is_later(record: bytes, other: bytes) -> bool:
-    """Whether one entry of a backend must be later than another: of a later start, or its end."""
-    started_us, other_us = HEAD.unpack_from(record)[5], HEAD.unpack_from(other)[5]
-    return bool(started_us > other_us or (started_us == other_us and not is_up(record)))
+    """Whether a record of an endpoint must be later than another: a later start, or the same one draining."""
+    started_us = HEADER.unpack_from(record)[STARTED_US_FIELD]
+    other_started_us = HEADER.unpack_from(other)[STARTED_US_FIELD]
+    return bool(started_us > other_started_us or (started_us == other_started_us and not is_up(record)))
 
 
 def zone_of(record: bytes) -> int:
-    return int(HEAD.unpack_from(record)[1])
+    """The zone of a record."""
+    return int(HEADER.unpack_from(record)[ZONE_FIELD])
 
 
 def cell_of(record: bytes) -> int:
-    return int(HEAD.unpack_from(record)[3])
+    """The cell of a record."""
+    return int(HEADER.unpack_from(record)[CELL_FIELD])
--- a/molereach/subsetting/ring.py
+++ b/molereach/subsetting/ring.py
@@ -1,8 +1,8 @@
-"""All records by their places on the ring, in buckets of equal arcs. A core.
+"""All records by their positions on the ring, in buckets of equal arcs. A core.
 
-A bucket is a sorted array of places and a list of records: with 93,000 backends some 23 of them, so that what
-a change touches grows by the 4,096th part of the list alone. Buckets with none that is up are passed over, so
-that a view costs no more where most of a list drains. `touched` counts the records looked at.
+A bucket is a sorted array of positions and a list of records: with 93,000 backends some 23 of them, so that
+the cost of a change grows by the 4,096th part of the list alone. Buckets with no record that is up are passed
+over, so that a subset costs no more where most of a list drains. `examined` counts the records looked at.
 """
 
 from array import array
@@ -10,77 +10,84 @@
 from collections.abc import Iterator
 
 from molereach.subsetting.packed_records import is_up, name_of
-from molereach.subsetting.placement import BITS
+from molereach.subsetting.placement import RING_BITS
 
 BUCKET_BITS = 12
 BUCKETS = 1 << BUCKET_BITS
-SHIFT = BITS - BUCKET_BITS
-RELEASED = 256  # buckets that are let go of in one step
+BUCKET_SHIFT = RING_BITS - BUCKET_BITS
+BUCKETS_PER_RELEASE_STEP = 256
 
 
 class Bucket:
-    """The records of one arc, by place and name; `up` of them may be sent new work."""
+    """The records of one arc, by position and name; `up` of them may be sent new requests."""
 
-    __slots__ = ("places", "records", "up")
+    __slots__ = ("positions", "records", "up")
 
     def __init__(self) -> None:
-        self.places, self.records, self.up = array("Q"), list[bytes](), 0
-
-    def index(self, place: int, name: bytes) -> tuple[int, bool]:
-        """Where a name stands or belongs, and whether it is there; places of two names may be the same."""
-        at = bisect_left(self.places, place)
-        while at < len(self.places) and self.places[at] == place:
-            if (there := name_of(self.records[at])) >= name:
-                return at, there == name
+        self.positions = array("Q")
+        self.records = list[bytes]()
+        self.up = 0
+
+    def index(self, position: int, name: bytes) -> tuple[int, bool]:
+        """Where a name is or belongs, and whether it is there; two names may have the same position."""
+        at = bisect_left(self.positions, position)
+        while at < len(self.positions) and self.positions[at] == position:
+            if (found := name_of(self.records[at])) >= name:
+                return at, found == name
             at += 1
         return at, False
 
 
 class Ring:
-    """Each name once; `up` of them may be sent new work."""
+    """Each name once; `up` of them may be sent new requests."""
 
-    __slots__ = ("buckets", "count", "touched", "up")
+    __slots__ = ("buckets", "count", "examined", "up")
 
     def __init__(self) -> None:
         self.buckets: list[Bucket | None] = [None] * BUCKETS
-        self.count = self.up = self.touched = 0
-
-    def get(self, place: int, name: bytes) -> bytes | None:
-        bucket = self.buckets[place >> SHIFT]
-        at, there = bucket.index(place, name) if bucket else (0, False)
-        self.touched += 1
-        return bucket.records[at] if bucket and there else None
-
-    def put(self, place: int, record: bytes) -> bytes | None:
-        """Add or replace a record; the one before, if any."""
-        number = place >> SHIFT
+        self.count = 0
+        self.up = 0
+        self.examined = 0
+
+    def get(self, position: int, name: bytes) -> bytes | None:
+        """The record of a name, if it is there."""
+        bucket = self.buckets[position >> BUCKET_SHIFT]
+        at, is_present = bucket.index(position, name) if bucket else (0, False)
+        self.examined += 1
+        return bucket.records[at] if bucket and is_present else None
+
+    def put(self, position: int, record: bytes) -> bytes | None:
+        """Add or replace a record; returns the one before, if any."""
+        number = position >> BUCKET_SHIFT
         bucket = self.buckets[number]
         if bucket is None:
-            bucket = self.buckets[number] = Bucket()
-        at, there = bisect_left(bucket.places, place), False
-        if at < len(bucket.places) and bucket.places[at] == place:  # seldom: it is read for its name
-            at, there = bucket.index(place, name_of(record))
-        self.touched += 1
-        before = bucket.records[at] if there else None
-        if there:
+            bucket = Bucket()
+            self.buckets[number] = bucket
+        at = bisect_left(bucket.positions, position)
+        is_present = False
+        if at < len(bucket.positions) and bucket.positions[at] == position:  # rare: only now is the name read
+            at, is_present = bucket.index(position, name_of(record))
+        self.examined += 1
+        before = bucket.records[at] if is_present else None
+        if is_present:
             bucket.records[at] = record
         else:
-            bucket.places.insert(at, place)
+            bucket.positions.insert(at, position)
             bucket.records.insert(at, record)
-        self.count += not there
-        more_up = is_up(record) - (before is not None and is_up(before))
-        bucket.up += more_up
-        self.up += more_up
+        self.count += not is_present
+        up_change = is_up(record) - (before is not None and is_up(before))
+        bucket.up += up_change
+        self.up += up_change
         return before
 
-    def remove(self, place: int, name: bytes) -> bytes | None:
-        """Take a name away; its record, if it was there."""
-        bucket = self.buckets[place >> SHIFT]
-        at, there = bucket.index(place, name) if bucket else (0, False)
-        self.touched += 1
-        if bucket is None or not there:
+    def remove(self, position: int, name: bytes) -> bytes | None:
+        """Remove a name; returns its record, if it was there."""
+        bucket = self.buckets[position >> BUCKET_SHIFT]
+        at, is_present = bucket.index(position, name) if bucket else (0, False)
+        self.examined += 1
+        if bucket is None or not is_present:
             return None
-        del bucket.places[at]
+        del bucket.positions[at]
         record = bucket.records.pop(at)
         self.count -= 1
         bucket.up -= is_up(record)
@@ -88,47 +95,48 @@
         return record
 
     def __iter__(self) -> Iterator[bytes]:
-        """All records."""
+        """All records, by position."""
         for bucket in self.buckets:
             if bucket:
-                self.touched += len(bucket.records)
+                self.examined += len(bucket.records)
                 yield from bucket.records
 
     def release(self) -> Iterator[None]:
-        """Let go of all, in steps: to free 100,000 records at once would take a turn of its own."""
-        for number in range(0, BUCKETS, RELEASED):
-            some = self.buckets[number : number + RELEASED]
-            self.count -= sum(len(bucket.records) for bucket in some if bucket)
-            self.buckets[number : number + RELEASED] = [None] * RELEASED
-            del some
+        """Free all records in steps: to free 100,000 of them at once would block the event loop."""
+        for first in range(0, BUCKETS, BUCKETS_PER_RELEASE_STEP):
+            released = self.buckets[first : first + BUCKETS_PER_RELEASE_STEP]
+            self.count -= sum(len(bucket.records) for bucket in released if bucket)
+            self.buckets[first : first + BUCKETS_PER_RELEASE_STEP] = [None] * BUCKETS_PER_RELEASE_STEP
+            del released
             yield
 
-    def up_at(self, place: int) -> Iterator[bytes]:
-        """Those up at a place: two names may share it."""
-        bucket = self.buckets[place >> SHIFT]
-        at = bisect_left(bucket.places, place) if bucket else 0
-        while bucket and at < len(bucket.places) and bucket.places[at] == place:
-            self.touched += 1
+    def up_at_position(self, position: int) -> Iterator[bytes]:
+        """The records at a position that are up: two names may share it."""
+        bucket = self.buckets[position >> BUCKET_SHIFT]
+        at = bisect_left(bucket.positions, position) if bucket else 0
+        while bucket and at < len(bucket.positions) and bucket.positions[at] == position:
+            self.examined += 1
             if is_up(bucket.records[at]):
                 yield bucket.records[at]
             at += 1
 
-    def up_back_from(self, start: int) -> Iterator[tuple[int, bytes]]:
-        """Those up from a place backwards, once round: first what stands there, last what is next to it."""
-        first = start >> SHIFT
+    def up_backwards_from(self, start: int) -> Iterator[tuple[int, bytes]]:
+        """Positions and records that are up, backwards from a position once round the ring."""
+        first = start >> BUCKET_SHIFT
         bucket = self.buckets[first]
-        split = bisect_right(bucket.places, start) if bucket else 0
+        split = bisect_right(bucket.positions, start) if bucket else 0
         if bucket and bucket.up:
-            yield from self.slice_back(bucket, 0, split)
+            yield from self.slice_backwards(bucket, 0, split)
         for step in range(1, BUCKETS):
             other = self.buckets[(first - step) % BUCKETS]
             if other and other.up:
-                yield from self.slice_back(other, 0, len(other.places))
+                yield from self.slice_backwards(other, 0, len(other.positions))
         if bucket and bucket.up:
-            yield from self.slice_back(bucket, split, len(bucket.places))
+            yield from self.slice_backwards(bucket, split, len(bucket.positions))
 
-    def slice_back(self, bucket: Bucket, low: int, high: int) -> Iterator[tuple[int, bytes]]:
+    def slice_backwards(self, bucket: Bucket, low: int, high: int) -> Iterator[tuple[int, bytes]]:
+        """Positions and records of a part of a bucket that are up, the last first."""
         for at in range(high - 1, low - 1, -1):
-            self.touched += 1
+            self.examined += 1
             if is_up(bucket.records[at]):
-                yield bucket.places[at], bucket.records[at]
+                yield bucket.positions[at], bucket.records[at]
--- a/molereach/subsetting/staging.py
+++ b/molereach/subsetting/staging.py
@@ -1,78 +1,99 @@
-"""Entries of one object that comes in parts: packed as they come, so that few bytes hold them. A core."""
+"""Entries of one list that arrives in pieces, packed as they arrive. A core.
+
+The entries are in slices that are released one by one: to free 100,000 of them at once, or to have the
+garbage collector look through one object for each, would block the event loop.
+"""
 
 from array import array
 from collections import deque
 from collections.abc import Iterator, Mapping, Sequence
+from typing import NamedTuple
 
 from molereach.policy.interface.events import Endpoint, EndpointState
-from molereach.subsetting.entry_budget import Room
-from molereach.subsetting.interface import Address, ListError
-from molereach.subsetting.packed_records import name_bytes, pack
-from molereach.subsetting.placement import place_of
+from molereach.subsetting.entry_budget import EntryBudget
+from molereach.subsetting.interface import Address, EndpointListError
+from molereach.subsetting.packed_records import encode_name, pack
+from molereach.subsetting.placement import backend_position
+
+STEP_ENTRIES = 500  # taken over in one turn of the event loop: some milliseconds
+
 
-STEP_ENTRIES = 500  # taken over in one turn: some milliseconds
-Entry = tuple[int, bytes, bool]  # the place, the record (or the name of one that is gone), whether it is gone
+class StagedEntry(NamedTuple):
+    """One entry: its position, its record or, where it is removed, its encoded name."""
 
+    position: int
+    record: bytes
+    is_removed: bool
 
-def entry_of(server: Endpoint, address: Address | None) -> Entry:
-    name = name_bytes(server.name)
+
+def entry_of(server: Endpoint, address: Address | None) -> StagedEntry:
+    """The entry of an endpoint; raises EndpointListError where it fits no record."""
+    name = encode_name(server.name)
     if server.state is EndpointState.GONE:
-        return place_of(name), name, True
-    return place_of(name), pack(server, address, name), False
+        return StagedEntry(backend_position(name), name, True)
+    return StagedEntry(backend_position(name), pack(server, address, name), False)
 
 
-class Slice:
-    """Some entries, without an object of the collector's for each: to look through 100,000 of them takes it a
-    turn of its own. One that is gone has its name for a record, and stands in `gone` by its number."""
+class EntrySlice:
+    """Some entries, by column; those that are removed are in `removed_numbers` by their index."""
 
-    __slots__ = ("gone", "places", "records")
+    __slots__ = ("positions", "records", "removed_numbers")
 
     def __init__(self) -> None:
-        self.places, self.records, self.gone = array("Q"), list[bytes](), set[int]()
-
-    def append(self, place: int, record: bytes, gone: bool) -> None:
-        if gone:
-            self.gone.add(len(self.records))
-        self.places.append(place)
+        self.positions = array("Q")
+        self.records = list[bytes]()
+        self.removed_numbers = set[int]()
+
+    def append(self, position: int, record: bytes, is_removed: bool) -> None:
+        """Add an entry at the end."""
+        if is_removed:
+            self.removed_numbers.add(len(self.records))
+        self.positions.append(position)
         self.records.append(record)
 
-    def __iter__(self) -> Iterator[Entry]:
-        for number, (place, record) in enumerate(zip(self.places, self.records, strict=True)):
-            yield place, record, number in self.gone
+    def __iter__(self) -> Iterator[StagedEntry]:
+        """The entries in order."""
+        for number, (position, record) in enumerate(zip(self.positions, self.records, strict=True)):
+            yield StagedEntry(position, record, number in self.removed_numbers)
 
 
 class Staging:
-    """In the order in which they came; `most` of them at most, and no more than there is room for.
-
-    They stand in slices that are let go of one by one: to free 100,000 at once takes a turn of its own."""
+    """Entries in the order in which they arrived: `max_entries` at most, within the budget."""
 
-    __slots__ = ("__weakref__", "count", "held", "most", "room", "slices")
+    __slots__ = ("__weakref__", "added_count", "budget", "entry_count", "max_entries", "slices")
 
-    def __init__(self, most: int, room: Room | None = None) -> None:
-        """Without a `room` for what came whole, and so is few entries for a moment."""
-        self.slices: deque[Slice] = deque()
-        self.most, self.room = most, room
-        self.count = self.held = 0  # all that came, and those that have not been taken
+    def __init__(self, max_entries: int, budget: EntryBudget | None = None) -> None:
+        """Without a budget for a list that arrived in one piece, which is a few entries for a moment."""
+        self.slices: deque[EntrySlice] = deque()
+        self.max_entries = max_entries
+        self.budget = budget
+        self.added_count = 0
+        self.entry_count = 0  # of the slices that are not consumed
 
     def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
-        """ListError where the list needs more memory than it may have; RoomError where others have it."""
-        if self.count + len(servers) > self.most:
-            raise ListError(f"a list of over {self.most} entries has no room in memory")
-        if self.room:
-            self.room.need(len(servers))
+        """Add the entries of a piece.
+
+        Raises EndpointListError where the list would have too many entries, EntryBudgetExceededError where
+        other lists use the memory.
+        """
+        if self.added_count + len(servers) > self.max_entries:
+            raise EndpointListError(f"a list of over {self.max_entries} entries has no room in memory")
+        if self.budget:
+            self.budget.require(len(servers))
         for server in servers:
             self.append(entry_of(server, addresses.get(server.name)))
 
-    def append(self, entry: Entry) -> None:
+    def append(self, entry: StagedEntry) -> None:
+        """Add one entry, whatever the bounds."""
         if not self.slices or len(self.slices[-1].records) >= STEP_ENTRIES:
-            self.slices.append(Slice())
+            self.slices.append(EntrySlice())
         self.slices[-1].append(*entry)
-        self.count += 1
-        self.held += 1
+        self.added_count += 1
+        self.entry_count += 1
 
-    def take(self) -> Iterator[Slice]:
-        """Each slice once."""
+    def consume_slices(self) -> Iterator[EntrySlice]:
+        """Each slice once; what was consumed is no longer held here."""
         while self.slices:
-            some = self.slices.popleft()
-            self.held -= len(some.records)
-            yield some
+            consumed = self.slices.popleft()
+            self.entry_count -= len(consumed.records)
+            yield consumed
--- a/molereach/subsetting/subset.py
+++ b/molereach/subsetting/subset.py
@@ -1,110 +1,124 @@
-"""What a front door sees of a long list: those next behind it that are up, with their stand-ins. A core.
+"""The subset of a long list that a proxy uses: the backends next behind it that are up, with substitutes.
 
-The view is a function of the list alone: a front door that starts again sees the same, and a list that loses
-many is filled up from further back by the same rule. Weighed against others in docs/design/view.md.
+The subset is a function of the list alone: a proxy that restarts selects the same one, and where many
+backends leave, the subset is filled from further back by the same rule (deterministic subsetting).
+docs/design/view.md weighs it against other ways. A core.
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
-from molereach.subsetting.idempotency_groups import Groups
+from molereach.subsetting.idempotency_groups import IdempotencyGroups, ScopeKey
 from molereach.subsetting.packed_records import is_up, name_of
-from molereach.subsetting.placement import behind
+from molereach.subsetting.placement import distance_behind
 from molereach.subsetting.ring import Ring
 
 
-class Whole:
-    """The whole list: the ring and its groups."""
+class EndpointIndex:
+    """The complete list: the ring, and the groups of backends that can substitute each other."""
 
     __slots__ = ("__weakref__", "groups", "ring")
 
-    def __init__(self, kinds: Sequence[Callable[[bytes], int]]) -> None:
-        self.ring, self.groups = Ring(), [Groups(of) for of in kinds]
+    def __init__(self, scope_keys: Sequence[ScopeKey]) -> None:
+        self.ring = Ring()
+        self.groups = [IdempotencyGroups(scope_of) for scope_of in scope_keys]
 
     @property
-    def held(self) -> int:
-        """Entries in it."""
+    def entry_count(self) -> int:
+        """How many entries it holds."""
         return self.ring.count
 
-    def put(self, place: int, record: bytes) -> bytes | None:
-        """The record before, if any."""
-        before = self.ring.put(place, record)
+    def put(self, position: int, record: bytes) -> bytes | None:
+        """Add or replace a record; returns the one before, if any."""
+        before = self.ring.put(position, record)
         if before is not None:
-            self.regroup(place, before, record)
+            self.regroup(position, before, record)
         elif is_up(record):
             for groups in self.groups:
-                groups.add(place, record)
+                groups.add(position, record)
         return before
 
-    def remove(self, place: int, name: bytes) -> bytes | None:
-        before = self.ring.remove(place, name)
-        self.regroup(place, before, None)
+    def remove(self, position: int, name: bytes) -> bytes | None:
+        """Remove a name; returns its record, if it was there."""
+        before = self.ring.remove(position, name)
+        self.regroup(position, before, None)
         return before
 
-    def alike(self, before: bytes, after: bytes) -> bool:
-        """Whether both stand for the same in the choice of a view."""
+    def is_equivalent(self, before: bytes, after: bytes) -> bool:
+        """Whether two records of one backend are the same for the selection of a subset."""
         return is_up(before) == is_up(after) and all(
-            groups.of(before) == groups.of(after) for groups in self.groups
+            groups.scope_of(before) == groups.scope_of(after) for groups in self.groups
         )
 
-    def regroup(self, place: int, before: bytes | None, after: bytes | None) -> None:
-        was, now = before is not None and is_up(before), after is not None and is_up(after)
+    def regroup(self, position: int, before: bytes | None, after: bytes | None) -> None:
+        """Move a backend between groups, as its record changes; None stands for no record."""
+        was_up = before is not None and is_up(before)
+        will_be_up = after is not None and is_up(after)
         for groups in self.groups:
-            if was and now and groups.of(before or b"") == groups.of(after or b""):
+            if was_up and will_be_up and groups.scope_of(before or b"") == groups.scope_of(after or b""):
                 continue
-            if was and before is not None:
-                groups.remove(place, before)
-            if now and after is not None:
-                groups.add(place, after)
+            if was_up and before is not None:
+                groups.remove(position, before)
+            if will_be_up and after is not None:
+                groups.add(position, after)
 
 
-class View:
-    """The members by name, and what a change has to touch to concern them."""
+class Subset:
+    """The selected records by name, and what decides whether a change of the list affects them."""
 
-    __slots__ = ("door", "held", "least", "members", "reach", "size")
+    __slots__ = ("max_distance", "members", "min_distance", "min_size", "proxy_position", "scopes")
 
-    def __init__(self, door: int, least: int, size: int) -> None:
-        """`door` is the front door's place, `least` how far back it sees in any case; `size` is the number of
-        members from which it looks no further."""
-        self.door, self.least, self.size = door, least, size
+    def __init__(self, proxy_position: int, min_distance: int, min_size: int) -> None:
+        """Select from `proxy_position` backwards, over `min_distance` and for `min_size` members at least."""
+        self.proxy_position = proxy_position
+        self.min_distance = min_distance
+        self.min_size = min_size
         self.members: dict[bytes, bytes] = {}
-        self.held: list[set[int]] = []  # groups of members, by kind
-        self.reach = least  # how far back it looked, at least
-
-    def fill(self, whole: Whole) -> None:
-        """Choose the members anew: cost follows from the view's size alone."""
-        self.members, self.held = {}, [set() for _ in whole.groups]
-        self.reach = self.least
-        for place, record in whole.ring.up_back_from(self.door):
-            far = behind(place, self.door)
-            if len(self.members) >= self.size and far >= self.least:
+        self.scopes: list[set[int]] = []  # zones or cells of the members, by kind of group
+        self.max_distance = min_distance  # of the members, substitutes aside
+
+    def select(self, index: EndpointIndex) -> None:
+        """Select the members anew; the cost depends on the size of the subset alone."""
+        self.members = {}
+        self.scopes = [set() for _ in index.groups]
+        self.max_distance = self.min_distance
+        for position, record in index.ring.up_backwards_from(self.proxy_position):
+            distance = distance_behind(position, self.proxy_position)
+            if len(self.members) >= self.min_size and distance >= self.min_distance:
                 return
-            self.reach = max(self.reach, far)
+            self.max_distance = max(self.max_distance, distance)
             self.members[name_of(record)] = record
-            self.add_standins(whole, place, record)
-
-    def add_standins(self, whole: Whole, place: int, record: bytes) -> None:
-        for groups, held in zip(whole.groups, self.held, strict=True):
-            held.add(groups.of(record))
-            for other in groups.standins(place, record):
-                for standin in whole.ring.up_at(other):
-                    if groups.of(standin) == groups.of(record):  # and none that shares its place
-                        self.members[name_of(standin)] = standin
-
-    def concerns(self, whole: Whole, place: int, before: bytes | None, after: bytes | None) -> bool:
-        """Whether a change may move the view; a few more are taken for such, and do no harm."""
+            self.add_substitutes(index, position, record)
+
+    def add_substitutes(self, index: EndpointIndex, position: int, record: bytes) -> None:
+        """Add the substitutes of a member."""
+        for groups, scopes in zip(index.groups, self.scopes, strict=True):
+            scope = groups.scope_of(record)
+            scopes.add(scope)
+            for substitute_position in groups.substitutes(position, record):
+                for substitute in index.ring.up_at_position(substitute_position):
+                    if groups.scope_of(substitute) == scope:  # others may share its position
+                        self.members[name_of(substitute)] = substitute
+
+    def is_affected_by(
+        self, index: EndpointIndex, position: int, before: bytes | None, after: bytes | None
+    ) -> bool:
+        """Whether a change of one backend's record may change the subset.
+
+        True for a few more changes than need be, which costs a selection and does no harm.
+        """
         record = after or before
-        if record is None:  # gone, and not known
+        if record is None:  # removed, and not known
             return False
         is_member = name_of(record) in self.members
-        if before is not None and after is not None and whole.alike(before, after):
+        if before is not None and after is not None and index.is_equivalent(before, after):
             return is_member
-        if is_member or behind(place, self.door) <= self.reach:
+        if is_member or distance_behind(position, self.proxy_position) <= self.max_distance:
             return True
-        if len(self.members) < self.size:  # all is seen
+        if len(self.members) < self.min_size:  # the subset is the whole list
             return True
         return any(
-            groups.of(record) in held
-            for record in (before, after)
-            if record is not None
-            for groups, held in zip(whole.groups, self.held, strict=True)
+            groups.scope_of(each) in scopes
+            for each in (before, after)
+            if each is not None
+            for groups, scopes in zip(index.groups, self.scopes, strict=True)
         )
--- a/tests/benchmarks/test_views.py
+++ b/tests/benchmarks/test_views.py
@@ -11,9 +11,9 @@
 from benchmarks.view import rows_of
 from benchmarks.views import Row, Tier, moved, server
 from molereach.policy.interface.events import Endpoint
-from molereach.subsetting.placement import RING, door_place
+from molereach.subsetting.placement import RING_SIZE, proxy_position
 from molereach.subsetting.staging import entry_of
-from molereach.subsetting.subset import View
+from molereach.subsetting.subset import Subset
 from tests.docs.shell import ROOT
 
 ROWS = [  # as measured at commit 40dc8ad, seed 1, three backends that go and three that come
@@ -201,14 +201,14 @@
             assert fill(each)[:2] == anew(tier, each, number < backends)
 
 
-def what(view: View) -> tuple[object, ...]:
-    return view.members, view.held, view.reach
+def what(view: Subset) -> tuple[object, ...]:
+    return view.members, view.scopes, view.max_distance
 
 
-def plain(tier: Tier, me: int) -> View:
+def plain(tier: Tier, me: int) -> Subset:
     """As a front door chooses it."""
-    view = View(door_place(me), tier.reach[me] if tier.is_long else RING, views.SIZE)
-    view.fill(tier.whole)
+    view = Subset(proxy_position(me), tier.reach[me] if tier.is_long else RING_SIZE, views.SIZE)
+    view.select(tier.whole)
     return view
 
 
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -9,7 +9,7 @@
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from molereach.subsetting.interface import ListError, Seen, Staged
+from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
 from tests.sockets import CONFIG, HOST, Watch, entry
 
 SIZE = 93_000  # backends of the fleet that is coming
@@ -48,7 +48,7 @@
         self.sizes.append(len(some))
         self.addresses |= addresses
         if len(self.servers) > self.most:
-            raise ListError(f"a list of over {self.most} entries")
+            raise EndpointListError(f"a list of over {self.most} entries")
 
 
 class AllSeen:
@@ -62,19 +62,19 @@
         self.staged.append(Held(self.most))
         return self.staged[-1]
 
-    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
-        return Seen(event, dict(addresses))
+    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+        return SubsetUpdate(event, dict(addresses))
 
     def take_over(
-        self, staged: Staged, kind: EndpointListKind, version: int
-    ) -> Generator[None, None, Seen | None]:
+        self, staged: StagedEndpoints, kind: EndpointListKind, version: int
+    ) -> Generator[None, None, SubsetUpdate | None]:
         assert isinstance(staged, Held)
         for _ in range(5):
             self.steps += 1
             yield
         if kind is EndpointListKind.FULL and len({one.name for one in staged.servers}) < len(staged.servers):
-            raise ListError("the whole list names a server twice")
-        return Seen(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
+            raise EndpointListError("the whole list names a server twice")
+        return SubsetUpdate(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
 
 
 def says(*pieces: bytes, stay: bool = True) -> object:
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -12,9 +12,9 @@
 from molereach.discovery.endpoint_discovery import LongNews, News
 from molereach.discovery.watch_stream import Steps
 from molereach.proxy.proxy import FrontDoor
-from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from molereach.subsetting.ring import Ring
-from molereach.subsetting.staging import Slice, Staging
+from molereach.subsetting.staging import EntrySlice, Staging
 from tests.discovery.made import entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         gc.collect()
-        self.others = [one for one in gc.get_objects() if isinstance(one, Slice | Ring)]
+        self.others = [one for one in gc.get_objects() if isinstance(one, EntrySlice | Ring)]
         self.most = 0
 
     def now(self) -> int:
@@ -43,7 +43,7 @@
         for one in gc.get_objects():
             if id(one) in others:
                 continue
-            if isinstance(one, Slice):
+            if isinstance(one, EntrySlice):
                 count += len(one.records)
             if isinstance(one, Ring):
                 count += sum(len(bucket.records) for bucket in one.buckets if bucket)
@@ -87,7 +87,7 @@
     """Entries that an address has told of an object that has not ended."""
     source = door.discovery.source if old else door.discovery.next
     stagings = [one.staged for one in source.staged.values()] if source else []
-    return sum(one.count for one in stagings if isinstance(one, Staging))
+    return sum(one.added_count for one in stagings if isinstance(one, Staging))
 
 
 def said(caplog: pytest.LogCaptureFixture, text: str) -> list[str]:
@@ -107,7 +107,7 @@
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
             assert new.targets == [WHOLE, f"{AFTER}9"]
-            assert isinstance(door.lists, Routing) and door.lists.count == LONG
+            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == LONG
             assert set(watch.targets) == {f"{AFTER}3"}
 
     run(job())
@@ -197,7 +197,7 @@
             await until(lambda: len(watch.targets) == 2)
             assert watch.targets == [f"{AFTER}3"] * 2
             await until(lambda: door.discovery.version == 5)
-            assert isinstance(door.lists, Routing) and door.lists.count == LONG + 1
+            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == LONG + 1
             end.set()
             await until(lambda: door.discovery.version == 9)
             assert door.lists.count == LONG
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -15,7 +15,7 @@
 from molereach.discovery.watch_stream import TURN_BYTES, Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy.proxy import FrontDoor
-from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
@@ -139,7 +139,7 @@
                 assert await client.ask(query(f"r{served}")) == b"ok"
                 served += 1
             assert served > 10 and set(door.backends.pools) == {"s0"}  # of all, the one that is up
-            assert isinstance(door.lists, Routing) and door.lists.count == 20_001
+            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == 20_001
         finally:
             door.close()
 
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -10,7 +10,7 @@
 from molereach.proxy import proxy
 from molereach.proxy.config import Address
 from molereach.proxy.proxy import FrontDoor
-from molereach.subsetting.interface import Seen, Staged
+from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, chunk, run
@@ -29,7 +29,7 @@
     sockets: int, memory_mb: int, view: int, most: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     asked = []
-    monkeypatch.setattr(proxy, "Routing", lambda *values: asked.append(values) or AllSeen())
+    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: asked.append(values) or AllSeen())
     monkeypatch.setattr(proxy.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
 
     async def job() -> None:
@@ -50,23 +50,23 @@
 
         size = 1
 
-        def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
             some = event.endpoints[: self.size]
             addresses = {server.name: addresses[server.name] for server in some}
-            return Seen(replace(event, endpoints=some), addresses) if some else None
+            return SubsetUpdate(replace(event, endpoints=some), addresses) if some else None
 
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
             return self.shown(event, addresses)
 
         def take_over(
-            self, staged: Staged, kind: EndpointListKind, version: int
-        ) -> Generator[None, None, Seen | None]:
+            self, staged: StagedEndpoints, kind: EndpointListKind, version: int
+        ) -> Generator[None, None, SubsetUpdate | None]:
             seen = yield from super().take_over(staged, kind, version)
             assert seen
             return self.shown(seen.event, seen.addresses)
 
     lists = First()
-    monkeypatch.setattr(proxy, "Routing", lambda *values: lists)
+    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: lists)
 
     async def job() -> None:
         gate = asyncio.Event()
@@ -98,10 +98,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Blind(AllSeen):
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
             return None
 
-    monkeypatch.setattr(proxy, "Routing", lambda *values: Blind())
+    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: Blind())
 
     async def job() -> None:
         async with door_before(says(HEAD)) as (door, _):
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -14,7 +14,7 @@
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
 from molereach.proxy.proxy import FrontDoor
-from molereach.subsetting.endpoint_subsetting import Routing
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.made import entries_text
 from tests.races.wire import until
 from tests.sockets import (
@@ -123,7 +123,7 @@
             names = {server.name for server in door.known.event.endpoints}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
-            assert isinstance(door.lists, Routing) and door.lists.count == COUNT
+            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == COUNT
         finally:
             door.close()
 
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -7,13 +7,19 @@
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.policy.load_balancing import Fleet
-from molereach.subsetting.endpoint_subsetting import LONG, Routing
-from molereach.subsetting.idempotency_groups import STANDINS
-from molereach.subsetting.interface import Address, Seen
-from molereach.subsetting.packed_records import name_bytes
-from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place, place_of
+from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR, EndpointSubsetting
+from molereach.subsetting.idempotency_groups import SUBSTITUTES
+from molereach.subsetting.interface import Address, SubsetUpdate
+from molereach.subsetting.packed_records import encode_name
+from molereach.subsetting.placement import (
+    MIN_PROXIES_PER_BACKEND,
+    RING_SIZE,
+    backend_position,
+    distance_behind,
+    proxy_position,
+)
 from molereach.subsetting.staging import entry_of
-from molereach.subsetting.subset import View, Whole
+from molereach.subsetting.subset import EndpointIndex, Subset
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
@@ -58,45 +64,50 @@
     return [entry_of(server, address_of(server)) for server in servers]
 
 
-def whole_of(servers: Iterable[Endpoint], groups: Sequence[Callable[[bytes], int]] = ()) -> Whole:
-    whole = Whole(groups)
+def whole_of(servers: Iterable[Endpoint], groups: Sequence[Callable[[bytes], int]] = ()) -> EndpointIndex:
+    whole = EndpointIndex(groups)
     for place, record, _ in entries_of(servers):
         whole.put(place, record)
     return whole
 
 
-def names_of(view: View) -> set[str]:
+def names_of(view: Subset) -> set[str]:
     return {name.decode() for name in view.members}
 
 
 def naive_reach(me: int, doors: int) -> int:
-    far = sorted(behind(door_place(other), door_place(me)) for other in range(doors) if other != me)
-    return RING if doors <= LEAST_DOORS else far[LEAST_DOORS - 1]
+    far = sorted(
+        distance_behind(proxy_position(other), proxy_position(me)) for other in range(doors) if other != me
+    )
+    return RING_SIZE if doors <= MIN_PROXIES_PER_BACKEND else far[MIN_PROXIES_PER_BACKEND - 1]
 
 
 def naive_view(
     known: Mapping[str, tuple[Endpoint, Address | None]],
     settings: Settings,
     size: int,
-    place: Place = place_of,
+    place: Place = backend_position,
 ) -> Known:
     """Those up, sorted by how far they lie behind the front door, each with the next ones of its groups."""
-    at = {name: place(name_bytes(name)) for name in known}
-    door, least = door_place(settings.proxy_index), naive_reach(settings.proxy_index, settings.proxy_count)
+    at = {name: place(encode_name(name)) for name in known}
+    door, least = (
+        proxy_position(settings.proxy_index),
+        naive_reach(settings.proxy_index, settings.proxy_count),
+    )
     up = [name for name in known if known[name][0].state is UP]
     kinds = [
         KINDS[rule.deduplication_scope] for rule in settings.classes if rule.deduplication_scope in KINDS
     ]
     view: Known = {}
-    for name in sorted(sorted(up, reverse=True), key=lambda name: behind(at[name], door)):
-        if len(view) >= size and behind(at[name], door) >= least:
+    for name in sorted(sorted(up, reverse=True), key=lambda name: distance_behind(at[name], door)):
+        if len(view) >= size and distance_behind(at[name], door) >= least:
             break
         view[name] = known[name]
         for of in kinds:
             alike = [other for other in up if of(known[other][0]) == of(known[name][0])]
-            after = sorted(behind(at[name], at[other]) or RING for other in alike)
-            for far in after[: min(STANDINS, len(alike) - 1)]:
-                standin = (at[name] + far) % RING
+            after = sorted(distance_behind(at[name], at[other]) or RING_SIZE for other in alike)
+            for far in after[: min(SUBSTITUTES, len(alike) - 1)]:
+                standin = (at[name] + far) % RING_SIZE
                 view |= {other: known[other] for other in alike if at[other] == standin}
     return view
 
@@ -104,9 +115,11 @@
 class World:
     """The true list, the routing that hears of it, and the module that hears of the routing."""
 
-    def __init__(self, settings: Settings, size: int, most: int = 1_000, place: Place = place_of) -> None:
+    def __init__(
+        self, settings: Settings, size: int, most: int = 1_000, place: Place = backend_position
+    ) -> None:
         self.settings, self.size, self.place = settings, size, place
-        self.routing = Routing(settings, size, most)
+        self.routing = EndpointSubsetting(settings, size, most)
         self.fleet = Fleet(settings, Random(1))
         self.known: Known = {}
         self.addresses: dict[str, Address] = {}
@@ -123,7 +136,7 @@
             return dict(self.known)
         return naive_view(self.known, self.settings, self.size, self.place)
 
-    def hear(self, seen: Seen | None) -> None:
+    def hear(self, seen: SubsetUpdate | None) -> None:
         if seen:
             self.addresses |= seen.addresses
             self.fleet.learn(NOW, seen.event)
@@ -136,11 +149,11 @@
             self.known.pop(entry.name, None)
             if entry.state is not GONE:
                 self.known[entry.name] = entry, address_of(entry)
-        self.long = len(self.known) > self.size * (1 if self.long else LONG)
+        self.long = len(self.known) > self.size * (1 if self.long else LONG_LIST_FACTOR)
 
     def give(
         self, kind: EndpointListKind, servers: Sequence[Endpoint], parts: int = 0
-    ) -> tuple[Seen | None, int]:
+    ) -> tuple[SubsetUpdate | None, int]:
         """News, whole or in that many parts; what came back, and in how many steps."""
         steps = 0
         if parts:
@@ -155,4 +168,4 @@
                     steps += 1
                 except StopIteration as done:
                     return done.value, steps
-        return self.routing.take(EndpointListReceived(kind, 7, tuple(servers)), addresses_of(servers)), steps
+        return self.routing.apply(EndpointListReceived(kind, 7, tuple(servers)), addresses_of(servers)), steps
--- a/tests/subsetting/test_endpoint_subsetting.py
+++ b/tests/subsetting/test_endpoint_subsetting.py
@@ -13,10 +13,10 @@
 from molereach.policy.interface.settings import DeduplicationScope
 from molereach.subsetting import endpoint_subsetting as module
 from molereach.subsetting import staging
-from molereach.subsetting.endpoint_subsetting import LONG, finish
-from molereach.subsetting.interface import ListError, Seen
-from molereach.subsetting.packed_records import name_bytes
-from molereach.subsetting.placement import LEAST_DOORS
+from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR, run_to_end
+from molereach.subsetting.interface import EndpointListError, SubsetUpdate
+from molereach.subsetting.packed_records import encode_name
+from molereach.subsetting.placement import MIN_PROXIES_PER_BACKEND
 from tests.subsetting.model import (
     DRAINING,
     GONE,
@@ -90,7 +90,7 @@
 
 
 def check_view(
-    world: World, kind: EndpointListKind, seen: Seen | None, was_long: bool, before: object
+    world: World, kind: EndpointListKind, seen: SubsetUpdate | None, was_long: bool, before: object
 ) -> None:
     wanted = world.wanted
     assert all(entry.state is UP for entry, _ in wanted.values())
@@ -103,7 +103,7 @@
     doors = world.settings.proxy_count
     if seen:
         assert seen.event.sharing_proxies == min(
-            doors, max(LEAST_DOORS, round(doors * len(wanted) / max(1, up)))
+            doors, max(MIN_PROXIES_PER_BACKEND, round(doors * len(wanted) / max(1, up)))
         )
 
 
@@ -149,7 +149,7 @@
         return int(name[1:]) % places * ((1 << 64) // places) + 5
 
     world = World(settings_of(0, doors, groups), size, place=place)
-    with mock.patch.object(staging, "place_of", place):
+    with mock.patch.object(staging, "backend_position", place):
         play(world, FULL, [server(number) for number in range(3 * size)], 0)
         for kind, changes, parts in news:
             entries = [changed(world, change) for change in changes]
@@ -157,7 +157,7 @@
 
 
 def test_one_that_takes_the_place_of_another_is_told_and_the_other_gone() -> None:
-    with mock.patch.object(staging, "place_of", lambda name: 5):
+    with mock.patch.object(staging, "backend_position", lambda name: 5):
         world = World(settings_of(), 2, place=lambda name: 5)
         play(world, FULL, [server(number) for number in range(7)], 1)
         for number in range(3):
@@ -174,7 +174,7 @@
         EndpointListReceived(SAVED, 3, (server(1),)),
         first,
     ):
-        seen = world.routing.take(event, addresses_of(event.endpoints))
+        seen = world.routing.apply(event, addresses_of(event.endpoints))
         assert seen is not None and seen.event is event
         assert seen.addresses == addresses_of(event.endpoints)
 
@@ -183,7 +183,7 @@
     world = World(settings_of(), 4)
     play(world, FULL, [server(number) for number in range(30)], 0)
     event = EndpointListReceived(FAILED, 0)
-    seen = world.routing.take(event, {})
+    seen = world.routing.apply(event, {})
     world.hear(seen)
     assert seen is not None and seen.event is event and world.told == world.wanted
 
@@ -191,13 +191,20 @@
 def test_list_turns_long_and_short_at_two_sizes() -> None:
     world, size = World(settings_of(), 10), 10
     long = []
-    for count in (LONG * size, LONG * size + 1, size + 1, size, LONG * size, LONG * size + 1):
+    for count in (
+        LONG_LIST_FACTOR * size,
+        LONG_LIST_FACTOR * size + 1,
+        size + 1,
+        size,
+        LONG_LIST_FACTOR * size,
+        LONG_LIST_FACTOR * size + 1,
+    ):
         numbers = len(world.known)
         entries = [server(number) for number in range(numbers, count)]
         entries += [server(number, state=GONE) for number in range(count, numbers)]
         play(world, CHANGES, entries, 0)
         long.append(world.long)
-        assert (world.routing.short is None) == world.long
+        assert (world.routing.short_list is None) == world.long
     assert long == [False, True, True, False, False, True]
 
 
@@ -223,7 +230,7 @@
         entries[30] = entries[3]
     if bad == "record":
         entries[30] = replace(entries[30], name="n" * 70_000)
-    with pytest.raises(ListError) as error:
+    with pytest.raises(EndpointListError) as error:
         world.give(FULL, entries, 0 if "whole" in bad else 2)
     text = str(error.value)
     assert "\n" not in text and len(text) < 300
@@ -238,7 +245,7 @@
     world = World(settings_of(), 5, most=60)
     play(world, FULL, [server(number) for number in range(count)], 0)
     before = world.told
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         world.give(CHANGES, [server(number) for number in range(100, 160)], parts)
     assert world.told == before
     # What has come since is said anew from where the list stood: fewer of them, as others have gone.
@@ -279,14 +286,14 @@
     entries = [server(number) for number in range(1_000, 4_700)]
     staged.add(entries, addresses_of(entries))
     steps, longest, taken = world.routing.take_over(staged, kind, 2), 0, 0
-    put = module.Whole.put
+    put = module.EndpointIndex.put
 
-    def counted(whole: module.Whole, place: int, record: bytes) -> bytes | None:
+    def counted(whole: module.EndpointIndex, place: int, record: bytes) -> bytes | None:
         nonlocal taken
         taken += 1
         return put(whole, place, record)
 
-    with mock.patch.object(module.Whole, "put", counted):
+    with mock.patch.object(module.EndpointIndex, "put", counted):
         while True:
             taken = 0
             try:
@@ -319,8 +326,8 @@
     world = World(settings_of(), 1)
     odd = [Endpoint(name, -1, -1, 0, UP, 0.25, -7) for name in ("\ud800", "é" * 40, "", "a b")]
     play(world, FULL, odd, 1)
-    assert world.told == world.wanted and all(name_bytes(name) for name in world.told if name)
-    assert finish(world.routing.take_over(world.routing.stage(), FULL, 1)) is not None
+    assert world.told == world.wanted and all(encode_name(name) for name in world.told if name)
+    assert run_to_end(world.routing.take_over(world.routing.stage(), FULL, 1)) is not None
     assert address_of(odd[0]) is not None
 
 
@@ -338,16 +345,16 @@
     world = World(settings_of(doors=1_000), 8, most=9_000)
     entries = [server(number, state=UP if number % 500 == 0 else DRAINING) for number in range(8_000)]
     play(world, FULL, entries, 1)
-    world.routing.whole.ring.touched = 0
+    world.routing.index.ring.examined = 0
     play(world, CHANGES, [server(500, state=DRAINING)], 0)
-    assert len(world.told) == 8 and world.routing.whole.ring.touched < 200
+    assert len(world.told) == 8 and world.routing.index.ring.examined < 200
 
 
 def test_what_a_takeover_is_done_with_is_let_go_of_in_steps() -> None:
     """Neither the entries that were staged nor the list before goes at once: that took a turn of 37 ms."""
     world = World(settings_of(doors=100), 100, most=9_000)
     play(world, FULL, [server(number) for number in range(3_000)], 0)
-    old, staged = world.routing.whole.ring, world.routing.stage()
+    old, staged = world.routing.index.ring, world.routing.stage()
     entries = [server(number) for number in range(1_000, 5_000)]
     staged.add(entries, addresses_of(entries))
     left, held = [len(staged.slices)], [sum(bucket is not None for bucket in old.buckets)]
@@ -366,7 +373,7 @@
     for taken in range(1, 100):
         world = World(settings_of(doors=100), 20, most=9_000)
         play(world, FULL, [server(number) for number in range(600)], 0)
-        before = dict(world.routing.told)
+        before = dict(world.routing.reported)
         staged = world.routing.stage()
         entries = [server(number) for number in range(600, 1_300)]
         staged.add(entries, addresses_of(entries))
@@ -377,5 +384,5 @@
         except StopIteration:
             return
         steps.close()
-        assert world.routing.told == before
+        assert world.routing.reported == before
     raise AssertionError("it never ends")
--- a/tests/subsetting/test_entry_budget.py
+++ b/tests/subsetting/test_entry_budget.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.policy.interface.events import EndpointListKind
-from molereach.subsetting.endpoint_subsetting import finish
-from molereach.subsetting.interface import RoomError
+from molereach.subsetting.endpoint_subsetting import run_to_end
+from molereach.subsetting.interface import EntryBudgetExceededError
 from tests.subsetting.model import World, addresses_of, server, settings_of
 
 FULL, CHANGES = EndpointListKind.FULL, EndpointListKind.CHANGES
@@ -24,16 +24,16 @@
         entries = [server(number) for number in range(600, 1_900)]
         staged.add(entries, addresses_of(entries))
         before, steps = world.routing.count, world.routing.take_over(staged, kind, 2)
-        assert world.routing.room.held == before + 1_300
+        assert world.routing.budget.entry_count == before + 1_300
         try:
             for _ in range(taken):
                 next(steps)
-                assert 1_300 <= world.routing.room.held <= before + 1_300
+                assert 1_300 <= world.routing.budget.entry_count <= before + 1_300
         except StopIteration:
-            assert world.routing.room.held == world.routing.count
+            assert world.routing.budget.entry_count == world.routing.count
             return
         del staged, steps
-        assert world.routing.room.held == world.routing.count
+        assert world.routing.budget.entry_count == world.routing.count
     raise AssertionError("it never ends")
 
 
@@ -45,14 +45,14 @@
     first, other = world.routing.stage(), world.routing.stage()
     first.add(entries, addresses_of(entries))
     other.add(entries[:200], {})
-    with pytest.raises(RoomError, match="7000"):
+    with pytest.raises(EntryBudgetExceededError, match="7000"):
         other.add(entries[200:], {})
-    assert (other.count, first.count) == (200, 2_900)
+    assert (other.added_count, first.added_count) == (200, 2_900)
     steps, refused = world.routing.take_over(first, FULL, 2), 0
     for _ in steps:
-        with contextlib.suppress(RoomError):
+        with contextlib.suppress(EntryBudgetExceededError):
             other.add(entries[200:], {})
             break
         refused += 1
-    assert refused >= 2 and other.count == 2_900
-    assert finish(steps) is not None and world.routing.room.held == 5_800
+    assert refused >= 2 and other.added_count == 2_900
+    assert run_to_end(steps) is not None and world.routing.budget.entry_count == 5_800
--- a/tests/subsetting/test_ring.py
+++ b/tests/subsetting/test_ring.py
@@ -5,7 +5,7 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.policy.interface.settings import DeduplicationScope
-from molereach.subsetting.idempotency_groups import Groups, kinds
+from molereach.subsetting.idempotency_groups import IdempotencyGroups, scope_keys
 from molereach.subsetting.packed_records import cell_of, is_up, name_of, pack, unpack, zone_of
 from molereach.subsetting.ring import Ring
 from tests.subsetting.model import DRAINING, GONE, UP, server, settings_of
@@ -32,8 +32,10 @@
     assert list(ring) == [record for _, record in sorted(known.items())]
     back = [(place, record) for (place, _), record in sorted(up.items(), reverse=True)]
     once_round = [each for each in back if each[0] <= start] + [each for each in back if each[0] > start]
-    assert list(ring.up_back_from(start)) == once_round
-    assert list(ring.up_at(start)) == [record for (place, _), record in sorted(up.items()) if place == start]
+    assert list(ring.up_backwards_from(start)) == once_round
+    assert list(ring.up_at_position(start)) == [
+        record for (place, _), record in sorted(up.items()) if place == start
+    ]
 
 
 @settings(max_examples=50)
@@ -57,7 +59,7 @@
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3)), unique_by=lambda pair: pair[0]))
 def test_stand_ins_are_the_next_of_the_group_once_round(members: list[tuple[int, int]]) -> None:
-    groups = Groups(cell_of)
+    groups = IdempotencyGroups(cell_of)
     records = {place: pack(server(place, cell=cell), None) for place, cell in members}
     for place, record in records.items():
         groups.add(place, record)
@@ -66,13 +68,16 @@
             (other for other, its in members if its == cell and other != place),
             key=lambda other: (other < place, other),
         )
-        assert list(groups.standins(place, records[place])) == others[:2]
+        assert list(groups.substitutes(place, records[place])) == others[:2]
     for place, record in records.items():
         groups.remove(place, record)
-    assert not groups.members  # a group that is empty leaves nothing
+    assert not groups.positions_by_scope  # a group that is empty leaves nothing
 
 
 def test_groups_are_of_the_classes_that_are_repeated_within_them() -> None:
-    assert kinds(settings_of()) == kinds(settings_of(groups=(DeduplicationScope.ALL,))) == []
-    assert kinds(settings_of(groups=(DeduplicationScope.CELL, DeduplicationScope.ZONE))) == [zone_of, cell_of]
+    assert scope_keys(settings_of()) == scope_keys(settings_of(groups=(DeduplicationScope.ALL,))) == []
+    assert scope_keys(settings_of(groups=(DeduplicationScope.CELL, DeduplicationScope.ZONE))) == [
+        zone_of,
+        cell_of,
+    ]
     assert GONE not in (UP, DRAINING)
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -20,10 +20,10 @@
 from molereach.policy.load_balancing import CHOICES, Fleet
 from molereach.policy.pending_request import Job
 from molereach.policy.quota import Customer
-from molereach.subsetting.endpoint_subsetting import Routing
-from molereach.subsetting.interface import Seen
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
+from molereach.subsetting.interface import SubsetUpdate
 from molereach.subsetting.staging import entry_of
-from molereach.subsetting.subset import View
+from molereach.subsetting.subset import Subset
 from tests.helpers import PLAN, SAFE
 from tests.subsetting.model import DRAINING, GONE, NOW, S, addresses_of, server, settings_of
 from tests.subsetting.steps import steps_of
@@ -40,9 +40,9 @@
 
 
 @cache
-def long(count: int) -> tuple[Routing, Seen]:
+def long(count: int) -> tuple[EndpointSubsetting, SubsetUpdate]:
     """One list of each size for all tests, which leave it as it was."""
-    routing = Routing(SETTINGS, SIZE, 2 * count)
+    routing = EndpointSubsetting(SETTINGS, SIZE, 2 * count)
     staged = routing.stage()
     for number in range(count):
         each = entry(number, count)
@@ -55,18 +55,18 @@
             return routing, done.value
 
 
-def learn(routing: Routing, servers: list[Endpoint]) -> Seen | None:
-    return routing.take(EndpointListReceived(CHANGES, 2, tuple(servers)), addresses_of(servers))
+def learn(routing: EndpointSubsetting, servers: list[Endpoint]) -> SubsetUpdate | None:
+    return routing.apply(EndpointListReceived(CHANGES, 2, tuple(servers)), addresses_of(servers))
 
 
-def costs(call: Callable[[Routing, int], object]) -> tuple[list[int], list[int]]:
+def costs(call: Callable[[EndpointSubsetting, int], object]) -> tuple[list[int], list[int]]:
     """Entries touched and steps taken, by the size of the list."""
     touched, steps = [], []
     for count in SIZES:
         routing, _ = long(count)
-        before = routing.whole.ring.touched
+        before = routing.index.ring.examined
         steps.append(steps_of(lambda count=count, routing=routing: call(routing, count)))  # type: ignore[misc]
-        touched.append(routing.whole.ring.touched - before)
+        touched.append(routing.index.ring.examined - before)
     return touched, steps
 
 
@@ -74,13 +74,13 @@
     assert max(counts) <= MOST_GROWTH * counts[0] + 60, counts
 
 
-def seen_of(routing: Routing) -> list[str]:
-    return [name.decode() for name in routing.view.members]
+def seen_of(routing: EndpointSubsetting) -> list[str]:
+    return [name.decode() for name in routing.subset.members]
 
 
 def test_change_of_what_no_view_holds_costs_next_to_nothing() -> None:
-    def change(routing: Routing, count: int) -> None:
-        members, groups = set(seen_of(routing)), routing.view.held[0]
+    def change(routing: EndpointSubsetting, count: int) -> None:
+        members, groups = set(seen_of(routing)), routing.subset.scopes[0]
         others = [
             each
             for each in (entry(number, count) for number in range(count - 900, count))
@@ -97,7 +97,7 @@
 
 
 def test_change_of_a_member_and_its_return_cost_the_view() -> None:
-    def change(routing: Routing, count: int) -> None:
+    def change(routing: EndpointSubsetting, count: int) -> None:
         number = int(seen_of(routing)[5][1:])
         assert learn(routing, [replace(entry(number, count), state=GONE)]) is not None
         assert learn(routing, [entry(number, count)]) is not None
@@ -109,7 +109,7 @@
 
 
 def test_bulk_of_changes_costs_what_it_touches() -> None:
-    def change(routing: Routing, count: int) -> None:
+    def change(routing: EndpointSubsetting, count: int) -> None:
         rack = [entry(number, count) for number in range(0, 800, 20)]
         learn(routing, [replace(each, state=GONE) for each in rack])
         learn(routing, rack)
@@ -121,10 +121,10 @@
 
 
 def test_choice_of_a_view_costs_the_view() -> None:
-    def choose(routing: Routing, count: int) -> None:
-        view = View(routing.view.door, routing.view.least, SIZE)
-        view.fill(routing.whole)
-        assert view.members == routing.view.members
+    def choose(routing: EndpointSubsetting, count: int) -> None:
+        view = Subset(routing.subset.proxy_position, routing.subset.min_distance, SIZE)
+        view.select(routing.index)
+        assert view.members == routing.subset.members
 
     touched, steps = costs(choose)
     assert max(touched) < 5 * SIZE
@@ -134,9 +134,9 @@
 
 def test_step_into_the_ring_is_bounded_by_its_bucket() -> None:
     for count in SIZES:
-        buckets = [bucket for bucket in long(count)[0].whole.ring.buckets if bucket]
+        buckets = [bucket for bucket in long(count)[0].index.ring.buckets if bucket]
         mean = count / 4_096
-        assert max(len(bucket.places) for bucket in buckets) < 6 + mean + 6 * mean**0.5
+        assert max(len(bucket.positions) for bucket in buckets) < 6 + mean + 6 * mean**0.5
 
 
 class Counting(list[Endpoint]):
--- a/tests/subsetting/test_subset.py
+++ b/tests/subsetting/test_subset.py
@@ -7,10 +7,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.subsetting.idempotency_groups import STANDINS
+from molereach.subsetting.idempotency_groups import SUBSTITUTES
 from molereach.subsetting.packed_records import cell_of, zone_of
-from molereach.subsetting.placement import LEAST_DOORS, RING, behind, door_place, least_reach, place_of
-from molereach.subsetting.subset import View, Whole
+from molereach.subsetting.placement import (
+    MIN_PROXIES_PER_BACKEND,
+    RING_SIZE,
+    backend_position,
+    distance_behind,
+    min_subset_distance,
+    proxy_position,
+)
+from molereach.subsetting.subset import EndpointIndex, Subset
 from tests.subsetting.model import DRAINING, entries_of, naive_reach, names_of, server, whole_of
 
 CELLS = (cell_of,)
@@ -18,14 +25,14 @@
 MOST_MOVED = 4  # for one backend, times the least possible: as `python -m benchmarks view` asks
 
 
-def views(whole: Whole, doors: int, size: int) -> list[View]:
-    all_of_them = [View(door_place(me), least_reach(me, doors), size) for me in range(doors)]
+def views(whole: EndpointIndex, doors: int, size: int) -> list[Subset]:
+    all_of_them = [Subset(proxy_position(me), min_subset_distance(me, doors), size) for me in range(doors)]
     for view in all_of_them:
-        view.fill(whole)
+        view.select(whole)
     return all_of_them
 
 
-def moved(before: list[View], after: list[View]) -> list[int]:
+def moved(before: list[Subset], after: list[Subset]) -> list[int]:
     """Members that each front door gained or lost."""
     return [len(names_of(old) ^ names_of(new)) for old, new in zip(before, after, strict=False)]
 
@@ -40,29 +47,36 @@
     all_of_them = views(whole, doors, size)
     seen = Counter(name for view in all_of_them for name in view.members)
     assert len(seen) == count
-    assert all(number >= min(LEAST_DOORS, doors) for number in seen.values())
+    assert all(number >= min(MIN_PROXIES_PER_BACKEND, doors) for number in seen.values())
     for me, view in enumerate(all_of_them):
         reach = naive_reach(me, doors)
-        asked = sum(behind(place, view.door) < reach for place, _, _ in entries_of(servers))
+        asked = sum(
+            distance_behind(place, view.proxy_position) < reach for place, _, _ in entries_of(servers)
+        )
         # At each step at most one and its stand-ins; past the size only what the reach asks for.
-        assert len(view.members) < size + max(1, asked) * (1 + STANDINS * len(kinds))
-        assert len(view.members) <= max(size, asked + 1) + STANDINS * len(kinds) * (asked + 1)
+        assert len(view.members) < size + max(1, asked) * (1 + SUBSTITUTES * len(kinds))
+        assert len(view.members) <= max(size, asked + 1) + SUBSTITUTES * len(kinds) * (asked + 1)
         assert kinds or len(view.members) <= max(size, asked)
 
 
 @pytest.mark.parametrize("doors", [1, 2, 3, 5, 40, 200])
 def test_front_doors_stand_apart_and_reach_to_the_second_one_behind(doors: int) -> None:
-    places = sorted(door_place(me) for me in range(doors))
+    places = sorted(proxy_position(me) for me in range(doors))
     assert len(set(places)) == doors
-    arcs = [behind(here, after) or RING for here, after in zip(places, places[1:] + places[:1], strict=True)]
+    arcs = [
+        distance_behind(here, after) or RING_SIZE
+        for here, after in zip(places, places[1:] + places[:1], strict=True)
+    ]
     assert doors == 1 or max(arcs) / min(arcs) < 2.7  # three lengths, of golden ratio each to the next
-    assert [least_reach(me, doors) for me in range(doors)] == [naive_reach(me, doors) for me in range(doors)]
+    assert [min_subset_distance(me, doors) for me in range(doors)] == [
+        naive_reach(me, doors) for me in range(doors)
+    ]
 
 
 def test_place_of_a_name_stays_as_it_is() -> None:
     """All front doors, also of other versions, must see it at the same one."""
-    assert place_of(b"b0") == 0x937BA9E9D7C38717
-    assert behind(5, 3) == RING - 2 and behind(3, 5) == 2
+    assert backend_position(b"b0") == 0x937BA9E9D7C38717
+    assert distance_behind(5, 3) == RING_SIZE - 2 and distance_behind(3, 5) == 2
 
 
 @pytest.mark.parametrize("kinds", [(), CELLS, BOTH])
@@ -70,11 +84,11 @@
     servers = [server(number, cells=60, zones=7) for number in range(600)]
     whole = whole_of(servers, kinds)  # type: ignore[arg-type]
     for view in views(whole, 9, 20):
-        up = sorted(entries_of(servers), key=lambda entry: behind(entry[0], view.door))
+        up = sorted(entries_of(servers), key=lambda entry: distance_behind(entry[0], view.proxy_position))
         for _, record, _ in up[:5]:
             for of in kinds:
                 alike = [other for other in view.members.values() if of(other) == of(record)]  # type: ignore[operator]
-                assert len(alike) > STANDINS
+                assert len(alike) > SUBSTITUTES
 
 
 @pytest.mark.parametrize("kinds", [(), CELLS])
@@ -102,5 +116,5 @@
     whole = whole_of(server(number) for number in range(2_000))
     before, after = views(whole, doors, size), views(whole, doors - 1, size)
     counts = [count for count in moved(before, after) if count]
-    assert len(counts) <= (LEAST_DOORS if doors == 8 else 0)
+    assert len(counts) <= (MIN_PROXIES_PER_BACKEND if doors == 8 else 0)
     assert all(len(new.members) >= len(old.members) for old, new in zip(before, after, strict=False))
--- a/tests/subsetting/test_takeover_overlay.py
+++ b/tests/subsetting/test_takeover_overlay.py
@@ -5,7 +5,7 @@
 import pytest
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointState
-from molereach.subsetting.interface import ListError
+from molereach.subsetting.interface import EndpointListError
 from molereach.subsetting.packed_records import unpack
 from tests.subsetting.model import DRAINING, GONE, UP, World, addresses_of, server, settings_of
 
@@ -15,8 +15,8 @@
 
 
 def listed(world: World) -> dict[str, Endpoint]:
-    assert world.routing.short is None
-    return {entry.name: entry for entry, _ in map(unpack, world.routing.whole.ring)}
+    assert world.routing.short_list is None
+    return {entry.name: entry for entry, _ in map(unpack, world.routing.index.ring)}
 
 
 def move(world: World, told: dict[int, list[Endpoint]], parts: bool = False) -> int:
@@ -93,9 +93,9 @@
 def test_list_is_refused_where_more_is_told_meanwhile_than_a_list_may_have() -> None:
     world = world_of(600)
     drained = [replace(entry, state=DRAINING) for entry in NEW[:600]]
-    with pytest.raises(ListError, match="meanwhile"):
+    with pytest.raises(EndpointListError, match="during the takeover"):
         move(world, {1: drained, 2: drained * 2, 3: drained})
-    assert len(listed(world)) == 600 and not world.routing.meanwhile.notes
+    assert len(listed(world)) == 600 and not world.routing.overlay.recordings
 
 
 def test_nothing_is_noted_once_the_new_list_counts() -> None:
@@ -106,7 +106,7 @@
     steps = world.routing.take_over(staged, FULL, 9)
     while world.routing.count != len(NEW):
         next(steps)
-    assert not world.routing.meanwhile.notes
+    assert not world.routing.overlay.recordings
     world.hear(world.give(CHANGES, [server(1_700)])[0])
     for _ in steps:
         pass
