--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -64,7 +64,7 @@
     return [entry_of(server, address_of(server)) for server in servers]
 
 
-def whole_of(servers: Iterable[Endpoint], groups: Sequence[Callable[[bytes], int]] = ()) -> EndpointIndex:
+def index_of(servers: Iterable[Endpoint], groups: Sequence[Callable[[bytes], int]] = ()) -> EndpointIndex:
     whole = EndpointIndex(groups)
     for place, record, _ in entries_of(servers):
         whole.put(place, record)
@@ -75,14 +75,14 @@
     return {name.decode() for name in view.members}
 
 
-def naive_reach(me: int, doors: int) -> int:
+def naive_min_distance(me: int, doors: int) -> int:
     far = sorted(
         distance_behind(proxy_position(other), proxy_position(me)) for other in range(doors) if other != me
     )
     return RING_SIZE if doors <= MIN_PROXIES_PER_BACKEND else far[MIN_PROXIES_PER_BACKEND - 1]
 
 
-def naive_view(
+def naive_subset(
     known: Mapping[str, tuple[Endpoint, Address | None]],
     settings: Settings,
     size: int,
@@ -92,7 +92,7 @@
     at = {name: place(encode_name(name)) for name in known}
     door, least = (
         proxy_position(settings.proxy_index),
-        naive_reach(settings.proxy_index, settings.proxy_count),
+        naive_min_distance(settings.proxy_index, settings.proxy_count),
     )
     up = [name for name in known if known[name][0].state is UP]
     kinds = [
@@ -134,7 +134,7 @@
     def wanted(self) -> Known:
         if not self.long:
             return dict(self.known)
-        return naive_view(self.known, self.settings, self.size, self.place)
+        return naive_subset(self.known, self.settings, self.size, self.place)
 
     def hear(self, seen: SubsetUpdate | None) -> None:
         if seen:
--- a/tests/subsetting/test_endpoint_subsetting.py
+++ b/tests/subsetting/test_endpoint_subsetting.py
@@ -84,12 +84,12 @@
     assert world.told == wanted
     assert world.routing.count == len(world.known)
     if world.long:
-        check_view(world, kind, seen, was_long, before)
+        check_subset(world, kind, seen, was_long, before)
     elif not parts and not was_long:
         assert seen is not None and seen.event.endpoints == tuple(entries) and not seen.event.sharing_proxies
 
 
-def check_view(
+def check_subset(
     world: World, kind: EndpointListKind, seen: SubsetUpdate | None, was_long: bool, before: object
 ) -> None:
     wanted = world.wanted
@@ -115,7 +115,7 @@
     st.integers(2, 8),
     st.lists(NEWS, max_size=8),
 )
-def test_module_knows_the_view_by_the_letter_after_any_list_and_any_change(
+def test_policy_knows_the_subset_of_the_model_after_any_list_and_any_change(
     doors: int,
     me: int,
     groups: Sequence[DeduplicationScope],
@@ -138,7 +138,7 @@
     st.integers(1, 9),
     st.lists(NEWS, max_size=6),
 )
-def test_names_that_share_a_place_do_no_harm(
+def test_names_that_share_a_position_do_no_harm(
     doors: int,
     groups: Sequence[DeduplicationScope],
     size: int,
@@ -156,7 +156,7 @@
             play(world, kind, entries if kind is CHANGES else by_name(entries), parts)
 
 
-def test_one_that_takes_the_place_of_another_is_told_and_the_other_gone() -> None:
+def test_one_that_takes_the_position_of_another_is_reported_and_the_other_gone() -> None:
     with mock.patch.object(staging, "backend_position", lambda name: 5):
         world = World(settings_of(), 2, place=lambda name: 5)
         play(world, FULL, [server(number) for number in range(7)], 1)
@@ -164,7 +164,7 @@
             play(world, CHANGES, [server(number, state=GONE), server(10 + number)], 0)
 
 
-def test_short_list_passes_as_the_very_same_objects() -> None:
+def test_short_list_passes_unchanged() -> None:
     world = World(settings_of(groups=(DeduplicationScope.CELL,)), 4)
     first = EndpointListReceived(FULL, 1, tuple(server(number) for number in range(8)))
     for event in (
@@ -179,7 +179,7 @@
         assert seen.addresses == addresses_of(event.endpoints)
 
 
-def test_failed_call_passes_and_the_view_holds() -> None:
+def test_failed_call_passes_and_the_subset_holds() -> None:
     world = World(settings_of(), 4)
     play(world, FULL, [server(number) for number in range(30)], 0)
     event = EndpointListReceived(FAILED, 0)
@@ -221,7 +221,7 @@
 
 @pytest.mark.parametrize("count", [3, 50])
 @pytest.mark.parametrize("bad", ["twice", "twice whole", "over", "over whole", "record"])
-def test_bad_list_is_refused_and_the_list_before_holds(count: int, bad: str) -> None:
+def test_malformed_list_is_rejected_and_the_list_before_stays(count: int, bad: str) -> None:
     world = World(settings_of(), 5, most=60)
     play(world, FULL, [server(number) for number in range(count)], 0)
     before, known = world.told, world.routing.count
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("parts", [0, 2])
 @pytest.mark.parametrize("count", [8, 55])
-def test_changes_beyond_the_most_are_refused_and_may_come_again(count: int, parts: int) -> None:
+def test_changes_beyond_the_bound_are_rejected_and_may_come_again(count: int, parts: int) -> None:
     world = World(settings_of(), 5, most=60)
     play(world, FULL, [server(number) for number in range(count)], 0)
     before = world.told
@@ -254,7 +254,7 @@
     play(world, CHANGES, again, parts)
 
 
-def test_changes_that_end_within_the_most_may_pass_it_meanwhile() -> None:
+def test_changes_that_end_within_the_bound_may_exceed_it_in_between() -> None:
     world = World(settings_of(), 5, most=60)
     play(world, FULL, [server(number) for number in range(60)], 0)
     play(world, CHANGES, [server(100), server(3, state=GONE)], 0)
@@ -308,7 +308,7 @@
     assert world.told == world.wanted
 
 
-def test_draining_member_is_told_as_gone_and_comes_back() -> None:
+def test_draining_member_is_reported_as_gone_and_comes_back() -> None:
     world = World(settings_of(), 4)
     play(world, FULL, [server(number) for number in range(30)], 0)
     name = next(iter(world.told))
@@ -332,7 +332,7 @@
 
 
 @pytest.mark.parametrize("doors", [1, 2, 3])
-def test_new_one_is_told_to_a_door_that_sees_further_than_the_last_it_looked_at(doors: int) -> None:
+def test_new_one_is_reported_to_a_proxy_that_sees_further_than_the_last_it_looked_at(doors: int) -> None:
     """A door of few sees a part of the ring in any case, also past the last that stood there."""
     world = World(settings_of(0, doors), 2)
     play(world, FULL, [server(number) for number in range(6)], 0)
@@ -341,7 +341,7 @@
     assert len(world.told) == 40 or doors == 3
 
 
-def test_view_of_a_list_of_which_most_drains_looks_at_few() -> None:
+def test_subset_of_a_list_of_which_most_drains_looks_at_few() -> None:
     world = World(settings_of(doors=1_000), 8, most=9_000)
     entries = [server(number, state=UP if number % 500 == 0 else DRAINING) for number in range(8_000)]
     play(world, FULL, entries, 1)
@@ -350,7 +350,7 @@
     assert len(world.told) == 8 and world.routing.index.ring.examined < 200
 
 
-def test_what_a_takeover_is_done_with_is_let_go_of_in_steps() -> None:
+def test_what_a_takeover_is_done_with_is_released_in_steps() -> None:
     """Neither the entries that were staged nor the list before goes at once: that took a turn of 37 ms."""
     world = World(settings_of(doors=100), 100, most=9_000)
     play(world, FULL, [server(number) for number in range(3_000)], 0)
@@ -368,7 +368,7 @@
 
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
-def test_takeover_left_at_any_step_counts_nothing_as_told(kind: EndpointListKind) -> None:
+def test_takeover_left_at_any_step_counts_nothing_as_reported(kind: EndpointListKind) -> None:
     """What the module has not heard of must not pass for told: it would never hear of it again."""
     for taken in range(1, 100):
         world = World(settings_of(doors=100), 20, most=9_000)
--- a/tests/subsetting/test_entry_budget.py
+++ b/tests/subsetting/test_entry_budget.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("kind", [FULL, CHANGES])
-def test_room_counts_what_is_there_at_each_step_and_after_a_takeover_that_is_left(
+def test_entry_budget_counts_what_is_there_at_each_step_and_after_a_takeover_that_is_left(
     kind: EndpointListKind,
 ) -> None:
     """Entries move from what was staged to the list; none is counted for what has gone."""
@@ -37,7 +37,7 @@
     raise AssertionError("it never ends")
 
 
-def test_third_copy_has_no_room_until_another_has_gone() -> None:
+def test_third_copy_exceeds_the_budget_until_another_has_gone() -> None:
     """Not even while a list is taken over, or let go of: all of that is held."""
     world = World(settings_of(doors=100), 20, most=3_000)
     entries = [server(number) for number in range(2_900)]
--- a/tests/subsetting/test_ring.py
+++ b/tests/subsetting/test_ring.py
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(STEP, max_size=40), PLACES)
-def test_ring_holds_what_was_put_in_order_from_any_place(
+def test_ring_holds_what_was_put_in_order_from_any_position(
     steps: list[tuple[str, int, int]], start: int
 ) -> None:
     ring, known = Ring(), dict[tuple[int, str], bytes]()
@@ -58,7 +58,7 @@
 
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(0, 3)), unique_by=lambda pair: pair[0]))
-def test_stand_ins_are_the_next_of_the_group_once_round(members: list[tuple[int, int]]) -> None:
+def test_substitutes_are_the_next_of_the_group_once_round(members: list[tuple[int, int]]) -> None:
     groups = IdempotencyGroups(cell_of)
     records = {place: pack(server(place, cell=cell), None) for place, cell in members}
     for place, record in records.items():
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -78,7 +78,7 @@
     return [name.decode() for name in routing.subset.members]
 
 
-def test_change_of_what_no_view_holds_costs_next_to_nothing() -> None:
+def test_change_of_what_no_subset_holds_costs_next_to_nothing() -> None:
     def change(routing: EndpointSubsetting, count: int) -> None:
         members, groups = set(seen_of(routing)), routing.subset.scopes[0]
         others = [
@@ -96,7 +96,7 @@
     assert touched == [40] * len(SIZES)  # one for each change
 
 
-def test_change_of_a_member_and_its_return_cost_the_view() -> None:
+def test_change_of_a_member_and_its_return_cost_the_subset() -> None:
     def change(routing: EndpointSubsetting, count: int) -> None:
         number = int(seen_of(routing)[5][1:])
         assert learn(routing, [replace(entry(number, count), state=GONE)]) is not None
@@ -120,7 +120,7 @@
     assert_even(steps)
 
 
-def test_choice_of_a_view_costs_the_view() -> None:
+def test_choice_of_a_subset_costs_the_subset() -> None:
     def choose(routing: EndpointSubsetting, count: int) -> None:
         view = Subset(routing.subset.proxy_position, routing.subset.min_distance, SIZE)
         view.select(routing.index)
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("what", ["choose", "end_period", "learn"])
-def test_module_is_handed_no_more_than_the_view(what: str) -> None:
+def test_policy_is_handed_no_more_than_the_subset(what: str) -> None:
     """What it does for a request, a period and a change is linear in what it is handed."""
     looked, steps = [], []
     for count in SIZES:
--- a/tests/subsetting/test_takeover_overlay.py
+++ b/tests/subsetting/test_takeover_overlay.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("count", [10, 600])
-def test_steps_are_bounded_also_where_much_is_told_meanwhile(count: int) -> None:
+def test_steps_are_bounded_also_where_much_is_reported_meanwhile(count: int) -> None:
     world = world_of(count)
     drained = [replace(entry, state=DRAINING) for entry in NEW[:1_200]]
     alone, long = move(world_of(count), {}), move(world, {1: drained[:600], 2: drained[600:]})
@@ -90,7 +90,7 @@
     assert [entry.state for entry in listed(world).values()].count(DRAINING) == 1_200
 
 
-def test_list_is_refused_where_more_is_told_meanwhile_than_a_list_may_have() -> None:
+def test_list_is_rejected_where_more_is_reported_meanwhile_than_a_list_may_have() -> None:
     world = world_of(600)
     drained = [replace(entry, state=DRAINING) for entry in NEW[:600]]
     with pytest.raises(EndpointListError, match="during the takeover"):
@@ -98,7 +98,7 @@
     assert len(listed(world)) == 600 and not world.routing.overlay.recordings
 
 
-def test_nothing_is_noted_once_the_new_list_counts() -> None:
+def test_nothing_is_recorded_once_the_new_list_counts() -> None:
     """While the list before is let go of, changes are to the new one, whatever they say."""
     world = world_of(600)
     staged = world.routing.stage()
