--- a/molereach/cache/driver.py
+++ b/molereach/cache/driver.py
@@ -22,7 +22,7 @@
     S,
     Tick,
 )
-from molereach.coordination.leases.accounts import Missing
+from molereach.coordination.leases.acknowledgements import MissingAcknowledgement
 
 LOOK_US = S // 10  # between two looks at whether a proof is complete
 WITHIN_US = 2 * S  # after that the log says UNKNOWN
@@ -33,7 +33,7 @@
     """An account of an entry, over what sessions have said `clear` of: never what they merely applied."""
 
     def proof(self) -> tuple[Accounted, ...] | None: ...
-    def pending(self) -> tuple[Missing, ...]: ...
+    def pending(self) -> tuple[MissingAcknowledgement, ...]: ...
 
 
 Event = Leads | Applied | Restored | ProposalOver | Tick
@@ -55,7 +55,7 @@
     def wake_us(self) -> int:
         return self._next_us if self._ballot is not None and self.purges.oldest(1) else NEVER_US
 
-    def missing(self, asked: Asked) -> tuple[Missing, ...] | None:
+    def missing(self, asked: Asked) -> tuple[MissingAcknowledgement, ...] | None:
         """Who is missing for a purge, since when by this front door's clock, and why; None where it does not
         lead and so cannot know."""
         return None if self._ballot is None else self._of(asked).pending()
@@ -104,7 +104,7 @@
 
     def _propose(self, now_us: int, last: Asked) -> Propose:
         # As the proof is complete, each that is still open has said it.
-        fences = tuple(opened.fence for opened in self.purges.waiting(last))
+        fences = tuple(opened.fencing_token for opened in self.purges.waiting(last))
         self._number += 1
         self._out, self._next_us = f"purged.{self._ballot}.{self._number}", now_us + AGAIN_US
         return Propose(MACHINE, self._out, encode(Done(last.position, fences)), WITHIN_US)
--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -12,7 +12,7 @@
 from molereach.cache.purge.receipt import Receipt
 from molereach.cache.purge.records import Finished
 from molereach.coordination.interface import Life
-from molereach.coordination.leases.accounts import Missing
+from molereach.coordination.leases.acknowledgements import MissingAcknowledgement
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,11 @@
 
 
 def answer(
-    purges: Purges, applied: int, purge_id: str, least: int = 0, missing: tuple[Missing, ...] | None = None
+    purges: Purges,
+    applied: int,
+    purge_id: str,
+    least: int = 0,
+    missing: tuple[MissingAcknowledgement, ...] | None = None,
 ) -> Answer:
     """What is known here, where the log was applied up to `applied`. At the leader, `missing` is what its
     driver says of this purge. ValueError for what is no id."""
@@ -77,10 +81,10 @@
         return Behind(purge_id, applied)
     if known is None:
         return TooOld(purge_id) if purges.forgot(purge_id) else NotHere(purge_id, applied)
-    whys = {each.door: each.why for each in missing or ()}
+    whys = {each.proxy: each.reason for each in missing or ()}
     doors = [
-        Waiting(opened.life, known.at_ms, whys.get(opened.life, UNTOLD))
+        Waiting(opened.incarnation, known.at_ms, whys.get(opened.incarnation, UNTOLD))
         for opened in purges.waiting(known)
-        if missing is None or opened.life in whys
+        if missing is None or opened.incarnation in whys
     ]
     return Pending(purge_id, known.position, known.at_ms, applied, tuple(doors))
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -21,7 +21,7 @@
 from molereach.cache.purge.records import Asked, Finished, Number
 from molereach.cache.readings.settings import MOST_AGE_US
 from molereach.coordination.interface import MOST_DOORS, Accounted, Entry, Outcome, Position, Wire
-from molereach.coordination.leases.sessions import Opened
+from molereach.coordination.leases.sessions import ActiveSession
 
 CLOCKS_MS = 5_000  # by which the wall clocks of front doors may differ
 MOST_DONE_AT_ONCE = 128  # purges, by one entry
@@ -43,7 +43,7 @@
     pending: tuple[Asked, ...]
     done: tuple[Finished, ...]
     forgotten: Position
-    cohorts: tuple[tuple[Number, Annotated[tuple[Opened, ...], Meta(max_length=MOST_DOORS)]], ...]
+    cohorts: tuple[tuple[Number, Annotated[tuple[ActiveSession, ...], Meta(max_length=MOST_DOORS)]], ...]
     next_cohort: Number
     rosters: tuple[tuple[Number, Annotated[tuple[Accounted, ...], Meta(max_length=MOST_DOORS)]], ...]
     next_roster: Number
@@ -60,7 +60,7 @@
         self.sessions, self.bounds = sessions, bounds
         self.forgotten = 0  # the position of the newest purge of which nothing is known any more
         self.past = Purged(bounds.keep_ms, bounds.most_past)
-        self.cohorts: Interned[Opened] = Interned()
+        self.cohorts: Interned[ActiveSession] = Interned()
         self.rosters: Interned[Accounted] = Interned()
         self._pending: OrderedDict[str, Asked] = OrderedDict()  # in the order of the log, as the next
         self._done: OrderedDict[str, Finished] = OrderedDict()
@@ -77,10 +77,12 @@
     def receipt(self, done: Finished) -> Receipt:
         return receipt_of(done, self.rosters[done.roster])
 
-    def waiting(self, asked: Asked) -> tuple[Opened, ...]:
+    def waiting(self, asked: Asked) -> tuple[ActiveSession, ...]:
         """Whose session was open then and is still: their word is needed."""
         return tuple(
-            opened for opened in self.cohorts[asked.cohort] if self.sessions.open(opened.life.name) == opened
+            opened
+            for opened in self.cohorts[asked.cohort]
+            if self.sessions.active_session(opened.incarnation.name) == opened
         )
 
     def oldest(self, most: int) -> list[Asked]:
@@ -161,8 +163,8 @@
                 opened = self.cohorts[asked.cohort]
                 rows += len(opened) + 1
                 found = roster(opened, asked.position, said, self.sessions, entry.position)
-                if isinstance(found, Opened):
-                    why = f"front door {found.life.name} is not accounted for"
+                if isinstance(found, ActiveSession):
+                    why = f"front door {found.incarnation.name} is not accounted for"
                     break
                 rosters[asked.cohort] = self.rosters.use(found)
             else:
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -3,44 +3,48 @@
 
 A session that has ended needs no word of its holder: the entry that ended it says how that is known. Only of
 one that is still open its own word is needed. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
-2.7; molereach/coordination/leases/accounts.py has the argument.
+2.7; molereach/coordination/leases/acknowledgements.py has the argument.
 """
 
 from collections.abc import Container, Iterable
 from typing import Protocol
 
 from molereach.coordination.interface import Accounted, Known
-from molereach.coordination.leases.sessions import Opened, Past
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
 class SessionsView(Protocol):
     """Of the machine "sessions", as it stands at the entry that is being applied. It raises where that
     machine was stopped by a fault, so that this one stops too and comes to no other state than elsewhere."""
 
-    def open(self, name: str) -> Opened | None: ...
-    def all_open(self) -> list[Opened]: ...
-    def at(self, position: int) -> Iterable[Opened | Past]: ...
+    def active_session(self, name: str) -> ActiveSession | None: ...
+    def active_sessions(self) -> list[ActiveSession]: ...
+    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]: ...
 
 
-def cohort(sessions: SessionsView) -> tuple[Opened, ...]:
+def cohort(sessions: SessionsView) -> tuple[ActiveSession, ...]:
     """Whose session is open now, by name."""
-    return tuple(sorted(sessions.all_open(), key=lambda opened: opened.life))
+    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.incarnation))
 
 
 def roster(
-    opened: tuple[Opened, ...], asked: int, said: Container[int], sessions: SessionsView, position: int
-) -> tuple[Accounted, ...] | Opened:
+    opened: tuple[ActiveSession, ...], asked: int, said: Container[int], sessions: SessionsView, position: int
+) -> tuple[Accounted, ...] | ActiveSession:
     """How each of them is known, by name, or the first that is not. `asked` is a position at which they were
     open, `position` that of the entry being applied. Who said it has position 0, for that of the purge."""
-    ends = {each.fence: each for each in sessions.at(asked) if isinstance(each, Past)}
+    ends = {
+        each.fencing_token: each
+        for each in sessions.sessions_open_at(asked)
+        if isinstance(each, EndedSession)
+    }
     known: list[Accounted] = []
     for session in opened:
-        if sessions.open(session.life.name) == session:
-            if session.fence not in said:
+        if sessions.active_session(session.incarnation.name) == session:
+            if session.fencing_token not in said:
                 return session
-            known.append(Accounted(session.life, Known.SAID, 0))
-        elif end := ends.get(session.fence):
-            known.append(Accounted(session.life, end.known, end.position))
+            known.append(Accounted(session.incarnation, Known.SAID, 0))
+        elif end := ends.get(session.fencing_token):
+            known.append(Accounted(session.incarnation, end.known, end.position))
         else:  # it ended so long ago that how is forgotten
-            known.append(Accounted(session.life, Known.OVER, position))
+            known.append(Accounted(session.incarnation, Known.OVER, position))
     return tuple(known)
--- a/molereach/coordination/leases/accounts.py
+++ b/molereach/coordination/leases/acknowledgements.py
@@ -15,38 +15,38 @@
 from typing import Protocol
 
 from molereach.coordination.interface import Accounted, Known, Life
-from molereach.coordination.leases.sessions import Opened, Past, Sessions
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
 
 
-class Saying(Protocol):
+class SessionReport(Protocol):
     """What an open session has said of itself."""
 
     applied: int
     clear: int
-    heard_us: int | None
+    received_at_us: int | None
 
 
-class Sayings(Protocol):
+class SessionReports(Protocol):
     """Of the leader's keeper, what an account needs."""
 
     position: int  # of the log, applied here
 
-    def said(self, name: str, fence: int) -> Saying | None:
+    def report(self, name: str, fence: int) -> SessionReport | None:
         """Of an open session; None if nothing is known of it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingAcknowledgement:
     """A front door for which there is no account yet, since when, and why."""
 
-    door: Life
+    proxy: Life
     since_us: int
     applied: int
-    heard_us: int | None
-    why: str
+    received_at_us: int | None
+    reason: str
 
 
-class Account:
+class AcknowledgementTracker:
     """For the entry at `position`; `since_us` is when that was applied here, or this one began to lead.
 
     With `clear` a word counts only when what the entry forbids is no more under way there, too.
@@ -55,56 +55,56 @@
     def __init__(
         self,
         position: int,
-        sessions: Sessions,
-        sayings: Sayings,
+        sessions: SessionRegistry,
+        sayings: SessionReports,
         since_us: int,
         clear: bool = False,
     ) -> None:
         self.position, self.since_us, self.clear = position, since_us, clear
-        self._sessions, self._sayings = sessions, sayings
+        self._sessions, self._reports = sessions, sayings
 
     @property
-    def known_here(self) -> bool:
+    def is_applied_here(self) -> bool:
         """Whether the log was applied here up to the entry; before that nobody is accounted for."""
-        return self._sayings.position >= self.position
+        return self._reports.position >= self.position
 
-    def pending(self) -> tuple[Missing, ...]:
+    def pending(self) -> tuple[MissingAcknowledgement, ...]:
         """Who is missing, by name."""
         missing = [
-            self._missing(session)
-            for session in self._sessions.at(self.position)
-            if self._accounted(session) is None
+            self._missing_acknowledgement(session)
+            for session in self._sessions.sessions_open_at(self.position)
+            if self._acknowledgement(session) is None
         ]
-        return tuple(sorted(missing, key=lambda each: each.door))
+        return tuple(sorted(missing, key=lambda each: each.proxy))
 
     def proof(self) -> tuple[Accounted, ...] | None:
         """All that were open, by name; None while one is missing. At one position of the log, whoever can
         give it gives the same."""
-        if not self.known_here:
+        if not self.is_applied_here:
             return None
         accounted: list[Accounted] = []
-        for session in self._sessions.at(self.position):
-            one = self._accounted(session)
+        for session in self._sessions.sessions_open_at(self.position):
+            one = self._acknowledgement(session)
             if one is None:
                 return None
             accounted.append(one)
         return tuple(sorted(accounted, key=lambda each: each.door))
 
-    def _accounted(self, session: Opened | Past) -> Accounted | None:
-        if isinstance(session, Past):
-            return Accounted(session.life, session.known, session.position)
-        said = self._sayings.said(session.life.name, session.fence)
+    def _acknowledgement(self, session: ActiveSession | EndedSession) -> Accounted | None:
+        if isinstance(session, EndedSession):
+            return Accounted(session.incarnation, session.known, session.position)
+        said = self._reports.report(session.incarnation.name, session.fencing_token)
         if said is None or (said.clear if self.clear else said.applied) < self.position:
             return None
         # Not the position that was said, which depends on when it was asked.
-        return Accounted(session.life, Known.SAID, self.position)
+        return Accounted(session.incarnation, Known.SAID, self.position)
 
-    def _missing(self, session: Opened | Past) -> Missing:
-        said = self._sayings.said(session.life.name, session.fence)
-        applied, heard_us = (said.applied, said.heard_us) if said else (0, None)
+    def _missing_acknowledgement(self, session: ActiveSession | EndedSession) -> MissingAcknowledgement:
+        said = self._reports.report(session.incarnation.name, session.fencing_token)
+        applied, heard_us = (said.applied, said.received_at_us) if said else (0, None)
         if heard_us is not None and heard_us >= self.since_us:
             held = self.clear and applied >= self.position
             why = "something is under way there still" if held else f"applied only to {applied}"
         else:
             why = f"nothing heard since {self.since_us if heard_us is None else heard_us}"
-        return Missing(session.life, self.since_us, applied, heard_us, why)
+        return MissingAcknowledgement(session.incarnation, self.since_us, applied, heard_us, why)
--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -9,44 +9,44 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface import Life, Position, Wire
 
 MACHINE = "sessions"
-MOST_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
+MAX_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
 
 BallotNumber = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Open(Wire, frozen=True, tag_field="kind", tag="open"):
+class OpenSession(Wire, frozen=True, tag_field="kind", tag="open"):
     """A session for this life, proposed by itself; a lower life's session of the name is thereby ended."""
 
-    life: Life
+    incarnation: Life = field(name="life")
 
 
-class Ended(Wire, frozen=True, tag_field="kind", tag="ended"):
+class EndSession(Wire, frozen=True, tag_field="kind", tag="ended"):
     """The session is certainly over by time. Only of the keeper that gives renewals now."""
 
-    life: Life
-    fence: Position
+    incarnation: Life = field(name="life")
+    fencing_token: Position = field(name="fence")
     ballot: BallotNumber
 
 
-class Close(Wire, frozen=True, tag_field="kind", tag="close"):
+class CloseSession(Wire, frozen=True, tag_field="kind", tag="close"):
     """Left in order, proposed by itself: it has stopped what hangs on the session."""
 
-    life: Life
-    fence: Position
+    incarnation: Life = field(name="life")
+    fencing_token: Position = field(name="fence")
 
 
-class Keeping(Wire, frozen=True, tag_field="kind", tag="keeping"):
+class BecomeManager(Wire, frozen=True, tag_field="kind", tag="keeping"):
     """The leader of this ballot keeps the sessions from here on; earlier leaders' ends are void after it."""
 
     ballot: BallotNumber
 
 
-Body = Open | Ended | Close | Keeping
+Body = OpenSession | EndSession | CloseSession | BecomeManager
 
 _DECODER: msgspec.json.Decoder[Body] = msgspec.json.Decoder(Body)
 
@@ -57,6 +57,6 @@
 
 def decode(data: bytes) -> Body:
     """msgspec.DecodeError where it is none of them."""
-    if len(data) > MOST_SESSION_BODY_BYTES:
+    if len(data) > MAX_SESSION_BODY_BYTES:
         raise msgspec.DecodeError("too long")
     return _DECODER.decode(data)
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -13,6 +13,7 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
+    Ask,
     Leads,
     Life,
     Over,
@@ -22,177 +23,224 @@
     Terms,
     Tick,
 )
-from molereach.coordination.leases.asks import Asks
-from molereach.coordination.leases.bodies import Body, Close, Open
-from molereach.coordination.leases.proposal import WITHIN_BEATS, Proposal
-from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Granted, Held, Leave, Lost, Phase
+from molereach.coordination.leases.bodies import Body, CloseSession, OpenSession
+from molereach.coordination.leases.messages import (
+    RENEWAL_INTERVAL_US,
+    GrantsReceived,
+    LeaseAcquired,
+    LeaseLost,
+    LeasePhase,
+    ReleaseLease,
+)
+from molereach.coordination.leases.proposal import PROPOSAL_TIMEOUT_INTERVALS, RetriedProposal
+from molereach.coordination.leases.renewals import PendingRenewals
+from molereach.coordination.leases.sessions import SessionRegistry
 
-MOST_BACKOFF_BEATS = 10
+MAX_BACKOFF_INTERVALS = 10
 
-Event = Tick | Applied | Restored | ProposalOver | Granted | Leads | Leave
-Action = Propose | Ask | Held | Lost
+Event = Tick | Applied | Restored | ProposalOver | GrantsReceived | Leads | ReleaseLease
+Action = Propose | Ask | LeaseAcquired | LeaseLost
 
 
-class Holder:
+class LeaseHolder:
     """Implements `Session`. `Applied` is handed in after all that stands on the log has acted on it."""
 
     def __init__(
-        self, life: Life, sessions: Sessions, terms: Terms, draw: Callable[[], float], beat_us: int = BEAT_US
+        self,
+        life: Life,
+        sessions: SessionRegistry,
+        terms: Terms,
+        draw: Callable[[], float],
+        beat_us: int = RENEWAL_INTERVAL_US,
     ) -> None:
-        self.life, self.sessions, self.terms, self.draw, self.beat_us = life, sessions, terms, draw, beat_us
-        self.phase = Phase.ABSENT
+        self.incarnation, self.sessions, self.terms, self.random_fraction, self.renewal_interval_us = (
+            life,
+            sessions,
+            terms,
+            draw,
+            beat_us,
+        )
+        self.phase = LeasePhase.ABSENT
         self.position = 0  # of the log, applied here
-        self._fence = 0  # of the session that is open, held or not
-        self._until_us = 0  # up to then it is held
-        self._held = 0  # the fence of the session that is held, as last told; 0 for none
-        self._why = ""
-        self._told = 0
-        self._asks = Asks(life)
-        self._misses = 0  # tries without an answer, while nothing is held
-        self._next_us = 0  # when it asks or proposes next
+        self._fencing_token = 0  # of the session that is open, held or not
+        self._expires_at_us = 0  # up to then it is held
+        self._held_token = 0  # the fence of the session that is held, as last told; 0 for none
+        self._loss_reason = ""
+        self._reported_position = 0
+        self._renewals = PendingRenewals(life)
+        self._failed_attempts = 0  # tries without an answer, while nothing is held
+        self._next_action_us = 0  # when it asks or proposes next
         # Up to where nothing that entries forbid is under way here: told by whoever stands on the log.
         self.clear: Callable[[int], int] = lambda position: position
-        self._opening: Proposal | None = None
-        self._closing: Proposal | None = None
+        self._opening: RetriedProposal | None = None
+        self._closing: RetriedProposal | None = None
 
     # --- Session ---
 
     def holds(self, now_us: int) -> bool:
-        return now_us < self._until_us  # 0 in every phase but OPEN
+        return now_us < self._expires_at_us  # 0 in every phase but OPEN
 
     @property
     def fence(self) -> int:
         """As of the last event: `holds` is to be asked first."""
-        return self._held
+        return self._held_token
 
     @property
     def applied(self) -> int:
         """What the last ask told that was granted."""
-        return self._told
+        return self._reported_position
 
     # --- Core ---
 
     @property
     def wake_us(self) -> int:
-        return min(self._next_us, self._until_us) if self._held else self._next_us
+        return min(self._next_action_us, self._expires_at_us) if self._held_token else self._next_action_us
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
         match event:
-            case Granted() if self.phase is Phase.OPEN:
-                self._granted(now_us, event)
+            case GrantsReceived() if self.phase is LeasePhase.OPEN:
+                self._apply_grants(now_us, event)
             case Applied():
                 self.position = event.entry.position
                 mine = self._opening is not None and event.entry.id == self._opening.id
-                self._follow(now_us, event.entry.position if mine else 0)
+                self._follow_log(now_us, event.entry.position if mine else 0)
             case Restored():
                 self.position = event.position
-                self._follow(now_us, 0)
+                self._follow_log(now_us, 0)
             case ProposalOver():
-                self._proposed(now_us, event)
+                self._handle_proposal_result(now_us, event)
             case Leads() if event.leader is not None:  # one that may answer; not all ask it at once
-                self._misses = 0
-                self._next_us = min(self._next_us, now_us + int(self.draw() * self.beat_us))
-            case Leave():
-                self._leave(now_us)
+                self._failed_attempts = 0
+                self._next_action_us = min(
+                    self._next_action_us, now_us + int(self.random_fraction() * self.renewal_interval_us)
+                )
+            case ReleaseLease():
+                self._release(now_us)
             case _:
                 pass
-        told = self._tell(now_us)
-        return told + self._due(now_us) if now_us >= self._next_us else told
+        told = self._report_changes(now_us)
+        return told + self._next_actions(now_us) if now_us >= self._next_action_us else told
 
-    def _tell(self, now_us: int) -> list[Action]:
+    def _report_changes(self, now_us: int) -> list[Action]:
         """Say when it begins or ceases to be held."""
-        held, before = (self._fence if self.holds(now_us) else 0), self._held
-        self._held = held
-        why, self._why = self._why or "not renewed in time", ""
+        held, before = (self._fencing_token if self.holds(now_us) else 0), self._held_token
+        self._held_token = held
+        why, self._loss_reason = self._loss_reason or "not renewed in time", ""
         if held == before:
             return []
-        lost: list[Action] = [Lost(before, why)] if before else []
-        return [*lost, Held(held)] if held else lost
+        lost: list[Action] = [LeaseLost(before, why)] if before else []
+        return [*lost, LeaseAcquired(held)] if held else lost
 
     # --- what the log says ---
 
-    def _follow(self, now_us: int, mine: int) -> None:
+    def _follow_log(self, now_us: int, mine: int) -> None:
         """Keep to what was applied here; `mine` is the position at which the own proposal was settled."""
-        opened, highest = self.sessions.open(self.life.name), self.sessions.life(self.life.name)
-        if highest is not None and highest > self.life:
-            self._over("a later life has the name", Phase.SUPERSEDED)
-        elif opened is not None and opened.life == self.life:
-            if opened.fence != self._fence and self.position >= opened.fence:
-                self._open(now_us, opened.fence, mine)
-        elif self._fence:
-            self._over("ended in the log", Phase.LEFT if self.phase is Phase.LEAVING else Phase.ABSENT)
-            self._next_us = now_us
-
-    def _open(self, now_us: int, fence: int, mine: int) -> None:
+        opened, highest = (
+            self.sessions.active_session(self.incarnation.name),
+            self.sessions.latest_incarnation(self.incarnation.name),
+        )
+        if highest is not None and highest > self.incarnation:
+            self._end_session("a later life has the name", LeasePhase.SUPERSEDED)
+        elif opened is not None and opened.incarnation == self.incarnation:
+            if opened.fencing_token != self._fencing_token and self.position >= opened.fencing_token:
+                self._start_session(now_us, opened.fencing_token, mine)
+        elif self._fencing_token:
+            self._end_session(
+                "ended in the log", LeasePhase.LEFT if self.phase is LeasePhase.LEAVING else LeasePhase.ABSENT
+            )
+            self._next_action_us = now_us
+
+    def _start_session(self, now_us: int, fence: int, mine: int) -> None:
         # Where another proposal opened it than the one under way, only a grant says from when it counts.
-        made_us = self._opening.first_us if self._opening and fence == mine else None
-        leaves = self.phase in (Phase.LEAVING, Phase.LEFT)  # an opening that was settled late is closed again
-        self._over("ended in the log", Phase.LEAVING if leaves else Phase.OPEN)
-        self._until_us = 0 if made_us is None or leaves else made_us + self.terms.held_us
-        self._fence, self._next_us, self._misses = fence, now_us, 0
-
-    def _over(self, why: str, phase: Phase) -> None:
-        self._fence, self._until_us, self._why, self.phase = 0, 0, why, phase
+        made_us = self._opening.first_proposed_us if self._opening and fence == mine else None
+        leaves = self.phase in (
+            LeasePhase.LEAVING,
+            LeasePhase.LEFT,
+        )  # an opening that was settled late is closed again
+        self._end_session("ended in the log", LeasePhase.LEAVING if leaves else LeasePhase.OPEN)
+        self._expires_at_us = 0 if made_us is None or leaves else made_us + self.terms.held_us
+        self._fencing_token, self._next_action_us, self._failed_attempts = fence, now_us, 0
+
+    def _end_session(self, why: str, phase: LeasePhase) -> None:
+        self._fencing_token, self._expires_at_us, self._loss_reason, self.phase = 0, 0, why, phase
         self._opening = self._closing = None
-        self._asks.forget()
+        self._renewals.clear()
 
-    def _proposed(self, now_us: int, event: ProposalOver) -> None:
+    def _handle_proposal_result(self, now_us: int, event: ProposalOver) -> None:
         if self._closing and event.id == self._closing.id:
-            self._next_us = now_us + self.beat_us
+            self._next_action_us = now_us + self.renewal_interval_us
         if self._opening is None or event.id != self._opening.id:
             return
-        self._next_us = max(now_us, self._opening.tried_us + self._backoff_us())
+        self._next_action_us = max(now_us, self._opening.last_proposed_us + self._backoff_us())
         # Settled, and applied here, and it opened nothing: refused by a rule, or over again already.
         settled = event.over is Over.SETTLED and self.position >= event.position
         if settled or event.over is Over.REFUSED:
             self._opening = None
-        if self.phase is Phase.LEAVING:
-            self.phase = Phase.LEFT  # if it is settled yet, it is held by nobody
+        if self.phase is LeasePhase.LEAVING:
+            self.phase = LeasePhase.LEFT  # if it is settled yet, it is held by nobody
 
     # --- renewals, and the end in order ---
 
-    def _granted(self, now_us: int, event: Granted) -> None:
+    def _apply_grants(self, now_us: int, event: GrantsReceived) -> None:
         for grant in event.grants:
-            if found := self._asks.granted(grant):
+            if found := self._renewals.match_grant(grant):
                 made_us, ask = found
-                self._until_us = max(self._until_us, made_us + self.terms.held_us)
-                self._told, self._misses = ask.applied, 0
-                self._next_us = min(self._next_us, now_us + self.beat_us)
-
-    def _leave(self, now_us: int) -> None:
-        if self.phase is Phase.OPEN or (self.phase is Phase.ABSENT and self._opening):
-            self.phase, self._until_us, self._next_us, self._why = Phase.LEAVING, 0, now_us, "leaves"
-        elif self.phase is Phase.ABSENT:
-            self.phase = Phase.LEFT
+                self._expires_at_us = max(self._expires_at_us, made_us + self.terms.held_us)
+                self._reported_position, self._failed_attempts = ask.applied, 0
+                self._next_action_us = min(self._next_action_us, now_us + self.renewal_interval_us)
+
+    def _release(self, now_us: int) -> None:
+        if self.phase is LeasePhase.OPEN or (self.phase is LeasePhase.ABSENT and self._opening):
+            self.phase, self._expires_at_us, self._next_action_us, self._loss_reason = (
+                LeasePhase.LEAVING,
+                0,
+                now_us,
+                "leaves",
+            )
+        elif self.phase is LeasePhase.ABSENT:
+            self.phase = LeasePhase.LEFT
 
     # --- time ---
 
     def _backoff_us(self) -> int:
-        return self.beat_us * min(MOST_BACKOFF_BEATS, 1 << min(self._misses, MOST_BACKOFF_BEATS))
+        return self.renewal_interval_us * min(
+            MAX_BACKOFF_INTERVALS, 1 << min(self._failed_attempts, MAX_BACKOFF_INTERVALS)
+        )
 
-    def _due(self, now_us: int) -> list[Action]:
+    def _next_actions(self, now_us: int) -> list[Action]:
         """Ask, or propose, and say when next."""
         match self.phase:
-            case Phase.OPEN:
-                self._next_us = now_us + (self.beat_us if self._held else self._backoff_us())
-                self._misses = 0 if self._held else self._misses + 1
-                return [self._asks.make(now_us, self._fence, self.position, self.clear(self.position))]
-            case Phase.ABSENT:
-                self._misses += 1
-                self._opening = self._opening or self._draw(now_us, "open", Open(self.life))
+            case LeasePhase.OPEN:
+                self._next_action_us = now_us + (
+                    self.renewal_interval_us if self._held_token else self._backoff_us()
+                )
+                self._failed_attempts = 0 if self._held_token else self._failed_attempts + 1
+                return [
+                    self._renewals.create(
+                        now_us, self._fencing_token, self.position, self.clear(self.position)
+                    )
+                ]
+            case LeasePhase.ABSENT:
+                self._failed_attempts += 1
+                self._opening = self._opening or self._new_proposal(
+                    now_us, "open", OpenSession(self.incarnation)
+                )
                 return [self._propose(now_us, self._opening)]
-            case Phase.LEAVING if self._fence:
-                self._closing = self._closing or self._draw(now_us, "close", Close(self.life, self._fence))
+            case LeasePhase.LEAVING if self._fencing_token:
+                self._closing = self._closing or self._new_proposal(
+                    now_us, "close", CloseSession(self.incarnation, self._fencing_token)
+                )
                 return [self._propose(now_us, self._closing)]
             case _:
-                self._next_us = NEVER_US
+                self._next_action_us = NEVER_US
                 return []
 
-    def _draw(self, now_us: int, what: str, body: Body) -> Proposal:
-        return Proposal(f"{what}.{self.life.number:x}.{int(self.draw() * (1 << 53)):x}", body, now_us)
+    def _new_proposal(self, now_us: int, what: str, body: Body) -> RetriedProposal:
+        return RetriedProposal(
+            f"{what}.{self.incarnation.number:x}.{int(self.random_fraction() * (1 << 53)):x}", body, now_us
+        )
 
-    def _propose(self, now_us: int, proposal: Proposal) -> Propose:
+    def _propose(self, now_us: int, proposal: RetriedProposal) -> Propose:
         # The log's word on it comes before that, unless it is lost.
-        self._next_us = now_us + (WITHIN_BEATS + 1) * self.beat_us
-        return proposal.tell(now_us, self.beat_us)
+        self._next_action_us = now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us
+        return proposal.propose(now_us, self.renewal_interval_us)
--- a/molereach/coordination/leases/words.py
+++ b/molereach/coordination/leases/messages.py
@@ -9,33 +9,31 @@
 
 from molereach.coordination.interface import Ask, Grant, S
 
-__all__ = ["BEAT_US", "Ask", "Asked", "Given", "Grant", "Granted", "Held", "Leave", "Lost", "Phase"]
-
-BEAT_US = S // 2  # between two asks of one front door
+RENEWAL_INTERVAL_US = S // 2  # between two asks of one front door
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RenewalsReceived:
     """Event for the keeper: asks that came up the tree, at most one of each front door that counts."""
 
-    asks: tuple[Ask, ...]
+    requests: tuple[Ask, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class SendGrants:
     """Action of the keeper: grants to go down the tree; a lost one costs a beat."""
 
     grants: tuple[Grant, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class GrantsReceived:
     """Event for the holder: grants that came down the tree; those for others are passed over."""
 
     grants: tuple[Grant, ...]
 
 
-class Phase(Enum):
+class LeasePhase(Enum):
     """Where the session stands, by the log as it was applied here."""
 
     ABSENT = "absent"  # to be opened
@@ -46,20 +44,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class ReleaseLease:
     """Event for the holder: close the session in order. From here on it is not held."""
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseAcquired:
     """Action of the holder: the session is held from here on; ask `holds` before each use all the same."""
 
-    fence: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LeaseLost:
     """Action of the holder: the session is not held any more. `why` is one plain line."""
 
-    fence: int
-    why: str
+    fencing_token: int
+    reason: str
--- a/molereach/coordination/leases/permits.py
+++ b/molereach/coordination/leases/permits.py
@@ -10,33 +10,37 @@
 from molereach.coordination.interface import Session
 
 
-class Use(Enum):
+class LeasedActivity(Enum):
     """What a front door does that others may have to count on."""
 
     SERVE = "serve"  # requests, by the servers that it may use
-    MEMORY = "memory"  # answer from memory
+    CACHE = "memory"  # answer from memory
     SERVERS = "servers"  # use servers beyond those that its last session left it
     PERMIT = "permit"  # give permits to machines out for work
     SPLIT = "split"  # take part in a split of a shard
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class ActivityRule:
     """Whether a use needs the session, and what is done instead without it."""
 
     needs_session: bool
     instead: str
 
 
-RULES: dict[Use, Rule] = {
-    Use.SERVE: Rule(False, "it serves on: requests never wait for the council"),
-    Use.MEMORY: Rule(True, "it asks a server each time, and keeps what it had unread until it has caught up"),
-    Use.SERVERS: Rule(True, "it uses the servers that its last session left it, and none beyond"),
-    Use.PERMIT: Rule(True, "it gives none; those that are out end by their own time"),
-    Use.SPLIT: Rule(True, "it takes and moves nothing, and sends by the map that it has"),
+ACTIVITY_RULES: dict[LeasedActivity, ActivityRule] = {
+    LeasedActivity.SERVE: ActivityRule(False, "it serves on: requests never wait for the council"),
+    LeasedActivity.CACHE: ActivityRule(
+        True, "it asks a server each time, and keeps what it had unread until it has caught up"
+    ),
+    LeasedActivity.SERVERS: ActivityRule(
+        True, "it uses the servers that its last session left it, and none beyond"
+    ),
+    LeasedActivity.PERMIT: ActivityRule(True, "it gives none; those that are out end by their own time"),
+    LeasedActivity.SPLIT: ActivityRule(True, "it takes and moves nothing, and sends by the map that it has"),
 }
 
 
-def may(kind: Use, session: Session, now_us: int) -> bool:
+def is_allowed(kind: LeasedActivity, session: Session, now_us: int) -> bool:
     """Whether this use is allowed at `now_us`, which is read after all that may have taken time before it."""
-    return not RULES[kind].needs_session or session.holds(now_us)
+    return not ACTIVITY_RULES[kind].needs_session or session.holds(now_us)
--- a/molereach/coordination/leases/proposal.py
+++ b/molereach/coordination/leases/proposal.py
@@ -8,18 +8,18 @@
 from molereach.coordination.interface import Propose
 from molereach.coordination.leases.bodies import MACHINE, Body, encode
 
-WITHIN_BEATS = 4  # after which the log says UNKNOWN
+PROPOSAL_TIMEOUT_INTERVALS = 4  # after which the log says UNKNOWN
 
 
 @dataclass(slots=True)
-class Proposal:
+class RetriedProposal:
     """One of the holder's. Times by its own clock."""
 
     id: str
     body: Body
-    first_us: int
-    tried_us: int = 0  # when it was made last
+    first_proposed_us: int
+    last_proposed_us: int = 0  # when it was made last
 
-    def tell(self, now_us: int, beat_us: int) -> Propose:
-        self.tried_us = now_us
-        return Propose(MACHINE, self.id, encode(self.body), WITHIN_BEATS * beat_us)
+    def propose(self, now_us: int, beat_us: int) -> Propose:
+        self.last_proposed_us = now_us
+        return Propose(MACHINE, self.id, encode(self.body), PROPOSAL_TIMEOUT_INTERVALS * beat_us)
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -8,90 +8,103 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface import MOST_DOORS, Entry, Known, Life, Name, Outcome, Position, Wire
-from molereach.coordination.leases.bodies import MACHINE, BallotNumber, Close, Ended, Keeping, Open, decode
+from molereach.coordination.leases.bodies import (
+    MACHINE,
+    BallotNumber,
+    BecomeManager,
+    CloseSession,
+    EndSession,
+    OpenSession,
+    decode,
+)
 
-MOST_PAST = 4  # ended sessions kept of each name, for accounts under way
+MAX_ENDED_SESSIONS = 4  # ended sessions kept of each name, for accounts under way
 
 
-class Opened(Wire, frozen=True):
+class ActiveSession(Wire, frozen=True):
     """A session that is open."""
 
-    life: Life
-    fence: Position
+    incarnation: Life = field(name="life")
+    fencing_token: Position = field(name="fence")
 
 
-class Past(Wire, frozen=True):
+class EndedSession(Wire, frozen=True):
     """A session that is not open any more, how that is known, and by which entry."""
 
-    life: Life
-    fence: Position
+    incarnation: Life = field(name="life")
+    fencing_token: Position = field(name="fence")
     known: Known
     position: Position
 
 
-class _Door(Wire, frozen=True):
+class _ProxySessions(Wire, frozen=True):
     name: Name
-    open: Opened | None = None
-    past: Annotated[tuple[Past, ...], Meta(max_length=MOST_PAST)] = ()  # the latest last
-    dropped: Position = 0  # the fence of the first one that is not kept any more; 0 for none
+    active: ActiveSession | None = field(name="open", default=None)
+    ended: Annotated[tuple[EndedSession, ...], Meta(max_length=MAX_ENDED_SESSIONS)] = field(
+        name="past", default=()
+    )  # the latest last
+    first_dropped_token: Position = field(
+        name="dropped", default=0
+    )  # the fence of the first one that is not kept any more; 0 for none
 
     @property
-    def life(self) -> Life | None:
+    def latest_incarnation(self) -> Life | None:
         """The highest that had a session."""
-        if self.open:
-            return self.open.life
-        return self.past[-1].life if self.past else None
+        if self.active:
+            return self.active.incarnation
+        return self.ended[-1].incarnation if self.ended else None
 
 
 class _State(Wire, frozen=True):
     ballot: BallotNumber
-    doors: Annotated[tuple[_Door, ...], Meta(max_length=MOST_DOORS)]  # by name, each once
+    # by name, each once
+    proxies: Annotated[tuple[_ProxySessions, ...], Meta(max_length=MOST_DOORS)] = field(name="doors")
 
 
-class Sessions:
+class SessionRegistry:
     """One session at most for each name; a `StateMachine`."""
 
     name = MACHINE
 
     def __init__(self) -> None:
         self.ballot = 0  # of the leader that keeps the sessions
-        self._doors: dict[str, _Door] = {}
+        self._proxies: dict[str, _ProxySessions] = {}
 
     # --- what is asked of it ---
 
-    def open(self, name: str) -> Opened | None:
-        door = self._doors.get(name)
-        return door.open if door else None
+    def active_session(self, name: str) -> ActiveSession | None:
+        door = self._proxies.get(name)
+        return door.active if door else None
 
-    def past(self, name: str) -> Past | None:
+    def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
-        door = self._doors.get(name)
-        return door.past[-1] if door and door.past else None
+        door = self._proxies.get(name)
+        return door.ended[-1] if door and door.ended else None
 
-    def life(self, name: str) -> Life | None:
+    def latest_incarnation(self, name: str) -> Life | None:
         """The highest life of a name that had a session."""
-        door = self._doors.get(name)
-        return door.life if door else None
+        door = self._proxies.get(name)
+        return door.latest_incarnation if door else None
 
-    def all_open(self) -> list[Opened]:
-        return [door.open for door in self._doors.values() if door.open]
+    def active_sessions(self) -> list[ActiveSession]:
+        return [door.active for door in self._proxies.values() if door.active]
 
-    def at(self, position: int) -> Iterator[Opened | Past]:
+    def sessions_open_at(self, position: int) -> Iterator[ActiveSession | EndedSession]:
         """The sessions that were open when this position was applied, as they stand now.
 
         Of a name that has ended more often since than is kept, the oldest that is kept stands for it: it was
         opened anew. A name that made room for others is left out.
         """
-        for door in self._doors.values():
-            if door.open and door.open.fence < position:
-                yield door.open
-            yield from (past for past in door.past if past.fence < position < past.position)
-            if door.dropped and door.dropped < position < door.past[0].fence:
-                first = door.past[0]
-                yield Past(first.life, first.fence, Known.ANEW, first.fence)
+        for door in self._proxies.values():
+            if door.active and door.active.fencing_token < position:
+                yield door.active
+            yield from (past for past in door.ended if past.fencing_token < position < past.position)
+            if door.first_dropped_token and door.first_dropped_token < position < door.ended[0].fencing_token:
+                first = door.ended[0]
+                yield EndedSession(first.incarnation, first.fencing_token, Known.ANEW, first.fencing_token)
 
     # --- entries ---
 
@@ -101,68 +114,71 @@
         except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
             return Outcome("not understood")
         match body:
-            case Open():
-                return self._open(entry, body.life)
-            case Ended():
+            case OpenSession():
+                return self._open_session(entry, body.incarnation)
+            case EndSession():
                 if body.ballot != self.ballot:
                     return Outcome("another leader keeps the sessions")
-                return self._end(entry, body.life, body.fence, Known.OVER)
-            case Close():
-                if entry.proposer != body.life:
+                return self._end_session(entry, body.incarnation, body.fencing_token, Known.OVER)
+            case CloseSession():
+                if entry.proposer != body.incarnation:
                     return Outcome("a session is closed by its own front door alone")
-                return self._end(entry, body.life, body.fence, Known.LEFT)
-            case Keeping():
+                return self._end_session(entry, body.incarnation, body.fencing_token, Known.LEFT)
+            case BecomeManager():
                 if body.ballot <= self.ballot:
                     return Outcome("a later leader keeps the sessions")
                 self.ballot = body.ballot
                 return Outcome()
 
-    def _open(self, entry: Entry, life: Life) -> Outcome:
+    def _open_session(self, entry: Entry, life: Life) -> Outcome:
         if entry.proposer != life:
             return Outcome("a session is opened by its own front door alone")
-        door = self._doors.get(life.name)
+        door = self._proxies.get(life.name)
         if door is None:
-            if len(self._doors) >= MOST_DOORS and not self._forget():
+            if len(self._proxies) >= MOST_DOORS and not self._evict_one():
                 return Outcome(f"more than {MOST_DOORS} front doors")
-            door = _Door(life.name)
-        if door.open and door.open.life == life:
-            return Outcome(value=msgspec.json.encode(door.open))
-        if refused := self._too_late(door, life):
+            door = _ProxySessions(life.name)
+        if door.active and door.active.incarnation == life:
+            return Outcome(value=msgspec.json.encode(door.active))
+        if refused := self._rejection(door, life):
             return Outcome(refused)
-        if door.open:
-            door = _ended(door, Past(door.open.life, door.open.fence, Known.ANEW, entry.position))
-        opened = Opened(life, entry.position)
-        self._doors[life.name] = msgspec.structs.replace(door, open=opened)
+        if door.active:
+            door = _with_ended_session(
+                door,
+                EndedSession(door.active.incarnation, door.active.fencing_token, Known.ANEW, entry.position),
+            )
+        opened = ActiveSession(life, entry.position)
+        self._proxies[life.name] = msgspec.structs.replace(door, active=opened)
         return Outcome(value=msgspec.json.encode(opened))
 
     @staticmethod
-    def _too_late(door: _Door, life: Life) -> str:
+    def _rejection(door: _ProxySessions, life: Life) -> str:
         """A run that was stopped until its session was over may open anew; one that left may not."""
-        if door.life is None or door.life < life:
+        if door.latest_incarnation is None or door.latest_incarnation < life:
             return ""
-        if door.life > life:
+        if door.latest_incarnation > life:
             return "a later life of this name has had a session"
-        return "" if door.past[-1].known is Known.OVER else "this life has left"
+        return "" if door.ended[-1].known is Known.OVER else "this life has left"
 
-    def _end(self, entry: Entry, life: Life, fence: int, known: Known) -> Outcome:
-        door = self._doors.get(life.name)
-        if door is None or door.open != Opened(life, fence):
+    def _end_session(self, entry: Entry, life: Life, fence: int, known: Known) -> Outcome:
+        door = self._proxies.get(life.name)
+        if door is None or door.active != ActiveSession(life, fence):
             return Outcome("no such session is open")
-        self._doors[life.name] = _ended(door, Past(life, fence, known, entry.position))
+        self._proxies[life.name] = _with_ended_session(door, EndedSession(life, fence, known, entry.position))
         return Outcome()
 
-    def _forget(self) -> bool:
+    def _evict_one(self) -> bool:
         """Make room by the name without a session whose last one ended first."""
-        idle = [door for door in self._doors.values() if not door.open]
+        idle = [door for door in self._proxies.values() if not door.active]
         if not idle:
             return False
-        del self._doors[min(idle, key=lambda door: door.past[-1].position).name]
+        del self._proxies[min(idle, key=lambda door: door.ended[-1].position).name]
         return True
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        doors = tuple(self._doors[name] for name in sorted(self._doors))
+        doors = tuple(self._proxies[name] for name in sorted(self._proxies))
         return msgspec.json.encode(_State(self.ballot, doors))
 
     def restore(self, data: bytes) -> None:
@@ -170,27 +186,30 @@
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
             raise ValueError(f"not a snapshot of sessions: {error}") from None
-        names = [door.name for door in state.doors]
-        if names != sorted(set(names)) or any(not _sound(door) for door in state.doors):
+        names = [door.name for door in state.proxies]
+        if names != sorted(set(names)) or any(not _is_consistent(door) for door in state.proxies):
             raise ValueError("not a snapshot of sessions: not as any log leaves it")
-        self.ballot, self._doors = state.ballot, {door.name: door for door in state.doors}
+        self.ballot, self._proxies = state.ballot, {door.name: door for door in state.proxies}
 
 
-def _ended(door: _Door, last: Past) -> _Door:
-    past, dropped = (*door.past, last), door.dropped
-    if len(past) > MOST_PAST:
-        past, dropped = past[1:], dropped or past[0].fence
-    return _Door(door.name, None, past, dropped)
+def _with_ended_session(door: _ProxySessions, last: EndedSession) -> _ProxySessions:
+    past, dropped = (*door.ended, last), door.first_dropped_token
+    if len(past) > MAX_ENDED_SESSIONS:
+        past, dropped = past[1:], dropped or past[0].fencing_token
+    return _ProxySessions(door.name, None, past, dropped)
 
 
-def _sound(door: _Door) -> bool:
+def _is_consistent(door: _ProxySessions) -> bool:
     """Whether a name's sessions follow one another."""
-    if door.dropped and len(door.past) < MOST_PAST:
+    if door.first_dropped_token and len(door.ended) < MAX_ENDED_SESSIONS:
         return False
-    marks = [door.dropped, *(mark for past in door.past for mark in (past.fence, past.position))]
-    if door.open:
-        marks.append(door.open.fence)
+    marks = [
+        door.first_dropped_token,
+        *(mark for past in door.ended for mark in (past.fencing_token, past.position)),
+    ]
+    if door.active:
+        marks.append(door.active.fencing_token)
     # A session that was replaced ends where the next one is opened.
-    lives = [past.life for past in door.past] + ([door.open.life] if door.open else [])
+    lives = [past.incarnation for past in door.ended] + ([door.active.incarnation] if door.active else [])
     names = {life.name for life in lives}
     return marks == sorted(marks) and lives == sorted(lives) and names == {door.name}
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -7,9 +7,9 @@
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings as SpreadSettings
 from molereach.coordination.interface import Life, StateMachine
-from molereach.coordination.leases.holder import Holder
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.holder import LeaseHolder
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.sessions import SessionRegistry
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.settings import MembershipSettings
@@ -43,14 +43,14 @@
         wall_ms: Callable[[int], int],
     ) -> None:
         beat_us = settings.beat_us
-        self.sessions = Sessions()
+        self.sessions = SessionRegistry()
         on_log = {self.sessions.name: self.sessions, **machines}
         self.membership = Membership(
             me, MembershipSettings(beat_us=beat_us, direct_us=beat_us * 2 // 5), draw
         )
         self.log = LogCore(me, disk, recovered, panel, on_log, LogSettings(), draw, wall_ms)
-        self.holder = Holder(me, self.sessions, settings.terms, draw, beat_us)
-        self.keeper = Keeper(self.sessions, settings.terms, beat_us)
+        self.holder = LeaseHolder(me, self.sessions, settings.terms, draw, beat_us)
+        self.keeper = LeaseManager(self.sessions, settings.terms, beat_us)
         self.spread = Spread(me, SpreadSettings(beat_us=beat_us), draw)
 
     @property
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -29,7 +29,7 @@
     StateMachine,
     Tick,
 )
-from molereach.coordination.leases.words import Held, Lost
+from molereach.coordination.leases.messages import LeaseAcquired, LeaseLost
 from molereach.coordination.membership.events import Changed
 from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
 from molereach.coordination.node.parts import WORDS
@@ -124,8 +124,8 @@
             Left: lambda action: self.left.set(),
             Ended: self.on_ended,
             Leads: self.on_leads,
-            Held: self.on_held,
-            Lost: self.on_lost,
+            LeaseAcquired: self.on_held,
+            LeaseLost: self.on_lost,
             Changed: self.on_changed,
             Stopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
             SetBack: self.on_set_back,
@@ -261,13 +261,13 @@
         else:
             log.info("council: %s leads, ballot %d", action.leader or "nobody", action.ballot)
 
-    def on_held(self, action: Held) -> None:
+    def on_held(self, action: LeaseAcquired) -> None:
         self.figures.sessions += 1
-        log.info("council: session %d is held", action.fence)
+        log.info("council: session %d is held", action.fencing_token)
 
-    def on_lost(self, action: Lost) -> None:
+    def on_lost(self, action: LeaseLost) -> None:
         self.figures.lost += 1
-        log.warning("council: session %d is not held any more: %s", action.fence, action.why)
+        log.warning("council: session %d is not held any more: %s", action.fencing_token, action.reason)
 
     def on_changed(self, action: Changed) -> None:
         if action.previous is not action.status:
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -29,9 +29,9 @@
     StateMachine,
     Tick,
 )
-from molereach.coordination.leases import words as lease
-from molereach.coordination.leases.accounts import Account
-from molereach.coordination.leases.words import Phase
+from molereach.coordination.leases import messages as lease
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
+from molereach.coordination.leases.messages import LeasePhase
 from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join
 from molereach.coordination.membership.events import Leave as LeaveMembers
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
@@ -85,7 +85,17 @@
 
 
 Event = Begin | Leave | Tick | From | Persisted | DiskFailed | Propose
-Notice = Changed | Doubts | Leads | lease.Held | lease.Lost | Stopped | SetBack | MachineFailed | tree.Parent
+Notice = (
+    Changed
+    | Doubts
+    | Leads
+    | lease.LeaseAcquired
+    | lease.LeaseLost
+    | Stopped
+    | SetBack
+    | MachineFailed
+    | tree.Parent
+)
 Action = To | Persist | Applied | Restored | ProposalOver | Left | Ended | Notice
 Route = Callable[["Council", int, Any], None]
 
@@ -132,9 +142,9 @@
     def hears_nobody(self, now_us: int) -> bool:
         return len(self.settings.doors) > 1 and now_us - self.heard_us > self.settings.doubt_us
 
-    def account(self, position: int, since_us: int, clear: bool = False) -> Account:
+    def account(self, position: int, since_us: int, clear: bool = False) -> AcknowledgementTracker:
         """Of the entry at `position`: who does not have it, or is not clear of it; or the proof of all."""
-        return Account(position, self.parts.sessions, self.parts.keeper, since_us, clear)
+        return AcknowledgementTracker(position, self.parts.sessions, self.parts.keeper, since_us, clear)
 
     # --- events ---
 
@@ -171,7 +181,7 @@
                 self._view(now_us)
                 self._tick(now_us)
             case Leave():
-                self._run("holder", parts.holder, now_us, lease.Leave())
+                self._run("holder", parts.holder, now_us, lease.ReleaseLease())
                 self._run(MEMBERSHIP, parts.membership, now_us, LeaveMembers())
 
     def _tick(self, now_us: int) -> None:
@@ -241,17 +251,17 @@
         self._out.append(action)
         self._look_over()
 
-    def _lost(self, now_us: int, action: lease.Lost) -> None:
+    def _lost(self, now_us: int, action: lease.LeaseLost) -> None:
         self._out.append(action)
         self._look_over()
 
     def _look_over(self) -> None:
         """What the holder came to: gone in order, or in another run's way."""
         phase = self.parts.holder.phase
-        if phase is Phase.LEFT and not self.left:
+        if phase is LeasePhase.LEFT and not self.left:
             self.left = True
             self._out.append(Left())
-        elif phase is Phase.SUPERSEDED and not self.ended:
+        elif phase is LeasePhase.SUPERSEDED and not self.ended:
             self.ended = "a later run of this front door has a session"
             self._out.append(Ended(self.ended))
 
@@ -273,15 +283,15 @@
 
 
 def _gathered(self: Council, now_us: int, action: tree.Gathered) -> None:
-    self._run("keeper", self.parts.keeper, now_us, lease.Asked(action.asks))
+    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.asks))
 
 
-def _given(self: Council, now_us: int, action: lease.Given) -> None:
+def _given(self: Council, now_us: int, action: lease.SendGrants) -> None:
     self._run(SPREAD, self.parts.spread, now_us, tree.Give(action.grants))
 
 
 def _granted(self: Council, now_us: int, action: tree.Granted) -> None:
-    self._run("holder", self.parts.holder, now_us, lease.Granted(action.grants))
+    self._run("holder", self.parts.holder, now_us, lease.GrantsReceived(action.grants))
 
 
 def _learn(self: Council, now_us: int, action: tree.Learn) -> None:
@@ -299,12 +309,12 @@
     Changed: Council._changed,
     Displaced: Council._displaced,
     ProposalOver: Council._over,
-    lease.Lost: Council._lost,
+    lease.LeaseLost: Council._lost,
     Propose: _to_log,
     Confirm: _to_log,
     Confirmed: _to_keeper,
     Ask: _mine,
-    lease.Given: _given,
+    lease.SendGrants: _given,
     tree.Gathered: _gathered,
     tree.Granted: _granted,
     tree.Learn: _learn,
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -73,18 +73,18 @@
 
     def dead(self, life: Life) -> bool:
         """Whether it never comes back: it left, or a later life of its name has had a session."""
-        last = self._sessions.life(life.name)
+        last = self._sessions.latest_incarnation(life.name)
         if last is None:
             return False  # the name made room for others, and its process may yet come back
         if last > life:
             return True
-        past = self._sessions.past(life.name)
-        return last == life and past is not None and past.life == life and past.known is Known.LEFT
+        past = self._sessions.last_ended_session(life.name)
+        return last == life and past is not None and past.incarnation == life and past.known is Known.LEFT
 
     def over(self, life: Life) -> bool:
         """Whether it has no session, and it or a later one had."""
-        opened, last = self._sessions.open(life.name), self._sessions.life(life.name)
-        return (opened is None or opened.life != life) and last is not None and last >= life
+        opened, last = self._sessions.active_session(life.name), self._sessions.latest_incarnation(life.name)
+        return (opened is None or opened.incarnation != life) and last is not None and last >= life
 
     # --- entries ---
 
@@ -144,7 +144,8 @@
             dead = [
                 each
                 for each in self._kept
-                if each.name != life.name and (self.dead(each) or self._sessions.life(each.name) is None)
+                if each.name != life.name
+                and (self.dead(each) or self._sessions.latest_incarnation(each.name) is None)
             ]
             if not dead or len(self._horizon) >= MOST_NAMES:
                 return False
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from molereach.coordination.interface import Accounted, Known, Life, Position, Wire
-from molereach.coordination.leases.sessions import Opened, Past
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
 class Word(Wire, frozen=True, array_like=True):
@@ -22,17 +22,17 @@
 class SessionsAt(Protocol):
     """Of the state machine "sessions", as the log has it at the same position."""
 
-    def open(self, name: str) -> Opened | None: ...
+    def active_session(self, name: str) -> ActiveSession | None: ...
 
-    def past(self, name: str) -> Past | None:
+    def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
 
-    def life(self, name: str) -> Life | None:
+    def latest_incarnation(self, name: str) -> Life | None:
         """The highest life of a name that had a session."""
 
-    def all_open(self) -> list[Opened]: ...
+    def all_open(self) -> list[ActiveSession]: ...
 
-    def at(self, position: int) -> Iterable[Opened | Past]:
+    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
         """Those that were open when this position was applied, as they stand now."""
 
 
@@ -43,21 +43,21 @@
     false it must be accounted for by itself, or by a new life.
     """
     by_fence = {word.fence: word for word in words}
-    for session in sessions.at(begun):
-        word, name = by_fence.get(session.fence), session.life.name
+    for session in sessions.sessions_open_at(begun):
+        word, name = by_fence.get(session.fencing_token), session.incarnation.name
         if word is None:
             return f"no word of {name}"
         if word.known is Known.SAID:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             continue
-        if isinstance(session, Opened):
+        if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
         if (word.known, word.position) != (session.known, session.position):
             return f"{name} is {session.known.value} by {session.position}"
         if session.known is Known.OVER and not may_be_over:
-            later = sessions.life(name)
-            if later is None or later == session.life:
+            later = sessions.latest_incarnation(name)
+            if later is None or later == session.incarnation:
                 return f"{name} may come back"
     return ""
 
@@ -66,8 +66,8 @@
     """As it goes into an entry: the words of an account, with the fences of the sessions that they are of."""
     by_life = {each.door: each for each in accounted}
     found = []
-    for session in sessions.at(begun):
-        one = by_life.get(session.life)
+    for session in sessions.sessions_open_at(begun):
+        one = by_life.get(session.incarnation)
         if one is not None:
-            found.append(Word(session.fence, one.known, one.position))
+            found.append(Word(session.fencing_token, one.known, one.position))
     return tuple(found)
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from molereach.coordination.interface import Accounted, Known, Life
-from molereach.coordination.leases.sessions import Opened, Past
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
 
@@ -38,29 +38,31 @@
         self._lone: dict[int, int] = {}  # since when it is seen, by fence
 
     def look(self, now_us: int) -> None:
-        self._lone = {past.fence: self._lone.get(past.fence, now_us) for past in self._sessions.lone()}
+        self._lone = {
+            past.fencing_token: self._lone.get(past.fencing_token, now_us) for past in self._sessions.lone()
+        }
 
     def account(self, now_us: int, begun: int, unstood: int) -> tuple[tuple[Word, ...], tuple[Missed, ...]]:
         """Words for a proof, and who is missed for one."""
-        found: list[tuple[Opened | Past, Accounted]] = []
+        found: list[tuple[ActiveSession | EndedSession, Accounted]] = []
         missed: list[Missed] = []
         for session in needed(self._sessions, begun):
             if why := self._why(now_us, session, begun, unstood):
-                missed.append(Missed(session.life, why))
-            elif isinstance(session, Opened):
-                clear = self._clears.clear(session.life.name, session.fence)
-                found.append((session, Accounted(session.life, Known.SAID, clear)))
+                missed.append(Missed(session.incarnation, why))
+            elif isinstance(session, ActiveSession):
+                clear = self._clears.clear(session.incarnation.name, session.fencing_token)
+                found.append((session, Accounted(session.incarnation, Known.SAID, clear)))
             else:
-                found.append((session, Accounted(session.life, session.known, session.position)))
+                found.append((session, Accounted(session.incarnation, session.known, session.position)))
         return pack(found), tuple(missed)
 
-    def _why(self, now_us: int, session: Opened | Past, begun: int, unstood: int) -> str:
-        if isinstance(session, Opened):
-            clear = self._clears.clear(session.life.name, session.fence)
+    def _why(self, now_us: int, session: ActiveSession | EndedSession, begun: int, unstood: int) -> str:
+        if isinstance(session, ActiveSession):
+            clear = self._clears.clear(session.incarnation.name, session.fencing_token)
             return "" if clear >= begun else f"has said {clear} of {begun}"
         if not alone(self._sessions, session):
             return ""
-        if unstood >= session.fence:
+        if unstood >= session.fencing_token:
             return "is without a session, and may count on it: start it anew, or let it leave"
-        since_us = self._lone.get(session.fence, now_us)
+        since_us = self._lone.get(session.fencing_token, now_us)
         return "" if now_us - since_us >= self._wait_us else "is without a session for too short a time"
--- a/molereach/upkeep/permits/machine.py
+++ b/molereach/upkeep/permits/machine.py
@@ -87,8 +87,8 @@
     def _still_of_use(self, unstood: dict[str, int]) -> dict[str, int]:
         """Where a server ceased to stand before each session that is, or may serve on alone, began, nobody
         can count on it any more."""
-        fences = [each.fence for each in self.sessions.all_open()]
-        fences += [each.fence for each in self.sessions.lone()]
+        fences = [each.fencing_token for each in self.sessions.active_sessions()]
+        fences += [each.fencing_token for each in self.sessions.lone()]
         return {name: position for name, position in unstood.items() if position >= min(fences, default=0)}
 
     def _move(self, entry: Entry, body: Move) -> Record:
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -16,43 +16,43 @@
 from typing import Protocol
 
 from molereach.coordination.interface import Accounted, Known
-from molereach.coordination.leases.sessions import Opened, Past
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 from molereach.upkeep.permits.bodies import Word
 
 
 class SessionsAt(Protocol):
     """Of the state machine "sessions", as the log has it at the same position."""
 
-    def open(self, name: str) -> Opened | None: ...
+    def active_session(self, name: str) -> ActiveSession | None: ...
 
-    def past(self, name: str) -> Past | None:
+    def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
 
-    def all_open(self) -> list[Opened]: ...
+    def active_sessions(self) -> list[ActiveSession]: ...
 
-    def lone(self) -> list[Past]:
+    def lone(self) -> list[EndedSession]:
         """Of each name without an open session, the last, if that is over: it may serve on by itself."""
 
-    def at(self, position: int) -> Iterable[Opened | Past]:
+    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
         """Those that were open when this position was applied, as they stand now."""
 
 
-def needed(sessions: SessionsAt, begun: int) -> tuple[Opened | Past, ...]:
+def needed(sessions: SessionsAt, begun: int) -> tuple[ActiveSession | EndedSession, ...]:
     """The sessions that a proof must speak of, by fence."""
-    found = {each.fence: each for each in (*sessions.at(begun), *sessions.lone())}
-    for opened in sessions.all_open():
-        past = sessions.past(opened.life.name)
-        if past is not None and past.life == opened.life:  # again in the same life
-            found[opened.fence] = opened
+    found = {each.fencing_token: each for each in (*sessions.sessions_open_at(begun), *sessions.lone())}
+    for opened in sessions.active_sessions():
+        past = sessions.last_ended_session(opened.incarnation.name)
+        if past is not None and past.incarnation == opened.incarnation:  # again in the same life
+            found[opened.fencing_token] = opened
     return tuple(found[fence] for fence in sorted(found))
 
 
-def alone(sessions: SessionsAt, session: Past) -> bool:
+def alone(sessions: SessionsAt, session: EndedSession) -> bool:
     """Whether the front door that had this session may serve on without any."""
-    last = sessions.past(session.life.name)
+    last = sessions.last_ended_session(session.incarnation.name)
     return (
         session.known is Known.OVER
-        and sessions.open(session.life.name) is None
+        and sessions.active_session(session.incarnation.name) is None
         and last is not None
         and last.known is Known.OVER
     )
@@ -65,28 +65,28 @@
     -1 for never; `waited` says whether what was over at a position is so for long enough."""
     by_fence = {word.fence: word for word in words}
     for session in needed(sessions, begun):
-        word = by_fence.get(session.fence)
-        name = session.life.name
+        word = by_fence.get(session.fencing_token)
+        name = session.incarnation.name
         if word is None:
             return f"no word of {name}"
         if word.known is Known.SAID:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
-            if isinstance(session, Past) and session.position < begun:
+            if isinstance(session, EndedSession) and session.position < begun:
                 return f"{name} had no session any more"
             continue
-        if isinstance(session, Opened):
+        if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
         if (word.known, word.position) != (session.known, session.position):
             return f"{name} is {session.known.value} by {session.position}"
         if alone(sessions, session):
-            if unstood >= session.fence:
+            if unstood >= session.fencing_token:
                 return f"{name} may still count on it"
             if not waited(session.position):
                 return f"{name} is not over for long enough"
     return ""
 
 
-def pack(accounted: Iterable[tuple[Opened | Past, Accounted]]) -> tuple[Word, ...]:
+def pack(accounted: Iterable[tuple[ActiveSession | EndedSession, Accounted]]) -> tuple[Word, ...]:
     """As it goes into an entry."""
-    return tuple(Word(session.fence, each.known, each.position) for session, each in accounted)
+    return tuple(Word(session.fencing_token, each.known, each.position) for session, each in accounted)
--- a/sim/council.py
+++ b/sim/council.py
@@ -27,7 +27,7 @@
     Tick,
 )
 from molereach.coordination.leases.bodies import MACHINE as SESSIONS
-from molereach.coordination.leases.bodies import Ended as SessionEnded
+from molereach.coordination.leases.bodies import EndSession as SessionEnded
 from molereach.coordination.leases.bodies import decode
 from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
 from molereach.coordination.node.parts import WORDS
@@ -235,7 +235,7 @@
         return [
             door
             for door in self.living()
-            if self.cored[door].leader == self.names[door] and self.cored[door].parts.keeper.keeps
+            if self.cored[door].leader == self.names[door] and self.cored[door].parts.keeper.manages
         ]
 
     # --- the judge ---
@@ -247,7 +247,9 @@
         if entry.machine == SESSIONS:
             body: Any = decode(entry.body)
             if isinstance(body, SessionEnded):
-                self.over[body.life.name] = max(self.over.get(body.life.name, 0), body.fence)
+                self.over[body.incarnation.name] = max(
+                    self.over.get(body.incarnation.name, 0), body.fencing_token
+                )
 
     def judge(self, node: Node, core: Council) -> None:
         if self.judged.get(node.number) != (core.me, core.position):
@@ -264,8 +266,8 @@
     def ended_by(self, life: Life, fence: int) -> bool:
         """Whether any front door has applied an end of this session."""
         for core in self.cored.values():
-            past = core.parts.sessions.past(life.name)
-            if past and past.life == life and past.fence >= fence:
+            past = core.parts.sessions.last_ended_session(life.name)
+            if past and past.incarnation == life and past.fencing_token >= fence:
                 return True
         return False
 
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -17,7 +17,7 @@
 from molereach.cache.readings.settings import ReadingSettings
 from molereach.cache.readings.store import Store
 from molereach.coordination.interface import Applied, Entry, Outcome
-from molereach.coordination.leases.sessions import Opened
+from molereach.coordination.leases.sessions import ActiveSession
 
 
 class _LateFills(Fills):
@@ -137,8 +137,8 @@
         whole = self.sessions
 
         class Fewer:
-            def all_open(self) -> list[Opened]:
-                return sorted(whole.all_open(), key=lambda each: each.life)[:-1]
+            def active_sessions(self) -> list[ActiveSession]:
+                return sorted(whole.active_sessions(), key=lambda each: each.incarnation)[:-1]
 
         self.sessions = Fewer()  # type: ignore[assignment]
         try:
@@ -151,7 +151,7 @@
     """Front doors are listed as they come: in another order after a snapshot."""
 
     def _ask(self, entry: Entry, body: Ask) -> Outcome:
-        with patch.object(machine, "cohort", lambda sessions: tuple(sessions.all_open())):
+        with patch.object(machine, "cohort", lambda sessions: tuple(sessions.active_sessions())):
             return super()._ask(entry, body)
 
 
@@ -179,7 +179,7 @@
     """A purge is done by whoever says so."""
 
     def _finish(self, entry: Entry, body: object) -> Outcome:
-        everybody = tuple(opened.fence for opened in self.sessions.all_open())
+        everybody = tuple(opened.fencing_token for opened in self.sessions.active_sessions())
         return super()._finish(entry, Done(body.upto, everybody))  # type: ignore[attr-defined]
 
 
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -9,7 +9,7 @@
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
 from molereach.coordination.interface import Life, Terms
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.sessions import SessionRegistry
 
 TERMS = Terms(2 * S, 0.02)
 RATES = (1 - TERMS.drift / 2, 1.0, 1 + TERMS.drift / 2)  # between any two, the drift at most
@@ -63,14 +63,14 @@
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
 
-    def follow(self, sessions: Sessions, life: Life, entry_id: str) -> None:
-        opened = sessions.open(life.name)
-        if opened is None or opened.life != life:
+    def follow(self, sessions: SessionRegistry, life: Life, entry_id: str) -> None:
+        opened = sessions.active_session(life.name)
+        if opened is None or opened.incarnation != life:
             self.fence = self.until_us = 0
-        elif opened.fence != self.fence:
+        elif opened.fencing_token != self.fence:
             mine = self.opening is not None and self.opening[0] == entry_id
             self.until_us = self.opening[1] + TERMS.held_us if mine and self.opening and not self.left else 0
-            self.fence = opened.fence
+            self.fence = opened.fencing_token
 
 
 @dataclass
@@ -79,7 +79,7 @@
 
     applied: int
     clear: int
-    heard_us: int | None
+    received_at_us: int | None
     since_us: int
 
 
@@ -90,7 +90,7 @@
     life: Life
     offset_us: int
     rate: float
-    sessions: Sessions
+    sessions: SessionRegistry
     purges: Purges
     lease: Lease
     door: Door
@@ -109,5 +109,5 @@
     def now(self, true_us: int) -> int:
         return self.offset_us + int(true_us * self.rate)
 
-    def said(self, name: str, fence: int) -> Said | None:
+    def report(self, name: str, fence: int) -> Said | None:
         return self.heard.get(fence)
--- a/tests/cache/purge/entries.py
+++ b/tests/cache/purge/entries.py
@@ -4,7 +4,7 @@
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.coordination.interface import Entry, Life, Outcome
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.sessions import SessionRegistry
 
 A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
 MEMBER, OTHER = "00000000000000aa", "00000000000000bb"
@@ -19,7 +19,7 @@
     """Both machines of one front door, and the position at which they are."""
 
     def __init__(self, bounds: Bounds = SMALL) -> None:
-        self.sessions = Sessions()
+        self.sessions = SessionRegistry()
         self.purges = Purges(self.sessions, bounds)
         self.position, self.at_ms = 0, 1000
         self.entries: list[Entry] = []
@@ -35,12 +35,12 @@
 
     def opens(self, *lives: Life) -> None:
         for life in lives:
-            assert not self.lease(leases.Open(life), life).error
+            assert not self.lease(leases.OpenSession(life), life).error
 
     def fence(self, life: Life) -> int:
-        opened = self.sessions.open(life.name)
+        opened = self.sessions.active_session(life.name)
         assert opened
-        return opened.fence
+        return opened.fencing_token
 
     def purge(self, body: Body | bytes, at_ms: int = 0) -> Outcome:
         return self.add(MACHINE, body if isinstance(body, bytes) else encode(body), A, at_ms)
--- a/tests/cache/purge/test_machine.py
+++ b/tests/cache/purge/test_machine.py
@@ -13,7 +13,7 @@
 from molereach.cache.purge.records import Finished
 from molereach.coordination.interface import Accounted, Known, Life
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.accounts import Missing
+from molereach.coordination.leases.acknowledgements import MissingAcknowledgement
 from tests.cache.purge.entries import MEMBER, OTHER, SMALL, A, B, C, Log, ended_by, purge_id
 
 
@@ -31,7 +31,7 @@
     said = log.fence(A), log.fence(B)
     assert log.purge(Done(asked.asked, said[:1])).error == "front door b is not accounted for"
     assert log.purge(Done(asked.asked - 1, said)).error == "nothing is pending up to there"
-    log.lease(leases.Close(B, log.fence(B)), B)
+    log.lease(leases.CloseSession(B, log.fence(B)), B)
     done = log.purge(Done(asked.asked, said[:1]))
     assert ended_by(done) == (1, asked.asked)
     told = receipt(log, asked.id)
@@ -47,9 +47,9 @@
     asked = log.ask()
     later = Life("b", 2)
     fences = log.fence(A), log.fence(B), log.fence(C)
-    log.lease(leases.Open(later), later)
-    log.lease(leases.Keeping(7))
-    log.lease(leases.Ended(C, log.fence(C), 7))
+    log.lease(leases.OpenSession(later), later)
+    log.lease(leases.BecomeManager(7))
+    log.lease(leases.EndSession(C, log.fence(C), 7))
     assert not log.purge(Done(asked.asked, fences)).error
     assert receipt(log, asked.id).doors == (
         Accounted(A, Known.SAID, 4),
@@ -62,11 +62,11 @@
     log = Log()
     log.opens(A, B)
     asked = log.ask()
-    log.lease(leases.Keeping(7))
+    log.lease(leases.BecomeManager(7))
     for _ in range(6):
-        log.lease(leases.Ended(B, log.fence(B), 7))
+        log.lease(leases.EndSession(B, log.fence(B), 7))
         log.opens(B)
-    assert not any(each.fence == 2 for each in log.sessions.at(asked.asked))
+    assert not any(each.fencing_token == 2 for each in log.sessions.sessions_open_at(asked.asked))
     assert log.purge(Done(asked.asked, ())).error == "front door a is not accounted for"
     assert not log.purge(Done(asked.asked, (log.fence(A),))).error
     assert receipt(log, asked.id).doors[1] == Accounted(B, Known.OVER, log.position)
@@ -76,7 +76,7 @@
     log = Log()
     log.opens(A)
     before = log.ask()
-    log.lease(leases.Close(A, log.fence(A)), A)
+    log.lease(leases.CloseSession(A, log.fence(A)), A)
     anew = Life("a", 2)
     log.opens(anew)
     again = log.ask(1)
@@ -162,7 +162,7 @@
     log = Log()
     log.opens(A)
     stuck = log.ask(1)
-    log.lease(leases.Close(A, 1), A)
+    log.lease(leases.CloseSession(A, 1), A)
     for number in range(8):
         asked = log.ask(10 + number, OTHER)
         log.purge(Done(asked.asked, ()))
@@ -244,7 +244,7 @@
     told = answer(log.purges, 3, asked.id)
     assert isinstance(told, Pending) and (told.as_of, told.asked_ms) == (3, 1000)
     assert [each.door for each in told.doors] == [A, B] and "leader" in told.doors[0].why
-    missing = (Missing(B, 5, 2, None, "applied only to 2"),)
+    missing = (MissingAcknowledgement(B, 5, 2, None, "applied only to 2"),)
     told = answer(log.purges, 3, asked.id, missing=missing)
     assert isinstance(told, Pending) and [(each.door, each.why) for each in told.doors] == [
         (B, "applied only to 2")
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -16,7 +16,7 @@
     Restored,
     Tick,
 )
-from molereach.coordination.leases.accounts import Account
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
 from tests.cache.purge.entries import MEMBER, A, B, Log, ended_by, purge_id
 
 
@@ -26,7 +26,7 @@
 
     applied: int
     clear: int
-    heard_us: int | None = 0
+    received_at_us: int | None = 0
 
 
 @dataclass
@@ -36,7 +36,7 @@
     position: int = 1 << 60
     by_fence: dict[int, int] = field(default_factory=dict)
 
-    def said(self, name: str, fence: int) -> Said | None:
+    def report(self, name: str, fence: int) -> Said | None:
         clear = self.by_fence.get(fence)
         return None if clear is None else Said(1 << 60, clear)  # what it applied does not count
 
@@ -50,8 +50,8 @@
         self.log.opens(A, B)
         self.next: list[Propose] = []  # at once after an entry
 
-    def account(self, position: int, since_us: int) -> Account:
-        return Account(position, self.log.sessions, self.heard, since_us, clear=True)
+    def account(self, position: int, since_us: int) -> AcknowledgementTracker:
+        return AcknowledgementTracker(position, self.log.sessions, self.heard, since_us, clear=True)
 
     def lead(self, now_us: int, ballot: int = 3) -> list[Propose]:
         return list(self.driver.handle(now_us, Leads("a", ballot, True)))
@@ -79,7 +79,7 @@
     place.heard.by_fence = {1: asked.position}
     assert list(place.driver.handle(10 + LOOK_US, Tick())) == []
     missing = place.driver.missing(asked)
-    assert missing and [(each.door, each.since_us) for each in missing] == [(B, 10)]
+    assert missing and [(each.proxy, each.since_us) for each in missing] == [(B, 10)]
     place.heard.by_fence[2] = asked.position
     assert list(place.driver.handle(11 + LOOK_US, Tick())) == []  # not its time yet
     (propose,) = place.driver.handle(10 + 2 * LOOK_US, Tick())
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -21,8 +21,8 @@
 from molereach.cache.readings.settings import S
 from molereach.coordination.interface import Applied, Entry, Leads, Life, Outcome, Propose, Restored, Tick
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.accounts import Account
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
+from molereach.coordination.leases.sessions import SessionRegistry
 from tests.cache.players import (
     CLASSES,
     LONG,
@@ -48,7 +48,7 @@
         self.now, self.at_ms, self.ballot = 0, 10**6, 0
         self.order: list[Entry] = []
         self.mail: list[tuple[int, Callable[[], None]]] = []
-        self.sessions = Sessions()  # the truth: all entries applied at once
+        self.sessions = SessionRegistry()  # the truth: all entries applied at once
         self.purges = cores.purges(self.sessions, self.ages.bounds)
         self.outcomes: list[Outcome] = []
         self.asked_us: dict[str, int] = {}  # by id of a purge: when its customer asked first
@@ -64,10 +64,12 @@
     # --- front doors ---
 
     def start(self, name: str, number: int) -> Seat:
-        sessions, lease = Sessions(), Lease()
+        sessions, lease = SessionRegistry(), Lease()
         purges = self.cores.purges(sessions, self.ages.bounds)
         door = self.cores.door(self.ages.settings, purges, lease, 3)
-        driver = Driver(purges, lambda position, since: Account(position, sessions, seat, since, True))
+        driver = Driver(
+            purges, lambda position, since: AcknowledgementTracker(position, sessions, seat, since, True)
+        )
         seat = Seat(
             Life(name, number),
             self.chance.randrange(1 << 30),
@@ -92,9 +94,9 @@
     def lead(self, seat: Seat) -> None:
         """Another leads. An earlier one may go on to believe that it does, and propose by what it heard."""
         self.leader, self.ballot = seat, self.ballot + 1
-        self.append(leases.MACHINE, leases.encode(leases.Keeping(self.ballot)), seat.life)
+        self.append(leases.MACHINE, leases.encode(leases.BecomeManager(self.ballot)), seat.life)
         now = seat.now(self.now)
-        seat.heard = {each.fence: Said(0, 0, None, now) for each in self.sessions.all_open()}
+        seat.heard = {each.fencing_token: Said(0, 0, None, now) for each in self.sessions.active_sessions()}
         self.propose(seat, seat.driver.handle(now, Leads(seat.life.name, self.ballot, True)))
 
     # --- the log ---
@@ -105,16 +107,20 @@
             self.at_ms += 5_000
         position = len(self.order) + 1
         entry = Entry(position, machine, entry_id or f"e{position}", proposer, self.at_ms, body)
-        before = {each.fence for each in self.sessions.all_open()}
+        before = {each.fencing_token for each in self.sessions.active_sessions()}
         outcome = (self.sessions if machine == leases.MACHINE else self.purges).apply(entry)
         self.order.append(entry)
         self.outcomes.append(outcome)
         if machine == MACHINE:
-            self.open_at[position] = tuple(sorted(each.life for each in self.sessions.all_open()))
+            self.open_at[position] = tuple(
+                sorted(each.incarnation for each in self.sessions.active_sessions())
+            )
             self.settled(entry, outcome)
-        for each in self.sessions.all_open():  # a leader takes a session as given from when it is opened
-            if each.fence not in before:
-                self.leader.heard[each.fence] = Said(0, 0, None, self.leader.now(self.now))
+        for (
+            each
+        ) in self.sessions.active_sessions():  # a leader takes a session as given from when it is opened
+            if each.fencing_token not in before:
+                self.leader.heard[each.fencing_token] = Said(0, 0, None, self.leader.now(self.now))
 
     def settled(self, entry: Entry, outcome: Outcome) -> None:
         """What is told of purges by the truth, and that it is never taken back."""
@@ -196,26 +202,26 @@
 
     def renew(self, seat: Seat) -> None:
         now, lease = seat.now(self.now), seat.lease
-        opened = seat.sessions.open(seat.life.name)
-        if opened and opened.life == seat.life:
-            fence, clear = opened.fence, seat.door.clear
+        opened = seat.sessions.active_session(seat.life.name)
+        if opened and opened.incarnation == seat.life:
+            fence, clear = opened.fencing_token, seat.door.clear
             self.check_clear(seat)
             applied = seat.position
             self.send(lambda: self.asked(seat, now, fence, applied, clear))
         elif not lease.left:
             name = f"open.{seat.life.name}.{seat.life.number}.{self.now}"
             lease.opening = name, now
-            body = leases.encode(leases.Open(seat.life))
+            body = leases.encode(leases.OpenSession(seat.life))
             self.send(lambda: self.append(leases.MACHINE, body, seat.life, name))
 
     def asked(self, seat: Seat, made_us: int, fence: int, applied: int, clear: int) -> None:
         """At the leader, which is one as long as it answers."""
         said = self.leader.heard.get(fence)
-        opened = self.sessions.open(seat.life.name)
-        if not self.awake(self.leader) or said is None or opened is None or opened.fence != fence:
+        opened = self.sessions.active_session(seat.life.name)
+        if not self.awake(self.leader) or said is None or opened is None or opened.fencing_token != fence:
             return
         now = self.leader.now(self.now)
-        said.since_us, said.heard_us = now, now
+        said.since_us, said.received_at_us = now, now
         said.applied, said.clear = max(said.applied, applied), max(said.clear, clear)
         self.send(lambda: self.granted(seat, made_us, fence))
 
@@ -227,17 +233,17 @@
         if not self.awake(self.leader):
             return
         now = self.leader.now(self.now)
-        for opened in self.sessions.all_open():
-            said = self.leader.heard.get(opened.fence)
+        for opened in self.sessions.active_sessions():
+            said = self.leader.heard.get(opened.fencing_token)
             if said and now > said.since_us + TERMS.over_us:
-                body = leases.encode(leases.Ended(opened.life, opened.fence, self.ballot))
+                body = leases.encode(leases.EndSession(opened.incarnation, opened.fencing_token, self.ballot))
                 self.append(leases.MACHINE, body, self.leader.life)
 
     def leave(self, seat: Seat) -> None:
         seat.lease.left, seat.lease.until_us = True, 0
-        opened = seat.sessions.open(seat.life.name)
-        if opened and opened.life == seat.life:
-            body = leases.encode(leases.Close(seat.life, opened.fence))
+        opened = seat.sessions.active_session(seat.life.name)
+        if opened and opened.incarnation == seat.life:
+            body = leases.encode(leases.CloseSession(seat.life, opened.fencing_token))
             self.send(lambda: self.append(leases.MACHINE, body, seat.life))
 
     # --- requests ---
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -195,10 +195,10 @@
 def lease_body_samples() -> dict[str, lease_bodies.Body]:
     """Bodies of the entries about sessions."""
     return {
-        "open": lease_bodies.Open(life=FIRST_DOOR),
-        "ended": lease_bodies.Ended(life=FIRST_DOOR, fence=11, ballot=3),
-        "close": lease_bodies.Close(life=SECOND_DOOR, fence=12),
-        "keeping": lease_bodies.Keeping(ballot=3),
+        "open": lease_bodies.OpenSession(incarnation=FIRST_DOOR),
+        "ended": lease_bodies.EndSession(incarnation=FIRST_DOOR, fencing_token=11, ballot=3),
+        "close": lease_bodies.CloseSession(incarnation=SECOND_DOOR, fencing_token=12),
+        "keeping": lease_bodies.BecomeManager(ballot=3),
     }
 
 
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -22,15 +22,17 @@
     """Entries about sessions that change nothing."""
     first, second, third = samples.FIRST, samples.SECOND, samples.THIRD
     fence, anew = samples.OPENED_SECOND, samples.OPENED_ANEW
-    by_another_leader = lease_bodies.Ended(life=samples.FIRST_ANEW, fence=anew, ballot=2)
+    by_another_leader = lease_bodies.EndSession(incarnation=samples.FIRST_ANEW, fencing_token=anew, ballot=2)
     bodies: dict[str, lease_bodies.Body] = {
-        "open-by-another": lease_bodies.Open(life=second),
-        "open-older": lease_bodies.Open(life=first),
-        "close-by-another": lease_bodies.Close(life=second, fence=fence),
-        "ended-twice": lease_bodies.Ended(life=second, fence=fence, ballot=3),
+        "open-by-another": lease_bodies.OpenSession(incarnation=second),
+        "open-older": lease_bodies.OpenSession(incarnation=first),
+        "close-by-another": lease_bodies.CloseSession(incarnation=second, fencing_token=fence),
+        "ended-twice": lease_bodies.EndSession(incarnation=second, fencing_token=fence, ballot=3),
         "ended-by-another-leader": by_another_leader,
     }
-    left = Command("open-left", lease_bodies.MACHINE, lease_bodies.Open(life=third), proposer=third)
+    left = Command(
+        "open-left", lease_bodies.MACHINE, lease_bodies.OpenSession(incarnation=third), proposer=third
+    )
     return [*(Command(name, lease_bodies.MACHINE, body) for name, body in bodies.items()), left]
 
 
@@ -98,7 +100,7 @@
 
 def by_the_log() -> list[Command]:
     """Entries that come to no machine: an id again, one for something else, and an unknown machine."""
-    machine, body = lease_bodies.MACHINE, lease_bodies.Keeping(ballot=3)
+    machine, body = lease_bodies.MACHINE, lease_bodies.BecomeManager(ballot=3)
     return [
         Command("repeat", machine, body, id=f"id-{samples.KEPT}"),
         Command("used-id", machine, body, id=f"id-{samples.OPENED_FIRST}"),
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -75,22 +75,22 @@
     """Three sessions, and a leader that keeps them."""
     machine = lease_bodies.MACHINE
     opens = [
-        Command("open", machine, lease_bodies.Open(life=life), proposer=life)
+        Command("open", machine, lease_bodies.OpenSession(incarnation=life), proposer=life)
         for life in (FIRST, SECOND, THIRD)
     ]
-    return [*opens, Command("keeping", machine, lease_bodies.Keeping(ballot=3))]
+    return [*opens, Command("keeping", machine, lease_bodies.BecomeManager(ballot=3))]
 
 
 def session_ends() -> list[Command]:
     """Sessions that end by time, in order, and by a new life."""
     machine = lease_bodies.MACHINE
-    ended = lease_bodies.Ended(life=SECOND, fence=OPENED_SECOND, ballot=3)
-    closed = lease_bodies.Close(life=THIRD, fence=OPENED_THIRD)
+    ended = lease_bodies.EndSession(incarnation=SECOND, fencing_token=OPENED_SECOND, ballot=3)
+    closed = lease_bodies.CloseSession(incarnation=THIRD, fencing_token=OPENED_THIRD)
     return [
         Command("ended", machine, ended),
         Command("close", machine, closed, proposer=THIRD),
-        Command("open-anew", machine, lease_bodies.Open(life=FIRST_ANEW), proposer=FIRST_ANEW),
-        Command("keeping-late", machine, lease_bodies.Keeping(ballot=2)),
+        Command("open-anew", machine, lease_bodies.OpenSession(incarnation=FIRST_ANEW), proposer=FIRST_ANEW),
+        Command("keeping-late", machine, lease_bodies.BecomeManager(ballot=2)),
     ]
 
 
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -8,7 +8,7 @@
 
 from molereach.cache.purge.ids import draw_id
 from molereach.coordination.interface import Accounted, Known
-from molereach.coordination.leases.accounts import Account, Saying
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, SessionReport
 from molereach.coordination.membership.words import Status
 from molereach.shards.counts import words as count_words
 from molereach.shards.counts.digest import Digest
@@ -91,7 +91,7 @@
 
     applied: int
     clear: int
-    heard_us: int | None
+    received_at_us: int | None
 
 
 @dataclass(slots=True)
@@ -100,15 +100,15 @@
 
     position: int
 
-    def said(self, name: str, fence: int) -> Saying | None:
+    def report(self, name: str, fence: int) -> SessionReport | None:
         """What is known of an open session."""
-        return Said(applied=self.position, clear=self.position, heard_us=0)
+        return Said(applied=self.position, clear=self.position, received_at_us=0)
 
 
 def account(replica: Replica, position: int) -> tuple[Accounted, ...] | None:
     """The proof that an entry holds everywhere."""
     sayings = Sayings(replica.learner.position)
-    return Account(position, replica.sessions, sayings, since_us=0, clear=True).proof()
+    return AcknowledgementTracker(position, replica.sessions, sayings, since_us=0, clear=True).proof()
 
 
 def accounts(replica: Replica) -> dict[str, tuple[Accounted, ...] | None]:
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -6,7 +6,7 @@
 from molereach.cache.purge.bodies import Ended, Standing
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.coordination.interface import Entry, Outcome
-from molereach.coordination.leases.sessions import Opened
+from molereach.coordination.leases.sessions import ActiveSession
 from molereach.coordination.replicated_log import records
 from molereach.shards.splits.record import Record as SplitRecord
 from molereach.upkeep.permits.record import Record as WorkRecord
@@ -65,7 +65,7 @@
 
 
 VALUE_TYPES = {
-    "01-sessions-open": Opened,
+    "01-sessions-open": ActiveSession,
     "09-shards-hand": SplitRecord,
     "22-upkeep-back": WorkRecord,
     "27-purge-ask-class": Standing,
--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from molereach.coordination.interface import Entry, Life, Outcome
-from molereach.coordination.leases.bodies import MACHINE, Body, Open, encode
-from molereach.coordination.leases.sessions import Opened, Sessions
+from molereach.coordination.leases.bodies import MACHINE, Body, OpenSession, encode
+from molereach.coordination.leases.sessions import ActiveSession, SessionRegistry
 
 A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
 
@@ -16,9 +16,9 @@
     return Entry(position, machine, name or f"id{position}", proposer, position, data)
 
 
-def opened(sessions: Sessions, position: int, life: Life) -> Outcome:
-    return sessions.apply(entry(position, Open(life), life))
+def opened(sessions: SessionRegistry, position: int, life: Life) -> Outcome:
+    return sessions.apply(entry(position, OpenSession(life), life))
 
 
 def fence_of(outcome: Outcome) -> int:
-    return msgspec.json.decode(outcome.value, type=Opened).fence
+    return msgspec.json.decode(outcome.value, type=ActiveSession).fencing_token
--- a/tests/coordination/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -1,7 +1,7 @@
 """Random histories: what goes wrong, and when, drawn from a seed."""
 
 from molereach.coordination.interface import Propose, S
-from molereach.coordination.leases.words import Leave
+from molereach.coordination.leases.messages import ReleaseLease
 from tests.coordination.leases.world import MS, TERMS, Cores, World
 
 NAMES = ("a", "b", "c", "d")
@@ -23,7 +23,7 @@
         case 8:
             world.start(door.life.name)
         case 9:
-            world.to(door, lambda: world.cores_handle(door, Leave()))
+            world.to(door, lambda: world.cores_handle(door, ReleaseLease()))
         case _:
             forbid(world)
     world.after(chance.randrange(50 * MS, 1200 * MS), lambda: trouble(world))
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -2,136 +2,139 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import Accounted, Entry, Known, Outcome, Terms
-from molereach.coordination.leases.accounts import Account
-from molereach.coordination.leases.asks import Asks
-from molereach.coordination.leases.bodies import Ended, decode, encode
-from molereach.coordination.leases.holder import Holder
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.sessions import Opened, Past, Sessions
-from molereach.coordination.leases.words import Ask, Asked, Given, Grant, Granted
+from molereach.coordination.interface import Accounted, Ask, Entry, Grant, Known, Outcome, Terms
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
+from molereach.coordination.leases.bodies import EndSession, decode, encode
+from molereach.coordination.leases.holder import LeaseHolder
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.messages import GrantsReceived, RenewalsReceived, SendGrants
+from molereach.coordination.leases.renewals import PendingRenewals
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
 from tests.coordination.leases.world import TERMS, Cores
 
 
-class CountedFromTheAnswer(Holder):
+class CountedFromTheAnswer(LeaseHolder):
     """The lease runs from when the grant came."""
 
-    def _granted(self, now_us: int, event: Granted) -> None:
-        before = self._until_us
-        super()._granted(now_us, event)
-        if self._until_us > before:
-            self._until_us = now_us + self.terms.held_us
+    def _apply_grants(self, now_us: int, event: GrantsReceived) -> None:
+        before = self._expires_at_us
+        super()._apply_grants(now_us, event)
+        if self._expires_at_us > before:
+            self._expires_at_us = now_us + self.terms.held_us
 
 
-class OpenedFromTheAnswer(Holder):
+class OpenedFromTheAnswer(LeaseHolder):
     """A session counts from when its opening was seen here."""
 
-    def _open(self, now_us: int, fence: int, mine: int) -> None:
-        super()._open(now_us, fence, mine)
-        self._until_us = now_us + self.terms.held_us
+    def _start_session(self, now_us: int, fence: int, mine: int) -> None:
+        super()._start_session(now_us, fence, mine)
+        self._expires_at_us = now_us + self.terms.held_us
 
 
-class StillHeldWhileClosing(Holder):
+class StillHeldWhileClosing(LeaseHolder):
     """A session counts as held until its close is settled."""
 
-    def _leave(self, now_us: int) -> None:
-        until_us = self._until_us
-        super()._leave(now_us)
-        self._until_us = until_us
+    def _release(self, now_us: int) -> None:
+        until_us = self._expires_at_us
+        super()._release(now_us)
+        self._expires_at_us = until_us
 
 
-class _AnyAsk(Asks):
-    def granted(self, grant: Grant) -> tuple[int, Ask] | None:
-        if (grant.name, grant.life) != (self._life.name, self._life.number) or not self._open:
+class _AnyAsk(PendingRenewals):
+    def match_grant(self, grant: Grant) -> tuple[int, Ask] | None:
+        if (grant.name, grant.life) != (
+            self._incarnation.name,
+            self._incarnation.number,
+        ) or not self._pending:
             return None
-        return next(reversed(self._open.values()))
+        return next(reversed(self._pending.values()))
 
 
-class OldGrantForANewAsk(Holder):
+class OldGrantForANewAsk(LeaseHolder):
     """Any grant renews from the last ask."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._asks = _AnyAsk(self.life)
+        self._renewals = _AnyAsk(self.incarnation)
 
 
-class _NumbersAgain(Asks):
-    def granted(self, grant: Grant) -> tuple[int, Ask] | None:
-        found = self._open.get(grant.number)
-        return found if grant.name == self._life.name else None
+class _NumbersAgain(PendingRenewals):
+    def match_grant(self, grant: Grant) -> tuple[int, Ask] | None:
+        found = self._pending.get(grant.number)
+        return found if grant.name == self._incarnation.name else None
 
-    def forget(self) -> None:
-        super().forget()
+    def clear(self) -> None:
+        super().clear()
         self._number = 0
 
 
-class NumbersUsedAgain(Holder):
+class NumbersUsedAgain(LeaseHolder):
     """Numbers of asks begin anew with each start and each session, and say alone what a grant is for."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._asks = _NumbersAgain(self.life)
+        self._renewals = _NumbersAgain(self.incarnation)
 
 
-class GivenUnconfirmed(Keeper):
+class GivenUnconfirmed(LeaseManager):
     """Renewals are given at once, by whoever believes to lead."""
 
-    def _asked(self, now_us: int, asks: Sequence[Ask]) -> None:
-        super()._asked(now_us, asks)
-        self.unconfirmed = self._give(now_us, asks) if self.keeps else ()
+    def _handle_renewals(self, now_us: int, asks: Sequence[Ask]) -> None:
+        super()._handle_renewals(now_us, asks)
+        self.unconfirmed = self._grant(now_us, asks) if self.manages else ()
 
     def handle(self, now_us: int, event: object) -> Sequence[object]:  # type: ignore[override]
         out = list(super().handle(now_us, event))  # type: ignore[arg-type]
-        return [Given(self.unconfirmed), *out] if isinstance(event, Asked) else out
+        return [SendGrants(self.unconfirmed), *out] if isinstance(event, RenewalsReceived) else out
 
 
-class OldLeadersTimes(Keeper):
+class OldLeadersTimes(LeaseManager):
     """A new leader goes by the times at which it gave, or heard of a session, itself."""
 
-    def _elected(self, now_us: int) -> None:
-        for kept in self._kept.values():
-            kept.ending = False
+    def _restart_terms(self, now_us: int) -> None:
+        for kept in self._managed.values():
+            kept.end_proposed = False
 
 
-class GivenAfterItsEnd(Keeper):
+class GivenAfterItsEnd(LeaseManager):
     """What was proposed as ended is renewed all the same."""
 
-    def _asked(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _handle_renewals(self, now_us: int, asks: Sequence[Ask]) -> None:
         self._revive()
-        super()._asked(now_us, asks)
+        super()._handle_renewals(now_us, asks)
 
-    def _give(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
+    def _grant(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
         self._revive()
-        return super()._give(now_us, asks)
+        return super()._grant(now_us, asks)
 
     def _revive(self) -> None:
-        for kept in self._kept.values():
-            kept.ending = False
+        for kept in self._managed.values():
+            kept.end_proposed = False
 
 
-class AWordIsEnough(Account):
+class AWordIsEnough(AcknowledgementTracker):
     """Whoever was heard of since the entry counts as having it."""
 
-    def _accounted(self, session: Opened | Past) -> Accounted | None:
-        said = self._sayings.said(session.life.name, session.fence)
-        if said is not None and said.heard_us is not None and said.heard_us >= self.since_us:
-            return Accounted(session.life, Known.SAID, self.position)
-        return super()._accounted(session)
+    def _acknowledgement(self, session: ActiveSession | EndedSession) -> Accounted | None:
+        said = self._reports.report(session.incarnation.name, session.fencing_token)
+        if said is not None and said.received_at_us is not None and said.received_at_us >= self.since_us:
+            return Accounted(session.incarnation, Known.SAID, self.position)
+        return super()._acknowledgement(session)
 
 
-class EndsOfAnyLeader(Sessions):
+class EndsOfAnyLeader(SessionRegistry):
     """An end is not bound to who keeps the sessions."""
 
     def apply(self, entry: Entry) -> Outcome:
         body = decode(entry.body)
-        if isinstance(body, Ended):
+        if isinstance(body, EndSession):
             entry = Entry(
                 entry.position,
                 entry.machine,
                 entry.id,
                 entry.proposer,
                 entry.at_ms,
-                encode(Ended(body.life, body.fence, self.ballot)),
+                encode(EndSession(body.incarnation, body.fencing_token, self.ballot)),
             )
         return super().apply(entry)
 
--- a/tests/coordination/leases/test_accounts.py
+++ b/tests/coordination/leases/test_acknowledgements.py
@@ -3,6 +3,7 @@
 from molereach.coordination.interface import (
     Accounted,
     Applied,
+    Ask,
     Known,
     Leads,
     Life,
@@ -12,12 +13,12 @@
     Session,
     Terms,
 )
-from molereach.coordination.leases.accounts import Account, Missing
-from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.permits import RULES, Use, may
-from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import Ask, Asked
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, MissingAcknowledgement
+from molereach.coordination.leases.bodies import BecomeManager, Body, CloseSession, EndSession, OpenSession
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.messages import RenewalsReceived
+from molereach.coordination.leases.permits import ACTIVITY_RULES, LeasedActivity, is_allowed
+from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, C, entry
 
 D = Life("d", 1)
@@ -28,8 +29,8 @@
     """A replica with its keeper, at ballot 1."""
 
     def __init__(self, order: list[tuple[Life, Body | None]]) -> None:
-        self.sessions, self.now = Sessions(), 0
-        self.keeper = Keeper(self.sessions, Terms())
+        self.sessions, self.now = SessionRegistry(), 0
+        self.keeper = LeaseManager(self.sessions, Terms())
         self.keeper.handle(0, Leads("k", 1, True))
         self.position = 0
         for proposer, body in order:
@@ -43,19 +44,25 @@
         self.keeper.handle(self.now, Applied(step, outcome))
 
     def said(self, life: Life, fence: int, applied: int) -> None:
-        self.keeper.handle(self.now, Asked((Ask(life.name, life.number, fence, 1, applied),)))
+        self.keeper.handle(self.now, RenewalsReceived((Ask(life.name, life.number, fence, 1, applied),)))
 
-    def account(self, position: int = 5) -> Account:
-        return Account(position, self.sessions, self.keeper, self.now)
+    def account(self, position: int = 5) -> AcknowledgementTracker:
+        return AcknowledgementTracker(position, self.sessions, self.keeper, self.now)
 
 
-OPENED: list[tuple[Life, Body | None]] = [(D, Open(D)), (C, Open(C)), (B, Open(B)), (A, Open(A)), (A, None)]
+OPENED: list[tuple[Life, Body | None]] = [
+    (D, OpenSession(D)),
+    (C, OpenSession(C)),
+    (B, OpenSession(B)),
+    (A, OpenSession(A)),
+    (A, None),
+]
 SINCE: list[tuple[Life, Body | None]] = [
-    (A, Keeping(1)),
-    (ANEW, Open(ANEW)),
-    (A, Ended(C, 2, 1)),
-    (D, Close(D, 1)),
-    (C, Open(C)),
+    (A, BecomeManager(1)),
+    (ANEW, OpenSession(ANEW)),
+    (A, EndSession(C, 2, 1)),
+    (D, CloseSession(D, 1)),
+    (C, OpenSession(C)),
 ]
 
 
@@ -66,9 +73,9 @@
     leader.said(A, 4, 3)
     leader.now = 4 * S
     missing = account.pending()
-    assert [each.door for each in missing] == [A, B, C, D]
-    assert missing[0] == Missing(A, 3 * S, 3, 3 * S, "applied only to 3")
-    assert missing[1] == Missing(B, 3 * S, 0, None, "nothing heard since 3000000")
+    assert [each.proxy for each in missing] == [A, B, C, D]
+    assert missing[0] == MissingAcknowledgement(A, 3 * S, 3, 3 * S, "applied only to 3")
+    assert missing[1] == MissingAcknowledgement(B, 3 * S, 0, None, "nothing heard since 3000000")
     assert account.proof() is None
 
 
@@ -76,14 +83,14 @@
     leader = Leader(OPENED)
     leader.said(A, 4, 3)
     leader.now = 3 * S
-    assert leader.account().pending()[0].why == "nothing heard since 0"
+    assert leader.account().pending()[0].reason == "nothing heard since 0"
 
 
 def test_each_is_accounted_for_in_its_own_way_and_the_proof_is_by_name() -> None:
     leader = Leader(OPENED + SINCE)
     account = leader.account()
     leader.said(A, 4, 4)
-    assert account.proof() is None and [each.door for each in account.pending()] == [A]
+    assert account.proof() is None and [each.proxy for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
         Accounted(A, Known.SAID, 5),
@@ -94,15 +101,17 @@
 
 
 def test_one_that_opened_after_the_entry_needs_no_account() -> None:
-    leader = Leader([(A, None), (A, Open(A))])
+    leader = Leader([(A, None), (A, OpenSession(A))])
     assert leader.account(1).proof() == ()
 
 
 def test_a_session_of_which_the_keeper_has_not_heard_yet_is_missing() -> None:
     leader = Leader(OPENED)
-    leader.sessions.apply(entry(6, Open(Life("e", 1)), Life("e", 1)))  # the replica is ahead of the events
+    leader.sessions.apply(
+        entry(6, OpenSession(Life("e", 1)), Life("e", 1))
+    )  # the replica is ahead of the events
     account = leader.account(7)
-    assert account.pending()[-1].why == "nothing heard since 0"
+    assert account.pending()[-1].reason == "nothing heard since 0"
     leader.keeper.position = 7
     assert account.proof() is None
 
@@ -139,6 +148,6 @@
 
 def test_each_use_hangs_on_the_session_but_serving() -> None:
     session: Session = _Held()
-    assert set(RULES) == set(Use)
-    for use in Use:
-        assert may(use, session, 9) and may(use, session, 10) is (use is Use.SERVE)
+    assert set(ACTIVITY_RULES) == set(LeasedActivity)
+    for use in LeasedActivity:
+        assert is_allowed(use, session, 9) and is_allowed(use, session, 10) is (use is LeasedActivity.SERVE)
--- a/tests/coordination/leases/test_bounds.py
+++ b/tests/coordination/leases/test_bounds.py
@@ -3,12 +3,12 @@
 import pytest
 
 from molereach.coordination.interface import S, Terms
-from molereach.coordination.leases.words import BEAT_US
+from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US
 from tests.coordination.leases.world import Cores, World
 
 TERMS = Terms()
 RATES = (1 - TERMS.drift, 1 + TERMS.drift)
-OVER_US = int(TERMS.duration_us * (1 + TERMS.drift)) + 2 * BEAT_US
+OVER_US = int(TERMS.duration_us * (1 + TERMS.drift)) + 2 * RENEWAL_INTERVAL_US
 
 
 def quiet(seed: int) -> World:
@@ -34,7 +34,7 @@
     world = quiet(seed)
     door, fence = world.doors["d"], world.doors["d"].holder.fence
     world.stop(door, 20 * S)
-    world.run(3 * S + TERMS.held_us - BEAT_US)
+    world.run(3 * S + TERMS.held_us - RENEWAL_INTERVAL_US)
     assert fence not in world.over
     world.run(3 * S + OVER_US)
     assert fence in world.over and holding(world) == "abc"
@@ -61,7 +61,7 @@
 def test_without_a_leader_nobody_holds_and_nothing_ends_and_then_all_go_on(seed: int) -> None:
     world = quiet(seed)
     world.leader = None
-    world.run(3 * S + TERMS.duration_us + BEAT_US)
+    world.run(3 * S + TERMS.duration_us + RENEWAL_INTERVAL_US)
     assert holding(world) == "" and not world.over
     world.run(20 * S)
     world.elect(world.doors["c"])
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -10,6 +10,8 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
+    Ask,
+    Grant,
     Leads,
     Life,
     Outcome,
@@ -21,11 +23,18 @@
     Terms,
     Tick,
 )
-from molereach.coordination.leases.asks import MOST_ASKS
-from molereach.coordination.leases.bodies import Body, Close, Ended, Open, decode
-from molereach.coordination.leases.holder import Holder
-from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Grant, Granted, Held, Leave, Lost, Phase
+from molereach.coordination.leases.bodies import Body, CloseSession, EndSession, OpenSession, decode
+from molereach.coordination.leases.holder import LeaseHolder
+from molereach.coordination.leases.messages import (
+    RENEWAL_INTERVAL_US,
+    GrantsReceived,
+    LeaseAcquired,
+    LeaseLost,
+    LeasePhase,
+    ReleaseLease,
+)
+from molereach.coordination.leases.renewals import MAX_PENDING_RENEWALS
+from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, entry
 from tests.coordination.leases.mutants import NumbersUsedAgain
 
@@ -36,8 +45,8 @@
 class Here:
     """A holder, its replica, and a log that settles what it is told to."""
 
-    def __init__(self, life: Life = A, holder: type[Holder] = Holder, at_us: int = 0) -> None:
-        self.sessions, self.now, self.position = Sessions(), at_us, 0
+    def __init__(self, life: Life = A, holder: type[LeaseHolder] = LeaseHolder, at_us: int = 0) -> None:
+        self.sessions, self.now, self.position = SessionRegistry(), at_us, 0
         self.holder = holder(life, self.sessions, TERMS, random.Random(1).random)
         self.life = life
 
@@ -52,7 +61,7 @@
     def open(self) -> Sequence[Any]:
         """Open at once; the actions on its entry."""
         [propose] = self.handle(Tick())
-        assert isinstance(propose, Propose) and decode(propose.body) == Open(self.life)
+        assert isinstance(propose, Propose) and decode(propose.body) == OpenSession(self.life)
         return self.settle(propose.body, propose.id)
 
     def ask(self) -> Ask:
@@ -64,7 +73,7 @@
 
     def grant(self, ask: Ask, **changed: Any) -> Sequence[Any]:  # noqa: ANN401
         fields = {"name": ask.name, "life": ask.life, "fence": ask.fence, "number": ask.number} | changed
-        return self.handle(Granted((Grant(**fields),)))
+        return self.handle(GrantsReceived((Grant(**fields),)))
 
     @property
     def holds(self) -> bool:
@@ -80,7 +89,7 @@
     [again] = here.handle(Tick())
     assert again == first, "the same id, as either may be settled"
     here.now = 4 * S
-    assert Held(1) in here.settle(first.body, first.id) and here.holder.fence == 1
+    assert LeaseAcquired(1) in here.settle(first.body, first.id) and here.holder.fence == 1
     assert here.holder.holds(TERMS.held_us - 1) and not here.holder.holds(TERMS.held_us)
 
 
@@ -90,7 +99,7 @@
     here.now = 6 * S
     [ask] = here.settle(propose.body, propose.id)
     assert not here.holds and here.holder.fence == 0
-    assert here.grant(ask) == [Held(1)] and here.holds
+    assert here.grant(ask) == [LeaseAcquired(1)] and here.holds
 
 
 def test_a_refused_opening_is_proposed_anew_and_counts_from_then() -> None:
@@ -138,9 +147,9 @@
         here.grant(old)
         assert not here.holder.holds(asked_us + TERMS.held_us)
     oldest = here.ask()
-    for _ in range(MOST_ASKS):
+    for _ in range(MAX_PENDING_RENEWALS):
         here.ask()
-    assert len(here.holder._asks._open) == MOST_ASKS
+    assert len(here.holder._renewals._pending) == MAX_PENDING_RENEWALS
     here.grant(oldest)
     assert not here.holds
 
@@ -150,13 +159,15 @@
     here.open()
     old = here.ask()
     here.now = 6 * S
-    reopened = [each for each in here.settle(Ended(A, 1, 0)) if isinstance(each, Propose)]
+    reopened = [each for each in here.settle(EndSession(A, 1, 0)) if isinstance(each, Propose)]
     here.settle(reopened[0].body, reopened[0].id)
     assert here.ask().number > old.number
 
 
-@pytest.mark.parametrize("holder, wrong", [(Holder, False), (NumbersUsedAgain, True)])
-def test_a_grant_to_an_earlier_life_renews_nothing_of_the_next(holder: type[Holder], wrong: bool) -> None:
+@pytest.mark.parametrize("holder, wrong", [(LeaseHolder, False), (NumbersUsedAgain, True)])
+def test_a_grant_to_an_earlier_life_renews_nothing_of_the_next(
+    holder: type[LeaseHolder], wrong: bool
+) -> None:
     """The grant was on its way when the front door started anew; nothing was given to the new life, so by its
     keeper's count it is over `over_us` after its opening."""
     before = Here(A, holder)
@@ -175,10 +186,10 @@
     here = Here()
     here.open()
     here.ask()
-    late = Lost(1, "not renewed in time")
+    late = LeaseLost(1, "not renewed in time")
     here.now = TERMS.held_us
     assert here.handle(Tick())[0] == late and here.holder.fence == 0
-    assert Held(1) in here.grant(here.ask()) and here.holder.fence == 1
+    assert LeaseAcquired(1) in here.grant(here.ask()) and here.holder.fence == 1
 
 
 def test_it_wakes_when_its_time_is_over() -> None:
@@ -186,7 +197,7 @@
     here.open()
     for _ in range(20):
         here.now = here.holder.wake_us
-        if any(isinstance(each, Lost) for each in here.handle(Tick())):
+        if any(isinstance(each, LeaseLost) for each in here.handle(Tick())):
             break
     assert here.now == TERMS.held_us
 
@@ -199,13 +210,20 @@
         here.ask()
         asked.append(here.now)
     gaps = [later - earlier for earlier, later in pairwise(asked)]
-    assert gaps[:8] == [BEAT_US] * 8 and gaps[-1] == 10 * BEAT_US and max(gaps) == 10 * BEAT_US
+    assert (
+        gaps[:8] == [RENEWAL_INTERVAL_US] * 8
+        and gaps[-1] == 10 * RENEWAL_INTERVAL_US
+        and max(gaps) == 10 * RENEWAL_INTERVAL_US
+    )
     here.handle(Leads("b", 2, False))
     here.ask()
-    assert here.now - asked[-1] <= BEAT_US, "one that may answer leads"
+    assert here.now - asked[-1] <= RENEWAL_INTERVAL_US, "one that may answer leads"
     here.ask()
     here.grant(here.ask())
-    assert here.now - asked[-1] <= 4 * BEAT_US and here.holder.wake_us == here.now + BEAT_US
+    assert (
+        here.now - asked[-1] <= 4 * RENEWAL_INTERVAL_US
+        and here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
+    )
 
 
 def test_after_a_long_time_without_an_answer_a_grant_brings_the_beat_back() -> None:
@@ -215,21 +233,23 @@
         ask = here.ask()
     here.now += S
     here.grant(ask)
-    assert here.holder.wake_us == here.now + BEAT_US
+    assert here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
 
 
 def test_a_proposal_is_not_made_again_before_the_log_has_had_its_time() -> None:
     here = Here()
     [propose] = here.handle(Tick())
     here.handle(ProposalOver("another", Over.REFUSED))
-    assert here.settle(b"", proposer=B) == [] and here.holder.wake_us == propose.within_us + BEAT_US
+    assert (
+        here.settle(b"", proposer=B) == [] and here.holder.wake_us == propose.within_us + RENEWAL_INTERVAL_US
+    )
 
 
 def test_the_session_of_an_earlier_life_is_not_taken_for_its_own() -> None:
     here = Here(Life("a", 2))
-    here.sessions.apply(entry(1, Open(A), A))
+    here.sessions.apply(entry(1, OpenSession(A), A))
     assert [type(each) for each in here.handle(Restored(1))] == [Propose]
-    assert here.holder.phase is Phase.ABSENT
+    assert here.holder.phase is LeasePhase.ABSENT
 
 
 def test_the_word_that_it_is_settled_may_come_before_the_entry() -> None:
@@ -246,8 +266,8 @@
     here = Here()
     here.open()
     ask = here.ask()
-    here.settle(Ended(A, 1, 0))
-    here.sessions.apply(entry(9, Open(A), A))
+    here.settle(EndSession(A, 1, 0))
+    here.sessions.apply(entry(9, OpenSession(A), A))
     here.handle(Restored(9))
     here.grant(ask)
     assert not here.holds
@@ -261,7 +281,7 @@
         made.append(here.now)
         here.now += propose.within_us
         here.handle(ProposalOver(propose.id, Over.UNKNOWN))
-    assert made[-1] - made[-2] == 10 * BEAT_US
+    assert made[-1] - made[-2] == 10 * RENEWAL_INTERVAL_US
 
 
 def test_it_opens_anew_only_once_its_end_was_applied_here() -> None:
@@ -270,30 +290,30 @@
     here.now = 20 * S
     here.ask()  # nobody answers: its session may be over, but it has not applied so
     assert all(not isinstance(each, Propose) for each in here.handle(Tick()))
-    [propose] = here.settle(Ended(A, 1, 0))
-    assert decode(propose.body) == Open(A)
+    [propose] = here.settle(EndSession(A, 1, 0))
+    assert decode(propose.body) == OpenSession(A)
     # The log's word alone does not open it: what was settled up to there must have been applied here.
-    here.handle(ProposalOver(propose.id, Over.SETTLED, here.sessions.apply(entry(9, Open(A), A)), 9))
-    assert not here.holds and here.holder.phase is Phase.ABSENT
+    here.handle(ProposalOver(propose.id, Over.SETTLED, here.sessions.apply(entry(9, OpenSession(A), A)), 9))
+    assert not here.holds and here.holder.phase is LeasePhase.ABSENT
     here.handle(Applied(entry(8, b"", B), Outcome("-")))  # the replica is ahead of what it was told
-    assert here.holder.phase is Phase.ABSENT
-    assert here.handle(Restored(9)) and here.holder.phase is Phase.OPEN
+    assert here.holder.phase is LeasePhase.ABSENT
+    assert here.handle(Restored(9)) and here.holder.phase is LeasePhase.OPEN
 
 
 def test_a_session_that_came_by_snapshot_is_held_by_a_grant_alone() -> None:
     here = Here()
     here.handle(Tick())
-    here.sessions.apply(entry(4, Open(A), A))
+    here.sessions.apply(entry(4, OpenSession(A), A))
     [ask] = here.handle(Restored(4))
     assert not here.holds and ask == Ask("a", 1, 4, 1, 4)
-    assert here.grant(ask) == [Held(4)]
+    assert here.grant(ask) == [LeaseAcquired(4)]
 
 
 def test_an_opening_that_is_over_before_it_is_seen_here_is_made_anew_with_another_id() -> None:
     here = Here()
     [propose] = here.handle(Tick())
-    outcome = here.sessions.apply(entry(4, Open(A), A))
-    here.sessions.apply(entry(5, Ended(A, 4, 0)))
+    outcome = here.sessions.apply(entry(4, OpenSession(A), A))
+    here.sessions.apply(entry(5, EndSession(A, 4, 0)))
     here.handle(Restored(5))
     here.handle(ProposalOver(propose.id, Over.SETTLED, outcome, 4))
     here.now = here.holder.wake_us
@@ -314,16 +334,18 @@
 def test_one_that_another_proposal_opened_than_the_one_under_way_is_held_by_a_grant_alone() -> None:
     here = Here()
     here.handle(Tick())
-    [ask] = here.settle(Open(A), "another")
-    assert not here.holds and here.grant(ask) == [Held(1)]
+    [ask] = here.settle(OpenSession(A), "another")
+    assert not here.holds and here.grant(ask) == [LeaseAcquired(1)]
 
 
 def test_a_later_life_of_its_name_ends_it_for_good() -> None:
     here = Here()
     here.open()
-    assert here.settle(Open(Life("a", 2)), proposer=Life("a", 2)) == [Lost(1, "a later life has the name")]
+    assert here.settle(OpenSession(Life("a", 2)), proposer=Life("a", 2)) == [
+        LeaseLost(1, "a later life has the name")
+    ]
     here.now = LATER
-    assert not here.handle(Tick()) and not here.holds and here.holder.phase is Phase.SUPERSEDED
+    assert not here.handle(Tick()) and not here.holds and here.holder.phase is LeasePhase.SUPERSEDED
 
 
 def test_it_tells_what_it_has_applied_and_knows_what_was_heard() -> None:
@@ -342,29 +364,29 @@
 
 def test_entries_of_others_change_nothing() -> None:
     here = Here()
-    [propose] = here.settle(Open(B), proposer=B)
+    [propose] = here.settle(OpenSession(B), proposer=B)
     here.settle(propose.body, propose.id)
-    assert here.holds and here.settle(Close(B, 1), proposer=B) == [] and here.holds
+    assert here.holds and here.settle(CloseSession(B, 1), proposer=B) == [] and here.holds
 
 
 def test_it_does_not_hold_from_the_moment_it_asks_to_close() -> None:
     here = Here()
     here.open()
     ask = here.ask()
-    lost, close = here.handle(Leave())
-    assert lost == Lost(1, "leaves") and decode(close.body) == Close(A, 1) and not here.holds
+    lost, close = here.handle(ReleaseLease())
+    assert lost == LeaseLost(1, "leaves") and decode(close.body) == CloseSession(A, 1) and not here.holds
     here.grant(ask)
     assert not here.holds
-    again_us = here.now + close.within_us + BEAT_US
-    here.now += BEAT_US
+    again_us = here.now + close.within_us + RENEWAL_INTERVAL_US
+    here.now += RENEWAL_INTERVAL_US
     here.handle(ProposalOver("another", Over.REFUSED))
     assert here.holder.wake_us == again_us, "a beat after the log should have said how it ended"
     here.handle(ProposalOver(close.id, Over.REFUSED))
-    assert here.holder.wake_us == here.now + BEAT_US
+    assert here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
     here.now = here.holder.wake_us
     assert here.handle(Tick()) == [close]
     here.settle(close.body, close.id)
-    assert here.holder.phase is Phase.LEFT
+    assert here.holder.phase is LeasePhase.LEFT
     here.now = LATER
     assert here.handle(Tick()) == [] and here.handle(Leads("b", 2, False)) == []
     here.now = here.holder.wake_us
@@ -374,16 +396,16 @@
 def test_one_that_leaves_before_it_was_opened_closes_what_is_settled_late() -> None:
     here = Here()
     [propose] = here.handle(Tick())
-    assert here.handle(Leave()) == [] and here.holder.phase is Phase.LEAVING
+    assert here.handle(ReleaseLease()) == [] and here.holder.phase is LeasePhase.LEAVING
     here.handle(ProposalOver(propose.id, Over.UNKNOWN))
-    here.handle(Leave())
-    assert here.holder.phase is Phase.LEFT
+    here.handle(ReleaseLease())
+    assert here.holder.phase is LeasePhase.LEFT
     [close] = here.settle(propose.body, propose.id)
-    assert decode(close.body) == Close(A, 1) and not here.holds
+    assert decode(close.body) == CloseSession(A, 1) and not here.holds
     idle = Here()
-    idle.handle(Leave())
-    idle.handle(Leave())
-    assert idle.holder.phase is Phase.LEFT and idle.handle(Tick()) == []
+    idle.handle(ReleaseLease())
+    idle.handle(ReleaseLease())
+    assert idle.holder.phase is LeasePhase.LEFT and idle.handle(Tick()) == []
 
 
 def test_why_it_was_lost_is_not_told_of_the_next_session() -> None:
@@ -391,7 +413,7 @@
     here.open()
     here.now = 6 * S
     here.handle(Tick())
-    [propose] = here.settle(Ended(A, 1, 0))
+    [propose] = here.settle(EndSession(A, 1, 0))
     here.settle(propose.body, propose.id)
     here.now += TERMS.held_us
-    assert here.handle(Tick())[0] == Lost(here.position, "not renewed in time")
+    assert here.handle(Tick())[0] == LeaseLost(here.position, "not renewed in time")
--- a/tests/coordination/leases/test_keeper.py
+++ b/tests/coordination/leases/test_manager.py
@@ -6,8 +6,10 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
+    Ask,
     Confirm,
     Confirmed,
+    Grant,
     Leads,
     Life,
     Over,
@@ -18,11 +20,18 @@
     Terms,
     Tick,
 )
-from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, decode
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.rounds import MOST_ROUNDS
-from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Asked, Given, Grant
+from molereach.coordination.leases.bodies import (
+    BecomeManager,
+    Body,
+    CloseSession,
+    EndSession,
+    OpenSession,
+    decode,
+)
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US, RenewalsReceived, SendGrants
+from molereach.coordination.leases.rounds import MAX_ROUNDS
+from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, entry
 
 TERMS = Terms()
@@ -33,12 +42,12 @@
     """A keeper at ballot 7, with a session of `a` opened at position 1 and its `Keeping` at position 2."""
 
     def __init__(self, keeps: bool = True) -> None:
-        self.sessions, self.now, self.position = Sessions(), 0, 0
-        self.keeper = Keeper(self.sessions, TERMS)
-        self.settle(Open(A))
+        self.sessions, self.now, self.position = SessionRegistry(), 0, 0
+        self.keeper = LeaseManager(self.sessions, TERMS)
+        self.settle(OpenSession(A))
         if keeps:
             self.handle(Leads("k", 7, True))
-            self.settle(Keeping(7))
+            self.settle(BecomeManager(7))
 
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
         return self.keeper.handle(self.now, event)
@@ -49,12 +58,12 @@
         return self.handle(Applied(step, self.sessions.apply(step)))
 
     def asked(self, number: int, applied: int = 0, fence: int = 1, life: Life = A) -> Sequence[Any]:
-        return self.handle(Asked((Ask(life.name, life.number, fence, number, applied),)))
+        return self.handle(RenewalsReceived((Ask(life.name, life.number, fence, number, applied),)))
 
     def given(self, token: int, ballot: int = 7) -> list[int]:
         """The numbers of the asks that are given upon a confirmation."""
         actions = self.handle(Confirmed(token, ballot))
-        return [grant.number for each in actions if isinstance(each, Given) for grant in each.grants]
+        return [grant.number for each in actions if isinstance(each, SendGrants) for grant in each.grants]
 
     def ends(self) -> list[Propose]:
         """Go to where the end is due and confirm."""
@@ -69,7 +78,7 @@
     assert isinstance(first, Confirm)
     assert here.asked(2) == [], "the round that is out began before this ask"
     first_given, second = here.handle(Confirmed(first.token, 7))
-    assert first_given == Given((Grant("a", 1, 1, 1),)) and isinstance(second, Confirm)
+    assert first_given == SendGrants((Grant("a", 1, 1, 1),)) and isinstance(second, Confirm)
     assert here.given(first.token) == [], "an answer counts once"
     assert here.given(second.token) == [2]
 
@@ -77,9 +86,9 @@
 def test_a_later_round_lets_pass_what_waited_for_an_earlier_one() -> None:
     here = Here()
     [first] = here.asked(1)
-    here.settle(Open(B), B)
+    here.settle(OpenSession(B), B)
     here.asked(1, fence=3, life=B)
-    here.now += BEAT_US
+    here.now += RENEWAL_INTERVAL_US
     [second] = here.handle(Tick())
     assert here.given(second.token) == [1, 1] and here.given(first.token) == []
 
@@ -92,31 +101,31 @@
     here.handle(Leads("other", 8, False))
     assert here.given(confirm.token) == [] and here.keeper.wake_us == NEVER_US and here.asked(3) == []
     here.handle(Leads("k", 9, True))
-    assert here.settle(Keeping(9)) == []
+    assert here.settle(BecomeManager(9)) == []
     assert here.given(confirm.token, 9) == [], "what was asked of its earlier time is void"
 
 
 def test_nothing_is_given_or_ended_before_its_own_keeping_is_in_the_log() -> None:
     here = Here(keeps=False)
     [propose] = here.handle(Leads("k", 7, True))
-    assert decode(propose.body) == Keeping(7) and here.asked(1) == []
+    assert decode(propose.body) == BecomeManager(7) and here.asked(1) == []
     here.now = 20 * S
     assert here.handle(Tick()) == [propose], "no word came: again, with the same id"
     here.handle(ProposalOver(propose.id, Over.UNKNOWN))
-    here.now += BEAT_US - 1
+    here.now += RENEWAL_INTERVAL_US - 1
     here.handle(ProposalOver("another", Over.UNKNOWN))
     here.now += 1
     assert here.handle(Tick()) == [propose], "a beat after no word on its own"
-    [confirm] = here.settle(Keeping(7))
+    [confirm] = here.settle(BecomeManager(7))
     [given] = here.handle(Confirmed(confirm.token, 7))
-    assert given == Given((Grant("a", 1, 1, 1),)), "what was asked meanwhile is given, and not ended"
+    assert given == SendGrants((Grant("a", 1, 1, 1),)), "what was asked meanwhile is given, and not ended"
 
 
 def test_it_gives_way_to_a_later_keeper_before_it_is_told() -> None:
     here = Here()
     [confirm] = here.asked(1)
-    here.settle(Keeping(8), B)
-    assert here.given(confirm.token) == [] and not here.keeper.keeps and here.keeper.wake_us == NEVER_US
+    here.settle(BecomeManager(8), B)
+    assert here.given(confirm.token) == [] and not here.keeper.manages and here.keeper.wake_us == NEVER_US
 
 
 def test_asks_that_are_not_of_the_open_session_or_not_new_are_passed_over() -> None:
@@ -127,7 +136,7 @@
     assert here.asked(4) == here.asked(3) == []
     [confirm] = here.asked(6)
     here.asked(5)
-    here.settle(Close(A, 1))
+    here.settle(CloseSession(A, 1))
     assert here.given(confirm.token) == [], "closed since"
 
 
@@ -140,7 +149,7 @@
     assert here.given(second.token) == [6]
     [third] = here.asked(7)
     here.asked(8)
-    here.settle(Open(Life("a", 2)), Life("a", 2))
+    here.settle(OpenSession(Life("a", 2)), Life("a", 2))
     here.asked(1, fence=3, life=Life("a", 2))
     [fourth] = here.handle(Confirmed(third.token, 7))
     assert here.given(fourth.token) == [1]
@@ -163,16 +172,16 @@
     [confirm] = here.handle(Tick())
     assert isinstance(confirm, Confirm), "an end waits for a word from the panel"
     [propose] = here.handle(Confirmed(confirm.token, 7))
-    assert decode(propose.body) == Ended(A, 1, 7) and here.handle(Tick()) == []
+    assert decode(propose.body) == EndSession(A, 1, 7) and here.handle(Tick()) == []
 
 
 def test_a_round_from_before_the_end_was_due_does_not_let_it_pass() -> None:
     here = Here()
     here.now = OVER_US - 1
-    here.settle(Open(B), B)
+    here.settle(OpenSession(B), B)
     [confirm] = here.asked(1, fence=3, life=B)
     here.now = OVER_US
-    assert [type(each) for each in here.handle(Confirmed(confirm.token, 7))] == [Given, Confirm]
+    assert [type(each) for each in here.handle(Confirmed(confirm.token, 7))] == [SendGrants, Confirm]
 
 
 def test_without_a_word_from_the_panel_nothing_is_ended_and_rounds_are_bounded() -> None:
@@ -181,7 +190,9 @@
         here.now = here.keeper.wake_us
         [confirm] = here.handle(Tick())
         assert isinstance(confirm, Confirm)
-    assert len(here.keeper._rounds._out) == MOST_ROUNDS and here.now >= OVER_US + 39 * BEAT_US
+    assert (
+        len(here.keeper._rounds._unanswered) == MAX_ROUNDS and here.now >= OVER_US + 39 * RENEWAL_INTERVAL_US
+    )
 
 
 def test_what_was_proposed_as_ended_is_given_nothing_more_and_is_proposed_again() -> None:
@@ -189,15 +200,15 @@
     [propose] = here.ends()
     for over in (Over.UNKNOWN, Over.REFUSED):
         here.handle(ProposalOver(propose.id, over))
-        assert here.keeper.wake_us == here.now + BEAT_US
+        assert here.keeper.wake_us == here.now + RENEWAL_INTERVAL_US
         assert here.asked(9) == [], "held back, also where the end is not certain"
         here.handle(ProposalOver("another", over))
-        assert here.keeper.wake_us == here.now + BEAT_US
+        assert here.keeper.wake_us == here.now + RENEWAL_INTERVAL_US
         here.handle(Leads("k", 7, True))  # told again
         assert here.asked(9) == []
         assert here.ends() == [propose], "with the same id"
         here.handle(ProposalOver("another", over))
-        assert here.keeper.wake_us == here.now + 5 * BEAT_US
+        assert here.keeper.wake_us == here.now + 5 * RENEWAL_INTERVAL_US
     here.handle(ProposalOver(propose.id, Over.SETTLED))
     assert here.asked(10) == []
 
@@ -216,7 +227,7 @@
     here.now = OVER_US
     [first] = here.handle(Tick())
     here.asked(1)
-    here.now += BEAT_US
+    here.now += RENEWAL_INTERVAL_US
     [second] = here.handle(Tick())
     assert here.given(second.token) == [1] and here.keeper.wake_us == here.now + OVER_US
     assert first.token != second.token
@@ -227,19 +238,19 @@
     here.handle(Leads("other", 8, False))
     here.now = 9 * S
     here.handle(Leads("k", 9, True))
-    here.settle(Keeping(9))
+    here.settle(BecomeManager(9))
     assert here.keeper.wake_us == here.now + OVER_US
     here.handle(Leads("k", 9, True))  # told again
-    assert here.keeper.keeps
+    assert here.keeper.manages
 
 
 def test_a_session_counts_from_when_its_opening_was_applied_here() -> None:
     here = Here()
     here.now = 3 * S
-    here.sessions.apply(entry(3, Open(B), B))
+    here.sessions.apply(entry(3, OpenSession(B), B))
     here.handle(Restored(3))
     assert here.keeper.wake_us == OVER_US, "that of a, which was open before"
-    here.settle(Close(A, 1))
+    here.settle(CloseSession(A, 1))
     assert here.keeper.wake_us == 3 * S + OVER_US and here.keeper.position == 3
 
 
@@ -256,9 +267,9 @@
     here.asked(2, applied=5)
     here.now = 2 * S
     here.asked(1, applied=3)
-    kept = here.keeper.said("a", 1)
-    assert kept and (kept.applied, kept.heard_us) == (5, 2 * S)
-    assert here.keeper.said("a", 2) is None and here.keeper.said("b", 1) is None
-    here.settle(Open(Life("a", 2)), Life("a", 2))
-    kept = here.keeper.said("a", 3)
-    assert kept and (kept.applied, kept.heard_us) == (0, None)
+    kept = here.keeper.report("a", 1)
+    assert kept and (kept.applied, kept.received_at_us) == (5, 2 * S)
+    assert here.keeper.report("a", 2) is None and here.keeper.report("b", 1) is None
+    here.settle(OpenSession(Life("a", 2)), Life("a", 2))
+    kept = here.keeper.report("a", 3)
+    assert kept and (kept.applied, kept.received_at_us) == (0, None)
--- a/tests/coordination/leases/test_words.py
+++ b/tests/coordination/leases/test_messages.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.leases.words import Ask, Grant
+from molereach.coordination.interface import Ask, Grant
 
 
 def test_an_ask_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -6,55 +6,71 @@
 import pytest
 
 from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Known, Life, Outcome
-from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, encode
-from molereach.coordination.leases.sessions import MOST_PAST, Opened, Past, Sessions
+from molereach.coordination.leases.bodies import (
+    BecomeManager,
+    Body,
+    CloseSession,
+    EndSession,
+    OpenSession,
+    encode,
+)
+from molereach.coordination.leases.sessions import (
+    MAX_ENDED_SESSIONS,
+    ActiveSession,
+    EndedSession,
+    SessionRegistry,
+)
 from tests.coordination.leases.entries import A, B, entry, fence_of, opened
 
 A2 = Life("a", 2)
 
 
 def test_the_fence_is_the_position_and_the_same_life_gets_the_same_answer() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     assert fence_of(opened(sessions, 7, A)) == 7
     before = sessions.snapshot()
     assert fence_of(opened(sessions, 9, A)) == 7
-    assert sessions.snapshot() == before and sessions.open("a") == Opened(A, 7) and sessions.past("a") is None
+    assert (
+        sessions.snapshot() == before
+        and sessions.active_session("a") == ActiveSession(A, 7)
+        and sessions.last_ended_session("a") is None
+    )
 
 
 def test_a_higher_life_replaces_the_lower_and_a_lower_is_refused() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     opened(sessions, 3, A)
     assert fence_of(opened(sessions, 5, A2)) == 5
-    assert sessions.past("a") == Past(A, 3, Known.ANEW, 5)
-    assert opened(sessions, 6, A).error and sessions.open("a") == Opened(A2, 5)
-    sessions.apply(entry(7, Ended(A2, 5, 0)))
+    assert sessions.last_ended_session("a") == EndedSession(A, 3, Known.ANEW, 5)
+    assert opened(sessions, 6, A).error and sessions.active_session("a") == ActiveSession(A2, 5)
+    sessions.apply(entry(7, EndSession(A2, 5, 0)))
     assert opened(sessions, 8, A).error, "also when the higher one's session is over"
 
 
 def test_a_run_whose_session_is_over_may_open_anew_and_one_that_left_may_not() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     opened(sessions, 1, A)
-    assert not sessions.apply(entry(2, Ended(A, 1, 0))).error
+    assert not sessions.apply(entry(2, EndSession(A, 1, 0))).error
     assert fence_of(opened(sessions, 3, A)) == 3
-    assert not sessions.apply(entry(4, Close(A, 3), A)).error
-    assert sessions.past("a") == Past(A, 3, Known.LEFT, 4)
-    assert opened(sessions, 5, A).error and sessions.open("a") is None
+    assert not sessions.apply(entry(4, CloseSession(A, 3), A)).error
+    assert sessions.last_ended_session("a") == EndedSession(A, 3, Known.LEFT, 4)
+    assert opened(sessions, 5, A).error and sessions.active_session("a") is None
     assert not opened(sessions, 6, A2).error
 
 
 @pytest.mark.parametrize(
     "body, proposer",
     [
-        (Ended(A, 2, 5), A),
-        (Ended(A2, 1, 5), A),
-        (Ended(B, 1, 5), A),
-        (Close(A, 2), A),
-        (Close(A, 1), B),
-        (Open(B), A),
-        (Ended(A, 1, 4), A),
-        (Ended(A, 1, 6), A),
-        (Keeping(5), B),
-        (Keeping(4), B),
+        (EndSession(A, 2, 5), A),
+        (EndSession(A2, 1, 5), A),
+        (EndSession(B, 1, 5), A),
+        (CloseSession(A, 2), A),
+        (CloseSession(A, 1), B),
+        (OpenSession(B), A),
+        (EndSession(A, 1, 4), A),
+        (EndSession(A, 1, 6), A),
+        (BecomeManager(5), B),
+        (BecomeManager(4), B),
         (b"{}", A),
         (b"\xff", A),
         (b'{"kind":"open","life":{"name":"-","number":1}}', A),
@@ -63,8 +79,8 @@
     ],
 )
 def test_what_breaks_a_rule_is_an_error_and_changes_nothing(body: Body | bytes, proposer: Life) -> None:
-    sessions = Sessions()
-    sessions.apply(entry(0, Keeping(5)))
+    sessions = SessionRegistry()
+    sessions.apply(entry(0, BecomeManager(5)))
     opened(sessions, 1, A)
     before = sessions.snapshot()
     outcome = sessions.apply(entry(9, body, proposer))
@@ -73,65 +89,76 @@
 
 def test_the_longest_body_is_read() -> None:
     life = Life("n" * 64, 1 << 62)
-    sessions = Sessions()
-    assert sessions.apply(entry(1, Keeping(1 << 62))) == Outcome()
+    sessions = SessionRegistry()
+    assert sessions.apply(entry(1, BecomeManager(1 << 62))) == Outcome()
     opened(sessions, 1 << 62, life)
-    assert not sessions.apply(entry(1 << 62, Ended(life, 1 << 62, 1 << 62))).error
+    assert not sessions.apply(entry(1 << 62, EndSession(life, 1 << 62, 1 << 62))).error
 
 
 def test_names_are_bounded_and_the_one_that_ended_first_makes_room() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     for number in range(MOST_DOORS):
         assert not opened(sessions, number + 1, Life(f"d{number}", 1)).error
     assert opened(sessions, 300, A).error
-    sessions.apply(entry(301, Ended(Life("d9", 1), 10, 0)))
-    sessions.apply(entry(302, Ended(Life("d3", 1), 4, 0)))
+    sessions.apply(entry(301, EndSession(Life("d9", 1), 10, 0)))
+    sessions.apply(entry(302, EndSession(Life("d3", 1), 4, 0)))
     assert not opened(sessions, 303, A).error
-    assert sessions.past("d9") is None and sessions.past("d3") is not None
-    assert len(sessions.all_open()) == MOST_DOORS - 1
+    assert sessions.last_ended_session("d9") is None and sessions.last_ended_session("d3") is not None
+    assert len(sessions.active_sessions()) == MOST_DOORS - 1
 
 
 def test_what_was_open_at_a_position_is_told_later_the_same() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     opened(sessions, 1, A)
     opened(sessions, 2, B)
     opened(sessions, 5, A2)  # after position 4
-    sessions.apply(entry(6, Ended(B, 2, 0)))
-    assert list(sessions.at(4)) == [Past(A, 1, Known.ANEW, 5), Past(B, 2, Known.OVER, 6)]
-    assert list(sessions.at(5)) == [Past(B, 2, Known.OVER, 6)]
-    assert list(sessions.at(1)) == [] and list(sessions.at(7)) == [Opened(A2, 5)]
+    sessions.apply(entry(6, EndSession(B, 2, 0)))
+    assert list(sessions.sessions_open_at(4)) == [
+        EndedSession(A, 1, Known.ANEW, 5),
+        EndedSession(B, 2, Known.OVER, 6),
+    ]
+    assert list(sessions.sessions_open_at(5)) == [EndedSession(B, 2, Known.OVER, 6)]
+    assert list(sessions.sessions_open_at(1)) == [] and list(sessions.sessions_open_at(7)) == [
+        ActiveSession(A2, 5)
+    ]
 
 
 def test_of_one_that_ended_more_often_than_is_kept_it_is_known_that_it_opened_anew() -> None:
-    sessions = Sessions()
-    for number in range(1, MOST_PAST + 3):
+    sessions = SessionRegistry()
+    for number in range(1, MAX_ENDED_SESSIONS + 3):
         opened(sessions, 10 * number, Life("a", number))
-    last = Life("a", MOST_PAST + 2)
-    assert list(sessions.at(10)) == [] and list(sessions.at(70)) == [Opened(last, 60)]
-    kept = Past(Life("a", 2), 20, Known.ANEW, 30)
-    assert list(sessions.at(25)) == [kept] and list(sessions.at(21)) == [kept]
-    assert list(sessions.at(15)) == [Past(Life("a", 2), 20, Known.ANEW, 20)]
-    again = Sessions()
+    last = Life("a", MAX_ENDED_SESSIONS + 2)
+    assert list(sessions.sessions_open_at(10)) == [] and list(sessions.sessions_open_at(70)) == [
+        ActiveSession(last, 60)
+    ]
+    kept = EndedSession(Life("a", 2), 20, Known.ANEW, 30)
+    assert list(sessions.sessions_open_at(25)) == [kept] and list(sessions.sessions_open_at(21)) == [kept]
+    assert list(sessions.sessions_open_at(15)) == [EndedSession(Life("a", 2), 20, Known.ANEW, 20)]
+    again = SessionRegistry()
     again.restore(sessions.snapshot())
     opened(again, 70, Life("a", 7))
-    assert list(again.at(15)) == list(again.at(25)) == [Past(Life("a", 3), 30, Known.ANEW, 30)]
+    assert (
+        list(again.sessions_open_at(15))
+        == list(again.sessions_open_at(25))
+        == [EndedSession(Life("a", 3), 30, Known.ANEW, 30)]
+    )
 
 
-def history(seed: int) -> Sessions:
-    chance, sessions = random.Random(seed), Sessions()
+def history(seed: int) -> SessionRegistry:
+    chance, sessions = random.Random(seed), SessionRegistry()
     for position in range(1, 120):
         life = Life(chance.choice("xyz"), chance.randrange(1, 9))
         fence = chance.randrange(max(1, position - 4), position + 1)
-        open_now = sessions.open(life.name)
+        open_now = sessions.active_session(life.name)
         if open_now and chance.random() < 0.7:
-            life, fence = open_now.life, open_now.fence
+            life, fence = open_now.incarnation, open_now.fencing_token
         body = chance.choice(
             (
-                Open(life),
-                Open(life),
-                Ended(life, fence, sessions.ballot),
-                Close(life, fence),
-                Keeping(chance.randrange(position)),
+                OpenSession(life),
+                OpenSession(life),
+                EndSession(life, fence, sessions.ballot),
+                CloseSession(life, fence),
+                BecomeManager(chance.randrange(position)),
             )
         )
         sessions.apply(entry(position, body, life))
@@ -140,14 +167,14 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_snapshot_restores_to_the_same_bytes_and_goes_on_the_same(seed: int) -> None:
-    one, other = history(seed), Sessions()
+    one, other = history(seed), SessionRegistry()
     opened(other, 1, B)  # all of it is replaced
     other.restore(one.snapshot())
     assert other.snapshot() == one.snapshot()
     for position in range(200, 230):
-        step = entry(position, Open(Life("x", position)), Life("x", position))
+        step = entry(position, OpenSession(Life("x", position)), Life("x", position))
         assert one.apply(step) == other.apply(step)
-    assert other.snapshot() == one.snapshot() and len(list(other.at(203))) <= MOST_PAST
+    assert other.snapshot() == one.snapshot() and len(list(other.sessions_open_at(203))) <= MAX_ENDED_SESSIONS
 
 
 @pytest.mark.parametrize(
@@ -174,7 +201,7 @@
 
 
 def test_a_snapshot_with_a_name_twice_is_refused() -> None:
-    sessions = Sessions()
+    sessions = SessionRegistry()
     opened(sessions, 1, A)
     state = msgspec.json.decode(sessions.snapshot())
     sessions.restore(msgspec.json.encode(state))
@@ -183,4 +210,4 @@
 
 
 def test_encode_is_what_decode_reads() -> None:
-    assert encode(Keeping(3)) == b'{"kind":"keeping","ballot":3}'
+    assert encode(BecomeManager(3)) == b'{"kind":"keeping","ballot":3}'
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -14,6 +14,7 @@
 from molereach.coordination.interface import (
     Accounted,
     Applied,
+    Ask,
     Confirm,
     Confirmed,
     Entry,
@@ -28,12 +29,12 @@
     Terms,
     Tick,
 )
-from molereach.coordination.leases.accounts import Account
-from molereach.coordination.leases.bodies import MACHINE, Close, Ended, decode
-from molereach.coordination.leases.holder import Holder
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.sessions import Opened, Sessions
-from molereach.coordination.leases.words import Ask, Asked, Given, Granted, Leave
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
+from molereach.coordination.leases.bodies import MACHINE, CloseSession, EndSession, decode
+from molereach.coordination.leases.holder import LeaseHolder
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.messages import GrantsReceived, ReleaseLease, RenewalsReceived, SendGrants
+from molereach.coordination.leases.sessions import ActiveSession, SessionRegistry
 
 MS = 1000
 TERMS = Terms(2 * S, 0.02)
@@ -63,9 +64,9 @@
 
     life: Life
     clock: Clock
-    sessions: Sessions
-    holder: Holder
-    keeper: Keeper
+    sessions: SessionRegistry
+    holder: LeaseHolder
+    keeper: LeaseManager
     leader: str | None = None
     stopped_until: int = 0
     cut_until: int = 0
@@ -74,17 +75,17 @@
     learnt: int = 0  # entries of the order that were applied
     waiting: dict[str, ProposalOver] = field(default_factory=dict)  # settled, not applied here yet
     out: set[str] = field(default_factory=set)  # proposals without their one word
-    accounts: dict[int, Account] = field(default_factory=dict)
+    accounts: dict[int, AcknowledgementTracker] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class Cores:
     """What a world is made of; a mutation changes one."""
 
-    holder: type[Holder] = Holder
-    keeper: type[Keeper] = Keeper
-    sessions: type[Sessions] = Sessions
-    account: type[Account] = Account
+    holder: type[LeaseHolder] = LeaseHolder
+    keeper: type[LeaseManager] = LeaseManager
+    sessions: type[SessionRegistry] = SessionRegistry
+    account: type[AcknowledgementTracker] = AcknowledgementTracker
     terms: Terms = TERMS
 
 
@@ -106,7 +107,9 @@
         self.leader: Door | None = None
         self.ballot = 0
         self.over: set[int] = set()  # fences of sessions that were decided as ended or closed
-        self.open_at: dict[int, dict[str, Opened]] = {}  # by position of an entry that forbids something
+        self.open_at: dict[
+            int, dict[str, ActiveSession]
+        ] = {}  # by position of an entry that forbids something
         self.proofs: dict[tuple[int, int], tuple[Accounted, ...]] = {}
         self.given = self.ended = self.proven = 0
 
@@ -186,9 +189,9 @@
     def cores_handle(self, door: Door, event: Any) -> None:  # noqa: ANN401
         """Hand an event to who takes it, the keeper first: what was applied is told as applied last."""
         now_us = door.clock.at(self.now)
-        if isinstance(event, (Leads, Asked, Confirmed, Tick, Applied, Restored, ProposalOver)):
+        if isinstance(event, (Leads, RenewalsReceived, Confirmed, Tick, Applied, Restored, ProposalOver)):
             self.act(door, door.keeper.handle(now_us, event))
-        if isinstance(event, (Tick, Applied, Restored, ProposalOver, Granted, Leads, Leave)):
+        if isinstance(event, (Tick, Applied, Restored, ProposalOver, GrantsReceived, Leads, ReleaseLease)):
             self.act(door, door.holder.handle(now_us, event))
 
     def act(self, door: Door, actions: Sequence[Any]) -> None:
@@ -196,7 +199,7 @@
             match action:
                 case Ask():
                     self.ask(door, action)
-                case Given():
+                case SendGrants():
                     self.give(action)
                 case Propose():
                     self.propose(door, action)
@@ -224,9 +227,11 @@
         if to is None or self.now < max(door.cut_until, to.cut_until):
             return
         for _ in range(self.copies()):
-            self.after(self.delay(), lambda: self.to(to, lambda: self.cores_handle(to, Asked((ask,)))))
+            self.after(
+                self.delay(), lambda: self.to(to, lambda: self.cores_handle(to, RenewalsReceived((ask,))))
+            )
 
-    def give(self, given: Given) -> None:
+    def give(self, given: SendGrants) -> None:
         for grant in given.grants:
             self.given += 1
             to = self.doors[grant.name]
@@ -234,10 +239,10 @@
                 for _ in range(self.copies()):
                     self.after(self.delay(), lambda to=to: self.granted(to, given))  # type: ignore[misc]
 
-    def granted(self, door: Door, given: Given) -> None:
+    def granted(self, door: Door, given: SendGrants) -> None:
         """By name, whoever runs under it by now: a grant may reach a later life."""
         to = self.doors[door.life.name]
-        self.to(to, lambda: self.cores_handle(to, Granted(given.grants)))
+        self.to(to, lambda: self.cores_handle(to, GrantsReceived(given.grants)))
 
     # --- the log ---
 
@@ -304,11 +309,11 @@
         if entry.machine == MACHINE:
             outcome = self.truth.apply(entry)
             body = decode(entry.body)
-            if isinstance(body, (Ended, Close)) and not outcome.error:
-                self.over.add(body.fence)
-                self.ended += isinstance(body, Ended)
+            if isinstance(body, (EndSession, CloseSession)) and not outcome.error:
+                self.over.add(body.fencing_token)
+                self.ended += isinstance(body, EndSession)
         else:
-            self.open_at[position] = {each.life.name: each for each in self.truth.all_open()}
+            self.open_at[position] = {each.incarnation.name: each for each in self.truth.active_sessions()}
         self.order.append(entry)
         self.outcomes.append(outcome)
         self.snapshots.append(self.truth.snapshot())
@@ -362,17 +367,19 @@
     def proof(self, door: Door, position: int, proof: tuple[Accounted, ...]) -> None:
         self.proven += 1
         known, were = {each.door.name: each for each in proof}, self.open_at[position]
-        often = {name for name, each in door.sessions._doors.items() if each.dropped}  # the last are kept
+        often = {
+            name for name, each in door.sessions._proxies.items() if each.first_dropped_token
+        }  # the last are kept
         if (
             were.keys() - known.keys()
             or known.keys() - were.keys() - often
-            or any(known[name].door != were[name].life for name in were.keys() - often)
+            or any(known[name].door != were[name].incarnation for name in were.keys() - often)
         ):
             raise BrokenError(f"the proof of {position} is not of those that were open")
         if self.proofs.setdefault((position, door.learnt), proof) != proof:
             raise BrokenError(f"two proofs of {position} at {door.learnt}")
         for each in self.doors.values():
             session = self.open_at[position].get(each.life.name)
-            held = session is not None and each.holder.fence == session.fence
+            held = session is not None and each.holder.fence == session.fencing_token
             if held and each.learnt < position and each.holder.holds(each.clock.at(self.now)):
                 raise BrokenError(f"{each.life} holds without {position}, which was proven")
--- a/tests/coordination/node/test_council.py
+++ b/tests/coordination/node/test_council.py
@@ -49,8 +49,8 @@
     mark = play.mark((leader + 1) % 7)
     until(play, mark, 3)
     core = play.cored[play.leaders()[0]]
-    past = core.parts.sessions.past(life.name)
-    assert past is not None and past.life == life
+    past = core.parts.sessions.last_ended_session(life.name)
+    assert past is not None and past.incarnation == life
     assert life.name not in {alive.name for alive in core.parts.membership.alive()}
 
 
@@ -101,7 +101,7 @@
     assert leader.account(position, 0).proof() is not None
     account = leader.account(position, 0, clear=True)
     assert account.proof() is None
-    assert [(each.door.name, each.why) for each in account.pending()] == [
+    assert [(each.proxy.name, each.reason) for each in account.pending()] == [
         ("n006", "something is under way there still")
     ]
     busy.clear = lambda position: position
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -83,7 +83,9 @@
     found.over(B)
     settle(found)
     assert found.truth.folds.kept()[B] == {7: Count(1, 60)}
-    assert not found.add(leases.MACHINE, leases.encode(leases.Open(B)), B).error  # it was stopped, and wakes
+    assert not found.add(
+        leases.MACHINE, leases.encode(leases.OpenSession(B)), B
+    ).error  # it was stopped, and wakes
     found.write(B, 7, 40)
     settle(found)
     return found.counted(A) == found.confirmed == {7: 100}
@@ -216,7 +218,7 @@
     found = world(A, B, C)
     sessions, begun = found.truth.sessions, len(found.entries) + 1
     found.add(MACHINE, b"{}", A)
-    fences = {session.life: session.fence for session in sessions.all_open()}
+    fences = {session.incarnation: session.fencing_token for session in sessions.active_sessions()}
     words = {life: Word(fence, Known.SAID, begun) for life, fence in fences.items()}
 
     def said(**changed: Word) -> str:
@@ -266,7 +268,7 @@
         name = "abc"[int(draw() * 3)]
         life = lives[name]
         chance = draw()
-        opened = found.truth.sessions.open(name)
+        opened = found.truth.sessions.active_session(name)
         if chance < 0.45:
             found.write(life, 1 + int(draw() * 4), 1 + int(draw() * 50))
         elif chance < 0.6:
@@ -275,10 +277,10 @@
             found.deliver(int(draw() * len(found.told)), keep=draw() < 0.5)
         elif chance < 0.88:
             found.catch_up(life, 1 + int(draw() * 4))
-        elif chance < 0.92 and opened and opened.life == life:
+        elif chance < 0.92 and opened and opened.incarnation == life:
             found.over(life)
         elif chance < 0.95 and not opened:
-            found.add(leases.MACHINE, leases.encode(leases.Open(life)), life)  # it wakes
+            found.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)  # it wakes
         elif chance < 0.97 and found.bearable(life):  # it dies, and starts anew from a snapshot
             del found.readers[life]
             lives[name] = Life(name, life.number + 1)
@@ -294,9 +296,9 @@
             for each in list(found.truth.folds.kept()):
                 found.forget(each)
     for name, life in lives.items():
-        opened = found.truth.sessions.open(name)
-        if not opened or opened.life != life:
-            found.add(leases.MACHINE, leases.encode(leases.Open(life)), life)
+        opened = found.truth.sessions.active_session(name)
+        if not opened or opened.incarnation != life:
+            found.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)
     for leader in "abc":
         found.lead(leader)
         settle(found)
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -4,7 +4,7 @@
 
 from molereach.coordination.interface import Applied, Entry, Heard, Known, Life, Outcome, Propose, Say, Tick
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.sessions import Past, Sessions
+from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.shards.counts import bodies
 from molereach.shards.counts.bodies import Forget
 from molereach.shards.counts.door import BEAT_US, Confirmed, DoorCounts, Leader
@@ -21,7 +21,7 @@
     """A front door with its own copy of the machines, which may lag."""
 
     def __init__(self, me: Life, folds: type[Folds] = Folds) -> None:
-        self.me, self.sessions = me, Sessions()
+        self.me, self.sessions = me, SessionRegistry()
         self.folds = folds(self.sessions, AllCounted())
         self.door = DoorCounts(me, self.folds, 0)
         self.applied, self.alive, self.written = 0, True, 0
@@ -52,7 +52,7 @@
 
     def start(self, life: Life) -> Reader:
         self.readers[life] = Reader(life, self.folds)
-        self.add(leases.MACHINE, leases.encode(leases.Open(life)), life)
+        self.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)
         self.catch_up(life)
         self.lead(self.leader)
         return self.readers[life]
@@ -65,9 +65,9 @@
             reader.door.handle(self.now_us, Leader(name))
 
     def over(self, life: Life) -> None:
-        opened = self.truth.sessions.open(life.name)
+        opened = self.truth.sessions.active_session(life.name)
         assert opened
-        ended = leases.Ended(life, opened.fence, 0)
+        ended = leases.EndSession(life, opened.fencing_token, 0)
         assert not self.add(leases.MACHINE, leases.encode(ended), life).error
 
     def catch_up(self, life: Life, most: int = 1 << 30) -> None:
@@ -100,12 +100,12 @@
         if begun is None:
             return Outcome("not folded")
         words = []
-        for session in self.truth.sessions.at(begun):
-            reader = self.readers.get(session.life)
-            if isinstance(session, Past):
-                words.append(Word(session.fence, session.known, session.position))
+        for session in self.truth.sessions.sessions_open_at(begun):
+            reader = self.readers.get(session.incarnation)
+            if isinstance(session, EndedSession):
+                words.append(Word(session.fencing_token, session.known, session.position))
             elif reader and reader.door.clear >= begun:
-                words.append(Word(session.fence, Known.SAID, reader.door.clear))
+                words.append(Word(session.fencing_token, Known.SAID, reader.door.clear))
         return self.add(bodies.MACHINE, bodies.encode(Forget(life, begun, tuple(words))), life)
 
     def bearable(self, life: Life) -> bool:
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -70,8 +70,8 @@
             reader.stopped = True  # and its session is over, now or later
         case 1:
             reader.stopped = False
-            opened = world.truth.sessions.open(name)
-            if not opened or opened.life != reader.me:
+            opened = world.truth.sessions.active_session(name)
+            if not opened or opened.incarnation != reader.me:
                 world.open(reader)
         case 2:
             world.over(name)
@@ -107,8 +107,8 @@
         reader = world.readers[name]
         reader.stopped, reader.driver = False, None
         world.catch_up(reader)
-        opened = world.truth.sessions.open(name)
-        if not opened or opened.life != reader.me:
+        opened = world.truth.sessions.active_session(name)
+        if not opened or opened.incarnation != reader.me:
             world.open(reader)
     for cell in list(world.truth.upkeep.out):
         home = next(home for home in HOMES if home.cell == cell)
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -34,7 +34,10 @@
 
 
 def said(world: World, position: int) -> tuple[Word, ...]:
-    return tuple(Word(session.fence, Known.SAID, position) for session in world.truth.sessions.all_open())
+    return tuple(
+        Word(session.fencing_token, Known.SAID, position)
+        for session in world.truth.sessions.active_sessions()
+    )
 
 
 def at(world: World) -> int:
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -18,7 +18,7 @@
     Tick,
 )
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.sessions import Past, Sessions
+from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import Home, ShardMap, unsound
 from molereach.shards.proof import Word
@@ -72,7 +72,7 @@
     """One life of one front door."""
 
     def __init__(self, me: Life, kinds: Kinds) -> None:
-        self.me, self.sessions, self.upkeep = me, Sessions(), ToyUpkeep()
+        self.me, self.sessions, self.upkeep = me, SessionRegistry(), ToyUpkeep()
         self.shards = kinds.shards(SplitSettings(WINDOW_MS), self.sessions, self.upkeep)
         self.upkeep.shards = self.shards
         self.door = kinds.door(self.shards)
@@ -157,15 +157,20 @@
                 self.all_have(self.handed[body.id], lambda reader: reader.applied)
                 for reader in self.readers.values():
                     pin = reader.door._pins.get(body.id)
-                    opened = self.truth.sessions.open(reader.me.name)
-                    if pin and opened and opened.life == reader.me and opened.fence < self.handed[body.id]:
+                    opened = self.truth.sessions.active_session(reader.me.name)
+                    if (
+                        pin
+                        and opened
+                        and opened.incarnation == reader.me
+                        and opened.fencing_token < self.handed[body.id]
+                    ):
                         assert pin.until_us <= self.now_us, "a front door still sends repeats to the old side"
 
     def all_have(self, position: int, has: Callable[[Reader], int]) -> None:
-        for session in self.truth.sessions.all_open():
-            reader = self.readers.get(session.life.name)
-            if session.fence < position and reader and reader.me == session.life:
-                assert has(reader) >= position, f"{session.life.name} does not have {position}"
+        for session in self.truth.sessions.active_sessions():
+            reader = self.readers.get(session.incarnation.name)
+            if session.fencing_token < position and reader and reader.me == session.incarnation:
+                assert has(reader) >= position, f"{session.incarnation.name} does not have {position}"
 
     def sound(self) -> None:
         book, found = self.truth.shards.book, self.truth.shards.map
@@ -183,13 +188,13 @@
         return reader
 
     def open(self, reader: Reader) -> None:
-        self.add(leases.MACHINE, leases.encode(leases.Open(reader.me)), reader.me)
+        self.add(leases.MACHINE, leases.encode(leases.OpenSession(reader.me)), reader.me)
 
     def over(self, name: str) -> None:
-        opened = self.truth.sessions.open(name)
+        opened = self.truth.sessions.active_session(name)
         if opened:
-            ended = leases.Ended(opened.life, opened.fence, 0)
-            self.add(leases.MACHINE, leases.encode(ended), opened.life)
+            ended = leases.EndSession(opened.incarnation, opened.fencing_token, 0)
+            self.add(leases.MACHINE, leases.encode(ended), opened.incarnation)
 
     def catch_up(self, reader: Reader, most: int = 1 << 30) -> None:
         for entry in self.entries[reader.applied : reader.applied + most]:
@@ -197,10 +202,10 @@
 
     def say(self, reader: Reader) -> None:
         """With its session, as the keeper hears it."""
-        opened = reader.sessions.open(reader.me.name)
-        if opened and opened.life == reader.me:
+        opened = reader.sessions.active_session(reader.me.name)
+        if opened and opened.incarnation == reader.me:
             reader.door.handle(self.now_us, Tick())
-            self.said[opened.fence] = (reader.applied, reader.door.clear)
+            self.said[opened.fencing_token] = (reader.applied, reader.door.clear)
 
     # --- accounts, for the driver at a reader ---
 
@@ -208,11 +213,11 @@
         found = []
         if reader.applied < position:
             return None
-        for session in reader.sessions.at(position):
-            if isinstance(session, Past):
-                found.append(Accounted(session.life, session.known, session.position))
-            elif self.said.get(session.fence, (0, 0))[which] >= position:
-                found.append(Accounted(session.life, Known.SAID, position))
+        for session in reader.sessions.sessions_open_at(position):
+            if isinstance(session, EndedSession):
+                found.append(Accounted(session.incarnation, session.known, session.position))
+            elif self.said.get(session.fencing_token, (0, 0))[which] >= position:
+                found.append(Accounted(session.incarnation, Known.SAID, position))
             else:
                 return None
         return tuple(found)
@@ -249,11 +254,11 @@
     def wild(self, split: Record) -> None:
         """A step that is proposed by one who does not look: with whatever proof there is."""
         words = []
-        for session in self.truth.sessions.at(split.position):
-            if isinstance(session, Past):
-                words.append(Word(session.fence, session.known, session.position))
-            elif self.said.get(session.fence, (0, 0))[split.state is State.HANDED] >= split.position:
-                words.append(Word(session.fence, Known.SAID, split.position))
+        for session in self.truth.sessions.sessions_open_at(split.position):
+            if isinstance(session, EndedSession):
+                words.append(Word(session.fencing_token, session.known, session.position))
+            elif self.said.get(session.fencing_token, (0, 0))[split.state is State.HANDED] >= split.position:
+                words.append(Word(session.fencing_token, Known.SAID, split.position))
         body: bodies.Body = Close(split.id, split.position, tuple(words))
         if split.state is State.HANDED:
             body = Clear(split.id, split.position, tuple(words))
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from molereach.coordination.interface import Entry, Known, Life, Outcome
-from molereach.coordination.leases.bodies import Close, Ended, Open
+from molereach.coordination.leases.bodies import CloseSession, EndSession, OpenSession
 from molereach.coordination.leases.bodies import encode as encode_session
-from molereach.coordination.leases.sessions import Past, Sessions
+from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.upkeep.permits.bodies import Ask, Back, Body, Move, Out, Seen, Stand, Word, encode
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.permits.proof import needed
@@ -22,11 +22,11 @@
 FLEET = Facts(servers=servers(6), doors=doors(9), panel=("d0", "d1", "d2", "d3", "d4"))
 
 
-class LoneSessions(Sessions):
+class LoneSessions(SessionRegistry):
     """With what a proof asks beside: who may serve on without a session."""
 
-    def lone(self) -> list[Past]:
-        found = [past for door in self._doors.values() if not door.open and (past := door.past[-1])]
+    def lone(self) -> list[EndedSession]:
+        found = [past for door in self._proxies.values() if not door.active and (past := door.ended[-1])]
         return [past for past in found if past.known is Known.OVER]
 
 
@@ -62,21 +62,25 @@
 
     def open(self, *lives: Life) -> None:
         for life in lives:
-            assert not self.sessions.apply(self.entry("sessions", encode_session(Open(life)), life)).error
+            assert not self.sessions.apply(
+                self.entry("sessions", encode_session(OpenSession(life)), life)
+            ).error
 
     def over(self, life: Life) -> int:
         fence = self.fence(life)
-        assert not self.sessions.apply(self.entry("sessions", encode_session(Ended(life, fence, 0)))).error
+        assert not self.sessions.apply(
+            self.entry("sessions", encode_session(EndSession(life, fence, 0)))
+        ).error
         return self.position
 
     def close(self, life: Life) -> None:
-        body = encode_session(Close(life, self.fence(life)))
+        body = encode_session(CloseSession(life, self.fence(life)))
         assert not self.sessions.apply(self.entry("sessions", body, life)).error
 
     def fence(self, life: Life) -> int:
-        opened = self.sessions.open(life.name)
-        assert opened is not None and opened.life == life
-        return opened.fence
+        opened = self.sessions.active_session(life.name)
+        assert opened is not None and opened.incarnation == life
+        return opened.fencing_token
 
     # --- works ---
 
@@ -102,9 +106,9 @@
         """As if all that are open had said so by now."""
         now = self.position if said is None else said
         return tuple(
-            Word(each.fence, each.known, each.position)
-            if isinstance(each, Past)
-            else Word(each.fence, Known.SAID, now)
+            Word(each.fencing_token, each.known, each.position)
+            if isinstance(each, EndedSession)
+            else Word(each.fencing_token, Known.SAID, now)
             for each in needed(self.sessions, self.record(id).begun)
         )
 
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -83,8 +83,8 @@
     log = logged(work("w"))
     log.over(A)
     log.to(State.EMPTY)
-    assert [session.life for session in needed(log.sessions, log.record().begun)] == [A, B, C]
-    claimed = (Word(needed(log.sessions, 0)[0].fence, Known.SAID, 99), *log.proof()[1:])
+    assert [session.incarnation for session in needed(log.sessions, log.record().begun)] == [A, B, C]
+    claimed = (Word(needed(log.sessions, 0)[0].fencing_token, Known.SAID, 99), *log.proof()[1:])
     assert log.out(proof=claimed).error == "proof: a had no session any more"
     assert log.out().error == "proof: a is not over for long enough"
     later(log)
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -24,10 +24,10 @@
     Terms,
     Tick,
 )
-from molereach.coordination.leases.bodies import Ended as SessionEnded
-from molereach.coordination.leases.bodies import Open
+from molereach.coordination.leases.bodies import EndSession as SessionEnded
+from molereach.coordination.leases.bodies import OpenSession
 from molereach.coordination.leases.bodies import encode as encode_session
-from molereach.coordination.leases.sessions import Past
+from molereach.coordination.leases.sessions import EndedSession
 from molereach.upkeep.door import Began, Ended
 from molereach.upkeep.driver import Driver
 from molereach.upkeep.permits.accounting import Accounting
@@ -263,25 +263,34 @@
         """Open a session, or renew it and say how far it is clear; what is said is heard."""
         if self.now < door.cut:
             return
-        true, mine = self.sessions.open(door.life.name), door.sessions.open(door.life.name)
-        if true is None or true.life != door.life:
+        true, mine = (
+            self.sessions.active_session(door.life.name),
+            door.sessions.active_session(door.life.name),
+        )
+        if true is None or true.incarnation != door.life:
             if self.chance.random() < 0.5:
-                self.append("sessions", encode_session(Open(door.life)), door.life)
+                self.append("sessions", encode_session(OpenSession(door.life)), door.life)
                 door.given_us = self.now * STEP_US
         elif mine == true:
             clear = door.side.clear
-            if clear < self.said.get(true.fence, 0):
-                raise BrokenError(f"{door.life} is clear only of {clear}, after {self.said[true.fence]}")
-            self.said[true.fence], door.given_us = clear, self.now * STEP_US
-            door.held.fence = true.fence
+            if clear < self.said.get(true.fencing_token, 0):
+                raise BrokenError(
+                    f"{door.life} is clear only of {clear}, after {self.said[true.fencing_token]}"
+                )
+            self.said[true.fencing_token], door.given_us = clear, self.now * STEP_US
+            door.held.fence = true.fencing_token
             door.held.until_us = door.now_us(self.now) + int(TERMS.held_us * 0.99)
 
     def end_sessions(self) -> None:
         for name, door in self.doors.items():
-            opened = self.sessions.open(name)
-            given_us = door.given_us if opened and opened.life == door.life else 0
+            opened = self.sessions.active_session(name)
+            given_us = door.given_us if opened and opened.incarnation == door.life else 0
             if opened and self.now * STEP_US - given_us > int(TERMS.over_us * 1.02):
-                self.append("sessions", encode_session(SessionEnded(opened.life, opened.fence, 0)), door.life)
+                self.append(
+                    "sessions",
+                    encode_session(SessionEnded(opened.incarnation, opened.fencing_token, 0)),
+                    door.life,
+                )
 
     def lead(self, door: Door) -> None:
         now_us = door.now_us(self.now)
@@ -357,9 +366,9 @@
             self.append("upkeep", encode(Move(record.work.id, step, record.begun)), door.life)
         else:
             words = tuple(
-                Word(each.fence, each.known, each.position)
-                if isinstance(each, Past)
-                else Word(each.fence, Known.SAID, self.said.get(each.fence, 0))
+                Word(each.fencing_token, each.known, each.position)
+                if isinstance(each, EndedSession)
+                else Word(each.fencing_token, Known.SAID, self.said.get(each.fencing_token, 0))
                 for each in needed(self.sessions, record.begun)
             )
             if record.state is State.DRAINING:
