--- a/tests/limits/test_gossip_codec.py
+++ b/tests/limits/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The form of limits' words: what is packed is read again; strangers and versions; within 256 bytes."""
+"""Gossip on limits: what is packed is read again; strangers and versions; within 256 bytes."""
 
 import pytest
 from hypothesis import given
@@ -19,11 +19,12 @@
 from molereach.protocol.gossip_codec import RECORD, pack_messages, unpack_messages
 
 KEYS = st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 255), st.integers(0, 65535), st.integers(0, 65535))
-NUMBERS, SHARES = st.integers(0, 2**32 - 1), st.integers(0, 10_000)
+NUMBERS = st.integers(0, 2**32 - 1)
+LOAN_SHARES = st.integers(0, 10_000)
 UNITS = st.integers(0, 10**7).map(lambda number: number / 50)
-WORDS = st.one_of(
-    st.builds(LoanRequest, KEYS, NUMBERS, NUMBERS, SHARES, SHARES, UNITS),
-    st.builds(LoanGrant, KEYS, NUMBERS, SHARES, UNITS),
+MESSAGES = st.one_of(
+    st.builds(LoanRequest, KEYS, NUMBERS, NUMBERS, LOAN_SHARES, LOAN_SHARES, UNITS),
+    st.builds(LoanGrant, KEYS, NUMBERS, LOAN_SHARES, UNITS),
     st.sampled_from([Join(), Leave()]),
     st.builds(JoinAcknowledged, st.integers(0, 65535), st.integers(0, 65535)),
     st.builds(SpendingTotal, KEYS, UNITS, UNITS),
@@ -32,32 +33,38 @@
 KEY = b"k" * 32
 
 
-@given(st.lists(WORDS, max_size=60), st.sampled_from([b"", KEY]))
-def test_words_are_read_as_they_were_told(words: list[GossipMessage | LimitMessage], key: bytes) -> None:
-    sender, receiver = LimitGossipCodec(2, 77, key=key), LimitGossipCodec(1, 5, key=key)
-    datagrams = sender.pack(1, words)
-    assert datagrams and all(len(data) <= 256 for data in datagrams)
-    heard = [receiver.unpack(2, data) for data in datagrams]
-    assert [word for message in heard if message for word in message.messages] == words
-    assert all(message and message.incarnation == 77 for message in heard)
-    assert all(not unpack_messages(data) for data in datagrams)  # a front door of the last version drops them
+@given(st.lists(MESSAGES, max_size=60), st.sampled_from([b"", KEY]))
+def test_messages_are_read_as_they_were_packed(
+    messages: list[GossipMessage | LimitMessage], key: bytes
+) -> None:
+    sender = LimitGossipCodec(2, 77, key=key)
+    receiver = LimitGossipCodec(1, 5, key=key)
+    datagrams = sender.pack(1, messages)
+    assert datagrams
+    assert all(len(data) <= 256 for data in datagrams)
+    received = [receiver.unpack(2, data) for data in datagrams]
+    assert [message for each in received if each for message in each.messages] == messages
+    assert all(each and each.incarnation == 77 for each in received)
+    assert all(not unpack_messages(data) for data in datagrams)  # a front door without limits drops them
 
 
 @given(st.binary(max_size=256))
-def test_garbage_is_no_message_and_no_error(data: bytes) -> None:
+def test_random_bytes_are_no_message_and_no_error(data: bytes) -> None:
     LimitGossipCodec(1, 5).unpack(2, data)
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data) is None
     LimitGossipCodec(1, 5).unpack(2, LimitGossipCodec(2, 77).seal(1, b"") + data)
 
 
-def test_old_and_new_versions_understand_each_other() -> None:
-    word = GossipMessage(9, 1, 2, 3, True, 1.5)
-    old = pack_messages([word] * 3)[0]
-    assert LimitGossipCodec(1, 5).unpack(2, old) == GossipReceived(2, (word,) * 3)
-    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, old) is None  # not told by one that has the key
-    first, second = LimitGossipCodec(1, 5, understands=lambda peer: False).pack(2, [word, Join()])
-    assert unpack_messages(first) == (word,) and unpack_messages(second) == ()
-    assert len(LimitGossipCodec(1, 5).pack(2, [])[0]) < RECORD.size  # a beat
+def test_both_layouts_are_understood() -> None:
+    message = GossipMessage(9, 1, 2, 3, True, 1.5)
+    without_limits = pack_messages([message] * 3)[0]
+    assert LimitGossipCodec(1, 5).unpack(2, without_limits) == GossipReceived(2, (message,) * 3)
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, without_limits) is None  # it does not carry the tag
+    codec = LimitGossipCodec(1, 5, understands=lambda peer: False)
+    first, second = codec.pack(2, [message, Join()])
+    assert unpack_messages(first) == (message,)
+    assert unpack_messages(second) == ()
+    assert len(LimitGossipCodec(1, 5).pack(2, [])[0]) < RECORD.size  # a heartbeat
 
 
 @pytest.mark.parametrize(
@@ -70,11 +77,11 @@
         lambda data: data[:8],
     ],
 )
-def test_a_changed_datagram_does_not_have_the_key(change: "type") -> None:
+def test_changed_datagram_does_not_carry_the_tag(change: "type") -> None:
     codec = LimitGossipCodec(2, 77, key=KEY)
     data = codec.pack(1, [JoinAcknowledged(4)])[0]
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data)
-    assert LimitGossipCodec(1, 5, key=KEY).unpack(0, data) is None  # another one's word
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(0, data) is None  # of another sender
     assert LimitGossipCodec(1, 5, key=b"x" * 32).unpack(2, data) is None
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, change(data)) is None
 
@@ -89,6 +96,6 @@
         b"\x02" + b"\xff" * 25,
     ],
 )
-def test_malformed_records_are_dropped_whole(body: bytes) -> None:
+def test_datagram_with_a_malformed_record_is_dropped(body: bytes) -> None:
     codec = LimitGossipCodec(1, 5)
     assert codec.unpack(2, codec.seal(2, b"\x04" + body)) is None
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -1,4 +1,4 @@
-"""Quotas while front doors are cut off: who is heard, totals, parts that come together; whole gateways."""
+"""Quotas while proxies are cut off from each other: owners, local quotas that join again, whole gateways."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -6,212 +6,223 @@
 import pytest
 
 from molereach.limits.partition_quota import JOIN_DELAY_US, PartitionQuota
-from molereach.limits.settings import LimitSettings
+from molereach.limits.settings import SECOND_US, LimitSettings
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
 from molereach.policy.interface.settings import Plan
 from sim.histories import PLAN, QuotaHistory
 
-S, MS = 1_000_000, 1_000
+MILLISECOND_US = 1_000
 QUOTA = Plan(quota_rate=12.0, quota_burst=24.0)
-KEY: CustomerKey = (3, 0, 0, 3)  # its home is front door 0
-
-
-def settled(me: int, **heard: int) -> PartitionQuota:
-    """A front door of three, up for long, that has just heard the others."""
-    reach = PartitionQuota(me, 3, (QUOTA,), LimitSettings(), 60.0)
-    reach.start_us = -100 * S
-    for peer in {0, 1, 2} - {me}:
-        reach.record_message(0, peer, 7)
-    reach.contacts.reconnected_us = dict.fromkeys(reach.contacts.reconnected_us, -100 * S)
-    return reach
-
-
-def test_parts_of_a_split_sum_to_the_whole_and_come_together() -> None:
-    home, other, third = settled(0), settled(1), settled(2)
-    assert home.reachable_quota(0, KEY) == other.reachable_quota(0, KEY) == (0, 1.0, 0.0)
-    late = home.contacts.failure_timeout_us + 1
-    for door in (home, other, third):  # all are apart: each is its own home
-        assert door.reachable_quota(late, KEY) == (door.proxy_index, pytest.approx(1 / 3), 0.0)
-    third.record_message(late, 1, 7)  # two hear each other: one of them stands in for the home
-    other.record_message(late, 2, 7)
-    assert third.reachable_quota(late, KEY) == (1, 1.0, 0.0)
-    assert other.reachable_quota(late, KEY)[:2] == (
-        1,
-        pytest.approx(1 / 3),
-    )  # first it is to hear what was spent
-    assert other.reachable_quota(late + JOIN_DELAY_US + 1, KEY) == (
-        1,
-        pytest.approx(2 / 3),
-        8.0,
-    )  # there was nothing to tell
-
-
-def test_a_link_that_works_one_way_is_a_split() -> None:
-    home, late = settled(0), settled(0).contacts.failure_timeout_us + 1
-    home.record_message(late, 1, 7)
-    home.record_message(late, 2, 7, is_mutual=False)
-    assert home.reachable_quota(late, KEY)[1] == pytest.approx(2 / 3) and home.contacts.receives_from(late, 2)
-    over = []
+KEY: CustomerKey = (3, 0, 0, 3)  # its owner is proxy 0
+INCARNATION = 7
+
+
+def connected_quota(proxy_index: int) -> PartitionQuota:
+    """The quotas of a proxy of three, up for long, that has just received from the others."""
+    quota = PartitionQuota(proxy_index, 3, (QUOTA,), LimitSettings(), 60.0)
+    quota.start_us = -100 * SECOND_US
+    for peer in {0, 1, 2} - {proxy_index}:
+        quota.record_message(0, peer, INCARNATION)
+    quota.contacts.reconnected_us = dict.fromkeys(quota.contacts.reconnected_us, -100 * SECOND_US)
+    return quota
+
+
+def silence_us(quota: PartitionQuota) -> int:
+    """The first time at which a peer that was last heard of at time 0 counts as silent."""
+    return quota.contacts.failure_timeout_us + 1
+
+
+def test_local_quotas_of_a_partition_sum_to_one_and_join_after_it() -> None:
+    owner = connected_quota(0)
+    second = connected_quota(1)
+    third = connected_quota(2)
+    assert owner.reachable_quota(0, KEY) == second.reachable_quota(0, KEY) == (0, 1.0, 0.0)
+    late_us = silence_us(owner)
+    for quota in (owner, second, third):  # all are cut off: each is the acting owner
+        reachable = quota.reachable_quota(late_us, KEY)
+        assert reachable == (quota.proxy_index, pytest.approx(1 / 3), 0.0)
+    third.record_message(late_us, 1, INCARNATION)  # two reach each other: one of them acts as the owner
+    second.record_message(late_us, 2, INCARNATION)
+    assert third.reachable_quota(late_us, KEY) == (1, 1.0, 0.0)
+    # It waits for the total of what was spent there.
+    assert second.reachable_quota(late_us, KEY)[:2] == (1, pytest.approx(1 / 3))
+    joined = second.reachable_quota(late_us + JOIN_DELAY_US + 1, KEY)
+    assert joined == (1, pytest.approx(2 / 3), 8.0)  # there was none to send
+
+
+def test_link_in_one_direction_is_a_partition() -> None:
+    owner = connected_quota(0)
+    late_us = silence_us(owner)
+    owner.record_message(late_us, 1, INCARNATION)
+    owner.record_message(late_us, 2, INCARNATION, is_mutual=False)
+    assert owner.reachable_quota(late_us, KEY).fraction == pytest.approx(2 / 3)
+    assert owner.contacts.receives_from(late_us, 2)
+    excess_units = []
     for link in ((0, 1), (1, 0), (0, 2)):
         history = QuotaHistory(1, 3, True)
-        history.load(3 * S, 24 * S, 90.0, [1.0, 1.0, 1.0])
-        history.run(4 * S)
+        history.load(3 * SECOND_US, 24 * SECOND_US, 90.0, [1.0, 1.0, 1.0])
+        history.run(4 * SECOND_US)
         history.mail.cut = frozenset([link])
-        history.run(24 * S)
-        over.append(-history.quota.lowest)
-    assert max(over) <= 2 * (24 + 12 * 1.5)
-
-
-def test_who_ends_in_order_leaves_its_part_to_the_others() -> None:
-    home = settled(0)
-    home.contacts.record_leave(1, 7)
-    late = home.contacts.failure_timeout_us + 1
-    home.record_message(late, 2, 7)
-    assert home.reachable_quota(late, KEY) == (0, 1.0, 0.0)
-    home.record_message(late, 1, 7)  # a word of that life, overtaken by its last one
-    assert home.reachable_quota(late, KEY)[1] == 1.0
-    other = settled(1)
-    other.contacts.record_leave(0, 7)
-    other.record_message(MS, 0, 7)  # the same of a home: it is not gone by again
-    assert other.reachable_quota(MS, KEY)[0] == 1
-    home.record_message(late, 1, 8)
-    later = late + home.contacts.failure_timeout_us + 1
-    assert home.reachable_quota(later, KEY)[1] == pytest.approx(1 / 3)  # the next life is silent
+        history.run(24 * SECOND_US)
+        excess_units.append(-history.quota.lowest)
+    assert max(excess_units) <= 2 * (24 + 12 * 1.5)
+
+
+def test_local_quota_of_a_proxy_that_has_left_goes_to_the_others() -> None:
+    owner = connected_quota(0)
+    owner.contacts.record_leave(1, INCARNATION)
+    late_us = silence_us(owner)
+    owner.record_message(late_us, 2, INCARNATION)
+    assert owner.reachable_quota(late_us, KEY) == (0, 1.0, 0.0)
+    owner.record_message(late_us, 1, INCARNATION)  # a message of that incarnation, overtaken by its last one
+    assert owner.reachable_quota(late_us, KEY).fraction == 1.0
+    second = connected_quota(1)
+    second.contacts.record_leave(0, INCARNATION)
+    second.record_message(MILLISECOND_US, 0, INCARNATION)  # the same of an owner: it is not the acting one
+    assert second.reachable_quota(MILLISECOND_US, KEY).owner == 1
+    owner.record_message(late_us, 1, INCARNATION + 1)
+    later_us = late_us + silence_us(owner)
+    # The next incarnation is silent.
+    assert owner.reachable_quota(later_us, KEY).fraction == pytest.approx(1 / 3)
 
 
 @pytest.mark.parametrize(
-    ("spent", "left", "joins"),
+    ("spent", "remaining", "joined"),
     [
         (0.0, 8.0, 8.0),  # nothing was spent
-        (30.0, 2.0, 2.0),  # a part of its own, and what it filled up by: 8 + 4 * 10
+        (30.0, 2.0, 2.0),  # its local quota, and what that was refilled by: 8 + 4 * 10
         (48.0, 0.0, 0.0),
-        (60.0, 0.0, -12.0),  # so much beyond its part is charged, once
+        (60.0, 0.0, -12.0),  # what is beyond its local quota is charged, once
     ],
 )
-def test_a_part_joins_with_what_is_left_less_what_was_spent_beyond_it(
-    spent: float, left: float, joins: float
+def test_local_quota_joins_with_its_rest_less_what_was_spent_beyond_it(
+    spent: float, remaining: float, joined: float
 ) -> None:
-    home = settled(0)
-    assert home.apply_spending_total(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
-    apart = home.contacts.failure_timeout_us + 1
-    home.reachable_quota(apart, KEY)
-    back = 10 * S
-    home.record_message(back, 1, 7)
-    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == pytest.approx(
-        -joins
-    )
-    assert (
-        home.apply_spending_total(back, 1, SpendingTotal(KEY, 100.0 + spent, left)) == 0.0
-    )  # the same word again
-    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 101.0 + spent, left)) == pytest.approx(1.0)
-    assert home.apply_spending_total(back, 1, SpendingTotal(KEY, 90.0, 8.0)) == 0.0  # an older one, overtaken
-
-
-def test_totals_make_good_what_was_lost_and_end_with_a_life() -> None:
-    home = settled(0)
-    home.apply_spending_total(0, 1, SpendingTotal(KEY, 5.0, 3.0))
-    assert (
-        home.apply_spending_total(MS, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0
-    )  # two words between them were lost
-    home.record_message(2 * MS, 1, 8)
-    assert (
-        home.apply_spending_total(2 * MS, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0
-    )  # a new life counts from nothing
-    fresh: CustomerKey = (6, 0, 0, 3)
-    assert (
-        home.apply_spending_total(3 * MS, 1, SpendingTotal(fresh, 500.0, 5.0)) == 3.0
-    )  # forgotten here: what its part lacks
-
-
-def test_a_home_that_starts_knows_neither_that_all_is_unused_nor_that_all_is_spent() -> None:
-    home = PartitionQuota(0, 3, (QUOTA,), LimitSettings(), 60.0)
-    home.start_us = S
+    owner = connected_quota(0)
+    assert owner.apply_spending_total(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
+    owner.reachable_quota(silence_us(owner), KEY)
+    now_us = 10 * SECOND_US
+    owner.record_message(now_us, 1, INCARNATION)
+    total = SpendingTotal(KEY, 100.0 + spent, remaining)
+    assert owner.apply_spending_total(now_us, 1, total) == pytest.approx(-joined)
+    assert owner.apply_spending_total(now_us, 1, total) == 0.0  # the same message twice
+    next_total = SpendingTotal(KEY, 101.0 + spent, remaining)
+    assert owner.apply_spending_total(now_us, 1, next_total) == pytest.approx(1.0)
+    older_total = SpendingTotal(KEY, 90.0, 8.0)  # overtaken
+    assert owner.apply_spending_total(now_us, 1, older_total) == 0.0
+
+
+def test_totals_make_good_lost_messages_and_end_with_an_incarnation() -> None:
+    owner = connected_quota(0)
+    owner.apply_spending_total(0, 1, SpendingTotal(KEY, 5.0, 3.0))
+    # Two messages between them were lost.
+    assert owner.apply_spending_total(MILLISECOND_US, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0
+    owner.record_message(2 * MILLISECOND_US, 1, INCARNATION + 1)
+    # A new incarnation counts from nothing.
+    assert owner.apply_spending_total(2 * MILLISECOND_US, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0
+    other_key: CustomerKey = (6, 0, 0, 3)
+    # Of a customer that was forgotten here, what the local quota lacks counts.
+    assert owner.apply_spending_total(3 * MILLISECOND_US, 1, SpendingTotal(other_key, 500.0, 5.0)) == 3.0
+
+
+def test_owner_that_starts_waits_for_the_totals_of_the_others() -> None:
+    owner = PartitionQuota(0, 3, (QUOTA,), LimitSettings(), 60.0)
+    owner.start_us = SECOND_US
     for peer in (1, 2):
-        home.record_message(S + MS, peer, 7)
-    assert home.reachable_quota(S + 2 * MS, KEY)[1] == pytest.approx(1 / 3)
-    home.contacts.record_no_spending(2)
-    assert home.reachable_quota(S + 2 * MS, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
-    assert home.apply_spending_total(S + 3 * MS, 1, SpendingTotal(KEY, 300.0, 2.0)) == -2.0
-    assert home.reachable_quota(S + 4 * MS, KEY)[1] == 1.0
-
-
-def test_what_was_spent_is_told_again_and_all_of_it_to_who_comes_back() -> None:
-    other = settled(1)
-    other.record_spending(0, KEY, 1.0, 7.0)
-    told = [(at, total) for at in range(0, 2 * S, 100 * MS) for _, total in other.due_totals(at, 8)]
-    assert [at for at, _ in told] == [0, 300 * MS]
-    assert told[-1][1].spent_units == 1.0 and told[-1][1].remaining_units == 8.0  # filled up since
-    other.record_message(5 * S, 0, 9)
-    assert [total.spent_units for _, total in other.due_totals(5 * S, 8)] == [1.0]
-    other.evict_idle(other.retention_us + 1)
-    assert not other.totals.entries
-    home = settled(0)
-    home.record_spending(0, KEY, 1.0, 7.0)
-    assert not home.due_totals(0, 8)  # it is its own home
-
-
-# --- whole gateways ---
-
-
-def moved(seed: int, with_limits: bool, loss: float = 0.0) -> QuotaHistory:
-    """A building's traffic stands at one front door, and moves to another at once."""
+        owner.record_message(SECOND_US + MILLISECOND_US, peer, INCARNATION)
+    assert owner.reachable_quota(SECOND_US + 2 * MILLISECOND_US, KEY).fraction == pytest.approx(1 / 3)
+    owner.contacts.record_no_spending(2)
+    assert owner.reachable_quota(SECOND_US + 2 * MILLISECOND_US, KEY)[1:] == (pytest.approx(2 / 3), 8.0)
+    total = SpendingTotal(KEY, 300.0, 2.0)
+    assert owner.apply_spending_total(SECOND_US + 3 * MILLISECOND_US, 1, total) == -2.0
+    assert owner.reachable_quota(SECOND_US + 4 * MILLISECOND_US, KEY).fraction == 1.0
+
+
+def test_totals_are_sent_twice_and_all_of_them_to_a_peer_that_reconnects() -> None:
+    member = connected_quota(1)
+    member.record_spending(0, KEY, 1.0, 7.0)
+    sent = [
+        (now_us, due.message)
+        for now_us in range(0, 2 * SECOND_US, 100 * MILLISECOND_US)
+        for due in member.due_totals(now_us, 8)
+    ]
+    assert [now_us for now_us, _ in sent] == [0, 300 * MILLISECOND_US]
+    last_total = sent[-1][1]
+    assert last_total.spent_units == 1.0 and last_total.remaining_units == 8.0  # refilled since
+    member.record_message(5 * SECOND_US, 0, INCARNATION + 2)
+    assert [due.message.spent_units for due in member.due_totals(5 * SECOND_US, 8)] == [1.0]
+    member.evict_idle(member.retention_us + 1)
+    assert not member.totals.entries
+    owner = connected_quota(0)
+    owner.record_spending(0, KEY, 1.0, 7.0)
+    assert not owner.due_totals(0, 8)  # there is nobody to notify
+
+
+# Whole gateways
+
+
+def history_with_shifted_traffic(seed: int, with_limits: bool, loss: float = 0.0) -> QuotaHistory:
+    """A customer's traffic is all at one proxy, then at once all at another."""
     history = QuotaHistory(seed, 3, with_limits)
     history.mail.loss = loss
-    history.load(3 * S, 6 * S, 60.0, [1.0, 0.0, 0.0])
-    history.load(6 * S, 11 * S, 60.0, [0.0, 1.0, 0.0])
-    history.run(11 * S)
+    history.load(3 * SECOND_US, 6 * SECOND_US, 60.0, [1.0, 0.0, 0.0])
+    history.load(6 * SECOND_US, 11 * SECOND_US, 60.0, [0.0, 1.0, 0.0])
+    history.run(11 * SECOND_US)
     return history
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_building_that_moves_finds_its_quota(loss: float) -> None:
-    granted = [moved(seed, True, loss).sent_between(6 * S, 11 * S) / (12 * 5) for seed in range(4)]
+def test_quota_follows_shifted_traffic(loss: float) -> None:
+    granted = [
+        history_with_shifted_traffic(seed, True, loss).sent_between(6 * SECOND_US, 11 * SECOND_US) / (12 * 5)
+        for seed in range(4)
+    ]
     assert sum(granted) / len(granted) >= (0.95 if not loss else 0.85)
 
 
-def test_a_split_costs_no_more_however_long_it_lasts() -> None:
+def test_excess_of_a_partition_is_bounded_however_long_it_lasts() -> None:
     """The bound of docs/design/limits.md: 2 (b + q (T + D)), for any length."""
-    over: dict[bool, list[float]] = {True: [], False: []}
-    for with_limits in over:
+    excess_units: dict[bool, list[float]] = {True: [], False: []}
+    for with_limits in excess_units:
         for seed in range(2):
             history = QuotaHistory(seed, 3, with_limits)
-            history.load(3 * S, 24 * S, 90.0, [1.0, 1.0, 1.0])
-            history.run(4 * S)
+            history.load(3 * SECOND_US, 24 * SECOND_US, 90.0, [1.0, 1.0, 1.0])
+            history.run(4 * SECOND_US)
             history.mail.groups = tuple(frozenset([number]) for number in range(3))
-            history.run(24 * S)
-            over[with_limits].append(-history.quota.lowest)
-    assert max(over[True]) <= 2 * (24 + 12 * 1.5) < min(over[False])
+            history.run(24 * SECOND_US)
+            excess_units[with_limits].append(-history.quota.lowest)
+    assert max(excess_units[True]) <= 2 * (24 + 12 * 1.5) < min(excess_units[False])
 
 
-@pytest.mark.parametrize("split", [False, True])
-def test_a_ceiling_holds_for_whole_gateways_and_is_granted(split: bool) -> None:
-    """Traffic that stands at one front door and then at another, with a third of all words lost."""
+@pytest.mark.parametrize("is_partitioned", [False, True])
+def test_ceiling_holds_for_gateways_and_is_granted(is_partitioned: bool) -> None:
+    """Traffic at one proxy and then at another, with a third of all messages lost."""
     plan = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
     for seed in range(2):
         history = QuotaHistory(seed, 3, True, plan)
         history.mail.loss = 0.3
-        history.load(3 * S, 6 * S, 80.0, [1.0, 0.0, 0.0])
-        history.load(6 * S, 12 * S, 80.0, [0.1, 1.0, 0.1])
-        history.run(6 * S)
-        history.mail.groups = tuple(frozenset([number]) for number in range(3)) if split else ()
-        history.run(12 * S)
+        history.load(3 * SECOND_US, 6 * SECOND_US, 80.0, [1.0, 0.0, 0.0])
+        history.load(6 * SECOND_US, 12 * SECOND_US, 80.0, [0.1, 1.0, 0.1])
+        history.run(6 * SECOND_US)
+        history.mail.groups = tuple(frozenset([number]) for number in range(3)) if is_partitioned else ()
+        history.run(12 * SECOND_US)
         assert history.ceiling.lowest >= 0.0
-        assert len(history.first) >= (36 + 24 * 9) * (0.5 if split else 0.8)
+        assert len(history.first) >= (36 + 24 * 9) * (0.5 if is_partitioned else 0.8)
 
 
 @pytest.mark.parametrize(
     "fault",
     [
-        lambda history: history.kill(history.nodes[0], S),
+        lambda history: history.kill(history.nodes[0], SECOND_US),
         lambda history: history.stop(history.nodes[1]),
     ],
 )
-def test_every_try_has_its_answer_when_a_front_door_goes(fault: Callable[[QuotaHistory], None]) -> None:
+def test_every_request_has_its_answer_when_a_proxy_fails(fault: Callable[[QuotaHistory], None]) -> None:
     history = QuotaHistory(4, 3, True, PLAN)
-    history.load(2 * S, 8 * S, 30.0, [1.0, 1.0, 1.0])
-    history.at(4 * S, lambda: fault(history))
-    history.at(5 * S, lambda: history.resume(history.nodes[1]))
-    history.run(12 * S)
+    history.load(2 * SECOND_US, 8 * SECOND_US, 30.0, [1.0, 1.0, 1.0])
+    history.at(4 * SECOND_US, lambda: fault(history))
+    history.at(5 * SECOND_US, lambda: history.resume(history.nodes[1]))
+    history.run(12 * SECOND_US)
     answered = len(history.first) + history.refused
-    assert history.asked - 15 <= answered <= history.asked  # but for those in hand at the kill
+    assert history.asked - 15 <= answered <= history.asked  # but for those in flight at the kill
     assert history.ceiling.lowest >= 0.0
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -1,4 +1,4 @@
-"""Limits in the running program: the operator file, the key, days of the rig in virtual time."""
+"""Limits in the running program: the operator file, the key, scenarios in virtual time."""
 
 import asyncio
 import json
@@ -12,6 +12,7 @@
 from molereach.limits.core import Limits
 from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.limits.service import attacher
+from molereach.limits.settings import SECOND_US
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
 from molereach.proxy.proxy import FrontDoor
@@ -26,10 +27,8 @@
 from sim.world import play
 from tests.test_program import config
 
-S = 1_000_000
 
-
-def test_key_file_is_private_and_of_a_fair_length(tmp_path: Path) -> None:
+def test_key_file_is_private_and_of_a_bounded_length(tmp_path: Path) -> None:
     file = tmp_path / "key"
     for data, mode, reason in (
         (b"k" * 32 + b"\n", 0o640, "others may read it"),
@@ -60,9 +59,9 @@
     assert door.gateway.limits.incarnation == int("8c1f30d27a5be964", 16) % (1 << 16)
 
 
-def test_a_split_day_of_the_whole_program_is_in_order_with_limits() -> None:
-    day = replace(scenario_files.load("move-in-split"), seconds=10.0)
-    with_limits, before = (play(day, 2, limits=limits).report.ledger for limits in (True, False))
+def test_scenario_with_a_partition_is_in_order_with_limits() -> None:
+    partition = replace(scenario_files.load("move-in-split"), seconds=10.0)
+    with_limits, before = (play(partition, 2, limits=limits).report.ledger for limits in (True, False))
     assert with_limits.ok and before.ok
     assert with_limits.units_over <= 4.0 + 24 * 0.15  # the ceiling's slack, on sockets
     assert with_limits.quota_over <= 2 * (24 + 12 * 1.5)  # of the largest plan
@@ -70,33 +69,36 @@
 
 
 @pytest.mark.parametrize("seed", [3, 8])
-def test_random_days_with_limits_are_in_order(seed: int) -> None:
+def test_random_scenarios_are_in_order_with_limits(seed: int) -> None:
     options = Options(seconds=15.0, limits=True, skew_ms=500, drift=0.0005)
     verdict = judge(options, swarm.draw(seed, 15.0), seed)
     assert verdict.ok, verdict
 
 
-def test_quota_use_is_counted_against_one_store() -> None:
-    asks = [Asked(at * S, f"r{at}", "n0", "c", Effect.SAFE, "all", 0, "p", 2.0, 0) for at in range(4)]
-    use = quota_use(Quota(1.0, 4.0), "c", [(ask, ask.at_us) for ask in asks])
+def test_quota_use_is_counted_against_one_token_bucket() -> None:
+    requests = [
+        Asked(at * SECOND_US, f"r{at}", "n0", "c", Effect.SAFE, "all", 0, "p", 2.0, 0) for at in range(4)
+    ]
+    use = quota_use(Quota(1.0, 4.0), "c", [(request, request.at_us) for request in requests])
     assert (use.asked, use.granted, use.entitled, use.over) == (8.0, 8.0, 6.0, 1.0)
-    use = quota_use(Quota(1.0, 4.0), "c", [(ask, None) for ask in asks])
+    use = quota_use(Quota(1.0, 4.0), "c", [(request, None) for request in requests])
     assert (use.granted, use.over) == (0.0, 0.0)
 
 
-def test_simulators_host_has_limits_only_when_told() -> None:
+def test_simulator_host_has_limits_only_where_they_are_switched_on() -> None:
     start = (
         "NEW_INSTANCE 5 me=0 balancers=3 categories.count=0 plans.count=1 plans.0.units-per-s=3 "
         "plans.0.burst=6 plans.0.never-over-rate=9 plans.0.hard-burst=18 extra.mail-per-s=60 "
         "ceilings.peers=true"
     )
     batch = ["MARK 1000", "TARGET_INSTANCE 0", start, "BELL 0", "EOF_BATCH"]
-    for told in (False, True):
-        host = Host(told)
+    for with_limits in (False, True):
+        host = Host(with_limits)
         reply = run_batch(host, iter(batch))
-        assert reply and any(line.startswith("TELL 1 b7") for line in reply) == told
-        assert isinstance(host.instances[0].gateway.limits, Limits) == told
-        clear = LimitGossipCodec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
-        assert run_batch(host, iter(["MARK 2000", "TARGET_INSTANCE 0", f"FROM_PEER 1 {clear}", "EOF_BATCH"]))
+        assert reply and any(line.startswith("TELL 1 b7") for line in reply) == with_limits
+        assert isinstance(host.instances[0].gateway.limits, Limits) == with_limits
+        acknowledgement = LimitGossipCodec(1, 9).pack(0, [JoinAcknowledged(5)])[0].hex()
+        from_peer = f"FROM_PEER 1 {acknowledgement}"
+        assert run_batch(host, iter(["MARK 2000", "TARGET_INSTANCE 0", from_peer, "EOF_BATCH"]))
         limits = host.instances[0].gateway.limits
-        assert not told or (isinstance(limits, Limits) and limits.escrow.acknowledged_us == {1: 2000})
+        assert not with_limits or (isinstance(limits, Limits) and limits.escrow.acknowledged_us == {1: 2000})
--- a/tests/simulator/test_action_writer.py
+++ b/tests/simulator/test_action_writer.py
@@ -1,6 +1,7 @@
 """Each action of the policy has its line on the simulator's wire."""
 
 from molereach.policy.interface.actions import (
+    Action,
     AddToCounter,
     CancelAttempt,
     CheckHealth,
@@ -18,7 +19,7 @@
 
 
 def test_every_action_has_its_line() -> None:
-    actions = [
+    actions: list[tuple[Action, str]] = [
         (CancelAttempt("a", 1), "CANCEL a 1"),
         (Reject("a", 5), "TURN_AWAY a 5"),
         (FailRequest("a"), "END_FAILED a"),
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -26,12 +26,12 @@
     return f"{instance}{ENDPOINT_LIST}UPDATE disk 41 0\n"
 
 
-def batch(now: int, body: str = "") -> str:
-    return f"MARK {now}\n{body}EOF_BATCH\n"
+def batch(now_us: int, body: str = "") -> str:
+    return f"MARK {now_us}\n{body}EOF_BATCH\n"
 
 
-def requests(now: int, number: int) -> str:
-    lines = [f"NEW_REQUEST rq_{number}_{now}_{n} 0 0 cust/{n % 3} 900000 1 3 0 1" for n in range(8)]
+def requests(now_us: int, number: int) -> str:
+    lines = [f"NEW_REQUEST rq_{number}_{now_us}_{n} 0 0 cust/{n % 3} 900000 1 3 0 1" for n in range(8)]
     return f"TARGET_INSTANCE {number}\n" + "\n".join(lines) + "\n"
 
 
@@ -52,14 +52,15 @@
 def many_batches(numbers: list[int]) -> str:
     text = batch(7, "".join(start_instance(number, number + 10) for number in numbers))
     for step in range(1, 60):
-        now = 7 + step * 20_000
+        now_us = 7 + step * 20_000
         timers = "".join(f"TARGET_INSTANCE {number}\nBELL 0\n" for number in numbers)
-        text += batch(now, timers + "".join(requests(now, number) for number in numbers))
+        text += batch(now_us, timers + "".join(requests(now_us, number) for number in numbers))
     return text
 
 
 def actions_of(output: str, number: int) -> list[str]:
-    found, current = [], -1
+    found = []
+    current = -1
     for line in output.splitlines():
         if line.startswith("CONTEXT "):
             current = int(line.split()[1])
@@ -82,7 +83,8 @@
 
 
 def test_same_output_under_other_hash_seeds_and_processes() -> None:
-    together, other = run(many_batches([0, 1, 2]), "1"), run(many_batches([0, 1, 2]), "2")
+    together = run(many_batches([0, 1, 2]), "1")
+    other = run(many_batches([0, 1, 2]), "2")
     assert together.stdout == other.stdout
     for number in (0, 1, 2):
         alone = actions_of(run(many_batches([number])).stdout, number)
