--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -90,9 +90,15 @@
     # Words to homes
     Holding(f"{RULES}.gossip.Words", "waiting", "words to homes", Effect.ENDS, "80 ms"),
     Holding(f"{RULES}.gossip.Words", "late", "words to homes", Effect.ENDS, "0.5 s"),
-    Holding(f"{LIMITS}.escrow.Escrow", "outbox", "words of loans", Effect.ENDS, "the next look, 20 ms"),
     Holding(
-        f"{LIMITS}.core.Limits", "pending_replies", "words of limits", Effect.ENDS, "the next look, 20 ms"
+        f"{LIMITS}.escrow.Escrow",
+        "outbox",
+        "requests and grants of loans",
+        Effect.ENDS,
+        "the next look, 20 ms",
+    ),
+    Holding(
+        f"{LIMITS}.core.Limits", "pending_replies", "replies of limits", Effect.ENDS, "the next look, 20 ms"
     ),
     Holding(
         f"{LIMITS}.spending_totals.SpendingTotals",
--- a/molereach/limits/borrowing.py
+++ b/molereach/limits/borrowing.py
@@ -147,9 +147,7 @@
     ) -> int:
         """Request more, less, or the same share for another lease; the share that is returned."""
         usable_share = borrowed.usable_share(now_us)
-        wanted_share = min(FULL_SHARE // len(account.members), max(0, usable_share + missing))
-        if abs(wanted_share - usable_share) < MIN_SHARE_CHANGE and wanted_share:
-            wanted_share = usable_share
+        wanted_share = _wanted_share(account, usable_share, missing)
         half_lease_us = self.settings.lease_us // 2
         is_renewal_due = borrowed.must_report or borrowed.granted_until_us - now_us <= half_lease_us
         if wanted_share == usable_share and not (usable_share and is_renewal_due):
@@ -159,20 +157,21 @@
         returned_units = 0.0
         if wanted_share < usable_share:
             returned_units = _give_up(now_us, account, borrowed, wanted_share)
-        borrowed.request_number = next_request_number(now_us, borrowed)
-        borrowed.requested_us = now_us
-        borrowed.sent_us = now_us
-        borrowed.retries = 0
-        borrowed.must_report = False
-        borrowed.pending_request = LoanRequest(
+        request = LoanRequest(
             key=key,
-            number=borrowed.request_number,
+            number=next_request_number(now_us, borrowed),
             accepted=borrowed.accepted_number,
             held_share=min(usable_share, wanted_share),
             wanted_share=wanted_share,
             returned_units=returned_units,
         )
-        self.send(PeerMessage(lender, borrowed.pending_request))
+        borrowed.request_number = request.number
+        borrowed.requested_us = now_us
+        borrowed.sent_us = now_us
+        borrowed.retries = 0
+        borrowed.must_report = False
+        borrowed.pending_request = request
+        self.send(PeerMessage(lender, request))
         return max(0, usable_share - wanted_share)
 
     def _schedule(self, now_us: int, key: CustomerKey, account: CeilingAccount) -> None:
@@ -188,6 +187,14 @@
     return max(borrowed.request_number + 1, now_us // REQUEST_NUMBER_STEP_US & MAX_REQUEST_NUMBER)
 
 
+def _wanted_share(account: CeilingAccount, usable_share: int, missing: int) -> int:
+    """The share to hold of a lender that has `usable_share` lent now; a small difference is left out."""
+    wanted_share = min(FULL_SHARE // len(account.members), max(0, usable_share + missing))
+    if abs(wanted_share - usable_share) < MIN_SHARE_CHANGE and wanted_share:
+        return usable_share
+    return wanted_share
+
+
 def _give_up(now_us: int, account: CeilingAccount, borrowed: BorrowedShare, share: int) -> float:
     """Keep no more than `share` of a loan, before its lender is notified; the tokens that go back."""
     usable_share = account.usable_share(now_us)
--- a/molereach/limits/partition_quota.py
+++ b/molereach/limits/partition_quota.py
@@ -121,8 +121,11 @@
 
     def _other_members(self, key: CustomerKey) -> list[int]:
         _, _, set_first, set_size = key
-        members = [(set_first + number) % self.proxy_count for number in range(set_size)]
-        return [member for member in members if member != self.proxy_index]
+        return [
+            member
+            for number in range(set_size)
+            if (member := (set_first + number) % self.proxy_count) != self.proxy_index
+        ]
 
     def _owner_state(self, now_us: int, key: CustomerKey) -> OwnerState:
         """The state of a customer that this proxy owns, marked as the most recently used one."""
@@ -157,10 +160,7 @@
         than the last one adds nothing.
         """
         plan = self.plans[total.key[1]]
-        set_size = total.key[3]
-        if self.acting_owner(now_us, total.key) != self.proxy_index or not plan.quota_rate:
-            return 0.0
-        if total.key not in self.owner_states and len(self.owner_states) >= MAX_OWNER_STATES:
+        if not self._accepts_total(now_us, total.key):
             return 0.0
         state = self._owner_state(now_us, total.key)
         incarnation = self.contacts.incarnations.get(sender)
@@ -173,19 +173,26 @@
             UNKNOWN_INCARNATION if incarnation is None else incarnation,
             total.spent_units,
         )
-        local_burst = plan.quota_burst / set_size
+        local_burst = plan.quota_burst / total.key[3]
         remaining_units = max(0.0, min(total.remaining_units, local_burst))
         separated_us = state.separated_since_us.pop(sender, None)
         if separated_us is not None:
             if not is_same_incarnation:
                 return -remaining_units
-            entitled_units = local_burst + plan.quota_rate / set_size * (now_us - separated_us) / SECOND_US
+            local_rate = plan.quota_rate / total.key[3]
+            entitled_units = local_burst + local_rate * (now_us - separated_us) / SECOND_US
             return max(0.0, new_units + remaining_units - entitled_units) - remaining_units
         if is_same_incarnation or last_incarnation != UNKNOWN_INCARNATION:
             return new_units
         # Of a customer that was forgotten here, the total may be old: what its local quota lacks counts.
         return local_burst - remaining_units
 
+    def _accepts_total(self, now_us: int, key: CustomerKey) -> bool:
+        """Whether this proxy is the acting owner, and has or may open a state of the customer."""
+        if self.acting_owner(now_us, key) != self.proxy_index or not self.plans[key[1]].quota_rate:
+            return False
+        return key in self.owner_states or len(self.owner_states) < MAX_OWNER_STATES
+
     def evict_idle(self, now_us: int) -> None:
         """Forget customers that have sent no request for so long that their quota is full again."""
         self.totals.evict_idle(now_us, self.retention_us)
--- a/molereach/limits/peer_contacts.py
+++ b/molereach/limits/peer_contacts.py
@@ -38,7 +38,9 @@
 
     def is_present(self, now_us: int, peer: int) -> bool:
         """Whether the peer is neither silent nor has left."""
-        return peer not in self.departed_incarnations and not self.is_silent(now_us, peer)
+        if peer in self.departed_incarnations:
+            return False
+        return now_us - self.mutual_contact_us.get(peer, NEVER_US) <= self.failure_timeout_us
 
     def receives_from(self, now_us: int, peer: int) -> bool:
         """Whether messages of the peer have come of late, of which it is to be notified."""
--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -1,4 +1,4 @@
-"""What the decisions consult: cores without I/O that are handed in, or not."""
+"""What the policy consults where it is given: cores without I/O."""
 
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, Protocol, TypeVar
@@ -11,17 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerLimits:
-    """What one front door knows of a customer's limits; shares from 0 to 1, units, seconds."""
+    """What one proxy knows of a customer's limits; shares from 0 to 1, units, seconds.
+
+    Its field names are those of the fleet's control API.
+    """
 
     plan: int
-    share: float  # of the ceiling, held here now
-    store: float  # units that may be sent on under it
+    share: float  # of the ceiling, usable here now
+    store: float  # tokens of the ceiling: units that may be forwarded
     lent: dict[int, float]  # share by borrower
     borrowed: dict[int, float]  # share by lender
     oldest_s: float  # age of the oldest loan taken, 0 for none
-    taken: float  # units sent on under the ceiling, since the account was opened
-    spent: float  # units of the quota spent here and told to its home
-    apart: list[int]  # at the home: whose parts are not in its store
+    taken: float  # units forwarded under the ceiling since the account was opened
+    spent: float  # units of the quota spent here, of which its owner is notified
+    apart: list[int]  # at the owner: members whose local quotas are not in its tokens
 
 
 class ReachableQuota(NamedTuple):
