--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -11,10 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerLimits:
-    """What one proxy knows of a customer's limits; shares from 0 to 1, units, seconds.
+    """What one front door knows of a customer's limits; shares from 0 to 1, units, seconds."""
 
-    Its field names are those of the fleet's control API.
-    """
+    # This docstring and the field names are part of the fleet's published control API.
 
     plan: int
     share: float  # of the ceiling, usable here now
