--- a/molereach/cache/driver.py
+++ b/molereach/cache/driver.py
@@ -13,30 +13,30 @@
 from molereach.cache.purge.records import Asked
 from molereach.coordination.interface import (
     NEVER_US,
-    Accounted,
+    SECOND_US,
     Applied,
-    Leads,
-    ProposalOver,
+    LeaderChanged,
+    NodeClearance,
+    ProposalFinished,
     Propose,
     Restored,
-    S,
     Tick,
 )
 from molereach.coordination.leases.accounts import Missing
 
-LOOK_US = S // 10  # between two looks at whether a proof is complete
-WITHIN_US = 2 * S  # after that the log says UNKNOWN
-AGAIN_US = 3 * S  # for so long one proposal is waited for, whatever was heard of it
+LOOK_US = SECOND_US // 10  # between two looks at whether a proof is complete
+WITHIN_US = 2 * SECOND_US  # after that the log says UNKNOWN
+AGAIN_US = 3 * SECOND_US  # for so long one proposal is waited for, whatever was heard of it
 
 
 class Proving(Protocol):
     """An account of an entry, over what sessions have said `clear` of: never what they merely applied."""
 
-    def proof(self) -> tuple[Accounted, ...] | None: ...
+    def proof(self) -> tuple[NodeClearance, ...] | None: ...
     def pending(self) -> tuple[Missing, ...]: ...
 
 
-Event = Leads | Applied | Restored | ProposalOver | Tick
+Event = LeaderChanged | Applied | Restored | ProposalFinished | Tick
 
 
 class Driver:
@@ -62,19 +62,19 @@
 
     def handle(self, now_us: int, event: Event) -> Sequence[Propose]:
         match event:
-            case Leads():
+            case LeaderChanged():
                 self._leads(now_us, event)
             case Applied() if event.entry.machine == MACHINE and not event.outcome.error:
                 self._applied(now_us, event)
             case Restored():
                 self._since.clear()
                 self._led_us = now_us
-            case ProposalOver() if event.id == self._out:
+            case ProposalFinished() if event.id == self._out:
                 self._out, self._next_us = "", now_us + LOOK_US
         return self._look(now_us) if now_us >= self.wake_us else ()
 
-    def _leads(self, now_us: int, event: Leads) -> None:
-        ballot = event.ballot if event.mine else None
+    def _leads(self, now_us: int, event: LeaderChanged) -> None:
+        ballot = event.ballot if event.is_self else None
         if ballot != self._ballot:
             self._ballot, self._led_us, self._out, self._next_us = ballot, now_us, "", now_us
             self._since.clear()
--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -11,7 +11,7 @@
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.receipt import Receipt
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.leases.accounts import Missing
 
 
@@ -19,7 +19,7 @@
 class Waiting:
     """A front door whose part is missing. `since_ms` is Unix time, of the entry that asked."""
 
-    door: Life
+    door: NodeInstance
     since_ms: int
     why: str
 
--- a/molereach/cache/purge/bodies.py
+++ b/molereach/cache/purge/bodies.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 
 from molereach.cache.purge.ids import PurgeId
-from molereach.coordination.interface import MOST_DOORS, Name, Position, Wire
+from molereach.coordination.interface import MAX_MEMBERS, Name, Position, WireStruct
 
 MACHINE = "purge"
 MOST_PURGE_BODY_BYTES = 8 << 10  # the longest takes 5,300: `Done` with 256 fences
@@ -16,7 +16,7 @@
 ClassName = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*\Z")]  # "" for all
 
 
-class Ask(Wire, frozen=True, tag_field="kind", tag="ask"):
+class Ask(WireStruct, frozen=True, tag_field="kind", tag="ask"):
     """Nothing older than this entry is to be shown of the member, or of one class of its requests.
 
     `shards` are those that the member's state is on as known to who asks, both sides of a split under way.
@@ -28,12 +28,12 @@
     shards: Annotated[tuple[Name, ...], Meta(max_length=MOST_SHARDS)] = ()
 
 
-class Done(Wire, frozen=True, tag_field="kind", tag="done"):
+class Done(WireStruct, frozen=True, tag_field="kind", tag="done"):
     """These sessions, by their fences, have said `clear` of all up to there. What else the proof needs the
     machine finds in the log; which purges are done by it, too."""
 
     upto: Position
-    said: Annotated[tuple[Position, ...], Meta(max_length=MOST_DOORS)]
+    said: Annotated[tuple[Position, ...], Meta(max_length=MAX_MEMBERS)]
 
 
 Body = Ask | Done
@@ -52,7 +52,7 @@
     return _DECODER.decode(data)
 
 
-class Standing(Wire, frozen=True):
+class Standing(WireStruct, frozen=True):
     """What an `Ask` came to, in its outcome: where it was asked first, and where done, 0 for not yet."""
 
     id: PurgeId
@@ -64,7 +64,7 @@
     return msgspec.json.decode(value, type=Standing)
 
 
-class Ended(Wire, frozen=True):
+class Ended(WireStruct, frozen=True):
     """What a `Done` came to, in its outcome: how many purges it ended, and the position of the last of them.
     They end in the order in which they were asked for."""
 
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -20,7 +20,7 @@
 from molereach.cache.purge.receipt import Receipt, receipt_of
 from molereach.cache.purge.records import Asked, Finished, Number
 from molereach.cache.readings.settings import MOST_AGE_US
-from molereach.coordination.interface import MOST_DOORS, Accounted, Entry, Outcome, Position, Wire
+from molereach.coordination.interface import MAX_MEMBERS, Entry, NodeClearance, Outcome, Position, WireStruct
 from molereach.coordination.leases.sessions import Opened
 
 CLOCKS_MS = 5_000  # by which the wall clocks of front doors may differ
@@ -39,13 +39,13 @@
     keep_ms: int = MOST_AGE_US // 1000 + CLOCKS_MS
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     pending: tuple[Asked, ...]
     done: tuple[Finished, ...]
     forgotten: Position
-    cohorts: tuple[tuple[Number, Annotated[tuple[Opened, ...], Meta(max_length=MOST_DOORS)]], ...]
+    cohorts: tuple[tuple[Number, Annotated[tuple[Opened, ...], Meta(max_length=MAX_MEMBERS)]], ...]
     next_cohort: Number
-    rosters: tuple[tuple[Number, Annotated[tuple[Accounted, ...], Meta(max_length=MOST_DOORS)]], ...]
+    rosters: tuple[tuple[Number, Annotated[tuple[NodeClearance, ...], Meta(max_length=MAX_MEMBERS)]], ...]
     next_roster: Number
     floor: Position
     past: tuple[Past, ...]
@@ -61,7 +61,7 @@
         self.forgotten = 0  # the position of the newest purge of which nothing is known any more
         self.past = Purged(bounds.keep_ms, bounds.most_past)
         self.cohorts: Interned[Opened] = Interned()
-        self.rosters: Interned[Accounted] = Interned()
+        self.rosters: Interned[NodeClearance] = Interned()
         self._pending: OrderedDict[str, Asked] = OrderedDict()  # in the order of the log, as the next
         self._done: OrderedDict[str, Finished] = OrderedDict()
 
--- a/molereach/cache/purge/past.py
+++ b/molereach/cache/purge/past.py
@@ -9,12 +9,12 @@
 
 from molereach.cache.purge.bodies import ClassName, Member
 from molereach.cache.purge.records import Millis
-from molereach.coordination.interface import Position, Wire
+from molereach.coordination.interface import Position, WireStruct
 
 MOST_AT_ONCE = 64  # let go of by one entry
 
 
-class Past(Wire, frozen=True, array_like=True):
+class Past(WireStruct, frozen=True, array_like=True):
     """The newest purge of one scope."""
 
     member: Member
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Iterable
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import Opened, Past
 
 
@@ -29,18 +29,18 @@
 
 def roster(
     opened: tuple[Opened, ...], asked: int, said: Container[int], sessions: SessionsView, position: int
-) -> tuple[Accounted, ...] | Opened:
+) -> tuple[NodeClearance, ...] | Opened:
     """How each of them is known, by name, or the first that is not. `asked` is a position at which they were
     open, `position` that of the entry being applied. Who said it has position 0, for that of the purge."""
     ends = {each.fence: each for each in sessions.at(asked) if isinstance(each, Past)}
-    known: list[Accounted] = []
+    known: list[NodeClearance] = []
     for session in opened:
         if sessions.open(session.life.name) == session:
             if session.fence not in said:
                 return session
-            known.append(Accounted(session.life, Known.SAID, 0))
+            known.append(NodeClearance(session.life, ClearanceEvidence.REPORTED, 0))
         elif end := ends.get(session.fence):
-            known.append(Accounted(session.life, end.known, end.position))
+            known.append(NodeClearance(session.life, end.known, end.position))
         else:  # it ended so long ago that how is forgotten
-            known.append(Accounted(session.life, Known.OVER, position))
+            known.append(NodeClearance(session.life, ClearanceEvidence.SESSION_EXPIRED, position))
     return tuple(known)
--- a/molereach/cache/purge/receipt.py
+++ b/molereach/cache/purge/receipt.py
@@ -14,12 +14,19 @@
 from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
 from molereach.cache.purge.records import Finished, Millis
-from molereach.coordination.interface import MOST_DOORS, Accounted, Known, Name, Position, Wire
+from molereach.coordination.interface import (
+    MAX_MEMBERS,
+    ClearanceEvidence,
+    Name,
+    NodeClearance,
+    Position,
+    WireStruct,
+)
 
 HASH_BYTES = 32
 
 
-class Receipt(Wire, frozen=True):
+class Receipt(WireStruct, frozen=True):
     """All that was open when it was asked for is accounted for; who came later had the purge before."""
 
     id: PurgeId
@@ -30,18 +37,18 @@
     asked_ms: Millis
     done: Position
     done_ms: Millis
-    doors: Annotated[tuple[Accounted, ...], Meta(max_length=MOST_DOORS)]
+    doors: Annotated[tuple[NodeClearance, ...], Meta(max_length=MAX_MEMBERS)]
     hash: Annotated[str, Meta(max_length=2 * HASH_BYTES)] = ""
 
 
 def canonical(receipt: Receipt) -> bytes:
-    doors = tuple(sorted(receipt.doors, key=lambda each: each.door))
+    doors = tuple(sorted(receipt.doors, key=lambda each: each.instance))
     return msgspec.json.encode(msgspec.structs.replace(receipt, doors=doors, hash=""))
 
 
 def sealed(receipt: Receipt) -> Receipt:
     """With its front doors in order, and its hash."""
-    doors = tuple(sorted(receipt.doors, key=lambda each: each.door))
+    doors = tuple(sorted(receipt.doors, key=lambda each: each.instance))
     data = blake2b(canonical(receipt), digest_size=HASH_BYTES).hexdigest()
     return msgspec.structs.replace(receipt, doors=doors, hash=data)
 
@@ -51,11 +58,13 @@
     return sealed(receipt) == receipt
 
 
-def receipt_of(done: Finished, roster: tuple[Accounted, ...]) -> Receipt:
+def receipt_of(done: Finished, roster: tuple[NodeClearance, ...]) -> Receipt:
     """The receipt of a purge that is done; those in the list that said so did so of this purge's position."""
     asked = done.asked
     doors = tuple(
-        Accounted(each.door, each.known, asked.position) if each.known is Known.SAID else each
+        NodeClearance(each.instance, each.evidence, asked.position)
+        if each.evidence is ClearanceEvidence.REPORTED
+        else each
         for each in roster
     )
     return sealed(
--- a/molereach/cache/purge/records.py
+++ b/molereach/cache/purge/records.py
@@ -6,13 +6,13 @@
 
 from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
-from molereach.coordination.interface import Name, Position, Wire
+from molereach.coordination.interface import Name, Position, WireStruct
 
 Millis = Annotated[int, Meta(ge=0, le=1 << 53)]
 Number = Annotated[int, Meta(ge=1, le=1 << 62)]
 
 
-class Asked(Wire, frozen=True):
+class Asked(WireStruct, frozen=True):
     """A purge that is not done: its scope, the entry that asked for it, and whose session was open then."""
 
     id: PurgeId
@@ -24,7 +24,7 @@
     cohort: Number  # the list of sessions that were open at `position`
 
 
-class Finished(Wire, frozen=True):
+class Finished(WireStruct, frozen=True):
     """A purge that is done: the entry that says so, and the list of how each front door is known."""
 
     asked: Asked
--- a/molereach/coordination/dissemination/children.py
+++ b/molereach/coordination/dissemination/children.py
@@ -8,7 +8,7 @@
 
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import Up
-from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
 
 
 @dataclass(slots=True)
@@ -33,9 +33,9 @@
     @property
     def below(self) -> int:
         """Front doors below, this one counted."""
-        return min(MOST_DOORS, 1 + sum(child.below for child in self.table.values()))
+        return min(MAX_MEMBERS, 1 + sum(child.below for child in self.table.values()))
 
-    def heard(self, now: int, sender: Life, up: Up) -> bool:
+    def heard(self, now: int, sender: NodeInstance, up: Up) -> bool:
         """Note a word of one that is in the table; False for one that is not, or for a new life of it."""
         child = self.table.get(sender.name)
         if child is None or child.life != sender.number:
@@ -44,12 +44,12 @@
         child.below, child.heard_us, child.spoke = up.below, now, True
         return True
 
-    def older(self, sender: Life) -> bool:
+    def older(self, sender: NodeInstance) -> bool:
         """Whether a later life of the same name listens here already."""
         child = self.table.get(sender.name)
         return child is not None and child.life > sender.number
 
-    def take(self, now: int, sender: Life, up: Up, ranked: frozenset[str]) -> tuple[bool, str | None]:
+    def take(self, now: int, sender: NodeInstance, up: Up, ranked: frozenset[str]) -> tuple[bool, str | None]:
         """Whether it is taken, and who had to give way."""
         gone = None
         if sender.name not in self.table and len(self.table) >= self.settings.most_children:
@@ -70,7 +70,7 @@
         if not names:
             return None
         name = min(names, key=lambda name: self.table[name].below)
-        self.table[name].below = min(MOST_DOORS, self.table[name].below + 1)
+        self.table[name].below = min(MAX_MEMBERS, self.table[name].below + 1)
         return name
 
     def pulse(self, now: int) -> None:
--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -16,23 +16,30 @@
     Fetch,
     Gathered,
     Give,
-    Grant,
     Grown,
     Learn,
     Mine,
     Parent,
     Redirect,
+    RenewalGrant,
     Up,
     View,
     Whom,
 )
-from molereach.coordination.interface import MOST_DOORS, NEVER_US, Heard, Life, Say, Tick
+from molereach.coordination.interface import (
+    MAX_MEMBERS,
+    NEVER_US,
+    MessageReceived,
+    NodeInstance,
+    SendMessage,
+    Tick,
+)
 
 
 class Spread:
     """Decides who tells whom. A `Core` of the interface."""
 
-    def __init__(self, me: Life, settings: Settings, draw: Callable[[], float]) -> None:
+    def __init__(self, me: NodeInstance, settings: Settings, draw: Callable[[], float]) -> None:
         self.me, self.settings = me, settings
         self.listening = Listening(me, settings, draw)
         self.standing, self.above = self.listening.standing, self.listening.above
@@ -40,7 +47,7 @@
         self.beat = Beat(settings)
         self.parent: str | None = None  # as was last told by `Parent`
         self.number = 0  # of the last pulse that was made here
-        self.held: dict[str, Grant] = {}  # at the leader, for the next pulse
+        self.held: dict[str, RenewalGrant] = {}  # at the leader, for the next pulse
         self.fetched_us = -settings.fetch_us
         self.out: Actions = []
 
@@ -52,7 +59,7 @@
     def handle(self, now_us: int, event: Any) -> Actions:  # noqa: ANN401
         """Take one event; what is to be done, in order."""
         match event:
-            case Heard():
+            case MessageReceived():
                 if not self.standing.void(event.sender):
                     self.heard(now_us, event.sender, event.message)
             case View():
@@ -60,7 +67,7 @@
             case Grown():
                 self.below.grown(event, self.out)
             case Mine():
-                if event.ask.name == self.me.name and event.ask.life == self.me.number:
+                if event.ask.name == self.me.name and event.ask.instance_number == self.me.number:
                     self.below.gather.mine(event.ask)
             case Give():
                 self.give(now_us, event.grants)
@@ -81,7 +88,7 @@
             if self.above.doubted(now):
                 self.listening.search(now, self.below.children.table)
             if home := self.above.home(now, self.standing.ranks):
-                self.out.append(Say(home, Whom()))
+                self.out.append(SendMessage(home, Whom()))
         moved = self.above.name != self.parent
         if moved:
             self.parent = self.above.name
@@ -96,7 +103,7 @@
         held, self.held = self.held, {}
         self.pulse(now, held.values())
 
-    def pulse(self, now: int, grants: Iterable[Grant]) -> None:
+    def pulse(self, now: int, grants: Iterable[RenewalGrant]) -> None:
         self.below.pulse(now, grants, self.out)
         self.beat.began(now, self.standing.ballot, self.above.depth)
 
@@ -111,7 +118,7 @@
         self.beat.spoke(now)
         if self.above.name is not None:
             word = Up(self.below.pass_on.applied, self.below.children.below, asks)
-            self.out.append(Say(self.above.name, word))
+            self.out.append(SendMessage(self.above.name, word))
 
     def view(self, now: int, view: View) -> None:
         begins = self.listening.view(now, view, self.below.children.table)
@@ -123,7 +130,7 @@
 
     # --- what others say ---
 
-    def heard(self, now: int, sender: Life, message: Any) -> None:  # noqa: ANN401
+    def heard(self, now: int, sender: NodeInstance, message: Any) -> None:  # noqa: ANN401
         match message:
             case Up():
                 self.heard_up(now, sender, message)
@@ -136,7 +143,7 @@
                 if room and sender.name != self.above.name and self.listening.rooted(now):
                     self.below.redirect(sender.name, self.me.name, self.out)
 
-    def heard_up(self, now: int, sender: Life, up: Up) -> None:
+    def heard_up(self, now: int, sender: NodeInstance, up: Up) -> None:
         children = self.below.children
         if children.older(sender):
             return
@@ -153,7 +160,7 @@
         if self.standing.leads and self.beat.over:  # too late for this beat's others
             self.up(now)
 
-    def heard_down(self, now: int, sender: Life, down: Down) -> None:
+    def heard_down(self, now: int, sender: NodeInstance, down: Down) -> None:
         if down.ballot < self.standing.ballot:  # it still follows one that was replaced
             self.below.redirect(sender.name, self.standing.leader, self.out)
             return
@@ -176,16 +183,19 @@
 
     # --- what the keeper of sessions gave ---
 
-    def give(self, now: int, grants: tuple[Grant, ...]) -> None:
+    def give(self, now: int, grants: tuple[RenewalGrant, ...]) -> None:
         """What comes in time for the next pulse goes with it; what is late goes at once."""
         if not self.standing.leads:
             return
         if not self.beat.in_time(now):
-            self.below.grants(grants[:MOST_DOORS], self.out)
+            self.below.grants(grants[:MAX_MEMBERS], self.out)
             return
         self.below.grants([grant for grant in grants if grant.name == self.me.name], self.out)
         for grant in grants:
             held = self.held.get(grant.name)
-            newer = held is None or (grant.life, grant.number) >= (held.life, held.number)
-            if grant.name != self.me.name and newer and (held or len(self.held) < MOST_DOORS):
+            newer = held is None or (grant.instance_number, grant.number) >= (
+                held.instance_number,
+                held.number,
+            )
+            if grant.name != self.me.name and newer and (held or len(self.held) < MAX_MEMBERS):
                 self.held[grant.name] = grant
--- a/molereach/coordination/dissemination/gather.py
+++ b/molereach/coordination/dissemination/gather.py
@@ -1,6 +1,6 @@
 """Asks from below on their way up, and where the grants go back.
 
-At most `MOST_DOORS` of each are kept. Where there is no room, names that are known to live push out those
+At most `MAX_MEMBERS` of each are kept. Where there is no room, names that are known to live push out those
 that are not, so invented names cannot keep out anybody.
 """
 
@@ -8,15 +8,15 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from molereach.coordination.dissemination.words import Ask, Grant
-from molereach.coordination.interface import MOST_DOORS
+from molereach.coordination.dissemination.words import RenewalGrant, RenewalRequest
+from molereach.coordination.interface import MAX_MEMBERS
 
 K = TypeVar("K")
 V = TypeVar("V")
 
 
 class Places(Generic[K, V]):
-    """A mapping of at most `MOST_DOORS`, in which the known come before the unknown."""
+    """A mapping of at most `MAX_MEMBERS`, in which the known come before the unknown."""
 
     def __init__(self) -> None:
         self.known: dict[K, V] = {}
@@ -29,7 +29,7 @@
         return self.known.get(key) or self.unknown.get(key)
 
     def put(self, key: K, value: V, known: bool) -> None:
-        if key not in self.known and key not in self.unknown and len(self) >= MOST_DOORS:
+        if key not in self.known and key not in self.unknown and len(self) >= MAX_MEMBERS:
             if not known or not self.unknown:
                 return
             self.unknown.popitem()
@@ -58,37 +58,39 @@
 
     def __init__(self, me: str, kept_us: int) -> None:
         self.me, self.kept_us = me, kept_us
-        self.own: Ask | None = None
-        self.asks: Places[tuple[str, int, int], Ask] = Places()
+        self.own: RenewalRequest | None = None
+        self.asks: Places[tuple[str, int, int], RenewalRequest] = Places()
         self.routes: Places[str, _Route] = Places()
 
-    def mine(self, ask: Ask) -> None:
+    def mine(self, ask: RenewalRequest) -> None:
         """Said again with each word up until it is granted, as any word may be lost."""
         self.own = ask
 
-    def take(self, now: int, child: str, asks: Iterable[Ask], alive: dict[str, int]) -> None:
+    def take(self, now: int, child: str, asks: Iterable[RenewalRequest], alive: dict[str, int]) -> None:
         for ask in asks:
             if ask.name == self.me:  # its own come from here alone
                 continue
-            key, known = (ask.name, ask.life, ask.fence), ask.name in alive
+            key, known = (ask.name, ask.instance_number, ask.fencing_token), ask.name in alive
             held = self.asks.get(key)
             if held is None or ask.number > held.number:
                 self.asks.put(key, ask, known)
-            route, order = self.routes.get(ask.name), (ask.life, ask.number)
+            route, order = self.routes.get(ask.name), (ask.instance_number, ask.number)
             if route is None or order >= route.order:
                 self.routes.put(ask.name, _Route(child, order, now), known)
 
-    def flush(self, now: int) -> tuple[Ask, ...]:
+    def flush(self, now: int) -> tuple[RenewalRequest, ...]:
         """All that is to go up, this front door's own first; it is not kept, as who asked will ask again."""
         asks = self.asks.values()
         self.asks = Places()
         self.routes.keep(lambda route: now - route.heard_us <= self.kept_us)
-        return ((self.own, *asks) if self.own else asks)[:MOST_DOORS]
+        return ((self.own, *asks) if self.own else asks)[:MAX_MEMBERS]
 
-    def split(self, grants: Iterable[Grant]) -> tuple[list[Grant], dict[str, list[Grant]]]:
+    def split(
+        self, grants: Iterable[RenewalGrant]
+    ) -> tuple[list[RenewalGrant], dict[str, list[RenewalGrant]]]:
         """Those for this front door, and those for each child; without a way to go they are dropped."""
-        own: list[Grant] = []
-        below: dict[str, list[Grant]] = {}
+        own: list[RenewalGrant] = []
+        below: dict[str, list[RenewalGrant]] = {}
         shut: list[_Route] = []
         for grant in grants:
             if grant.name == self.me:
@@ -102,7 +104,11 @@
             self.granted(grant)
         return own, below
 
-    def granted(self, grant: Grant) -> None:
+    def granted(self, grant: RenewalGrant) -> None:
         ask = self.own
-        if ask and (grant.life, grant.fence) == (ask.life, ask.fence) and grant.number >= ask.number:
+        if (
+            ask
+            and (grant.instance_number, grant.fencing_token) == (ask.instance_number, ask.fencing_token)
+            and grant.number >= ask.number
+        ):
             self.own = None
--- a/molereach/coordination/dissemination/listening.py
+++ b/molereach/coordination/dissemination/listening.py
@@ -6,13 +6,13 @@
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.standing import Standing
 from molereach.coordination.dissemination.words import Redirect, View
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 
 
 class Listening:
     """Its parent is `above.name`; the core tells of a change and speaks to a new one at once."""
 
-    def __init__(self, me: Life, settings: Settings, draw: Callable[[], float]) -> None:
+    def __init__(self, me: NodeInstance, settings: Settings, draw: Callable[[], float]) -> None:
         self.me = me
         self.standing = Standing(me, settings.fan)
         self.above = Above(settings, draw)
--- a/molereach/coordination/dissemination/ranks.py
+++ b/molereach/coordination/dissemination/ranks.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable
 from functools import cached_property
 
-from molereach.coordination.interface import MOST_DOORS
+from molereach.coordination.interface import MAX_MEMBERS
 
 
 class Ranks:
     """One view of the tree; a new one is made for each change. `me` is always part of it."""
 
     def __init__(self, me: str, alive: Iterable[str] = (), leader: str | None = None, fan: int = 8) -> None:
-        names = sorted({me, *alive} - {leader})[: MOST_DOORS - 1]
+        names = sorted({me, *alive} - {leader})[: MAX_MEMBERS - 1]
         if me != leader and me not in names:
             names[-1] = me
         self.me, self.leader, self.fan = me, leader, fan
--- a/molereach/coordination/dissemination/settings.py
+++ b/molereach/coordination/dissemination/settings.py
@@ -7,14 +7,14 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import MOST_DOORS, S
+from molereach.coordination.interface import MAX_MEMBERS, SECOND_US
 
 MOST_CHILDREN = 64  # whatever the settings say
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    beat_us: int = S // 2
+    beat_us: int = SECOND_US // 2
     fan: int = 8  # children of each front door by rank
     entries_bytes: int = 32 << 10  # of entries in one word, and kept for passing on
     silent_beats: int = 3  # a child that has said nothing for so long is forgotten
@@ -38,7 +38,7 @@
     def most_depth(self) -> int:
         """Steps from the leader, three more than a full tree needs. In a long chain asks would take beats."""
         depth, doors = 0, 1
-        while doors < MOST_DOORS:
+        while doors < MAX_MEMBERS:
             depth, doors = depth + 1, doors * self.fan + 1
         return depth + 3
 
--- a/molereach/coordination/dissemination/standing.py
+++ b/molereach/coordination/dissemination/standing.py
@@ -2,13 +2,13 @@
 
 from molereach.coordination.dissemination.ranks import Ranks
 from molereach.coordination.dissemination.words import View
-from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
 
 
 class Standing:
     """`leads` follows from this front door's own log alone: what others say can only end it."""
 
-    def __init__(self, me: Life, fan: int) -> None:
+    def __init__(self, me: NodeInstance, fan: int) -> None:
         self.me, self.fan = me, fan
         self.alive: dict[str, int] = {}
         self.panel: tuple[str, ...] = ()
@@ -17,13 +17,13 @@
         self.leads = False
         self.ranks = Ranks(me.name, fan=fan)
 
-    def void(self, sender: Life) -> bool:
+    def void(self, sender: NodeInstance) -> bool:
         """Whether these are the words of an earlier life, or of this front door's own name."""
         return sender.name == self.me.name or self.alive.get(sender.name, 0) > sender.number
 
     def view(self, view: View) -> None:
-        self.alive = {life.name: life.number for life in view.alive[:MOST_DOORS]}
-        self.panel = view.panel[:MOST_DOORS]
+        self.alive = {life.name: life.number for life in view.alive[:MAX_MEMBERS]}
+        self.panel = view.panel[:MAX_MEMBERS]
         ballot, leader, leads = self.ballot, self.leader, self.leads
         # The log may not know yet whom others have heard of; but a leader that stepped down is one no more.
         if view.ballot > ballot or (view.ballot == ballot and (leads or view.leader is not None)):
--- a/molereach/coordination/dissemination/telling.py
+++ b/molereach/coordination/dissemination/telling.py
@@ -8,10 +8,10 @@
 from molereach.coordination.dissemination.pass_on import PassOn
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.standing import Standing
-from molereach.coordination.dissemination.words import Action, Down, Grant, Granted, Grown, Redirect
-from molereach.coordination.interface import Say
+from molereach.coordination.dissemination.words import Action, Down, Granted, Grown, Redirect, RenewalGrant
+from molereach.coordination.interface import SendMessage
 
-Actions = list[Action | Say]
+Actions = list[Action | SendMessage]
 
 
 class Telling:
@@ -23,7 +23,7 @@
         self.gather = Gather(standing.me.name, 4 * settings.beat_us)
         self.pass_on = PassOn(settings)
 
-    def pulse(self, now: int, grants: Iterable[Grant], out: Actions) -> None:
+    def pulse(self, now: int, grants: Iterable[RenewalGrant], out: Actions) -> None:
         """A beat begins: one word to each child, with the grants for those below it."""
         self.pass_on.pulse()
         self.children.pulse(now)
@@ -31,13 +31,13 @@
         for name in self.children.table:
             self.down(name, out, grants=tuple(below.get(name, ())))
 
-    def grants(self, grants: Iterable[Grant], out: Actions) -> None:
+    def grants(self, grants: Iterable[RenewalGrant], out: Actions) -> None:
         """Pass grants on between pulses."""
         for name, some in self.granted(grants, out).items():
             if name in self.children:
                 self.down(name, out, grants=tuple(some))
 
-    def granted(self, grants: Iterable[Grant], out: Actions) -> dict[str, list[Grant]]:
+    def granted(self, grants: Iterable[RenewalGrant], out: Actions) -> dict[str, list[RenewalGrant]]:
         """Keep what is this front door's own; the rest by child."""
         own, below = self.gather.split(grants)
         if own:
@@ -52,7 +52,7 @@
                 self.down(name, out, with_entries=True)
 
     def down(
-        self, name: str, out: Actions, with_entries: bool = False, grants: tuple[Grant, ...] = ()
+        self, name: str, out: Actions, with_entries: bool = False, grants: tuple[RenewalGrant, ...] = ()
     ) -> None:
         child, (ballot, number) = self.children.table[name], self.above.mark
         leader = self.standing.leader
@@ -60,8 +60,8 @@
             return
         entries = self.pass_on.after(child.applied) if with_entries else ()
         word = Down(ballot, number, leader, self.above.depth, self.pass_on.applied, entries, grants)
-        out.append(Say(name, word, child.life))
+        out.append(SendMessage(name, word, child.life))
 
     def redirect(self, name: str, parent: str | None, out: Actions) -> None:
         if parent is not None and parent != name:
-            out.append(Say(name, Redirect(parent, self.standing.ballot, self.standing.leader)))
+            out.append(SendMessage(name, Redirect(parent, self.standing.ballot, self.standing.leader)))
--- a/molereach/coordination/dissemination/words.py
+++ b/molereach/coordination/dissemination/words.py
@@ -9,9 +9,18 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_DOORS, Ask, Entry, Grant, Life, Name, Position, Wire
-
-__all__ = ["MOST_ENTRIES", "Ask", "Down", "Grant", "Message", "Redirect", "Up", "Whom"]
+from molereach.coordination.interface import (
+    MAX_MEMBERS,
+    Entry,
+    Name,
+    NodeInstance,
+    Position,
+    RenewalGrant,
+    RenewalRequest,
+    WireStruct,
+)
+
+__all__ = ["MOST_ENTRIES", "Down", "Message", "Redirect", "RenewalGrant", "RenewalRequest", "Up", "Whom"]
 
 MOST_ENTRIES = 64  # in one word
 MOST_DEPTH = 64
@@ -23,7 +32,7 @@
 # --- messages ---
 
 
-class Word(Wire, frozen=True, array_like=True, tag_field="kind", tag=lambda name: "s." + name.lower()):
+class Word(WireStruct, frozen=True, array_like=True, tag_field="kind", tag=lambda name: "s." + name.lower()):
     """A message."""
 
 
@@ -31,8 +40,8 @@
     """From a child, once a beat: what it has, and the asks of all below it, its own first."""
 
     applied: Position
-    below: Annotated[int, Meta(ge=1, le=MOST_DOORS)]  # front doors, itself counted
-    asks: Annotated[tuple[Ask, ...], Meta(max_length=MOST_DOORS)] = ()
+    below: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # front doors, itself counted
+    asks: Annotated[tuple[RenewalRequest, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class Down(Word, frozen=True):
@@ -44,7 +53,7 @@
     depth: Annotated[int, Meta(ge=0, le=MOST_DEPTH)]  # of who speaks; 0 is the leader
     decided: Position  # applied by who speaks
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)] = ()
-    grants: Annotated[tuple[Grant, ...], Meta(max_length=MOST_DOORS)] = ()
+    grants: Annotated[tuple[RenewalGrant, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class Whom(Word, frozen=True):
@@ -62,14 +71,14 @@
 Message = Up | Down | Whom | Redirect
 
 
-# --- events, with `Heard` and `Tick` of the interface ---
+# --- events, with `MessageReceived` and `Tick` of the interface ---
 
 
 @dataclass(frozen=True, slots=True)
 class View:
     """Who lives, by membership, and who leads, by the log; either may be wrong for a time."""
 
-    alive: tuple[Life, ...]
+    alive: tuple[NodeInstance, ...]
     leader: str | None
     ballot: int
     panel: tuple[str, ...] = ()
@@ -87,17 +96,17 @@
 class Mine:
     """This front door's own ask, in the place of its last one."""
 
-    ask: Ask
+    ask: RenewalRequest
 
 
 @dataclass(frozen=True, slots=True)
 class Give:
     """At the leader: what the keeper of sessions gave."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
-# --- actions, with `Say` of the interface ---
+# --- actions, with `SendMessage` of the interface ---
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,14 +127,14 @@
 class Gathered:
     """At the leader: asks of all who came up, for the keeper."""
 
-    asks: tuple[Ask, ...]
+    asks: tuple[RenewalRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
     """For this front door's own session."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/coordination/interface.py
+++ b/molereach/coordination/interface.py
@@ -27,27 +27,27 @@
 import msgspec
 from msgspec import Meta
 
-S = 1_000_000  # microseconds in a second
+SECOND_US = 1_000_000  # microseconds in a second
 
-MOST_DOORS = 256  # of one council
-MOST_NAME_CHARS = 64
-MOST_BODY_BYTES = 16 << 10  # of one entry
-MOST_ID_CHARS = 64
-PANEL_SIZES = (3, 5, 7)  # that accept; 3 is for trials, as it bears one loss only
+MAX_MEMBERS = 256  # of one council
+MAX_NAME_CHARACTERS = 64
+MAX_ENTRY_BODY_BYTES = 16 << 10  # of one entry
+MAX_ID_CHARACTERS = 64
+VOTER_COUNTS = (3, 5, 7)  # that accept; 3 is for trials, as it bears one loss only
 NEVER_US = 1 << 62
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]*\Z"
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME_CHARS, pattern=NAME_PATTERN)]
-Id = Annotated[str, Meta(min_length=1, max_length=MOST_ID_CHARS)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARACTERS, pattern=NAME_PATTERN)]
+Id = Annotated[str, Meta(min_length=1, max_length=MAX_ID_CHARACTERS)]
 Position = Annotated[int, Meta(ge=0, le=1 << 62)]
-LifeNumber = Annotated[int, Meta(ge=0, le=1 << 62)]
+InstanceNumber = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Wire(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class WireStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What goes between front doors or to the disk: typed, bounded, and refused when it is not as it says."""
 
 
-class Life(Wire, frozen=True, order=True):
+class NodeInstance(WireStruct, frozen=True, order=True):
     """One run of one front door: its name, and a number that is new and higher with each start.
 
     The number is Unix milliseconds at the start times 2**20 plus 20 random bits, drawn by the shell. A clock
@@ -55,7 +55,7 @@
     """
 
     name: Name
-    number: LifeNumber
+    number: InstanceNumber
 
 
 # --- events and actions that the cores have in common ---
@@ -67,23 +67,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message of another front door. The link has checked who it is from and that it is well formed."""
 
-    sender: Life
+    sender: NodeInstance
     message: Any  # one of the core's own `Message` types
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send a message to a front door's newest life; it may be lost, late, doubled or overtaken.
 
     With `life` it is for that run alone: the link drops it for any other.
     """
 
-    to: str
+    recipient: str
     message: Any
-    life: int | None = None
+    instance_number: int | None = None
 
 
 class Core(Protocol):
@@ -100,18 +100,18 @@
 # --- the log, as those on it see it ---
 
 
-class Entry(Wire, frozen=True):
+class Entry(WireStruct, frozen=True):
     """What was settled at one place of the log."""
 
     position: Position  # from 1
     machine: Name  # the state machine that it is for; "" for the log's own, which have none of their own
     id: Id  # drawn by who proposed it: the same proposal, told again, is applied once
-    proposer: Life
+    proposer: NodeInstance
     at_ms: Annotated[int, Meta(ge=0, le=1 << 53)]  # Unix time; never lower than in the entry before
-    body: Annotated[bytes, Meta(max_length=MOST_BODY_BYTES)]  # msgspec JSON of the machine's own type
+    body: Annotated[bytes, Meta(max_length=MAX_ENTRY_BODY_BYTES)]  # msgspec JSON of the machine's own type
 
 
-class Outcome(Wire, frozen=True):
+class Outcome(WireStruct, frozen=True):
     """What an entry came to, the same everywhere. `error` is one plain line, and then nothing changed."""
 
     error: str = ""
@@ -137,12 +137,12 @@
         """Be what a snapshot says, all of it; ValueError and unchanged where it makes no sense."""
 
 
-class Over(Enum):
+class ProposalStatus(Enum):
     """How a proposal ended for who made it."""
 
-    SETTLED = "settled"  # applied here, with its outcome
+    APPLIED = "settled"  # applied here, with its outcome
     UNKNOWN = "unknown"  # no word in time: it may be settled, now or later. Ask again with the same id
-    REFUSED = "refused"  # certainly not settled by this proposal: too large, too many, no such machine
+    REJECTED = "refused"  # certainly not settled by this proposal: too large, too many, no such machine
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,15 +152,15 @@
     machine: str
     id: str
     body: bytes
-    within_us: int  # after that it is UNKNOWN
+    timeout_us: int  # after that it is UNKNOWN
 
 
 @dataclass(frozen=True, slots=True)
-class ProposalOver:
+class ProposalFinished:
     """Action of the log: the one word on a proposal of this front door."""
 
     id: str
-    over: Over
+    status: ProposalStatus
     outcome: Outcome | None = None
     position: int = 0
 
@@ -181,14 +181,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirm:
+class ConfirmLeadership:
     """Event for the log: is this front door the leader, also after this moment?"""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class LeadershipConfirmed:
     """Action of the log: a majority of the panel followed this leader after `Confirm` came, so no other had
     been elected by then. A `Confirm` that is not answered was not confirmed."""
 
@@ -197,12 +197,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leads:
+class LeaderChanged:
     """Action of the log: who leads, as far as is known here; None for nobody. `ballot` grows with each."""
 
     leader: str | None
     ballot: int
-    mine: bool
+    is_self: bool
 
 
 # --- the disk, as the log sees it ---
@@ -238,56 +238,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SessionTerms:
     """How long a session lasts, and by how much the rate of a clock may be wrong, either way.
 
     The holder counts from before it asked, the council from after it gave: the holder's end comes first.
     """
 
-    duration_us: int = 5 * S
+    duration_us: int = 5 * SECOND_US
     drift: float = 0.001
 
     @property
-    def held_us(self) -> int:
+    def holder_duration_us(self) -> int:
         """For how long the holder counts on it, by its own clock, from when it asked."""
         return int(self.duration_us * (1 - self.drift))
 
     @property
-    def over_us(self) -> int:
+    def expiry_us(self) -> int:
         """After how long it is certainly over, by anybody's clock, from when it was given or anything that
         came later."""
         return int(self.duration_us * (1 + self.drift)) + 1
 
 
-AskNumber = Annotated[int, Meta(ge=1, le=1 << 62)]
+RenewalNumber = Annotated[int, Meta(ge=1, le=1 << 62)]
 
 
-class Ask(Wire, frozen=True, array_like=True):
+class RenewalRequest(WireStruct, frozen=True, array_like=True):
     """Renew my session; and so far I have applied the log, in all that stands on it.
 
     It goes along the tree unchanged, at most 48 bytes of it for names of up to 21 characters.
     """
 
     name: Name
-    life: LifeNumber
-    fence: Position
-    number: AskNumber  # never again within this life: a grant is for one ask
-    applied: Position
+    instance_number: InstanceNumber
+    fencing_token: Position
+    number: RenewalNumber  # never again within this life: a grant is for one ask
+    applied_position: Position
     lag: Position = 0  # by so many positions `clear` is behind
 
     @property
-    def clear(self) -> int:
+    def clear_position(self) -> int:
         """Up to where nothing that entries forbid is still under way there."""
-        return max(0, self.applied - self.lag)
+        return max(0, self.applied_position - self.lag)
 
 
-class Grant(Wire, frozen=True, array_like=True):
+class RenewalGrant(WireStruct, frozen=True, array_like=True):
     """The session is renewed, from when this ask was made. It says nothing of any other ask."""
 
     name: Name
-    life: LifeNumber
-    fence: Position
-    number: AskNumber
+    instance_number: InstanceNumber
+    fencing_token: Position
+    number: RenewalNumber
 
 
 class Session(Protocol):
@@ -306,18 +306,18 @@
         """Up to where the log was applied here, as the council was last told."""
 
 
-class Known(Enum):
+class ClearanceEvidence(Enum):
     """How it is known that a front door does nothing any more that an entry forbids."""
 
-    SAID = "said"  # it applied the entry, or is clear of what it forbids, and said so under its session
-    ANEW = "anew"  # it has started since under a new life, which had the entry before it served
-    OVER = "over"  # its session is certainly over, and it does without what hangs on it by itself
+    REPORTED = "said"  # it applied the entry, or is clear of what it forbids, and said so under its session
+    RESTARTED = "anew"  # it has started since under a new life, which had the entry before it served
+    SESSION_EXPIRED = "over"  # its session is certainly over, and it does without what hangs on it by itself
     LEFT = "left"  # it left in order
 
 
-class Accounted(Wire, frozen=True):
+class NodeClearance(WireStruct, frozen=True):
     """One front door's part in the proof that an entry holds everywhere."""
 
-    door: Life
-    known: Known
+    instance: NodeInstance = msgspec.field(name="door")
+    evidence: ClearanceEvidence = msgspec.field(name="known")
     position: Position  # of the log, at which it was known
--- a/molereach/coordination/leases/accounts.py
+++ b/molereach/coordination/leases/accounts.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
 from molereach.coordination.leases.sessions import Opened, Past, Sessions
 
 
@@ -39,7 +39,7 @@
 class Missing:
     """A front door for which there is no account yet, since when, and why."""
 
-    door: Life
+    door: NodeInstance
     since_us: int
     applied: int
     heard_us: int | None
@@ -77,27 +77,27 @@
         ]
         return tuple(sorted(missing, key=lambda each: each.door))
 
-    def proof(self) -> tuple[Accounted, ...] | None:
+    def proof(self) -> tuple[NodeClearance, ...] | None:
         """All that were open, by name; None while one is missing. At one position of the log, whoever can
         give it gives the same."""
         if not self.known_here:
             return None
-        accounted: list[Accounted] = []
+        accounted: list[NodeClearance] = []
         for session in self._sessions.at(self.position):
             one = self._accounted(session)
             if one is None:
                 return None
             accounted.append(one)
-        return tuple(sorted(accounted, key=lambda each: each.door))
+        return tuple(sorted(accounted, key=lambda each: each.instance))
 
-    def _accounted(self, session: Opened | Past) -> Accounted | None:
+    def _accounted(self, session: Opened | Past) -> NodeClearance | None:
         if isinstance(session, Past):
-            return Accounted(session.life, session.known, session.position)
+            return NodeClearance(session.life, session.known, session.position)
         said = self._sayings.said(session.life.name, session.fence)
         if said is None or (said.clear if self.clear else said.applied) < self.position:
             return None
         # Not the position that was said, which depends on when it was asked.
-        return Accounted(session.life, Known.SAID, self.position)
+        return NodeClearance(session.life, ClearanceEvidence.REPORTED, self.position)
 
     def _missing(self, session: Opened | Past) -> Missing:
         said = self._sayings.said(session.life.name, session.fence)
--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Life, Position, Wire
+from molereach.coordination.interface import NodeInstance, Position, WireStruct
 
 MACHINE = "sessions"
 MOST_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
@@ -19,28 +19,28 @@
 BallotNumber = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Open(Wire, frozen=True, tag_field="kind", tag="open"):
+class Open(WireStruct, frozen=True, tag_field="kind", tag="open"):
     """A session for this life, proposed by itself; a lower life's session of the name is thereby ended."""
 
-    life: Life
+    life: NodeInstance
 
 
-class Ended(Wire, frozen=True, tag_field="kind", tag="ended"):
+class Ended(WireStruct, frozen=True, tag_field="kind", tag="ended"):
     """The session is certainly over by time. Only of the keeper that gives renewals now."""
 
-    life: Life
+    life: NodeInstance
     fence: Position
     ballot: BallotNumber
 
 
-class Close(Wire, frozen=True, tag_field="kind", tag="close"):
+class Close(WireStruct, frozen=True, tag_field="kind", tag="close"):
     """Left in order, proposed by itself: it has stopped what hangs on the session."""
 
-    life: Life
+    life: NodeInstance
     fence: Position
 
 
-class Keeping(Wire, frozen=True, tag_field="kind", tag="keeping"):
+class Keeping(WireStruct, frozen=True, tag_field="kind", tag="keeping"):
     """The leader of this ballot keeps the sessions from here on; earlier leaders' ends are void after it."""
 
     ballot: BallotNumber
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -13,32 +13,37 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
-    Leads,
-    Life,
-    Over,
-    ProposalOver,
+    LeaderChanged,
+    NodeInstance,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.asks import Asks
 from molereach.coordination.leases.bodies import Body, Close, Open
 from molereach.coordination.leases.proposal import WITHIN_BEATS, Proposal
 from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Granted, Held, Leave, Lost, Phase
+from molereach.coordination.leases.words import BEAT_US, Granted, Held, Leave, Lost, Phase, RenewalRequest
 
 MOST_BACKOFF_BEATS = 10
 
-Event = Tick | Applied | Restored | ProposalOver | Granted | Leads | Leave
-Action = Propose | Ask | Held | Lost
+Event = Tick | Applied | Restored | ProposalFinished | Granted | LeaderChanged | Leave
+Action = Propose | RenewalRequest | Held | Lost
 
 
 class Holder:
     """Implements `Session`. `Applied` is handed in after all that stands on the log has acted on it."""
 
     def __init__(
-        self, life: Life, sessions: Sessions, terms: Terms, draw: Callable[[], float], beat_us: int = BEAT_US
+        self,
+        life: NodeInstance,
+        sessions: Sessions,
+        terms: SessionTerms,
+        draw: Callable[[], float],
+        beat_us: int = BEAT_US,
     ) -> None:
         self.life, self.sessions, self.terms, self.draw, self.beat_us = life, sessions, terms, draw, beat_us
         self.phase = Phase.ABSENT
@@ -88,9 +93,9 @@
             case Restored():
                 self.position = event.position
                 self._follow(now_us, 0)
-            case ProposalOver():
+            case ProposalFinished():
                 self._proposed(now_us, event)
-            case Leads() if event.leader is not None:  # one that may answer; not all ask it at once
+            case LeaderChanged() if event.leader is not None:  # one that may answer; not all ask it at once
                 self._misses = 0
                 self._next_us = min(self._next_us, now_us + int(self.draw() * self.beat_us))
             case Leave():
@@ -129,7 +134,7 @@
         made_us = self._opening.first_us if self._opening and fence == mine else None
         leaves = self.phase in (Phase.LEAVING, Phase.LEFT)  # an opening that was settled late is closed again
         self._over("ended in the log", Phase.LEAVING if leaves else Phase.OPEN)
-        self._until_us = 0 if made_us is None or leaves else made_us + self.terms.held_us
+        self._until_us = 0 if made_us is None or leaves else made_us + self.terms.holder_duration_us
         self._fence, self._next_us, self._misses = fence, now_us, 0
 
     def _over(self, why: str, phase: Phase) -> None:
@@ -137,15 +142,15 @@
         self._opening = self._closing = None
         self._asks.forget()
 
-    def _proposed(self, now_us: int, event: ProposalOver) -> None:
+    def _proposed(self, now_us: int, event: ProposalFinished) -> None:
         if self._closing and event.id == self._closing.id:
             self._next_us = now_us + self.beat_us
         if self._opening is None or event.id != self._opening.id:
             return
         self._next_us = max(now_us, self._opening.tried_us + self._backoff_us())
         # Settled, and applied here, and it opened nothing: refused by a rule, or over again already.
-        settled = event.over is Over.SETTLED and self.position >= event.position
-        if settled or event.over is Over.REFUSED:
+        settled = event.status is ProposalStatus.APPLIED and self.position >= event.position
+        if settled or event.status is ProposalStatus.REJECTED:
             self._opening = None
         if self.phase is Phase.LEAVING:
             self.phase = Phase.LEFT  # if it is settled yet, it is held by nobody
@@ -156,8 +161,8 @@
         for grant in event.grants:
             if found := self._asks.granted(grant):
                 made_us, ask = found
-                self._until_us = max(self._until_us, made_us + self.terms.held_us)
-                self._told, self._misses = ask.applied, 0
+                self._until_us = max(self._until_us, made_us + self.terms.holder_duration_us)
+                self._told, self._misses = ask.applied_position, 0
                 self._next_us = min(self._next_us, now_us + self.beat_us)
 
     def _leave(self, now_us: int) -> None:
@@ -172,7 +177,7 @@
         return self.beat_us * min(MOST_BACKOFF_BEATS, 1 << min(self._misses, MOST_BACKOFF_BEATS))
 
     def _due(self, now_us: int) -> list[Action]:
-        """Ask, or propose, and say when next."""
+        """RenewalRequest, or propose, and say when next."""
         match self.phase:
             case Phase.OPEN:
                 self._next_us = now_us + (self.beat_us if self._held else self._backoff_us())
--- a/molereach/coordination/leases/keeper.py
+++ b/molereach/coordination/leases/keeper.py
@@ -17,31 +17,31 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
-    Confirm,
-    Confirmed,
-    Leads,
-    Life,
-    ProposalOver,
+    ConfirmLeadership,
+    LeaderChanged,
+    LeadershipConfirmed,
+    NodeInstance,
+    ProposalFinished,
     Propose,
     Restored,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.bodies import MACHINE, Ended, Keeping, encode
 from molereach.coordination.leases.proposal import WITHIN_BEATS
 from molereach.coordination.leases.rounds import Rounds
 from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Asked, Given, Grant
+from molereach.coordination.leases.words import BEAT_US, Asked, Given, RenewalGrant, RenewalRequest
 
-Event = Leads | Asked | Confirmed | Tick | Applied | Restored | ProposalOver
-Action = Confirm | Given | Propose
+Event = LeaderChanged | Asked | LeadershipConfirmed | Tick | Applied | Restored | ProposalFinished
+Action = ConfirmLeadership | Given | Propose
 
 
 @dataclass(slots=True)
 class Kept:
     """One open session, as its keeper knows it. Times by the keeper's own clock."""
 
-    life: Life
+    life: NodeInstance
     fence: int
     since_us: int  # the last given, the entry applied here, or the election: whichever was last
     number: int = 0  # of the last ask that was given
@@ -55,7 +55,7 @@
 class Keeper:
     """Decides when a session is renewed, and when it is over for all."""
 
-    def __init__(self, sessions: Sessions, terms: Terms, beat_us: int = BEAT_US) -> None:
+    def __init__(self, sessions: Sessions, terms: SessionTerms, beat_us: int = BEAT_US) -> None:
         self.sessions, self.terms, self.beat_us = sessions, terms, beat_us
         self.position = 0  # of the log, applied here
         self._kept: dict[str, Kept] = {}
@@ -90,11 +90,11 @@
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
         out: list[Action] = []
         match event:
-            case Leads():
+            case LeaderChanged():
                 self._leads(now_us, event)
             case Asked():
                 self._asked(now_us, event.asks)
-            case Confirmed():
+            case LeadershipConfirmed():
                 out += self._confirmed(now_us, event)
             case Applied():
                 self.position = event.entry.position
@@ -103,7 +103,7 @@
             case Restored():
                 self.position = event.position
                 self._follow(now_us)
-            case ProposalOver():
+            case ProposalFinished():
                 self._proposed(now_us, event)
             case Tick():
                 pass
@@ -111,12 +111,12 @@
 
     # --- who leads ---
 
-    def _leads(self, now_us: int, event: Leads) -> None:
-        if event.mine and event.ballot == self._ballot:
+    def _leads(self, now_us: int, event: LeaderChanged) -> None:
+        if event.is_self and event.ballot == self._ballot:
             return
         self._rounds.clear()
-        self._ballot, self._keeping_us = (event.ballot if event.mine else None), now_us
-        if event.mine:
+        self._ballot, self._keeping_us = (event.ballot if event.is_self else None), now_us
+        if event.is_self:
             self._elected(now_us)
 
     def _elected(self, now_us: int) -> None:
@@ -137,17 +137,17 @@
 
     # --- renewals ---
 
-    def _asked(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _asked(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         for ask in asks:
-            kept = self.said(ask.name, ask.fence)
-            if kept is None or kept.life.number != ask.life:
+            kept = self.said(ask.name, ask.fencing_token)
+            if kept is None or kept.life.number != ask.instance_number:
                 continue
-            kept.applied, kept.heard_us = max(kept.applied, ask.applied), now_us
-            kept.clear = max(kept.clear, ask.clear)
+            kept.applied, kept.heard_us = max(kept.applied, ask.applied_position), now_us
+            kept.clear = max(kept.clear, ask.clear_position)
             if ask.number > kept.number and not kept.ending:
                 self._rounds.ask(ask)
 
-    def _confirmed(self, now_us: int, event: Confirmed) -> list[Action]:
+    def _confirmed(self, now_us: int, event: LeadershipConfirmed) -> list[Action]:
         if event.ballot != self._ballot:
             return []
         passed = self._rounds.confirmed(event.token)
@@ -158,21 +158,21 @@
         ends = [self._end(now_us, kept) for kept in due]
         return [Given(grants), *ends] if grants else [*ends]
 
-    def _give(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
-        grants: list[Grant] = []
+    def _give(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
+        grants: list[RenewalGrant] = []
         for ask in asks:
-            kept = self.said(ask.name, ask.fence)
+            kept = self.said(ask.name, ask.fencing_token)
             if kept is None or kept.ending or ask.number <= kept.number:
                 continue
             kept.since_us, kept.number = now_us, ask.number
-            grants.append(Grant(ask.name, ask.life, ask.fence, ask.number))
+            grants.append(RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number))
         return tuple(grants)
 
     # --- ends ---
 
     def _due_us(self, kept: Kept) -> int:
         """From when an end is to be proposed, by a clock whose readings are cut to whole microseconds."""
-        return kept.again_us if kept.ending else kept.since_us + self.terms.over_us + 1
+        return kept.again_us if kept.ending else kept.since_us + self.terms.expiry_us + 1
 
     def _end(self, now_us: int, kept: Kept) -> Propose:
         assert self._ballot is not None
@@ -180,7 +180,7 @@
         body = encode(Ended(kept.life, kept.fence, self._ballot))
         return Propose(MACHINE, f"over.{self._ballot}.{kept.fence}", body, WITHIN_BEATS * self.beat_us)
 
-    def _proposed(self, now_us: int, event: ProposalOver) -> None:
+    def _proposed(self, now_us: int, event: ProposalFinished) -> None:
         """No word is no answer: it may be settled yet, so nothing is given, and it is proposed again. Where
         it was settled, the log says what came of it."""
         if event.id == f"keeping.{self._ballot}":
@@ -194,7 +194,7 @@
         if now_us < self.wake_us:
             return []
         if self.keeps:
-            return [Confirm(self._rounds.begin(now_us))]
+            return [ConfirmLeadership(self._rounds.begin(now_us))]
         assert self._ballot is not None  # as it never wakes without
         self._keeping_us = now_us + (WITHIN_BEATS + 1) * self.beat_us
         body = encode(Keeping(self._ballot))
--- a/molereach/coordination/leases/rounds.py
+++ b/molereach/coordination/leases/rounds.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.leases.words import Ask
+from molereach.coordination.leases.words import RenewalRequest
 
 MOST_ROUNDS = 4  # without an answer; the oldest is then forgotten, and its asks are made anew
 
@@ -16,14 +16,14 @@
     """One `Confirm` that is out."""
 
     sent_us: int
-    asks: tuple[Ask, ...]  # that had come before it was sent, and after the one before
+    asks: tuple[RenewalRequest, ...]  # that had come before it was sent, and after the one before
 
 
 class Rounds:
     """The asks of one leader's time, newest by name, each bound to the first round after it."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, Ask] = {}
+        self._waiting: dict[str, RenewalRequest] = {}
         self._out: dict[int, Round] = {}
         self._token = 0
 
@@ -32,9 +32,9 @@
         self._waiting.clear()
         self._out.clear()
 
-    def ask(self, ask: Ask) -> None:
+    def ask(self, ask: RenewalRequest) -> None:
         earlier = self._waiting.get(ask.name)
-        if earlier is None or earlier.fence < ask.fence or earlier.number < ask.number:
+        if earlier is None or earlier.fencing_token < ask.fencing_token or earlier.number < ask.number:
             self._waiting[ask.name] = ask
 
     def begin(self, now_us: int) -> int:
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -10,45 +10,54 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_DOORS, Entry, Known, Life, Name, Outcome, Position, Wire
+from molereach.coordination.interface import (
+    MAX_MEMBERS,
+    ClearanceEvidence,
+    Entry,
+    Name,
+    NodeInstance,
+    Outcome,
+    Position,
+    WireStruct,
+)
 from molereach.coordination.leases.bodies import MACHINE, BallotNumber, Close, Ended, Keeping, Open, decode
 
 MOST_PAST = 4  # ended sessions kept of each name, for accounts under way
 
 
-class Opened(Wire, frozen=True):
+class Opened(WireStruct, frozen=True):
     """A session that is open."""
 
-    life: Life
+    life: NodeInstance
     fence: Position
 
 
-class Past(Wire, frozen=True):
+class Past(WireStruct, frozen=True):
     """A session that is not open any more, how that is known, and by which entry."""
 
-    life: Life
+    life: NodeInstance
     fence: Position
-    known: Known
+    known: ClearanceEvidence
     position: Position
 
 
-class _Door(Wire, frozen=True):
+class _Door(WireStruct, frozen=True):
     name: Name
     open: Opened | None = None
     past: Annotated[tuple[Past, ...], Meta(max_length=MOST_PAST)] = ()  # the latest last
     dropped: Position = 0  # the fence of the first one that is not kept any more; 0 for none
 
     @property
-    def life(self) -> Life | None:
+    def life(self) -> NodeInstance | None:
         """The highest that had a session."""
         if self.open:
             return self.open.life
         return self.past[-1].life if self.past else None
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     ballot: BallotNumber
-    doors: Annotated[tuple[_Door, ...], Meta(max_length=MOST_DOORS)]  # by name, each once
+    doors: Annotated[tuple[_Door, ...], Meta(max_length=MAX_MEMBERS)]  # by name, each once
 
 
 class Sessions:
@@ -71,7 +80,7 @@
         door = self._doors.get(name)
         return door.past[-1] if door and door.past else None
 
-    def life(self, name: str) -> Life | None:
+    def life(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
         door = self._doors.get(name)
         return door.life if door else None
@@ -91,7 +100,7 @@
             yield from (past for past in door.past if past.fence < position < past.position)
             if door.dropped and door.dropped < position < door.past[0].fence:
                 first = door.past[0]
-                yield Past(first.life, first.fence, Known.ANEW, first.fence)
+                yield Past(first.life, first.fence, ClearanceEvidence.RESTARTED, first.fence)
 
     # --- entries ---
 
@@ -106,45 +115,47 @@
             case Ended():
                 if body.ballot != self.ballot:
                     return Outcome("another leader keeps the sessions")
-                return self._end(entry, body.life, body.fence, Known.OVER)
+                return self._end(entry, body.life, body.fence, ClearanceEvidence.SESSION_EXPIRED)
             case Close():
                 if entry.proposer != body.life:
                     return Outcome("a session is closed by its own front door alone")
-                return self._end(entry, body.life, body.fence, Known.LEFT)
+                return self._end(entry, body.life, body.fence, ClearanceEvidence.LEFT)
             case Keeping():
                 if body.ballot <= self.ballot:
                     return Outcome("a later leader keeps the sessions")
                 self.ballot = body.ballot
                 return Outcome()
 
-    def _open(self, entry: Entry, life: Life) -> Outcome:
+    def _open(self, entry: Entry, life: NodeInstance) -> Outcome:
         if entry.proposer != life:
             return Outcome("a session is opened by its own front door alone")
         door = self._doors.get(life.name)
         if door is None:
-            if len(self._doors) >= MOST_DOORS and not self._forget():
-                return Outcome(f"more than {MOST_DOORS} front doors")
+            if len(self._doors) >= MAX_MEMBERS and not self._forget():
+                return Outcome(f"more than {MAX_MEMBERS} front doors")
             door = _Door(life.name)
         if door.open and door.open.life == life:
             return Outcome(value=msgspec.json.encode(door.open))
         if refused := self._too_late(door, life):
             return Outcome(refused)
         if door.open:
-            door = _ended(door, Past(door.open.life, door.open.fence, Known.ANEW, entry.position))
+            door = _ended(
+                door, Past(door.open.life, door.open.fence, ClearanceEvidence.RESTARTED, entry.position)
+            )
         opened = Opened(life, entry.position)
         self._doors[life.name] = msgspec.structs.replace(door, open=opened)
         return Outcome(value=msgspec.json.encode(opened))
 
     @staticmethod
-    def _too_late(door: _Door, life: Life) -> str:
+    def _too_late(door: _Door, life: NodeInstance) -> str:
         """A run that was stopped until its session was over may open anew; one that left may not."""
         if door.life is None or door.life < life:
             return ""
         if door.life > life:
             return "a later life of this name has had a session"
-        return "" if door.past[-1].known is Known.OVER else "this life has left"
+        return "" if door.past[-1].known is ClearanceEvidence.SESSION_EXPIRED else "this life has left"
 
-    def _end(self, entry: Entry, life: Life, fence: int, known: Known) -> Outcome:
+    def _end(self, entry: Entry, life: NodeInstance, fence: int, known: ClearanceEvidence) -> Outcome:
         door = self._doors.get(life.name)
         if door is None or door.open != Opened(life, fence):
             return Outcome("no such session is open")
--- a/molereach/coordination/leases/words.py
+++ b/molereach/coordination/leases/words.py
@@ -7,32 +7,43 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.coordination.interface import Ask, Grant, S
+from molereach.coordination.interface import SECOND_US, RenewalGrant, RenewalRequest
 
-__all__ = ["BEAT_US", "Ask", "Asked", "Given", "Grant", "Granted", "Held", "Leave", "Lost", "Phase"]
+__all__ = [
+    "BEAT_US",
+    "Asked",
+    "Given",
+    "Granted",
+    "Held",
+    "Leave",
+    "Lost",
+    "Phase",
+    "RenewalGrant",
+    "RenewalRequest",
+]
 
-BEAT_US = S // 2  # between two asks of one front door
+BEAT_US = SECOND_US // 2  # between two asks of one front door
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
     """Event for the keeper: asks that came up the tree, at most one of each front door that counts."""
 
-    asks: tuple[Ask, ...]
+    asks: tuple[RenewalRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Given:
     """Action of the keeper: grants to go down the tree; a lost one costs a beat."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Granted:
     """Event for the holder: grants that came down the tree; those for others are passed over."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
 class Phase(Enum):
--- a/molereach/coordination/membership/beliefs.py
+++ b/molereach/coordination/membership/beliefs.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.interface import NEVER_US, NodeInstance
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Changed, Displaced, Doubts
 from molereach.coordination.membership.gossip import Gossip
@@ -24,7 +24,7 @@
 
     __slots__ = ("doubt", "gossip", "incarnation", "left", "me", "settings", "suspicions", "table")
 
-    def __init__(self, me: Life, settings: MembershipSettings, doubt: Doubt) -> None:
+    def __init__(self, me: NodeInstance, settings: MembershipSettings, doubt: Doubt) -> None:
         self.me, self.settings, self.doubt = me, settings, doubt
         self.table, self.gossip = Table(), Gossip()
         self.suspicions: dict[str, Suspicion] = {}
@@ -71,14 +71,14 @@
             rumour = msgspec.structs.replace(rumour, status=Status.SUSPECT, accuser=teller)
         return self.hear(now, rumour)
 
-    def meet(self, now: int, sender: Life) -> list[News]:
+    def meet(self, now: int, sender: NodeInstance) -> list[News]:
         """Somebody speaks who is not known, or a later run of somebody who is."""
         member = self.table.members.get(sender.name)
         if member and member.rumour.number >= sender.number:
             return []
         return self.hear(now, Rumour(sender.name, sender.number, 0, Status.ALIVE))
 
-    def newer(self, sender: Life) -> bool:
+    def newer(self, sender: NodeInstance) -> bool:
         """Whether a later run than the one that speaks is known; that one must hear of it and end."""
         if sender.name == self.me.name:
             return sender.number < self.me.number
@@ -106,7 +106,7 @@
 
     # --- what is concluded ---
 
-    def accuse(self, now: int, life: Life) -> list[News]:
+    def accuse(self, now: int, life: NodeInstance) -> list[News]:
         """That run did not answer, neither to this front door nor to those that it asked."""
         member = self.table.members.get(life.name)
         if member is None or member.life != life or not member.status.living:
--- a/molereach/coordination/membership/core.py
+++ b/molereach/coordination/membership/core.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import MOST_DOORS, NEVER_US, Heard, Life, Tick
+from molereach.coordination.interface import MAX_MEMBERS, NEVER_US, MessageReceived, NodeInstance, Tick
 from molereach.coordination.membership.beliefs import Beliefs
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Displaced, Join, Leave
@@ -24,13 +24,13 @@
 MOST_TOLD_AT_ONCE = 3  # of a refutation, beside those that it rides to on the next messages
 FIRST_SYNC_BEATS = 3  # after the start: where all start at once, a seed's first list is short
 
-Event = Join | Leave | Tick | Heard
+Event = Join | Leave | Tick | MessageReceived
 
 
 class Membership:
     """One front door's part. `draw` gives numbers from 0 to 1, below 1."""
 
-    def __init__(self, me: Life, settings: MembershipSettings, draw: Draw) -> None:
+    def __init__(self, me: NodeInstance, settings: MembershipSettings, draw: Draw) -> None:
         self.me, self._settings, self._draw = me, settings, draw
         self._beliefs = Beliefs(me, settings, Doubt(settings.most_doubt))
         self._outbox = Outbox(self._beliefs, Rounds(draw))
@@ -42,7 +42,7 @@
 
     # --- what others ask ---
 
-    def alive(self) -> tuple[Life, ...]:
+    def alive(self) -> tuple[NodeInstance, ...]:
         """All that are held to live, oneself with them, by name; a suspect lives until it is dead."""
         gone = self._outbox.displaced or self._beliefs.left
         lives = [member.life for member in self._beliefs.table.members.values() if member.status.living]
@@ -78,7 +78,7 @@
                 self._leave()
             case Tick() if self.wake_us != NEVER_US:
                 self._tick(now_us)
-            case Heard(sender=Life(), message=Ping() | PingReq() | Ack() | Nack() | Sync()):
+            case MessageReceived(sender=NodeInstance(), message=Ping() | PingReq() | Ack() | Nack() | Sync()):
                 self._heard(now_us, event.sender, event.message)
             case _:
                 pass
@@ -87,7 +87,7 @@
         return self._outbox.drain()
 
     def _join(self, now: int, seeds: tuple[str, ...]) -> None:
-        self._seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != self.me.name))[:MOST_DOORS]
+        self._seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != self.me.name))[:MAX_MEMBERS]
         self._beat_us = now + int(self._draw() * self._settings.beat_us)
         self._sync_us = now + self._around(FIRST_SYNC_BEATS)
         self._retry_us = now + self._around(self._settings.retry_beats)
@@ -148,7 +148,7 @@
 
     # --- others' words ---
 
-    def _heard(self, now: int, sender: Life, message: Message) -> None:
+    def _heard(self, now: int, sender: NodeInstance, message: Message) -> None:
         if sender == self.me:
             return
         if sender.name == self.me.name and sender.number > self.me.number:
@@ -159,7 +159,7 @@
             self._believe(now, sender, message)
             self._answer(now, sender, message)
 
-    def _believe(self, now: int, sender: Life, message: Message) -> None:
+    def _believe(self, now: int, sender: NodeInstance, message: Message) -> None:
         before = self._beliefs.incarnation
         for rumour in message.rumours:
             if isinstance(message, Sync):
@@ -171,7 +171,7 @@
             names = self._beliefs.table.living_names()
             self._outbox.sync(sample(names, MOST_TOLD_AT_ONCE, self._draw), answer=False)
 
-    def _answer(self, now: int, sender: Life, message: Message) -> None:
+    def _answer(self, now: int, sender: NodeInstance, message: Message) -> None:
         if isinstance(message, Ping):
             self._outbox.ack(sender.name, message.seq, sender.number)
         elif self._beliefs.left:  # who has left says so when it is asked, and no more
--- a/molereach/coordination/membership/events.py
+++ b/molereach/coordination/membership/events.py
@@ -1,8 +1,8 @@
-"""What this core is told and what it wants done, beside `Tick`, `Heard` and `Say` of the council."""
+"""Events that this core takes and actions it returns, beside those in `coordination.interface`."""
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.membership.words import Status
 
 
@@ -22,7 +22,7 @@
 class Changed:
     """Action: another belief of a life; `previous` is None for one that was not known."""
 
-    life: Life
+    life: NodeInstance
     status: Status
     previous: Status | None
 
@@ -31,7 +31,7 @@
 class Displaced:
     """Action: a higher life goes by this front door's name. This run must end; it says nothing more."""
 
-    life: Life
+    life: NodeInstance
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/coordination/membership/outbox.py
+++ b/molereach/coordination/membership/outbox.py
@@ -5,13 +5,13 @@
 
 from collections.abc import Iterable, Sequence
 
-from molereach.coordination.interface import Say
+from molereach.coordination.interface import SendMessage
 from molereach.coordination.membership.beliefs import Beliefs, News
 from molereach.coordination.membership.events import Changed, Displaced, Doubts
 from molereach.coordination.membership.probes import Rounds
 from molereach.coordination.membership.words import Ack, Message, Nack, Ping, PingReq, Rumour, Sync, pieces
 
-Action = Say | News
+Action = SendMessage | News
 
 
 class Outbox:
@@ -63,7 +63,7 @@
 
     def _say(self, to: str, message: Message, life: int | None) -> None:
         if not self.displaced:
-            self.actions.append(Say(to, message, life))
+            self.actions.append(SendMessage(to, message, life))
 
     # --- news ---
 
--- a/molereach/coordination/membership/probes.py
+++ b/molereach/coordination/membership/probes.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.interface import NEVER_US, NodeInstance
 
 MOST_RELAYS = 64  # pings for others that are out; more are not asked, and who wanted them hears nothing
 NACK_PARTS = 4  # of five of the direct time: the nack must reach who asked before its beat is over
@@ -58,7 +58,7 @@
 class Probe:
     """The question of this beat."""
 
-    target: Life
+    target: NodeInstance
     seq: int
     direct_us: int  # until when it is waited for before others are asked
     helpers: set[str] = field(default_factory=set)
@@ -82,7 +82,7 @@
 class Relay:
     """A ping for somebody else."""
 
-    asker: Life
+    asker: NodeInstance
     asker_seq: int
     target: str
     nack_us: int  # NEVER_US when it was said
@@ -97,7 +97,9 @@
     def __init__(self) -> None:
         self.out: dict[int, Relay] = {}
 
-    def begin(self, now: int, seq: int, asker: Life, asker_seq: int, target: str, direct_us: int) -> bool:
+    def begin(
+        self, now: int, seq: int, asker: NodeInstance, asker_seq: int, target: str, direct_us: int
+    ) -> bool:
         """Whether there is room for one more, without those that nobody waits for any longer."""
         self.out = {seq: relay for seq, relay in self.out.items() if now < relay.end_us}
         if len(self.out) >= MOST_RELAYS:
--- a/molereach/coordination/membership/probing.py
+++ b/molereach/coordination/membership/probing.py
@@ -3,7 +3,7 @@
 Source: SWIM, section 3.1; Lifeguard, section IV.A (times that grow with the doubt of oneself).
 """
 
-from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.interface import NEVER_US, NodeInstance
 from molereach.coordination.membership.beliefs import Beliefs
 from molereach.coordination.membership.outbox import Outbox
 from molereach.coordination.membership.probes import Draw, Probe, Relays, sample
@@ -61,20 +61,20 @@
 
     # --- others' words ---
 
-    def ask_for(self, now: int, asker: Life, request: PingReq) -> None:
+    def ask_for(self, now: int, asker: NodeInstance, request: PingReq) -> None:
         """Ask one for somebody who does not hear it."""
         seq = self._next_seq()
         if self.relays.begin(now, seq, asker, request.seq, request.name, self.beliefs.settings.direct_us):
             self.outbox.ping(request.name, seq, request.number)
 
-    def answered(self, sender: Life, seq: int) -> None:
+    def answered(self, sender: NodeInstance, seq: int) -> None:
         if self.probe and self.probe.answered_by(sender.name, seq):
             self.probe = None
             self.outbox.doubted(-1)
         elif relay := self.relays.answered(sender.name, seq):
             self.outbox.ack(relay.asker.name, relay.asker_seq, relay.asker.number)
 
-    def nacked(self, sender: Life, seq: int) -> None:
+    def nacked(self, sender: NodeInstance, seq: int) -> None:
         if self.probe:
             self.probe.nacked(sender.name, seq)
 
--- a/molereach/coordination/membership/settings.py
+++ b/molereach/coordination/membership/settings.py
@@ -5,15 +5,15 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import S
+from molereach.coordination.interface import SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
     """Times in microseconds of the front door's own clock; a beat is longer while it doubts itself."""
 
-    beat_us: int = S // 2  # one member is probed in each
-    direct_us: int = S // 5  # without an answer for so long, others are asked to try
+    beat_us: int = SECOND_US // 2  # one member is probed in each
+    direct_us: int = SECOND_US // 5  # without an answer for so long, others are asked to try
     indirect_asks: int = 3
     suspicion_beats: int = 4  # times log10 of the members: the shortest time from suspect to dead
     suspicion_longest: int = 6  # times the shortest, while one member alone accuses
@@ -22,8 +22,8 @@
     most_words: int = 24  # rumours in one message
     sync_beats: int = 30  # the whole list is exchanged with one member, in the mean
     retry_beats: int = 10  # a dead member, or a seed that is not known, is tried
-    forget_us: int = 600 * S  # who is dead or has left for so long
-    stall_us: int = S // 10  # an own Tick that is later than that: this process stood still
+    forget_us: int = 600 * SECOND_US  # who is dead or has left for so long
+    stall_us: int = SECOND_US // 10  # an own Tick that is later than that: this process stood still
 
     def __post_init__(self) -> None:
         if not 0 < self.direct_us < self.beat_us:
--- a/molereach/coordination/membership/table.py
+++ b/molereach/coordination/membership/table.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
 from molereach.coordination.membership.events import Changed
 from molereach.coordination.membership.words import Rumour, Status
 
@@ -31,7 +31,7 @@
         return self.rumour.status
 
     @property
-    def life(self) -> Life:
+    def life(self) -> NodeInstance:
         return self.rumour.life
 
 
@@ -40,7 +40,7 @@
 
 
 class Table:
-    """All that are known beside oneself: at most MOST_DOORS - 1."""
+    """All that are known beside oneself: at most MAX_MEMBERS - 1."""
 
     __slots__ = ("living", "members")
 
@@ -61,13 +61,13 @@
     def wins(self, rumour: Rumour) -> bool:
         member = self.members.get(rumour.name)
         if member is None:
-            return rumour.status.living and (len(self.members) < MOST_DOORS - 1 or self._oldest_gone() != "")
+            return rumour.status.living and (len(self.members) < MAX_MEMBERS - 1 or self._oldest_gone() != "")
         return rank(rumour) > rank(member.rumour)
 
     def put(self, now: int, rumour: Rumour) -> list[Changed]:
         """Believe a rumour that wins; what is new by it."""
         before = self.members.get(rumour.name)
-        if before is None and len(self.members) >= MOST_DOORS - 1:
+        if before is None and len(self.members) >= MAX_MEMBERS - 1:
             del self.members[self._oldest_gone()]
         was = before.status if before else None
         self.living += rumour.status.living - bool(before and before.status.living)
--- a/molereach/coordination/membership/words.py
+++ b/molereach/coordination/membership/words.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Life, LifeNumber, Name, Wire
+from molereach.coordination.interface import InstanceNumber, Name, NodeInstance, WireStruct
 
 MOST_MESSAGE_BYTES = 1_200
 MOST_FRAME_BYTES = 150  # of a message without its rumours: the longest is a PingReq with a name of 64
@@ -41,50 +41,50 @@
     """What somebody believes of a life. Only that life itself raises its incarnation."""
 
     name: Name
-    number: LifeNumber
+    number: InstanceNumber
     incarnation: Incarnation
     status: Status
     accuser: Name | None = None  # who says that it is suspect or dead
 
     @property
-    def life(self) -> Life:
-        return Life(self.name, self.number)
+    def life(self) -> NodeInstance:
+        return NodeInstance(self.name, self.number)
 
 
 Rumours = Annotated[tuple[Rumour, ...], Meta(max_length=MOST_RUMOURS)]
 
 
-class Ping(Wire, frozen=True, tag="m.ping"):
+class Ping(WireStruct, frozen=True, tag="m.ping"):
     """Do you live? The answer is an `Ack` with the same number."""
 
     seq: Seq
     rumours: Rumours = ()
 
 
-class PingReq(Wire, frozen=True, tag="m.pingreq"):
+class PingReq(WireStruct, frozen=True, tag="m.pingreq"):
     """I do not hear that one: ask it for me. The answer is its `Ack` passed on, or a `Nack` before that."""
 
     seq: Seq
     name: Name
-    number: LifeNumber
+    number: InstanceNumber
     rumours: Rumours = ()
 
 
-class Ack(Wire, frozen=True, tag="m.ack"):
+class Ack(WireStruct, frozen=True, tag="m.ack"):
     """Who was asked for lives."""
 
     seq: Seq
     rumours: Rumours = ()
 
 
-class Nack(Wire, frozen=True, tag="m.nack"):
+class Nack(WireStruct, frozen=True, tag="m.nack"):
     """I live and did ask, but do not hear that one either (yet)."""
 
     seq: Seq
     rumours: Rumours = ()
 
 
-class Sync(Wire, frozen=True, tag="m.sync"):
+class Sync(WireStruct, frozen=True, tag="m.sync"):
     """A piece of all that the sender believes; with `answer` the same is wanted back."""
 
     rumours: Rumours = ()
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from molereach.coordination.interface import Terms
+from molereach.coordination.interface import SessionTerms
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import MS, CouncilSettings
 from molereach.coordination.storage.store import StoreError
@@ -24,7 +24,7 @@
     """ValueError with the key where the settings cannot be."""
     try:
         doors = {name: read_address(address) for name, address in section.doors.items()}
-        terms = Terms(section.session_ms * MS, section.drift)
+        terms = SessionTerms(section.session_ms * MS, section.drift)
         return CouncilSettings(doors, section.panel, section.beat_ms * MS, terms)
     except (ValueError, ConfigError) as error:
         raise ValueError(f"council.{error}") from error
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -17,13 +17,13 @@
     NEVER_US,
     Applied,
     DiskFailed,
-    Heard,
-    Leads,
-    Life,
-    Over,
+    LeaderChanged,
+    MessageReceived,
+    NodeInstance,
     Persist,
     Persisted,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
     StateMachine,
@@ -51,8 +51,8 @@
 LIFE_SHIFT = 20  # random bits below the milliseconds of a life
 
 
-def draw_life(name: str) -> Life:
-    return Life(name, (time.time_ns() // 1_000_000 << LIFE_SHIFT) | random.getrandbits(LIFE_SHIFT))
+def draw_life(name: str) -> NodeInstance:
+    return NodeInstance(name, (time.time_ns() // 1_000_000 << LIFE_SHIFT) | random.getrandbits(LIFE_SHIFT))
 
 
 def open_folder(folder: Path, name: str, key: bytes, seated: bool) -> Opened:
@@ -112,18 +112,18 @@
         self.links = Links(self.me, addresses or settings.doors, key, WORDS, self.heard, random.random)
         self.timer: asyncio.TimerHandle | None = None
         self.due_us = NEVER_US
-        self.asked: dict[str, asyncio.Future[ProposalOver]] = {}
+        self.asked: dict[str, asyncio.Future[ProposalFinished]] = {}
         self.left = asyncio.Event()
         self.closed = False
         self.act: dict[type, Callable[..., None]] = {
             To: self.on_to,
             Persist: self.on_persist,
-            ProposalOver: self.on_over,
+            ProposalFinished: self.on_over,
             Applied: self.on_applied,
             Restored: self.on_restored,
             Left: lambda action: self.left.set(),
             Ended: self.on_ended,
-            Leads: self.on_leads,
+            LeaderChanged: self.on_leads,
             Held: self.on_held,
             Lost: self.on_lost,
             Changed: self.on_changed,
@@ -155,7 +155,7 @@
             self.timer.cancel()
         self.links.close()
         for name in list(self.asked):
-            self.on_over(ProposalOver(name, Over.UNKNOWN))
+            self.on_over(ProposalFinished(name, ProposalStatus.UNKNOWN))
         if self.worker and not await self.worker.close(DISK_LAST_S):
             log.warning("council: the disk did not take all in time")
 
@@ -165,19 +165,19 @@
         """Whether the session is held now; asked anew at each use."""
         return self.core.holds(now_us())
 
-    async def propose(self, machine: str, name: str, body: bytes, within_us: int) -> ProposalOver:
+    async def propose(self, machine: str, name: str, body: bytes, within_us: int) -> ProposalFinished:
         """Have something settled; the one word on it."""
         known = self.asked.get(name)
         if known is None:
             if len(self.asked) >= MOST_ASKED or self.closed or self.core.ended:
-                return ProposalOver(name, Over.REFUSED)
+                return ProposalFinished(name, ProposalStatus.REJECTED)
             known = self.asked[name] = self.loop.create_future()
             self.take(Propose(machine, name, body, within_us))
         return await asyncio.shield(known)
 
     # --- events ---
 
-    def heard(self, part: str, heard: Heard) -> None:
+    def heard(self, part: str, heard: MessageReceived) -> None:
         self.take(From(part, heard))
 
     def from_disk(self, event: Persisted | DiskFailed) -> None:
@@ -233,7 +233,7 @@
         else:  # what only learns has nothing to keep: it learns it again
             self.loop.call_soon(self.take, Persisted(action.token))
 
-    def on_over(self, action: ProposalOver) -> None:
+    def on_over(self, action: ProposalFinished) -> None:
         waiting = self.asked.pop(action.id, None)
         if waiting and not waiting.done():
             waiting.set_result(action)
@@ -251,12 +251,12 @@
     def on_ended(self, action: Ended) -> None:
         log.error("council: has no part any more: %s", action.why)
         for name in list(self.asked):
-            self.on_over(ProposalOver(name, Over.UNKNOWN))
+            self.on_over(ProposalFinished(name, ProposalStatus.UNKNOWN))
 
     # --- the log ---
 
-    def on_leads(self, action: Leads) -> None:
-        if action.mine:
+    def on_leads(self, action: LeaderChanged) -> None:
+        if action.is_self:
             log.info("council: leads, ballot %d", action.ballot)
         else:
             log.info("council: %s leads, ballot %d", action.leader or "nobody", action.ballot)
--- a/molereach/coordination/node/settings.py
+++ b/molereach/coordination/node/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import MOST_DOORS, PANEL_SIZES, S, Terms
+from molereach.coordination.interface import MAX_MEMBERS, SECOND_US, VOTER_COUNTS, SessionTerms
 
 MS = 1000  # microseconds in a millisecond
 LEAST_SESSION_BEATS = 4  # or one lost word ends a session
@@ -16,15 +16,15 @@
     doors: dict[str, Address]  # where each listens, by name
     panel: tuple[str, ...]  # that accepted first; what the log says of it since goes before
     beat_us: int = 500 * MS
-    terms: Terms = field(default_factory=Terms)
+    terms: SessionTerms = field(default_factory=SessionTerms)
 
     def __post_init__(self) -> None:
-        if not 1 <= len(self.doors) <= MOST_DOORS:
-            raise ValueError(f"doors: {len(self.doors)} of them; 1 to {MOST_DOORS} can be")
+        if not 1 <= len(self.doors) <= MAX_MEMBERS:
+            raise ValueError(f"doors: {len(self.doors)} of them; 1 to {MAX_MEMBERS} can be")
         if len(set(self.doors.values())) < len(self.doors):
             raise ValueError("doors: two have one address")
-        if len(self.panel) not in PANEL_SIZES:
-            sizes = ", ".join(map(str, PANEL_SIZES))
+        if len(self.panel) not in VOTER_COUNTS:
+            sizes = ", ".join(map(str, VOTER_COUNTS))
             raise ValueError(f"panel: {len(self.panel)} front doors; {sizes} can be")
         for name in self.panel:
             if name not in self.doors:
@@ -39,4 +39,4 @@
     @property
     def doubt_us(self) -> int:
         """After so long without a word from any other front door, this one hears nobody."""
-        return max(2 * S, 4 * self.beat_us)
+        return max(2 * SECOND_US, 4 * self.beat_us)
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -13,19 +13,19 @@
 from molereach.coordination.dissemination import words as tree
 from molereach.coordination.interface import (
     Applied,
-    Ask,
-    Confirm,
-    Confirmed,
+    ConfirmLeadership,
     DiskFailed,
-    Heard,
-    Leads,
-    Life,
+    LeaderChanged,
+    LeadershipConfirmed,
+    MessageReceived,
+    NodeInstance,
     Persist,
     Persisted,
-    ProposalOver,
+    ProposalFinished,
     Propose,
+    RenewalRequest,
     Restored,
-    Say,
+    SendMessage,
     StateMachine,
     Tick,
 )
@@ -61,7 +61,7 @@
     """Event: a message of a part, from another front door."""
 
     part: str
-    heard: Heard
+    heard: MessageReceived
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     """Action: a message of a part, for another front door."""
 
     part: str
-    say: Say
+    say: SendMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,8 +85,18 @@
 
 
 Event = Begin | Leave | Tick | From | Persisted | DiskFailed | Propose
-Notice = Changed | Doubts | Leads | lease.Held | lease.Lost | Stopped | SetBack | MachineFailed | tree.Parent
-Action = To | Persist | Applied | Restored | ProposalOver | Left | Ended | Notice
+Notice = (
+    Changed
+    | Doubts
+    | LeaderChanged
+    | lease.Held
+    | lease.Lost
+    | Stopped
+    | SetBack
+    | MachineFailed
+    | tree.Parent
+)
+Action = To | Persist | Applied | Restored | ProposalFinished | Left | Ended | Notice
 Route = Callable[["Council", int, Any], None]
 
 
@@ -95,7 +105,7 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         settings: CouncilSettings,
         disk: str,
         recovered: Recovered,
@@ -195,7 +205,7 @@
     def _route(self, now_us: int, part: str, action: Any) -> None:  # noqa: ANN401
         if route := ROUTES.get(type(action)):
             route(self, now_us, action)
-        elif isinstance(action, Say):
+        elif isinstance(action, SendMessage):
             self._out.append(To(part, action))
         else:
             self._out.append(action)
@@ -219,7 +229,7 @@
         self._run("holder", self.parts.holder, now_us, action)
         self._grown(now_us)
 
-    def _leads(self, now_us: int, action: Leads) -> None:
+    def _leads(self, now_us: int, action: LeaderChanged) -> None:
         self._out.append(action)
         self.leader, self.ballot = action.leader, action.ballot
         self._run("keeper", self.parts.keeper, now_us, action)
@@ -235,7 +245,7 @@
         view = tree.View(self.parts.membership.alive(), self.leader, self.ballot, seats)
         self._run(SPREAD, self.parts.spread, now_us, view)
 
-    def _over(self, now_us: int, action: ProposalOver) -> None:
+    def _over(self, now_us: int, action: ProposalFinished) -> None:
         self._run("keeper", self.parts.keeper, now_us, action)
         self._run("holder", self.parts.holder, now_us, action)
         self._out.append(action)
@@ -264,11 +274,11 @@
     self._run(LOG, self.parts.log, now_us, action)
 
 
-def _to_keeper(self: Council, now_us: int, action: Confirmed) -> None:
+def _to_keeper(self: Council, now_us: int, action: LeadershipConfirmed) -> None:
     self._run("keeper", self.parts.keeper, now_us, action)
 
 
-def _mine(self: Council, now_us: int, action: Ask) -> None:
+def _mine(self: Council, now_us: int, action: RenewalRequest) -> None:
     self._run(SPREAD, self.parts.spread, now_us, tree.Mine(action))
 
 
@@ -295,15 +305,15 @@
 ROUTES: dict[type, Route] = {
     Applied: Council._applied,
     Restored: Council._restored,
-    Leads: Council._leads,
+    LeaderChanged: Council._leads,
     Changed: Council._changed,
     Displaced: Council._displaced,
-    ProposalOver: Council._over,
+    ProposalFinished: Council._over,
     lease.Lost: Council._lost,
     Propose: _to_log,
-    Confirm: _to_log,
-    Confirmed: _to_keeper,
-    Ask: _mine,
+    ConfirmLeadership: _to_log,
+    LeadershipConfirmed: _to_keeper,
+    RenewalRequest: _mine,
     lease.Given: _given,
     tree.Gathered: _gathered,
     tree.Granted: _granted,
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from molereach.coordination.interface import (
-    Confirm,
+    ConfirmLeadership,
     DiskFailed,
     Entry,
-    Heard,
-    Life,
+    MessageReceived,
+    NodeInstance,
     Persisted,
     Propose,
     StateMachine,
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         disk: str,
         recovered: Recovered,
         panel: Panel,
@@ -165,7 +165,7 @@
                 self.leading.tick(now_us)
                 for over in self.proposals.expire(now_us):
                     self.outbox.act(over)
-            case Heard(sender, message):
+            case MessageReceived(sender, message):
                 if sender.name != self.me.name:
                     self._heard(now_us, sender, message)
             case Persisted(token):
@@ -173,7 +173,7 @@
                 self.outbox.release()
             case Propose():
                 self._propose(now_us, event)
-            case Confirm(token):
+            case ConfirmLeadership(token):
                 self.leading.confirm(now_us, token)
             case Learn(entries):
                 if entries and in_order(entries, entries[0].position - 1):
@@ -190,7 +190,7 @@
         if over := self.proposals.propose(now_us, event):
             self.outbox.act(over)
 
-    def _heard(self, now_us: int, sender: Life, message: Message) -> None:
+    def _heard(self, now_us: int, sender: NodeInstance, message: Message) -> None:
         match message:
             case Start():
                 self.starts.on_start(sender, message)
--- a/molereach/coordination/replicated_log/leading.py
+++ b/molereach/coordination/replicated_log/leading.py
@@ -4,7 +4,7 @@
 log moves by anything but its own decisions while it leads was replaced, and steps down as well.
 """
 
-from molereach.coordination.interface import Confirmed, Leads, Life
+from molereach.coordination.interface import LeaderChanged, LeadershipConfirmed, NodeInstance
 from molereach.coordination.replicated_log.acceptor import in_order
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.leader import Leadership, Phase, Queue
@@ -31,7 +31,7 @@
 class Leading:
     """The part of one who leads or would."""
 
-    def __init__(self, me: Life, ledger: Ledger, election: Election, queue: Queue) -> None:
+    def __init__(self, me: NodeInstance, ledger: Ledger, election: Election, queue: Queue) -> None:
         self.me, self.ledger, self.election, self.queue = me, ledger, election, queue
         self.outbox, self.settings = ledger.outbox, ledger.settings
         self.leadership: Leadership | None = None
@@ -46,13 +46,15 @@
         if self.mine or ballot != self.leader:
             known = ballot or self.leader
             self.leader, self.mine = ballot, False
-            self.outbox.act(Leads(ballot.name if ballot else None, known.number if known else 0, False))
+            self.outbox.act(
+                LeaderChanged(ballot.name if ballot else None, known.number if known else 0, False)
+            )
 
     def announce(self) -> None:
         lead = self.leadership
         if lead and lead.leads and not (self.mine and self.leader == lead.ballot):
             self.leader, self.mine = lead.ballot, True
-            self.outbox.act(Leads(self.me.name, lead.ballot.number, True))
+            self.outbox.act(LeaderChanged(self.me.name, lead.ballot.number, True))
 
     def step_down(self, now_us: int) -> None:
         """Lead no more; what is proposed may still be decided, by whoever leads next."""
@@ -112,7 +114,7 @@
 
     # --- promises ---
 
-    def on_polled(self, now_us: int, sender: Life, word: Polled) -> None:
+    def on_polled(self, now_us: int, sender: NodeInstance, word: Polled) -> None:
         seat = seat_of(self.ledger.panel, word.disk)
         if seat and seat.name == sender.name and self.election.polled(word, self.ledger.panel):
             self.leadership = Leadership(word.ballot, self.ledger.position, now_us)
@@ -136,7 +138,7 @@
             elif lead.batch:
                 self.outbox.say(seat.name, Accept(lead.ballot, lead.batch))
 
-    def _heard(self, now_us: int, sender: Life, ballot: Ballot, voter: Voter) -> Leadership | None:
+    def _heard(self, now_us: int, sender: NodeInstance, ballot: Ballot, voter: Voter) -> Leadership | None:
         """The leadership that a vote is for, if it is one of this panel's."""
         lead, seat = self.leadership, seat_of(self.ledger.panel, voter.run.disk)
         if lead is None or lead.ballot != ballot or seat is None:
@@ -146,7 +148,7 @@
         lead.heard[seat.disk] = now_us
         return lead
 
-    def on_promise(self, now_us: int, sender: Life, word: Promise) -> None:
+    def on_promise(self, now_us: int, sender: NodeInstance, word: Promise) -> None:
         lead = self._heard(now_us, sender, word.ballot, word.voter)
         if lead is None or not in_order(word.accepted, word.after):
             return
@@ -171,7 +173,7 @@
             for seat in self.ledger.panel:
                 self.outbox.say(seat.name, Accept(lead.ballot, batch))
 
-    def on_accepted(self, now_us: int, sender: Life, word: Accepted) -> None:
+    def on_accepted(self, now_us: int, sender: NodeInstance, word: Accepted) -> None:
         lead = self._heard(now_us, sender, word.ballot, word.voter)
         if lead is None:
             return
@@ -205,7 +207,7 @@
             self.outbox.say(seat.name, Beat(lead.ballot, self.ledger.position, number))
         self.repeat(now_us, lead)
 
-    def on_follow(self, now_us: int, sender: Life, word: Follow) -> None:
+    def on_follow(self, now_us: int, sender: NodeInstance, word: Follow) -> None:
         lead = self._heard(now_us, sender, word.ballot, word.voter)
         if lead is None:
             return
@@ -214,7 +216,7 @@
             return
         tokens = lead.rounds.confirmed(self.ledger.panel)
         for token in tokens:
-            self.outbox.act(Confirmed(token, lead.ballot.number))
+            self.outbox.act(LeadershipConfirmed(token, lead.ballot.number))
         if tokens and lead.rounds.waiting:
             self.beat(now_us, lead)
 
--- a/molereach/coordination/replicated_log/once.py
+++ b/molereach/coordination/replicated_log/once.py
@@ -12,13 +12,13 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Id, Outcome, Position, Wire
+from molereach.coordination.interface import Entry, Id, Outcome, Position, WireStruct
 
 REPEATED = "a repeat of the entry at {}"
 USED = "an id used for something else"
 
 
-class Done(Wire, frozen=True):
+class Done(WireStruct, frozen=True):
     """What the first entry with an id came to."""
 
     id: Id
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.interface import Life, Persist, Say
+from molereach.coordination.interface import NodeInstance, Persist, SendMessage
 from molereach.coordination.replicated_log.records import Base, Record, encode
 from molereach.coordination.replicated_log.words import Message
 
@@ -26,7 +26,7 @@
 class Outbox:
     """Actions of one turn, in order, and words that wait for a write."""
 
-    def __init__(self, me: Life) -> None:
+    def __init__(self, me: NodeInstance) -> None:
         self.me = me
         self.actions: list[Any] = []
         self.mine: deque[Message] = deque()  # to this front door itself
@@ -50,7 +50,7 @@
         if to == self.me.name:
             self.mine.append(message)
         else:
-            self.actions.append(Say(to, message, life))
+            self.actions.append(SendMessage(to, message, life))
 
     def vote(self, to: str, message: Message, life: int | None = None) -> None:
         """A word that rests on all that was written so far, also in this turn."""
--- a/molereach/coordination/replicated_log/panel.py
+++ b/molereach/coordination/replicated_log/panel.py
@@ -11,13 +11,13 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import PANEL_SIZES, Outcome, Wire
+from molereach.coordination.interface import VOTER_COUNTS, Outcome, WireStruct
 from molereach.coordination.replicated_log.words import Panel, Seat
 
 Pair = Annotated[tuple[Seat, ...], Meta(min_length=2, max_length=2)]
 
 
-class PanelChange(Wire, frozen=True, tag_field="kind", tag=str.lower):
+class PanelChange(WireStruct, frozen=True, tag_field="kind", tag=str.lower):
     """The body of an entry of the log's own (machine "")."""
 
 
@@ -42,8 +42,8 @@
 
 def check(panel: Panel) -> str:
     """What is wrong with a panel in one line; empty for nothing."""
-    if len(panel) not in PANEL_SIZES:
-        return f"a panel has {', '.join(map(str, PANEL_SIZES))} seats, not {len(panel)}"
+    if len(panel) not in VOTER_COUNTS:
+        return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(panel)}"
     if len({seat.name for seat in panel}) < len(panel) or len({seat.disk for seat in panel}) < len(panel):
         return "a front door and a disk have one seat each"
     return ""
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 from molereach.coordination.interface import (
-    MOST_BODY_BYTES,
-    MOST_ID_CHARS,
+    MAX_ENTRY_BODY_BYTES,
+    MAX_ID_CHARACTERS,
     NEVER_US,
-    Life,
-    Over,
-    ProposalOver,
+    NodeInstance,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
 )
 from molereach.coordination.replicated_log.learner import OWN, Learner
@@ -31,43 +31,45 @@
 class Proposals:
     """Those under way, by id."""
 
-    def __init__(self, me: Life, settings: Settings, learner: Learner) -> None:
+    def __init__(self, me: NodeInstance, settings: Settings, learner: Learner) -> None:
         self.me, self.settings, self.learner = me, settings, learner
         self.pending: dict[str, _Pending] = {}
 
-    def propose(self, now_us: int, event: Propose) -> ProposalOver | None:
+    def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
         """Take a proposal; its word where it is over at once."""
         if event.id in self.pending:
             pending = self.pending[event.id]
-            pending.until_us = max(pending.until_us, now_us + event.within_us)
+            pending.until_us = max(pending.until_us, now_us + event.timeout_us)
             return None
         machine = event.machine or OWN
         known = machine == OWN or machine in self.learner.machines
-        fits = len(event.body) <= MOST_BODY_BYTES and 0 < len(event.id) <= MOST_ID_CHARS
+        fits = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
         if not known or not fits or len(self.pending) >= self.settings.most_pending:
-            return ProposalOver(event.id, Over.REFUSED)
+            return ProposalFinished(event.id, ProposalStatus.REJECTED)
         ask = Ask(machine, event.id, self.me, self.learner.position, event.body)
         if over := self._settled(ask):
             return over
-        self.pending[event.id] = _Pending(ask, now_us + event.within_us, now_us)
+        self.pending[event.id] = _Pending(ask, now_us + event.timeout_us, now_us)
         return None
 
-    def _settled(self, ask: Ask) -> ProposalOver | None:
+    def _settled(self, ask: Ask) -> ProposalFinished | None:
         found = self.learner.outcome_of(ask.id, ask.machine, ask.body)
-        return ProposalOver(ask.id, Over.SETTLED, found[1], found[0].position) if found else None
+        return (
+            ProposalFinished(ask.id, ProposalStatus.APPLIED, found[1], found[0].position) if found else None
+        )
 
-    def settle(self) -> list[ProposalOver]:
+    def settle(self) -> list[ProposalFinished]:
         """Those that have been applied here by now."""
         overs = [over for each in self.pending.values() if (over := self._settled(each.ask))]
         for over in overs:
             del self.pending[over.id]
         return overs
 
-    def expire(self, now_us: int) -> list[ProposalOver]:
+    def expire(self, now_us: int) -> list[ProposalFinished]:
         late = [key for key, each in self.pending.items() if now_us >= each.until_us]
         for key in late:
             del self.pending[key]
-        return [ProposalOver(key, Over.UNKNOWN) for key in late]
+        return [ProposalFinished(key, ProposalStatus.UNKNOWN) for key in late]
 
     def due(self, now_us: int) -> list[tuple[Ask, int]]:
         """What to tell now, and how often it was told before."""
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Position, Wire
+from molereach.coordination.interface import Entry, Position, WireStruct
 from molereach.coordination.replicated_log.acceptor import Acceptor, in_order
 from molereach.coordination.replicated_log.once import Done
 from molereach.coordination.replicated_log.settings import MOST_RUNS
@@ -20,7 +20,7 @@
 Runs = Annotated[tuple[Run, ...], Meta(max_length=MOST_RUNS)]
 
 
-class Snapshot(Wire, frozen=True):
+class Snapshot(WireStruct, frozen=True):
     """All that entries up to `position` came to: the log's own state, and each machine's."""
 
     position: Position
@@ -33,7 +33,7 @@
     failed: tuple[str, ...] = ()  # stopped at who made it: their state is not here
 
 
-class Base(Wire, frozen=True):
+class Base(WireStruct, frozen=True):
     """What takes the place of all records so far."""
 
     disk: Disk
@@ -45,7 +45,7 @@
     snapshot: Snapshot
 
 
-class Record(Wire, frozen=True, tag_field="kind", tag=str.lower):
+class Record(WireStruct, frozen=True, tag_field="kind", tag=str.lower):
     """One record."""
 
 
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Mapping
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.replicated_log.acceptor import Acceptor, rest
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.panel import majority
@@ -26,7 +26,7 @@
 class Recovery:
     """The runs of disks: this one's and those of others."""
 
-    def __init__(self, me: Life, disk: str, starts: int, runs: Mapping[str, Run]) -> None:
+    def __init__(self, me: NodeInstance, disk: str, starts: int, runs: Mapping[str, Run]) -> None:
         self.run = Run(disk, starts, me.number)
         self.seat = Seat(me.name, disk)
         self.runs = {key: run for key, run in runs.items() if key != disk}  # newest known, oldest word first
@@ -41,7 +41,7 @@
             return []
         return [seat for seat in panel if seat != self.seat and seat not in self.answers]
 
-    def answered(self, sender: Life, noted: Noted, panel: Panel) -> bool:
+    def answered(self, sender: NodeInstance, noted: Noted, panel: Panel) -> bool:
         """Take an answer; whether it was new and for this run. Those of no seat go when there are many."""
         seat = Seat(sender.name, noted.by.disk)
         if noted.run != self.run or noted.by.life != sender.number or seat in self.answers:
--- a/molereach/coordination/replicated_log/starts.py
+++ b/molereach/coordination/replicated_log/starts.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NEVER_US, Life
+from molereach.coordination.interface import NEVER_US, NodeInstance
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.ledger import Ledger
@@ -54,7 +54,7 @@
                 self.catching_up.want(seat.name)
                 return
 
-    def on_start(self, sender: Life, word: Start) -> None:
+    def on_start(self, sender: NodeInstance, word: Start) -> None:
         ours = word.run.disk == self.recovery.run.disk
         if ours or word.run.life != sender.number or self.recovery.set_back or not self.outbox.able:
             return
@@ -75,7 +75,7 @@
             sender.number,
         )
 
-    def on_noted(self, sender: Life, word: Noted) -> None:
+    def on_noted(self, sender: NodeInstance, word: Noted) -> None:
         if self.recovery.answered(sender, word, self.ledger.panel):
             self.election.seen(word.promised)
             self.ledger.raise_to_others()
--- a/molereach/coordination/replicated_log/voting.py
+++ b/molereach/coordination/replicated_log/voting.py
@@ -4,7 +4,7 @@
 more tells it, one that has less asks. A ballot is believed only from its own run.
 """
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.replicated_log.acceptor import in_order
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.election import Election
@@ -23,7 +23,7 @@
 )
 
 
-def own(ballot: Ballot, sender: Life) -> bool:
+def own(ballot: Ballot, sender: NodeInstance) -> bool:
     return ballot.name == sender.name and ballot.life == sender.number
 
 
@@ -34,7 +34,7 @@
         self.ledger, self.election, self.catching_up = ledger, election, catching_up
         self.outbox = ledger.outbox
 
-    def level(self, sender: Life, after: int) -> bool:
+    def level(self, sender: NodeInstance, after: int) -> bool:
         """Whether both have the same decided entries; if not, who lacks some gets or asks for them."""
         if after < self.ledger.position:
             self.catching_up.tell(sender.name, after)
@@ -42,7 +42,7 @@
             self.catching_up.want(sender.name)
         return after == self.ledger.position
 
-    def on_poll(self, now_us: int, sender: Life, word: Poll) -> None:
+    def on_poll(self, now_us: int, sender: NodeInstance, word: Poll) -> None:
         self.election.seen(word.ballot)
         self.level(sender, word.after)
         if not self.ledger.may_vote:
@@ -52,7 +52,7 @@
         disk = self.ledger.recovery.run.disk
         self.outbox.say(sender.name, Polled(word.ballot, disk, granted, promised), sender.number)
 
-    def on_prepare(self, now_us: int, sender: Life, word: Prepare) -> None:
+    def on_prepare(self, now_us: int, sender: NodeInstance, word: Prepare) -> None:
         self.election.seen(word.ballot)
         if not own(word.ballot, sender) or not self.level(sender, word.after) or not self.ledger.may_vote:
             return
@@ -73,7 +73,7 @@
             sender.number,
         )
 
-    def on_accept(self, now_us: int, sender: Life, word: Accept) -> None:
+    def on_accept(self, now_us: int, sender: NodeInstance, word: Accept) -> None:
         after = word.entries[0].position - 1
         if not own(word.ballot, sender) or not in_order(word.entries, after):
             return
@@ -86,7 +86,7 @@
         last = word.entries[-1].position
         self.outbox.vote(sender.name, Accepted(word.ballot, last, self.ledger.voter()), sender.number)
 
-    def on_beat(self, now_us: int, sender: Life, word: Beat) -> bool:
+    def on_beat(self, now_us: int, sender: NodeInstance, word: Beat) -> bool:
         """Whether it is from a leader that may still lead."""
         acceptor = self.ledger.acceptor
         self.election.seen(word.ballot)
@@ -105,5 +105,5 @@
             self.outbox.say(sender.name, follow, sender.number)
         return True
 
-    def outbid(self, sender: Life, ballot: Ballot) -> None:
+    def outbid(self, sender: NodeInstance, ballot: Ballot) -> None:
         self.outbox.say(sender.name, Outbid(ballot, self.ledger.acceptor.promised), sender.number)
--- a/molereach/coordination/replicated_log/words.py
+++ b/molereach/coordination/replicated_log/words.py
@@ -9,14 +9,14 @@
 from msgspec import Meta
 
 from molereach.coordination.interface import (
-    MOST_BODY_BYTES,
+    MAX_ENTRY_BODY_BYTES,
     Entry,
     Id,
-    Life,
-    LifeNumber,
+    InstanceNumber,
     Name,
+    NodeInstance,
     Position,
-    Wire,
+    WireStruct,
 )
 from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
 
@@ -27,18 +27,18 @@
 Batch = Annotated[tuple[Entry, ...], Meta(max_length=MOST_BATCH)]
 
 
-class Ballot(Wire, frozen=True, order=True):
+class Ballot(WireStruct, frozen=True, order=True):
     """A try to lead. No two runs can have the same one; that of nobody is the lowest."""
 
-    number: LifeNumber = 0
+    number: InstanceNumber = 0
     name: Name = "0"
-    life: LifeNumber = 0
+    life: InstanceNumber = 0
 
 
 NOBODY = Ballot()
 
 
-class Seat(Wire, frozen=True, order=True):
+class Seat(WireStruct, frozen=True, order=True):
     """One place of the panel: a front door and its disk. Either alone is not the seat."""
 
     name: Name
@@ -48,22 +48,22 @@
 Panel = Annotated[tuple[Seat, ...], Meta(max_length=MOST_SEATS)]
 
 
-class Run(Wire, frozen=True):
+class Run(WireStruct, frozen=True):
     """One start of one disk: how many there were, and the life that it began."""
 
     disk: Disk
     starts: Starts
-    life: LifeNumber
+    life: InstanceNumber
 
 
-class Voter(Wire, frozen=True):
+class Voter(WireStruct, frozen=True):
     """Whose vote it is, and the runs of others that it has written down: votes of earlier ones are void."""
 
     run: Run
     knows: Annotated[tuple[Run, ...], Meta(max_length=MOST_SEATS)] = ()
 
 
-class Word(Wire, frozen=True, tag_field="kind", tag=lambda name: "l." + name.lower()):
+class Word(WireStruct, frozen=True, tag_field="kind", tag=lambda name: "l." + name.lower()):
     """A message of the log."""
 
 
@@ -201,9 +201,9 @@
 
     machine: Annotated[str, Meta(max_length=64)]
     id: Id
-    proposer: Life
+    proposer: NodeInstance
     since: Position
-    body: Annotated[bytes, Meta(max_length=MOST_BODY_BYTES)]
+    body: Annotated[bytes, Meta(max_length=MAX_ENTRY_BODY_BYTES)]
 
 
 class Leader(Word, frozen=True):
--- a/molereach/coordination/storage/whole.py
+++ b/molereach/coordination/storage/whole.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Name, Wire
+from molereach.coordination.interface import Name, WireStruct
 from molereach.coordination.storage.frames import DIGEST_BYTES, digest
 
 MAGIC = b"molereach-council-"
@@ -21,7 +21,7 @@
 KINDS = ("identity", "base", "tail")
 
 
-class Owner(Wire, frozen=True):
+class Owner(WireStruct, frozen=True):
     """Whose folder it is; `identity` is drawn when the folder is made."""
 
     door: Name
--- a/molereach/coordination/transport/board.py
+++ b/molereach/coordination/transport/board.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from molereach.clock import now_us
-from molereach.coordination.interface import Heard, Life
+from molereach.coordination.interface import MessageReceived, NodeInstance
 from molereach.coordination.transport.hello import NONCE_BYTES, Answering, Dialling
 from molereach.coordination.transport.link import Link
 from molereach.coordination.transport.owner import Phase
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         addresses: Mapping[str, Address],
         key: bytes,
         words: Words,
@@ -57,8 +57,8 @@
         self.peers: dict[str, Peer] = {}
         self.dials: deque[tuple[Peer, Link]] = deque()  # to be begun
         self.links: dict[Link, None] = {}  # all with a socket, in the order in which they came
-        self.deliver: Callable[[str, Heard], None] = lambda part, heard: None
-        self.up: Callable[[Life], None] = lambda life: None
+        self.deliver: Callable[[str, MessageReceived], None] = lambda part, heard: None
+        self.up: Callable[[NodeInstance], None] = lambda life: None
         self.down: Callable[[str, str], None] = lambda name, reason: None
         self.closed = False
         self.refused = self.failed = self.lines = 0
@@ -116,7 +116,7 @@
             self.places.leave(link.source)
             link.source = ""
 
-    def refuses(self, life: Life) -> str:
+    def refuses(self, life: NodeInstance) -> str:
         peer = self.peer(life.name)
         if peer is None:
             return "closed"
@@ -158,7 +158,7 @@
 
     def heard(self, link: Link, part: str, message: Any) -> None:  # noqa: ANN401
         try:
-            self.deliver(part, Heard(link.life, message))
+            self.deliver(part, MessageReceived(link.life, message))
         except Exception:
             self.failed += 1
             log.exception("a message of %s from %s failed", part, link.life.name)
--- a/molereach/coordination/transport/hello.py
+++ b/molereach/coordination/transport/hello.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Life, Name, Wire
+from molereach.coordination.interface import Name, NodeInstance, WireStruct
 
 VERSION = 1
 NONCE_BYTES = 16
@@ -32,32 +32,32 @@
 Reason = Annotated[str, Meta(max_length=MOST_REASON_CHARS)]
 
 
-class Greeting(Wire, frozen=True, array_like=True, tag=1):
+class Greeting(WireStruct, frozen=True, array_like=True, tag=1):
     """The listener's first word; every version has it in this form."""
 
     version: Version
     nonce: Nonce
 
 
-class Hello(Wire, frozen=True, array_like=True, tag=2):
+class Hello(WireStruct, frozen=True, array_like=True, tag=2):
     """The dialler's word."""
 
     version: Version
-    me: Life
+    me: NodeInstance
     to: Name
     parts: Annotated[tuple[Name, ...], Meta(max_length=MOST_PARTS)]  # they number messages: all have the same
     nonce: Nonce
     proof: Proof = b""
 
 
-class Welcome(Wire, frozen=True, array_like=True, tag=3):
+class Welcome(WireStruct, frozen=True, array_like=True, tag=3):
     """The listener's last word; the session has begun."""
 
-    me: Life
+    me: NodeInstance
     proof: Proof = b""
 
 
-class Refused(Wire, frozen=True, array_like=True, tag=4):
+class Refused(WireStruct, frozen=True, array_like=True, tag=4):
     """The listener's last word; one line."""
 
     reason: Reason
@@ -72,7 +72,7 @@
     """A handshake that is over, both sides proven."""
 
     id: bytes
-    peer: Life
+    peer: NodeInstance
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -115,7 +115,7 @@
 class Dialling:
     """The dialler's side of one handshake; `nonce` is drawn for this one alone."""
 
-    def __init__(self, me: Life, to: str, parts: tuple[str, ...], key: bytes, nonce: bytes) -> None:
+    def __init__(self, me: NodeInstance, to: str, parts: tuple[str, ...], key: bytes, nonce: bytes) -> None:
         self.me, self.to, self.parts, self.key, self.nonce = me, to, parts, key, nonce
         self.said = b""  # the hello
         self.greeting = b""
@@ -152,7 +152,7 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         known: Container[str],
         parts: tuple[str, ...],
         key: bytes,
@@ -162,7 +162,7 @@
         self.greeting = _encoder.encode(Greeting(VERSION, nonce))
         self.heard = b""  # the hello
 
-    def hello(self, data: bytes) -> Life:
+    def hello(self, data: bytes) -> NodeInstance:
         """Who dials, proven; whether it is welcome is then the owner's matter."""
         try:
             hello = _hellos.decode(data)
@@ -181,7 +181,7 @@
         self.heard = data
         return hello.me
 
-    def welcome(self, peer: Life) -> tuple[bytes, Session]:
+    def welcome(self, peer: NodeInstance) -> tuple[bytes, Session]:
         word = Welcome(self.me)
         proof = digest(self.key, b"listener", self.greeting, self.heard, bare(word))
         said = _encoder.encode(msgspec.structs.replace(word, proof=proof))
--- a/molereach/coordination/transport/link.py
+++ b/molereach/coordination/transport/link.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from molereach.clock import now_us
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.transport.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter, FrameError, head
 from molereach.coordination.transport.hello import (
     MOST_HELLO_BYTES,
@@ -51,7 +51,7 @@
         self.bytes_in = self.bytes_out = self.heard_us = 0
 
     @property
-    def life(self) -> Life:
+    def life(self) -> NodeInstance:
         assert self.speech is not None
         return self.speech.life
 
--- a/molereach/coordination/transport/owner.py
+++ b/molereach/coordination/transport/owner.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any, Protocol
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.transport.queue import Item
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.words import Words
@@ -31,7 +31,7 @@
     def arrived(self, link: "Link") -> bool:
         """It has a socket: whether there is room for it until it has proven itself, if another opened it."""
 
-    def refuses(self, life: Life) -> str:
+    def refuses(self, life: NodeInstance) -> str:
         """Whether one that dialled, and is proven, is not wanted: the reason; "" if it is."""
 
     def opened(self, link: "Link") -> None:
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.coordination.interface import Heard, Life, Say
+from molereach.coordination.interface import MessageReceived, NodeInstance, SendMessage
 from molereach.coordination.transport.board import Address, Board
 from molereach.coordination.transport.frames import MOST_BODY_BYTES
 from molereach.coordination.transport.owner import Phase
@@ -30,14 +30,14 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         addresses: Mapping[str, Address],
         key: bytes,
         parts: Mapping[str, Any],
-        deliver: Callable[[str, Heard], None],
+        deliver: Callable[[str, MessageReceived], None],
         draw: Callable[[], float],
         *,
-        up: Callable[[Life], None] = lambda life: None,
+        up: Callable[[NodeInstance], None] = lambda life: None,
         down: Callable[[str, str], None] = lambda name, reason: None,
         rules: Mapping[str, Rule] | None = None,
         settings: LinkSettings = LinkSettings(),  # noqa: B008
@@ -67,20 +67,20 @@
         self.timer = self.loop.call_later(self.settings.beat_s, self.on_time)
         self.board.beat()
 
-    def say(self, part: str, say: Say) -> None:
+    def say(self, part: str, say: SendMessage) -> None:
         """Send a message, now or when there is a link, or drop it; KeyError for a part that is not here."""
         if part not in self.words.numbers:
             raise KeyError(part)
         try:
             body = self.words.pack(part, say.message)
-            peer = self.board.peer(say.to)
+            peer = self.board.peer(say.recipient)
             if peer is None or len(body) > MOST_BODY_BYTES:
                 self.unsaid += 1
-                self.board.line("a message of %s to %s is dropped: %d bytes", part, say.to, len(body))
+                self.board.line("a message of %s to %s is dropped: %d bytes", part, say.recipient, len(body))
                 return
-            self.send(peer, Item(part, type(say.message), body, say.life))
+            self.send(peer, Item(part, type(say.message), body, say.instance_number))
         except Exception:
-            log.exception("a message of %s to %s failed", part, say.to)
+            log.exception("a message of %s to %s failed", part, say.recipient)
 
     def send(self, peer: Peer, item: Item) -> None:
         link = peer.link
--- a/molereach/coordination/transport/words.py
+++ b/molereach/coordination/transport/words.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Wire
+from molereach.coordination.interface import WireStruct
 from molereach.coordination.transport.hello import MOST_PARTS, Reason, line
 
 OWN = ""  # the part of the links' own words
@@ -20,19 +20,19 @@
     """A body says nothing that is understood here; one plain line."""
 
 
-class Beat(Wire, frozen=True, array_like=True, tag=1):
+class Beat(WireStruct, frozen=True, array_like=True, tag=1):
     """How many messages of this link were taken in since it began."""
 
     heard: Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Bye(Wire, frozen=True, array_like=True, tag=2):
+class Bye(WireStruct, frozen=True, array_like=True, tag=2):
     """Nothing more will be said on this link; what is still on its way is taken."""
 
     reason: Reason
 
 
-class Envelope(Wire, frozen=True, array_like=True):
+class Envelope(WireStruct, frozen=True, array_like=True):
     part: Annotated[int, Meta(ge=0, le=MOST_PARTS)]
     body: msgspec.Raw
 
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -11,7 +11,7 @@
 from molereach.fleet.api_bodies import DoorView, Event, Reach
 from molereach.fleet.wire import State
 
-MOST_DOORS = 64
+MAX_MEMBERS = 64
 MOST_EVENTS = 512  # of the history
 QUIET_MS = 1000  # without a word, though it was asked
 FORGET_MS = 600_000  # after it has ended
@@ -156,7 +156,7 @@
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
         for name in sorted(names - self.doors.keys()):
-            if len(self.doors) >= MOST_DOORS:
+            if len(self.doors) >= MAX_MEMBERS:
                 self.refused += 1
                 break
             self.doors[name] = Record(changed_ms=now_ms)
--- a/molereach/shards/counts/bodies.py
+++ b/molereach/shards/counts/bodies.py
@@ -5,7 +5,13 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Life, Position, Wire
+from molereach.coordination.interface import (
+    MAX_ENTRY_BODY_BYTES,
+    MAX_MEMBERS,
+    NodeInstance,
+    Position,
+    WireStruct,
+)
 from molereach.shards.counts.words import Rows
 from molereach.shards.proof import Word
 
@@ -13,19 +19,19 @@
 _FIRST = b'{"kind":"'
 
 
-class Fold(Wire, frozen=True, tag_field="kind", tag="fold"):
+class Fold(WireStruct, frozen=True, tag_field="kind", tag="fold"):
     """A life is over, and this is what was heard of it: the higher of this and what is kept holds."""
 
-    life: Life
+    life: NodeInstance
     rows: Rows
 
 
-class Forget(Wire, frozen=True, tag_field="kind", tag="forget"):
+class Forget(WireStruct, frozen=True, tag_field="kind", tag="forget"):
     """All front doors have given what they had heard of a life that was first folded at `begun`."""
 
-    life: Life
+    life: NodeInstance
     begun: Position
-    proof: Annotated[tuple[Word, ...], Meta(max_length=2 * MOST_DOORS)]
+    proof: Annotated[tuple[Word, ...], Meta(max_length=2 * MAX_MEMBERS)]
 
 
 Body = Fold | Forget
@@ -38,7 +44,7 @@
 
 def decode(data: bytes) -> Body:
     """ValueError where it is none of them."""
-    if len(data) > MOST_BODY_BYTES or not data.startswith(_FIRST):
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
--- a/molereach/shards/counts/door.py
+++ b/molereach/shards/counts/door.py
@@ -6,15 +6,25 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NEVER_US, Applied, Heard, Life, Propose, Restored, S, Say, Tick
+from molereach.coordination.interface import (
+    NEVER_US,
+    SECOND_US,
+    Applied,
+    MessageReceived,
+    NodeInstance,
+    Propose,
+    Restored,
+    SendMessage,
+    Tick,
+)
 from molereach.shards.counts.bodies import MACHINE, Fold, decode, encode
 from molereach.shards.counts.counter import Counter
 from molereach.shards.counts.folds import Folds
 from molereach.shards.counts.merged import Merged
 from molereach.shards.counts.words import MOST_ROWS_TOLD, Told, told
 
-BEAT_US = 5 * S  # between words of what was counted
-AGAIN_US = 10 * S  # until a fold without an outcome is proposed anew
+BEAT_US = 5 * SECOND_US  # between words of what was counted
+AGAIN_US = 10 * SECOND_US  # until a fold without an outcome is proposed anew
 MOST_FOLDS_A_BEAT = 4
 
 
@@ -38,21 +48,23 @@
     """Action: this life is in the base of the log, and what it counts is not counted any more."""
 
 
-Action = Say | Propose | StartAnew
-Event = Confirmed | Leader | Heard | Applied | Restored | Tick
+Action = SendMessage | Propose | StartAnew
+Event = Confirmed | Leader | MessageReceived | Applied | Restored | Tick
 
 
 class DoorCounts:
     """A core. `clear` is up to where its part of the log's folds is done; `applied` may be beyond."""
 
-    def __init__(self, me: Life, folds: Folds, now_us: int) -> None:
+    def __init__(self, me: NodeInstance, folds: Folds, now_us: int) -> None:
         self.me, self._folds = me, folds
         self.own, self.merged = Counter(), Merged(folds)
         self.leader: str | None = None
         self.wake_us = now_us + BEAT_US
         self._applied = 0
-        self._owed: dict[Life, int] = {}  # folded lives of which the log may lack something: since when
-        self._proposed: dict[Life, int] = {}
+        self._owed: dict[
+            NodeInstance, int
+        ] = {}  # folded lives of which the log may lack something: since when
+        self._proposed: dict[NodeInstance, int] = {}
         self._number = 0
 
     @property
@@ -66,7 +78,7 @@
                 self.own.add(event.shard, event.size_bytes)
             case Leader():
                 self.leader = event.name
-            case Heard():
+            case MessageReceived():
                 if isinstance(event.message, Told):
                     self.merged.merge(event.message.life, event.message.rows)
             case Restored():
@@ -87,7 +99,7 @@
             self._owed.setdefault(body.life, event.entry.position)
         self._owed = {life: position for life, position in self._owed.items() if self._owes(life)}
 
-    def _owes(self, life: Life) -> bool:
+    def _owes(self, life: NodeInstance) -> bool:
         """Whether the log lacks something held here of a folded life, or of an earlier one of its name."""
         earlier = [each for each in self.merged.lives() if each.name == life.name and each <= life]
         return any(self.merged.unfolded(each) and not self._folds.forgotten(each) for each in earlier)
@@ -99,7 +111,7 @@
         self._owed = {life: position for life, position in self._owed.items() if self._owes(life)}
         said: list[Action] = [StartAnew()] if self._folds.forgotten(self.me) else []
         if self.leader and self.leader != self.me.name:
-            said += [Say(self.leader, word) for word in told(self.me, self.own.rows())]
+            said += [SendMessage(self.leader, word) for word in told(self.me, self.own.rows())]
         return said + self._folds_due(now_us)
 
     def _folds_due(self, now_us: int) -> list[Action]:
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -11,7 +11,16 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Known, Life, LifeNumber, Name, Outcome, Position, Wire
+from molereach.coordination.interface import (
+    ClearanceEvidence,
+    Entry,
+    InstanceNumber,
+    Name,
+    NodeInstance,
+    Outcome,
+    Position,
+    WireStruct,
+)
 from molereach.shards.counts.bodies import MACHINE, Fold, Forget, decode
 from molereach.shards.counts.counter import NONE, Count, rows
 from molereach.shards.counts.words import MOST_ROWS, Row
@@ -28,16 +37,16 @@
         """Whether it is one of the map."""
 
 
-class _Kept(Wire, frozen=True):
-    life: Life
+class _Kept(WireStruct, frozen=True):
+    life: NodeInstance
     begun: Position  # at which it was first folded
     rows: Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS)]
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     base: Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS)]
     kept: Annotated[tuple[_Kept, ...], Meta(max_length=MOST_KEPT_ROWS)]
-    horizon: Annotated[dict[Name, LifeNumber], Meta(max_length=MOST_NAMES)]
+    horizon: Annotated[dict[Name, InstanceNumber], Meta(max_length=MOST_NAMES)]
     hurried: Annotated[int, Meta(ge=0, le=1 << 53)]
 
 
@@ -49,8 +58,8 @@
     def __init__(self, sessions: SessionsAt, shards: Shards, most_rows: int = MOST_KEPT_ROWS) -> None:
         self._sessions, self._shards, self._most_rows = sessions, shards, most_rows
         self._base: dict[int, Count] = {}
-        self._kept: dict[Life, dict[int, Count]] = {}
-        self._begun: dict[Life, int] = {}
+        self._kept: dict[NodeInstance, dict[int, Count]] = {}
+        self._begun: dict[NodeInstance, int] = {}
         self._horizon: dict[str, int] = {}
         self.hurried = 0
 
@@ -59,19 +68,19 @@
     def base(self) -> dict[int, Count]:
         return self._base
 
-    def kept(self) -> dict[Life, dict[int, Count]]:
+    def kept(self) -> dict[NodeInstance, dict[int, Count]]:
         return self._kept
 
-    def begun(self, life: Life) -> int | None:
+    def begun(self, life: NodeInstance) -> int | None:
         return self._begun.get(life)
 
-    def forgotten(self, life: Life) -> bool:
+    def forgotten(self, life: NodeInstance) -> bool:
         return life.number <= self._horizon.get(life.name, -1)
 
     def counted(self, shard: int) -> bool:
         return self._shards.counted(shard)
 
-    def dead(self, life: Life) -> bool:
+    def dead(self, life: NodeInstance) -> bool:
         """Whether it never comes back: it left, or a later life of its name has had a session."""
         last = self._sessions.life(life.name)
         if last is None:
@@ -79,9 +88,11 @@
         if last > life:
             return True
         past = self._sessions.past(life.name)
-        return last == life and past is not None and past.life == life and past.known is Known.LEFT
+        return (
+            last == life and past is not None and past.life == life and past.known is ClearanceEvidence.LEFT
+        )
 
-    def over(self, life: Life) -> bool:
+    def over(self, life: NodeInstance) -> bool:
         """Whether it has no session, and it or a later one had."""
         opened, last = self._sessions.open(life.name), self._sessions.life(life.name)
         return (opened is None or opened.life != life) and last is not None and last >= life
@@ -128,14 +139,14 @@
         self._into_base(life)
         return Outcome()
 
-    def _into_base(self, life: Life) -> None:
+    def _into_base(self, life: NodeInstance) -> None:
         for shard, count in self._kept.pop(life).items():
             self._base[shard] = self._base.get(shard, NONE).plus(count)
         del self._begun[life]
         self._base = {shard: count for shard, count in self._base.items() if self.counted(shard)}
         self._horizon[life.name] = max(life.number, self._horizon.get(life.name, -1))
 
-    def _make_room(self, life: Life, wanted: int) -> bool:
+    def _make_room(self, life: NodeInstance, wanted: int) -> bool:
         """Also a life without rows takes a place."""
         while (
             sum(max(1, len(found)) for each, found in self._kept.items() if each != life) + max(1, wanted)
--- a/molereach/shards/counts/merged.py
+++ b/molereach/shards/counts/merged.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Protocol
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.shards.counts.counter import NONE, Count, rows
 from molereach.shards.counts.words import MOST_ROWS, Row
 
@@ -21,10 +21,10 @@
     def base(self) -> Mapping[int, Count]:
         """Of lives that are kept apart no more."""
 
-    def kept(self) -> Mapping[Life, Mapping[int, Count]]:
+    def kept(self) -> Mapping[NodeInstance, Mapping[int, Count]]:
         """Of lives that are over."""
 
-    def forgotten(self, life: Life) -> bool:
+    def forgotten(self, life: NodeInstance) -> bool:
         """Whether it is in the base, so that no word of it counts."""
 
     def counted(self, shard: int) -> bool:
@@ -36,10 +36,10 @@
 
     def __init__(self, folded: Folded) -> None:
         self._folded = folded
-        self._lives: dict[Life, dict[int, Count]] = {}
+        self._lives: dict[NodeInstance, dict[int, Count]] = {}
         self.refused = 0
 
-    def merge(self, life: Life, told: Iterable[Row]) -> bool:
+    def merge(self, life: NodeInstance, told: Iterable[Row]) -> bool:
         """Whether anything is new."""
         if self._folded.forgotten(life):
             return False
@@ -64,13 +64,13 @@
     def _joined(before: Count, now: Count) -> Count:
         return before.max(now)
 
-    def lives(self) -> list[Life]:
+    def lives(self) -> list[NodeInstance]:
         return sorted(self._lives)
 
-    def of(self, life: Life) -> tuple[Row, ...]:
+    def of(self, life: NodeInstance) -> tuple[Row, ...]:
         return rows(self._lives.get(life, {}))
 
-    def unfolded(self, life: Life) -> tuple[Row, ...]:
+    def unfolded(self, life: NodeInstance) -> tuple[Row, ...]:
         """What the log lacks of a life."""
         kept = self._folded.kept().get(life, {})
         mine = self._lives.get(life, {})
--- a/molereach/shards/counts/sketches.py
+++ b/molereach/shards/counts/sketches.py
@@ -3,7 +3,7 @@
 They are kept for few shards: for those that are likely to be cut next.
 """
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.shards.counts.digest import Digest
 from molereach.shards.counts.words import Node, Sketch
 
@@ -14,10 +14,10 @@
 class Sketches:
     """One front door's own, and those it has heard."""
 
-    def __init__(self, me: Life) -> None:
+    def __init__(self, me: NodeInstance) -> None:
         self._me = me
         self._own: dict[int, Digest] = {}
-        self._heard: dict[int, dict[Life, tuple[Node, ...]]] = {}
+        self._heard: dict[int, dict[NodeInstance, tuple[Node, ...]]] = {}
 
     def watch(self, shards: tuple[int, ...]) -> None:
         """These, the first `MOST_WATCHED`; what is kept of others goes."""
--- a/molereach/shards/counts/words.py
+++ b/molereach/shards/counts/words.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Life, Wire
+from molereach.coordination.interface import NodeInstance, WireStruct
 from molereach.shards.map.pieces import MEMBERS, MOST_SHARDS, ShardNumber
 
 MOST_BYTES = 1 << 62  # of one row
@@ -17,7 +17,7 @@
 Total = Annotated[int, Meta(ge=0, le=MOST_BYTES)]
 
 
-class Row(Wire, frozen=True, array_like=True):
+class Row(WireStruct, frozen=True, array_like=True):
     """Of one shard, since the life began."""
 
     shard: ShardNumber
@@ -28,24 +28,24 @@
 Rows = Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS_TOLD)]
 
 
-class Told(Wire, frozen=True, tag_field="kind", tag="told"):
+class Told(WireStruct, frozen=True, tag_field="kind", tag="told"):
     """Counts of one life; also by another front door, that has heard them."""
 
-    life: Life
+    life: NodeInstance
     rows: Rows
 
 
-class Node(Wire, frozen=True, array_like=True):
+class Node(WireStruct, frozen=True, array_like=True):
     """Of a digest: a range of ids as the dyadic tree numbers it, and what was written in it."""
 
     number: Annotated[int, Meta(ge=1, lt=2 * MEMBERS)]
     weight: Total
 
 
-class Sketch(Wire, frozen=True, tag_field="kind", tag="sketch"):
+class Sketch(WireStruct, frozen=True, tag_field="kind", tag="sketch"):
     """Which members of a shard wrote, as one life saw it, all of it so far."""
 
-    life: Life
+    life: NodeInstance
     shard: ShardNumber
     nodes: Annotated[tuple[Node, ...], Meta(max_length=MOST_NODES)]
 
@@ -64,6 +64,6 @@
         raise ValueError(f"not a word: {error}") from None
 
 
-def told(life: Life, rows: tuple[Row, ...]) -> tuple[Told, ...]:
+def told(life: NodeInstance, rows: tuple[Row, ...]) -> tuple[Told, ...]:
     """In words that are as large as may be."""
     return tuple(Told(life, rows[at : at + MOST_ROWS_TOLD]) for at in range(0, len(rows), MOST_ROWS_TOLD))
--- a/molereach/shards/map/delta.py
+++ b/molereach/shards/map/delta.py
@@ -1,10 +1,10 @@
 """What changed from one version of a map to a later one: shards are cut, so pieces are only added."""
 
-from molereach.coordination.interface import Wire
+from molereach.coordination.interface import WireStruct
 from molereach.shards.map.pieces import MOST_SHARDS, Pieces, ShardMap, ShardNumber, Version, unsound
 
 
-class Delta(Wire, frozen=True):
+class Delta(WireStruct, frozen=True):
     """The pieces that are new."""
 
     since: Version
--- a/molereach/shards/map/pieces.py
+++ b/molereach/shards/map/pieces.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Name, Wire
+from molereach.coordination.interface import Name, WireStruct
 
 MEMBERS = 1 << 33  # ids are below
 MOST_SHARDS = 512  # of one map
@@ -19,14 +19,14 @@
 Version = Annotated[int, Meta(ge=0, lt=MOST_NUMBER)]
 
 
-class Home(Wire, frozen=True, order=True, array_like=True):
+class Home(WireStruct, frozen=True, order=True, array_like=True):
     """The cell whose servers keep a shard, and the building that it is in."""
 
     building: Name
     cell: Name
 
 
-class Piece(Wire, frozen=True, array_like=True):
+class Piece(WireStruct, frozen=True, array_like=True):
     """A shard: the members from `first` up to where the next piece begins."""
 
     first: Member
@@ -37,7 +37,7 @@
 Pieces = Annotated[tuple[Piece, ...], Meta(max_length=MOST_SHARDS)]
 
 
-class ShardMap(Wire, frozen=True):
+class ShardMap(WireStruct, frozen=True):
     """All pieces at one version, by their first member."""
 
     version: Version
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -7,15 +7,21 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life, Position, Wire
+from molereach.coordination.interface import (
+    ClearanceEvidence,
+    NodeClearance,
+    NodeInstance,
+    Position,
+    WireStruct,
+)
 from molereach.coordination.leases.sessions import Opened, Past
 
 
-class Word(Wire, frozen=True, array_like=True):
+class Word(WireStruct, frozen=True, array_like=True):
     """Of one session: what `Accounted` says."""
 
     fence: Position
-    known: Known
+    known: ClearanceEvidence
     position: Position
 
 
@@ -27,7 +33,7 @@
     def past(self, name: str) -> Past | None:
         """What ended last of a name."""
 
-    def life(self, name: str) -> Life | None:
+    def life(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
 
     def all_open(self) -> list[Opened]: ...
@@ -47,7 +53,7 @@
         word, name = by_fence.get(session.fence), session.life.name
         if word is None:
             return f"no word of {name}"
-        if word.known is Known.SAID:
+        if word.known is ClearanceEvidence.REPORTED:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             continue
@@ -55,19 +61,19 @@
             return f"{name} has a session and has not said so"
         if (word.known, word.position) != (session.known, session.position):
             return f"{name} is {session.known.value} by {session.position}"
-        if session.known is Known.OVER and not may_be_over:
+        if session.known is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
             later = sessions.life(name)
             if later is None or later == session.life:
                 return f"{name} may come back"
     return ""
 
 
-def pack(sessions: SessionsAt, begun: int, accounted: Iterable[Accounted]) -> tuple[Word, ...]:
+def pack(sessions: SessionsAt, begun: int, accounted: Iterable[NodeClearance]) -> tuple[Word, ...]:
     """As it goes into an entry: the words of an account, with the fences of the sessions that they are of."""
-    by_life = {each.door: each for each in accounted}
+    by_life = {each.instance: each for each in accounted}
     found = []
     for session in sessions.at(begun):
         one = by_life.get(session.life)
         if one is not None:
-            found.append(Word(session.fence, one.known, one.position))
+            found.append(Word(session.fence, one.evidence, one.position))
     return tuple(found)
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Position, Wire
+from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, MAX_MEMBERS, Id, Position, WireStruct
 from molereach.shards.counts.words import Total
 from molereach.shards.map.pieces import Home, Member, Piece, ShardNumber
 from molereach.shards.proof import Word
@@ -14,17 +14,17 @@
 MOST_PIECES_FOUND = 128  # of the first map, in one entry
 _FIRST = b'{"kind":"'
 
-Proof = Annotated[tuple[Word, ...], Meta(max_length=2 * MOST_DOORS)]
+Proof = Annotated[tuple[Word, ...], Meta(max_length=2 * MAX_MEMBERS)]
 
 
-class Found(Wire, frozen=True, tag_field="kind", tag="found"):
+class Found(WireStruct, frozen=True, tag_field="kind", tag="found"):
     """The first map, and what each shard has already, in its order."""
 
     pieces: Annotated[tuple[Piece, ...], Meta(max_length=MOST_PIECES_FOUND)]
     bytes: Annotated[tuple[Total, ...], Meta(max_length=MOST_PIECES_FOUND)]
 
 
-class Plan(Wire, frozen=True, tag_field="kind", tag="plan"):
+class Plan(WireStruct, frozen=True, tag_field="kind", tag="plan"):
     """Split this shard: the members from `cut` go to another cell of its building."""
 
     id: Id
@@ -33,11 +33,11 @@
     to: Home
 
 
-class Copy(Wire, frozen=True, tag_field="kind", tag="copy"):
+class Copy(WireStruct, frozen=True, tag_field="kind", tag="copy"):
     id: Id
 
 
-class Close(Wire, frozen=True, tag_field="kind", tag="close"):
+class Close(WireStruct, frozen=True, tag_field="kind", tag="close"):
     """`begun` is the position at which copying began; the proof is that each front door knows of it."""
 
     id: Id
@@ -45,7 +45,7 @@
     proof: Proof
 
 
-class Hand(Wire, frozen=True, tag_field="kind", tag="hand"):
+class Hand(WireStruct, frozen=True, tag_field="kind", tag="hand"):
     """`begun` is the position of the closing, after which the old cell said that all was copied."""
 
     id: Id
@@ -53,7 +53,7 @@
     moved: Total  # bytes of the range
 
 
-class Clear(Wire, frozen=True, tag_field="kind", tag="clear"):
+class Clear(WireStruct, frozen=True, tag_field="kind", tag="clear"):
     """`begun` is the position of the hand-over; the proof is that no front door sends to the old cell."""
 
     id: Id
@@ -61,7 +61,7 @@
     proof: Proof
 
 
-class GiveUp(Wire, frozen=True, tag_field="kind", tag="give up"):
+class GiveUp(WireStruct, frozen=True, tag_field="kind", tag="give up"):
     """`begun` is the position of the last step that its proposer knew of."""
 
     id: Id
@@ -79,7 +79,7 @@
 
 def decode(data: bytes) -> Body:
     """ValueError where it is none of them."""
-    if len(data) > MOST_BODY_BYTES or not data.startswith(_FIRST):
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
--- a/molereach/shards/splits/book.py
+++ b/molereach/shards/splits/book.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Wire
+from molereach.coordination.interface import WireStruct
 from molereach.shards.counts.words import MOST_BYTES
 from molereach.shards.map.history import History
 from molereach.shards.map.pieces import MOST_SHARDS, Home, ShardMap, unsound
@@ -18,7 +18,7 @@
 Bytes = Annotated[int, Meta(ge=-MOST_BYTES, le=MOST_BYTES)]
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     map: ShardMap | None
     base: Annotated[tuple[Bytes, ...], Meta(max_length=MOST_SHARDS)]  # in the order of the map
     open: Annotated[tuple[Record, ...], Meta(max_length=MOST_OPEN)]
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import NEVER_US, Accounted, Propose, S, Tick
+from molereach.coordination.interface import NEVER_US, SECOND_US, NodeClearance, Propose, Tick
 from molereach.shards.proof import SessionsAt, pack
 from molereach.shards.splits.bodies import MACHINE, Body, Clear, Close, Copy, GiveUp, Hand, Plan, encode
 from molereach.shards.splits.machine import Shards
@@ -15,22 +15,22 @@
 from molereach.shards.splits.record import Record
 from molereach.shards.splits.way import BEFORE, State
 
-BEAT_US = S // 4
-AGAIN_US = 2 * S  # until an order that was not answered, or a step that was not taken, is tried anew
-PATIENT_US = 30 * S  # the same for what waits for others: a plan, and the beginning of a copy
+BEAT_US = SECOND_US // 4
+AGAIN_US = 2 * SECOND_US  # until an order that was not answered, or a step that was not taken, is tried anew
+PATIENT_US = 30 * SECOND_US  # the same for what waits for others: a plan, and the beginning of a copy
 MOST_PLANS = 64
-COPY_US = 24 * 3600 * S  # a copy that takes longer is given up
-CLOSE_US = 10 * S  # the range's requests are turned away for no longer
+COPY_US = 24 * 3600 * SECOND_US  # a copy that takes longer is given up
+CLOSE_US = 10 * SECOND_US  # the range's requests are turned away for no longer
 MOST_DONE = 512
 
 
 class Accounts(Protocol):
     """Of the leases, at the leader: proofs that an entry is known everywhere; None while one is missing."""
 
-    def applied(self, position: int) -> tuple[Accounted, ...] | None:
+    def applied(self, position: int) -> tuple[NodeClearance, ...] | None:
         """Each front door has applied it, or its session is over."""
 
-    def clear(self, position: int) -> tuple[Accounted, ...] | None:
+    def clear(self, position: int) -> tuple[NodeClearance, ...] | None:
         """As above, and nothing is under way that it forbids."""
 
 
--- a/molereach/shards/splits/record.py
+++ b/molereach/shards/splits/record.py
@@ -4,12 +4,12 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Id, Position, Wire
+from molereach.coordination.interface import Id, Position, WireStruct
 from molereach.shards.map.pieces import MEMBERS, Home, Member, ShardNumber, Version
 from molereach.shards.splits.way import State
 
 
-class Record(Wire, frozen=True):
+class Record(WireStruct, frozen=True):
     """A split, and where it stands."""
 
     id: Id
--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -11,13 +11,13 @@
 
 from molereach.coordination.interface import (
     NEVER_US,
+    SECOND_US,
     Applied,
-    Leads,
-    Life,
-    ProposalOver,
+    LeaderChanged,
+    NodeInstance,
+    ProposalFinished,
     Propose,
     Restored,
-    S,
     Tick,
 )
 from molereach.upkeep.order.plan import Plan
@@ -36,10 +36,10 @@
 from molereach.upkeep.rules.scene import Stop
 from molereach.upkeep.rules.standing import STANDING
 
-BEAT_US = S // 2
-SLICE_US = S // 200  # between two slices of a plan
+BEAT_US = SECOND_US // 2
+SLICE_US = SECOND_US // 200  # between two slices of a plan
 SEEN = "seen"
-SEAT_US = 10 * S  # before a seat is asked for again
+SEAT_US = 10 * SECOND_US  # before a seat is asked for again
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,14 +49,14 @@
     door: str
 
 
-Event = Tick | Leads | Applied | Restored | ProposalOver | Measured
+Event = Tick | LeaderChanged | Applied | Restored | ProposalFinished | Measured
 Action = Propose | ReplaceSeat
 
 
 class Driver:
     """At every front door; it acts only while this one leads."""
 
-    def __init__(self, me: Life, machine: Upkeep, clears: Clears) -> None:
+    def __init__(self, me: NodeInstance, machine: Upkeep, clears: Clears) -> None:
         self._me, self._machine, self._book = me, machine, machine.book
         self._accounting = Accounting(machine.sessions, clears, machine.settings.over_wait_ms)
         self._telling = Telling()
@@ -90,7 +90,7 @@
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
         match event:
-            case Leads():
+            case LeaderChanged():
                 self._leads(now_us, event)
             case Applied():
                 self._clock.applied(now_us, event.entry.at_ms)
@@ -101,7 +101,7 @@
                 self._clock.restored(now_us, self._book.marks)
                 self._accounting.look(now_us)
                 self._planning.changed()
-            case ProposalOver():
+            case ProposalFinished():
                 self._over(now_us, event)
             case Measured():
                 self._telling.measured(now_us, event.facts)
@@ -109,15 +109,15 @@
                 pass
         return self._due(now_us) if now_us >= self._next_us else []
 
-    def _leads(self, now_us: int, event: Leads) -> None:
-        ballot = event.ballot if event.mine else None
+    def _leads(self, now_us: int, event: LeaderChanged) -> None:
+        ballot = event.ballot if event.is_self else None
         if ballot != self._ballot:
             self._ballot, self._proposals = ballot, Proposals(self._me, event.ballot)
             self._planning.forget()
             self._telling.failed()
         self._next_us = NEVER_US if ballot is None else min(self._next_us, now_us)
 
-    def _over(self, now_us: int, event: ProposalOver) -> None:
+    def _over(self, now_us: int, event: ProposalFinished) -> None:
         found = self._proposals.over(now_us, event)
         if found is None or self._ballot is None:
             return
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
 from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
@@ -26,7 +26,7 @@
 class Missed:
     """A front door that still could send to a machine, as far as is known."""
 
-    door: Life
+    door: NodeInstance
     why: str
 
 
@@ -42,16 +42,16 @@
 
     def account(self, now_us: int, begun: int, unstood: int) -> tuple[tuple[Word, ...], tuple[Missed, ...]]:
         """Words for a proof, and who is missed for one."""
-        found: list[tuple[Opened | Past, Accounted]] = []
+        found: list[tuple[Opened | Past, NodeClearance]] = []
         missed: list[Missed] = []
         for session in needed(self._sessions, begun):
             if why := self._why(now_us, session, begun, unstood):
                 missed.append(Missed(session.life, why))
             elif isinstance(session, Opened):
                 clear = self._clears.clear(session.life.name, session.fence)
-                found.append((session, Accounted(session.life, Known.SAID, clear)))
+                found.append((session, NodeClearance(session.life, ClearanceEvidence.REPORTED, clear)))
             else:
-                found.append((session, Accounted(session.life, session.known, session.position)))
+                found.append((session, NodeClearance(session.life, session.known, session.position)))
         return pack(found), tuple(missed)
 
     def _why(self, now_us: int, session: Opened | Past, begun: int, unstood: int) -> str:
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -5,24 +5,32 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Id, Known, Name, Position, Wire
+from molereach.coordination.interface import (
+    MAX_ENTRY_BODY_BYTES,
+    MAX_MEMBERS,
+    ClearanceEvidence,
+    Id,
+    Name,
+    Position,
+    WireStruct,
+)
 from molereach.upkeep.permits.way import Step
 from molereach.upkeep.requests.work import MOST_MS, Work
 from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
 
 MACHINE = "upkeep"
 MOST_PARTS = 16  # of one set of facts
-MOST_WORDS = 2 * MOST_DOORS  # in a proof: of a name two sessions may count
+MOST_WORDS = 2 * MAX_MEMBERS  # in a proof: of a name two sessions may count
 _FIRST = b'{"kind":"'  # so that nothing is skipped, however deep, before it is known what it is
 
 
-class Ask(Wire, frozen=True, tag_field="kind", tag="ask"):
+class Ask(WireStruct, frozen=True, tag_field="kind", tag="ask"):
     """Take this machine out. The same again is answered with what became of it."""
 
     work: Work
 
 
-class Seen(Wire, frozen=True, tag_field="kind", tag="seen"):
+class Seen(WireStruct, frozen=True, tag_field="kind", tag="seen"):
     """A part of what was measured. Parts come in order, from one proposer; a first part begins anew."""
 
     number: Position
@@ -30,19 +38,19 @@
     parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
     age_ms: Annotated[int, Meta(ge=0, le=MOST_MS)]  # of the oldest of it, as it was proposed
     servers: Annotated[tuple[Server, ...], Meta(max_length=MOST_SERVERS)] = ()
-    doors: Annotated[tuple[Door, ...], Meta(max_length=MOST_DOORS)] = ()
+    doors: Annotated[tuple[Door, ...], Meta(max_length=MAX_MEMBERS)] = ()
     panel: Annotated[tuple[Name, ...], Meta(max_length=MOST_SEATS)] = ()
-    spares: Annotated[int, Meta(ge=0, le=MOST_DOORS)] = 0
+    spares: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)] = 0
     ordered: Annotated[tuple[Name, ...], Meta(max_length=MOST_ORDERED)] = ()
 
 
-class Stand(Wire, frozen=True, tag_field="kind", tag="stand"):
+class Stand(WireStruct, frozen=True, tag_field="kind", tag="stand"):
     """These servers, and no others, stand for front doors that are long without a session."""
 
     servers: Annotated[tuple[Name, ...], Meta(max_length=MOST_SERVERS)]
 
 
-class Move(Wire, frozen=True, tag_field="kind", tag="move"):
+class Move(WireStruct, frozen=True, tag_field="kind", tag="move"):
     """A step of a work. `begun` is the position of the entry by which it drains, 0 where it does not."""
 
     id: Id
@@ -50,16 +58,16 @@
     begun: Position = 0
 
 
-class Word(Wire, frozen=True, array_like=True):
+class Word(WireStruct, frozen=True, array_like=True):
     """Of one session, by its fence: what `Accounted` says, in the fewest bytes, as 256 must fit in an
     entry."""
 
     fence: Position
-    known: Known
+    known: ClearanceEvidence
     position: Position
 
 
-class Out(Wire, frozen=True, tag_field="kind", tag="out"):
+class Out(WireStruct, frozen=True, tag_field="kind", tag="out"):
     """The permit, with the proof for the draining that began at `begun`."""
 
     id: Id
@@ -67,7 +75,7 @@
     proof: Annotated[tuple[Word, ...], Meta(max_length=MOST_WORDS)]
 
 
-class Back(Wire, frozen=True, tag_field="kind", tag="back"):
+class Back(WireStruct, frozen=True, tag_field="kind", tag="back"):
     """The machine that was out by this permit is there again, under this name."""
 
     id: Id
@@ -86,7 +94,7 @@
 
 def decode(data: bytes) -> Body:
     """ValueError where it is none of them."""
-    if len(data) > MOST_BODY_BYTES or not data.startswith(_FIRST):
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
--- a/molereach/upkeep/permits/gathering.py
+++ b/molereach/upkeep/permits/gathering.py
@@ -7,22 +7,22 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_DOORS, Life, Position, Wire
+from molereach.coordination.interface import MAX_MEMBERS, NodeInstance, Position, WireStruct
 from molereach.upkeep.permits.bodies import MOST_PARTS, Seen, encode
 from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Facts, unsound
 
 
-class Part(Wire, frozen=True):
+class Part(WireStruct, frozen=True):
     """What has come of a set that is not whole."""
 
     number: Position
-    by: Life
+    by: NodeInstance
     next: Annotated[int, Meta(ge=0, le=MOST_PARTS)]
     parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
     facts: Facts
 
 
-def gather(part: Part | None, seen: Seen, by: Life, at_ms: int) -> Part:
+def gather(part: Part | None, seen: Seen, by: NodeInstance, at_ms: int) -> Part:
     """With the next part; ValueError, in one line, where it is not the next or they cannot be."""
     measured_ms = at_ms - seen.age_ms
     if measured_ms < 0:
@@ -43,7 +43,7 @@
     )
     for field, found, most in (
         ("servers", facts.servers, MOST_SERVERS),
-        ("doors", facts.doors, MOST_DOORS),
+        ("doors", facts.doors, MAX_MEMBERS),
         ("panel", facts.panel, MOST_SEATS),
         ("ordered", facts.ordered, MOST_ORDERED),
     ):
--- a/molereach/upkeep/permits/marks.py
+++ b/molereach/upkeep/permits/marks.py
@@ -8,14 +8,14 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Position, Wire
+from molereach.coordination.interface import Position, WireStruct
 from molereach.upkeep.requests.work import Ms
 
 MOST_MARKS = 32
 SPACES = 16  # into which the time that is waited for is cut
 
 
-class Mark(Wire, frozen=True, array_like=True):
+class Mark(WireStruct, frozen=True, array_like=True):
     """An entry of this machine."""
 
     position: Position
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 
@@ -51,10 +51,10 @@
     """Whether the front door that had this session may serve on without any."""
     last = sessions.past(session.life.name)
     return (
-        session.known is Known.OVER
+        session.known is ClearanceEvidence.SESSION_EXPIRED
         and sessions.open(session.life.name) is None
         and last is not None
-        and last.known is Known.OVER
+        and last.known is ClearanceEvidence.SESSION_EXPIRED
     )
 
 
@@ -69,7 +69,7 @@
         name = session.life.name
         if word is None:
             return f"no word of {name}"
-        if word.known is Known.SAID:
+        if word.known is ClearanceEvidence.REPORTED:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             if isinstance(session, Past) and session.position < begun:
@@ -87,6 +87,6 @@
     return ""
 
 
-def pack(accounted: Iterable[tuple[Opened | Past, Accounted]]) -> tuple[Word, ...]:
+def pack(accounted: Iterable[tuple[Opened | Past, NodeClearance]]) -> tuple[Word, ...]:
     """As it goes into an entry."""
-    return tuple(Word(session.fence, each.known, each.position) for session, each in accounted)
+    return tuple(Word(session.fence, each.evidence, each.position) for session, each in accounted)
--- a/molereach/upkeep/permits/proposals.py
+++ b/molereach/upkeep/permits/proposals.py
@@ -5,18 +5,24 @@
 again.
 """
 
-from molereach.coordination.interface import Life, Over, ProposalOver, Propose, S
+from molereach.coordination.interface import (
+    SECOND_US,
+    NodeInstance,
+    ProposalFinished,
+    ProposalStatus,
+    Propose,
+)
 from molereach.upkeep.permits.bodies import MACHINE, Body, encode
 
-WITHIN_US = 2 * S  # after which the log says UNKNOWN
-RETRY_US = S  # after a refusal
+WITHIN_US = 2 * SECOND_US  # after which the log says UNKNOWN
+RETRY_US = SECOND_US  # after a refusal
 MOST_OPEN = 16
 
 
 class Proposals:
     """Of one leader's time."""
 
-    def __init__(self, me: Life, ballot: int) -> None:
+    def __init__(self, me: NodeInstance, ballot: int) -> None:
         self._prefix = f"up.{me.number:x}.{ballot:x}."
         self._count = 0
         self._open: dict[str, str] = {}  # what it is for, by id
@@ -44,12 +50,14 @@
         self._open[id] = what
         return [Propose(MACHINE, id, encode(body), WITHIN_US)]
 
-    def over(self, now_us: int, event: ProposalOver) -> tuple[str, bool] | None:
+    def over(self, now_us: int, event: ProposalFinished) -> tuple[str, bool] | None:
         """What it was for and whether it was done; None for another's."""
         what = self._open.pop(event.id, None)
         if what is None:
             return None
-        done = event.over is Over.SETTLED and event.outcome is not None and not event.outcome.error
+        done = (
+            event.status is ProposalStatus.APPLIED and event.outcome is not None and not event.outcome.error
+        )
         if not done:
             self._again_us[what] = now_us + RETRY_US
         return what, done
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -1,6 +1,6 @@
 """What is kept of one work."""
 
-from molereach.coordination.interface import Life, Name, Position, Wire
+from molereach.coordination.interface import Name, NodeInstance, Position, WireStruct
 from molereach.upkeep.order.ageing import Waiting
 from molereach.upkeep.permits.way import UNSENDABLE, State
 from molereach.upkeep.requests.work import Ms, Work
@@ -8,11 +8,11 @@
 from molereach.upkeep.rules.scene import Off, Taken
 
 
-class Record(Wire, frozen=True):
+class Record(WireStruct, frozen=True):
     """A work, and where it stands."""
 
     work: Work
-    by: Life  # whose entry it was
+    by: NodeInstance  # whose entry it was
     asked: Position
     state: State
     since_ms: Ms  # of this state
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Name, Position, Wire
+from molereach.coordination.interface import Name, Position, WireStruct
 from molereach.upkeep.permits.book import MOST_PAST, MOST_UNSTOOD, Book
 from molereach.upkeep.permits.gathering import Part
 from molereach.upkeep.permits.marks import Marks
@@ -15,7 +15,7 @@
 from molereach.upkeep.rules.facts import MOST_SERVERS, Facts, Fleet, unsound
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     records: Annotated[tuple[Record, ...], Meta(max_length=MOST_OPEN)]  # as they were asked for
     past: Annotated[tuple[Record, ...], Meta(max_length=MOST_PAST)]
     permits: Position
--- a/molereach/upkeep/permits/telling.py
+++ b/molereach/upkeep/permits/telling.py
@@ -5,14 +5,14 @@
 
 import msgspec
 
-from molereach.coordination.interface import MOST_BODY_BYTES, S
+from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, SECOND_US
 from molereach.upkeep.permits.bodies import Seen
 from molereach.upkeep.permits.gathering import cut
 from molereach.upkeep.rules.facts import Facts
 
-EVERY_US = 10 * S  # while works are open
-IDLE_US = 300 * S
-MOST_PART_BYTES = MOST_BODY_BYTES - 1024
+EVERY_US = 10 * SECOND_US  # while works are open
+IDLE_US = 300 * SECOND_US
+MOST_PART_BYTES = MAX_ENTRY_BODY_BYTES - 1024
 MS_US = 1000
 
 
--- a/molereach/upkeep/requests/work.py
+++ b/molereach/upkeep/requests/work.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Id, Name, Wire
+from molereach.coordination.interface import Id, Name, WireStruct
 
 MINUTE_MS = 60_000
 MOST_MINUTES = 7 * 24 * 60
@@ -29,7 +29,7 @@
     DOOR = "door"
 
 
-class Work(Wire, frozen=True):
+class Work(WireStruct, frozen=True):
     """What an asker wants; the same id with the same content is the same work, wherever it is asked."""
 
     id: Id
--- a/molereach/upkeep/rules/facts.py
+++ b/molereach/upkeep/rules/facts.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import MOST_DOORS, Name, Wire
+from molereach.coordination.interface import MAX_MEMBERS, Name, WireStruct
 from molereach.upkeep.requests.work import Kind, Ms
 
 WHOLE = 1000
@@ -23,7 +23,7 @@
 Address = Annotated[str, Meta(max_length=MOST_ADDRESS_CHARS, pattern=r"^[A-Za-z0-9.:\[\]_-]*$")]
 
 
-class Server(Wire, frozen=True, array_like=True):
+class Server(WireStruct, frozen=True, array_like=True):
     """One member's server, as it is measured."""
 
     name: Name
@@ -35,7 +35,7 @@
     load: Share
 
 
-class Door(Wire, frozen=True, array_like=True):
+class Door(WireStruct, frozen=True, array_like=True):
     """One front door; `number` is its place in the ring of which customers' sets are runs."""
 
     name: Name
@@ -43,17 +43,17 @@
     cell: Name
     zone: Name
     ready: bool
-    number: Annotated[int, Meta(ge=0, lt=MOST_DOORS)]
+    number: Annotated[int, Meta(ge=0, lt=MAX_MEMBERS)]
 
 
-class Facts(Wire, frozen=True):
+class Facts(WireStruct, frozen=True):
     """All of them, measured at `at_ms` or later, in the time of entries."""
 
     at_ms: Ms = 0
     servers: Annotated[tuple[Server, ...], Meta(max_length=MOST_SERVERS)] = ()
-    doors: Annotated[tuple[Door, ...], Meta(max_length=MOST_DOORS)] = ()
+    doors: Annotated[tuple[Door, ...], Meta(max_length=MAX_MEMBERS)] = ()
     panel: Annotated[tuple[Name, ...], Meta(max_length=MOST_SEATS)] = ()
-    spares: Annotated[int, Meta(ge=0, le=MOST_DOORS)] = 0  # front doors that could take a seat
+    spares: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)] = 0  # front doors that could take a seat
     ordered: Annotated[tuple[Name, ...], Meta(max_length=MOST_ORDERED)] = ()  # under an order of another
 
 
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from molereach.coordination.interface import Terms
+from molereach.coordination.interface import SessionTerms
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import CouncilSettings
 from rig.council.marks import BODY, NAME, Marks
@@ -25,7 +25,7 @@
         self.config, self.marks = config, Marks()
         key = bytes.fromhex(config["key"])
         doors = {name: (host, port) for name, (host, port) in config["doors"].items()}
-        terms = Terms(config["session_us"])
+        terms = SessionTerms(config["session_us"])
         settings = CouncilSettings(doors, tuple(config["panel"]), config["beat_us"], terms)
         opened = None
         if folder := config.get("folder"):
@@ -37,10 +37,10 @@
         match ask["what"]:
             case "mark":
                 over = await self.service.propose(NAME, ask["id"], BODY, ask["within_us"])
-                return {"over": over.over.value, "position": over.position}
+                return {"over": over.status.value, "position": over.position}
             case "account":
                 proof = self.service.core.account(ask["position"], 0).proof()
-                return {"proof": proof and [[each.door.name, each.known.value] for each in proof]}
+                return {"proof": proof and [[each.instance.name, each.evidence.value] for each in proof]}
             case "leave":
                 await self.service.leave()
                 return {}
--- a/rig/scenario.py
+++ b/rig/scenario.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-MOST_DOORS, MOST_SERVERS, MOST_SECONDS = 250, 1000, 36_000.0
+MAX_MEMBERS, MOST_SERVERS, MOST_SECONDS = 250, 1000, 36_000.0
 REAL_DOORS, REAL_SERVERS, REAL_SECONDS = 9, 64, 600.0  # of those that are played with processes and sockets
 MOST_REQUESTS = 200_000  # first tries of a day: about 250 MB of journals
 ANY = "any"  # a front door or server that the seed chooses
@@ -239,7 +239,7 @@
     name: str
     title: str
     seconds: Annotated[float, Meta(gt=0.0, le=MOST_SECONDS)] = 10.0
-    doors: Annotated[int, Meta(ge=1, le=MOST_DOORS)] = 3
+    doors: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)] = 3
     servers: Annotated[int, Meta(ge=1, le=MOST_SERVERS)] = 6
     load: Load = Load()
     start_list: StartList = StartList.LAST
--- a/sim/council.py
+++ b/sim/council.py
@@ -15,15 +15,15 @@
     Applied,
     DiskFailed,
     Entry,
-    Heard,
-    Life,
-    Over,
+    MessageReceived,
+    NodeInstance,
     Persist,
     Persisted,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
-    Say,
-    Terms,
+    SendMessage,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.bodies import MACHINE as SESSIONS
@@ -61,7 +61,7 @@
     asked_us: int
     door: int
     asked: bool = False  # its front door lived, and lives on
-    over: Over | None = None
+    over: ProposalStatus | None = None
     over_us: int = 0
     position: int = 0
     everywhere_us: int = 0  # when all who live had applied it
@@ -85,16 +85,18 @@
         self.names = [f"n{number:03d}" for number in range(doors)]
         self.number = {name: number for number, name in enumerate(self.names)}
         addresses = {name: ("127.0.0.1", 7000 + number) for name, number in self.number.items()}
-        terms = Terms(drift=max(0.001, drift))
+        terms = SessionTerms(drift=max(0.001, drift))
         self.settings = CouncilSettings(addresses, tuple(self.names[:seats]), terms=terms)
         self.panel = first_panel(KEY, self.names[:seats])
         self.disks = {number: Disk(first_identity(KEY, self.names[number]).hex()) for number in range(seats)}
         self.words = Words(WORDS)
         self.cored: dict[int, Council] = {}
-        self.lives: dict[int, Life] = {}
+        self.lives: dict[int, NodeInstance] = {}
         self.entries: dict[int, Entry] = {}  # what was decided at each position
         self.digests: dict[int, str] = {}
-        self.judged: dict[int, tuple[Life, int]] = {}  # by front door: the position of its last digest
+        self.judged: dict[
+            int, tuple[NodeInstance, int]
+        ] = {}  # by front door: the position of its last digest
         self.over: dict[str, int] = {}  # by front door: the highest fence that is over for others
         self.marks: dict[str, Told] = {}
         self.bytes_out: dict[int, int] = {}
@@ -110,7 +112,9 @@
     def start(self, node: Node) -> None:
         node.up = True
         name, disk = self.names[node.number], self.disks.get(node.number)
-        life = Life(name, ((1_700_000_000_000 + self.now // 1000) << 20) + self.random.getrandbits(20))
+        life = NodeInstance(
+            name, ((1_700_000_000_000 + self.now // 1000) << 20) + self.random.getrandbits(20)
+        )
         self.lives[node.number] = life
         draw = Random(f"{life.number}").random
         wall = 1_700_000_000_000 + self.random.randint(-3000, 3000)
@@ -158,7 +162,7 @@
                 self.at(self.now + SYNC_US, lambda: self.on(node, lambda: self.synced(node, life, action)))
             case Applied(entry):
                 self.decided(entry)
-            case ProposalOver(name, over, _, position) if name in self.marks:
+            case ProposalFinished(name, over, _, position) if name in self.marks:
                 told = self.marks[name]
                 told.over, told.over_us, told.position = over, self.now, position
             case _:
@@ -177,18 +181,18 @@
 
     # --- the network ---
 
-    def send(self, node: Node, part: str, say: Say) -> None:
+    def send(self, node: Node, part: str, say: SendMessage) -> None:
         data = self.words.pack(part, say.message)
         self.bytes_out[node.number] = self.bytes_out.get(node.number, 0) + len(data)
         self.words_out[node.number, part] = self.words_out.get((node.number, part), 0) + 1
-        if (peer := self.number.get(say.to)) is None:
+        if (peer := self.number.get(say.recipient)) is None:
             return
-        sender, wanted = self.lives[node.number], say.life
+        sender, wanted = self.lives[node.number], say.instance_number
 
         def hear() -> None:
             receiver = self.nodes[peer]
             if wanted is None or wanted == self.lives[peer].number:
-                self.step(receiver, From(part, Heard(sender, self.words.read(data)[1])))
+                self.step(receiver, From(part, MessageReceived(sender, self.words.read(data)[1])))
 
         if not self.mail.joined(node.number, peer):
             return
@@ -261,7 +265,7 @@
             if self.over.get(core.me.name, 0) >= fence and self.ended_by(core.me, fence):
                 raise BrokenError(f"{core.me.name} holds session {fence}, which is over for others")
 
-    def ended_by(self, life: Life, fence: int) -> bool:
+    def ended_by(self, life: NodeInstance, fence: int) -> bool:
         """Whether any front door has applied an end of this session."""
         for core in self.cored.values():
             past = core.parts.sessions.past(life.name)
--- a/sim/swarm.py
+++ b/sim/swarm.py
@@ -12,7 +12,7 @@
 from rig import scenario as sc
 from rig.timeline import pick
 
-LEAST_DOORS, MOST_DOORS = 3, 10
+LEAST_DOORS, MAX_MEMBERS = 3, 10
 LEAST_SERVERS, MOST_SERVERS = 4, 12
 RATES = (12.0, 60.0)
 MOST_FAULTS = 10
@@ -76,7 +76,7 @@
         f"swarm-{seed}",
         "a random day",
         seconds,
-        random.randint(LEAST_DOORS, MOST_DOORS),
+        random.randint(LEAST_DOORS, MAX_MEMBERS),
         random.randint(LEAST_SERVERS, MOST_SERVERS),
         sc.Load(
             round(random.uniform(*RATES), 1),
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -8,10 +8,10 @@
 from molereach.cache.hit import Hit
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
-from molereach.coordination.interface import Life, Terms
+from molereach.coordination.interface import NodeInstance, SessionTerms
 from molereach.coordination.leases.sessions import Sessions
 
-TERMS = Terms(2 * S, 0.02)
+TERMS = SessionTerms(2 * S, 0.02)
 RATES = (1 - TERMS.drift / 2, 1.0, 1 + TERMS.drift / 2)  # between any two, the drift at most
 MEMBERS = tuple(f"{number:016x}" for number in range(3))
 CLASSES = ("load", "meter")
@@ -63,13 +63,15 @@
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
 
-    def follow(self, sessions: Sessions, life: Life, entry_id: str) -> None:
+    def follow(self, sessions: Sessions, life: NodeInstance, entry_id: str) -> None:
         opened = sessions.open(life.name)
         if opened is None or opened.life != life:
             self.fence = self.until_us = 0
         elif opened.fence != self.fence:
             mine = self.opening is not None and self.opening[0] == entry_id
-            self.until_us = self.opening[1] + TERMS.held_us if mine and self.opening and not self.left else 0
+            self.until_us = (
+                self.opening[1] + TERMS.holder_duration_us if mine and self.opening and not self.left else 0
+            )
             self.fence = opened.fence
 
 
@@ -87,7 +89,7 @@
 class Seat:
     """One run of one front door."""
 
-    life: Life
+    life: NodeInstance
     offset_us: int
     rate: float
     sessions: Sessions
--- a/tests/cache/purge/entries.py
+++ b/tests/cache/purge/entries.py
@@ -2,11 +2,11 @@
 
 from molereach.cache.purge.bodies import MACHINE, Ask, Body, Standing, encode, ended, standing
 from molereach.cache.purge.machine import Bounds, Purges
-from molereach.coordination.interface import Entry, Life, Outcome
+from molereach.coordination.interface import Entry, NodeInstance, Outcome
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Sessions
 
-A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
+A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 MEMBER, OTHER = "00000000000000aa", "00000000000000bb"
 SMALL = Bounds(most_pending=8, most_done=4, most_rows=40, most_past=6, keep_ms=1000)
 
@@ -24,20 +24,20 @@
         self.position, self.at_ms = 0, 1000
         self.entries: list[Entry] = []
 
-    def add(self, machine: str, body: bytes, proposer: Life = A, at_ms: int = 0) -> Outcome:
+    def add(self, machine: str, body: bytes, proposer: NodeInstance = A, at_ms: int = 0) -> Outcome:
         self.position, self.at_ms = self.position + 1, max(self.at_ms, at_ms)
         entry = Entry(self.position, machine, f"id{self.position}", proposer, self.at_ms, body)
         self.entries.append(entry)
         return self.sessions.apply(entry) if machine == leases.MACHINE else self.purges.apply(entry)
 
-    def lease(self, body: leases.Body, proposer: Life = A) -> Outcome:
+    def lease(self, body: leases.Body, proposer: NodeInstance = A) -> Outcome:
         return self.add(leases.MACHINE, leases.encode(body), proposer)
 
-    def opens(self, *lives: Life) -> None:
+    def opens(self, *lives: NodeInstance) -> None:
         for life in lives:
             assert not self.lease(leases.Open(life), life).error
 
-    def fence(self, life: Life) -> int:
+    def fence(self, life: NodeInstance) -> int:
         opened = self.sessions.open(life.name)
         assert opened
         return opened.fence
--- a/tests/cache/purge/test_machine.py
+++ b/tests/cache/purge/test_machine.py
@@ -11,7 +11,7 @@
 from molereach.cache.purge.machine import MOST_DONE_AT_ONCE, MOST_ROWS_AT_ONCE, Bounds, Purges
 from molereach.cache.purge.receipt import Receipt, canonical, intact
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.accounts import Missing
 from tests.cache.purge.entries import MEMBER, OTHER, SMALL, A, B, C, Log, ended_by, purge_id
@@ -35,7 +35,10 @@
     done = log.purge(Done(asked.asked, said[:1]))
     assert ended_by(done) == (1, asked.asked)
     told = receipt(log, asked.id)
-    assert told.doors == (Accounted(A, Known.SAID, asked.asked), Accounted(B, Known.LEFT, 7))
+    assert told.doors == (
+        NodeClearance(A, ClearanceEvidence.REPORTED, asked.asked),
+        NodeClearance(B, ClearanceEvidence.LEFT, 7),
+    )
     assert (told.asked, told.done, told.member, told.id) == (3, 8, MEMBER, asked.id)
     assert log.purge(Done(asked.asked, said)).error == "nothing is pending up to there"
     assert receipt(log, asked.id) == told
@@ -45,16 +48,16 @@
     log = Log()
     log.opens(A, B, C)
     asked = log.ask()
-    later = Life("b", 2)
+    later = NodeInstance("b", 2)
     fences = log.fence(A), log.fence(B), log.fence(C)
     log.lease(leases.Open(later), later)
     log.lease(leases.Keeping(7))
     log.lease(leases.Ended(C, log.fence(C), 7))
     assert not log.purge(Done(asked.asked, fences)).error
     assert receipt(log, asked.id).doors == (
-        Accounted(A, Known.SAID, 4),
-        Accounted(B, Known.ANEW, 5),
-        Accounted(C, Known.OVER, 7),
+        NodeClearance(A, ClearanceEvidence.REPORTED, 4),
+        NodeClearance(B, ClearanceEvidence.RESTARTED, 5),
+        NodeClearance(C, ClearanceEvidence.SESSION_EXPIRED, 7),
     )
 
 
@@ -69,7 +72,9 @@
     assert not any(each.fence == 2 for each in log.sessions.at(asked.asked))
     assert log.purge(Done(asked.asked, ())).error == "front door a is not accounted for"
     assert not log.purge(Done(asked.asked, (log.fence(A),))).error
-    assert receipt(log, asked.id).doors[1] == Accounted(B, Known.OVER, log.position)
+    assert receipt(log, asked.id).doors[1] == NodeClearance(
+        B, ClearanceEvidence.SESSION_EXPIRED, log.position
+    )
 
 
 def test_a_new_session_of_a_door_does_not_speak_for_its_earlier_one() -> None:
@@ -77,11 +82,11 @@
     log.opens(A)
     before = log.ask()
     log.lease(leases.Close(A, log.fence(A)), A)
-    anew = Life("a", 2)
+    anew = NodeInstance("a", 2)
     log.opens(anew)
     again = log.ask(1)
     assert log.purge(Done(again.asked, ())).error == ""  # the first needs no word any more
-    assert receipt(log, before.id).doors == (Accounted(A, Known.LEFT, 3),)
+    assert receipt(log, before.id).doors == (NodeClearance(A, ClearanceEvidence.LEFT, 3),)
     assert not isinstance(log.purges.find(again.id), Finished)
     assert ended_by(log.purge(Done(again.asked, (log.fence(anew),)))) == (1, again.asked)
 
@@ -133,7 +138,7 @@
     asked = log.ask()
     log.purge(Done(asked.asked, (1, 2, 3)))
     told = receipt(log, asked.id)
-    assert intact(told) and [each.door.name for each in told.doors] == ["a", "b", "c"]
+    assert intact(told) and [each.instance.name for each in told.doors] == ["a", "b", "c"]
     turned = msgspec.structs.replace(told, doors=told.doors[::-1])
     assert canonical(turned) == canonical(told)
     for changed in ({"done": 9}, {"member": OTHER}, {"doors": told.doors[1:]}, {"hash": "0" * 64}):
@@ -189,14 +194,14 @@
     for number in range(8):
         body = Ask(purge_id(log.position, number), MEMBER)
         refused += bool(log.purge(body).error)
-        last = Life("a", number + 2)
+        last = NodeInstance("a", number + 2)
         log.opens(last)
         assert log.purges.cohorts.rows <= 10 and len(log.purges.cohorts) <= 3
     assert refused == 5
     for number in range(8):
         log.purge(Done(log.position, (2, 3, log.fence(last))))
         log.ask(20 + number)
-        last = Life("a", number + 20)
+        last = NodeInstance("a", number + 20)
         log.opens(last)
         assert log.purges.rosters.rows <= 10
     assert log.purges.counts["done"] < 8
@@ -213,11 +218,11 @@
 
 def test_one_entry_looks_through_a_bounded_number_of_front_doors() -> None:
     log = Log(Bounds())
-    log.opens(*(Life(f"d{number}", 1) for number in range(200)))
+    log.opens(*(NodeInstance(f"d{number}", 1) for number in range(200)))
     for number in range(40):
         log.ask(number)
-        log.opens(Life("d0", 2 + number))
-    said = tuple(log.fence(Life(f"d{number}", 1)) for number in range(200))
+        log.opens(NodeInstance("d0", 2 + number))
+    said = tuple(log.fence(NodeInstance(f"d{number}", 1)) for number in range(200))
     ended = [ended_by(log.purge(Done(log.position, said)))[0] for _ in range(2)]
     assert ended == [MOST_ROWS_AT_ONCE // 201 + 1, 40 - MOST_ROWS_AT_ONCE // 201 - 1]
 
@@ -264,13 +269,16 @@
     for entry in first.entries:
         second.add(entry.machine, entry.body, entry.proposer)
     assert answer(second.purges, 3, asked.id) == answer(first.purges, 3, asked.id)
-    later = Life("a", 2)
+    later = NodeInstance("a", 2)
     second.opens(later)  # it was the first, and knows nothing of what it was asked
     second.purge(Done(asked.asked, (2,)))
     third = Log()
     third.purges.restore(second.purges.snapshot())
     told = receipt(second, asked.id)
-    assert answer(third.purges, 5, asked.id, least=5) == told and told.doors[0].known is Known.ANEW
+    assert (
+        answer(third.purges, 5, asked.id, least=5) == told
+        and told.doors[0].evidence is ClearanceEvidence.RESTARTED
+    )
     assert standing(third.purge(Ask(asked.id, MEMBER)).value) == Standing(asked.id, 3, 5)
     assert receipt(third, asked.id) == told
 
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -8,10 +8,10 @@
 from molereach.coordination.interface import (
     NEVER_US,
     Applied,
-    Leads,
+    LeaderChanged,
     Outcome,
-    Over,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
     Tick,
@@ -54,7 +54,7 @@
         return Account(position, self.log.sessions, self.heard, since_us, clear=True)
 
     def lead(self, now_us: int, ballot: int = 3) -> list[Propose]:
-        return list(self.driver.handle(now_us, Leads("a", ballot, True)))
+        return list(self.driver.handle(now_us, LeaderChanged("a", ballot, True)))
 
     def ask(self, now_us: int, number: int = 0) -> tuple[list[Propose], Asked]:
         name = purge_id(self.log.position, number)
@@ -67,7 +67,9 @@
     def settle(self, now_us: int, propose: Propose) -> Outcome:
         outcome = self.log.purge(propose.body)
         self.next = list(self.driver.handle(now_us, Applied(self.log.entries[-1], outcome)))
-        self.driver.handle(now_us, ProposalOver(propose.id, Over.SETTLED, outcome, self.log.position))
+        self.driver.handle(
+            now_us, ProposalFinished(propose.id, ProposalStatus.APPLIED, outcome, self.log.position)
+        )
         return outcome
 
 
@@ -95,7 +97,7 @@
     place.heard.by_fence = {1: 9, 2: 9}
     (first,) = place.driver.handle(LOOK_US, Tick())
     assert list(place.driver.handle(2 * LOOK_US, Tick())) == []
-    assert list(place.driver.handle(3 * LOOK_US, ProposalOver("other", Over.UNKNOWN))) == []
+    assert list(place.driver.handle(3 * LOOK_US, ProposalFinished("other", ProposalStatus.UNKNOWN))) == []
     assert place.driver.wake_us == LOOK_US + AGAIN_US
     (again,) = place.driver.handle(LOOK_US + AGAIN_US, Tick())
     assert again.id != first.id and again.body == first.body
@@ -132,9 +134,9 @@
     assert missing and {each.since_us for each in missing} == {9}
     place.heard.by_fence = {1: later.position, 2: later.position}
     assert place.driver.handle(LOOK_US + 7, Tick())
-    assert place.driver.handle(LOOK_US + 8, Leads("b", 4, False)) == ()
+    assert place.driver.handle(LOOK_US + 8, LeaderChanged("b", 4, False)) == ()
     assert place.driver.wake_us == NEVER_US
-    place.driver.handle(LOOK_US + 9, Leads("a", 5, True))
+    place.driver.handle(LOOK_US + 9, LeaderChanged("a", 5, True))
     assert place.log.purges.find(asked.id) == asked
 
 
