--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -19,7 +19,16 @@
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.cache.purge.records import Asked, Finished
 from molereach.cache.readings.settings import S
-from molereach.coordination.interface import Applied, Entry, Leads, Life, Outcome, Propose, Restored, Tick
+from molereach.coordination.interface import (
+    Applied,
+    Entry,
+    LeaderChanged,
+    NodeInstance,
+    Outcome,
+    Propose,
+    Restored,
+    Tick,
+)
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.sessions import Sessions
@@ -54,7 +63,7 @@
         self.asked_us: dict[str, int] = {}  # by id of a purge: when its customer asked first
         self.bodies: list[Ask] = []
         self.receipts: dict[str, Receipt] = {}
-        self.open_at: dict[int, tuple[Life, ...]] = {}
+        self.open_at: dict[int, tuple[NodeInstance, ...]] = {}
         self.purged: list[tuple[int, Ask, int]] = []  # position, scope, when asked; of all that were taken
         self.written = self.refused = 0
         self.seats = [self.start(f"d{number}", 1) for number in range(doors)]
@@ -69,7 +78,7 @@
         door = self.cores.door(self.ages.settings, purges, lease, 3)
         driver = Driver(purges, lambda position, since: Account(position, sessions, seat, since, True))
         seat = Seat(
-            Life(name, number),
+            NodeInstance(name, number),
             self.chance.randrange(1 << 30),
             self.chance.choice(RATES),
             sessions,
@@ -95,11 +104,11 @@
         self.append(leases.MACHINE, leases.encode(leases.Keeping(self.ballot)), seat.life)
         now = seat.now(self.now)
         seat.heard = {each.fence: Said(0, 0, None, now) for each in self.sessions.all_open()}
-        self.propose(seat, seat.driver.handle(now, Leads(seat.life.name, self.ballot, True)))
+        self.propose(seat, seat.driver.handle(now, LeaderChanged(seat.life.name, self.ballot, True)))
 
     # --- the log ---
 
-    def append(self, machine: str, body: bytes, proposer: Life, entry_id: str = "") -> None:
+    def append(self, machine: str, body: bytes, proposer: NodeInstance, entry_id: str = "") -> None:
         self.at_ms = max(self.at_ms, 10**6 + self.now // 1000 + self.chance.randrange(-50, 50))
         if self.chance.random() < 0.01:  # a front door's clock is wrong by far
             self.at_ms += 5_000
@@ -124,7 +133,7 @@
                 receipt = self.purges.receipt(known)
                 if self.receipts.setdefault(body.id, receipt) != receipt or not intact(receipt):
                     raise BrokenError(f"another receipt of {body.id}")
-                if tuple(each.door for each in receipt.doors) != self.open_at[receipt.asked]:
+                if tuple(each.instance for each in receipt.doors) != self.open_at[receipt.asked]:
                     raise BrokenError("a receipt without a front door")
             elif isinstance(known, Asked):
                 if body.id in self.receipts:
@@ -221,7 +230,7 @@
 
     def granted(self, seat: Seat, made_us: int, fence: int) -> None:
         if self.awake(seat) and seat.lease.fence == fence and not seat.lease.left:
-            seat.lease.until_us = max(seat.lease.until_us, made_us + TERMS.held_us)
+            seat.lease.until_us = max(seat.lease.until_us, made_us + TERMS.holder_duration_us)
 
     def end_sessions(self) -> None:
         if not self.awake(self.leader):
@@ -229,7 +238,7 @@
         now = self.leader.now(self.now)
         for opened in self.sessions.all_open():
             said = self.leader.heard.get(opened.fence)
-            if said and now > said.since_us + TERMS.over_us:
+            if said and now > said.since_us + TERMS.expiry_us:
                 body = leases.encode(leases.Ended(opened.life, opened.fence, self.ballot))
                 self.append(leases.MACHINE, body, self.leader.life)
 
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.interface import Ask as SessionAsk
-from molereach.coordination.interface import Grant
+from molereach.coordination.interface import RenewalGrant
+from molereach.coordination.interface import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
@@ -115,7 +115,7 @@
     binary_family("log_bases", {"base": samples.log_base()}, log_records.Base),
     binary_family("log_snapshots", {"snapshot": samples.log_snapshot()}, log_records.Snapshot),
     binary_family("session_asks", samples.session_asks(), SessionAsk),
-    binary_family("session_grants", samples.session_grants(), Grant),
+    binary_family("session_grants", samples.session_grants(), RenewalGrant),
 )
 
 
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -1,8 +1,8 @@
 """Council messages and records with fixed content: one of each type, built by the program's own types."""
 
 from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.interface import Ask as SessionAsk
-from molereach.coordination.interface import Entry, Grant, Life, Outcome
+from molereach.coordination.interface import Entry, NodeInstance, Outcome, RenewalGrant
+from molereach.coordination.interface import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.replicated_log import panel as log_panel
@@ -12,8 +12,8 @@
 from molereach.coordination.transport import hello as link_hello
 from molereach.coordination.transport import words as link_words
 
-FIRST_DOOR = Life(name="door-a", number=1_900_000_000_001 << 20)
-SECOND_DOOR = Life(name="door-b", number=(1_900_000_000_002 << 20) + 7)
+FIRST_DOOR = NodeInstance(name="door-a", number=1_900_000_000_001 << 20)
+SECOND_DOOR = NodeInstance(name="door-b", number=(1_900_000_000_002 << 20) + 7)
 FIRST_DISK = "0123456789abcdef" * 2
 SECOND_DISK = "fedcba9876543210" * 2
 AT_MS = 1_796_731_200_000
@@ -217,14 +217,27 @@
     """Renewals as they are asked for."""
     first, second = FIRST_DOOR, SECOND_DOOR
     return {
-        "ask": SessionAsk(name=first.name, life=first.number, fence=11, number=8, applied=19, lag=2),
-        "ask-without-lag": SessionAsk(name=second.name, life=second.number, fence=0, number=1, applied=0),
+        "ask": SessionAsk(
+            name=first.name,
+            instance_number=first.number,
+            fencing_token=11,
+            number=8,
+            applied_position=19,
+            lag=2,
+        ),
+        "ask-without-lag": SessionAsk(
+            name=second.name, instance_number=second.number, fencing_token=0, number=1, applied_position=0
+        ),
     }
 
 
-def session_grants() -> dict[str, Grant]:
+def session_grants() -> dict[str, RenewalGrant]:
     """Renewals as they are granted."""
-    return {"grant": Grant(name=FIRST_DOOR.name, life=FIRST_DOOR.number, fence=11, number=8)}
+    return {
+        "grant": RenewalGrant(
+            name=FIRST_DOOR.name, instance_number=FIRST_DOOR.number, fencing_token=11, number=8
+        )
+    }
 
 
 def spread_messages() -> dict[str, spread_words.Message]:
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.coordination.interface import Known, Life
+from molereach.coordination.interface import ClearanceEvidence, NodeInstance
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.replicated_log import panel as log_panel
 from molereach.coordination.replicated_log import words as log_words
@@ -28,10 +28,10 @@
 WINDOW_MS = 600_000
 DAY_MS = 24 * 60 * 60_000
 
-FIRST = Life(name="door-a", number=1_900_000_000_001 << 20)
-SECOND = Life(name="door-b", number=1_900_000_000_002 << 20)
-THIRD = Life(name="door-c", number=1_900_000_000_003 << 20)
-FIRST_ANEW = Life(name="door-a", number=1_900_000_600_000 << 20)
+FIRST = NodeInstance(name="door-a", number=1_900_000_000_001 << 20)
+SECOND = NodeInstance(name="door-b", number=1_900_000_000_002 << 20)
+THIRD = NodeInstance(name="door-c", number=1_900_000_000_003 << 20)
+FIRST_ANEW = NodeInstance(name="door-a", number=1_900_000_600_000 << 20)
 
 # Positions that later entries name.
 OPENED_FIRST, OPENED_SECOND, OPENED_THIRD, KEPT = 1, 2, 3, 4
@@ -57,7 +57,7 @@
     name: str
     machine: str
     body: Any
-    proposer: Life = FIRST
+    proposer: NodeInstance = FIRST
     later_ms: int = ENTRY_MS
     id: str = ""
 
@@ -97,7 +97,9 @@
 # --- shards ---
 
 
-def shard_word(fence: int, position: int, known: Known = Known.SAID) -> shard_proof.Word:
+def shard_word(
+    fence: int, position: int, known: ClearanceEvidence = ClearanceEvidence.REPORTED
+) -> shard_proof.Word:
     """What a proof about shards says of one session."""
     return shard_proof.Word(fence=fence, known=known, position=position)
 
@@ -136,9 +138,9 @@
 def split_ends() -> list[Command]:
     """The first split is cleared, by a proof with each way in which a session ends; another is planned."""
     proof = (
-        shard_word(OPENED_FIRST, OPENED_ANEW, Known.ANEW),
-        shard_word(OPENED_SECOND, ENDED_SECOND, Known.OVER),
-        shard_word(OPENED_THIRD, CLOSED_THIRD, Known.LEFT),
+        shard_word(OPENED_FIRST, OPENED_ANEW, ClearanceEvidence.RESTARTED),
+        shard_word(OPENED_SECOND, ENDED_SECOND, ClearanceEvidence.SESSION_EXPIRED),
+        shard_word(OPENED_THIRD, CLOSED_THIRD, ClearanceEvidence.LEFT),
     )
     clear = split_bodies.Clear(id="split-1", begun=HANDED, proof=proof)
     plan = split_bodies.Plan(id="split-3", shard=2, cut=3 * (MEMBERS // 4), to=HOMES[3])
@@ -245,7 +247,7 @@
 def upkeep_ends() -> list[Command]:
     """A permit and its end, a work that is withdrawn, and facts of which a part is missing."""
     proof = tuple(
-        upkeep_bodies.Word(fence=fence, known=Known.SAID, position=DRAINED)
+        upkeep_bodies.Word(fence=fence, known=ClearanceEvidence.REPORTED, position=DRAINED)
         for fence in (OPENED_FIRST, OPENED_SECOND, OPENED_THIRD)
     )
     bodies: dict[str, upkeep_bodies.Body] = {
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from molereach.cache.purge.ids import draw_id
-from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.interface import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.accounts import Account, Saying
 from molereach.coordination.membership.words import Status
 from molereach.shards.counts import words as count_words
@@ -29,7 +29,7 @@
 MAPS_FILE, PURGE_IDS_FILE = "machines_maps.hex", "machines_purge_ids.json"
 WRITES = 3_000  # in a digest: enough for nodes to be joined
 ENUMS: dict[str, type[Enum]] = {
-    "how a front door is known": Known,
+    "how a front door is known": ClearanceEvidence,
     "life of a front door": Status,
     "kind of a machine out for work": Kind,
     "state of a work": upkeep_way.State,
@@ -105,13 +105,13 @@
         return Said(applied=self.position, clear=self.position, heard_us=0)
 
 
-def account(replica: Replica, position: int) -> tuple[Accounted, ...] | None:
+def account(replica: Replica, position: int) -> tuple[NodeClearance, ...] | None:
     """The proof that an entry holds everywhere."""
     sayings = Sayings(replica.learner.position)
     return Account(position, replica.sessions, sayings, since_us=0, clear=True).proof()
 
 
-def accounts(replica: Replica) -> dict[str, tuple[Accounted, ...] | None]:
+def accounts(replica: Replica) -> dict[str, tuple[NodeClearance, ...] | None]:
     """Proofs for an entry before all sessions ended, and for one after it."""
     return {"before": account(replica, samples.HANDED), "after": account(replica, samples.FOLDED_THIRD)}
 
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molereach.cache.purge.ids import drawn_at
-from molereach.coordination.interface import Accounted
+from molereach.coordination.interface import NodeClearance
 from molereach.shards.counts import words as count_words
 from molereach.shards.map.delta import Delta, applied
 from molereach.shards.map.pieces import ShardMap
@@ -60,7 +60,7 @@
     recorded = recorded_bytes(machines_values.ACCOUNTS_FILE)
     accounts = machines_values.accounts(replica)
     assert msgspec.json.encode(accounts) == recorded
-    assert msgspec.json.decode(recorded, type=dict[str, tuple[Accounted, ...]]) == accounts
+    assert msgspec.json.decode(recorded, type=dict[str, tuple[NodeClearance, ...]]) == accounts
 
 
 def test_enums_have_the_recorded_values() -> None:
--- a/tests/coordination/dissemination/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -9,27 +9,27 @@
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import (
     MOST_ENTRIES,
-    Ask,
     Down,
     Fetch,
     Gathered,
     Give,
-    Grant,
     Granted,
     Grown,
     Learn,
     Message,
     Mine,
     Redirect,
+    RenewalGrant,
+    RenewalRequest,
     Up,
     View,
     Whom,
 )
-from molereach.coordination.interface import MOST_DOORS, Heard, Life, Say, Tick
+from molereach.coordination.interface import MAX_MEMBERS, MessageReceived, NodeInstance, SendMessage, Tick
 from tests.coordination.dissemination.world import BEAT, entry
 
 NAMES = [f"d{at:02}" for at in range(20)]  # d00 leads; d01 to d08 are below it, d09 to d16 below d01
-LIVES = {name: Life(name, 10) for name in NAMES}
+LIVES = {name: NodeInstance(name, 10) for name in NAMES}
 RANKED = {f"d0{at}" for at in range(1, 9)}
 VIEW = View(tuple(LIVES.values()), "d00", 3)
 
@@ -41,19 +41,19 @@
 
 
 def tell(core: Spread, now: int, sender: str, message: Message, life: int = 10) -> list[Any]:
-    return core.handle(now, Heard(Life(sender, life), message))
+    return core.handle(now, MessageReceived(NodeInstance(sender, life), message))
 
 
 def said(actions: list[Any], kind: type) -> dict[str, Any]:
     return {
-        action.to: action.message
+        action.recipient: action.message
         for action in actions
-        if isinstance(action, Say) and isinstance(action.message, kind)
+        if isinstance(action, SendMessage) and isinstance(action.message, kind)
     }
 
 
-def ask(name: str, number: int = 1, life: int = 10, fence: int = 5) -> Ask:
-    return Ask(name, life, fence, number, 0)
+def ask(name: str, number: int = 1, life: int = 10, fence: int = 5) -> RenewalRequest:
+    return RenewalRequest(name, life, fence, number, 0)
 
 
 def inner() -> Spread:
@@ -64,11 +64,13 @@
 
 
 def test_an_ask_is_48_bytes_and_words_come_back_as_they_were() -> None:
-    largest = Ask("front-door-123.site-a", (1 << 62) - 1, (1 << 32) - 1, (1 << 32) - 1, (1 << 32) - 1)
+    largest = RenewalRequest(
+        "front-door-123.site-a", (1 << 62) - 1, (1 << 32) - 1, (1 << 32) - 1, (1 << 32) - 1
+    )
     assert len(msgspec.msgpack.encode(largest)) <= 48
     for word in (
         Up(1, 2, (largest,)),
-        Down(1, 2, "a", 0, 3, (entry(3),), (Grant("a", 1, 2, 3),)),
+        Down(1, 2, "a", 0, 3, (entry(3),), (RenewalGrant("a", 1, 2, 3),)),
         Whom(),
         Redirect("a", 4, None),
     ):
@@ -78,11 +80,11 @@
 @pytest.mark.parametrize(
     "word",
     [
-        ["s.up", 0, 1, [["a", 1, 1, 1, 1]] * (MOST_DOORS + 1)],
+        ["s.up", 0, 1, [["a", 1, 1, 1, 1]] * (MAX_MEMBERS + 1)],
         ["s.up", 0, 0, []],
         ["s.up", 0, 1, [["a", 1, 1, 1, 1, -1]]],
         ["s.down", 1, 1, "a", 65, 0],
-        ["s.down", 1, 1, "a", 0, 0, [], [["a", 1, 1, 1]] * (MOST_DOORS + 1)],
+        ["s.down", 1, 1, "a", 0, 0, [], [["a", 1, 1, 1]] * (MAX_MEMBERS + 1)],
         ["s.down", 1, 1, "a", 0, 0, [entry(1)] * (MOST_ENTRIES + 1)],
         ["s.redirect", "x" * 65, 1, None],
     ],
@@ -124,18 +126,18 @@
 def test_a_flood_of_asks_is_bounded_and_those_that_live_come_before_it() -> None:
     core = inner()
     for at in range(20):
-        asks = tuple(ask(f"x{at}-{number}") for number in range(MOST_DOORS))
+        asks = tuple(ask(f"x{at}-{number}") for number in range(MAX_MEMBERS))
         tell(core, 2, f"y{at}", Up(0, 1, asks))
     tell(core, 3, "d09", Up(0, 2, (ask("d09"), ask("d10"))))
     core.handle(4, Mine(ask("d01")))
     gather = core.below.gather
-    assert len(gather.asks) <= MOST_DOORS and len(gather.routes) <= MOST_DOORS
+    assert len(gather.asks) <= MAX_MEMBERS and len(gather.routes) <= MAX_MEMBERS
     (up,) = said(core.handle(BEAT * 7 // 8, Tick()), Up).values()
-    assert len(up.asks) == MOST_DOORS
+    assert len(up.asks) == MAX_MEMBERS
     assert up.asks[0] == ask("d01") and {ask("d09"), ask("d10")} <= set(up.asks)
     # What is granted to them finds its way, past all the invented names.
-    word = Down(3, 2, "d00", 0, 0, (), (Grant("d10", 10, 5, 1),))
-    assert said(tell(core, BEAT, "d00", word), Down)["d09"].grants == (Grant("d10", 10, 5, 1),)
+    word = Down(3, 2, "d00", 0, 0, (), (RenewalGrant("d10", 10, 5, 1),))
+    assert said(tell(core, BEAT, "d00", word), Down)["d09"].grants == (RenewalGrant("d10", 10, 5, 1),)
     for beat in range(2, 9):  # and none of it is kept
         tell(core, beat * BEAT, "d00", Down(3, 1 + beat, "d00", 0, 0))
         core.handle(beat * BEAT + BEAT * 7 // 8, Tick())
@@ -158,7 +160,7 @@
     core = inner()
     tell(core, 2, "d09", Up(0, 1, (ask("d09"), ask("x"))))
     tell(core, 2, "d10", Up(0, 1, (ask("d10"),)))
-    grants = (Grant("x", 10, 5, 1), Grant("nobody", 10, 5, 1), Grant("d01", 10, 5, 1))
+    grants = (RenewalGrant("x", 10, 5, 1), RenewalGrant("nobody", 10, 5, 1), RenewalGrant("d01", 10, 5, 1))
     actions = tell(core, 3, "d00", Down(3, 1, "d00", 0, 0, (), grants))
     assert {name: word.grants for name, word in said(actions, Down).items()} == {"d09": grants[:1]}
     assert Granted(grants[2:]) in actions
@@ -170,14 +172,14 @@
     tell(core, 7, "d09", Up(0, 1, (ask("x"),)))
     actions = tell(core, BEAT, "d00", Down(3, 2, "d00", 0, 0, (), grants))
     assert {name: word.grants for name, word in said(actions, Down).items()} == {"d09": grants[:1], "d10": ()}
-    assert sum(isinstance(action, Say) for action in actions) == 2
+    assert sum(isinstance(action, SendMessage) for action in actions) == 2
 
 
 def test_an_older_ask_that_was_overtaken_does_not_turn_the_grant() -> None:
     core = inner()
     tell(core, 2, "d09", Up(0, 1, (ask("x", 5),)))
     tell(core, 3, "d10", Up(0, 1, (ask("x", 4),)))
-    actions = tell(core, 4, "d00", Down(3, 1, "d00", 0, 0, (), (Grant("x", 10, 5, 5),)))
+    actions = tell(core, 4, "d00", Down(3, 1, "d00", 0, 0, (), (RenewalGrant("x", 10, 5, 5),)))
     assert set(said(actions, Down)) == {"d09"}
 
 
@@ -190,7 +192,7 @@
         tell(core, beat * BEAT, "d00", Down(3, 1 + beat, "d00", 0, 0))
     for number in (2, 3):  # of an earlier ask, and of this one
         assert core.below.gather.own
-        tell(core, 2 * BEAT + 1, "d00", Down(3, 3, "d00", 0, 0, (), (Grant("d01", 10, 5, number),)))
+        tell(core, 2 * BEAT + 1, "d00", Down(3, 3, "d00", 0, 0, (), (RenewalGrant("d01", 10, 5, number),)))
     assert not core.below.gather.own
 
 
@@ -204,16 +206,16 @@
     (gathered,) = [action for action in core.handle(BEAT * 3 // 4, Tick()) if isinstance(action, Gathered)]
     assert gathered.asks == (ask("d00"), ask("d01"), ask("d09"), ask("d02"))
     assert Gathered((ask("d00"), ask("d03"))) in tell(core, BEAT * 7 // 8, "d03", Up(0, 1, (ask("d03"),)))
-    grant = Grant("d09", 10, 5, 1)
-    own = Grant("d00", 10, 5, 1)
+    grant = RenewalGrant("d09", 10, 5, 1)
+    own = RenewalGrant("d00", 10, 5, 1)
     assert core.handle(BEAT * 7 // 8, Give((grant, own))) == [Granted((own,))]
     words = said(core.handle(BEAT, Tick()), Down)
     assert words["d01"].grants == (grant,) and words["d02"].grants == ()
-    late = Grant("d02", 10, 5, 1)
+    late = RenewalGrant("d02", 10, 5, 1)
     assert set(said(core.handle(BEAT + 1, Give((late,))), Down)) == {"d02"}
     for at in range(400):
-        core.handle(BEAT * 7 // 4, Give((Grant(f"x{at}", 1, 1, 1),)))
-    assert len(core.held) == MOST_DOORS
+        core.handle(BEAT * 7 // 4, Give((RenewalGrant(f"x{at}", 1, 1, 1),)))
+    assert len(core.held) == MAX_MEMBERS
 
 
 def test_pulses_that_come_late_all_at_once_are_passed_on_once() -> None:
@@ -244,7 +246,7 @@
     tell(core, 1, "d01", Up(0, 1, (ask("d01"),)))
     assert "d07" in said(tell(core, 2, "d01", Redirect("d07", 4, "d07")), Up)
     assert not said(core.handle(BEAT, Tick()), Down)
-    assert not core.handle(BEAT, Give((Grant("d00", 10, 5, 1),)))
+    assert not core.handle(BEAT, Give((RenewalGrant("d00", 10, 5, 1),)))
     core.handle(BEAT, VIEW)  # of before
     assert not core.standing.leads
 
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -5,7 +5,7 @@
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import Down
-from molereach.coordination.interface import Heard
+from molereach.coordination.interface import MessageReceived
 from tests.coordination.dissemination.world import BEAT, World
 
 FAN = Settings().fan
@@ -94,7 +94,7 @@
     ballot, number = core.above.mark
     assert core.above.name == ring[-1]
     pulse = Down(ballot, number + 1, world.leader, 3, 0)  # a late one
-    world.feed(ring[0], Heard(world.nodes[ring[-1]].core.me, pulse))
+    world.feed(ring[0], MessageReceived(world.nodes[ring[-1]].core.me, pulse))
     world.run(1)
     all_reach_all(world)
 
--- a/tests/coordination/dissemination/test_parent.py
+++ b/tests/coordination/dissemination/test_parent.py
@@ -8,18 +8,18 @@
 from molereach.coordination.dissemination.ranks import Ranks
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import (
-    Ask,
     Down,
     Give,
-    Grant,
     Grown,
     Parent,
     Redirect,
+    RenewalGrant,
+    RenewalRequest,
     Up,
     View,
     Whom,
 )
-from molereach.coordination.interface import Life, Say, Tick
+from molereach.coordination.interface import NodeInstance, SendMessage, Tick
 from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
 from tests.coordination.dissemination.world import BEAT, entry
 
@@ -53,7 +53,7 @@
 
 
 def test_the_grandparent_is_asked_before_the_leader() -> None:
-    lives = tuple(Life(f"e{at:03}", 1) for at in range(100))
+    lives = tuple(NodeInstance(f"e{at:03}", 1) for at in range(100))
     core = Spread(lives[99], Settings(fan=2), lambda: 0.5)
     assert set(said(core.handle(0, View(lives, "e000", 1)), Up)) == {"e049"}
     assert [name for _, name in asked(core, 4 * BEAT)] == ["e024", "e000"]
@@ -118,7 +118,7 @@
         for beat in range(start, start + count):
             now = beat * BEAT
             for action in (*tell(core, now, "d05", Down(3, beat, "d00", 1, 0)), *core.handle(now, Tick())):
-                if isinstance(action, Say) and isinstance(action.message, Whom):
+                if isinstance(action, SendMessage) and isinstance(action.message, Whom):
                     whoms.append(beat)
                 actions.append(action)
         return actions
@@ -155,8 +155,8 @@
 
 def test_what_was_to_be_granted_under_an_earlier_ballot_is_not() -> None:
     core = door("d00")
-    tell(core, 1, "d01", Up(0, 1, (Ask("d01", 10, 5, 1, 0),)))
-    core.handle(BEAT // 2, Give((Grant("d01", 10, 5, 1),)))
+    tell(core, 1, "d01", Up(0, 1, (RenewalRequest("d01", 10, 5, 1, 0),)))
+    core.handle(BEAT // 2, Give((RenewalGrant("d01", 10, 5, 1),)))
     core.handle(BEAT // 2, View(ALIVE, "d07", 4))
     words = said(core.handle(BEAT // 2, View(ALIVE, "d00", 5)), Down)
     assert core.standing.leads and words["d01"].grants == ()
@@ -165,7 +165,7 @@
 def test_a_later_life_in_the_view_ends_the_earlier_child() -> None:
     core = door("d00")
     tell(core, 1, "d01", Up(0, 1))
-    core.handle(2, View((*(life for life in ALIVE if life.name != "d01"), Life("d01", 11)), "d00", 3))
+    core.handle(2, View((*(life for life in ALIVE if life.name != "d01"), NodeInstance("d01", 11)), "d00", 3))
     assert "d01" not in core.below.children
 
 
--- a/tests/coordination/dissemination/world.py
+++ b/tests/coordination/dissemination/world.py
@@ -12,28 +12,28 @@
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import (
-    Ask,
     Down,
     Fetch,
     Gathered,
     Give,
-    Grant,
     Granted,
     Grown,
     Learn,
     Mine,
     Parent,
+    RenewalGrant,
+    RenewalRequest,
     Up,
     View,
 )
-from molereach.coordination.interface import NEVER_US, Entry, Heard, Life, Say, Tick
+from molereach.coordination.interface import NEVER_US, Entry, MessageReceived, NodeInstance, SendMessage, Tick
 
 BEAT = Settings().beat_us
 KEEPER_US = 40_000  # from what was gathered to what is given
 
 
 def entry(position: int, body: bytes = b"{}") -> Entry:
-    return Entry(position, "m", f"id{position}", Life("door-000", 1), position, body)
+    return Entry(position, "m", f"id{position}", NodeInstance("door-000", 1), position, body)
 
 
 @dataclass
@@ -70,7 +70,7 @@
         self.most_up_over = 0  # bytes of a word up over 48 for each front door below
         for at in range(count):
             name = f"door-{at:03}"
-            life = Life(name, (1_800_000_000_000 << 20) + at)
+            life = NodeInstance(name, (1_800_000_000_000 << 20) + at)
             self.nodes[name] = Node(Spread(life, Settings(), random.Random(seed * 1000 + at).random))
             self.at(self.random.randrange(BEAT), "ask", name)
 
@@ -93,7 +93,7 @@
                 node.number += 1
                 node.asked[node.number] = self.now
                 self.at(self.now + BEAT, "ask", name)
-                what = Mine(Ask(name, node.core.me.number, 7, node.number, node.applied))
+                what = Mine(RenewalRequest(name, node.core.me.number, 7, node.number, node.applied))
             if kind == "fetch":
                 self.fetched(name, what)
                 continue
@@ -123,7 +123,7 @@
 
     def act(self, name: str, node: Node, action: Any) -> None:  # noqa: ANN401
         match action:
-            case Say():
+            case SendMessage():
                 self.say(name, node, action)
             case Learn():
                 if action.entries[0].position <= node.applied + 1:
@@ -133,7 +133,10 @@
                 self.fetches += 1
                 self.at(self.now + 2 * self.delay_us, "fetch", name, action.source)
             case Gathered():
-                grants = tuple(Grant(ask.name, ask.life, ask.fence, ask.number) for ask in action.asks)
+                grants = tuple(
+                    RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number)
+                    for ask in action.asks
+                )
                 if name == self.leader:
                     self.at(self.now + KEEPER_US, "give", name, Give(grants))
             case Granted():
@@ -143,23 +146,23 @@
                 assert action.name != name
                 self.moves[name] += 1
 
-    def say(self, name: str, node: Node, say: Say) -> None:
+    def say(self, name: str, node: Node, say: SendMessage) -> None:
         self.said[name, type(say.message).__name__] += 1
         if isinstance(say.message, Up | Down):
-            self.peers[name].add(say.to)
-            self.peers[say.to].add(name)
+            self.peers[name].add(say.recipient)
+            self.peers[say.recipient].add(name)
         size = len(msgspec.msgpack.encode(say.message))
         if isinstance(say.message, Up):
             self.most_up_over = max(self.most_up_over, size - 48 * say.message.below)
         else:
             assert size <= (64 << 10)
-        target = self.nodes.get(say.to)
-        if target is None or (name, say.to) in self.cut or self.random.random() < self.loss:
+        target = self.nodes.get(say.recipient)
+        if target is None or (name, say.recipient) in self.cut or self.random.random() < self.loss:
             return
-        if say.life not in (None, target.core.me.number):
+        if say.instance_number not in (None, target.core.me.number):
             return
         delay = self.delay_us + (self.random.randrange(self.jitter_us) if self.jitter_us else 0)
-        self.at(self.now + delay, "mail", say.to, Heard(node.core.me, say.message))
+        self.at(self.now + delay, "mail", say.recipient, MessageReceived(node.core.me, say.message))
 
     def grow(self, name: str, position: int, entries: tuple[Entry, ...]) -> None:
         node = self.nodes[name]
--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -2,21 +2,21 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Life, Outcome
+from molereach.coordination.interface import Entry, NodeInstance, Outcome
 from molereach.coordination.leases.bodies import MACHINE, Body, Open, encode
 from molereach.coordination.leases.sessions import Opened, Sessions
 
-A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
+A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 
 
 def entry(
-    position: int, body: Body | bytes, proposer: Life = A, name: str = "", machine: str = MACHINE
+    position: int, body: Body | bytes, proposer: NodeInstance = A, name: str = "", machine: str = MACHINE
 ) -> Entry:
     data = body if isinstance(body, bytes) else encode(body)
     return Entry(position, machine, name or f"id{position}", proposer, position, data)
 
 
-def opened(sessions: Sessions, position: int, life: Life) -> Outcome:
+def opened(sessions: Sessions, position: int, life: NodeInstance) -> Outcome:
     return sessions.apply(entry(position, Open(life), life))
 
 
--- a/tests/coordination/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -1,11 +1,11 @@
 """Random histories: what goes wrong, and when, drawn from a seed."""
 
-from molereach.coordination.interface import Propose, S
+from molereach.coordination.interface import SECOND_US, Propose
 from molereach.coordination.leases.words import Leave
 from tests.coordination.leases.world import MS, TERMS, Cores, World
 
 NAMES = ("a", "b", "c", "d")
-LENGTH_US = 16 * S
+LENGTH_US = 16 * SECOND_US
 BOUND = (1 - TERMS.drift, 1.0, 1 + TERMS.drift)  # of rates; what lies between is drawn too
 
 
@@ -17,9 +17,9 @@
         case 0 | 1:
             world.elect(door)
         case 2 | 3 | 4 | 5:
-            world.stop(door, chance.randrange(50 * MS, 5 * S))
+            world.stop(door, chance.randrange(50 * MS, 5 * SECOND_US))
         case 6 | 7:
-            door.cut_until = world.now + chance.randrange(100 * MS, 4 * S)
+            door.cut_until = world.now + chance.randrange(100 * MS, 4 * SECOND_US)
         case 8:
             world.start(door.life.name)
         case 9:
@@ -32,7 +32,7 @@
 def forbid(world: World) -> None:
     """An entry of some other machine, which is to be accounted for."""
     number = len(world.open_at)
-    world.append(Propose("other", f"forbid.{number}", b"", S), world.doors["a"].life)
+    world.append(Propose("other", f"forbid.{number}", b"", SECOND_US), world.doors["a"].life)
 
 
 def history(seed: int, cores: Cores = Cores(), quick: bool = False) -> World:  # noqa: B008
@@ -42,6 +42,6 @@
     for name in NAMES:
         world.start(name)
     world.elect(world.doors["a"])
-    world.after(2 * S, lambda: trouble(world))
+    world.after(2 * SECOND_US, lambda: trouble(world))
     world.run(LENGTH_US)
     return world
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import Accounted, Entry, Known, Outcome, Terms
+from molereach.coordination.interface import ClearanceEvidence, Entry, NodeClearance, Outcome, SessionTerms
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.asks import Asks
 from molereach.coordination.leases.bodies import Ended, decode, encode
 from molereach.coordination.leases.holder import Holder
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.sessions import Opened, Past, Sessions
-from molereach.coordination.leases.words import Ask, Asked, Given, Grant, Granted
+from molereach.coordination.leases.words import Asked, Given, Granted, RenewalGrant, RenewalRequest
 from tests.coordination.leases.world import TERMS, Cores
 
 
@@ -20,7 +20,7 @@
         before = self._until_us
         super()._granted(now_us, event)
         if self._until_us > before:
-            self._until_us = now_us + self.terms.held_us
+            self._until_us = now_us + self.terms.holder_duration_us
 
 
 class OpenedFromTheAnswer(Holder):
@@ -28,7 +28,7 @@
 
     def _open(self, now_us: int, fence: int, mine: int) -> None:
         super()._open(now_us, fence, mine)
-        self._until_us = now_us + self.terms.held_us
+        self._until_us = now_us + self.terms.holder_duration_us
 
 
 class StillHeldWhileClosing(Holder):
@@ -41,8 +41,8 @@
 
 
 class _AnyAsk(Asks):
-    def granted(self, grant: Grant) -> tuple[int, Ask] | None:
-        if (grant.name, grant.life) != (self._life.name, self._life.number) or not self._open:
+    def granted(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
+        if (grant.name, grant.instance_number) != (self._life.name, self._life.number) or not self._open:
             return None
         return next(reversed(self._open.values()))
 
@@ -56,7 +56,7 @@
 
 
 class _NumbersAgain(Asks):
-    def granted(self, grant: Grant) -> tuple[int, Ask] | None:
+    def granted(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         found = self._open.get(grant.number)
         return found if grant.name == self._life.name else None
 
@@ -76,7 +76,7 @@
 class GivenUnconfirmed(Keeper):
     """Renewals are given at once, by whoever believes to lead."""
 
-    def _asked(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _asked(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         super()._asked(now_us, asks)
         self.unconfirmed = self._give(now_us, asks) if self.keeps else ()
 
@@ -96,11 +96,11 @@
 class GivenAfterItsEnd(Keeper):
     """What was proposed as ended is renewed all the same."""
 
-    def _asked(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _asked(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         self._revive()
         super()._asked(now_us, asks)
 
-    def _give(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
+    def _give(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
         self._revive()
         return super()._give(now_us, asks)
 
@@ -112,10 +112,10 @@
 class AWordIsEnough(Account):
     """Whoever was heard of since the entry counts as having it."""
 
-    def _accounted(self, session: Opened | Past) -> Accounted | None:
+    def _accounted(self, session: Opened | Past) -> NodeClearance | None:
         said = self._sayings.said(session.life.name, session.fence)
         if said is not None and said.heard_us is not None and said.heard_us >= self.since_us:
-            return Accounted(session.life, Known.SAID, self.position)
+            return NodeClearance(session.life, ClearanceEvidence.REPORTED, self.position)
         return super()._accounted(session)
 
 
@@ -136,11 +136,11 @@
         return super().apply(entry)
 
 
-class NoDrift(Terms):
+class NoDrift(SessionTerms):
     """The council takes its own clock for true."""
 
     @property
-    def over_us(self) -> int:
+    def expiry_us(self) -> int:
         return self.duration_us
 
 
--- a/tests/coordination/leases/test_accounts.py
+++ b/tests/coordination/leases/test_accounts.py
@@ -1,56 +1,62 @@
 """The account of an entry: who is missing and why, and when the proof is whole."""
 
 from molereach.coordination.interface import (
-    Accounted,
+    SECOND_US,
     Applied,
-    Known,
-    Leads,
-    Life,
+    ClearanceEvidence,
+    LeaderChanged,
+    NodeClearance,
+    NodeInstance,
     Outcome,
     Restored,
-    S,
     Session,
-    Terms,
+    SessionTerms,
 )
 from molereach.coordination.leases.accounts import Account, Missing
 from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.permits import RULES, Use, may
 from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import Ask, Asked
+from molereach.coordination.leases.words import Asked, RenewalRequest
 from tests.coordination.leases.entries import A, B, C, entry
 
-D = Life("d", 1)
-ANEW = Life("b", 2)
+D = NodeInstance("d", 1)
+ANEW = NodeInstance("b", 2)
 
 
 class Leader:
     """A replica with its keeper, at ballot 1."""
 
-    def __init__(self, order: list[tuple[Life, Body | None]]) -> None:
+    def __init__(self, order: list[tuple[NodeInstance, Body | None]]) -> None:
         self.sessions, self.now = Sessions(), 0
-        self.keeper = Keeper(self.sessions, Terms())
-        self.keeper.handle(0, Leads("k", 1, True))
+        self.keeper = Keeper(self.sessions, SessionTerms())
+        self.keeper.handle(0, LeaderChanged("k", 1, True))
         self.position = 0
         for proposer, body in order:
             self.learn(proposer, body)
 
-    def learn(self, proposer: Life, body: Body | None) -> None:
+    def learn(self, proposer: NodeInstance, body: Body | None) -> None:
         """None for an entry of another machine."""
         self.position += 1
         step = entry(self.position, body or b"", proposer, machine="sessions" if body else "other")
         outcome = self.sessions.apply(step) if body else Outcome()
         self.keeper.handle(self.now, Applied(step, outcome))
 
-    def said(self, life: Life, fence: int, applied: int) -> None:
-        self.keeper.handle(self.now, Asked((Ask(life.name, life.number, fence, 1, applied),)))
+    def said(self, life: NodeInstance, fence: int, applied: int) -> None:
+        self.keeper.handle(self.now, Asked((RenewalRequest(life.name, life.number, fence, 1, applied),)))
 
     def account(self, position: int = 5) -> Account:
         return Account(position, self.sessions, self.keeper, self.now)
 
 
-OPENED: list[tuple[Life, Body | None]] = [(D, Open(D)), (C, Open(C)), (B, Open(B)), (A, Open(A)), (A, None)]
-SINCE: list[tuple[Life, Body | None]] = [
+OPENED: list[tuple[NodeInstance, Body | None]] = [
+    (D, Open(D)),
+    (C, Open(C)),
+    (B, Open(B)),
+    (A, Open(A)),
+    (A, None),
+]
+SINCE: list[tuple[NodeInstance, Body | None]] = [
     (A, Keeping(1)),
     (ANEW, Open(ANEW)),
     (A, Ended(C, 2, 1)),
@@ -61,21 +67,21 @@
 
 def test_who_is_missing_since_when_and_why() -> None:
     leader = Leader(OPENED)
-    leader.now = 3 * S
+    leader.now = 3 * SECOND_US
     account = leader.account()
     leader.said(A, 4, 3)
-    leader.now = 4 * S
+    leader.now = 4 * SECOND_US
     missing = account.pending()
     assert [each.door for each in missing] == [A, B, C, D]
-    assert missing[0] == Missing(A, 3 * S, 3, 3 * S, "applied only to 3")
-    assert missing[1] == Missing(B, 3 * S, 0, None, "nothing heard since 3000000")
+    assert missing[0] == Missing(A, 3 * SECOND_US, 3, 3 * SECOND_US, "applied only to 3")
+    assert missing[1] == Missing(B, 3 * SECOND_US, 0, None, "nothing heard since 3000000")
     assert account.proof() is None
 
 
 def test_one_that_was_heard_before_the_entry_alone_is_silent_since() -> None:
     leader = Leader(OPENED)
     leader.said(A, 4, 3)
-    leader.now = 3 * S
+    leader.now = 3 * SECOND_US
     assert leader.account().pending()[0].why == "nothing heard since 0"
 
 
@@ -86,10 +92,10 @@
     assert account.proof() is None and [each.door for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
-        Accounted(A, Known.SAID, 5),
-        Accounted(B, Known.ANEW, 7),
-        Accounted(C, Known.OVER, 8),
-        Accounted(D, Known.LEFT, 9),
+        NodeClearance(A, ClearanceEvidence.REPORTED, 5),
+        NodeClearance(B, ClearanceEvidence.RESTARTED, 7),
+        NodeClearance(C, ClearanceEvidence.SESSION_EXPIRED, 8),
+        NodeClearance(D, ClearanceEvidence.LEFT, 9),
     )
 
 
@@ -100,7 +106,9 @@
 
 def test_a_session_of_which_the_keeper_has_not_heard_yet_is_missing() -> None:
     leader = Leader(OPENED)
-    leader.sessions.apply(entry(6, Open(Life("e", 1)), Life("e", 1)))  # the replica is ahead of the events
+    leader.sessions.apply(
+        entry(6, Open(NodeInstance("e", 1)), NodeInstance("e", 1))
+    )  # the replica is ahead of the events
     account = leader.account(7)
     assert account.pending()[-1].why == "nothing heard since 0"
     leader.keeper.position = 7
@@ -122,7 +130,7 @@
     third.sessions.restore(one.sessions.snapshot())
     third.keeper.handle(0, Restored(10))
     one.said(A, 4, 5)
-    other.now = 9 * S
+    other.now = 9 * SECOND_US
     other.said(A, 4, 10)  # asked later
     third.said(A, 4, 7)
     assert one.account().proof() == other.account().proof() == third.account().proof() is not None
--- a/tests/coordination/leases/test_bounds.py
+++ b/tests/coordination/leases/test_bounds.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from molereach.coordination.interface import S, Terms
+from molereach.coordination.interface import SECOND_US, SessionTerms
 from molereach.coordination.leases.words import BEAT_US
 from tests.coordination.leases.world import Cores, World
 
-TERMS = Terms()
+TERMS = SessionTerms()
 RATES = (1 - TERMS.drift, 1 + TERMS.drift)
 OVER_US = int(TERMS.duration_us * (1 + TERMS.drift)) + 2 * BEAT_US
 
@@ -18,7 +18,7 @@
     for name in "abcd":
         world.start(name)
     world.elect(world.doors["a"])
-    world.run(3 * S)
+    world.run(3 * SECOND_US)
     assert holding(world) == "abcd"
     return world
 
@@ -33,14 +33,14 @@
 def test_a_stopped_front_door_is_over_in_time_and_finds_so_when_it_wakes(seed: int) -> None:
     world = quiet(seed)
     door, fence = world.doors["d"], world.doors["d"].holder.fence
-    world.stop(door, 20 * S)
-    world.run(3 * S + TERMS.held_us - BEAT_US)
+    world.stop(door, 20 * SECOND_US)
+    world.run(3 * SECOND_US + TERMS.holder_duration_us - BEAT_US)
     assert fence not in world.over
-    world.run(3 * S + OVER_US)
+    world.run(3 * SECOND_US + OVER_US)
     assert fence in world.over and holding(world) == "abc"
-    world.run(23 * S)
+    world.run(23 * SECOND_US)
     assert not door.holder.holds(door.clock.at(world.now)), "before anything is done"
-    world.run(25 * S)
+    world.run(25 * SECOND_US)
     assert holding(world) == "abcd" and door.holder.fence > fence
 
 
@@ -48,12 +48,12 @@
 def test_after_a_new_leader_all_are_kept_and_the_old_ones_session_ends(seed: int) -> None:
     world = quiet(seed)
     fences = {name: each.holder.fence for name, each in world.doors.items()}
-    world.stop(world.doors["a"], 60 * S)
-    world.run(5 * S)
+    world.stop(world.doors["a"], 60 * SECOND_US)
+    world.run(5 * SECOND_US)
     world.elect(world.doors["b"])
-    world.run(5 * S + OVER_US)
+    world.run(5 * SECOND_US + OVER_US)
     assert world.over == {fences["a"]} and holding(world) == "bcd"
-    world.run(30 * S)
+    world.run(30 * SECOND_US)
     assert {name: world.doors[name].holder.fence for name in "bcd"} == {name: fences[name] for name in "bcd"}
 
 
@@ -61,9 +61,9 @@
 def test_without_a_leader_nobody_holds_and_nothing_ends_and_then_all_go_on(seed: int) -> None:
     world = quiet(seed)
     world.leader = None
-    world.run(3 * S + TERMS.duration_us + BEAT_US)
+    world.run(3 * SECOND_US + TERMS.duration_us + BEAT_US)
     assert holding(world) == "" and not world.over
-    world.run(20 * S)
+    world.run(20 * SECOND_US)
     world.elect(world.doors["c"])
-    world.run(22 * S)
+    world.run(22 * SECOND_US)
     assert holding(world) == "abcd" and not world.over
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -9,34 +9,43 @@
 
 from molereach.coordination.interface import (
     NEVER_US,
+    SECOND_US,
     Applied,
-    Leads,
-    Life,
+    LeaderChanged,
+    NodeInstance,
     Outcome,
-    Over,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.asks import MOST_ASKS
 from molereach.coordination.leases.bodies import Body, Close, Ended, Open, decode
 from molereach.coordination.leases.holder import Holder
 from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Grant, Granted, Held, Leave, Lost, Phase
+from molereach.coordination.leases.words import (
+    BEAT_US,
+    Granted,
+    Held,
+    Leave,
+    Lost,
+    Phase,
+    RenewalGrant,
+    RenewalRequest,
+)
 from tests.coordination.leases.entries import A, B, entry
 from tests.coordination.leases.mutants import NumbersUsedAgain
 
-TERMS = Terms()
-LATER = 100 * S
+TERMS = SessionTerms()
+LATER = 100 * SECOND_US
 
 
 class Here:
     """A holder, its replica, and a log that settles what it is told to."""
 
-    def __init__(self, life: Life = A, holder: type[Holder] = Holder, at_us: int = 0) -> None:
+    def __init__(self, life: NodeInstance = A, holder: type[Holder] = Holder, at_us: int = 0) -> None:
         self.sessions, self.now, self.position = Sessions(), at_us, 0
         self.holder = holder(life, self.sessions, TERMS, random.Random(1).random)
         self.life = life
@@ -44,7 +53,9 @@
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
         return self.holder.handle(self.now, event)
 
-    def settle(self, body: Body | bytes, name: str = "", proposer: Life | None = None) -> Sequence[Any]:
+    def settle(
+        self, body: Body | bytes, name: str = "", proposer: NodeInstance | None = None
+    ) -> Sequence[Any]:
         self.position += 1
         step = entry(self.position, body, proposer or self.life, name)
         return self.handle(Applied(step, self.sessions.apply(step)))
@@ -55,16 +66,21 @@
         assert isinstance(propose, Propose) and decode(propose.body) == Open(self.life)
         return self.settle(propose.body, propose.id)
 
-    def ask(self) -> Ask:
+    def ask(self) -> RenewalRequest:
         while True:
             self.now = max(self.now, self.holder.wake_us)
             for each in self.handle(Tick()):
-                if isinstance(each, Ask):
+                if isinstance(each, RenewalRequest):
                     return each
 
-    def grant(self, ask: Ask, **changed: Any) -> Sequence[Any]:  # noqa: ANN401
-        fields = {"name": ask.name, "life": ask.life, "fence": ask.fence, "number": ask.number} | changed
-        return self.handle(Granted((Grant(**fields),)))
+    def grant(self, ask: RenewalRequest, **changed: Any) -> Sequence[Any]:  # noqa: ANN401
+        fields = {
+            "name": ask.name,
+            "instance_number": ask.instance_number,
+            "fencing_token": ask.fencing_token,
+            "number": ask.number,
+        } | changed
+        return self.handle(Granted((RenewalGrant(**fields),)))
 
     @property
     def holds(self) -> bool:
@@ -74,20 +90,20 @@
 def test_it_counts_from_when_the_opening_was_proposed_first() -> None:
     here = Here()
     [first] = here.handle(Tick())
-    here.now = 2 * S
-    here.handle(ProposalOver(first.id, Over.UNKNOWN))
+    here.now = 2 * SECOND_US
+    here.handle(ProposalFinished(first.id, ProposalStatus.UNKNOWN))
     here.now = max(here.now, here.holder.wake_us)
     [again] = here.handle(Tick())
     assert again == first, "the same id, as either may be settled"
-    here.now = 4 * S
+    here.now = 4 * SECOND_US
     assert Held(1) in here.settle(first.body, first.id) and here.holder.fence == 1
-    assert here.holder.holds(TERMS.held_us - 1) and not here.holder.holds(TERMS.held_us)
+    assert here.holder.holds(TERMS.holder_duration_us - 1) and not here.holder.holds(TERMS.holder_duration_us)
 
 
 def test_an_opening_settled_too_late_is_renewed_by_a_grant() -> None:
     here = Here()
     [propose] = here.handle(Tick())
-    here.now = 6 * S
+    here.now = 6 * SECOND_US
     [ask] = here.settle(propose.body, propose.id)
     assert not here.holds and here.holder.fence == 0
     assert here.grant(ask) == [Held(1)] and here.holds
@@ -96,13 +112,13 @@
 def test_a_refused_opening_is_proposed_anew_and_counts_from_then() -> None:
     here = Here()
     [first] = here.handle(Tick())
-    here.handle(ProposalOver(first.id, Over.REFUSED))
+    here.handle(ProposalFinished(first.id, ProposalStatus.REJECTED))
     assert here.holder.wake_us > 0, "not at once"
     here.now = here.holder.wake_us
     [second] = here.handle(Tick())
     assert second.id != first.id
     here.settle(second.body, second.id)
-    assert here.holder.holds(here.now + TERMS.held_us - 1)
+    assert here.holder.holds(here.now + TERMS.holder_duration_us - 1)
 
 
 def test_a_session_counts_from_the_ask_and_not_from_its_grant() -> None:
@@ -110,17 +126,19 @@
     here.open()
     ask = here.ask()
     asked_us = here.now
-    here.now += 2 * S
+    here.now += 2 * SECOND_US
     here.grant(ask)
-    assert here.holder.holds(asked_us + TERMS.held_us - 1) and not here.holder.holds(asked_us + TERMS.held_us)
+    assert here.holder.holds(asked_us + TERMS.holder_duration_us - 1) and not here.holder.holds(
+        asked_us + TERMS.holder_duration_us
+    )
 
 
 def test_what_is_not_for_an_open_ask_of_this_session_renews_nothing() -> None:
     here = Here()
     here.open()
     ask = here.ask()
-    until_us = TERMS.held_us
-    for changed in ({"name": "b"}, {"life": 2}, {"fence": 2}, {"number": ask.number + 1}):
+    until_us = TERMS.holder_duration_us
+    for changed in ({"name": "b"}, {"instance_number": 2}, {"fencing_token": 2}, {"number": ask.number + 1}):
         here.grant(ask, **changed)
         assert not here.holder.holds(until_us)
     here.grant(ask)
@@ -136,7 +154,7 @@
     for old in (first, second):
         here.now += 100_000
         here.grant(old)
-        assert not here.holder.holds(asked_us + TERMS.held_us)
+        assert not here.holder.holds(asked_us + TERMS.holder_duration_us)
     oldest = here.ask()
     for _ in range(MOST_ASKS):
         here.ask()
@@ -149,7 +167,7 @@
     here = Here()
     here.open()
     old = here.ask()
-    here.now = 6 * S
+    here.now = 6 * SECOND_US
     reopened = [each for each in here.settle(Ended(A, 1, 0)) if isinstance(each, Propose)]
     here.settle(reopened[0].body, reopened[0].id)
     assert here.ask().number > old.number
@@ -158,17 +176,17 @@
 @pytest.mark.parametrize("holder, wrong", [(Holder, False), (NumbersUsedAgain, True)])
 def test_a_grant_to_an_earlier_life_renews_nothing_of_the_next(holder: type[Holder], wrong: bool) -> None:
     """The grant was on its way when the front door started anew; nothing was given to the new life, so by its
-    keeper's count it is over `over_us` after its opening."""
+    keeper's count it is over `expiry_us` after its opening."""
     before = Here(A, holder)
     before.open()
     old = before.ask()
-    again = Here(Life("a", 2), holder, LATER)
+    again = Here(NodeInstance("a", 2), holder, LATER)
     again.open()
     opened_us = again.now
-    again.now += S
+    again.now += SECOND_US
     assert again.ask().number == old.number
     again.grant(old)
-    assert again.holder.holds(opened_us + TERMS.over_us) is wrong
+    assert again.holder.holds(opened_us + TERMS.expiry_us) is wrong
 
 
 def test_it_is_over_by_itself_and_says_so_and_is_renewed_under_the_same_fence() -> None:
@@ -176,7 +194,7 @@
     here.open()
     here.ask()
     late = Lost(1, "not renewed in time")
-    here.now = TERMS.held_us
+    here.now = TERMS.holder_duration_us
     assert here.handle(Tick())[0] == late and here.holder.fence == 0
     assert Held(1) in here.grant(here.ask()) and here.holder.fence == 1
 
@@ -188,7 +206,7 @@
         here.now = here.holder.wake_us
         if any(isinstance(each, Lost) for each in here.handle(Tick())):
             break
-    assert here.now == TERMS.held_us
+    assert here.now == TERMS.holder_duration_us
 
 
 def test_it_asks_each_beat_while_it_holds_and_backs_off_to_ten_beats() -> None:
@@ -200,7 +218,7 @@
         asked.append(here.now)
     gaps = [later - earlier for earlier, later in pairwise(asked)]
     assert gaps[:8] == [BEAT_US] * 8 and gaps[-1] == 10 * BEAT_US and max(gaps) == 10 * BEAT_US
-    here.handle(Leads("b", 2, False))
+    here.handle(LeaderChanged("b", 2, False))
     here.ask()
     assert here.now - asked[-1] <= BEAT_US, "one that may answer leads"
     here.ask()
@@ -213,7 +231,7 @@
     here.open()
     for _ in range(30):
         ask = here.ask()
-    here.now += S
+    here.now += SECOND_US
     here.grant(ask)
     assert here.holder.wake_us == here.now + BEAT_US
 
@@ -221,12 +239,12 @@
 def test_a_proposal_is_not_made_again_before_the_log_has_had_its_time() -> None:
     here = Here()
     [propose] = here.handle(Tick())
-    here.handle(ProposalOver("another", Over.REFUSED))
-    assert here.settle(b"", proposer=B) == [] and here.holder.wake_us == propose.within_us + BEAT_US
+    here.handle(ProposalFinished("another", ProposalStatus.REJECTED))
+    assert here.settle(b"", proposer=B) == [] and here.holder.wake_us == propose.timeout_us + BEAT_US
 
 
 def test_the_session_of_an_earlier_life_is_not_taken_for_its_own() -> None:
-    here = Here(Life("a", 2))
+    here = Here(NodeInstance("a", 2))
     here.sessions.apply(entry(1, Open(A), A))
     assert [type(each) for each in here.handle(Restored(1))] == [Propose]
     assert here.holder.phase is Phase.ABSENT
@@ -235,11 +253,11 @@
 def test_the_word_that_it_is_settled_may_come_before_the_entry() -> None:
     here = Here()
     [propose] = here.handle(Tick())
-    here.now = S
-    here.handle(ProposalOver(propose.id, Over.SETTLED, None, 1))
+    here.now = SECOND_US
+    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, None, 1))
     assert not here.holds
     here.settle(propose.body, propose.id)
-    assert here.holder.holds(TERMS.held_us - 1) and not here.holder.holds(TERMS.held_us)
+    assert here.holder.holds(TERMS.holder_duration_us - 1) and not here.holder.holds(TERMS.holder_duration_us)
 
 
 def test_a_grant_to_an_ended_session_renews_nothing_of_the_next() -> None:
@@ -259,21 +277,23 @@
         here.now = max(here.now, here.holder.wake_us)
         [propose] = here.handle(Tick())
         made.append(here.now)
-        here.now += propose.within_us
-        here.handle(ProposalOver(propose.id, Over.UNKNOWN))
+        here.now += propose.timeout_us
+        here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
     assert made[-1] - made[-2] == 10 * BEAT_US
 
 
 def test_it_opens_anew_only_once_its_end_was_applied_here() -> None:
     here = Here()
     here.open()
-    here.now = 20 * S
+    here.now = 20 * SECOND_US
     here.ask()  # nobody answers: its session may be over, but it has not applied so
     assert all(not isinstance(each, Propose) for each in here.handle(Tick()))
     [propose] = here.settle(Ended(A, 1, 0))
     assert decode(propose.body) == Open(A)
     # The log's word alone does not open it: what was settled up to there must have been applied here.
-    here.handle(ProposalOver(propose.id, Over.SETTLED, here.sessions.apply(entry(9, Open(A), A)), 9))
+    here.handle(
+        ProposalFinished(propose.id, ProposalStatus.APPLIED, here.sessions.apply(entry(9, Open(A), A)), 9)
+    )
     assert not here.holds and here.holder.phase is Phase.ABSENT
     here.handle(Applied(entry(8, b"", B), Outcome("-")))  # the replica is ahead of what it was told
     assert here.holder.phase is Phase.ABSENT
@@ -285,7 +305,7 @@
     here.handle(Tick())
     here.sessions.apply(entry(4, Open(A), A))
     [ask] = here.handle(Restored(4))
-    assert not here.holds and ask == Ask("a", 1, 4, 1, 4)
+    assert not here.holds and ask == RenewalRequest("a", 1, 4, 1, 4)
     assert here.grant(ask) == [Held(4)]
 
 
@@ -295,7 +315,7 @@
     outcome = here.sessions.apply(entry(4, Open(A), A))
     here.sessions.apply(entry(5, Ended(A, 4, 0)))
     here.handle(Restored(5))
-    here.handle(ProposalOver(propose.id, Over.SETTLED, outcome, 4))
+    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, outcome, 4))
     here.now = here.holder.wake_us
     [again] = here.handle(Tick())
     assert again.id != propose.id
@@ -305,7 +325,7 @@
     here = Here()
     [propose] = here.handle(Tick())
     here.settle(b"", propose.id)
-    here.handle(ProposalOver(propose.id, Over.SETTLED, Outcome("refused"), 1))
+    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, Outcome("refused"), 1))
     here.now = here.holder.wake_us
     [again] = here.handle(Tick())
     assert again.id != propose.id
@@ -321,7 +341,9 @@
 def test_a_later_life_of_its_name_ends_it_for_good() -> None:
     here = Here()
     here.open()
-    assert here.settle(Open(Life("a", 2)), proposer=Life("a", 2)) == [Lost(1, "a later life has the name")]
+    assert here.settle(Open(NodeInstance("a", 2)), proposer=NodeInstance("a", 2)) == [
+        Lost(1, "a later life has the name")
+    ]
     here.now = LATER
     assert not here.handle(Tick()) and not here.holds and here.holder.phase is Phase.SUPERSEDED
 
@@ -332,7 +354,7 @@
     for _ in range(3):
         here.settle(b"", proposer=B)
     ask = here.ask()
-    assert ask.applied == 4 and here.holder.applied == 0
+    assert ask.applied_position == 4 and here.holder.applied == 0
     here.settle(b"", proposer=B)
     later = here.ask()
     here.grant(later)
@@ -355,18 +377,18 @@
     assert lost == Lost(1, "leaves") and decode(close.body) == Close(A, 1) and not here.holds
     here.grant(ask)
     assert not here.holds
-    again_us = here.now + close.within_us + BEAT_US
+    again_us = here.now + close.timeout_us + BEAT_US
     here.now += BEAT_US
-    here.handle(ProposalOver("another", Over.REFUSED))
+    here.handle(ProposalFinished("another", ProposalStatus.REJECTED))
     assert here.holder.wake_us == again_us, "a beat after the log should have said how it ended"
-    here.handle(ProposalOver(close.id, Over.REFUSED))
+    here.handle(ProposalFinished(close.id, ProposalStatus.REJECTED))
     assert here.holder.wake_us == here.now + BEAT_US
     here.now = here.holder.wake_us
     assert here.handle(Tick()) == [close]
     here.settle(close.body, close.id)
     assert here.holder.phase is Phase.LEFT
     here.now = LATER
-    assert here.handle(Tick()) == [] and here.handle(Leads("b", 2, False)) == []
+    assert here.handle(Tick()) == [] and here.handle(LeaderChanged("b", 2, False)) == []
     here.now = here.holder.wake_us
     assert here.handle(Tick()) == [] and here.holder.wake_us == NEVER_US
 
@@ -375,7 +397,7 @@
     here = Here()
     [propose] = here.handle(Tick())
     assert here.handle(Leave()) == [] and here.holder.phase is Phase.LEAVING
-    here.handle(ProposalOver(propose.id, Over.UNKNOWN))
+    here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
     here.handle(Leave())
     assert here.holder.phase is Phase.LEFT
     [close] = here.settle(propose.body, propose.id)
@@ -389,9 +411,9 @@
 def test_why_it_was_lost_is_not_told_of_the_next_session() -> None:
     here = Here()
     here.open()
-    here.now = 6 * S
+    here.now = 6 * SECOND_US
     here.handle(Tick())
     [propose] = here.settle(Ended(A, 1, 0))
     here.settle(propose.body, propose.id)
-    here.now += TERMS.held_us
+    here.now += TERMS.holder_duration_us
     assert here.handle(Tick())[0] == Lost(here.position, "not renewed in time")
--- a/tests/coordination/leases/test_keeper.py
+++ b/tests/coordination/leases/test_keeper.py
@@ -5,28 +5,28 @@
 
 from molereach.coordination.interface import (
     NEVER_US,
+    SECOND_US,
     Applied,
-    Confirm,
-    Confirmed,
-    Leads,
-    Life,
-    Over,
-    ProposalOver,
+    ConfirmLeadership,
+    LeaderChanged,
+    LeadershipConfirmed,
+    NodeInstance,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, decode
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.rounds import MOST_ROUNDS
 from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import BEAT_US, Ask, Asked, Given, Grant
+from molereach.coordination.leases.words import BEAT_US, Asked, Given, RenewalGrant, RenewalRequest
 from tests.coordination.leases.entries import A, B, entry
 
-TERMS = Terms()
-OVER_US = TERMS.over_us + 1  # by whole microseconds of a clock
+TERMS = SessionTerms()
+OVER_US = TERMS.expiry_us + 1  # by whole microseconds of a clock
 
 
 class Here:
@@ -37,39 +37,41 @@
         self.keeper = Keeper(self.sessions, TERMS)
         self.settle(Open(A))
         if keeps:
-            self.handle(Leads("k", 7, True))
+            self.handle(LeaderChanged("k", 7, True))
             self.settle(Keeping(7))
 
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
         return self.keeper.handle(self.now, event)
 
-    def settle(self, body: Body, proposer: Life = A) -> Sequence[Any]:
+    def settle(self, body: Body, proposer: NodeInstance = A) -> Sequence[Any]:
         self.position += 1
         step = entry(self.position, body, proposer)
         return self.handle(Applied(step, self.sessions.apply(step)))
 
-    def asked(self, number: int, applied: int = 0, fence: int = 1, life: Life = A) -> Sequence[Any]:
-        return self.handle(Asked((Ask(life.name, life.number, fence, number, applied),)))
+    def asked(self, number: int, applied: int = 0, fence: int = 1, life: NodeInstance = A) -> Sequence[Any]:
+        return self.handle(Asked((RenewalRequest(life.name, life.number, fence, number, applied),)))
 
     def given(self, token: int, ballot: int = 7) -> list[int]:
         """The numbers of the asks that are given upon a confirmation."""
-        actions = self.handle(Confirmed(token, ballot))
+        actions = self.handle(LeadershipConfirmed(token, ballot))
         return [grant.number for each in actions if isinstance(each, Given) for grant in each.grants]
 
     def ends(self) -> list[Propose]:
         """Go to where the end is due and confirm."""
         self.now = self.keeper.wake_us
         [confirm] = self.handle(Tick())
-        return [each for each in self.handle(Confirmed(confirm.token, 7)) if isinstance(each, Propose)]
+        return [
+            each for each in self.handle(LeadershipConfirmed(confirm.token, 7)) if isinstance(each, Propose)
+        ]
 
 
 def test_a_renewal_is_given_after_a_round_that_began_after_the_ask() -> None:
     here = Here()
     [first] = here.asked(1)
-    assert isinstance(first, Confirm)
+    assert isinstance(first, ConfirmLeadership)
     assert here.asked(2) == [], "the round that is out began before this ask"
-    first_given, second = here.handle(Confirmed(first.token, 7))
-    assert first_given == Given((Grant("a", 1, 1, 1),)) and isinstance(second, Confirm)
+    first_given, second = here.handle(LeadershipConfirmed(first.token, 7))
+    assert first_given == Given((RenewalGrant("a", 1, 1, 1),)) and isinstance(second, ConfirmLeadership)
     assert here.given(first.token) == [], "an answer counts once"
     assert here.given(second.token) == [2]
 
@@ -89,27 +91,27 @@
     [confirm] = here.asked(1)
     here.asked(2)
     assert here.given(confirm.token, 6) == [] == here.given(confirm.token, 8)
-    here.handle(Leads("other", 8, False))
+    here.handle(LeaderChanged("other", 8, False))
     assert here.given(confirm.token) == [] and here.keeper.wake_us == NEVER_US and here.asked(3) == []
-    here.handle(Leads("k", 9, True))
+    here.handle(LeaderChanged("k", 9, True))
     assert here.settle(Keeping(9)) == []
     assert here.given(confirm.token, 9) == [], "what was asked of its earlier time is void"
 
 
 def test_nothing_is_given_or_ended_before_its_own_keeping_is_in_the_log() -> None:
     here = Here(keeps=False)
-    [propose] = here.handle(Leads("k", 7, True))
+    [propose] = here.handle(LeaderChanged("k", 7, True))
     assert decode(propose.body) == Keeping(7) and here.asked(1) == []
-    here.now = 20 * S
+    here.now = 20 * SECOND_US
     assert here.handle(Tick()) == [propose], "no word came: again, with the same id"
-    here.handle(ProposalOver(propose.id, Over.UNKNOWN))
+    here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
     here.now += BEAT_US - 1
-    here.handle(ProposalOver("another", Over.UNKNOWN))
+    here.handle(ProposalFinished("another", ProposalStatus.UNKNOWN))
     here.now += 1
     assert here.handle(Tick()) == [propose], "a beat after no word on its own"
     [confirm] = here.settle(Keeping(7))
-    [given] = here.handle(Confirmed(confirm.token, 7))
-    assert given == Given((Grant("a", 1, 1, 1),)), "what was asked meanwhile is given, and not ended"
+    [given] = here.handle(LeadershipConfirmed(confirm.token, 7))
+    assert given == Given((RenewalGrant("a", 1, 1, 1),)), "what was asked meanwhile is given, and not ended"
 
 
 def test_it_gives_way_to_a_later_keeper_before_it_is_told() -> None:
@@ -121,7 +123,7 @@
 
 def test_asks_that_are_not_of_the_open_session_or_not_new_are_passed_over() -> None:
     here = Here()
-    assert here.asked(1, fence=2) == here.asked(1, life=Life("a", 2)) == here.asked(1, life=B) == []
+    assert here.asked(1, fence=2) == here.asked(1, life=NodeInstance("a", 2)) == here.asked(1, life=B) == []
     [confirm] = here.asked(4)
     assert here.given(confirm.token) == [4]
     assert here.asked(4) == here.asked(3) == []
@@ -136,13 +138,13 @@
     [first] = here.asked(1)
     for number in (5, 6, 5):
         here.asked(number)
-    _, second = here.handle(Confirmed(first.token, 7))
+    _, second = here.handle(LeadershipConfirmed(first.token, 7))
     assert here.given(second.token) == [6]
     [third] = here.asked(7)
     here.asked(8)
-    here.settle(Open(Life("a", 2)), Life("a", 2))
-    here.asked(1, fence=3, life=Life("a", 2))
-    [fourth] = here.handle(Confirmed(third.token, 7))
+    here.settle(Open(NodeInstance("a", 2)), NodeInstance("a", 2))
+    here.asked(1, fence=3, life=NodeInstance("a", 2))
+    [fourth] = here.handle(LeadershipConfirmed(third.token, 7))
     assert here.given(fourth.token) == [1]
 
 
@@ -150,7 +152,7 @@
     here = Here()
     [first] = here.asked(1)
     here.asked(1)
-    _, second = here.handle(Confirmed(first.token, 7))
+    _, second = here.handle(LeadershipConfirmed(first.token, 7))
     assert here.given(second.token) == []
 
 
@@ -161,8 +163,8 @@
     assert here.handle(Tick()) == []
     here.now = OVER_US
     [confirm] = here.handle(Tick())
-    assert isinstance(confirm, Confirm), "an end waits for a word from the panel"
-    [propose] = here.handle(Confirmed(confirm.token, 7))
+    assert isinstance(confirm, ConfirmLeadership), "an end waits for a word from the panel"
+    [propose] = here.handle(LeadershipConfirmed(confirm.token, 7))
     assert decode(propose.body) == Ended(A, 1, 7) and here.handle(Tick()) == []
 
 
@@ -172,7 +174,10 @@
     here.settle(Open(B), B)
     [confirm] = here.asked(1, fence=3, life=B)
     here.now = OVER_US
-    assert [type(each) for each in here.handle(Confirmed(confirm.token, 7))] == [Given, Confirm]
+    assert [type(each) for each in here.handle(LeadershipConfirmed(confirm.token, 7))] == [
+        Given,
+        ConfirmLeadership,
+    ]
 
 
 def test_without_a_word_from_the_panel_nothing_is_ended_and_rounds_are_bounded() -> None:
@@ -180,25 +185,25 @@
     for _ in range(40):
         here.now = here.keeper.wake_us
         [confirm] = here.handle(Tick())
-        assert isinstance(confirm, Confirm)
+        assert isinstance(confirm, ConfirmLeadership)
     assert len(here.keeper._rounds._out) == MOST_ROUNDS and here.now >= OVER_US + 39 * BEAT_US
 
 
 def test_what_was_proposed_as_ended_is_given_nothing_more_and_is_proposed_again() -> None:
     here = Here()
     [propose] = here.ends()
-    for over in (Over.UNKNOWN, Over.REFUSED):
-        here.handle(ProposalOver(propose.id, over))
+    for over in (ProposalStatus.UNKNOWN, ProposalStatus.REJECTED):
+        here.handle(ProposalFinished(propose.id, over))
         assert here.keeper.wake_us == here.now + BEAT_US
         assert here.asked(9) == [], "held back, also where the end is not certain"
-        here.handle(ProposalOver("another", over))
+        here.handle(ProposalFinished("another", over))
         assert here.keeper.wake_us == here.now + BEAT_US
-        here.handle(Leads("k", 7, True))  # told again
+        here.handle(LeaderChanged("k", 7, True))  # told again
         assert here.asked(9) == []
         assert here.ends() == [propose], "with the same id"
-        here.handle(ProposalOver("another", over))
+        here.handle(ProposalFinished("another", over))
         assert here.keeper.wake_us == here.now + 5 * BEAT_US
-    here.handle(ProposalOver(propose.id, Over.SETTLED))
+    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED))
     assert here.asked(10) == []
 
 
@@ -207,7 +212,7 @@
     here.now = OVER_US
     [confirm] = here.handle(Tick())
     here.asked(1)  # after the round that lets the end pass
-    propose, second = here.handle(Confirmed(confirm.token, 7))
+    propose, second = here.handle(LeadershipConfirmed(confirm.token, 7))
     assert isinstance(propose, Propose) and here.given(second.token) == []
 
 
@@ -224,41 +229,41 @@
 
 def test_a_new_leader_takes_all_as_given_when_it_was_elected() -> None:
     here = Here()
-    here.handle(Leads("other", 8, False))
-    here.now = 9 * S
-    here.handle(Leads("k", 9, True))
+    here.handle(LeaderChanged("other", 8, False))
+    here.now = 9 * SECOND_US
+    here.handle(LeaderChanged("k", 9, True))
     here.settle(Keeping(9))
     assert here.keeper.wake_us == here.now + OVER_US
-    here.handle(Leads("k", 9, True))  # told again
+    here.handle(LeaderChanged("k", 9, True))  # told again
     assert here.keeper.keeps
 
 
 def test_a_session_counts_from_when_its_opening_was_applied_here() -> None:
     here = Here()
-    here.now = 3 * S
+    here.now = 3 * SECOND_US
     here.sessions.apply(entry(3, Open(B), B))
     here.handle(Restored(3))
     assert here.keeper.wake_us == OVER_US, "that of a, which was open before"
     here.settle(Close(A, 1))
-    assert here.keeper.wake_us == 3 * S + OVER_US and here.keeper.position == 3
+    assert here.keeper.wake_us == 3 * SECOND_US + OVER_US and here.keeper.position == 3
 
 
 def test_a_keeper_that_was_stopped_counts_from_when_it_gave() -> None:
     here = Here()
     [confirm] = here.asked(1)
-    here.now = 100 * S  # stopped between the round and its answer
-    assert here.given(confirm.token) == [1] and here.keeper.wake_us == 100 * S + OVER_US
+    here.now = 100 * SECOND_US  # stopped between the round and its answer
+    assert here.given(confirm.token) == [1] and here.keeper.wake_us == 100 * SECOND_US + OVER_US
 
 
 def test_what_was_said_only_grows_and_is_of_one_session() -> None:
     here = Here()
-    here.now = S
+    here.now = SECOND_US
     here.asked(2, applied=5)
-    here.now = 2 * S
+    here.now = 2 * SECOND_US
     here.asked(1, applied=3)
     kept = here.keeper.said("a", 1)
-    assert kept and (kept.applied, kept.heard_us) == (5, 2 * S)
+    assert kept and (kept.applied, kept.heard_us) == (5, 2 * SECOND_US)
     assert here.keeper.said("a", 2) is None and here.keeper.said("b", 1) is None
-    here.settle(Open(Life("a", 2)), Life("a", 2))
+    here.settle(Open(NodeInstance("a", 2)), NodeInstance("a", 2))
     kept = here.keeper.said("a", 3)
     assert kept and (kept.applied, kept.heard_us) == (0, None)
--- a/tests/coordination/leases/test_words.py
+++ b/tests/coordination/leases/test_words.py
@@ -3,13 +3,13 @@
 import msgspec
 import pytest
 
-from molereach.coordination.leases.words import Ask, Grant
+from molereach.coordination.leases.words import RenewalGrant, RenewalRequest
 
 
 def test_an_ask_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
-    ask = Ask("front-door-0123456789", 1 << 61, 1 << 31, 1 << 31, 1 << 31)
+    ask = RenewalRequest("front-door-0123456789", 1 << 61, 1 << 31, 1 << 31, 1 << 31)
     data = msgspec.msgpack.encode(ask)
-    assert len(data) <= 48 and msgspec.msgpack.decode(data, type=Ask) == ask
+    assert len(data) <= 48 and msgspec.msgpack.decode(data, type=RenewalRequest) == ask
 
 
 @pytest.mark.parametrize(
@@ -27,10 +27,10 @@
 )
 def test_an_ask_that_is_not_one_is_refused(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
-        msgspec.convert(fields, Ask)
+        msgspec.convert(fields, RenewalRequest)
 
 
 @pytest.mark.parametrize("fields", [["a", 1, 1, 0], ["a", 1, -1, 1], ["a", 1, 1, 1, 1], ["a", 1, 1]])
 def test_a_grant_that_is_not_one_is_refused(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
-        msgspec.convert(fields, Grant)
+        msgspec.convert(fields, RenewalGrant)
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -12,20 +12,20 @@
 from typing import Any
 
 from molereach.coordination.interface import (
-    Accounted,
+    SECOND_US,
     Applied,
-    Confirm,
-    Confirmed,
+    ConfirmLeadership,
     Entry,
-    Leads,
-    Life,
+    LeaderChanged,
+    LeadershipConfirmed,
+    NodeClearance,
+    NodeInstance,
     Outcome,
-    Over,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.accounts import Account
@@ -33,10 +33,10 @@
 from molereach.coordination.leases.holder import Holder
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.sessions import Opened, Sessions
-from molereach.coordination.leases.words import Ask, Asked, Given, Granted, Leave
+from molereach.coordination.leases.words import Asked, Given, Granted, Leave, RenewalRequest
 
 MS = 1000
-TERMS = Terms(2 * S, 0.02)
+TERMS = SessionTerms(2 * SECOND_US, 0.02)
 
 
 class BrokenError(AssertionError):
@@ -61,7 +61,7 @@
 class Door:
     """One run of one front door: its replica, its cores, and the mail that waits while it is stopped."""
 
-    life: Life
+    life: NodeInstance
     clock: Clock
     sessions: Sessions
     holder: Holder
@@ -72,7 +72,7 @@
     tick_at: int = 1 << 62
     mail: list[Callable[[], None]] = field(default_factory=list)
     learnt: int = 0  # entries of the order that were applied
-    waiting: dict[str, ProposalOver] = field(default_factory=dict)  # settled, not applied here yet
+    waiting: dict[str, ProposalFinished] = field(default_factory=dict)  # settled, not applied here yet
     out: set[str] = field(default_factory=set)  # proposals without their one word
     accounts: dict[int, Account] = field(default_factory=dict)
 
@@ -85,7 +85,7 @@
     keeper: type[Keeper] = Keeper
     sessions: type[Sessions] = Sessions
     account: type[Account] = Account
-    terms: Terms = TERMS
+    terms: SessionTerms = TERMS
 
 
 class World:
@@ -107,7 +107,7 @@
         self.ballot = 0
         self.over: set[int] = set()  # fences of sessions that were decided as ended or closed
         self.open_at: dict[int, dict[str, Opened]] = {}  # by position of an entry that forbids something
-        self.proofs: dict[tuple[int, int], tuple[Accounted, ...]] = {}
+        self.proofs: dict[tuple[int, int], tuple[NodeClearance, ...]] = {}
         self.given = self.ended = self.proven = 0
 
     # --- time ---
@@ -131,7 +131,7 @@
         before = self.doors.get(name)
         if before is not None and before is self.leader:
             self.leader = None
-        life = Life(name, before.life.number + 1 if before else 1)
+        life = NodeInstance(name, before.life.number + 1 if before else 1)
         rate = self.chance.choice(self.rates) if self.rates else 1.0
         sessions, terms = self.cores.sessions(), self.cores.terms
         holder = self.cores.holder(life, sessions, terms, self.chance.random)
@@ -186,21 +186,23 @@
     def cores_handle(self, door: Door, event: Any) -> None:  # noqa: ANN401
         """Hand an event to who takes it, the keeper first: what was applied is told as applied last."""
         now_us = door.clock.at(self.now)
-        if isinstance(event, (Leads, Asked, Confirmed, Tick, Applied, Restored, ProposalOver)):
+        if isinstance(
+            event, (LeaderChanged, Asked, LeadershipConfirmed, Tick, Applied, Restored, ProposalFinished)
+        ):
             self.act(door, door.keeper.handle(now_us, event))
-        if isinstance(event, (Tick, Applied, Restored, ProposalOver, Granted, Leads, Leave)):
+        if isinstance(event, (Tick, Applied, Restored, ProposalFinished, Granted, LeaderChanged, Leave)):
             self.act(door, door.holder.handle(now_us, event))
 
     def act(self, door: Door, actions: Sequence[Any]) -> None:
         for action in actions:
             match action:
-                case Ask():
+                case RenewalRequest():
                     self.ask(door, action)
                 case Given():
                     self.give(action)
                 case Propose():
                     self.propose(door, action)
-                case Confirm():
+                case ConfirmLeadership():
                     self.confirm(door, action)
 
     # --- the tree ---
@@ -211,7 +213,7 @@
         if self.quick:
             return 1 + int(draw * MS)
         if draw < 0.05:
-            return int(self.chance.random() * 4 * S)
+            return int(self.chance.random() * 4 * SECOND_US)
         return MS + int(draw * 60 * MS)
 
     def copies(self) -> int:
@@ -219,7 +221,7 @@
         draw = self.chance.random() if self.lossy else 0.5
         return 0 if draw < 0.05 else 2 if draw > 0.95 else 1
 
-    def ask(self, door: Door, ask: Ask) -> None:
+    def ask(self, door: Door, ask: RenewalRequest) -> None:
         to = self.doors.get(door.leader or "")
         if to is None or self.now < max(door.cut_until, to.cut_until):
             return
@@ -245,7 +247,7 @@
         self.leader, self.ballot = door, self.ballot + 1
         for each in self.doors.values():
             if each is door or not self.lossy or self.chance.random() < 0.85:  # some go on in an old belief
-                news = Leads(door.life.name, self.ballot, each is door)
+                news = LeaderChanged(door.life.name, self.ballot, each is door)
                 self.after(
                     self.delay(),
                     lambda each=each, news=news: self.to(  # type: ignore[misc]
@@ -253,32 +255,32 @@
                     ),
                 )
 
-    def hear(self, door: Door, news: Leads) -> None:
+    def hear(self, door: Door, news: LeaderChanged) -> None:
         door.leader = news.leader
         self.cores_handle(door, news)
 
-    def confirm(self, door: Door, confirm: Confirm) -> None:
+    def confirm(self, door: Door, confirm: ConfirmLeadership) -> None:
         def followed() -> None:
             if self.leader is door and self.now >= door.cut_until:
-                answer = Confirmed(confirm.token, self.ballot)
+                answer = LeadershipConfirmed(confirm.token, self.ballot)
                 self.after(self.delay(), lambda: self.to(door, lambda: self.cores_handle(door, answer)))
 
         self.after(self.delay(), followed)
 
     def propose(self, door: Door, propose: Propose) -> None:
         door.out.add(propose.id)
-        unknown = ProposalOver(propose.id, Over.UNKNOWN)
+        unknown = ProposalFinished(propose.id, ProposalStatus.UNKNOWN)
         self.after(
-            int(propose.within_us / door.clock.rate), lambda: self.to(door, lambda: self.word(door, unknown))
+            int(propose.timeout_us / door.clock.rate), lambda: self.to(door, lambda: self.word(door, unknown))
         )
         draw = self.chance.random() if self.lossy else 0.5
         if draw < 0.03:
-            refused = ProposalOver(propose.id, Over.REFUSED)
+            refused = ProposalFinished(propose.id, ProposalStatus.REJECTED)
             self.after(0, lambda: self.to(door, lambda: self.word(door, refused)))
         elif draw < 0.95 and self.now >= door.cut_until:
             self.after(self.delay(), lambda: self.settle(door, propose))
 
-    def word(self, door: Door, over: ProposalOver) -> None:
+    def word(self, door: Door, over: ProposalFinished) -> None:
         if over.id in door.out:
             door.out.remove(over.id)
             self.cores_handle(door, over)
@@ -287,7 +289,7 @@
         if propose.id not in self.ids:
             self.append(propose, door.life)
         position = self.ids[propose.id]
-        over = ProposalOver(propose.id, Over.SETTLED, self.outcomes[position - 1], position)
+        over = ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
 
         def told() -> None:
             if door.learnt >= position:
@@ -297,7 +299,7 @@
 
         self.after(self.delay(), lambda: self.to(door, told))
 
-    def append(self, propose: Propose, proposer: Life) -> Entry:
+    def append(self, propose: Propose, proposer: NodeInstance) -> Entry:
         position = len(self.order) + 1
         entry = Entry(position, propose.machine, propose.id, proposer, self.now // MS, propose.body)
         outcome = Outcome()
@@ -359,14 +361,14 @@
                         del door.accounts[position]
                         self.proof(door, position, proof)
 
-    def proof(self, door: Door, position: int, proof: tuple[Accounted, ...]) -> None:
+    def proof(self, door: Door, position: int, proof: tuple[NodeClearance, ...]) -> None:
         self.proven += 1
-        known, were = {each.door.name: each for each in proof}, self.open_at[position]
+        known, were = {each.instance.name: each for each in proof}, self.open_at[position]
         often = {name for name, each in door.sessions._doors.items() if each.dropped}  # the last are kept
         if (
             were.keys() - known.keys()
             or known.keys() - were.keys() - often
-            or any(known[name].door != were[name].life for name in were.keys() - often)
+            or any(known[name].instance != were[name].life for name in were.keys() - often)
         ):
             raise BrokenError(f"the proof of {position} is not of those that were open")
         if self.proofs.setdefault((position, door.learnt), proof) != proof:
--- a/tests/coordination/membership/one.py
+++ b/tests/coordination/membership/one.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from molereach.coordination.interface import Heard, Life, S, Say, Tick
+from molereach.coordination.interface import SECOND_US, MessageReceived, NodeInstance, SendMessage, Tick
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.events import Changed, Join
 from molereach.coordination.membership.settings import MembershipSettings
 from molereach.coordination.membership.words import Ack, Ping, Status, Sync
 
 ALIVE, SUSPECT, DEAD, LEFT = Status
-ME = Life("me", 5)
+ME = NodeInstance("me", 5)
 SETTINGS = MembershipSettings()
 BEAT = SETTINGS.beat_us
 
@@ -21,7 +21,7 @@
 
     def __init__(self, *names: str, settings: MembershipSettings = SETTINGS) -> None:
         self.core = Membership(ME, settings, random.Random(1).random)
-        self.now = S
+        self.now = SECOND_US
         self.all: list[Any] = []
         self.do(Join())
         for name in names:
@@ -33,7 +33,7 @@
         return actions
 
     def hear(self, name: str, message: Any, number: int = 1) -> Sequence[Any]:  # noqa: ANN401
-        return self.do(Heard(Life(name, number), message))
+        return self.do(MessageReceived(NodeInstance(name, number), message))
 
     def tick(self) -> Sequence[Any]:
         """Let the time pass to where it wants a Tick, and give it on time."""
@@ -49,17 +49,17 @@
         """Tick until it says such a message: to whom, and that."""
         for _ in range(most):
             for action in self.tick():
-                if isinstance(action, Say) and isinstance(action.message, kind):
-                    return action.to, action.message
+                if isinstance(action, SendMessage) and isinstance(action.message, kind):
+                    return action.recipient, action.message
         raise AssertionError(f"no {kind.__name__}")
 
-    def run(self, us: int, answer: Callable[[Say], Any] = lambda say: None) -> None:
+    def run(self, us: int, answer: Callable[[SendMessage], Any] = lambda say: None) -> None:
         """Let time pass; `answer` gives what is said back at once, if anything."""
         end = self.now + us
         while self.core.wake_us <= end:
             for action in self.tick():
-                if isinstance(action, Say) and (message := answer(action)) is not None:
-                    self.hear(action.to, message)
+                if isinstance(action, SendMessage) and (message := answer(action)) is not None:
+                    self.hear(action.recipient, message)
         self.now = end
 
     def changed(self, status: Status) -> set[str]:
@@ -67,18 +67,18 @@
         return {change.life.name for change in changes if change.status is status}
 
 
-def says(actions: Sequence[Any]) -> list[Say]:
-    return [action for action in actions if isinstance(action, Say)]
+def says(actions: Sequence[Any]) -> list[SendMessage]:
+    return [action for action in actions if isinstance(action, SendMessage)]
 
 
-def acks(say: Say) -> Any:  # noqa: ANN401
+def acks(say: SendMessage) -> Any:  # noqa: ANN401
     return Ack(say.message.seq) if isinstance(say.message, Ping) else None
 
 
 # --- stalls ---
 
 
-def stalled(*names: str, us: int = 30 * S) -> One:
+def stalled(*names: str, us: int = 30 * SECOND_US) -> One:
     """A probe and its asks are out, and then the process stands still."""
     one = One(*names)
     one.until(Ping)
--- a/tests/coordination/membership/test_core.py
+++ b/tests/coordination/membership/test_core.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.coordination.interface import S
+from molereach.coordination.interface import SECOND_US
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.events import Doubts, Join
 from molereach.coordination.membership.probes import MOST_RELAYS
@@ -28,7 +28,7 @@
 def test_each_member_is_probed_within_two_rounds() -> None:
     one = One("a", "b", "c", "d")
     one.run(40 * BEAT, acks)
-    probed = [say.to for say in says(one.all) if isinstance(say.message, Ping)]
+    probed = [say.recipient for say in says(one.all) if isinstance(say.message, Ping)]
     for name in "abcd":
         places = [place for place, other in enumerate(probed) if other == name]
         assert max(after - before for before, after in pairwise(places)) <= 7
@@ -41,9 +41,9 @@
     began = one.now
     asked = says(one.tick())
     assert one.now == began + SETTINGS.direct_us
-    assert len({say.to for say in asked}) == 3 and target not in {say.to for say in asked}
+    assert len({say.recipient for say in asked}) == 3 and target not in {say.recipient for say in asked}
     assert all((say.message.seq, say.message.name) == (ping.seq, target) for say in asked)
-    one.hear(asked[0].to, Ack(ping.seq))
+    one.hear(asked[0].recipient, Ack(ping.seq))
     one.run(BEAT, acks)
     assert not one.changed(SUSPECT) and one.core.doubt == 0
 
@@ -61,10 +61,12 @@
 def test_who_is_asked_for_another_passes_the_answer_on() -> None:
     one = One("a", "b")
     (ping,) = says(one.hear("a", PingReq(77, "b", 1)))
-    assert ping.to == "b" and ping.life == 1 and isinstance(ping.message, Ping)
+    assert ping.recipient == "b" and ping.instance_number == 1 and isinstance(ping.message, Ping)
     assert not says(one.hear("a", Ack(ping.message.seq)))  # not from whom it was asked of
     (ack,) = says(one.hear("b", Ack(ping.message.seq)))
-    assert (ack.to, ack.message.seq, ack.life) == ("a", 77, 1) and isinstance(ack.message, Ack)
+    assert (ack.recipient, ack.message.seq, ack.instance_number) == ("a", 77, 1) and isinstance(
+        ack.message, Ack
+    )
 
 
 def test_who_is_asked_for_another_that_is_silent_says_so_in_time_and_an_answer_still_counts() -> None:
@@ -74,7 +76,7 @@
     to, nack = one.until(Nack)
     assert (to, nack.seq) == ("a", 77) and one.now - asked < SETTINGS.direct_us
     assert one.core.wake_us > one.now  # it is said once
-    one.now += S // 50
+    one.now += SECOND_US // 50
     assert any(isinstance(say.message, Ack) for say in says(one.hear("b", Ack(ping.message.seq))))
 
 
@@ -83,7 +85,7 @@
     pings = [say for number in range(1_000) for say in says(one.hear("a", PingReq(number, "x", 1)))]
     assert len(pings) == MOST_RELAYS
     one.run(2 * BEAT, acks)
-    assert any(say.to == "x" for say in says(one.hear("a", PingReq(0, "x", 1))))
+    assert any(say.recipient == "x" for say in says(one.hear("a", PingReq(0, "x", 1))))
 
 
 # --- doubt ---
@@ -93,7 +95,7 @@
 def test_helpers_that_say_nothing_speak_against_oneself(nacks: int, doubt: int) -> None:
     one = One("a", "b", "c", "d")
     target, ping = one.until(Ping)
-    helpers = [say.to for say in says(one.tick())]
+    helpers = [say.recipient for say in says(one.tick())]
     for name in helpers[:nacks]:
         one.hear(name, Nack(ping.seq))
     for name in helpers[nacks:]:
@@ -120,7 +122,7 @@
 def test_a_suspected_one_refutes_at_once_and_doubts_itself() -> None:
     one = One("a", "b")
     refuted = says(one.hear("a", Ping(1, (Rumour("me", 5, 0, SUSPECT, "b"),))))
-    assert {say.to for say in refuted} == {"a", "b"}
+    assert {say.recipient for say in refuted} == {"a", "b"}
     assert all(Rumour("me", 5, 1, ALIVE) in say.message.rumours for say in refuted)
     assert one.core.doubt == 1 and one.all.count(Doubts(1)) == 1
     (ack,) = says(one.hear("b", Ping(2, (Rumour("me", 5, 0, DEAD, "b"),))))  # old: it was refuted before
@@ -133,7 +135,7 @@
     one = One("a", "b", "c")
     target, _ = one.until(Ping)
     one.tick()
-    (told,) = [say for say in says(one.tick()) if say.to == target]
+    (told,) = [say for say in says(one.tick()) if say.recipient == target]
     assert Rumour(target, 1, 0, SUSPECT, "me") in told.message.rumours and one.core.status(target) is SUSPECT
 
 
@@ -147,7 +149,7 @@
 
 def test_who_is_its_own_seed_does_not_ask_itself() -> None:
     core = Membership(ME, SETTINGS, random.Random(1).random)
-    assert {say.to for say in says(core.handle(S, Join(("me", "x", "x"))))} == {"x"}
+    assert {say.recipient for say in says(core.handle(SECOND_US, Join(("me", "x", "x"))))} == {"x"}
 
 
 def test_a_suspect_is_told_first_of_all() -> None:
--- a/tests/coordination/membership/test_histories.py
+++ b/tests/coordination/membership/test_histories.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import MOST_DOORS, Life
+from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
 from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
 from tests.coordination.membership.world import BEAT, SETTINGS, Node, World
 
@@ -20,8 +20,8 @@
         self.chance = self.world.chance
         self.nodes = self.world.group(self.chance.randint(3, 8), 20)
         self.names = [node.name for node in self.nodes]
-        self.ended: set[Life] = set()  # killed, or left
-        self.left: set[Life] = set()
+        self.ended: set[NodeInstance] = set()  # killed, or left
+        self.left: set[NodeInstance] = set()
         self.wrong: dict[tuple[str, str], int] = {}  # beats; who believes it, and of whom
         self.longest = 0
 
@@ -74,7 +74,7 @@
         assert world.longest <= MOST_MESSAGE_BYTES
         for node in world.nodes.values():
             assert not node.displaced  # the newest run of a name is never told to end
-            assert node.core.me in node.core.alive() and len(node.core.alive()) <= MOST_DOORS
+            assert node.core.me in node.core.alive() and len(node.core.alive()) <= MAX_MEMBERS
             assert 0 <= node.core.doubt <= SETTINGS.most_doubt
             if world.now >= node.stopped_until:
                 assert node.core.wake_us >= world.now
@@ -94,7 +94,7 @@
         world.settle(120)
         assert self.longest <= MOST_WRONG_BEATS
         for node in self.nodes:
-            last: dict[Life, Status] = {}
+            last: dict[NodeInstance, Status] = {}
             for _, change in node.changes:
                 assert last.get(change.life, change.previous) is change.previous or change.previous is None
                 assert last.get(change.life) is not LEFT or change.status is LEFT
--- a/tests/coordination/membership/test_parts.py
+++ b/tests/coordination/membership/test_parts.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import MOST_DOORS, MOST_NAME_CHARS, Life, S
+from molereach.coordination.interface import MAX_MEMBERS, MAX_NAME_CHARACTERS, SECOND_US, NodeInstance
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Changed
 from molereach.coordination.membership.gossip import Gossip, most_told
@@ -81,8 +81,8 @@
     table = Table()
     table.put(0, told(1, 0, ALIVE))
     assert table.put(0, told(2, 0, ALIVE)) == [
-        Changed(Life("a", 1), DEAD, ALIVE),
-        Changed(Life("a", 2), ALIVE, None),
+        Changed(NodeInstance("a", 1), DEAD, ALIVE),
+        Changed(NodeInstance("a", 2), ALIVE, None),
     ]
 
 
@@ -97,11 +97,11 @@
         rumour = told(1, 0, ALIVE, f"d{number}")
         if table.wins(rumour):
             table.put(number, rumour)
-    assert len(table.members) == table.living == MOST_DOORS - 1
+    assert len(table.members) == table.living == MAX_MEMBERS - 1
     table.put(0, told(1, 0, DEAD, "d7"))
     assert table.wins(told(1, 0, ALIVE, "new"))
     table.put(0, told(1, 0, ALIVE, "new"))
-    assert len(table.members) == MOST_DOORS - 1 and "d7" not in table.members
+    assert len(table.members) == MAX_MEMBERS - 1 and "d7" not in table.members
 
 
 def test_the_dead_are_forgotten_and_the_living_are_not() -> None:
@@ -142,11 +142,11 @@
 
 def test_a_stall_does_not_count_toward_death() -> None:
     suspicion = Suspicion(0, "b", 2, MembershipSettings())
-    assert suspicion.dead_us == 2 * S
-    suspicion.extend(30 * S, 31 * S)
-    assert suspicion.dead_us == 32 * S
-    suspicion.extend(0, 40 * S)
-    assert suspicion.dead_us == 40 * S
+    assert suspicion.dead_us == 2 * SECOND_US
+    suspicion.extend(30 * SECOND_US, 31 * SECOND_US)
+    assert suspicion.dead_us == 32 * SECOND_US
+    suspicion.extend(0, 40 * SECOND_US)
+    assert suspicion.dead_us == 40 * SECOND_US
 
 
 def test_doubt_is_bounded_and_says_when_it_changes() -> None:
@@ -175,7 +175,7 @@
 # --- words and their budget ---
 
 
-LONG = "n" * (MOST_NAME_CHARS - 4)
+LONG = "n" * (MAX_NAME_CHARACTERS - 4)
 LONG_NAMES = [f"{LONG}{number:04}" for number in range(300)]
 LONGEST = [Rumour(name, 1 << 62, 1 << 53, SUSPECT, name) for name in LONG_NAMES]
 
@@ -192,10 +192,10 @@
 
 
 def test_the_budget_holds_for_names_of_any_length() -> None:
-    for chars in range(1, MOST_NAME_CHARS + 1):
+    for chars in range(1, MAX_NAME_CHARACTERS + 1):
         name = "n" * chars
         chosen = tuple(fit(Rumour(name, (1 << 50) + number, 0, SUSPECT, name) for number in range(200)))
-        size = len(encode(PingReq(MOST_SEQ, "n" * MOST_NAME_CHARS, 1 << 62, chosen)))
+        size = len(encode(PingReq(MOST_SEQ, "n" * MAX_NAME_CHARACTERS, 1 << 62, chosen)))
         assert MOST_MESSAGE_BYTES // 2 < size <= MOST_MESSAGE_BYTES
 
 
--- a/tests/coordination/membership/test_world.py
+++ b/tests/coordination/membership/test_world.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.coordination.interface import S
+from molereach.coordination.interface import SECOND_US
 from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
 from tests.coordination.membership.world import BEAT, World
 
@@ -31,7 +31,7 @@
     assert max(node.doubts for node in nodes) == 0
 
 
-@pytest.mark.parametrize("slow_us", [S // 4, S // 2, S])
+@pytest.mark.parametrize("slow_us", [SECOND_US // 4, SECOND_US // 2, SECOND_US])
 @pytest.mark.parametrize("doors", [3, 9])
 def test_one_slow_process_makes_nobody_dead(doors: int, slow_us: int) -> None:
     for seed in range(2):
@@ -49,7 +49,7 @@
         world = World(seed)
         nodes = world.group(9)
         world.run(world.chance.random())
-        world.stop("d004", 30 * S)
+        world.stop("d004", 30 * SECOND_US)
         world.run(60)
         assert all(node.core.status("d004") is DEAD for node in nodes if node is not nodes[4])
         world.run(12)
--- a/tests/coordination/membership/world.py
+++ b/tests/coordination/membership/world.py
@@ -8,7 +8,14 @@
 import random
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import NEVER_US, Heard, Life, S, Say, Tick
+from molereach.coordination.interface import (
+    NEVER_US,
+    SECOND_US,
+    MessageReceived,
+    NodeInstance,
+    SendMessage,
+    Tick,
+)
 from molereach.coordination.membership.core import Event, Membership
 from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join, Leave
 from molereach.coordination.membership.settings import MembershipSettings
@@ -38,7 +45,7 @@
     def name(self) -> str:
         return self.core.me.name
 
-    def dead_at(self, life: Life) -> int | None:
+    def dead_at(self, life: NodeInstance) -> int | None:
         """When it last held that run for dead, or None while it does not."""
         own = [(at, change.status) for at, change in self.changes if change.life == life]
         return own[-1][0] if own and own[-1][1] is Status.DEAD else None
@@ -66,7 +73,7 @@
 
     def start(self, name: str, seeds: tuple[str, ...] = (), number: int | None = None) -> Node:
         self.runs += 1
-        me = Life(name, self.runs if number is None else number)
+        me = NodeInstance(name, self.runs if number is None else number)
         node = self.nodes[name] = Node(Membership(me, self.settings, self.chance.random))
         self.give(node, Join(seeds))
         return node
@@ -90,7 +97,7 @@
         parts = pieces([node.core._beliefs.own() for node in nodes])
         for node in nodes:
             for part in parts:
-                self.give(node, Heard(nodes[0 if node is not nodes[0] else 1].core.me, Sync(part)))
+                self.give(node, MessageReceived(nodes[0 if node is not nodes[0] else 1].core.me, Sync(part)))
             node.core._beliefs.gossip.told.clear()
         assert all(len(node.core.alive()) == size for node in nodes)
         for node in nodes:
@@ -139,7 +146,7 @@
             return
         for action in node.core.handle(self.now, event):
             match action:
-                case Say():
+                case SendMessage():
                     self.say(node, action)
                 case Changed():
                     node.changes.append((self.now, action))
@@ -152,12 +159,16 @@
             self.push(max(self.now, wake) + node.slow_us, node, TICK)
         node.tick_at = wake
 
-    def say(self, node: Node, action: Say) -> None:
+    def say(self, node: Node, action: SendMessage) -> None:
         data = encode(action.message)
         node.sent += 1
         self.longest = max(self.longest, len(data))
-        runs = [run for run in (self.nodes.get(action.to), *self.twins) if run and run.name == action.to]
-        meant = [run for run in runs if action.life in (None, run.core.me.number)]
+        runs = [
+            run
+            for run in (self.nodes.get(action.recipient), *self.twins)
+            if run and run.name == action.recipient
+        ]
+        meant = [run for run in runs if action.instance_number in (None, run.core.me.number)]
         if not meant:
             return
         to = max(meant, key=lambda run: run.core.me.number)
@@ -166,7 +177,7 @@
         if self.chance.random() < self.loss:
             return
         wait = self.chance.randint(1_000, 25_000) + to.slow_us
-        self.push(self.now + wait, to, Heard(node.core.me, decode(data)))
+        self.push(self.now + wait, to, MessageReceived(node.core.me, decode(data)))
 
     # --- what is asserted ---
 
@@ -187,4 +198,4 @@
         return set().union(*(node.ever(status) for node in self.nodes.values()))
 
 
-__all__ = ["BEAT", "SETTINGS", "Node", "S", "Status", "World"]
+__all__ = ["BEAT", "SECOND_US", "SETTINGS", "Node", "Status", "World"]
--- a/tests/coordination/replicated_log/explore.py
+++ b/tests/coordination/replicated_log/explore.py
@@ -12,7 +12,7 @@
 from itertools import combinations
 from typing import Any
 
-from molereach.coordination.interface import Entry, Life
+from molereach.coordination.interface import Entry, NodeInstance
 from molereach.coordination.replicated_log.acceptor import Acceptor
 from molereach.coordination.replicated_log.leader import Leadership, Phase
 from molereach.coordination.replicated_log.recovery import Recovery
@@ -40,7 +40,7 @@
 
 
 def entry(position: int, value: str) -> Entry:
-    return Entry(position, "sum", value, Life("p", 1), 1, b"1")
+    return Entry(position, "sum", value, NodeInstance("p", 1), 1, b"1")
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
     def recovery(self, name: str) -> Recovery:
         runs = {run.disk: run for run in self.knows}
-        recovery = Recovery(Life(name, self.run.life), self.run.disk, self.run.starts, runs)
+        recovery = Recovery(NodeInstance(name, self.run.life), self.run.disk, self.run.starts, runs)
         recovery.answers, recovery.set_back = dict(self.answers), self.set_back
         return recovery
 
@@ -264,7 +264,9 @@
                     Noted(run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted)
                 ]
             case Noted(run) if run.disk == seat.run.disk:
-                if recovery.answered(Life(NAMES[DISKS.index(word.by.disk)], word.by.life), word, PANEL):
+                if recovery.answered(
+                    NodeInstance(NAMES[DISKS.index(word.by.disk)], word.by.life), word, PANEL
+                ):
                     recovery.raise_to(acceptor, Learned(seat.decided))  # type: ignore[arg-type]
                     answers = tuple(sorted(recovery.answers.items(), key=lambda each: each[0]))
                     return replace(seat.having(acceptor), answers=answers), []
--- a/tests/coordination/replicated_log/histories.py
+++ b/tests/coordination/replicated_log/histories.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from molereach.coordination.interface import Over
+from molereach.coordination.interface import ProposalStatus
 from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
 from molereach.coordination.replicated_log.settings import Settings
 from molereach.coordination.replicated_log.words import Panel, Seat
@@ -203,7 +203,7 @@
         for name in world.nodes:
             world.propose(name, f"last-{name}")
         assert world.run(5 * S, world.level), f"not level at the end: {self.state()}"
-        assert all(world.words[f"last-{name}"][0].over is Over.SETTLED for name in world.nodes)
+        assert all(world.words[f"last-{name}"][0].status is ProposalStatus.APPLIED for name in world.nodes)
 
     def state(self) -> list[object]:
         return [
--- a/tests/coordination/replicated_log/test_core.py
+++ b/tests/coordination/replicated_log/test_core.py
@@ -2,7 +2,16 @@
 
 import pytest
 
-from molereach.coordination.interface import Heard, Life, Outcome, Over, Persist, Persisted, Say, Tick
+from molereach.coordination.interface import (
+    MessageReceived,
+    NodeInstance,
+    Outcome,
+    Persist,
+    Persisted,
+    ProposalStatus,
+    SendMessage,
+    Tick,
+)
 from molereach.coordination.replicated_log.core import LogCore
 from molereach.coordination.replicated_log.once import USED
 from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
@@ -26,7 +35,7 @@
 def settles(world: World, name: str, identity: str, within_us: int = 3 * S) -> bool:
     world.propose(name, identity, within_us=within_us)
     world.run(within_us + S, lambda: identity in world.words)
-    return world.words[identity][-1].over is Over.SETTLED
+    return world.words[identity][-1].status is ProposalStatus.APPLIED
 
 
 def seat(world: World, name: str) -> Seat:
@@ -38,7 +47,7 @@
     for number, name in enumerate(world.nodes):
         world.propose(name, f"p{number}")
     assert world.run(2 * S, world.level)
-    assert [word.over for words in world.words.values() for word in words] == [Over.SETTLED] * 5
+    assert [word.status for words in world.words.values() for word in words] == [ProposalStatus.APPLIED] * 5
     assert len(world.entries) == 5
 
 
@@ -118,23 +127,23 @@
 
 def test_nothing_is_promised_before_it_is_written() -> None:
     panel = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
-    me = Life("d0", 7)
+    me = NodeInstance("d0", 7)
     core = LogCore(me, panel[0].disk, Recovered(), panel, {}, Settings(), lambda: 0.5, lambda now_us: now_us)
     actions = list(core.handle(S, Tick()))
-    assert not any(isinstance(action, Say) for action in actions)  # its start is not written yet
+    assert not any(isinstance(action, SendMessage) for action in actions)  # its start is not written yet
     token = next(action.token for action in actions if isinstance(action, Persist))
-    said = [action for action in core.handle(S, Persisted(token)) if isinstance(action, Say)]
-    assert [action.to for action in said] == ["d1", "d2"]
+    said = [action for action in core.handle(S, Persisted(token)) if isinstance(action, SendMessage)]
+    assert [action.recipient for action in said] == ["d1", "d2"]
     for other in panel[1:]:
         noted = Noted(Run(panel[0].disk, 1, 7), Run(other.disk, 1, 1), 0, NOBODY)
-        core.handle(S, Heard(Life(other.name, 1), noted))
+        core.handle(S, MessageReceived(NodeInstance(other.name, 1), noted))
     ballot = Ballot(4, "d1", 1)
     for _ in range(2):  # asked again, it waits all the same
-        actions = list(core.handle(S, Heard(Life("d1", 1), Prepare(ballot, 0))))
-        assert not any(isinstance(action, Say) for action in actions)
-    said = [action for action in core.handle(S, Persisted(token + 1)) if isinstance(action, Say)]
+        actions = list(core.handle(S, MessageReceived(NodeInstance("d1", 1), Prepare(ballot, 0))))
+        assert not any(isinstance(action, SendMessage) for action in actions)
+    said = [action for action in core.handle(S, Persisted(token + 1)) if isinstance(action, SendMessage)]
     assert [type(action.message) for action in said] == [Promise, Promise]
-    assert said[0].life == 1
+    assert said[0].instance_number == 1
 
 
 def test_the_new_panel_decides_and_the_old_one_does_not() -> None:
@@ -164,7 +173,7 @@
     world.run(3 * S)
     assert settles(world, "d1", "by its learner")
     assert {each.name for each in world.nodes["d2"].core.panel} == {"d0", "d3", "d4"}  # type: ignore[union-attr]
-    assert [words[0].over for words in world.words.values()] == [Over.SETTLED] * 4
+    assert [words[0].status for words in world.words.values()] == [ProposalStatus.APPLIED] * 4
 
 
 def test_a_disk_that_fails_votes_no_more_and_learns_on() -> None:
@@ -240,7 +249,7 @@
     world.propose("d0", "x" * 100)
     for number in range(world.settings.most_pending + 1):
         world.propose("d0", f"p{number}")
-    refused = [key for key, words in world.words.items() if words[0].over is Over.REFUSED]
+    refused = [key for key, words in world.words.items() if words[0].status is ProposalStatus.REJECTED]
     assert refused == ["a", "b", "x" * 100, f"p{world.settings.most_pending}"]
 
 
@@ -265,4 +274,13 @@
     panel = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
     recovered = Recovered(disk="f" * 32)
     with pytest.raises(ValueError, match="another disk"):
-        LogCore(Life("d0", 1), panel[0].disk, recovered, panel, {}, Settings(), lambda: 0.5, lambda now_us: 0)
+        LogCore(
+            NodeInstance("d0", 1),
+            panel[0].disk,
+            recovered,
+            panel,
+            {},
+            Settings(),
+            lambda: 0.5,
+            lambda now_us: 0,
+        )
--- a/tests/coordination/replicated_log/test_mutations.py
+++ b/tests/coordination/replicated_log/test_mutations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Confirmed
+from molereach.coordination.interface import LeadershipConfirmed
 from molereach.coordination.replicated_log import leader, ledger, recovery
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.leader import Leadership
@@ -48,7 +48,7 @@
 def confirmed_at_once(patch: Patch) -> None:
     def confirm(self: Leading, now_us: int, token: int) -> None:
         if self.leadership and self.leadership.leads:
-            self.outbox.act(Confirmed(token, self.leadership.ballot.number))
+            self.outbox.act(LeadershipConfirmed(token, self.leadership.ballot.number))
 
     patch.setattr(Leading, "confirm", confirm)
 
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Applied, Entry, Life, Outcome, Persist, Say
+from molereach.coordination.interface import Applied, Entry, NodeInstance, Outcome, Persist, SendMessage
 from molereach.coordination.replicated_log.acceptor import Acceptor, in_order, rest
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.leader import Queue
@@ -41,7 +41,7 @@
 )
 from tests.coordination.replicated_log.machine import Sum
 
-ME = Life("d0", 1)
+ME = NodeInstance("d0", 1)
 SEATS = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(9))
 PANEL = SEATS[:5]
 RUNS = tuple(Run(seat.disk, 1, 1) for seat in SEATS)
@@ -147,14 +147,14 @@
     assert [type(action) for action in outbox.taken()] == [Persist]
     outbox.persisted(99)  # a token that was never given says nothing of those to come
     outbox.release()
-    assert [type(action) for action in outbox.taken()] == [Say, Say]
+    assert [type(action) for action in outbox.taken()] == [SendMessage, SendMessage]
     outbox.write(Promised(Ballot(2, "a", 1)))
     outbox.vote("a", Want(2))
     outbox.flush()
     assert outbox.fail("no space") and not outbox.fail("no space")
     outbox.persisted(2)
     outbox.release()
-    assert not [action for action in outbox.taken() if isinstance(action, Say)]
+    assert not [action for action in outbox.taken() if isinstance(action, SendMessage)]
 
 
 # --- starts ---
@@ -165,13 +165,13 @@
     for index, after in ((1, 0), (2, 7), (3, 0)):
         assert not recovery.may_vote(PANEL, 0)
         noted = Noted(recovery.run, RUNS[index], after, NOBODY)
-        assert recovery.answered(Life(SEATS[index].name, 1), noted, PANEL)
-        assert not recovery.answered(Life(SEATS[index].name, 1), noted, PANEL)
+        assert recovery.answered(NodeInstance(SEATS[index].name, 1), noted, PANEL)
+        assert not recovery.answered(NodeInstance(SEATS[index].name, 1), noted, PANEL)
     assert not recovery.may_vote(PANEL, 6) and recovery.may_vote(PANEL, 7)
     assert not recovery.may_vote(SEATS[1:6], 7)  # no seat
     assert not recovery.may_vote((SEATS[0], *SEATS[3:7]), 7)  # another panel: its seats are asked
     other_run = Noted(Run(SEATS[0].disk, 1, 9), RUNS[4], 0, NOBODY)
-    assert not recovery.answered(Life("d4", 1), other_run, PANEL)
+    assert not recovery.answered(NodeInstance("d4", 1), other_run, PANEL)
     assert not recovery.refused(Exists(Run(SEATS[0].disk, 1, 9), Run(SEATS[0].disk, 5, 4)))
     assert recovery.refused(Exists(recovery.run, Run(SEATS[0].disk, 1, 4)))
     assert not recovery.may_vote(PANEL, 7)
@@ -191,7 +191,7 @@
     recovery = Recovery(ME, SEATS[0].disk, 1, {})
     for number in range(1, 3 * MOST_RUNS):
         run = Run(f"{number:032x}", 1, 1)
-        assert recovery.answered(Life(f"d{number}", 1), Noted(recovery.run, run, 0, NOBODY), PANEL)
+        assert recovery.answered(NodeInstance(f"d{number}", 1), Noted(recovery.run, run, 0, NOBODY), PANEL)
         assert recovery.write(run, PANEL)
     assert len(recovery.answers) == len(recovery.runs) == MOST_RUNS
     assert recovery.may_vote(PANEL, 0) and len(recovery.voter(PANEL).knows) == 4
@@ -302,7 +302,7 @@
 
 
 def asked(one: Ledger) -> list[object]:
-    return [action.message for action in one.outbox.taken() if isinstance(action, Say)]
+    return [action.message for action in one.outbox.taken() if isinstance(action, SendMessage)]
 
 
 def pieces(of: Ledger, position: int = 0) -> list[Piece]:
--- a/tests/coordination/replicated_log/test_scripted.py
+++ b/tests/coordination/replicated_log/test_scripted.py
@@ -5,16 +5,16 @@
 import pytest
 
 from molereach.coordination.interface import (
-    Confirm,
-    Confirmed,
+    ConfirmLeadership,
     DiskFailed,
     Entry,
-    Heard,
-    Leads,
-    Life,
+    LeaderChanged,
+    LeadershipConfirmed,
+    MessageReceived,
+    NodeInstance,
     Persist,
     Persisted,
-    Say,
+    SendMessage,
     Tick,
 )
 from molereach.coordination.replicated_log.core import Learn, LogCore
@@ -47,7 +47,7 @@
 
 S = 1_000_000
 PANEL = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
-LIVES = tuple(Life(f"d{number}", 1) for number in range(3))
+LIVES = tuple(NodeInstance(f"d{number}", 1) for number in range(3))
 RUNS = tuple(Run(seat.disk, 1, 1) for seat in PANEL)
 LOW, HIGH = Ballot(3, "d1", 1), Ballot(5, "d2", 1)
 
@@ -90,8 +90,8 @@
 
     def hear(self, index: int, message: object, life: int = 1) -> list[Any]:
         """What it answers."""
-        done = self.give(Heard(Life(f"d{index}", life), message))
-        return [action.message for action in done if isinstance(action, Say)]
+        done = self.give(MessageReceived(NodeInstance(f"d{index}", life), message))
+        return [action.message for action in done if isinstance(action, SendMessage)]
 
     def lead(self) -> Ballot:
         self.now_us += 2 * S
@@ -156,7 +156,7 @@
     assert door.hear(1, Start(again, 0), life=7) == []
     assert door.hear(1, Start(Run(PANEL[2].disk, 2, 7), 0), life=8) == []  # another life's
     said = door.give(Persisted(99))
-    assert [action.message.run for action in said if isinstance(action, Say)] == [again]
+    assert [action.message.run for action in said if isinstance(action, SendMessage)] == [again]
     assert door.hear(1, Start(Run(PANEL[1].disk, 2, 8), 0), life=8) == [
         Exists(Run(PANEL[1].disk, 2, 8), again)
     ]
@@ -185,10 +185,10 @@
 @pytest.mark.parametrize(
     "event",
     [
-        Heard(LIVES[2], Prepare(HIGH, 0)),
+        MessageReceived(LIVES[2], Prepare(HIGH, 0)),
         Learn((entry(1),)),
-        Heard(LIVES[2], Beat(HIGH, 0, 1)),
-        Heard(LIVES[1], Outbid(Ballot(1, "d0", 1), HIGH)),
+        MessageReceived(LIVES[2], Beat(HIGH, 0, 1)),
+        MessageReceived(LIVES[1], Outbid(Ballot(1, "d0", 1), HIGH)),
         DiskFailed("no space"),
     ],
 )
@@ -197,7 +197,7 @@
     door.lead()
     door.give(event)
     assert door.core.leading.leadership is None and not door.core.leading.mine
-    assert any(isinstance(action, Leads) and not action.mine for action in door.acted)
+    assert any(isinstance(action, LeaderChanged) and not action.is_self for action in door.acted)
 
 
 def test_votes_for_a_leader_are_those_of_seats() -> None:
@@ -220,10 +220,12 @@
     ballot = door.lead()
     before = door.core.leading.leadership.rounds.round  # type: ignore[union-attr]
     for token in range(10):
-        door.give(Confirm(token))
+        door.give(ConfirmLeadership(token))
     for number in (before + 1, before + 2):
         door.hear(1, Follow(ballot, number, Voter(RUNS[1])))
-    assert [action.token for action in door.acted if isinstance(action, Confirmed)] == list(range(10))
+    assert [action.token for action in door.acted if isinstance(action, LeadershipConfirmed)] == list(
+        range(10)
+    )
     assert door.core.leading.leadership.rounds.round == before + 2  # type: ignore[union-attr]
 
 
@@ -234,5 +236,5 @@
         door.hear(1, Prepare(Ballot(number + 1, "d1", 1), 0))
     assert door.core.ledger.acceptor.promised.number == MOST_UNSYNCED
     said = door.give(Persisted(MOST_UNSYNCED + 1))
-    assert sum(isinstance(action, Say) for action in said) == MOST_UNSYNCED
+    assert sum(isinstance(action, SendMessage) for action in said) == MOST_UNSYNCED
     assert door.core.ledger.may_vote
--- a/tests/coordination/replicated_log/world.py
+++ b/tests/coordination/replicated_log/world.py
@@ -15,20 +15,20 @@
 
 from molereach.coordination.interface import (
     Applied,
-    Confirm,
-    Confirmed,
+    ConfirmLeadership,
     DiskFailed,
     Entry,
-    Heard,
-    Leads,
-    Life,
-    Over,
+    LeaderChanged,
+    LeadershipConfirmed,
+    MessageReceived,
+    NodeInstance,
     Persist,
     Persisted,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    Say,
+    SendMessage,
     Tick,
 )
 from molereach.coordination.replicated_log.core import CatchUp, Learn, LogCore
@@ -99,7 +99,7 @@
         self.entries: dict[int, Entry] = {}
         self.digests: dict[int, str] = {}
         self.outcomes: dict[str, set[tuple[Any, int]]] = {}
-        self.words: dict[str, list[ProposalOver]] = {}
+        self.words: dict[str, list[ProposalFinished]] = {}
         self.led: dict[int, str] = {}  # ballots of leaders
         self.asked: dict[int, int] = {}  # highest ballot that led when a confirmation was asked for
         self.confirmed: list[int] = []
@@ -138,7 +138,7 @@
         node.stopped = node.set_back = node.stalled = node.disk_fails = False
         shift = self.random.randrange(-5000, 5000)  # clocks show different times
         node.core = LogCore(
-            Life(name, node.life),
+            NodeInstance(name, node.life),
             node.disk.identity,
             recover(node.disk.base, node.disk.records),
             self.panel,
@@ -213,18 +213,18 @@
 
     def act(self, node: Node, action: object) -> None:
         match action:
-            case Say(to, message, life):
+            case SendMessage(to, message, life):
                 self.send(node, to, message, life)
             case Persist():
                 self.persist(node, action)
             case Applied(entry):
                 self.applied(node, entry)
-            case ProposalOver():
+            case ProposalFinished():
                 self.over(node, action)
-            case Leads(_, ballot, mine):
+            case LeaderChanged(_, ballot, mine):
                 if mine:
                     assert self.led.setdefault(ballot, node.name) == node.name, "two leaders of one ballot"
-            case Confirmed(token, ballot):
+            case LeadershipConfirmed(token, ballot):
                 assert ballot >= self.asked[token], "confirmed, though replaced before it was asked"
                 self.confirmed.append(token)
             case Stopped():
@@ -241,7 +241,7 @@
 
     def send(self, node: Node, to: str, message: Message, life: int | None) -> None:
         self.sent += 1
-        sender = Life(node.name, node.life)
+        sender = NodeInstance(node.name, node.life)
         data = _encoder.encode(message)
         for _ in range(2 if self.random.random() < self.double else 1):
             if self.random.random() < self.loss:
@@ -251,14 +251,14 @@
                 delay = self.random.randrange(3 * S)  # long under way, from an old life perhaps
             self.at(delay, lambda: self.arrive(sender, to, data, life))
 
-    def arrive(self, sender: Life, to: str, data: bytes, life: int | None) -> None:
+    def arrive(self, sender: NodeInstance, to: str, data: bytes, life: int | None) -> None:
         node = self.nodes.get(to)
         if node is None or (life is not None and life != node.life):
             return
         if (sender.name, to) in self.deaf:
             return
         if self.groups.get(sender.name, 0) == self.groups.get(to, 0):
-            self.give(node, Heard(sender, _decoder.decode(data)))
+            self.give(node, MessageReceived(sender, _decoder.decode(data)))
 
     def persist(self, node: Node, persist: Persist) -> None:
         disk, life = node.disk, node.life
@@ -296,7 +296,7 @@
     def confirm(self, name: str) -> int:
         token = len(self.asked) + 1
         self.asked[token] = max(self.led, default=0)
-        self.give(self.nodes[name], Confirm(token))
+        self.give(self.nodes[name], ConfirmLeadership(token))
         return token
 
     def leader(self) -> str | None:
@@ -335,11 +335,11 @@
         known = self.digests.setdefault(node.core.position, digest)
         assert known == digest, f"two states at {node.core.position}"
 
-    def over(self, node: Node, over: ProposalOver) -> None:
+    def over(self, node: Node, over: ProposalFinished) -> None:
         assert over.id in node.open, f"{over.id} has two words at {node.name}"
         node.open.discard(over.id)
         self.words.setdefault(over.id, []).append(over)
-        if over.over is Over.SETTLED:
+        if over.status is ProposalStatus.APPLIED:
             came = self.outcomes.setdefault(over.id, set())
             came.add((over.outcome, over.position))
             assert len(came) == 1, f"{over.id} came to two things"
--- a/tests/coordination/transport/doors.py
+++ b/tests/coordination/transport/doors.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from molereach.coordination.interface import Heard, Life, Say, Wire
+from molereach.coordination.interface import MessageReceived, NodeInstance, SendMessage, WireStruct
 from molereach.coordination.transport.board import Address
 from molereach.coordination.transport.frames import (
     DIALLER,
@@ -28,16 +28,16 @@
 BY_HAND = LinkSettings(beat_s=3600)  # beats are called
 
 
-class Word(Wire, frozen=True, tag_field="kind", tag="word"):
+class Word(WireStruct, frozen=True, tag_field="kind", tag="word"):
     number: int
     text: str = ""
 
 
-class State(Wire, frozen=True, tag_field="kind", tag="state"):
+class State(WireStruct, frozen=True, tag_field="kind", tag="state"):
     number: int
 
 
-class Other(Wire, frozen=True, tag_field="kind", tag="other"):
+class Other(WireStruct, frozen=True, tag_field="kind", tag="other"):
     number: int
 
 
@@ -59,12 +59,12 @@
     ) -> None:
         self.name, self.book = name, book
         self.heard: list[Any] = []  # messages
-        self.senders: list[Life] = []
+        self.senders: list[NodeInstance] = []
         self.events: list[str] = []
         self.changed = asyncio.Event()
         self.fail: set[int] = set()  # numbers of words over which it raises
         self.links = Links(
-            Life(name, number),
+            NodeInstance(name, number),
             book,
             key,
             parts,
@@ -82,14 +82,14 @@
             self.book[self.name] = address
         return address
 
-    def deliver(self, part: str, heard: Heard) -> None:
+    def deliver(self, part: str, heard: MessageReceived) -> None:
         self.heard.append(heard.message)
         self.senders.append(heard.sender)
         self.changed.set()
         if getattr(heard.message, "number", None) in self.fail:
             raise RuntimeError("as the test wants")
 
-    def on_up(self, life: Life) -> None:
+    def on_up(self, life: NodeInstance) -> None:
         self.events.append(f"up {life.name} {life.number}")
         self.changed.set()
 
@@ -98,7 +98,7 @@
         self.changed.set()
 
     def say(self, to: str, number: int, text: str = "", part: str = "log", life: int | None = None) -> None:
-        self.links.say(part, Say(to, Word(number, text), life))
+        self.links.say(part, SendMessage(to, Word(number, text), life))
 
     @property
     def numbers(self) -> list[int]:
@@ -137,7 +137,7 @@
 class Raw:
     """A peer that does as the test says, byte by byte."""
 
-    def __init__(self, me: Life, to: str, key: bytes = KEY) -> None:
+    def __init__(self, me: NodeInstance, to: str, key: bytes = KEY) -> None:
         self.me, self.key = me, key
         self.words = Words(PARTS)
         self.handshake = Dialling(me, to, self.words.names, key, secrets.token_bytes(NONCE_BYTES))
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.transport.hello import HelloError
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.words import OWN, Beat
@@ -24,13 +24,13 @@
 def test_a_hello_cut_at_each_byte_or_with_each_byte_flipped_takes_no_place_and_opens_nothing() -> None:
     async def job() -> None:
         b = await alone()
-        size = len(await (await Raw(Life("c", 1), "b").connect(b.book["b"])).hello())
+        size = len(await (await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])).hello())
         for place in range(size):
-            raw = await Raw(Life("c", 1), "b").connect(b.book["b"])
+            raw = await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])
             hello = await raw.hello()
             raw.writer.write(hello[:place])
             raw.drop()
-            raw = await Raw(Life("c", 1), "b").connect(b.book["b"])
+            raw = await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])
             hello = bytearray(await raw.hello())
             hello[place] ^= 1
             raw.writer.write(hello)
@@ -40,7 +40,7 @@
                     raw.handshake.ended(frame)
         assert not b.events
         await spin(lambda: b.links.stats().unproven <= 1)  # the first
-        await Raw(Life("c", 1), "b").dial(b.book["b"])
+        await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         await b.until(b.ups)
 
     run(job())
@@ -53,11 +53,11 @@
         await a.start()
         a.say("b", 0)
         await b.until_heard(0)
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         size = len(raw.sealed(1))
         for place in range(size):
             for flipped in (False, True):
-                raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+                raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
                 frame = bytearray(raw.sealed(1))
                 if flipped:
                     frame[place] ^= 1
@@ -82,7 +82,7 @@
         a.say("b", 1)
         await b.until_heard(1)
         recorded = bytes(relay.connections[0].passed["to"])
-        raw = await Raw(Life("a", 1), "b").connect(relay.target)
+        raw = await Raw(NodeInstance("a", 1), "b").connect(relay.target)
         raw.writer.write(recorded)
         assert await raw.frame()  # the greeting, with another nonce
         with pytest.raises(HelloError, match="proof"):
@@ -105,7 +105,7 @@
 def test_a_body_that_says_nothing_costs_the_link(body: bytes, reason: str) -> None:
     async def job() -> None:
         b = await alone()
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         raw.writer.write(raw.sealer.seal(body))
         assert not await raw.frame()
         assert reason in b.events[-1] and not b.heard
@@ -117,12 +117,12 @@
 def test_a_frame_that_is_said_again_is_not_heard_again(earlier: bool) -> None:
     async def job() -> None:
         b = await alone()
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         frame = raw.sealed(1)
         raw.writer.write(frame)
         await b.until_heard(1)
         if earlier:
-            raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+            raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         raw.writer.write(frame)
         assert not await raw.frame()
         assert b.numbers == [1] and "its tag is wrong" in b.events[-1]
@@ -133,12 +133,12 @@
 def test_a_giant_length_ends_the_connection_before_and_after_the_proof() -> None:
     async def job() -> None:
         b = await alone()
-        raw = await Raw(Life("c", 1), "b").connect(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])
         raw.writer.write(GIANT)
         await raw.frame()
         with pytest.raises(HelloError, match="4294967295 bytes"):
             raw.handshake.ended(await raw.frame())
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         raw.writer.write(GIANT)
         assert not await raw.frame()
         assert "4294967295 bytes" in b.events[-1]
@@ -149,7 +149,7 @@
 def test_a_peer_that_acknowledges_what_was_never_said_loses_its_link() -> None:
     async def job() -> None:
         b = await alone()
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         raw.writer.write(raw.sealer.seal(raw.words.pack(OWN, Beat(1))))
         assert not await raw.frame()
         assert "1 messages acknowledged" in b.events[-1]
--- a/tests/coordination/transport/test_hello.py
+++ b/tests/coordination/transport/test_hello.py
@@ -3,15 +3,17 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.coordination.transport import hello
 from molereach.coordination.transport.hello import Answering, Dialling, Greeting, Hello, HelloError
 
 KEY, PARTS = b"k" * 32, ("leases", "log")
-A, B = Life("a", 10), Life("b", 20)
+A, B = NodeInstance("a", 10), NodeInstance("b", 20)
 
 
-def dialling(me: Life = A, to: str = "b", parts: tuple[str, ...] = PARTS, key: bytes = KEY) -> Dialling:
+def dialling(
+    me: NodeInstance = A, to: str = "b", parts: tuple[str, ...] = PARTS, key: bytes = KEY
+) -> Dialling:
     return Dialling(me, to, parts, key, b"d" * 16)
 
 
@@ -33,8 +35,8 @@
     [
         (dialling(key=b"o" * 32), "proof"),
         (dialling(to="c"), "b is here, not c"),
-        (dialling(me=Life("b", 9)), "name of who is asked"),
-        (dialling(me=Life("x", 9)), "not of this council"),
+        (dialling(me=NodeInstance("b", 9)), "name of who is asked"),
+        (dialling(me=NodeInstance("x", 9)), "not of this council"),
         (dialling(parts=("log",)), "other parts"),
     ],
 )
--- a/tests/coordination/transport/test_room.py
+++ b/tests/coordination/transport/test_room.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from molereach.coordination.interface import Life, Say
+from molereach.coordination.interface import NodeInstance, SendMessage
 from molereach.coordination.transport.board import BEATS_AT_ONCE, DIALS_AT_ONCE
 from molereach.coordination.transport.budget import MOST_STEPS
 from molereach.coordination.transport.queue import DOWN_ROOM
@@ -32,7 +32,7 @@
         await strange.start()
         a.say("b", 1)
         await b.until_heard(1)
-        strange.links.say("log", Say("b", Other(1)))
+        strange.links.say("log", SendMessage("b", Other(1)))
         await strange.until(lambda: strange.ups() == 2)
         strange.say("b", 2)
         a.say("b", 3)
@@ -48,7 +48,7 @@
         a, b = await doors("a", "b")
         b.fail = {2}
 
-        def up(life: Life) -> None:
+        def up(life: NodeInstance) -> None:
             b.on_up(life)
             raise RuntimeError("as the test wants")
 
@@ -65,7 +65,7 @@
     async def job() -> None:
         (b,) = await doors("b")
         b.book["c"] = (HOST, 1)
-        raw = await Raw(Life("c", 1), "b").dial(b.book["b"])
+        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         await b.until(b.ups)
         between, waiting = [], []
 
@@ -97,7 +97,7 @@
         b = Door("b", a.book)
         for number in range(10_000):
             a.say("b", number, "x" * 100, part="hint")
-            a.links.say("log", Say("b", State(number)))
+            a.links.say("log", SendMessage("b", State(number)))
             a.say("d", number, "x" * 100)
             assert a.links.board.peers["b"].outbox.size <= 1 << 16
             assert len(a.links.board.peers["d"].outbox) <= 256
@@ -169,7 +169,7 @@
     async def job() -> None:
         settings = LinkSettings(beat_s=3600, hello_s=0.1, most_unproven_of_source=2)
         a, b = await doors("a", "b", settings=settings)
-        raws = [await Raw(Life("b", 1), "a").connect(a.book["a"]) for _ in range(3)]
+        raws = [await Raw(NodeInstance("b", 1), "a").connect(a.book["a"]) for _ in range(3)]
         assert not await raws[2].frame()  # turned away at once
         assert a.links.stats().unproven == 2
         for raw in raws[:2]:
@@ -185,13 +185,13 @@
     async def job() -> None:
         (a,) = await doors("a", settings=LinkSettings(beat_s=3600, most_accepted=2))
         a.book.update({name: (HOST, 1) for name in "cde"})
-        c, d = [await Raw(Life(name, 1), "a").dial(a.book["a"]) for name in "cd"]
+        c, d = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in "cd"]
         await a.until(lambda: a.ups() == 2)
         a.links.board.beat()
         c.writer.write(c.sealed(1))
         await a.until_heard(1)
         a.links.board.beat()
-        e = await Raw(Life("e", 1), "a").dial(a.book["a"])
+        e = await Raw(NodeInstance("e", 1), "a").dial(a.book["a"])
         assert await d.read() == Bye("room for another")
         a.say("c", 2)
         a.say("e", 3)
@@ -206,7 +206,7 @@
         (a,) = await doors("a", settings=settings)
         names = [f"n{number}" for number in range(BEATS_AT_ONCE + 4)]
         a.book.update({name: (HOST, 1) for name in names})
-        raws = [await Raw(Life(name, 1), "a").dial(a.book["a"]) for name in names]
+        raws = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in names]
         beaten = lambda: sum(link.pulse.idle > 0 for link in a.links.board.links)  # noqa: E731
         await a.until(lambda: a.ups() == len(names))
         a.links.board.beat()
@@ -254,7 +254,7 @@
         settings = LinkSettings(beat_s=3600, hello_s=0.1, most_idle=2)
         (a,) = await doors("a", settings=settings)
         a.book["c"] = (HOST, 1)
-        raw = await Raw(Life("c", 1), "a").dial(a.book["a"])
+        raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
         await a.until(a.ups)
         for _ in range(3):
             a.links.board.beat()
@@ -262,7 +262,7 @@
         for _ in range(2):
             a.links.board.beat()
         assert not await raw.frame()
-        raw = await Raw(Life("c", 1), "a").dial(a.book["a"])
+        raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
         await a.until(lambda: a.ups() == 2)
         for number in range(3000):
             a.say("c", number, "x" * 10_000)
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Life, Say
+from molereach.coordination.interface import NodeInstance, SendMessage
 from molereach.coordination.transport.board import MOST_LINES
 from molereach.coordination.transport.hello import HelloError
 from rig.council.relay import Relay
@@ -20,7 +20,7 @@
             b.say("a", number)
         await a.until_heard(49)
         assert a.numbers == b.numbers == list(range(50))
-        assert set(b.senders) == {Life("a", 1)} and a.events == ["up b 1"] and b.events == ["up a 1"]
+        assert set(b.senders) == {NodeInstance("a", 1)} and a.events == ["up b 1"] and b.events == ["up a 1"]
         assert (a.links.stats().accepted, b.links.stats().accepted) == (0, 1)
         assert len(a.links.board.links) == len(b.links.board.links) == 1
         ours, theirs = a.links.stats().peers["b"], b.links.stats().peers["a"]
@@ -41,8 +41,8 @@
         a.say("b", 1, "x" * (1 << 20))
         assert a.links.stats().unsaid == 3 and set(a.links.stats().peers) <= {"b"}
         with pytest.raises(KeyError):
-            a.links.say("cake", Say("b", Word(1)))
-        a.links.say("log", Say("b", object()))  # cannot be packed: logged
+            a.links.say("cake", SendMessage("b", Word(1)))
+        a.links.say("log", SendMessage("b", object()))  # cannot be packed: logged
         a.say("b", 2)
         await b.until_heard(2)
 
@@ -104,8 +104,8 @@
     async def job() -> None:
         (a,) = await doors("a")
         a.book["c"] = (HOST, 1)
-        first = await Raw(Life("c", 5), "a").dial(a.book["a"])
-        second = await Raw(Life("c", 5), "a").dial(a.book["a"])
+        first = await Raw(NodeInstance("c", 5), "a").dial(a.book["a"])
+        second = await Raw(NodeInstance("c", 5), "a").dial(a.book["a"])
         assert not await first.frame()
         a.say("c", 1)
         assert await second.read() == Word(1)
@@ -129,7 +129,7 @@
         await newer.until_heard(4)
         assert newer.numbers == [4] and b.numbers == [1] and a.links.stats().peers["b"].dropped == 1
         with pytest.raises(HelloError, match="a newer life of b is connected"):
-            await Raw(Life("b", 1), "a").dial(a.book["a"])
+            await Raw(NodeInstance("b", 1), "a").dial(a.book["a"])
         b.links.close()
 
     run(job())
@@ -152,14 +152,14 @@
 @pytest.mark.parametrize(
     ("me", "to", "key", "reason"),
     [
-        (Life("c", 1), "a", b"o" * 32, "proof"),
-        (Life("a", 2), "a", b"k" * 32, "name of who is asked"),
-        (Life("c", 1), "b", b"k" * 32, "a is here, not b"),
-        (Life("x", 1), "a", b"k" * 32, "not of this council"),
+        (NodeInstance("c", 1), "a", b"o" * 32, "proof"),
+        (NodeInstance("a", 2), "a", b"k" * 32, "name of who is asked"),
+        (NodeInstance("c", 1), "b", b"k" * 32, "a is here, not b"),
+        (NodeInstance("x", 1), "a", b"k" * 32, "not of this council"),
     ],
 )
 def test_a_stranger_is_told_why_in_one_line_and_takes_no_place(
-    me: Life,
+    me: NodeInstance,
     to: str,
     key: bytes,
     reason: str,
@@ -186,14 +186,14 @@
         a.book["c"] = (HOST, 1)
         for _ in range(MOST_LINES):
             with pytest.raises(HelloError):
-                await Raw(Life("x", 1), "a").dial(a.book["a"])
-            raw = await Raw(Life("c", 1), "a").dial(a.book["a"])
+                await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
+            raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
             raw.writer.write(bytes(4))
             assert not await raw.frame()
         assert a.downs() == MOST_LINES and len(caplog.records) == MOST_LINES
         a.links.board.beat()
         with pytest.raises(HelloError):
-            await Raw(Life("x", 1), "a").dial(a.book["a"])
+            await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
         assert len(caplog.records) == MOST_LINES + 1
 
     run(job())
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -101,7 +101,7 @@
 def test_what_is_kept_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     made = Roster("a0")
     made.handle(0, Sockets(frozenset(f"n{number}" for number in range(1000))))
-    assert len(made.doors) == module.MOST_DOORS and made.refused
+    assert len(made.doors) == module.MAX_MEMBERS and made.refused
     for number in range(2000):
         made.note(number, "door", "n0", "x")
     assert len(made.history) == module.MOST_EVENTS and made.history[-1].number == 2000
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -5,7 +5,14 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Accounted, Heard, Known, Life, Restored, Tick
+from molereach.coordination.interface import (
+    ClearanceEvidence,
+    MessageReceived,
+    NodeClearance,
+    NodeInstance,
+    Restored,
+    Tick,
+)
 from molereach.coordination.leases import bodies as leases
 from molereach.shards.counts.bodies import MACHINE, Fold, encode
 from molereach.shards.counts.counter import Count, Counter
@@ -17,10 +24,10 @@
 from tests.shards.counts.world import AllCounted, Reader, World
 from tests.shards.made import drawn_by
 
-A, B, C, B2 = Life("a", 1), Life("b", 1), Life("c", 1), Life("b", 2)
+A, B, C, B2 = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1), NodeInstance("b", 2)
 
 
-def world(*lives: Life, folds: type[Folds] = Folds) -> World:
+def world(*lives: NodeInstance, folds: type[Folds] = Folds) -> World:
     found = World(drawn_by(1), folds)
     for life in lives:
         found.start(life)
@@ -98,10 +105,12 @@
     found = world(A, B, C)
     found.write(C, 1, 100)
     rows = found.readers[C].door.own.rows()
-    found.readers[A].door.handle(0, Heard(C, Told(C, rows)))
+    found.readers[A].door.handle(0, MessageReceived(C, Told(C, rows)))
     found.write(C, 1, 11)
     later = found.readers[C].door.own.rows()
-    found.readers[B].door.handle(0, Heard(C, Told(C, later)))  # only B hears of the last, then C dies
+    found.readers[B].door.handle(
+        0, MessageReceived(C, Told(C, later))
+    )  # only B hears of the last, then C dies
     found.readers[C].alive = False
     found.over(C)
     found.catch_up(A)
@@ -110,7 +119,7 @@
     found.catch_up(B)
     assert found.readers[B].door.clear < found.readers[B].door._applied
     assert found.forget(C).error == "this life may come back"
-    found.start(Life("c", 2))
+    found.start(NodeInstance("c", 2))
     found.catch_up(A)
     assert found.forget(C).error == "proof: no word of b"
     found.beat(B)  # what the log lacks
@@ -118,27 +127,27 @@
     assert found.counted(A) == found.counted(B) == {1: 111}
     assert not found.forget(C).error
     settle(found)
-    found.readers[A].door.handle(0, Heard(C, Told(C, later)))
+    found.readers[A].door.handle(0, MessageReceived(C, Told(C, later)))
     assert found.counted(A) == found.counted(B) == {1: 111}
 
 
 def test_what_may_not_be_folded_or_forgotten() -> None:
     found = world(A, B)
 
-    def fold(life: Life) -> str:
+    def fold(life: NodeInstance) -> str:
         return found.add(MACHINE, encode(Fold(life, (Row(1, 1, 5),))), A).error
 
     assert fold(A) == "this life has a session"
-    assert fold(Life("never", 1)) and fold(Life("a", 2))
+    assert fold(NodeInstance("never", 1)) and fold(NodeInstance("a", 2))
     found.over(B)
     assert not fold(B)
     assert found.forget(B).error == "this life may come back"
     found.start(B2)
-    assert "no word" in found.forget(Life("b", 1)).error or not found.forget(B).error
+    assert "no word" in found.forget(NodeInstance("b", 1)).error or not found.forget(B).error
     settle(found)
     found.over(B2)
     assert not fold(B2)
-    found.start(Life("b", 3))
+    found.start(NodeInstance("b", 3))
     settle(found)
     if B in found.truth.folds.kept():
         assert "earlier life" in found.forget(B2).error
@@ -156,7 +165,7 @@
     found.over(C)
     settle(found)
     found.over(B)  # it may hold a later word of C
-    found.start(Life("c", 2))
+    found.start(NodeInstance("c", 2))
     settle(found)
     assert found.forget(C).error == "proof: b may come back"
     found.start(B2)
@@ -202,8 +211,8 @@
     found.start(B2)
     found.over(B2)
     assert not found.add(MACHINE, encode(Fold(B2, (Row(1, 1, 7),))), A).error
-    found.start(Life("b", 3))
-    for life in (A, Life("b", 3), C):
+    found.start(NodeInstance("b", 3))
+    for life in (A, NodeInstance("b", 3), C):
         found.catch_up(life)
     assert found.forget(B2).error == "proof: no word of c"
     found.beat(C)
@@ -217,22 +226,29 @@
     sessions, begun = found.truth.sessions, len(found.entries) + 1
     found.add(MACHINE, b"{}", A)
     fences = {session.life: session.fence for session in sessions.all_open()}
-    words = {life: Word(fence, Known.SAID, begun) for life, fence in fences.items()}
+    words = {life: Word(fence, ClearanceEvidence.REPORTED, begun) for life, fence in fences.items()}
 
     def said(**changed: Word) -> str:
         return fault([changed.get(life.name, word) for life, word in words.items()], sessions, begun)
 
     assert said() == ""
     assert fault([], sessions, begun) == "no word of a"
-    assert said(b=Word(fences[B], Known.SAID, begun - 1)) == f"b has said {begun - 1} of {begun}"
-    assert said(b=Word(fences[B], Known.OVER, begun + 1)) == "b has a session and has not said so"
+    assert (
+        said(b=Word(fences[B], ClearanceEvidence.REPORTED, begun - 1)) == f"b has said {begun - 1} of {begun}"
+    )
+    assert (
+        said(b=Word(fences[B], ClearanceEvidence.SESSION_EXPIRED, begun + 1))
+        == "b has a session and has not said so"
+    )
     found.over(B)
-    assert said(b=Word(fences[B], Known.OVER, begun + 2)) == f"b is over by {begun + 1}"
-    assert said(b=Word(fences[B], Known.OVER, begun + 1)) == ""
+    assert (
+        said(b=Word(fences[B], ClearanceEvidence.SESSION_EXPIRED, begun + 2)) == f"b is over by {begun + 1}"
+    )
+    assert said(b=Word(fences[B], ClearanceEvidence.SESSION_EXPIRED, begun + 1)) == ""
     account = [
-        Accounted(B, Known.OVER, begun + 1),
-        Accounted(A, Known.SAID, begun),
-        Accounted(C, Known.SAID, begun),
+        NodeClearance(B, ClearanceEvidence.SESSION_EXPIRED, begun + 1),
+        NodeClearance(A, ClearanceEvidence.REPORTED, begun),
+        NodeClearance(C, ClearanceEvidence.REPORTED, begun),
     ]
     assert fault(pack(sessions, begun, account), sessions, begun) == ""
 
@@ -281,7 +297,7 @@
             found.add(leases.MACHINE, leases.encode(leases.Open(life)), life)  # it wakes
         elif chance < 0.97 and found.bearable(life):  # it dies, and starts anew from a snapshot
             del found.readers[life]
-            lives[name] = Life(name, life.number + 1)
+            lives[name] = NodeInstance(name, life.number + 1)
             found.start(lives[name])
             snapshot = found.truth.folds.snapshot()
             new = found.readers[lives[name]]
--- a/tests/shards/counts/test_cut.py
+++ b/tests/shards/counts/test_cut.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Life
+from molereach.coordination.interface import NodeInstance
 from molereach.shards.counts.cut import Cut, NoCut, OneMember, place
 from molereach.shards.counts.digest import FACTOR, LEVELS, MOST_HELD, Digest
 from molereach.shards.counts.sketches import MOST_WATCHED, Sketches
@@ -87,7 +87,7 @@
 
 
 def test_the_largest_sketch_of_a_life_holds_and_few_shards_are_watched() -> None:
-    a, b = Life("a", 1), Life("b", 1)
+    a, b = NodeInstance("a", 1), NodeInstance("b", 1)
     mine, theirs = Sketches(a), Sketches(b)
     for sketches in (mine, theirs):
         sketches.watch(tuple(range(1, 50)))
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -2,7 +2,17 @@
 
 from collections.abc import Callable
 
-from molereach.coordination.interface import Applied, Entry, Heard, Known, Life, Outcome, Propose, Say, Tick
+from molereach.coordination.interface import (
+    Applied,
+    ClearanceEvidence,
+    Entry,
+    MessageReceived,
+    NodeInstance,
+    Outcome,
+    Propose,
+    SendMessage,
+    Tick,
+)
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.shards.counts import bodies
@@ -20,7 +30,7 @@
 class Reader:
     """A front door with its own copy of the machines, which may lag."""
 
-    def __init__(self, me: Life, folds: type[Folds] = Folds) -> None:
+    def __init__(self, me: NodeInstance, folds: type[Folds] = Folds) -> None:
         self.me, self.sessions = me, Sessions()
         self.folds = folds(self.sessions, AllCounted())
         self.door = DoorCounts(me, self.folds, 0)
@@ -38,19 +48,19 @@
     def __init__(self, draw: Callable[[], float], folds: type[Folds] = Folds) -> None:
         self.draw, self.folds, self.now_us = draw, folds, 0
         self.entries: list[Entry] = []
-        self.readers: dict[Life, Reader] = {}
-        self.truth = Reader(Life("truth", 0), folds)  # applies each entry at once
+        self.readers: dict[NodeInstance, Reader] = {}
+        self.truth = Reader(NodeInstance("truth", 0), folds)  # applies each entry at once
         self.outcomes: list[Outcome] = []
         self.confirmed: dict[int, int] = {}  # bytes by shard, as the servers have them
         self.told: list[tuple[str, object]] = []
 
-    def add(self, machine: str, body: bytes, proposer: Life) -> Outcome:
+    def add(self, machine: str, body: bytes, proposer: NodeInstance) -> Outcome:
         entry = Entry(len(self.entries) + 1, machine, f"id{len(self.entries)}", proposer, 1000, body)
         self.entries.append(entry)
         self.outcomes.append(self.truth.take(self.now_us, entry))
         return self.outcomes[-1]
 
-    def start(self, life: Life) -> Reader:
+    def start(self, life: NodeInstance) -> Reader:
         self.readers[life] = Reader(life, self.folds)
         self.add(leases.MACHINE, leases.encode(leases.Open(life)), life)
         self.catch_up(life)
@@ -64,27 +74,27 @@
         for reader in self.readers.values():
             reader.door.handle(self.now_us, Leader(name))
 
-    def over(self, life: Life) -> None:
+    def over(self, life: NodeInstance) -> None:
         opened = self.truth.sessions.open(life.name)
         assert opened
         ended = leases.Ended(life, opened.fence, 0)
         assert not self.add(leases.MACHINE, leases.encode(ended), life).error
 
-    def catch_up(self, life: Life, most: int = 1 << 30) -> None:
+    def catch_up(self, life: NodeInstance, most: int = 1 << 30) -> None:
         reader = self.readers[life]
         for entry in self.entries[reader.applied : reader.applied + most]:
             reader.take(self.now_us, entry)
 
-    def write(self, life: Life, shard: int, size: int) -> None:
+    def write(self, life: NodeInstance, shard: int, size: int) -> None:
         self.confirmed[shard] = self.confirmed.get(shard, 0) + size
         self.readers[life].door.handle(self.now_us, Confirmed(shard, size))
 
-    def beat(self, life: Life, lose: float = 0.0) -> None:
+    def beat(self, life: NodeInstance, lose: float = 0.0) -> None:
         reader = self.readers[life]
         self.now_us += 2 * BEAT_US + 1
         for action in reader.door.handle(self.now_us, Tick()):
-            if isinstance(action, Say):
-                self.told.append((action.to, action.message))
+            if isinstance(action, SendMessage):
+                self.told.append((action.recipient, action.message))
             elif isinstance(action, Propose) and self.draw() >= lose:
                 self.add(action.machine, action.body, life)
 
@@ -92,9 +102,9 @@
         to, message = self.told[index] if keep else self.told.pop(index)
         for life, reader in self.readers.items():
             if life.name == to and reader.alive:
-                reader.door.handle(self.now_us, Heard(life, message))
+                reader.door.handle(self.now_us, MessageReceived(life, message))
 
-    def forget(self, life: Life) -> Outcome:
+    def forget(self, life: NodeInstance) -> Outcome:
         """With the fullest proof there is: of who is open, the `clear` that it says."""
         begun = self.truth.folds.begun(life)
         if begun is None:
@@ -105,10 +115,10 @@
             if isinstance(session, Past):
                 words.append(Word(session.fence, session.known, session.position))
             elif reader and reader.door.clear >= begun:
-                words.append(Word(session.fence, Known.SAID, reader.door.clear))
+                words.append(Word(session.fence, ClearanceEvidence.REPORTED, reader.door.clear))
         return self.add(bodies.MACHINE, bodies.encode(Forget(life, begun, tuple(words))), life)
 
-    def bearable(self, life: Life) -> bool:
+    def bearable(self, life: NodeInstance) -> bool:
         """Whether others have all that this front door knows; what a life told nobody dies with it."""
         gone = self.readers[life]
         gone.door.merged.merge(life, gone.door.own.rows())
@@ -122,5 +132,5 @@
                 return False
         return True
 
-    def counted(self, life: Life) -> dict[int, int]:
+    def counted(self, life: NodeInstance) -> dict[int, int]:
         return {shard: count.bytes for shard, count in self.readers[life].door.merged.totals().items()}
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Life, Tick
+from molereach.coordination.interface import NodeInstance, Tick
 from molereach.coordination.leases import bodies as leases
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
@@ -76,7 +76,7 @@
         case 2:
             world.over(name)
         case 3:  # dies, and starts anew
-            life = Life(name, reader.me.number + 1)
+            life = NodeInstance(name, reader.me.number + 1)
             world.readers[name].stopped = True
             world.start(life)
         case _:  # another is elected; the one before may not know
@@ -112,7 +112,7 @@
             world.open(reader)
     for cell in list(world.truth.upkeep.out):
         home = next(home for home in HOMES if home.cell == cell)
-        world.add(UPKEEP, msgspec.json.encode(home), Life("a", 1))
+        world.add(UPKEEP, msgspec.json.encode(home), NodeInstance("a", 1))
     world.lead("b", len(ballots) + 1)
     world.fair(250, lambda _: world.wait(2 * STEP_US))
     book = world.truth.shards.book
@@ -249,7 +249,7 @@
 
 def test_the_order_that_a_plan_and_a_reader_see_is_one() -> None:
     world = history(3)
-    again = Reader(Life("z", 9), world.kinds)
+    again = Reader(NodeInstance("z", 9), world.kinds)
     for entry in world.entries:
         again.take(0, entry)
     assert again.shards.snapshot() == world.truth.shards.snapshot()
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Known, Life, Restored, Tick
+from molereach.coordination.interface import ClearanceEvidence, NodeInstance, Restored, Tick
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home
 from molereach.shards.proof import Word
@@ -18,7 +18,7 @@
 from tests.shards.splits.servers import Cell
 from tests.shards.splits.world import WINDOW_MS, Kinds, World, plan
 
-A = Life("a", 1)
+A = NodeInstance("a", 1)
 MOVED = MEMBERS // 2 - 1  # of the first shard, in the upper half
 
 
@@ -34,7 +34,10 @@
 
 
 def said(world: World, position: int) -> tuple[Word, ...]:
-    return tuple(Word(session.fence, Known.SAID, position) for session in world.truth.sessions.all_open())
+    return tuple(
+        Word(session.fence, ClearanceEvidence.REPORTED, position)
+        for session in world.truth.sessions.all_open()
+    )
 
 
 def at(world: World) -> int:
@@ -263,7 +266,7 @@
     assert put(world, Hand("s", at(world), 0)) == ""
     position = at(world)
     world.catch_up(world.readers["a"])
-    later = world.start(Life("z", 1)).door
+    later = world.start(NodeInstance("z", 1)).door
     for each in (door, later):
         assert each.clear == position - 1 and each.wake_us == world.now_us + WINDOW_MS * 1000
         each.handle(each.wake_us - 1, Tick())
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from molereach.coordination.interface import (
-    Accounted,
     Applied,
+    ClearanceEvidence,
     Entry,
-    Known,
-    Life,
+    NodeClearance,
+    NodeInstance,
     Outcome,
     Propose,
     Restored,
@@ -71,7 +71,7 @@
 class Reader:
     """One life of one front door."""
 
-    def __init__(self, me: Life, kinds: Kinds) -> None:
+    def __init__(self, me: NodeInstance, kinds: Kinds) -> None:
         self.me, self.sessions, self.upkeep = me, Sessions(), ToyUpkeep()
         self.shards = kinds.shards(SplitSettings(WINDOW_MS), self.sessions, self.upkeep)
         self.upkeep.shards = self.shards
@@ -113,7 +113,7 @@
         self.cells = cells_of(first, kinds.cell)
         for home in HOMES[:8]:
             self.cells.setdefault(home.cell, kinds.cell(home, self.cells))
-        self.truth = Reader(Life("truth", 0), kinds)
+        self.truth = Reader(NodeInstance("truth", 0), kinds)
         self.readers: dict[str, Reader] = {}
         self.said: dict[int, tuple[int, int]] = {}  # by fence: applied and clear
         self.pool: list[Callable[[], None]] = []  # under way; each may be lost and late
@@ -127,12 +127,12 @@
         self.number = 0
         self.answers: list[Answer] = []
         for name in "abc":
-            self.start(Life(name, 1))
-        self.add(bodies.MACHINE, bodies.encode(Found(first.pieces, (0,) * shards)), Life("a", 1))
+            self.start(NodeInstance(name, 1))
+        self.add(bodies.MACHINE, bodies.encode(Found(first.pieces, (0,) * shards)), NodeInstance("a", 1))
 
     # --- the log ---
 
-    def add(self, machine: str, body: bytes, proposer: Life, id: str = "") -> Outcome:
+    def add(self, machine: str, body: bytes, proposer: NodeInstance, id: str = "") -> Outcome:
         id = id or f"own{len(self.entries)}"
         if id in self.ids:
             return Outcome("told again")
@@ -175,7 +175,7 @@
         for home in homes:
             assert not (home.cell in self.truth.upkeep.out and self.truth.shards.at_work(home)), "upkeep too"
 
-    def start(self, life: Life) -> Reader:
+    def start(self, life: NodeInstance) -> Reader:
         reader = Reader(life, self.kinds)
         reader.restore(self.now_us, self.truth)
         self.readers[life.name] = reader
@@ -204,15 +204,15 @@
 
     # --- accounts, for the driver at a reader ---
 
-    def account(self, reader: Reader, position: int, which: int) -> tuple[Accounted, ...] | None:
+    def account(self, reader: Reader, position: int, which: int) -> tuple[NodeClearance, ...] | None:
         found = []
         if reader.applied < position:
             return None
         for session in reader.sessions.at(position):
             if isinstance(session, Past):
-                found.append(Accounted(session.life, session.known, session.position))
+                found.append(NodeClearance(session.life, session.known, session.position))
             elif self.said.get(session.fence, (0, 0))[which] >= position:
-                found.append(Accounted(session.life, Known.SAID, position))
+                found.append(NodeClearance(session.life, ClearanceEvidence.REPORTED, position))
             else:
                 return None
         return tuple(found)
@@ -221,10 +221,10 @@
         world, reader = self, self.readers[name]
 
         class Accounts:
-            def applied(self, position: int) -> tuple[Accounted, ...] | None:
+            def applied(self, position: int) -> tuple[NodeClearance, ...] | None:
                 return world.account(reader, position, 0)
 
-            def clear(self, position: int) -> tuple[Accounted, ...] | None:
+            def clear(self, position: int) -> tuple[NodeClearance, ...] | None:
                 return world.account(reader, position, 1)
 
         reader.driver = Driver(reader.shards, reader.sessions, Accounts(), ballot)
@@ -253,13 +253,13 @@
             if isinstance(session, Past):
                 words.append(Word(session.fence, session.known, session.position))
             elif self.said.get(session.fence, (0, 0))[split.state is State.HANDED] >= split.position:
-                words.append(Word(session.fence, Known.SAID, split.position))
+                words.append(Word(session.fence, ClearanceEvidence.REPORTED, split.position))
         body: bodies.Body = Close(split.id, split.position, tuple(words))
         if split.state is State.HANDED:
             body = Clear(split.id, split.position, tuple(words))
         elif self.draw() < 0.04:
             body = GiveUp(split.id, split.position, "no reason")
-        self.add(bodies.MACHINE, bodies.encode(body), Life("a", 1))
+        self.add(bodies.MACHINE, bodies.encode(body), NodeInstance("a", 1))
 
     # --- requests ---
 
--- a/tests/upkeep/led.py
+++ b/tests/upkeep/led.py
@@ -6,14 +6,14 @@
 import msgspec
 
 from molereach.coordination.interface import (
+    SECOND_US,
     Applied,
-    Leads,
-    Life,
-    Over,
-    ProposalOver,
+    LeaderChanged,
+    NodeInstance,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
     Tick,
 )
 from molereach.upkeep.driver import BEAT_US, Driver
@@ -32,7 +32,7 @@
     """A log, the driver of its leader, and proposals that are settled at once; all that is open says it is
     clear."""
 
-    def __init__(self, log: Logged, life: Life = A, ballot: int = 1) -> None:
+    def __init__(self, log: Logged, life: NodeInstance = A, ballot: int = 1) -> None:
         self.log, self.facts, self.now_us = log, FLEET, 0
         self.silent: set[str] = set()  # front doors that say nothing
         self.actions: list[object] = []
@@ -41,13 +41,13 @@
         self.driver = Driver(life, log.machine, self)
         self.begins_ms = log.at_ms
         self.driver.handle(0, Restored(log.position))
-        self.first = list(self.driver.handle(0, Leads("a", ballot, True)))
+        self.first = list(self.driver.handle(0, LeaderChanged("a", ballot, True)))
 
     def clear(self, name: str, fence: int) -> int:
         return 0 if name in self.silent else self.log.position
 
     def run(self, seconds: float) -> "Led":
-        until_us = self.now_us + int(seconds * S)
+        until_us = self.now_us + int(seconds * SECOND_US)
         while self.now_us < until_us:
             self.now_us += BEAT_US
             self.log.at_ms = self.begins_ms + self.now_us // 1000
@@ -66,7 +66,7 @@
         outcome = self.log.machine.apply(entry)
         self.errors += [outcome.error] * bool(outcome.error)
         out = list(self.driver.handle(self.now_us, Applied(entry, outcome)))
-        over = ProposalOver(propose.id, Over.SETTLED, outcome, entry.position)
+        over = ProposalFinished(propose.id, ProposalStatus.APPLIED, outcome, entry.position)
         return out + list(self.driver.handle(self.now_us, over))
 
     def change(self, *names: str, **more: object) -> None:
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Known, Life, Outcome
+from molereach.coordination.interface import ClearanceEvidence, Entry, NodeInstance, Outcome
 from molereach.coordination.leases.bodies import Close, Ended, Open
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import Past, Sessions
@@ -18,7 +18,7 @@
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.upkeep.made import LOOSE, NOON_MS, doors, servers
 
-A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
+A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 FLEET = Facts(servers=servers(6), doors=doors(9), panel=("d0", "d1", "d2", "d3", "d4"))
 
 
@@ -27,7 +27,7 @@
 
     def lone(self) -> list[Past]:
         found = [past for door in self._doors.values() if not door.open and (past := door.past[-1])]
-        return [past for past in found if past.known is Known.OVER]
+        return [past for past in found if past.known is ClearanceEvidence.SESSION_EXPIRED]
 
 
 class Logged:
@@ -39,19 +39,19 @@
         self.book = self.machine.book
         self.position, self.at_ms = 0, NOON_MS
 
-    def entry(self, machine: str, body: bytes, by: Life = A) -> Entry:
+    def entry(self, machine: str, body: bytes, by: NodeInstance = A) -> Entry:
         self.position += 1
         return Entry(self.position, machine, f"id{self.position}", by, self.at_ms, body)
 
-    def put(self, body: Body, by: Life = A) -> Outcome:
+    def put(self, body: Body, by: NodeInstance = A) -> Outcome:
         return self.machine.apply(self.entry("upkeep", encode(body), by))
 
-    def ok(self, body: Body, by: Life = A) -> Record | None:
+    def ok(self, body: Body, by: NodeInstance = A) -> Record | None:
         outcome = self.put(body, by)
         assert outcome.error == ""
         return msgspec.json.decode(outcome.value, type=Record) if outcome.value else None
 
-    def error(self, body: Body, by: Life = A) -> str:
+    def error(self, body: Body, by: NodeInstance = A) -> str:
         """And nothing has changed."""
         before = self.machine.snapshot()
         outcome = self.put(body, by)
@@ -60,20 +60,20 @@
 
     # --- sessions ---
 
-    def open(self, *lives: Life) -> None:
+    def open(self, *lives: NodeInstance) -> None:
         for life in lives:
             assert not self.sessions.apply(self.entry("sessions", encode_session(Open(life)), life)).error
 
-    def over(self, life: Life) -> int:
+    def over(self, life: NodeInstance) -> int:
         fence = self.fence(life)
         assert not self.sessions.apply(self.entry("sessions", encode_session(Ended(life, fence, 0)))).error
         return self.position
 
-    def close(self, life: Life) -> None:
+    def close(self, life: NodeInstance) -> None:
         body = encode_session(Close(life, self.fence(life)))
         assert not self.sessions.apply(self.entry("sessions", body, life)).error
 
-    def fence(self, life: Life) -> int:
+    def fence(self, life: NodeInstance) -> int:
         opened = self.sessions.open(life.name)
         assert opened is not None and opened.life == life
         return opened.fence
@@ -104,7 +104,7 @@
         return tuple(
             Word(each.fence, each.known, each.position)
             if isinstance(each, Past)
-            else Word(each.fence, Known.SAID, now)
+            else Word(each.fence, ClearanceEvidence.REPORTED, now)
             for each in needed(self.sessions, self.record(id).begun)
         )
 
@@ -146,7 +146,9 @@
 }
 
 
-def logged(*works: Work, settings: UpkeepSettings = LOOSE, lives: Iterable[Life] = (A, B, C)) -> Logged:
+def logged(
+    *works: Work, settings: UpkeepSettings = LOOSE, lives: Iterable[NodeInstance] = (A, B, C)
+) -> Logged:
     """Sessions open, facts seen, works asked for."""
     log = Logged(settings)
     log.open(*lives)
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from molereach.coordination.interface import Known
+from molereach.coordination.interface import ClearanceEvidence
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.machine import Upkeep
@@ -24,7 +24,8 @@
 
     def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
         taken = [
-            Word(word.fence, word.known, record.begun) if word.known is Known.SAID else word for word in words
+            Word(word.fence, word.known, record.begun) if word.known is ClearanceEvidence.REPORTED else word
+            for word in words
         ]
         return super().fault(record, taken, at_ms)
 
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/players.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 
 from molereach.coordination.interface import (
-    Life,
-    ProposalOver,
-    S,
+    SECOND_US,
+    NodeInstance,
+    ProposalFinished,
 )
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.driver import Driver
@@ -13,7 +13,7 @@
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.upkeep.logged import LoneSessions
 
-STEP_US = 5 * S
+STEP_US = 5 * SECOND_US
 SETTINGS = UpkeepSettings(
     most_out=2,
     most_out_cell=2,
@@ -71,7 +71,7 @@
 class Door:
     """One run of one front door."""
 
-    life: Life
+    life: NodeInstance
     rate: float
     sessions: LoneSessions
     machine: Upkeep
@@ -81,7 +81,7 @@
     learnt: int = 0
     stopped: int = 0  # until this step
     cut: int = 0
-    waiting: list[ProposalOver] = field(default_factory=list)
+    waiting: list[ProposalFinished] = field(default_factory=list)
     given_us: int = 0  # when its session was renewed, in true time
 
     def now_us(self, step: int) -> int:
--- a/tests/upkeep/test_driver.py
+++ b/tests/upkeep/test_driver.py
@@ -6,8 +6,8 @@
 import pytest
 
 from molereach.coordination.interface import (
-    Life,
-    S,
+    SECOND_US,
+    NodeInstance,
 )
 from molereach.upkeep.driver import SEAT_US, ReplaceSeat
 from molereach.upkeep.permits.bodies import Stand
@@ -118,7 +118,7 @@
 def test_a_seat_of_the_panel_is_moved_before_its_machine_drains(machine: str) -> None:
     one = led(work("w", machine))
     one.facts = msgspec.structs.replace(FLEET, spares=2)
-    one.run(2.5 * SEAT_US / S)
+    one.run(2.5 * SEAT_US / SECOND_US)
     seats = [action for action in one.actions if isinstance(action, ReplaceSeat)]
     assert seats == [ReplaceSeat(machine)] * len(seats) and 2 <= len(seats) <= 3 and one.errors == []
     assert one.state() is State.QUEUED and one.why() == ("seat", (machine,))
@@ -142,6 +142,6 @@
     one.log.over(B)
     one.run(2 * QUICK.over_wait_ms / 1000)
     assert one.state() is State.DRAINING and "may count on it" in one.driver.missed["w"][0].why
-    one.log.open(Life("b", 2))
+    one.log.open(NodeInstance("b", 2))
     one.run(5)
     assert one.state() is State.OUT
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from molereach.coordination.interface import (
+    SECOND_US,
     Applied,
-    Leads,
+    LeaderChanged,
     Outcome,
-    Over,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
     Tick,
 )
 from molereach.upkeep.door import DoorSide, Permitted
@@ -119,10 +119,10 @@
     one.mute = True
     one.run(5)
     assert one.state() is State.EMPTY
-    late_us = one.now_us + QUICK.fresh_ms * 1000 + 60 * S
+    late_us = one.now_us + QUICK.fresh_ms * 1000 + 60 * SECOND_US
     for propose in [each for each in one.actions if isinstance(each, Propose)]:
-        one.driver.handle(late_us, ProposalOver(propose.id, Over.UNKNOWN))
-    late = one.driver.handle(late_us + 2 * S, Tick())
+        one.driver.handle(late_us, ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
+    late = one.driver.handle(late_us + 2 * SECOND_US, Tick())
     assert not [each for each in late if isinstance(each, Propose) and isinstance(decode(each.body), Out)]
     assert one.driver.stops["w"].rule == "facts"
 
@@ -130,13 +130,13 @@
 def test_it_takes_the_entries_time_on_by_its_own_clock_also_after_a_snapshot() -> None:
     log = logged(work("w"))
     driver = Driver(A, log.machine, Led(log))
-    driver.handle(7 * S, Restored(log.position))
-    assert driver.at_ms(9 * S) == NOON_MS + 2000
+    driver.handle(7 * SECOND_US, Restored(log.position))
+    assert driver.at_ms(9 * SECOND_US) == NOON_MS + 2000
     entry = log.entry("other", b"")
-    driver.handle(10 * S, Applied(msgspec.structs.replace(entry, at_ms=NOON_MS + 60_000), Outcome()))
-    assert driver.at_ms(11 * S) == NOON_MS + 61_000
-    driver.handle(12 * S, Restored(log.position))
-    assert driver.at_ms(12 * S) == NOON_MS + 62_000, "it does not go back"
+    driver.handle(10 * SECOND_US, Applied(msgspec.structs.replace(entry, at_ms=NOON_MS + 60_000), Outcome()))
+    assert driver.at_ms(11 * SECOND_US) == NOON_MS + 61_000
+    driver.handle(12 * SECOND_US, Restored(log.position))
+    assert driver.at_ms(12 * SECOND_US) == NOON_MS + 62_000, "it does not go back"
 
 
 def test_without_a_fleet_nothing_stands() -> None:
@@ -148,7 +148,7 @@
 
 def test_who_does_not_lead_proposes_nothing() -> None:
     one = led(work("w"))
-    one.driver.handle(0, Leads("b", 2, False))
+    one.driver.handle(0, LeaderChanged("b", 2, False))
     one.first = []
     one.run(30)
     assert one.actions == [] and one.state() is State.ASKED
@@ -158,7 +158,7 @@
     one = led(work("w"))
     one.driver.handle(0, Measured(FLEET))
     for seconds in range(1, 100):
-        one.now_us = seconds * S
+        one.now_us = seconds * SECOND_US
         one.log.at_ms = one.begins_ms + seconds * 1000
         for action in one.driver.handle(one.now_us, Tick()):
             if isinstance(action, Propose) and not isinstance(decode(action.body), Ask):
@@ -197,7 +197,7 @@
 
 def test_what_is_said_of_other_proposals_and_of_works_that_do_not_wait_is_nothing() -> None:
     one = led(work("w"))
-    assert one.driver.handle(0, ProposalOver("other", Over.REFUSED)) == []
+    assert one.driver.handle(0, ProposalFinished("other", ProposalStatus.REJECTED)) == []
     one.run(5)
     assert one.state() is State.OUT and one.driver.why(one.now_us, "w") is None
     assert one.driver.why(one.now_us, "none") is None
@@ -207,8 +207,8 @@
     proposals = Proposals(A, 3)
     [first] = proposals.make(0, "w", Ask(work("w")))
     assert proposals.make(0, "w", Ask(work("w"))) == [], "one is open"
-    assert proposals.over(5, ProposalOver("other", Over.UNKNOWN)) is None
-    assert proposals.over(5, ProposalOver(first.id, Over.UNKNOWN)) == ("w", False)
+    assert proposals.over(5, ProposalFinished("other", ProposalStatus.UNKNOWN)) is None
+    assert proposals.over(5, ProposalFinished(first.id, ProposalStatus.UNKNOWN)) == ("w", False)
     assert proposals.make(4 + RETRY_US, "w", Ask(work("w"))) == []
     [second] = proposals.make(5 + RETRY_US, "w", Ask(work("w")))
     assert second.id != first.id
--- a/tests/upkeep/test_machine_ends.py
+++ b/tests/upkeep/test_machine_ends.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import MOST_BODY_BYTES, Entry, Life
+from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, Entry, NodeInstance
 from molereach.upkeep.permits import machine
 from molereach.upkeep.permits.bodies import Ask, Back, Move, Seen, Stand, encode
 from molereach.upkeep.permits.record import Record
@@ -152,7 +152,7 @@
         b'{"kind":"' + b"[" * 9000,
         b'{"kind":"stand","servers":' + b"[" * 9000,
         b'{"kind":"stand","servers":["\xff"]}',
-        b'{"kind":"stand","servers":[]}' + b" " * MOST_BODY_BYTES,
+        b'{"kind":"stand","servers":[]}' + b" " * MAX_ENTRY_BODY_BYTES,
         encode(Move("w", Step.OUT)),
         encode(Move("w", Step.BACK)),
         encode(Move("none", Step.QUEUE)),
@@ -253,4 +253,4 @@
 def test_an_outcome_tells_where_the_work_stands() -> None:
     log = logged(work("w"))
     record = log.ok(Move("w", Step.QUEUE))
-    assert isinstance(record, Record) and record == log.record() and record.by == Life("a", 1)
+    assert isinstance(record, Record) and record == log.record() and record.by == NodeInstance("a", 1)
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -2,16 +2,16 @@
 
 import pytest
 
-from molereach.coordination.interface import Known, Life
+from molereach.coordination.interface import ClearanceEvidence, NodeInstance
 from molereach.upkeep.permits.accounting import Accounting
-from molereach.upkeep.permits.bodies import MOST_BODY_BYTES, Move, Out, Stand, Word, encode
+from molereach.upkeep.permits.bodies import MAX_ENTRY_BODY_BYTES, Move, Out, Stand, Word, encode
 from molereach.upkeep.permits.marks import MOST_MARKS, Mark, marked, waited
 from molereach.upkeep.permits.proof import needed
 from molereach.upkeep.permits.way import State, Step
 from tests.upkeep.logged import A, B, C, Logged, logged
 from tests.upkeep.made import LOOSE, work
 
-A2 = Life("a", 2)
+A2 = NodeInstance("a", 2)
 
 
 def emptied(*, stand: tuple[str, ...] = ()) -> Logged:
@@ -39,18 +39,23 @@
         for number, word in enumerate(proof)
     )
     assert "has said" in log.out(proof=late).error
-    assert log.out(proof=(*proof, Word(77, Known.SAID, 5))).error == "", "more than is needed does no harm"
+    assert log.out(proof=(*proof, Word(77, ClearanceEvidence.REPORTED, 5))).error == "", (
+        "more than is needed does no harm"
+    )
 
 
 def test_what_is_said_of_an_end_is_what_the_sessions_say() -> None:
     log = emptied()
     log.close(C)
     proof = log.proof()
-    assert proof[2].known is Known.LEFT
-    for known, position in ((Known.OVER, proof[2].position), (Known.LEFT, proof[2].position + 1)):
+    assert proof[2].known is ClearanceEvidence.LEFT
+    for known, position in (
+        (ClearanceEvidence.SESSION_EXPIRED, proof[2].position),
+        (ClearanceEvidence.LEFT, proof[2].position + 1),
+    ):
         wrong = (*proof[:2], Word(proof[2].fence, known, position))
         assert "c is left by" in log.out(proof=wrong).error
-    wrong = (Word(proof[0].fence, Known.OVER, 3), *proof[1:])
+    wrong = (Word(proof[0].fence, ClearanceEvidence.SESSION_EXPIRED, 3), *proof[1:])
     assert log.out(proof=wrong).error == "proof: a has a session and has not said so"
     assert log.out(proof=proof).error == ""
 
@@ -84,7 +89,7 @@
     log.over(A)
     log.to(State.EMPTY)
     assert [session.life for session in needed(log.sessions, log.record().begun)] == [A, B, C]
-    claimed = (Word(needed(log.sessions, 0)[0].fence, Known.SAID, 99), *log.proof()[1:])
+    claimed = (Word(needed(log.sessions, 0)[0].fence, ClearanceEvidence.REPORTED, 99), *log.proof()[1:])
     assert log.out(proof=claimed).error == "proof: a had no session any more"
     assert log.out().error == "proof: a is not over for long enough"
     later(log)
@@ -151,11 +156,11 @@
     log.ok(Stand(("s0",)))
     log.ok(Stand(("s1",)))
     assert log.book.unstood.keys() == {"s0"}
-    log.open(A2, Life("b", 2), Life("c", 2))
+    log.open(A2, NodeInstance("b", 2), NodeInstance("c", 2))
     log.ok(Stand(("s2",)))
     assert log.book.unstood.keys() == {"s1"}
     log.over(A2)
-    log.open(Life("b", 3), Life("c", 3))
+    log.open(NodeInstance("b", 3), NodeInstance("c", 3))
     log.ok(Stand(("s3",)))
     assert log.book.unstood.keys() == {"s1", "s2"}, "one without a session may count on it"
 
@@ -174,8 +179,8 @@
 
 
 def test_the_longest_proof_fits_in_an_entry() -> None:
-    longest = tuple(Word(1 << 62, Known.SAID, 1 << 62) for _ in range(256))
-    assert len(encode(Out("w" * 64, 1 << 62, longest))) <= MOST_BODY_BYTES
+    longest = tuple(Word(1 << 62, ClearanceEvidence.REPORTED, 1 << 62) for _ in range(256))
+    assert len(encode(Out("w" * 64, 1 << 62, longest))) <= MAX_ENTRY_BODY_BYTES
 
 
 class Said:
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 
 from molereach.coordination.interface import (
+    SECOND_US,
     Applied,
+    ClearanceEvidence,
     Entry,
-    Known,
-    Leads,
-    Life,
+    LeaderChanged,
+    NodeInstance,
     Outcome,
-    Over,
-    ProposalOver,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    S,
-    Terms,
+    SessionTerms,
     Tick,
 )
 from molereach.coordination.leases.bodies import Ended as SessionEnded
@@ -41,8 +41,8 @@
 from tests.upkeep.made import NOON_MS, server
 from tests.upkeep.players import REAL, SETTINGS, STEP_US, BrokenError, Cores, Door, Held, Server
 
-TURN_US = S // 100
-TERMS = Terms(15 * S, 0.01)
+TURN_US = SECOND_US // 100
+TERMS = SessionTerms(15 * SECOND_US, 0.01)
 NAMES = ("a", "b", "c")
 SERVERS = tuple(f"s{number}" for number in range(5))
 
@@ -82,13 +82,13 @@
         machine, held = self.cores.machine(self.cores.settings, sessions), Held()
         rate = self.chance.choice((0.996, 1.0, 1.004))
         door = Door(
-            Life(name, number),
+            NodeInstance(name, number),
             rate,
             sessions,
             machine,
             held,
             self.cores.door(machine, held),
-            Driver(Life(name, number), machine, self),
+            Driver(NodeInstance(name, number), machine, self),
         )
         if self.eager:
             door.driver._accounting = Accounting(sessions, self, 0)
@@ -107,7 +107,7 @@
                 self.act(
                     each,
                     each.driver.handle(
-                        each.now_us(self.now), Leads(door.life.name, self.ballot, each is door)
+                        each.now_us(self.now), LeaderChanged(door.life.name, self.ballot, each is door)
                     ),
                 )
 
@@ -123,18 +123,20 @@
             settled = self.now + self.chance.choice((0, 0, 0, 1, 4))
             self.mail.append((settled, lambda: self.settle(door, propose)))
         else:
-            unknown = ProposalOver(propose.id, Over.UNKNOWN)
+            unknown = ProposalFinished(propose.id, ProposalStatus.UNKNOWN)
             self.mail.append((self.now + 1, lambda: door.waiting.append(unknown)))
 
     def settle(self, door: Door, propose: Propose) -> None:
         if propose.id not in self.ids:
             self.ids[propose.id] = self.append(propose.machine, propose.body, door.life, propose.id)
         position = self.ids[propose.id]
-        door.waiting.append(ProposalOver(propose.id, Over.SETTLED, self.outcomes[position - 1], position))
+        door.waiting.append(
+            ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
+        )
 
     # --- the log ---
 
-    def append(self, machine: str, body: bytes, by: Life, id: str = "") -> int:
+    def append(self, machine: str, body: bytes, by: NodeInstance, id: str = "") -> int:
         position = len(self.order) + 1
         entry = Entry(position, machine, id or f"w{position}", by, NOON_MS + self.now * STEP_US // 1000, body)
         before = {name: each.state for name, each in self.truth.book.records.items()}
@@ -274,13 +276,13 @@
                 raise BrokenError(f"{door.life} is clear only of {clear}, after {self.said[true.fence]}")
             self.said[true.fence], door.given_us = clear, self.now * STEP_US
             door.held.fence = true.fence
-            door.held.until_us = door.now_us(self.now) + int(TERMS.held_us * 0.99)
+            door.held.until_us = door.now_us(self.now) + int(TERMS.holder_duration_us * 0.99)
 
     def end_sessions(self) -> None:
         for name, door in self.doors.items():
             opened = self.sessions.open(name)
             given_us = door.given_us if opened and opened.life == door.life else 0
-            if opened and self.now * STEP_US - given_us > int(TERMS.over_us * 1.02):
+            if opened and self.now * STEP_US - given_us > int(TERMS.expiry_us * 1.02):
                 self.append("sessions", encode_session(SessionEnded(opened.life, opened.fence, 0)), door.life)
 
     def lead(self, door: Door) -> None:
@@ -359,7 +361,7 @@
             words = tuple(
                 Word(each.fence, each.known, each.position)
                 if isinstance(each, Past)
-                else Word(each.fence, Known.SAID, self.said.get(each.fence, 0))
+                else Word(each.fence, ClearanceEvidence.REPORTED, self.said.get(each.fence, 0))
                 for each in needed(self.sessions, record.begun)
             )
             if record.state is State.DRAINING:
