--- a/molereach/cache/door.py
+++ b/molereach/cache/door.py
@@ -23,7 +23,9 @@
 from molereach.cache.readings.settings import ReadingSettings, S
 from molereach.cache.readings.store import Store
 from molereach.cache.readings.sweeps import Sweeps
-from molereach.coordination.interface import NEVER_US, Applied, Restored, Session, Tick
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.log import Applied, Restored
+from molereach.coordination.interface.sessions import Session
 
 SLICE = 250  # steps of a turn, each a reading let go of, or a purge looked at
 LOOK_US = S // 4  # between two looks for what is dead by age
--- a/molereach/cache/driver.py
+++ b/molereach/cache/driver.py
@@ -11,17 +11,10 @@
 from molereach.cache.purge.bodies import MACHINE, Ask, Done, decode, encode, ended, standing
 from molereach.cache.purge.machine import MOST_DONE_AT_ONCE, Purges
 from molereach.cache.purge.records import Asked
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
-    Applied,
-    LeaderChanged,
-    NodeClearance,
-    ProposalFinished,
-    Propose,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.clearance import NodeClearance
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.log import Applied, LeaderChanged, ProposalFinished, Propose, Restored
 from molereach.coordination.leases.accounts import Missing
 
 LOOK_US = SECOND_US // 10  # between two looks at whether a proof is complete
--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -11,7 +11,7 @@
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.receipt import Receipt
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.accounts import Missing
 
 
--- a/molereach/cache/purge/bodies.py
+++ b/molereach/cache/purge/bodies.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 
 from molereach.cache.purge.ids import PurgeId
-from molereach.coordination.interface import MAX_MEMBERS, Name, Position, WireStruct
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, Position, WireStruct
 
 MACHINE = "purge"
 MOST_PURGE_BODY_BYTES = 8 << 10  # the longest takes 5,300: `Done` with 256 fences
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -20,7 +20,9 @@
 from molereach.cache.purge.receipt import Receipt, receipt_of
 from molereach.cache.purge.records import Asked, Finished, Number
 from molereach.cache.readings.settings import MOST_AGE_US
-from molereach.coordination.interface import MAX_MEMBERS, Entry, NodeClearance, Outcome, Position, WireStruct
+from molereach.coordination.interface.clearance import NodeClearance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Position, WireStruct
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.sessions import Opened
 
 CLOCKS_MS = 5_000  # by which the wall clocks of front doors may differ
--- a/molereach/cache/purge/past.py
+++ b/molereach/cache/purge/past.py
@@ -9,7 +9,7 @@
 
 from molereach.cache.purge.bodies import ClassName, Member
 from molereach.cache.purge.records import Millis
-from molereach.coordination.interface import Position, WireStruct
+from molereach.coordination.interface.identifiers import Position, WireStruct
 
 MOST_AT_ONCE = 64  # let go of by one entry
 
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Iterable
 from typing import Protocol
 
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import Opened, Past
 
 
--- a/molereach/cache/purge/receipt.py
+++ b/molereach/cache/purge/receipt.py
@@ -14,14 +14,8 @@
 from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
 from molereach.cache.purge.records import Finished, Millis
-from molereach.coordination.interface import (
-    MAX_MEMBERS,
-    ClearanceEvidence,
-    Name,
-    NodeClearance,
-    Position,
-    WireStruct,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, Position, WireStruct
 
 HASH_BYTES = 32
 
--- a/molereach/cache/purge/records.py
+++ b/molereach/cache/purge/records.py
@@ -6,7 +6,7 @@
 
 from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
-from molereach.coordination.interface import Name, Position, WireStruct
+from molereach.coordination.interface.identifiers import Name, Position, WireStruct
 
 Millis = Annotated[int, Meta(ge=0, le=1 << 53)]
 Number = Annotated[int, Meta(ge=1, le=1 << 62)]
--- a/molereach/coordination/dissemination/beat.py
+++ b/molereach/coordination/dissemination/beat.py
@@ -5,7 +5,7 @@
 """
 
 from molereach.coordination.dissemination.settings import Settings
-from molereach.coordination.interface import NEVER_US
+from molereach.coordination.interface.core import NEVER_US
 
 
 class Beat:
--- a/molereach/coordination/dissemination/children.py
+++ b/molereach/coordination/dissemination/children.py
@@ -8,7 +8,7 @@
 
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import Up
-from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 
 
 @dataclass(slots=True)
--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -26,14 +26,8 @@
     View,
     Whom,
 )
-from molereach.coordination.interface import (
-    MAX_MEMBERS,
-    NEVER_US,
-    MessageReceived,
-    NodeInstance,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 
 
 class Spread:
--- a/molereach/coordination/dissemination/gather.py
+++ b/molereach/coordination/dissemination/gather.py
@@ -9,7 +9,7 @@
 from typing import Generic, TypeVar
 
 from molereach.coordination.dissemination.words import RenewalGrant, RenewalRequest
-from molereach.coordination.interface import MAX_MEMBERS
+from molereach.coordination.interface.identifiers import MAX_MEMBERS
 
 K = TypeVar("K")
 V = TypeVar("V")
--- a/molereach/coordination/dissemination/listening.py
+++ b/molereach/coordination/dissemination/listening.py
@@ -6,7 +6,7 @@
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.standing import Standing
 from molereach.coordination.dissemination.words import Redirect, View
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 
 
 class Listening:
--- a/molereach/coordination/dissemination/parent.py
+++ b/molereach/coordination/dissemination/parent.py
@@ -13,7 +13,7 @@
 
 from molereach.coordination.dissemination.ranks import Ranks
 from molereach.coordination.dissemination.settings import Settings
-from molereach.coordination.interface import NEVER_US
+from molereach.coordination.interface.core import NEVER_US
 
 Mark = tuple[int, int]  # ballot and number of a pulse
 ROUND = 6  # candidates before the first is asked again
--- a/molereach/coordination/dissemination/pass_on.py
+++ b/molereach/coordination/dissemination/pass_on.py
@@ -9,7 +9,7 @@
 
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import MOST_ENTRIES
-from molereach.coordination.interface import Entry
+from molereach.coordination.interface.log import Entry
 
 ENTRY_BYTES = 320  # of an entry, its body not counted: most for names and the id, and what frames them
 
--- a/molereach/coordination/dissemination/ranks.py
+++ b/molereach/coordination/dissemination/ranks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from functools import cached_property
 
-from molereach.coordination.interface import MAX_MEMBERS
+from molereach.coordination.interface.identifiers import MAX_MEMBERS
 
 
 class Ranks:
--- a/molereach/coordination/dissemination/settings.py
+++ b/molereach/coordination/dissemination/settings.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import MAX_MEMBERS, SECOND_US
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, SECOND_US
 
 MOST_CHILDREN = 64  # whatever the settings say
 
--- a/molereach/coordination/dissemination/standing.py
+++ b/molereach/coordination/dissemination/standing.py
@@ -2,7 +2,7 @@
 
 from molereach.coordination.dissemination.ranks import Ranks
 from molereach.coordination.dissemination.words import View
-from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 
 
 class Standing:
--- a/molereach/coordination/dissemination/telling.py
+++ b/molereach/coordination/dissemination/telling.py
@@ -9,7 +9,7 @@
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.standing import Standing
 from molereach.coordination.dissemination.words import Action, Down, Granted, Grown, Redirect, RenewalGrant
-from molereach.coordination.interface import SendMessage
+from molereach.coordination.interface.core import SendMessage
 
 Actions = list[Action | SendMessage]
 
--- a/molereach/coordination/dissemination/words.py
+++ b/molereach/coordination/dissemination/words.py
@@ -9,16 +9,9 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import (
-    MAX_MEMBERS,
-    Entry,
-    Name,
-    NodeInstance,
-    Position,
-    RenewalGrant,
-    RenewalRequest,
-    WireStruct,
-)
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, NodeInstance, Position, WireStruct
+from molereach.coordination.interface.log import Entry
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 __all__ = ["MOST_ENTRIES", "Down", "Message", "Redirect", "RenewalGrant", "RenewalRequest", "Up", "Whom"]
 
--- a/molereach/coordination/leases/accounts.py
+++ b/molereach/coordination/leases/accounts.py
@@ -14,7 +14,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.sessions import Opened, Past, Sessions
 
 
--- a/molereach/coordination/leases/asks.py
+++ b/molereach/coordination/leases/asks.py
@@ -4,7 +4,7 @@
 used again within a life, so a grant that is old, doubled or for an ask that was forgotten finds nothing.
 """
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.words import RenewalGrant, RenewalRequest
 
 MOST_ASKS = 16  # remembered without a grant
--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import NodeInstance, Position, WireStruct
+from molereach.coordination.interface.identifiers import NodeInstance, Position, WireStruct
 
 MACHINE = "sessions"
 MOST_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -10,18 +10,17 @@
 
 from collections.abc import Callable, Sequence
 
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     LeaderChanged,
-    NodeInstance,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.asks import Asks
 from molereach.coordination.leases.bodies import Body, Close, Open
 from molereach.coordination.leases.proposal import WITHIN_BEATS, Proposal
@@ -67,12 +66,12 @@
         return now_us < self._until_us  # 0 in every phase but OPEN
 
     @property
-    def fence(self) -> int:
+    def fencing_token(self) -> int:
         """As of the last event: `holds` is to be asked first."""
         return self._held
 
     @property
-    def applied(self) -> int:
+    def applied_position(self) -> int:
         """What the last ask told that was granted."""
         return self._told
 
--- a/molereach/coordination/leases/keeper.py
+++ b/molereach/coordination/leases/keeper.py
@@ -14,19 +14,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     ConfirmLeadership,
     LeaderChanged,
     LeadershipConfirmed,
-    NodeInstance,
     ProposalFinished,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.bodies import MACHINE, Ended, Keeping, encode
 from molereach.coordination.leases.proposal import WITHIN_BEATS
 from molereach.coordination.leases.rounds import Rounds
--- a/molereach/coordination/leases/permits.py
+++ b/molereach/coordination/leases/permits.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.coordination.interface import Session
+from molereach.coordination.interface.sessions import Session
 
 
 class Use(Enum):
--- a/molereach/coordination/leases/proposal.py
+++ b/molereach/coordination/leases/proposal.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import Propose
+from molereach.coordination.interface.log import Propose
 from molereach.coordination.leases.bodies import MACHINE, Body, encode
 
 WITHIN_BEATS = 4  # after which the log says UNKNOWN
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -10,16 +10,9 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import (
-    MAX_MEMBERS,
-    ClearanceEvidence,
-    Entry,
-    Name,
-    NodeInstance,
-    Outcome,
-    Position,
-    WireStruct,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, NodeInstance, Position, WireStruct
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.bodies import MACHINE, BallotNumber, Close, Ended, Keeping, Open, decode
 
 MOST_PAST = 4  # ended sessions kept of each name, for accounts under way
--- a/molereach/coordination/leases/words.py
+++ b/molereach/coordination/leases/words.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.coordination.interface import SECOND_US, RenewalGrant, RenewalRequest
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 __all__ = [
     "BEAT_US",
--- a/molereach/coordination/membership/beliefs.py
+++ b/molereach/coordination/membership/beliefs.py
@@ -7,7 +7,8 @@
 
 import msgspec
 
-from molereach.coordination.interface import NEVER_US, NodeInstance
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Changed, Displaced, Doubts
 from molereach.coordination.membership.gossip import Gossip
--- a/molereach/coordination/membership/core.py
+++ b/molereach/coordination/membership/core.py
@@ -9,7 +9,8 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import MAX_MEMBERS, NEVER_US, MessageReceived, NodeInstance, Tick
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, Tick
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 from molereach.coordination.membership.beliefs import Beliefs
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Displaced, Join, Leave
--- a/molereach/coordination/membership/events.py
+++ b/molereach/coordination/membership/events.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.membership.words import Status
 
 
--- a/molereach/coordination/membership/outbox.py
+++ b/molereach/coordination/membership/outbox.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from molereach.coordination.interface import SendMessage
+from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.membership.beliefs import Beliefs, News
 from molereach.coordination.membership.events import Changed, Displaced, Doubts
 from molereach.coordination.membership.probes import Rounds
--- a/molereach/coordination/membership/probes.py
+++ b/molereach/coordination/membership/probes.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import NEVER_US, NodeInstance
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import NodeInstance
 
 MOST_RELAYS = 64  # pings for others that are out; more are not asked, and who wanted them hears nothing
 NACK_PARTS = 4  # of five of the direct time: the nack must reach who asked before its beat is over
--- a/molereach/coordination/membership/probing.py
+++ b/molereach/coordination/membership/probing.py
@@ -3,7 +3,8 @@
 Source: SWIM, section 3.1; Lifeguard, section IV.A (times that grow with the doubt of oneself).
 """
 
-from molereach.coordination.interface import NEVER_US, NodeInstance
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.membership.beliefs import Beliefs
 from molereach.coordination.membership.outbox import Outbox
 from molereach.coordination.membership.probes import Draw, Probe, Relays, sample
--- a/molereach/coordination/membership/settings.py
+++ b/molereach/coordination/membership/settings.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import SECOND_US
+from molereach.coordination.interface.identifiers import SECOND_US
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/coordination/membership/table.py
+++ b/molereach/coordination/membership/table.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 from molereach.coordination.membership.events import Changed
 from molereach.coordination.membership.words import Rumour, Status
 
--- a/molereach/coordination/membership/words.py
+++ b/molereach/coordination/membership/words.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import InstanceNumber, Name, NodeInstance, WireStruct
+from molereach.coordination.interface.identifiers import InstanceNumber, Name, NodeInstance, WireStruct
 
 MOST_MESSAGE_BYTES = 1_200
 MOST_FRAME_BYTES = 150  # of a message without its rumours: the longest is a PingReq with a name of 64
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -4,7 +4,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from molereach.coordination.interface import SessionTerms
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import MS, CouncilSettings
 from molereach.coordination.storage.store import StoreError
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -6,7 +6,8 @@
 from molereach.coordination.dissemination import words as spread_words
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings as SpreadSettings
-from molereach.coordination.interface import NodeInstance, StateMachine
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import StateMachine
 from molereach.coordination.leases.holder import Holder
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.sessions import Sessions
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -13,21 +13,17 @@
 from pathlib import Path
 
 from molereach.clock import now_us
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
-    DiskFailed,
     LeaderChanged,
-    MessageReceived,
-    NodeInstance,
-    Persist,
-    Persisted,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
     StateMachine,
-    Tick,
 )
 from molereach.coordination.leases.words import Held, Lost
 from molereach.coordination.membership.events import Changed
@@ -289,7 +285,7 @@
     def counters(self) -> dict[str, int]:
         """How this front door's part stands, as numbers."""
         stats, core = self.links.stats(), self.core
-        session = core.parts.holder.fence if self.holds() else 0
+        session = core.parts.holder.fencing_token if self.holds() else 0
         return {
             "council_position": core.position,
             "council_session": session,
--- a/molereach/coordination/node/settings.py
+++ b/molereach/coordination/node/settings.py
@@ -2,7 +2,9 @@
 
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import MAX_MEMBERS, SECOND_US, VOTER_COUNTS, SessionTerms
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, SECOND_US
+from molereach.coordination.interface.log import VOTER_COUNTS
+from molereach.coordination.interface.sessions import SessionTerms
 
 MS = 1000  # microseconds in a millisecond
 LEAST_SESSION_BEATS = 4  # or one lost word ends a session
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -11,24 +11,20 @@
 from typing import Any
 
 from molereach.coordination.dissemination import words as tree
-from molereach.coordination.interface import (
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     ConfirmLeadership,
-    DiskFailed,
     LeaderChanged,
     LeadershipConfirmed,
-    MessageReceived,
-    NodeInstance,
-    Persist,
-    Persisted,
     ProposalFinished,
     Propose,
-    RenewalRequest,
     Restored,
-    SendMessage,
     StateMachine,
-    Tick,
 )
+from molereach.coordination.interface.sessions import RenewalRequest
 from molereach.coordination.leases import words as lease
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.words import Phase
--- a/molereach/coordination/replicated_log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from itertools import pairwise
 
-from molereach.coordination.interface import Entry
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.words import NOBODY, Ballot
 
 
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -4,17 +4,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.interface import (
-    ConfirmLeadership,
-    DiskFailed,
-    Entry,
-    MessageReceived,
-    NodeInstance,
-    Persisted,
-    Propose,
-    StateMachine,
-    Tick,
-)
+from molereach.coordination.interface.core import MessageReceived, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import ConfirmLeadership, Entry, Propose, StateMachine
 from molereach.coordination.replicated_log.acceptor import in_order
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.election import Election
--- a/molereach/coordination/replicated_log/leader.py
+++ b/molereach/coordination/replicated_log/leader.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from molereach.coordination.interface import Entry
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.confirm import Rounds
 from molereach.coordination.replicated_log.learner import OWN, Learner
 from molereach.coordination.replicated_log.panel import majority
--- a/molereach/coordination/replicated_log/leading.py
+++ b/molereach/coordination/replicated_log/leading.py
@@ -4,7 +4,8 @@
 log moves by anything but its own decisions while it leads was replaced, and steps down as well.
 """
 
-from molereach.coordination.interface import LeaderChanged, LeadershipConfirmed, NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import LeaderChanged, LeadershipConfirmed
 from molereach.coordination.replicated_log.acceptor import in_order
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.leader import Leadership, Phase, Queue
--- a/molereach/coordination/replicated_log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Applied, Entry, Outcome, StateMachine
+from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.once import REPEATED, USED, Done, Once
 from molereach.coordination.replicated_log.panel import changed
 from molereach.coordination.replicated_log.records import Snapshot
--- a/molereach/coordination/replicated_log/ledger.py
+++ b/molereach/coordination/replicated_log/ledger.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import Applied, Entry, Restored
+from molereach.coordination.interface.log import Applied, Entry, Restored
 from molereach.coordination.replicated_log.acceptor import Acceptor
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.outbox import Outbox
--- a/molereach/coordination/replicated_log/once.py
+++ b/molereach/coordination/replicated_log/once.py
@@ -12,7 +12,8 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Id, Outcome, Position, WireStruct
+from molereach.coordination.interface.identifiers import Id, Position, WireStruct
+from molereach.coordination.interface.log import Entry, Outcome
 
 REPEATED = "a repeat of the entry at {}"
 USED = "an id used for something else"
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.interface import NodeInstance, Persist, SendMessage
+from molereach.coordination.interface.core import SendMessage
+from molereach.coordination.interface.disk import Persist
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.replicated_log.records import Base, Record, encode
 from molereach.coordination.replicated_log.words import Message
 
--- a/molereach/coordination/replicated_log/panel.py
+++ b/molereach/coordination/replicated_log/panel.py
@@ -11,7 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import VOTER_COUNTS, Outcome, WireStruct
+from molereach.coordination.interface.identifiers import WireStruct
+from molereach.coordination.interface.log import VOTER_COUNTS, Outcome
 from molereach.coordination.replicated_log.words import Panel, Seat
 
 Pair = Annotated[tuple[Seat, ...], Meta(min_length=2, max_length=2)]
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -6,11 +6,10 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import (
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import MAX_ID_CHARACTERS, NodeInstance
+from molereach.coordination.interface.log import (
     MAX_ENTRY_BODY_BYTES,
-    MAX_ID_CHARACTERS,
-    NEVER_US,
-    NodeInstance,
     ProposalFinished,
     ProposalStatus,
     Propose,
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -11,7 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Position, WireStruct
+from molereach.coordination.interface.identifiers import Position, WireStruct
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.acceptor import Acceptor, in_order
 from molereach.coordination.replicated_log.once import Done
 from molereach.coordination.replicated_log.settings import MOST_RUNS
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -15,7 +15,7 @@
 
 from collections.abc import Mapping
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.replicated_log.acceptor import Acceptor, rest
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.panel import majority
--- a/molereach/coordination/replicated_log/starts.py
+++ b/molereach/coordination/replicated_log/starts.py
@@ -5,7 +5,8 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NEVER_US, NodeInstance
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.ledger import Ledger
--- a/molereach/coordination/replicated_log/voting.py
+++ b/molereach/coordination/replicated_log/voting.py
@@ -4,7 +4,7 @@
 more tells it, one that has less asks. A ballot is believed only from its own run.
 """
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.replicated_log.acceptor import in_order
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.election import Election
--- a/molereach/coordination/replicated_log/words.py
+++ b/molereach/coordination/replicated_log/words.py
@@ -8,9 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import (
-    MAX_ENTRY_BODY_BYTES,
-    Entry,
+from molereach.coordination.interface.identifiers import (
     Id,
     InstanceNumber,
     Name,
@@ -18,6 +16,7 @@
     Position,
     WireStruct,
 )
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Entry
 from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
 
 MOST_SEATS = 7
--- a/molereach/coordination/storage/store.py
+++ b/molereach/coordination/storage/store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Persist
+from molereach.coordination.interface.disk import Persist
 from molereach.coordination.storage import whole
 from molereach.coordination.storage.disk import Disk, File
 from molereach.coordination.storage.frames import MOST_TAIL_BYTES, Chain
--- a/molereach/coordination/storage/whole.py
+++ b/molereach/coordination/storage/whole.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Name, WireStruct
+from molereach.coordination.interface.identifiers import Name, WireStruct
 from molereach.coordination.storage.frames import DIGEST_BYTES, digest
 
 MAGIC = b"molereach-council-"
--- a/molereach/coordination/storage/worker.py
+++ b/molereach/coordination/storage/worker.py
@@ -13,7 +13,7 @@
 from queue import SimpleQueue
 from threading import Thread
 
-from molereach.coordination.interface import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
 from molereach.coordination.storage.frames import size
 from molereach.coordination.storage.store import Store, StoreError
 
--- a/molereach/coordination/transport/board.py
+++ b/molereach/coordination/transport/board.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from molereach.clock import now_us
-from molereach.coordination.interface import MessageReceived, NodeInstance
+from molereach.coordination.interface.core import MessageReceived
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.hello import NONCE_BYTES, Answering, Dialling
 from molereach.coordination.transport.link import Link
 from molereach.coordination.transport.owner import Phase
--- a/molereach/coordination/transport/hello.py
+++ b/molereach/coordination/transport/hello.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Name, NodeInstance, WireStruct
+from molereach.coordination.interface.identifiers import Name, NodeInstance, WireStruct
 
 VERSION = 1
 NONCE_BYTES = 16
--- a/molereach/coordination/transport/link.py
+++ b/molereach/coordination/transport/link.py
@@ -10,7 +10,7 @@
 from typing import cast
 
 from molereach.clock import now_us
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter, FrameError, head
 from molereach.coordination.transport.hello import (
     MOST_HELLO_BYTES,
--- a/molereach/coordination/transport/owner.py
+++ b/molereach/coordination/transport/owner.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any, Protocol
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.queue import Item
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.words import Words
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.coordination.interface import MessageReceived, NodeInstance, SendMessage
+from molereach.coordination.interface.core import MessageReceived, SendMessage
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.board import Address, Board
 from molereach.coordination.transport.frames import MOST_BODY_BYTES
 from molereach.coordination.transport.owner import Phase
--- a/molereach/coordination/transport/words.py
+++ b/molereach/coordination/transport/words.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import WireStruct
+from molereach.coordination.interface.identifiers import WireStruct
 from molereach.coordination.transport.hello import MOST_PARTS, Reason, line
 
 OWN = ""  # the part of the links' own words
--- a/molereach/shards/counts/door.py
+++ b/molereach/shards/counts/door.py
@@ -6,17 +6,9 @@
 
 from dataclasses import dataclass
 
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
-    Applied,
-    MessageReceived,
-    NodeInstance,
-    Propose,
-    Restored,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import Applied, Propose, Restored
 from molereach.shards.counts.bodies import MACHINE, Fold, decode, encode
 from molereach.shards.counts.counter import Counter
 from molereach.shards.counts.folds import Folds
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -11,16 +11,15 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import (
-    ClearanceEvidence,
-    Entry,
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import (
     InstanceNumber,
     Name,
     NodeInstance,
-    Outcome,
     Position,
     WireStruct,
 )
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.shards.counts.bodies import MACHINE, Fold, Forget, decode
 from molereach.shards.counts.counter import NONE, Count, rows
 from molereach.shards.counts.words import MOST_ROWS, Row
--- a/molereach/shards/counts/merged.py
+++ b/molereach/shards/counts/merged.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Protocol
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.shards.counts.counter import NONE, Count, rows
 from molereach.shards.counts.words import MOST_ROWS, Row
 
--- a/molereach/shards/counts/sketches.py
+++ b/molereach/shards/counts/sketches.py
@@ -3,7 +3,7 @@
 They are kept for few shards: for those that are likely to be cut next.
 """
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.shards.counts.digest import Digest
 from molereach.shards.counts.words import Node, Sketch
 
--- a/molereach/shards/counts/words.py
+++ b/molereach/shards/counts/words.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import NodeInstance, WireStruct
+from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
 from molereach.shards.map.pieces import MEMBERS, MOST_SHARDS, ShardNumber
 
 MOST_BYTES = 1 << 62  # of one row
--- a/molereach/shards/map/pieces.py
+++ b/molereach/shards/map/pieces.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Name, WireStruct
+from molereach.coordination.interface.identifiers import Name, WireStruct
 
 MEMBERS = 1 << 33  # ids are below
 MOST_SHARDS = 512  # of one map
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -7,13 +7,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import (
-    ClearanceEvidence,
-    NodeClearance,
-    NodeInstance,
-    Position,
-    WireStruct,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance, Position, WireStruct
 from molereach.coordination.leases.sessions import Opened, Past
 
 
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -5,7 +5,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, MAX_MEMBERS, Id, Position, WireStruct
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Position, WireStruct
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.shards.counts.words import Total
 from molereach.shards.map.pieces import Home, Member, Piece, ShardNumber
 from molereach.shards.proof import Word
--- a/molereach/shards/splits/book.py
+++ b/molereach/shards/splits/book.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import WireStruct
+from molereach.coordination.interface.identifiers import WireStruct
 from molereach.shards.counts.words import MOST_BYTES
 from molereach.shards.map.history import History
 from molereach.shards.map.pieces import MOST_SHARDS, Home, ShardMap, unsound
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/door.py
@@ -9,7 +9,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NEVER_US, Applied, Restored, Tick
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.log import Applied, Restored
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.lookup import Lookup
 from molereach.shards.map.pieces import Piece
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -7,7 +7,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import NEVER_US, SECOND_US, NodeClearance, Propose, Tick
+from molereach.coordination.interface.clearance import NodeClearance
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.log import Propose
 from molereach.shards.proof import SessionsAt, pack
 from molereach.shards.splits.bodies import MACHINE, Body, Clear, Close, Copy, GiveUp, Hand, Plan, encode
 from molereach.shards.splits.machine import Shards
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Outcome
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.shards.counts.words import MOST_BYTES
 from molereach.shards.map.cutting import after, wrong
 from molereach.shards.map.history import History
--- a/molereach/shards/splits/record.py
+++ b/molereach/shards/splits/record.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Id, Position, WireStruct
+from molereach.coordination.interface.identifiers import Id, Position, WireStruct
 from molereach.shards.map.pieces import MEMBERS, Home, Member, ShardNumber, Version
 from molereach.shards.splits.way import State
 
--- a/molereach/upkeep/door.py
+++ b/molereach/upkeep/door.py
@@ -15,7 +15,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.coordination.interface import NEVER_US, Applied, Restored, Session, Tick
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.log import Applied, Restored
+from molereach.coordination.interface.sessions import Session
 from molereach.upkeep.permits.bodies import MACHINE
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.permits.way import State
--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -9,17 +9,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
-    Applied,
-    LeaderChanged,
-    NodeInstance,
-    ProposalFinished,
-    Propose,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import Applied, LeaderChanged, ProposalFinished, Propose, Restored
 from molereach.upkeep.order.plan import Plan
 from molereach.upkeep.permits.accounting import Accounting, Clears, Missed
 from molereach.upkeep.permits.beginning import due, lacking, replaced
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -5,15 +5,9 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import (
-    MAX_ENTRY_BODY_BYTES,
-    MAX_MEMBERS,
-    ClearanceEvidence,
-    Id,
-    Name,
-    Position,
-    WireStruct,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Name, Position, WireStruct
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.upkeep.permits.way import Step
 from molereach.upkeep.requests.work import MOST_MS, Work
 from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
--- a/molereach/upkeep/permits/gathering.py
+++ b/molereach/upkeep/permits/gathering.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import MAX_MEMBERS, NodeInstance, Position, WireStruct
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance, Position, WireStruct
 from molereach.upkeep.permits.bodies import MOST_PARTS, Seen, encode
 from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Facts, unsound
 
--- a/molereach/upkeep/permits/machine.py
+++ b/molereach/upkeep/permits/machine.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Outcome
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.upkeep.permits import snapshots
 from molereach.upkeep.permits.bodies import MACHINE, Ask, Back, Move, Out, Seen, Stand, Word, decode
 from molereach.upkeep.permits.book import MOST_UNSTOOD, Book
--- a/molereach/upkeep/permits/marks.py
+++ b/molereach/upkeep/permits/marks.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Position, WireStruct
+from molereach.coordination.interface.identifiers import Position, WireStruct
 from molereach.upkeep.requests.work import Ms
 
 MOST_MARKS = 32
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import Opened, Past
 from molereach.upkeep.permits.bodies import Word
 
--- a/molereach/upkeep/permits/proposals.py
+++ b/molereach/upkeep/permits/proposals.py
@@ -5,13 +5,8 @@
 again.
 """
 
-from molereach.coordination.interface import (
-    SECOND_US,
-    NodeInstance,
-    ProposalFinished,
-    ProposalStatus,
-    Propose,
-)
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import ProposalFinished, ProposalStatus, Propose
 from molereach.upkeep.permits.bodies import MACHINE, Body, encode
 
 WITHIN_US = 2 * SECOND_US  # after which the log says UNKNOWN
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -1,6 +1,6 @@
 """What is kept of one work."""
 
-from molereach.coordination.interface import Name, NodeInstance, Position, WireStruct
+from molereach.coordination.interface.identifiers import Name, NodeInstance, Position, WireStruct
 from molereach.upkeep.order.ageing import Waiting
 from molereach.upkeep.permits.way import UNSENDABLE, State
 from molereach.upkeep.requests.work import Ms, Work
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Name, Position, WireStruct
+from molereach.coordination.interface.identifiers import Name, Position, WireStruct
 from molereach.upkeep.permits.book import MOST_PAST, MOST_UNSTOOD, Book
 from molereach.upkeep.permits.gathering import Part
 from molereach.upkeep.permits.marks import Marks
--- a/molereach/upkeep/permits/telling.py
+++ b/molereach/upkeep/permits/telling.py
@@ -5,7 +5,8 @@
 
 import msgspec
 
-from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, SECOND_US
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.upkeep.permits.bodies import Seen
 from molereach.upkeep.permits.gathering import cut
 from molereach.upkeep.rules.facts import Facts
--- a/molereach/upkeep/requests/work.py
+++ b/molereach/upkeep/requests/work.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import Id, Name, WireStruct
+from molereach.coordination.interface.identifiers import Id, Name, WireStruct
 
 MINUTE_MS = 60_000
 MOST_MINUTES = 7 * 24 * 60
--- a/molereach/upkeep/rules/facts.py
+++ b/molereach/upkeep/rules/facts.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta
 
-from molereach.coordination.interface import MAX_MEMBERS, Name, WireStruct
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, WireStruct
 from molereach.upkeep.requests.work import Kind, Ms
 
 WHOLE = 1000
--- a/rig/council/marks.py
+++ b/rig/council/marks.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Outcome
+from molereach.coordination.interface.log import Entry, Outcome
 
 NAME = "marks"
 BODY = b"{}"
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from molereach.coordination.interface import SessionTerms
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import CouncilSettings
 from rig.council.marks import BODY, NAME, Marks
--- a/sim/council.py
+++ b/sim/council.py
@@ -11,21 +11,11 @@
 from random import Random
 from typing import Any
 
-from molereach.coordination.interface import (
-    Applied,
-    DiskFailed,
-    Entry,
-    MessageReceived,
-    NodeInstance,
-    Persist,
-    Persisted,
-    ProposalFinished,
-    ProposalStatus,
-    Propose,
-    SendMessage,
-    SessionTerms,
-    Tick,
-)
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, ProposalFinished, ProposalStatus, Propose
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.bodies import MACHINE as SESSIONS
 from molereach.coordination.leases.bodies import Ended as SessionEnded
 from molereach.coordination.leases.bodies import decode
@@ -259,9 +249,9 @@
             digest = core.parts.log.digest()
             if self.digests.setdefault(core.position, digest) != digest:
                 raise BrokenError(f"two hashes at position {core.position}")
-        if not core.ended and self.holding(node.number) and core.parts.holder.fence:
+        if not core.ended and self.holding(node.number) and core.parts.holder.fencing_token:
             # An end counts only if the log took it: one that was void left the session open everywhere.
-            fence = core.parts.holder.fence
+            fence = core.parts.holder.fencing_token
             if self.over.get(core.me.name, 0) >= fence and self.ended_by(core.me, fence):
                 raise BrokenError(f"{core.me.name} holds session {fence}, which is over for others")
 
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -16,7 +16,7 @@
 from molereach.cache.readings.reading import Reading
 from molereach.cache.readings.settings import ReadingSettings
 from molereach.cache.readings.store import Store
-from molereach.coordination.interface import Applied, Entry, Outcome
+from molereach.coordination.interface.log import Applied, Entry, Outcome
 from molereach.coordination.leases.sessions import Opened
 
 
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -8,7 +8,8 @@
 from molereach.cache.hit import Hit
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
-from molereach.coordination.interface import NodeInstance, SessionTerms
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.sessions import Sessions
 
 TERMS = SessionTerms(2 * S, 0.02)
@@ -56,7 +57,7 @@
     """A front door's session, as its holder counts it."""
 
     def __init__(self) -> None:
-        self.fence, self.until_us, self.applied = 0, 0, 0
+        self.fencing_token, self.until_us, self.applied_position = 0, 0, 0
         self.opening: tuple[str, int] | None = None  # an id, and when it was proposed first
         self.left = False
 
@@ -66,13 +67,13 @@
     def follow(self, sessions: Sessions, life: NodeInstance, entry_id: str) -> None:
         opened = sessions.open(life.name)
         if opened is None or opened.life != life:
-            self.fence = self.until_us = 0
-        elif opened.fence != self.fence:
+            self.fencing_token = self.until_us = 0
+        elif opened.fence != self.fencing_token:
             mine = self.opening is not None and self.opening[0] == entry_id
             self.until_us = (
                 self.opening[1] + TERMS.holder_duration_us if mine and self.opening and not self.left else 0
             )
-            self.fence = opened.fence
+            self.fencing_token = opened.fence
 
 
 @dataclass
--- a/tests/cache/purge/entries.py
+++ b/tests/cache/purge/entries.py
@@ -2,7 +2,8 @@
 
 from molereach.cache.purge.bodies import MACHINE, Ask, Body, Standing, encode, ended, standing
 from molereach.cache.purge.machine import Bounds, Purges
-from molereach.coordination.interface import Entry, NodeInstance, Outcome
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Sessions
 
--- a/tests/cache/purge/test_holdings.py
+++ b/tests/cache/purge/test_holdings.py
@@ -10,7 +10,7 @@
 from molereach.cache.purge.bodies import Ask
 from molereach.cache.purge.holdings import HOLDINGS, Effect, declared
 from molereach.cache.readings.settings import ReadingSettings, S
-from molereach.coordination.interface import Applied, Restored
+from molereach.coordination.interface.log import Applied, Restored
 from molereach.limits.core import Limits
 from molereach.limits.settings import LimitSettings
 from molereach.policy.gateway import Gateway
--- a/tests/cache/purge/test_machine.py
+++ b/tests/cache/purge/test_machine.py
@@ -11,7 +11,8 @@
 from molereach.cache.purge.machine import MOST_DONE_AT_ONCE, MOST_ROWS_AT_ONCE, Bounds, Purges
 from molereach.cache.purge.receipt import Receipt, canonical, intact
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance, NodeInstance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.accounts import Missing
 from tests.cache.purge.entries import MEMBER, OTHER, SMALL, A, B, C, Log, ended_by, purge_id
--- a/tests/cache/sessions.py
+++ b/tests/cache/sessions.py
@@ -8,8 +8,8 @@
     """`Session` of the interface."""
 
     until_us: int = 1 << 60
-    fence: int = 1
-    applied: int = 0
+    fencing_token: int = 1
+    applied_position: int = 0
 
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
--- a/tests/cache/test_door.py
+++ b/tests/cache/test_door.py
@@ -8,7 +8,8 @@
 from molereach.cache.purge.bodies import MACHINE, Ask, Done, encode
 from molereach.cache.readings.reading import Reading
 from molereach.cache.readings.settings import MOST_READINGS, ReadingSettings, S
-from molereach.coordination.interface import NEVER_US, Applied, Entry, Outcome, Restored, Tick
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.log import Applied, Entry, Outcome, Restored
 from tests.cache.purge.entries import MEMBER, OTHER, SMALL, A, Log, purge_id
 from tests.cache.sessions import Held
 
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -5,8 +5,8 @@
 from molereach.cache.driver import AGAIN_US, LOOK_US, Driver
 from molereach.cache.purge.bodies import Ask, Done, decode
 from molereach.cache.purge.records import Asked
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.log import (
     Applied,
     LeaderChanged,
     Outcome,
@@ -14,7 +14,6 @@
     ProposalStatus,
     Propose,
     Restored,
-    Tick,
 )
 from molereach.coordination.leases.accounts import Account
 from tests.cache.purge.entries import MEMBER, A, B, Log, ended_by, purge_id
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -19,16 +19,9 @@
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.cache.purge.records import Asked, Finished
 from molereach.cache.readings.settings import S
-from molereach.coordination.interface import (
-    Applied,
-    Entry,
-    LeaderChanged,
-    NodeInstance,
-    Outcome,
-    Propose,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, LeaderChanged, Outcome, Propose, Restored
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.sessions import Sessions
@@ -229,7 +222,7 @@
         self.send(lambda: self.granted(seat, made_us, fence))
 
     def granted(self, seat: Seat, made_us: int, fence: int) -> None:
-        if self.awake(seat) and seat.lease.fence == fence and not seat.lease.left:
+        if self.awake(seat) and seat.lease.fencing_token == fence and not seat.lease.left:
             seat.lease.until_us = max(seat.lease.until_us, made_us + TERMS.holder_duration_us)
 
     def end_sessions(self) -> None:
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.interface import RenewalGrant
-from molereach.coordination.interface import RenewalRequest as SessionAsk
+from molereach.coordination.interface.sessions import RenewalGrant
+from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
--- a/tests/compatibility/council_folder.py
+++ b/tests/compatibility/council_folder.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from molereach.coordination.interface import Persist
+from molereach.coordination.interface.disk import Persist
 from molereach.coordination.replicated_log import records as log_records
 from molereach.coordination.storage.store import Opened, Store
 from tests.compatibility import council_samples as samples
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -1,8 +1,10 @@
 """Council messages and records with fixed content: one of each type, built by the program's own types."""
 
 from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.interface import Entry, NodeInstance, Outcome, RenewalGrant
-from molereach.coordination.interface import RenewalRequest as SessionAsk
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry, Outcome
+from molereach.coordination.interface.sessions import RenewalGrant
+from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.replicated_log import panel as log_panel
--- a/tests/compatibility/machines_log.py
+++ b/tests/compatibility/machines_log.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.coordination.interface import Entry
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.replicated_log import panel as log_panel
 from molereach.coordination.replicated_log.learner import OWN
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -8,7 +8,7 @@
 
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import Applied, Entry, Outcome, StateMachine
+from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.settings import Settings
 from molereach.shards.counts.folds import Folds
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from molereach.cache.purge import bodies as purge_bodies
-from molereach.coordination.interface import ClearanceEvidence, NodeInstance
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.replicated_log import panel as log_panel
 from molereach.coordination.replicated_log import words as log_words
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from molereach.cache.purge.ids import draw_id
-from molereach.coordination.interface import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.accounts import Account, Saying
 from molereach.coordination.membership.words import Status
 from molereach.shards.counts import words as count_words
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -5,7 +5,7 @@
 
 from molereach.cache.purge.bodies import Ended, Standing
 from molereach.cache.purge.receipt import Receipt, intact
-from molereach.coordination.interface import Entry, Outcome
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.sessions import Opened
 from molereach.coordination.replicated_log import records
 from molereach.shards.splits.record import Record as SplitRecord
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molereach.cache.purge.ids import drawn_at
-from molereach.coordination.interface import NodeClearance
+from molereach.coordination.interface.clearance import NodeClearance
 from molereach.shards.counts import words as count_words
 from molereach.shards.map.delta import Delta, applied
 from molereach.shards.map.pieces import ShardMap
--- a/tests/coordination/dissemination/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -25,7 +25,8 @@
     View,
     Whom,
 )
-from molereach.coordination.interface import MAX_MEMBERS, MessageReceived, NodeInstance, SendMessage, Tick
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 from tests.coordination.dissemination.world import BEAT, entry
 
 NAMES = [f"d{at:02}" for at in range(20)]  # d00 leads; d01 to d08 are below it, d09 to d16 below d01
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -5,7 +5,7 @@
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings
 from molereach.coordination.dissemination.words import Down
-from molereach.coordination.interface import MessageReceived
+from molereach.coordination.interface.core import MessageReceived
 from tests.coordination.dissemination.world import BEAT, World
 
 FAN = Settings().fan
--- a/tests/coordination/dissemination/test_parent.py
+++ b/tests/coordination/dissemination/test_parent.py
@@ -19,7 +19,8 @@
     View,
     Whom,
 )
-from molereach.coordination.interface import NodeInstance, SendMessage, Tick
+from molereach.coordination.interface.core import SendMessage, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
 from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
 from tests.coordination.dissemination.world import BEAT, entry
 
--- a/tests/coordination/dissemination/world.py
+++ b/tests/coordination/dissemination/world.py
@@ -26,7 +26,9 @@
     Up,
     View,
 )
-from molereach.coordination.interface import NEVER_US, Entry, MessageReceived, NodeInstance, SendMessage, Tick
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry
 
 BEAT = Settings().beat_us
 KEEPER_US = 40_000  # from what was gathered to what is given
--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -2,7 +2,8 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, NodeInstance, Outcome
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.bodies import MACHINE, Body, Open, encode
 from molereach.coordination.leases.sessions import Opened, Sessions
 
--- a/tests/coordination/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -1,6 +1,7 @@
 """Random histories: what goes wrong, and when, drawn from a seed."""
 
-from molereach.coordination.interface import SECOND_US, Propose
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.log import Propose
 from molereach.coordination.leases.words import Leave
 from tests.coordination.leases.world import MS, TERMS, Cores, World
 
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -2,7 +2,9 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import ClearanceEvidence, Entry, NodeClearance, Outcome, SessionTerms
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.log import Entry, Outcome
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.asks import Asks
 from molereach.coordination.leases.bodies import Ended, decode, encode
--- a/tests/coordination/leases/test_accounts.py
+++ b/tests/coordination/leases/test_accounts.py
@@ -1,17 +1,9 @@
 """The account of an entry: who is missing and why, and when the proof is whole."""
 
-from molereach.coordination.interface import (
-    SECOND_US,
-    Applied,
-    ClearanceEvidence,
-    LeaderChanged,
-    NodeClearance,
-    NodeInstance,
-    Outcome,
-    Restored,
-    Session,
-    SessionTerms,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import Applied, LeaderChanged, Outcome, Restored
+from molereach.coordination.interface.sessions import Session, SessionTerms
 from molereach.coordination.leases.accounts import Account, Missing
 from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open
 from molereach.coordination.leases.keeper import Keeper
@@ -139,7 +131,8 @@
 class _Held:
     """A session that ends at 10."""
 
-    fence = applied = 1
+    fencing_token = 1
+    applied_position = 1
 
     def holds(self, now_us: int) -> bool:
         return now_us < 10
--- a/tests/coordination/leases/test_bounds.py
+++ b/tests/coordination/leases/test_bounds.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.interface import SECOND_US, SessionTerms
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.words import BEAT_US
 from tests.coordination.leases.world import Cores, World
 
@@ -32,7 +33,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_stopped_front_door_is_over_in_time_and_finds_so_when_it_wakes(seed: int) -> None:
     world = quiet(seed)
-    door, fence = world.doors["d"], world.doors["d"].holder.fence
+    door, fence = world.doors["d"], world.doors["d"].holder.fencing_token
     world.stop(door, 20 * SECOND_US)
     world.run(3 * SECOND_US + TERMS.holder_duration_us - BEAT_US)
     assert fence not in world.over
@@ -41,20 +42,22 @@
     world.run(23 * SECOND_US)
     assert not door.holder.holds(door.clock.at(world.now)), "before anything is done"
     world.run(25 * SECOND_US)
-    assert holding(world) == "abcd" and door.holder.fence > fence
+    assert holding(world) == "abcd" and door.holder.fencing_token > fence
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_after_a_new_leader_all_are_kept_and_the_old_ones_session_ends(seed: int) -> None:
     world = quiet(seed)
-    fences = {name: each.holder.fence for name, each in world.doors.items()}
+    fences = {name: each.holder.fencing_token for name, each in world.doors.items()}
     world.stop(world.doors["a"], 60 * SECOND_US)
     world.run(5 * SECOND_US)
     world.elect(world.doors["b"])
     world.run(5 * SECOND_US + OVER_US)
     assert world.over == {fences["a"]} and holding(world) == "bcd"
     world.run(30 * SECOND_US)
-    assert {name: world.doors[name].holder.fence for name in "bcd"} == {name: fences[name] for name in "bcd"}
+    assert {name: world.doors[name].holder.fencing_token for name in "bcd"} == {
+        name: fences[name] for name in "bcd"
+    }
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -7,20 +7,18 @@
 
 import pytest
 
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     LeaderChanged,
-    NodeInstance,
     Outcome,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.asks import MOST_ASKS
 from molereach.coordination.leases.bodies import Body, Close, Ended, Open, decode
 from molereach.coordination.leases.holder import Holder
@@ -96,7 +94,7 @@
     [again] = here.handle(Tick())
     assert again == first, "the same id, as either may be settled"
     here.now = 4 * SECOND_US
-    assert Held(1) in here.settle(first.body, first.id) and here.holder.fence == 1
+    assert Held(1) in here.settle(first.body, first.id) and here.holder.fencing_token == 1
     assert here.holder.holds(TERMS.holder_duration_us - 1) and not here.holder.holds(TERMS.holder_duration_us)
 
 
@@ -105,7 +103,7 @@
     [propose] = here.handle(Tick())
     here.now = 6 * SECOND_US
     [ask] = here.settle(propose.body, propose.id)
-    assert not here.holds and here.holder.fence == 0
+    assert not here.holds and here.holder.fencing_token == 0
     assert here.grant(ask) == [Held(1)] and here.holds
 
 
@@ -195,8 +193,8 @@
     here.ask()
     late = Lost(1, "not renewed in time")
     here.now = TERMS.holder_duration_us
-    assert here.handle(Tick())[0] == late and here.holder.fence == 0
-    assert Held(1) in here.grant(here.ask()) and here.holder.fence == 1
+    assert here.handle(Tick())[0] == late and here.holder.fencing_token == 0
+    assert Held(1) in here.grant(here.ask()) and here.holder.fencing_token == 1
 
 
 def test_it_wakes_when_its_time_is_over() -> None:
@@ -354,12 +352,12 @@
     for _ in range(3):
         here.settle(b"", proposer=B)
     ask = here.ask()
-    assert ask.applied_position == 4 and here.holder.applied == 0
+    assert ask.applied_position == 4 and here.holder.applied_position == 0
     here.settle(b"", proposer=B)
     later = here.ask()
     here.grant(later)
     here.grant(ask)
-    assert here.holder.applied == 5, "also where an older grant comes late"
+    assert here.holder.applied_position == 5, "also where an older grant comes late"
 
 
 def test_entries_of_others_change_nothing() -> None:
--- a/tests/coordination/leases/test_keeper.py
+++ b/tests/coordination/leases/test_keeper.py
@@ -3,21 +3,19 @@
 from collections.abc import Sequence
 from typing import Any
 
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     ConfirmLeadership,
     LeaderChanged,
     LeadershipConfirmed,
-    NodeInstance,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, decode
 from molereach.coordination.leases.keeper import Keeper
 from molereach.coordination.leases.rounds import MOST_ROUNDS
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -5,13 +5,9 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import (
-    MAX_ENTRY_BODY_BYTES,
-    MAX_MEMBERS,
-    ClearanceEvidence,
-    NodeInstance,
-    Outcome,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Outcome
 from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open, encode
 from molereach.coordination.leases.sessions import MOST_PAST, Opened, Past, Sessions
 from tests.coordination.leases.entries import A, B, entry, fence_of, opened
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -1,6 +1,6 @@
 """A virtual world of front doors with clocks of their own, one true log, and what can go wrong between them.
 
-The log here keeps to what `coordination/interface.py` promises and to no more: one order, each id once,
+The log here keeps to what `coordination/interface/log.py` promises and to no more: one order, each id once,
 any proposal settled at any time or never, also when its proposer leads no more; `Confirmed` only if its asker
 truly led after it asked. True time is in microseconds; each front door sees its own clock only.
 """
@@ -11,23 +11,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from molereach.coordination.interface import (
-    SECOND_US,
+from molereach.coordination.interface.clearance import NodeClearance
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     ConfirmLeadership,
     Entry,
     LeaderChanged,
     LeadershipConfirmed,
-    NodeClearance,
-    NodeInstance,
     Outcome,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.accounts import Account
 from molereach.coordination.leases.bodies import MACHINE, Close, Ended, decode
 from molereach.coordination.leases.holder import Holder
@@ -353,8 +352,10 @@
 
     def check(self) -> None:
         for door in self.doors.values():
-            if door.holder.holds(door.clock.at(self.now)) and door.holder.fence in self.over:
-                raise BrokenError(f"{door.life} holds {door.holder.fence}, which is over, at {self.now}")
+            if door.holder.holds(door.clock.at(self.now)) and door.holder.fencing_token in self.over:
+                raise BrokenError(
+                    f"{door.life} holds {door.holder.fencing_token}, which is over, at {self.now}"
+                )
             if self.now >= door.stopped_until:
                 for position, account in list(door.accounts.items()):
                     if proof := account.proof():
@@ -375,6 +376,6 @@
             raise BrokenError(f"two proofs of {position} at {door.learnt}")
         for each in self.doors.values():
             session = self.open_at[position].get(each.life.name)
-            held = session is not None and each.holder.fence == session.fence
+            held = session is not None and each.holder.fencing_token == session.fence
             if held and each.learnt < position and each.holder.holds(each.clock.at(self.now)):
                 raise BrokenError(f"{each.life} holds without {position}, which was proven")
--- a/tests/coordination/membership/one.py
+++ b/tests/coordination/membership/one.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from molereach.coordination.interface import SECOND_US, MessageReceived, NodeInstance, SendMessage, Tick
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.events import Changed, Join
 from molereach.coordination.membership.settings import MembershipSettings
--- a/tests/coordination/membership/test_core.py
+++ b/tests/coordination/membership/test_core.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.coordination.interface import SECOND_US
+from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.events import Doubts, Join
 from molereach.coordination.membership.probes import MOST_RELAYS
--- a/tests/coordination/membership/test_histories.py
+++ b/tests/coordination/membership/test_histories.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
 from tests.coordination.membership.world import BEAT, SETTINGS, Node, World
 
--- a/tests/coordination/membership/test_lives.py
+++ b/tests/coordination/membership/test_lives.py
@@ -4,14 +4,8 @@
 
 import pytest
 
-from molereach.coordination.interface import (
-    MAX_MEMBERS,
-    NEVER_US,
-    SECOND_US,
-    MessageReceived,
-    NodeInstance,
-    Tick,
-)
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, Tick
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, SECOND_US, NodeInstance
 from molereach.coordination.membership.events import Changed, Displaced, Doubts, Leave
 from molereach.coordination.membership.words import Ack, Ping, PingReq, Rumour, Sync
 from tests.coordination.membership.one import (
--- a/tests/coordination/membership/test_parts.py
+++ b/tests/coordination/membership/test_parts.py
@@ -7,7 +7,12 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import MAX_MEMBERS, MAX_NAME_CHARACTERS, SECOND_US, NodeInstance
+from molereach.coordination.interface.identifiers import (
+    MAX_MEMBERS,
+    MAX_NAME_CHARACTERS,
+    SECOND_US,
+    NodeInstance,
+)
 from molereach.coordination.membership.doubt import Doubt
 from molereach.coordination.membership.events import Changed
 from molereach.coordination.membership.gossip import Gossip, most_told
--- a/tests/coordination/membership/test_world.py
+++ b/tests/coordination/membership/test_world.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from molereach.coordination.interface import SECOND_US
+from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.membership.words import MOST_MESSAGE_BYTES, Status
 from tests.coordination.membership.world import BEAT, World
 
--- a/tests/coordination/membership/world.py
+++ b/tests/coordination/membership/world.py
@@ -8,14 +8,8 @@
 import random
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import (
-    NEVER_US,
-    SECOND_US,
-    MessageReceived,
-    NodeInstance,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.membership.core import Event, Membership
 from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join, Leave
 from molereach.coordination.membership.settings import MembershipSettings
--- a/tests/coordination/node/test_council.py
+++ b/tests/coordination/node/test_council.py
@@ -57,7 +57,7 @@
 def test_a_front_door_that_stood_still_finds_its_session_over_before_it_acts() -> None:
     play = well()
     stopped = next(door for door in range(5, 7))
-    before = play.cored[stopped].parts.holder.fence
+    before = play.cored[stopped].parts.holder.fencing_token
     play.stop(play.nodes[stopped])
     play.run(play.now + 12 * S)
     assert not play.holding(stopped)  # by its own clock, whatever it has read
@@ -65,7 +65,7 @@
     until(play, mark, 3)  # nobody waits for it
     play.resume(play.nodes[stopped])
     play.run(play.now + 4 * S)
-    assert play.holding(stopped) and play.cored[stopped].parts.holder.fence > before
+    assert play.holding(stopped) and play.cored[stopped].parts.holder.fencing_token > before
     assert play.cored[stopped].position >= play.marks[mark].position
 
 
--- a/tests/coordination/node/test_service.py
+++ b/tests/coordination/node/test_service.py
@@ -3,7 +3,7 @@
 import asyncio
 from pathlib import Path
 
-from molereach.coordination.interface import Persist
+from molereach.coordination.interface.disk import Persist
 from molereach.coordination.node.first import first_identity
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import CouncilSettings
--- a/tests/coordination/replicated_log/explore.py
+++ b/tests/coordination/replicated_log/explore.py
@@ -12,7 +12,8 @@
 from itertools import combinations
 from typing import Any
 
-from molereach.coordination.interface import Entry, NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.acceptor import Acceptor
 from molereach.coordination.replicated_log.leader import Leadership, Phase
 from molereach.coordination.replicated_log.recovery import Recovery
--- a/tests/coordination/replicated_log/histories.py
+++ b/tests/coordination/replicated_log/histories.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from molereach.coordination.interface import ProposalStatus
+from molereach.coordination.interface.log import ProposalStatus
 from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
 from molereach.coordination.replicated_log.settings import Settings
 from molereach.coordination.replicated_log.words import Panel, Seat
--- a/tests/coordination/replicated_log/test_core.py
+++ b/tests/coordination/replicated_log/test_core.py
@@ -2,16 +2,10 @@
 
 import pytest
 
-from molereach.coordination.interface import (
-    MessageReceived,
-    NodeInstance,
-    Outcome,
-    Persist,
-    Persisted,
-    ProposalStatus,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.disk import Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Outcome, ProposalStatus
 from molereach.coordination.replicated_log.core import LogCore
 from molereach.coordination.replicated_log.once import USED
 from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
--- a/tests/coordination/replicated_log/test_mutations.py
+++ b/tests/coordination/replicated_log/test_mutations.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from molereach.coordination.interface import LeadershipConfirmed
+from molereach.coordination.interface.log import LeadershipConfirmed
 from molereach.coordination.replicated_log import leader, ledger, recovery
 from molereach.coordination.replicated_log.election import Election
 from molereach.coordination.replicated_log.leader import Leadership
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -3,7 +3,10 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import Applied, Entry, NodeInstance, Outcome, Persist, SendMessage
+from molereach.coordination.interface.core import SendMessage
+from molereach.coordination.interface.disk import Persist
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, Outcome
 from molereach.coordination.replicated_log.acceptor import Acceptor, in_order, rest
 from molereach.coordination.replicated_log.catchup import CatchingUp
 from molereach.coordination.replicated_log.leader import Queue
--- a/tests/coordination/replicated_log/test_scripted.py
+++ b/tests/coordination/replicated_log/test_scripted.py
@@ -4,19 +4,10 @@
 
 import pytest
 
-from molereach.coordination.interface import (
-    ConfirmLeadership,
-    DiskFailed,
-    Entry,
-    LeaderChanged,
-    LeadershipConfirmed,
-    MessageReceived,
-    NodeInstance,
-    Persist,
-    Persisted,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import ConfirmLeadership, Entry, LeaderChanged, LeadershipConfirmed
 from molereach.coordination.replicated_log.core import Learn, LogCore
 from molereach.coordination.replicated_log.outbox import MOST_UNSYNCED
 from molereach.coordination.replicated_log.records import Recovered
--- a/tests/coordination/replicated_log/world.py
+++ b/tests/coordination/replicated_log/world.py
@@ -13,23 +13,19 @@
 
 import msgspec
 
-from molereach.coordination.interface import (
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     ConfirmLeadership,
-    DiskFailed,
     Entry,
     LeaderChanged,
     LeadershipConfirmed,
-    MessageReceived,
-    NodeInstance,
-    Persist,
-    Persisted,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SendMessage,
-    Tick,
 )
 from molereach.coordination.replicated_log.core import CatchUp, Learn, LogCore
 from molereach.coordination.replicated_log.learner import MachineFailed
--- a/tests/coordination/storage/test_crash.py
+++ b/tests/coordination/storage/test_crash.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Persist
+from molereach.coordination.interface.disk import Persist
 from molereach.coordination.storage.store import Opened, Store, StoreError
 from tests.coordination.storage.medium import Crash, Medium, MemoryDisk
 
--- a/tests/coordination/storage/test_folder.py
+++ b/tests/coordination/storage/test_folder.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from molereach.coordination.interface import Persist
+from molereach.coordination.interface.disk import Persist
 from molereach.coordination.storage import frames, plan, whole
 from molereach.coordination.storage.store import Opened, Store, StoreError
 
@@ -243,7 +243,7 @@
 CHILD = """
 import asyncio, sys
 from pathlib import Path
-from molereach.coordination.interface import Persisted
+from molereach.coordination.interface.disk import Persisted
 from molereach.coordination.storage.store import Store
 from molereach.coordination.storage.worker import Worker
 
--- a/tests/coordination/storage/test_worker.py
+++ b/tests/coordination/storage/test_worker.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from molereach.coordination.interface import DiskFailed, Persisted
+from molereach.coordination.interface.disk import DiskFailed, Persisted
 from molereach.coordination.storage import worker as module
 from molereach.coordination.storage.store import Store
 from molereach.coordination.storage.worker import PERSIST_BYTES, TOO_MUCH, Worker
--- a/tests/coordination/transport/doors.py
+++ b/tests/coordination/transport/doors.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from molereach.coordination.interface import MessageReceived, NodeInstance, SendMessage, WireStruct
+from molereach.coordination.interface.core import MessageReceived, SendMessage
+from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
 from molereach.coordination.transport.board import Address
 from molereach.coordination.transport.frames import (
     DIALLER,
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.hello import HelloError
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.words import OWN, Beat
--- a/tests/coordination/transport/test_hello.py
+++ b/tests/coordination/transport/test_hello.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport import hello
 from molereach.coordination.transport.hello import Answering, Dialling, Greeting, Hello, HelloError
 
--- a/tests/coordination/transport/test_room.py
+++ b/tests/coordination/transport/test_room.py
@@ -3,7 +3,8 @@
 import asyncio
 import socket
 
-from molereach.coordination.interface import NodeInstance, SendMessage
+from molereach.coordination.interface.core import SendMessage
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.board import BEATS_AT_ONCE, DIALS_AT_ONCE
 from molereach.coordination.transport.budget import MOST_STEPS
 from molereach.coordination.transport.queue import DOWN_ROOM
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.interface import NodeInstance, SendMessage
+from molereach.coordination.interface.core import SendMessage
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.board import MOST_LINES
 from molereach.coordination.transport.hello import HelloError
 from rig.council.relay import Relay
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -5,14 +5,10 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import (
-    ClearanceEvidence,
-    MessageReceived,
-    NodeClearance,
-    NodeInstance,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.core import MessageReceived, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Restored
 from molereach.coordination.leases import bodies as leases
 from molereach.shards.counts.bodies import MACHINE, Fold, encode
 from molereach.shards.counts.counter import Count, Counter
--- a/tests/shards/counts/test_cut.py
+++ b/tests/shards/counts/test_cut.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.interface import NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.shards.counts.cut import Cut, NoCut, OneMember, place
 from molereach.shards.counts.digest import FACTOR, LEVELS, MOST_HELD, Digest
 from molereach.shards.counts.sketches import MOST_WATCHED, Sketches
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -2,17 +2,10 @@
 
 from collections.abc import Callable
 
-from molereach.coordination.interface import (
-    Applied,
-    ClearanceEvidence,
-    Entry,
-    MessageReceived,
-    NodeInstance,
-    Outcome,
-    Propose,
-    SendMessage,
-    Tick,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, Outcome, Propose
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.shards.counts import bodies
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -9,7 +9,8 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import NodeInstance, Tick
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as leases
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -2,7 +2,10 @@
 
 import pytest
 
-from molereach.coordination.interface import ClearanceEvidence, NodeInstance, Restored, Tick
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Restored
 from molereach.policy.interface.settings import Idempotency
 from molereach.shards.map.pieces import MEMBERS, Home
 from molereach.shards.proof import Word
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -6,17 +6,10 @@
 
 import msgspec
 
-from molereach.coordination.interface import (
-    Applied,
-    ClearanceEvidence,
-    Entry,
-    NodeClearance,
-    NodeInstance,
-    Outcome,
-    Propose,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, Outcome, Propose, Restored
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import Past, Sessions
 from molereach.policy.interface.settings import Idempotency
--- a/tests/upkeep/led.py
+++ b/tests/upkeep/led.py
@@ -5,16 +5,15 @@
 
 import msgspec
 
-from molereach.coordination.interface import (
-    SECOND_US,
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
     LeaderChanged,
-    NodeInstance,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    Tick,
 )
 from molereach.upkeep.driver import BEAT_US, Driver
 from molereach.upkeep.permits.bodies import Out, decode
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -4,7 +4,9 @@
 
 import msgspec
 
-from molereach.coordination.interface import ClearanceEvidence, Entry, NodeInstance, Outcome
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.bodies import Close, Ended, Open
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import Past, Sessions
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from molereach.coordination.interface import ClearanceEvidence
+from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.machine import Upkeep
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/players.py
@@ -2,11 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import (
-    SECOND_US,
-    NodeInstance,
-    ProposalFinished,
-)
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import ProposalFinished
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.driver import Driver
 from molereach.upkeep.permits.machine import Upkeep
@@ -61,7 +58,7 @@
     """A front door's session, by its own clock."""
 
     def __init__(self) -> None:
-        self.until_us, self.fence, self.applied = 0, 0, 0
+        self.until_us, self.fencing_token, self.applied_position = 0, 0, 0
 
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
--- a/tests/upkeep/test_door.py
+++ b/tests/upkeep/test_door.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.interface import Applied, Entry, Outcome, Restored, Tick
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.log import Applied, Entry, Outcome, Restored
 from molereach.upkeep.door import Began, DoorSide, Ended, Hurry, Permitted, Resume, Stop
 from molereach.upkeep.permits.bodies import Back, Body, Move, Stand, encode
 from molereach.upkeep.permits.machine import Upkeep
@@ -17,7 +18,7 @@
     """A session that is held up to a time."""
 
     def __init__(self, until_us: int = 1 << 60) -> None:
-        self.until_us, self.fence, self.applied = until_us, 1, 0
+        self.until_us, self.fencing_token, self.applied_position = until_us, 1, 0
 
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
--- a/tests/upkeep/test_driver.py
+++ b/tests/upkeep/test_driver.py
@@ -5,10 +5,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import (
-    SECOND_US,
-    NodeInstance,
-)
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.upkeep.driver import SEAT_US, ReplaceSeat
 from molereach.upkeep.permits.bodies import Stand
 from molereach.upkeep.permits.way import State
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -4,8 +4,9 @@
 
 import msgspec
 
-from molereach.coordination.interface import (
-    SECOND_US,
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.log import (
     Applied,
     LeaderChanged,
     Outcome,
@@ -13,7 +14,6 @@
     ProposalStatus,
     Propose,
     Restored,
-    Tick,
 )
 from molereach.upkeep.door import DoorSide, Permitted
 from molereach.upkeep.driver import Driver
--- a/tests/upkeep/test_machine_ends.py
+++ b/tests/upkeep/test_machine_ends.py
@@ -5,7 +5,8 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import MAX_ENTRY_BODY_BYTES, Entry, NodeInstance
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Entry
 from molereach.upkeep.permits import machine
 from molereach.upkeep.permits.bodies import Ask, Back, Move, Seen, Stand, encode
 from molereach.upkeep.permits.record import Record
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.interface import ClearanceEvidence, NodeInstance
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.upkeep.permits.accounting import Accounting
 from molereach.upkeep.permits.bodies import MAX_ENTRY_BODY_BYTES, Move, Out, Stand, Word, encode
 from molereach.upkeep.permits.marks import MOST_MARKS, Mark, marked, waited
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -9,21 +9,20 @@
 import random
 from collections.abc import Callable
 
-from molereach.coordination.interface import (
-    SECOND_US,
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
-    ClearanceEvidence,
     Entry,
     LeaderChanged,
-    NodeInstance,
     Outcome,
     ProposalFinished,
     ProposalStatus,
     Propose,
     Restored,
-    SessionTerms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.bodies import Ended as SessionEnded
 from molereach.coordination.leases.bodies import Open
 from molereach.coordination.leases.bodies import encode as encode_session
@@ -275,7 +274,7 @@
             if clear < self.said.get(true.fence, 0):
                 raise BrokenError(f"{door.life} is clear only of {clear}, after {self.said[true.fence]}")
             self.said[true.fence], door.given_us = clear, self.now * STEP_US
-            door.held.fence = true.fence
+            door.held.fencing_token = true.fence
             door.held.until_us = door.now_us(self.now) + int(TERMS.holder_duration_us * 0.99)
 
     def end_sessions(self) -> None:
