--- a/molereach/coordination/leases/acknowledgements.py
+++ b/molereach/coordination/leases/acknowledgements.py
@@ -14,15 +14,16 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
 
 
 class SessionReport(Protocol):
     """What an open session has said of itself."""
 
-    applied: int
-    clear: int
+    applied_position: int
+    clear_position: int
     received_at_us: int | None
 
 
@@ -39,9 +40,9 @@
 class MissingAcknowledgement:
     """A front door for which there is no account yet, since when, and why."""
 
-    proxy: Life
+    instance: NodeInstance
     since_us: int
-    applied: int
+    applied_position: int
     received_at_us: int | None
     reason: str
 
@@ -75,36 +76,36 @@
             for session in self._sessions.sessions_open_at(self.position)
             if self._acknowledgement(session) is None
         ]
-        return tuple(sorted(missing, key=lambda each: each.proxy))
+        return tuple(sorted(missing, key=lambda each: each.instance))
 
-    def proof(self) -> tuple[Accounted, ...] | None:
+    def proof(self) -> tuple[NodeClearance, ...] | None:
         """All that were open, by name; None while one is missing. At one position of the log, whoever can
         give it gives the same."""
         if not self.is_applied_here:
             return None
-        accounted: list[Accounted] = []
+        accounted: list[NodeClearance] = []
         for session in self._sessions.sessions_open_at(self.position):
             one = self._acknowledgement(session)
             if one is None:
                 return None
             accounted.append(one)
-        return tuple(sorted(accounted, key=lambda each: each.door))
+        return tuple(sorted(accounted, key=lambda each: each.instance))
 
-    def _acknowledgement(self, session: ActiveSession | EndedSession) -> Accounted | None:
+    def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
         if isinstance(session, EndedSession):
-            return Accounted(session.incarnation, session.known, session.position)
-        said = self._reports.report(session.incarnation.name, session.fencing_token)
-        if said is None or (said.clear if self.clear else said.applied) < self.position:
+            return NodeClearance(session.instance, session.known, session.position)
+        said = self._reports.report(session.instance.name, session.fencing_token)
+        if said is None or (said.clear_position if self.clear else said.applied_position) < self.position:
             return None
         # Not the position that was said, which depends on when it was asked.
-        return Accounted(session.incarnation, Known.SAID, self.position)
+        return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
 
     def _missing_acknowledgement(self, session: ActiveSession | EndedSession) -> MissingAcknowledgement:
-        said = self._reports.report(session.incarnation.name, session.fencing_token)
-        applied, heard_us = (said.applied, said.received_at_us) if said else (0, None)
+        said = self._reports.report(session.instance.name, session.fencing_token)
+        applied, heard_us = (said.applied_position, said.received_at_us) if said else (0, None)
         if heard_us is not None and heard_us >= self.since_us:
             held = self.clear and applied >= self.position
             why = "something is under way there still" if held else f"applied only to {applied}"
         else:
             why = f"nothing heard since {self.since_us if heard_us is None else heard_us}"
-        return MissingAcknowledgement(session.incarnation, self.since_us, applied, heard_us, why)
+        return MissingAcknowledgement(session.instance, self.since_us, applied, heard_us, why)
--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta, field
 
-from molereach.coordination.interface import Life, Position, Wire
+from molereach.coordination.interface.identifiers import NodeInstance, Position, WireStruct
 
 MACHINE = "sessions"
 MAX_SESSION_BODY_BYTES = 256  # the longest takes 200; and what is nested deep is refused before it is read
@@ -19,28 +19,28 @@
 BallotNumber = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class OpenSession(Wire, frozen=True, tag_field="kind", tag="open"):
+class OpenSession(WireStruct, frozen=True, tag_field="kind", tag="open"):
     """A session for this life, proposed by itself; a lower life's session of the name is thereby ended."""
 
-    incarnation: Life = field(name="life")
+    instance: NodeInstance = field(name="life")
 
 
-class EndSession(Wire, frozen=True, tag_field="kind", tag="ended"):
+class EndSession(WireStruct, frozen=True, tag_field="kind", tag="ended"):
     """The session is certainly over by time. Only of the keeper that gives renewals now."""
 
-    incarnation: Life = field(name="life")
+    instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
     ballot: BallotNumber
 
 
-class CloseSession(Wire, frozen=True, tag_field="kind", tag="close"):
+class CloseSession(WireStruct, frozen=True, tag_field="kind", tag="close"):
     """Left in order, proposed by itself: it has stopped what hangs on the session."""
 
-    incarnation: Life = field(name="life")
+    instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
 
 
-class BecomeManager(Wire, frozen=True, tag_field="kind", tag="keeping"):
+class BecomeManager(WireStruct, frozen=True, tag_field="kind", tag="keeping"):
     """The leader of this ballot keeps the sessions from here on; earlier leaders' ends are void after it."""
 
     ballot: BallotNumber
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -10,19 +10,17 @@
 
 from collections.abc import Callable, Sequence
 
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
-    Ask,
-    Leads,
-    Life,
-    Over,
-    ProposalOver,
+    LeaderChanged,
+    ProposalFinished,
+    ProposalStatus,
     Propose,
     Restored,
-    Terms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import RenewalRequest, SessionTerms
 from molereach.coordination.leases.bodies import Body, CloseSession, OpenSession
 from molereach.coordination.leases.messages import (
     RENEWAL_INTERVAL_US,
@@ -38,8 +36,8 @@
 
 MAX_BACKOFF_INTERVALS = 10
 
-Event = Tick | Applied | Restored | ProposalOver | GrantsReceived | Leads | ReleaseLease
-Action = Propose | Ask | LeaseAcquired | LeaseLost
+Event = Tick | Applied | Restored | ProposalFinished | GrantsReceived | LeaderChanged | ReleaseLease
+Action = Propose | RenewalRequest | LeaseAcquired | LeaseLost
 
 
 class LeaseHolder:
@@ -47,13 +45,13 @@
 
     def __init__(
         self,
-        life: Life,
+        life: NodeInstance,
         sessions: SessionRegistry,
-        terms: Terms,
+        terms: SessionTerms,
         draw: Callable[[], float],
         beat_us: int = RENEWAL_INTERVAL_US,
     ) -> None:
-        self.incarnation, self.sessions, self.terms, self.random_fraction, self.renewal_interval_us = (
+        self.instance, self.sessions, self.terms, self.random_fraction, self.renewal_interval_us = (
             life,
             sessions,
             terms,
@@ -81,12 +79,12 @@
         return now_us < self._expires_at_us  # 0 in every phase but OPEN
 
     @property
-    def fence(self) -> int:
+    def fencing_token(self) -> int:
         """As of the last event: `holds` is to be asked first."""
         return self._held_token
 
     @property
-    def applied(self) -> int:
+    def applied_position(self) -> int:
         """What the last ask told that was granted."""
         return self._reported_position
 
@@ -107,9 +105,9 @@
             case Restored():
                 self.position = event.position
                 self._follow_log(now_us, 0)
-            case ProposalOver():
+            case ProposalFinished():
                 self._handle_proposal_result(now_us, event)
-            case Leads() if event.leader is not None:  # one that may answer; not all ask it at once
+            case LeaderChanged() if event.leader is not None:  # one that may answer; not all ask it at once
                 self._failed_attempts = 0
                 self._next_action_us = min(
                     self._next_action_us, now_us + int(self.random_fraction() * self.renewal_interval_us)
@@ -136,12 +134,12 @@
     def _follow_log(self, now_us: int, mine: int) -> None:
         """Keep to what was applied here; `mine` is the position at which the own proposal was settled."""
         opened, highest = (
-            self.sessions.active_session(self.incarnation.name),
-            self.sessions.latest_incarnation(self.incarnation.name),
+            self.sessions.active_session(self.instance.name),
+            self.sessions.latest_instance(self.instance.name),
         )
-        if highest is not None and highest > self.incarnation:
+        if highest is not None and highest > self.instance:
             self._end_session("a later life has the name", LeasePhase.SUPERSEDED)
-        elif opened is not None and opened.incarnation == self.incarnation:
+        elif opened is not None and opened.instance == self.instance:
             if opened.fencing_token != self._fencing_token and self.position >= opened.fencing_token:
                 self._start_session(now_us, opened.fencing_token, mine)
         elif self._fencing_token:
@@ -158,7 +156,7 @@
             LeasePhase.LEFT,
         )  # an opening that was settled late is closed again
         self._end_session("ended in the log", LeasePhase.LEAVING if leaves else LeasePhase.OPEN)
-        self._expires_at_us = 0 if made_us is None or leaves else made_us + self.terms.held_us
+        self._expires_at_us = 0 if made_us is None or leaves else made_us + self.terms.holder_duration_us
         self._fencing_token, self._next_action_us, self._failed_attempts = fence, now_us, 0
 
     def _end_session(self, why: str, phase: LeasePhase) -> None:
@@ -166,15 +164,15 @@
         self._opening = self._closing = None
         self._renewals.clear()
 
-    def _handle_proposal_result(self, now_us: int, event: ProposalOver) -> None:
+    def _handle_proposal_result(self, now_us: int, event: ProposalFinished) -> None:
         if self._closing and event.id == self._closing.id:
             self._next_action_us = now_us + self.renewal_interval_us
         if self._opening is None or event.id != self._opening.id:
             return
         self._next_action_us = max(now_us, self._opening.last_proposed_us + self._backoff_us())
         # Settled, and applied here, and it opened nothing: refused by a rule, or over again already.
-        settled = event.over is Over.SETTLED and self.position >= event.position
-        if settled or event.over is Over.REFUSED:
+        settled = event.status is ProposalStatus.APPLIED and self.position >= event.position
+        if settled or event.status is ProposalStatus.REJECTED:
             self._opening = None
         if self.phase is LeasePhase.LEAVING:
             self.phase = LeasePhase.LEFT  # if it is settled yet, it is held by nobody
@@ -185,8 +183,8 @@
         for grant in event.grants:
             if found := self._renewals.match_grant(grant):
                 made_us, ask = found
-                self._expires_at_us = max(self._expires_at_us, made_us + self.terms.held_us)
-                self._reported_position, self._failed_attempts = ask.applied, 0
+                self._expires_at_us = max(self._expires_at_us, made_us + self.terms.holder_duration_us)
+                self._reported_position, self._failed_attempts = ask.applied_position, 0
                 self._next_action_us = min(self._next_action_us, now_us + self.renewal_interval_us)
 
     def _release(self, now_us: int) -> None:
@@ -208,7 +206,7 @@
         )
 
     def _next_actions(self, now_us: int) -> list[Action]:
-        """Ask, or propose, and say when next."""
+        """RenewalRequest, or propose, and say when next."""
         match self.phase:
             case LeasePhase.OPEN:
                 self._next_action_us = now_us + (
@@ -223,12 +221,12 @@
             case LeasePhase.ABSENT:
                 self._failed_attempts += 1
                 self._opening = self._opening or self._new_proposal(
-                    now_us, "open", OpenSession(self.incarnation)
+                    now_us, "open", OpenSession(self.instance)
                 )
                 return [self._propose(now_us, self._opening)]
             case LeasePhase.LEAVING if self._fencing_token:
                 self._closing = self._closing or self._new_proposal(
-                    now_us, "close", CloseSession(self.incarnation, self._fencing_token)
+                    now_us, "close", CloseSession(self.instance, self._fencing_token)
                 )
                 return [self._propose(now_us, self._closing)]
             case _:
@@ -237,7 +235,7 @@
 
     def _new_proposal(self, now_us: int, what: str, body: Body) -> RetriedProposal:
         return RetriedProposal(
-            f"{what}.{self.incarnation.number:x}.{int(self.random_fraction() * (1 << 53)):x}", body, now_us
+            f"{what}.{self.instance.number:x}.{int(self.random_fraction() * (1 << 53)):x}", body, now_us
         )
 
     def _propose(self, now_us: int, proposal: RetriedProposal) -> Propose:
--- a/molereach/coordination/leases/manager.py
+++ b/molereach/coordination/leases/manager.py
@@ -14,41 +14,38 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from molereach.coordination.interface import (
-    NEVER_US,
+from molereach.coordination.interface.core import NEVER_US, Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import (
     Applied,
-    Ask,
-    Confirm,
-    Confirmed,
-    Grant,
-    Leads,
-    Life,
-    ProposalOver,
+    ConfirmLeadership,
+    LeaderChanged,
+    LeadershipConfirmed,
+    ProposalFinished,
     Propose,
     Restored,
-    Terms,
-    Tick,
 )
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest, SessionTerms
 from molereach.coordination.leases.bodies import MACHINE, BecomeManager, EndSession, encode
 from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US, RenewalsReceived, SendGrants
 from molereach.coordination.leases.proposal import PROPOSAL_TIMEOUT_INTERVALS
 from molereach.coordination.leases.rounds import ConfirmationRounds
 from molereach.coordination.leases.sessions import SessionRegistry
 
-Event = Leads | RenewalsReceived | Confirmed | Tick | Applied | Restored | ProposalOver
-Action = Confirm | SendGrants | Propose
+Event = LeaderChanged | RenewalsReceived | LeadershipConfirmed | Tick | Applied | Restored | ProposalFinished
+Action = ConfirmLeadership | SendGrants | Propose
 
 
 @dataclass(slots=True)
 class ManagedSession:
     """One open session, as its keeper knows it. Times by the keeper's own clock."""
 
-    incarnation: Life
+    instance: NodeInstance
     fencing_token: int
     renewed_at_us: int  # the last given, the entry applied here, or the election: whichever was last
     granted_number: int = 0  # of the last ask that was given
-    applied: int = 0  # as last said; it only grows
-    clear: int = 0  # the same
+    applied_position: int = 0  # as last said; it only grows
+    clear_position: int = 0  # the same
     received_at_us: int | None = None
     end_proposed: bool = False  # proposed as ended by this leader: nothing more is given
     end_retry_us: int = 0  # when it is proposed again
@@ -57,7 +54,9 @@
 class LeaseManager:
     """Decides when a session is renewed, and when it is over for all."""
 
-    def __init__(self, sessions: SessionRegistry, terms: Terms, beat_us: int = RENEWAL_INTERVAL_US) -> None:
+    def __init__(
+        self, sessions: SessionRegistry, terms: SessionTerms, beat_us: int = RENEWAL_INTERVAL_US
+    ) -> None:
         self.sessions, self.terms, self.renewal_interval_us = sessions, terms, beat_us
         self.position = 0  # of the log, applied here
         self._managed: dict[str, ManagedSession] = {}
@@ -92,11 +91,11 @@
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
         out: list[Action] = []
         match event:
-            case Leads():
+            case LeaderChanged():
                 self._handle_leadership(now_us, event)
             case RenewalsReceived():
                 self._handle_renewals(now_us, event.requests)
-            case Confirmed():
+            case LeadershipConfirmed():
                 out += self._handle_confirmation(now_us, event)
             case Applied():
                 self.position = event.entry.position
@@ -105,7 +104,7 @@
             case Restored():
                 self.position = event.position
                 self._follow_log(now_us)
-            case ProposalOver():
+            case ProposalFinished():
                 self._handle_proposal_result(now_us, event)
             case Tick():
                 pass
@@ -113,12 +112,12 @@
 
     # --- who leads ---
 
-    def _handle_leadership(self, now_us: int, event: Leads) -> None:
-        if event.mine and event.ballot == self._ballot:
+    def _handle_leadership(self, now_us: int, event: LeaderChanged) -> None:
+        if event.is_self and event.ballot == self._ballot:
             return
         self._rounds.clear()
-        self._ballot, self._takeover_retry_us = (event.ballot if event.mine else None), now_us
-        if event.mine:
+        self._ballot, self._takeover_retry_us = (event.ballot if event.is_self else None), now_us
+        if event.is_self:
             self._restart_terms(now_us)
 
     def _restart_terms(self, now_us: int) -> None:
@@ -129,8 +128,8 @@
     def _follow_log(self, now_us: int) -> None:
         """Keep to what the log says is open; a session opened counts from here, or anything later."""
         kept = {
-            opened.incarnation.name: self.report(opened.incarnation.name, opened.fencing_token)
-            or ManagedSession(opened.incarnation, opened.fencing_token, now_us)
+            opened.instance.name: self.report(opened.instance.name, opened.fencing_token)
+            or ManagedSession(opened.instance, opened.fencing_token, now_us)
             for opened in self.sessions.active_sessions()
         }
         self._managed = kept
@@ -139,17 +138,20 @@
 
     # --- renewals ---
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         for ask in asks:
-            kept = self.report(ask.name, ask.fence)
-            if kept is None or kept.incarnation.number != ask.life:
+            kept = self.report(ask.name, ask.fencing_token)
+            if kept is None or kept.instance.number != ask.instance_number:
                 continue
-            kept.applied, kept.received_at_us = max(kept.applied, ask.applied), now_us
-            kept.clear = max(kept.clear, ask.clear)
+            kept.applied_position, kept.received_at_us = (
+                max(kept.applied_position, ask.applied_position),
+                now_us,
+            )
+            kept.clear_position = max(kept.clear_position, ask.clear_position)
             if ask.number > kept.granted_number and not kept.end_proposed:
                 self._rounds.add(ask)
 
-    def _handle_confirmation(self, now_us: int, event: Confirmed) -> list[Action]:
+    def _handle_confirmation(self, now_us: int, event: LeadershipConfirmed) -> list[Action]:
         if event.ballot != self._ballot:
             return []
         passed = self._rounds.complete(event.token)
@@ -160,21 +162,21 @@
         ends = [self._propose_end(now_us, kept) for kept in due]
         return [SendGrants(grants), *ends] if grants else [*ends]
 
-    def _grant(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
-        grants: list[Grant] = []
+    def _grant(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
+        grants: list[RenewalGrant] = []
         for ask in asks:
-            kept = self.report(ask.name, ask.fence)
+            kept = self.report(ask.name, ask.fencing_token)
             if kept is None or kept.end_proposed or ask.number <= kept.granted_number:
                 continue
             kept.renewed_at_us, kept.granted_number = now_us, ask.number
-            grants.append(Grant(ask.name, ask.life, ask.fence, ask.number))
+            grants.append(RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number))
         return tuple(grants)
 
     # --- ends ---
 
     def _end_due_us(self, kept: ManagedSession) -> int:
         """From when an end is to be proposed, by a clock whose readings are cut to whole microseconds."""
-        return kept.end_retry_us if kept.end_proposed else kept.renewed_at_us + self.terms.over_us + 1
+        return kept.end_retry_us if kept.end_proposed else kept.renewed_at_us + self.terms.expiry_us + 1
 
     def _propose_end(self, now_us: int, kept: ManagedSession) -> Propose:
         assert self._ballot is not None
@@ -182,7 +184,7 @@
             True,
             now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us,
         )
-        body = encode(EndSession(kept.incarnation, kept.fencing_token, self._ballot))
+        body = encode(EndSession(kept.instance, kept.fencing_token, self._ballot))
         return Propose(
             MACHINE,
             f"over.{self._ballot}.{kept.fencing_token}",
@@ -190,7 +192,7 @@
             PROPOSAL_TIMEOUT_INTERVALS * self.renewal_interval_us,
         )
 
-    def _handle_proposal_result(self, now_us: int, event: ProposalOver) -> None:
+    def _handle_proposal_result(self, now_us: int, event: ProposalFinished) -> None:
         """No word is no answer: it may be settled yet, so nothing is given, and it is proposed again. Where
         it was settled, the log says what came of it."""
         if event.id == f"keeping.{self._ballot}":
@@ -204,7 +206,7 @@
         if now_us < self.wake_us:
             return []
         if self.manages:
-            return [Confirm(self._rounds.begin(now_us))]
+            return [ConfirmLeadership(self._rounds.begin(now_us))]
         assert self._ballot is not None  # as it never wakes without
         self._takeover_retry_us = now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us
         body = encode(BecomeManager(self._ballot))
--- a/molereach/coordination/leases/messages.py
+++ b/molereach/coordination/leases/messages.py
@@ -7,30 +7,31 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.coordination.interface import Ask, Grant, S
+from molereach.coordination.interface.identifiers import SECOND_US
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-RENEWAL_INTERVAL_US = S // 2  # between two asks of one front door
+RENEWAL_INTERVAL_US = SECOND_US // 2  # between two asks of one front door
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalsReceived:
     """Event for the keeper: asks that came up the tree, at most one of each front door that counts."""
 
-    requests: tuple[Ask, ...]
+    requests: tuple[RenewalRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SendGrants:
     """Action of the keeper: grants to go down the tree; a lost one costs a beat."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class GrantsReceived:
     """Event for the holder: grants that came down the tree; those for others are passed over."""
 
-    grants: tuple[Grant, ...]
+    grants: tuple[RenewalGrant, ...]
 
 
 class LeasePhase(Enum):
--- a/molereach/coordination/leases/renewals.py
+++ b/molereach/coordination/leases/renewals.py
@@ -4,7 +4,8 @@
 used again within a life, so a grant that is old, doubled or for an ask that was forgotten finds nothing.
 """
 
-from molereach.coordination.interface import Ask, Grant, Life
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 MAX_PENDING_RENEWALS = 16  # remembered without a grant
 
@@ -12,38 +13,33 @@
 class PendingRenewals:
     """The asks of one front door's one life."""
 
-    def __init__(self, life: Life) -> None:
-        self._incarnation = life
+    def __init__(self, life: NodeInstance) -> None:
+        self._instance = life
         self._number = 0
         self._pending: dict[
-            int, tuple[int, Ask]
+            int, tuple[int, RenewalRequest]
         ] = {}  # when it was made; by number, so the oldest is the first
 
-    def create(self, now_us: int, fence: int, applied: int, clear: int) -> Ask:
+    def create(self, now_us: int, fence: int, applied: int, clear: int) -> RenewalRequest:
         """Make the next ask; the oldest is forgotten when there are too many."""
         self._number += 1
-        ask = Ask(
-            self._incarnation.name,
-            self._incarnation.number,
-            fence,
-            self._number,
-            applied,
-            max(0, applied - clear),
+        ask = RenewalRequest(
+            self._instance.name, self._instance.number, fence, self._number, applied, max(0, applied - clear)
         )
         self._pending[ask.number] = now_us, ask
         if len(self._pending) > MAX_PENDING_RENEWALS:
             del self._pending[next(iter(self._pending))]
         return ask
 
-    def match_grant(self, grant: Grant) -> tuple[int, Ask] | None:
+    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         """When the ask was made that this grant is for; it and all before it are then forgotten."""
-        if (grant.name, grant.life) != (
-            self._incarnation.name,
-            self._incarnation.number,
+        if (grant.name, grant.instance_number) != (
+            self._instance.name,
+            self._instance.number,
         ) or grant.number not in self._pending:
             return None
         made_us, ask = self._pending[grant.number]
-        if ask.fence != grant.fence:
+        if ask.fencing_token != grant.fencing_token:
             return None
         self._pending = {number: made for number, made in self._pending.items() if number > grant.number}
         return made_us, ask
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -10,7 +10,9 @@
 import msgspec
 from msgspec import Meta, field
 
-from molereach.coordination.interface import MOST_DOORS, Entry, Known, Life, Name, Outcome, Position, Wire
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, NodeInstance, Position, WireStruct
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.bodies import (
     MACHINE,
     BallotNumber,
@@ -24,44 +26,43 @@
 MAX_ENDED_SESSIONS = 4  # ended sessions kept of each name, for accounts under way
 
 
-class ActiveSession(Wire, frozen=True):
+class ActiveSession(WireStruct, frozen=True):
     """A session that is open."""
 
-    incarnation: Life = field(name="life")
+    instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
 
 
-class EndedSession(Wire, frozen=True):
+class EndedSession(WireStruct, frozen=True):
     """A session that is not open any more, how that is known, and by which entry."""
 
-    incarnation: Life = field(name="life")
+    instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
-    known: Known
+    known: ClearanceEvidence
     position: Position
 
 
-class _ProxySessions(Wire, frozen=True):
+class _NodeSessions(WireStruct, frozen=True):
     name: Name
     active: ActiveSession | None = field(name="open", default=None)
     ended: Annotated[tuple[EndedSession, ...], Meta(max_length=MAX_ENDED_SESSIONS)] = field(
         name="past", default=()
-    )  # the latest last
+    )
     first_dropped_token: Position = field(
         name="dropped", default=0
     )  # the fence of the first one that is not kept any more; 0 for none
 
     @property
-    def latest_incarnation(self) -> Life | None:
+    def latest_instance(self) -> NodeInstance | None:
         """The highest that had a session."""
         if self.active:
-            return self.active.incarnation
-        return self.ended[-1].incarnation if self.ended else None
+            return self.active.instance
+        return self.ended[-1].instance if self.ended else None
 
 
-class _State(Wire, frozen=True):
+class _State(WireStruct, frozen=True):
     ballot: BallotNumber
-    # by name, each once
-    proxies: Annotated[tuple[_ProxySessions, ...], Meta(max_length=MOST_DOORS)] = field(name="doors")
+    nodes: Annotated[tuple[_NodeSessions, ...], Meta(max_length=MAX_MEMBERS)] = field(name="doors")
 
 
 class SessionRegistry:
@@ -71,26 +72,26 @@
 
     def __init__(self) -> None:
         self.ballot = 0  # of the leader that keeps the sessions
-        self._proxies: dict[str, _ProxySessions] = {}
+        self._nodes: dict[str, _NodeSessions] = {}
 
     # --- what is asked of it ---
 
     def active_session(self, name: str) -> ActiveSession | None:
-        door = self._proxies.get(name)
+        door = self._nodes.get(name)
         return door.active if door else None
 
     def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
-        door = self._proxies.get(name)
+        door = self._nodes.get(name)
         return door.ended[-1] if door and door.ended else None
 
-    def latest_incarnation(self, name: str) -> Life | None:
+    def latest_instance(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
-        door = self._proxies.get(name)
-        return door.latest_incarnation if door else None
+        door = self._nodes.get(name)
+        return door.latest_instance if door else None
 
     def active_sessions(self) -> list[ActiveSession]:
-        return [door.active for door in self._proxies.values() if door.active]
+        return [door.active for door in self._nodes.values() if door.active]
 
     def sessions_open_at(self, position: int) -> Iterator[ActiveSession | EndedSession]:
         """The sessions that were open when this position was applied, as they stand now.
@@ -98,13 +99,15 @@
         Of a name that has ended more often since than is kept, the oldest that is kept stands for it: it was
         opened anew. A name that made room for others is left out.
         """
-        for door in self._proxies.values():
+        for door in self._nodes.values():
             if door.active and door.active.fencing_token < position:
                 yield door.active
             yield from (past for past in door.ended if past.fencing_token < position < past.position)
             if door.first_dropped_token and door.first_dropped_token < position < door.ended[0].fencing_token:
                 first = door.ended[0]
-                yield EndedSession(first.incarnation, first.fencing_token, Known.ANEW, first.fencing_token)
+                yield EndedSession(
+                    first.instance, first.fencing_token, ClearanceEvidence.RESTARTED, first.fencing_token
+                )
 
     # --- entries ---
 
@@ -115,70 +118,77 @@
             return Outcome("not understood")
         match body:
             case OpenSession():
-                return self._open_session(entry, body.incarnation)
+                return self._open_session(entry, body.instance)
             case EndSession():
                 if body.ballot != self.ballot:
                     return Outcome("another leader keeps the sessions")
-                return self._end_session(entry, body.incarnation, body.fencing_token, Known.OVER)
+                return self._end_session(
+                    entry, body.instance, body.fencing_token, ClearanceEvidence.SESSION_EXPIRED
+                )
             case CloseSession():
-                if entry.proposer != body.incarnation:
+                if entry.proposer != body.instance:
                     return Outcome("a session is closed by its own front door alone")
-                return self._end_session(entry, body.incarnation, body.fencing_token, Known.LEFT)
+                return self._end_session(entry, body.instance, body.fencing_token, ClearanceEvidence.LEFT)
             case BecomeManager():
                 if body.ballot <= self.ballot:
                     return Outcome("a later leader keeps the sessions")
                 self.ballot = body.ballot
                 return Outcome()
 
-    def _open_session(self, entry: Entry, life: Life) -> Outcome:
+    def _open_session(self, entry: Entry, life: NodeInstance) -> Outcome:
         if entry.proposer != life:
             return Outcome("a session is opened by its own front door alone")
-        door = self._proxies.get(life.name)
+        door = self._nodes.get(life.name)
         if door is None:
-            if len(self._proxies) >= MOST_DOORS and not self._evict_one():
-                return Outcome(f"more than {MOST_DOORS} front doors")
-            door = _ProxySessions(life.name)
-        if door.active and door.active.incarnation == life:
+            if len(self._nodes) >= MAX_MEMBERS and not self._evict_one_node():
+                return Outcome(f"more than {MAX_MEMBERS} front doors")
+            door = _NodeSessions(life.name)
+        if door.active and door.active.instance == life:
             return Outcome(value=msgspec.json.encode(door.active))
         if refused := self._rejection(door, life):
             return Outcome(refused)
         if door.active:
             door = _with_ended_session(
                 door,
-                EndedSession(door.active.incarnation, door.active.fencing_token, Known.ANEW, entry.position),
+                EndedSession(
+                    door.active.instance,
+                    door.active.fencing_token,
+                    ClearanceEvidence.RESTARTED,
+                    entry.position,
+                ),
             )
         opened = ActiveSession(life, entry.position)
-        self._proxies[life.name] = msgspec.structs.replace(door, active=opened)
+        self._nodes[life.name] = msgspec.structs.replace(door, active=opened)
         return Outcome(value=msgspec.json.encode(opened))
 
     @staticmethod
-    def _rejection(door: _ProxySessions, life: Life) -> str:
+    def _rejection(door: _NodeSessions, life: NodeInstance) -> str:
         """A run that was stopped until its session was over may open anew; one that left may not."""
-        if door.latest_incarnation is None or door.latest_incarnation < life:
+        if door.latest_instance is None or door.latest_instance < life:
             return ""
-        if door.latest_incarnation > life:
+        if door.latest_instance > life:
             return "a later life of this name has had a session"
-        return "" if door.ended[-1].known is Known.OVER else "this life has left"
+        return "" if door.ended[-1].known is ClearanceEvidence.SESSION_EXPIRED else "this life has left"
 
-    def _end_session(self, entry: Entry, life: Life, fence: int, known: Known) -> Outcome:
-        door = self._proxies.get(life.name)
+    def _end_session(self, entry: Entry, life: NodeInstance, fence: int, known: ClearanceEvidence) -> Outcome:
+        door = self._nodes.get(life.name)
         if door is None or door.active != ActiveSession(life, fence):
             return Outcome("no such session is open")
-        self._proxies[life.name] = _with_ended_session(door, EndedSession(life, fence, known, entry.position))
+        self._nodes[life.name] = _with_ended_session(door, EndedSession(life, fence, known, entry.position))
         return Outcome()
 
-    def _evict_one(self) -> bool:
+    def _evict_one_node(self) -> bool:
         """Make room by the name without a session whose last one ended first."""
-        idle = [door for door in self._proxies.values() if not door.active]
+        idle = [door for door in self._nodes.values() if not door.active]
         if not idle:
             return False
-        del self._proxies[min(idle, key=lambda door: door.ended[-1].position).name]
+        del self._nodes[min(idle, key=lambda door: door.ended[-1].position).name]
         return True
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        doors = tuple(self._proxies[name] for name in sorted(self._proxies))
+        doors = tuple(self._nodes[name] for name in sorted(self._nodes))
         return msgspec.json.encode(_State(self.ballot, doors))
 
     def restore(self, data: bytes) -> None:
@@ -186,20 +196,20 @@
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
             raise ValueError(f"not a snapshot of sessions: {error}") from None
-        names = [door.name for door in state.proxies]
-        if names != sorted(set(names)) or any(not _is_consistent(door) for door in state.proxies):
+        names = [door.name for door in state.nodes]
+        if names != sorted(set(names)) or any(not _is_consistent(door) for door in state.nodes):
             raise ValueError("not a snapshot of sessions: not as any log leaves it")
-        self.ballot, self._proxies = state.ballot, {door.name: door for door in state.proxies}
+        self.ballot, self._nodes = state.ballot, {door.name: door for door in state.nodes}
 
 
-def _with_ended_session(door: _ProxySessions, last: EndedSession) -> _ProxySessions:
+def _with_ended_session(door: _NodeSessions, last: EndedSession) -> _NodeSessions:
     past, dropped = (*door.ended, last), door.first_dropped_token
     if len(past) > MAX_ENDED_SESSIONS:
         past, dropped = past[1:], dropped or past[0].fencing_token
-    return _ProxySessions(door.name, None, past, dropped)
+    return _NodeSessions(door.name, None, past, dropped)
 
 
-def _is_consistent(door: _ProxySessions) -> bool:
+def _is_consistent(door: _NodeSessions) -> bool:
     """Whether a name's sessions follow one another."""
     if door.first_dropped_token and len(door.ended) < MAX_ENDED_SESSIONS:
         return False
@@ -210,6 +220,6 @@
     if door.active:
         marks.append(door.active.fencing_token)
     # A session that was replaced ends where the next one is opened.
-    lives = [past.incarnation for past in door.ended] + ([door.active.incarnation] if door.active else [])
+    lives = [past.instance for past in door.ended] + ([door.active.instance] if door.active else [])
     names = {life.name for life in lives}
     return marks == sorted(marks) and lives == sorted(lives) and names == {door.name}
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -6,7 +6,8 @@
 from molereach.coordination.dissemination import words as spread_words
 from molereach.coordination.dissemination.core import Spread
 from molereach.coordination.dissemination.settings import Settings as SpreadSettings
-from molereach.coordination.interface import Life, StateMachine
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import StateMachine
 from molereach.coordination.leases.holder import LeaseHolder
 from molereach.coordination.leases.manager import LeaseManager
 from molereach.coordination.leases.sessions import SessionRegistry
@@ -33,7 +34,7 @@
 
     def __init__(
         self,
-        me: Life,
+        me: NodeInstance,
         settings: CouncilSettings,
         disk: str,
         recovered: Recovered,
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -22,16 +22,16 @@
     """Entries about sessions that change nothing."""
     first, second, third = samples.FIRST, samples.SECOND, samples.THIRD
     fence, anew = samples.OPENED_SECOND, samples.OPENED_ANEW
-    by_another_leader = lease_bodies.EndSession(incarnation=samples.FIRST_ANEW, fencing_token=anew, ballot=2)
+    by_another_leader = lease_bodies.EndSession(instance=samples.FIRST_ANEW, fencing_token=anew, ballot=2)
     bodies: dict[str, lease_bodies.Body] = {
-        "open-by-another": lease_bodies.OpenSession(incarnation=second),
-        "open-older": lease_bodies.OpenSession(incarnation=first),
-        "close-by-another": lease_bodies.CloseSession(incarnation=second, fencing_token=fence),
-        "ended-twice": lease_bodies.EndSession(incarnation=second, fencing_token=fence, ballot=3),
+        "open-by-another": lease_bodies.OpenSession(instance=second),
+        "open-older": lease_bodies.OpenSession(instance=first),
+        "close-by-another": lease_bodies.CloseSession(instance=second, fencing_token=fence),
+        "ended-twice": lease_bodies.EndSession(instance=second, fencing_token=fence, ballot=3),
         "ended-by-another-leader": by_another_leader,
     }
     left = Command(
-        "open-left", lease_bodies.MACHINE, lease_bodies.OpenSession(incarnation=third), proposer=third
+        "open-left", lease_bodies.MACHINE, lease_bodies.OpenSession(instance=third), proposer=third
     )
     return [*(Command(name, lease_bodies.MACHINE, body) for name, body in bodies.items()), left]
 
