--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -44,7 +44,7 @@
                 return session
             known.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, 0))
         elif end := ends.get(session.fencing_token):
-            known.append(NodeClearance(session.instance, end.known, end.position))
+            known.append(NodeClearance(session.instance, end.evidence, end.position))
         else:  # it ended so long ago that how is forgotten
             known.append(NodeClearance(session.instance, ClearanceEvidence.SESSION_EXPIRED, position))
     return tuple(known)
--- a/molereach/coordination/leases/__init__.py
+++ b/molereach/coordination/leases/__init__.py
@@ -1,6 +1,6 @@
-"""Each front door's one session, on which all hangs that others count on.
+"""Each proxy's session: a lease under which it does what the others must be able to count on.
 
-Read `words` (what goes along the tree), `bodies` and `sessions` (what is settled), `asks`, `proposal` and
-`holder` (a front door's own side), `rounds` and `keeper` (the leader's), `permits` (what hangs on a session)
-and `accounts` (the proof that an entry holds everywhere).
+Read `messages` (renewals along the dissemination tree), `bodies` and `sessions` (the replicated state),
+`renewals`, `proposal` and `holder` (a proxy's own side), `rounds` and `manager` (the leader's side),
+`permits` (what needs a session) and `acknowledgements` (the proof that an entry is in effect everywhere).
 """
--- a/molereach/coordination/leases/acknowledgements.py
+++ b/molereach/coordination/leases/acknowledgements.py
@@ -1,14 +1,15 @@
-"""The proof that an entry which forbids something holds everywhere.
-
-All that hangs on a session is done under it alone. So an entry at position P holds once each session that was
-open at P is accounted for: its front door said that it applied P, or an entry after P says that the session
-was replaced by a new life, over, or left. Who opened a session after P had P before. An account is a view: it
-follows from the log (`Sessions`) and from what open sessions have said, so that another leader comes to the
-same one. Of a front door that opened anew more often since P than is kept, a later life stands in the proof.
-
-It takes it that a name is run once at a time: an earlier process of the same name is dead when a new life
-opens. Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7: a change goes ahead once each
-cache has acknowledged it or its lease is over.
+"""The proof that an entry which forbids something is in effect everywhere.
+
+Whatever needs a session is done under it alone. So an entry at position P is in effect once each session that
+was open at P is acknowledged: its node reported that it applied P, or an entry after P says that the session
+was replaced by a new instance, has expired, or was closed. A node that opened its session after P had applied
+P before. An acknowledgement follows from the log (`SessionRegistry`) and from what open sessions reported, so
+another leader comes to the same one. Of a node that reopened more often since P than the registry remembers,
+a later instance stands in the proof.
+
+It is assumed that a name runs once at a time: an earlier process of the same name is dead when a new instance
+opens its session. Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7: a change goes ahead
+once each cache has acknowledged it or its lease has expired.
 """
 
 from dataclasses import dataclass
@@ -20,7 +21,7 @@
 
 
 class SessionReport(Protocol):
-    """What an open session has said of itself."""
+    """What an open session last reported; the time is in microseconds of the leader's clock."""
 
     applied_position: int
     clear_position: int
@@ -28,17 +29,17 @@
 
 
 class SessionReports(Protocol):
-    """Of the leader's keeper, what an account needs."""
+    """What an acknowledgement needs of the leader's lease manager."""
 
     position: int  # of the log, applied here
 
-    def report(self, name: str, fence: int) -> SessionReport | None:
-        """Of an open session; None if nothing is known of it."""
+    def report(self, name: str, fencing_token: int) -> SessionReport | None:
+        """The last report of an open session; None if nothing is known of it."""
 
 
 @dataclass(frozen=True, slots=True)
 class MissingAcknowledgement:
-    """A front door for which there is no account yet, since when, and why."""
+    """A node that has not acknowledged the entry yet, since when, and why."""
 
     instance: NodeInstance
     since_us: int
@@ -48,29 +49,33 @@
 
 
 class AcknowledgementTracker:
-    """For the entry at `position`; `since_us` is when that was applied here, or this one began to lead.
+    """Tracks who has acknowledged the entry at `position`.
 
-    With `clear` a word counts only when what the entry forbids is no more under way there, too.
+    `since_us` is when the entry was applied here, or when this node began to lead. With `clear` a report
+    counts only when what the entry forbids is not in flight there any more, either.
     """
 
     def __init__(
         self,
         position: int,
         sessions: SessionRegistry,
-        sayings: SessionReports,
+        reports: SessionReports,
         since_us: int,
         clear: bool = False,
     ) -> None:
-        self.position, self.since_us, self.clear = position, since_us, clear
-        self._sessions, self._reports = sessions, sayings
+        self.position = position
+        self.since_us = since_us
+        self.clear = clear
+        self._sessions = sessions
+        self._reports = reports
 
     @property
     def is_applied_here(self) -> bool:
-        """Whether the log was applied here up to the entry; before that nobody is accounted for."""
+        """Whether the log was applied here up to the entry; before that nothing is acknowledged."""
         return self._reports.position >= self.position
 
     def pending(self) -> tuple[MissingAcknowledgement, ...]:
-        """Who is missing, by name."""
+        """The nodes that are missing, by name."""
         missing = [
             self._missing_acknowledgement(session)
             for session in self._sessions.sessions_open_at(self.position)
@@ -79,33 +84,42 @@
         return tuple(sorted(missing, key=lambda each: each.instance))
 
     def proof(self) -> tuple[NodeClearance, ...] | None:
-        """All that were open, by name; None while one is missing. At one position of the log, whoever can
-        give it gives the same."""
+        """The acknowledgements of all sessions that were open, by name; None while one is missing.
+
+        At one position of the log, whoever can give the proof gives the same.
+        """
         if not self.is_applied_here:
             return None
-        accounted: list[NodeClearance] = []
+        clearances: list[NodeClearance] = []
         for session in self._sessions.sessions_open_at(self.position):
-            one = self._acknowledgement(session)
-            if one is None:
+            clearance = self._acknowledgement(session)
+            if clearance is None:
                 return None
-            accounted.append(one)
-        return tuple(sorted(accounted, key=lambda each: each.instance))
+            clearances.append(clearance)
+        return tuple(sorted(clearances, key=lambda each: each.instance))
 
     def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
         if isinstance(session, EndedSession):
-            return NodeClearance(session.instance, session.known, session.position)
-        said = self._reports.report(session.instance.name, session.fencing_token)
-        if said is None or (said.clear_position if self.clear else said.applied_position) < self.position:
+            return NodeClearance(session.instance, session.evidence, session.position)
+        report = self._reports.report(session.instance.name, session.fencing_token)
+        if report is None:
+            return None
+        acknowledged_position = report.clear_position if self.clear else report.applied_position
+        if acknowledged_position < self.position:
             return None
-        # Not the position that was said, which depends on when it was asked.
+        # Not the reported position, which depends on when the node was asked.
         return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
 
     def _missing_acknowledgement(self, session: ActiveSession | EndedSession) -> MissingAcknowledgement:
-        said = self._reports.report(session.instance.name, session.fencing_token)
-        applied, heard_us = (said.applied_position, said.received_at_us) if said else (0, None)
-        if heard_us is not None and heard_us >= self.since_us:
-            held = self.clear and applied >= self.position
-            why = "something is under way there still" if held else f"applied only to {applied}"
+        report = self._reports.report(session.instance.name, session.fencing_token)
+        applied_position = report.applied_position if report else 0
+        received_at_us = report.received_at_us if report else None
+        if received_at_us is None or received_at_us < self.since_us:
+            reason = f"nothing heard since {self.since_us if received_at_us is None else received_at_us}"
+        elif self.clear and applied_position >= self.position:
+            reason = "something is under way there still"
         else:
-            why = f"nothing heard since {self.since_us if heard_us is None else heard_us}"
-        return MissingAcknowledgement(session.instance, self.since_us, applied, heard_us, why)
+            reason = f"applied only to {applied_position}"
+        return MissingAcknowledgement(
+            session.instance, self.since_us, applied_position, received_at_us, reason
+        )
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -1,8 +1,9 @@
-"""A front door's own session: opened, renewed each beat, and found to be over before others take it for over.
+"""A proxy's own session: opened, renewed regularly, and found expired before others take it for expired.
 
-It counts from when it asked, by its own clock, for less than the duration: whoever ends it counts from later
-and for more. A session that has lapsed here but is not ended in the log may be renewed under the same fence;
-one that was ended is opened anew once that was applied here, so what was settled meanwhile is known first.
+The holder counts from when it sent its request, by its own clock, for less than the duration: whoever ends
+the session counts from later and for longer. A session that has lapsed here but is not ended in the log may
+be renewed under the same fencing token; one that was ended is opened anew once its end was applied here, so
+what was chosen meanwhile is known first.
 
 Sources: Gray and Cheriton, "Leases" (SOSP 1989), section 2; Burrows, "The Chubby lock service" (OSDI 2006),
 section 2.8.
@@ -34,41 +35,43 @@
 from molereach.coordination.leases.renewals import PendingRenewals
 from molereach.coordination.leases.sessions import SessionRegistry
 
-MAX_BACKOFF_INTERVALS = 10
+MAX_BACKOFF_INTERVALS = 10  # renewal intervals
+PROPOSAL_ID_BITS = 53  # random bits in a proposal's id, as many as a random float has
 
 Event = Tick | Applied | Restored | ProposalFinished | GrantsReceived | LeaderChanged | ReleaseLease
 Action = Propose | RenewalRequest | LeaseAcquired | LeaseLost
 
 
 class LeaseHolder:
-    """Implements `Session`. `Applied` is handed in after all that stands on the log has acted on it."""
+    """Implements `Session`. `Applied` is handed in after every state machine on the log has acted on it.
+
+    Times are microseconds of this node's monotonic clock; `random_fraction` draws from [0, 1).
+    """
 
     def __init__(
         self,
-        life: NodeInstance,
+        instance: NodeInstance,
         sessions: SessionRegistry,
         terms: SessionTerms,
-        draw: Callable[[], float],
-        beat_us: int = RENEWAL_INTERVAL_US,
+        random_fraction: Callable[[], float],
+        renewal_interval_us: int = RENEWAL_INTERVAL_US,
     ) -> None:
-        self.instance, self.sessions, self.terms, self.random_fraction, self.renewal_interval_us = (
-            life,
-            sessions,
-            terms,
-            draw,
-            beat_us,
-        )
+        self.instance = instance
+        self.sessions = sessions
+        self.terms = terms
+        self.random_fraction = random_fraction
+        self.renewal_interval_us = renewal_interval_us
         self.phase = LeasePhase.ABSENT
         self.position = 0  # of the log, applied here
-        self._fencing_token = 0  # of the session that is open, held or not
-        self._expires_at_us = 0  # up to then it is held
-        self._held_token = 0  # the fence of the session that is held, as last told; 0 for none
+        self._fencing_token = 0  # of the session that is open, whether it holds or has lapsed
+        self._expires_at_us = 0  # up to then it holds
+        self._reported_token = 0  # of the session that holds, by the last action; 0 for none
         self._loss_reason = ""
         self._reported_position = 0
-        self._renewals = PendingRenewals(life)
-        self._failed_attempts = 0  # tries without an answer, while nothing is held
-        self._next_action_us = 0  # when it asks or proposes next
-        # Up to where nothing that entries forbid is under way here: told by whoever stands on the log.
+        self._renewals = PendingRenewals(instance)
+        self._failed_attempts = 0  # without an answer, while no session holds
+        self._next_action_us = 0  # when it sends a request or a proposal next
+        # Up to where nothing that entries forbid is in flight here; the state machines' drivers set it.
         self.clear: Callable[[int], int] = lambda position: position
         self._opening: RetriedProposal | None = None
         self._closing: RetriedProposal | None = None
@@ -76,92 +79,109 @@
     # --- Session ---
 
     def holds(self, now_us: int) -> bool:
+        """Whether the session holds at `now_us`."""
         return now_us < self._expires_at_us  # 0 in every phase but OPEN
 
     @property
     def fencing_token(self) -> int:
-        """As of the last event: `holds` is to be asked first."""
-        return self._held_token
+        """The session's fencing token as of the last event: `holds` is to be checked first."""
+        return self._reported_token
 
     @property
     def applied_position(self) -> int:
-        """What the last ask told that was granted."""
+        """The position in the last request that was granted."""
         return self._reported_position
 
     # --- Core ---
 
     @property
     def wake_us(self) -> int:
-        return min(self._next_action_us, self._expires_at_us) if self._held_token else self._next_action_us
+        """When it wants a `Tick`; `NEVER_US` for never."""
+        if self._reported_token:
+            return min(self._next_action_us, self._expires_at_us)
+        return self._next_action_us
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
+        """Apply one event at `now_us`; the actions to carry out, in order."""
         match event:
             case GrantsReceived() if self.phase is LeasePhase.OPEN:
                 self._apply_grants(now_us, event)
             case Applied():
                 self.position = event.entry.position
-                mine = self._opening is not None and event.entry.id == self._opening.id
-                self._follow_log(now_us, event.entry.position if mine else 0)
+                is_opening = self._opening is not None and event.entry.id == self._opening.id
+                self._follow_log(now_us, event.entry.position if is_opening else 0)
             case Restored():
                 self.position = event.position
                 self._follow_log(now_us, 0)
             case ProposalFinished():
                 self._handle_proposal_result(now_us, event)
-            case LeaderChanged() if event.leader is not None:  # one that may answer; not all ask it at once
-                self._failed_attempts = 0
-                self._next_action_us = min(
-                    self._next_action_us, now_us + int(self.random_fraction() * self.renewal_interval_us)
-                )
+            case LeaderChanged() if event.leader is not None:
+                self._handle_new_leader(now_us)
             case ReleaseLease():
                 self._release(now_us)
             case _:
                 pass
-        told = self._report_changes(now_us)
-        return told + self._next_actions(now_us) if now_us >= self._next_action_us else told
+        changes = self._report_changes(now_us)
+        return changes + self._next_actions(now_us) if now_us >= self._next_action_us else changes
+
+    def _handle_new_leader(self, now_us: int) -> None:
+        """Send soon, as this leader may answer; jitter keeps the holders from sending all at once."""
+        self._failed_attempts = 0
+        jitter_us = int(self.random_fraction() * self.renewal_interval_us)
+        self._next_action_us = min(self._next_action_us, now_us + jitter_us)
 
     def _report_changes(self, now_us: int) -> list[Action]:
-        """Say when it begins or ceases to be held."""
-        held, before = (self._fencing_token if self.holds(now_us) else 0), self._held_token
-        self._held_token = held
-        why, self._loss_reason = self._loss_reason or "not renewed in time", ""
-        if held == before:
-            return []
-        lost: list[Action] = [LeaseLost(before, why)] if before else []
-        return [*lost, LeaseAcquired(held)] if held else lost
+        """Report when the session begins or ceases to hold."""
+        current = self._fencing_token if self.holds(now_us) else 0
+        previous = self._reported_token
+        self._reported_token = current
+        reason = self._loss_reason or "not renewed in time"
+        self._loss_reason = ""
+        changes: list[Action] = []
+        if current == previous:
+            return changes
+        if previous:
+            changes.append(LeaseLost(previous, reason))
+        if current:
+            changes.append(LeaseAcquired(current))
+        return changes
 
     # --- what the log says ---
 
-    def _follow_log(self, now_us: int, mine: int) -> None:
-        """Keep to what was applied here; `mine` is the position at which the own proposal was settled."""
-        opened, highest = (
-            self.sessions.active_session(self.instance.name),
-            self.sessions.latest_instance(self.instance.name),
-        )
-        if highest is not None and highest > self.instance:
+    def _follow_log(self, now_us: int, opening_position: int) -> None:
+        """Follow what was applied here; `opening_position` is where the own proposal was chosen, or 0."""
+        opened = self.sessions.active_session(self.instance.name)
+        latest = self.sessions.latest_instance(self.instance.name)
+        if latest is not None and latest > self.instance:
             self._end_session("a later life has the name", LeasePhase.SUPERSEDED)
         elif opened is not None and opened.instance == self.instance:
             if opened.fencing_token != self._fencing_token and self.position >= opened.fencing_token:
-                self._start_session(now_us, opened.fencing_token, mine)
+                self._start_session(now_us, opened.fencing_token, opening_position)
         elif self._fencing_token:
-            self._end_session(
-                "ended in the log", LeasePhase.LEFT if self.phase is LeasePhase.LEAVING else LeasePhase.ABSENT
-            )
+            is_leaving = self.phase is LeasePhase.LEAVING
+            self._end_session("ended in the log", LeasePhase.LEFT if is_leaving else LeasePhase.ABSENT)
             self._next_action_us = now_us
 
-    def _start_session(self, now_us: int, fence: int, mine: int) -> None:
-        # Where another proposal opened it than the one under way, only a grant says from when it counts.
-        made_us = self._opening.first_proposed_us if self._opening and fence == mine else None
-        leaves = self.phase in (
-            LeasePhase.LEAVING,
-            LeasePhase.LEFT,
-        )  # an opening that was settled late is closed again
-        self._end_session("ended in the log", LeasePhase.LEAVING if leaves else LeasePhase.OPEN)
-        self._expires_at_us = 0 if made_us is None or leaves else made_us + self.terms.holder_duration_us
-        self._fencing_token, self._next_action_us, self._failed_attempts = fence, now_us, 0
-
-    def _end_session(self, why: str, phase: LeasePhase) -> None:
-        self._fencing_token, self._expires_at_us, self._loss_reason, self.phase = 0, 0, why, phase
-        self._opening = self._closing = None
+    def _start_session(self, now_us: int, fencing_token: int, opening_position: int) -> None:
+        # Where another proposal than the current one opened it, only a grant says from when it counts.
+        opened_by_proposal = self._opening is not None and fencing_token == opening_position
+        proposed_us = self._opening.first_proposed_us if self._opening and opened_by_proposal else None
+        # An opening that was chosen late, after a release, is closed again.
+        is_leaving = self.phase in (LeasePhase.LEAVING, LeasePhase.LEFT)
+        self._end_session("ended in the log", LeasePhase.LEAVING if is_leaving else LeasePhase.OPEN)
+        if proposed_us is not None and not is_leaving:
+            self._expires_at_us = proposed_us + self.terms.holder_duration_us
+        self._fencing_token = fencing_token
+        self._next_action_us = now_us
+        self._failed_attempts = 0
+
+    def _end_session(self, reason: str, phase: LeasePhase) -> None:
+        self._fencing_token = 0
+        self._expires_at_us = 0
+        self._loss_reason = reason
+        self.phase = phase
+        self._opening = None
+        self._closing = None
         self._renewals.clear()
 
     def _handle_proposal_result(self, now_us: int, event: ProposalFinished) -> None:
@@ -170,75 +190,72 @@
         if self._opening is None or event.id != self._opening.id:
             return
         self._next_action_us = max(now_us, self._opening.last_proposed_us + self._backoff_us())
-        # Settled, and applied here, and it opened nothing: refused by a rule, or over again already.
-        settled = event.status is ProposalStatus.APPLIED and self.position >= event.position
-        if settled or event.status is ProposalStatus.REJECTED:
+        # Chosen and applied here without opening a session: rejected by a rule, or ended already.
+        is_applied = event.status is ProposalStatus.APPLIED and self.position >= event.position
+        if is_applied or event.status is ProposalStatus.REJECTED:
             self._opening = None
         if self.phase is LeasePhase.LEAVING:
-            self.phase = LeasePhase.LEFT  # if it is settled yet, it is held by nobody
+            self.phase = LeasePhase.LEFT  # if it is chosen yet, nobody holds it
 
-    # --- renewals, and the end in order ---
+    # --- renewals, and the release ---
 
     def _apply_grants(self, now_us: int, event: GrantsReceived) -> None:
         for grant in event.grants:
-            if found := self._renewals.match_grant(grant):
-                made_us, ask = found
-                self._expires_at_us = max(self._expires_at_us, made_us + self.terms.holder_duration_us)
-                self._reported_position, self._failed_attempts = ask.applied_position, 0
+            if renewal := self._renewals.match_grant(grant):
+                expires_at_us = renewal.sent_at_us + self.terms.holder_duration_us
+                self._expires_at_us = max(self._expires_at_us, expires_at_us)
+                self._reported_position = renewal.request.applied_position
+                self._failed_attempts = 0
                 self._next_action_us = min(self._next_action_us, now_us + self.renewal_interval_us)
 
     def _release(self, now_us: int) -> None:
         if self.phase is LeasePhase.OPEN or (self.phase is LeasePhase.ABSENT and self._opening):
-            self.phase, self._expires_at_us, self._next_action_us, self._loss_reason = (
-                LeasePhase.LEAVING,
-                0,
-                now_us,
-                "leaves",
-            )
+            self.phase = LeasePhase.LEAVING
+            self._expires_at_us = 0
+            self._next_action_us = now_us
+            self._loss_reason = "leaves"
         elif self.phase is LeasePhase.ABSENT:
             self.phase = LeasePhase.LEFT
 
     # --- time ---
 
     def _backoff_us(self) -> int:
-        return self.renewal_interval_us * min(
-            MAX_BACKOFF_INTERVALS, 1 << min(self._failed_attempts, MAX_BACKOFF_INTERVALS)
-        )
+        exponent = min(self._failed_attempts, MAX_BACKOFF_INTERVALS)
+        return self.renewal_interval_us * min(MAX_BACKOFF_INTERVALS, 1 << exponent)
 
     def _next_actions(self, now_us: int) -> list[Action]:
-        """RenewalRequest, or propose, and say when next."""
+        """The request or proposal that is due; plans the next one."""
         match self.phase:
             case LeasePhase.OPEN:
-                self._next_action_us = now_us + (
-                    self.renewal_interval_us if self._held_token else self._backoff_us()
-                )
-                self._failed_attempts = 0 if self._held_token else self._failed_attempts + 1
-                return [
-                    self._renewals.create(
-                        now_us, self._fencing_token, self.position, self.clear(self.position)
-                    )
-                ]
+                return [self._renew(now_us)]
             case LeasePhase.ABSENT:
                 self._failed_attempts += 1
-                self._opening = self._opening or self._new_proposal(
-                    now_us, "open", OpenSession(self.instance)
-                )
+                if self._opening is None:
+                    self._opening = self._new_proposal(now_us, "open", OpenSession(self.instance))
                 return [self._propose(now_us, self._opening)]
             case LeasePhase.LEAVING if self._fencing_token:
-                self._closing = self._closing or self._new_proposal(
-                    now_us, "close", CloseSession(self.instance, self._fencing_token)
-                )
+                if self._closing is None:
+                    close = CloseSession(self.instance, self._fencing_token)
+                    self._closing = self._new_proposal(now_us, "close", close)
                 return [self._propose(now_us, self._closing)]
             case _:
                 self._next_action_us = NEVER_US
                 return []
 
-    def _new_proposal(self, now_us: int, what: str, body: Body) -> RetriedProposal:
-        return RetriedProposal(
-            f"{what}.{self.instance.number:x}.{int(self.random_fraction() * (1 << 53)):x}", body, now_us
-        )
+    def _renew(self, now_us: int) -> RenewalRequest:
+        if self._reported_token:
+            self._next_action_us = now_us + self.renewal_interval_us
+            self._failed_attempts = 0
+        else:
+            self._next_action_us = now_us + self._backoff_us()
+            self._failed_attempts += 1
+        return self._renewals.create(now_us, self._fencing_token, self.position, self.clear(self.position))
+
+    def _new_proposal(self, now_us: int, kind: str, body: Body) -> RetriedProposal:
+        random_number = int(self.random_fraction() * (1 << PROPOSAL_ID_BITS))
+        return RetriedProposal(f"{kind}.{self.instance.number:x}.{random_number:x}", body, now_us)
 
     def _propose(self, now_us: int, proposal: RetriedProposal) -> Propose:
-        # The log's word on it comes before that, unless it is lost.
+        # The log's result on it comes before the next try, unless it is lost.
         self._next_action_us = now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us
         return proposal.propose(now_us, self.renewal_interval_us)
--- a/molereach/coordination/leases/manager.py
+++ b/molereach/coordination/leases/manager.py
@@ -1,11 +1,11 @@
-"""The leader's side of sessions: renewals given, and ends proposed. At every front door; acts while it leads.
+"""The leader's side of sessions: grants renewals and proposes ends. Runs at every node; acts while it leads.
 
-Why an end is safe. A holder counts from when it asked. A renewal is given after a `Confirm` that was sent
-after the ask came, so every ask that an earlier leader answers was made before this leader was elected; this
-one counts from then, and from each time that it gave since, for the whole duration and the drift of both
-clocks. What was proposed as ended is given nothing more by this leader, and a later leader gives nothing
-before its own `Keeping` is in the log, behind which the end is void. A keeper that was stopped counts from
-later, which is the safe side.
+Why an end is safe. A holder counts from when it sent its request. A renewal is granted after a leadership
+confirmation that was sent after the request came, so every request that an earlier leader answers was made
+before this leader was elected; this one counts from its election, and from each later grant of its own, for
+the whole duration and the drift of both clocks. A session that was proposed as ended is granted nothing more
+by this leader, and a later leader grants nothing before its own `BecomeManager` is in the log, behind which
+the end is void. A manager that was stopped counts from later, which is the safe side.
 
 Sources: Gray and Cheriton, "Leases" (SOSP 1989), sections 2 and 5; Burrows, "The Chubby lock service" (OSDI
 2006), sections 2.8 and 2.9; Ongaro (2014), section 6.4.
@@ -38,38 +38,43 @@
 
 @dataclass(slots=True)
 class ManagedSession:
-    """One open session, as its keeper knows it. Times by the keeper's own clock."""
+    """One open session, as its manager knows it. Times are microseconds of the manager's clock."""
 
     instance: NodeInstance
     fencing_token: int
-    renewed_at_us: int  # the last given, the entry applied here, or the election: whichever was last
-    granted_number: int = 0  # of the last ask that was given
-    applied_position: int = 0  # as last said; it only grows
-    clear_position: int = 0  # the same
+    renewed_at_us: int  # the last grant, the opening entry applied here, or the election: whichever was last
+    granted_number: int = 0  # of the last request that was granted
+    applied_position: int = 0  # as last reported; it only grows
+    clear_position: int = 0  # as last reported; it only grows
     received_at_us: int | None = None
-    end_proposed: bool = False  # proposed as ended by this leader: nothing more is given
-    end_retry_us: int = 0  # when it is proposed again
+    end_proposed: bool = False  # by this leader: nothing more is granted
+    end_retry_us: int = 0  # when its end is proposed once more
 
 
 class LeaseManager:
-    """Decides when a session is renewed, and when it is over for all."""
+    """Decides when a session is renewed, and when it has expired for all."""
 
     def __init__(
-        self, sessions: SessionRegistry, terms: SessionTerms, beat_us: int = RENEWAL_INTERVAL_US
+        self,
+        sessions: SessionRegistry,
+        terms: SessionTerms,
+        renewal_interval_us: int = RENEWAL_INTERVAL_US,
     ) -> None:
-        self.sessions, self.terms, self.renewal_interval_us = sessions, terms, beat_us
+        self.sessions = sessions
+        self.terms = terms
+        self.renewal_interval_us = renewal_interval_us
         self.position = 0  # of the log, applied here
         self._managed: dict[str, ManagedSession] = {}
         self._ballot: int | None = None  # under which it leads
-        self._takeover_retry_us = 0  # when its `Keeping` is proposed again
+        self._takeover_retry_us = 0  # when its `BecomeManager` is proposed once more
         self._rounds = ConfirmationRounds()
 
-    # --- what is asked of it ---
+    # --- queries ---
 
-    def report(self, name: str, fence: int) -> ManagedSession | None:
-        """What is known of an open session."""
-        kept = self._managed.get(name)
-        return kept if kept and kept.fencing_token == fence else None
+    def report(self, name: str, fencing_token: int) -> ManagedSession | None:
+        """What is known of an open session, or None."""
+        session = self._managed.get(name)
+        return session if session and session.fencing_token == fencing_token else None
 
     @property
     def manages(self) -> bool:
@@ -78,25 +83,27 @@
 
     @property
     def wake_us(self) -> int:
+        """When it wants a `Tick`, in microseconds of its clock; `NEVER_US` for never."""
         if self._ballot is None:
             return NEVER_US
         if not self.manages:
             return self._takeover_retry_us
-        first = min((self._end_due_us(kept) for kept in self._managed.values()), default=NEVER_US)
+        first_us = min((self._end_due_us(session) for session in self._managed.values()), default=NEVER_US)
         if self._rounds.has_waiting:
-            first = 0
-        last_us = self._rounds.last_sent_us
-        return first if last_us is None else max(first, last_us + self.renewal_interval_us)
+            first_us = 0
+        last_sent_us = self._rounds.last_sent_us
+        return first_us if last_sent_us is None else max(first_us, last_sent_us + self.renewal_interval_us)
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
-        out: list[Action] = []
+        """Apply one event at `now_us`; the actions to carry out, in order."""
+        actions: list[Action] = []
         match event:
             case LeaderChanged():
                 self._handle_leadership(now_us, event)
             case RenewalsReceived():
                 self._handle_renewals(now_us, event.requests)
             case LeadershipConfirmed():
-                out += self._handle_confirmation(now_us, event)
+                actions += self._handle_confirmation(now_us, event)
             case Applied():
                 self.position = event.entry.position
                 if event.entry.machine == MACHINE:
@@ -108,7 +115,7 @@
                 self._handle_proposal_result(now_us, event)
             case Tick():
                 pass
-        return out + self._due_actions(now_us)
+        return actions + self._due_actions(now_us)
 
     # --- who leads ---
 
@@ -116,105 +123,112 @@
         if event.is_self and event.ballot == self._ballot:
             return
         self._rounds.clear()
-        self._ballot, self._takeover_retry_us = (event.ballot if event.is_self else None), now_us
+        self._ballot = event.ballot if event.is_self else None
+        self._takeover_retry_us = now_us
         if event.is_self:
             self._restart_terms(now_us)
 
     def _restart_terms(self, now_us: int) -> None:
-        """Take all sessions as given now: an earlier leader may have given until a moment ago."""
-        for kept in self._managed.values():
-            kept.renewed_at_us, kept.end_proposed = now_us, False
+        """Take all sessions as renewed now: an earlier leader may have granted until a moment ago."""
+        for session in self._managed.values():
+            session.renewed_at_us = now_us
+            session.end_proposed = False
 
     def _follow_log(self, now_us: int) -> None:
-        """Keep to what the log says is open; a session opened counts from here, or anything later."""
-        kept = {
+        """Manage what is open by the log; a session that was opened counts from here, or anything later."""
+        self._managed = {
             opened.instance.name: self.report(opened.instance.name, opened.fencing_token)
             or ManagedSession(opened.instance, opened.fencing_token, now_us)
             for opened in self.sessions.active_sessions()
         }
-        self._managed = kept
-        if self._ballot is not None and self.sessions.ballot > self._ballot:  # deposed, and not told yet
+        if self._ballot is not None and self.sessions.ballot > self._ballot:  # deposed, and not notified yet
             self._ballot = None
 
     # --- renewals ---
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
-        for ask in asks:
-            kept = self.report(ask.name, ask.fencing_token)
-            if kept is None or kept.instance.number != ask.instance_number:
+    def _handle_renewals(self, now_us: int, requests: Sequence[RenewalRequest]) -> None:
+        for request in requests:
+            session = self.report(request.name, request.fencing_token)
+            if session is None or session.instance.number != request.instance_number:
                 continue
-            kept.applied_position, kept.received_at_us = (
-                max(kept.applied_position, ask.applied_position),
-                now_us,
-            )
-            kept.clear_position = max(kept.clear_position, ask.clear_position)
-            if ask.number > kept.granted_number and not kept.end_proposed:
-                self._rounds.add(ask)
+            session.applied_position = max(session.applied_position, request.applied_position)
+            session.received_at_us = now_us
+            session.clear_position = max(session.clear_position, request.clear_position)
+            if request.number > session.granted_number and not session.end_proposed:
+                self._rounds.add(request)
 
     def _handle_confirmation(self, now_us: int, event: LeadershipConfirmed) -> list[Action]:
         if event.ballot != self._ballot:
             return []
-        passed = self._rounds.complete(event.token)
-        if passed is None:
+        confirmed = self._rounds.complete(event.token)
+        if confirmed is None:
             return []
-        grants = self._grant(now_us, passed.requests)
-        due = [kept for kept in self._managed.values() if self._end_due_us(kept) <= passed.sent_us]
-        ends = [self._propose_end(now_us, kept) for kept in due]
+        grants = self._grant(now_us, confirmed.requests)
+        expired = [
+            session for session in self._managed.values() if self._end_due_us(session) <= confirmed.sent_us
+        ]
+        ends = [self._propose_end(now_us, session) for session in expired]
         return [SendGrants(grants), *ends] if grants else [*ends]
 
-    def _grant(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
+    def _grant(self, now_us: int, requests: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
         grants: list[RenewalGrant] = []
-        for ask in asks:
-            kept = self.report(ask.name, ask.fencing_token)
-            if kept is None or kept.end_proposed or ask.number <= kept.granted_number:
+        for request in requests:
+            session = self.report(request.name, request.fencing_token)
+            if session is None or session.end_proposed or request.number <= session.granted_number:
                 continue
-            kept.renewed_at_us, kept.granted_number = now_us, ask.number
-            grants.append(RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number))
+            session.renewed_at_us = now_us
+            session.granted_number = request.number
+            grant = RenewalGrant(request.name, request.instance_number, request.fencing_token, request.number)
+            grants.append(grant)
         return tuple(grants)
 
     # --- ends ---
 
-    def _end_due_us(self, kept: ManagedSession) -> int:
-        """From when an end is to be proposed, by a clock whose readings are cut to whole microseconds."""
-        return kept.end_retry_us if kept.end_proposed else kept.renewed_at_us + self.terms.expiry_us + 1
+    def _end_due_us(self, session: ManagedSession) -> int:
+        """From when an end is proposed; one microsecond more, as the clock's readings are truncated."""
+        if session.end_proposed:
+            return session.end_retry_us
+        return session.renewed_at_us + self.terms.expiry_us + 1
 
-    def _propose_end(self, now_us: int, kept: ManagedSession) -> Propose:
+    def _propose_end(self, now_us: int, session: ManagedSession) -> Propose:
         assert self._ballot is not None
-        kept.end_proposed, kept.end_retry_us = (
-            True,
-            now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us,
-        )
-        body = encode(EndSession(kept.instance, kept.fencing_token, self._ballot))
-        return Propose(
-            MACHINE,
-            f"over.{self._ballot}.{kept.fencing_token}",
-            body,
-            PROPOSAL_TIMEOUT_INTERVALS * self.renewal_interval_us,
-        )
+        session.end_proposed = True
+        session.end_retry_us = now_us + self._retry_after_us
+        body = encode(EndSession(session.instance, session.fencing_token, self._ballot))
+        return Propose(MACHINE, self._end_id(session), body, self._proposal_timeout_us)
 
     def _handle_proposal_result(self, now_us: int, event: ProposalFinished) -> None:
-        """No word is no answer: it may be settled yet, so nothing is given, and it is proposed again. Where
-        it was settled, the log says what came of it."""
+        """Plan the next try of a proposal.
+
+        Without a result it may be chosen yet, so nothing is granted, and it is proposed once more. Where it
+        was chosen, the log says what came of it.
+        """
+        retry_us = now_us + self.renewal_interval_us
         if event.id == f"keeping.{self._ballot}":
-            self._takeover_retry_us = now_us + self.renewal_interval_us
-        for kept in self._managed.values():
-            if event.id == f"over.{self._ballot}.{kept.fencing_token}":
-                kept.end_retry_us = now_us + self.renewal_interval_us
+            self._takeover_retry_us = retry_us
+        for session in self._managed.values():
+            if event.id == self._end_id(session):
+                session.end_retry_us = retry_us
 
     def _due_actions(self, now_us: int) -> list[Action]:
-        """What the time calls for: its `Keeping`, or a round for the asks and ends that wait."""
+        """What is due: its `BecomeManager`, or a round for the requests and ends that wait."""
         if now_us < self.wake_us:
             return []
         if self.manages:
             return [ConfirmLeadership(self._rounds.begin(now_us))]
         assert self._ballot is not None  # as it never wakes without
-        self._takeover_retry_us = now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us
+        self._takeover_retry_us = now_us + self._retry_after_us
         body = encode(BecomeManager(self._ballot))
-        return [
-            Propose(
-                MACHINE,
-                f"keeping.{self._ballot}",
-                body,
-                PROPOSAL_TIMEOUT_INTERVALS * self.renewal_interval_us,
-            )
-        ]
+        return [Propose(MACHINE, f"keeping.{self._ballot}", body, self._proposal_timeout_us)]
+
+    def _end_id(self, session: ManagedSession) -> str:
+        return f"over.{self._ballot}.{session.fencing_token}"
+
+    @property
+    def _proposal_timeout_us(self) -> int:
+        return PROPOSAL_TIMEOUT_INTERVALS * self.renewal_interval_us
+
+    @property
+    def _retry_after_us(self) -> int:
+        """After the log's result on a proposal, unless that is lost."""
+        return self._proposal_timeout_us + self.renewal_interval_us
--- a/molereach/coordination/leases/proposal.py
+++ b/molereach/coordination/leases/proposal.py
@@ -1,6 +1,6 @@
-"""A proposal that is made again, under one id, until it has an answer.
+"""A proposal that is repeated under one id until it has a result.
 
-What hangs on when it was made counts from the first time: any of its copies may be the one that is settled.
+Whatever depends on when it was made counts from the first time, as any of its copies may be the chosen one.
 """
 
 from dataclasses import dataclass
@@ -8,18 +8,20 @@
 from molereach.coordination.interface.log import Propose
 from molereach.coordination.leases.bodies import MACHINE, Body, encode
 
-PROPOSAL_TIMEOUT_INTERVALS = 4  # after which the log says UNKNOWN
+PROPOSAL_TIMEOUT_INTERVALS = 4  # renewal intervals after which the log reports UNKNOWN
 
 
 @dataclass(slots=True)
 class RetriedProposal:
-    """One of the holder's. Times by its own clock."""
+    """A lease holder's proposal. Times are microseconds of the holder's clock."""
 
     id: str
     body: Body
     first_proposed_us: int
-    last_proposed_us: int = 0  # when it was made last
+    last_proposed_us: int = 0
 
-    def propose(self, now_us: int, beat_us: int) -> Propose:
+    def propose(self, now_us: int, renewal_interval_us: int) -> Propose:
+        """The event that proposes it, for the first time or once more."""
         self.last_proposed_us = now_us
-        return Propose(MACHINE, self.id, encode(self.body), PROPOSAL_TIMEOUT_INTERVALS * beat_us)
+        timeout_us = PROPOSAL_TIMEOUT_INTERVALS * renewal_interval_us
+        return Propose(MACHINE, self.id, encode(self.body), timeout_us)
--- a/molereach/coordination/leases/rounds.py
+++ b/molereach/coordination/leases/rounds.py
@@ -1,26 +1,27 @@
-"""Which asks and ends wait for which `Confirm`. A round that is confirmed confirms those sent before it.
+"""Which renewal requests wait for which leadership confirmation.
 
-Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 6.4: a read is served after a round
-of heartbeats that began after the read came; so is a renewal here.
+A confirmed round confirms all rounds sent before it. Source: Ongaro, "Consensus: Bridging Theory and
+Practice" (2014), section 6.4: a read is served after a round of heartbeats that began after the read came; so
+is a renewal here.
 """
 
 from dataclasses import dataclass
 
 from molereach.coordination.interface.sessions import RenewalRequest
 
-MAX_ROUNDS = 4  # without an answer; the oldest is then forgotten, and its asks are made anew
+MAX_ROUNDS = 4  # without an answer; the oldest is then dropped, and its holders send their requests anew
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmationRound:
-    """One `Confirm` that is out."""
+    """One leadership confirmation under way; `sent_us` is in microseconds of the leader's clock."""
 
     sent_us: int
-    requests: tuple[RenewalRequest, ...]  # that had come before it was sent, and after the one before
+    requests: tuple[RenewalRequest, ...]  # received before it was sent, and after the round before
 
 
 class ConfirmationRounds:
-    """The asks of one leader's time, newest by name, each bound to the first round after it."""
+    """The renewal requests of one leader's term, the newest of each node, each bound to the next round."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, RenewalRequest] = {}
@@ -28,17 +29,22 @@
         self._token = 0
 
     def clear(self) -> None:
-        """Void all; tokens go on, so that an answer to an earlier one is for nothing."""
+        """Drop all; tokens go on, so that an answer to an earlier round matches nothing."""
         self._waiting.clear()
         self._unanswered.clear()
 
-    def add(self, ask: RenewalRequest) -> None:
-        earlier = self._waiting.get(ask.name)
-        if earlier is None or earlier.fencing_token < ask.fencing_token or earlier.number < ask.number:
-            self._waiting[ask.name] = ask
+    def add(self, request: RenewalRequest) -> None:
+        """Let a request wait for the next round, unless a newer one of its node waits already."""
+        earlier = self._waiting.get(request.name)
+        if (
+            earlier is None
+            or earlier.fencing_token < request.fencing_token
+            or earlier.number < request.number
+        ):
+            self._waiting[request.name] = request
 
     def begin(self, now_us: int) -> int:
-        """Bind what waits to a new round; its token."""
+        """Bind the waiting requests to a new round; returns its token."""
         if len(self._unanswered) >= MAX_ROUNDS:
             del self._unanswered[min(self._unanswered)]
         self._token += 1
@@ -47,18 +53,22 @@
         return self._token
 
     def complete(self, token: int) -> ConfirmationRound | None:
-        """What a round's answer lets pass: its own asks and those of rounds before it."""
+        """The confirmed round with the requests of all rounds up to it; None for an unknown token."""
         if token not in self._unanswered:
             return None
         sent_us = self._unanswered[token].sent_us
-        passed = [self._unanswered.pop(earlier) for earlier in sorted(self._unanswered) if earlier <= token]
-        return ConfirmationRound(sent_us, tuple(ask for each in passed for ask in each.requests))
+        confirmed = [
+            self._unanswered.pop(earlier) for earlier in sorted(self._unanswered) if earlier <= token
+        ]
+        requests = tuple(request for each in confirmed for request in each.requests)
+        return ConfirmationRound(sent_us, requests)
 
     @property
     def has_waiting(self) -> bool:
+        """Whether a request waits for a round to begin."""
         return bool(self._waiting)
 
     @property
     def last_sent_us(self) -> int | None:
-        """When the last round began that is not answered."""
+        """When the last unanswered round began; None without one."""
         return self._unanswered[max(self._unanswered)].sent_us if self._unanswered else None
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -1,7 +1,8 @@
 """Which sessions are open, and how the earlier ones ended: the state machine "sessions".
 
-A session's fence is the position of the entry that opened it. Sources: Burrows, "The Chubby lock service"
-(OSDI 2006), sections 2.4 and 2.8; Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 6.3.
+A session's fencing token is the position of the entry that opened it. Sources: Burrows, "The Chubby lock
+service" (OSDI 2006), sections 2.4 and 2.8; Ongaro, "Consensus: Bridging Theory and Practice" (2014), section
+6.3.
 """
 
 from collections.abc import Iterator
@@ -22,8 +23,9 @@
     OpenSession,
     decode,
 )
+from molereach.coordination.leases.errors import InvalidSnapshotError
 
-MAX_ENDED_SESSIONS = 4  # ended sessions kept of each name, for accounts under way
+MAX_ENDED_SESSIONS = 4  # ended sessions that are remembered of each name, for proofs in progress
 
 
 class ActiveSession(WireStruct, frozen=True):
@@ -38,73 +40,80 @@
 
     instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
-    known: ClearanceEvidence
+    evidence: ClearanceEvidence = field(name="known")
     position: Position
 
 
 class _NodeSessions(WireStruct, frozen=True):
+    """The sessions of one name, the latest ended one last.
+
+    `first_dropped_token` is the fencing token of the first session that is not remembered; 0 for none.
+    """
+
     name: Name
     active: ActiveSession | None = field(name="open", default=None)
     ended: Annotated[tuple[EndedSession, ...], Meta(max_length=MAX_ENDED_SESSIONS)] = field(
         name="past", default=()
     )
-    first_dropped_token: Position = field(
-        name="dropped", default=0
-    )  # the fence of the first one that is not kept any more; 0 for none
+    first_dropped_token: Position = field(name="dropped", default=0)
 
     @property
     def latest_instance(self) -> NodeInstance | None:
-        """The highest that had a session."""
+        """The highest instance that had a session."""
         if self.active:
             return self.active.instance
         return self.ended[-1].instance if self.ended else None
 
 
 class _State(WireStruct, frozen=True):
+    """A snapshot: the manager's ballot and the nodes' sessions, by name, each name once."""
+
     ballot: BallotNumber
     nodes: Annotated[tuple[_NodeSessions, ...], Meta(max_length=MAX_MEMBERS)] = field(name="doors")
 
 
 class SessionRegistry:
-    """One session at most for each name; a `StateMachine`."""
+    """Holds at most one open session for each name; a `StateMachine`."""
 
     name = MACHINE
 
     def __init__(self) -> None:
-        self.ballot = 0  # of the leader that keeps the sessions
+        self.ballot = 0  # of the leader that manages the sessions
         self._nodes: dict[str, _NodeSessions] = {}
 
-    # --- what is asked of it ---
+    # --- queries ---
 
     def active_session(self, name: str) -> ActiveSession | None:
-        door = self._nodes.get(name)
-        return door.active if door else None
+        """The open session of a name, or None."""
+        node = self._nodes.get(name)
+        return node.active if node else None
 
     def last_ended_session(self, name: str) -> EndedSession | None:
-        """What ended last of a name."""
-        door = self._nodes.get(name)
-        return door.ended[-1] if door and door.ended else None
+        """The session of a name that ended last, or None."""
+        node = self._nodes.get(name)
+        return node.ended[-1] if node and node.ended else None
 
     def latest_instance(self, name: str) -> NodeInstance | None:
-        """The highest life of a name that had a session."""
-        door = self._nodes.get(name)
-        return door.latest_instance if door else None
+        """The highest instance of a name that had a session, or None."""
+        node = self._nodes.get(name)
+        return node.latest_instance if node else None
 
     def active_sessions(self) -> list[ActiveSession]:
-        return [door.active for door in self._nodes.values() if door.active]
+        """All open sessions."""
+        return [node.active for node in self._nodes.values() if node.active]
 
     def sessions_open_at(self, position: int) -> Iterator[ActiveSession | EndedSession]:
         """The sessions that were open when this position was applied, as they stand now.
 
-        Of a name that has ended more often since than is kept, the oldest that is kept stands for it: it was
-        opened anew. A name that made room for others is left out.
+        Of a name that has ended more sessions since than are remembered, the oldest remembered one stands for
+        it: the node has restarted. A name that was evicted for others is left out.
         """
-        for door in self._nodes.values():
-            if door.active and door.active.fencing_token < position:
-                yield door.active
-            yield from (past for past in door.ended if past.fencing_token < position < past.position)
-            if door.first_dropped_token and door.first_dropped_token < position < door.ended[0].fencing_token:
-                first = door.ended[0]
+        for node in self._nodes.values():
+            if node.active and node.active.fencing_token < position:
+                yield node.active
+            yield from (ended for ended in node.ended if ended.fencing_token < position < ended.position)
+            if node.first_dropped_token and node.first_dropped_token < position < node.ended[0].fencing_token:
+                first = node.ended[0]
                 yield EndedSession(
                     first.instance, first.fencing_token, ClearanceEvidence.RESTARTED, first.fencing_token
                 )
@@ -112,9 +121,10 @@
     # --- entries ---
 
     def apply(self, entry: Entry) -> Outcome:
+        """Apply an entry about sessions; an error leaves the state unchanged."""
         try:
             body = decode(entry.body)
-        except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
+        except msgspec.DecodeError:  # the decoder's own text may differ between versions of the library
             return Outcome("not understood")
         match body:
             case OpenSession():
@@ -122,104 +132,115 @@
             case EndSession():
                 if body.ballot != self.ballot:
                     return Outcome("another leader keeps the sessions")
-                return self._end_session(
-                    entry, body.instance, body.fencing_token, ClearanceEvidence.SESSION_EXPIRED
+                ended = EndedSession(
+                    body.instance, body.fencing_token, ClearanceEvidence.SESSION_EXPIRED, entry.position
                 )
+                return self._end_session(ended)
             case CloseSession():
                 if entry.proposer != body.instance:
                     return Outcome("a session is closed by its own front door alone")
-                return self._end_session(entry, body.instance, body.fencing_token, ClearanceEvidence.LEFT)
+                ended = EndedSession(
+                    body.instance, body.fencing_token, ClearanceEvidence.LEFT, entry.position
+                )
+                return self._end_session(ended)
             case BecomeManager():
                 if body.ballot <= self.ballot:
                     return Outcome("a later leader keeps the sessions")
                 self.ballot = body.ballot
                 return Outcome()
 
-    def _open_session(self, entry: Entry, life: NodeInstance) -> Outcome:
-        if entry.proposer != life:
+    def _open_session(self, entry: Entry, instance: NodeInstance) -> Outcome:
+        if entry.proposer != instance:
             return Outcome("a session is opened by its own front door alone")
-        door = self._nodes.get(life.name)
-        if door is None:
+        node = self._nodes.get(instance.name)
+        if node is None:
             if len(self._nodes) >= MAX_MEMBERS and not self._evict_one_node():
                 return Outcome(f"more than {MAX_MEMBERS} front doors")
-            door = _NodeSessions(life.name)
-        if door.active and door.active.instance == life:
-            return Outcome(value=msgspec.json.encode(door.active))
-        if refused := self._rejection(door, life):
-            return Outcome(refused)
-        if door.active:
-            door = _with_ended_session(
-                door,
-                EndedSession(
-                    door.active.instance,
-                    door.active.fencing_token,
-                    ClearanceEvidence.RESTARTED,
-                    entry.position,
-                ),
-            )
-        opened = ActiveSession(life, entry.position)
-        self._nodes[life.name] = msgspec.structs.replace(door, active=opened)
+            node = _NodeSessions(instance.name)
+        if node.active and node.active.instance == instance:
+            return Outcome(value=msgspec.json.encode(node.active))
+        if rejection := self._rejection(node, instance):
+            return Outcome(rejection)
+        if node.active:
+            node = _with_ended_session(node, _replaced(node.active, entry.position))
+        opened = ActiveSession(instance, entry.position)
+        self._nodes[instance.name] = msgspec.structs.replace(node, active=opened)
         return Outcome(value=msgspec.json.encode(opened))
 
     @staticmethod
-    def _rejection(door: _NodeSessions, life: NodeInstance) -> str:
-        """A run that was stopped until its session was over may open anew; one that left may not."""
-        if door.latest_instance is None or door.latest_instance < life:
+    def _rejection(node: _NodeSessions, instance: NodeInstance) -> str:
+        """Why an instance may not open a session, or "".
+
+        A process that was stopped until its session expired may open one anew; one that left may not.
+        """
+        if node.latest_instance is None or node.latest_instance < instance:
             return ""
-        if door.latest_instance > life:
+        if node.latest_instance > instance:
             return "a later life of this name has had a session"
-        return "" if door.ended[-1].known is ClearanceEvidence.SESSION_EXPIRED else "this life has left"
+        return "" if node.ended[-1].evidence is ClearanceEvidence.SESSION_EXPIRED else "this life has left"
 
-    def _end_session(self, entry: Entry, life: NodeInstance, fence: int, known: ClearanceEvidence) -> Outcome:
-        door = self._nodes.get(life.name)
-        if door is None or door.active != ActiveSession(life, fence):
+    def _end_session(self, ended: EndedSession) -> Outcome:
+        name = ended.instance.name
+        node = self._nodes.get(name)
+        if node is None or node.active != ActiveSession(ended.instance, ended.fencing_token):
             return Outcome("no such session is open")
-        self._nodes[life.name] = _with_ended_session(door, EndedSession(life, fence, known, entry.position))
+        self._nodes[name] = _with_ended_session(node, ended)
         return Outcome()
 
     def _evict_one_node(self) -> bool:
-        """Make room by the name without a session whose last one ended first."""
-        idle = [door for door in self._nodes.values() if not door.active]
+        """Make space: drop the name without a session whose last one ended first."""
+        idle = [node for node in self._nodes.values() if not node.active]
         if not idle:
             return False
-        del self._nodes[min(idle, key=lambda door: door.ended[-1].position).name]
+        del self._nodes[min(idle, key=lambda node: node.ended[-1].position).name]
         return True
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        doors = tuple(self._nodes[name] for name in sorted(self._nodes))
-        return msgspec.json.encode(_State(self.ballot, doors))
+        """The whole state as JSON, sorted by name."""
+        nodes = tuple(self._nodes[name] for name in sorted(self._nodes))
+        return msgspec.json.encode(_State(self.ballot, nodes))
 
     def restore(self, data: bytes) -> None:
+        """Take over a snapshot; raises `InvalidSnapshotError`, a ValueError, and is unchanged then."""
         try:
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
-            raise ValueError(f"not a snapshot of sessions: {error}") from None
-        names = [door.name for door in state.nodes]
-        if names != sorted(set(names)) or any(not _is_consistent(door) for door in state.nodes):
-            raise ValueError("not a snapshot of sessions: not as any log leaves it")
-        self.ballot, self._nodes = state.ballot, {door.name: door for door in state.nodes}
+            raise InvalidSnapshotError(str(error)) from None
+        names = [node.name for node in state.nodes]
+        if names != sorted(set(names)) or any(not _is_consistent(node) for node in state.nodes):
+            raise InvalidSnapshotError("not as any log leaves it")
+        self.ballot = state.ballot
+        self._nodes = {node.name: node for node in state.nodes}
+
+
+def _replaced(session: ActiveSession, position: int) -> EndedSession:
+    """A session that ends as a later instance opens its own, by the entry at `position`."""
+    return EndedSession(session.instance, session.fencing_token, ClearanceEvidence.RESTARTED, position)
 
 
-def _with_ended_session(door: _NodeSessions, last: EndedSession) -> _NodeSessions:
-    past, dropped = (*door.ended, last), door.first_dropped_token
-    if len(past) > MAX_ENDED_SESSIONS:
-        past, dropped = past[1:], dropped or past[0].fencing_token
-    return _NodeSessions(door.name, None, past, dropped)
+def _with_ended_session(node: _NodeSessions, last: EndedSession) -> _NodeSessions:
+    """The node without an open session, with one more ended session; the oldest may be dropped."""
+    ended = (*node.ended, last)
+    first_dropped_token = node.first_dropped_token
+    if len(ended) > MAX_ENDED_SESSIONS:
+        first_dropped_token = first_dropped_token or ended[0].fencing_token
+        ended = ended[1:]
+    return _NodeSessions(node.name, None, ended, first_dropped_token)
 
 
-def _is_consistent(door: _NodeSessions) -> bool:
+def _is_consistent(node: _NodeSessions) -> bool:
     """Whether a name's sessions follow one another."""
-    if door.first_dropped_token and len(door.ended) < MAX_ENDED_SESSIONS:
+    if node.first_dropped_token and len(node.ended) < MAX_ENDED_SESSIONS:
         return False
-    marks = [
-        door.first_dropped_token,
-        *(mark for past in door.ended for mark in (past.fencing_token, past.position)),
-    ]
-    if door.active:
-        marks.append(door.active.fencing_token)
+    positions = [node.first_dropped_token]
+    for ended in node.ended:
+        positions += [ended.fencing_token, ended.position]
     # A session that was replaced ends where the next one is opened.
-    lives = [past.instance for past in door.ended] + ([door.active.instance] if door.active else [])
-    names = {life.name for life in lives}
-    return marks == sorted(marks) and lives == sorted(lives) and names == {door.name}
+    instances = [ended.instance for ended in node.ended]
+    if node.active:
+        positions.append(node.active.fencing_token)
+        instances.append(node.active.instance)
+    names = {instance.name for instance in instances}
+    return positions == sorted(positions) and instances == sorted(instances) and names == {node.name}
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -91,7 +91,7 @@
             last == life
             and past is not None
             and past.instance == life
-            and past.known is ClearanceEvidence.LEFT
+            and past.evidence is ClearanceEvidence.LEFT
         )
 
     def over(self, life: NodeInstance) -> bool:
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -54,9 +54,9 @@
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.known, session.position):
-            return f"{name} is {session.known.value} by {session.position}"
-        if session.known is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
+        if (word.known, word.position) != (session.evidence, session.position):
+            return f"{name} is {session.evidence.value} by {session.position}"
+        if session.evidence is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
             later = sessions.latest_instance(name)
             if later is None or later == session.instance:
                 return f"{name} may come back"
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -54,7 +54,7 @@
                 clear = self._clears.clear(session.instance.name, session.fencing_token)
                 found.append((session, NodeClearance(session.instance, ClearanceEvidence.REPORTED, clear)))
             else:
-                found.append((session, NodeClearance(session.instance, session.known, session.position)))
+                found.append((session, NodeClearance(session.instance, session.evidence, session.position)))
         return pack(found), tuple(missed)
 
     def _why(self, now_us: int, session: ActiveSession | EndedSession, begun: int, unstood: int) -> str:
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -51,10 +51,10 @@
     """Whether the front door that had this session may serve on without any."""
     last = sessions.last_ended_session(session.instance.name)
     return (
-        session.known is ClearanceEvidence.SESSION_EXPIRED
+        session.evidence is ClearanceEvidence.SESSION_EXPIRED
         and sessions.active_session(session.instance.name) is None
         and last is not None
-        and last.known is ClearanceEvidence.SESSION_EXPIRED
+        and last.evidence is ClearanceEvidence.SESSION_EXPIRED
     )
 
 
@@ -77,8 +77,8 @@
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.known, session.position):
-            return f"{name} is {session.known.value} by {session.position}"
+        if (word.known, word.position) != (session.evidence, session.position):
+            return f"{name} is {session.evidence.value} by {session.position}"
         if alone(sessions, session):
             if unstood >= session.fencing_token:
                 return f"{name} may still count on it"
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -106,7 +106,7 @@
         for session in self.truth.sessions.sessions_open_at(begun):
             reader = self.readers.get(session.instance)
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.known, session.position))
+                words.append(Word(session.fencing_token, session.evidence, session.position))
             elif reader and reader.door.clear >= begun:
                 words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, reader.door.clear))
         return self.add(bodies.MACHINE, bodies.encode(Forget(life, begun, tuple(words))), life)
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -208,7 +208,7 @@
             return None
         for session in reader.sessions.sessions_open_at(position):
             if isinstance(session, EndedSession):
-                found.append(NodeClearance(session.instance, session.known, session.position))
+                found.append(NodeClearance(session.instance, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[which] >= position:
                 found.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, position))
             else:
@@ -249,7 +249,7 @@
         words = []
         for session in self.truth.sessions.sessions_open_at(split.position):
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.known, session.position))
+                words.append(Word(session.fencing_token, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[split.state is State.HANDED] >= split.position:
                 words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, split.position))
         body: bodies.Body = Close(split.id, split.position, tuple(words))
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -29,7 +29,7 @@
 
     def lone(self) -> list[EndedSession]:
         found = [past for door in self._nodes.values() if not door.active and (past := door.ended[-1])]
-        return [past for past in found if past.known is ClearanceEvidence.SESSION_EXPIRED]
+        return [past for past in found if past.evidence is ClearanceEvidence.SESSION_EXPIRED]
 
 
 class Logged:
@@ -108,7 +108,7 @@
         """As if all that are open had said so by now."""
         now = self.position if said is None else said
         return tuple(
-            Word(each.fencing_token, each.known, each.position)
+            Word(each.fencing_token, each.evidence, each.position)
             if isinstance(each, EndedSession)
             else Word(each.fencing_token, ClearanceEvidence.REPORTED, now)
             for each in needed(self.sessions, self.record(id).begun)
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -363,7 +363,7 @@
             self.append("upkeep", encode(Move(record.work.id, step, record.begun)), door.life)
         else:
             words = tuple(
-                Word(each.fencing_token, each.known, each.position)
+                Word(each.fencing_token, each.evidence, each.position)
                 if isinstance(each, EndedSession)
                 else Word(
                     each.fencing_token, ClearanceEvidence.REPORTED, self.said.get(each.fencing_token, 0)
