--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -41,7 +41,7 @@
 
 
 class BecomeManager(WireStruct, frozen=True, tag_field="kind", tag="keeping"):
-    """The leader of this ballot manages the sessions from here on; earlier leaders' ends are void after it."""
+    """Open a session for this instance, its proposer; a lower instance's session of the name ends then."""
 
     ballot: BallotNumber
 
