--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Iterable
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
@@ -24,12 +24,12 @@
 
 def cohort(sessions: SessionsView) -> tuple[ActiveSession, ...]:
     """Whose session is open now, by name."""
-    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.incarnation))
+    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.instance))
 
 
 def roster(
     opened: tuple[ActiveSession, ...], asked: int, said: Container[int], sessions: SessionsView, position: int
-) -> tuple[Accounted, ...] | ActiveSession:
+) -> tuple[NodeClearance, ...] | ActiveSession:
     """How each of them is known, by name, or the first that is not. `asked` is a position at which they were
     open, `position` that of the entry being applied. Who said it has position 0, for that of the purge."""
     ends = {
@@ -37,14 +37,14 @@
         for each in sessions.sessions_open_at(asked)
         if isinstance(each, EndedSession)
     }
-    known: list[Accounted] = []
+    known: list[NodeClearance] = []
     for session in opened:
-        if sessions.active_session(session.incarnation.name) == session:
+        if sessions.active_session(session.instance.name) == session:
             if session.fencing_token not in said:
                 return session
-            known.append(Accounted(session.incarnation, Known.SAID, 0))
+            known.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, 0))
         elif end := ends.get(session.fencing_token):
-            known.append(Accounted(session.incarnation, end.known, end.position))
+            known.append(NodeClearance(session.instance, end.evidence, end.position))
         else:  # it ended so long ago that how is forgotten
-            known.append(Accounted(session.incarnation, Known.OVER, position))
+            known.append(NodeClearance(session.instance, ClearanceEvidence.SESSION_EXPIRED, position))
     return tuple(known)
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -19,7 +19,9 @@
 from molereach.cache.purge.receipt import Receipt, intact
 from molereach.cache.purge.records import Asked, Finished
 from molereach.cache.readings.settings import S
-from molereach.coordination.interface import Applied, Entry, Leads, Life, Outcome, Propose, Restored, Tick
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, LeaderChanged, Outcome, Propose, Restored
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
 from molereach.coordination.leases.sessions import SessionRegistry
@@ -54,7 +56,7 @@
         self.asked_us: dict[str, int] = {}  # by id of a purge: when its customer asked first
         self.bodies: list[Ask] = []
         self.receipts: dict[str, Receipt] = {}
-        self.open_at: dict[int, tuple[Life, ...]] = {}
+        self.open_at: dict[int, tuple[NodeInstance, ...]] = {}
         self.purged: list[tuple[int, Ask, int]] = []  # position, scope, when asked; of all that were taken
         self.written = self.refused = 0
         self.seats = [self.start(f"d{number}", 1) for number in range(doors)]
@@ -71,7 +73,7 @@
             purges, lambda position, since: AcknowledgementTracker(position, sessions, seat, since, True)
         )
         seat = Seat(
-            Life(name, number),
+            NodeInstance(name, number),
             self.chance.randrange(1 << 30),
             self.chance.choice(RATES),
             sessions,
@@ -97,11 +99,11 @@
         self.append(leases.MACHINE, leases.encode(leases.BecomeManager(self.ballot)), seat.life)
         now = seat.now(self.now)
         seat.heard = {each.fencing_token: Said(0, 0, None, now) for each in self.sessions.active_sessions()}
-        self.propose(seat, seat.driver.handle(now, Leads(seat.life.name, self.ballot, True)))
+        self.propose(seat, seat.driver.handle(now, LeaderChanged(seat.life.name, self.ballot, True)))
 
     # --- the log ---
 
-    def append(self, machine: str, body: bytes, proposer: Life, entry_id: str = "") -> None:
+    def append(self, machine: str, body: bytes, proposer: NodeInstance, entry_id: str = "") -> None:
         self.at_ms = max(self.at_ms, 10**6 + self.now // 1000 + self.chance.randrange(-50, 50))
         if self.chance.random() < 0.01:  # a front door's clock is wrong by far
             self.at_ms += 5_000
@@ -112,9 +114,7 @@
         self.order.append(entry)
         self.outcomes.append(outcome)
         if machine == MACHINE:
-            self.open_at[position] = tuple(
-                sorted(each.incarnation for each in self.sessions.active_sessions())
-            )
+            self.open_at[position] = tuple(sorted(each.instance for each in self.sessions.active_sessions()))
             self.settled(entry, outcome)
         for (
             each
@@ -130,7 +130,7 @@
                 receipt = self.purges.receipt(known)
                 if self.receipts.setdefault(body.id, receipt) != receipt or not intact(receipt):
                     raise BrokenError(f"another receipt of {body.id}")
-                if tuple(each.door for each in receipt.doors) != self.open_at[receipt.asked]:
+                if tuple(each.instance for each in receipt.doors) != self.open_at[receipt.asked]:
                     raise BrokenError("a receipt without a front door")
             elif isinstance(known, Asked):
                 if body.id in self.receipts:
@@ -146,7 +146,7 @@
     def rash(self, seat: Seat) -> None:
         """A driver that does not wait for a proof; it says no more than what it has heard."""
         upto = self.chance.randrange(len(self.order)) + 1
-        said = tuple(fence for fence, each in self.leader.heard.items() if each.clear >= upto)
+        said = tuple(fence for fence, each in self.leader.heard.items() if each.clear_position >= upto)
         self.append(MACHINE, encode(Done(upto, said)), self.leader.life)
 
     def send(self, act: Callable[[], None], most_ms: int = 300) -> None:
@@ -203,7 +203,7 @@
     def renew(self, seat: Seat) -> None:
         now, lease = seat.now(self.now), seat.lease
         opened = seat.sessions.active_session(seat.life.name)
-        if opened and opened.incarnation == seat.life:
+        if opened and opened.instance == seat.life:
             fence, clear = opened.fencing_token, seat.door.clear
             self.check_clear(seat)
             applied = seat.position
@@ -222,12 +222,15 @@
             return
         now = self.leader.now(self.now)
         said.since_us, said.received_at_us = now, now
-        said.applied, said.clear = max(said.applied, applied), max(said.clear, clear)
+        said.applied_position, said.clear_position = (
+            max(said.applied_position, applied),
+            max(said.clear_position, clear),
+        )
         self.send(lambda: self.granted(seat, made_us, fence))
 
     def granted(self, seat: Seat, made_us: int, fence: int) -> None:
-        if self.awake(seat) and seat.lease.fence == fence and not seat.lease.left:
-            seat.lease.until_us = max(seat.lease.until_us, made_us + TERMS.held_us)
+        if self.awake(seat) and seat.lease.fencing_token == fence and not seat.lease.left:
+            seat.lease.until_us = max(seat.lease.until_us, made_us + TERMS.holder_duration_us)
 
     def end_sessions(self) -> None:
         if not self.awake(self.leader):
@@ -235,14 +238,14 @@
         now = self.leader.now(self.now)
         for opened in self.sessions.active_sessions():
             said = self.leader.heard.get(opened.fencing_token)
-            if said and now > said.since_us + TERMS.over_us:
-                body = leases.encode(leases.EndSession(opened.incarnation, opened.fencing_token, self.ballot))
+            if said and now > said.since_us + TERMS.expiry_us:
+                body = leases.encode(leases.EndSession(opened.instance, opened.fencing_token, self.ballot))
                 self.append(leases.MACHINE, body, self.leader.life)
 
     def leave(self, seat: Seat) -> None:
         seat.lease.left, seat.lease.until_us = True, 0
         opened = seat.sessions.active_session(seat.life.name)
-        if opened and opened.incarnation == seat.life:
+        if opened and opened.instance == seat.life:
             body = leases.encode(leases.CloseSession(seat.life, opened.fencing_token))
             self.send(lambda: self.append(leases.MACHINE, body, seat.life))
 
