--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -13,220 +13,230 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps, WatchConnection
-from molereach.discovery.watch_supervisor import Calling
+from molereach.discovery.watch_supervisor import WatchSupervisor
 from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy.config import Address
 from molereach.subsetting.interface import RoomError, Staged
 
 log = logging.getLogger(__name__)
 
-CONNECT_S = 1.0
-LIST = "/catalog/members"
-FAULT_S = 1.0  # before it goes on after a fault of its own
-TURN_S = 0.001  # for the loop to read what has come
-LIST_S = 30.0  # from an object's first part to its last
+CONNECT_TIMEOUT_S = 1.0
+ENDPOINT_LIST_PATH = "/catalog/members"
+FAULT_RETRY_DELAY_S = 1.0  # before it goes on after a fault of its own
+MIN_WAIT_S = 0.001  # for the loop to read what has come
+STAGING_TIMEOUT_S = 30.0  # from an object's first part to its last
 
-Done = TypeVar("Done")
+Result = TypeVar("Result")
 
 
 @dataclass(frozen=True, slots=True)
-class Staging:
+class StagedObject:
     """Parts of an object that does not count yet, and when it should have ended, in seconds."""
 
     staged: Staged
-    until_s: float
+    expires_at_s: float
 
 
-class Source:
+class DiscoveryClient:
     """One address of discovery, with its news handed on as they come."""
 
     def __init__(
         self,
         address: Address,
-        catalog: Catalog,
+        catalog: EndpointMapping,
         version: int | None,
-        heard: Callable[["Source", News | LongNews], Steps | None],
-        pacing: CallPacing,
+        heard: Callable[["DiscoveryClient", EndpointUpdate | StagedEndpointUpdate], Steps | None],
+        pacing: PollBackoff,
         draw: Callable[[], float],
         stage: Callable[[], Staged],
-        make_room: Callable[["Source", int], bool] = lambda source, number: False,
+        make_room: Callable[["DiscoveryClient", int], bool] = lambda source, number: False,
     ) -> None:
         """`make_room`: whether what else is staged gives way to what a call of this one brings."""
-        self.address, self.catalog, self.heard, self.stage = address, catalog, heard, stage
-        self.make_room = make_room
+        self.address, self.mapping, self.on_update, self.open_staging = address, catalog, heard, stage
+        self.reclaim_capacity = make_room
         self.version = version  # None: the whole list comes first
-        self.pacing, self.draw = pacing, draw
-        self.calling = Calling(pacing, draw)
-        self.calls: dict[int, tuple[asyncio.Task[None], WatchConnection]] = {}
-        self.staged: dict[int, Staging] = {}  # parts of objects that do not count yet, by their calls
-        self.changed = asyncio.Event()
+        self.backoff, self.draw = pacing, draw
+        self.supervisor = WatchSupervisor(pacing, draw)
+        self.watches: dict[int, tuple[asyncio.Task[None], WatchConnection]] = {}
+        self.staged_objects: dict[
+            int, StagedObject
+        ] = {}  # parts of objects that do not count yet, by their calls
+        self.state_changed = asyncio.Event()
         self.closed = False
 
     async def run(self) -> None:
         try:
             if self.version:
-                await asyncio.sleep(self.pacing.first(self.draw()))
+                await asyncio.sleep(self.backoff.initial_delay_s(self.draw()))
             while not self.closed:
-                self.changed.clear()
-                wait_s = self.go_on(time.monotonic())
+                self.state_changed.clear()
+                wait_s = self.run_due(time.monotonic())
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(None if math.isinf(wait_s) else wait_s):
-                        await self.changed.wait()
+                        await self.state_changed.wait()
         finally:
             self.close()
 
-    def go_on(self, now_s: float) -> float:
+    def run_due(self, now_s: float) -> float:
         """Do what is due; how long until there is more to do. A fault must not let the list grow old."""
         try:
-            self.step(now_s)
+            self.supervise(now_s)
         except Exception:
             log.exception("the watch on discovery failed")
-            return FAULT_S
-        return max(TURN_S, self.calling.wait_s(now_s))
+            return FAULT_RETRY_DELAY_S
+        return max(MIN_WAIT_S, self.supervisor.wait_s(now_s))
 
-    def step(self, now_s: float) -> None:
+    def supervise(self, now_s: float) -> None:
         """End what has failed and make the call that is due."""
-        if self.calling.wait_s(now_s):
+        if self.supervisor.wait_s(now_s):
             return
-        if any(connection.unread() for _, connection in self.calls.values()):
+        if any(connection.has_unread_data() for _, connection in self.watches.values()):
             return  # it is this process that stood still, and not discovery: the loop reads first
-        for number in self.calling.failed(now_s):
+        for number in self.supervisor.expired(now_s):
             log.warning("discovery is silent")
-            self.drop(number)
-            self.calling.ended(number, now_s)
-        if opened := self.calling.open(now_s):
-            self.call(opened)
-        for number in self.calling.surplus():
-            self.drop(number)
-            self.calling.over(number)
-
-    def call(self, number: int) -> None:
+            self.abandon(number)
+            self.supervisor.record_failure(number, now_s)
+        if opened := self.supervisor.open_if_due(now_s):
+            self.open_watch(opened)
+        for number in self.supervisor.surplus():
+            self.abandon(number)
+            self.supervisor.complete(number)
+
+    def open_watch(self, number: int) -> None:
         whole = self.version is None
         connection = WatchConnection(
-            LIST if whole else f"{LIST}?watch=1&after={self.version}",
+            ENDPOINT_LIST_PATH if whole else f"{ENDPOINT_LIST_PATH}?watch=1&after={self.version}",
             "{}:{}".format(*self.address),
-            lambda word: self.word(number, whole, word),
-            lambda begun: self.bytes_came(number, begun),
-            lambda text: self.part(number, text),
+            lambda word: self.object_received(number, whole, word),
+            lambda begun: self.bytes_received(number, begun),
+            lambda text: self.entries_received(number, text),
         )
-        task = asyncio.get_running_loop().create_task(self.play(number, connection))
-        self.calls[number] = task, connection
+        task = asyncio.get_running_loop().create_task(self.run_watch(number, connection))
+        self.watches[number] = task, connection
 
-    async def play(self, number: int, connection: WatchConnection) -> None:
+    async def run_watch(self, number: int, connection: WatchConnection) -> None:
         """A call until its end."""
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
-            await connection.ended
+            await connection.finished
         except (OSError, TimeoutError) as error:
             log.warning("no watch on discovery: %s", str(error) or "it does not answer")
         except Exception:
             log.exception("a call to discovery failed")
         finally:
             connection.close()
-        self.staged.pop(number, None)
-        if self.calls.pop(number, None):
-            self.calling.ended(number, time.monotonic())
-            self.changed.set()
+        self.staged_objects.pop(number, None)
+        if self.watches.pop(number, None):
+            self.supervisor.record_failure(number, time.monotonic())
+            self.state_changed.set()
 
-    def drop(self, number: int) -> None:
+    def abandon(self, number: int) -> None:
         """End a call from here; nothing more of it is heard."""
-        task, connection = self.calls.pop(number)
-        self.staged.pop(number, None)  # with `close` all that is held of it has gone
+        task, connection = self.watches.pop(number)
+        self.staged_objects.pop(number, None)  # with `close` all that is held of it has gone
         connection.close()
         task.cancel()
 
-    def bytes_came(self, number: int, begun: bool) -> None:
-        if begun and number in self.calls:
-            self.calling.heard(number, time.monotonic())
-            self.changed.set()
+    def bytes_received(self, number: int, begun: bool) -> None:
+        if begun and number in self.watches:
+            self.supervisor.record_bytes(number, time.monotonic())
+            self.state_changed.set()
 
-    def keep(self, number: int) -> None:
+    def keep_only(self, number: int) -> None:
         """A call has brought something: it is the one that is kept."""
-        for other in self.calling.word(number, time.monotonic()):
-            self.drop(other)
-            self.calling.over(other)
-        self.changed.set()
+        for other in self.supervisor.record_object(number, time.monotonic()):
+            self.abandon(other)
+            self.supervisor.complete(other)
+        self.state_changed.set()
 
-    def part(self, number: int, text: bytes) -> None:
+    def entries_received(self, number: int, text: bytes) -> None:
         """Entries of a long object; nothing of them counts before its end."""
-        if number not in self.calls:
+        if number not in self.watches:
             return
-        self.keep(number)
+        self.keep_only(number)
         now_s = time.monotonic()
-        staged = self.staged.get(number)
+        staged = self.staged_objects.get(number)
         if staged is None:
-            staged = self.staged[number] = Staging(self.stage(), now_s + LIST_S)
-        if now_s > staged.until_s:
-            raise ValueError(f"a list that takes over {LIST_S:.0f} s")
-        servers, addresses = self.catalog.part(text)
-        self.with_room(number, lambda: staged.staged.add(servers, addresses))
-
-    def with_room(self, number: int, add: Callable[[], Done]) -> Done:
+            staged = self.staged_objects[number] = StagedObject(
+                self.open_staging(), now_s + STAGING_TIMEOUT_S
+            )
+        if now_s > staged.expires_at_s:
+            raise ValueError(f"a list that takes over {STAGING_TIMEOUT_S:.0f} s")
+        servers, addresses = self.mapping.read_entry_list(text)
+        self.with_capacity(number, lambda: staged.staged.add(servers, addresses))
+
+    def with_capacity(self, number: int, add: Callable[[], Result]) -> Result:
         """RoomError where nothing gives way to it."""
         try:
             return add()
         except RoomError:
-            if not self.make_room(self, number):
+            if not self.reclaim_capacity(self, number):
                 raise
             return add()
 
-    def give_way(self) -> bool:
+    def release_staged(self) -> bool:
         """End the call of which entries are held; whether there was one. It is called again as after a
         failure, and brings them again."""
-        holding = list(self.staged)
+        holding = list(self.staged_objects)
         for number in holding:
             log.warning("entries of a list from %s:%d give way to those of another address", *self.address)
-            self.drop(number)
-            self.calling.ended(number, time.monotonic())
-        self.changed.set()
+            self.abandon(number)
+            self.supervisor.record_failure(number, time.monotonic())
+        self.state_changed.set()
         return bool(holding)
 
-    def word(self, number: int, whole: bool, word: bytes) -> Steps | None:
+    def object_received(self, number: int, whole: bool, word: bytes) -> Steps | None:
         """A whole object, or an empty line. Where it fails, the version stays, and the next watch brings it
         again."""
-        if number not in self.calls or (whole and not word):
+        if number not in self.watches or (whole and not word):
             return None  # what is still in the pipe must not undo what a newer call or source has told
-        self.keep(number)
+        self.keep_only(number)
         if not word:
-            self.calling.taken()
+            self.supervisor.record_applied()
             return None
-        news = self.news(json.loads(word), EndpointListKind.FULL if whole else None, number)
-        version = news.version if isinstance(news, LongNews) else news.event.version
-        if steps := self.heard(self, news):
-            return self.take_over(steps, number, whole, version)
-        self.taken(number, whole, version)
+        news = self.read_update(json.loads(word), EndpointListKind.FULL if whole else None, number)
+        version = news.version if isinstance(news, StagedEndpointUpdate) else news.event.version
+        if steps := self.on_update(self, news):
+            return self.apply_in_steps(steps, number, whole, version)
+        self.mark_applied(number, whole, version)
         return None
 
-    def news(self, value: Mapping[str, Any], kind: EndpointListKind | None, number: int) -> News | LongNews:
-        if staging := self.staged.get(number):
-            return self.with_room(number, lambda: self.catalog.long_news(value, staging.staged, kind))
-        return self.catalog.news(value, kind)
+    def read_update(
+        self, value: Mapping[str, Any], kind: EndpointListKind | None, number: int
+    ) -> EndpointUpdate | StagedEndpointUpdate:
+        if staging := self.staged_objects.get(number):
+            return self.with_capacity(
+                number, lambda: self.mapping.read_staged_update(value, staging.staged, kind)
+            )
+        return self.mapping.read_update(value, kind)
 
-    def take_over(self, steps: Steps, number: int, whole: bool, version: int) -> Steps:
+    def apply_in_steps(self, steps: Steps, number: int, whole: bool, version: int) -> Steps:
         yield from steps
-        self.taken(number, whole, version)
+        self.mark_applied(number, whole, version)
 
-    def taken(self, number: int, whole: bool, version: int) -> None:
+    def mark_applied(self, number: int, whole: bool, version: int) -> None:
         """An object counts."""
         self.version = version
-        self.staged.pop(number, None)
-        self.calling.taken()
-        if number not in self.calls:
+        self.staged_objects.pop(number, None)
+        self.supervisor.record_applied()
+        if number not in self.watches:
             return
         if whole:  # the list is whole, however long the answer still takes to end
-            self.drop(number)
-            self.calling.over(number)
-            self.calling.at_once(time.monotonic())
+            self.abandon(number)
+            self.supervisor.complete(number)
+            self.supervisor.open_now(time.monotonic())
         else:
-            self.calling.word(number, time.monotonic())  # to take it over is no silence of discovery
-        self.changed.set()
+            self.supervisor.record_object(
+                number, time.monotonic()
+            )  # to take it over is no silence of discovery
+        self.state_changed.set()
 
     def close(self) -> None:
         self.closed = True
-        for number in list(self.calls):
-            self.drop(number)
-        self.changed.set()
+        for number in list(self.watches):
+            self.abandon(number)
+        self.state_changed.set()
--- a/molereach/discovery/watch_stream.py
+++ b/molereach/discovery/watch_stream.py
@@ -17,17 +17,24 @@
 
 import h11
 
-from molereach.discovery.json_stream import Documents, Part
+from molereach.discovery.json_stream import EntryList, JsonStream
 from molereach.resp import has_unread
 
 log = logging.getLogger(__name__)
 
-TURN_BYTES = 1 << 15  # of an answer in one turn of the loop
+CHUNK_BYTES = 1 << 15  # of an answer in one turn of the loop
 # What an answer that makes no sense runs into here, or in whoever reads its objects.
-SENSELESS = (h11.ProtocolError, ValueError, LookupError, TypeError, AttributeError, ArithmeticError)
+MALFORMED_RESPONSE_ERRORS = (
+    h11.ProtocolError,
+    ValueError,
+    LookupError,
+    TypeError,
+    AttributeError,
+    ArithmeticError,
+)
 
 Steps = Generator[None, None, None]  # what is done in turns: each step in one
-Event = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
+HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 
 class WatchConnection(asyncio.Protocol):
@@ -43,15 +50,21 @@
         heard: Callable[[bool], None],
         part: Callable[[bytes], None],
     ) -> None:
-        self.target, self.host, self.word, self.heard, self.part = target, host, word, heard, part
+        self.target, self.host, self.on_object, self.on_bytes, self.on_entries = (
+            target,
+            host,
+            word,
+            heard,
+            part,
+        )
         self.http = h11.Connection(h11.CLIENT)
-        self.documents = Documents()
-        self.begun = self.closed = False
-        self.waiting: deque[bytes | memoryview] = deque()  # pieces; b"" for the stream's end
-        self.steps: Steps | None = None  # those of the piece that is worked off
-        self.due = self.paused = False  # the next turn is; the loop reads nothing
-        self.is_lost = False  # behind all that waits
-        self.ended = asyncio.get_running_loop().create_future()
+        self.json_stream = JsonStream()
+        self.response_started = self.closed = False
+        self.pending_chunks: deque[bytes | memoryview] = deque()  # pieces; b"" for the stream's end
+        self.current_steps: Steps | None = None  # those of the piece that is worked off
+        self.turn_scheduled = self.reading_paused = False  # the next turn is; the loop reads nothing
+        self.connection_is_lost = False  # behind all that waits
+        self.finished = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -62,89 +75,89 @@
     # --- what comes, in its order ---
 
     def data_received(self, data: bytes) -> None:
-        view = memoryview(data) if len(data) > TURN_BYTES else data
-        self.come(*(view[at : at + TURN_BYTES] for at in range(0, len(data), TURN_BYTES)))
+        view = memoryview(data) if len(data) > CHUNK_BYTES else data
+        self.enqueue(*(view[at : at + CHUNK_BYTES] for at in range(0, len(data), CHUNK_BYTES)))
 
     def eof_received(self) -> None:
-        self.come(b"")
+        self.enqueue(b"")
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.is_lost = True
-        if not self.busy:
-            self.end()
+        self.connection_is_lost = True
+        if not self.is_processing:
+            self.finish()
 
-    def end(self) -> None:
+    def finish(self) -> None:
         self.closed = True
-        self.waiting.clear()
-        self.steps = None
-        if not self.ended.done():
-            self.ended.set_result(None)
+        self.pending_chunks.clear()
+        self.current_steps = None
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     @property
-    def busy(self) -> bool:
+    def is_processing(self) -> bool:
         """Whether something that came is still to be worked off."""
-        return not self.closed and (bool(self.waiting) or self.steps is not None)
+        return not self.closed and (bool(self.pending_chunks) or self.current_steps is not None)
 
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether something has come that has not been read yet, here or by the loop."""
-        if self.busy:
+        if self.is_processing:
             return True
         return self.transport is not None and not self.transport.is_closing() and has_unread(self.transport)
 
     def close(self) -> None:
         """Let go of it, of all that waits and of what a step left open, at once: a list may be in there."""
         self.closed = True
-        self.waiting.clear()
-        self.steps = None
+        self.pending_chunks.clear()
+        self.current_steps = None
         if self.transport:
             self.transport.abort()
-        if self.is_lost:
-            self.end()
+        if self.connection_is_lost:
+            self.finish()
 
     # --- turns ---
 
-    def come(self, *pieces: bytes | memoryview) -> None:
-        idle = not self.busy
+    def enqueue(self, *pieces: bytes | memoryview) -> None:
+        idle = not self.is_processing
         if self.closed:
             return
-        self.waiting += pieces
+        self.pending_chunks += pieces
         if idle:
-            self.turn()
+            self.run_turn()
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """One piece, or one more step of what the last one brought; reading goes on a turn after the last."""
-        self.due = False
-        if not self.busy:
-            self.resume()
+        self.turn_scheduled = False
+        if not self.is_processing:
+            self.resume_reading()
             return
-        self.step()
-        if self.is_lost and not self.busy:
-            self.end()
-        elif self.busy or (self.paused and not self.closed):
-            self.go_on()
+        self.run_step()
+        if self.connection_is_lost and not self.is_processing:
+            self.finish()
+        elif self.is_processing or (self.reading_paused and not self.closed):
+            self.schedule_turn()
 
-    def go_on(self) -> None:
+    def schedule_turn(self) -> None:
         """More in another turn; nothing is read until then."""
-        if self.transport and not self.paused and not self.transport.is_closing():
-            self.paused = True
+        if self.transport and not self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = True
             self.transport.pause_reading()
-        if not self.due:
-            self.due = True
-            asyncio.get_running_loop().call_soon(self.turn)
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            asyncio.get_running_loop().call_soon(self.run_turn)
 
-    def resume(self) -> None:
-        if self.paused and not self.closed and self.transport and not self.transport.is_closing():
-            self.paused = False
+    def resume_reading(self) -> None:
+        if self.reading_paused and not self.closed and self.transport and not self.transport.is_closing():
+            self.reading_paused = False
             self.transport.resume_reading()
 
-    def step(self) -> None:
-        if self.steps is None:
-            self.steps = self.read(self.waiting.popleft())
+    def run_step(self) -> None:
+        if self.current_steps is None:
+            self.current_steps = self.parse_chunk(self.pending_chunks.popleft())
         try:
-            next(self.steps)
+            next(self.current_steps)
         except StopIteration:
-            self.steps = None
-        except SENSELESS as error:
+            self.current_steps = None
+        except MALFORMED_RESPONSE_ERRORS as error:
             log.error("the watch brings what makes no sense: %.200s", error)
             self.fail()
         except Exception:
@@ -152,35 +165,35 @@
             self.fail()
 
     def fail(self) -> None:
-        self.steps = None
+        self.current_steps = None
         self.close()
 
-    def read(self, data: bytes | memoryview) -> Steps:
+    def parse_chunk(self, data: bytes | memoryview) -> Steps:
         """What came, b"" for the stream's end."""
         self.http.receive_data(bytes(data))
         while not self.closed and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-            yield from self.take(event)
+            yield from self.handle_http_event(event)
         if data and not self.closed:
-            self.heard(self.begun)
+            self.on_bytes(self.response_started)
 
-    def take(self, event: Event) -> Steps:
+    def handle_http_event(self, event: HttpEvent) -> Steps:
         if isinstance(event, h11.Response):
             if event.status_code != 200:
                 raise ValueError(f"status {event.status_code}")
-            self.begun = True
+            self.response_started = True
         if isinstance(event, h11.Data):
-            for word in self.documents.feed(event.data):
-                yield from self.hand_on(word)
+            for word in self.json_stream.feed(event.data):
+                yield from self.deliver(word)
                 if self.closed:
                     return
-        if isinstance(event, h11.EndOfMessage) and self.documents.unfinished:
+        if isinstance(event, h11.EndOfMessage) and self.json_stream.unfinished:
             raise ValueError("the answer ends within an object")
         if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
             self.close()
 
-    def hand_on(self, word: bytes | Part) -> Steps:
-        if isinstance(word, Part):
-            self.part(word.text)
-        elif steps := self.word(word):
+    def deliver(self, word: bytes | EntryList) -> Steps:
+        if isinstance(word, EntryList):
+            self.on_entries(word.text)
+        elif steps := self.on_object(word):
             yield  # they begin in a turn of their own
             yield from steps
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO, TypeVar
 
-from molereach.discovery.json_stream import DocumentError, Documents, Part
+from molereach.discovery.json_stream import EntryList, JsonStream, JsonStreamError
 from molereach.policy.interface.settings import Settings
 from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
 
@@ -174,19 +174,19 @@
 
 def read_long(file: BinaryIO, parts: list[bytes] | None) -> Generator[None, None, object]:
     """The object in a long file, but for entries of the known list: they go to `parts`, or nowhere."""
-    documents, found = Documents(MOST_FILE_BYTES, ("known", "instances")), []
+    documents, found = JsonStream(MOST_FILE_BYTES, ("known", "instances")), []
     while data := file.read(PIECE_BYTES):
         for one in documents.feed(data):
-            if isinstance(one, Part):
+            if isinstance(one, EntryList):
                 if parts is not None:
                     parts.append(one.text)
             elif one:
                 found.append(one)
         if len(found) > 1:
-            raise DocumentError("more than one object")
+            raise JsonStreamError("more than one object")
         yield
     if documents.unfinished or not found:
-        raise DocumentError("the file ends within an object" if documents.unfinished else "no object")
+        raise JsonStreamError("the file ends within an object" if documents.unfinished else "no object")
     return json.loads(found[0])
 
 
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -20,8 +20,9 @@
 from molereach.clients.requests import CommandError, NoRoomError
 from molereach.clients.resp import FAILED, ClientConnection
 from molereach.clock import now_us
-from molereach.discovery.endpoint_discovery import Catalog, Discovery, LongNews, News
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import (
@@ -122,16 +123,16 @@
         most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
         self.lists: Lists = Routing(config.settings, view, most)
         self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
-        self.catalog = Catalog(config)
-        self.known: News | None = None  # the list that it started with, as it was heard
+        self.catalog = EndpointMapping(config)
+        self.known: EndpointUpdate | None = None  # the list that it started with, as it was heard
         version = self.read_known()
-        self.discovery = Discovery(
+        self.discovery = EndpointDiscovery(
             config.discovery,
             self.catalog,
             version,
             self.list_heard,
             self.backends.spawn,
-            lambda: CallPacing.of(config.settings),
+            lambda: PollBackoff.from_settings(config.settings),
             random.Random(config.settings.seed ^ CALLS_SEED).random,
             self.lists.stage,
         )
@@ -159,23 +160,29 @@
         if not known:
             return 0
         try:
-            news = self.staged_known(parts) if parts else self.catalog.news(known, EndpointListKind.SAVED)
-            seen = run_out(self.take_over(news)) if isinstance(news, LongNews) else self.take_whole(news)
+            news = (
+                self.staged_known(parts) if parts else self.catalog.read_update(known, EndpointListKind.SAVED)
+            )
+            seen = (
+                run_out(self.take_over(news))
+                if isinstance(news, StagedEndpointUpdate)
+                else self.take_whole(news)
+            )
         except (KeyError, TypeError, ValueError, ArithmeticError) as error:
             log.error("the known list makes no sense: %s", error)
             return 0
         finally:
             parts.clear()
         if seen:
-            self.known = News(seen.event, seen.addresses)
-        return news.version if isinstance(news, LongNews) else news.event.version
+            self.known = EndpointUpdate(seen.event, seen.addresses)
+        return news.version if isinstance(news, StagedEndpointUpdate) else news.event.version
 
-    def staged_known(self, parts: list[bytes]) -> LongNews:
+    def staged_known(self, parts: list[bytes]) -> StagedEndpointUpdate:
         staged = self.lists.stage()
         parts.reverse()
         while parts:
-            staged.add(*self.catalog.part(parts.pop()))
-        return self.catalog.long_news(self.config.known, staged, EndpointListKind.SAVED)
+            staged.add(*self.catalog.read_entry_list(parts.pop()))
+        return self.catalog.read_staged_update(self.config.known, staged, EndpointListKind.SAVED)
 
     def use_limits(self, limits: LimitPolicy, form: Form) -> None:
         """Have limits consulted, and their words told; before the first event."""
@@ -188,7 +195,7 @@
             await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=self.config.peer_listen)
         self.discovery.start()
         try:
-            await asyncio.wait_for(self.discovery.first.wait(), FIRST_LIST_S)
+            await asyncio.wait_for(self.discovery.first_update.wait(), FIRST_LIST_S)
         except TimeoutError:
             log.warning("discovery is silent; starting with the known list")
         self.address = self.clients.listen(self.config.listen)
@@ -210,7 +217,7 @@
         if changed:
             log.warning("a restart is needed for new values of: %s", ", ".join(changed))
         log.info("takes over the configuration: discovery at %s:%d", *config.discovery)
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
 
     async def drain(self, told_us: int | None = None) -> None:
         """Take and answer what comes while there is time for it, then close what is idle, and answer all. The
@@ -279,21 +286,21 @@
             self.answer(request_id, FAILED)
             self.post(ClientDisconnected(request_id))
 
-    def list_heard(self, news: News | LongNews) -> Steps | None:
+    def list_heard(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
         """News of the list; where they came in parts, what is to be done in turns. ListError where it cannot
         be held: the list before it holds."""
-        if isinstance(news, LongNews):
+        if isinstance(news, StagedEndpointUpdate):
             return self.take_in_turns(news)
         self.take_whole(news)
         return None
 
-    def take_whole(self, news: News) -> Seen | None:
+    def take_whole(self, news: EndpointUpdate) -> Seen | None:
         return self.show(self.lists.take(news.event, news.addresses))
 
-    def take_over(self, news: LongNews) -> Generator[None, None, Seen | None]:
+    def take_over(self, news: StagedEndpointUpdate) -> Generator[None, None, Seen | None]:
         return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
 
-    def take_in_turns(self, news: LongNews) -> Steps:
+    def take_in_turns(self, news: StagedEndpointUpdate) -> Steps:
         yield from self.take_over(news)
 
     def show(self, seen: Seen | None) -> Seen | None:
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -15,7 +15,7 @@
 from molereach.__main__ import front_door
 from molereach.backends.attempt import Attempt
 from molereach.clients.replies import Reply
-from molereach.discovery.endpoint_discovery import LongNews, News
+from molereach.discovery.endpoint_mapping import EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.watch_stream import Steps
 from molereach.policy.interface.actions import ForwardAttempt
 from molereach.policy.interface.events import EndpointState
@@ -57,8 +57,8 @@
 def drain() -> None:
     heard = FrontDoor.list_heard
 
-    def broken(self: FrontDoor, news: News | LongNews) -> Steps | None:
-        servers = news.event.endpoints if isinstance(news, News) else ()
+    def broken(self: FrontDoor, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+        servers = news.event.endpoints if isinstance(news, EndpointUpdate) else ()
         up = [server for server in servers if server.state is EndpointState.UP]
         if len(up) == len(servers):
             return heard(self, news)
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -14,9 +14,9 @@
 from benchmarks.scale.hollow import Hollow, configuration
 from benchmarks.scale.load import Load
 from benchmarks.scale.tier import Requests, Tier, backend_address, peer_address
-from molereach.discovery.endpoint_discovery import Discovery
-from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
@@ -54,13 +54,13 @@
     def __init__(self, address: Address, version: int) -> None:
         self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
         self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, Address]]] = asyncio.Queue()
-        self.discovery = Discovery(
+        self.discovery = EndpointDiscovery(
             address,
-            Catalog(configuration(TIER, 0)),
+            EndpointMapping(configuration(TIER, 0)),
             version,
             self.hear,
             self.spawn,
-            lambda: CallPacing(1, must_ask=False),
+            lambda: PollBackoff(1, must_ask=False),
             random.Random(1).random,
             self.lists.stage,
         )
@@ -69,13 +69,13 @@
     def spawn(self, job: Coroutine[None, None, None]) -> None:
         self.tasks.add(asyncio.get_running_loop().create_task(job))
 
-    def hear(self, news: News | LongNews) -> Steps | None:
-        if isinstance(news, LongNews):
+    def hear(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+        if isinstance(news, StagedEndpointUpdate):
             return self.take(news)
         self.seen.put_nowait((news.event, news.addresses))
         return None
 
-    def take(self, news: LongNews) -> Steps:
+    def take(self, news: StagedEndpointUpdate) -> Steps:
         seen = yield from self.lists.take_over(news.staged, news.kind, news.version)
         assert seen
         self.seen.put_nowait((seen.event, seen.addresses))
@@ -97,7 +97,7 @@
             assert told["watching"] == 1 and event.kind is EndpointListKind.CHANGES
             assert [server.name for server in event.endpoints] == ["s-00000007", f"s-{size:08x}"]
             assert [server.state for server in event.endpoints] == [EndpointState.DRAINING, EndpointState.UP]
-            reader.discovery.move(second)  # asked for whole, and then watched
+            reader.discovery.change_address(second)  # asked for whole, and then watched
             event, _ = await reader.seen.get()
             assert event.kind is EndpointListKind.FULL and len(event.endpoints) == size + 1
             while len(agent.watching) != 1 or not agent.sent[1].calls > 1:
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -9,7 +9,8 @@
 import pytest
 
 from molereach.discovery import poll_backoff, watch_supervisor
-from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState, Event
 from molereach.policy.interface.messages import GossipMessage
@@ -21,13 +22,13 @@
 AT = (HOST, 6379)
 
 
-async def news_of(watch: Watch, count: int, version: int = 0) -> list[News]:
+async def news_of(watch: Watch, count: int, version: int = 0) -> list[EndpointUpdate]:
     """The first news that a watch brings."""
-    heard: asyncio.Queue[News] = asyncio.Queue()
+    heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
     tasks = []
-    found = Discovery(
+    found = EndpointDiscovery(
         await watch.start(),
-        Catalog(CONFIG),
+        EndpointMapping(CONFIG),
         version,
         heard.put_nowait,
         lambda job: tasks.append(asyncio.create_task(job)),
@@ -83,13 +84,13 @@
         assert [news.event.version for news in found] == [5, 9]
         afters = [target.partition("after=")[2] for target in watch.targets]
         assert afters == ["3", "5", "5", "5", "5"]
-        assert time.monotonic() - started > 4 * poll_backoff.BACKOFF_S  # no busy loop
+        assert time.monotonic() - started > 4 * poll_backoff.BASE_BACKOFF_S  # no busy loop
 
     run(job())
 
 
 def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_supervisor, "ASKED_SILENT_S", 0.2)
+    monkeypatch.setattr(watch_supervisor, "POLLED_SILENCE_TIMEOUT_S", 0.2)
 
     async def job() -> None:
         watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
@@ -102,13 +103,13 @@
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
 def test_numbers_that_make_no_sense_say_nothing(odd: object) -> None:
     listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
-    news = Catalog(CONFIG).news({"generation": 1, "instances": [listed]})
+    news = EndpointMapping(CONFIG).read_update({"generation": 1, "instances": [listed]})
     (server,) = news.event.endpoints
     assert (server.size, server.started_us) == (1.0, 0)
 
 
 def test_start_times_go_over_to_our_clock() -> None:
-    read = Catalog(CONFIG)
+    read = EndpointMapping(CONFIG)
     assert read.started_us(0) == 0
     now_ms = time.time_ns() // 1_000_000
     assert abs(read.started_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
@@ -160,11 +161,11 @@
     """A front door's discovery that is moved from one address to others."""
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.heard: asyncio.Queue[News] = asyncio.Queue()
+        self.heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
-        self.discovery = Discovery(
+        self.discovery = EndpointDiscovery(
             address,
-            Catalog(CONFIG),
+            EndpointMapping(CONFIG),
             3,
             self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
@@ -196,7 +197,7 @@
         new = Watch(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
         moved = Moved(await old.start())
         assert await moved.names() == (EndpointListKind.FULL, ["s1"])
-        moved.discovery.move(await new.start())
+        moved.discovery.change_address(await new.start())
         assert await moved.names() == (EndpointListKind.FULL, ["s2"])
         late.set()
         assert await moved.names() == (EndpointListKind.CHANGES, [])
@@ -204,7 +205,7 @@
         assert len(old.targets) == 1
         await moved.tasks[0]  # the old watch has ended for good
         assert moved.heard.empty() and moved.discovery.version == 3
-        moved.discovery.source.close()
+        moved.discovery.current.close()
 
     run(job())
 
@@ -226,13 +227,13 @@
         last = Watch(slow, script(HEAD))
         moved = Moved(await Watch(old_watch).start())
         assert (await moved.names())[1] == ["s1"]
-        moved.discovery.move(await never.start())
-        moved.discovery.move(await last.start())  # twice, as reloads may come in a row
+        moved.discovery.change_address(await never.start())
+        moved.discovery.change_address(await last.start())  # twice, as reloads may come in a row
         moves.set()
         assert (await moved.names())[1] == ["s2"]
         speak.set()
         assert (await moved.names())[1] == ["s3"]
-        assert moved.discovery.source.address == last.server.sockets[0].getsockname()
-        moved.discovery.source.close()
+        assert moved.discovery.current.address == last.server.sockets[0].getsockname()
+        moved.discovery.current.close()
 
     run(job())
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from molereach.discovery.client import Source
-from molereach.discovery.endpoint_discovery import LongNews, News
+from molereach.discovery.client import DiscoveryClient
+from molereach.discovery.endpoint_mapping import EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.watch_stream import Steps
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import Routing
@@ -63,7 +63,7 @@
         found.look()
 
     monkeypatch.setattr(Staging, "add", spied)
-    monkeypatch.setattr("molereach.discovery.poll_backoff.AGENT_BACKOFF_S", 0.02)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_AGENT_BACKOFF_S", 0.02)
     yield found
 
 
@@ -85,8 +85,8 @@
 
 def staged(door: FrontDoor, old: bool) -> int:
     """Entries that an address has told of an object that has not ended."""
-    source = door.discovery.source if old else door.discovery.next
-    stagings = [one.staged for one in source.staged.values()] if source else []
+    source = door.discovery.current if old else door.discovery.successor
+    stagings = [one.staged for one in source.staged_objects.values()] if source else []
     return sum(one.count for one in stagings if isinstance(one, Staging))
 
 
@@ -103,7 +103,7 @@
         async with long_door(says(HEAD + chunk(text_of(4)[:-9])), says(HEAD)) as (door, watch):
             await until(lambda: staged(door, old=True) > LONG - 100)
             new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
             assert new.targets == [WHOLE, f"{AFTER}9"]
@@ -141,10 +141,10 @@
 
         async with long_door(old, says(HEAD)) as (door, watch):
             new = Watch(whole, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             await until(lambda: bool(new.targets))
-            source, take = door.discovery.source, door.discovery.take
-            give_way = source.give_way
+            source, take = door.discovery.current, door.discovery.apply_update
+            give_way = source.release_staged
 
             def seen() -> bool:
                 before, found = held.now(), give_way()
@@ -152,11 +152,11 @@
                 lost.set()
                 return found
 
-            def taking(of: Source, news: News | LongNews) -> Steps | None:
+            def taking(of: DiscoveryClient, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
                 begun.set()
                 return take(of, news)
 
-            source.heard, source.give_way = taking, seen  # type: ignore[method-assign]
+            source.on_update, source.release_staged = taking, seen  # type: ignore[method-assign]
             gate.set()
             await lost.wait()
             assert LONG <= gone[0] <= LONG + 1  # the one in between was in both
@@ -191,7 +191,7 @@
         short = says(HEAD + chunk(list_text(5, entries_text(1), reset=False)))
         async with long_door(old, short) as (door, watch):
             new = Watch(first, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             await until(lambda: staged(door, old=False) > LONG - 100)
             gate.set()
             await until(lambda: len(watch.targets) == 2)
@@ -228,16 +228,18 @@
         async with long_door(old) as (door, _):
             await until(lambda: door.discovery.version == 4)
             new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
-            await until(lambda: door.discovery.next is not None and bool(door.discovery.next.calls))
-            heard, take = [], door.discovery.take
+            door.discovery.change_address(await new.start())
+            await until(
+                lambda: door.discovery.successor is not None and bool(door.discovery.successor.watches)
+            )
+            heard, take = [], door.discovery.apply_update
 
-            def taking(of: Source, news: News | LongNews) -> Steps | None:
+            def taking(of: DiscoveryClient, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
                 begun.set()
                 return take(of, news)
 
-            assert door.discovery.next
-            door.discovery.next.heard = taking
+            assert door.discovery.successor
+            door.discovery.successor.on_update = taking
             hear = door.hear
             door.hear = lambda event, addresses: (heard.append(event.version), hear(event, addresses))  # type: ignore
             await until(lambda: door.discovery.version == 9)
@@ -268,7 +270,7 @@
         async with long_door(half, half) as (door, watch):
             await until(lambda: staged(door, old=True) > LONG - 100)
             new = Watch(broken, whole, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             await until(lambda: staged(door, old=False) > LONG - 100)
             gave_way = len(said(caplog, "give way"))
             gate.set()
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from molereach.discovery import json_stream
-from molereach.discovery.json_stream import DocumentError, Documents, Part
+from molereach.discovery.json_stream import EntryList, JsonStream, JsonStreamError
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é, :', max_size=6)
 SCALARS = st.none() | st.booleans() | st.integers() | TEXTS
@@ -27,17 +27,17 @@
 @pytest.fixture(autouse=True, scope="module")
 def short() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(json_stream, "LONG_BYTES", ROOM)
+        patch.setattr(json_stream, "EXTRACT_ABOVE_BYTES", ROOM)
         yield
 
 
-def fed(cut: Documents, data: bytes, ends: list[int]) -> list[bytes | Part]:
+def fed(cut: JsonStream, data: bytes, ends: list[int]) -> list[bytes | EntryList]:
     """What comes of data in pieces with these ends, but for empty lines."""
     bounds = [0, *sorted(end % (len(data) + 1) for end in ends), len(data)]
     return [one for at, end in itertools.pairwise(bounds) for one in cut.feed(data[at:end]) if one]
 
 
-def joined(found: list[bytes | Part], *path: str) -> tuple[dict[str, Any], int]:
+def joined(found: list[bytes | EntryList], *path: str) -> tuple[dict[str, Any], int]:
     """An object with its parts, as if it had come whole, and the number of parts."""
     *parts, last = found
     assert isinstance(last, bytes)
@@ -74,7 +74,7 @@
     path = ("known",) if deep else ()
     said = {"a": head, "known": said, "instances": [{}, {}], "z": tail} if deep else said
     text = json.dumps(said, indent=indent, ensure_ascii=False).encode()
-    cut = Documents(path=(*path, "instances"))
+    cut = JsonStream(path=(*path, "instances"))
     found = fed(cut, text, list(range(len(text))) if by_byte else ends)
     assert joined(found, *path)[0] == said
     assert not cut.unfinished and not cut.buffer
@@ -90,7 +90,7 @@
     """Wherever all feeds end: behind a comma, before it, or within an entry."""
     text = listed(200)
     ends = [at.end() for at in re.finditer(re.escape(ends_at), text)][10:]
-    cut, held, parts = Documents(), 0, 0
+    cut, held, parts = JsonStream(), 0, 0
     for at, end in itertools.pairwise([0, *ends]):
         parts += len(list(cut.feed(text[at:end])))
         held = max(held, len(cut.buffer))
@@ -112,7 +112,7 @@
 def test_brace_within_a_string_ends_no_entry(odd: bytes) -> None:
     text = b'{"instances":[' + (b'{"a":"b"},' + odd + b",") * 20 + b"{}]}"
     for size in range(1, 60):
-        assert joined(fed(Documents(), text, list(range(0, len(text), size))))[0] == json.loads(text)
+        assert joined(fed(JsonStream(), text, list(range(0, len(text), size))))[0] == json.loads(text)
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
 )
 def test_what_else_the_object_says_may_stand_on_either_side(order: bytes) -> None:
     entries = b",\n".join(b'{"name":"s%d"}' % number for number in range(50))
-    whole, parts = joined(fed(Documents(), order % entries, list(range(0, 2000, 30))))
+    whole, parts = joined(fed(JsonStream(), order % entries, list(range(0, 2000, 30))))
     assert parts > 5 and (whole["reset"], whole["generation"], len(whole["instances"])) == (True, 7, 50)
 
 
@@ -141,7 +141,7 @@
 )
 def test_no_other_list_is_cut(text: bytes) -> None:
     text %= b",".join([b'{"a":"b"}'] * 30)
-    assert fed(Documents(), text, list(range(0, len(text), 9))) == [text]
+    assert fed(JsonStream(), text, list(range(0, len(text), 9))) == [text]
 
 
 ENTRY = b'{"a":"b"},'
@@ -165,7 +165,7 @@
 @pytest.mark.parametrize("step", [1, 7])
 def test_what_would_be_no_json_as_a_whole_is_none_in_parts(bad: bytes, step: int) -> None:
     with pytest.raises(ValueError):
-        joined(fed(Documents(), bad, list(range(0, len(bad), step))))
+        joined(fed(JsonStream(), bad, list(range(0, len(bad), step))))
 
 
 @pytest.mark.parametrize(
@@ -179,16 +179,16 @@
     ],
 )
 def test_what_cannot_be_cut_is_bounded_as_before(text: bytes) -> None:
-    cut = Documents(most_bytes=150)
-    with pytest.raises(DocumentError, match="without an end"):
+    cut = JsonStream(most_bytes=150)
+    with pytest.raises(JsonStreamError, match="without an end"):
         fed(cut, text, list(range(0, len(text), 10)))
     assert len(cut.buffer) <= 160
 
 
 def test_whole_object_with_its_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(json_stream, "MOST_LIST_BYTES", 1000)
-    cut, count = Documents(), 0
-    with pytest.raises(DocumentError, match="an object of over"):
+    monkeypatch.setattr(json_stream, "MAX_STREAMED_BYTES", 1000)
+    cut, count = JsonStream(), 0
+    with pytest.raises(JsonStreamError, match="an object of over"):
         for piece in itertools.chain([b'{"instances":['], itertools.repeat(ENTRY, 200)):
             list(cut.feed(piece))
             count += 1
@@ -197,7 +197,7 @@
 
 def test_next_object_begins_anew_after_one_that_was_cut() -> None:
     text = listed(30) + b"\n" + listed(2) + b"\n" + listed(40)
-    found = fed(Documents(), text, list(range(0, len(text), 11)))
+    found = fed(JsonStream(), text, list(range(0, len(text), 11)))
     wholes = [number for number, one in enumerate(found) if isinstance(one, bytes)]
     assert len(wholes) == 2 + 1
     assert [
@@ -224,6 +224,6 @@
     for name in ("PLAIN", "TEXT"):
         monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
     monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
-    found = fed(Documents(), data, [at.end() for at in re.finditer(rb"\n", data)])
+    found = fed(JsonStream(), data, [at.end() for at in re.finditer(rb"\n", data)])
     assert seen <= len(data) and sum(checked) < 4 * ROOM
     assert len(found) > 1900
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -9,10 +9,10 @@
 import pytest
 
 from molereach.discovery import client, json_stream, watch_supervisor
-from molereach.discovery.endpoint_discovery import Discovery
-from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
-from molereach.discovery.poll_backoff import CallPacing
-from molereach.discovery.watch_stream import TURN_BYTES, Steps
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
+from molereach.discovery.watch_stream import CHUNK_BYTES, Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import Routing
@@ -21,7 +21,7 @@
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
 
-AGENT = CallPacing(1, must_ask=False)
+AGENT = PollBackoff(1, must_ask=False)
 WHOLE = "/catalog/members"
 
 
@@ -43,21 +43,21 @@
         self.seen: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
 
-    def hear(self, news: News | LongNews) -> Steps | None:
-        if isinstance(news, News):
+    def hear(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+        if isinstance(news, EndpointUpdate):
             self.seen.put_nowait(news.event)
             return None
         return self.take(news)
 
-    def take(self, news: LongNews) -> Steps:
+    def take(self, news: StagedEndpointUpdate) -> Steps:
         seen = yield from self.lists.take_over(news.staged, news.kind, news.version)
         assert seen
         self.seen.put_nowait(seen.event)
 
     async def __aenter__(self) -> "Heard":
-        self.discovery = Discovery(
+        self.discovery = EndpointDiscovery(
             await self.watch.start(),
-            Catalog(CONFIG),
+            EndpointMapping(CONFIG),
             self.version,
             self.hear,
             lambda job: self.tasks.append(asyncio.create_task(job)),
@@ -79,14 +79,14 @@
 ) -> None:
     feeds: list[tuple[int, int]] = []  # the turn, and the bytes
     held, turn = [0], [0]
-    feed = json_stream.Documents.feed
+    feed = json_stream.JsonStream.feed
 
-    def spied(self: json_stream.Documents, data: bytes) -> object:
+    def spied(self: json_stream.JsonStream, data: bytes) -> object:
         feeds.append((turn[0], len(data)))
         yield from feed(self, data)
         held[0] = max(held[0], len(self.buffer))
 
-    monkeypatch.setattr(json_stream.Documents, "feed", spied)
+    monkeypatch.setattr(json_stream.JsonStream, "feed", spied)
 
     async def job() -> None:
         text = long_text()
@@ -102,9 +102,9 @@
             assert event.endpoints[7].name == "s-00000007" and event.endpoints[-1].cell == (SIZE - 1) % 2900
             sizes = door.lists.staged[0].sizes
         pieces = [size for _, size in feeds]
-        assert max(pieces) <= TURN_BYTES and len({at for at, _ in feeds}) == len(feeds)
-        assert held[0] <= json_stream.LONG_BYTES + 2 * TURN_BYTES
-        assert max(sizes) * len(text) / SIZE <= json_stream.LONG_BYTES + 2 * TURN_BYTES
+        assert max(pieces) <= CHUNK_BYTES and len({at for at, _ in feeds}) == len(feeds)
+        assert held[0] <= json_stream.EXTRACT_ABOVE_BYTES + 2 * CHUNK_BYTES
+        assert max(sizes) * len(text) / SIZE <= json_stream.EXTRACT_ABOVE_BYTES + 2 * CHUNK_BYTES
 
     run(job())
 
@@ -130,7 +130,7 @@
         known = {"generation": 3, "reset": True, "instances": [entry("s0", at)]}
         door = FrontDoor(replace(CONFIG, known=known, discovery=await Watch(slow).start()))
         start = door.discovery.start
-        door.discovery.start = lambda: (door.discovery.first.set(), start())  # type: ignore[assignment]
+        door.discovery.start = lambda: (door.discovery.first_update.set(), start())  # type: ignore[assignment]
         await door.start()
         try:
             client, served = await Client.open(door.address), 0
@@ -163,32 +163,32 @@
             new = Watch(says(answer(list_text(5, entries_text(1000)))), says(HEAD))  # type: ignore[arg-type]
             take = door.take
 
-            def stepped(news: LongNews) -> Steps:
+            def stepped(news: StagedEndpointUpdate) -> Steps:
                 gate.set()
-                while door.discovery.source.version != 6:
+                while door.discovery.current.version != 6:
                     yield
-                assert door.discovery.next and door.discovery.next.version is None
+                assert door.discovery.successor and door.discovery.successor.version is None
                 yield from take(news)
 
             door.take = stepped  # type: ignore[method-assign]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             assert (await door.seen.get()).version == 6
             assert (await door.seen.get()).version == 5
             await until(lambda: len(new.targets) == 2)
-            assert door.discovery.next is None and door.discovery.version == 5
+            assert door.discovery.successor is None and door.discovery.version == 5
             assert new.targets[1] == f"{WHOLE}?watch=1&after=5"
 
     run(job())
 
 
 def test_taking_over_is_no_silence_of_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with Heard(says(HEAD + chunk(list_text(5, entries_text(1000))))) as door:
             take = door.take
 
-            def slow(news: LongNews) -> Steps:
+            def slow(news: StagedEndpointUpdate) -> Steps:
                 for _ in range(40):
                     time.sleep(0.004)  # other work of this process
                     yield
@@ -213,7 +213,7 @@
         async with Heard(broken, says(HEAD + chunk(list_text(6, entries_text(2), reset=False)))) as door:
             event = await door.seen.get()
             assert (event.version, len(event.endpoints)) == (6, 2)
-            assert not door.discovery.source.staged
+            assert not door.discovery.current.staged_objects
             assert door.watch.targets == [f"{WHOLE}?watch=1&after=3"] * 2
 
     run(job())
@@ -227,7 +227,7 @@
     "a name twice in a short list": (list_text(5, entries_text(3) + b"," + entries_text(1)), "server twice"),
     "more than memory": (list_text(5, entries_text(3000)), "3000|over"),
     "an entry without an end": (
-        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (json_stream.MOST_BYTES + TURN_BYTES),
+        list_text(5, SOME)[:-3] + b',{"a":"' + b"x" * (json_stream.MAX_OBJECT_BYTES + CHUNK_BYTES),
         "without an end",
     ),
     "no end at all": (list_text(5, b",".join([b'{"odd":"%b"}' % (b"x" * 90)] * 3000)), "an object of over"),
@@ -245,16 +245,16 @@
     """And further calls come as after any failure: failures add up until an object was taken."""
     text, line = BAD[what]
     if what == "too slow":
-        monkeypatch.setattr(client, "LIST_S", -1.0)
+        monkeypatch.setattr(client, "STAGING_TIMEOUT_S", -1.0)
     if what == "no end at all":
-        monkeypatch.setattr(json_stream, "MOST_LIST_BYTES", 200_000)
-    monkeypatch.setattr("molereach.discovery.poll_backoff.AGENT_BACKOFF_S", 0.02)
+        monkeypatch.setattr(json_stream, "MAX_STREAMED_BYTES", 200_000)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_AGENT_BACKOFF_S", 0.02)
 
     async def job() -> None:
         bad = says(HEAD, chunk(text), chunk(b""), stay=False)
         good = says(HEAD + chunk(list_text(6, entries_text(2))))
         async with door_before(bad, bad, bad, good, memory_mb=1) as (door, watch):
-            pacing = door.discovery.source.pacing
+            pacing = door.discovery.current.backoff
             failures = []
             while len(watch.targets) < 4:
                 failures.append(pacing.failures)
@@ -264,7 +264,7 @@
             assert watch.targets == [f"{WHOLE}?watch=1&after=3"] * 4
             await until(lambda: door.discovery.version == 6)
             assert pacing.failures == 0 and len(door.backends.pools) == 2
-            assert not door.discovery.source.staged
+            assert not door.discovery.current.staged_objects
 
     run(job())
     said = [one.getMessage() for one in caplog.records if "makes no sense" in one.getMessage()]
@@ -278,10 +278,10 @@
         async with door_before(first) as (door, watch):
             await until(lambda: door.discovery.version == 4)
             new = Watch(says(answer(BAD["a name twice in a short list"][0]), stay=False))  # type: ignore[arg-type]
-            door.discovery.move(await new.start())
+            door.discovery.change_address(await new.start())
             await until(lambda: len(new.targets) == 2)
-            assert door.discovery.source.address == watch.server.sockets[0].getsockname()
-            assert door.discovery.next and not door.discovery.source.closed
+            assert door.discovery.current.address == watch.server.sockets[0].getsockname()
+            assert door.discovery.successor and not door.discovery.current.closed
 
     run(job())
 
@@ -302,6 +302,6 @@
 def test_short_lists_pass_through_as_they_came() -> None:
     async def job() -> None:
         async with front_door(Served()) as (door, _):
-            assert not door.discovery.source.staged and list(door.backends.pools) == ["s0"]
+            assert not door.discovery.current.staged_objects and list(door.backends.pools) == ["s0"]
 
     run(job())
--- a/tests/discovery/test_notification_delay.py
+++ b/tests/discovery/test_notification_delay.py
@@ -13,15 +13,17 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from molereach.discovery.client import CONNECT_S, TURN_S
-from molereach.discovery.poll_backoff import AT_ONCE, DIAL_S, CallPacing
-from molereach.discovery.watch_supervisor import BEAT_S, Calling
+from molereach.discovery.client import CONNECT_TIMEOUT_S, MIN_WAIT_S
+from molereach.discovery.poll_backoff import HUNG_CONNECT_S, UNSPREAD_POLLS, PollBackoff
+from molereach.discovery.watch_supervisor import HEARTBEAT_INTERVAL_S, WatchSupervisor
 from molereach.protocol.settings import MOST_GATEWAYS
 
 TOLD_S = 6.0
 ASK_WITHIN_S = 10.0
 PROMPT_S = 0.2  # a dial and a whole answer of a discovery that can be reached
-DOORS = st.one_of(st.integers(1, MOST_GATEWAYS), st.sampled_from([1, AT_ONCE, AT_ONCE + 1, 200, 7500]))
+DOORS = st.one_of(
+    st.integers(1, MOST_GATEWAYS), st.sampled_from([1, UNSPREAD_POLLS, UNSPREAD_POLLS + 1, 200, 7500])
+)
 # What becomes of a call that is made before discovery can be reached.
 FATES = ["refused", "reset", "hangs", "forgotten", "trickles", "begins"]
 WATCHES = ["none", "reset", "silent", "trickles"]  # what becomes of the watch that was open
@@ -31,8 +33,8 @@
 class Door:
     """One front door, from a watch that was open (or none) on; `fate` is asked for each call that is made."""
 
-    def __init__(self, pacing: CallPacing, draw: Callable[[], float], fate: Callable[[float], str]) -> None:
-        self.calling, self.fate = Calling(pacing, draw), fate
+    def __init__(self, pacing: PollBackoff, draw: Callable[[], float], fate: Callable[[float], str]) -> None:
+        self.calling, self.fate = WatchSupervisor(pacing, draw), fate
         self.now_s, self.word_s = 0.0, -1.0
         self.serial = itertools.count()
         self.due: list[tuple[float, int, str, int]] = []  # what comes: when, what, of which call
@@ -43,10 +45,10 @@
 
     def watch(self, end: str) -> None:
         """A watch is open, brought its last whole word now, and will end so."""
-        number = self.calling.open(self.now_s)
+        number = self.calling.open_if_due(self.now_s)
         assert number
-        self.calling.word(number, self.now_s)
-        self.calling.taken()
+        self.calling.record_object(number, self.now_s)
+        self.calling.record_applied()
         if end == "trickles":
             self.later(TRICKLE_S, "byte", number)
         elif end == "reset":
@@ -58,27 +60,27 @@
         if fate == "answered":
             self.later(PROMPT_S, "word", number)
         elif fate in ("refused", "reset", "hangs"):
-            self.later({"refused": 0.001, "reset": 2.0, "hangs": CONNECT_S}[fate], "ended", number)
+            self.later({"refused": 0.001, "reset": 2.0, "hangs": CONNECT_TIMEOUT_S}[fate], "ended", number)
         elif fate in ("trickles", "begins"):  # at once, or when it has been waited for long
             self.later(0.3 if fate == "trickles" else 4.4, "byte", number)
 
     def take(self, what: str, number: int) -> None:
-        if number not in self.calling.out:
+        if number not in self.calling.open_attempts:
             return
         if what == "word":
-            for other in self.calling.word(number, self.now_s):
-                self.calling.over(other)
-            self.calling.taken()
+            for other in self.calling.record_object(number, self.now_s):
+                self.calling.complete(other)
+            self.calling.record_applied()
             self.word_s = self.now_s
         elif what == "byte":
-            self.calling.heard(number, self.now_s)
+            self.calling.record_bytes(number, self.now_s)
             self.later(TRICKLE_S, "byte", number)
         else:
-            self.calling.ended(number, self.now_s)
+            self.calling.record_failure(number, self.now_s)
 
     def step(self) -> None:
         """As `Source.run`: to the next thing to do or to come, and what is due then."""
-        wakes_s = self.now_s + max(TURN_S, self.calling.wait_s(self.now_s))
+        wakes_s = self.now_s + max(MIN_WAIT_S, self.calling.wait_s(self.now_s))
         if self.due and self.due[0][0] <= wakes_s:
             self.now_s, _, what, number = heapq.heappop(self.due)
             self.take(what, number)
@@ -86,12 +88,12 @@
             self.now_s = wakes_s
         if self.calling.wait_s(self.now_s):
             return
-        for number in self.calling.failed(self.now_s):
-            self.calling.ended(number, self.now_s)
-        if opened := self.calling.open(self.now_s):
+        for number in self.calling.expired(self.now_s):
+            self.calling.record_failure(number, self.now_s)
+        if opened := self.calling.open_if_due(self.now_s):
             self.call(opened)
         for number in self.calling.surplus():
-            self.calling.over(number)
+            self.calling.complete(number)
 
     def hears_after(self, reached_s: float) -> float:
         """How long after that moment it has a whole word."""
@@ -102,7 +104,7 @@
 
 
 def made(must_ask: bool, doors: int, seed: int, fate: Callable[[float], str]) -> Door:
-    return Door(CallPacing(doors, must_ask, ASK_WITHIN_S), random.Random(seed).random, fate)
+    return Door(PollBackoff(doors, must_ask, ASK_WITHIN_S), random.Random(seed).random, fate)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -152,23 +154,23 @@
     door = made(True, 7500, 3, lambda now: fate)
     while door.now_s < 60:
         door.step()
-        assert len(door.calling.out) <= 2
+        assert len(door.calling.open_attempts) <= 2
     assert len(door.opened) <= 60 / 1.5 + 1
 
 
 def test_calls_of_a_large_tier_are_spread_over_the_time_that_there_is() -> None:
     """Also after failures: no half of a second has more than a third of the calls."""
-    assert DIAL_S == CONNECT_S
+    assert HUNG_CONNECT_S == CONNECT_TIMEOUT_S
     for failures in (0, 1, 5):
         waits = []
         for seed in range(2000):
-            chance, pacing = random.Random(seed), CallPacing(7500, True, ASK_WITHIN_S)
+            chance, pacing = random.Random(seed), PollBackoff(7500, True, ASK_WITHIN_S)
             for _ in range(failures):
-                pacing.ended(chance.random())
-            waits.append(pacing.ended(chance.random()))
+                pacing.record_failure(chance.random())
+            waits.append(pacing.record_failure(chance.random()))
         halves = [int(wait * 2) for wait in waits]
         assert max(halves.count(half) for half in set(halves)) < len(waits) / 3
-        assert max(waits) < TOLD_S - CONNECT_S
+        assert max(waits) < TOLD_S - CONNECT_TIMEOUT_S
 
 
 class Line:
@@ -212,7 +214,7 @@
         if door.word_s >= 0:
             known.append(door.word_s)
         else:
-            wakes_s = door.now_s + max(TURN_S, door.calling.wait_s(door.now_s))
+            wakes_s = door.now_s + max(MIN_WAIT_S, door.calling.wait_s(door.now_s))
             heapq.heappush(at, (min([wakes_s, *(due[0] for due in door.due[:1])]), number))
     return known
 
@@ -232,9 +234,9 @@
     chance, calls = random.Random(5), []
     for seed in range(500):
         door = made(True, 7500, seed, lambda now: "answered")
-        door.now_s = chance.uniform(0, BEAT_S)
+        door.now_s = chance.uniform(0, HEARTBEAT_INTERVAL_S)
         door.watch("silent")
         while not door.opened:
             door.step()
         calls.append(door.opened[0])
-    assert max(calls) - min(calls) > 0.9 * BEAT_S
+    assert max(calls) - min(calls) > 0.9 * HEARTBEAT_INTERVAL_S
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -6,15 +6,16 @@
 import time
 from dataclasses import replace
 
-from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate
 from molereach.discovery.poll_backoff import (
-    AGENT_BACKOFF_S,
-    AT_ONCE,
-    BACKOFF_S,
-    CALL_BY_S,
-    CALL_S,
-    MOST_BACKOFF_S,
-    CallPacing,
+    BASE_BACKOFF_S,
+    MAX_AGENT_BACKOFF_S,
+    MAX_BACKOFF_S,
+    POLL_COST_S,
+    POLL_INTERVAL_LIMIT_S,
+    UNSPREAD_POLLS,
+    PollBackoff,
 )
 from molereach.proxy.proxy import FrontDoor
 from tests.sockets import CONFIG, HEAD, Watch, catalog, chunk, run
@@ -42,18 +43,18 @@
 def after_mass_break(tier: int, calls_per_s: float, seed: int, until_s: float = 60.0) -> list[float]:
     """All watches of a tier break at once: when each front door has its next one."""
     chance, line = random.Random(seed), Line(calls_per_s)
-    doors = [CallPacing(tier) for _ in range(DOORS)]
-    due = [(pacing.ended(chance.random()), number) for number, pacing in enumerate(doors)]
+    doors = [PollBackoff(tier) for _ in range(DOORS)]
+    due = [(pacing.record_failure(chance.random()), number) for number, pacing in enumerate(doors)]
     heapq.heapify(due)
     known = []
     while due and due[0][0] < until_s:
         now, number = heapq.heappop(due)
         ok, then = line.call(now)
         if ok:
-            doors[number].heard()
+            doors[number].reset()
             known.append(then)
         else:
-            heapq.heappush(due, (then + doors[number].ended(chance.random()), number))
+            heapq.heappush(due, (then + doors[number].record_failure(chance.random()), number))
     return known
 
 
@@ -64,13 +65,13 @@
 
 
 def test_small_tier_calls_soon() -> None:
-    pacing = CallPacing(AT_ONCE)
-    assert pacing.first(1.0) == 0
-    waits = [pacing.ended(1.0) for _ in range(100)]
-    assert waits[:4] == [BACKOFF_S, 2 * BACKOFF_S, 4 * BACKOFF_S, 8 * BACKOFF_S]
-    assert set(waits[4:]) == {MOST_BACKOFF_S}
-    pacing.heard()
-    assert pacing.ended(1.0) == BACKOFF_S
+    pacing = PollBackoff(UNSPREAD_POLLS)
+    assert pacing.initial_delay_s(1.0) == 0
+    waits = [pacing.record_failure(1.0) for _ in range(100)]
+    assert waits[:4] == [BASE_BACKOFF_S, 2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, 8 * BASE_BACKOFF_S]
+    assert set(waits[4:]) == {MAX_BACKOFF_S}
+    pacing.reset()
+    assert pacing.record_failure(1.0) == BASE_BACKOFF_S
 
 
 def test_restarted_front_door_of_a_large_tier_calls_at_its_own_time() -> None:
@@ -80,22 +81,22 @@
             await asyncio.Event().wait()
 
         watch = Watch(play)
-        heard: asyncio.Queue[News] = asyncio.Queue()
+        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         tasks = []
-        doors, draw = AT_ONCE + 5, 0.1
-        found = Discovery(
+        doors, draw = UNSPREAD_POLLS + 5, 0.1
+        found = EndpointDiscovery(
             await watch.start(),
-            Catalog(CONFIG),
+            EndpointMapping(CONFIG),
             4,
             heard.put_nowait,
             lambda job: tasks.append(asyncio.create_task(job)),
-            lambda: CallPacing(doors),
+            lambda: PollBackoff(doors),
             lambda: draw,
         )
         started = time.monotonic()
         found.start()
         await heard.get()
-        assert time.monotonic() - started >= 0.9 * 5 * CALL_S * draw
+        assert time.monotonic() - started >= 0.9 * 5 * POLL_COST_S * draw
         tasks[0].cancel()
 
     run(job())
@@ -111,10 +112,10 @@
         settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=False, poll_within_us=10_000_000)
         door = FrontDoor(replace(CONFIG, settings=settings))
         try:
-            pacing = door.discovery.source.pacing
-            assert pacing.first(1.0) == 0
-            assert pacing.ended(1.0) == BACKOFF_S
-            assert max(pacing.ended(1.0) for _ in range(100)) == AGENT_BACKOFF_S < MOST_BACKOFF_S
+            pacing = door.discovery.current.backoff
+            assert pacing.initial_delay_s(1.0) == 0
+            assert pacing.record_failure(1.0) == BASE_BACKOFF_S
+            assert max(pacing.record_failure(1.0) for _ in range(100)) == MAX_AGENT_BACKOFF_S < MAX_BACKOFF_S
         finally:
             door.close()
 
@@ -125,7 +126,7 @@
     """However many they are; and after failed calls too: a change counts as told 6 s after discovery could be
     reached, whatever else is allowed."""
     settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=True, poll_within_us=10_000_000)
-    pacing = CallPacing.of(settings)
-    assert 0 < pacing.first(1.0) < ASK_WITHIN_S
-    assert pacing.ended(1.0) < ASK_WITHIN_S
-    assert max(pacing.ended(1.0) for _ in range(100)) <= CALL_BY_S < 6.0
+    pacing = PollBackoff.from_settings(settings)
+    assert 0 < pacing.initial_delay_s(1.0) < ASK_WITHIN_S
+    assert pacing.record_failure(1.0) < ASK_WITHIN_S
+    assert max(pacing.record_failure(1.0) for _ in range(100)) <= POLL_INTERVAL_LIMIT_S < 6.0
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.discovery.watch_stream import TURN_BYTES, Steps, WatchConnection
+from molereach.discovery.watch_stream import CHUNK_BYTES, Steps, WatchConnection
 from tests.discovery.made import entries_text, list_text
 from tests.races.wire import turns
 from tests.sockets import HEAD, chunk, run
@@ -65,7 +65,7 @@
         return [one for one in self.told if one != "heard"]
 
     async def all_read(self) -> None:
-        while self.connection.busy or self.connection.due:
+        while self.connection.is_processing or self.connection.turn_scheduled:
             await asyncio.sleep(0)
 
 
@@ -73,13 +73,15 @@
     async def job() -> None:
         call, others = Call(), 0
         call.say(HEAD + chunk(list_text(4, LONG)))
-        assert call.told.count("heard") == 1 and not call.transport.reading and call.connection.unread()
-        while call.connection.busy:
+        assert (
+            call.told.count("heard") == 1 and not call.transport.reading and call.connection.has_unread_data()
+        )
+        while call.connection.is_processing:
             before = call.told.count("heard")
             await asyncio.sleep(0)  # another callback's turn
             others += 1
             assert call.told.count("heard") <= before + 1
-        pieces = -(-(len(LONG)) // TURN_BYTES)
+        pieces = -(-(len(LONG)) // CHUNK_BYTES)
         assert pieces - 1 <= others <= pieces + 1 and not call.transport.reading
         await call.all_read()
         assert call.transport.reading  # not in the same turn as the last piece
@@ -93,7 +95,7 @@
     async def job() -> None:
         call = Call()
         call.say(HEAD + chunk(list_text(4, entries_text(100))))
-        assert len(call.words) == 2 and call.transport.reading and not call.connection.busy
+        assert len(call.words) == 2 and call.transport.reading and not call.connection.is_processing
 
     run(job())
 
@@ -108,10 +110,10 @@
         call.connection.eof_received()
         if lost:
             call.connection.connection_lost(None)
-        assert not call.connection.ended.done()
+        assert not call.connection.finished.done()
         await call.all_read()
         assert call.words[-1] == b'{"generation":5}' and call.connection.closed
-        assert call.connection.ended.done() is lost
+        assert call.connection.finished.done() is lost
 
     run(job())
 
@@ -123,7 +125,7 @@
         call.connection.connection_lost(ConnectionResetError())
         await call.all_read()
         await turns()
-        assert call.words[-2:] == [b'{"generation":5}', b""] and call.connection.ended.done()
+        assert call.words[-2:] == [b'{"generation":5}', b""] and call.connection.finished.done()
 
     run(job())
 
@@ -134,11 +136,15 @@
         call.say(HEAD + chunk(list_text(4, LONG)))
         told = list(call.told)
         call.connection.close()
-        assert not call.connection.busy and not call.connection.waiting and call.transport.closing
+        assert (
+            not call.connection.is_processing
+            and not call.connection.pending_chunks
+            and call.transport.closing
+        )
         await turns()
         assert call.told == told
         call.connection.connection_lost(None)
-        assert call.connection.ended.done()
+        assert call.connection.finished.done()
 
     run(job())
 
@@ -151,7 +157,7 @@
         call.say(HEAD + chunk(list_text(4, LONG)))
         call.connection.connection_lost(None)
         call.connection.close()
-        assert call.connection.ended.done()
+        assert call.connection.finished.done()
 
     run(job())
 
@@ -170,9 +176,9 @@
         call.say(HEAD + chunk(b'{"v":4}\n{"v":5}\n'))  # in one short chunk
         call.say(chunk(b'{"v":6}\n'))
         seen = []
-        while call.connection.busy:
+        while call.connection.is_processing:
             seen.append(len(call.told))
-            assert call.connection.unread() and not call.transport.reading
+            assert call.connection.has_unread_data() and not call.transport.reading
             await asyncio.sleep(0)
         assert seen[:4] == [1, 2, 3, 4]
         await call.all_read()
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -12,7 +12,7 @@
 import pytest
 import trustme
 
-from molereach.discovery.endpoint_discovery import News
+from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import api_bodies
 from molereach.fleet.agent import agent as agent_module
 from molereach.fleet.agent import api, openapi
@@ -210,7 +210,7 @@
             assert first.overlay.drained == {"s0"}
             await until(lambda: agent.status().doors[0].revision == 1)
             servers = (Endpoint("s0", 0, 0, 0, EndpointState.UP),)
-            door.list_heard(News(EndpointListReceived(EndpointListKind.FULL, 9, servers), {}))
+            door.list_heard(EndpointUpdate(EndpointListReceived(EndpointListKind.FULL, 9, servers), {}))
             assert (await agent.view()).ready == {"s0": "a"}
             assert (await agent.members()).doors["n0"][0].drained
             first.close()  # as a kill, if its socket stays
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from molereach.discovery.endpoint_discovery import News
+from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import control, wire
 from molereach.fleet.control import Control, ControlError, attach
 from molereach.fleet.orders import Book, BookState, Decided, Order, Verb
@@ -161,7 +161,9 @@
             there = backend.server.sockets[0].getsockname()
             servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
             door.list_heard(
-                News(EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there})
+                EndpointUpdate(
+                    EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there}
+                )
             )
             assert {name: pool.wanted for name, pool in door.backends.pools.items()} == {
                 "s8": True,
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -10,6 +10,7 @@
 import pytest
 
 from molereach.__main__ import take_over
+from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
@@ -105,13 +106,13 @@
     found = load(env)
     assert max(parsed) < 1 << 17 and sum(map(len, found.known_parts)) < 600_000
     left: list[int] = []
-    part = FrontDoor.__init__.__globals__["Catalog"].part
+    part = EndpointMapping.read_entry_list
 
     def spied(self: object, text: bytes) -> object:
         left.append(len(found.known_parts))
         return part(self, text)
 
-    monkeypatch.setattr("molereach.discovery.endpoint_mapping.Catalog.part", spied)
+    monkeypatch.setattr("molereach.discovery.endpoint_mapping.EndpointMapping.read_entry_list", spied)
 
     async def job() -> None:
         door = FrontDoor(found)
@@ -204,7 +205,9 @@
                 assert turns > 10 if last == COUNT else turns == 0
                 await until(first.done)
                 assert first.cancelled()
-                assert door.discovery.next and door.discovery.next.address[1] == (12 if last == 1 else 13)
+                assert door.discovery.successor and door.discovery.successor.address[1] == (
+                    12 if last == 1 else 13
+                )
 
     run(job())
 
@@ -221,7 +224,7 @@
             take_over(door)
             assert door.reading
             await door.reading
-            assert door.config is config and door.discovery.next is None
+            assert door.config is config and door.discovery.successor is None
 
     run(job())
     assert "the configuration stays as it was" in caplog.text
--- a/tests/races/listing.py
+++ b/tests/races/listing.py
@@ -5,8 +5,9 @@
 import json
 from collections.abc import AsyncIterator
 
-from molereach.discovery.endpoint_discovery import Catalog, Discovery, News
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
 from molereach.policy.interface.events import EndpointState
 from molereach.proxy.config import Address
 from tests.races.wire import Machine, Peer
@@ -15,7 +16,7 @@
 AT = (HOST, 6379)
 PLAIN_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"  # no length: it lasts until the end
 WHOLE = "/catalog/members"
-AGENT = CallPacing(1, must_ask=False)
+AGENT = PollBackoff(1, must_ask=False)
 
 
 def after(version: int) -> str:
@@ -39,15 +40,15 @@
     """Discovery as a front door uses it, with what it has heard."""
 
     def __init__(self, address: Address, version: int, must_ask: bool = False) -> None:
-        self.heard: asyncio.Queue[News] = asyncio.Queue()
+        self.heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
-        self.discovery = Discovery(
+        self.discovery = EndpointDiscovery(
             address,
-            Catalog(CONFIG),
+            EndpointMapping(CONFIG),
             version,
             self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
-            lambda: CallPacing(1, must_ask=must_ask),
+            lambda: PollBackoff(1, must_ask=must_ask),
             lambda: 0.5,
         )
 
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -21,7 +21,7 @@
                 peer.say(chunk(text[:70]) + chunk(text[70:]))
                 assert await door.next() == (4, {"s1": DRAINING})
                 assert await door.next() == (5, {"s1": GONE})
-                door.discovery.move(other.address)
+                door.discovery.change_address(other.address)
                 peer, target = await call(other)
                 assert target == WHOLE
                 body = indented(whole(9, "s2"))
@@ -155,14 +155,14 @@
     async def job() -> None:
         with machine() as agent:
             async with asked(agent) as door:
-                take, failures = door.discovery.heard, [LookupError("taken ill")]
+                take, failures = door.discovery.on_update, [LookupError("taken ill")]
 
                 def fail_once(news: object) -> None:
                     if failures:
                         raise failures.pop()
                     take(news)  # type: ignore[arg-type]
 
-                door.discovery.heard = fail_once
+                door.discovery.on_update = fail_once
                 peer = await watch(agent)
                 peer.say(chunk(changes(4, s1="DRAINING")))
                 peer = await watch(agent)
--- a/tests/races/test_discovery_calls.py
+++ b/tests/races/test_discovery_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from molereach.discovery import client, watch_supervisor
-from molereach.discovery.poll_backoff import AGENT_BACKOFF_S
+from molereach.discovery.poll_backoff import MAX_AGENT_BACKOFF_S
 from molereach.policy.interface.events import EndpointState
 from molereach.proxy.proxy import FrontDoor
 from tests.races.listing import after, asked, call, changes, gone, watch
@@ -27,7 +27,7 @@
 def test_watch_that_fell_silent_is_closed_and_opened_anew(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -44,7 +44,7 @@
 
 def test_own_standstill_is_not_taken_for_silence(agent: Machine, monkeypatch: pytest.MonkeyPatch) -> None:
     """The signs of life came while the process was stopped; they are read before anything is judged."""
-    monkeypatch.setattr(watch_supervisor, "SILENT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -66,7 +66,7 @@
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first one stays, as it may be the one that is answered when the agent is back."""
-    monkeypatch.setattr(watch_supervisor, "BESIDE_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "AGENT_HEDGE_DELAY_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -83,8 +83,8 @@
 def test_first_call_that_is_answered_closes_those_before_it(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_supervisor, "BESIDE_S", 0.02)
-    monkeypatch.setattr(watch_supervisor, "MOST_OUT", 1000)  # none is closed but for the answer
+    monkeypatch.setattr(watch_supervisor, "AGENT_HEDGE_DELAY_S", 0.02)
+    monkeypatch.setattr(watch_supervisor, "MAX_OPEN_ATTEMPTS", 1000)  # none is closed but for the answer
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -94,7 +94,7 @@
             first.say(HEAD + chunk(changes(4, s1="SERVING")))  # in the same turn: only one is taken
             second.say(chunk(changes(5, s1="DRAINING")))
             assert (await door.next())[0] == 4
-            (number,) = door.discovery.source.calls
+            (number,) = door.discovery.current.watches
             assert await gone([first, second][2 - number])
 
     run(job())
@@ -113,15 +113,15 @@
 
 
 def test_fault_of_its_own_does_not_end_the_watching(agent: Machine, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client, "FAULT_S", 0.01)
-    step, faults = client.Source.step, [ZeroDivisionError()]
+    monkeypatch.setattr(client, "FAULT_RETRY_DELAY_S", 0.01)
+    step, faults = client.DiscoveryClient.supervise, [ZeroDivisionError()]
 
-    def fail_once(self: client.Source, now_s: float) -> None:
+    def fail_once(self: client.DiscoveryClient, now_s: float) -> None:
         if faults:
             raise faults.pop()
         step(self, now_s)
 
-    monkeypatch.setattr(client.Source, "step", fail_once)
+    monkeypatch.setattr(client.DiscoveryClient, "supervise", fail_once)
 
     async def job() -> None:
         async with asked(agent):
@@ -135,13 +135,13 @@
 
     async def job() -> None:
         async with asked(agent) as door:
-            pacing = door.discovery.source.pacing
+            pacing = door.discovery.current.backoff
             for _ in range(100):
-                pacing.ended(1.0)
+                pacing.record_failure(1.0)
             peer, _ = await call(agent)
             peer.reset()
-            await until(lambda: not door.discovery.source.calls)
-            assert door.discovery.source.calling.wait_s(time.monotonic()) <= AGENT_BACKOFF_S
+            await until(lambda: not door.discovery.current.watches)
+            assert door.discovery.current.supervisor.wait_s(time.monotonic()) <= MAX_AGENT_BACKOFF_S
             await watch(agent)
 
     run(job())
--- a/tests/races/test_discovery_documents.py
+++ b/tests/races/test_discovery_documents.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from molereach.discovery import json_stream
-from molereach.discovery.json_stream import MOST_DEPTH, DocumentError, Documents
+from molereach.discovery.json_stream import MAX_DEPTH, JsonStream, JsonStreamError
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é😀,: ', max_size=8)
 VALUES = st.recursive(
@@ -21,7 +21,7 @@
 OBJECTS = st.lists(st.tuples(st.dictionaries(TEXTS, VALUES, max_size=3), st.sampled_from([None, 0, 2])))
 
 
-def feed(cut: Documents, data: bytes, ends: list[int]) -> list[bytes]:
+def feed(cut: JsonStream, data: bytes, ends: list[int]) -> list[bytes]:
     """The objects of data that comes in pieces with these ends."""
     bounds = [0, *sorted(end % (len(data) + 1) for end in ends), len(data)]
     return [one for at, end in itertools.pairwise(bounds) for one in cut.feed(data[at:end]) if one]
@@ -33,14 +33,14 @@
     objects: list[tuple[dict[str, Any], int | None]], ends: list[int], between: bytes
 ) -> None:
     said = [json.dumps(value, indent=indent, ensure_ascii=False).encode() for value, indent in objects]
-    cut = Documents()
+    cut = JsonStream()
     assert feed(cut, b"".join(one + between for one in said), ends) == said
     assert not cut.unfinished
     assert not cut.buffer.strip()
 
 
 def test_each_empty_line_is_told_of_and_half_an_object_is_not() -> None:
-    cut = Documents()
+    cut = JsonStream()
     assert list(cut.feed(b"\n\r\n")) == [b"", b""]
     assert list(cut.feed(b'{"a":\n"}')) == [] and cut.unfinished
     assert list(cut.feed(b'\\"\\')) == []
@@ -55,21 +55,21 @@
         b'{"a',
         b"{not json",
         b'{"a":1,}',
-        b'{"a":' * (MOST_DEPTH + 1),
+        b'{"a":' * (MAX_DEPTH + 1),
         b"[" * 9,
         b'{"a":{"b":[1}]},\n"c" 1',
     ],
 )
 def test_what_can_never_be_an_object_is_an_error_at_its_lines_end(bad: bytes) -> None:
-    cut = Documents()
+    cut = JsonStream()
     with pytest.raises(ValueError):
         for found in cut.feed(bad + b"\n"):
             json.loads(found)
 
 
 def test_object_without_an_end_costs_bounded_memory() -> None:
-    cut = Documents(most_bytes=100)
-    with pytest.raises(DocumentError):
+    cut = JsonStream(most_bytes=100)
+    with pytest.raises(JsonStreamError):
         for _ in range(20):
             list(cut.feed(b'{"a":"b",  '))
     assert len(cut.buffer) <= 111
@@ -96,6 +96,6 @@
     monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
     listed = json.dumps({"instances": [{"name": f"s{n}", "host": "x" * 40} for n in range(500)]}, indent=1)
     data = listed.encode() + b"\n"
-    assert feed(Documents(), data, list(range(0, len(data), 7))) == [data[:-1]]
+    assert feed(JsonStream(), data, list(range(0, len(data), 7))) == [data[:-1]]
     assert seen <= len(data)
     assert sum(checked) <= 2 * len(data)
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from molereach.discovery.endpoint_mapping import Catalog
+from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import ForwardAttempt
 from molereach.policy.interface.events import (
@@ -30,7 +30,7 @@
 
 
 def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
-    news = Catalog(CONFIG).news({"generation": 1, "reset": reset, "instances": list(entries)})
+    news = EndpointMapping(CONFIG).read_update({"generation": 1, "reset": reset, "instances": list(entries)})
     return {server.name: server.state for server in news.event.endpoints}, news.addresses
 
 
--- a/tests/races/test_discovery_moves.py
+++ b/tests/races/test_discovery_moves.py
@@ -31,7 +31,7 @@
 
     async def job() -> None:
         async with asked(agent) as door:
-            door.discovery.move(other.address)
+            door.discovery.change_address(other.address)
             peer, target = await call(other)
             assert target == WHOLE
             peer.say(HEAD + chunk(changes(7, s1="SERVING") + changes(8, s1="DRAINING")))
@@ -52,8 +52,12 @@
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
-            await until(lambda: any(one.heard_s for one in door.discovery.source.calling.out.values()))
-            door.discovery.move(other.address)
+            await until(
+                lambda: any(
+                    one.last_byte_at_s for one in door.discovery.current.supervisor.open_attempts.values()
+                )
+            )
+            door.discovery.change_address(other.address)
             new, target = await call(other)
             assert target == WHOLE
             old.reset()
@@ -74,16 +78,16 @@
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
-            door.discovery.move(other.address)
+            door.discovery.change_address(other.address)
             new, _ = await call(other)
             new.say(listed(9, "s9"))  # in the very turn
-            door.discovery.move(agent.address)
-            door.discovery.move(agent.address)
+            door.discovery.change_address(agent.address)
+            door.discovery.change_address(agent.address)
             assert await gone(new)
             old.say(chunk(changes(4, s1="DRAINING")))
             assert await door.next() == (4, {"s1": DRAINING})
-            assert door.discovery.source.address == agent.address
-            assert door.heard.empty() and door.discovery.next is None
+            assert door.discovery.current.address == agent.address
+            assert door.heard.empty() and door.discovery.successor is None
 
     run(job())
 
@@ -94,13 +98,13 @@
     async def job() -> None:
         async with asked(agent) as door:
             old = await watch(agent)
-            door.discovery.move(other.address)
+            door.discovery.change_address(other.address)
             new, _ = await call(other)
             new.say(listed(9, "s9"))
             assert await door.next() == (9, {"s9": UP})
             await watch(other, 9)
             assert await gone(old)
-            door.discovery.move(agent.address)
+            door.discovery.change_address(agent.address)
             peer, target = await call(agent)
             assert target == WHOLE
             peer.say(listed(4, "s1"))
--- a/tests/races/test_discovery_silence.py
+++ b/tests/races/test_discovery_silence.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.discovery.poll_backoff import AGENT_BACKOFF_S, CALL_BY_S, CallPacing
+from molereach.discovery.poll_backoff import MAX_AGENT_BACKOFF_S, POLL_INTERVAL_LIMIT_S, PollBackoff
 from molereach.discovery.watch_supervisor import (
-    ASKED_ANSWER_S,
-    BEAT_S,
-    BESIDE_S,
-    MOST_OUT,
-    SILENT_S,
-    WHOLE_S,
-    Calling,
+    AGENT_HEDGE_DELAY_S,
+    AGENT_OBJECT_TIMEOUT_S,
+    AGENT_SILENCE_TIMEOUT_S,
+    HEARTBEAT_INTERVAL_S,
+    MAX_OPEN_ATTEMPTS,
+    POLLED_RESPONSE_TIMEOUT_S,
+    WatchSupervisor,
 )
 
 TOLD_S = 6.0  # from when a watch fell silent, by the protocol
@@ -29,20 +29,20 @@
     """The core against a discovery that does what the test says, on the test's clock."""
 
     def __init__(self, must_ask: bool = False) -> None:
-        self.calling = Calling(CallPacing(1, must_ask=must_ask), lambda: 0.5)
+        self.calling = WatchSupervisor(PollBackoff(1, must_ask=must_ask), lambda: 0.5)
         self.now_s, self.opened = 0.0, []
         self.opened: list[float]
 
     def step(self, until_s: float) -> list[int]:
         """Go on to the next thing to do, or to a time; the calls that failed then."""
         self.now_s = min(until_s, self.now_s + self.calling.wait_s(self.now_s))
-        failed = self.calling.failed(self.now_s)
+        failed = self.calling.expired(self.now_s)
         for number in failed:
-            self.calling.ended(number, self.now_s)
-        if self.calling.open(self.now_s):
+            self.calling.record_failure(number, self.now_s)
+        if self.calling.open_if_due(self.now_s):
             self.opened.append(self.now_s)
         for number in self.calling.surplus():
-            self.calling.over(number)
+            self.calling.complete(number)
         return failed
 
     def go_to(self, until_s: float) -> None:
@@ -52,8 +52,8 @@
     def lives(self) -> int:
         """A watch is open and has brought something; its number."""
         self.step(self.now_s)
-        number = self.calling.count
-        self.calling.word(number, self.now_s)
+        number = self.calling.opened_count
+        self.calling.record_object(number, self.now_s)
         return number
 
 
@@ -68,36 +68,38 @@
         agent.step(min([math.inf, *(at + DIAL_S for at in dials.values())]))
         for dial in [dial for dial, at in dials.items() if agent.now_s >= at + DIAL_S]:
             del dials[dial]
-            agent.calling.ended(dial, agent.now_s)
-        dials |= {dial: call.opened_s for dial, call in agent.calling.out.items() if dial != number}
-    assert number not in agent.calling.out
+            agent.calling.record_failure(dial, agent.now_s)
+        dials |= {
+            dial: call.opened_at_s for dial, call in agent.calling.open_attempts.items() if dial != number
+        }
+    assert number not in agent.calling.open_attempts
     assert agent.opened[-1] < TOLD_S - 0.1
 
 
 def test_watch_that_must_be_asked_for_is_not_given_up_for_one_sign_that_is_late() -> None:
     agent = Agent(must_ask=True)
     number = agent.lives()
-    agent.go_to(2 * BEAT_S)
-    assert agent.opened == [0.0] and number in agent.calling.out
+    agent.go_to(2 * HEARTBEAT_INTERVAL_S)
+    assert agent.opened == [0.0] and number in agent.calling.open_attempts
 
 
 @pytest.mark.parametrize("bytes_each_s", [0.1, 2.9])
 def test_watch_that_trickles_half_a_line_is_opened_anew_in_time(bytes_each_s: float) -> None:
     agent = Agent()
     number = agent.lives()
-    while number in agent.calling.out:
+    while number in agent.calling.open_attempts:
         agent.go_to(agent.now_s + bytes_each_s)
-        agent.calling.heard(number, agent.now_s)
-        assert agent.now_s < WHOLE_S + bytes_each_s
-    assert agent.opened[1] <= WHOLE_S < TOLD_S
+        agent.calling.record_bytes(number, agent.now_s)
+        assert agent.now_s < AGENT_OBJECT_TIMEOUT_S + bytes_each_s
+    assert agent.opened[1] <= AGENT_OBJECT_TIMEOUT_S < TOLD_S
 
 
 def test_answer_that_is_only_a_head_is_as_silent_as_a_watch() -> None:
     agent = Agent()
     agent.step(0)
-    agent.calling.heard(1, 0.0)
-    agent.go_to(SILENT_S)
-    assert agent.opened == [0.0, SILENT_S]
+    agent.calling.record_bytes(1, 0.0)
+    agent.go_to(AGENT_SILENCE_TIMEOUT_S)
+    assert agent.opened == [0.0, AGENT_SILENCE_TIMEOUT_S]
 
 
 def test_signs_of_life_keep_a_watch_however_long() -> None:
@@ -105,8 +107,8 @@
     number = agent.lives()
     for beat in range(100):
         agent.go_to(2.0 * beat)
-        agent.calling.word(number, agent.now_s)
-    assert agent.opened == [0.0] and list(agent.calling.out) == [number]
+        agent.calling.record_object(number, agent.now_s)
+    assert agent.opened == [0.0] and list(agent.calling.open_attempts) == [number]
 
 
 @settings(derandomize=True, deadline=None, max_examples=50)
@@ -115,53 +117,55 @@
     """Calls made while it is down are held and answered when it is back, or refused, or never answered."""
     agent = Agent()
     agent.lives()
-    agent.go_to(SILENT_S)
-    back_s += SILENT_S
+    agent.go_to(AGENT_SILENCE_TIMEOUT_S)
+    back_s += AGENT_SILENCE_TIMEOUT_S
     while agent.now_s < back_s:
         if while_down == "refuses":
-            for number in list(agent.calling.out):
-                agent.calling.ended(number, agent.now_s)
+            for number in list(agent.calling.open_attempts):
+                agent.calling.record_failure(number, agent.now_s)
         agent.step(back_s)
-        assert len(agent.calling.out) <= MOST_OUT
+        assert len(agent.calling.open_attempts) <= MAX_OPEN_ATTEMPTS
     if while_down == "hangs":
-        assert agent.calling.out  # one of them is answered now
+        assert agent.calling.open_attempts  # one of them is answered now
         return
     opened = len(agent.opened)
     while len(agent.opened) == opened:
         agent.step(math.inf)
     assert agent.now_s + dial_s - back_s < GRACE_S
-    assert agent.now_s - back_s <= max(BESIDE_S, AGENT_BACKOFF_S)
+    assert agent.now_s - back_s <= max(AGENT_HEDGE_DELAY_S, MAX_AGENT_BACKOFF_S)
 
 
 def test_agent_that_refuses_is_called_at_a_bounded_rate() -> None:
     agent = Agent()
     while agent.now_s < 10:
-        for number in list(agent.calling.out):
-            agent.calling.ended(number, agent.now_s)
+        for number in list(agent.calling.open_attempts):
+            agent.calling.record_failure(number, agent.now_s)
         agent.step(10)
-    assert len(agent.opened) <= 10 / AGENT_BACKOFF_S + 3
+    assert len(agent.opened) <= 10 / MAX_AGENT_BACKOFF_S + 3
 
 
 def test_slow_answer_comes_by_the_eldest_call() -> None:
     """It is kept while younger ones come and go beside it."""
     agent = Agent()
     agent.step(0)
-    agent.go_to(3 * BESIDE_S)
-    assert list(agent.calling.out) == [1, 4]
-    assert agent.calling.word(1, agent.now_s) == [4]
-    agent.calling.over(4)
-    agent.go_to(agent.now_s + SILENT_S - 0.1)
-    assert list(agent.calling.out) == [1]
+    agent.go_to(3 * AGENT_HEDGE_DELAY_S)
+    assert list(agent.calling.open_attempts) == [1, 4]
+    assert agent.calling.record_object(1, agent.now_s) == [4]
+    agent.calling.complete(4)
+    agent.go_to(agent.now_s + AGENT_SILENCE_TIMEOUT_S - 0.1)
+    assert list(agent.calling.open_attempts) == [1]
 
 
 def test_list_that_must_be_asked_for_is_asked_for_once_in_the_time_that_there_is() -> None:
     """A call may wait in discovery's line, which works on calls that nobody waits for any more: the eldest is
     kept, and one comes beside it only when a change would else count as told unheard."""
     agent = Agent(must_ask=True)
-    while agent.now_s < ASKED_ANSWER_S - 0.1:
-        agent.step(ASKED_ANSWER_S - 0.1)
-        assert len(agent.calling.out) <= (1 if agent.now_s < CALL_BY_S else MOST_OUT)
-        assert 1 in agent.calling.out
-    assert len(agent.opened) <= ASKED_ANSWER_S / CALL_BY_S + 1
+    while agent.now_s < POLLED_RESPONSE_TIMEOUT_S - 0.1:
+        agent.step(POLLED_RESPONSE_TIMEOUT_S - 0.1)
+        assert len(agent.calling.open_attempts) <= (
+            1 if agent.now_s < POLL_INTERVAL_LIMIT_S else MAX_OPEN_ATTEMPTS
+        )
+        assert 1 in agent.calling.open_attempts
+    assert len(agent.opened) <= POLLED_RESPONSE_TIMEOUT_S / POLL_INTERVAL_LIMIT_S + 1
     agent.go_to(90.0)
-    assert len(agent.opened) <= 90 / CALL_BY_S + 1
+    assert len(agent.opened) <= 90 / POLL_INTERVAL_LIMIT_S + 1
--- a/tests/races/test_settings_wrong.py
+++ b/tests/races/test_settings_wrong.py
@@ -236,12 +236,12 @@
 
     async def job() -> None:
         async with front_door() as (door, _):
-            config, watched = door.config, door.discovery.source.address
+            config, watched = door.config, door.discovery.current.address
             monkeypatch.setitem(os.environ, "PROXY_CONFIG", str(tmp_path / "config.json"))
             wrong = WRONG[type(dict(places(VALUES))[at])][0]
             (tmp_path / "config.json").write_text(json.dumps(changed(at, wrong)))
             take_over(door)
-            assert door.config is config and door.discovery.next is None
-            assert door.discovery.source.address == watched
+            assert door.config is config and door.discovery.successor is None
+            assert door.discovery.current.address == watched
 
     run(job())
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace
 
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.poll_backoff import PollBackoff
 from rig import scenario as sc
 from rig import scenario_files
 from rig.audit.ledger import Outcome, Rule
@@ -59,7 +59,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As before they asked the agent of their own machine at once: what the full fleet's trial failed on."""
-    monkeypatch.setattr(CallPacing, "of", lambda settings: CallPacing(settings.gateways))
+    monkeypatch.setattr(PollBackoff, "of", lambda settings: PollBackoff(settings.gateways))
     ledger = play(large(name), 1).report.ledger
     assert ledger.rules_broken() == [Rule.DRAIN.value] and not ledger.unaccounted
 
