--- a/benchmarks/scale/counted.py
+++ b/benchmarks/scale/counted.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from molereach.__main__ import front_door
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach.counted")
 MARK = "datagrams: "
@@ -38,15 +38,15 @@
         log.info("%s%s", MARK, json.dumps(values))
 
 
-async def attach(door: FrontDoor) -> Callable[[], None]:
+async def attach(door: Proxy) -> Callable[[], None]:
     """Beside a front door, from before its start to its end."""
-    count, receive = Count(), door.peers.datagram_received
+    count, receive = Count(), door.gossip.datagram_received
 
     def received(data: bytes, address: tuple[str, int]) -> None:
         count.take(data)
         receive(data, address)
 
-    door.peers.datagram_received = received  # type: ignore[method-assign]
+    door.gossip.datagram_received = received  # type: ignore[method-assign]
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGUSR1, count.begin)
     loop.add_signal_handler(signal.SIGUSR2, count.end)
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 
 from molereach.__main__ import front_door
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach.turns")
 MARK = "turns: "
@@ -50,7 +50,7 @@
         self.begin()
 
 
-async def attach(door: FrontDoor) -> Callable[[], None]:
+async def attach(door: Proxy) -> Callable[[], None]:
     """Beside a front door, from before its start to after its drain."""
     loop = asyncio.get_running_loop()
     watch = TurnWatch(loop)
--- a/molereach/__main__.py
+++ b/molereach/__main__.py
@@ -12,15 +12,15 @@
 
 from molereach.clock import now_us
 from molereach.proxy.config import Config, ConfigError, is_long, load, reload, reload_in_steps
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach")
 
 # Switches on what stands beside a front door before it starts; returns what switches it off.
-Attach = Callable[[FrontDoor], Awaitable[Callable[[], None]]]
+AttachSubsystems = Callable[[Proxy], Awaitable[Callable[[], None]]]
 
-LINES_AT_ONCE = 10  # from one place in the code
-LINES_SPAN_S = 10.0
+MAX_LINES_PER_SPAN = 10  # from one place in the code
+SPAN_S = 10.0
 
 
 class RateLimit(logging.Filter):
@@ -34,23 +34,24 @@
         self.places: dict[tuple[str, int], tuple[float, int]] = {}  # start of the span and lines in it
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Whether a line is written; the first of a place's next span counts those left out."""
         place = record.pathname, record.lineno
         start, count = self.places.get(place, (record.created, 0))
-        if record.created - start >= LINES_SPAN_S:
-            if count > LINES_AT_ONCE:
-                record.msg = f"{record.msg} ({count - LINES_AT_ONCE} like it were left out)"
+        if record.created - start >= SPAN_S:
+            if count > MAX_LINES_PER_SPAN:
+                record.msg = f"{record.msg} ({count - MAX_LINES_PER_SPAN} like it were left out)"
             start, count = record.created, 0
         self.places[place] = start, count + 1
-        return count < LINES_AT_ONCE
+        return count < MAX_LINES_PER_SPAN
 
 
-def take_over(door: FrontDoor) -> None:
+def reload_configuration(door: Proxy) -> None:
     """Read the configuration again; one that is not usable changes nothing. Of several the last holds."""
-    if door.reading:
-        door.reading.cancel()
-        door.reading = None
+    if door.config_reload:
+        door.config_reload.cancel()
+        door.config_reload = None
     if is_long(os.environ):
-        door.reading = asyncio.get_running_loop().create_task(take_over_in_turns(door))
+        door.config_reload = asyncio.get_running_loop().create_task(reload_in_background(door))
         return
     try:
         config = reload(os.environ)
@@ -60,7 +61,7 @@
     door.reconfigure(config)
 
 
-async def take_over_in_turns(door: FrontDoor) -> None:
+async def reload_in_background(door: Proxy) -> None:
     """Read a long file, with requests between its pieces."""
     steps = reload_in_steps(os.environ)
     while True:
@@ -75,7 +76,7 @@
         await asyncio.sleep(0)
 
 
-async def serve(config: Config, attach: Attach | None = None) -> None:
+async def serve(config: Config, attach: AttachSubsystems | None = None) -> None:
     """Serve until SIGTERM or SIGINT, then drain; on SIGHUP take over the configuration."""
     loop = asyncio.get_running_loop()
     told: asyncio.Future[int] = loop.create_future()  # when it was told to end; further words change nothing
@@ -86,8 +87,8 @@
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
-    door = FrontDoor(config)
-    loop.add_signal_handler(signal.SIGHUP, take_over, door)
+    door = Proxy(config)
+    loop.add_signal_handler(signal.SIGHUP, reload_configuration, door)
     detach = await attach(door) if attach else None
     await door.start()
     # What lives as long as the process need not be looked through by every collection.
@@ -102,7 +103,7 @@
     log.info("%s ends", config.name)
 
 
-def front_door(log_level: str = "INFO", attach: Attach | None = None) -> int:
+def front_door(log_level: str = "INFO", attach: AttachSubsystems | None = None) -> int:
     """Run one front door until it is told to end; its exit code."""
     # Whoever reloads too early is not to kill us; the start reads the file in any case. While this is still
     # being imported the line in the deploy file sees to it.
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -6,8 +6,8 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.connection import Connection
 from molereach.clock import now_us
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import AttemptResult
-from molereach.proxy.config import Address
 from molereach.resp import has_unread
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
 class Pool:
     """The connections to one backend."""
 
-    def __init__(self, owner: "Backends", name: str, address: Address, started_us: int = 0) -> None:
+    def __init__(self, owner: "Backends", name: str, address: EndpointAddress, started_us: int = 0) -> None:
         self.owner, self.name, self.address, self.started_us = owner, name, address, started_us
         self.connections: dict[Connection, None] = {}  # all that hold a socket, until it is let go of
         self.idle: list[Connection] = []  # the one used last at the end, so that spare ones grow old
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -8,8 +8,8 @@
 from molereach.backends.pool import Pool
 from molereach.backends.reuse import FADE_S, Reuse
 from molereach.clock import now_us
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import AttemptResult, EndpointState
-from molereach.proxy.config import Address
 
 IDLE_SHARE = 0.5  # of the backend's idle time: a request that crosses its close would end as a reset
 
@@ -28,7 +28,7 @@
     def update(
         self,
         states: dict[str, EndpointState],
-        addresses: dict[str, Address],
+        addresses: dict[str, EndpointAddress],
         whole: bool,
         started: Mapping[str, int] = MappingProxyType({}),
     ) -> None:
--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -30,7 +30,7 @@
     stays: str
 
 
-RULES, DOOR, LIMITS = "molereach.policy", "molereach.proxy.proxy.FrontDoor", "molereach.limits"
+RULES, DOOR, LIMITS = "molereach.policy", "molereach.proxy.proxy.Proxy", "molereach.limits"
 CACHE, CLIENT = "molereach.cache", "molereach.clients.resp.ClientConnection"
 REQUEST = "until its request is answered and its last attempt is over"
 FULL_AGAIN = "until its stores are full again: as good as new then"
@@ -100,8 +100,8 @@
         "until the next event",
     ),
     Holding(DOOR, "inbox", "events of this turn", Effect.ENDS, "a turn of the loop"),
-    Holding(DOOR, "open", "requests", Effect.ENDS, REQUEST),
-    Holding(DOOR, "ended", "requests with attempts still out", Effect.ENDS, REQUEST),
+    Holding(DOOR, "open_requests", "requests", Effect.ENDS, REQUEST),
+    Holding(DOOR, "answered_requests", "requests with attempts still out", Effect.ENDS, REQUEST),
     Holding(
         CLIENT,
         "replies",
--- a/molereach/clients/listener.py
+++ b/molereach/clients/listener.py
@@ -22,7 +22,7 @@
 )
 from molereach.clients.disconnect_watch import EndWatch
 from molereach.clock import now_us
-from molereach.proxy.config import Address
+from molereach.endpoint_address import EndpointAddress
 
 __all__ = [  # with what all connections share, which is of one piece with it for whoever asks from outside
     "FIRST_US",
@@ -69,7 +69,7 @@
         self.leaving: dict[State, dict[Connection, None]] = {State.CLOSING: {}}
         self.leaving.update((state, {}) for state, _ in GIVE_WAY)
         self.listener: socket.socket | None = None
-        self.address: Address | None = None
+        self.address: EndpointAddress | None = None
         self.held = self.ended = False  # no new connections by an order; it has been closed
         self.draining = False
         self.ends = EndWatch()
@@ -77,7 +77,7 @@
 
     # --- taking connections in ---
 
-    def listen(self, address: Address) -> Address:
+    def listen(self, address: EndpointAddress) -> EndpointAddress:
         """Take connections from now on. Not a server of the loop's, which accepts all that come at once:
         a burst would go past any bound on descriptors."""
         self.address = address
@@ -86,13 +86,13 @@
         self.sweep()
         return self.address
 
-    def open_listener(self, address: Address) -> Address:
+    def open_listener(self, address: EndpointAddress) -> EndpointAddress:
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         # What a killed predecessor left in TIME_WAIT must not keep a restart from its address.
         self.listener = socket.create_server(address, family=family, backlog=BACKLOG)
         self.listener.setblocking(False)
         self.loop.add_reader(self.listener, self.accept)
-        bound: Address = self.listener.getsockname()
+        bound: EndpointAddress = self.listener.getsockname()
         return bound
 
     def hold(self, on: bool) -> None:
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     import click
 
-    from molereach.proxy.proxy import FrontDoor
+    from molereach.proxy.proxy import Proxy
 
 BAD_INPUT = 2
 DEFAULT_LEVEL = "INFO"
@@ -29,7 +29,7 @@
 file. exit codes: 0 done, 1 failed in service, 2 bad input or usage"""
 
 Serve = Callable[..., int]
-Attach = Callable[["FrontDoor"], Awaitable[Callable[[], None]]]
+Attach = Callable[["Proxy"], Awaitable[Callable[[], None]]]
 
 
 def complain(text: str) -> int:
@@ -112,7 +112,7 @@
     return serve(level, lambda door: attach_all(door, attach)) if attach else serve(level)
 
 
-async def attach_all(door: "FrontDoor", attach: Sequence[Attach]) -> Callable[[], None]:
+async def attach_all(door: "Proxy", attach: Sequence[Attach]) -> Callable[[], None]:
     """Switch on one after the other; what is returned switches them off, the last one first."""
     ends = [await each(door) for each in attach]
 
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -8,10 +8,10 @@
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import MS, CouncilSettings
 from molereach.coordination.storage.store import StoreError
+from molereach.endpoint_address import read_address
 from molereach.keyfile import read_key
 from molereach.operator_config import CouncilSection
-from molereach.proxy.config import ConfigError, read_address
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
@@ -26,18 +26,18 @@
         doors = {name: read_address(address) for name, address in section.doors.items()}
         terms = Terms(section.session_ms * MS, section.drift)
         return CouncilSettings(doors, section.panel, section.beat_ms * MS, terms)
-    except (ValueError, ConfigError) as error:
+    except ValueError as error:
         raise ValueError(f"council.{error}") from error
 
 
-def attacher(section: CouncilSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
+def attacher(section: CouncilSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
     """What switches the council on for a front door that is about to start."""
     settings, key = read_settings(section), read_key(Path(section.key_file), "council.key_file")
 
-    async def attach(door: FrontDoor) -> Callable[[], None]:
+    async def attach(door: Proxy) -> Callable[[], None]:
         service = await begin(section, settings, key, door.config.name)
-        door.counted.append(service.counters)
-        door.last.append(service.leave)
+        door.counter_sources.append(service.counters)
+        door.on_stopped.append(service.leave)
         return lambda: None
 
     return attach
--- a/molereach/discovery/endpoint_discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -1,58 +1,68 @@
-"""The list of backends: the news of one address of discovery, and the change to another.
-
-`catalog` reads the lists, `watch` is one call, `source` keeps one address's watch open, `calls` says when
-to call.
-"""
+"""The endpoint list: the updates of one address of discovery, and the change to another."""
 
 import asyncio
 import random
 from collections.abc import Callable, Coroutine
 
-from molereach.discovery.client import DiscoveryClient
-from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.client import DiscoveryClient, Update
+from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
-from molereach.proxy.config import Address
+from molereach.endpoint_address import EndpointAddress
 from molereach.subsetting.interface import ListError, Staged
 
 
 def no_staging() -> Staged:
+    """For whoever holds no long lists: ListError."""
     raise ListError("nothing is there to hold a list of this length")
 
 
 class EndpointDiscovery:
-    """Hands on the news of one source; another address takes over once it has told its whole list."""
+    """Hands on the updates of one client; that of another address takes over with its first full list."""
 
     def __init__(
         self,
-        address: Address,
-        catalog: EndpointMapping,
+        address: EndpointAddress,
+        mapping: EndpointMapping,
         version: int,
-        heard: Callable[[EndpointUpdate | StagedEndpointUpdate], Steps | None],
+        on_update: Callable[[Update], Steps | None],
         spawn: Callable[[Coroutine[None, None, None]], object],
-        pacing: Callable[[], PollBackoff] = lambda: PollBackoff(1),
+        new_backoff: Callable[[], PollBackoff] = lambda: PollBackoff(1),
         draw: Callable[[], float] = random.random,
-        stage: Callable[[], Staged] = no_staging,
+        open_staging: Callable[[], Staged] = no_staging,
     ) -> None:
-        self.mapping, self.on_update, self.spawn = catalog, heard, spawn
+        """`version`: that of the list known already, 0 for none; `on_update` applies an update, or returns
+        the steps that do; `spawn` runs a task; `draw`: a random source, evenly distributed from 0 to 1.
+        """
+        self.mapping = mapping
+        self.on_update = on_update
+        self.spawn = spawn
         self.first_update = asyncio.Event()
-        self.new_backoff, self.draw, self.open_staging = pacing, draw, stage
-        self.current = DiscoveryClient(address, catalog, version, self.apply_update, pacing(), draw, stage)
-        self.successor: DiscoveryClient | None = None  # it has told nothing yet
-        self.released_for_watch: int | None = None  # to that call of it
+        self.new_backoff = new_backoff
+        self.draw = draw
+        self.open_staging = open_staging
+        self.current = DiscoveryClient(
+            address, mapping, version, self.apply_update, new_backoff(), draw, open_staging
+        )
+        self.successor: DiscoveryClient | None = None  # it has brought no update yet
+        self.released_for_watch: int | None = (
+            None  # the successor's watch for which staged entries were freed
+        )
 
     @property
     def version(self) -> int | None:
+        """The version of the list that was applied last."""
         return self.current.version
 
     def start(self) -> None:
+        """Open the first watch."""
         self.spawn(self.current.run())
 
-    def change_address(self, address: Address) -> None:
-        """Go to another address. Until that has told its list, the old one is asked and heard as before.
+    def change_address(self, address: EndpointAddress) -> None:
+        """Go to another address. Until its list has been applied, the old one is watched as before.
 
-        Its list is asked for whole: what vanished meanwhile may be in no change, and its count of versions
-        need not be the old one's.
+        The full list is requested from it: what was removed meanwhile may be in no change, and it need not
+        count versions as the old one did.
         """
         if address == (self.successor or self.current).address:
             return
@@ -60,7 +70,7 @@
             self.successor.close()
             self.successor = None
         if address == self.current.address:
-            return  # back, before the other has told anything: this one was never left
+            return  # it returns before the other brought anything: this one's watch never ended
         self.released_for_watch = None
         self.successor = DiscoveryClient(
             address,
@@ -74,32 +84,39 @@
         )
         self.spawn(self.successor.run())
 
-    def reclaim_capacity(self, source: DiscoveryClient, number: int) -> bool:
-        """Memory is for the list in service and one that comes: what the old address is telling gives way to
-        the new one's list. To one call in each move, as an address whose lists cannot be taken must not keep
-        the old one from telling its own."""
-        if source is not self.successor or self.released_for_watch not in (None, number):
+    def reclaim_capacity(self, client: DiscoveryClient, number: int) -> bool:
+        """Whether entries staged by the current client were freed for a watch of its successor.
+
+        Memory is for the list in use and one that comes. Only one watch in each change of address has this,
+        as an address whose lists cannot be applied must not keep the current one from bringing its own.
+        """
+        if client is not self.successor or self.released_for_watch not in (None, number):
             return False
-        if gave_way := self.current.release_staged():
+        was_released = self.current.release_staged()
+        if was_released:
             self.released_for_watch = number
-        return gave_way
-
-    def apply_update(
-        self, source: DiscoveryClient, news: EndpointUpdate | StagedEndpointUpdate
-    ) -> Steps | None:
-        """What could not be taken changes nothing, and what needs several turns counts at the end of the
-        last: until then the old source is heard."""
-        if steps := self.on_update(news):
-            return self.apply_in_steps(source, steps)
-        self.mark_applied(source)
+        return was_released
+
+    def apply_update(self, client: DiscoveryClient, update: Update) -> Steps | None:
+        """Apply an update; the steps that are left to do.
+
+        One that could not be applied changes nothing, and one that needs several steps counts at the end of
+        the last: until then the current client's updates count.
+        """
+        if steps := self.on_update(update):
+            return self.apply_in_steps(client, steps)
+        self.mark_applied(client)
         return None
 
-    def apply_in_steps(self, source: DiscoveryClient, steps: Steps) -> Steps:
+    def apply_in_steps(self, client: DiscoveryClient, steps: Steps) -> Steps:
+        """Apply an update in steps; it counts at the end of the last."""
         yield from steps
-        self.mark_applied(source)
+        self.mark_applied(client)
 
-    def mark_applied(self, source: DiscoveryClient) -> None:
-        if source is self.successor:
+    def mark_applied(self, client: DiscoveryClient) -> None:
+        """An update of a client counts; the first one of the successor makes it the current client."""
+        if client is self.successor:
             self.current.close()
-            self.current, self.successor = source, None
+            self.current = client
+            self.successor = None
         self.first_update.set()
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -1,14 +1,15 @@
-"""Discovery's lists as the module reads them: names become the settings' numbers, times our clock's."""
+"""Endpoint lists as the policy reads them: names become the settings' numbers, times the local clock's."""
 
 import json
 import logging
 import time
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
+from molereach.discovery.errors import MalformedListError
+from molereach.endpoint_address import EndpointAddress, read_address
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
-from molereach.proxy.config import Address, Config, ConfigError, read_address
 from molereach.subsetting.interface import Staged
 
 log = logging.getLogger(__name__)
@@ -18,76 +19,87 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-# What an entry that makes no sense runs into.
-MALFORMED_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError, ConfigError)
+# What reading a malformed entry may raise; errors of this package and of addresses are ValueErrors.
+MALFORMED_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 MAX_WEIGHT = 1e6
 MAX_CELL = 1e9
 MAX_UNIX_TIME_MS = 1e14  # some thousands of years
 
 
-ListedEndpoints = tuple[
-    list[Endpoint], dict[str, Address]
-]  # entries in their order, and the addresses that they give
+class ListedEndpoints(NamedTuple):
+    """Entries of a list in their order, and the addresses that they give, by the endpoint's name."""
+
+    endpoints: list[Endpoint]
+    addresses: dict[str, EndpointAddress]
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the list for the module, and the addresses that go with it."""
+    """A list, or changes to one, for the policy, and the addresses that go with it."""
 
     event: EndpointListReceived
-    addresses: dict[str, Address]
+    addresses: dict[str, EndpointAddress]
 
 
 @dataclass(frozen=True, slots=True)
 class StagedEndpointUpdate:
-    """News of a list that came in parts: what is to be taken over, in turns."""
+    """A list, or changes to one, that came in parts: what was staged is yet to be applied, step by step."""
 
     staged: Staged
     kind: EndpointListKind
     version: int
 
 
-def number_in_range(value: object, most: float) -> float:
-    """A number that is finite and in range; 0 for one that says nothing."""
-    if isinstance(value, (int, float)) and 0 <= value <= most:
-        return float(value)  # the range is also false for what is no number
+def number_in_range(value: object, maximum: float) -> float:
+    """The value where it is a number from 0 to `maximum`, else 0."""
+    if isinstance(value, (int, float)) and 0 <= value <= maximum:
+        return float(value)  # the comparison is also false for NaN
     return 0.0
 
 
 class EndpointMapping:
-    """Reads discovery's lists, with names turned to the settings' numbers and times to our clock.
+    """Reads endpoint lists, with names turned to the settings' numbers and times to the local clock.
 
-    Every front door reads every entry: what is done for each is kept short.
+    Every proxy reads every entry: the work for each is kept short.
     """
 
-    def __init__(self, config: Config) -> None:
-        self.zone_numbers, self.kind_numbers = config.zone_numbers, config.kind_numbers
-        # Fixed once: the module takes a backend whose start time differs for one that has restarted.
+    def __init__(self, zone_numbers: Mapping[str, int], kind_numbers: Mapping[str, int]) -> None:
+        """The settings' numbers of zones and of machine types, by name."""
+        self.zone_numbers = zone_numbers
+        self.kind_numbers = kind_numbers
+        # Fixed once: the policy takes an endpoint whose start time differs for one that has restarted.
         self.clock_offset_us = (time.monotonic_ns() - time.time_ns()) // 1000
 
     def started_us(self, unix_ms: float) -> int:
-        """0 stays 0, for long ago; nothing else becomes 0."""
+        """A start time in microseconds of the local clock. 0 means long ago and stays; nothing else becomes
+        0.
+        """
         return (round(unix_ms * 1000) + self.clock_offset_us) or 1 if unix_ms else 0
 
     def read_endpoint(self, entry: Mapping[str, Any]) -> Endpoint:
-        name, get = entry["instanceId"], entry.get
+        """One entry of a list; one of MALFORMED_ENTRY_ERRORS where it has no usable name."""
+        name = entry["instanceId"]
+        get = entry.get
         if not isinstance(name, str) or not name:
-            raise ValueError("no name")
+            raise MalformedListError("no name")
         started_ms = number_in_range(get("startedAtMs"), MAX_UNIX_TIME_MS)
         return Endpoint(
             name,
             self.zone_numbers.get(str(get("zone")), -1),
             self.kind_numbers.get(str(get("machineType")), -1),
             int(number_in_range(get("cell"), MAX_CELL)),
-            # In a state that we do not know it is not said to serve: nothing new goes there.
+            # An unknown state does not say that the endpoint serves: no new requests go there.
             LIFECYCLE_STATES.get(str(get("lifecycle")), EndpointState.DRAINING),
             number_in_range(get("weight"), MAX_WEIGHT) or 1.0,
             self.started_us(started_ms) if started_ms else 0,
         )
 
     @staticmethod
-    def read_entry_address(entry: Mapping[str, Any], state: EndpointState) -> Address | None:
-        """One that is to get nothing new must be heard of in any case, and needs no address for that."""
+    def read_entry_address(entry: Mapping[str, Any], state: EndpointState) -> EndpointAddress | None:
+        """The address that an entry gives; an error only where the endpoint may get new requests.
+
+        That an endpoint drains or is removed must count in any case, and needs no address.
+        """
         try:
             return read_address(entry["hostPort"]) if state is not EndpointState.GONE else None
         except MALFORMED_ENTRY_ERRORS:
@@ -96,46 +108,52 @@
             return None
 
     def read_entries(self, listed: Iterable[Any]) -> ListedEndpoints:
-        """Entries of a list; those that make no sense are passed over, with one line for all of them."""
-        servers: list[Endpoint] = []
-        addresses: dict[str, Address] = {}
-        odd, first = 0, ""
+        """The entries of a list; malformed ones are skipped, with one log line for all of them."""
+        endpoints: list[Endpoint] = []
+        addresses: dict[str, EndpointAddress] = {}
+        malformed_count = 0
+        first_malformed = ""
         for entry in listed:
             try:
-                server = self.read_endpoint(entry)
-                address = self.read_entry_address(entry, server.state)
+                endpoint = self.read_endpoint(entry)
+                address = self.read_entry_address(entry, endpoint.state)
             except MALFORMED_ENTRY_ERRORS as error:
-                first = first or f"{entry!r:.200}: {error!s:.200}"
-                odd += 1
+                first_malformed = first_malformed or f"{entry!r:.200}: {error!s:.200}"
+                malformed_count += 1
                 continue
-            servers.append(server)
+            endpoints.append(endpoint)
             if address:
-                addresses[server.name] = address
-        if odd:
-            more = f" (and {odd - 1} more)" if odd > 1 else ""
-            log.error("passed over an entry of the list%s: %s", more, first)
-        return servers, addresses
+                addresses[endpoint.name] = address
+        if malformed_count:
+            more = f" (and {malformed_count - 1} more)" if malformed_count > 1 else ""
+            log.error("malformed endpoint entry skipped%s: %s", more, first_malformed)
+        return ListedEndpoints(endpoints, addresses)
 
     def read_entry_list(self, text: bytes) -> ListedEndpoints:
-        """Entries of an object that comes in parts."""
+        """Entries that were extracted from a long object, as a JSON list."""
         return self.read_entries(json.loads(text))
 
     def read_update(self, value: Mapping[str, Any], kind: EndpointListKind | None = None) -> EndpointUpdate:
-        """A list or changes to it. A whole list that names a server twice is a ValueError: which of the two
-        holds, nobody can say."""
+        """A list, or changes to one, from an object that came complete.
+
+        MalformedListError where a full list names an endpoint twice: either entry may be the right one.
+        """
         kind = kind or list_kind(value)
-        servers, addresses = self.read_entries(value["instances"])
-        if kind is EndpointListKind.FULL and len({server.name for server in servers}) < len(servers):
-            raise ValueError("the whole list names a server twice")
-        return EndpointUpdate(EndpointListReceived(kind, int(value["generation"]), tuple(servers)), addresses)
+        endpoints, addresses = self.read_entries(value["instances"])
+        names = {endpoint.name for endpoint in endpoints}
+        if kind is EndpointListKind.FULL and len(names) < len(endpoints):
+            raise MalformedListError("the whole list names a server twice")
+        event = EndpointListReceived(kind, int(value["generation"]), tuple(endpoints))
+        return EndpointUpdate(event, addresses)
 
     def read_staged_update(
         self, value: Mapping[str, Any], staged: Staged, kind: EndpointListKind | None = None
     ) -> StagedEndpointUpdate:
-        """The end of an object whose parts have been staged; what came with it is staged too."""
+        """The end of an object whose entries have been staged; those that are left in it are staged too."""
         staged.add(*self.read_entries(value["instances"]))
         return StagedEndpointUpdate(staged, kind or list_kind(value), int(value["generation"]))
 
 
 def list_kind(value: Mapping[str, Any]) -> EndpointListKind:
+    """Whether an object of a watch replaces the list or changes it."""
     return EndpointListKind.FULL if value.get("reset") else EndpointListKind.CHANGES
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -20,7 +20,7 @@
 from molereach.fleet import wire
 from molereach.fleet.anchored_clock import anchored
 from molereach.fleet.orders import Book, Overlay, Verb
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +102,7 @@
 class Control:
     """The control of one front door, and the orders in force there."""
 
-    def __init__(self, door: FrontDoor, path: Path) -> None:
+    def __init__(self, door: Proxy, path: Path) -> None:
         self.door, self.path = door, path
         self.book, self.overlay = Book(), Overlay()
         self.connections: set[ControlConnection] = set()
@@ -114,9 +114,9 @@
         self.news_due = False
         self.lapse_timer: asyncio.TimerHandle | None = None
         self.told = asyncio.Event()  # an agent has brought its orders, be they none
-        if door.known:
-            self.overlay.on_list(door.known.event)
-        door.see = self.overlay.on_list
+        if door.saved_list:
+            self.overlay.on_list(door.saved_list.event)
+        door.overlay = self.overlay.on_list
         self.answers: dict[str, Callable[[wire.Ask, ControlConnection], wire.Answer]] = {
             "state": self.on_state,
             "members": self.on_members,
@@ -206,13 +206,13 @@
             self.book.revision,
             self.overlay.version,
             len(door.clients.connections),
-            len(door.open),
+            len(door.open_requests),
         )
 
     def on_members(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
         out: dict[str, int] = {}
-        for exchange in (*self.door.open.values(), *self.door.ended.values()):
-            for attempt in exchange.out.values():
+        for exchange in (*self.door.open_requests.values(), *self.door.answered_requests.values()):
+            for attempt in exchange.in_flight.values():
                 out[attempt.server] = out.get(attempt.server, 0) + 1
         buildings = {number: name for name, number in self.door.config.zone_numbers.items()}
         members = tuple(
@@ -236,11 +236,11 @@
             "asks": self.asks,
             "connections_refused": self.refused,
             "clients": len(self.door.clients.connections),
-            "open_requests": len(self.door.open),
+            "open_requests": len(self.door.open_requests),
             "backend_connections": self.door.backends.count(),
-            "held_bytes": self.door.held_bytes,
+            "held_bytes": self.door.open_bytes,
         }
-        for beside in self.door.counted:
+        for beside in self.door.counter_sources:
             counters |= beside()
         return wire.Answer(wire.VERSION, ask.number, counters=counters)
 
@@ -287,7 +287,7 @@
         """Bring the front door to what is wanted now."""
         now_ms = self.unix_ms()
         if news := self.overlay.on_orders(self.book.wanted(Verb.DRAIN, now_ms)):
-            self.door.hear(news, {})
+            self.door.publish(news, {})
         self.door.clients.hold(self.door.config.name in self.book.wanted(Verb.HOLD, now_ms))
         if not self.news_due:
             self.news_due = True
@@ -309,7 +309,7 @@
             connection.send(news)
 
 
-async def attach(door: FrontDoor, path: Path, wait_s: float) -> Callable[[], None]:
+async def attach(door: Proxy, path: Path, wait_s: float) -> Callable[[], None]:
     """Switch control on for a front door that is about to start; what switches it off again.
 
     It waits for `wait_s` at most for an agent to bring the orders in force, so that they hold before the
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -8,15 +8,15 @@
 from molereach.limits.messages import Codec
 from molereach.limits.settings import LimitSettings
 from molereach.operator_config import LimitsSection
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 
-def attacher(section: LimitsSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
+def attacher(section: LimitsSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
     """What switches limits on for a front door that has not had an event yet."""
     key = read_key(Path(section.key_file), "limits.key_file") if section.key_file else b""
     figures = LimitSettings(section.lease_ms * 1000, section.drift, section.beat_ms * 1000, section.floor)
 
-    async def attach(door: FrontDoor) -> Callable[[], None]:
+    async def attach(door: Proxy) -> Callable[[], None]:
         limits = Limits(door.settings, figures)
         door.use_limits(limits, Codec(limits.me, limits.generation, limits.counts, key, limits.hears))
         return lambda: None
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -8,18 +8,19 @@
 from pathlib import Path
 from typing import Any, BinaryIO, TypeVar
 
-from molereach.discovery.json_stream import EntryList, JsonStream, JsonStreamError
+from molereach.discovery.errors import JsonStreamError
+from molereach.discovery.json_stream import EntryList, JsonStream
+from molereach.endpoint_address import EndpointAddress, EndpointAddressError, read_address
 from molereach.policy.interface.settings import Settings
 from molereach.protocol.settings import Pairs, SettingsError, read_settings, shown
 
-Address = tuple[str, int]
 Section = TypeVar("Section", dict[str, Any], list[Any])
 Result = TypeVar("Result")
 
-LEAST_SOCKETS = 48  # with fewer, those that a front door needs for itself would pass the limit
-LONG_FILE_BYTES = 1 << 18  # a file of no more than this is read and parsed at once
-PIECE_BYTES = 1 << 15  # of a long one
-MOST_FILE_BYTES = 1 << 26
+MIN_SOCKETS = 48  # with fewer, those that a front door needs for itself would pass the limit
+STREAMED_FILE_BYTES = 1 << 18  # a file of no more than this is read and parsed at once
+READ_CHUNK_BYTES = 1 << 15  # of a long one
+MAX_FILE_BYTES = 1 << 26
 SEED = re.compile(r"[0-9a-fA-F]{1,64}")
 
 
@@ -32,8 +33,8 @@
     """The front door's own address, whom it talks to, its limits and the module's settings."""
 
     name: str
-    listen: Address
-    discovery: Address
+    listen: EndpointAddress
+    discovery: EndpointAddress
     settings: Settings
     class_numbers: Mapping[str, int]
     plan_numbers: Mapping[str, int]
@@ -45,20 +46,15 @@
     sockets: int
     memory_mb: int
     known: Mapping[str, Any]  # without the entries that are in the parts
-    peer_listen: Address | None = None
-    peers: tuple[Address, ...] = ()
+    peer_listen: EndpointAddress | None = None
+    peers: tuple[EndpointAddress, ...] = ()
     # Entries of a long `known`, as JSON lists; the start empties it, as they need not be held twice.
     known_parts: list[bytes] = field(default_factory=list, compare=False)
 
 
-def read_address(text: object) -> Address:
-    host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not colon or not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port[:6]) < 65536:
-        raise ConfigError(f"{shown(text)} is not an address")
-    return host, int(port)
-
-
-def address(values: Mapping[str, Any], key: str, env: Mapping[str, str] | None = None) -> Address:
+def configured_address(
+    values: Mapping[str, Any], key: str, env: Mapping[str, str] | None = None
+) -> EndpointAddress:
     """That of the environment, where it is set there, or the file's."""
     variable = f"PROXY_{key.upper()}"
     text = env.get(variable) if env else None
@@ -66,7 +62,7 @@
         raise ConfigError(f"{key}: is missing")
     try:
         return read_address(text or values[key])
-    except ConfigError as error:
+    except EndpointAddressError as error:
         raise ConfigError(f"{variable if text else key}: {error}") from None
 
 
@@ -122,8 +118,8 @@
         raise ConfigError(f"seed: is {shown(seed)}, which is no hexadecimal number")
     config = Config(
         name=env.get("PROXY_NAME") or own.text("name", None),
-        listen=address(values, "listen", env),
-        discovery=address(values, "discovery", env),
+        listen=configured_address(values, "listen", env),
+        discovery=configured_address(values, "discovery", env),
         class_numbers=numbers(settings, "categories", named=True),
         plan_numbers=numbers(settings, "plans", named=True),
         zone_numbers=numbers(settings, "zones", named=False),
@@ -132,11 +128,13 @@
         conn_idle_us=pairs.whole("ceilings.conn-idle-us", 30_000_000, 1),
         connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", 250_000, 1),
         max_open=pairs.whole("ceilings.max-open", 20_000, 1),
-        sockets=limits.whole("sockets", 1024, LEAST_SOCKETS),
+        sockets=limits.whole("sockets", 1024, MIN_SOCKETS),
         memory_mb=limits.whole("memory_mb", 64, 1),
         known=values.get("known") or {},  # what is wrong there must not keep it from a start
-        peer_listen=None if values.get("peer_listen") in (None, "") else address(values, "peer_listen"),
-        peers=tuple(address({f"peers.{n}": text}, f"peers.{n}") for n, text in enumerate(peers)),
+        peer_listen=None
+        if values.get("peer_listen") in (None, "")
+        else configured_address(values, "peer_listen"),
+        peers=tuple(configured_address({f"peers.{n}": text}, f"peers.{n}") for n, text in enumerate(peers)),
     )
     if not (config.peers and config.peer_listen):  # nobody to tell, or no way to hear what they answer
         config = replace(config, settings=replace(config.settings, may_gossip=False))
@@ -147,7 +145,7 @@
 
 def load(env: Mapping[str, str]) -> Config:
     """The configuration that the environment points to."""
-    return run_out(load_in_steps(env))
+    return run_to_end(load_in_steps(env))
 
 
 def load_in_steps(env: Mapping[str, str], start: bool = True) -> Generator[None, None, Config]:
@@ -158,7 +156,7 @@
     parts: list[bytes] = []
     try:
         with Path(path).open("rb") as file:
-            if os.fstat(file.fileno()).st_size <= LONG_FILE_BYTES:
+            if os.fstat(file.fileno()).st_size <= STREAMED_FILE_BYTES:
                 values = json.loads(file.read())
             else:
                 values = yield from read_long(file, parts if start else None)
@@ -174,8 +172,8 @@
 
 def read_long(file: BinaryIO, parts: list[bytes] | None) -> Generator[None, None, object]:
     """The object in a long file, but for entries of the known list: they go to `parts`, or nowhere."""
-    documents, found = JsonStream(MOST_FILE_BYTES, ("known", "instances")), []
-    while data := file.read(PIECE_BYTES):
+    documents, found = JsonStream(MAX_FILE_BYTES, ("known", "instances")), []
+    while data := file.read(READ_CHUNK_BYTES):
         for one in documents.feed(data):
             if isinstance(one, EntryList):
                 if parts is not None:
@@ -193,13 +191,13 @@
 def reload(env: Mapping[str, str]) -> Config:
     """The configuration anew. The environment is as old as the process: in a file that was replaced
     since, the address of discovery is the newer one."""
-    return run_out(reload_in_steps(env))
+    return run_to_end(reload_in_steps(env))
 
 
 def is_long(env: Mapping[str, str]) -> bool:
     """Whether the file is one that should be read in steps."""
     try:
-        return Path(env.get("PROXY_CONFIG", "")).stat().st_size > LONG_FILE_BYTES
+        return Path(env.get("PROXY_CONFIG", "")).stat().st_size > STREAMED_FILE_BYTES
     except (OSError, ValueError):
         return False  # whoever reads it says what is wrong
 
@@ -210,7 +208,7 @@
     return load_in_steps(file_first, start=False)
 
 
-def run_out(steps: Generator[None, None, Result]) -> Result:
+def run_to_end(steps: Generator[None, None, Result]) -> Result:
     """All steps at once: nobody is served yet, or there are few."""
     while True:
         try:
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -4,39 +4,39 @@
 from collections.abc import Callable
 from typing import cast
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import GossipReceived
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
-from molereach.proxy.config import Address
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """Words to and from the other front doors; what strangers send or what is malformed is dropped."""
 
     def __init__(
-        self, addresses: tuple[Address, ...], me: int, heard: Callable[[GossipReceived], None]
+        self, addresses: tuple[EndpointAddress, ...], me: int, heard: Callable[[GossipReceived], None]
     ) -> None:
-        self.addresses, self.me, self.heard = addresses, me, heard
+        self.addresses, self.own_index, self.on_message = addresses, me, heard
         self.senders = {address: number for number, address in enumerate(addresses) if number != me}
         self.transport: asyncio.DatagramTransport | None = None
-        self.form: Form = PlainForm()
+        self.codec: Form = PlainForm()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, address: Address) -> None:
+    def datagram_received(self, data: bytes, address: EndpointAddress) -> None:
         sender = self.senders.get(address)
         if sender is None or len(data) > MESSAGE_BYTES:
             return
-        if message := self.form.unpack(sender, data):
-            self.heard(message)
+        if message := self.codec.unpack(sender, data):
+            self.on_message(message)
 
     def error_received(self, error: Exception) -> None:
         """A peer that is down may show as an error here; words may be lost in any case."""
 
-    def tell(self, action: SendGossip) -> None:
-        if self.transport and action.peer != self.me and action.peer < len(self.addresses):
-            for data in self.form.pack(action.peer, action.messages):
+    def send(self, action: SendGossip) -> None:
+        if self.transport and action.peer != self.own_index and action.peer < len(self.addresses):
+            for data in self.codec.pack(action.peer, action.messages):
                 self.transport.sendto(data, self.addresses[action.peer])
 
     def close(self) -> None:
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -24,6 +24,7 @@
 from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.gateway import Gateway
 from molereach.policy.interface.actions import (
     Action,
@@ -50,10 +51,10 @@
 )
 from molereach.policy.interface.protocols import LimitPolicy
 from molereach.protocol.gossip_codec import Form
-from molereach.proxy.config import Address, Config, run_out
+from molereach.proxy.config import Config, run_to_end
 from molereach.proxy.connection_draining import drain
-from molereach.proxy.gossip import Peers
-from molereach.proxy.graceful_shutdown import Ending
+from molereach.proxy.gossip import GossipTransport
+from molereach.proxy.graceful_shutdown import GracefulShutdown
 from molereach.subsetting.endpoint_subsetting import Routing
 from molereach.subsetting.entry_budget import COPIES
 from molereach.subsetting.interface import Lists, Seen
@@ -63,87 +64,87 @@
 # Taken off the time that a client waits: for the way of its request here and of our answer back.
 ANSWER_MARGIN_US = 25_000
 BACKSTOP_US = 15_000  # how much later than the module a request is ended here, should it not do so
-FIRST_LIST_S = 0.3  # how long the start waits for a list that is newer than the known one
-RING_AGAIN_US = 20_000  # how soon a timer comes again on which the module failed
-CALLS_SEED = 0x5CA11  # the chance of calls is not that of the module
-BYES = 2  # last words to each peer, as they may be lost
-SPARE_SOCKETS = 32  # for listening, discovery, peers, the loop and log
-CLIENT_SHARE = 0.8  # of the other sockets
-HELD_SHARE = 1 / 8  # of the memory: for commands that are not answered yet
-WAITING_SHARE = 1 / 8  # of the memory: for commands in part, and answers that clients don't read
-LIST_SHARE = 1 / 4  # of the memory: for the whole list of backends
+FIRST_LIST_TIMEOUT_S = 0.3  # how long the start waits for a list that is newer than the known one
+TIMER_RETRY_US = 20_000  # how soon a timer comes again on which the module failed
+BACKOFF_SEED = 0x5CA11  # the chance of calls is not that of the module
+LEAVE_REPEATS = 2  # last words to each peer, as they may be lost
+RESERVED_SOCKETS = 32  # for listening, discovery, peers, the loop and log
+CLIENT_SOCKET_FRACTION = 0.8  # of the other sockets
+OPEN_COMMANDS_FRACTION = 1 / 8  # of the memory: for commands that are not answered yet
+CLIENT_BUFFERS_FRACTION = 1 / 8  # of the memory: for commands in part, and answers that clients don't read
+ENDPOINT_LIST_FRACTION = 1 / 4  # of the memory: for the whole list of backends
 ENTRY_BYTES = 160  # that an entry of a list takes, in each copy
-LEAST_VIEW, MOST_VIEW = 256, 512  # backends that are decided on; a shorter list is seen whole
-REQUEST_BYTES = 4096  # that an open request takes besides its command
+MIN_SUBSET, MAX_SUBSET = 256, 512  # backends that are decided on; a shorter list is seen whole
+OPEN_REQUEST_BYTES = 4096  # that an open request takes besides its command
 
 
-class Exchange:
+class OpenRequest:
     """A request from its arrival until its answer, with the attempts that are out."""
 
-    __slots__ = ("attempts", "command", "end_us", "out", "reply", "timer")
+    __slots__ = ("attempts_sent", "command", "deadline_us", "in_flight", "reply", "timer")
 
     def __init__(self, command: Command, reply: Reply, end_us: int) -> None:
-        self.command, self.reply, self.end_us = command, reply, end_us
-        self.attempts = 0
-        self.out: dict[int, Attempt] = {}
+        self.command, self.reply, self.deadline_us = command, reply, end_us
+        self.attempts_sent = 0
+        self.in_flight: dict[int, Attempt] = {}
         self.timer: asyncio.TimerHandle | None = None
 
 
-class FrontDoor:
+class Proxy:
     def __init__(self, config: Config) -> None:
         self.config, self.settings = config, config.settings
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway(config.settings)
         self.inbox: list[Event] = []
-        self.see: Callable[[EndpointListReceived], EndpointListReceived] = lambda news: (
+        self.overlay: Callable[[EndpointListReceived], EndpointListReceived] = lambda news: (
             news
         )  # orders may lie over the list
-        self.counted: list[Callable[[], dict[str, int]]] = []  # counters of what stands beside
-        self.last: list[Callable[[], Awaitable[None]]] = []  # what ends after all clients
-        self.open: dict[str, Exchange] = {}  # requests that are owed an answer
-        self.ended: dict[str, Exchange] = {}  # those answered with attempts still out
-        self.held_bytes = 0
-        self.ending: Ending | None = None  # from when it was told to end
+        self.counter_sources: list[Callable[[], dict[str, int]]] = []  # counters of what stands beside
+        self.on_stopped: list[Callable[[], Awaitable[None]]] = []  # what ends after all clients
+        self.open_requests: dict[str, OpenRequest] = {}  # requests that are owed an answer
+        self.answered_requests: dict[str, OpenRequest] = {}  # those answered with attempts still out
+        self.open_bytes = 0
+        self.shutdown: GracefulShutdown | None = None  # from when it was told to end
         self.address = config.listen
-        self.reading: asyncio.Task[None] | None = None  # of a long configuration anew
+        self.config_reload: asyncio.Task[None] | None = None  # of a long configuration anew
         memory = config.memory_mb << 20
-        self.most_held = round(memory * HELD_SHARE)
+        self.max_open_bytes = round(memory * OPEN_COMMANDS_FRACTION)
         granted, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        sockets = max(16, min(config.sockets, granted) - SPARE_SOCKETS)
-        most_clients = round(sockets * CLIENT_SHARE)
+        sockets = max(16, min(config.sockets, granted) - RESERVED_SOCKETS)
+        most_clients = round(sockets * CLIENT_SOCKET_FRACTION)
         self.backends = Backends(config.conn_idle_us, config.connect_timeout_us, sockets - most_clients)
         self.parser = CommandParser(config)
         self.clients = Intake(
             most_clients,
-            round(memory * WAITING_SHARE),
+            round(memory * CLIENT_BUFFERS_FRACTION),
             lambda: ClientConnection(self.clients, self),
             self.backends.spawn,
         )
-        view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
-        most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
-        self.lists: Lists = Routing(config.settings, view, most)
-        self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
-        self.catalog = EndpointMapping(config)
-        self.known: EndpointUpdate | None = None  # the list that it started with, as it was heard
-        version = self.read_known()
+        view = min(MAX_SUBSET, max(MIN_SUBSET, self.backends.most))
+        most = round(memory * ENDPOINT_LIST_FRACTION) // (COPIES * ENTRY_BYTES)
+        self.endpoint_lists: Lists = Routing(config.settings, view, most)
+        self.gossip = GossipTransport(config.peers, config.settings.proxy_index, self.post)
+        self.mapping = EndpointMapping(config.zone_numbers, config.kind_numbers)
+        self.saved_list: EndpointUpdate | None = None  # the list that it started with, as it was heard
+        version = self.load_saved_list()
         self.discovery = EndpointDiscovery(
             config.discovery,
-            self.catalog,
+            self.mapping,
             version,
-            self.list_heard,
+            self.on_endpoint_update,
             self.backends.spawn,
             lambda: PollBackoff.from_settings(config.settings),
-            random.Random(config.settings.seed ^ CALLS_SEED).random,
-            self.lists.stage,
+            random.Random(config.settings.seed ^ BACKOFF_SEED).random,
+            self.endpoint_lists.stage,
         )
-        self.carry_out: dict[type, Callable[..., None]] = {
-            ForwardAttempt: self.send,
+        self.handlers: dict[type, Callable[..., None]] = {
+            ForwardAttempt: self.forward,
             CancelAttempt: self.cancel,
-            Reject: self.refuse,
+            Reject: self.reject,
             FailRequest: self.fail,
             SetTimer: self.set_timer,
-            SendGossip: self.peers.tell,
-            WriteLog: self.log_line,
+            SendGossip: self.gossip.send,
+            WriteLog: self.write_log,
             CloseIdleConnections: lambda action: self.backends.close_idle(action.server),
             SubscribeToEndpoints: lambda action: None,
             FetchEndpoints: lambda action: None,  # the watch is always on
@@ -151,7 +152,7 @@
 
     # --- start and end ---
 
-    def read_known(self) -> int:
+    def load_saved_list(self) -> int:
         """Take over the known list; its version, or 0 where there is none that makes sense.
 
         It may have come in parts, each of which is let go of once it has been read.
@@ -161,12 +162,14 @@
             return 0
         try:
             news = (
-                self.staged_known(parts) if parts else self.catalog.read_update(known, EndpointListKind.SAVED)
+                self.stage_saved_list(parts)
+                if parts
+                else self.mapping.read_update(known, EndpointListKind.SAVED)
             )
             seen = (
-                run_out(self.take_over(news))
+                run_to_end(self.apply_staged(news))
                 if isinstance(news, StagedEndpointUpdate)
-                else self.take_whole(news)
+                else self.apply_complete(news)
             )
         except (KeyError, TypeError, ValueError, ArithmeticError) as error:
             log.error("the known list makes no sense: %s", error)
@@ -174,28 +177,28 @@
         finally:
             parts.clear()
         if seen:
-            self.known = EndpointUpdate(seen.event, seen.addresses)
+            self.saved_list = EndpointUpdate(seen.event, seen.addresses)
         return news.version if isinstance(news, StagedEndpointUpdate) else news.event.version
 
-    def staged_known(self, parts: list[bytes]) -> StagedEndpointUpdate:
-        staged = self.lists.stage()
+    def stage_saved_list(self, parts: list[bytes]) -> StagedEndpointUpdate:
+        staged = self.endpoint_lists.stage()
         parts.reverse()
         while parts:
-            staged.add(*self.catalog.read_entry_list(parts.pop()))
-        return self.catalog.read_staged_update(self.config.known, staged, EndpointListKind.SAVED)
+            staged.add(*self.mapping.read_entry_list(parts.pop()))
+        return self.mapping.read_staged_update(self.config.known, staged, EndpointListKind.SAVED)
 
     def use_limits(self, limits: LimitPolicy, form: Form) -> None:
         """Have limits consulted, and their words told; before the first event."""
-        self.gateway.limits, self.peers.form = limits, form
+        self.gateway.limits, self.gossip.codec = limits, form
 
     async def start(self) -> None:
         """Serve; returns once clients are answered. An address that cannot be had is an OSError."""
         self.backends.sweep()
         if self.settings.may_gossip and self.config.peer_listen:
-            await self.loop.create_datagram_endpoint(lambda: self.peers, local_addr=self.config.peer_listen)
+            await self.loop.create_datagram_endpoint(lambda: self.gossip, local_addr=self.config.peer_listen)
         self.discovery.start()
         try:
-            await asyncio.wait_for(self.discovery.first_update.wait(), FIRST_LIST_S)
+            await asyncio.wait_for(self.discovery.first_update.wait(), FIRST_LIST_TIMEOUT_S)
         except TimeoutError:
             log.warning("discovery is silent; starting with the known list")
         self.address = self.clients.listen(self.config.listen)
@@ -223,30 +226,30 @@
         """Take and answer what comes while there is time for it, then close what is idle, and answer all. The
         kill counts from when it was told to end, which may have been while it started."""
         deadlines_us = (rule.deadline_us for rule in self.settings.classes)
-        self.ending = Ending(now_us() if told_us is None else told_us, deadlines_us)
-        self.hurry(self.ending.answers_by_us)
-        await drain(self.ending, self.clients, self.open)
-        for peer, word in self.gateway.limits.bye() * BYES if self.gateway.limits else ():
-            self.peers.tell(SendGossip(peer, (word,)))
-        for end in self.last:
+        self.shutdown = GracefulShutdown(now_us() if told_us is None else told_us, deadlines_us)
+        self.shorten_deadlines(self.shutdown.responses_due_at_us)
+        await drain(self.shutdown, self.clients, self.open_requests)
+        for peer, word in self.gateway.limits.bye() * LEAVE_REPEATS if self.gateway.limits else ():
+            self.gossip.send(SendGossip(peer, (word,)))
+        for end in self.on_stopped:
             await end()
         self.close()
 
-    def hurry(self, by_us: int) -> None:
+    def shorten_deadlines(self, by_us: int) -> None:
         """Have what is open answered by then, however much longer its clients would wait."""
-        for name, exchange in self.open.items():
-            if exchange.end_us <= by_us:
+        for name, exchange in self.open_requests.items():
+            if exchange.deadline_us <= by_us:
                 continue
-            exchange.end_us = by_us
+            exchange.deadline_us = by_us
             if exchange.timer:
                 exchange.timer.cancel()
-            exchange.timer = self.loop.call_later((by_us - now_us()) / 1e6, self.give_up, name)
+            exchange.timer = self.loop.call_later((by_us - now_us()) / 1e6, self.fail_and_forget, name)
 
     def close(self) -> None:
         """Let go of all sockets."""
-        if self.reading:
-            self.reading.cancel()
-        self.peers.close()
+        if self.config_reload:
+            self.config_reload.cancel()
+        self.gossip.close()
         self.clients.close()
         self.backends.close()
 
@@ -261,55 +264,57 @@
         now, events, self.inbox = now_us(), self.inbox, []
         for event in events:
             for action in self.decide(now, event):
-                self.act(action)
+                self.execute(action)
 
     def decide(self, now: int, event: Event) -> list[Action]:
         try:
             return self.gateway.handle(now, event)
         except Exception:
             log.exception("the module failed on %r", event)
-            self.give_up(getattr(event, "request_id", ""))
+            self.fail_and_forget(getattr(event, "request_id", ""))
             if isinstance(event, TimerExpired):  # the module lives by it: it comes again
-                self.set_timer(SetTimer(RING_AGAIN_US, event.token))
+                self.set_timer(SetTimer(TIMER_RETRY_US, event.token))
             return []
 
-    def act(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         try:
-            self.carry_out[type(action)](action)
+            self.handlers[type(action)](action)
         except Exception:
             log.exception("cannot carry out %r", action)
-            self.give_up(getattr(action, "request_id", ""))
+            self.fail_and_forget(getattr(action, "request_id", ""))
 
-    def give_up(self, request_id: str) -> None:
+    def fail_and_forget(self, request_id: str) -> None:
         """Fail a request over a fault, and have the module forget it."""
-        if request_id in self.open:
+        if request_id in self.open_requests:
             self.answer(request_id, FAILED)
             self.post(ClientDisconnected(request_id))
 
-    def list_heard(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+    def on_endpoint_update(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
         """News of the list; where they came in parts, what is to be done in turns. ListError where it cannot
         be held: the list before it holds."""
         if isinstance(news, StagedEndpointUpdate):
-            return self.take_in_turns(news)
-        self.take_whole(news)
+            return self.apply_staged_in_steps(news)
+        self.apply_complete(news)
         return None
 
-    def take_whole(self, news: EndpointUpdate) -> Seen | None:
-        return self.show(self.lists.take(news.event, news.addresses))
+    def apply_complete(self, news: EndpointUpdate) -> Seen | None:
+        return self.publish_subset(self.endpoint_lists.take(news.event, news.addresses))
 
-    def take_over(self, news: StagedEndpointUpdate) -> Generator[None, None, Seen | None]:
-        return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
+    def apply_staged(self, news: StagedEndpointUpdate) -> Generator[None, None, Seen | None]:
+        return self.publish_subset(
+            (yield from self.endpoint_lists.take_over(news.staged, news.kind, news.version))
+        )
 
-    def take_in_turns(self, news: StagedEndpointUpdate) -> Steps:
-        yield from self.take_over(news)
+    def apply_staged_in_steps(self, news: StagedEndpointUpdate) -> Steps:
+        yield from self.apply_staged(news)
 
-    def show(self, seen: Seen | None) -> Seen | None:
+    def publish_subset(self, seen: Seen | None) -> Seen | None:
         """What the view shows of news, with the orders that lie over it; None concerns nothing in it."""
         if seen:
-            self.hear(self.see(seen.event), seen.addresses)
+            self.publish(self.overlay(seen.event), seen.addresses)
         return seen
 
-    def hear(self, event: EndpointListReceived, addresses: dict[str, Address]) -> None:
+    def publish(self, event: EndpointListReceived, addresses: dict[str, EndpointAddress]) -> None:
         """News of the list as the module is to have them, and the addresses that are new with them."""
         whole = event.kind is not EndpointListKind.CHANGES
         states = {server.name: server.state for server in event.endpoints}
@@ -321,25 +326,25 @@
         """A client's command; one that is wrong is a CommandError."""
         command = self.parser.parse(words, ANSWER_MARGIN_US)
         request = command.request
-        if request.request_id in self.open or request.request_id in self.ended:
+        if request.request_id in self.open_requests or request.request_id in self.answered_requests:
             raise CommandError("this id is in use")
-        if len(self.open) >= self.config.max_open or self.held_bytes > self.most_held:
+        if len(self.open_requests) >= self.config.max_open or self.open_bytes > self.max_open_bytes:
             raise NoRoomError("too many requests are open")
-        if self.ending:
-            request = replace(request, remaining_us=self.ending.take(now_us(), request.remaining_us))
-        exchange = Exchange(command, reply, now_us() + request.remaining_us)
+        if self.shutdown:
+            request = replace(request, remaining_us=self.shutdown.admit(now_us(), request.remaining_us))
+        exchange = OpenRequest(command, reply, now_us() + request.remaining_us)
         delay = (request.remaining_us + BACKSTOP_US) / 1e6
-        exchange.timer = self.loop.call_later(delay, self.overdue, request.request_id)
+        exchange.timer = self.loop.call_later(delay, self.on_backstop, request.request_id)
         reply.id = request.request_id
-        self.open[request.request_id] = exchange
-        self.held_bytes += command.size + REQUEST_BYTES
+        self.open_requests[request.request_id] = exchange
+        self.open_bytes += command.size + OPEN_REQUEST_BYTES
         self.post(request)
 
-    def overdue(self, request_id: str) -> None:
+    def on_backstop(self, request_id: str) -> None:
         """The module owes an answer in time; this one keeps the promise to the client if it fails to."""
-        if request_id in self.open:
+        if request_id in self.open_requests:
             log.error("request %s was left without an answer", request_id)
-            self.give_up(request_id)
+            self.fail_and_forget(request_id)
 
     def client_gone(self, reply: Reply) -> None:
         if reply.id is not None and self.settle(reply.id):
@@ -347,9 +352,9 @@
 
     # --- actions ---
 
-    def send(self, action: ForwardAttempt) -> None:
-        exchange = self.open.get(action.request_id)
-        if exchange is None or exchange.attempts >= self.settings.max_attempts:
+    def forward(self, action: ForwardAttempt) -> None:
+        exchange = self.open_requests.get(action.request_id)
+        if exchange is None or exchange.attempts_sent >= self.settings.max_attempts:
             over = exchange is None
             self.post(
                 AttemptEnded(
@@ -357,44 +362,44 @@
                 )
             )
             return
-        left = max(1, exchange.end_us - now_us())
+        left = max(1, exchange.deadline_us - now_us())
         timeout = min(left, action.timeout_us) if action.timeout_us > 0 else left
-        exchange.attempts += 1
+        exchange.attempts_sent += 1
         payload = exchange.command.payload(timeout)
         attempt = Attempt(
             action.request_id,
             action.attempt,
             action.endpoint,
             payload,
-            self.attempt_done,
+            self.on_attempt_result,
             action.write_deadline_us,
         )
-        exchange.out[attempt.number] = attempt
+        exchange.in_flight[attempt.number] = attempt
         self.backends.send(attempt, timeout)
 
-    def attempt_done(
+    def on_attempt_result(
         self, attempt: Attempt, result: AttemptResult, value: bytes | None, report: LoadReport | None
     ) -> None:
         """An attempt's one outcome; the first value goes to the client at once and closes the request."""
         name = attempt.request_id
-        if result is AttemptResult.OK and value is not None and name in self.open:
+        if result is AttemptResult.OK and value is not None and name in self.open_requests:
             self.answer(name, b"$%d\r\n%b\r\n" % (len(value), value))
-        over = name not in self.open
-        exchange = self.ended.get(name) if over else self.open[name]
+        over = name not in self.open_requests
+        exchange = self.answered_requests.get(name) if over else self.open_requests[name]
         if exchange:
-            exchange.out.pop(attempt.number, None)
-            if over and not exchange.out:
-                del self.ended[name]
+            exchange.in_flight.pop(attempt.number, None)
+            if over and not exchange.in_flight:
+                del self.answered_requests[name]
         took = now_us() - attempt.sent_us
         self.post(AttemptEnded(name, over, attempt.number, attempt.server, result, took, load_report=report))
 
     def cancel(self, action: CancelAttempt) -> None:
-        exchange = self.open.get(action.request_id) or self.ended.get(action.request_id)
-        attempt = exchange.out.get(action.attempt) if exchange else None
+        exchange = self.open_requests.get(action.request_id) or self.answered_requests.get(action.request_id)
+        attempt = exchange.in_flight.get(action.attempt) if exchange else None
         if attempt:
             attempt.cancel()
 
-    def refuse(self, action: Reject) -> None:
+    def reject(self, action: Reject) -> None:
         wait_ms = action.retry_after_us // 1000
         self.answer(action.request_id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
 
@@ -405,31 +410,31 @@
         if exchange := self.settle(name):
             exchange.reply.send(data)
 
-    def settle(self, name: str) -> Exchange | None:
+    def settle(self, name: str) -> OpenRequest | None:
         """The request is owed nothing more; None if that is so already."""
-        exchange = self.open.pop(name, None)
+        exchange = self.open_requests.pop(name, None)
         if exchange is None:
             return None
-        self.held_bytes -= exchange.command.size + REQUEST_BYTES
+        self.open_bytes -= exchange.command.size + OPEN_REQUEST_BYTES
         if exchange.timer:
             exchange.timer.cancel()
-        if exchange.out:
-            self.ended[name] = exchange
-        for attempt in list(exchange.out.values()):
+        if exchange.in_flight:
+            self.answered_requests[name] = exchange
+        for attempt in list(exchange.in_flight.values()):
             attempt.withdraw(AttemptResult.CANCELLED)  # not sent yet: no settings are needed to take it back
         return exchange
 
     def set_timer(self, action: SetTimer) -> None:
-        self.ring(now_us() + action.delay_us, action.token)
+        self.expire_timer(now_us() + action.delay_us, action.token)
 
-    def ring(self, due_us: int, token: int) -> None:
+    def expire_timer(self, due_us: int, token: int) -> None:
         """The loop's timers go by milliseconds and may be early; the module would pass over such a one
         and, as it takes it for still set, never set another."""
         left = due_us - now_us()
         if left > 0:
-            self.loop.call_later(max(1000, left) / 1e6, self.ring, due_us, token)
+            self.loop.call_later(max(1000, left) / 1e6, self.expire_timer, due_us, token)
         else:
             self.post(TimerExpired(token))
 
-    def log_line(self, action: WriteLog) -> None:
+    def write_log(self, action: WriteLog) -> None:
         log.info("%s", action.text)
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -21,7 +21,7 @@
 from molereach.policy.interface.events import EndpointState
 from molereach.policy.interface.settings import Idempotency
 from molereach.proxy.config import Config
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 EVERY = 40
 LATE_S = 2.0
@@ -39,11 +39,11 @@
 
 
 def twice() -> None:
-    send = FrontDoor.send
+    send = Proxy.forward
 
-    def broken(self: FrontDoor, action: ForwardAttempt) -> None:
+    def broken(self: Proxy, action: ForwardAttempt) -> None:
         send(self, action)
-        exchange = self.open.get(action.request_id)
+        exchange = self.open_requests.get(action.request_id)
         others = [name for name in self.backends.pools if name != action.endpoint]
         effect = self.settings.classes[exchange.command.request.class_index].idempotency if exchange else None
         if exchange and others and effect is Idempotency.NON_IDEMPOTENT:
@@ -51,13 +51,13 @@
             unheard = Attempt(action.request_id, 99, others[0], payload, lambda *outcome: None)
             self.backends.send(unheard, 1_000_000)
 
-    FrontDoor.send = broken  # type: ignore[method-assign]
+    Proxy.forward = broken  # type: ignore[method-assign]
 
 
 def drain() -> None:
-    heard = FrontDoor.list_heard
+    heard = Proxy.on_endpoint_update
 
-    def broken(self: FrontDoor, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+    def broken(self: Proxy, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
         servers = news.event.endpoints if isinstance(news, EndpointUpdate) else ()
         up = [server for server in servers if server.state is EndpointState.UP]
         if len(up) == len(servers):
@@ -65,26 +65,26 @@
         self.loop.call_later(LATE_S, heard, self, news)
         return None
 
-    FrontDoor.list_heard = broken  # type: ignore[method-assign]
+    Proxy.on_endpoint_update = broken  # type: ignore[method-assign]
 
 
 def crash() -> None:
-    start = FrontDoor.start
+    start = Proxy.start
 
-    async def broken(self: FrontDoor) -> None:
+    async def broken(self: Proxy) -> None:
         await start(self)
         asyncio.get_running_loop().call_later(LATE_S, os._exit, 3)
 
-    FrontDoor.start = broken  # type: ignore[method-assign]
+    Proxy.start = broken  # type: ignore[method-assign]
 
 
 def foreign() -> None:
-    answer = FrontDoor.answer
+    answer = Proxy.answer
 
-    def broken(self: FrontDoor, name: str, data: bytes) -> None:
+    def broken(self: Proxy, name: str, data: bytes) -> None:
         answer(self, name, b"$2\r\nok\r\n" if data.startswith(b"$") else data)
 
-    FrontDoor.answer = broken  # type: ignore[method-assign]
+    Proxy.answer = broken  # type: ignore[method-assign]
 
 
 def hold() -> None:
@@ -101,9 +101,9 @@
 
 def ceiling() -> None:
     """The module is told of ceilings ten times as high."""
-    make = FrontDoor.__init__
+    make = Proxy.__init__
 
-    def broken(self: FrontDoor, config: Config) -> None:
+    def broken(self: Proxy, config: Config) -> None:
         settings = config.settings
         plans = tuple(
             replace(
@@ -117,19 +117,19 @@
         )
         make(self, replace(config, settings=replace(settings, plans=plans)))
 
-    FrontDoor.__init__ = broken  # type: ignore[method-assign]
+    Proxy.__init__ = broken  # type: ignore[method-assign]
 
 
 def cold() -> None:
     """The module is never told when a server started, so that none is cold; and not of a cap either."""
-    make = FrontDoor.__init__
+    make = Proxy.__init__
 
-    def broken(self: FrontDoor, config: Config) -> None:
+    def broken(self: Proxy, config: Config) -> None:
         settings = config.settings
         make(self, replace(config, settings=replace(settings, slow_start_fraction=1.0)))
-        self.catalog.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
+        self.mapping.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
 
-    FrontDoor.__init__ = broken  # type: ignore[method-assign]
+    Proxy.__init__ = broken  # type: ignore[method-assign]
 
 
 MODES = {
--- a/tests/backends/sender.py
+++ b/tests/backends/sender.py
@@ -7,8 +7,8 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import AttemptResult, EndpointState, LoadReport
-from molereach.proxy.config import Address
 from tests.sockets import HOST, resp
 
 S = 1_000_000
@@ -17,7 +17,7 @@
 class Sender:
     """Sends attempts through a pool and keeps how they ended."""
 
-    def __init__(self, address: Address, idle_us: int = 30 * S, most: int = 50) -> None:
+    def __init__(self, address: EndpointAddress, idle_us: int = 30 * S, most: int = 50) -> None:
         self.backends = Backends(idle_us, 200_000, most)
         self.backends.update({"s": EndpointState.UP}, {"s": address}, whole=True)
         self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
@@ -32,7 +32,7 @@
 
 
 @contextlib.asynccontextmanager
-async def deaf() -> AsyncIterator[tuple[Address, socket.socket]]:
+async def deaf() -> AsyncIterator[tuple[EndpointAddress, socket.socket]]:
     """A machine that takes connections and reads nothing."""
     with socket.socket() as listener:
         listener.bind((HOST, 0))
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -18,16 +18,17 @@
 from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
 from molereach.protocol.gossip_codec import pack_words, unpack_words
-from molereach.proxy.config import Address
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
 from tests.discovery.made import AllSeen
 
 WAIT_S = 5.0
 TIER = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=1)
+READER_CONFIG = configuration(TIER, 0)
 
 
 def played(test: Callable[[], Awaitable[None]]) -> None:
@@ -51,16 +52,16 @@
 class Reader:
     """A real front door's reader of an agent's list; its view is all that it is told."""
 
-    def __init__(self, address: Address, version: int) -> None:
+    def __init__(self, address: EndpointAddress, version: int) -> None:
         self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
-        self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, Address]]] = asyncio.Queue()
+        self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, EndpointAddress]]] = asyncio.Queue()
         self.discovery = EndpointDiscovery(
             address,
-            EndpointMapping(configuration(TIER, 0)),
+            EndpointMapping(READER_CONFIG.zone_numbers, READER_CONFIG.kind_numbers),
             version,
             self.hear,
             self.spawn,
-            lambda: PollBackoff(1, must_ask=False),
+            lambda: PollBackoff(1, must_poll=False),
             random.Random(1).random,
             self.lists.stage,
         )
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -6,9 +6,9 @@
 from collections.abc import AsyncIterator, Generator, Iterable, Mapping
 from dataclasses import replace
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import ListError, Seen, Staged
 from tests.sockets import CONFIG, HOST, Watch, entry
 
@@ -40,9 +40,9 @@
         self.most, self.sizes = most, []
         self.sizes: list[int]
         self.servers: list[Endpoint] = []
-        self.addresses: dict[str, Address] = {}
+        self.addresses: dict[str, EndpointAddress] = {}
 
-    def add(self, servers: Iterable[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
         some = list(servers)
         self.servers += some
         self.sizes.append(len(some))
@@ -62,7 +62,7 @@
         self.staged.append(Held(self.most))
         return self.staged[-1]
 
-    def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+    def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
         return Seen(event, dict(addresses))
 
     def take_over(
@@ -89,12 +89,12 @@
 
 
 @contextlib.asynccontextmanager
-async def door_before(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[FrontDoor, Watch]]:
+async def door_before(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[Proxy, Watch]]:
     """A front door with a known list, that calls on these."""
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
     settings = replace(CONFIG.settings, must_subscribe=False)
-    door = FrontDoor(
+    door = Proxy(
         replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=memory_mb)
     )
     door.discovery.start()
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -15,8 +15,8 @@
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState, Event
 from molereach.policy.interface.messages import GossipMessage
 from molereach.protocol.gossip_codec import pack_words
-from molereach.proxy.gossip import Peers
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.gossip import GossipTransport
+from molereach.proxy.proxy import Proxy
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
 
 AT = (HOST, 6379)
@@ -28,7 +28,7 @@
     tasks = []
     found = EndpointDiscovery(
         await watch.start(),
-        EndpointMapping(CONFIG),
+        EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
         version,
         heard.put_nowait,
         lambda job: tasks.append(asyncio.create_task(job)),
@@ -103,13 +103,15 @@
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1, 1e300, "1", [], None, "nan"])
 def test_numbers_that_make_no_sense_say_nothing(odd: object) -> None:
     listed = {**entry("s1", AT), "weight": odd, "startedAtMs": odd}
-    news = EndpointMapping(CONFIG).read_update({"generation": 1, "instances": [listed]})
+    news = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers).read_update(
+        {"generation": 1, "instances": [listed]}
+    )
     (server,) = news.event.endpoints
     assert (server.size, server.started_us) == (1.0, 0)
 
 
 def test_start_times_go_over_to_our_clock() -> None:
-    read = EndpointMapping(CONFIG)
+    read = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers)
     assert read.started_us(0) == 0
     now_ms = time.time_ns() // 1_000_000
     assert abs(read.started_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
@@ -120,7 +122,7 @@
 def test_known_list_serves_while_discovery_is_silent() -> None:
     async def job() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-        door = FrontDoor(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
+        door = Proxy(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
         heard: list[Event] = []
         door.gateway.handle = lambda now, event: heard.append(event) or []
         await door.start()
@@ -138,7 +140,7 @@
         loop, heard = asyncio.get_running_loop(), asyncio.Queue()
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         ports = [refusing_address(), refusing_address()]
-        me, friend = (Peers(tuple(ports), number, heard.put_nowait) for number in (0, 1))
+        me, friend = (GossipTransport(tuple(ports), number, heard.put_nowait) for number in (0, 1))
         for peers, at in zip((me, friend), ports, strict=True):
             await loop.create_datagram_endpoint(lambda peers=peers: peers, local_addr=at)
         words = tuple(GossipMessage(n, 0, 0, 2, demand=1.0) for n in range(30))
@@ -146,7 +148,7 @@
             stranger.sendto(pack_words(words[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
         friend.transport.sendto(pack_words(words)[0] * 2, ports[0])  # longer than the wire allows
-        friend.tell(SendGossip(0, words))
+        friend.send(SendGossip(0, words))
         got: tuple[GossipMessage, ...] = ()
         while len(got) < len(words):
             message = await heard.get()
@@ -165,7 +167,7 @@
         self.tasks: list[asyncio.Task[None]] = []
         self.discovery = EndpointDiscovery(
             address,
-            EndpointMapping(CONFIG),
+            EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
             3,
             self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -11,7 +11,7 @@
 from molereach.discovery.client import DiscoveryClient
 from molereach.discovery.endpoint_mapping import EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.watch_stream import Steps
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import Routing
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import Slice, Staging
@@ -68,14 +68,12 @@
 
 
 @contextlib.asynccontextmanager
-async def long_door(*scripts: object) -> AsyncIterator[tuple[FrontDoor, Watch]]:
+async def long_door(*scripts: object) -> AsyncIterator[tuple[Proxy, Watch]]:
     """A front door that knows a long list, and calls on these."""
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry(f"k{number}", AT) for number in range(LONG)]}
     settings = replace(CONFIG.settings, must_subscribe=False)
-    door = FrontDoor(
-        replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4)
-    )
+    door = Proxy(replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4))
     door.discovery.start()
     try:
         yield door, watch
@@ -83,7 +81,7 @@
         door.close()
 
 
-def staged(door: FrontDoor, old: bool) -> int:
+def staged(door: Proxy, old: bool) -> int:
     """Entries that an address has told of an object that has not ended."""
     source = door.discovery.current if old else door.discovery.successor
     stagings = [one.staged for one in source.staged_objects.values()] if source else []
@@ -107,12 +105,12 @@
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
             assert new.targets == [WHOLE, f"{AFTER}9"]
-            assert isinstance(door.lists, Routing) and door.lists.count == LONG
+            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == LONG
             assert set(watch.targets) == {f"{AFTER}3"}
 
     run(job())
     assert LONG < held.most <= ROOM
-    assert len(said(caplog, "give way")) == 1 and not said(caplog, "makes no sense")
+    assert len(said(caplog, "dropped for")) == 1 and not said(caplog, "malformed watch response")
 
 
 def test_list_of_the_old_address_gives_way_also_while_it_is_taken_over(
@@ -197,15 +195,15 @@
             await until(lambda: len(watch.targets) == 2)
             assert watch.targets == [f"{AFTER}3"] * 2
             await until(lambda: door.discovery.version == 5)
-            assert isinstance(door.lists, Routing) and door.lists.count == LONG + 1
+            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == LONG + 1
             end.set()
             await until(lambda: door.discovery.version == 9)
-            assert door.lists.count == LONG
+            assert door.endpoint_lists.count == LONG
 
     run(job())
-    (line,) = said(caplog, "makes no sense")
+    (line,) = said(caplog, "malformed watch response")
     assert "no room" in line and len(line) < 300
-    assert LONG < held.most <= ROOM and not said(caplog, "give way")
+    assert LONG < held.most <= ROOM and not said(caplog, "dropped for")
 
 
 @pytest.mark.parametrize("count", [1, LONG])
@@ -240,8 +238,8 @@
 
             assert door.discovery.successor
             door.discovery.successor.on_update = taking
-            hear = door.hear
-            door.hear = lambda event, addresses: (heard.append(event.version), hear(event, addresses))  # type: ignore
+            hear = door.publish
+            door.publish = lambda event, addresses: (heard.append(event.version), hear(event, addresses))  # type: ignore
             await until(lambda: door.discovery.version == 9)
             assert heard == [5, 9]
             assert "s-00000000" not in door.backends.pools and "s-00000001" in door.backends.pools
@@ -272,12 +270,12 @@
             new = Watch(broken, whole, says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: staged(door, old=False) > LONG - 100)
-            gave_way = len(said(caplog, "give way"))
+            gave_way = len(said(caplog, "dropped for"))
             gate.set()
             await until(lambda: len(new.targets) == 3)
             assert staged(door, old=True) > LONG - 100 and door.discovery.version == 3
             assert new.targets == [WHOLE] * 3 and len(watch.targets) >= 2
-            assert len(said(caplog, "give way")) == gave_way >= 1
+            assert len(said(caplog, "dropped for")) == gave_way >= 1
             assert len(said(caplog, "no room")) > refused[0]
 
     run(job())
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from molereach.discovery import json_stream
-from molereach.discovery.json_stream import EntryList, JsonStream, JsonStreamError
+from molereach.discovery.errors import JsonStreamError
+from molereach.discovery.json_stream import EntryList, JsonStream
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é, :', max_size=6)
 SCALARS = st.none() | st.booleans() | st.integers() | TEXTS
@@ -179,7 +180,7 @@
     ],
 )
 def test_what_cannot_be_cut_is_bounded_as_before(text: bytes) -> None:
-    cut = JsonStream(most_bytes=150)
+    cut = JsonStream(max_object_bytes=150)
     with pytest.raises(JsonStreamError, match="without an end"):
         fed(cut, text, list(range(0, len(text), 10)))
     assert len(cut.buffer) <= 160
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -14,14 +14,14 @@
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import Routing
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
 
-AGENT = PollBackoff(1, must_ask=False)
+AGENT = PollBackoff(1, must_poll=False)
 WHOLE = "/catalog/members"
 
 
@@ -57,7 +57,7 @@
     async def __aenter__(self) -> "Heard":
         self.discovery = EndpointDiscovery(
             await self.watch.start(),
-            EndpointMapping(CONFIG),
+            EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
             self.version,
             self.hear,
             lambda job: self.tasks.append(asyncio.create_task(job)),
@@ -128,7 +128,7 @@
             await asyncio.Event().wait()
 
         known = {"generation": 3, "reset": True, "instances": [entry("s0", at)]}
-        door = FrontDoor(replace(CONFIG, known=known, discovery=await Watch(slow).start()))
+        door = Proxy(replace(CONFIG, known=known, discovery=await Watch(slow).start()))
         start = door.discovery.start
         door.discovery.start = lambda: (door.discovery.first_update.set(), start())  # type: ignore[assignment]
         await door.start()
@@ -139,7 +139,7 @@
                 assert await client.ask(query(f"r{served}")) == b"ok"
                 served += 1
             assert served > 10 and set(door.backends.pools) == {"s0"}  # of all, the one that is up
-            assert isinstance(door.lists, Routing) and door.lists.count == 20_001
+            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == 20_001
         finally:
             door.close()
 
@@ -267,7 +267,7 @@
             assert not door.discovery.current.staged_objects
 
     run(job())
-    said = [one.getMessage() for one in caplog.records if "makes no sense" in one.getMessage()]
+    said = [one.getMessage() for one in caplog.records if "malformed watch response" in one.getMessage()]
     assert len(said) == 3 and all(len(one) < 300 for one in said)
     assert any(part in said[0] for part in line.split("|")), said[0]
 
@@ -295,7 +295,9 @@
             assert len((await door.seen.get()).endpoints) == 700
 
     run(job())
-    (said,) = [one.getMessage() for one in caplog.records if "passed over" in one.getMessage()]
+    (said,) = [
+        one.getMessage() for one in caplog.records if "malformed endpoint entry skipped" in one.getMessage()
+    ]
     assert "59 more" in said and len(said) < 600
 
 
--- a/tests/discovery/test_notification_delay.py
+++ b/tests/discovery/test_notification_delay.py
@@ -103,8 +103,8 @@
         return self.word_s - reached_s
 
 
-def made(must_ask: bool, doors: int, seed: int, fate: Callable[[float], str]) -> Door:
-    return Door(PollBackoff(doors, must_ask, ASK_WITHIN_S), random.Random(seed).random, fate)
+def made(must_poll: bool, doors: int, seed: int, fate: Callable[[float], str]) -> Door:
+    return Door(PollBackoff(doors, must_poll, ASK_WITHIN_S), random.Random(seed).random, fate)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -122,11 +122,11 @@
 @example(True, 9, 1, "none", ["begins"], 30.0)
 @example(False, 7500, 1, "none", ["begins"], 31.0)
 def test_change_is_heard_within_6_s_of_when_discovery_had_it_and_could_be_reached(
-    must_ask: bool, doors: int, seed: int, watch: str, fates: list[str], reached_s: float
+    must_poll: bool, doors: int, seed: int, watch: str, fates: list[str], reached_s: float
 ) -> None:
     """Whatever became of the calls before, however many there were, in a tier of any size."""
     chance = random.Random(seed + 1)
-    door = made(must_ask, doors, seed, lambda now: "answered" if now >= reached_s else chance.choice(fates))
+    door = made(must_poll, doors, seed, lambda now: "answered" if now >= reached_s else chance.choice(fates))
     if watch != "none":
         door.watch(watch)
     assert door.hears_after(reached_s) < TOLD_S
@@ -136,13 +136,13 @@
 @given(st.booleans(), DOORS, st.integers(0, 1 << 30), st.sampled_from(WATCHES[1:]))
 @example(True, 7500, 1, "silent")
 def test_watch_that_broke_is_followed_within_6_s_also_where_a_dial_hangs(
-    must_ask: bool, doors: int, seed: int, watch: str
+    must_poll: bool, doors: int, seed: int, watch: str
 ) -> None:
     """Discovery could be reached all the while; the first dial after the break never comes up."""
     fates = ["hangs"]
-    door = made(must_ask, doors, seed, lambda now: fates.pop() if fates else "answered")
+    door = made(must_poll, doors, seed, lambda now: fates.pop() if fates else "answered")
     door.watch(watch)
-    if must_ask or watch != "trickles":
+    if must_poll or watch != "trickles":
         assert door.hears_after(0.001) < TOLD_S
     else:  # an agent's trickle is borne for 5 s; then a call is made beside the one that hangs
         assert door.hears_after(0.001) < 5.0 + 0.5 + PROMPT_S + 0.1
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -17,7 +17,7 @@
     UNSPREAD_POLLS,
     PollBackoff,
 )
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.sockets import CONFIG, HEAD, Watch, catalog, chunk, run
 
 DOORS = 40
@@ -86,7 +86,7 @@
         doors, draw = UNSPREAD_POLLS + 5, 0.1
         found = EndpointDiscovery(
             await watch.start(),
-            EndpointMapping(CONFIG),
+            EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
             4,
             heard.put_nowait,
             lambda job: tasks.append(asyncio.create_task(job)),
@@ -110,7 +110,7 @@
 
     async def job() -> None:
         settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=False, poll_within_us=10_000_000)
-        door = FrontDoor(replace(CONFIG, settings=settings))
+        door = Proxy(replace(CONFIG, settings=settings))
         try:
             pacing = door.discovery.current.backoff
             assert pacing.initial_delay_s(1.0) == 0
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy import proxy
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import Seen, Staged
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
@@ -33,7 +33,7 @@
     monkeypatch.setattr(proxy.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
 
     async def job() -> None:
-        FrontDoor(replace(CONFIG, sockets=sockets, memory_mb=memory_mb)).close()
+        Proxy(replace(CONFIG, sockets=sockets, memory_mb=memory_mb)).close()
 
     run(job())
     assert asked == [(CONFIG.settings, view, most)]
@@ -50,12 +50,12 @@
 
         size = 1
 
-        def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def shown(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
             some = event.endpoints[: self.size]
             addresses = {server.name: addresses[server.name] for server in some}
             return Seen(replace(event, endpoints=some), addresses) if some else None
 
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
             return self.shown(event, addresses)
 
         def take_over(
@@ -78,11 +78,11 @@
             await asyncio.Event().wait()
 
         async with door_before(play) as (door, _):
-            assert door.known and door.known.event.endpoints[0].name == "s1"
+            assert door.saved_list and door.saved_list.event.endpoints[0].name == "s1"
             heard: list[EndpointListReceived] = []
-            door.see = lambda news: replace(news, sharing_proxies=7)
-            hear = door.hear
-            door.hear = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
+            door.overlay = lambda news: replace(news, sharing_proxies=7)
+            hear = door.publish
+            door.publish = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
             await until(lambda: door.discovery.version == 4)
             assert [[one.name for one in event.endpoints] for event in heard] == [["s-00000000"]]
             assert heard[0].sharing_proxies == 7 and list(door.backends.pools) == ["s-00000000"]
@@ -98,13 +98,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Blind(AllSeen):
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> Seen | None:
+        def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
             return None
 
     monkeypatch.setattr(proxy, "Routing", lambda *values: Blind())
 
     async def job() -> None:
         async with door_before(says(HEAD)) as (door, _):
-            assert door.known is None and door.discovery.version == 3 and not door.backends.pools
+            assert door.saved_list is None and door.discovery.version == 3 and not door.backends.pools
 
     run(job())
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -191,8 +191,8 @@
 @pytest.mark.parametrize(
     ("error", "line"),
     [
-        (ValueError("odd"), "makes no sense: odd"),
-        (ZeroDivisionError(), "makes no sense"),
+        (ValueError("odd"), "malformed watch response: odd"),
+        (ZeroDivisionError(), "malformed watch response"),
         (RuntimeError("a fault of ours"), "a fault of ours"),
     ],
 )
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -18,7 +18,7 @@
 from molereach.fleet.orders import Book, BookState, Decided, Order, Verb
 from molereach.fleet.wire import Answer, Ask
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.sockets import CUSTOMER, HOST, Backend, Client, catalog, entry, front_door, query, refusing_address
 from tests.sockets import run as run_job
 from tests.test_program import ROOT, SETTINGS, config, write
@@ -66,7 +66,7 @@
 @contextlib.asynccontextmanager
 async def controlled(
     path: Path, *backends: Backend
-) -> AsyncIterator[tuple[FrontDoor, tuple[str, int], Agent, Control]]:
+) -> AsyncIterator[tuple[Proxy, tuple[str, int], Agent, Control]]:
     async with front_door(*backends) as (door, address):
         made = Control(door, path)
         await made.start()
@@ -160,7 +160,7 @@
             await agent.ask("put", book=book(order(1, "drain", "s9")))
             there = backend.server.sockets[0].getsockname()
             servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
-            door.list_heard(
+            door.on_endpoint_update(
                 EndpointUpdate(
                     EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there}
                 )
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -14,7 +14,7 @@
 from molereach.limits.service import attacher
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.simulator.adapter import Host, run_batch
 from rig import scenario_files
 from rig.audit.figures import Quota
@@ -48,13 +48,13 @@
     assert section
     attach = attacher(section)
 
-    async def started() -> FrontDoor:
-        door = FrontDoor(parse(json.loads(json.dumps(config())), {}))
+    async def started() -> Proxy:
+        door = Proxy(parse(json.loads(json.dumps(config())), {}))
         (await attach(door))()
         return door
 
     door = asyncio.run(started())
-    assert isinstance(door.gateway.limits, Limits) and isinstance(door.peers.form, Codec)
+    assert isinstance(door.gateway.limits, Limits) and isinstance(door.gossip.codec, Codec)
     assert door.gateway.limits.settings.lease_us == 500_000
     assert door.gateway.limits.generation == int("8c1f30d27a5be964", 16) % (1 << 16)
 
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from molereach.__main__ import take_over
+from molereach.__main__ import reload_configuration
 from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import Routing
 from tests.discovery.made import entries_text
 from tests.races.wire import until
@@ -67,7 +67,7 @@
 
 def test_long_file_is_read_in_short_steps_and_a_reload_holds_no_part(tmp_path: Path) -> None:
     env = env_of(tmp_path, text := long_text(entries_text(COUNT)))
-    assert sum(1 for _ in load_in_steps(env)) == -(-len(text) // reader.PIECE_BYTES)
+    assert sum(1 for _ in load_in_steps(env)) == -(-len(text) // reader.READ_CHUNK_BYTES)
     assert not reload(env).known_parts
 
 
@@ -115,16 +115,18 @@
     monkeypatch.setattr("molereach.discovery.endpoint_mapping.EndpointMapping.read_entry_list", spied)
 
     async def job() -> None:
-        door = FrontDoor(found)
+        door = Proxy(found)
         try:
             assert left == list(range(len(left)))[::-1] and not door.config.known_parts
             assert (
-                door.known and door.known.event.kind is EndpointListKind.SAVED and door.discovery.version == 4
+                door.saved_list
+                and door.saved_list.event.kind is EndpointListKind.SAVED
+                and door.discovery.version == 4
             )
-            names = {server.name for server in door.known.event.endpoints}
+            names = {server.name for server in door.saved_list.event.endpoints}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
-            assert isinstance(door.lists, Routing) and door.lists.count == COUNT
+            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == COUNT
         finally:
             door.close()
 
@@ -146,9 +148,9 @@
     found = load(env_of(tmp_path, long_text(entries)))
 
     async def job() -> None:
-        door = FrontDoor(found)
+        door = Proxy(found)
         try:
-            assert door.known is None and door.discovery.version == 0 and not door.backends.pools
+            assert door.saved_list is None and door.discovery.version == 0 and not door.backends.pools
             assert not found.known_parts
         finally:
             door.close()
@@ -164,8 +166,8 @@
     found = load(env_of(tmp_path, long_text(entries_text(COUNT), limits={"sockets": 512, "memory_mb": 1})))
 
     async def job() -> None:
-        door = FrontDoor(found)
-        assert door.known is None and not found.known_parts
+        door = Proxy(found)
+        assert door.saved_list is None and not found.known_parts
         door.close()
 
     run(job())
@@ -191,15 +193,15 @@
         async with front_door() as (door, _):
             for last in (COUNT, 1):  # a long file, and a short one that is read at once
                 moved(tmp_path, COUNT, 11)
-                take_over(door)
-                first = door.reading
+                reload_configuration(door)
+                first = door.config_reload
                 assert first and not first.done()
                 await asyncio.sleep(0)
                 await asyncio.sleep(0)  # it has opened the file
                 moved(tmp_path, last, 12 if last == 1 else 13)
-                take_over(door)
+                reload_configuration(door)
                 turns = 0
-                while door.reading and not door.reading.done():
+                while door.config_reload and not door.config_reload.done():
                     await asyncio.sleep(0)
                     turns += 1
                 assert turns > 10 if last == COUNT else turns == 0
@@ -221,9 +223,9 @@
     async def job() -> None:
         async with front_door() as (door, _):
             config = door.config
-            take_over(door)
-            assert door.reading
-            await door.reading
+            reload_configuration(door)
+            assert door.config_reload
+            await door.config_reload
             assert door.config is config and door.discovery.successor is None
 
     run(job())
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -19,7 +19,7 @@
     TimerExpired,
 )
 from molereach.proxy import connection_draining, graceful_shutdown
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.sockets import (
     CONFIG,
     CUSTOMER,
@@ -112,7 +112,7 @@
             assert time.monotonic() - started < 0.3
             await backend.left.wait()  # the attempt was given up by closing its connection
             assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
-            assert not door.open and not door.ended and door.held_bytes == 0
+            assert not door.open_requests and not door.answered_requests and door.open_bytes == 0
 
     run(job())
 
@@ -126,7 +126,7 @@
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.open and not door.gateway.attempts.jobs
+            assert not door.open_requests and not door.gateway.attempts.jobs
 
     run(job())
 
@@ -184,7 +184,7 @@
             assert await client.ask(query("a1")) == b"ok"
             seen: list[Event] = []
             door.gateway.handle = lambda now, event: seen.append(event) or []
-            door.send(ForwardAttempt("a1", "s0"))
+            door.forward(ForwardAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [
@@ -199,7 +199,7 @@
     """uvloop rounds to milliseconds; an early tick is passed over by the module, which then sets no other."""
 
     async def job() -> None:
-        door = FrontDoor(CONFIG)
+        door = Proxy(CONFIG)
         rung: dict[int, int] = {}
         done = asyncio.Event()
 
@@ -251,7 +251,7 @@
 
 def test_drain_serves_clients_that_go_on_asking_while_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Until an answer might come too late: then connections are closed, and what hangs is answered before."""
-    monkeypatch.setattr(graceful_shutdown, "LONGEST_US", 1_000_000)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_US", 1_000_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
@@ -263,10 +263,12 @@
             served = 0
             while not door.clients.draining:
                 served += await asking.ask(query(f"r{served}")) == b"ok"
-            assert door.ending and now_us() >= door.ending.takes_until_us > door.ending.settled_us - 1
+            assert (
+                door.shutdown and now_us() >= door.shutdown.accepts_until_us > door.shutdown.settled_at_us - 1
+            )
             assert served > 10 and await asking.ended()
             assert await hanging.answer() not in (b"ok", None)
-            assert now_us() <= door.ending.answers_by_us + 50_000
+            assert now_us() <= door.shutdown.responses_due_at_us + 50_000
             await draining
 
     run(job())
@@ -289,17 +291,19 @@
     at_us: int, asked_us: tuple[int, ...], left_us: int, over: bool
 ) -> None:
     told = 7_000_000
-    end = graceful_shutdown.Ending(told, (2_000_000, 5_000_000))  # the longer counts for 3 s: killed at 3.7 s
+    end = graceful_shutdown.GracefulShutdown(
+        told, (2_000_000, 5_000_000)
+    )  # the longer counts for 3 s: killed at 3.7 s
     for each in asked_us:
-        end.take(told + each, 1)
-    assert end.over(told + at_us) is over
-    assert end.take(told + at_us, 2_000_000) == left_us
+        end.admit(told + each, 1)
+    assert end.closes_idle(told + at_us) is over
+    assert end.admit(told + at_us, 2_000_000) == left_us
 
 
 def test_drain_waits_for_a_request_that_comes_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(graceful_shutdown, "SETTLE_US", 0)
-    monkeypatch.setattr(graceful_shutdown, "QUIET_US", 0)
-    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "DISCONNECT_SETTLE_US", 0)
+    monkeypatch.setattr(graceful_shutdown, "QUIET_PERIOD_US", 0)
+    monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 0.1)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -364,10 +368,10 @@
                 for _ in range(10):
                     assert await client.answer() is not None
             view = door.gateway
-            while door.open or door.ended or view.attempts.jobs:
+            while door.open_requests or door.answered_requests or view.attempts.jobs:
                 await asyncio.sleep(0.01)
             assert view.attempts.out == 0 and not any(server.out for server in view.fleet.servers.values())
-            assert not view.held and not view.admission.waits and door.held_bytes == 0
+            assert not view.held and not view.admission.waits and door.open_bytes == 0
             assert all(customer.out == 0 for customer in view.customers.known.values())
             pools = door.backends.pools.values()
             while door.backends.count() > sum(len(pool.idle) for pool in pools):
--- a/tests/races/listing.py
+++ b/tests/races/listing.py
@@ -8,15 +8,15 @@
 from molereach.discovery.endpoint_discovery import EndpointDiscovery
 from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate
 from molereach.discovery.poll_backoff import PollBackoff
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointState
-from molereach.proxy.config import Address
 from tests.races.wire import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
 
 AT = (HOST, 6379)
 PLAIN_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"  # no length: it lasts until the end
 WHOLE = "/catalog/members"
-AGENT = PollBackoff(1, must_ask=False)
+AGENT = PollBackoff(1, must_poll=False)
 
 
 def after(version: int) -> str:
@@ -39,16 +39,16 @@
 class Asked:
     """Discovery as a front door uses it, with what it has heard."""
 
-    def __init__(self, address: Address, version: int, must_ask: bool = False) -> None:
+    def __init__(self, address: EndpointAddress, version: int, must_poll: bool = False) -> None:
         self.heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
         self.discovery = EndpointDiscovery(
             address,
-            EndpointMapping(CONFIG),
+            EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
             version,
             self.heard.put_nowait,
             lambda job: self.tasks.append(asyncio.create_task(job)),
-            lambda: PollBackoff(1, must_ask=must_ask),
+            lambda: PollBackoff(1, must_poll=must_poll),
             lambda: 0.5,
         )
 
@@ -58,8 +58,8 @@
 
 
 @contextlib.asynccontextmanager
-async def asked(machine: Machine, version: int = 3, must_ask: bool = False) -> AsyncIterator[Asked]:
-    made = Asked(machine.address, version, must_ask)
+async def asked(machine: Machine, version: int = 3, must_poll: bool = False) -> AsyncIterator[Asked]:
+    made = Asked(machine.address, version, must_poll)
     made.discovery.start()
     try:
         yield made
--- a/tests/races/processes.py
+++ b/tests/races/processes.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
-from molereach.proxy.config import Address
+from molereach.endpoint_address import EndpointAddress
 from tests.sockets import Client, refusing_address, resp
 from tests.test_program import ROOT, config, write
 
@@ -23,7 +23,7 @@
 
     def __init__(self, path: Path, descriptors: int = 0, **changes: object) -> None:
         path.mkdir()
-        self.address: Address = refusing_address()
+        self.address: EndpointAddress = refusing_address()
         self.env = {**os.environ, **write(path, config(listen="{}:{}".format(*self.address), **changes))}
         self.line = f"ulimit -n {descriptors}; {RUN}" if descriptors else RUN
         self.process: asyncio.subprocess.Process | None = None
--- a/tests/races/sigterm.py
+++ b/tests/races/sigterm.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.proxy import graceful_shutdown
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Peer
 from tests.sockets import query
 
@@ -18,7 +18,14 @@
 
 def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
     """The times of the end, a tenth: killed 0.37 s after SIGTERM where deadlines are 3 s or more."""
-    for name in ("LONGEST_US", "GRACE_US", "MARGIN_US", "LEAST_LEFT_US", "SETTLE_US", "QUIET_US"):
+    for name in (
+        "MAX_DEADLINE_US",
+        "KILL_GRACE_US",
+        "RESPONSE_MARGIN_US",
+        "MIN_SERVICE_TIME_US",
+        "DISCONNECT_SETTLE_US",
+        "QUIET_PERIOD_US",
+    ):
         monkeypatch.setattr(graceful_shutdown, name, getattr(graceful_shutdown, name) // 10)
 
 
@@ -33,13 +40,13 @@
     setattr(owner, name, both)
 
 
-async def drained(door: FrontDoor) -> None:
+async def drained(door: Proxy) -> None:
     """A drain, within a time that only a hang takes."""
     async with asyncio.timeout(10):
         await door.drain()
 
 
-def dial_and_ask(address: Address, name: str) -> Peer:
+def dial_and_ask(address: EndpointAddress, name: str) -> Peer:
     client = Peer.dial(address)
     client.say(query(name))
     return client
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -6,7 +6,7 @@
 import pytest
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Dials, Machine, Peer, machine, turns, until
 from tests.sockets import SETTINGS, Backend, Client, front_door, run, submit, value
 
@@ -14,9 +14,9 @@
 OTHER = Endpoint("other", 0, 0, 0, EndpointState.UP)
 
 
-def tell(door: FrontDoor, *servers: Endpoint, **addresses: tuple[str, int]) -> None:
+def tell(door: Proxy, *servers: Endpoint, **addresses: tuple[str, int]) -> None:
     """News of the list, as discovery brings them."""
-    door.hear(EndpointListReceived(EndpointListKind.CHANGES, 8, servers), addresses)
+    door.publish(EndpointListReceived(EndpointListKind.CHANGES, 8, servers), addresses)
 
 
 async def nothing_comes(held: Machine) -> None:
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -10,7 +10,7 @@
 import pytest
 
 from molereach.policy.interface.settings import Settings
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
 
@@ -18,7 +18,7 @@
 KEPT = replace(SETTINGS, may_cancel=False)
 
 
-async def asked(door: FrontDoor, body: bytes = b"BODY", wait_ms: int = 3000) -> Peer:
+async def asked(door: Proxy, body: bytes = b"BODY", wait_ms: int = 3000) -> Peer:
     """A client whose request has come, on a connection that was accepted before."""
     client = Peer.dial(door.address)
     await until(lambda: bool(door.clients.connections))
@@ -37,9 +37,9 @@
                     client = await asked(door)
                     await dials.came.wait()
                     client.close()
-                    await until(lambda: not door.open)
+                    await until(lambda: not door.open_requests)
                     await turns()
-                    assert not door.ended and not door.gateway.attempts.jobs
+                    assert not door.answered_requests and not door.gateway.attempts.jobs
                     dials.let_go()
                     peer = await held.accept()
                     pool = door.backends.pools["s0"]
@@ -63,9 +63,9 @@
                 peer = await held.accept()
                 await peer.hear(1)
                 client.close()
-                await until(lambda: not door.open)
+                await until(lambda: not door.open_requests)
                 heard = await peer.hear_all()  # it is ended, and not whole
-                assert not heard.endswith(b"BODY\r\n") and not door.ended
+                assert not heard.endswith(b"BODY\r\n") and not door.answered_requests
 
     run(job())
 
@@ -83,10 +83,12 @@
                 while not door.inbox:
                     await asyncio.sleep(0)
                 client.close()
-                door.client_gone(next(iter(door.open.values())).reply)
+                door.client_gone(next(iter(door.open_requests.values())).reply)
                 await turns(9)
                 assert not held.waiting() and peer.pending() == b""
-                assert not door.open and not door.ended and not door.gateway.attempts.jobs
+                assert (
+                    not door.open_requests and not door.answered_requests and not door.gateway.attempts.jobs
+                )
 
     run(job())
 
@@ -103,10 +105,10 @@
                 with Dials() as dials:
                     client = await asked(door)
                     await dials.came.wait()
-                    door.overdue("a1")
+                    door.on_backstop("a1")
                     assert await client.hear_until(b"-ERR failed\r\n")
                     await turns()
-                    assert not door.ended
+                    assert not door.answered_requests
                     dials.let_go()
                     peer = await held.accept()
                     await until(lambda: bool(door.backends.pools["s0"].idle))
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -10,7 +10,7 @@
 from molereach.clients import listener
 from molereach.clients import resp as clients
 from molereach.clients.listener import State
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
 
@@ -24,7 +24,7 @@
         async with front_door(Backend(lambda words: None), max_open=1) as (door, address):
             holder, peer = Peer.dial(address), Peer.dial(address)
             holder.say(query("a1"))
-            await until(lambda: len(door.open) == 1)
+            await until(lambda: len(door.open_requests) == 1)
             count = 2 * clients.MOST_ERRORS
             peer.say(b"".join(query(f"b{number}") for number in range(count)) + resp("PING"))
             heard = await peer.hear_until(b"+PONG\r\n")
@@ -161,7 +161,7 @@
                 door_most = max(door_most, connection.waiting_bytes())
             await until(lambda: not connection.reading)
             assert max(door_most, connection.waiting_bytes()) <= 3 * listener.READ_BYTES
-            assert len(door.open) <= clients.MOST_PIPELINED
+            assert len(door.open_requests) <= clients.MOST_PIPELINED
             sending.cancel()
             await turns()
 
@@ -170,7 +170,7 @@
 
 def test_spare_sockets_are_within_those_of_clients() -> None:
     async def job() -> None:
-        door = FrontDoor(replace(CONFIG, sockets=1000))
+        door = Proxy(replace(CONFIG, sockets=1000))
         assert door.clients.most + door.backends.most <= 1000
         assert door.clients.most > listener.MOST_SPARE
         door.close()
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -11,7 +11,7 @@
 from molereach.clients import listener
 from molereach.clients import resp as clients
 from molereach.clients.listener import State
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
 from tests.races.wire import Peer, turns, until
 from tests.sockets import Backend, front_door, query, resp, run, value
@@ -36,7 +36,7 @@
     monkeypatch.setattr(clients, "has_unread", look)
 
 
-async def rested(door: FrontDoor, peer: Peer, hear: bool = True) -> Any:  # noqa: ANN401
+async def rested(door: Proxy, peer: Peer, hear: bool = True) -> Any:  # noqa: ANN401
     """A connection between requests; its one answer is read by the client or not."""
     peer.say(query("a1"))
     await until(lambda: any(each.state is State.IDLE for each in door.clients.connections))
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -11,16 +11,17 @@
 from molereach.clients import resp as clients
 from molereach.clients.connection_state import CROWDED
 from molereach.clients.listener import State
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import RequestReceived
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
 from tests.races.wire import Peer, turns, until
-from tests.sockets import Address, Backend, front_door, query, resp, run
+from tests.sockets import Backend, front_door, query, resp, run
 
 OK = b"$2\r\nok\r\n"
 
 
-async def rested(door: FrontDoor, address: Address, count: int) -> list[Peer]:
+async def rested(door: Proxy, address: EndpointAddress, count: int) -> list[Peer]:
     """Connections between requests that may give way, the oldest first."""
     peers = []
     for number in range(count):
@@ -33,14 +34,14 @@
     return peers
 
 
-async def busy(door: FrontDoor, address: Address, count: int) -> list[Peer]:
+async def busy(door: Proxy, address: EndpointAddress, count: int) -> list[Peer]:
     """Connections with a request open on each, which the module holds."""
     handle = door.gateway.handle
     door.gateway.handle = lambda now, event: [] if isinstance(event, RequestReceived) else handle(now, event)
     peers = [Peer.dial(address) for _ in range(count)]
     for number, peer in enumerate(peers):
         peer.say(query(f"b{number}"))
-    await until(lambda: len(door.open) == count)
+    await until(lambda: len(door.open_requests) == count)
     return peers
 
 
@@ -122,7 +123,7 @@
             assert await late.hear_all() == CROWDED and resets([late]) == [0]
             late.close()
             await until(lambda: len(door.clients.connections) == 14)
-            assert len(door.open) == door.clients.sockets == len(peers)
+            assert len(door.open_requests) == door.clients.sockets == len(peers)
 
     run(job())
 
@@ -172,7 +173,7 @@
             assert await late.hear_until(b"\r\n") == b"+PONG\r\n"
             silent.say(query("a1"))
             assert await silent.hear_all() == CROWDED
-            assert len(door.open) == len(peers)
+            assert len(door.open_requests) == len(peers)
 
     run(job())
 
@@ -191,7 +192,7 @@
                 seen = max(seen, door.clients.sockets)
                 await asyncio.sleep(0)
             assert 16 <= max(seen, door.clients.sockets) <= 17
-            assert len(door.open) == 14
+            assert len(door.open_requests) == 14
             for number, peer in enumerate(peers):
                 door.answer(f"b{number}", OK)
                 assert await peer.hear_until(OK) == OK
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -2,18 +2,20 @@
 
 from molereach.policy.interface.actions import Action, ForwardAttempt
 from molereach.policy.interface.events import AttemptEnded, AttemptResult, Event, TimerExpired
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Peer, machine, until
 from tests.sockets import Backend, front_door, query, run, value
 
 
-def written(door: FrontDoor, name: str) -> bool:
-    return name in door.open and any(each.written for each in door.open[name].out.values())
+def written(door: Proxy, name: str) -> bool:
+    return name in door.open_requests and any(
+        each.written for each in door.open_requests[name].in_flight.values()
+    )
 
 
-def heard_from(door: FrontDoor, name: str, answer: bytes) -> None:
+def heard_from(door: Proxy, name: str, answer: bytes) -> None:
     """A backend's answer to the first try, in this turn and at this place among what else comes in it."""
-    connection = door.open[name].out[0].connection
+    connection = door.open_requests[name].in_flight[0].connection
     assert connection
     connection.data_received(answer)
 
@@ -37,8 +39,8 @@
                 (connection,) = door.clients.connections
                 heard_from(door, "a1", b"-BUSY\r\n")
                 connection.eof_received()
-                await until(lambda: not door.open and not door.gateway.attempts.jobs)
-                assert sent == [] and not door.ended
+                await until(lambda: not door.open_requests and not door.gateway.attempts.jobs)
+                assert sent == [] and not door.answered_requests
                 assert not any(server.out for server in door.gateway.fleet.servers.values())
 
     run(job())
@@ -68,6 +70,6 @@
             await until(lambda: sum(isinstance(event, AttemptEnded) for event in told) == 2)
             outcomes = [(event.attempt, event.result) for event in told if isinstance(event, AttemptEnded)]
             assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.NOT_SENT)]
-            assert not door.ended
+            assert not door.answered_requests
 
     run(job())
--- a/tests/races/test_descriptors.py
+++ b/tests/races/test_descriptors.py
@@ -5,14 +5,14 @@
 import json
 from pathlib import Path
 
-from molereach.proxy.proxy import CLIENT_SHARE, SPARE_SOCKETS
+from molereach.proxy.proxy import CLIENT_SOCKET_FRACTION, RESERVED_SOCKETS
 from tests.races.processes import Process, processes
 from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
 from tests.test_program import SETTINGS
 
 DESCRIPTORS = 64  # that the process may have, by its configuration and by the system
-PLACES = round((DESCRIPTORS - SPARE_SOCKETS) * CLIENT_SHARE)  # of them for clients
+PLACES = round((DESCRIPTORS - RESERVED_SOCKETS) * CLIENT_SOCKET_FRACTION)  # of them for clients
 CROWD = 300
 TOLD_S = 6.0  # from when discovery has a change and can be reached
 AMPLE = {**SETTINGS, "plans": [{"name": "team", "units-per-s": 1000, "burst": 1000}]}
--- a/tests/races/test_discovery_calls.py
+++ b/tests/races/test_discovery_calls.py
@@ -10,7 +10,7 @@
 from molereach.discovery import client, watch_supervisor
 from molereach.discovery.poll_backoff import MAX_AGENT_BACKOFF_S
 from molereach.policy.interface.events import EndpointState
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.listing import after, asked, call, changes, gone, watch
 from tests.races.wire import Machine, machine, until
 from tests.sockets import CONFIG, HEAD, Client, chunk, resp, run
@@ -102,7 +102,7 @@
 
 def test_serves_while_discovery_accepts_and_says_nothing(agent: Machine) -> None:
     async def job() -> None:
-        door = FrontDoor(replace(CONFIG, discovery=agent.address))
+        door = Proxy(replace(CONFIG, discovery=agent.address))
         async with asyncio.timeout(5):  # of the 10 s in which it has to be ready
             await door.start()
             client = await Client.open(door.address)
--- a/tests/races/test_discovery_documents.py
+++ b/tests/races/test_discovery_documents.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from molereach.discovery import json_stream
-from molereach.discovery.json_stream import MAX_DEPTH, JsonStream, JsonStreamError
+from molereach.discovery.errors import JsonStreamError
+from molereach.discovery.json_stream import MAX_DEPTH, JsonStream
 
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é😀,: ', max_size=8)
 VALUES = st.recursive(
@@ -68,7 +69,7 @@
 
 
 def test_object_without_an_end_costs_bounded_memory() -> None:
-    cut = JsonStream(most_bytes=100)
+    cut = JsonStream(max_object_bytes=100)
     with pytest.raises(JsonStreamError):
         for _ in range(20):
             list(cut.feed(b'{"a":"b",  '))
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -21,7 +21,7 @@
     EndpointState,
     RequestReceived,
 )
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.listing import AT, after, call
 from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
@@ -30,7 +30,9 @@
 
 
 def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
-    news = EndpointMapping(CONFIG).read_update({"generation": 1, "reset": reset, "instances": list(entries)})
+    news = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers).read_update(
+        {"generation": 1, "reset": reset, "instances": list(entries)}
+    )
     return {server.name: server.state for server in news.event.endpoints}, news.addresses
 
 
@@ -149,7 +151,7 @@
 class Door:
     """A front door with one backend and an agent of discovery, both by hand."""
 
-    def __init__(self, door: FrontDoor, backend: Machine, watch: Peer, client: Client) -> None:
+    def __init__(self, door: Proxy, backend: Machine, watch: Peer, client: Client) -> None:
         self.door, self.backend, self.watch, self.client = door, backend, watch, client
 
     def say(self, version: int, *entries: dict[str, Any], reset: bool = False) -> None:
@@ -169,7 +171,7 @@
 async def one_backend() -> AsyncIterator[Door]:
     with machine() as backend, machine() as agent:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", backend.address)]}
-        door = FrontDoor(replace(CONFIG, discovery=agent.address, known=known))
+        door = Proxy(replace(CONFIG, discovery=agent.address, known=known))
         starting = asyncio.create_task(door.start())
         watch, target = await call(agent)
         assert target == after(3)
--- a/tests/races/test_discovery_silence.py
+++ b/tests/races/test_discovery_silence.py
@@ -28,8 +28,8 @@
 class Agent:
     """The core against a discovery that does what the test says, on the test's clock."""
 
-    def __init__(self, must_ask: bool = False) -> None:
-        self.calling = WatchSupervisor(PollBackoff(1, must_ask=must_ask), lambda: 0.5)
+    def __init__(self, must_poll: bool = False) -> None:
+        self.calling = WatchSupervisor(PollBackoff(1, must_poll=must_poll), lambda: 0.5)
         self.now_s, self.opened = 0.0, []
         self.opened: list[float]
 
@@ -57,11 +57,11 @@
         return number
 
 
-@pytest.mark.parametrize(("must_ask", "hanging"), [(False, 2), (True, 1)])
+@pytest.mark.parametrize(("must_poll", "hanging"), [(False, 2), (True, 1)])
 def test_watch_that_falls_silent_is_opened_anew_in_time_for_dials_that_hang(
-    must_ask: bool, hanging: int
+    must_poll: bool, hanging: int
 ) -> None:
-    agent = Agent(must_ask)
+    agent = Agent(must_poll)
     number = agent.lives()
     dials: dict[int, float] = {}
     while len(agent.opened) < 2 + hanging:
@@ -77,7 +77,7 @@
 
 
 def test_watch_that_must_be_asked_for_is_not_given_up_for_one_sign_that_is_late() -> None:
-    agent = Agent(must_ask=True)
+    agent = Agent(must_poll=True)
     number = agent.lives()
     agent.go_to(2 * HEARTBEAT_INTERVAL_S)
     assert agent.opened == [0.0] and number in agent.calling.open_attempts
@@ -159,7 +159,7 @@
 def test_list_that_must_be_asked_for_is_asked_for_once_in_the_time_that_there_is() -> None:
     """A call may wait in discovery's line, which works on calls that nobody waits for any more: the eldest is
     kept, and one comes beside it only when a change would else count as told unheard."""
-    agent = Agent(must_ask=True)
+    agent = Agent(must_poll=True)
     while agent.now_s < POLLED_RESPONSE_TIMEOUT_S - 0.1:
         agent.step(POLLED_RESPONSE_TIMEOUT_S - 0.1)
         assert len(agent.calling.open_attempts) <= (
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -10,18 +10,18 @@
 
 import pytest
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.settings import Plan
 from molereach.proxy import proxy
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from tests.races.wire import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
 
 
 @contextlib.asynccontextmanager
-async def started(discovery: Address, **changes: object) -> AsyncIterator[tuple[FrontDoor, Client]]:
+async def started(discovery: EndpointAddress, **changes: object) -> AsyncIterator[tuple[Proxy, Client]]:
     """A front door that serves, and a client of it that has been told +PONG."""
-    door = FrontDoor(replace(CONFIG, discovery=discovery, **changes))
+    door = Proxy(replace(CONFIG, discovery=discovery, **changes))
     await door.start()
     try:
         client = await Client.open(door.address)
@@ -31,7 +31,7 @@
         door.close()
 
 
-def known(*addresses: Address) -> dict[str, object]:
+def known(*addresses: EndpointAddress) -> dict[str, object]:
     found: dict[str, object] = json.loads(catalog(4, [entry(f"s{n}", at) for n, at in enumerate(addresses)]))
     return found
 
@@ -43,7 +43,7 @@
 
 @pytest.fixture(autouse=True)
 def soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(proxy, "FIRST_LIST_S", 0.02)
+    monkeypatch.setattr(proxy, "FIRST_LIST_TIMEOUT_S", 0.02)
 
 
 def test_discovery_that_refuses_or_says_nothing_keeps_nobody_waiting() -> None:
@@ -62,7 +62,7 @@
 def test_discovery_whose_connection_never_comes_up_keeps_nobody_waiting() -> None:
     async def job() -> None:
         with Dials() as dials:
-            door = FrontDoor(replace(CONFIG, discovery=(HOST, 9)))
+            door = Proxy(replace(CONFIG, discovery=(HOST, 9)))
             await door.start()
             client = Peer.dial(door.address)
             client.say(resp("PING"))
@@ -83,7 +83,7 @@
                 await watch.hear_until(b"\r\n\r\n")
                 body = catalog(5, [entry("s0", backend)])
                 client.send(request("a1"))
-                while not door.open:
+                while not door.open_requests:
                     await asyncio.sleep(0)
                 watch.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 assert await client.answer() == b"ok"
@@ -136,7 +136,7 @@
     async def job() -> None:
         async with started(refusing_address()) as (door, client):
             address = door.address
-            taken = FrontDoor(replace(CONFIG, listen=address, discovery=refusing_address()))
+            taken = Proxy(replace(CONFIG, listen=address, discovery=refusing_address()))
             with pytest.raises(OSError):
                 await taken.start()
             taken.close()
@@ -152,7 +152,7 @@
     async def job() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((HOST, 0))
-            door = FrontDoor(replace(CONFIG, discovery=refusing_address(), peer_listen=taken.getsockname()))
+            door = Proxy(replace(CONFIG, discovery=refusing_address(), peer_listen=taken.getsockname()))
             with pytest.raises(OSError):
                 await door.start()
             door.close()
@@ -163,8 +163,8 @@
 def test_bounds_leave_room_for_what_is_no_client_and_no_backend() -> None:
     async def job() -> None:
         for sockets in (48, 100, 1024):
-            door = FrontDoor(replace(CONFIG, sockets=sockets))
-            assert door.clients.most + door.backends.most + proxy.SPARE_SOCKETS <= sockets
+            door = Proxy(replace(CONFIG, sockets=sockets))
+            assert door.clients.most + door.backends.most + proxy.RESERVED_SOCKETS <= sockets
             assert door.clients.most > 0 and door.backends.most > 0
             door.close()
 
--- a/tests/races/test_settings_wrong.py
+++ b/tests/races/test_settings_wrong.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from molereach.__main__ import take_over
+from molereach.__main__ import reload_configuration
 from molereach.proxy.config import ConfigError, load
 from tests.sockets import HOST, front_door, run
 
@@ -240,7 +240,7 @@
             monkeypatch.setitem(os.environ, "PROXY_CONFIG", str(tmp_path / "config.json"))
             wrong = WRONG[type(dict(places(VALUES))[at])][0]
             (tmp_path / "config.json").write_text(json.dumps(changed(at, wrong)))
-            take_over(door)
+            reload_configuration(door)
             assert door.config is config and door.discovery.successor is None
             assert door.discovery.current.address == watched
 
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_ends.py
@@ -9,7 +9,7 @@
 from molereach.clients.connection_state import NEVER, WAITS_US, State
 from molereach.clients.resp import MOST_PIPELINED
 from molereach.proxy import connection_draining, graceful_shutdown
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
 from tests.races.sigterm import ENDS, FAILED, OK, before, drained, is_answer, shorten
 from tests.races.wire import Peer, turns, until
@@ -96,7 +96,9 @@
 def test_who_stops_within_a_command_is_told_before_the_kill(
     sent: bytes, heard: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)  # not for being quiet: by the time
+    monkeypatch.setattr(
+        connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0
+    )  # not for being quiet: by the time
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
@@ -146,16 +148,16 @@
         async with front_door(Backend(lambda words: None)) as (door, address):
             client = Peer.dial(address)
             client.say(b"".join(query(f"r{number}") for number in range(40)))
-            await until(lambda: len(door.open) == MOST_PIPELINED)
+            await until(lambda: len(door.open_requests) == MOST_PIPELINED)
             door.clients.end()
-            for name in list(door.open):
+            for name in list(door.open_requests):
                 door.answer(name, OK)
             assert await client.hear_all() == OK * MOST_PIPELINED + FAILED * (40 - MOST_PIPELINED)
 
     run(job())
 
 
-def slow(door: FrontDoor, address: tuple[str, int], requests: int) -> Peer:
+def slow(door: Proxy, address: tuple[str, int], requests: int) -> Peer:
     """A client that asks and does not read, and little room between."""
     assert door.clients.listener
     door.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)  # as what it accepts
@@ -167,15 +169,18 @@
     return client
 
 
-def clogged(door: FrontDoor) -> bool:
-    return any(each.waiting_bytes() > len(ANSWER) for each in door.clients.connections) and not door.open
+def clogged(door: Proxy) -> bool:
+    return (
+        any(each.waiting_bytes() > len(ANSWER) for each in door.clients.connections)
+        and not door.open_requests
+    )
 
 
 def test_answers_not_read_yet_leave_whole_where_their_client_reads_before_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "GRACE_US", 20_000_000)  # the kill is far
-    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_US", 20_000_000)  # the kill is far
+    monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with front_door(Backend(lambda words: LARGE)) as (door, address):
@@ -184,7 +189,7 @@
             ended = asyncio.Event()
 
             def end() -> None:
-                monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)
+                monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
                 ended.set()
 
             before(door.clients, "end", end)
@@ -201,7 +206,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It can tell that what it gets of the last value is not whole."""
-    monkeypatch.setattr(connection_draining, "LAST_WRITES_S", 60.0)
+    monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
     monkeypatch.setitem(WAITS_US, State.CLOGGED, NEVER)  # not by the time that it has to read
 
     async def job() -> None:
--- a/tests/races/test_sigterm_process.py
+++ b/tests/races/test_sigterm_process.py
@@ -19,8 +19,8 @@
 
 from molereach.__main__ import serve
 from molereach.clock import now_us
-from molereach.proxy.graceful_shutdown import Ending
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.graceful_shutdown import GracefulShutdown
+from molereach.proxy.proxy import Proxy
 from tests.races.sigterm import shorten
 from tests.races.wire import Machine, Peer, machine, turns, until
 from tests.sockets import CONFIG, CUSTOMER, HOST, Backend, catalog, entry, refusing_address, resp, run, value
@@ -137,10 +137,10 @@
 def test_time_of_the_end_counts_from_the_signal_also_while_it_starts(monkeypatch: pytest.MonkeyPatch) -> None:
     """The kill does: a start that waits for a list, or for orders, would else answer after it."""
     shorten(monkeypatch)
-    doors: list[FrontDoor] = []
+    doors: list[Proxy] = []
     heard: list[int] = []
 
-    async def attach(door: FrontDoor) -> Callable[[], None]:
+    async def attach(door: Proxy) -> Callable[[], None]:
         os.kill(os.getpid(), signal.SIGTERM)
         await turns(20)
         heard.append(now_us())
@@ -149,9 +149,11 @@
         return lambda: None
 
     run(serve(replace(CONFIG, discovery=refusing_address()), attach))
-    assert doors[0].ending
+    assert doors[0].shutdown
     longest_us = max(rule.deadline_us for rule in CONFIG.settings.classes)
-    assert doors[0].ending.answers_by_us <= Ending(heard[0], (longest_us,)).answers_by_us
+    assert (
+        doors[0].shutdown.responses_due_at_us <= GracefulShutdown(heard[0], (longest_us,)).responses_due_at_us
+    )
 
 
 def test_reload_while_it_starts_is_taken_when_it_has_started(tmp_path: Path) -> None:
--- a/tests/races/test_sigterm_times.py
+++ b/tests/races/test_sigterm_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.proxy.graceful_shutdown import Ending
+from molereach.proxy.graceful_shutdown import GracefulShutdown
 
 MS = 1_000
 TOLD = 7_000_000
@@ -17,34 +17,36 @@
 
 @pytest.mark.parametrize("longest_ms", DEADLINES_MS)
 def test_all_ends_before_the_kill_and_in_order(longest_ms: int) -> None:
-    end = Ending(TOLD, (10 * MS, longest_ms * MS))
+    end = GracefulShutdown(TOLD, (10 * MS, longest_ms * MS))
     moments = [
         TOLD + NEW_UNTIL,
-        end.settled_us,
-        end.takes_until_us,
-        end.answers_by_us,
+        end.settled_at_us,
+        end.accepts_until_us,
+        end.responses_due_at_us,
         end.reads_until_us,
-        end.ends_us,
+        end.closes_at_us,
         kill_us(longest_ms),
     ]
     assert moments == sorted(moments)
-    assert end.settled_us > TOLD + NEW_UNTIL and end.reads_until_us < end.ends_us < kill_us(longest_ms)
+    assert end.settled_at_us > TOLD + NEW_UNTIL and end.reads_until_us < end.closes_at_us < kill_us(
+        longest_ms
+    )
 
 
 @pytest.mark.parametrize("longest_ms", DEADLINES_MS)
 def test_what_is_taken_last_has_the_time_that_its_class_has_or_07_s(longest_ms: int) -> None:
     """It had 0.2 s where the longest deadline was 0.3 s, and none where that was 0.1 s."""
-    end = Ending(TOLD, (longest_ms * MS,))
-    now = end.takes_until_us - 1
-    end.take(now, 1)
-    assert not end.over(now) and end.over(end.takes_until_us)
-    assert end.take(now, longest_ms * MS) >= min(longest_ms, 700) * MS
+    end = GracefulShutdown(TOLD, (longest_ms * MS,))
+    now = end.accepts_until_us - 1
+    end.admit(now, 1)
+    assert not end.closes_idle(now) and end.closes_idle(end.accepts_until_us)
+    assert end.admit(now, longest_ms * MS) >= min(longest_ms, 700) * MS
 
 
 @pytest.mark.parametrize("longest_ms", DEADLINES_MS)
 def test_no_wait_of_a_client_outlasts_the_answers(longest_ms: int) -> None:
     """Clients may wait for twice their class's time."""
-    end = Ending(TOLD, (longest_ms * MS,))
-    for now in range(TOLD, end.answers_by_us, 10 * MS):
-        assert now < now + end.take(now, 2 * longest_ms * MS) <= end.answers_by_us
-    assert end.take(end.answers_by_us + 5 * MS, 2 * longest_ms * MS) == 1  # it is told at once
+    end = GracefulShutdown(TOLD, (longest_ms * MS,))
+    for now in range(TOLD, end.responses_due_at_us, 10 * MS):
+        assert now < now + end.admit(now, 2 * longest_ms * MS) <= end.responses_due_at_us
+    assert end.admit(end.responses_due_at_us + 5 * MS, 2 * longest_ms * MS) == 1  # it is told at once
--- a/tests/races/wire.py
+++ b/tests/races/wire.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from typing import Any
 
-from molereach.proxy.config import Address
+from molereach.endpoint_address import EndpointAddress
 from tests.sockets import HOST
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
@@ -26,7 +26,7 @@
         own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def dial(cls, address: Address) -> "Peer":
+    def dial(cls, address: EndpointAddress) -> "Peer":
         """Connected when this returns, whether or not the front door has accepted it yet."""
         own = socket.create_connection(address)
         return cls(own)
@@ -81,8 +81,8 @@
         self.listener.setblocking(False)
 
     @property
-    def address(self) -> Address:
-        address: Address = self.listener.getsockname()
+    def address(self) -> EndpointAddress:
+        address: EndpointAddress = self.listener.getsockname()
         return address
 
     async def accept(self) -> Peer:
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -59,7 +59,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """As before they asked the agent of their own machine at once: what the full fleet's trial failed on."""
-    monkeypatch.setattr(PollBackoff, "of", lambda settings: PollBackoff(settings.gateways))
+    monkeypatch.setattr(PollBackoff, "from_settings", lambda settings: PollBackoff(settings.proxy_count))
     ledger = play(large(name), 1).report.ledger
     assert ledger.rules_broken() == [Rule.DRAIN.value] and not ledger.unaccounted
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -11,9 +11,10 @@
 import hiredis
 import uvloop
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from molereach.proxy.config import Address, Config
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.config import Config
+from molereach.proxy.proxy import Proxy
 
 HOST = "127.0.0.1"
 CUSTOMER = "00000000b4d65521"
@@ -100,7 +101,7 @@
         self.came, self.left = asyncio.Event(), asyncio.Event()  # a command came; a connection ended
         self.writers: list[asyncio.StreamWriter] = []  # of each command in turn
 
-    async def start(self) -> Address:
+    async def start(self) -> EndpointAddress:
         self.server = await asyncio.start_server(self.serve, HOST, 0)
         return self.server.sockets[0].getsockname()
 
@@ -130,7 +131,7 @@
         self.scripts, self.targets = list(scripts), []
         self.targets: list[str]
 
-    async def start(self) -> Address:
+    async def start(self) -> EndpointAddress:
         self.server = await asyncio.start_server(self.serve, HOST, 0)
         return self.server.sockets[0].getsockname()
 
@@ -149,7 +150,9 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def entry(name: str, address: Address, lifecycle: str = "SERVING", started_ms: int = 0) -> dict[str, Any]:
+def entry(
+    name: str, address: EndpointAddress, lifecycle: str = "SERVING", started_ms: int = 0
+) -> dict[str, Any]:
     return {
         "instanceId": name,
         "hostPort": f"{address[0]}:{address[1]}",
@@ -170,7 +173,7 @@
     """A client's connection."""
 
     @classmethod
-    async def open(cls, address: Address) -> "Client":
+    async def open(cls, address: EndpointAddress) -> "Client":
         client = cls()
         client.reader, client.writer = await asyncio.open_connection(*address)
         client.parser = hiredis.Reader(notEnoughData=Client)
@@ -201,8 +204,8 @@
 
 @contextlib.asynccontextmanager
 async def front_door(
-    *backends: Backend, addresses: Iterable[Address] = (), **changes: object
-) -> AsyncIterator[tuple[FrontDoor, Address]]:
+    *backends: Backend, addresses: Iterable[EndpointAddress] = (), **changes: object
+) -> AsyncIterator[tuple[Proxy, EndpointAddress]]:
     """A front door that serves, before the given backends, and its address."""
     everyone = [*addresses, *[await backend.start() for backend in backends]]
     listed = catalog(7, [entry(f"s{number}", address) for number, address in enumerate(everyone)])
@@ -211,7 +214,7 @@
         writer.write(HEAD + chunk(listed))
         await asyncio.Event().wait()
 
-    door = FrontDoor(replace(CONFIG, discovery=await Watch(script).start(), **changes))
+    door = Proxy(replace(CONFIG, discovery=await Watch(script).start(), **changes))
     await door.start()
     try:
         yield door, door.address
@@ -219,7 +222,7 @@
         door.close()
 
 
-def refusing_address() -> Address:
+def refusing_address() -> EndpointAddress:
     """An address at which nobody listens."""
     with socket.socket() as free:
         free.bind((HOST, 0))
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -51,7 +51,7 @@
     for name, text in (
         ("__init__", ""),
         ("proxy/__init__", ""),
-        ("proxy/proxy", "FrontDoor = object"),
+        ("proxy/proxy", "Proxy = object"),
         ("__main__", "def front_door(**more): print('other'); return 0\nfront_door()"),
     ):
         (tmp_path / "molereach" / f"{name}.py").write_text(text)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from molereach.__main__ import LINES_AT_ONCE, LINES_SPAN_S, RateLimit
+from molereach.__main__ import MAX_LINES_PER_SPAN, SPAN_S, RateLimit
 from molereach.proxy.config import load
 from tests.sockets import (
     CUSTOMER,
@@ -221,8 +221,8 @@
         return record
 
     passed = [limit.filter(line(100.0 + at / 100)) for at in range(500)]
-    assert sum(passed) == LINES_AT_ONCE
+    assert sum(passed) == MAX_LINES_PER_SPAN
     assert limit.filter(line(100.0, number=8))  # another place has lines of its own
-    later = line(100.0 + LINES_SPAN_S)
+    later = line(100.0 + SPAN_S)
     assert limit.filter(later)
-    assert later.getMessage() == f"odd one ({500 - LINES_AT_ONCE} like it were left out)"
+    assert later.getMessage() == f"odd one ({500 - MAX_LINES_PER_SPAN} like it were left out)"
