--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -7,7 +7,12 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import GossipReceived
+<<<<<<< HEAD
 from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
+=======
+from molereach.protocol.gossip_codec import MAX_DATAGRAM_BYTES, GossipCodec, QuotaGossipCodec
+from molereach.proxy.config import Address
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
 class GossipTransport(asyncio.DatagramProtocol):
@@ -19,14 +24,18 @@
         self.addresses, self.own_index, self.on_message = addresses, me, heard
         self.senders = {address: number for number, address in enumerate(addresses) if number != me}
         self.transport: asyncio.DatagramTransport | None = None
+<<<<<<< HEAD
         self.codec: Form = PlainForm()
+=======
+        self.form: GossipCodec = QuotaGossipCodec()
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: EndpointAddress) -> None:
         sender = self.senders.get(address)
-        if sender is None or len(data) > MESSAGE_BYTES:
+        if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         if message := self.codec.unpack(sender, data):
             self.on_message(message)
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -50,6 +50,7 @@
     TimerExpired,
 )
 from molereach.policy.interface.protocols import LimitPolicy
+<<<<<<< HEAD
 from molereach.protocol.gossip_codec import Form
 from molereach.proxy.config import Config, run_to_end
 from molereach.proxy.connection_draining import drain
@@ -58,6 +59,16 @@
 from molereach.subsetting.endpoint_subsetting import Routing
 from molereach.subsetting.entry_budget import COPIES
 from molereach.subsetting.interface import Lists, Seen
+=======
+from molereach.protocol.gossip_codec import GossipCodec
+from molereach.proxy.config import Address, Config, run_out
+from molereach.proxy.connection_draining import drain
+from molereach.proxy.gossip import Peers
+from molereach.proxy.graceful_shutdown import Ending
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
+from molereach.subsetting.entry_budget import MAX_LIST_COPIES
+from molereach.subsetting.interface import EndpointList, SubsetUpdate
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 log = logging.getLogger(__name__)
 
@@ -120,6 +131,7 @@
             lambda: ClientConnection(self.clients, self),
             self.backends.spawn,
         )
+<<<<<<< HEAD
         view = min(MAX_SUBSET, max(MIN_SUBSET, self.backends.most))
         most = round(memory * ENDPOINT_LIST_FRACTION) // (COPIES * ENTRY_BYTES)
         self.endpoint_lists: Lists = Routing(config.settings, view, most)
@@ -128,6 +140,16 @@
         self.saved_list: EndpointUpdate | None = None  # the list that it started with, as it was heard
         version = self.load_saved_list()
         self.discovery = EndpointDiscovery(
+=======
+        view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
+        most = round(memory * LIST_SHARE) // (MAX_LIST_COPIES * ENTRY_BYTES)
+        self.lists: EndpointList = EndpointSubsetting(config.settings, view, most)
+        self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
+        self.catalog = Catalog(config)
+        self.known: News | None = None  # the list that it started with, as it was heard
+        version = self.read_known()
+        self.discovery = Discovery(
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
             config.discovery,
             self.mapping,
             version,
@@ -187,7 +209,7 @@
             staged.add(*self.mapping.read_entry_list(parts.pop()))
         return self.mapping.read_staged_update(self.config.known, staged, EndpointListKind.SAVED)
 
-    def use_limits(self, limits: LimitPolicy, form: Form) -> None:
+    def use_limits(self, limits: LimitPolicy, form: GossipCodec) -> None:
         """Have limits consulted, and their words told; before the first event."""
         self.gateway.limits, self.gossip.codec = limits, form
 
@@ -226,12 +248,21 @@
         """Take and answer what comes while there is time for it, then close what is idle, and answer all. The
         kill counts from when it was told to end, which may have been while it started."""
         deadlines_us = (rule.deadline_us for rule in self.settings.classes)
+<<<<<<< HEAD
         self.shutdown = GracefulShutdown(now_us() if told_us is None else told_us, deadlines_us)
         self.shorten_deadlines(self.shutdown.responses_due_at_us)
         await drain(self.shutdown, self.clients, self.open_requests)
         for peer, word in self.gateway.limits.bye() * LEAVE_REPEATS if self.gateway.limits else ():
             self.gossip.send(SendGossip(peer, (word,)))
         for end in self.on_stopped:
+=======
+        self.ending = Ending(now_us() if told_us is None else told_us, deadlines_us)
+        self.hurry(self.ending.answers_by_us)
+        await drain(self.ending, self.clients, self.open)
+        for peer, word in self.gateway.limits.leave_messages() * BYES if self.gateway.limits else ():
+            self.peers.tell(SendGossip(peer, (word,)))
+        for end in self.last:
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
             await end()
         self.close()
 
@@ -297,6 +328,7 @@
         self.apply_complete(news)
         return None
 
+<<<<<<< HEAD
     def apply_complete(self, news: EndpointUpdate) -> Seen | None:
         return self.publish_subset(self.endpoint_lists.take(news.event, news.addresses))
 
@@ -304,11 +336,22 @@
         return self.publish_subset(
             (yield from self.endpoint_lists.take_over(news.staged, news.kind, news.version))
         )
+=======
+    def take_whole(self, news: News) -> SubsetUpdate | None:
+        return self.show(self.lists.apply(news.event, news.addresses))
+
+    def take_over(self, news: LongNews) -> Generator[None, None, SubsetUpdate | None]:
+        return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
     def apply_staged_in_steps(self, news: StagedEndpointUpdate) -> Steps:
         yield from self.apply_staged(news)
 
+<<<<<<< HEAD
     def publish_subset(self, seen: Seen | None) -> Seen | None:
+=======
+    def show(self, seen: SubsetUpdate | None) -> SubsetUpdate | None:
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
         """What the view shows of news, with the orders that lie over it; None concerns nothing in it."""
         if seen:
             self.publish(self.overlay(seen.event), seen.addresses)
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from itertools import product
 
-from molereach.limits.messages import Codec
+from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.policy.interface.messages import (
     SPLIT_CEILING_MARK,
     CustomerKey,
@@ -20,7 +20,7 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.protocol.gossip_codec import PlainForm
+from molereach.protocol.gossip_codec import QuotaGossipCodec
 
 SENDER, PEER, GENERATION = 3, 1, 0xBEEF
 KEY = bytes(range(16))
@@ -99,15 +99,19 @@
 Words = Sequence[GossipMessage | LimitMessage]
 
 
-def codec(keyed: bool, hears: bool, speaks: bool = True) -> Codec:
+def codec(keyed: bool, hears: bool, speaks: bool = True) -> LimitGossipCodec:
     """The codec of the sending front door."""
-    return Codec(
-        SENDER, GENERATION, speaks=lambda peer: speaks, key=KEY if keyed else b"", hears=lambda peer: hears
+    return LimitGossipCodec(
+        SENDER,
+        GENERATION,
+        understands=lambda peer: speaks,
+        key=KEY if keyed else b"",
+        receives_from=lambda peer: hears,
     )
 
 
 # Every way of packing the form with limits: whether a key is set, and whether the receiver was heard of late.
-CODECS: dict[str, Codec] = {
+CODECS: dict[str, LimitGossipCodec] = {
     f"{'keyed' if keyed else 'open'}-{'hears' if hears else 'deaf'}": codec(keyed, hears)
     for keyed, hears in product((False, True), (False, True))
 }
@@ -128,15 +132,15 @@
 
 def plain_datagrams() -> list[bytes]:
     """Quota words in the form of the last version."""
-    return PlainForm().pack(PEER, QUOTA_WORDS)
+    return QuotaGossipCodec().pack(PEER, QUOTA_WORDS)
 
 
 def too_large_datagrams() -> list[bytes]:
     """A word whose amounts are cut to what fits."""
-    return PlainForm().pack(PEER, (TOO_LARGE,))
+    return QuotaGossipCodec().pack(PEER, (TOO_LARGE,))
 
 
-def limit_datagrams(packing: Codec) -> list[bytes]:
+def limit_datagrams(packing: LimitGossipCodec) -> list[bytes]:
     """A datagram for each kind of record, then one run of all of them."""
     single = [datagram for words in SINGLE.values() for datagram in packing.pack(PEER, words)]
     return [*single, *packing.pack(PEER, MANY)]
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -8,8 +8,14 @@
 
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
+<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import ListError, Seen, Staged
+=======
+from molereach.proxy.config import Address
+from molereach.proxy.proxy import FrontDoor
+from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.sockets import CONFIG, HOST, Watch, entry
 
 SIZE = 93_000  # backends of the fleet that is coming
@@ -48,7 +54,7 @@
         self.sizes.append(len(some))
         self.addresses |= addresses
         if len(self.servers) > self.most:
-            raise ListError(f"a list of over {self.most} entries")
+            raise EndpointListError(f"a list of over {self.most} entries")
 
 
 class AllSeen:
@@ -62,19 +68,24 @@
         self.staged.append(Held(self.most))
         return self.staged[-1]
 
+<<<<<<< HEAD
     def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
         return Seen(event, dict(addresses))
+=======
+    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+        return SubsetUpdate(event, dict(addresses))
+>>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
     def take_over(
-        self, staged: Staged, kind: EndpointListKind, version: int
-    ) -> Generator[None, None, Seen | None]:
+        self, staged: StagedEndpoints, kind: EndpointListKind, version: int
+    ) -> Generator[None, None, SubsetUpdate | None]:
         assert isinstance(staged, Held)
         for _ in range(5):
             self.steps += 1
             yield
         if kind is EndpointListKind.FULL and len({one.name for one in staged.servers}) < len(staged.servers):
-            raise ListError("the whole list names a server twice")
-        return Seen(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
+            raise EndpointListError("the whole list names a server twice")
+        return SubsetUpdate(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
 
 
 def says(*pieces: bytes, stay: bool = True) -> object:
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -4,6 +4,7 @@
 
 from molereach.policy.customers import LEAST_KEPT_US, SILENT_US, Customers
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.protocols import ReachableQuota
 from molereach.policy.interface.settings import Plan
 from tests.helpers import SETTINGS, S
 
@@ -17,26 +18,26 @@
 
     def __init__(self) -> None:
         self.log: list[tuple[object, ...]] = []
-        self.reached: tuple[int, float, float] = (1, 0.5, 0.0)
+        self.quota = ReachableQuota(1, 0.5, 0.0)
         self.has_room, self.new = False, 3.0
 
-    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        return self.reached
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        return self.quota
 
-    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
+    def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.has_room
 
-    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
+    def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
         return self.new
 
-    def want(self, *values: object) -> None:
-        self.log.append(("want", *values))
+    def request_capacity(self, *values: object) -> None:
+        self.log.append(("request_capacity", *values))
 
-    def take(self, *values: object) -> None:
-        self.log.append(("take", *values))
+    def consume(self, *values: object) -> None:
+        self.log.append(("consume", *values))
 
-    def spend(self, *values: object) -> None:
-        self.log.append(("spend", *values))
+    def record_spending(self, *values: object) -> None:
+        self.log.append(("record_spending", *values))
 
 
 def customers_of(plan: Plan = PLAN, limits: Limits | None = None) -> Customers:
@@ -93,11 +94,16 @@
     customers.want(NOW, known, 1.0)
     customers.pass_ceiling(NOW, known, 1.0)
     customers.spend(NOW, known, 4.0)
-    assert limits.log == [("want", NOW, KEY, 1.0), ("take", NOW, KEY, 1.0), ("spend", NOW, KEY, 4.0, 6.0)]
-    limits.reached, known.asked_us = (1, 0.9, 0.0), NOW
+    assert limits.log == [
+        ("request_capacity", NOW, KEY, 1.0),
+        ("consume", NOW, KEY, 1.0),
+        ("record_spending", NOW, KEY, 4.0, 6.0),
+    ]
+    limits.quota = ReachableQuota(1, 0.9, 0.0)
+    known.asked_us = NOW
     assert customers.get(NOW + SILENT_US, KEY).reach == 0.9
     assert customers.get(NOW + SILENT_US + 1, KEY).reach == 0.5  # its part alone, of a set of two
-    limits.reached = (2, 1.0, 1.5)
+    limits.quota = ReachableQuota(2, 1.0, 1.5)
     level = known.level
     assert customers.get(NOW + SILENT_US + 1, KEY).home == 2
     assert known.level == level + 1.5 and known.asked_us > NOW + S  # another home has not been asked
@@ -105,7 +111,7 @@
 
 def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
     limits = Limits()
-    limits.reached = (0, 1.0, 0.0)
+    limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
     customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
