--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -21,12 +21,7 @@
 from molereach.discovery.watch_supervisor import WatchSupervisor
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind
-<<<<<<< HEAD
-from molereach.subsetting.interface import RoomError, Staged
-=======
-from molereach.proxy.config import Address
 from molereach.subsetting.interface import EntryBudgetExceededError, StagedEndpoints
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 log = logging.getLogger(__name__)
 
@@ -44,13 +39,8 @@
 class StagedObject:
     """Entries of an object that does not count yet, and when it should have ended, in seconds."""
 
-<<<<<<< HEAD
-    staged: Staged
-    expires_at_s: float
-=======
     staged: StagedEndpoints
-    until_s: float
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+    expires_at_s: float
 
 
 class OpenWatch(NamedTuple):
@@ -71,13 +61,8 @@
         on_update: Callable[["DiscoveryClient", Update], Steps | None],
         backoff: PollBackoff,
         draw: Callable[[], float],
-<<<<<<< HEAD
-        open_staging: Callable[[], Staged],
+        open_staging: Callable[[], StagedEndpoints],
         reclaim_capacity: Callable[["DiscoveryClient", int], bool] = lambda client, number: False,
-=======
-        stage: Callable[[], StagedEndpoints],
-        make_room: Callable[["Source", int], bool] = lambda source, number: False,
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
     ) -> None:
         """`version`: that of the list known already; None: the full list comes first.
 
@@ -210,16 +195,14 @@
         self.with_capacity(number, lambda: staged_object.staged.add(*listed))
 
     def with_capacity(self, number: int, add: Callable[[], Result]) -> Result:
-        """Add to what is staged, once more after capacity was reclaimed; RoomError where none could be."""
+        """Add to what is staged, once more after capacity was reclaimed.
+
+        EntryBudgetExceededError where none could be.
+        """
         try:
             return add()
-<<<<<<< HEAD
-        except RoomError:
-            if not self.reclaim_capacity(self, number):
-=======
         except EntryBudgetExceededError:
-            if not self.make_room(self, number):
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+            if not self.reclaim_capacity(self, number):
                 raise
             return add()
 
--- a/molereach/discovery/endpoint_discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -8,24 +8,13 @@
 from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
-<<<<<<< HEAD
 from molereach.endpoint_address import EndpointAddress
-from molereach.subsetting.interface import ListError, Staged
-=======
-from molereach.proxy.config import Address
 from molereach.subsetting.interface import EndpointListError, StagedEndpoints
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
-<<<<<<< HEAD
-def no_staging() -> Staged:
-    """For whoever holds no long lists: ListError."""
-    raise ListError("nothing is there to hold a list of this length")
-=======
-
-def no_stage() -> StagedEndpoints:
+def no_staging() -> StagedEndpoints:
+    """For whoever holds no long lists: EndpointListError."""
     raise EndpointListError("nothing is there to hold a list of this length")
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
 class EndpointDiscovery:
@@ -40,11 +29,7 @@
         spawn: Callable[[Coroutine[None, None, None]], object],
         new_backoff: Callable[[], PollBackoff] = lambda: PollBackoff(1),
         draw: Callable[[], float] = random.random,
-<<<<<<< HEAD
-        open_staging: Callable[[], Staged] = no_staging,
-=======
-        stage: Callable[[], StagedEndpoints] = no_stage,
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        open_staging: Callable[[], StagedEndpoints] = no_staging,
     ) -> None:
         """`version`: that of the list known already, 0 for none; `on_update` applies an update, or returns
         the steps that do; `spawn` runs a task; `draw`: a random source, evenly distributed from 0 to 1.
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -10,12 +10,7 @@
 from molereach.discovery.errors import MalformedListError
 from molereach.endpoint_address import EndpointAddress, read_address
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
-<<<<<<< HEAD
-from molereach.subsetting.interface import Staged
-=======
-from molereach.proxy.config import Address, Config, ConfigError, read_address
 from molereach.subsetting.interface import StagedEndpoints
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 log = logging.getLogger(__name__)
 
@@ -141,7 +136,6 @@
     def read_update(self, value: Mapping[str, Any], kind: EndpointListKind | None = None) -> EndpointUpdate:
         """A list, or changes to one, from an object that came complete.
 
-<<<<<<< HEAD
         MalformedListError where a full list names an endpoint twice: either entry may be the right one.
         """
         kind = kind or list_kind(value)
@@ -153,19 +147,11 @@
         return EndpointUpdate(event, addresses)
 
     def read_staged_update(
-        self, value: Mapping[str, Any], staged: Staged, kind: EndpointListKind | None = None
+        self, value: Mapping[str, Any], staged: StagedEndpoints, kind: EndpointListKind | None = None
     ) -> StagedEndpointUpdate:
         """The end of an object whose entries have been staged; those that are left in it are staged too."""
         staged.add(*self.read_entries(value["instances"]))
         return StagedEndpointUpdate(staged, kind or list_kind(value), int(value["generation"]))
-=======
-    def long_news(
-        self, value: Mapping[str, Any], staged: StagedEndpoints, kind: EndpointListKind | None = None
-    ) -> LongNews:
-        """The end of an object whose parts have been staged; what came with it is staged too."""
-        staged.add(*self.entries(value["instances"]))
-        return LongNews(staged, kind or kind_of(value), int(value["generation"]))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
 def list_kind(value: Mapping[str, Any]) -> EndpointListKind:
--- a/molereach/endpoint_address.py
+++ b/molereach/endpoint_address.py
@@ -1,6 +1,6 @@
 """The address of a host and port, as asyncio and sockets take and return it."""
 
-from molereach.protocol.settings import shown
+from molereach.protocol.settings_reader import abbreviated
 
 EndpointAddress = tuple[str, int]  # host, port
 
@@ -17,5 +17,5 @@
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     is_number = port.isascii() and port.isdecimal()
     if not colon or not host or not is_number or not 0 < int(port[:MAX_PORT_DIGITS]) < PORT_LIMIT:
-        raise EndpointAddressError(f"{shown(text)} is not an address")
+        raise EndpointAddressError(f"{abbreviated(text)} is not an address")
     return host, int(port)
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -13,16 +13,11 @@
 MILLISECOND_US = 1000
 
 
-<<<<<<< HEAD
 def attacher(section: LimitsSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
-    """What switches limits on for a front door that has not had an event yet."""
-=======
-def attacher(section: LimitsSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
     """What switches limits on for a front door that has not had an event yet.
 
     Raises KeyFileError where the key file cannot be used.
     """
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
     key = read_key(Path(section.key_file), "limits.key_file") if section.key_file else b""
     limit_settings = LimitSettings(
         lease_us=section.lease_ms * MILLISECOND_US,
@@ -31,12 +26,7 @@
         reserved_fraction=section.floor,
     )
 
-<<<<<<< HEAD
     async def attach(door: Proxy) -> Callable[[], None]:
-        limits = Limits(door.settings, figures)
-        door.use_limits(limits, Codec(limits.me, limits.generation, limits.counts, key, limits.hears))
-=======
-    async def attach(door: FrontDoor) -> Callable[[], None]:
         limits = Limits(door.settings, limit_settings)
         codec = LimitGossipCodec(
             limits.proxy_index,
@@ -46,7 +36,6 @@
             receives_from=limits.receives_from,
         )
         door.use_limits(limits, codec)
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
         return lambda: None
 
     return attach
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -53,20 +53,9 @@
     known_parts: list[bytes] = field(default_factory=list, compare=False)
 
 
-<<<<<<< HEAD
 def configured_address(
     values: Mapping[str, Any], key: str, env: Mapping[str, str] | None = None
 ) -> EndpointAddress:
-=======
-def read_address(text: object) -> Address:
-    host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not colon or not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port[:6]) < 65536:
-        raise ConfigError(f"{abbreviated(text)} is not an address")
-    return host, int(port)
-
-
-def address(values: Mapping[str, Any], key: str, env: Mapping[str, str] | None = None) -> Address:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
     """That of the environment, where it is set there, or the file's."""
     variable = f"PROXY_{key.upper()}"
     text = env.get(variable) if env else None
@@ -139,19 +128,11 @@
         zone_numbers=numbers(settings, "zones", named=False),
         kind_numbers=numbers(settings, "kinds", named=False),
         settings=read_settings(int(seed, 16), pairs),
-<<<<<<< HEAD
-        conn_idle_us=pairs.whole("ceilings.conn-idle-us", 30_000_000, 1),
-        connect_timeout_us=pairs.whole("ceilings.connect-timeout-us", 250_000, 1),
-        max_open=pairs.whole("ceilings.max-open", 20_000, 1),
-        sockets=limits.whole("sockets", 1024, MIN_SOCKETS),
-        memory_mb=limits.whole("memory_mb", 64, 1),
-=======
         conn_idle_us=pairs.integer("ceilings.conn-idle-us", 30_000_000, 1),
         connect_timeout_us=pairs.integer("ceilings.connect-timeout-us", 250_000, 1),
         max_open=pairs.integer("ceilings.max-open", 20_000, 1),
-        sockets=limits.integer("sockets", 1024, LEAST_SOCKETS),
+        sockets=limits.integer("sockets", 1024, MIN_SOCKETS),
         memory_mb=limits.integer("memory_mb", 64, 1),
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
         known=values.get("known") or {},  # what is wrong there must not keep it from a start
         peer_listen=None
         if values.get("peer_listen") in (None, "")
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -7,12 +7,7 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import GossipReceived
-<<<<<<< HEAD
-from molereach.protocol.gossip_codec import MESSAGE_BYTES, Form, PlainForm
-=======
 from molereach.protocol.gossip_codec import MAX_DATAGRAM_BYTES, GossipCodec, QuotaGossipCodec
-from molereach.proxy.config import Address
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
 class GossipTransport(asyncio.DatagramProtocol):
@@ -24,11 +19,7 @@
         self.addresses, self.own_index, self.on_message = addresses, me, heard
         self.senders = {address: number for number, address in enumerate(addresses) if number != me}
         self.transport: asyncio.DatagramTransport | None = None
-<<<<<<< HEAD
-        self.codec: Form = PlainForm()
-=======
-        self.form: GossipCodec = QuotaGossipCodec()
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        self.codec: GossipCodec = QuotaGossipCodec()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -50,25 +50,14 @@
     TimerExpired,
 )
 from molereach.policy.interface.protocols import LimitPolicy
-<<<<<<< HEAD
-from molereach.protocol.gossip_codec import Form
+from molereach.protocol.gossip_codec import GossipCodec
 from molereach.proxy.config import Config, run_to_end
 from molereach.proxy.connection_draining import drain
 from molereach.proxy.gossip import GossipTransport
 from molereach.proxy.graceful_shutdown import GracefulShutdown
-from molereach.subsetting.endpoint_subsetting import Routing
-from molereach.subsetting.entry_budget import COPIES
-from molereach.subsetting.interface import Lists, Seen
-=======
-from molereach.protocol.gossip_codec import GossipCodec
-from molereach.proxy.config import Address, Config, run_out
-from molereach.proxy.connection_draining import drain
-from molereach.proxy.gossip import Peers
-from molereach.proxy.graceful_shutdown import Ending
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from molereach.subsetting.entry_budget import MAX_LIST_COPIES
 from molereach.subsetting.interface import EndpointList, SubsetUpdate
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 log = logging.getLogger(__name__)
 
@@ -131,25 +120,14 @@
             lambda: ClientConnection(self.clients, self),
             self.backends.spawn,
         )
-<<<<<<< HEAD
         view = min(MAX_SUBSET, max(MIN_SUBSET, self.backends.most))
-        most = round(memory * ENDPOINT_LIST_FRACTION) // (COPIES * ENTRY_BYTES)
-        self.endpoint_lists: Lists = Routing(config.settings, view, most)
+        most = round(memory * ENDPOINT_LIST_FRACTION) // (MAX_LIST_COPIES * ENTRY_BYTES)
+        self.endpoint_lists: EndpointList = EndpointSubsetting(config.settings, view, most)
         self.gossip = GossipTransport(config.peers, config.settings.proxy_index, self.post)
         self.mapping = EndpointMapping(config.zone_numbers, config.kind_numbers)
         self.saved_list: EndpointUpdate | None = None  # the list that it started with, as it was heard
         version = self.load_saved_list()
         self.discovery = EndpointDiscovery(
-=======
-        view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
-        most = round(memory * LIST_SHARE) // (MAX_LIST_COPIES * ENTRY_BYTES)
-        self.lists: EndpointList = EndpointSubsetting(config.settings, view, most)
-        self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
-        self.catalog = Catalog(config)
-        self.known: News | None = None  # the list that it started with, as it was heard
-        version = self.read_known()
-        self.discovery = Discovery(
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
             config.discovery,
             self.mapping,
             version,
@@ -248,21 +226,12 @@
         """Take and answer what comes while there is time for it, then close what is idle, and answer all. The
         kill counts from when it was told to end, which may have been while it started."""
         deadlines_us = (rule.deadline_us for rule in self.settings.classes)
-<<<<<<< HEAD
         self.shutdown = GracefulShutdown(now_us() if told_us is None else told_us, deadlines_us)
         self.shorten_deadlines(self.shutdown.responses_due_at_us)
         await drain(self.shutdown, self.clients, self.open_requests)
-        for peer, word in self.gateway.limits.bye() * LEAVE_REPEATS if self.gateway.limits else ():
+        for peer, word in self.gateway.limits.leave_messages() * LEAVE_REPEATS if self.gateway.limits else ():
             self.gossip.send(SendGossip(peer, (word,)))
         for end in self.on_stopped:
-=======
-        self.ending = Ending(now_us() if told_us is None else told_us, deadlines_us)
-        self.hurry(self.ending.answers_by_us)
-        await drain(self.ending, self.clients, self.open)
-        for peer, word in self.gateway.limits.leave_messages() * BYES if self.gateway.limits else ():
-            self.peers.tell(SendGossip(peer, (word,)))
-        for end in self.last:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
             await end()
         self.close()
 
@@ -328,30 +297,18 @@
         self.apply_complete(news)
         return None
 
-<<<<<<< HEAD
-    def apply_complete(self, news: EndpointUpdate) -> Seen | None:
-        return self.publish_subset(self.endpoint_lists.take(news.event, news.addresses))
+    def apply_complete(self, news: EndpointUpdate) -> SubsetUpdate | None:
+        return self.publish_subset(self.endpoint_lists.apply(news.event, news.addresses))
 
-    def apply_staged(self, news: StagedEndpointUpdate) -> Generator[None, None, Seen | None]:
+    def apply_staged(self, news: StagedEndpointUpdate) -> Generator[None, None, SubsetUpdate | None]:
         return self.publish_subset(
             (yield from self.endpoint_lists.take_over(news.staged, news.kind, news.version))
         )
-=======
-    def take_whole(self, news: News) -> SubsetUpdate | None:
-        return self.show(self.lists.apply(news.event, news.addresses))
-
-    def take_over(self, news: LongNews) -> Generator[None, None, SubsetUpdate | None]:
-        return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
     def apply_staged_in_steps(self, news: StagedEndpointUpdate) -> Steps:
         yield from self.apply_staged(news)
 
-<<<<<<< HEAD
-    def publish_subset(self, seen: Seen | None) -> Seen | None:
-=======
-    def show(self, seen: SubsetUpdate | None) -> SubsetUpdate | None:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+    def publish_subset(self, seen: SubsetUpdate | None) -> SubsetUpdate | None:
         """What the view shows of news, with the orders that lie over it; None concerns nothing in it."""
         if seen:
             self.publish(self.overlay(seen.event), seen.addresses)
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -21,12 +21,7 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
-<<<<<<< HEAD
-from molereach.protocol.gossip_codec import pack_words, unpack_words
-=======
 from molereach.protocol.gossip_codec import pack_messages, unpack_messages
-from molereach.proxy.config import Address
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
 from tests.discovery.made import AllSeen
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -8,14 +8,8 @@
 
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.subsetting.interface import ListError, Seen, Staged
-=======
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.sockets import CONFIG, HOST, Watch, entry
 
 SIZE = 93_000  # backends of the fleet that is coming
@@ -68,13 +62,10 @@
         self.staged.append(Held(self.most))
         return self.staged[-1]
 
-<<<<<<< HEAD
-    def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
-        return Seen(event, dict(addresses))
-=======
-    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+    def apply(
+        self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+    ) -> SubsetUpdate | None:
         return SubsetUpdate(event, dict(addresses))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
     def take_over(
         self, staged: StagedEndpoints, kind: EndpointListKind, version: int
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -14,15 +14,9 @@
 from molereach.policy.interface.actions import SendGossip
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState, Event
 from molereach.policy.interface.messages import GossipMessage
-<<<<<<< HEAD
-from molereach.protocol.gossip_codec import pack_words
+from molereach.protocol.gossip_codec import pack_messages
 from molereach.proxy.gossip import GossipTransport
 from molereach.proxy.proxy import Proxy
-=======
-from molereach.protocol.gossip_codec import pack_messages
-from molereach.proxy.gossip import Peers
-from molereach.proxy.proxy import FrontDoor
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
 
 AT = (HOST, 6379)
@@ -153,13 +147,8 @@
         with stranger:
             stranger.sendto(pack_messages(words[:1])[0], ports[0])
         friend.transport.sendto(b"x" * 7, ports[0])
-<<<<<<< HEAD
-        friend.transport.sendto(pack_words(words)[0] * 2, ports[0])  # longer than the wire allows
-        friend.send(SendGossip(0, words))
-=======
         friend.transport.sendto(pack_messages(words)[0] * 2, ports[0])  # longer than the wire allows
-        friend.tell(SendGossip(0, words))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        friend.send(SendGossip(0, words))
         got: tuple[GossipMessage, ...] = ()
         while len(got) < len(words):
             message = await heard.get()
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -11,13 +11,8 @@
 from molereach.discovery.client import DiscoveryClient
 from molereach.discovery.endpoint_mapping import EndpointUpdate, StagedEndpointUpdate
 from molereach.discovery.watch_stream import Steps
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.subsetting.endpoint_subsetting import Routing
-=======
-from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import EntrySlice, Staging
 from tests.discovery.made import entries_text, list_text, says
@@ -88,15 +83,9 @@
 
 def staged(door: Proxy, old: bool) -> int:
     """Entries that an address has told of an object that has not ended."""
-<<<<<<< HEAD
     source = door.discovery.current if old else door.discovery.successor
     stagings = [one.staged for one in source.staged_objects.values()] if source else []
-    return sum(one.count for one in stagings if isinstance(one, Staging))
-=======
-    source = door.discovery.source if old else door.discovery.next
-    stagings = [one.staged for one in source.staged.values()] if source else []
     return sum(one.added_count for one in stagings if isinstance(one, Staging))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 
 def said(caplog: pytest.LogCaptureFixture, text: str) -> list[str]:
@@ -116,11 +105,7 @@
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
             assert new.targets == [WHOLE, f"{AFTER}9"]
-<<<<<<< HEAD
-            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == LONG
-=======
-            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == LONG
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == LONG
             assert set(watch.targets) == {f"{AFTER}3"}
 
     run(job())
@@ -210,11 +195,9 @@
             await until(lambda: len(watch.targets) == 2)
             assert watch.targets == [f"{AFTER}3"] * 2
             await until(lambda: door.discovery.version == 5)
-<<<<<<< HEAD
-            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == LONG + 1
-=======
-            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == LONG + 1
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+            assert (
+                isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == LONG + 1
+            )
             end.set()
             await until(lambda: door.discovery.version == 9)
             assert door.endpoint_lists.count == LONG
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -14,13 +14,8 @@
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.subsetting.endpoint_subsetting import Routing
-=======
-from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
@@ -144,11 +139,7 @@
                 assert await client.ask(query(f"r{served}")) == b"ok"
                 served += 1
             assert served > 10 and set(door.backends.pools) == {"s0"}  # of all, the one that is up
-<<<<<<< HEAD
-            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == 20_001
-=======
-            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == 20_001
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == 20_001
         finally:
             door.close()
 
--- a/tests/discovery/test_notification_delay.py
+++ b/tests/discovery/test_notification_delay.py
@@ -13,28 +13,17 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-<<<<<<< HEAD
 from molereach.discovery.client import CONNECT_TIMEOUT_S, MIN_WAIT_S
 from molereach.discovery.poll_backoff import HUNG_CONNECT_S, UNSPREAD_POLLS, PollBackoff
 from molereach.discovery.watch_supervisor import HEARTBEAT_INTERVAL_S, WatchSupervisor
-from molereach.protocol.settings import MOST_GATEWAYS
-=======
-from molereach.discovery.client import CONNECT_S, TURN_S
-from molereach.discovery.poll_backoff import AT_ONCE, DIAL_S, CallPacing
-from molereach.discovery.watch_supervisor import BEAT_S, Calling
 from molereach.protocol.settings import MAX_PROXIES
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 
 TOLD_S = 6.0
 ASK_WITHIN_S = 10.0
 PROMPT_S = 0.2  # a dial and a whole answer of a discovery that can be reached
-<<<<<<< HEAD
 DOORS = st.one_of(
-    st.integers(1, MOST_GATEWAYS), st.sampled_from([1, UNSPREAD_POLLS, UNSPREAD_POLLS + 1, 200, 7500])
+    st.integers(1, MAX_PROXIES), st.sampled_from([1, UNSPREAD_POLLS, UNSPREAD_POLLS + 1, 200, 7500])
 )
-=======
-DOORS = st.one_of(st.integers(1, MAX_PROXIES), st.sampled_from([1, AT_ONCE, AT_ONCE + 1, 200, 7500]))
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 # What becomes of a call that is made before discovery can be reached.
 FATES = ["refused", "reset", "hangs", "forgotten", "trickles", "begins"]
 WATCHES = ["none", "reset", "silent", "trickles"]  # what becomes of the watch that was open
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -9,14 +9,8 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy import proxy
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.subsetting.interface import Seen, Staged
-=======
-from molereach.proxy.config import Address
-from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, chunk, run
@@ -56,20 +50,16 @@
 
         size = 1
 
-<<<<<<< HEAD
-        def shown(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
-=======
-        def shown(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        def shown(
+            self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+        ) -> SubsetUpdate | None:
             some = event.endpoints[: self.size]
             addresses = {server.name: addresses[server.name] for server in some}
             return SubsetUpdate(replace(event, endpoints=some), addresses) if some else None
 
-<<<<<<< HEAD
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
-=======
-        def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        def apply(
+            self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+        ) -> SubsetUpdate | None:
             return self.shown(event, addresses)
 
         def take_over(
@@ -112,11 +102,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Blind(AllSeen):
-<<<<<<< HEAD
-        def take(self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]) -> Seen | None:
-=======
-        def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+        def apply(
+            self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+        ) -> SubsetUpdate | None:
             return None
 
     monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: Blind())
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -15,14 +15,9 @@
 from molereach.limits.settings import SECOND_US
 from molereach.policy.interface.messages import JoinAcknowledged
 from molereach.proxy.config import parse
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.simulator.adapter import Host, run_batch
-=======
-from molereach.proxy.proxy import FrontDoor
 from molereach.simulator.adapter import run_batch
 from molereach.simulator.host import Host
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from rig import scenario_files
 from rig.audit.figures import Quota
 from rig.audit.quotas import quota_use
@@ -59,11 +54,7 @@
         return door
 
     door = asyncio.run(started())
-<<<<<<< HEAD
-    assert isinstance(door.gateway.limits, Limits) and isinstance(door.gossip.codec, Codec)
-=======
-    assert isinstance(door.gateway.limits, Limits) and isinstance(door.peers.form, LimitGossipCodec)
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+    assert isinstance(door.gateway.limits, Limits) and isinstance(door.gossip.codec, LimitGossipCodec)
     assert door.gateway.limits.settings.lease_us == 500_000
     assert door.gateway.limits.incarnation == int("8c1f30d27a5be964", 16) % (1 << 16)
 
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -14,13 +14,8 @@
 from molereach.policy.interface.events import EndpointListKind
 from molereach.proxy import config as reader
 from molereach.proxy.config import ConfigError, load, load_in_steps, reload
-<<<<<<< HEAD
 from molereach.proxy.proxy import Proxy
-from molereach.subsetting.endpoint_subsetting import Routing
-=======
-from molereach.proxy.proxy import FrontDoor
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
 from tests.discovery.made import entries_text
 from tests.races.wire import until
 from tests.sockets import (
@@ -131,11 +126,7 @@
             names = {server.name for server in door.saved_list.event.endpoints}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
-<<<<<<< HEAD
-            assert isinstance(door.endpoint_lists, Routing) and door.endpoint_lists.count == COUNT
-=======
-            assert isinstance(door.lists, EndpointSubsetting) and door.lists.count == COUNT
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
+            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == COUNT
         finally:
             door.close()
 
--- a/tests/races/test_peers_words.py
+++ b/tests/races/test_peers_words.py
@@ -106,15 +106,9 @@
         peers = (listen, nowhere, peer.getsockname())
         async with front_door(peer_listen=listen, peers=peers, settings=settings) as (door, _):
             for number in (1, 2):
-<<<<<<< HEAD
                 door.gossip.send(SendGossip(number, (ask(HOME_0),)))
-            assert unpack_words(await asyncio.get_running_loop().sock_recv(peer, 2048))
-            peer.sendto(pack_words([ask(6, size=3)])[0], listen)
-=======
-                door.peers.tell(SendGossip(number, (ask(HOME_0),)))
             assert unpack_messages(await asyncio.get_running_loop().sock_recv(peer, 2048))
             peer.sendto(pack_messages([ask(6, size=3)])[0], listen)
->>>>>>> 08ae4f718a0a9da302a0e029c04564379856a791
             await asyncio.get_running_loop().sock_recv(peer, 2048)
             peer.close()
 
