--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -1,4 +1,4 @@
-"""What a backend's answer means."""
+"""What a backend's answer means for an attempt."""
 
 import logging
 
@@ -8,24 +8,27 @@
 
 log = logging.getLogger(__name__)
 
+BUSY = b"BUSY"
+ERROR = b"ERR"
+
 
 def outcome_of(answer: Answer) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
-    """What a backend's answer means."""
-    load = read_load(answer.report)
+    """The result, the value and the load report of an answer."""
+    report = parse_report(answer.report)
     if answer.error is None:
-        return AttemptResult.OK, answer.value, load
-    word = answer.error.partition(b" ")[0]
-    if word not in (b"BUSY", b"ERR"):
-        log.error("a backend answers %.200r", answer.error)
-    return (AttemptResult.REJECTED if word == b"BUSY" else AttemptResult.ERROR), None, load
+        return AttemptResult.OK, answer.value, report
+    code = answer.error.partition(b" ")[0]
+    if code not in (BUSY, ERROR):
+        log.error("unknown error from a backend: %.200r", answer.error)
+    return (AttemptResult.REJECTED if code == BUSY else AttemptResult.ERROR), None, report
 
 
-def read_load(text: bytes | None) -> LoadReport | None:
-    """A load report `name=value,...`; one that is malformed says nothing."""
+def parse_report(text: bytes | None) -> LoadReport | None:
+    """The load report `name=value,...`; None for one that is absent or malformed."""
     if not text or b"=" not in text:
         return None
     try:
-        pairs = (part.split("=", 1) for part in text.decode().split(","))
+        pairs = (field.split("=", 1) for field in text.decode().split(","))
         return parse_load_report((name, value) for name, value in pairs)
     except ValueError:
         return None
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -5,25 +5,31 @@
 from types import MappingProxyType
 
 from molereach.backends.attempt import Attempt
-from molereach.backends.pool import Pool
-from molereach.backends.reuse import FADE_S, Reuse
+from molereach.backends.idle_reuse import HALF_LIFE_S, IdleReuse
+from molereach.backends.pool import BackendPool
 from molereach.clock import now_us
 from molereach.policy.interface.events import AttemptResult, EndpointState
 from molereach.proxy.config import Address
 
-IDLE_SHARE = 0.5  # of the backend's idle time: a request that crosses its close would end as a reset
+IDLE_FRACTION = 0.5  # of the backend's idle timeout: a request that crosses its close would end as a reset
+MAX_SWEEP_INTERVAL_S = 1.0
+SWEEPS_PER_IDLE_TIME = 4
 
 
 class Backends:
     """The pools by the backends' names, and the bound on all their connections."""
 
     def __init__(self, idle_us: int, connect_timeout_us: int, most: int) -> None:
-        self.idle_us, self.connect_s, self.most = round(idle_us * IDLE_SHARE), connect_timeout_us / 1e6, most
-        self.pools: dict[str, Pool] = {}
-        self.old: list[Pool] = []  # of backends that moved or went, while attempts are out on them
-        self.open = 0  # connections of all pools: each dial asks for it, and must not walk all pools for that
+        """`idle_us` is the backends' idle timeout; `most` connections are open at once."""
+        self.idle_us = round(idle_us * IDLE_FRACTION)
+        self.connect_timeout_s = connect_timeout_us / 1e6
+        self.most = most
+        self.pools: dict[str, BackendPool] = {}
+        self.retired: list[BackendPool] = []  # of backends that moved or left, while attempts are in flight
+        self.open_connections = 0  # of all pools: each dial asks for it, and must not walk all pools for that
         self.tasks: dict[asyncio.Task[None], None] = {}
-        self.reuse, self.fades_us = Reuse(), 0
+        self.reuse = IdleReuse()
+        self.next_decay_us = 0
 
     def update(
         self,
@@ -32,10 +38,10 @@
         whole: bool,
         started: Mapping[str, int] = MappingProxyType({}),
     ) -> None:
-        """Take over news of the list: the whole of it, or those whose state, start or address changed.
+        """Apply an endpoint list (`whole`), or those whose state, start or address changed.
 
-        One that has started again is another one, also under the old address: what rests, and dials that are
-        under way, may be the old one's, and end as a reset under the next request.
+        A backend that has started again is another one, also under the old address: idle connections and
+        dials may belong to the old one, and would end as a reset under the next request.
         """
         for name in [name for name in self.pools if whole and name not in states]:
             self.retire(name)
@@ -46,66 +52,68 @@
             if state is EndpointState.GONE or (pool and (pool.address, pool.started_us) != (address, start)):
                 self.retire(name)
             if state is not EndpointState.GONE and address and name not in self.pools:
-                self.pools[name] = Pool(self, name, address, start)
+                self.pools[name] = BackendPool(self, name, address, start)
             if pool := self.pools.get(name):
-                pool.wanted = state is EndpointState.UP
-                if not pool.wanted:
+                pool.accepts_attempts = state is EndpointState.UP
+                if not pool.accepts_attempts:
                     pool.stop()
 
     def retire(self, name: str) -> None:
+        """Stop a backend's pool, and keep it until its last connection is closed."""
         if pool := self.pools.pop(name, None):
-            self.old.append(pool)
+            self.retired.append(pool)
             pool.stop()
 
     def send(self, attempt: Attempt, timeout_us: int) -> None:
+        """Send an attempt; its outcome is reported once, within the timeout."""
         pool = self.pools.get(attempt.server)
         if pool is None:
             attempt.finish(AttemptResult.CONNECT_FAILED)
             return
-        if attempt.is_late():
+        if attempt.is_past_write_deadline():
             attempt.finish(AttemptResult.NOT_SENT)
             return
-        attempt.limit(timeout_us)
+        attempt.start_timers(timeout_us)
         pool.start(attempt)
 
     def close_idle(self, name: str) -> None:
+        """Close the idle connections to a backend."""
         if pool := self.pools.get(name):
             pool.close_idle()
 
-    def count(self) -> int:
-        return self.open
-
     def may_open(self) -> bool:
-        """Whether a socket is free for one more, if need be that of the connection idle longest."""
-        if self.count() < self.most:
+        """Whether a socket is free for one more connection, if need be that of the one idle longest."""
+        if self.open_connections < self.most:
             return True
         idle = [pool for pool in self.pools.values() if pool.idle]
         if not idle:
             return False
-        pool = min(idle, key=lambda pool: pool.idle[0].idle_since)
+        pool = min(idle, key=lambda pool: pool.idle[0].idle_since_us)
         pool.idle[0].abort()
         return True
 
     def sweep(self) -> None:
-        """Close what has stood idle long, and again in a while."""
-        now = now_us()
-        if now >= self.fades_us:
-            self.reuse.fade()
-            self.fades_us = now + round(FADE_S * 1e6)
-        before = now - self.idle_us
+        """Close what has been idle for long, and again after a while."""
+        current_us = now_us()
+        if current_us >= self.next_decay_us:
+            self.reuse.decay()
+            self.next_decay_us = current_us + round(HALF_LIFE_S * 1e6)
+        idle_before_us = current_us - self.idle_us
         for pool in self.pools.values():
-            pool.close_idle(before)
-        self.old = [pool for pool in self.old if pool.connections]
-        asyncio.get_running_loop().call_later(min(1.0, self.idle_us / 4e6), self.sweep)
-
-    def spawn(self, job: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(job)
+            pool.close_idle(idle_before_us)
+        self.retired = [pool for pool in self.retired if pool.connections]
+        interval_s = min(MAX_SWEEP_INTERVAL_S, self.idle_us / (SWEEPS_PER_IDLE_TIME * 1e6))
+        asyncio.get_running_loop().call_later(interval_s, self.sweep)
+
+    def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Run a task until it ends or all is closed."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks[task] = None  # the loop itself holds tasks only weakly
         task.add_done_callback(lambda task: self.tasks.pop(task, None))
 
     def close(self) -> None:
-        """End all connections and whatever else is under way."""
-        for pool in (*self.pools.values(), *self.old):
+        """End all connections and tasks."""
+        for pool in (*self.pools.values(), *self.retired):
             for connection in list(pool.connections):
                 connection.abort()
         for task in self.tasks:
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -237,7 +237,7 @@
             "connections_refused": self.refused,
             "clients": len(self.door.clients.connections),
             "open_requests": len(self.door.open),
-            "backend_connections": self.door.backends.count(),
+            "backend_connections": self.door.backends.open_connections,
             "held_bytes": self.door.held_bytes,
         }
         for beside in self.door.counted:
--- a/tests/backends/test_counts.py
+++ b/tests/backends/test_counts.py
@@ -22,8 +22,8 @@
                 if number % 3 == 0:  # moves: what is out stays out on the old pool
                     backends.update({"s": EndpointState.UP}, {"s": address}, True, {"s": number})
                 sender.send(timeout_us=20_000)
-                walked = sum(len(pool.connections) for pool in (*backends.pools.values(), *backends.old))
-                assert backends.count() == walked
+                walked = sum(len(pool.connections) for pool in (*backends.pools.values(), *backends.retired))
+                assert backends.open_connections == walked
                 seen.add(walked)
                 if number % 4 == 0:
                     await asyncio.sleep(0.005)
@@ -31,9 +31,9 @@
                 await sender.result()
             backends.update({}, {}, whole=True)
             async with asyncio.timeout(5):
-                while any(pool.connections for pool in backends.old):
+                while any(pool.connections for pool in backends.retired):
                     await asyncio.sleep(0.005)
-            assert backends.count() == 0 and len(seen) > 3
+            assert backends.open_connections == 0 and len(seen) > 3
             backends.close()
 
     run(job())
@@ -49,9 +49,9 @@
             sender.send()
             each = sender.backends.pools["s"]
             gone = next(iter(each.connections))
-            each.lost(gone)
-            each.lost(gone)
-            assert sender.backends.count() == len(each.connections) == 1
+            each.on_connection_lost(gone)
+            each.on_connection_lost(gone)
+            assert sender.backends.open_connections == len(each.connections) == 1
             sender.backends.close()
 
     run(job())
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from molereach.backends import pool, reuse
+from molereach.backends import idle_reuse, pool
 from molereach.policy.interface.events import AttemptResult, EndpointState
 from tests.backends.sender import S, Sender, deaf
 from tests.sockets import HOST, Backend, refusing_address, run, value
 
 
 def test_connection_is_reused_and_carries_one_command_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "REST_US", 0)
+    monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -136,7 +136,7 @@
         sender.send()
         assert await sender.result() is AttemptResult.OK
         await backend.left.wait()
-        assert sender.backends.count() == 0
+        assert sender.backends.open_connections == 0
 
     run(job())
 
@@ -175,7 +175,7 @@
         assert (
             await sender.result() is AttemptResult.NOT_SENT
         )  # a shortage of ours is no fault of the backend
-        assert sender.backends.count() == 2
+        assert sender.backends.open_connections == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
         await backend.came.wait()
@@ -226,7 +226,7 @@
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The backend leaves the connection open: whoever waits for the rest waits for good."""
-    monkeypatch.setattr(pool, "REST_US", 0)
+    monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -266,7 +266,7 @@
         assert (await sender.ended.get())[1] == b"second"
         assert backend.opened == 2
         for connection in sender.backends.pools["s"].idle:
-            connection.idle_since = 0
+            connection.idle_since_us = 0
         # Rested, and unread bytes on both: seen before they are used, as the loop has not run in between.
         for writer in backend.writers:
             writer.transport.get_extra_info("socket")  # still open
@@ -317,21 +317,21 @@
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
-        assert sender.backends.count() == 1  # closed only when the loop has come to it
+        assert sender.backends.open_connections == 1  # closed only when the loop has come to it
         await backend.left.wait()
-        assert sender.backends.count() == 0
+        assert sender.backends.open_connections == 0
         sender.backends.update({"s": EndpointState.UP}, {"s": refusing_address()}, whole=True)
         sender.send()
         assert await sender.result() is AttemptResult.CANCELLED
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        assert sender.backends.count() == 0 and sender.backends.pools["s"].connecting == 0
+        assert sender.backends.open_connections == 0 and sender.backends.pools["s"].dial_count == 0
 
     run(job())
 
 
 def test_kept_connections_that_are_reset_are_not_kept_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever lets go of them: the next request on one ends as a reset, and an unsafe one is lost."""
-    monkeypatch.setattr(pool, "REST_US", 0)
+    monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
     async def job() -> None:
         backend = Backend()
@@ -344,11 +344,13 @@
             sender.send()
             results.append(await sender.result())
         assert AttemptResult.RESET in results
-        assert results.count(AttemptResult.RESET) <= reuse.LEAST_USES
+        assert results.count(AttemptResult.RESET) <= idle_reuse.MIN_USES
         assert results[-20:] == [AttemptResult.OK] * 20
         for _ in range(9):
-            sender.backends.reuse.fade()
-        assert sender.backends.reuse.most == reuse.AGES  # it is tried again after a while
+            sender.backends.reuse.decay()
+        assert (
+            sender.backends.reuse.max_age_class == idle_reuse.AGE_CLASSES
+        )  # it is tried again after a while
         sender.backends.close()
 
     run(job())
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -163,7 +163,7 @@
             door.list_heard(
                 News(EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there})
             )
-            assert {name: pool.wanted for name, pool in door.backends.pools.items()} == {
+            assert {name: pool.accepts_attempts for name, pool in door.backends.pools.items()} == {
                 "s8": True,
                 "s9": False,
             }
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -42,11 +42,11 @@
             else:
                 peer.reset()
             if first == "time-out":
-                attempt.time_out()
+                attempt.on_timeout()
                 assert sender.ended == [AttemptResult.TIMEOUT]
             stand_still(0.06)
             await turns(5)
-            attempt.time_out()  # a timer that the loop had taken out already
+            attempt.on_timeout()  # a timer that the loop had taken out already
             assert len(sender.ended) == 1 and attempt.connection is None
             sender.send(b"second")
             if first == "time-out":  # what was answered late must not meet the next request
@@ -80,7 +80,7 @@
     end: object, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The end, or a second answer, is in the kernel and not told yet: no request must meet it."""
-    monkeypatch.setattr(pool, "REST_US", 0)
+    monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
     async def job() -> None:
         with machine() as held:
@@ -100,7 +100,7 @@
 
 def test_second_answer_that_comes_late_meets_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection has not rested: a request goes elsewhere, and the copy ends its connection."""
-    monkeypatch.setattr(pool, "REST_US", 20 * S)  # however long this takes
+    monkeypatch.setattr(pool, "MIN_IDLE_US", 20 * S)  # however long this takes
 
     async def job() -> None:
         with machine() as held:
@@ -112,13 +112,13 @@
             assert await old.hear_all() == b""
             peer.say(value(b"ok"))
             await until(lambda: len(sender.ended) == 2)
-            assert sender.ended == [AttemptResult.OK] * 2 and sender.backends.count() == 1
+            assert sender.ended == [AttemptResult.OK] * 2 and sender.backends.open_connections == 1
             sender.backends.close()
 
     run(job())
 
 
-@pytest.mark.parametrize("end", ["cancel", "time_out"])
+@pytest.mark.parametrize("end", ["cancel", "on_timeout"])
 def test_half_an_answer_before_we_close_is_read_by_no_one(end: str) -> None:
     async def job() -> None:
         with machine() as held:
@@ -130,7 +130,7 @@
             await until(lambda: bool(attempt.connection and attempt.connection.reader.buffer))
             getattr(attempt, end)()
             peer.say(value(b"whole")[-3:])
-            await until(lambda: sender.backends.count() == 0)
+            await until(lambda: sender.backends.open_connections == 0)
             sender.send(b"second")
             peer = await held.accept()
             await peer.hear_until(b"second")
@@ -156,7 +156,9 @@
                 except OSError:
                     break
                 await asyncio.sleep(0.005)
-            await until(lambda: sender.ended == [AttemptResult.TIMEOUT] and sender.backends.count() == 0)
+            await until(
+                lambda: sender.ended == [AttemptResult.TIMEOUT] and sender.backends.open_connections == 0
+            )
 
     run(job())
 
@@ -181,7 +183,9 @@
                 at += peer.socket.send(answer[at : at + 8192])
                 await asyncio.sleep(0)
                 assert len(connection.reader.buffer) <= MOST_VALUE + 8192
-            await until(lambda: sender.ended == [AttemptResult.MALFORMED] and sender.backends.count() == 0)
+            await until(
+                lambda: sender.ended == [AttemptResult.MALFORMED] and sender.backends.open_connections == 0
+            )
 
     run(job())
 
--- a/tests/races/test_attempts_dial.py
+++ b/tests/races/test_attempts_dial.py
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(
     ("how", "result"),
-    [(Attempt.cancel, AttemptResult.CANCELLED), (Attempt.time_out, AttemptResult.CONNECT_FAILED)],
+    [(Attempt.cancel, AttemptResult.CANCELLED), (Attempt.on_timeout, AttemptResult.CONNECT_FAILED)],
 )
 def test_dial_that_comes_up_after_its_attempt_was_given_up_carries_nothing(
     how: object, result: AttemptResult
@@ -53,10 +53,10 @@
                 second.cancel()
                 dials.let_go(0)
                 peer = await held.accept()
-                assert await peer.hear() == b"third" and third.written
+                assert await peer.hear() == b"third" and third.is_written
                 dials.let_go(1)
                 await nothing_is_written(sender, held)
-                assert sender.backends.pools["s"].connecting == 0
+                assert sender.backends.pools["s"].dial_count == 0
             sender.backends.close()
 
     run(job())
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -108,7 +108,7 @@
                 first.say(value(b"ok"))
                 assert await client.answer() == b"ok"
                 for connection in door.backends.pools["s0"].idle:
-                    connection.idle_since = 0  # it has rested
+                    connection.idle_since_us = 0  # it has rested
                 tell(door, replace(OLD, started_us=1), s0=held.address)
                 client.send(submit("a2"))
                 second = await held.accept()
--- a/tests/races/test_attempts_part.py
+++ b/tests/races/test_attempts_part.py
@@ -30,7 +30,7 @@
         attempt = sender.send(LONG)
         peer = await held.accept()
         await until(lambda: attempt.connection is not None)
-        assert not attempt.written
+        assert not attempt.is_written
         yield sender, attempt, peer
         sender.backends.close()
 
@@ -58,7 +58,7 @@
     while len(LONG) - len(heard) > 8_000:
         heard += read_on(peer)
         await asyncio.sleep(0)
-    assert not attempt.written
+    assert not attempt.is_written
     return heard + read_on(peer)
 
 
@@ -66,7 +66,7 @@
     ("how", "result"),
     [
         ("cancel", AttemptResult.CANCELLED),
-        ("time_out", AttemptResult.CONNECT_FAILED),
+        ("on_timeout", AttemptResult.CONNECT_FAILED),
         ("withdraw", AttemptResult.NOT_SENT),
     ],
 )
@@ -97,7 +97,7 @@
             peer.finish()
             assert not (heard + await whole(peer)).endswith(b"LAST")
             await until(lambda: bool(sender.ended))
-            assert sender.ended == [AttemptResult.CONNECT_FAILED] and sender.backends.count() == 0
+            assert sender.ended == [AttemptResult.CONNECT_FAILED] and sender.backends.open_connections == 0
 
     run(job())
 
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -66,7 +66,7 @@
             await peer.hear_until(b"first")
             peer.say(value(b"ok"))
             await until(lambda: sender.ended == [AttemptResult.OK])
-            next(iter(sender.backends.pools["s"].idle)).idle_since = 0  # it has rested
+            next(iter(sender.backends.pools["s"].idle)).idle_since_us = 0  # it has rested
             monkeypatch.setattr(pool, "has_unread", lambda transport: peer.reset())
             sender.send(b"second")
             await until(lambda: len(sender.ended) == 2)
--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -112,7 +112,7 @@
                 peer = await held.accept()
                 attempt = next(iter(door.open["a1"].out.values()))
                 await until(lambda: attempt.connection is not None)
-                assert not attempt.written
+                assert not attempt.is_written
                 await asyncio.sleep(WINDOW_US / 1e6)
                 assert not (await heard(peer)).endswith(b"BODY\r\n")
                 assert await client.answer() == "-ERR failed"
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -104,7 +104,9 @@
             async with front_door(addresses=[one.address, other.address], settings=settings) as (door, _):
                 told, peer = events(door), Peer.dial(door.address)
                 peer.say(query("a1"))
-                await until(lambda: any(each.written for x in door.open.values() for each in x.out.values()))
+                await until(
+                    lambda: any(each.is_written for x in door.open.values() for each in x.out.values())
+                )
                 first, second = (one, other) if door.open["a1"].out[0].server == "s0" else (other, one)
                 backend = await first.accept()
                 peer.close()
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -8,7 +8,7 @@
 
 
 def written(door: FrontDoor, name: str) -> bool:
-    return name in door.open and any(each.written for each in door.open[name].out.values())
+    return name in door.open and any(each.is_written for each in door.open[name].out.values())
 
 
 def heard_from(door: FrontDoor, name: str, answer: bytes) -> None:
--- a/tests/races/wire.py
+++ b/tests/races/wire.py
@@ -159,12 +159,12 @@
 
 def narrow(monkeypatch: Any) -> None:  # noqa: ANN401
     """The kernel takes little of what the front door writes to a backend: a long command only in part."""
-    from molereach.backends.connection import Connection
+    from molereach.backends.connection import BackendConnection
 
-    made = Connection.connection_made
+    made = BackendConnection.connection_made
 
-    def connection_made(self: Connection, transport: asyncio.Transport) -> None:
+    def connection_made(self: BackendConnection, transport: asyncio.Transport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         made(self, transport)
 
-    monkeypatch.setattr(Connection, "connection_made", connection_made)
+    monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
