--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -370,7 +370,7 @@
             assert not view.held and not view.admission.waits and door.held_bytes == 0
             assert all(customer.out == 0 for customer in view.customers.known.values())
             pools = door.backends.pools.values()
-            while door.backends.open_connections() > sum(len(pool.idle) for pool in pools):
+            while door.backends.open_connections > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
             assert not any(pool.dial_count or pool.waiting for pool in pools)
             assert door.clients.sockets == len(door.clients.connections) == 15
