--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -11,7 +11,7 @@
 from molereach.cache.purge.machine import Purges
 from molereach.cache.purge.receipt import Receipt
 from molereach.cache.purge.records import Finished
-from molereach.coordination.interface import Life
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.acknowledgements import MissingAcknowledgement
 
 
@@ -19,7 +19,7 @@
 class Waiting:
     """A front door whose part is missing. `since_ms` is Unix time, of the entry that asked."""
 
-    door: Life
+    door: NodeInstance
     since_ms: int
     why: str
 
@@ -81,10 +81,10 @@
         return Behind(purge_id, applied)
     if known is None:
         return TooOld(purge_id) if purges.forgot(purge_id) else NotHere(purge_id, applied)
-    whys = {each.proxy: each.reason for each in missing or ()}
+    whys = {each.instance: each.reason for each in missing or ()}
     doors = [
-        Waiting(opened.incarnation, known.at_ms, whys.get(opened.incarnation, UNTOLD))
+        Waiting(opened.instance, known.at_ms, whys.get(opened.instance, UNTOLD))
         for opened in purges.waiting(known)
-        if missing is None or opened.incarnation in whys
+        if missing is None or opened.instance in whys
     ]
     return Pending(purge_id, known.position, known.at_ms, applied, tuple(doors))
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -7,15 +7,16 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life, Position, Wire
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance, Position, WireStruct
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
-class Word(Wire, frozen=True, array_like=True):
+class Word(WireStruct, frozen=True, array_like=True):
     """Of one session: what `Accounted` says."""
 
     fence: Position
-    known: Known
+    known: ClearanceEvidence
     position: Position
 
 
@@ -27,7 +28,7 @@
     def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
 
-    def latest_incarnation(self, name: str) -> Life | None:
+    def latest_instance(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
 
     def all_open(self) -> list[ActiveSession]: ...
@@ -44,30 +45,30 @@
     """
     by_fence = {word.fence: word for word in words}
     for session in sessions.sessions_open_at(begun):
-        word, name = by_fence.get(session.fencing_token), session.incarnation.name
+        word, name = by_fence.get(session.fencing_token), session.instance.name
         if word is None:
             return f"no word of {name}"
-        if word.known is Known.SAID:
+        if word.known is ClearanceEvidence.REPORTED:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.known, session.position):
-            return f"{name} is {session.known.value} by {session.position}"
-        if session.known is Known.OVER and not may_be_over:
-            later = sessions.latest_incarnation(name)
-            if later is None or later == session.incarnation:
+        if (word.known, word.position) != (session.evidence, session.position):
+            return f"{name} is {session.evidence.value} by {session.position}"
+        if session.evidence is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
+            later = sessions.latest_instance(name)
+            if later is None or later == session.instance:
                 return f"{name} may come back"
     return ""
 
 
-def pack(sessions: SessionsAt, begun: int, accounted: Iterable[Accounted]) -> tuple[Word, ...]:
+def pack(sessions: SessionsAt, begun: int, accounted: Iterable[NodeClearance]) -> tuple[Word, ...]:
     """As it goes into an entry: the words of an account, with the fences of the sessions that they are of."""
-    by_life = {each.door: each for each in accounted}
+    by_life = {each.instance: each for each in accounted}
     found = []
     for session in sessions.sessions_open_at(begun):
-        one = by_life.get(session.incarnation)
+        one = by_life.get(session.instance)
         if one is not None:
-            found.append(Word(session.fencing_token, one.known, one.position))
+            found.append(Word(session.fencing_token, one.evidence, one.position))
     return tuple(found)
--- a/tests/coordination/leases/test_acknowledgements.py
+++ b/tests/coordination/leases/test_acknowledgements.py
@@ -1,18 +1,9 @@
 """The account of an entry: who is missing and why, and when the proof is whole."""
 
-from molereach.coordination.interface import (
-    Accounted,
-    Applied,
-    Ask,
-    Known,
-    Leads,
-    Life,
-    Outcome,
-    Restored,
-    S,
-    Session,
-    Terms,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import Applied, LeaderChanged, Outcome, Restored
+from molereach.coordination.interface.sessions import RenewalRequest, Session, SessionTerms
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, MissingAcknowledgement
 from molereach.coordination.leases.bodies import BecomeManager, Body, CloseSession, EndSession, OpenSession
 from molereach.coordination.leases.manager import LeaseManager
@@ -21,43 +12,45 @@
 from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, C, entry
 
-D = Life("d", 1)
-ANEW = Life("b", 2)
+D = NodeInstance("d", 1)
+ANEW = NodeInstance("b", 2)
 
 
 class Leader:
     """A replica with its keeper, at ballot 1."""
 
-    def __init__(self, order: list[tuple[Life, Body | None]]) -> None:
+    def __init__(self, order: list[tuple[NodeInstance, Body | None]]) -> None:
         self.sessions, self.now = SessionRegistry(), 0
-        self.keeper = LeaseManager(self.sessions, Terms())
-        self.keeper.handle(0, Leads("k", 1, True))
+        self.keeper = LeaseManager(self.sessions, SessionTerms())
+        self.keeper.handle(0, LeaderChanged("k", 1, True))
         self.position = 0
         for proposer, body in order:
             self.learn(proposer, body)
 
-    def learn(self, proposer: Life, body: Body | None) -> None:
+    def learn(self, proposer: NodeInstance, body: Body | None) -> None:
         """None for an entry of another machine."""
         self.position += 1
         step = entry(self.position, body or b"", proposer, machine="sessions" if body else "other")
         outcome = self.sessions.apply(step) if body else Outcome()
         self.keeper.handle(self.now, Applied(step, outcome))
 
-    def said(self, life: Life, fence: int, applied: int) -> None:
-        self.keeper.handle(self.now, RenewalsReceived((Ask(life.name, life.number, fence, 1, applied),)))
+    def said(self, life: NodeInstance, fence: int, applied: int) -> None:
+        self.keeper.handle(
+            self.now, RenewalsReceived((RenewalRequest(life.name, life.number, fence, 1, applied),))
+        )
 
     def account(self, position: int = 5) -> AcknowledgementTracker:
         return AcknowledgementTracker(position, self.sessions, self.keeper, self.now)
 
 
-OPENED: list[tuple[Life, Body | None]] = [
+OPENED: list[tuple[NodeInstance, Body | None]] = [
     (D, OpenSession(D)),
     (C, OpenSession(C)),
     (B, OpenSession(B)),
     (A, OpenSession(A)),
     (A, None),
 ]
-SINCE: list[tuple[Life, Body | None]] = [
+SINCE: list[tuple[NodeInstance, Body | None]] = [
     (A, BecomeManager(1)),
     (ANEW, OpenSession(ANEW)),
     (A, EndSession(C, 2, 1)),
@@ -68,21 +61,21 @@
 
 def test_who_is_missing_since_when_and_why() -> None:
     leader = Leader(OPENED)
-    leader.now = 3 * S
+    leader.now = 3 * SECOND_US
     account = leader.account()
     leader.said(A, 4, 3)
-    leader.now = 4 * S
+    leader.now = 4 * SECOND_US
     missing = account.pending()
-    assert [each.proxy for each in missing] == [A, B, C, D]
-    assert missing[0] == MissingAcknowledgement(A, 3 * S, 3, 3 * S, "applied only to 3")
-    assert missing[1] == MissingAcknowledgement(B, 3 * S, 0, None, "nothing heard since 3000000")
+    assert [each.instance for each in missing] == [A, B, C, D]
+    assert missing[0] == MissingAcknowledgement(A, 3 * SECOND_US, 3, 3 * SECOND_US, "applied only to 3")
+    assert missing[1] == MissingAcknowledgement(B, 3 * SECOND_US, 0, None, "nothing heard since 3000000")
     assert account.proof() is None
 
 
 def test_one_that_was_heard_before_the_entry_alone_is_silent_since() -> None:
     leader = Leader(OPENED)
     leader.said(A, 4, 3)
-    leader.now = 3 * S
+    leader.now = 3 * SECOND_US
     assert leader.account().pending()[0].reason == "nothing heard since 0"
 
 
@@ -90,13 +83,13 @@
     leader = Leader(OPENED + SINCE)
     account = leader.account()
     leader.said(A, 4, 4)
-    assert account.proof() is None and [each.proxy for each in account.pending()] == [A]
+    assert account.proof() is None and [each.instance for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
-        Accounted(A, Known.SAID, 5),
-        Accounted(B, Known.ANEW, 7),
-        Accounted(C, Known.OVER, 8),
-        Accounted(D, Known.LEFT, 9),
+        NodeClearance(A, ClearanceEvidence.REPORTED, 5),
+        NodeClearance(B, ClearanceEvidence.RESTARTED, 7),
+        NodeClearance(C, ClearanceEvidence.SESSION_EXPIRED, 8),
+        NodeClearance(D, ClearanceEvidence.LEFT, 9),
     )
 
 
@@ -108,7 +101,7 @@
 def test_a_session_of_which_the_keeper_has_not_heard_yet_is_missing() -> None:
     leader = Leader(OPENED)
     leader.sessions.apply(
-        entry(6, OpenSession(Life("e", 1)), Life("e", 1))
+        entry(6, OpenSession(NodeInstance("e", 1)), NodeInstance("e", 1))
     )  # the replica is ahead of the events
     account = leader.account(7)
     assert account.pending()[-1].reason == "nothing heard since 0"
@@ -131,7 +124,7 @@
     third.sessions.restore(one.sessions.snapshot())
     third.keeper.handle(0, Restored(10))
     one.said(A, 4, 5)
-    other.now = 9 * S
+    other.now = 9 * SECOND_US
     other.said(A, 4, 10)  # asked later
     third.said(A, 4, 7)
     assert one.account().proof() == other.account().proof() == third.account().proof() is not None
@@ -140,7 +133,8 @@
 class _Held:
     """A session that ends at 10."""
 
-    fence = applied = 1
+    fencing_token = 1
+    applied_position = 1
 
     def holds(self, now_us: int) -> bool:
         return now_us < 10
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -5,7 +5,9 @@
 import msgspec
 import pytest
 
-from molereach.coordination.interface import MOST_BODY_BYTES, MOST_DOORS, Known, Life, Outcome
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Outcome
 from molereach.coordination.leases.bodies import (
     BecomeManager,
     Body,
@@ -22,7 +24,7 @@
 )
 from tests.coordination.leases.entries import A, B, entry, fence_of, opened
 
-A2 = Life("a", 2)
+A2 = NodeInstance("a", 2)
 
 
 def test_the_fence_is_the_position_and_the_same_life_gets_the_same_answer() -> None:
@@ -41,7 +43,7 @@
     sessions = SessionRegistry()
     opened(sessions, 3, A)
     assert fence_of(opened(sessions, 5, A2)) == 5
-    assert sessions.last_ended_session("a") == EndedSession(A, 3, Known.ANEW, 5)
+    assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.RESTARTED, 5)
     assert opened(sessions, 6, A).error and sessions.active_session("a") == ActiveSession(A2, 5)
     sessions.apply(entry(7, EndSession(A2, 5, 0)))
     assert opened(sessions, 8, A).error, "also when the higher one's session is over"
@@ -53,7 +55,7 @@
     assert not sessions.apply(entry(2, EndSession(A, 1, 0))).error
     assert fence_of(opened(sessions, 3, A)) == 3
     assert not sessions.apply(entry(4, CloseSession(A, 3), A)).error
-    assert sessions.last_ended_session("a") == EndedSession(A, 3, Known.LEFT, 4)
+    assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.LEFT, 4)
     assert opened(sessions, 5, A).error and sessions.active_session("a") is None
     assert not opened(sessions, 6, A2).error
 
@@ -75,10 +77,12 @@
         (b"\xff", A),
         (b'{"kind":"open","life":{"name":"-","number":1}}', A),
         (b'{"kind":"keeping","ballot":9,"more":1}', A),
-        (b'{"a":' + b"[" * (MOST_BODY_BYTES - 5), A),
+        (b'{"a":' + b"[" * (MAX_ENTRY_BODY_BYTES - 5), A),
     ],
 )
-def test_what_breaks_a_rule_is_an_error_and_changes_nothing(body: Body | bytes, proposer: Life) -> None:
+def test_what_breaks_a_rule_is_an_error_and_changes_nothing(
+    body: Body | bytes, proposer: NodeInstance
+) -> None:
     sessions = SessionRegistry()
     sessions.apply(entry(0, BecomeManager(5)))
     opened(sessions, 1, A)
@@ -88,7 +92,7 @@
 
 
 def test_the_longest_body_is_read() -> None:
-    life = Life("n" * 64, 1 << 62)
+    life = NodeInstance("n" * 64, 1 << 62)
     sessions = SessionRegistry()
     assert sessions.apply(entry(1, BecomeManager(1 << 62))) == Outcome()
     opened(sessions, 1 << 62, life)
@@ -97,14 +101,14 @@
 
 def test_names_are_bounded_and_the_one_that_ended_first_makes_room() -> None:
     sessions = SessionRegistry()
-    for number in range(MOST_DOORS):
-        assert not opened(sessions, number + 1, Life(f"d{number}", 1)).error
+    for number in range(MAX_MEMBERS):
+        assert not opened(sessions, number + 1, NodeInstance(f"d{number}", 1)).error
     assert opened(sessions, 300, A).error
-    sessions.apply(entry(301, EndSession(Life("d9", 1), 10, 0)))
-    sessions.apply(entry(302, EndSession(Life("d3", 1), 4, 0)))
+    sessions.apply(entry(301, EndSession(NodeInstance("d9", 1), 10, 0)))
+    sessions.apply(entry(302, EndSession(NodeInstance("d3", 1), 4, 0)))
     assert not opened(sessions, 303, A).error
     assert sessions.last_ended_session("d9") is None and sessions.last_ended_session("d3") is not None
-    assert len(sessions.active_sessions()) == MOST_DOORS - 1
+    assert len(sessions.active_sessions()) == MAX_MEMBERS - 1
 
 
 def test_what_was_open_at_a_position_is_told_later_the_same() -> None:
@@ -114,10 +118,10 @@
     opened(sessions, 5, A2)  # after position 4
     sessions.apply(entry(6, EndSession(B, 2, 0)))
     assert list(sessions.sessions_open_at(4)) == [
-        EndedSession(A, 1, Known.ANEW, 5),
-        EndedSession(B, 2, Known.OVER, 6),
+        EndedSession(A, 1, ClearanceEvidence.RESTARTED, 5),
+        EndedSession(B, 2, ClearanceEvidence.SESSION_EXPIRED, 6),
     ]
-    assert list(sessions.sessions_open_at(5)) == [EndedSession(B, 2, Known.OVER, 6)]
+    assert list(sessions.sessions_open_at(5)) == [EndedSession(B, 2, ClearanceEvidence.SESSION_EXPIRED, 6)]
     assert list(sessions.sessions_open_at(1)) == [] and list(sessions.sessions_open_at(7)) == [
         ActiveSession(A2, 5)
     ]
@@ -126,32 +130,34 @@
 def test_of_one_that_ended_more_often_than_is_kept_it_is_known_that_it_opened_anew() -> None:
     sessions = SessionRegistry()
     for number in range(1, MAX_ENDED_SESSIONS + 3):
-        opened(sessions, 10 * number, Life("a", number))
-    last = Life("a", MAX_ENDED_SESSIONS + 2)
+        opened(sessions, 10 * number, NodeInstance("a", number))
+    last = NodeInstance("a", MAX_ENDED_SESSIONS + 2)
     assert list(sessions.sessions_open_at(10)) == [] and list(sessions.sessions_open_at(70)) == [
         ActiveSession(last, 60)
     ]
-    kept = EndedSession(Life("a", 2), 20, Known.ANEW, 30)
+    kept = EndedSession(NodeInstance("a", 2), 20, ClearanceEvidence.RESTARTED, 30)
     assert list(sessions.sessions_open_at(25)) == [kept] and list(sessions.sessions_open_at(21)) == [kept]
-    assert list(sessions.sessions_open_at(15)) == [EndedSession(Life("a", 2), 20, Known.ANEW, 20)]
+    assert list(sessions.sessions_open_at(15)) == [
+        EndedSession(NodeInstance("a", 2), 20, ClearanceEvidence.RESTARTED, 20)
+    ]
     again = SessionRegistry()
     again.restore(sessions.snapshot())
-    opened(again, 70, Life("a", 7))
+    opened(again, 70, NodeInstance("a", 7))
     assert (
         list(again.sessions_open_at(15))
         == list(again.sessions_open_at(25))
-        == [EndedSession(Life("a", 3), 30, Known.ANEW, 30)]
+        == [EndedSession(NodeInstance("a", 3), 30, ClearanceEvidence.RESTARTED, 30)]
     )
 
 
 def history(seed: int) -> SessionRegistry:
     chance, sessions = random.Random(seed), SessionRegistry()
     for position in range(1, 120):
-        life = Life(chance.choice("xyz"), chance.randrange(1, 9))
+        life = NodeInstance(chance.choice("xyz"), chance.randrange(1, 9))
         fence = chance.randrange(max(1, position - 4), position + 1)
         open_now = sessions.active_session(life.name)
         if open_now and chance.random() < 0.7:
-            life, fence = open_now.incarnation, open_now.fencing_token
+            life, fence = open_now.instance, open_now.fencing_token
         body = chance.choice(
             (
                 OpenSession(life),
@@ -172,7 +178,7 @@
     other.restore(one.snapshot())
     assert other.snapshot() == one.snapshot()
     for position in range(200, 230):
-        step = entry(position, OpenSession(Life("x", position)), Life("x", position))
+        step = entry(position, OpenSession(NodeInstance("x", position)), NodeInstance("x", position))
         assert one.apply(step) == other.apply(step)
     assert other.snapshot() == one.snapshot() and len(list(other.sessions_open_at(203))) <= MAX_ENDED_SESSIONS
 
