--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -106,7 +106,7 @@
                 peer.say(query("a1"))
                 await until(
                     lambda: any(
-                        each.written for x in door.open_requests.values() for each in x.in_flight.values()
+                        each.is_written for x in door.open_requests.values() for each in x.in_flight.values()
                     )
                 )
                 first, second = (
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -9,7 +9,7 @@
 
 def written(door: Proxy, name: str) -> bool:
     return name in door.open_requests and any(
-        each.written for each in door.open_requests[name].in_flight.values()
+        each.is_written for each in door.open_requests[name].in_flight.values()
     )
 
 
