--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -19,11 +19,11 @@
 class Backends:
     """The pools by the backends' names, and the bound on all their connections."""
 
-    def __init__(self, idle_us: int, connect_timeout_us: int, most: int) -> None:
-        """`idle_us` is the backends' idle timeout; `most` connections are open at once."""
+    def __init__(self, idle_us: int, connect_timeout_us: int, max_connections: int) -> None:
+        """`idle_us` is the backends' idle timeout; at most `max_connections` are open at once."""
         self.idle_us = round(idle_us * IDLE_FRACTION)
         self.connect_timeout_s = connect_timeout_us / 1e6
-        self.most = most
+        self.max_connections = max_connections
         self.pools: dict[str, BackendPool] = {}
         self.retired: list[BackendPool] = []  # of backends that moved or left, while attempts are in flight
         self.open_connections = 0  # of all pools: each dial asks for it, and must not walk all pools for that
@@ -35,15 +35,15 @@
         self,
         states: dict[str, EndpointState],
         addresses: dict[str, EndpointAddress],
-        whole: bool,
+        is_full_list: bool,
         started: Mapping[str, int] = MappingProxyType({}),
     ) -> None:
-        """Apply an endpoint list (`whole`), or those whose state, start or address changed.
+        """Apply an endpoint list (`is_full_list`), or those whose state, start or address changed.
 
         A backend that has started again is another one, also under the old address: idle connections and
         dials may belong to the old one, and would end as a reset under the next request.
         """
-        for name in [name for name in self.pools if whole and name not in states]:
+        for name in [name for name in self.pools if is_full_list and name not in states]:
             self.retire(name)
         for name, state in states.items():
             pool = self.pools.get(name)
@@ -83,7 +83,7 @@
 
     def may_open(self) -> bool:
         """Whether a socket is free for one more connection, if need be that of the one idle longest."""
-        if self.open_connections < self.most:
+        if self.open_connections < self.max_connections:
             return True
         idle = [pool for pool in self.pools.values() if pool.idle]
         if not idle:
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -120,7 +120,7 @@
             lambda: ClientConnection(self.clients, self),
             self.backends.spawn,
         )
-        view = min(MAX_SUBSET, max(MIN_SUBSET, self.backends.most))
+        view = min(MAX_SUBSET, max(MIN_SUBSET, self.backends.max_connections))
         most = round(memory * ENDPOINT_LIST_FRACTION) // (MAX_LIST_COPIES * ENTRY_BYTES)
         self.endpoint_lists: EndpointList = EndpointSubsetting(config.settings, view, most)
         self.gossip = GossipTransport(config.peers, config.settings.proxy_index, self.post)
