--- a/molereach/fleet/cli/client.py
+++ b/molereach/fleet/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of all agents over HTTP/2, in parallel, each with its own time; the shell of `campaign`."""
+"""Calls of all agents over HTTP/2, in parallel, each with its own time; the shell of `rollout`."""
 
 import asyncio
 import time
@@ -14,8 +14,8 @@
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
 from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem, View
 from molereach.fleet.rollout import events as ev
-from molereach.fleet.rollout.course import STEP_US, Campaign
 from molereach.fleet.rollout.report import Report
+from molereach.fleet.rollout.stages import TICK_INTERVAL_US, Rollout
 from molereach.fleet.settings import FleetFile, beside, client_tls, load_token
 
 T = TypeVar("T")
@@ -144,46 +144,46 @@
 
 
 class Giver:
-    """Carries out a campaign's actions; `on_step` hears how far it has come."""
+    """Carries out a rollout's actions; `on_step` hears how far it has come."""
 
-    def __init__(self, fleet: Fleet, campaign: Campaign, on_step: Callable[[str], None]) -> None:
-        self.fleet, self.campaign, self.on_step = fleet, campaign, on_step
+    def __init__(self, fleet: Fleet, rollout: Rollout, on_step: Callable[[str], None]) -> None:
+        self.fleet, self.rollout, self.on_step = fleet, rollout, on_step
         self.events: asyncio.Queue[ev.Event] = asyncio.Queue()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> Report:
         """Give the order; the report of what became of it."""
-        campaign = self.campaign
-        self.act(campaign.begin(now_us()))
+        rollout = self.rollout
+        self.act(rollout.begin(now_us()))
         tick_us = now_us()
         try:
-            while campaign.report is None:
-                left_us = tick_us + STEP_US - now_us()
+            while rollout.report is None:
+                left_us = tick_us + TICK_INTERVAL_US - now_us()
                 if left_us <= 0:
                     tick_us = now_us()
-                    self.act(campaign.handle(tick_us, ev.Tick()))
+                    self.act(rollout.handle(tick_us, ev.Tick()))
                     continue
                 try:
                     event = await asyncio.wait_for(self.events.get(), left_us / 1e6)
                 except TimeoutError:
                     continue
-                self.act(campaign.handle(now_us(), event))
+                self.act(rollout.handle(now_us(), event))
             if self.tasks:
                 await asyncio.wait(self.tasks, timeout=LAST_WORDS_S)
         finally:
             for task in self.tasks:
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
-        return campaign.report
+        return rollout.report
 
     def act(self, actions: list[ev.Action]) -> None:
         for action in actions:
             match action:
                 case ev.Step():
                     self.on_step(action.name)
-                case ev.Look():
+                case ev.RequestSnapshot():
                     self.spawn(self.look(action.agent))
-                case ev.Say():
+                case ev.SendMessage():
                     self.spawn(self.say(action.agent, action.message))
 
     def spawn(self, job: Coroutine[Any, Any, None]) -> None:
@@ -194,16 +194,16 @@
     async def look(self, agent: str) -> None:
         try:
             view = await self.fleet.call(agent, "/v1/view", View)
-            self.events.put_nowait(ev.Viewed(agent, view))
+            self.events.put_nowait(ev.SnapshotReceived(agent, view))
         except CallError as error:
-            self.events.put_nowait(ev.Silent(agent, str(error), look=True))
+            self.events.put_nowait(ev.RequestFailed(agent, str(error), snapshot_requested=True))
 
     async def say(self, agent: str, message: Message) -> None:
         try:
             for reply in await self.fleet.call(agent, "/v1/agreement", Replies, message):
-                self.events.put_nowait(ev.Replied(agent, reply))
+                self.events.put_nowait(ev.ReplyReceived(agent, reply))
         except CallError as error:
-            self.events.put_nowait(ev.Silent(agent, str(error)))
+            self.events.put_nowait(ev.RequestFailed(agent, str(error)))
 
 
 def now_us() -> int:
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -10,10 +10,10 @@
 import click
 import msgspec
 
-from molereach.fleet.cli.campaigns import campaign_for
 from molereach.fleet.cli.client import Fleet, Giver
 from molereach.fleet.cli.exits import DONE, EXITS, PARTLY
 from molereach.fleet.cli.in_flight import show_in_flight, wait_for_end
+from molereach.fleet.cli.rollouts import rollout_for
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
 from molereach.fleet.orders import Order, Verb
@@ -30,23 +30,23 @@
             f"{other.issuer}: {other.reason} (order {other.id})"
         )
     for word in report.agents:
-        if word.why or (report.decided and not word.told):
-            out.line(f"  agent {word.agent}: {word.why or 'has not said that it knows the order'}")
-    if report.decided and report.doors:
+        if word.reason or (report.decided and not word.notified):
+            out.line(f"  agent {word.agent}: {word.reason or 'has not said that it knows the order'}")
+    if report.decided and report.proxies:
         out.table(
             "",
             ("agent", "front door", "carried out", "reach", "revision", "heard", ""),
             (
                 (
                     word.agent,
-                    word.door,
-                    "yes" if word.carried_out else "NOT KNOWN",
-                    word.reach,
+                    word.proxy,
+                    "yes" if word.applied else "NOT KNOWN",
+                    word.reachability,
                     word.revision,
-                    age(word.heard_ago_ms),
-                    word.why,
+                    age(word.reported_ago_ms),
+                    word.reason,
                 )
-                for word in report.doors
+                for word in report.proxies
             ),
         )
 
@@ -73,8 +73,8 @@
     async def job(made: Fleet) -> int:
         Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
         out = Printer(json_only)
-        campaign = campaign_for(made.settings, draft)
-        report = await Giver(made, campaign, lambda step: out.note(f"{step} ...")).run()
+        rollout = rollout_for(made.settings, draft)
+        report = await Giver(made, rollout, lambda step: out.note(f"{step} ...")).run()
         code, in_flight = EXITS[report.verdict], None
         if wait_s is not None and report.decided and code in (DONE, PARTLY):
             in_flight = await wait_for_end(made, subject, wait_s, out.note)
--- a/molereach/fleet/cli/exits.py
+++ b/molereach/fleet/cli/exits.py
@@ -9,10 +9,10 @@
 DONE, FAILED, BAD_INPUT, PARTLY, CONFLICT, UNREACHABLE, REFUSED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
 EXITS = {
     Verdict.DONE: DONE,
-    Verdict.PARTLY: PARTLY,
+    Verdict.PARTIAL: PARTLY,
     Verdict.CONFLICT: CONFLICT,
     Verdict.UNREACHABLE: UNREACHABLE,
-    Verdict.REFUSED: REFUSED,
+    Verdict.REJECTED: REFUSED,
 }
 EXIT_TEXT = """\b
 exit codes: 0 done everywhere; 1 a fault of the tool's own; 2 bad input;
--- a/molereach/fleet/cli/campaigns.py
+++ b/molereach/fleet/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""A campaign as the tool begins one: its name, its chance and its clock."""
+"""A rollout as the tool begins one: its name, its chance and its clock."""
 
 import secrets
 import time
@@ -6,7 +6,7 @@
 from random import SystemRandom
 
 from molereach.fleet.rollout import events as ev
-from molereach.fleet.rollout.course import Campaign
+from molereach.fleet.rollout.stages import Rollout
 from molereach.fleet.settings import FleetFile
 
 
@@ -16,10 +16,10 @@
         yield random.random()
 
 
-def campaign_for(settings: FleetFile, draft: ev.Draft, confirm_s: float | None = None) -> Campaign:
-    """A campaign whose run has a name that no other has ever had."""
-    times = ev.Times(round(settings.agree_s * 1e6), round((confirm_s or settings.confirm_s) * 1e6))
-    return Campaign(
+def rollout_for(settings: FleetFile, draft: ev.Draft, confirm_s: float | None = None) -> Rollout:
+    """A rollout whose run has a name that no other has ever had."""
+    times = ev.Timeouts(round(settings.agree_s * 1e6), round((confirm_s or settings.confirm_s) * 1e6))
+    return Rollout(
         settings.names,
         draft,
         secrets.token_hex(16),
--- a/molereach/fleet/rollout/__init__.py
+++ b/molereach/fleet/rollout/__init__.py
@@ -1,6 +1,6 @@
-"""An order's way through the fleet, from the tool that gives it to the last front door's word: cores.
+"""The rollout of an order to a fleet, as a state machine without I/O: from its first check to the report.
 
-In reading order: `events` (what is handed in and out), `report` (how it ended), `sight` (what agents have
-said), `judgment` (the order against the furthest book), `ballots` (having it agreed), `account` (what can be
-said of the end), `course` (the stages).
+In reading order: `events` (what goes in and comes out), `report` (the result), `observations` (the latest
+snapshot of each agent), `validation` (the order against the newest replicated state), `ballots` (agreement by
+a majority), `summary` (the result as far as it is known), `stages` (the state machine).
 """
--- a/molereach/fleet/rollout/events.py
+++ b/molereach/fleet/rollout/events.py
@@ -1,6 +1,7 @@
-"""What is to be given, and the events and actions of its way.
+"""What goes into a rollout and what comes out of it.
 
-The shell hands in what comes of its calls and the time, and carries out what a `Campaign` answers.
+The shell reports the results of its calls and the passing of time as events, and carries out the actions that
+`Rollout` returns.
 """
 
 from collections.abc import Iterable
@@ -14,7 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """An order before it is known what it is based on; `based_on` None: on what stands at the first look."""
+    """An order whose base revision is not fixed yet.
+
+    `based_on` None stands for the newest revision of the first observation; `lapses_ms` is as in `Order`.
+    """
 
     id: str
     verb: Verb
@@ -27,39 +31,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """How long to wait, in microseconds."""
+class Timeouts:
+    """How long to wait, in microseconds: for agreement of a majority, then for confirmations of proxies."""
 
-    agree_us: int = 5_000_000  # for a majority
-    confirm_us: int = 3_000_000  # for the front doors
+    agree_us: int = 5_000_000
+    confirm_us: int = 3_000_000
 
 
 # --- events ---
 
 
 @dataclass(frozen=True, slots=True)
-class Viewed:
-    """An agent's view came."""
+class SnapshotReceived:
+    """An agent's snapshot arrived."""
 
     agent: str
-    view: View
+    snapshot: View
 
 
 @dataclass(frozen=True, slots=True)
-class Replied:
-    """An agent's reply to a message."""
+class ReplyReceived:
+    """An agent replied to a message of the agreement."""
 
     agent: str
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
-class Silent:
-    """An agent could not be asked; `look` if it was for its view."""
+class RequestFailed:
+    """A request to an agent failed; `snapshot_requested` tells which kind of request it was."""
 
     agent: str
-    why: str
-    look: bool = False
+    reason: str
+    snapshot_requested: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,14 +75,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Ask an agent for its view."""
+class RequestSnapshot:
+    """Request an agent's snapshot."""
 
     agent: str
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send an agent a message of the agreement."""
 
     agent: str
@@ -87,18 +91,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """How far it has come, for people and for tests that cut it there."""
+    """A step that was reached: shown to operators, and a point at which tests interrupt a rollout."""
 
     name: Literal[
         "looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming", "reported"
     ]
 
 
-Event = Viewed | Replied | Silent | Tick
-Action = Look | Say | Step
+Event = SnapshotReceived | ReplyReceived | RequestFailed | Tick
+Action = RequestSnapshot | SendMessage | Step
 
 
-def to_all(agents: Iterable[str], messages: Iterable[Message]) -> list[Action]:
-    """Each message to every agent."""
+def send_to_all(agents: Iterable[str], messages: Iterable[Message]) -> list[Action]:
+    """Return actions that send each message to every agent, message by message."""
     agents = tuple(agents)
-    return [Say(agent, message) for message in messages for agent in agents]
+    return [SendMessage(agent, message) for message in messages for agent in agents]
--- a/molereach/fleet/rollout/report.py
+++ b/molereach/fleet/rollout/report.py
@@ -1,4 +1,7 @@
-"""How giving an order ended, and what everybody said: what the tool prints, as text or as JSON."""
+"""The result of a rollout, which the tool prints as text or as JSON.
+
+The names given to `msgspec.field` are those of the JSON output, which scripts read.
+"""
 
 from enum import Enum
 
@@ -8,42 +11,49 @@
 
 
 class Verdict(Enum):
-    """How giving an order ended."""
+    """How a rollout ended."""
 
-    DONE = "done"  # everywhere
-    PARTLY = "partly"  # it stands, and not everybody has said that it is carried out
-    CONFLICT = "conflict"  # another order stands in its way
-    UNREACHABLE = "unreachable"  # no majority of agents: it may or may not come to stand
-    REFUSED = "refused"
+    DONE = "done"  # decided, and confirmed by all agents and proxies
+    PARTIAL = "partly"  # decided, but not confirmed by all
+    CONFLICT = "conflict"  # another decided order prevents it
+    UNREACHABLE = "unreachable"  # no majority of agents: it may or may not get decided later
+    REJECTED = "refused"
 
 
-class AgentWord(msgspec.Struct, frozen=True):
-    """What an agent said last."""
+class AgentReport(msgspec.Struct, frozen=True):
+    """Whether an agent is known to have the order; `reason` tells why the agent could not be reached."""
 
     agent: str
-    told: bool  # it knows of the order
-    why: str = ""  # it could not be reached, with the reason
+    notified: bool = msgspec.field(name="told")
+    reason: str = msgspec.field(name="why", default="")
+
 
+class ProxyReport(msgspec.Struct, frozen=True):
+    """What an agent last reported of one of its proxies.
 
-class DoorWord(msgspec.Struct, frozen=True):
-    """What a front door said last, by its agent."""
+    `reachability` is as in `api_bodies.Reach`, or "unknown"; `revision` is the last one that the proxy is
+    known to have had; `reported_ago_ms` is the age of its last answer in milliseconds, None for never.
+    """
 
     agent: str
-    door: str
-    carried_out: bool
-    reach: str  # as in `view.Reach`, or "unknown"
-    revision: int | None  # the last that it is known to have had
-    heard_ago_ms: int | None
-    why: str = ""
+    proxy: str = msgspec.field(name="door")
+    applied: bool = msgspec.field(name="carried_out")
+    reachability: str = msgspec.field(name="reach")
+    revision: int | None
+    reported_ago_ms: int | None = msgspec.field(name="heard_ago_ms")
+    reason: str = msgspec.field(name="why", default="")
 
 
 class Report(msgspec.Struct, frozen=True):
-    """How an order ended, and what everybody said."""
+    """The result of a rollout, and what each agent and proxy last reported.
+
+    `decided` is the order as decided; `winner` is another decided order that prevented this one.
+    """
 
     verdict: Verdict
     order_id: str
     text: str
     decided: Decided | None = None
     winner: Decided | None = None
-    agents: tuple[AgentWord, ...] = ()
-    doors: tuple[DoorWord, ...] = ()
+    agents: tuple[AgentReport, ...] = ()
+    proxies: tuple[ProxyReport, ...] = msgspec.field(name="doors", default=())
--- /dev/null
+++ b/molereach/fleet/rollout/validation.py
@@ -0,0 +1,74 @@
+"""Checks the order of a rollout against the newest replicated state that any agent has reported."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from molereach.fleet.api_bodies import View
+from molereach.fleet.orders import Book, Decided, Order, Refusal, Why
+from molereach.fleet.rollout.events import Draft
+from molereach.fleet.rollout.report import Verdict
+
+
+@dataclass(frozen=True, slots=True)
+class Rejection:
+    """Why an order is not to be decided; `winner` is the decided order that prevents it, if there is one."""
+
+    verdict: Verdict
+    text: str
+    winner: Decided | None = None
+
+
+@dataclass(slots=True)
+class Validation:
+    """The newest known state, and the order.
+
+    `floor` is the number of ready servers that a drain leaves in each building. The order is built once and
+    then stays the same for all tries, so that its `based_on` keeps meaning what its issuer had seen.
+    """
+
+    draft: Draft
+    floor: int
+    order_state: Book = field(default_factory=Book)
+    built_order: Order | None = None
+
+    def adopt(self, snapshots: Mapping[str, View]) -> None:
+        """Adopt the newest state of all snapshots."""
+        for snapshot in snapshots.values():
+            self.order_state.adopt(snapshot.book)
+
+    def build_order(self) -> Order:
+        """Return the order; the first call bases it on the current revision, unless the draft names one."""
+        if self.built_order is None:
+            draft = self.draft
+            based_on = draft.based_on if draft.based_on is not None else self.order_state.revision
+            self.built_order = Order(
+                draft.id,
+                draft.verb,
+                draft.subject,
+                draft.issuer,
+                draft.reason,
+                based_on,
+                draft.lapses_ms,
+                draft.forced,
+            )
+        return self.built_order
+
+    def validate(self, unix_ms: int, ready_servers: dict[str, str]) -> Rejection | Decided | None:
+        """Check the order; `Decided` if it is decided already, None if nothing prevents it."""
+        found = self.order_state.judge(self.build_order(), unix_ms, ready_servers, self.floor)
+        if isinstance(found, Refusal):
+            verdict = Verdict.CONFLICT if found.why is Why.CONFLICT or found.winner else Verdict.REJECTED
+            return Rejection(verdict, found.text, found.winner)
+        return found
+
+    def describe_id_reuse(self, decided: Decided) -> str:
+        """Return how a decided order with the same id differs from this order; '' if it is the same order."""
+        order = self.build_order()
+        if (decided.order.verb, decided.order.subject) == (order.verb, order.subject):
+            return ""
+        return f"the id {order.id} is of another order: {decided.order.verb.value} {decided.order.subject}"
+
+    def record_decided(self, decided: Decided | None) -> None:
+        """Add a decided order to the state, if there is one."""
+        if decided:
+            self.order_state.learn(decided)
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from molereach.fleet.cli.campaigns import campaign_for
 from molereach.fleet.cli.client import Fleet, Giver
 from molereach.fleet.cli.in_flight import wait_for_end
+from molereach.fleet.cli.rollouts import rollout_for
 from molereach.fleet.orders import Verb
 from molereach.fleet.rollout import events as ev
 from molereach.fleet.rollout import report as words
@@ -68,7 +68,7 @@
     fleet: Fleet, what: ev.Draft, on_step: Callable[[str], None] = lambda step: None
 ) -> words.Report:
     """Give an order as the tool does."""
-    return await Giver(fleet, campaign_for(fleet.settings, what), on_step).run()
+    return await Giver(fleet, rollout_for(fleet.settings, what), on_step).run()
 
 
 async def kill_at(step: str, seed: int) -> Trial:
@@ -129,16 +129,16 @@
 def wrong_words(report: words.Report, carried: dict[str, bool], victim: str) -> list[str]:
     """Where the tool's report is not what each front door did."""
     wrong = []
-    if report.verdict not in (words.Verdict.DONE, words.Verdict.PARTLY):
+    if report.verdict not in (words.Verdict.DONE, words.Verdict.PARTIAL):
         wrong.append(f"{report.verdict.value}: {report.text}")
-    if {word.door for word in report.doors} != set(carried):
+    if {word.proxy for word in report.proxies} != set(carried):
         wrong.append("the report does not name each front door")
-    for word in report.doors:
+    for word in report.proxies:
         # Of a killed front door whose last word was lost the tool must say that it does not know.
-        if word.carried_out != carried[word.door] and (word.carried_out or word.door != victim):
-            wrong.append(f"{word.door}: said {word.carried_out}, was {carried[word.door]}")
-        if not word.carried_out and word.door not in report.text:
-            wrong.append(f"{word.door} is not named: {report.text}")
+        if word.applied != carried[word.proxy] and (word.applied or word.proxy != victim):
+            wrong.append(f"{word.proxy}: said {word.applied}, was {carried[word.proxy]}")
+        if not word.applied and word.proxy not in report.text:
+            wrong.append(f"{word.proxy} is not named: {report.text}")
     if report.verdict is words.Verdict.DONE and not all(carried.values()):
         wrong.append("done, and not at each front door")
     return wrong
--- a/tests/compatibility/campaign_samples.py
+++ b/tests/compatibility/campaign_samples.py
@@ -1,6 +1,6 @@
 """An order's whole way through a fleet of three agents, as the messages that the tool sends and receives.
 
-Time stands still unless a campaign waits, chance is a constant, and replies come at once.
+Time stands still unless a rollout waits, chance is a constant, and replies come at once.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,8 +11,8 @@
 
 from molereach.fleet import agreement, api_bodies, orders
 from molereach.fleet.rollout import events
-from molereach.fleet.rollout.course import LOOK_US, Campaign
 from molereach.fleet.rollout.report import Report
+from molereach.fleet.rollout.stages import SNAPSHOT_TIMEOUT_US, Rollout
 
 AGENTS = ("a", "b", "c")
 BEGUN_US, BEGUN_MS = 1_000_000, 1_700_000_000_000
@@ -67,9 +67,9 @@
 
 @dataclass
 class Run:
-    """A campaign and its agents; `lines` is what went over the wire, a line each."""
+    """A rollout and its agents; `lines` is what went over the wire, a line each."""
 
-    campaign: Campaign
+    rollout: Rollout
     agents: dict[str, agreement.Acceptor]
     lines: list[str] = field(default_factory=list)
 
@@ -81,10 +81,10 @@
         pending = list(actions)
         while pending:
             action = pending.pop(0)
-            if isinstance(action, events.Look):
-                event = events.Viewed(agent=action.agent, view=self.view(action.agent))
-                pending += self.campaign.handle(BEGUN_US, event)
-            elif isinstance(action, events.Say):
+            if isinstance(action, events.RequestSnapshot):
+                event = events.SnapshotReceived(agent=action.agent, snapshot=self.view(action.agent))
+                pending += self.rollout.handle(BEGUN_US, event)
+            elif isinstance(action, events.SendMessage):
                 pending += self.say(action.agent, action.message)
 
     def say(self, agent: str, message: agreement.Message) -> list[events.Action]:
@@ -93,7 +93,7 @@
         found: list[events.Action] = []
         for reply in self.agents[agent].handle(message):
             self.note("from", agent, reply)
-            found += self.campaign.handle(BEGUN_US, events.Replied(agent=agent, message=reply))
+            found += self.rollout.handle(BEGUN_US, events.ReplyReceived(agent=agent, message=reply))
         return found
 
     def view(self, agent: str) -> api_bodies.View:
@@ -122,13 +122,13 @@
 def run(name: str) -> tuple[list[str], Report]:
     """The messages of a case, and its report."""
     case = CASES[name]
-    campaign = Campaign(AGENTS, case.draft, "run-1", repeat(0.5), BEGUN_MS)
-    made = Run(campaign, acceptors(case.accepted))
-    made.carry_out(campaign.begin(BEGUN_US))
-    if campaign.report is None:
-        made.carry_out(campaign.handle(BEGUN_US + 10 * LOOK_US, events.Tick()))
-    assert campaign.report is not None
-    return made.lines, campaign.report
+    rollout = Rollout(AGENTS, case.draft, "run-1", repeat(0.5), BEGUN_MS)
+    made = Run(rollout, acceptors(case.accepted))
+    made.carry_out(rollout.begin(BEGUN_US))
+    if rollout.report is None:
+        made.carry_out(rollout.handle(BEGUN_US + 10 * SNAPSHOT_TIMEOUT_US, events.Tick()))
+    assert rollout.report is not None
+    return made.lines, rollout.report
 
 
 def recorded_run(name: str) -> bytes:
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -183,32 +183,32 @@
 
 REPORTS = (
     report.Report(
-        verdict=report.Verdict.PARTLY,
+        verdict=report.Verdict.PARTIAL,
         order_id="o4",
         text="release n0 stands at revision 4",
         decided=DECIDED[3],
         winner=DECIDED[1],
         agents=(
-            report.AgentWord(agent="a", told=True),
-            report.AgentWord(agent="c", told=False, why="no answer in time"),
+            report.AgentReport(agent="a", notified=True),
+            report.AgentReport(agent="c", notified=False, reason="no answer in time"),
         ),
-        doors=(
-            report.DoorWord(
+        proxies=(
+            report.ProxyReport(
                 agent="a",
-                door="n0",
-                carried_out=True,
-                reach="up",
+                proxy="n0",
+                applied=True,
+                reachability="up",
                 revision=4,
-                heard_ago_ms=12,
+                reported_ago_ms=12,
             ),
-            report.DoorWord(
+            report.ProxyReport(
                 agent="c",
-                door="n9",
-                carried_out=False,
-                reach="unknown",
+                proxy="n9",
+                applied=False,
+                reachability="unknown",
                 revision=None,
-                heard_ago_ms=None,
-                why="its agent does not answer",
+                reported_ago_ms=None,
+                reason="its agent does not answer",
             ),
         ),
     ),
--- a/tests/compatibility/test_campaign.py
+++ b/tests/compatibility/test_campaign.py
@@ -8,7 +8,7 @@
 from tests.compatibility import campaign_samples as samples
 from tests.compatibility.recording import recorded_lines
 
-VERDICTS = {"done": Verdict.DONE, "refused": Verdict.REFUSED, "finishes-another": Verdict.CONFLICT}
+VERDICTS = {"done": Verdict.DONE, "refused": Verdict.REJECTED, "finishes-another": Verdict.CONFLICT}
 
 
 @pytest.mark.parametrize("name", samples.CASES)
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -32,10 +32,10 @@
 
 def reported(fleet: Fleet, draft: Draft, **more: object) -> Verdict:
     tool = fleet.give(draft, **more)  # type: ignore[arg-type]
-    fleet.run(lambda: tool.campaign.report is not None)
-    assert tool.campaign.report
+    fleet.run(lambda: tool.rollout.report is not None)
+    assert tool.rollout.report
     fleet.check_report(tool)
-    return tool.campaign.report.verdict
+    return tool.rollout.report.verdict
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -46,14 +46,14 @@
         fleet.run(lambda: fleet.now_us > 500 * MS)  # noqa: B023
         victim = fleet.random.choice(fleet.names)
         tool = fleet.give(drain("o1"), on_step=lambda name: fleet.kill_door(victim) if name == step else None)  # noqa: B023
-        fleet.run(lambda: tool.campaign.report is not None)  # noqa: B023
+        fleet.run(lambda: tool.rollout.report is not None)  # noqa: B023
         fleet.check_report(tool)
-        report = tool.campaign.report
-        assert report and report.verdict in (Verdict.DONE, Verdict.PARTLY), report
+        report = tool.rollout.report
+        assert report and report.verdict in (Verdict.DONE, Verdict.PARTIAL), report
         if step in STEPS[:5]:  # it was down before it could be told
-            word = next(word for word in report.doors if word.agent == victim)
-            assert report.verdict is Verdict.PARTLY and not word.carried_out and word.door in report.text
-            assert word.heard_ago_ms is not None and word.heard_ago_ms > 2000
+            word = next(word for word in report.proxies if word.agent == victim)
+            assert report.verdict is Verdict.PARTIAL and not word.applied and word.proxy in report.text
+            assert word.reported_ago_ms is not None and word.reported_ago_ms > 2000
         fleet.settle()
         book, drained = fleet.final()
         assert once(book, "o1") and drained == [{"s1"}] * 5
@@ -70,7 +70,7 @@
         if seed % 2:  # somebody else comes in between: they finish it, or begin before it
             assert reported(fleet, undrain("o2")) in (Verdict.DONE, Verdict.CONFLICT)
         again = reported(fleet, drain("o1"))
-        assert again in (Verdict.DONE, Verdict.PARTLY)
+        assert again in (Verdict.DONE, Verdict.PARTIAL)
         fleet.settle()
         book, drained = fleet.final()
         assert len(set(map(frozenset, drained))) == 1 and once(book, "o1")
@@ -89,7 +89,7 @@
             name, at = fleet.random.choice(fleet.names), fleet.random.randint(0, 600 * MS)
             what = fleet.random.choice((fleet.restart_agent, fleet.kill_door, fleet.away.add))
             fleet.after(at, lambda name=name, what=what: what(name))  # type: ignore[misc]
-        fleet.run(lambda: len(tools) == 2 and all(tool.campaign.report for tool in tools))  # noqa: B023
+        fleet.run(lambda: len(tools) == 2 and all(tool.rollout.report for tool in tools))  # noqa: B023
         for tool in tools:
             fleet.check_report(tool)
         fleet.run(lambda: fleet.now_us > 1000 * MS)  # noqa: B023  (all faults are over)
@@ -98,30 +98,30 @@
         assert len(set(drained)) == 1
         verdicts = []
         for tool in tools:
-            report = tool.campaign.report
+            report = tool.rollout.report
             assert report
             verdicts.append(report.verdict)
-            stands = once(book, tool.campaign.draft.id)
-            if report.verdict in (Verdict.DONE, Verdict.PARTLY):
+            stands = once(book, tool.rollout.draft.id)
+            if report.verdict in (Verdict.DONE, Verdict.PARTIAL):
                 assert stands and report.decided == stands
             elif report.verdict is not Verdict.UNREACHABLE:
                 assert stands is None and report.winner
                 assert once(book, report.winner.order.id) or "have said that they know" in report.text
         if Verdict.UNREACHABLE not in verdicts:  # one stands, and the other is told of it, or came later
             assert {"s1", "s2"} - drained[0], "a building was left without a server"
-            assert any(verdict in (Verdict.DONE, Verdict.PARTLY) for verdict in verdicts)
+            assert any(verdict in (Verdict.DONE, Verdict.PARTIAL) for verdict in verdicts)
 
 
 def test_two_drains_that_together_would_empty_a_building_do_not_both_stand() -> None:
     fleet = Fleet(1)
     fleet.run(lambda: fleet.now_us > 300 * MS)
     one, two = fleet.give(drain("o1", "s1")), fleet.give(drain("o2", "s2"))
-    fleet.run(lambda: bool(one.campaign.report and two.campaign.report))
-    reports = [one.campaign.report, two.campaign.report]
+    fleet.run(lambda: bool(one.rollout.report and two.rollout.report))
+    reports = [one.rollout.report, two.rollout.report]
     assert sorted(report.verdict.value for report in reports if report) == ["conflict", "done"]
     loser = next(report for report in reports if report and report.verdict is Verdict.CONFLICT)
     assert loser.winner and "east" in loser.text and loser.decided is None
-    assert reported(fleet, drain("o3", "s2" if one.campaign.decided else "s1", forced=True)) is Verdict.DONE
+    assert reported(fleet, drain("o3", "s2" if one.rollout.decided else "s1", forced=True)) is Verdict.DONE
 
 
 def test_loser_that_finished_the_winner_tells_it_before_it_ends() -> None:
@@ -132,8 +132,8 @@
         first = fleet.give(drain("o1"), kill_at="accepted")
         fleet.run(lambda: first.dead)  # noqa: B023
         tool = fleet.give(undrain("o2", based_on=0))
-        fleet.run(lambda: tool.campaign.report is not None)  # noqa: B023
-        report = tool.campaign.report
+        fleet.run(lambda: tool.rollout.report is not None)  # noqa: B023
+        report = tool.rollout.report
         assert report
         if report.verdict is Verdict.CONFLICT:
             knowing = sum(agent.book.revision >= 1 for agent in fleet.agents.values())
@@ -144,9 +144,9 @@
     fleet = Fleet(2)
     fleet.away |= {"a0", "a1", "a2"}
     assert reported(fleet, drain("o1")) is Verdict.UNREACHABLE
-    text = fleet.tools[-1].campaign.report
+    text = fleet.tools[-1].rollout.report
     assert text and "2 of 5 agents answered, 3 must agree" in text.text
-    assert {word.reach for word in text.doors if word.agent in fleet.away} == {"unknown"}
+    assert {word.reachability for word in text.proxies if word.agent in fleet.away} == {"unknown"}
     fleet.settle()
     assert once(fleet.final()[0], "o1") is None
 
@@ -158,8 +158,8 @@
         drain("o1"),
         on_step=lambda name: fleet.away.update(("a0", "a1", "a2", "a3")) if name == "accepted" else None,
     )
-    fleet.run(lambda: tool.campaign.report is not None)
-    report = tool.campaign.report
+    fleet.run(lambda: tool.rollout.report is not None)
+    report = tool.rollout.report
     assert report and report.verdict is Verdict.UNREACHABLE
     fleet.settle()
     assert reported(fleet, drain("o1")) is Verdict.DONE and once(fleet.final()[0], "o1")
@@ -169,10 +169,10 @@
     fleet = Fleet(4)
     fleet.run(lambda: fleet.now_us > 300 * MS)
     fleet.away.add("a3")
-    assert reported(fleet, drain("o1")) is Verdict.PARTLY
-    report = fleet.tools[-1].campaign.report
-    assert report and "agent a3" in report.text and report.agents[3].why == "no answer"
-    assert [word.door for word in report.doors if not word.carried_out] == ["n3"]
+    assert reported(fleet, drain("o1")) is Verdict.PARTIAL
+    report = fleet.tools[-1].rollout.report
+    assert report and "agent a3" in report.text and report.agents[3].reason == "no answer"
+    assert [word.proxy for word in report.proxies if not word.applied] == ["n3"]
     fleet.settle()
     assert fleet.final()[1] == [{"s1"}] * 5
 
@@ -185,7 +185,7 @@
     assert reported(fleet, drain("o1")) is Verdict.DONE  # as decided: it does not drain it again
     fleet.settle()
     assert fleet.final()[1] == [frozenset()] * 5 and fleet.final()[0].revision == 2
-    assert reported(fleet, undrain("o1")) is Verdict.REFUSED
+    assert reported(fleet, undrain("o1")) is Verdict.REJECTED
 
 
 def test_conflict_by_revision_names_the_winner() -> None:
@@ -193,7 +193,7 @@
     fleet.run(lambda: fleet.now_us > 300 * MS)
     assert reported(fleet, drain("o1")) is Verdict.DONE
     assert reported(fleet, undrain("o2", based_on=0)) is Verdict.CONFLICT
-    report = fleet.tools[-1].campaign.report
+    report = fleet.tools[-1].rollout.report
     assert report and report.winner and report.winner.order.id == "o1" and "by duty" in report.text
     assert reported(fleet, undrain("o2", based_on=1)) is Verdict.DONE
 
@@ -209,8 +209,8 @@
 def test_what_is_not_there_or_late_is_refused(draft: Draft, text: str) -> None:
     fleet = Fleet(7)
     fleet.run(lambda: fleet.now_us > 300 * MS)
-    assert reported(fleet, draft) is Verdict.REFUSED
-    report = fleet.tools[-1].campaign.report
+    assert reported(fleet, draft) is Verdict.REJECTED
+    report = fleet.tools[-1].rollout.report
     assert report and text in report.text
     fleet.settle()
     assert fleet.final()[0].revision == 0
@@ -220,10 +220,10 @@
     """A majority of other agents is no majority."""
     fleet = Fleet(8)
     tool = fleet.give(drain("o1"))
-    tool.campaign.agents = ("a0", "a1")
-    fleet.run(lambda: tool.campaign.report is not None)
-    assert tool.campaign.report and tool.campaign.report.verdict is Verdict.REFUSED
-    assert "not the fleet of this file" in tool.campaign.report.text
+    tool.rollout.agents = ("a0", "a1")
+    fleet.run(lambda: tool.rollout.report is not None)
+    assert tool.rollout.report and tool.rollout.report.verdict is Verdict.REJECTED
+    assert "not the fleet of this file" in tool.rollout.report.text
 
 
 def test_agent_far_behind_takes_over_a_whole_book() -> None:
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -9,8 +9,8 @@
 from molereach.fleet.api_bodies import Status, View
 from molereach.fleet.orders import Book, BookState, Decided, Verb
 from molereach.fleet.rollout import events as ev
-from molereach.fleet.rollout.course import Campaign
 from molereach.fleet.rollout.report import Verdict
+from molereach.fleet.rollout.stages import Rollout
 from molereach.fleet.roster import Heard, Lost, Opened, Put, Roster, Sockets, Wanted
 from molereach.fleet.wire import State
 
@@ -37,7 +37,7 @@
 class Tool:
     """A run of the tool, which may be killed at a step."""
 
-    campaign: Campaign
+    rollout: Rollout
     kill_at: str = ""
     dead: bool = False
     steps: list[str] = field(default_factory=list)
@@ -178,23 +178,23 @@
         expected = {name: (self.doors[name].name,) for name in self.names}
         run = f"run{len(self.tools)}"
         tool = Tool(
-            Campaign(self.names, draft, run, self.draws(), 0, 1, ev.Times(), expected),
+            Rollout(self.names, draft, run, self.draws(), 0, 1, ev.Timeouts(), expected),
             kill_at,
             on_step=on_step,
         )
         self.tools.append(tool)
-        self.act(tool, tool.campaign.begin(self.now_us))
+        self.act(tool, tool.rollout.begin(self.now_us))
         self.tick(tool)
         return tool
 
     def tick(self, tool: Tool) -> None:
-        if not tool.dead and tool.campaign.report is None:
+        if not tool.dead and tool.rollout.report is None:
             self.hand(tool, ev.Tick())
             self.after(TICK_US, lambda: self.tick(tool))
 
     def hand(self, tool: Tool, event: ev.Event) -> None:
-        if not tool.dead and tool.campaign.report is None:
-            self.act(tool, tool.campaign.handle(self.now_us, event))
+        if not tool.dead and tool.rollout.report is None:
+            self.act(tool, tool.rollout.handle(self.now_us, event))
 
     def act(self, tool: Tool, actions: list[ev.Action]) -> None:
         for action in actions:
@@ -206,27 +206,27 @@
                 tool.on_step(action.name)
                 if action.name == "reported":
                     tool.truth = {door.name: list(door.carried) for door in self.doors.values()}
-            elif isinstance(action, ev.Look):
+            elif isinstance(action, ev.RequestSnapshot):
                 self.look(tool, action.agent)
             else:
                 self.say(tool, action.agent, action.message)
 
     def look(self, tool: Tool, agent: str) -> None:
         def failed() -> None:
-            self.hand(tool, ev.Silent(agent, "no answer", look=True))
+            self.hand(tool, ev.RequestFailed(agent, "no answer", snapshot_requested=True))
 
         def arrive() -> None:
             if agent in self.away:
                 self.after(CALL_US, failed)
                 return
             view = self.view(agent)
-            self.hop(lambda: self.hand(tool, ev.Viewed(agent, view)), failed)
+            self.hop(lambda: self.hand(tool, ev.SnapshotReceived(agent, view)), failed)
 
         self.hop(arrive, failed)
 
     def say(self, tool: Tool, agent: str, message: Message) -> None:
         def failed() -> None:
-            self.hand(tool, ev.Silent(agent, "no answer"))
+            self.hand(tool, ev.RequestFailed(agent, "no answer"))
 
         def arrive() -> None:
             if agent in self.away:
@@ -237,7 +237,7 @@
             if self.agents[agent].book.revision > before:
                 self.tell(agent, Wanted(self.agents[agent].book.revision, True))
             for reply in replies:
-                self.hop(lambda reply=reply: self.hand(tool, ev.Replied(agent, reply)), failed)
+                self.hop(lambda reply=reply: self.hand(tool, ev.ReplyReceived(agent, reply)), failed)
 
         self.hop(arrive, failed)
 
@@ -252,19 +252,21 @@
 
     def check_report(self, tool: Tool) -> None:
         """What the tool said is what each front door had done by then."""
-        report = tool.campaign.report
+        report = tool.rollout.report
         assert report is not None
         revision = report.decided.revision if report.decided else 0
-        for word in report.doors:
-            done = bool(revision) and any(each >= revision for each in tool.truth.get(word.door, ()))
-            assert done or not word.carried_out, (word, tool.truth)
-        named = {word.door for word in report.doors}
+        for word in report.proxies:
+            done = bool(revision) and any(each >= revision for each in tool.truth.get(word.proxy, ()))
+            assert done or not word.applied, (word, tool.truth)
+        named = {word.proxy for word in report.proxies}
         assert named == {door.name for door in self.doors.values()}
         if report.verdict is Verdict.DONE:
-            assert all(word.carried_out for word in report.doors) and all(word.told for word in report.agents)
-        elif report.verdict is Verdict.PARTLY:
-            assert any(not word.carried_out for word in report.doors) or any(
-                not word.told for word in report.agents
+            assert all(word.applied for word in report.proxies) and all(
+                word.notified for word in report.agents
+            )
+        elif report.verdict is Verdict.PARTIAL:
+            assert any(not word.applied for word in report.proxies) or any(
+                not word.notified for word in report.agents
             )
 
     def final(self) -> tuple[BookState, list[frozenset[str]]]:
--- a/tests/rig/test_orders.py
+++ b/tests/rig/test_orders.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from molereach.fleet.rollout.report import AgentWord, DoorWord, Report, Verdict
+from molereach.fleet.rollout.report import AgentReport, ProxyReport, Report, Verdict
 from rig.fleet import FleetRig
 from rig.orders import Trial, carried_out, kill_at, scenario, wrong_words
 from rig.world.world import World
@@ -26,7 +26,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         for trial in runner.run(trials()):
             assert not trial.wrong and not trial.tracebacks, trial.wrong
-            assert trial.report.verdict is Verdict.PARTLY
+            assert trial.report.verdict is Verdict.PARTIAL
             assert not trial.world.ledger.unaccounted and not trial.world.ledger.broken_count
 
 
@@ -126,14 +126,17 @@
 
 
 def test_judge_of_reports_finds_each_untruth() -> None:
-    words = (DoorWord("a0", "n0", True, "up", 1, 3), DoorWord("a1", "n1", False, "gone", 0, 900, "refused"))
+    words = (
+        ProxyReport("a0", "n0", True, "up", 1, 3),
+        ProxyReport("a1", "n1", False, "gone", 0, 900, "refused"),
+    )
     true = Report(
-        Verdict.PARTLY,
+        Verdict.PARTIAL,
         "o1",
         "front door n1 has not said that it has it",
         None,
         None,
-        (AgentWord("a0", True),),
+        (AgentReport("a0", True),),
         words,
     )
     assert not wrong_words(true, {"n0": True, "n1": False}, "n1")
