--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -31,8 +31,9 @@
     EndpointState,
     RequestReceived,
 )
+from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import Plan, Settings
-from molereach.policy.quota import DEMAND_US
+from molereach.policy.quota import DEMAND_DECAY_US
 from rig import scenario_files
 from sim.histories import PLAN, READS, BrokenError, QuotaHistory, ShareHistory, Store
 from sim.run import JOBS_CONTEXT
@@ -85,7 +86,7 @@
     """docs/design/limits.md: the most that may go beyond a quota, for so many splits, stops and restarts."""
     plan, others = history.plan, len(history.nodes) - 1
     silence_s = 4 * history.figures.beat_us / S
-    return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_US / S))
+    return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_DECAY_US / S))
 
 
 def quota_history(seed: int) -> Over:
@@ -332,7 +333,7 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
-        key = (number, 0, 0, 3)
+        key = CustomerKey(number, 0, 0, 3)
         limits.want(10 * S, key, 1.0)
         limits.reach(10 * S, key)
         limits.spend(10 * S, key, 1.0, 1.0)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -46,18 +46,19 @@
     What is left out is the choice of a server and what comes of it; a peer hears nothing of these.
     """
 
-    def release(self) -> None:
-        held, self.held = self.held, []
-        for entry in held:
-            job = entry[2]
-            if job.over:
+    def forward_waiting(self) -> None:
+        entries = self.queue.entries
+        self.queue.entries = []
+        for entry in entries:
+            pending = entry.pending
+            if pending.is_closed:
                 continue
-            if not self.may_pass(job):
-                self.held.append(entry)
+            if not self.queue.is_below_ceiling(self.now_us, pending):
+                self.queue.entries.append(entry)
                 continue
-            self.customers.pass_ceiling(self.now, job.customer, job.req.units)
-            self.attempts.jobs.pop(job.req.request_id, None)
-            job.over = True
+            self.customers.spend_ceiling(self.now_us, pending.account, pending.request.units)
+            self.attempts.pending.pop(pending.request.request_id, None)
+            pending.is_closed = True
 
 
 class HollowDoor(asyncio.DatagramProtocol):
--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -65,8 +65,12 @@
     Holding(f"{CACHE}.purge.machine.Purges", "_pending", "purges asked for", Effect.PROOF, "until done"),
     Holding(f"{CACHE}.purge.machine.Purges", "_done", "receipts", Effect.PROOF, "until newer ones need room"),
     # Quota levels and ceilings
-    Holding(f"{RULES}.customers.Customers", "known", "levels of quota and ceiling", Effect.KEPT, FULL_AGAIN),
-    Holding(f"{RULES}.customers.Customers", "sets", "the set under which it came", Effect.KEPT, FULL_AGAIN),
+    Holding(
+        f"{RULES}.customers.Customers", "accounts", "levels of quota and ceiling", Effect.KEPT, FULL_AGAIN
+    ),
+    Holding(
+        f"{RULES}.customers.Customers", "first_keys", "the set under which it came", Effect.KEPT, FULL_AGAIN
+    ),
     Holding(f"{LIMITS}.escrow.Escrow", "accounts", "shares of ceilings", Effect.KEPT, FULL_AGAIN),
     Holding(f"{LIMITS}.escrow.Escrow", "late", "when loans are looked at", Effect.KEPT, LOANS),
     Holding(f"{LIMITS}.escrow._Account", "loans", "what is lent of it", Effect.KEPT, LOANS),
@@ -74,8 +78,8 @@
     Holding(f"{LIMITS}.partition_quota.Reach", "mine", "spending told home", Effect.KEPT, FULL_AGAIN),
     Holding(f"{LIMITS}.partition_quota.Reach", "homes", "spending told here", Effect.KEPT, FULL_AGAIN),
     # Words to homes
-    Holding(f"{RULES}.gossip.Words", "waiting", "words to homes", Effect.ENDS, "80 ms"),
-    Holding(f"{RULES}.gossip.Words", "late", "words to homes", Effect.ENDS, "0.5 s"),
+    Holding(f"{RULES}.gossip.GossipOutbox", "waiting", "words to homes", Effect.ENDS, "80 ms"),
+    Holding(f"{RULES}.gossip.GossipOutbox", "deferred", "words to homes", Effect.ENDS, "0.5 s"),
     Holding(f"{LIMITS}.escrow.Escrow", "out", "words of loans", Effect.ENDS, "the next look, 20 ms"),
     Holding(f"{LIMITS}.core.Limits", "answers", "words of limits", Effect.ENDS, "the next look, 20 ms"),
     Holding(
@@ -89,9 +93,17 @@
         "until it is told",
     ),
     # Requests under way
-    Holding(f"{RULES}.attempts.Attempts", "jobs", "requests", Effect.ENDS, REQUEST),
-    Holding(f"{RULES}.gateway.Gateway", "held", "requests that wait for a server", Effect.ENDS, REQUEST),
-    Holding(f"{RULES}.admission.Admission", "waits", "requests that wait for word", Effect.ENDS, REQUEST),
+    Holding(f"{RULES}.attempts.Attempts", "pending", "requests", Effect.ENDS, REQUEST),
+    Holding(
+        f"{RULES}.waiting_queue.WaitingQueue",
+        "entries",
+        "requests that wait for a server",
+        Effect.ENDS,
+        REQUEST,
+    ),
+    Holding(
+        f"{RULES}.admission.Admission", "awaiting_owner", "requests that wait for word", Effect.ENDS, REQUEST
+    ),
     Holding(
         f"{RULES}.gateway.Gateway",
         "actions",
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -246,13 +246,15 @@
 
     def on_quota(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
         now, customer = now_us(), ask.customer.lower()
-        shares = {held.plan: held for held in self.door.gateway.shares_held(customer, now)}
+        shares = {held.plan: held for held in self.door.gateway.customers.customer_limits(customer, now)}
         return wire.Answer(
             wire.VERSION,
             ask.number,
             quota=tuple(
                 wire.Standing(plan, level, part, ceiling, demand, heard, shares.get(plan))
-                for plan, level, part, ceiling, demand, heard in self.door.gateway.standing(customer, now)
+                for plan, level, part, ceiling, demand, heard in self.door.gateway.customers.quota_statuses(
+                    customer, now
+                )
             ),
         )
 
--- a/molereach/limits/messages.py
+++ b/molereach/limits/messages.py
@@ -14,6 +14,7 @@
 
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
+    CustomerKey,
     GossipMessage,
     Join,
     JoinAcknowledged,
@@ -86,19 +87,19 @@
     *key, number, accepted, held, wanted, returned = values
     if max(held, wanted) > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return LoanRequest((key[0], key[1], key[2], key[3]), number, accepted, held, wanted, returned / UNIT)
+    return LoanRequest(CustomerKey(*key), number, accepted, held, wanted, returned / UNIT)
 
 
 def grant(values: tuple[int, ...]) -> LoanGrant:
     *key, number, share, amount = values
     if share > MOST_SHARE:
         raise ValueError("a share above the whole")
-    return LoanGrant((key[0], key[1], key[2], key[3]), number, share, amount / UNIT)
+    return LoanGrant(CustomerKey(*key), number, share, amount / UNIT)
 
 
 def total(values: tuple[int, ...]) -> SpendingTotal:
     *key, spent, left = values
-    return SpendingTotal((key[0], key[1], key[2], key[3]), spent / UNIT, left / UNIT)
+    return SpendingTotal(CustomerKey(*key), spent / UNIT, left / UNIT)
 
 
 Read = Callable[[tuple[int, ...]], "GossipMessage | LimitMessage"]
--- a/molereach/policy/__init__.py
+++ b/molereach/policy/__init__.py
@@ -1,7 +1,37 @@
-"""The decisions of a gateway: admit, place, retry, give up, shed. No I/O, no clock, no other package.
+"""The decisions of a gateway: admit, forward, retry, give up, reject. No I/O, no clock, no other package.
 
-In reading order: `interface`, then `time_units`; `backend_state`, `load_balancing`, the backends known;
-`quota`, `customers`, the token buckets of each; `peer_liveness`, `gossip`, `admission`, what their owners
-say; `pending_request`, `attempts`, the requests at hand; `overload_control`, what may be forwarded;
-`gateway`, the order of steps.
+Modules in reading order:
+
+- `interface` (settings, messages, events, actions, protocols), `time_units`;
+- `backend_state`, `slow_start`: one backend as this gateway knows it;
+- `ceiling`, `quota`, `customers`: the token buckets of each customer;
+- `pending_request`, `peer_liveness`, `gossip`, `admission`, `gossip_receiver`: admission by quota over the
+  gateways of a customer's set;
+- `idempotency`, `load_balancing`: the choice of a backend;
+- `client_timeouts`, `retry_policy`, `attempts`: the attempts of a request;
+- `overload_control`, `giving_up`, `waiting_queue`: the requests that wait;
+- `gateway`: the order of steps.
+
+Why a request was given up: the reason as counted in `Gateway.ended`, and the rule behind it.
+
+========  =================================================  ====================  ==========================
+reason    the request                                        rule                  to look at
+========  =================================================  ====================  ==========================
+quota     is beyond its customer's quota, by draw, and       `admission`, `quota`  `Customers.quota_statuses`
+          worth no more than its cost, or overload control
+          is engaged
+ceiling   waited for its customer's ceiling                  `ceiling`, or the     `Customers.customer_limits`
+                                                             `LimitPolicy`
+cap       waited for overload control: N first attempts per  `overload_control`    `OverloadControl.n_past`
+          period, or the bound of attempts in flight
+server    waited for a usable backend                        `load_balancing`      `LoadBalancer.ready`
+late      came too late for its latency objective or its     `giving_up`           `Attempts.mean_latency_us`
+          deadline, or waited for a retry until then
+attempts  had its last attempt end without success: its      `retry_policy`,       `RetryPolicy.tokens`
+          attempts, its time or the retry budget are used    `idempotency`
+          up, or no backend may execute it again
+========  =================================================  ====================  ==========================
+
+The client is told that a retry is harmless (`Reject`) where `idempotency.may_reject` says so, else that the
+request failed (`FailRequest`).
 """
--- a/molereach/policy/admission.py
+++ b/molereach/policy/admission.py
@@ -1,170 +1,191 @@
-"""Whether a request is inside its customer's quota: by the part here, the home's last word, or a new one.
+"""Admission by quota: whether a request is within its customer's quota.
 
-The chance rule: where more is asked than there is, each request is inside by quota over summed demand. The
-home adds up what the set asks and spends, and draws where it counts. Words may be lost: an ask is repeated,
-and after a few what is known here must do.
+A request is within quota while the local bucket lasts. Else it is drawn with the probability quota / demand
+(`quota`), at the customer's owner where the others' demand is known: a gateway elsewhere sends the owner a
+request and lets the client's request wait for the reply. Messages may be lost, so the request is repeated;
+after a few, or where the owner is silent, this gateway draws by what it knows.
 """
 
 from collections.abc import Callable
 from random import Random
 
+from molereach.policy.ceiling import GRANT_TTL_US
 from molereach.policy.customers import Customers
-from molereach.policy.gossip import Words
-from molereach.policy.interface.events import GossipReceived
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage, SpendingTotal
+from molereach.policy.gossip import GossipOutbox
 from molereach.policy.interface.settings import Settings
-from molereach.policy.peer_liveness import Peers
-from molereach.policy.pending_request import Job
-from molereach.policy.quota import DEMAND_US, GRANT_US, WORD_FRESH_US, Customer
-from molereach.policy.time_units import NEVER_US, SECOND_US, TICK_US
+from molereach.policy.peer_liveness import PeerLiveness
+from molereach.policy.pending_request import PendingRequest
+from molereach.policy.quota import DEMAND_DECAY_US, REPLY_FRESH_US, CustomerAccount
+from molereach.policy.time_units import SECOND_US, TICK_US
 
-# The wait for word from home, its part of the aim, and how often it is asked.
-ASK_US, ASK_PART, ASKS = 160_000, 3, 3
-ASK_SHARE = 0.5  # part of a gateway's intake that the asks for one customer may take
+OWNER_REPLY_TIMEOUT_US = 160_000
+OBJECTIVE_DIVISOR = 3  # one reply is awaited for a third of the latency objective at most
+MAX_OWNER_REQUESTS = 3
+OWNER_REQUEST_FRACTION = 0.5  # of the messages that a gateway can receive: requests for one customer
 
 
-def wait_us(job: Job) -> int:
-    """For one word from home."""
-    return min(ASK_US, job.rule.latency_objective_us // ASK_PART)
+def reply_timeout_us(pending: PendingRequest) -> int:
+    """How long one reply of the owner is awaited."""
+    return min(OWNER_REPLY_TIMEOUT_US, pending.request_class.latency_objective_us // OBJECTIVE_DIVISOR)
 
 
-class Admission:
-    """Those that wait for word; `decide` is told of each request once its chance is known, in turn."""
+def last_decision_us(pending: PendingRequest) -> int:
+    """Until when a request may wait for the owner, so that it can still be rejected in time."""
+    return min(pending.deadline_us - 4 * TICK_US, pending.reject_by_us - 2 * TICK_US)
+
 
-    __slots__ = ("customers", "decide", "peers", "random", "set", "waits", "words")
+class Admission:
+    """Requests that wait for their owners' replies.
+
+    `decide` is called for each request in turn, with the probability that it is within quota.
+    """
+
+    __slots__ = (
+        "awaiting_owner",
+        "customers",
+        "decide",
+        "max_request_demand",
+        "outbox",
+        "peers",
+        "random",
+        "settings",
+    )
 
     def __init__(
         self,
         settings: Settings,
         random: Random,
         customers: Customers,
-        decide: Callable[[Job, float], None],
+        decide: Callable[[PendingRequest, float], None],
     ) -> None:
-        self.set, self.random, self.customers, self.decide = settings, random, customers, decide
-        self.peers = Peers()
-        self.words = Words(settings, customers, self.peers)
-        self.waits: list[Job] = []
-
-    def admit(self, now: int, job: Job) -> None:
-        """The part while it lasts; else the chance rule, with word from the home where that is elsewhere."""
-        customer, units, home = job.customer, job.req.units, job.customer.home
-        customer.own, customer.untold = customer.own + units, customer.untold + units
-        most = (
-            ASK_SHARE * self.set.gossip_messages_per_s * DEMAND_US / SECOND_US
-        )  # past this the last word must do
-        heard = now - customer.heard_us < WORD_FRESH_US and self.random.random() * customer.demand > most
-        if not customer.plan.max_in_flight and customer.part >= units and not customer.is_short(units):
-            self.decide(job, 1.0)
-            self.words.note(now, customer)
+        self.settings = settings
+        self.random = random
+        self.customers = customers
+        self.decide = decide
+        self.peers = PeerLiveness()
+        self.outbox = GossipOutbox(settings, customers, self.peers)
+        self.awaiting_owner: list[PendingRequest] = []
+        # Units of a customer's recent demand past which only some requests are sent to the owner.
+        self.max_request_demand = (
+            OWNER_REQUEST_FRACTION * settings.gossip_messages_per_s * DEMAND_DECAY_US / SECOND_US
+        )
+
+    def admit(self, now_us: int, pending: PendingRequest) -> None:
+        """Decide by the local bucket while it lasts; else draw here, or send the owner a request."""
+        account = pending.account
+        units = pending.request.units
+        account.local_demand += units
+        account.unreported_demand += units
+        has_fresh_reply = now_us - account.replied_at_us < REPLY_FRESH_US
+        goes_by_reply = has_fresh_reply and self.random.random() * account.demand > self.max_request_demand
+        if (
+            not account.plan.max_in_flight
+            and account.local_tokens >= units
+            and not account.ceiling.needs_grant(units)
+        ):
+            self.decide(pending, 1.0)
+            self.outbox.report_spending(now_us, account)
         elif (
-            home == self.set.proxy_index
-            or heard
-            or self.peers.is_silent(now, home)
-            or not customer.plan.quota_rate
+            goes_by_reply
+            or account.owner == self.settings.proxy_index
+            or not account.plan.quota_rate
+            or self.peers.is_silent(now_us, account.owner)
         ):
-            self.draw(now, job)
+            self.decide_here(now_us, pending)
         else:
-            self.ask(now, job)
-
-    def draw(self, now: int, job: Job) -> None:
-        """The chance rule by what is known here; few are let in, and where the ceiling's share here holds no
-        whole request they ask for units of the home's all the same."""
-        customer, units, home = job.customer, job.req.units, job.customer.home
-        if not customer.is_short(units):
-            self.decide(job, customer.chance(units))
-        elif home == self.set.proxy_index:
-            if self.words.give(customer, units):
-                customer.take_given(now, now + GRANT_US, units)
-            self.decide(job, customer.chance(units))
-        elif self.peers.is_silent(now, home):
-            self.decide(job, customer.chance(units))
+            self.request_from_owner(now_us, pending)
+
+    def decide_here(self, now_us: int, pending: PendingRequest) -> None:
+        """Decide by what is known here; where the ceiling's bucket is short, units of its reserve are needed.
+
+        Only requests that this gateway's draw admits are sent to the owner for these.
+        """
+        account = pending.account
+        units = pending.request.units
+        if not account.ceiling.needs_grant(units):
+            self.decide(pending, account.admission_probability(units))
+        elif account.owner == self.settings.proxy_index:
+            if self.outbox.grant_ceiling(account, units):
+                account.ceiling.add_grant(now_us, now_us + GRANT_TTL_US, units)
+            self.decide(pending, account.admission_probability(units))
+        elif self.peers.is_silent(now_us, account.owner):
+            self.decide(pending, account.admission_probability(units))
         else:
-            job.let_in = self.random.random() < customer.chance(units)
-            self.ask(now, job) if job.let_in else self.decide(job, 0.0)
-
-    def ask(self, now: int, job: Job) -> None:
-        """Ask the customer's home, and let the request wait for its word."""
-        job.asked_us = now
-        self.peers.ask(now, job.customer.home)
-        job.customer.asked_us = min(job.customer.asked_us, now)
-        job.asks += 1
-        job.decide_us = min(now + wait_us(job), job.end_us - 4 * TICK_US, job.half_us - 2 * TICK_US)
-        self.waits.append(job)
-        self.words.tell(job.customer.home, job.customer, job.req.units, job.let_in or None)
-
-    def end_waits(
-        self, now: int, told: Customer | None = None, granted: bool = False, inside: bool | None = None
+            pending.is_drawn_here = self.random.random() < account.admission_probability(units)
+            if pending.is_drawn_here:
+                self.request_from_owner(now_us, pending)
+            else:
+                self.decide(pending, 0.0)
+
+    def request_from_owner(self, now_us: int, pending: PendingRequest) -> None:
+        """Send the customer's owner a request, and let the client's request wait for the reply."""
+        account = pending.account
+        pending.owner_requested_at_us = now_us
+        pending.owner_request_count += 1
+        pending.decide_by_us = min(now_us + reply_timeout_us(pending), last_decision_us(pending))
+        self.peers.record_request(now_us, account.owner)
+        account.unanswered_since_us = min(account.unanswered_since_us, now_us)
+        self.awaiting_owner.append(pending)
+        self.outbox.enqueue(account.owner, account, pending.request.units, pending.is_drawn_here or None)
+
+    def resolve_reply(
+        self, now_us: int, account: CustomerAccount, is_ceiling_granted: bool, is_within_quota: bool | None
     ) -> None:
-        """Decide on those that wait for word: theirs has come, or what is known here must do."""
-        ready = [job for job in self.waits if job.customer is told][:1]
-        ready += [job for job in self.waits if job.decide_us <= now and job not in ready]
-        self.waits = [job for job in self.waits if job not in ready]
-        for job in [job for job in ready if not job.over]:
-            last = min(job.end_us - 4 * TICK_US, job.half_us - 2 * TICK_US)
-            if told is None and job.asks < ASKS and now + wait_us(job) < last:
-                self.ask(now, job)  # words may be lost
+        """The owner has answered a request for that customer: decide on the one that waits longest.
+
+        `is_within_quota` is the owner's draw, None where it did not draw. Requests whose time to wait is over
+        are decided along with it.
+        """
+        answered = [each for each in self.awaiting_owner if each.account is account][:1]
+        ready = answered + self.take_expired(now_us, answered)
+        for pending in [each for each in ready if not each.is_closed]:
+            if pending.account is not account:
+                self.decide_unanswered(pending)
                 continue
-            if granted and job.customer is told:
-                job.customer.take_given(now, job.asked_us + GRANT_US, job.req.units)
-            chance = 1.0 if job.let_in else job.customer.chance(job.req.units)
-            # As much the home has counted already, each time that it was asked; not where it has totals.
-            counted = chance * job.asks
-            if inside is not None and job.customer is told:
-                counted, chance = inside + chance * (job.asks - 1), float(inside)
-            job.customer.spent -= 0 if self.customers.limits else job.req.units * counted
-            self.decide(job, chance)
-
-    def hear(self, now: int, message: GossipReceived) -> None:
-        """A message of a peer."""
-        self.peers.hear(now, message.sender)
-        limits = self.customers.limits
-        if limits:
-            limits.hear(now, message)
-        for word in message.messages:
-            if not isinstance(word, GossipMessage):
-                if limits and isinstance(word, SpendingTotal) and self.in_my_set(word.key):
-                    self.customers.take_total(now, message.sender, word)
-                continue
-            if word.plan_index == SPLIT_CEILING_MARK:
-                self.peers.marks_us[message.sender] = now
-            key = (word.customer_checksum, word.plan_index, word.set_first, word.set_size)
-            if self.in_my_set(key):
-                self.hear_word(now, message.sender, key, word)
-
-    def hear_word(self, now: int, sender: int, key: CustomerKey, word: GossipMessage) -> None:
-        """The home adds up what its set asks and spends, or takes over at its start, and answers."""
-        customer = self.customers.get(now, key)
-        if word.is_reply:
-            customer.heard_us, customer.level, customer.asked_us = now, word.tokens, NEVER_US
-            customer.others = max(0.0, word.demand - customer.own)
-            customer.part = min(customer.part, max(0.0, word.tokens / customer.size))
-            self.end_waits(
-                now, customer if word.requested_units else None, word.is_ceiling_granted, word.is_within_quota
-            )
-        elif customer.home == self.set.proxy_index:
-            if not customer.told:  # a home that has just started is full again; the store need not be
-                customer.told, customer.level = True, min(customer.level, word.tokens)
-            customer.others += word.demand
-            limits = self.customers.limits
-            counted = limits is not None and limits.counts(sender)
-            customer.spend(0.0 if counted else word.spent_units)
-            # The chance is drawn here, where it is counted: were its mean counted, and what came of it
-            # told with the asker's next word, the store would be wrong until then.
-            draws = (
-                word.requested_units and not word.is_within_quota
-            )  # else its own draw let in what it asks for
-            inside = (
-                self.random.random() < customer.chance(word.requested_units)
-                if draws
-                else word.is_within_quota
-            )
-            if word.requested_units or customer.level < customer.plan.quota_burst / 2:
-                self.words.tell(sender, customer, word.requested_units, inside)
-            customer.spend(0.0 if counted or not inside else word.requested_units)
-
-    def in_my_set(self, key: CustomerKey) -> bool:
-        _, plan, first, size = key
-        known = (
-            plan < len(self.set.plans) and first < self.set.proxy_count and 0 < size <= self.set.proxy_count
-        )
-        return known and (self.set.proxy_index - first) % self.set.proxy_count < size
+            if is_ceiling_granted:
+                until_us = pending.owner_requested_at_us + GRANT_TTL_US
+                account.ceiling.add_grant(now_us, until_us, pending.request.units)
+            if is_within_quota is None:
+                self.decide_unanswered(pending)
+            else:
+                self.decide_as_drawn(pending, is_within_quota)
+
+    def resolve_expired(self, now_us: int) -> None:
+        """Requests whose reply is late: send another request while there is time, else decide here."""
+        ready = self.take_expired(now_us, [])
+        for pending in [each for each in ready if not each.is_closed]:
+            may_wait = now_us + reply_timeout_us(pending) < last_decision_us(pending)
+            if pending.owner_request_count < MAX_OWNER_REQUESTS and may_wait:
+                self.request_from_owner(now_us, pending)
+            else:
+                self.decide_unanswered(pending)
+
+    def take_expired(self, now_us: int, answered: list[PendingRequest]) -> list[PendingRequest]:
+        """Remove the answered requests and those whose time to wait is over; return the latter."""
+        others = [each for each in self.awaiting_owner if each not in answered]
+        self.awaiting_owner = [each for each in others if each.decide_by_us > now_us]
+        return [each for each in others if each.decide_by_us <= now_us]
+
+    def decide_unanswered(self, pending: PendingRequest) -> None:
+        """Decide by what is known here, or as this gateway drew before it sent the request."""
+        probability = 1.0
+        if not pending.is_drawn_here:
+            probability = pending.account.admission_probability(pending.request.units)
+        self.discount(pending, probability * pending.owner_request_count)
+        self.decide(pending, probability)
+
+    def decide_as_drawn(self, pending: PendingRequest, is_within_quota: bool) -> None:
+        """Decide as the owner drew for the last request; earlier ones may have been lost."""
+        probability = 1.0
+        if not pending.is_drawn_here:
+            probability = pending.account.admission_probability(pending.request.units)
+        self.discount(pending, is_within_quota + probability * (pending.owner_request_count - 1))
+        self.decide(pending, float(is_within_quota))
+
+    def discount(self, pending: PendingRequest, counted_requests: float) -> None:
+        """Report less: the owner has counted the units already with so many requests.
+
+        Not with a `LimitPolicy`: the owner counts spending totals then.
+        """
+        if not self.customers.limits:
+            pending.account.unreported_units -= pending.request.units * counted_requests
--- a/molereach/policy/backend_state.py
+++ b/molereach/policy/backend_state.py
@@ -1,87 +1,102 @@
-"""One server as this gateway sees it: what is out there, its health, its warmth.
+"""One backend as this proxy knows it: attempts in flight, health, idle connections and reported load.
 
-A server that fails is suspect and left alone, for longer each time; it comes back by one trial, then by the
-ramp of cold servers. All is of this gateway's own attempts: no server is probed.
+A backend that fails is ejected, for longer each time; it returns by one trial attempt, then by slow start.
+Only this proxy's own attempts count: no health check is sent.
 """
 
 from molereach.policy.interface.events import AttemptResult, Endpoint
-from molereach.policy.interface.settings import Settings
 from molereach.policy.time_units import SECOND_US
 
-SUSPECT_AT = 1.7  # two failures running, or a mix with more failures than answers
-BROKEN_PART = 0.5  # of a failure: how much a spoilt answer or a reset counts
-SUSPECT_US, SUSPECT_MAX_US = SECOND_US, 8 * SECOND_US  # the first and the longest time without a trial
-AVOID_US = 300_000  # a server that turned a request away is full for about a service time
+EJECTION_SCORE = 1.7  # two failures running, or a mix with more failures than successes
+BROKEN_CONNECTION_WEIGHT = 0.5  # of a failure: what a malformed answer or a reset counts
+MIN_EJECTION_US = SECOND_US
+MAX_EJECTION_US = 8 * SECOND_US
+REJECTION_AVOID_US = 300_000  # a backend that rejected an attempt is full for about a service time
 
+BROKEN_CONNECTION = (AttemptResult.MALFORMED, AttemptResult.RESET)
+WITHOUT_MEANING = (AttemptResult.CANCELLED, AttemptResult.NOT_SENT)  # they say nothing of a backend's health
 
-class Server:
-    """What is known of a server; all times are those of the events."""
+
+class BackendState:
+    """What is known of a backend; times are on the clock of the events, in microseconds."""
 
     __slots__ = (
-        "avoid_until",
-        "backoff_us",
-        "credit",
-        "entry",
-        "fails",
-        "heard_us",
-        "kept",
-        "kept_at",
+        "avoid_until_us",
+        "ejection_us",
+        "endpoint",
+        "failure_score",
+        "forwarded_at_us",
+        "idle_connections",
+        "idle_since_us",
+        "in_flight",
         "load",
-        "load_at",
+        "load_reported_at_us",
         "on_trial",
-        "out",
-        "sent_us",
+        "slow_start_credit",
+        "slow_start_from_us",
         "slowness",
-        "warm_from",
+        "succeeded_at_us",
     )
 
-    def __init__(self, entry: Endpoint) -> None:
-        self.entry = entry
-        self.out: dict[tuple[str, int], int] = {}  # attempts out and when each was sent
-        self.heard_us = self.avoid_until = self.sent_us = self.backoff_us = 0
-        self.credit = 1.0  # of a request that it may be sent while cold, as of `sent_us`
-        self.slowness, self.fails = 1.0, 0.0  # latency over the mean of its class; failures of late
-        self.on_trial, self.load_at = False, 0
-        self.kept = self.kept_at = 0  # connections that rest there, and since when the last does
-        self.load: float | None = None
-        self.warm_from = entry.started_us  # start of its ramp: its start, or its return from suspicion
+    def __init__(self, endpoint: Endpoint) -> None:
+        self.endpoint = endpoint
+        self.in_flight: dict[tuple[str, int], int] = {}  # forwarding time by request id and attempt
+        self.forwarded_at_us = 0  # the last attempt
+        self.succeeded_at_us = 0  # the last successful attempt
+        self.avoid_until_us = 0
+        self.ejection_us = 0  # length of the last ejection
+        self.failure_score = 0.0  # recent failures, halved by each success
+        self.on_trial = False  # after an ejection, until an attempt succeeds
+        self.slow_start_credit = 1.0  # of an attempt, as of `forwarded_at_us`
+        self.slow_start_from_us = endpoint.started_us  # its start or its return from an ejection; 0: none
+        self.slowness = 1.0  # mean of latency over the mean latency of the request's class
+        self.idle_connections = 0
+        self.idle_since_us = 0  # when the last connection became idle
+        self.load: float | None = None  # as the backend reported it
+        self.load_reported_at_us = 0
+
+    def has_idle_connection(self, now_us: int, idle_ttl_us: int) -> bool:
+        """Whether an idle connection to it is open, as far as the policy can know."""
+        return self.idle_connections > 0 and now_us - self.idle_since_us < idle_ttl_us
 
-    def is_kept(self, now: int, keep_us: int) -> bool:
-        """Whether a connection to it rests, as far as the module can know."""
-        return self.kept > 0 and now - self.kept_at < keep_us
+    def record_result(self, now_us: int, success: bool, slow_start_window_us: int) -> None:
+        """Count a success or a failure, which may eject the backend or end its trial."""
+        self.failure_score = self.failure_score / 2 if success else self.failure_score + 1
+        if success and self.on_trial:
+            self.on_trial = False
+            self.ejection_us = 0
+            self.failure_score = 0.0
+            self.slow_start_from_us = max(self.slow_start_from_us, now_us - slow_start_window_us // 2)
+        elif (
+            not success
+            and (self.failure_score >= EJECTION_SCORE or self.on_trial)
+            and now_us >= self.avoid_until_us
+        ):
+            self.ejection_us = min(MAX_EJECTION_US, max(MIN_EJECTION_US, self.ejection_us * 2))
+            self.avoid_until_us = now_us + self.ejection_us
+            self.on_trial = True
 
-    def warmth(self, now: int, settings: Settings) -> float:
-        """The least part of its capacity that a started or returned server has by now."""
-        if not self.warm_from:
-            return 1.0
-        age, cold = (
-            (now - self.warm_from) / max(1, settings.slow_start_window_us),
-            settings.slow_start_fraction,
-        )
-        return 1.0 if age >= 1 else cold + (1 - cold) * max(0.0, age)
+    def record_broken_connection(self, now_us: int, slow_start_window_us: int) -> None:
+        """Count a malformed answer or a reset.
 
-    def note_result(self, now: int, ok: bool, warm_within_us: int) -> None:
-        """Any kind of failure makes a server suspect; it comes back by a trial, then by the cold ramp."""
-        self.fails = self.fails / 2 if ok else self.fails + 1
-        if ok and self.on_trial:
-            self.on_trial, self.backoff_us, self.fails = False, 0, 0.0
-            self.warm_from = max(self.warm_from, now - warm_within_us // 2)
-        elif not ok and (self.fails >= SUSPECT_AT or self.on_trial) and now >= self.avoid_until:
-            self.backoff_us = min(SUSPECT_MAX_US, max(SUSPECT_US, self.backoff_us * 2))
-            self.avoid_until, self.on_trial = now + self.backoff_us, True
+        Any backend may cause one now and then, and one that has died refuses new connections: only a backend
+        that does little else is ejected.
+        """
+        self.failure_score += BROKEN_CONNECTION_WEIGHT - 1
+        self.record_result(now_us, False, slow_start_window_us)
 
-    def note_broken(self, now: int, warm_within_us: int) -> None:
-        """It is there, but an answer was spoilt or a connection ended, as any may now and then: only one
-        that does little else is suspect. One that has died refuses new connections."""
-        self.fails += BROKEN_PART - 1
-        self.note_result(now, False, warm_within_us)
+    def record_attempt_end(
+        self, now_us: int, result: AttemptResult, latency_us: int, slow_start_window_us: int
+    ) -> None:
+        """Count how an attempt ended after `latency_us`.
 
-    def note_end(self, now: int, result: AttemptResult, took: int, warm_within_us: int) -> None:
-        """How an attempt there ended, after `took`."""
-        long = result is AttemptResult.TIMEOUT and self.heard_us >= now - took  # but it answered others
+        A timeout is no failure of the backend when it answered other attempts meanwhile.
+        """
         if result is AttemptResult.REJECTED:
-            self.avoid_until = max(self.avoid_until, now + AVOID_US)
-        elif result in (AttemptResult.MALFORMED, AttemptResult.RESET):
-            self.note_broken(now, warm_within_us)
-        elif not long and result not in (AttemptResult.CANCELLED, AttemptResult.NOT_SENT):
-            self.note_result(now, result is AttemptResult.OK, warm_within_us)
+            self.avoid_until_us = max(self.avoid_until_us, now_us + REJECTION_AVOID_US)
+        elif result in BROKEN_CONNECTION:
+            self.record_broken_connection(now_us, slow_start_window_us)
+        elif result is AttemptResult.TIMEOUT and self.succeeded_at_us >= now_us - latency_us:
+            return
+        elif result not in WITHOUT_MEANING:
+            self.record_result(now_us, result is AttemptResult.OK, slow_start_window_us)
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -1,108 +1,172 @@
-"""The customers known here, each with its stores; the one seen last at the end, so that old ones go first.
+"""The customers known here, each with its account, and spending under their quotas and ceilings.
 
-Where limits are handed in they say where a customer's home is, how far its quota reaches and what there is
-room for under its ceiling; else each gateway goes by its own parts.
+Where a `LimitPolicy` is in use it says who a customer's owner is, how much of its quota may be spent here and
+what its ceiling allows; else each gateway goes by its own buckets.
 """
 
 import zlib
+from typing import NamedTuple
 
+from molereach.policy.ceiling import SMALL_CEILING_TOKENS
+from molereach.policy.interface.events import RequestReceived
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
-from molereach.policy.interface.protocols import LimitPolicy
+from molereach.policy.interface.protocols import CustomerLimits, LimitPolicy
 from molereach.policy.interface.settings import Settings
-from molereach.policy.quota import SMALL_PART, Customer, full_again_us
+from molereach.policy.peer_liveness import PEER_SILENCE_US
+from molereach.policy.quota import CustomerAccount, full_refill_us
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-LEAST_KEPT_US = 10 * SECOND_US  # for which a customer is remembered in any case
-SILENT_US = 500_000  # a peer is silent that answers no ask for so long
+MIN_IDLE_TTL_US = 10 * SECOND_US  # for which an idle customer is kept in any case
 
 
-class Customers:
-    """Stores by customer, and what is done with them that limits must hear of."""
+class QuotaStatus(NamedTuple):
+    """What one gateway knows of a customer's quota under one plan; amounts in units."""
+
+    plan_index: int
+    tokens: float  # of the customer's set
+    local_tokens: float
+    ceiling_tokens: float
+    demand: float  # recent, of the set
+    reply_age_s: float | None  # of the owner's last reply; None: there was none
 
-    __slots__ = ("ceilings", "forget_us", "known", "limits", "set", "sets", "since_us")
+
+class Customers:
+    """Accounts by customer, the one used last at the end."""
+
+    __slots__ = (
+        "accounts",
+        "first_keys",
+        "has_ceilings",
+        "idle_ttl_us",
+        "limits",
+        "settings",
+        "started_at_us",
+    )
 
     def __init__(self, settings: Settings, limits: LimitPolicy | None) -> None:
-        self.set, self.limits = settings, limits
-        self.known: dict[CustomerKey, Customer] = {}
-        self.sets: dict[tuple[int, int], CustomerKey] = {}  # under which a customer came first
-        self.since_us, self.forget_us = 0, max(LEAST_KEPT_US, *map(full_again_us, settings.plans))
-        self.ceilings = any(plan.ceiling_rate for plan in settings.plans)
-
-    def splits(self) -> bool:
-        """Whether a part of each ceiling is left to the customer's home; not where limits move the shares."""
-        return self.ceilings and self.set.may_gossip and not self.limits
-
-    def get(self, now: int, key: CustomerKey) -> Customer:
-        """The customer, refilled."""
-        known = self.known.pop(key, None)
-        if known is None:
-            split = self.splits() and self.set.plans[key[1]].ceiling_burst < SMALL_PART * key[3]
-            known = Customer(self.set.plans[key[1]], key, self.set, now, self.since_us, split)
-            if self.sets.setdefault(key[:2], key) != key:  # a name of another set must not open a fresh burst
-                known.part = known.level = known.ceiling = known.pool = 0.0
-        self.known[key] = known
+        self.settings = settings
+        self.limits = limits
+        self.accounts: dict[CustomerKey, CustomerAccount] = {}
+        self.first_keys: dict[tuple[int, int], CustomerKey] = {}  # by checksum and plan
+        self.started_at_us = 0
+        self.idle_ttl_us = max(MIN_IDLE_TTL_US, *map(full_refill_us, settings.plans))
+        self.has_ceilings = any(plan.ceiling_rate for plan in settings.plans)
+
+    def splits_ceilings(self) -> bool:
+        """Whether ceilings may have a reserve at their owners; not where a `LimitPolicy` divides them."""
+        return self.has_ceilings and self.settings.may_gossip and not self.limits
+
+    def account_of(self, now_us: int, request: RequestReceived) -> CustomerAccount:
+        """The account of a request's customer, refilled."""
+        checksum = zlib.crc32(request.customer.encode())
+        key = CustomerKey(checksum, request.plan_index, request.set_first, request.set_size)
+        return self.get(now_us, key)
+
+    def get(self, now_us: int, key: CustomerKey) -> CustomerAccount:
+        """The customer's account, refilled; a new one where it is not known."""
+        account = self.accounts.pop(key, None)
+        if account is None:
+            account = self.new_account(now_us, key)
+        self.accounts[key] = account
         if self.limits:
-            home, known.reach, joined = self.limits.reach(now, key)
-            known.level += joined
-            if home != known.home:
-                known.home, known.asked_us = home, NEVER_US
-            if now - known.asked_us > SILENT_US:  # nobody says what the others spend: its part is all
-                known.reach = 1 / known.size
-        return known.refill(now)
-
-    def forget(self, now: int) -> None:
-        """One whose stores are full again is as good as new; those that came only once would never end."""
-        while self.known:
-            key, oldest = next(iter(self.known.items()))
-            if oldest.out or now - oldest.at <= self.forget_us:
+            owner, account.reachable_fraction, joined_units = self.limits.reach(now_us, key)
+            account.tokens += joined_units
+            if owner != account.owner:
+                account.owner = owner
+                account.unanswered_since_us = NEVER_US
+            if now_us - account.unanswered_since_us > PEER_SILENCE_US:  # nobody says what the others spend
+                account.reachable_fraction = 1 / account.set_size
+        return account.refill(now_us)
+
+    def new_account(self, now_us: int, key: CustomerKey) -> CustomerAccount:
+        """An account with full quota buckets; empty where the customer is known under another set.
+
+        A changed set must not open a fresh burst.
+        """
+        plan = self.settings.plans[key.plan_index]
+        has_reserve = self.splits_ceilings() and plan.ceiling_burst < SMALL_CEILING_TOKENS * key.set_size
+        account = CustomerAccount(plan, key, self.settings, now_us, self.started_at_us, has_reserve)
+        if self.first_keys.setdefault(key[:2], key) != key:
+            account.local_tokens = 0.0
+            account.tokens = 0.0
+            account.ceiling.tokens = 0.0
+            account.ceiling.reserve_tokens = 0.0
+        return account
+
+    def evict_idle(self, now_us: int) -> None:
+        """Remove the accounts whose buckets are full again: they are as good as new."""
+        while self.accounts:
+            key, oldest = next(iter(self.accounts.items()))
+            if oldest.in_flight or now_us - oldest.refilled_at_us <= self.idle_ttl_us:
                 return
-            del self.known[key]
-            if self.sets.get(key[:2]) == key:
-                del self.sets[key[:2]]
-
-    def spend(self, now: int, customer: Customer, units: float) -> None:
-        """Units of the quota are spent here, or given back where they are below 0."""
-        customer.spend(units)
-        customer.part, customer.spent = max(0.0, customer.part - units), customer.spent + units
+            del self.accounts[key]
+            if self.first_keys.get(key[:2]) == key:
+                del self.first_keys[key[:2]]
+
+    def spend(self, now_us: int, account: CustomerAccount, units: float) -> None:
+        """Units of the quota are spent here, or returned where they are below 0."""
+        account.spend(units)
+        account.local_tokens = max(0.0, account.local_tokens - units)
+        account.unreported_units += units
         if self.limits:
-            self.limits.spend(now, customer.key, units, customer.part)
-
-    def want(self, now: int, customer: Customer, units: float) -> None:
-        """A request will take so much of the ceiling."""
-        if self.limits and customer.plan.ceiling_rate:
-            self.limits.want(now, customer.key, units)
-
-    def below_ceiling(self, now: int, customer: Customer, units: float) -> bool:
-        """Whether so much may be sent on now."""
-        if self.limits and customer.plan.ceiling_rate:
-            return self.limits.room(now, customer.key, units)
-        if not customer.plan.ceiling_rate or customer.has_given(now, units):
+            self.limits.spend(now_us, account.key, units, account.local_tokens)
+
+    def request_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> None:
+        """A request was admitted that will need so many units of the ceiling."""
+        if self.limits and account.plan.ceiling_rate:
+            self.limits.want(now_us, account.key, units)
+
+    def is_below_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> bool:
+        """Whether so many units may be forwarded now."""
+        if not account.plan.ceiling_rate:
+            return True
+        if self.limits:
+            return self.limits.room(now_us, account.key, units)
+        if account.ceiling.has_grant(now_us, units):
             return True
-        return customer.refill(now).ceiling >= units
+        return account.refill(now_us).ceiling.tokens >= units
 
-    def pass_ceiling(self, now: int, customer: Customer, units: float) -> None:
-        """So much is sent on."""
-        customer.pass_ceiling(now, units)
-        if self.limits and customer.plan.ceiling_rate:
-            self.limits.take(now, customer.key, units)
+    def spend_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> None:
+        """So many units are forwarded."""
+        account.ceiling.spend(now_us, units)
+        if self.limits and account.plan.ceiling_rate:
+            self.limits.take(now_us, account.key, units)
 
-    def take_total(self, now: int, sender: int, total: SpendingTotal) -> None:
-        """What a peer spent since its last word; what joins of a part that was apart lifts the store."""
+    def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> None:
+        """Count at the owner what a peer spent since its last message; units that join a set are added."""
         assert self.limits
-        customer, units = self.get(now, total.key), self.limits.spent(now, sender, total)
+        account = self.get(now_us, total.key)
+        units = self.limits.spent(now_us, sender, total)
         if units >= 0:
-            customer.spend(units)
-        else:
-            customer.reach = self.limits.reach(now, total.key)[1]
-            customer.level = min(customer.plan.quota_burst * customer.reach, customer.level - units)
-
-    def standing(self, customer: str, now: int) -> list[tuple[int, float, float, float, float, float | None]]:
-        """What is known here of a customer: plan, level, parts of quota and ceiling, demand (units), and how
-        many seconds ago its home's word came. It only reads."""
+            account.spend(units)
+            return
+        account.reachable_fraction = self.limits.reach(now_us, total.key)[1]
+        max_tokens = account.plan.quota_burst * account.reachable_fraction
+        account.tokens = min(max_tokens, account.tokens - units)
+
+    def quota_statuses(self, customer: str, now_us: int) -> list[QuotaStatus]:
+        """What is known here of a customer, by plan; it only reads."""
         found = []
-        for plan in range(len(self.set.plans)):
-            key = self.sets.get((zlib.crc32(customer.encode()), plan))
-            if key and (known := self.known.get(key)):
-                heard = round((now - known.heard_us) / SECOND_US, 3) if known.heard_us >= 0 else None
-                found.append((plan, known.level, known.part, known.ceiling, known.demand, heard))
+        for plan_index in range(len(self.settings.plans)):
+            key = self.first_keys.get((zlib.crc32(customer.encode()), plan_index))
+            account = self.accounts.get(key) if key else None
+            if account is None:
+                continue
+            reply_age_s = None
+            if account.replied_at_us >= 0:
+                reply_age_s = round((now_us - account.replied_at_us) / SECOND_US, 3)
+            found.append(
+                QuotaStatus(
+                    plan_index,
+                    account.tokens,
+                    account.local_tokens,
+                    account.ceiling.tokens,
+                    account.demand,
+                    reply_age_s,
+                )
+            )
         return found
+
+    def customer_limits(self, customer: str, now_us: int) -> list[CustomerLimits]:
+        """A customer's limits by plan, where a `LimitPolicy` is in use."""
+        return self.limits.held(zlib.crc32(customer.encode()), now_us) if self.limits else []
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -1,19 +1,19 @@
-"""The order of steps: what a gateway does at each event, by what its parts say.
+"""The order of steps: what a gateway does at each event, by the rules of the other modules.
 
-A request is admitted by its customer's quota, held until the cap, its ceiling and a server allow it, sent on,
-and perhaps sent again; each gets one final answer. Events, actions and settings: molereach/policy/interface.
+A request is admitted by its customer's quota, waits until overload control, its ceiling and a backend allow
+it, is forwarded, and perhaps retried; each gets one final answer.
 """
 
-import itertools
 import random
-import zlib
-from bisect import insort
 from collections.abc import Callable
 
+from molereach.policy import giving_up, idempotency
 from molereach.policy.admission import Admission
 from molereach.policy.attempts import Attempts
-from molereach.policy.backend_state import Server
+from molereach.policy.client_timeouts import ClientTimeouts
 from molereach.policy.customers import Customers
+from molereach.policy.giving_up import EndReason
+from molereach.policy.gossip_receiver import GossipReceiver
 from molereach.policy.interface.actions import (
     Action,
     CancelAttempt,
@@ -34,213 +34,217 @@
     ResponseStreamStarted,
     TimerExpired,
 )
-from molereach.policy.interface.protocols import CustomerLimits, LimitPolicy
+from molereach.policy.interface.protocols import LimitPolicy
 from molereach.policy.interface.settings import Settings
-from molereach.policy.load_balancing import Fleet
-from molereach.policy.overload_control import Cap
-from molereach.policy.pending_request import Job
+from molereach.policy.load_balancing import LoadBalancer
+from molereach.policy.overload_control import OverloadControl
+from molereach.policy.pending_request import PendingRequest
 from molereach.policy.time_units import NEVER_US, TICK_US
-
-NEEDED_NEW, NEEDED_HELD = 0.5, 2.0  # mean latencies left: else all that is held would leave just too late
-ENDS = ("quota", "ceiling", "cap", "server", "late", "attempts")  # why a request was given up on
+from molereach.policy.waiting_queue import WaitingQueue
 
 
 class Gateway:
     """One gateway; `handle` is given each event in turn, and answers with the actions to carry out."""
 
     def __init__(self, settings: Settings, limits: LimitPolicy | None = None) -> None:
-        self.set = settings
+        self.settings = settings
         self.random = random.Random(settings.seed)
-        self.fleet = Fleet(settings, self.random)
+        self.load_balancer = LoadBalancer(settings, self.random)
         self.customers = Customers(settings, limits)
-        self.held: list[tuple[float, int, Job]] = []  # highest worth first, then by arrival
-        self.now, self.alarm_us, self.serial = 0, NEVER_US, itertools.count()
         self.admission = Admission(settings, self.random, self.customers, self.decide)
-        self.words = self.admission.words
-        self.cap, self.attempts = Cap(settings), Attempts(settings)
-        self.ended = dict.fromkeys(ENDS, 0)  # requests given up on, by why
-        self.actions: list[Action] = []
-        self.on: dict[type, Callable[..., object]] = {
-            RequestReceived: self.on_request,
-            AttemptEnded: self.on_outcome,
-            TimerExpired: self.on_tick,
-            EndpointListReceived: self.on_list,
-            GossipReceived: self.on_peer,
-            ClientDisconnected: self.on_end,
-            ResponseStreamStarted: self.on_end,
+        self.gossip_receiver = GossipReceiver(settings, self.random, self.admission)
+        self.outbox = self.admission.outbox
+        self.overload_control = OverloadControl(settings)
+        self.attempts = Attempts(settings)
+        self.client_timeouts = ClientTimeouts(settings)
+        self.queue = WaitingQueue(self.customers, self.load_balancer, self.overload_control, self.attempts)
+        self.now_us = 0
+        self.timer_at_us = NEVER_US
+        self.ended = {reason.value: 0 for reason in EndReason}  # requests given up, by reason
+        self.actions: list[Action] = []  # of the present event
+        self.handlers: dict[type, Callable[..., object]] = {
+            RequestReceived: self.on_request_received,
+            AttemptEnded: self.on_attempt_ended,
+            TimerExpired: self.on_timer_expired,
+            EndpointListReceived: self.on_endpoint_list_received,
+            GossipReceived: self.on_gossip_received,
+            ClientDisconnected: self.on_request_closed,
+            ResponseStreamStarted: self.on_request_closed,
         }
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        self.now, self.actions = now_us, []
-        limits, cap = self.customers.limits, self.cap
-        if cap.period_us < 0:
-            cap.period_us = self.customers.since_us = now_us
-            if limits:
-                limits.start(now_us)
-        if act := self.on.get(type(event)):
-            act(event)
-        self.actions += self.words.leave(now_us)
-        # An idle gateway wakes up only to end its periods.
-        busy = self.held or self.words.waiting or self.attempts.jobs
-        due = max(now_us + TICK_US, 0 if busy else min(cap.period_us + cap.cc_us, self.words.due_us))
-        if limits:
-            due = min(due, max(now_us + TICK_US, limits.wake_us))
-        if due < self.alarm_us:
-            self.alarm_us = due
-            self.actions.append(SetTimer(due - now_us, 0))
+        """Apply an event at that time; the result is the actions to carry out, in order."""
+        self.now_us = now_us
+        self.actions = []
+        if self.overload_control.period_started_at_us < 0:
+            self.start()
+        if handler := self.handlers.get(type(event)):
+            handler(event)
+        self.actions += self.outbox.take_due(now_us)
+        self.set_timer()
         return self.actions
 
+    def start(self) -> None:
+        """The first event: periods and uptime count from now on."""
+        self.overload_control.period_started_at_us = self.now_us
+        self.customers.started_at_us = self.now_us
+        if self.limits:
+            self.limits.start(self.now_us)
+
+    def set_timer(self) -> None:
+        """Set the next timer; an idle gateway wakes up only to end its periods and for deferred reports."""
+        next_tick_us = self.now_us + TICK_US
+        due_us = next_tick_us
+        if not (self.queue.entries or self.outbox.waiting or self.attempts.pending):
+            due_us = max(next_tick_us, min(self.overload_control.period_end_us(), self.outbox.due_us))
+        if limits := self.customers.limits:
+            due_us = min(due_us, max(next_tick_us, limits.wake_us))
+        if due_us < self.timer_at_us:
+            self.timer_at_us = due_us
+            self.actions.append(SetTimer(due_us - self.now_us, 0))
+
     @property
     def limits(self) -> LimitPolicy | None:
-        """What is consulted on limits; it may be handed in after the start, before the first event."""
+        """What is consulted on limits; it may be set after the construction, before the first event."""
         return self.customers.limits
 
     @limits.setter
     def limits(self, limits: LimitPolicy | None) -> None:
         self.customers.limits = limits
 
-    def standing(
-        self, customer: str, now_us: int
-    ) -> list[tuple[int, float, float, float, float, float | None]]:
-        """As `Customers.standing`."""
-        return self.customers.standing(customer, now_us)
-
-    def shares_held(self, customer: str, now_us: int) -> list[CustomerLimits]:
-        """Shares of the customer's ceilings here, where shares move."""
-        return self.limits.held(zlib.crc32(customer.encode()), now_us) if self.limits else []
-
-    def on_tick(self, _: TimerExpired) -> None:
-        if self.now < self.alarm_us:
+    def on_timer_expired(self, _: TimerExpired) -> None:
+        """End the periods that are over, and look at all that waits."""
+        if self.now_us < self.timer_at_us:
             return
-        self.alarm_us = NEVER_US
-        while self.now - self.cap.period_us >= self.cap.cc_us:
+        self.timer_at_us = NEVER_US
+        while self.now_us >= self.overload_control.period_end_us():
             self.end_period()
-        self.admission.end_waits(self.now)
-        self.held = [entry for entry in self.held if not self.expire(entry[2], NEEDED_HELD)]
-        self.release()
-
-    def on_request(self, req: RequestReceived) -> None:
-        key = (zlib.crc32(req.customer.encode()), req.plan_index, req.set_first, req.set_size)
-        customer = self.customers.get(self.now, key)
-        rule = self.set.classes[req.class_index]
-        gone_us = self.attempts.gone_us(req)
-        job = self.attempts.jobs[req.request_id] = Job(req, rule, customer, self.now, gone_us)
-        if not self.expire(job, NEEDED_NEW):  # some come with no time left: they cost no quota
-            self.admission.admit(self.now, job)
-
-    def on_list(self, news: EndpointListReceived) -> None:
-        if self.set.must_subscribe and news.kind in (EndpointListKind.SAVED, EndpointListKind.FAILED):
+        self.admission.resolve_expired(self.now_us)
+        entries = self.queue.entries
+        self.queue.entries = [
+            each
+            for each in entries
+            if not self.give_up_if_late(each.pending, giving_up.WAITING_REQUEST_LATENCIES)
+        ]
+        self.forward_waiting()
+
+    def on_request_received(self, request: RequestReceived) -> None:
+        """Admit a request, but for one that comes too late: it takes no quota."""
+        account = self.customers.account_of(self.now_us, request)
+        request_class = self.settings.classes[request.class_index]
+        elapsed_us = self.client_timeouts.elapsed_us(request)
+        pending = PendingRequest(request, request_class, account, self.now_us, elapsed_us)
+        self.attempts.pending[request.request_id] = pending
+        if not self.give_up_if_late(pending, giving_up.NEW_REQUEST_LATENCIES):
+            self.admission.admit(self.now_us, pending)
+
+    def on_endpoint_list_received(self, event: EndpointListReceived) -> None:
+        """Apply a list of the backends; after a saved one or a failure, subscribe to its changes."""
+        if self.settings.must_subscribe and event.kind in (EndpointListKind.SAVED, EndpointListKind.FAILED):
             self.actions.append(SubscribeToEndpoints(True))
-        self.fleet.learn(self.now, news)
-        self.cap.gateways = self.fleet.sharers
+        self.load_balancer.apply_endpoint_list(self.now_us, event)
+        self.overload_control.sharing_proxies = self.load_balancer.sharing_proxies
 
-    def on_peer(self, message: GossipReceived) -> None:
-        self.admission.hear(self.now, message)
+    def on_gossip_received(self, event: GossipReceived) -> None:
+        """Apply the messages of a peer."""
+        self.gossip_receiver.receive(self.now_us, event)
 
-    def end_period(self) -> None:
-        self.fleet.end_period(self.now, self.cap.to_send(), self.cap.cc_us)
-        self.customers.forget(self.now)
-        self.cap.end_period(self.fleet.rate, len(self.fleet.up), lambda: self.attempts.overdue(self.now))
-
-    def release(self) -> None:
-        cap, attempts, ready = self.cap, self.attempts, len(self.fleet.up)
-        blocked, held = not cap.allows(self.now, attempts.out, ready), self.held
-        if blocked or not held:
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Count how an attempt ended, and retry or give up its request."""
+        pending = self.attempts.end(self.now_us, event)
+        if pending is None:
             return
-        self.held = []
-        for entry in held:
-            job = entry[2]
-            waits = job.over or (not job.servers and (blocked or not self.may_pass(job)))
-            if server := None if waits else self.fleet.choose(self.now, job):
-                self.send(job, server)
-            elif not job.over:
-                self.held.append(entry)  # where no server takes anything there is no need to look on
-            blocked = blocked or not cap.allows(self.now, attempts.out, ready) or not (waits or server)
-
-    def may_pass(self, job: Job) -> bool:
-        return self.customers.below_ceiling(self.now, job.customer, job.req.units)
-
-    def may_refuse(self, job: Job) -> bool:
-        """Whether trying again is harmless at the time at which the client is told to come."""
-        return job.may_refuse(self.now + self.set.max_retry_after_us)
-
-    def expire(self, job: Job, means: float) -> bool:
-        """A held request is ended in time: refused when its aim is out of reach, where that is allowed, and
-        before half of its time is over while nothing of it has been sent."""
-        needed = min(means * self.attempts.mean_us[job.req.class_index], job.rule.latency_objective_us / 2)
-        late = self.may_refuse(job) and self.now + needed >= job.aim_us
-        late = late or (job.unsent == len(job.servers) and self.now + TICK_US >= job.half_us)
-        if not job.over and (late or self.now + 2 * TICK_US >= job.end_us):
-            self.end(job, self.why_held(job) if means == NEEDED_HELD and not job.servers else "late")
-        return job.over
-
-    def why_held(self, job: Job) -> str:
-        """What a request that was held until it was given up on waited for."""
-        if not self.may_pass(job):
-            return "ceiling"
-        return "server" if self.cap.allows(self.now, self.attempts.out, len(self.fleet.up)) else "cap"
-
-    def decide(self, job: Job, chance: float) -> None:
-        """Draw whether a request is inside its quota; where it is, or is worth it, it may leave."""
-        job.in_quota, plan = self.random.random() < chance, job.customer.plan
-        if job.in_quota:
-            self.customers.spend(self.now, job.customer, job.req.units)
-        elif plan.over_quota_value <= plan.over_quota_cost or self.cap.n_past is not None:
-            self.end(job, "quota")
+        self.overload_control.record_attempt_end(event, pending.request_class.latency_objective_us)
+        if event.load_report is not None:
+            backend = pending.backends[event.attempt]
+            self.load_balancer.record_load_report(self.now_us, backend, event.load_report)
+        if event.is_request_closed or pending.is_closed:
+            self.close(pending)
+        elif not pending.in_flight and not self.retry(pending, event.result):
+            self.give_up(pending, EndReason.ATTEMPTS)
+
+    def on_request_closed(self, event: ClientDisconnected | ResponseStreamStarted) -> None:
+        """Nothing more is owed to the client."""
+        if pending := self.attempts.pending.get(event.request_id):
+            self.close(pending)
+
+    def end_period(self) -> None:
+        """A control period is over."""
+        control = self.overload_control
+        balancer = self.load_balancer
+        balancer.end_period(self.now_us, control.offered(), control.control_period_us)
+        self.customers.evict_idle(self.now_us)
+        control.end_period(
+            balancer.forward_rate, len(balancer.ready), lambda: self.attempts.overdue_ages(self.now_us)
+        )
+
+    def decide(self, pending: PendingRequest, probability: float) -> None:
+        """Draw whether a request is within its quota; if so, or if it is worth it, it may be forwarded."""
+        pending.is_within_quota = self.random.random() < probability
+        plan = pending.account.plan
+        if pending.is_within_quota:
+            self.customers.spend(self.now_us, pending.account, pending.request.units)
+        elif plan.over_quota_value <= plan.over_quota_cost or self.overload_control.n_past is not None:
+            self.give_up(pending, EndReason.QUOTA)
             return
-        self.cap.wanted += 1
-        self.customers.want(self.now, job.customer, job.req.units)
-        insort(self.held, (-job.worth, next(self.serial), job))
-        self.release()
-
-    def send(self, job: Job, server: Server) -> None:
-        if not job.servers:
-            self.cap.accepted += 1
-            self.customers.pass_ceiling(self.now, job.customer, job.req.units)
-        self.actions.append(self.attempts.begin(self.now, job, server))
-
-    def again(self, job: Job, why: AttemptResult) -> bool:
-        """Whether the request has a further attempt, or waits for one as nothing of it has run."""
-        if not self.attempts.has_another(self.now, job, why):
+        self.overload_control.admitted += 1
+        self.customers.request_ceiling(self.now_us, pending.account, pending.request.units)
+        self.queue.add(pending)
+        self.forward_waiting()
+
+    def forward_waiting(self) -> None:
+        """Forward the waiting requests that the rules allow."""
+        self.actions += self.queue.forward_allowed(self.now_us)
+
+    def retry(self, pending: PendingRequest, result: AttemptResult) -> bool:
+        """Forward a retry, or let the request wait for one if it was not executed; whether it goes on."""
+        retry_policy = self.attempts.retry_policy
+        mean_us = self.attempts.mean_latency_us[pending.request.class_index]
+        if not retry_policy.may_retry(self.now_us, pending, result, mean_us):
             return False
-        if server := self.fleet.choose(self.now, job):
-            self.attempts.pay(why)
-            self.send(job, server)
-        elif job.ran_on is None:
-            insort(self.held, (-job.worth, next(self.serial), job))
-        return server is not None or job.ran_on is None
-
-    def on_outcome(self, event: AttemptEnded) -> None:
-        job = self.attempts.end(self.now, event)
-        if job is None:
-            return
-        if (report := event.load_report) is not None:
-            if report.cpu_utilization is not None:
-                self.cap.signals["util"].append(report.cpu_utilization)
-            self.fleet.hear_load(self.now, job.servers[event.attempt], report)
-        if event.result in (AttemptResult.OK, AttemptResult.TIMEOUT):
-            self.cap.signals["latency"].append(min(1.0, event.latency_us / job.rule.latency_objective_us))
-        if event.is_request_closed or job.over:
-            self.drop(job)
-        elif not job.out and not self.again(job, event.result):
-            self.end(job, "attempts")
-
-    def end(self, job: Job, why: str) -> None:
-        self.ended[why] += 1
-        wait = self.set.max_retry_after_us
-        self.actions.append(
-            Reject(job.req.request_id, wait) if self.may_refuse(job) else FailRequest(job.req.request_id)
-        )
-        self.drop(job)
-
-    def on_end(self, event: ClientDisconnected | ResponseStreamStarted) -> None:
-        if job := self.attempts.jobs.get(event.request_id):
-            self.drop(job)
-
-    def drop(self, job: Job) -> None:
-        if job.in_quota and not job.servers and not job.over:
-            self.customers.spend(self.now, job.customer, -job.req.units)
-        calls_off, job.over = self.set.may_cancel and not job.over and not job.rule.is_streamed, True
-        self.actions += [CancelAttempt(job.req.request_id, number) for number in job.out if calls_off]
-        if not job.out:
-            self.attempts.jobs.pop(job.req.request_id, None)
+        if backend := self.load_balancer.choose(self.now_us, pending):
+            retry_policy.spend(result)
+            self.actions.append(self.queue.forward(self.now_us, pending, backend))
+            return True
+        if pending.first_backend is None:
+            self.queue.add(pending)
+            return True
+        return False
+
+    def may_reject(self, pending: PendingRequest) -> bool:
+        """Whether a retry is harmless at the time at which the client is told to send it."""
+        return idempotency.may_reject(pending, self.now_us + self.settings.max_retry_after_us)
+
+    def give_up_if_late(self, pending: PendingRequest, latencies: float) -> bool:
+        """Give up a request that comes too late with so many mean latencies; whether it is closed."""
+        latency_us = latencies * self.attempts.mean_latency_us[pending.request.class_index]
+        if not pending.is_closed and giving_up.is_too_late(
+            self.now_us, pending, latency_us, self.may_reject(pending)
+        ):
+            reason = EndReason.LATE
+            if latencies == giving_up.WAITING_REQUEST_LATENCIES and not pending.backends:
+                reason = self.queue.waiting_reason(self.now_us, pending)
+            self.give_up(pending, reason)
+        return pending.is_closed
+
+    def give_up(self, pending: PendingRequest, reason: EndReason) -> None:
+        """Give the final answer: rejected where a retry is harmless, else failed."""
+        self.ended[reason.value] += 1
+        request_id = pending.request.request_id
+        if self.may_reject(pending):
+            self.actions.append(Reject(request_id, self.settings.max_retry_after_us))
+        else:
+            self.actions.append(FailRequest(request_id))
+        self.close(pending)
+
+    def close(self, pending: PendingRequest) -> None:
+        """The request is answered or abandoned: return its quota if unused, and cancel its attempts."""
+        request_id = pending.request.request_id
+        if not pending.is_closed:
+            pending.is_closed = True
+            if pending.is_within_quota and not pending.backends:
+                self.customers.spend(self.now_us, pending.account, -pending.request.units)
+            if self.settings.may_cancel and not pending.request_class.is_streamed:
+                self.actions += [CancelAttempt(request_id, number) for number in pending.in_flight]
+        if not pending.in_flight:
+            self.attempts.pending.pop(request_id, None)
--- /dev/null
+++ b/molereach/policy/idempotency.py
@@ -0,0 +1,58 @@
+"""Idempotency scope: whether, where and until when a request may be executed more than once.
+
+A request whose class is idempotent may be repeated anywhere. One that is idempotent with a key may be
+repeated on the backends that drop its duplicates (`RequestClass.deduplication_scope`) and within the time
+for which they remember the key. Any other request is repeated only if it was not executed for certain.
+"""
+
+from molereach.policy.backend_state import BackendState
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency
+from molereach.policy.pending_request import PendingRequest
+
+
+def write_deadline_us(pending: PendingRequest) -> int:
+    """Until when a further attempt may begin to execute; 0 where there is no such bound.
+
+    The deduplication window counts from the earliest moment at which the first attempt may have executed:
+    when it was forwarded.
+    """
+    if (
+        pending.first_backend is not None
+        and pending.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    ):
+        return pending.first_forwarded_at_us + pending.request_class.deduplication_window_us
+    return 0
+
+
+def may_reject(pending: PendingRequest, retry_at_us: int) -> bool:
+    """Whether a client may be told that a retry at that time is harmless."""
+    if pending.first_backend is None:
+        return True
+    request_class = pending.request_class
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    return (
+        request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and request_class.deduplication_scope is DeduplicationScope.ALL
+        and retry_at_us < write_deadline_us(pending)
+    )
+
+
+def may_run_on(pending: PendingRequest, now_us: int, backend: BackendState) -> bool:
+    """Whether a further attempt may be forwarded to that backend now."""
+    request_class = pending.request_class
+    first = pending.first_endpoint
+    if first is None or pending.first_backend is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+        return True
+    scope = request_class.deduplication_scope
+    if scope is DeduplicationScope.ALL:
+        is_in_scope = True
+    elif scope is DeduplicationScope.ZONE:
+        is_in_scope = backend.endpoint.zone == first.zone
+    else:
+        is_in_scope = backend.endpoint.cell == first.cell
+    return (
+        is_in_scope
+        and request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        and now_us < write_deadline_us(pending)
+    )
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -1,6 +1,16 @@
 """What gateways tell each other: of customers to their homes, and of shares of ceilings, totals and lives."""
 
 from dataclasses import dataclass
+from typing import NamedTuple
+
+
+class CustomerKey(NamedTuple):
+    """A customer under one plan, and the gateways of its set: consecutive ones from `set_first` on."""
+
+    customer_checksum: int  # CRC-32 of the customer's name
+    plan_index: int
+    set_first: int
+    set_size: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +37,6 @@
 
 
 SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps no more of any ceiling than its split share
-CustomerKey = tuple[
-    int, int, int, int
-]  # of a customer: the checksum of its name, plan, first of its set, size of it
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/load_balancing.py
+++ b/molereach/policy/load_balancing.py
@@ -1,140 +1,181 @@
-"""The servers known, and which of them an attempt goes to: the least expected wait among a few.
+"""The known backends, and the choice of one for an attempt: the least expected wait among a few.
 
-Many gateways that all took the emptiest server would flood it; so each looks at a few, by chance.
+Many gateways that all took the least loaded backend would flood it; so each examines a few, at random. A
+request for which no backend is usable waits, and is given up as `server` (see `giving_up`).
 """
 
 from random import Random
 
-from molereach.policy.backend_state import Server
+from molereach.policy import idempotency, slow_start
+from molereach.policy.backend_state import BackendState
 from molereach.policy.interface.events import (
+    Endpoint,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
     LoadReport,
 )
 from molereach.policy.interface.settings import Idempotency, Settings
-from molereach.policy.pending_request import Job
+from molereach.policy.pending_request import PendingRequest
 from molereach.policy.time_units import SECOND_US
 
-SMOOTH, RATE_SMOOTH = 0.1, 0.3  # weight of a new load, and of a period's sends, in a running mean
-KEPT_CHOICES, HANDSHAKE_WEIGHT = 6, 10  # of these, with a connection that rests; cost of a new one
-CHOICES = 8  # servers looked at for one attempt: many gateways that all take the emptiest would flood it
+EWMA_ALPHA = 0.1  # weight of a new load in the mean load; and of a period, by which slowness is forgotten
+RATE_EWMA_ALPHA = 0.3  # weight of a period's first attempts in the mean rate
+CHOICES = 8  # backends examined for one attempt
+IDLE_CONNECTION_CHOICES = 6  # of these, with an idle connection, where a new connection has a price
+HANDSHAKE_WEIGHT = 10  # of the price of a new connection in the expected wait
+CROSS_ZONE_WEIGHT = 10  # of the price of another zone
 REPORT_FRESH_US = 1.5 * SECOND_US  # a load report older than this says nothing
+MIN_MEAN_LOAD = 0.01
 
+INCREMENTAL = (EndpointListKind.CHANGES, EndpointListKind.FAILED)  # after a failure the old list holds
 
-class Fleet:
-    """The server list with what is known of each; `random` is the gateway's chance."""
 
-    __slots__ = ("mean_load", "random", "rate", "servers", "set", "sharers", "up", "warm")
+class LoadBalancer:
+    """The backends by name, with what is known of each."""
+
+    __slots__ = (
+        "backends",
+        "forward_rate",
+        "mean_load",
+        "random",
+        "ready",
+        "ready_capacity",
+        "settings",
+        "sharing_proxies",
+    )
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        self.set, self.random = settings, random
-        self.servers: dict[str, Server] = {}
-        self.up: list[Server] = []  # those that may be sent new work
-        self.warm = 0.0  # servers' worth of capacity that is up, where a cold one counts for its part
-        self.sharers = settings.proxy_count  # how many gateways share each server
-        self.rate, self.mean_load = 0.0, 0.0  # first attempts a second; load of the servers, as they say
-
-    def learn(self, now: int, news: EndpointListReceived) -> None:
-        """News of the server list."""
-        named = {entry.name for entry in news.endpoints}
-        if news.kind is not EndpointListKind.FAILED:
-            self.sharers = news.sharing_proxies or self.set.proxy_count
-        part = news.kind in (
-            EndpointListKind.CHANGES,
-            EndpointListKind.FAILED,
-        )  # after a failure the old list holds
-        self.servers = {name: known for name, known in self.servers.items() if part or name in named}
-        for entry in news.endpoints:
-            known = self.servers.get(entry.name)
-            if known is None or known.entry.started_us != entry.started_us:
-                known = self.servers[entry.name] = Server(entry)
-                if known.warmth(now, self.set) < 1:  # all gateways hear of it at once: each has its own time
-                    known.sent_us, known.credit = now, self.random.random()
-            known.entry = entry
-            if entry.state is EndpointState.GONE:  # its id does not come again
-                del self.servers[entry.name]
-        self.up = [server for server in self.servers.values() if server.entry.state is EndpointState.UP]
-        self.weigh(now)
-
-    def weigh(self, now: int) -> None:
-        self.warm = sum(server.warmth(now, self.set) for server in self.up)
-
-    def end_period(self, now: int, sent: float, period_us: int) -> None:
-        """A period is over in which so many first attempts were to be sent."""
-        for server in self.servers.values():  # a slow one that is sent nothing must get its chance again
-            server.slowness += SMOOTH * (1 - server.slowness)
-        self.rate += (RATE_SMOOTH if self.rate else 1) * (sent * SECOND_US / period_us - self.rate)
-        self.weigh(now)
-
-    def hear_load(self, now: int, server: Server, report: LoadReport) -> None:
-        """Busy cores are the signal; a count only ranks servers."""
-        loads = [
-            load
-            for load in (report.cpu_utilization, report.in_flight, report.queue_length)
-            if load is not None
-        ]
-        if loads:
-            server.load, server.load_at = loads[0], now
-            self.mean_load += SMOOTH * (loads[0] - self.mean_load)
-
-    def choose(self, now: int, job: Job) -> Server | None:
-        """The least expected wait among a few of those that the rules and their health allow."""
-        free = job.ran_on is None  # nothing binds it to a group
-        allowed = self.up if free else [server for server in self.up if job.may_run_on(now, server)]
+        self.settings = settings
+        self.random = random
+        self.backends: dict[str, BackendState] = {}
+        self.ready: list[BackendState] = []  # those that may be sent new attempts
+        self.ready_capacity = 0.0  # in backends: one in slow start counts for its fraction
+        self.sharing_proxies = settings.proxy_count  # how many proxies share each backend
+        self.forward_rate = 0.0  # mean first attempts per second
+        self.mean_load = 0.0  # as the backends report it
+
+    def apply_endpoint_list(self, now_us: int, event: EndpointListReceived) -> None:
+        """Apply a complete list, changes to it, or a failure to get it."""
+        if event.kind is not EndpointListKind.FAILED:
+            self.sharing_proxies = event.sharing_proxies or self.settings.proxy_count
+        if event.kind not in INCREMENTAL:
+            listed = {endpoint.name for endpoint in event.endpoints}
+            self.backends = {name: backend for name, backend in self.backends.items() if name in listed}
+        for endpoint in event.endpoints:
+            self.apply_endpoint(now_us, endpoint)
+        self.ready = [each for each in self.backends.values() if each.endpoint.state is EndpointState.UP]
+        self.update_ready_capacity(now_us)
+
+    def apply_endpoint(self, now_us: int, endpoint: Endpoint) -> None:
+        """Add or update one backend; one that restarted is a new one, one that is gone is removed."""
+        known = self.backends.get(endpoint.name)
+        if known is None or known.endpoint.started_us != endpoint.started_us:
+            known = BackendState(endpoint)
+            self.backends[endpoint.name] = known
+            if slow_start.capacity_fraction(now_us, known, self.settings) < 1:
+                # All gateways learn of it at once: each sends its first attempt at a random time.
+                known.forwarded_at_us = now_us
+                known.slow_start_credit = self.random.random()
+        known.endpoint = endpoint
+        if endpoint.state is EndpointState.GONE:  # its name does not come again
+            del self.backends[endpoint.name]
+
+    def update_ready_capacity(self, now_us: int) -> None:
+        """Add up the capacity of the ready backends."""
+        self.ready_capacity = sum(
+            slow_start.capacity_fraction(now_us, backend, self.settings) for backend in self.ready
+        )
+
+    def end_period(self, now_us: int, offered: float, period_us: int) -> None:
+        """A control period is over in which so many first attempts were offered."""
+        for backend in self.backends.values():  # a slow one that is sent nothing must get another chance
+            backend.slowness += EWMA_ALPHA * (1 - backend.slowness)
+        weight = RATE_EWMA_ALPHA if self.forward_rate else 1
+        self.forward_rate += weight * (offered * SECOND_US / period_us - self.forward_rate)
+        self.update_ready_capacity(now_us)
+
+    def record_load_report(self, now_us: int, backend: BackendState, report: LoadReport) -> None:
+        """Take the first load that the report holds; counts only rank backends."""
+        for load in (report.cpu_utilization, report.in_flight, report.queue_length):
+            if load is not None:
+                backend.load = load
+                backend.load_reported_at_us = now_us
+                self.mean_load += EWMA_ALPHA * (load - self.mean_load)
+                return
+
+    def choose(self, now_us: int, pending: PendingRequest) -> BackendState | None:
+        """The backend for the next attempt, or None where none may be used.
+
+        Ejected backends and those that the request was sent to already are used only if there is no other.
+        """
+        allowed = self.ready
+        if pending.first_backend is not None:
+            allowed = [each for each in allowed if idempotency.may_run_on(pending, now_us, each)]
+        is_unsafe = pending.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         usable = [
-            server
-            for server in allowed
-            if now >= server.avoid_until
-            and server not in job.servers
-            and not (server.on_trial and (server.out or job.rule.idempotency is Idempotency.NON_IDEMPOTENT))
+            backend
+            for backend in allowed
+            if now_us >= backend.avoid_until_us
+            and backend not in pending.backends
+            and not (backend.on_trial and (backend.in_flight or is_unsafe))
         ] or allowed
-        best, least = None, 0.0
-        for server in self.candidates(now, usable):
-            if (cost := self.cost(now, server)) < least or best is None:
-                best, least = server, cost
+        best: BackendState | None = None
+        shortest = 0.0
+        for backend in self.candidates(now_us, usable):
+            wait = self.expected_wait(now_us, backend)
+            if wait < shortest or best is None:
+                best = backend
+                shortest = wait
         return best
 
-    def candidates(self, now: int, usable: list[Server]) -> list[Server]:
-        """A few to choose from; where connections have a price, most of them have one that rests.
+    def candidates(self, now_us: int, usable: list[BackendState]) -> list[BackendState]:
+        """A few backends to choose from; where connections have a price, most of them have an idle one.
 
-        A gateway of many meets most servers seldom: those that it stays with it also knows. Cold servers
-        that are due come first: what they are not sent, the warm ones must bear.
+        One of many gateways meets most backends seldom: it knows those that it stays with. Backends whose
+        slow start is due come first: what they are not sent, the others must bear.
         """
-        due: list[Server] = []
-        kept: list[Server] = []
-        others: list[Server] = []
-        usual = max(1 / self.sharers, self.rate / max(1.0, self.warm))
-        oldest = now - self.set.idle_connection_ttl_us
-        for server in usable:
-            if server.warm_from and (warmth := server.warmth(now, self.set)) < 1:
-                if self.is_due(now, server, warmth, usual):
-                    due.append(server)
+        due: list[BackendState] = []
+        idle: list[BackendState] = []
+        others: list[BackendState] = []
+        settings = self.settings
+        usual_rate = max(1 / self.sharing_proxies, self.forward_rate / max(1.0, self.ready_capacity))
+        oldest_us = now_us - settings.idle_connection_ttl_us
+        for backend in usable:
+            if (
+                backend.slow_start_from_us
+                and (fraction := slow_start.capacity_fraction(now_us, backend, settings)) < 1
+            ):
+                if slow_start.is_due(now_us, backend, fraction, usual_rate, settings):
+                    due.append(backend)
             else:
-                server.warm_from = 0  # it need not be looked at again
-                (kept if server.kept and server.kept_at > oldest else others).append(server)
-        few = len(usable) <= CHOICES or not self.set.handshake_price
-        if few:
-            room = due + kept + others
-            return self.random.sample(room, min(CHOICES, len(room)))
-        first = self.random.sample(due, min(len(due), CHOICES - KEPT_CHOICES))
-        first += self.random.sample(kept, min(len(kept), KEPT_CHOICES))
-        return first + self.random.sample(others, min(len(others), CHOICES - len(first)))
-
-    def cost(self, now: int, server: Server) -> float:
-        """Expected wait: work out there, how slow it is, how loaded it says it is."""
-        load = server.load if now - server.load_at < REPORT_FRESH_US else None
-        pressure = 1.0 if load is None else 0.5 + load / max(0.01, self.mean_load) / 2
-        far = 1 + 10 * self.set.cross_zone_price * (server.entry.zone != self.set.zone)
-        kept = server.is_kept(now, self.set.idle_connection_ttl_us)
-        new = 1.0 if kept else 1 + HANDSHAKE_WEIGHT * self.set.handshake_price
-        # A trial that is due goes first, and so does a cold server's part, which is spaced out.
-        waits = 0 if server.on_trial or server.warmth(now, self.set) < 1 else len(server.out) + 1
-        return waits * server.slowness * pressure * far * new
-
-    def is_due(self, now: int, server: Server, warmth: float, usual: float) -> bool:
-        """A server that started or came back gets its part of what warm ones are sent here, `usual` a second,
-        spaced out. Over many gateways the space is longer than the warm-up, so it shrinks meanwhile."""
-        since, cold = now - server.sent_us, self.set.slow_start_fraction
-        then = max(cold, warmth - (1 - cold) * since / max(1, self.set.slow_start_window_us))
-        return server.credit + since / SECOND_US * usual * (then + warmth) / 2 >= 1
+                backend.slow_start_from_us = 0  # the slow start is over
+                (idle if backend.idle_connections and backend.idle_since_us > oldest_us else others).append(
+                    backend
+                )
+        if len(usable) <= CHOICES or not settings.handshake_price:
+            available = due + idle + others
+            return self.random.sample(available, min(CHOICES, len(available)))
+        chosen = self.random.sample(due, min(len(due), CHOICES - IDLE_CONNECTION_CHOICES))
+        chosen += self.random.sample(idle, min(len(idle), IDLE_CONNECTION_CHOICES))
+        return chosen + self.random.sample(others, min(len(others), CHOICES - len(chosen)))
+
+    def expected_wait(self, now_us: int, backend: BackendState) -> float:
+        """The expected wait, without a unit: attempts in flight, weighted by slowness, load and prices.
+
+        A trial that is due goes first, and so does an attempt of a slow start, which is spaced.
+        """
+        settings = self.settings
+        pressure = 1.0
+        if backend.load is not None and now_us - backend.load_reported_at_us < REPORT_FRESH_US:
+            pressure = 0.5 + backend.load / max(MIN_MEAN_LOAD, self.mean_load) / 2
+        zone_cost = 1 + CROSS_ZONE_WEIGHT * settings.cross_zone_price * (
+            backend.endpoint.zone != settings.zone
+        )
+        connection_cost = 1.0
+        if not backend.has_idle_connection(now_us, settings.idle_connection_ttl_us):
+            connection_cost = 1 + HANDSHAKE_WEIGHT * settings.handshake_price
+        queue = len(backend.in_flight) + 1
+        if backend.on_trial or slow_start.capacity_fraction(now_us, backend, settings) < 1:
+            queue = 0
+        return queue * backend.slowness * pressure * zone_cost * connection_cost
--- a/molereach/policy/peer_liveness.py
+++ b/molereach/policy/peer_liveness.py
@@ -1,42 +1,55 @@
-"""What is known of each peer: whether it answers, and whether it keeps to the smaller share of ceilings."""
+"""Liveness of the other gateways: whether each answers, and whether it splits ceilings.
+
+A peer that has not answered a request for long, as one that restarts, is not waited for: that would cost the
+latency objective. It is sent a request now and then, which shows that it is alive again.
+"""
 
-from molereach.policy.customers import SILENT_US
 from molereach.policy.time_units import SECOND_US
 
-ASK_AGAIN_US = 300_000  # a peer that is silent is asked again
-MARKED_US = 10 * SECOND_US  # for how long it counts that a peer said that ceilings are split there
+PEER_SILENCE_US = 500_000  # a peer that has not answered for so long is silent
+SILENT_PEER_RETRY_US = 300_000  # how often a silent peer is sent a request
+SPLIT_MARK_TTL_US = 10 * SECOND_US  # for how long a peer's message that it splits ceilings counts
 
 
-class Peers:
-    """Times by peer; an entry for each gateway of the fleet at most."""
+class PeerLiveness:
+    """Times by peer, in microseconds."""
 
-    __slots__ = ("asked_us", "heard_us", "marks_us", "unanswered")
+    __slots__ = ("received_at_us", "requested_at_us", "split_marked_at_us", "unanswered_since_us")
 
     def __init__(self) -> None:
-        self.unanswered: dict[int, int] = {}  # the first ask without a word since
-        self.asked_us: dict[int, int] = {}  # the last ask
-        self.heard_us: dict[int, int] = {}  # when it last said anything,
-        self.marks_us: dict[int, int] = {}  # and when it last said that it splits ceilings
-
-    def ask(self, now: int, peer: int) -> None:
-        """It is asked something now."""
-        self.unanswered.setdefault(peer, now)
-        self.asked_us[peer] = now
-
-    def hear(self, now: int, peer: int) -> None:
-        """A message of it has come."""
-        self.unanswered.pop(peer, None)
-        self.heard_us[peer] = now
-
-    def leaves(self, peer: int) -> bool:
-        """Whether it keeps to the smaller share of ceilings, as far as is known: an older version speaks, and
-        does not say so."""
-        heard, said = self.heard_us.get(peer), self.marks_us.get(peer)
-        return heard is None or (said is not None and heard - said < MARKED_US)
-
-    def is_silent(self, now: int, peer: int) -> bool:
-        """It has answered no ask for long, as one that restarts: waiting for it would cost the aim. Now and
-        then it is asked all the same."""
-        if now - self.unanswered.get(peer, now) <= SILENT_US:
+        self.unanswered_since_us: dict[int, int] = {}  # the first request without a message since
+        self.requested_at_us: dict[int, int] = {}  # the last request
+        self.received_at_us: dict[int, int] = {}  # the last message
+        self.split_marked_at_us: dict[int, int] = {}  # the last message that it splits ceilings
+
+    def record_request(self, now_us: int, peer: int) -> None:
+        """A request is sent to the peer."""
+        self.unanswered_since_us.setdefault(peer, now_us)
+        self.requested_at_us[peer] = now_us
+
+    def record_message(self, now_us: int, peer: int) -> None:
+        """A message of the peer has come."""
+        self.unanswered_since_us.pop(peer, None)
+        self.received_at_us[peer] = now_us
+
+    def record_split_mark(self, now_us: int, peer: int) -> None:
+        """The peer says that it splits ceilings."""
+        self.split_marked_at_us[peer] = now_us
+
+    def splits_ceilings(self, peer: int) -> bool:
+        """Whether the peer keeps to the split fraction of ceilings, as far as is known.
+
+        An older version sends messages and does not say so. One that has not been heard of since this
+        gateway's start has spent nothing that it had to report.
+        """
+        received_at_us = self.received_at_us.get(peer)
+        if received_at_us is None:
+            return True
+        marked_at_us = self.split_marked_at_us.get(peer)
+        return marked_at_us is not None and received_at_us - marked_at_us < SPLIT_MARK_TTL_US
+
+    def is_silent(self, now_us: int, peer: int) -> bool:
+        """Whether the peer is not to be sent a request now, as it has not answered for long."""
+        if now_us - self.unanswered_since_us.get(peer, now_us) <= PEER_SILENCE_US:
             return False
-        return now - self.asked_us.get(peer, 0) < ASK_AGAIN_US
+        return now_us - self.requested_at_us.get(peer, 0) < SILENT_PEER_RETRY_US
--- a/molereach/policy/quota.py
+++ b/molereach/policy/quota.py
@@ -1,151 +1,154 @@
-"""A customer's stores at one gateway: its part of quota and ceiling, and what is known of its whole set.
+"""A customer's quota at one gateway: token buckets, and the probability that a request is admitted.
 
-The quota is one store, counted at the customer's home; a gateway elsewhere goes by the home's last word and
-its own part. The ceiling is split over the set; where parts would be small, a share of it is the home's.
+The quota is one token bucket, counted at the customer's owner, one gateway of the customer's set. The others
+go by the owner's last reply and by their local bucket, an equal part of the quota. Where more is requested
+than there is, each request is admitted with the probability quota / demand. `admission` applies the rule.
 """
 
 import math
 
+from molereach.policy.ceiling import CeilingBucket
 from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-DEMAND_US = 0.1 * SECOND_US  # ageing of demand: short, as the level of the store carries the longer memory
-SMALL_STORE_US = 0.5 * SECOND_US  # of its rate, that a store which holds no whole request may owe
-WORD_FRESH_US = SECOND_US  # how long a word from home holds
-# What its home need not hear of at once: a part that is so full, of which so little was spent since.
-LATE_FULL, LATE_SPENT = 1 / 2, 1 / 4
-# Of a ceiling whose parts would hold fewer units than the first: the share that is split over the set. The
-# rest is its home's, which gives it out with its words; for how long after the ask such units may be used.
-SMALL_PART, SPLIT_SHARE, GRANT_US = 4, 0.5, 300_000
+DEMAND_DECAY_US = 0.1 * SECOND_US  # short, as the tokens carry the longer memory
+SMALL_BUCKET_DEBT_US = 0.5 * SECOND_US  # of its rate, that a bucket which holds no complete request may owe
+REPLY_FRESH_US = SECOND_US  # how long a reply of the owner holds
+# The owner need not be told at once where the local bucket is so full, and so little of it is unreported.
+DEFER_MIN_FILL = 1 / 2
+DEFER_MAX_UNREPORTED = 1 / 4
 
 
-class Customer:
-    """A customer's part of quota and ceiling here, and what is known of its whole set: all, at its home."""
+class CustomerAccount:
+    """A customer's buckets here and what is known of its set; at its owner, that is all. Amounts in units."""
 
     __slots__ = (
-        "asked_us",
-        "at",
         "ceiling",
-        "given",
-        "heard_us",
-        "home",
+        "has_member_report",
+        "in_flight",
         "key",
-        "level",
-        "others",
-        "out",
-        "own",
-        "part",
+        "local_demand",
+        "local_tokens",
+        "owner",
         "plan",
-        "pool",
-        "pooled",
-        "reach",
-        "size",
-        "spent",
-        "split",
-        "told",
-        "untold",
+        "reachable_fraction",
+        "refilled_at_us",
+        "remote_demand",
+        "replied_at_us",
+        "set_size",
+        "tokens",
+        "unanswered_since_us",
+        "unreported_demand",
+        "unreported_units",
     )
 
     def __init__(
         self,
         plan: Plan,
         key: CustomerKey,
-        set_: Settings,
-        now: int,
-        since: int,
-        split: bool = False,
+        settings: Settings,
+        now_us: int,
+        started_at_us: int,
+        has_ceiling_reserve: bool = False,
     ) -> None:
-        self.plan, self.key, self.size, self.at = plan, key, key[3], now
-        self.home = (key[2] + key[0] % self.size) % set_.proxy_count if set_.may_gossip else set_.proxy_index
-        # The part of the quota that may be spent on this side of a split; with no words, each is a side.
-        self.reach = 1.0 if set_.may_gossip else 1 / self.size
-        self.part, self.level = plan.quota_burst / self.size, plan.quota_burst * self.reach
-        self.own, self.others = 0.0, 0.0  # aged demand, here and at the others of the set
-        # Empty at the gateway's start, as a restart looks like a first one; it fills from then on.
-        self.split = SPLIT_SHARE if split else 1.0
-        filled = plan.ceiling_rate * (now - since) / SECOND_US
-        self.ceiling = min(plan.ceiling_burst, filled) * self.split / self.size
-        self.given: list[tuple[int, float]] = []  # units of its home's that came here: until when, how many
-        self.pooled = 1.0 - self.split  # at the home: its share of the ceiling, and a store for the whole set
-        self.pool = min(self.most_pooled, filled * self.pooled)
-        self.heard_us, self.out = -NEVER_US, 0
-        self.told = False  # whether others of its set have said what they know of its level
-        self.untold = self.spent = 0.0  # demand and spending that the home has not been told of
-        self.asked_us = NEVER_US  # the first ask that its home has not answered
-
-    def refill(self, now: int) -> "Customer":
-        """Refill the parts. Others' demand and the level stay as told while that is fresh, as others go on
-        asking; after that, as when the home has gone, they are what may be by now."""
-        took, plan, part, self.at = (now - self.at) / SECOND_US, self.plan, 1 / self.size, now
-        share = part * self.split
-        self.ceiling = min(plan.ceiling_burst * share, self.ceiling + plan.ceiling_rate * took * share)
-        self.pool = min(self.most_pooled, self.pool + plan.ceiling_rate * took * self.pooled)
-        aged = math.exp(-took * SECOND_US / DEMAND_US)
-        self.own *= aged
-        if now - self.heard_us > WORD_FRESH_US:
-            self.level = min(plan.quota_burst * self.reach, self.level + plan.quota_rate * self.reach * took)
-            self.others *= aged
-        self.part = min(
-            plan.quota_burst * part, self.part + plan.quota_rate * took * part, max(0.0, self.level)
+        """`started_at_us` is the gateway's start."""
+        self.plan = plan
+        self.key = key
+        self.set_size = key.set_size
+        self.refilled_at_us = now_us
+        if settings.may_gossip:
+            self.owner = (key.set_first + key.customer_checksum % key.set_size) % settings.proxy_count
+            self.reachable_fraction = 1.0  # of the quota: what this side of a network partition may spend
+        else:
+            self.owner = settings.proxy_index
+            self.reachable_fraction = 1 / key.set_size  # without messages each gateway is a partition
+        self.local_tokens = plan.quota_burst / key.set_size
+        self.tokens = plan.quota_burst * self.reachable_fraction  # of the whole set
+        self.local_demand = 0.0  # decayed sum of what was requested here
+        self.remote_demand = 0.0  # and at the others of the set
+        self.ceiling = CeilingBucket(plan, key.set_size, now_us - started_at_us, has_ceiling_reserve)
+        self.in_flight = 0  # attempts
+        self.replied_at_us = -NEVER_US  # the owner's last reply
+        self.unanswered_since_us = NEVER_US  # the first request that the owner has not answered
+        self.has_member_report = False  # at the owner: whether others of the set have said what they know
+        self.unreported_demand = 0.0  # what the owner has not been told of
+        self.unreported_units = 0.0
+
+    def refill(self, now_us: int) -> "CustomerAccount":
+        """Refill the buckets.
+
+        The others' demand and the set's tokens stay as reported while the reply is fresh, as the others go on
+        requesting. After that, as when the owner has failed, they are what may be by now.
+        """
+        plan = self.plan
+        elapsed_s = (now_us - self.refilled_at_us) / SECOND_US
+        self.refilled_at_us = now_us
+        if plan.ceiling_rate:
+            self.ceiling.refill(elapsed_s)
+        decay = math.exp(-elapsed_s * SECOND_US / DEMAND_DECAY_US)
+        self.local_demand *= decay
+        if now_us - self.replied_at_us > REPLY_FRESH_US:
+            fraction = self.reachable_fraction
+            self.tokens = min(
+                plan.quota_burst * fraction, self.tokens + plan.quota_rate * fraction * elapsed_s
+            )
+            self.remote_demand *= decay
+        fraction = 1 / self.set_size
+        self.local_tokens = min(
+            plan.quota_burst * fraction,
+            self.local_tokens + plan.quota_rate * elapsed_s * fraction,
+            max(0.0, self.tokens),
         )
         return self
 
-    @property
-    def most_pooled(self) -> float:
-        """What the home's store holds: less what may still be used of units that it has given out."""
-        return max(0.0, self.plan.ceiling_burst - self.plan.ceiling_rate * GRANT_US / SECOND_US) * self.pooled
-
     @property
     def demand(self) -> float:
-        """That of the whole set, as far as it is known."""
-        return self.own + self.others
-
-    def may_be_late(self) -> bool:
-        """Whether the home need not hear at once of what is spent here: its store is off by a quarter of the
-        parts at most then. Of small parts it hears of each unit."""
-        full = self.plan.quota_burst / self.size
-        return self.part >= full * LATE_FULL and self.spent <= full * LATE_SPENT
-
-    def chance(self, units: float) -> float:
-        """Quota over summed demand: of what the set has left, as the home counts it, and of late asked."""
-        if self.plan.max_in_flight and self.out >= max(1, self.plan.max_in_flight // self.size):
-            return 0.0
-        # A store that does not hold the whole of a request serves none of it: what is sent on then is beyond.
-        if self.plan.quota_burst * self.reach < units:  # never, by its size: then it may owe some
-            quota = self.level + self.plan.quota_rate * self.reach * SMALL_STORE_US / SECOND_US
-        else:
-            quota = self.level if self.level >= units else 0.0
-        return max(0.0, min(1.0, quota / max(units, self.demand))) if self.plan.quota_rate else 1.0
-
-    def is_short(self, units: float) -> bool:
-        """The share of the ceiling here does not hold so much: some of the home's is wanted."""
-        return self.split < 1 and self.plan.ceiling_rate > 0 and self.ceiling < units
-
-    def has_given(self, now: int, units: float) -> bool:
-        self.given = [(until, left) for until, left in self.given if now <= until]
-        return any(left >= units for _, left in self.given)
+        """The recent demand of the whole set, as far as it is known."""
+        return self.local_demand + self.remote_demand
+
+    def may_defer_report(self) -> bool:
+        """Whether the owner need not be told at once of what is spent here.
+
+        The owner's bucket is wrong by a quarter of the local buckets at most then. Of small local buckets it
+        is told of each unit.
+        """
+        full = self.plan.quota_burst / self.set_size
+        return (
+            self.local_tokens >= full * DEFER_MIN_FILL
+            and self.unreported_units <= full * DEFER_MAX_UNREPORTED
+        )
 
-    def take_given(self, now: int, until: int, units: float) -> None:
-        self.has_given(now, units)  # those that are over go, whether or not any request asks for them
-        self.given.append((until, units))
+    def admission_probability(self, units: float) -> float:
+        """The probability, from 0 to 1, that a request of so many units is within quota: quota / demand.
 
-    def pass_ceiling(self, now: int, units: float) -> None:
-        """Units are sent on: the home's first, as they do not keep."""
-        if self.has_given(now, units):
-            self.given.remove(next(entry for entry in self.given if entry[1] >= units))
+        A bucket that does not hold all units of a request serves none of it, as they would be forwarded
+        beyond the quota. One that never holds them, by its size, may owe some.
+        """
+        plan = self.plan
+        if plan.max_in_flight and self.in_flight >= max(1, plan.max_in_flight // self.set_size):
+            return 0.0
+        if not plan.quota_rate:
+            return 1.0
+        if plan.quota_burst * self.reachable_fraction < units:
+            rate = plan.quota_rate * self.reachable_fraction
+            available = self.tokens + rate * SMALL_BUCKET_DEBT_US / SECOND_US
         else:
-            self.ceiling -= units
+            available = self.tokens if self.tokens >= units else 0.0
+        return max(0.0, min(1.0, available / max(units, self.demand)))
 
     def spend(self, units: float) -> None:
-        small = self.plan.quota_burst * self.reach < 1
-        owes_us = SMALL_STORE_US if small else DEMAND_US  # for no longer
-        least = -self.plan.quota_rate * self.reach * owes_us / SECOND_US
-        self.level = max(self.level - units, least)
-
-
-def full_again_us(plan: Plan) -> int:
-    """How long the stores of a customer take at most to be full, from what it may owe."""
-    quota = plan.quota_burst / plan.quota_rate + SMALL_STORE_US / SECOND_US if plan.quota_rate else 0.0
-    ceiling = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0
-    return round(SECOND_US * max(quota, ceiling))
+        """Take units from the set's bucket, which may owe some; below 0: return them."""
+        small = self.plan.quota_burst * self.reachable_fraction < 1
+        debt_us = SMALL_BUCKET_DEBT_US if small else DEMAND_DECAY_US
+        min_tokens = -self.plan.quota_rate * self.reachable_fraction * debt_us / SECOND_US
+        self.tokens = max(self.tokens - units, min_tokens)
+
+
+def full_refill_us(plan: Plan) -> int:
+    """How long the buckets of a customer take at most to be full, from what they may owe."""
+    quota_s = 0.0
+    if plan.quota_rate:
+        quota_s = plan.quota_burst / plan.quota_rate + SMALL_BUCKET_DEBT_US / SECOND_US
+    ceiling_s = plan.ceiling_burst / plan.ceiling_rate if plan.ceiling_rate else 0.0
+    return round(SECOND_US * max(quota_s, ceiling_s))
--- a/molereach/policy/time_units.py
+++ b/molereach/policy/time_units.py
@@ -1,5 +1,6 @@
-"""Times that all parts of the decisions count with, in microseconds."""
+"""Times that several rules of the policy use. All times of the policy are whole microseconds."""
 
-SECOND_US, NEVER_US = 1_000_000, 1 << 62  # a second; a time that does not come
+SECOND_US = 1_000_000
+NEVER_US = 1 << 62  # a time that does not come
 
-TICK_US = 20_000  # how often held requests and words are looked at: well under any aim
+TICK_US = 20_000  # how often waiting requests and messages are examined: well under any latency objective
--- /dev/null
+++ b/molereach/policy/waiting_queue.py
@@ -0,0 +1,95 @@
+"""Admitted requests that wait to be forwarded, and what each waits for.
+
+A first attempt needs overload control, the customer's ceiling and a usable backend; a retry that was not
+executed needs a backend alone.
+"""
+
+import itertools
+from bisect import insort
+from typing import NamedTuple
+
+from molereach.policy.attempts import Attempts
+from molereach.policy.backend_state import BackendState
+from molereach.policy.customers import Customers
+from molereach.policy.giving_up import EndReason
+from molereach.policy.interface.actions import ForwardAttempt
+from molereach.policy.load_balancing import LoadBalancer
+from molereach.policy.overload_control import OverloadControl
+from molereach.policy.pending_request import PendingRequest
+
+
+class WaitingEntry(NamedTuple):
+    """A place in the queue; entries are compared by the first two fields."""
+
+    negated_priority: float
+    arrival_number: int
+    pending: PendingRequest
+
+
+class WaitingQueue:
+    """Waiting requests, those of the highest priority first, then by arrival."""
+
+    __slots__ = ("arrival_numbers", "attempts", "customers", "entries", "load_balancer", "overload_control")
+
+    def __init__(
+        self,
+        customers: Customers,
+        load_balancer: LoadBalancer,
+        overload_control: OverloadControl,
+        attempts: Attempts,
+    ) -> None:
+        self.customers = customers
+        self.load_balancer = load_balancer
+        self.overload_control = overload_control
+        self.attempts = attempts
+        self.entries: list[WaitingEntry] = []
+        self.arrival_numbers = itertools.count()
+
+    def add(self, pending: PendingRequest) -> None:
+        """The request waits from now on."""
+        insort(self.entries, WaitingEntry(-pending.priority, next(self.arrival_numbers), pending))
+
+    def forward_allowed(self, now_us: int) -> list[ForwardAttempt]:
+        """Forward those that the rules allow, and remove the closed ones.
+
+        Where no backend is usable for one request there is none for those after it.
+        """
+        if not self.entries or not self.overload_allows(now_us):
+            return []
+        entries = self.entries
+        self.entries = []
+        forwarded = []
+        is_blocked = False
+        for entry in entries:
+            pending = entry.pending
+            must_wait = pending.is_closed or (
+                not pending.backends and (is_blocked or not self.is_below_ceiling(now_us, pending))
+            )
+            backend = None if must_wait else self.load_balancer.choose(now_us, pending)
+            if backend:
+                forwarded.append(self.forward(now_us, pending, backend))
+            elif not pending.is_closed:
+                self.entries.append(entry)
+            is_blocked = is_blocked or not self.overload_allows(now_us) or not (must_wait or backend)
+        return forwarded
+
+    def forward(self, now_us: int, pending: PendingRequest, backend: BackendState) -> ForwardAttempt:
+        """Forward an attempt; the first one takes units of the ceiling."""
+        if not pending.backends:
+            self.overload_control.accepted += 1
+            self.customers.spend_ceiling(now_us, pending.account, pending.request.units)
+        return self.attempts.begin(now_us, pending, backend)
+
+    def overload_allows(self, now_us: int) -> bool:
+        """Whether overload control allows one more first attempt."""
+        return self.overload_control.allows(now_us, self.attempts.in_flight, len(self.load_balancer.ready))
+
+    def is_below_ceiling(self, now_us: int, pending: PendingRequest) -> bool:
+        """Whether the customer's ceiling allows the request now."""
+        return self.customers.is_below_ceiling(now_us, pending.account, pending.request.units)
+
+    def waiting_reason(self, now_us: int, pending: PendingRequest) -> EndReason:
+        """What a request that was never forwarded waited for."""
+        if not self.is_below_ceiling(now_us, pending):
+            return EndReason.CEILING
+        return EndReason.NO_BACKEND if self.overload_allows(now_us) else EndReason.OVERLOAD
--- a/sim/histories.py
+++ b/sim/histories.py
@@ -194,7 +194,7 @@
             ceiling_slack=1.0,
         )
         size = draw.randint(2, doors)
-        self.key: CustomerKey = (draw.getrandbits(32), 0, draw.randrange(doors), size)
+        self.key = CustomerKey(draw.getrandbits(32), 0, draw.randrange(doors), size)
         self.members = [(self.key[2] + number) % doors for number in range(size)]
         self.make = make or (lambda settings: Limits(settings, self.figures))
         self.store = Store(self.plan.ceiling_rate, self.plan.ceiling_burst, self.plan.ceiling_burst, 0)
--- a/tests/policy/rules/test_admission.py
+++ b/tests/policy/rules/test_admission.py
@@ -3,20 +3,22 @@
 from dataclasses import replace
 from random import Random
 
-from molereach.policy.admission import ASK_US, ASKS, Admission
-from molereach.policy.customers import SILENT_US, Customers
+from molereach.policy.admission import MAX_OWNER_REQUESTS, OWNER_REPLY_TIMEOUT_US, Admission
+from molereach.policy.ceiling import GRANT_TTL_US
+from molereach.policy.customers import Customers
+from molereach.policy.gossip_receiver import GossipReceiver
 from molereach.policy.interface.events import GossipReceived, RequestReceived
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan
-from molereach.policy.pending_request import Job
-from molereach.policy.quota import GRANT_US
+from molereach.policy.peer_liveness import PEER_SILENCE_US
+from molereach.policy.pending_request import PendingRequest
 from tests.helpers import SAFE, SETTINGS, S
 
 NOW = 100 * S
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
 CEILED = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE: CustomerKey = (0, 0, 0, 2)  # its home is the first of the set
-THERE: CustomerKey = (1, 0, 0, 2)
+HERE = CustomerKey(0, 0, 0, 2)  # its home is the first of the set
+THERE = CustomerKey(1, 0, 0, 2)
 
 
 class Table:
@@ -26,36 +28,38 @@
         settings = replace(SETTINGS, plans=(plan,), proxy_count=3)
         self.decided: list[tuple[str, float]] = []
         self.customers = Customers(settings, None)
-        self.admission = Admission(settings, Random(1), self.customers, self.decide)
+        random = Random(1)
+        self.admission = Admission(settings, random, self.customers, self.decide)
+        self.receiver = GossipReceiver(settings, random, self.admission)
 
-    def decide(self, job: Job, chance: float) -> None:
-        self.decided.append((job.req.request_id, chance))
+    def decide(self, job: PendingRequest, chance: float) -> None:
+        self.decided.append((job.request.request_id, chance))
 
-    def ask(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> Job:
+    def ask(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> PendingRequest:
         customer = self.customers.get(now, key)
-        customer.part = part
-        job = Job(RequestReceived(name, 0, 0, "", 6 * S), SAFE, customer, now, 0)
+        customer.local_tokens = part
+        job = PendingRequest(RequestReceived(name, 0, 0, "", 6 * S), SAFE, customer, now, 0)
         self.admission.admit(now, job)
         return job
 
     def words(self, now: int = NOW) -> tuple[object, ...]:
-        return tuple(word for tell in self.admission.words.leave(now) for word in tell.messages)
+        return tuple(word for tell in self.admission.outbox.take_due(now) for word in tell.messages)
 
     def hear(self, *words: GossipMessage, now: int = NOW) -> None:
-        self.admission.hear(now, GossipReceived(1, words))
+        self.receiver.receive(now, GossipReceived(1, words))
 
 
 def test_part_lets_in_and_the_home_is_told_afterwards() -> None:
     table = Table()
     table.ask("a", THERE, part=1.0)
-    assert table.decided == [("a", 1.0)] and not table.admission.waits
+    assert table.decided == [("a", 1.0)] and not table.admission.awaiting_owner
     assert table.words() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
 
 
 def test_at_the_home_the_chance_rule_decides_at_once() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
-    customer.level, customer.others = 2.0, 3.0
+    customer.tokens, customer.remote_demand = 2.0, 3.0
     table.ask("a", HERE)
     assert table.decided == [("a", 0.5)]
 
@@ -63,54 +67,54 @@
 def test_word_from_home_decides_those_that_wait_in_turn() -> None:
     table = Table()
     first, second = table.ask("a", THERE), table.ask("b", THERE)
-    assert table.decided == [] and table.admission.waits == [first, second]
+    assert table.decided == [] and table.admission.awaiting_owner == [first, second]
     assert [word.requested_units for word in table.words()] == [1.0, 1.0]
     table.hear(
         GossipMessage(
             *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=False
         )
     )
-    assert table.decided == [("a", 0.0)] and table.admission.waits == [second]
-    assert first.customer.level == 4.0 and first.customer.others == 6.0
+    assert table.decided == [("a", 0.0)] and table.admission.awaiting_owner == [second]
+    assert first.account.tokens == 4.0 and first.account.remote_demand == 6.0
     table.hear(
         GossipMessage(
             *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=True
         )
     )
-    assert table.decided[1:] == [("b", 1.0)] and not table.admission.waits
-    assert first.customer.spent == -1.0  # the home has counted it already
+    assert table.decided[1:] == [("b", 1.0)] and not table.admission.awaiting_owner
+    assert first.account.unreported_units == -1.0  # the home has counted it already
 
 
 def test_home_that_has_totals_has_counted_nothing_of_an_ask() -> None:
     table = Table()
     job = table.ask("a", THERE)
     table.customers.limits = object()  # type: ignore[assignment]
-    table.admission.end_waits(NOW, job.customer, inside=True)
-    assert table.decided == [("a", 1.0)] and job.customer.spent == 0
+    table.admission.resolve_reply(NOW, job.account, is_ceiling_granted=False, is_within_quota=True)
+    assert table.decided == [("a", 1.0)] and job.account.unreported_units == 0
 
 
 def test_lost_words_are_asked_for_again_and_then_what_is_known_decides() -> None:
     table = Table()
     job = table.ask("a", THERE)
-    for number in range(1, ASKS):
-        table.admission.end_waits(NOW + number * ASK_US - 1)
-        assert job.asks == number
-        table.admission.end_waits(NOW + number * ASK_US)
-        assert job.asks == number + 1 and table.decided == []
-    table.admission.end_waits(NOW + ASKS * ASK_US)
-    assert table.decided == [("a", 1.0)] and job.customer.spent == -ASKS
-    table.admission.peers.hear(NOW, 1)
+    for number in range(1, MAX_OWNER_REQUESTS):
+        table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US - 1)
+        assert job.owner_request_count == number
+        table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US)
+        assert job.owner_request_count == number + 1 and table.decided == []
+    table.admission.resolve_expired(NOW + MAX_OWNER_REQUESTS * OWNER_REPLY_TIMEOUT_US)
+    assert table.decided == [("a", 1.0)] and job.account.unreported_units == -MAX_OWNER_REQUESTS
+    table.admission.peers.record_message(NOW, 1)
     gone = table.ask("gone", THERE)
-    gone.over = True
-    table.admission.end_waits(NOW + S)
-    assert len(table.decided) == 1 and not table.admission.waits
+    gone.is_closed = True
+    table.admission.resolve_expired(NOW + S)
+    assert len(table.decided) == 1 and not table.admission.awaiting_owner
 
 
 def test_home_that_is_silent_is_not_waited_for() -> None:
     table = Table()
     table.ask("a", THERE)
-    table.admission.ask(NOW + SILENT_US, table.ask("b", THERE, NOW + SILENT_US))
-    table.ask("c", THERE, NOW + SILENT_US + 1)
+    table.admission.request_from_owner(NOW + PEER_SILENCE_US, table.ask("b", THERE, NOW + PEER_SILENCE_US))
+    table.ask("c", THERE, NOW + PEER_SILENCE_US + 1)
     assert [name for name, _ in table.decided] == ["c"]
 
 
@@ -118,7 +122,9 @@
     table = Table()
     customer = table.customers.get(NOW, HERE)
     table.hear(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
-    assert customer.others == 2.0 and customer.level == 20.0 - 3.0 - 1.0  # of all its demand it has enough
+    assert (
+        customer.remote_demand == 2.0 and customer.tokens == 20.0 - 3.0 - 1.0
+    )  # of all its demand it has enough
     (answer,) = table.words()
     assert (
         isinstance(answer, GossipMessage)
@@ -127,17 +133,17 @@
         and answer.tokens == 17.0
     )
     table.hear(GossipMessage(*HERE, demand=1.0, spent_units=1.0))
-    assert not table.admission.words.waiting  # nobody waits, and there is plenty
-    customer.level = 0.5
+    assert not table.admission.outbox.waiting  # nobody waits, and there is plenty
+    customer.tokens = 0.5
     table.hear(GossipMessage(*HERE, demand=1.0, requested_units=1.0))
-    assert customer.level == 0.5  # it drew no
+    assert customer.tokens == 0.5  # it drew no
 
 
 def test_home_that_starts_anew_takes_over_the_level_that_it_is_told() -> None:
     table = Table()
     table.hear(GossipMessage(*HERE, tokens=6.0))
     table.hear(GossipMessage(*HERE, tokens=2.0))
-    assert table.customers.known[HERE].level == 6.0
+    assert table.customers.accounts[HERE].tokens == 6.0
 
 
 def test_units_that_the_home_grants_come_with_its_word_and_do_not_keep() -> None:
@@ -147,11 +153,13 @@
         *THERE, is_reply=True, requested_units=1.0, tokens=4.0, is_ceiling_granted=True, is_within_quota=True
     )
     table.hear(word, now=NOW + S // 10)
-    assert job.customer.given == [(NOW + GRANT_US, 1.0)]
+    assert job.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
     home = Table(CEILED)
-    home.customers.get(NOW, HERE).ceiling = 0.0
+    home.customers.get(NOW, HERE).ceiling.tokens = 0.0
     here = home.ask("a", HERE, part=5.0)
-    assert here.customer.given == [(NOW + GRANT_US, 1.0)]  # its own share is short: it gives itself some
+    assert here.account.ceiling.grants == [
+        (NOW + GRANT_TTL_US, 1.0)
+    ]  # its own share is short: it gives itself some
 
 
 def test_words_of_sets_without_this_gateway_are_passed_over() -> None:
@@ -159,4 +167,4 @@
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
         table.hear(GossipMessage(*key, tokens=1.0))
     table.hear(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
-    assert not table.customers.known and table.admission.peers.leaves(1)
+    assert not table.customers.accounts and table.admission.peers.splits_ceilings(1)
--- a/tests/policy/rules/test_cap.py
+++ b/tests/policy/rules/test_cap.py
@@ -5,18 +5,24 @@
 import pytest
 
 from molereach.policy.interface.settings import RequestClass
-from molereach.policy.overload_control import LEAST_OUT, START_PER_SERVER, TARGETS, Cap, next_n
+from molereach.policy.overload_control import (
+    IN_FLIGHT_PER_BACKEND,
+    MIN_IN_FLIGHT,
+    UTILIZATION_TARGETS,
+    OverloadControl,
+    next_n,
+)
 from molereach.policy.time_units import TICK_US
 from tests.helpers import SETTINGS, S
 
-UTIL = TARGETS["util"]
+UTIL = UTILIZATION_TARGETS
 
 
-def cap_of(util: float | None = None, gateways: int = 2) -> Cap:
-    cap = Cap(replace(SETTINGS, proxy_count=gateways))
-    cap.period_us = 0
+def cap_of(util: float | None = None, gateways: int = 2) -> OverloadControl:
+    cap = OverloadControl(replace(SETTINGS, proxy_count=gateways))
+    cap.period_started_at_us = 0
     if util is not None:
-        cap.signals["util"].append(util)
+        cap.utilization_samples.append(util)
         cap.update(100, 4, list)
     return cap
 
@@ -42,15 +48,15 @@
 
 def test_engages_by_the_ready_servers_and_is_lifted_when_little_of_it_is_used() -> None:
     cap = cap_of(0.9)
-    assert cap.n_past == START_PER_SERVER * 4 // 2
-    cap.signals["util"].append(0.3)
+    assert cap.n_past == IN_FLIGHT_PER_BACKEND * 4 // 2
+    cap.utilization_samples.append(0.3)
     cap.update(0, 4, list)
     assert cap.n_past is None and cap.overhead == pytest.approx(0.3)
 
 
 def test_in_full_use_it_rises_and_is_not_lifted() -> None:
     cap = cap_of(0.9)
-    cap.signals["util"].append(0.3)
+    cap.utilization_samples.append(0.3)
     cap.update(16, 4, list)
     assert cap.n_past == 19  # the largest step from 16
 
@@ -62,7 +68,7 @@
     cap.update(0, 4, lambda: [0.8])
     assert cap.n_past == 16
     cores = cap_of()
-    cores.signals["util"].append(0.7)
+    cores.utilization_samples.append(0.7)
     cores.update(0, 4, lambda: [1.0, 1.0])  # where servers report busy cores, ages say nothing
     assert cores.n_past is None
 
@@ -75,20 +81,24 @@
     assert not cap.allows(S - TICK_US, 0, 4)
     lifted = cap_of()
     assert lifted.allows(0, 15, 4) and not lifted.allows(0, 16, 4)
-    assert lifted.allows(0, LEAST_OUT - 1, 0) and not lifted.allows(0, LEAST_OUT, 0)
+    assert lifted.allows(0, MIN_IN_FLIGHT - 1, 0) and not lifted.allows(0, MIN_IN_FLIGHT, 0)
 
 
 def test_period_is_long_where_few_are_sent_and_n_goes_with_it() -> None:
     cap = cap_of(0.9)
-    cap.accepted, cap.wanted = 3, 40
-    assert cap.to_send() == 16  # no more than the cap
+    cap.accepted, cap.admitted = 3, 40
+    assert cap.offered() == 16  # no more than the cap
     cap.end_period(5.0, 4, list)
-    assert (cap.cc_us, cap.n_past, cap.period_us) == (2 * S, 32, S) and cap.to_send() == 0
+    assert (cap.control_period_us, cap.n_past, cap.period_started_at_us) == (
+        2 * S,
+        32,
+        S,
+    ) and cap.offered() == 0
     cap.end_period(50.0, 4, list)
-    assert (cap.cc_us, cap.n_past, cap.period_us) == (S, 16, 3 * S)
+    assert (cap.control_period_us, cap.n_past, cap.period_started_at_us) == (S, 16, 3 * S)
 
 
 def test_second_follows_the_aims_of_the_deployment() -> None:
     for aim_us, second in ((3 * S, S), (3 * S // 4, S // 2)):
-        cap = Cap(replace(SETTINGS, classes=(RequestClass(aim_us, 6 * S),)))
-        assert cap.second == cap.cc_us == second
+        cap = OverloadControl(replace(SETTINGS, classes=(RequestClass(aim_us, 6 * S),)))
+        assert cap.time_unit_us == cap.control_period_us == second
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -2,14 +2,15 @@
 
 from dataclasses import replace
 
-from molereach.policy.customers import LEAST_KEPT_US, SILENT_US, Customers
+from molereach.policy.customers import MIN_IDLE_TTL_US, Customers
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
 from molereach.policy.interface.settings import Plan
+from molereach.policy.peer_liveness import PEER_SILENCE_US
 from tests.helpers import SETTINGS, S
 
 NOW = 100 * S
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
-KEY: CustomerKey = (5, 0, 0, 2)
+KEY = CustomerKey(5, 0, 0, 2)
 
 
 class Limits:
@@ -46,61 +47,70 @@
 
 def test_name_of_another_set_opens_no_fresh_burst() -> None:
     customers = customers_of()
-    assert customers.get(NOW, KEY).level == 20
-    other = customers.get(NOW, (5, 0, 1, 2))
-    assert (other.level, other.part, other.ceiling, other.pool) == (0, 0, 0, 0)
-    assert customers.get(NOW + S, KEY) is customers.known[KEY]
-    assert list(customers.known) == [(5, 0, 1, 2), KEY]  # the one seen last at the end
+    assert customers.get(NOW, KEY).tokens == 20
+    other = customers.get(NOW, CustomerKey(5, 0, 1, 2))
+    assert (other.tokens, other.local_tokens, other.ceiling.tokens, other.ceiling.reserve_tokens) == (
+        0,
+        0,
+        0,
+        0,
+    )
+    assert customers.get(NOW + S, KEY) is customers.accounts[KEY]
+    assert list(customers.accounts) == [(5, 0, 1, 2), KEY]  # the one seen last at the end
 
 
 def test_customer_is_forgotten_once_its_stores_are_full_and_nothing_is_out() -> None:
     customers = customers_of()
     known = customers.get(NOW, KEY)
-    customers.forget(NOW + LEAST_KEPT_US)
-    assert KEY in customers.known
-    known.out = 1
-    customers.forget(NOW + LEAST_KEPT_US + 1)
-    assert KEY in customers.known
-    known.out = 0
-    customers.forget(NOW + LEAST_KEPT_US + 1)
-    assert not customers.known and not customers.sets
+    customers.evict_idle(NOW + MIN_IDLE_TTL_US)
+    assert KEY in customers.accounts
+    known.in_flight = 1
+    customers.evict_idle(NOW + MIN_IDLE_TTL_US + 1)
+    assert KEY in customers.accounts
+    known.in_flight = 0
+    customers.evict_idle(NOW + MIN_IDLE_TTL_US + 1)
+    assert not customers.accounts and not customers.first_keys
 
 
 def test_small_parts_of_a_ceiling_leave_a_share_to_the_home_unless_limits_move_it() -> None:
-    assert customers_of().get(NOW, KEY).split == 0.5
-    assert customers_of(replace(PLAN, ceiling_burst=60.0)).get(NOW, KEY).split == 1
-    assert customers_of(limits=Limits()).get(NOW, KEY).split == 1
+    assert customers_of().get(NOW, KEY).ceiling.split_fraction == 0.5
+    assert customers_of(replace(PLAN, ceiling_burst=60.0)).get(NOW, KEY).ceiling.split_fraction == 1
+    assert customers_of(limits=Limits()).get(NOW, KEY).ceiling.split_fraction == 1
 
 
 def test_ceiling_is_its_part_here_and_is_used_up() -> None:
     customers = customers_of(replace(PLAN, ceiling_burst=60.0))
     known = customers.get(NOW, KEY)
-    customers.since_us = NOW
-    assert customers.below_ceiling(NOW, known, 30.0) and not customers.below_ceiling(NOW, known, 31.0)
-    customers.pass_ceiling(NOW, known, 30.0)
-    assert not customers.below_ceiling(NOW, known, 1.0) and customers.below_ceiling(NOW + S, known, 2.0)
-    assert customers_of(Plan()).below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
+    customers.started_at_us = NOW
+    assert customers.is_below_ceiling(NOW, known, 30.0) and not customers.is_below_ceiling(NOW, known, 31.0)
+    customers.spend_ceiling(NOW, known, 30.0)
+    assert not customers.is_below_ceiling(NOW, known, 1.0) and customers.is_below_ceiling(NOW + S, known, 2.0)
+    assert customers_of(Plan()).is_below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
 
 
 def test_limits_are_asked_and_told() -> None:
     limits = Limits()
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
-    assert (known.home, known.reach) == (1, 0.5)
-    assert not customers.below_ceiling(NOW, known, 1.0)
+    assert (known.owner, known.reachable_fraction) == (1, 0.5)
+    assert not customers.is_below_ceiling(NOW, known, 1.0)
     limits.has_room = True
-    assert customers.below_ceiling(NOW, known, 1.0)
-    customers.want(NOW, known, 1.0)
-    customers.pass_ceiling(NOW, known, 1.0)
+    assert customers.is_below_ceiling(NOW, known, 1.0)
+    customers.request_ceiling(NOW, known, 1.0)
+    customers.spend_ceiling(NOW, known, 1.0)
     customers.spend(NOW, known, 4.0)
     assert limits.log == [("want", NOW, KEY, 1.0), ("take", NOW, KEY, 1.0), ("spend", NOW, KEY, 4.0, 6.0)]
-    limits.reached, known.asked_us = (1, 0.9, 0.0), NOW
-    assert customers.get(NOW + SILENT_US, KEY).reach == 0.9
-    assert customers.get(NOW + SILENT_US + 1, KEY).reach == 0.5  # its part alone, of a set of two
+    limits.reached, known.unanswered_since_us = (1, 0.9, 0.0), NOW
+    assert customers.get(NOW + PEER_SILENCE_US, KEY).reachable_fraction == 0.9
+    assert (
+        customers.get(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
+    )  # its part alone, of a set of two
     limits.reached = (2, 1.0, 1.5)
-    level = known.level
-    assert customers.get(NOW + SILENT_US + 1, KEY).home == 2
-    assert known.level == level + 1.5 and known.asked_us > NOW + S  # another home has not been asked
+    level = known.tokens
+    assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).owner == 2
+    assert (
+        known.tokens == level + 1.5 and known.unanswered_since_us > NOW + S
+    )  # another home has not been asked
 
 
 def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
@@ -108,18 +118,20 @@
     limits.reached = (0, 1.0, 0.0)
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
-    customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
-    assert known.level == 17
+    customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
+    assert known.tokens == 17
     limits.new = -2.0
-    customers.take_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
-    assert known.level == 19
+    customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
+    assert known.tokens == 19
 
 
 def test_standing_only_reads() -> None:
     customers = customers_of()
     known = customers.get(NOW, KEY)
-    customers.sets[(0, 0)] = customers.sets.pop(KEY[:2])
-    known.heard_us = NOW - S // 2
-    customers.known = {customers.sets[(0, 0)]: known}
-    assert customers.standing("", NOW) == [(0, 20.0, 10.0, 3.0 * 0.5, 0.0, 0.5)]  # crc32 of no name is 0
-    assert customers.standing("c", NOW) == []
+    customers.first_keys[(0, 0)] = customers.first_keys.pop(KEY[:2])
+    known.replied_at_us = NOW - S // 2
+    customers.accounts = {customers.first_keys[(0, 0)]: known}
+    assert customers.quota_statuses("", NOW) == [
+        (0, 20.0, 10.0, 3.0 * 0.5, 0.0, 0.5)
+    ]  # crc32 of no name is 0
+    assert customers.quota_statuses("c", NOW) == []
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -79,7 +79,7 @@
     world.run(10 * MS)
     for n in range(4):
         world.answer(f"r{n}", AttemptResult.TIMEOUT)
-    assert world.gateway.fleet.servers["s0"].on_trial is False
+    assert world.gateway.load_balancer.backends["s0"].on_trial is False
 
 
 def test_further_attempts_are_few() -> None:
@@ -104,11 +104,13 @@
 def test_request_of_which_nothing_was_sent_is_refused_before_half_of_its_time() -> None:
     for fleet in ((), servers(1)):
         world = World(fleet=fleet)
-        world.gateway.attempts.mean_us = [50.0 * MS]  # so that the aim alone would let it wait for longer
+        world.gateway.attempts.mean_latency_us = [
+            50.0 * MS
+        ]  # so that the aim alone would let it wait for longer
         start = world.now
         world.ask("a", left_us=S)
         if fleet:  # a failed connect has sent nothing
-            world.gateway.fleet.up.clear()
+            world.gateway.load_balancer.ready.clear()
             world.answer("a", AttemptResult.CONNECT_FAILED)
         world.run(S)
         refused = [at for at, action in world.log if isinstance(action, Reject)]
--- a/tests/policy/test_gateway_cap.py
+++ b/tests/policy/test_gateway_cap.py
@@ -7,10 +7,10 @@
 from molereach.policy.interface.actions import ForwardAttempt, Reject
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, LoadReport
 from molereach.policy.interface.settings import Plan, RequestClass
-from molereach.policy.overload_control import START_PER_SERVER, TARGETS, next_n
+from molereach.policy.overload_control import IN_FLIGHT_PER_BACKEND, UTILIZATION_TARGETS, next_n
 from tests.helpers import MS, SAFE, SETTINGS, S, World, of, servers
 
-UTIL = TARGETS["util"]
+UTIL = UTILIZATION_TARGETS
 
 
 def loaded_world(util: float, plans: tuple[Plan, ...] = (Plan(),)) -> World:
@@ -26,11 +26,13 @@
 
 def test_cap_engages_spreads_and_is_lifted() -> None:
     world = loaded_world(0.9)
-    assert world.gateway.cap.n_past == 16  # 8 for each of 4 ready servers, halved over two gateways
+    assert (
+        world.gateway.overload_control.n_past == 16
+    )  # 8 for each of 4 ready servers, halved over two gateways
     for n in range(150):
         world.ask(f"r{n}", customer=f"c{n}")
-    world.run(world.gateway.cap.period_us + S - world.now)
-    start, allowed = world.now, world.gateway.cap.n_past
+    world.run(world.gateway.overload_control.period_started_at_us + S - world.now)
+    start, allowed = world.now, world.gateway.overload_control.n_past
     for _ in range(99):
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt)
@@ -39,8 +41,8 @@
     assert len(sends) == allowed
     assert sends[-1] - sends[0] > 0.8 * S
     idle = loaded_world(0.3)
-    assert idle.gateway.cap.n_past is None
-    assert idle.gateway.cap.overhead == pytest.approx(0.3)
+    assert idle.gateway.overload_control.n_past is None
+    assert idle.gateway.overload_control.overhead == pytest.approx(0.3)
 
 
 def test_what_may_be_out_is_counted_over_those_that_share_the_servers() -> None:
@@ -49,7 +51,7 @@
     world.tell(EndpointListReceived(EndpointListKind.FULL, 2, servers(256), sharing_proxies=21))
     for n in range(120):
         world.ask(f"r{n}")
-    assert len(world.out) == START_PER_SERVER * 256 // 21
+    assert len(world.out) == IN_FLIGHT_PER_BACKEND * 256 // 21
 
 
 def test_period_follows_the_rate() -> None:
@@ -60,8 +62,8 @@
         world.run(500 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(cpu_utilization=0.9))
-    assert world.gateway.cap.cc_us == 2 * S
-    assert 4 <= world.gateway.cap.n_past <= 12
+    assert world.gateway.overload_control.control_period_us == 2 * S
+    assert 4 <= world.gateway.overload_control.n_past <= 12
     assert next_n(10, 1, 0.99, 0.1, UTIL, 4.0) == 4  # steps by the second: 10 * 0.9 ** 8
     assert next_n(10, 10, 0.2, 0.3, UTIL, 4.0) == 20
 
@@ -74,7 +76,7 @@
         world.run(10 * MS)
         for name, attempt in list(world.out):
             world.answer(name, attempt=attempt, report=LoadReport(cpu_utilization=0.3))
-    assert world.gateway.cap.n_past == 19  # the largest step from 16
+    assert world.gateway.overload_control.n_past == 19  # the largest step from 16
 
 
 def test_held_leave_by_worth_then_arrival() -> None:
@@ -108,7 +110,7 @@
     for world in worlds:
         for n in range(200):
             world.ask(f"r{n}")
-        assert world.gateway.cap.n_past is None
+        assert world.gateway.overload_control.n_past is None
     assert sum(len(world.out) for world in worlds) == 80  # 8 for each of 10
     worlds[0].answer("r0")
     worlds[0].run(20 * MS)
@@ -121,7 +123,7 @@
     for n in range(20):
         world.ask(f"r{n}")
     world.run(1100 * MS)
-    assert world.gateway.cap.n_past is not None
+    assert world.gateway.overload_control.n_past is not None
 
 
 def test_cap_starts_and_moves_by_the_second_of_the_deployment() -> None:
@@ -129,10 +131,12 @@
     for scale in (1, 3):
         rule = replace(SAFE, latency_objective_us=round(1.5 * S) // scale)
         gateway = World(replace(SETTINGS, classes=(rule,), proxy_count=2)).gateway
-        assert gateway.cap.cc_us == S // scale
-        gateway.cap.signals["util"] = [0.9]
-        gateway.cap.update(100, 4, list)
-        assert gateway.cap.n_past == 16  # 8 for each of 4 ready servers, halved over two gateways
-        gateway.cap.signals["util"] = [0.1]
-        gateway.cap.update(16, 4, list)
-        assert gateway.cap.n_past == 19
+        assert gateway.overload_control.control_period_us == S // scale
+        gateway.overload_control.utilization_samples = [0.9]
+        gateway.overload_control.update(100, 4, list)
+        assert (
+            gateway.overload_control.n_past == 16
+        )  # 8 for each of 4 ready servers, halved over two gateways
+        gateway.overload_control.utilization_samples = [0.1]
+        gateway.overload_control.update(16, 4, list)
+        assert gateway.overload_control.n_past == 19
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -24,7 +24,7 @@
 
     def ask(self, me: int, name: str, **values: object) -> None:
         for world in self.worlds[:5]:  # also those that have started again
-            world.gateway.customers.ceilings = False
+            world.gateway.customers.has_ceilings = False
         super().ask(me, name, **values)
 
 
@@ -76,8 +76,8 @@
         gates.run(10 * MS)
     gates.run(2 * S)
     assert 36 <= gates.sent() - before <= 49  # of the 16 + 4 * 8 that its quota holds; 31 when held in vain
-    home = gates.worlds[3].gateway.customers.known
-    assert min(customer.level for customer in home.values()) > -1.0  # what was let in is counted once
+    home = gates.worlds[3].gateway.customers.accounts
+    assert min(customer.tokens for customer in home.values()) > -1.0  # what was let in is counted once
 
 
 def test_home_gives_out_what_all_leave_but_those_that_speak_and_do_not_say_so() -> None:
@@ -88,24 +88,26 @@
     home = gates.worlds[7].gateway
     gates.ask(7, "first", customer=name)
     gates.run(200 * MS)
-    (customer,) = home.customers.known.values()
-    home.words.give(customer, 1.0)
-    assert customer.pooled == pytest.approx(0.5)
+    (customer,) = home.customers.accounts.values()
+    home.outbox.grant_ceiling(customer, 1.0)
+    assert customer.ceiling.reserve_fraction == pytest.approx(0.5)
     for n in range(20):
         gates.ask(n % 10, f"w{n}", customer=name)
         gates.run(200 * MS)
-    home.words.give(customer, 1.0)
-    assert customer.pooled == pytest.approx(0.5 * 5 / 10)  # the home and those from 5 on
+    home.outbox.grant_ceiling(customer, 1.0)
+    assert customer.ceiling.reserve_fraction == pytest.approx(0.5 * 5 / 10)  # the home and those from 5 on
     gates.run(11 * S)  # one that says nothing at all also spends nothing
-    home.words.give(customer, 1.0)
-    assert customer.pooled == pytest.approx(0.5 * 5 / 10)
-    gates.worlds[9].gateway.customers.ceilings = False
+    home.outbox.grant_ceiling(customer, 1.0)
+    assert customer.ceiling.reserve_fraction == pytest.approx(0.5 * 5 / 10)
+    gates.worlds[9].gateway.customers.has_ceilings = False
     gates.ask(9, "older", customer=name)  # an older version took its place
     gates.run(200 * MS)
-    customer.pool = 5.0  # filled while more left their share: what that one keeps must not be given out too
-    home.words.give(customer, 1.0)
-    assert customer.pooled == pytest.approx(0.5 * 4 / 10)
-    assert customer.pool == pytest.approx(customer.most_pooled - 1.0)
+    customer.ceiling.reserve_tokens = (
+        5.0  # filled while more left their share: what that one keeps must not be given out too
+    )
+    home.outbox.grant_ceiling(customer, 1.0)
+    assert customer.ceiling.reserve_fraction == pytest.approx(0.5 * 4 / 10)
+    assert customer.ceiling.reserve_tokens == pytest.approx(customer.ceiling.max_reserve_tokens - 1.0)
 
 
 def test_home_that_starts_again_has_its_share_of_ceilings_from_then_on() -> None:
@@ -118,11 +120,11 @@
         gates.run(50 * MS)
     world.out.clear()
     world.timers.clear()
-    world.gateway = Gateway(world.gateway.set)
+    world.gateway = Gateway(world.gateway.settings)
     world.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
     world.ask("now", customer=name, set_size=10)
-    (customer,) = world.gateway.customers.known.values()
-    assert customer.pool == 0
+    (customer,) = world.gateway.customers.accounts.values()
+    assert customer.ceiling.reserve_tokens == 0
     gates.run(500 * MS)
     before = gates.sent()
     for n in range(5):  # of a customer that nobody has met: the part here holds one
@@ -140,15 +142,15 @@
     for n in range(4):
         gates.ask(n % 2, f"w{n}", customer=name)
         gates.run(500 * MS)
-    customer = world.gateway.customers.known[next(iter(world.gateway.customers.known))]
-    customer.ceiling = 0.0
-    customer.given = [(world.now + 300 * MS, 1.0)]
-    assert customer.has_given(world.now + 300 * MS, 1.0)
-    assert not customer.has_given(world.now + 301 * MS, 1.0)
-    assert customer.given == []
+    customer = world.gateway.customers.accounts[next(iter(world.gateway.customers.accounts))]
+    customer.ceiling.tokens = 0.0
+    customer.ceiling.grants = [(world.now + 300 * MS, 1.0)]
+    assert customer.ceiling.has_grant(world.now + 300 * MS, 1.0)
+    assert not customer.ceiling.has_grant(world.now + 301 * MS, 1.0)
+    assert customer.ceiling.grants == []
     for n in range(100):  # also where no request of the customer comes to be sent on
-        customer.take_given(world.now + n * 100 * MS, world.now + n * 100 * MS + 300 * MS, 1.0)
-    assert len(customer.given) <= 4
+        customer.ceiling.add_grant(world.now + n * 100 * MS, world.now + n * 100 * MS + 300 * MS, 1.0)
+    assert len(customer.ceiling.grants) <= 4
 
 
 @pytest.mark.parametrize("kind", [Set, Older])
@@ -168,7 +170,7 @@
             for world in gates.worlds[n // every % 2 :: 2]:
                 world.out.clear()
                 world.timers.clear()
-                world.gateway = Gateway(replace(world.gateway.set, seed=n))
+                world.gateway = Gateway(replace(world.gateway.settings, seed=n))
                 world.tell(EndpointListReceived(EndpointListKind.SAVED, 1, servers(4)))
     times = sorted(
         at for world in gates.worlds for at, action in world.log if isinstance(action, ForwardAttempt)
--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.policy.gossip import LATE_US
+from molereach.policy.gossip import MAX_DEFERRAL_US
 from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject, SendGossip, SetTimer
 from molereach.policy.interface.events import (
     AttemptEnded,
@@ -15,7 +15,7 @@
     EndpointListReceived,
     GossipReceived,
 )
-from molereach.policy.interface.messages import GossipMessage
+from molereach.policy.interface.messages import CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan
 from tests.helpers import MS, PLAN, SETTINGS, S, Set, World, of
 from tests.policy.gateways import UNSAFE, with_class
@@ -56,10 +56,10 @@
         homes = [
             world.gateway
             for world in gates.worlds
-            for customer in world.gateway.customers.known.values()
-            if customer.home == world.gateway.set.proxy_index
+            for customer in world.gateway.customers.accounts.values()
+            if customer.owner == world.gateway.settings.proxy_index
         ]
-    level = next(iter(homes[0].customers.known.values())).level
+    level = next(iter(homes[0].customers.accounts.values())).tokens
     assert level > 6  # of 10, at nine tenths of the rate
 
 
@@ -72,10 +72,10 @@
             gates.ask(n, f"r{gates.worlds[n].now}")
         gates.run(4 * S)
     levels = [
-        customer.level
+        customer.tokens
         for world in gates.worlds
-        for customer in world.gateway.customers.known.values()
-        if customer.home == world.gateway.set.proxy_index
+        for customer in world.gateway.customers.accounts.values()
+        if customer.owner == world.gateway.settings.proxy_index
     ]
     assert levels == [pytest.approx(20, abs=0.5)]
 
@@ -113,9 +113,9 @@
 
     def untold() -> float:
         return sum(
-            max(0.0, customer.spent)
+            max(0.0, customer.unreported_units)
             for world in gates.worlds
-            for customer in world.gateway.customers.known.values()
+            for customer in world.gateway.customers.accounts.values()
         )
 
     most = 0.0
@@ -126,7 +126,7 @@
         gates.run(20 * MS)
     full = plan.quota_burst / size
     assert full / 8 < most <= (size - 1) * full / 4
-    gates.run(LATE_US + 100 * MS)
+    gates.run(MAX_DEFERRAL_US + 100 * MS)
     assert untold() == 0
 
 
@@ -149,7 +149,7 @@
     world.run(2 * S)
     after = world.log[before:]
     (told,) = [at for at, action in after if isinstance(action, SendGossip)]
-    assert LATE_US <= told - asked <= LATE_US + 20 * MS
+    assert MAX_DEFERRAL_US <= told - asked <= MAX_DEFERRAL_US + 20 * MS
     assert len([at for at, action in after if isinstance(action, SetTimer) and at <= told]) <= 3
 
 
@@ -158,7 +158,7 @@
     huge = GossipMessage(1, 0, 0, 2, demand=1e9, requested_units=1e9, tokens=-1e9)
     for word in (GossipMessage(1, 9, 0, 2), GossipMessage(1, 0, 5, 1), GossipMessage(1, 0, 0, 0), huge):
         world.tell(GossipReceived(1, (word,)))
-    assert len(world.gateway.customers.known) == 1
+    assert len(world.gateway.customers.accounts) == 1
 
 
 def test_idle_gateway_wakes_up_once_a_period() -> None:
@@ -173,14 +173,14 @@
         world.ask(f"r{n}", customer=f"c{n}")
         world.answer(f"r{n}")
     world.run(90 * S)
-    assert not world.gateway.customers.known
+    assert not world.gateway.customers.accounts
 
 
 def test_no_time_left_costs_no_quota() -> None:
     world = World()
     for n in range(30):
         world.ask(f"r{n}", left_us=100 * MS)
-    assert next(iter(world.gateway.customers.known.values())).level == 20
+    assert next(iter(world.gateway.customers.accounts.values())).tokens == 20
 
 
 def test_max_out_plan() -> None:
@@ -196,7 +196,7 @@
     world.ask("a")
     server, sent, _ = world.out.pop(("a", 0))
     world.tell(AttemptEnded("a", True, 0, server, AttemptResult.OK, world.now - sent, actual_units=4.0))
-    assert next(iter(world.gateway.customers.known.values())).level == pytest.approx(16)
+    assert next(iter(world.gateway.customers.accounts.values())).tokens == pytest.approx(16)
 
 
 @pytest.mark.parametrize("left", [5, 30, 60, 90, 130, 200, 260])
@@ -208,7 +208,7 @@
     for me, world in enumerate(gates.worlds):
         gates.down = me
         world.tell(EndpointListReceived(EndpointListKind.FULL, 2, ()))
-        world.gateway.attempts.mean_us = [20 * MS]
+        world.gateway.attempts.mean_latency_us = [20 * MS]
         world.ask("a", left_us=left * MS, set_size=20)
         start = world.now
         world.run(S)
@@ -226,8 +226,8 @@
     words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.messages]
     asked = [word for word in words if word.requested_units]
     assert len(asked) == 3
-    (customer,) = world.gateway.customers.known.values()
-    told = sum(word.spent_units for word in words) + customer.spent
+    (customer,) = world.gateway.customers.accounts.values()
+    told = sum(word.spent_units for word in words) + customer.unreported_units
     assert told == pytest.approx(11 - 3 * 10 / 11)  # three times the chance: 10 are left of 11 asked
 
 
@@ -251,10 +251,12 @@
         gates.ask(number, f"r{number}", customer="c9")
         gates.run(20 * MS)
     gates.run(S)
-    (home,) = {customer.home for world in gates.worlds for customer in world.gateway.customers.known.values()}
-    (customer,) = gates.worlds[home].gateway.customers.known.values()
+    (home,) = {
+        customer.owner for world in gates.worlds for customer in world.gateway.customers.accounts.values()
+    }
+    (customer,) = gates.worlds[home].gateway.customers.accounts.values()
     assert 9 <= gates.sent() <= 12
-    assert customer.level == pytest.approx(12 - gates.sent(), abs=0.05)
+    assert customer.tokens == pytest.approx(12 - gates.sent(), abs=0.05)
 
 
 @pytest.mark.parametrize("inside", [True, False])
@@ -263,7 +265,7 @@
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(11):  # the eleventh is past this one's part of the burst
         world.ask(f"a{number}", customer=name, set_size=2)
-    key = next(iter(world.gateway.customers.known))
+    key = next(iter(world.gateway.customers.accounts))
     level = 0.5 if inside else 20.0  # by which the asker itself would draw the other way
     actions = world.tell(
         GossipReceived(1, (GossipMessage(*key, True, 1.0, 0.0, 1.0, level, is_within_quota=inside),))
@@ -296,10 +298,10 @@
         world.ask(f"a{number}")
         world.answer(f"a{number}")
     world.run(29 * S)
-    (customer,) = world.gateway.customers.known.values()
-    assert customer.part == 0.0  # as it was when it was last looked at
+    (customer,) = world.gateway.customers.accounts.values()
+    assert customer.local_tokens == 0.0  # as it was when it was last looked at
     world.run(4 * S)
-    assert not world.gateway.customers.known
+    assert not world.gateway.customers.accounts
 
 
 def test_another_set_of_the_same_customer_opens_no_fresh_burst() -> None:
@@ -318,14 +320,14 @@
             1, (GossipMessage(7, 0, first, size, demand=1.0, spent_units=1.0, requested_units=1.0),)
         )
     )
-    assert not world.gateway.customers.known
+    assert not world.gateway.customers.accounts
     world.tell(GossipReceived(1, (GossipMessage(7, 0, 0, 2, demand=1.0),)))
-    assert len(world.gateway.customers.known) == 1
+    assert len(world.gateway.customers.accounts) == 1
 
 
 def test_wait_for_word_ends_before_half_of_the_time() -> None:
     world = World(replace(SETTINGS, proxy_count=2))
-    world.gateway.attempts.mean_us = [10.0 * MS]
+    world.gateway.attempts.mean_latency_us = [10.0 * MS]
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
     for number in range(10):
         world.ask(f"a{number}", customer=name, set_size=2)
@@ -338,9 +340,9 @@
     """What it said last stood for 10 s, while own demand only added to what it had said."""
     world = World(replace(SETTINGS, proxy_count=2))
     name = peer_customer(world)
-    key = zlib.crc32(name.encode()), 0, 0, 2
+    key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
     world.tell(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, tokens=-5.0),)))
-    customer = world.gateway.customers.known[key]
+    customer = world.gateway.customers.accounts[key]
     for number in range(30):
         world.ask(f"a{number}", customer=name, set_size=2, left_us=S)
         world.run(100 * MS)
--- a/tests/policy/test_gateway_servers.py
+++ b/tests/policy/test_gateway_servers.py
@@ -123,7 +123,7 @@
     world = World(
         replace(SETTINGS, plans=(Plan(),), handshake_price=0.1, idle_connection_ttl_us=5 * S), servers(1)
     )
-    (server,) = world.gateway.fleet.up
+    (server,) = world.gateway.load_balancer.ready
     for result, kept in (
         (AttemptResult.OK, True),
         (AttemptResult.RESET, False),
@@ -131,13 +131,13 @@
         (AttemptResult.TIMEOUT, False),
         (AttemptResult.REJECTED, True),
     ):
-        world.gateway.attempts.retries = 0
+        world.gateway.attempts.retry_policy.tokens = 0
         world.ask(result.value)
         world.answer(result.value, result=result)
-        assert server.is_kept(world.now, world.gateway.set.idle_connection_ttl_us) is kept
+        assert server.has_idle_connection(world.now, world.gateway.settings.idle_connection_ttl_us) is kept
         world.run(S)
     world.run(5 * S)
-    assert not server.is_kept(world.now, world.gateway.set.idle_connection_ttl_us)
+    assert not server.has_idle_connection(world.now, world.gateway.settings.idle_connection_ttl_us)
 
 
 def test_cold_server_is_not_flooded_by_a_hundred_gateways() -> None:
@@ -146,7 +146,7 @@
     gates = Set(100, replace(SETTINGS, plans=(Plan(),), slow_start_fraction=0.2), fleet)
     cold = replace(fleet[0], started_us=gates.worlds[0].now)
     for world in gates.worlds:
-        world.gateway.attempts.mean_us = [10 * MS]
+        world.gateway.attempts.mean_latency_us = [10 * MS]
         world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, (cold,)))
     for n in range(1000):
         gates.ask(n * 7 % 100, f"r{n}", customer=f"c{n}")
@@ -227,11 +227,11 @@
         )
         world.ask(f"a{number}", customer=f"once{number}")
         world.answer(f"a{number}")
-    assert set(world.gateway.fleet.servers) == {"s0", "s1"}
-    assert len(world.gateway.customers.known) == 200
+    assert set(world.gateway.load_balancer.backends) == {"s0", "s1"}
+    assert len(world.gateway.customers.accounts) == 200
     world.run(12 * S)
-    assert not world.gateway.customers.known and not world.gateway.customers.sets
-    assert not world.gateway.attempts.jobs
+    assert not world.gateway.customers.accounts and not world.gateway.customers.first_keys
+    assert not world.gateway.attempts.pending
 
 
 def test_fleet_that_is_all_cold_is_sent_what_comes() -> None:
@@ -239,9 +239,9 @@
     world = World(
         replace(SETTINGS, plans=(Plan(quota_rate=1e4, quota_burst=1e4),), slow_start_fraction=0.9), servers(4)
     )
-    for server in world.gateway.fleet.servers.values():
-        server.warm_from = world.now  # as after a suspicion
-    world.gateway.fleet.rate = 1.0
+    for server in world.gateway.load_balancer.backends.values():
+        server.slow_start_from_us = world.now  # as after a suspicion
+    world.gateway.load_balancer.forward_rate = 1.0
     for number in range(400):
         world.ask(f"a{number}", left_us=6 * S)
         world.run(20 * MS)
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -81,7 +81,7 @@
         assert action.request_id not in self.over
         assert self.states[action.endpoint].state is EndpointState.UP
         outs = [key for key in self.out if key[0] == action.request_id]
-        assert len(outs) == 1 or (self.gateway.set.may_hedge and len(outs) == 2)
+        assert len(outs) == 1 or (self.gateway.settings.may_hedge and len(outs) == 2)
         if before and rule.idempotency is not Idempotency.IDEMPOTENT:
             assert rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             first, place = self.states[before[0][0]], self.states[action.endpoint]
@@ -132,7 +132,7 @@
         self.over.update(self.requests)
         self.out.clear()
         self.timers.clear()
-        self.gateway = type(self.gateway)(self.gateway.set)
+        self.gateway = type(self.gateway)(self.gateway.settings)
         self.tell(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(self.states.values())))
 
     def change_server(self, number: int) -> None:
@@ -171,4 +171,4 @@
 def test_rules_hold_whatever_comes(parallel: bool, steps: list[tuple[int, int, int]]) -> None:
     world = play(parallel, steps)
     assert set(world.requests) == world.over
-    assert not world.gateway.attempts.jobs and not world.gateway.held
+    assert not world.gateway.attempts.pending and not world.gateway.queue.entries
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -25,7 +25,7 @@
         )
     stream = max(streams, key=lambda each: len(each[2]))
     other = replay.made(kind, stream)
-    other.attempts.mean_us[0] += 100.0  # it gives attempts up at other times
+    other.attempts.mean_latency_us[0] += 100.0  # it gives attempts up at other times
     assert "ForwardAttempt" in replay.difference(other, replay.made(gateway.Gateway, stream), stream)
     other = replay.made(kind, stream)
     other.random.random()
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -126,7 +126,7 @@
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.open and not door.gateway.attempts.jobs
+            assert not door.open and not door.gateway.attempts.pending
 
     run(job())
 
@@ -364,11 +364,13 @@
                 for _ in range(10):
                     assert await client.answer() is not None
             view = door.gateway
-            while door.open or door.ended or view.attempts.jobs:
+            while door.open or door.ended or view.attempts.pending:
                 await asyncio.sleep(0.01)
-            assert view.attempts.out == 0 and not any(server.out for server in view.fleet.servers.values())
-            assert not view.held and not view.admission.waits and door.held_bytes == 0
-            assert all(customer.out == 0 for customer in view.customers.known.values())
+            assert view.attempts.in_flight == 0 and not any(
+                server.in_flight for server in view.load_balancer.backends.values()
+            )
+            assert not view.queue.entries and not view.admission.awaiting_owner and door.held_bytes == 0
+            assert all(customer.in_flight == 0 for customer in view.customers.accounts.values())
             pools = door.backends.pools.values()
             while door.backends.count() > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -70,7 +70,7 @@
                 assert await client.answer() in (b"late", "-ERR failed")
                 await turns(5)
                 assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
-                assert not door.open and not door.ended and not door.gateway.attempts.jobs
+                assert not door.open and not door.ended and not door.gateway.attempts.pending
 
     run(job())
 
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -39,7 +39,7 @@
                     client.close()
                     await until(lambda: not door.open)
                     await turns()
-                    assert not door.ended and not door.gateway.attempts.jobs
+                    assert not door.ended and not door.gateway.attempts.pending
                     dials.let_go()
                     peer = await held.accept()
                     pool = door.backends.pools["s0"]
@@ -86,7 +86,7 @@
                 door.client_gone(next(iter(door.open.values())).reply)
                 await turns(9)
                 assert not held.waiting() and peer.pending() == b""
-                assert not door.open and not door.ended and not door.gateway.attempts.jobs
+                assert not door.open and not door.ended and not door.gateway.attempts.pending
 
     run(job())
 
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -22,7 +22,7 @@
     TimerExpired,
 )
 from molereach.policy.interface.settings import Plan
-from molereach.policy.overload_control import START_PER_SERVER
+from molereach.policy.overload_control import IN_FLIGHT_PER_BACKEND
 from molereach.proxy.proxy import FrontDoor
 from tests.races.test_clients_gone import GOES, events, gone
 from tests.races.wire import Peer, machine, turns, until
@@ -30,12 +30,14 @@
 
 GONE_S = 0.1  # from a close until when the last attempt for its client may begin
 TURN_S = 0.02  # the longest turn of the loop
-ROOM = START_PER_SERVER // SETTINGS.proxy_count  # out at one server at once, for each front door
+ROOM = IN_FLIGHT_PER_BACKEND // SETTINGS.proxy_count  # out at one server at once, for each front door
 
 
 def servers_are(door: FrontDoor, state: EndpointState) -> None:
     """The list says so of all of them, as if discovery had told."""
-    entries = tuple(replace(server.entry, state=state) for server in door.gateway.fleet.servers.values())
+    entries = tuple(
+        replace(server.endpoint, state=state) for server in door.gateway.load_balancer.backends.values()
+    )
     door.hear(EndpointListReceived(EndpointListKind.CHANGES, 8, entries), {})
 
 
@@ -54,17 +56,17 @@
             await until(lambda: len(backend.commands) == ROOM)
             peer = Peer.dial(address)
             peer.say(query("a1"))
-            await until(lambda: len(door.gateway.held) == 1)
+            await until(lambda: len(door.gateway.queue.entries) == 1)
             assert not door.open["a1"].out
             go(peer)
             await until(lambda: gone(told) == ["a1"])
             for writer in backend.writers[:ROOM]:
                 writer.write(value(b"ok"))
             await until(lambda: not door.open)
-            door.gateway.release()
+            door.gateway.forward_waiting()
             await turns(9)
             assert [words[2] for words in backend.commands if words[2] == b"a1"] == []
-            assert not door.gateway.attempts.jobs
+            assert not door.gateway.attempts.pending
 
     run(job())
 
@@ -81,15 +83,15 @@
             await until(lambda: bool(backend.commands))
             servers_are(door, EndpointState.DRAINING)
             backend.writers[0].write(b"-BUSY\r\n")
-            await until(lambda: len(door.gateway.held) == 1)
+            await until(lambda: len(door.gateway.queue.entries) == 1)
             go(peer)
             await until(lambda: gone(told) == ["a1"])
             servers_are(door, EndpointState.UP)
-            await until(lambda: door.gateway.fleet.up != [])
-            door.gateway.release()
+            await until(lambda: door.gateway.load_balancer.ready != [])
+            door.gateway.forward_waiting()
             await turns(9)
             assert len(backend.commands) == 1
-            assert not door.open and not door.ended and not door.gateway.attempts.jobs
+            assert not door.open and not door.ended and not door.gateway.attempts.pending
 
     run(job())
 
@@ -114,7 +116,7 @@
                 await until(lambda: not door.ended)
                 await turns(9)
                 assert not second.waiting() and not first.waiting()
-                assert not door.gateway.attempts.jobs
+                assert not door.gateway.attempts.pending
 
     run(job())
 
@@ -143,10 +145,10 @@
             assert "a1" in door.open and not door.open["a1"].out
             go(peer)
             await until(lambda: gone(told) == ["a1"])
-            await until(lambda: not door.gateway.words.waiting)
+            await until(lambda: not door.gateway.outbox.waiting)
             ticks = len(told)
             await until(lambda: sum(isinstance(event, TimerExpired) for event in told[ticks:]) > 0)
-            assert backend.commands == [] and not door.gateway.attempts.jobs
+            assert backend.commands == [] and not door.gateway.attempts.pending
         home.close()
 
     run(job())
@@ -170,7 +172,7 @@
             (peer.finish if half else peer.close)()
             await until(lambda: len(gone(told)) == most)
             await until(lambda: all(writer.is_closing() for writer in backend.writers))  # called off
-            door.gateway.release()
+            door.gateway.forward_waiting()
             await turns(9)
             assert len(backend.commands) == ROOM and not door.open
 
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -37,9 +37,9 @@
                 (connection,) = door.clients.connections
                 heard_from(door, "a1", b"-BUSY\r\n")
                 connection.eof_received()
-                await until(lambda: not door.open and not door.gateway.attempts.jobs)
+                await until(lambda: not door.open and not door.gateway.attempts.pending)
                 assert sent == [] and not door.ended
-                assert not any(server.out for server in door.gateway.fleet.servers.values())
+                assert not any(server.in_flight for server in door.gateway.load_balancer.backends.values())
 
     run(job())
 
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -121,7 +121,9 @@
     for news in away:
         told.say(*news)
         assert not told.ask()
-        assert ("s1" in told.gateway.fleet.servers) is (news[-1].state is DRAINING)  # else it is forgotten
+        assert ("s1" in told.gateway.load_balancer.backends) is (
+            news[-1].state is DRAINING
+        )  # else it is forgotten
     told.say(server(started_us=started_us))
     assert told.ask()
 
@@ -131,7 +133,7 @@
     told.say(kind=EndpointListKind.FAILED)
     assert told.ask()
     told.say(server("s2"), kind=EndpointListKind.FULL)
-    assert [send.endpoint for send in told.ask()] == ["s2"] == list(told.gateway.fleet.servers)
+    assert [send.endpoint for send in told.ask()] == ["s2"] == list(told.gateway.load_balancer.backends)
 
 
 def test_what_its_former_life_still_owes_is_not_held_against_a_server_that_started_anew() -> None:
@@ -141,9 +143,9 @@
     told.say(server(started_us=S))
     for send in sent:
         told.end(send, AttemptResult.TIMEOUT)
-    assert told.ask() and not told.gateway.fleet.servers["s1"].fails
+    assert told.ask() and not told.gateway.load_balancer.backends["s1"].failure_score
     told.say(server(started_us=S))  # said once more: it is the same one
-    assert len(told.gateway.fleet.servers["s1"].out) == 1
+    assert len(told.gateway.load_balancer.backends["s1"].in_flight) == 1
 
 
 class Door:
--- a/tests/races/test_peers_home.py
+++ b/tests/races/test_peers_home.py
@@ -12,7 +12,7 @@
     EndpointListReceived,
     GossipReceived,
 )
-from molereach.policy.interface.messages import GossipMessage
+from molereach.policy.interface.messages import CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan, Settings
 from tests.helpers import MS, SETTINGS, S, Set, World, of, servers
 
@@ -90,7 +90,7 @@
         world.ask(f"a{number}", customer=name, set_size=2, left_us=2 * S)
     world.run(S)
     said = answers_to(world, "a10")
-    key = zlib.crc32(name.encode()), 0, 0, 2
+    key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
     late = GossipMessage(
         *key, True, requested_units=1.0, tokens=-2.0, is_ceiling_granted=True, is_within_quota=inside
     )
@@ -98,8 +98,8 @@
         assert not of(ForwardAttempt, world.tell(GossipReceived(1, (late,))))
     world.run(S)
     assert answers_to(world, "a10") == said and len(said) == 1
-    (customer,) = world.gateway.customers.known.values()
-    assert not customer.given  # nobody waited for the units that it brought
+    (customer,) = world.gateway.customers.accounts.values()
+    assert not customer.ceiling.grants  # nobody waited for the units that it brought
 
 
 def test_word_that_comes_for_a_client_that_has_gone() -> None:
@@ -112,8 +112,8 @@
         zlib.crc32(name.encode()), 0, 0, 2, True, requested_units=1.0, tokens=5.0, is_within_quota=True
     )
     world.tell(GossipReceived(1, (answer,)))
-    (customer,) = world.gateway.customers.known.values()
-    assert customer.level == 5.0  # and it costs the customer nothing
+    (customer,) = world.gateway.customers.accounts.values()
+    assert customer.tokens == 5.0  # and it costs the customer nothing
     world.run(S)
     assert not answers_to(world, "a10")
 
@@ -121,13 +121,13 @@
 def test_older_word_that_comes_last_holds_until_the_next_one_only() -> None:
     world = World(PAIR)
     name = customer_of(world, home=1)
-    key = zlib.crc32(name.encode()), 0, 0, 2
+    key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
     for level in (-5.0, 15.0):  # the second was sent first
         world.tell(GossipReceived(1, (GossipMessage(*key, True, tokens=level),)))
-    customer = world.gateway.customers.known[key]
-    assert customer.part <= 15.0 / 2 and customer.level == 15.0
+    customer = world.gateway.customers.accounts[key]
+    assert customer.local_tokens <= 15.0 / 2 and customer.tokens == 15.0
     world.tell(GossipReceived(1, (GossipMessage(*key, True, tokens=-5.0),)))
-    assert customer.level == -5.0 and customer.part == 0.0
+    assert customer.tokens == -5.0 and customer.local_tokens == 0.0
 
 
 def test_silent_home_is_known_again_by_its_first_word() -> None:
@@ -167,4 +167,4 @@
         )
     ]
     assert len(others) == 1  # of the set that is this one alone
-    assert len(world.gateway.customers.known) == 2
+    assert len(world.gateway.customers.accounts) == 2
--- a/tests/races/test_peers_words.py
+++ b/tests/races/test_peers_words.py
@@ -47,7 +47,7 @@
             loop = asyncio.get_running_loop()
             (answer,) = unpack_words(await loop.sock_recv(peer, 2048))
             assert answer.is_reply and answer.customer_checksum == HOME_0
-            assert [key[0] for key in door.gateway.customers.known] == [HOME_0]
+            assert [key[0] for key in door.gateway.customers.accounts] == [HOME_0]
             assert not [record for record in caplog.records if record.levelno >= logging.ERROR]
             client = await Client.open(address)
             assert await client.ask(resp("PING")) == b"PONG"
--- a/tests/races/test_settings_short.py
+++ b/tests/races/test_settings_short.py
@@ -8,7 +8,7 @@
 from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject, SendGossip
 from molereach.policy.interface.events import AttemptResult
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
-from molereach.policy.overload_control import Cap
+from molereach.policy.overload_control import OverloadControl
 from molereach.policy.time_units import TICK_US
 from tests.helpers import MS, SETTINGS, World
 
@@ -81,5 +81,5 @@
     """With an aim of a millisecond a period was 667 us, and a tick ended thirty; of 1 us, thousands."""
     for aim_us in (1, 1000, 29 * MS):
         rule = RequestClass(aim_us, 400 * MS)
-        assert Cap(replace(SETTINGS, classes=(rule,))).cc_us == TICK_US
-    assert Cap(replace(SETTINGS, classes=(SHORT,))).cc_us == pytest.approx(66_667)
+        assert OverloadControl(replace(SETTINGS, classes=(rule,))).control_period_us == TICK_US
+    assert OverloadControl(replace(SETTINGS, classes=(SHORT,))).control_period_us == pytest.approx(66_667)
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -119,9 +119,9 @@
         name, *parts = line.split(" ")
         if name != "M":
             host.event(name, parts, iter(SHEET.splitlines()[1:]))
-    server = host.gateways[0].attempts.jobs["rq_a"].servers[0].entry.name
+    server = host.gateways[0].attempts.pending["rq_a"].backends[0].endpoint.name
     host.event("ATTEMPT_END", ["rq_a", "1", "0", server, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.gateways[0].cap.signals["util"] == [0.4]
+    assert host.gateways[0].overload_control.utilization_samples == [0.4]
 
 
 @pytest.mark.parametrize(
@@ -200,4 +200,4 @@
     assert len(data) == 3 * WORD.size and data[8] != 0  # any flag is an answer to an older version: so it is
     world = World(replace(SETTINGS, proxy_count=2))
     world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
-    assert not world.gateway.customers.known
+    assert not world.gateway.customers.accounts
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -6,7 +6,7 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from molereach.policy.load_balancing import Fleet
+from molereach.policy.load_balancing import LoadBalancer
 from molereach.subsetting.endpoint_subsetting import LONG, Routing
 from molereach.subsetting.idempotency_groups import STANDINS
 from molereach.subsetting.interface import Address, Seen
@@ -107,14 +107,14 @@
     def __init__(self, settings: Settings, size: int, most: int = 1_000, place: Place = place_of) -> None:
         self.settings, self.size, self.place = settings, size, place
         self.routing = Routing(settings, size, most)
-        self.fleet = Fleet(settings, Random(1))
+        self.fleet = LoadBalancer(settings, Random(1))
         self.known: Known = {}
         self.addresses: dict[str, Address] = {}
         self.long = False
 
     @property
     def told(self) -> Known:
-        entries = (known.entry for known in self.fleet.servers.values())
+        entries = (known.endpoint for known in self.fleet.backends.values())
         return {entry.name: (entry, self.addresses.get(entry.name)) for entry in entries}
 
     @property
@@ -126,7 +126,7 @@
     def hear(self, seen: Seen | None) -> None:
         if seen:
             self.addresses |= seen.addresses
-            self.fleet.learn(NOW, seen.event)
+            self.fleet.apply_endpoint_list(NOW, seen.event)
 
     def change(self, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
         """The model's own way with news."""
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -16,10 +16,11 @@
     EndpointListReceived,
     RequestReceived,
 )
+from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import DeduplicationScope
-from molereach.policy.load_balancing import CHOICES, Fleet
-from molereach.policy.pending_request import Job
-from molereach.policy.quota import Customer
+from molereach.policy.load_balancing import CHOICES, LoadBalancer
+from molereach.policy.pending_request import PendingRequest
+from molereach.policy.quota import CustomerAccount
 from molereach.subsetting.endpoint_subsetting import Routing
 from molereach.subsetting.interface import Seen
 from molereach.subsetting.staging import entry_of
@@ -156,20 +157,20 @@
     looked, steps = [], []
     for count in SIZES:
         routing, seen = long(count)
-        fleet = Fleet(SETTINGS, Random(1))
-        fleet.learn(NOW, seen.event)
-        assert len(fleet.servers) <= SIZE + STANDINS_MOST and len(fleet.up) == len(fleet.servers)
-        up = fleet.up = Counting(fleet.up)  # type: ignore[assignment]
+        fleet = LoadBalancer(SETTINGS, Random(1))
+        fleet.apply_endpoint_list(NOW, seen.event)
+        assert len(fleet.backends) <= SIZE + STANDINS_MOST and len(fleet.ready) == len(fleet.backends)
+        up = fleet.ready = Counting(fleet.ready)  # type: ignore[assignment]
         number = int(seen_of(routing)[5][1:])
         change = learn(routing, [replace(entry(number, count), started_us=NOW - 5 * S)])
         learn(routing, [entry(number, count)])
         assert change is not None and len(change.event.endpoints) == 1
-        customer = Customer(PLAN, (1, 0, 0, 1), SETTINGS, NOW, 0)
-        job = Job(RequestReceived("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
+        customer = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), SETTINGS, NOW, 0)
+        job = PendingRequest(RequestReceived("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
         calls: dict[str, Callable[[], object]] = {
             "choose": lambda fleet=fleet, job=job: fleet.choose(NOW, job),  # type: ignore[misc]
             "end_period": lambda fleet=fleet: fleet.end_period(NOW, 9.0, S),  # type: ignore[misc]
-            "learn": lambda fleet=fleet, change=change: fleet.learn(NOW, change.event),  # type: ignore[misc]
+            "learn": lambda fleet=fleet, change=change: fleet.apply_endpoint_list(NOW, change.event),  # type: ignore[misc]
         }
         steps.append(steps_of(calls[what]))
         looked.append(up.looked)
