--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -72,22 +72,40 @@
         f"{RULES}.customers.Customers", "first_keys", "the set under which it came", Effect.KEPT, FULL_AGAIN
     ),
     Holding(f"{LIMITS}.escrow.Escrow", "accounts", "shares of ceilings", Effect.KEPT, FULL_AGAIN),
-    Holding(f"{LIMITS}.escrow.Escrow", "late", "when loans are looked at", Effect.KEPT, LOANS),
-    Holding(f"{LIMITS}.escrow._Account", "loans", "what is lent of it", Effect.KEPT, LOANS),
-    Holding(f"{LIMITS}.escrow._Account", "debts", "what is borrowed of it", Effect.KEPT, LOANS),
-    Holding(f"{LIMITS}.partition_quota.Reach", "mine", "spending told home", Effect.KEPT, FULL_AGAIN),
-    Holding(f"{LIMITS}.partition_quota.Reach", "homes", "spending told here", Effect.KEPT, FULL_AGAIN),
+    Holding(f"{LIMITS}.escrow.Escrow", "plan_queue", "when loans are looked at", Effect.KEPT, LOANS),
+    Holding(f"{LIMITS}.escrow.CeilingAccount", "loans", "what is lent of it", Effect.KEPT, LOANS),
+    Holding(f"{LIMITS}.escrow.CeilingAccount", "borrowed", "what is borrowed of it", Effect.KEPT, LOANS),
+    Holding(
+        f"{LIMITS}.partition_quota.PartitionQuota",
+        "local_spending",
+        "spending told home",
+        Effect.KEPT,
+        FULL_AGAIN,
+    ),
+    Holding(
+        f"{LIMITS}.partition_quota.PartitionQuota",
+        "owner_states",
+        "spending told here",
+        Effect.KEPT,
+        FULL_AGAIN,
+    ),
     # Words to homes
     Holding(f"{RULES}.gossip.GossipOutbox", "waiting", "words to homes", Effect.ENDS, "80 ms"),
     Holding(f"{RULES}.gossip.GossipOutbox", "deferred", "words to homes", Effect.ENDS, "0.5 s"),
-    Holding(f"{LIMITS}.escrow.Escrow", "out", "words of loans", Effect.ENDS, "the next look, 20 ms"),
-    Holding(f"{LIMITS}.core.Limits", "answers", "words of limits", Effect.ENDS, "the next look, 20 ms"),
+    Holding(f"{LIMITS}.escrow.Escrow", "outbox", "words of loans", Effect.ENDS, "the next look, 20 ms"),
+    Holding(
+        f"{LIMITS}.core.Limits", "pending_replies", "words of limits", Effect.ENDS, "the next look, 20 ms"
+    ),
     Holding(
-        f"{LIMITS}.partition_quota.Reach", "fresh", "spending to be told", Effect.ENDS, "until it is told"
+        f"{LIMITS}.partition_quota.PartitionQuota",
+        "unsent_totals",
+        "spending to be told",
+        Effect.ENDS,
+        "until it is told",
     ),
     Holding(
-        f"{LIMITS}.partition_quota.Reach",
-        "again",
+        f"{LIMITS}.partition_quota.PartitionQuota",
+        "repeat_at_us",
         "spending to be told again",
         Effect.ENDS,
         "until it is told",
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -69,7 +69,7 @@
             account = self.new_account(now_us, key)
         self.accounts[key] = account
         if self.limits:
-            owner, account.reachable_fraction, joined_units = self.limits.reach(now_us, key)
+            owner, account.reachable_fraction, joined_units = self.limits.reachable_quota(now_us, key)
             account.tokens += joined_units
             if owner != account.owner:
                 account.owner = owner
@@ -109,19 +109,19 @@
         account.local_tokens = max(0.0, account.local_tokens - units)
         account.unreported_units += units
         if self.limits:
-            self.limits.spend(now_us, account.key, units, account.local_tokens)
+            self.limits.record_spending(now_us, account.key, units, account.local_tokens)
 
     def request_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> None:
         """A request was admitted that will need so many units of the ceiling."""
         if self.limits and account.plan.ceiling_rate:
-            self.limits.want(now_us, account.key, units)
+            self.limits.request_capacity(now_us, account.key, units)
 
     def is_below_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> bool:
         """Whether so many units may be forwarded now."""
         if not account.plan.ceiling_rate:
             return True
         if self.limits:
-            return self.limits.room(now_us, account.key, units)
+            return self.limits.has_capacity(now_us, account.key, units)
         if account.ceiling.has_grant(now_us, units):
             return True
         return account.refill(now_us).ceiling.tokens >= units
@@ -130,17 +130,17 @@
         """So many units are forwarded."""
         account.ceiling.spend(now_us, units)
         if self.limits and account.plan.ceiling_rate:
-            self.limits.take(now_us, account.key, units)
+            self.limits.consume(now_us, account.key, units)
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> None:
         """Count at the owner what a peer spent since its last message; units that join a set are added."""
         assert self.limits
         account = self.get(now_us, total.key)
-        units = self.limits.spent(now_us, sender, total)
+        units = self.limits.apply_spending_total(now_us, sender, total)
         if units >= 0:
             account.spend(units)
             return
-        account.reachable_fraction = self.limits.reach(now_us, total.key)[1]
+        account.reachable_fraction = self.limits.reachable_quota(now_us, total.key)[1]
         max_tokens = account.plan.quota_burst * account.reachable_fraction
         account.tokens = min(max_tokens, account.tokens - units)
 
@@ -169,4 +169,4 @@
 
     def customer_limits(self, customer: str, now_us: int) -> list[CustomerLimits]:
         """A customer's limits by plan, where a `LimitPolicy` is in use."""
-        return self.limits.held(zlib.crc32(customer.encode()), now_us) if self.limits else []
+        return self.limits.snapshot(zlib.crc32(customer.encode()), now_us) if self.limits else []
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -98,7 +98,7 @@
         if not (self.queue.entries or self.outbox.waiting or self.attempts.pending):
             due_us = max(next_tick_us, min(self.overload_control.period_end_us(), self.outbox.due_us))
         if limits := self.customers.limits:
-            due_us = min(due_us, max(next_tick_us, limits.wake_us))
+            due_us = min(due_us, max(next_tick_us, limits.next_due_us))
         if due_us < self.timer_at_us:
             self.timer_at_us = due_us
             self.actions.append(SetTimer(due_us - self.now_us, 0))
--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -121,7 +121,7 @@
         limits = self.customers.limits
         waiting = self.waiting
         self.enqueue_deferred(now_us)
-        for peer, message in limits.due(now_us) if limits else ():
+        for peer, message in limits.due_messages(now_us) if limits else ():
             waiting.setdefault(peer, []).extend([message] if message else [])
         if not waiting:
             return ()
@@ -134,7 +134,7 @@
             self.add_split_mark(now_us, peer)
             sent.append(SendGossip(peer, tuple(waiting.pop(peer))))
             if limits:
-                limits.told(now_us, peer)
+                limits.mark_sent(now_us, peer)
         return sent
 
     def add_split_mark(self, now_us: int, peer: int) -> None:
--- a/molereach/policy/gossip_receiver.py
+++ b/molereach/policy/gossip_receiver.py
@@ -37,7 +37,7 @@
         self.peers.record_message(now_us, event.sender)
         limits = self.customers.limits
         if limits:
-            limits.hear(now_us, event)
+            limits.receive(now_us, event)
         for message in event.messages:
             if isinstance(message, GossipMessage):
                 self.receive_message(now_us, event.sender, message)
@@ -76,7 +76,7 @@
             account.tokens = min(account.tokens, message.tokens)
         account.remote_demand += message.demand
         limits = self.customers.limits
-        sends_totals = limits is not None and limits.counts(sender)
+        sends_totals = limits is not None and limits.sends_totals(sender)
         account.spend(0.0 if sends_totals else message.spent_units)
         is_within_quota = message.is_within_quota
         if message.requested_units and not is_within_quota:  # else the sender drew itself
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -48,14 +48,14 @@
     TimerExpired,
 )
 from molereach.policy.interface.protocols import LimitPolicy
-from molereach.protocol.gossip_codec import Form
+from molereach.protocol.gossip_codec import GossipCodec
 from molereach.proxy.config import Address, Config, run_out
 from molereach.proxy.connection_draining import drain
 from molereach.proxy.gossip import Peers
 from molereach.proxy.graceful_shutdown import Ending
-from molereach.subsetting.endpoint_subsetting import Routing
-from molereach.subsetting.entry_budget import COPIES
-from molereach.subsetting.interface import Lists, Seen
+from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
+from molereach.subsetting.entry_budget import MAX_LIST_COPIES
+from molereach.subsetting.interface import EndpointList, SubsetUpdate
 
 log = logging.getLogger(__name__)
 
@@ -119,8 +119,8 @@
             self.backends.spawn,
         )
         view = min(MOST_VIEW, max(LEAST_VIEW, self.backends.most))
-        most = round(memory * LIST_SHARE) // (COPIES * ENTRY_BYTES)
-        self.lists: Lists = Routing(config.settings, view, most)
+        most = round(memory * LIST_SHARE) // (MAX_LIST_COPIES * ENTRY_BYTES)
+        self.lists: EndpointList = EndpointSubsetting(config.settings, view, most)
         self.peers = Peers(config.peers, config.settings.proxy_index, self.post)
         self.catalog = Catalog(config)
         self.known: News | None = None  # the list that it started with, as it was heard
@@ -177,7 +177,7 @@
             staged.add(*self.catalog.part(parts.pop()))
         return self.catalog.long_news(self.config.known, staged, EndpointListKind.SAVED)
 
-    def use_limits(self, limits: LimitPolicy, form: Form) -> None:
+    def use_limits(self, limits: LimitPolicy, form: GossipCodec) -> None:
         """Have limits consulted, and their words told; before the first event."""
         self.gateway.limits, self.peers.form = limits, form
 
@@ -219,7 +219,7 @@
         self.ending = Ending(now_us() if told_us is None else told_us, deadlines_us)
         self.hurry(self.ending.answers_by_us)
         await drain(self.ending, self.clients, self.open)
-        for peer, word in self.gateway.limits.bye() * BYES if self.gateway.limits else ():
+        for peer, word in self.gateway.limits.leave_messages() * BYES if self.gateway.limits else ():
             self.peers.tell(SendGossip(peer, (word,)))
         for end in self.last:
             await end()
@@ -287,16 +287,16 @@
         self.take_whole(news)
         return None
 
-    def take_whole(self, news: News) -> Seen | None:
-        return self.show(self.lists.take(news.event, news.addresses))
+    def take_whole(self, news: News) -> SubsetUpdate | None:
+        return self.show(self.lists.apply(news.event, news.addresses))
 
-    def take_over(self, news: LongNews) -> Generator[None, None, Seen | None]:
+    def take_over(self, news: LongNews) -> Generator[None, None, SubsetUpdate | None]:
         return self.show((yield from self.lists.take_over(news.staged, news.kind, news.version)))
 
     def take_in_turns(self, news: LongNews) -> Steps:
         yield from self.take_over(news)
 
-    def show(self, seen: Seen | None) -> Seen | None:
+    def show(self, seen: SubsetUpdate | None) -> SubsetUpdate | None:
         """What the view shows of news, with the orders that lie over it; None concerns nothing in it."""
         if seen:
             self.hear(self.see(seen.event), seen.addresses)
