--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -25,7 +25,7 @@
     take(routing, EndpointListKind.FULL, servers)
     start = routing.index.ring.examined
     lost = [each for each in servers if each.zone == LOST_ZONE]
-    take(routing, EndpointListKind.CHANGES, [replace(each, state=EndpointState.GONE) for each in lost])
+    take(routing, EndpointListKind.CHANGES, [replace(each, state=EndpointState.REMOVED) for each in lost])
     touched = routing.index.ring.examined - start
     told = routing.reported if routing.short_list is None else routing.short_list
     left = len(servers) - len(lost)
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -145,7 +145,7 @@
         """Pairs moved, pairs lost, and views that are not full after it."""
         lost = [self.servers[n] for n in range(self.backends) if self.servers[n].zone == LOST_ZONE]
         for each in lost:
-            place, name, _ = entry_of(replace(each, state=EndpointState.GONE), None)
+            place, name, _ = entry_of(replace(each, state=EndpointState.REMOVED), None)
             self.whole.remove(place, name)
         gone = {each.name.encode() for each in lost}
         wanted, changed, lost_pairs, not_full = min(SIZE, self.whole.ring.up), 0, 0, 0
--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -43,9 +43,11 @@
             pool = self.pools.get(name)
             address = addresses.get(name) or (pool and pool.address)
             start = started.get(name, pool.started_us if pool else 0)
-            if state is EndpointState.GONE or (pool and (pool.address, pool.started_us) != (address, start)):
+            if state is EndpointState.REMOVED or (
+                pool and (pool.address, pool.started_us) != (address, start)
+            ):
                 self.retire(name)
-            if state is not EndpointState.GONE and address and name not in self.pools:
+            if state is not EndpointState.REMOVED and address and name not in self.pools:
                 self.pools[name] = Pool(self, name, address, start)
             if pool := self.pools.get(name):
                 pool.wanted = state is EndpointState.UP
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -16,7 +16,7 @@
 STATES = {
     "SERVING": EndpointState.UP,
     "DRAINING": EndpointState.DRAINING,
-    "DELETED": EndpointState.GONE,
+    "DELETED": EndpointState.REMOVED,
 }
 # What an entry that makes no sense runs into.
 SENSELESS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError, ConfigError)
@@ -87,7 +87,7 @@
     def address(entry: Mapping[str, Any], state: EndpointState) -> Address | None:
         """One that is to get nothing new must be heard of in any case, and needs no address for that."""
         try:
-            return read_address(entry["hostPort"]) if state is not EndpointState.GONE else None
+            return read_address(entry["hostPort"]) if state is not EndpointState.REMOVED else None
         except SENSELESS:
             if state is EndpointState.UP or "lifecycle" not in entry:
                 raise
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -281,7 +281,7 @@
         if news.kind is not EndpointListKind.FAILED:
             self.version, self.seen_by = news.version, news.sharing_proxies
         for server in news.endpoints:
-            if server.state is EndpointState.GONE:
+            if server.state is EndpointState.REMOVED:
                 self.listed.pop(server.name, None)
             else:
                 self.listed[server.name] = server
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -83,7 +83,7 @@
     def receive(self, now_us: int, message: GossipReceived) -> None:
         sender, generation = message.sender, message.incarnation
         self.now_us = now_us
-        self.partition_quota.record_contact(now_us, sender, generation, message.is_heard)
+        self.partition_quota.record_contact(now_us, sender, generation, message.is_receiving)
         if generation is None:
             return
         for word in message.messages:
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -398,12 +398,12 @@
             return
         account.refill(now, self.refill_factor)
         wanted, debt.must_report, debt.pending_request = (
-            debt.pending_request.wanted_share,
-            grant.granted_share < debt.usable_share(now),
+            debt.pending_request.wanted_basis_points,
+            grant.granted_basis_points < debt.usable_share(now),
             None,
         )
         debt.granted_share, debt.granted_until_us, debt.accepted_number = (
-            max(0, min(grant.granted_share, wanted)),
+            max(0, min(grant.granted_basis_points, wanted)),
             until,
             grant.number,
         )
@@ -441,7 +441,12 @@
         assert loan.last_grant is not None
         self.outbox.append((borrower, loan.last_grant))
         debt = account.borrowed.get(borrower)
-        if ask.wanted_share > ask.held_share and debt and debt.usable_share(now) and not debt.pending_request:
+        if (
+            ask.wanted_basis_points > ask.current_basis_points
+            and debt
+            and debt.usable_share(now)
+            and not debt.pending_request
+        ):
             debt.must_report, debt.next_request_us = True, now
             self.plan(now, ask.key, account)
 
@@ -449,7 +454,7 @@
         before = account.usable_share(now)
         # What the borrower holds until it hears otherwise; a claim of more than was lent is not believed.
         lent = loan.lent_share(now)
-        held = max(0, min(ask.held_share, lent))
+        held = max(0, min(ask.current_basis_points, lent))
         if generation != loan.borrower_incarnation:  # words of two lives may overtake: either may be the last
             loan.other_incarnation_share, loan.other_incarnation_until_us = lent, loan.expires_us()
             loan.borrower_incarnation, held = generation, 0
@@ -468,7 +473,7 @@
             round(self.settings.reserved_fraction * account.base_share),
         )
         spare = free - own  # below 0: some of what is lent is wanted back
-        wanted = max(0, min(ask.wanted_share, FULL_SHARE // len(account.members)))
+        wanted = max(0, min(ask.wanted_basis_points, FULL_SHARE // len(account.members)))
         share = max(0, min(wanted, held + spare)) if now >= account.base_usable_from_us else 0
         more = max(0, share - held)
         loan.granted_units = account.tokens * more / before if before > 0 else 0.0
--- a/molereach/policy/interface/actions.py
+++ b/molereach/policy/interface/actions.py
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardAttempt:
-    """Start an attempt; a time-out of 0 lasts until the client gives up.
+    """Start an attempt.
 
-    Its last byte is sent before `whole_by_us`, on the clock of the events, or never: it may wait for a
-    connection, and be taken slowly. 0 is no such bound. `attempt` is its number among the request's.
+    The last byte of the request is sent before `write_deadline_us` or never: the attempt may wait for a
+    connection, and be read slowly.
     """
 
     request_id: str
     endpoint: str
-    timeout_us: int = 0
-    write_deadline_us: int = 0
-    attempt: int = 0
+    timeout_us: int = 0  # 0: none, until the client disconnects
+    write_deadline_us: int = 0  # on the clock of the events; 0: none
+    attempt: int = 0  # its number among the request's
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not taken, and trying again is harmless."""
+    """Final answer: rejected, and a retry is harmless."""
 
     request_id: str
     retry_after_us: int = 0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a Timer event."""
+    """Request a `TimerExpired` event."""
 
     delay_us: int
     token: int
@@ -53,21 +53,21 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check whether a server answers."""
+    """Check whether a backend answers."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close this gateway's idle connections to a server."""
+    """Close this gateway's idle connections to a backend."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send words to one peer."""
+    """Send messages to one peer."""
 
     peer: int
     messages: tuple[GossipMessage | LimitMessage, ...]
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number that the shared counter keeps."""
+    """Add to a number of the shared counter."""
 
     name: int
     amount: float
@@ -84,19 +84,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeToEndpoints:
-    """Follow the changes of the server list, or stop."""
+    """Subscribe to changes of the endpoint list, or end the subscription."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask for the whole server list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """A line for those on call."""
+    """Write a line to the log."""
 
     text: str
 
--- a/molereach/policy/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -10,7 +10,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a health check or a call of the shared counter ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -18,21 +18,21 @@
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    MALFORMED = "spoilt"  # an answer that cannot be read: it ran
+    MALFORMED = "spoilt"  # an answer that cannot be parsed: the request was executed
     CANCELLED = "cancelled"
     NOT_SENT = "moot"
 
 
 class EndpointState(Enum):
-    """What the server list says of a server."""
+    """The state of a backend in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class EndpointListKind(Enum):
-    """What a piece of news from the server list holds."""
+    """What an endpoint list event holds."""
 
     FULL = "full"
     SAVED = "saved"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server says of itself; None where it says nothing of the kind."""
+    """A backend's report on itself; None where a value is missing."""
 
     in_flight: float | None = None
     queue_length: float | None = None
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An entry of the server list."""
+    """A backend in the endpoint list."""
 
     name: str
     zone: int
@@ -67,9 +67,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """News of the servers: the whole list, changes to it, or word that a call failed.
+    """The complete endpoint list, changes to it, or a failure to get it.
 
-    `seen_by` is how many gateways share each of the servers; 0: all do."""
+    `sharing_proxies` is how many gateways share each of the backends; 0: all do.
+    """
 
     kind: EndpointListKind
     version: int
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStreamStarted:
-    """A streamed answer has begun: the attempt belongs to the client."""
+    """A streamed answer has begun: nothing more is owed but the rest of the stream."""
 
     request_id: str
     attempt: int
@@ -105,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; each Send gets one."""
+    """How an attempt ended; there is one for each `ForwardAttempt`."""
 
     request_id: str
     is_request_closed: bool
@@ -120,21 +121,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; nothing is owed any more."""
+    """The client has disconnected; nothing is owed any more."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer that the gateway set has come due."""
+    """A timer that the gateway set has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """The result of a Probe."""
+    """The result of a `CheckHealth`."""
 
     endpoint: str
     result: AttemptResult
@@ -144,18 +145,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message from another gateway. `generation` is new with each start of a sender that tells totals;
-    `hears` says whether it has heard this gateway of late."""
+    """Messages of another gateway."""
 
     sender: int
     messages: tuple[GossipMessage | LimitMessage, ...]
-    incarnation: int | None = None
-    is_heard: bool = True
+    incarnation: int | None = None  # new with each start of a sender that sends spending totals
+    is_receiving: bool = True  # whether the sender has received messages of this gateway recently
 
 
 @dataclass(frozen=True, slots=True)
 class CounterUpdated:
-    """The shared counter's reply to a Count."""
+    """The shared counter's reply to an `AddToCounter`."""
 
     name: int
     result: AttemptResult
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -1,4 +1,8 @@
-"""What gateways tell each other: of customers to their homes, and of shares of ceilings, totals and lives."""
+"""Messages between gateways: on customers' quotas, to and from their owners, and of the `LimitPolicy`.
+
+Amounts are in units. Names of fields are not on the wire: `molereach.protocol.gossip_codec` and
+`molereach.limits.messages` pack the values.
+"""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -15,12 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """What one gateway tells another of a customer: to its home, or from there when it answers.
+    """A report or request to a customer's owner, or the owner's reply.
 
-    A customer goes by a checksum of its name. `demand` and `spent` are new to the home; in an answer,
-    `demand` is that of the whole set. `asked` waits for an answer; `level` is what the set has left or owes.
-    `inside`: whether the home lets in what was asked, as it drew; in an ask, that the asker drew so.
-    `granted`: units as asked come with the answer from the home's share of the ceiling.
+    The first four fields are the `CustomerKey`.
     """
 
     customer_checksum: int
@@ -28,60 +29,58 @@
     set_first: int
     set_size: int
     is_reply: bool = False
-    demand: float = 0.0
-    spent_units: float = 0.0
-    requested_units: float = 0.0
-    tokens: float = 0.0
-    is_ceiling_granted: bool = False
-    is_within_quota: bool | None = None
+    demand: float = 0.0  # not reported before; in a reply, of the whole set
+    spent_units: float = 0.0  # not reported before
+    requested_units: float = 0.0  # above 0 in a request, which the owner answers, and in the reply to it
+    tokens: float = 0.0  # what the set has left, below 0 what it owes
+    is_ceiling_granted: bool = False  # the reply brings the requested units of the ceiling's reserve
+    is_within_quota: bool | None = None  # the owner's draw; in a request, True: the sender drew so
 
 
-SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps no more of any ceiling than its split share
+SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps to the split fraction of ceilings
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """A borrower's state with one lender of a ceiling's share, and what it would hold; shares in 1/10,000.
+    """A borrower's loan from one lender of a ceiling, and the loan that it needs.
 
-    A higher number voids all grants to lower ones. `accepted` is the last ask whose grant took hold,
-    `returned` are units that go back with what is given up.
+    A higher number revokes all grants to lower ones.
     """
 
     key: CustomerKey
     number: int
-    accepted: int
-    held_share: int
-    wanted_share: int
-    returned_units: float = 0.0
+    accepted: int  # the last request whose grant took effect
+    current_basis_points: int  # of the ceiling; a basis point is 1/10,000
+    wanted_basis_points: int
+    returned_units: float = 0.0  # of the part that is given up
 
 
 @dataclass(frozen=True, slots=True)
 class LoanGrant:
-    """A lender's answer to the ask of that number: the whole share lent, and units that come with it once."""
+    """A lender's reply to the request of that number."""
 
     key: CustomerKey
     number: int
-    granted_share: int
-    granted_units: float = 0.0
+    granted_basis_points: int  # of the ceiling: the complete loan
+    granted_units: float = 0.0  # that come with it once
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A gateway has started: what it lent in an earlier life must not be used from now on."""
+    """A gateway has started: what it lent in an earlier incarnation must not be used from now on."""
 
 
 @dataclass(frozen=True, slots=True)
 class JoinAcknowledged:
-    """The answer: nothing of the shares of the gateway with that generation's hello is held here, and totals
-    are told of so many customers whose home it is."""
+    """The reply to a `Join`: the sender holds no loan of that gateway any more."""
 
-    incarnation: int
-    total_count: int = 0
+    incarnation: int  # that joined
+    total_count: int = 0  # customers owned by that gateway whose spending totals follow
 
 
 @dataclass(frozen=True, slots=True)
 class SpendingTotal:
-    """All that a gateway has spent of a customer's quota since its start, and what is left of its part."""
+    """What a gateway has spent of a customer's quota since its start, and what is left in its bucket."""
 
     key: CustomerKey
     spent_units: float
@@ -90,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """A gateway has ended in order: it spends nothing any more."""
+    """A gateway has shut down gracefully: it spends nothing any more."""
 
 
 LimitMessage = LoanRequest | LoanGrant | Join | JoinAcknowledged | SpendingTotal | Leave
--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -1,4 +1,4 @@
-"""What the decisions consult: cores without I/O that are handed in, or not."""
+"""What the policy consults: cores without I/O that are handed to the gateway, or not."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,65 +9,72 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerLimits:
-    """What one front door knows of a customer's limits; shares from 0 to 1, units, seconds."""
+    """What one gateway knows of a customer's limits under one plan; amounts in units.
+
+    The field names are those of the fleet's control protocol.
+    """
 
     plan: int
-    share: float  # of the ceiling, held here now
-    store: float  # units that may be sent on under it
-    lent: dict[int, float]  # share by borrower
-    borrowed: dict[int, float]  # share by lender
-    oldest_s: float  # age of the oldest loan taken, 0 for none
-    taken: float  # units sent on under the ceiling, since the account was opened
-    spent: float  # units of the quota spent here and told to its home
-    apart: list[int]  # at the home: whose parts are not in its store
+    share: float  # of the ceiling, held here now, from 0 to 1
+    store: float  # units that may be forwarded under it
+    lent: dict[int, float]  # fraction of the ceiling by borrower
+    borrowed: dict[int, float]  # fraction of the ceiling by lender
+    oldest_s: float  # age of the oldest loan borrowed, 0 for none
+    taken: float  # units forwarded under the ceiling since the account was created
+    spent: float  # units of the quota that were spent here and reported to the owner
+    apart: list[int]  # at the owner: gateways whose part of the quota is not in its bucket
 
 
 class LimitPolicy(Protocol):
-    """Shares of ceilings that move, and how much of a quota may be spent here; a core without I/O.
+    """Ceilings divided by loans, and quotas that hold during a network partition; a core without I/O.
 
-    Without one, a gateway has its fixed part of each ceiling and takes the last word on a quota as it is.
+    Without one, a gateway has a fixed part of each ceiling and goes by the owner's last reply on a quota.
+    Amounts are in units, times in microseconds on the clock of the events.
     """
 
     def start(self, now_us: int) -> None:
-        """The gateway lives from now on; called once, before all others."""
+        """The gateway starts; called once, before all others."""
 
     def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """A try came that will take so much of its customer's ceiling."""
+        """A request was admitted that will need so much of its customer's ceiling."""
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
-        """Whether so much may be sent on under the customer's ceiling now."""
+        """Whether so much may be forwarded under the customer's ceiling now."""
 
     def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """So much was sent on."""
+        """So much was forwarded."""
 
     def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        """The customer's home as seen from here; where that is this gateway, the part of the quota, from 0 to
-        1, that this side of a split may spend; and units that have joined the store since the last call."""
+        """The customer's owner, the fraction of its quota that is reachable, and units that joined.
+
+        The fraction, from 0 to 1, is what this side of a network partition may spend, where this gateway is
+        the owner. The units have joined the owner's bucket since the last call.
+        """
 
     def record_spending(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
-        """So much of the quota was spent here (below 0: given back), and so much of the part here is left."""
+        """So much of the quota was spent here (below 0: returned); `left` is in the local bucket."""
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        """What is new in a total, in units to be taken from the customer's store at its home."""
+        """What is new in a total: units to be taken from the customer's bucket at its owner."""
 
     def sends_totals(self, sender: int) -> bool:
-        """Whether the other gateway tells totals, so that what its words say of spending is passed over."""
+        """Whether the peer sends spending totals, so that the spending in its other messages is ignored."""
 
     def receive(self, now_us: int, message: GossipReceived) -> None:
-        """A message from another gateway, before the module looks at its words."""
+        """A message of another gateway, before the policy applies it."""
 
     def leave_messages(self) -> list[tuple[int, LimitMessage]]:
-        """The last words, for each a peer."""
+        """The last messages before a graceful shutdown, each with its peer."""
 
     def mark_sent(self, now_us: int, peer: int) -> None:
-        """A message has just left for a peer."""
+        """A message has just been sent to the peer."""
 
     def due_messages(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
-        """Words to peers by now; None asks for a message to the peer even if there is no word for it."""
+        """Messages to be sent by now, each with its peer; None asks for any message to the peer."""
 
     @property
     def next_due_us(self) -> int:
-        """When `due` has something to do without an event."""
+        """When `due_messages` has something to send without an event."""
 
     def snapshot(self, customer: int, now_us: int) -> list[CustomerLimits]:
         """What is known of a customer, by the checksum of its name; it only reads."""
--- a/molereach/policy/load_balancing.py
+++ b/molereach/policy/load_balancing.py
@@ -78,7 +78,7 @@
                 known.forwarded_at_us = now_us
                 known.slow_start_credit = self.random.random()
         known.endpoint = endpoint
-        if endpoint.state is EndpointState.GONE:  # its name does not come again
+        if endpoint.state is EndpointState.REMOVED:  # its name does not come again
             del self.backends[endpoint.name]
 
     def update_ready_capacity(self, now_us: int) -> None:
--- a/molereach/simulator/event_parser.py
+++ b/molereach/simulator/event_parser.py
@@ -34,7 +34,7 @@
     "called_off": AttemptResult.CANCELLED,
     "not_sent": AttemptResult.NOT_SENT,
 }
-ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.GONE}
+ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.REMOVED}
 ENDPOINT_LIST_KINDS = {
     "snapshot": EndpointListKind.FULL,
     "disk": EndpointListKind.SAVED,
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -209,7 +209,7 @@
     """Apply changes to a short list; a backend keeps its address where a change names none."""
     for endpoint in endpoints:
         before = short_list.pop(endpoint.name, None)
-        if endpoint.state is not EndpointState.GONE:
+        if endpoint.state is not EndpointState.REMOVED:
             short_list[endpoint.name] = endpoint, addresses.get(endpoint.name) or (before and before[1])
 
 
@@ -220,7 +220,7 @@
         endpoint.zone,
         endpoint.kind,
         endpoint.cell,
-        EndpointState.GONE,
+        EndpointState.REMOVED,
         endpoint.size,
         endpoint.started_us,
     )
--- a/molereach/subsetting/staging.py
+++ b/molereach/subsetting/staging.py
@@ -29,7 +29,7 @@
 def entry_of(server: Endpoint, address: Address | None) -> StagedEntry:
     """The entry of an endpoint; raises EndpointListError where it fits no record."""
     name = encode_name(server.name)
-    if server.state is EndpointState.GONE:
+    if server.state is EndpointState.REMOVED:
         return StagedEntry(backend_position(name), name, True)
     return StagedEntry(backend_position(name), pack(server, address, name), False)
 
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -299,7 +299,7 @@
         async with deaf() as (address, listener):
             sender = Sender(address)
             sender.send()
-            sender.backends.update({"s": EndpointState.GONE}, {}, whole=False)
+            sender.backends.update({"s": EndpointState.REMOVED}, {}, whole=False)
             assert await sender.result() is AttemptResult.CONNECT_FAILED  # never ran: it may go elsewhere
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -70,17 +70,17 @@
         key=CUSTOMER_KEY,
         number=0x10203040,
         accepted=7,
-        held_share=2500,
-        wanted_share=10_000,
+        current_basis_points=2500,
+        wanted_basis_points=10_000,
         returned_units=3.14,
     ),
     "loan-ask-split": LoanRequest(
-        key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, held_share=0, wanted_share=1
+        key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, current_basis_points=0, wanted_basis_points=1
     ),
     "loan-grant": LoanGrant(
-        key=CUSTOMER_KEY, number=0x10203040, granted_share=10_000, granted_units=42_949_672.94
+        key=CUSTOMER_KEY, number=0x10203040, granted_basis_points=10_000, granted_units=42_949_672.94
     ),
-    "loan-grant-empty": LoanGrant(key=CUSTOMER_KEY, number=2, granted_share=0),
+    "loan-grant-empty": LoanGrant(key=CUSTOMER_KEY, number=2, granted_basis_points=0),
     "hello": Join(),
     "clear": JoinAcknowledged(incarnation=GENERATION, total_count=300),
     "clear-no-totals": JoinAcknowledged(incarnation=0),
--- a/tests/compatibility/test_gossip.py
+++ b/tests/compatibility/test_gossip.py
@@ -57,7 +57,7 @@
     for data in datagrams(f"gossip-limits-{name}.hex"):
         message = packing.unpack(samples.SENDER, data)
         assert message is not None
-        assert (message.incarnation, message.is_heard) == (
+        assert (message.incarnation, message.is_receiving) == (
             samples.GENERATION,
             packing.receives_from(samples.PEER),
         )
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -64,7 +64,7 @@
         draining = EndpointState.DRAINING
         assert states == {"s1": EndpointState.UP, "s2": draining, "s3": draining}
         assert (second.event.kind, second.event.version) == (EndpointListKind.CHANGES, 6)
-        assert second.event.endpoints[0].state is EndpointState.GONE
+        assert second.event.endpoints[0].state is EndpointState.REMOVED
 
     run(job())
 
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -245,7 +245,7 @@
     )  # the same ask has the same grant, and costs once
     after = pair.doors[lender].available_units(pair.now, KEY)
     assert after < before / 2
-    again = replace(ask, number=ask.number + 1, wanted_share=0)  # type: ignore[type-var]
+    again = replace(ask, number=ask.number + 1, wanted_basis_points=0)  # type: ignore[type-var]
     pair.hear(0, lender, again)  # type: ignore[arg-type]
     assert pair.doors[lender].available_units(pair.now, KEY) == pytest.approx(before, rel=0.1)
     pair.hear(0, lender, replace(again, number=again.number + 1, accepted=again.number))  # type: ignore[arg-type]
--- a/tests/policy/rules/test_fleet.py
+++ b/tests/policy/rules/test_fleet.py
@@ -45,7 +45,9 @@
     kept = fleet.backends["s0"]
     fleet.apply_endpoint_list(
         NOW,
-        EndpointListReceived(EndpointListKind.CHANGES, 2, (third, replace(second, state=EndpointState.GONE))),
+        EndpointListReceived(
+            EndpointListKind.CHANGES, 2, (third, replace(second, state=EndpointState.REMOVED))
+        ),
     )
     assert set(fleet.backends) == {"s0", "s2"} and fleet.backends["s0"] is kept
     fleet.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
--- a/tests/policy/test_gateway_servers.py
+++ b/tests/policy/test_gateway_servers.py
@@ -53,7 +53,7 @@
     return gates, start
 
 
-@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_nothing_new_to_a_draining_server(state: EndpointState) -> None:
     world = World(fleet=servers(2))
     world.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, servers(1, state=state)))
@@ -223,7 +223,9 @@
         gone = Endpoint(f"x{number}", 0, 0, 0, EndpointState.UP)
         world.tell(EndpointListReceived(EndpointListKind.CHANGES, number, (gone,)))
         world.tell(
-            EndpointListReceived(EndpointListKind.CHANGES, number, (replace(gone, state=EndpointState.GONE),))
+            EndpointListReceived(
+                EndpointListKind.CHANGES, number, (replace(gone, state=EndpointState.REMOVED),)
+            )
         )
         world.ask(f"a{number}", customer=f"once{number}")
         world.answer(f"a{number}")
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -25,7 +25,7 @@
     assert await peer.hear() == b""
 
 
-@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_attempt_that_waits_for_its_dial_goes_elsewhere_once_its_server_drains(state: EndpointState) -> None:
     """The list is known to the module before the attempt is back: it wastes no further one there."""
 
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -77,7 +77,7 @@
 
 
 def gone() -> Endpoint:
-    return Endpoint("s0", 0, 0, 0, EndpointState.GONE)
+    return Endpoint("s0", 0, 0, 0, EndpointState.REMOVED)
 
 
 @pytest.mark.parametrize("said", [b"", b"*3\r\n$2\r\no", b"-ERR fai"])
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_answers.py
@@ -9,7 +9,7 @@
 from tests.races.wire import Peer, machine, turns
 from tests.sockets import HEAD, chunk, run
 
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
 def test_indented_lists_are_read_in_a_watch_and_in_the_whole_list() -> None:
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_lists.py
@@ -26,7 +26,7 @@
 from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
 
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
 def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -39,7 +39,7 @@
 }
 Known = dict[str, tuple[Endpoint, Address | None]]
 Place = Callable[[bytes], int]
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
 def settings_of(me: int = 0, doors: int = 5, groups: Sequence[DeduplicationScope] = ()) -> Settings:
