--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -69,10 +69,11 @@
             account = self.new_account(now_us, key)
         self.accounts[key] = account
         if self.limits:
-            owner, account.reachable_fraction, joined_units = self.limits.reachable_quota(now_us, key)
-            account.tokens += joined_units
-            if owner != account.owner:
-                account.owner = owner
+            quota = self.limits.reachable_quota(now_us, key)
+            account.reachable_fraction = quota.fraction
+            account.tokens += quota.joined_units
+            if quota.owner != account.owner:
+                account.owner = quota.owner
                 account.unanswered_since_us = NEVER_US
             if now_us - account.unanswered_since_us > PEER_SILENCE_US:  # nobody says what the others spend
                 account.reachable_fraction = 1 / account.set_size
@@ -140,7 +141,7 @@
         if units >= 0:
             account.spend(units)
             return
-        account.reachable_fraction = self.limits.reachable_quota(now_us, total.key)[1]
+        account.reachable_fraction = self.limits.reachable_quota(now_us, total.key).fraction
         max_tokens = account.plan.quota_burst * account.reachable_fraction
         account.tokens = min(max_tokens, account.tokens - units)
 
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -50,8 +50,8 @@
     key: CustomerKey
     number: int
     accepted: int  # the last request whose grant took effect
-    current_basis_points: int  # of the ceiling; a basis point is 1/10,000
-    wanted_basis_points: int
+    borrower_share: int  # of the ceiling, in 1/10,000
+    wanted_share: int
     returned_units: float = 0.0  # of the part that is given up
 
 
@@ -61,7 +61,7 @@
 
     key: CustomerKey
     number: int
-    granted_basis_points: int  # of the ceiling: the complete loan
+    granted_share: int  # of the ceiling, in 1/10,000: the complete loan
     granted_units: float = 0.0  # that come with it once
 
 
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/rules/test_customers.py
@@ -4,6 +4,7 @@
 
 from molereach.policy.customers import MIN_IDLE_TTL_US, Customers
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
+from molereach.policy.interface.protocols import ReachableQuota
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PEER_SILENCE_US
 from tests.helpers import SETTINGS, S
@@ -18,11 +19,11 @@
 
     def __init__(self) -> None:
         self.log: list[tuple[object, ...]] = []
-        self.reached: tuple[int, float, float] = (1, 0.5, 0.0)
+        self.quota = ReachableQuota(1, 0.5, 0.0)
         self.has_room, self.new = False, 3.0
 
-    def reachable_quota(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        return self.reached
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        return self.quota
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
         return self.has_room
@@ -104,22 +105,21 @@
         ("consume", NOW, KEY, 1.0),
         ("record_spending", NOW, KEY, 4.0, 6.0),
     ]
-    limits.reached, known.unanswered_since_us = (1, 0.9, 0.0), NOW
+    limits.quota = ReachableQuota(1, 0.9, 0.0)
+    known.unanswered_since_us = NOW
     assert customers.get(NOW + PEER_SILENCE_US, KEY).reachable_fraction == 0.9
-    assert (
-        customers.get(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
-    )  # its part alone, of a set of two
-    limits.reached = (2, 1.0, 1.5)
-    level = known.tokens
+    # Its local bucket alone, of a set of two
+    assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
+    limits.quota = ReachableQuota(2, 1.0, 1.5)
+    tokens = known.tokens
     assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).owner == 2
-    assert (
-        known.tokens == level + 1.5 and known.unanswered_since_us > NOW + S
-    )  # another home has not been asked
+    assert known.tokens == tokens + 1.5
+    assert known.unanswered_since_us > NOW + S  # the new owner has been sent no request
 
 
 def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
     limits = Limits()
-    limits.reached = (0, 1.0, 0.0)
+    limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
     known = customers.get(NOW, KEY)
     customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
