--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small driver for the module: settings, a server list and the bookkeeping of a fair world."""
+"""Drivers for gateways: settings, an endpoint list, a clock and the attempts in flight."""
 
 import random
 from collections.abc import Iterable
@@ -22,123 +22,143 @@
 from molereach.policy.interface.messages import GossipMessage
 from molereach.policy.interface.settings import Plan, RequestClass, Settings
 
-MS, S = 1_000, 1_000_000
-SAFE = RequestClass(latency_objective_us=2 * S, deadline_us=6 * S)
+MILLISECOND_US, SECOND_US = 1_000, 1_000_000
+IDEMPOTENT = RequestClass(latency_objective_us=2 * SECOND_US, deadline_us=6 * SECOND_US)
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
 SETTINGS = Settings(
     seed=7,
     proxy_index=0,
     proxy_count=1,
-    classes=(SAFE,),
+    classes=(IDEMPOTENT,),
     plans=(PLAN,),
     max_attempts=3,
     may_cancel=True,
     may_gossip=True,
     gossip_messages_per_s=100.0,
-    max_retry_after_us=500 * MS,
+    max_retry_after_us=500 * MILLISECOND_US,
     slow_start_fraction=0.2,
-    slow_start_window_us=10 * S,
+    slow_start_window_us=10 * SECOND_US,
     overload_multiple=2.0,
-    overload_window_us=S,
-    answer_grace_us=8 * MS,
+    overload_window_us=SECOND_US,
+    answer_grace_us=8 * MILLISECOND_US,
 )
 
 
-def servers(count: int, **changes: object) -> tuple[Endpoint, ...]:
+def endpoints(count: int, **changes: object) -> tuple[Endpoint, ...]:
+    """Backends that are up, in two zones and in cells of two."""
     return tuple(
         replace(Endpoint(f"s{n}", n % 2, 0, n // 2, EndpointState.UP), **changes) for n in range(count)
     )
 
 
-class World:
-    """One gateway with the clock, the timers and the attempts that are out."""
+class GatewayDriver:
+    """One gateway with its clock, its timers and its attempts in flight."""
 
-    def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = servers(4)) -> None:
-        self.now = 100 * S
+    def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = endpoints(4)) -> None:
+        self.now_us = 100 * SECOND_US
         self.gateway = Gateway(settings)
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple[int, Action]] = []
-        self.out: dict[tuple[str, int], tuple[str, int, int]] = {}
-        self.tries: dict[str, int] = {}
-        self.tell(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(fleet)))
+        self.in_flight: dict[tuple[str, int], tuple[str, int, int]] = {}
+        self.attempt_counts: dict[str, int] = {}
+        self.handle(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(fleet)))
 
-    def tell(self, event: Event) -> list[Action]:
-        actions = self.gateway.handle(self.now, event)
+    def handle(self, event: Event) -> list[Action]:
+        """Give the gateway an event; the actions that it returns."""
+        actions = self.gateway.handle(self.now_us, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.log.append((self.now_us, action))
             if isinstance(action, SetTimer):
-                self.timers.append((self.now + action.delay_us, action.token))
+                self.timers.append((self.now_us + action.delay_us, action.token))
             if isinstance(action, ForwardAttempt):
-                number = self.tries.get(action.request_id, 0)
-                self.tries[action.request_id] = number + 1
-                self.out[(action.request_id, number)] = (action.endpoint, self.now, action.timeout_us)
+                number = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = number + 1
+                self.in_flight[(action.request_id, number)] = (
+                    action.endpoint,
+                    self.now_us,
+                    action.timeout_us,
+                )
         return actions
 
-    def run(self, time_us: int) -> list[Action]:
-        """Let time pass; the actions that timers brought."""
-        end, start = self.now + time_us, len(self.log)
-        while self.timers and min(self.timers)[0] <= end:
+    def advance(self, time_us: int) -> list[Action]:
+        """Let time pass; the actions that expired timers brought."""
+        end_us = self.now_us + time_us
+        start = len(self.log)
+        while self.timers and min(self.timers)[0] <= end_us:
             due = min(self.timers)
             self.timers.remove(due)
-            self.now = due[0]
-            self.tell(TimerExpired(due[1]))
-        self.now = end
+            self.now_us = due[0]
+            self.handle(TimerExpired(due[1]))
+        self.now_us = end_us
         return [action for _, action in self.log[start:]]
 
-    def ask(self, name: str, left_us: int = 6 * S, **values: object) -> list[Action]:
+    def send_request(self, name: str, left_us: int = 6 * SECOND_US, **values: object) -> list[Action]:
+        """A request of that id arrives; `values` are other fields of the event."""
         request = RequestReceived(name, 0, 0, "c", left_us)
-        return self.tell(replace(request, **values))
+        return self.handle(replace(request, **values))
 
-    def answer(
+    def end_attempt(
         self,
         name: str,
         result: AttemptResult = AttemptResult.OK,
         attempt: int = 0,
         report: LoadReport | None = None,
     ) -> list[Action]:
-        server, sent, _ = self.out.pop((name, attempt))
-        over = result is AttemptResult.OK
-        event = AttemptEnded(name, over, attempt, server, result, self.now - sent, load_report=report)
-        return self.tell(event)
+        """An attempt in flight ends; a successful one closes its request."""
+        endpoint, forwarded_at_us, _ = self.in_flight.pop((name, attempt))
+        is_closed = result is AttemptResult.OK
+        latency_us = self.now_us - forwarded_at_us
+        event = AttemptEnded(name, is_closed, attempt, endpoint, result, latency_us, load_report=report)
+        return self.handle(event)
 
 
-def of(kind: type, actions: Iterable[Action]) -> list[Action]:
+def of_type(kind: type, actions: Iterable[Action]) -> list[Action]:
+    """The actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
-class Set:
-    """Several gateways that a customer's requests come through, with the messages between them."""
+class GatewayCluster:
+    """Several gateways that receive a customer's requests, with the messages between them.
+
+    `loss` is the probability that a message is lost, `down` a gateway that no message reaches, or -1.
+    """
 
     def __init__(
         self,
         count: int,
         settings: Settings = SETTINGS,
-        fleet: Iterable[Endpoint] = servers(4),
+        fleet: Iterable[Endpoint] = endpoints(4),
         loss: float = 0.0,
     ) -> None:
-        self.worlds = [
-            World(replace(settings, proxy_index=n, proxy_count=count, seed=n), fleet) for n in range(count)
+        self.drivers = [
+            GatewayDriver(replace(settings, proxy_index=n, proxy_count=count, seed=n), fleet)
+            for n in range(count)
         ]
-        self.posted: list[tuple[int, int, tuple[GossipMessage, ...]]] = []
-        self.random, self.loss, self.down = random.Random(3), loss, -1
-
-    def carry(self, sender: int, actions: Iterable[Action]) -> None:
-        self.posted += [(sender, action.peer, action.messages) for action in of(SendGossip, actions)]
-
-    def ask(self, me: int, name: str, **values: object) -> None:
-        self.carry(me, self.worlds[me].ask(name, set_size=len(self.worlds), **values))
-
-    def run(self, time_us: int) -> None:
-        """Time goes by in steps of 10 ms: what was posted arrives, what is out is served."""
-        for _ in range(time_us // (10 * MS)):
-            posted, self.posted = self.posted, []
-            for sender, peer, words in posted:
+        self.messages: list[tuple[int, int, tuple[GossipMessage, ...]]] = []
+        self.random = random.Random(3)
+        self.loss = loss
+        self.down = -1
+
+    def collect_messages(self, sender: int, actions: Iterable[Action]) -> None:
+        """Take the messages among a gateway's actions."""
+        self.messages += [(sender, action.peer, action.messages) for action in of_type(SendGossip, actions)]
+
+    def send_request(self, me: int, name: str, **values: object) -> None:
+        self.collect_messages(me, self.drivers[me].send_request(name, set_size=len(self.drivers), **values))
+
+    def advance(self, time_us: int) -> None:
+        """Let time pass in steps of 10 ms: messages arrive, attempts in flight succeed."""
+        for _ in range(time_us // (10 * MILLISECOND_US)):
+            sent = self.messages
+            self.messages = []
+            for sender, peer, messages in sent:
                 if self.random.random() >= self.loss and self.down not in (sender, peer):
-                    self.carry(peer, self.worlds[peer].tell(GossipReceived(sender, words)))
-            for me, world in enumerate(self.worlds):
-                self.carry(me, world.run(10 * MS))
-                for name, attempt in list(world.out):
-                    world.answer(name, attempt=attempt)
-
-    def sent(self) -> int:
-        return sum(isinstance(action, ForwardAttempt) for world in self.worlds for _, action in world.log)
+                    self.collect_messages(peer, self.drivers[peer].handle(GossipReceived(sender, messages)))
+            for me, driver in enumerate(self.drivers):
+                self.collect_messages(me, driver.advance(10 * MILLISECOND_US))
+                for name, attempt in list(driver.in_flight):
+                    driver.end_attempt(name, attempt=attempt)
+
+    def forwarded_count(self) -> int:
+        """The attempts forwarded so far by all."""
+        return sum(isinstance(action, ForwardAttempt) for driver in self.drivers for _, action in driver.log)
--- a/tests/policy/gateways.py
+++ b/tests/policy/request_classes.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 
 from molereach.policy.interface.settings import Idempotency, RequestClass, Settings
-from tests.helpers import SETTINGS, S
+from tests.helpers import SECOND_US, SETTINGS
 
-UNSAFE = RequestClass(2 * S, 6 * S, idempotency=Idempotency.NON_IDEMPOTENT)
+NON_IDEMPOTENT = RequestClass(2 * SECOND_US, 6 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT)
 
 
 def with_class(rule: RequestClass, **changes: object) -> Settings:
--- a/tests/policy/rules/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -12,9 +12,9 @@
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PEER_SILENCE_US
 from molereach.policy.pending_request import PendingRequest
-from tests.helpers import SAFE, SETTINGS, S
+from tests.helpers import IDEMPOTENT, SECOND_US, SETTINGS
 
-NOW = 100 * S
+NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
 CEILED = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
 HERE = CustomerKey(0, 0, 0, 2)  # its home is the first of the set
@@ -32,51 +32,51 @@
         self.admission = Admission(settings, random, self.customers, self.decide)
         self.receiver = GossipReceiver(settings, random, self.admission)
 
-    def decide(self, job: PendingRequest, chance: float) -> None:
-        self.decided.append((job.request.request_id, chance))
+    def decide(self, pending: PendingRequest, chance: float) -> None:
+        self.decided.append((pending.request.request_id, chance))
 
-    def ask(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> PendingRequest:
+    def admit(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> PendingRequest:
         customer = self.customers.get(now, key)
         customer.local_tokens = part
-        job = PendingRequest(RequestReceived(name, 0, 0, "", 6 * S), SAFE, customer, now, 0)
-        self.admission.admit(now, job)
-        return job
+        pending = PendingRequest(RequestReceived(name, 0, 0, "", 6 * SECOND_US), IDEMPOTENT, customer, now, 0)
+        self.admission.admit(now, pending)
+        return pending
 
-    def words(self, now: int = NOW) -> tuple[object, ...]:
+    def sent_messages(self, now: int = NOW) -> tuple[object, ...]:
         return tuple(word for tell in self.admission.outbox.take_due(now) for word in tell.messages)
 
-    def hear(self, *words: GossipMessage, now: int = NOW) -> None:
+    def receive(self, *words: GossipMessage, now: int = NOW) -> None:
         self.receiver.receive(now, GossipReceived(1, words))
 
 
 def test_part_lets_in_and_the_home_is_told_afterwards() -> None:
     table = Table()
-    table.ask("a", THERE, part=1.0)
+    table.admit("a", THERE, part=1.0)
     assert table.decided == [("a", 1.0)] and not table.admission.awaiting_owner
-    assert table.words() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
+    assert table.sent_messages() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
 
 
 def test_at_the_home_the_chance_rule_decides_at_once() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
     customer.tokens, customer.remote_demand = 2.0, 3.0
-    table.ask("a", HERE)
+    table.admit("a", HERE)
     assert table.decided == [("a", 0.5)]
 
 
 def test_word_from_home_decides_those_that_wait_in_turn() -> None:
     table = Table()
-    first, second = table.ask("a", THERE), table.ask("b", THERE)
+    first, second = table.admit("a", THERE), table.admit("b", THERE)
     assert table.decided == [] and table.admission.awaiting_owner == [first, second]
-    assert [word.requested_units for word in table.words()] == [1.0, 1.0]
-    table.hear(
+    assert [word.requested_units for word in table.sent_messages()] == [1.0, 1.0]
+    table.receive(
         GossipMessage(
             *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=False
         )
     )
     assert table.decided == [("a", 0.0)] and table.admission.awaiting_owner == [second]
     assert first.account.tokens == 4.0 and first.account.remote_demand == 6.0
-    table.hear(
+    table.receive(
         GossipMessage(
             *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=True
         )
@@ -87,76 +87,76 @@
 
 def test_home_that_has_totals_has_counted_nothing_of_an_ask() -> None:
     table = Table()
-    job = table.ask("a", THERE)
+    pending = table.admit("a", THERE)
     table.customers.limits = object()  # type: ignore[assignment]
-    table.admission.resolve_reply(NOW, job.account, is_ceiling_granted=False, is_within_quota=True)
-    assert table.decided == [("a", 1.0)] and job.account.unreported_units == 0
+    table.admission.resolve_reply(NOW, pending.account, is_ceiling_granted=False, is_within_quota=True)
+    assert table.decided == [("a", 1.0)] and pending.account.unreported_units == 0
 
 
 def test_lost_words_are_asked_for_again_and_then_what_is_known_decides() -> None:
     table = Table()
-    job = table.ask("a", THERE)
+    pending = table.admit("a", THERE)
     for number in range(1, MAX_OWNER_REQUESTS):
         table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US - 1)
-        assert job.owner_request_count == number
+        assert pending.owner_request_count == number
         table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US)
-        assert job.owner_request_count == number + 1 and table.decided == []
+        assert pending.owner_request_count == number + 1 and table.decided == []
     table.admission.resolve_expired(NOW + MAX_OWNER_REQUESTS * OWNER_REPLY_TIMEOUT_US)
-    assert table.decided == [("a", 1.0)] and job.account.unreported_units == -MAX_OWNER_REQUESTS
+    assert table.decided == [("a", 1.0)] and pending.account.unreported_units == -MAX_OWNER_REQUESTS
     table.admission.peers.record_message(NOW, 1)
-    gone = table.ask("gone", THERE)
+    gone = table.admit("gone", THERE)
     gone.is_closed = True
-    table.admission.resolve_expired(NOW + S)
+    table.admission.resolve_expired(NOW + SECOND_US)
     assert len(table.decided) == 1 and not table.admission.awaiting_owner
 
 
 def test_home_that_is_silent_is_not_waited_for() -> None:
     table = Table()
-    table.ask("a", THERE)
-    table.admission.request_from_owner(NOW + PEER_SILENCE_US, table.ask("b", THERE, NOW + PEER_SILENCE_US))
-    table.ask("c", THERE, NOW + PEER_SILENCE_US + 1)
+    table.admit("a", THERE)
+    table.admission.request_from_owner(NOW + PEER_SILENCE_US, table.admit("b", THERE, NOW + PEER_SILENCE_US))
+    table.admit("c", THERE, NOW + PEER_SILENCE_US + 1)
     assert [name for name, _ in table.decided] == ["c"]
 
 
 def test_home_adds_up_draws_and_answers() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
-    table.hear(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
+    table.receive(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
     assert (
         customer.remote_demand == 2.0 and customer.tokens == 20.0 - 3.0 - 1.0
     )  # of all its demand it has enough
-    (answer,) = table.words()
+    (answer,) = table.sent_messages()
     assert (
         isinstance(answer, GossipMessage)
         and answer.is_reply
         and answer.is_within_quota
         and answer.tokens == 17.0
     )
-    table.hear(GossipMessage(*HERE, demand=1.0, spent_units=1.0))
+    table.receive(GossipMessage(*HERE, demand=1.0, spent_units=1.0))
     assert not table.admission.outbox.waiting  # nobody waits, and there is plenty
     customer.tokens = 0.5
-    table.hear(GossipMessage(*HERE, demand=1.0, requested_units=1.0))
+    table.receive(GossipMessage(*HERE, demand=1.0, requested_units=1.0))
     assert customer.tokens == 0.5  # it drew no
 
 
 def test_home_that_starts_anew_takes_over_the_level_that_it_is_told() -> None:
     table = Table()
-    table.hear(GossipMessage(*HERE, tokens=6.0))
-    table.hear(GossipMessage(*HERE, tokens=2.0))
+    table.receive(GossipMessage(*HERE, tokens=6.0))
+    table.receive(GossipMessage(*HERE, tokens=2.0))
     assert table.customers.accounts[HERE].tokens == 6.0
 
 
 def test_units_that_the_home_grants_come_with_its_word_and_do_not_keep() -> None:
     table = Table(CEILED)
-    job = table.ask("a", THERE)
+    pending = table.admit("a", THERE)
     word = GossipMessage(
         *THERE, is_reply=True, requested_units=1.0, tokens=4.0, is_ceiling_granted=True, is_within_quota=True
     )
-    table.hear(word, now=NOW + S // 10)
-    assert job.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
-    home = Table(CEILED)
-    home.customers.get(NOW, HERE).ceiling.tokens = 0.0
-    here = home.ask("a", HERE, part=5.0)
+    table.receive(word, now=NOW + SECOND_US // 10)
+    assert pending.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
+    owner = Table(CEILED)
+    owner.customers.get(NOW, HERE).ceiling.tokens = 0.0
+    here = owner.admit("a", HERE, part=5.0)
     assert here.account.ceiling.grants == [
         (NOW + GRANT_TTL_US, 1.0)
     ]  # its own share is short: it gives itself some
@@ -165,6 +165,6 @@
 def test_words_of_sets_without_this_gateway_are_passed_over() -> None:
     table = Table()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
-        table.hear(GossipMessage(*key, tokens=1.0))
-    table.hear(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
+        table.receive(GossipMessage(*key, tokens=1.0))
+    table.receive(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
     assert not table.customers.accounts and table.admission.peers.splits_ceilings(1)
--- /dev/null
+++ b/tests/policy/test_attempts.py
@@ -0,0 +1,209 @@
+"""Requests and their attempts without a gateway: time-outs, means, patience, the retry budget."""
+
+from dataclasses import replace
+
+import pytest
+
+from molereach.policy.attempts import Attempts
+from molereach.policy.backend_state import BackendState
+from molereach.policy.client_timeouts import ClientTimeouts
+from molereach.policy.idempotency import may_reject, may_run_on
+from molereach.policy.interface.events import AttemptEnded, AttemptResult, RequestReceived
+from molereach.policy.interface.messages import CustomerKey
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
+from molereach.policy.pending_request import PendingRequest
+from molereach.policy.quota import CustomerAccount
+from molereach.policy.retry_policy import MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST
+from tests.helpers import IDEMPOTENT, MILLISECOND_US, PLAN, SECOND_US, SETTINGS, endpoints
+
+NOW = 100 * SECOND_US
+ONE, OTHER = map(BackendState, endpoints(2))
+
+
+def attempts_of(rule: RequestClass = IDEMPOTENT, **changes: object) -> tuple[Attempts, PendingRequest]:
+    settings = replace(SETTINGS, classes=(rule,), **changes)
+    attempts = Attempts(settings)
+    account = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), settings, NOW, 0)
+    pending = attempts.pending["a"] = PendingRequest(
+        RequestReceived("a", 0, 0, "c", 6 * SECOND_US), rule, account, NOW, 0
+    )
+    return attempts, pending
+
+
+def outcome(
+    result: AttemptResult, attempt: int = 0, took: int = 10 * MILLISECOND_US, **changes: object
+) -> AttemptEnded:
+    return replace(AttemptEnded("a", False, attempt, "", result, took), **changes)
+
+
+def test_attempt_is_out_until_it_ends_once() -> None:
+    attempts, pending = attempts_of()
+    backend = BackendState(endpoints(1)[0])
+    assert attempts.begin(NOW, pending, backend).endpoint == "s0"
+    assert (attempts.in_flight, pending.account.in_flight, len(backend.in_flight), pending.first_backend) == (
+        1,
+        1,
+        1,
+        backend,
+    )
+    assert attempts.end(NOW, outcome(AttemptResult.OK, 1)) is None
+    assert attempts.end(NOW, outcome(AttemptResult.OK, request_id="b")) is None
+    assert attempts.end(NOW, outcome(AttemptResult.OK)) is pending
+    assert (
+        attempts.in_flight,
+        pending.account.in_flight,
+        len(backend.in_flight),
+        backend.idle_connections,
+    ) == (
+        0,
+        0,
+        0,
+        1,
+    )
+    assert attempts.end(NOW, outcome(AttemptResult.OK)) is None
+    attempts.begin(NOW, pending, backend)
+    assert backend.idle_connections == 0  # the connection that rested is in use, if it did
+
+
+def test_request_that_ran_nowhere_may_go_anywhere() -> None:
+    keyed = RequestClass(
+        2 * SECOND_US,
+        6 * SECOND_US,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window_us=SECOND_US,
+    )
+    for result, ran in (
+        (AttemptResult.REJECTED, False),
+        (AttemptResult.CONNECT_FAILED, False),
+        (AttemptResult.RESET, True),
+    ):
+        attempts, pending = attempts_of(keyed)
+        attempts.begin(NOW, pending, BackendState(endpoints(1)[0]))
+        assert not may_reject(pending, NOW) and not may_run_on(pending, NOW, BackendState(endpoints(4)[3]))
+        attempts.end(NOW, outcome(result))
+        assert (
+            may_reject(pending, NOW) is not ran
+            and may_run_on(pending, NOW, BackendState(endpoints(4)[3])) is not ran
+        )
+        assert pending.unsent_count == (result is AttemptResult.CONNECT_FAILED)
+
+
+def test_refusal_of_what_may_have_run_ends_with_the_window_of_its_repeats() -> None:
+    """A refusal says that trying again is harmless: only for as long as servers know the first."""
+    keyed = RequestClass(
+        2 * SECOND_US,
+        6 * SECOND_US,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=SECOND_US,
+    )
+    attempts, pending = attempts_of(keyed)
+    attempts.begin(NOW, pending, BackendState(endpoints(1)[0]))
+    attempts.end(NOW, outcome(AttemptResult.RESET))
+    assert may_reject(pending, NOW + SECOND_US - 1) and not may_reject(pending, NOW + SECOND_US)
+
+
+def test_attempt_is_given_up_while_another_can_meet_the_aim() -> None:
+    attempts, pending = attempts_of()
+    attempts.mean_latency_us = [200.0 * MILLISECOND_US]
+    assert (
+        attempts.timeout_us(NOW + 1500 * MILLISECOND_US, pending) == 4500 * MILLISECOND_US
+    )  # too late for another to meet the aim
+    assert attempts.begin(NOW, pending, ONE).timeout_us == 2 * SECOND_US - 400 * MILLISECOND_US
+    assert attempts.begin(NOW + SECOND_US, pending, OTHER).timeout_us == 600 * MILLISECOND_US
+    assert (
+        attempts.begin(NOW + SECOND_US, pending, ONE).timeout_us == 5 * SECOND_US
+    )  # the last that it may have
+    attempts, pending = attempts_of(replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT))
+    assert attempts.begin(NOW, pending, ONE).timeout_us == 6 * SECOND_US
+    assert attempts.timeout_us(NOW + 7 * SECOND_US, pending) == 1
+
+
+def test_latencies_move_the_means_and_an_outlier_counts_for_little() -> None:
+    attempts, pending = attempts_of(costs_are_corrected=True)
+    backend = BackendState(endpoints(1)[0])
+    assert attempts.mean_latency_us == [500.0 * MILLISECOND_US]
+    attempts.begin(NOW, pending, backend)
+    pending.is_within_quota, level = True, pending.account.tokens
+    attempts.end(NOW, outcome(AttemptResult.OK, took=5 * SECOND_US, actual_units=3.0))
+    assert backend.slowness == pytest.approx(1.3) and attempts.mean_latency_us == [950.0 * MILLISECOND_US]
+    assert backend.succeeded_at_us == NOW and pending.account.tokens == level - 2.0
+    attempts.begin(NOW, pending, backend)
+    attempts.end(NOW, outcome(AttemptResult.ERROR, 1, took=5 * SECOND_US))
+    assert attempts.mean_latency_us == [950.0 * MILLISECOND_US] and backend.failure_score == 1
+
+
+def test_overdue_are_the_ages_of_what_is_out_for_longer_than_usual() -> None:
+    attempts, pending = attempts_of()
+    attempts.begin(NOW, pending, ONE)
+    assert attempts.overdue_ages(NOW + 500 * MILLISECOND_US) == []
+    assert attempts.overdue_ages(NOW + SECOND_US) == [0.5]
+    assert attempts.overdue_ages(NOW + 4 * SECOND_US) == [1.0]
+
+
+def test_further_attempts_live_on_a_share_of_first_ones() -> None:
+    attempts, pending = attempts_of(max_attempts=99)
+    attempts.begin(NOW, pending, ONE)
+    assert attempts.retry_policy.tokens == MAX_RETRY_TOKENS / 2 + RETRY_TOKENS_PER_REQUEST
+    assert not attempts.retry_policy.may_retry(
+        NOW, pending, AttemptResult.NOT_SENT, attempts.mean_latency_us[0]
+    )
+    for _ in range(4):
+        assert attempts.retry_policy.may_retry(NOW, pending, AttemptResult.RESET, attempts.mean_latency_us[0])
+        attempts.retry_policy.spend(AttemptResult.RESET)
+    assert not attempts.retry_policy.may_retry(NOW, pending, AttemptResult.RESET, attempts.mean_latency_us[0])
+    assert attempts.retry_policy.may_retry(
+        NOW, pending, AttemptResult.CONNECT_FAILED, attempts.mean_latency_us[0]
+    )
+    attempts.retry_policy.spend(AttemptResult.CONNECT_FAILED)
+    assert attempts.retry_policy.tokens == pytest.approx(RETRY_TOKENS_PER_REQUEST)  # as nothing was sent
+    assert not attempts.retry_policy.may_retry(
+        NOW + 6 * SECOND_US - 250 * MILLISECOND_US,
+        pending,
+        AttemptResult.CONNECT_FAILED,
+        attempts.mean_latency_us[0],
+    )
+    attempts, pending = attempts_of(max_attempts=1)
+    attempts.begin(NOW, pending, ONE)
+    assert not attempts.retry_policy.may_retry(
+        NOW, pending, AttemptResult.CONNECT_FAILED, attempts.mean_latency_us[0]
+    )
+
+
+def test_retry_has_that_much_less_of_its_time_left() -> None:
+    timeouts = ClientTimeouts(SETTINGS)
+    first = RequestReceived("f", 0, 0, "c", 6 * SECOND_US)
+    assert timeouts.elapsed_us(replace(first, is_retry=True)) == 0  # nothing is known yet
+    assert timeouts.elapsed_us(first) == 0
+    assert timeouts.elapsed_us(replace(first, remaining_us=4 * SECOND_US, is_retry=True)) == 2 * SECOND_US
+    assert timeouts.elapsed_us(replace(first, remaining_us=3 * SECOND_US)) == 0
+    assert (
+        timeouts.elapsed_us(replace(first, remaining_us=3 * SECOND_US, is_retry=True)) == 0
+    )  # the least of late
+    timeouts.elapsed_us(first)
+    assert timeouts.timeout_us == [3 * SECOND_US + 3 * SECOND_US // 200 + 1]
+    late = ClientTimeouts(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_priority_weight=0.5),)))
+    late.elapsed_us(first)
+    assert late.elapsed_us(replace(first, remaining_us=SECOND_US, is_retry=True)) == 0
+
+
+def test_repeat_says_until_when_it_may_still_be_written() -> None:
+    keyed = RequestClass(
+        2 * SECOND_US,
+        6 * SECOND_US,
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=SECOND_US,
+    )
+    unsafe = replace(IDEMPOTENT, idempotency=Idempotency.NON_IDEMPOTENT)
+    for rule, result, until in (
+        (keyed, AttemptResult.RESET, NOW + SECOND_US),
+        (keyed, AttemptResult.CONNECT_FAILED, 0),
+        (IDEMPOTENT, AttemptResult.RESET, 0),
+        (unsafe, AttemptResult.CONNECT_FAILED, 0),
+    ):
+        attempts, pending = attempts_of(rule)
+        assert attempts.begin(NOW, pending, ONE).write_deadline_us == 0
+        attempts.end(NOW + 10 * MILLISECOND_US, outcome(result))
+        assert attempts.begin(NOW + 20 * MILLISECOND_US, pending, OTHER).write_deadline_us == until
--- a/tests/policy/rules/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -7,9 +7,9 @@
 from molereach.policy.interface.protocols import ReachableQuota
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PEER_SILENCE_US
-from tests.helpers import SETTINGS, S
+from tests.helpers import SECOND_US, SETTINGS
 
-NOW = 100 * S
+NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=6.0)
 KEY = CustomerKey(5, 0, 0, 2)
 
@@ -56,19 +56,19 @@
         0,
         0,
     )
-    assert customers.get(NOW + S, KEY) is customers.accounts[KEY]
+    assert customers.get(NOW + SECOND_US, KEY) is customers.accounts[KEY]
     assert list(customers.accounts) == [(5, 0, 1, 2), KEY]  # the one seen last at the end
 
 
 def test_customer_is_forgotten_once_its_stores_are_full_and_nothing_is_out() -> None:
     customers = customers_of()
-    known = customers.get(NOW, KEY)
+    account = customers.get(NOW, KEY)
     customers.evict_idle(NOW + MIN_IDLE_TTL_US)
     assert KEY in customers.accounts
-    known.in_flight = 1
+    account.in_flight = 1
     customers.evict_idle(NOW + MIN_IDLE_TTL_US + 1)
     assert KEY in customers.accounts
-    known.in_flight = 0
+    account.in_flight = 0
     customers.evict_idle(NOW + MIN_IDLE_TTL_US + 1)
     assert not customers.accounts and not customers.first_keys
 
@@ -81,60 +81,64 @@
 
 def test_ceiling_is_its_part_here_and_is_used_up() -> None:
     customers = customers_of(replace(PLAN, ceiling_burst=60.0))
-    known = customers.get(NOW, KEY)
+    account = customers.get(NOW, KEY)
     customers.started_at_us = NOW
-    assert customers.is_below_ceiling(NOW, known, 30.0) and not customers.is_below_ceiling(NOW, known, 31.0)
-    customers.spend_ceiling(NOW, known, 30.0)
-    assert not customers.is_below_ceiling(NOW, known, 1.0) and customers.is_below_ceiling(NOW + S, known, 2.0)
+    assert customers.is_below_ceiling(NOW, account, 30.0) and not customers.is_below_ceiling(
+        NOW, account, 31.0
+    )
+    customers.spend_ceiling(NOW, account, 30.0)
+    assert not customers.is_below_ceiling(NOW, account, 1.0) and customers.is_below_ceiling(
+        NOW + SECOND_US, account, 2.0
+    )
     assert customers_of(Plan()).is_below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
 
 
 def test_limits_are_asked_and_told() -> None:
     limits = Limits()
     customers = customers_of(limits=limits)
-    known = customers.get(NOW, KEY)
-    assert (known.owner, known.reachable_fraction) == (1, 0.5)
-    assert not customers.is_below_ceiling(NOW, known, 1.0)
+    account = customers.get(NOW, KEY)
+    assert (account.owner, account.reachable_fraction) == (1, 0.5)
+    assert not customers.is_below_ceiling(NOW, account, 1.0)
     limits.has_room = True
-    assert customers.is_below_ceiling(NOW, known, 1.0)
-    customers.request_ceiling(NOW, known, 1.0)
-    customers.spend_ceiling(NOW, known, 1.0)
-    customers.spend(NOW, known, 4.0)
+    assert customers.is_below_ceiling(NOW, account, 1.0)
+    customers.request_ceiling(NOW, account, 1.0)
+    customers.spend_ceiling(NOW, account, 1.0)
+    customers.spend(NOW, account, 4.0)
     assert limits.log == [
         ("request_capacity", NOW, KEY, 1.0),
         ("consume", NOW, KEY, 1.0),
         ("record_spending", NOW, KEY, 4.0, 6.0),
     ]
     limits.quota = ReachableQuota(1, 0.9, 0.0)
-    known.unanswered_since_us = NOW
+    account.unanswered_since_us = NOW
     assert customers.get(NOW + PEER_SILENCE_US, KEY).reachable_fraction == 0.9
     # Its local bucket alone, of a set of two
     assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
     limits.quota = ReachableQuota(2, 1.0, 1.5)
-    tokens = known.tokens
+    tokens = account.tokens
     assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).owner == 2
-    assert known.tokens == tokens + 1.5
-    assert known.unanswered_since_us > NOW + S  # the new owner has been sent no request
+    assert account.tokens == tokens + 1.5
+    assert account.unanswered_since_us > NOW + SECOND_US  # the new owner has been sent no request
 
 
 def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
     limits = Limits()
     limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
-    known = customers.get(NOW, KEY)
+    account = customers.get(NOW, KEY)
     customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
-    assert known.tokens == 17
+    assert account.tokens == 17
     limits.new = -2.0
     customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
-    assert known.tokens == 19
+    assert account.tokens == 19
 
 
 def test_standing_only_reads() -> None:
     customers = customers_of()
-    known = customers.get(NOW, KEY)
+    account = customers.get(NOW, KEY)
     customers.first_keys[(0, 0)] = customers.first_keys.pop(KEY[:2])
-    known.replied_at_us = NOW - S // 2
-    customers.accounts = {customers.first_keys[(0, 0)]: known}
+    account.replied_at_us = NOW - SECOND_US // 2
+    customers.accounts = {customers.first_keys[(0, 0)]: account}
     assert customers.quota_statuses("", NOW) == [
         (0, 20.0, 10.0, 3.0 * 0.5, 0.0, 0.5)
     ]  # crc32 of no name is 0
--- /dev/null
+++ b/tests/policy/test_gossip.py
@@ -0,0 +1,169 @@
+"""Words to peers without a gateway: what they say, when they leave, and what the home gives."""
+
+from dataclasses import replace
+
+import pytest
+
+from molereach.policy.customers import Customers
+from molereach.policy.gossip import MAX_DEFERRAL_US, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US, GossipOutbox
+from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
+from molereach.policy.interface.settings import Plan
+from molereach.policy.peer_liveness import PeerLiveness
+from molereach.policy.quota import DEFER_MAX_UNREPORTED, CustomerAccount
+from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS
+
+NOW = 100 * SECOND_US
+PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+HERE = CustomerKey(0, 0, 0, 2)  # its home is the first of the set
+THERE = CustomerKey(1, 0, 0, 2)
+MARK = GossipMessage(0, SPLIT_CEILING_MARK, 0, 0)
+
+
+def outbox_of(plan: Plan = PLAN, **changes: object) -> GossipOutbox:
+    settings = replace(SETTINGS, plans=(plan,), proxy_count=2, **changes)
+    return GossipOutbox(settings, Customers(settings, None), PeerLiveness())
+
+
+def test_word_says_what_is_new_once() -> None:
+    outbox = outbox_of()
+    account = outbox.customers.get(NOW, THERE)
+    account.unreported_demand, account.unreported_units = 3.0, 2.0
+    outbox.enqueue(1, account, 1.0)
+    outbox.enqueue(1, account, 0.0)
+    (sent,) = outbox.take_due(NOW)
+    assert sent.peer == 1
+    assert sent.messages == (
+        GossipMessage(*THERE, demand=3.0, spent_units=2.0, requested_units=1.0, tokens=20.0),
+        GossipMessage(*THERE, tokens=20.0),
+        MARK,
+    )
+    assert not outbox.waiting and not outbox.take_due(NOW)
+
+
+def test_answer_says_what_the_set_has_left_and_brings_units_unless_the_draw_refused() -> None:
+    outbox = outbox_of()
+    account = outbox.customers.get(NOW, HERE)
+    account.local_demand, account.remote_demand, reserve_tokens = 1.0, 2.0, account.ceiling.reserve_tokens
+    outbox.enqueue(1, account, 1.0, True)
+    outbox.enqueue(1, account, 1.0, False)
+    outbox.enqueue(0, account, 0.0)  # none to itself
+    (sent,) = outbox.take_due(NOW)
+    assert sent.messages == (
+        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
+        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
+        MARK,
+    )
+    assert account.ceiling.reserve_tokens == reserve_tokens - 1.0
+
+
+def test_words_to_a_peer_are_spaced_and_the_mark_comes_now_and_then() -> None:
+    outbox = outbox_of(gossip_messages_per_s=1.0)
+    account = outbox.customers.get(NOW, THERE)
+    marks = []
+    for at in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US):
+        outbox.enqueue(1, account, 0.0)
+        marks.append([MARK in sent.messages for sent in outbox.take_due(NOW + at)])
+    assert marks == [[True], [], [False], [True]]
+    unsplit = outbox_of(Plan(quota_rate=10.0, quota_burst=20.0))
+    unsplit.enqueue(1, unsplit.customers.get(NOW, THERE), 0.0)
+    assert MARK not in unsplit.take_due(NOW)[0].messages
+
+
+def test_home_gives_what_the_set_leaves_and_no_more() -> None:
+    outbox = outbox_of()
+    account = outbox.customers.get(NOW, HERE)
+    assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 2)
+    assert (
+        outbox.grant_ceiling(account, 1.0)
+        and outbox.grant_ceiling(account, 1.0)
+        and not outbox.grant_ceiling(account, 1.0)
+    )
+    outbox.peers.record_message(NOW, 1)  # an older one
+    account.ceiling.reserve_tokens = 2.0
+    assert outbox.grant_ceiling(account, 1.0) and account.ceiling.reserve_fraction == 0.25
+    assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 4 - 1.0)
+    account.ceiling.reserve_tokens, account.tokens = 1.0, 0.5
+    assert not outbox.grant_ceiling(account, 1.0)  # what the quota refuses would be lost
+
+
+def spend(outbox: GossipOutbox, key: CustomerKey, now_us: int, units: float = 1.0) -> CustomerAccount:
+    """A request is let in by the part here."""
+    account = outbox.customers.get(now_us, key)
+    account.local_demand, account.unreported_demand = (
+        account.local_demand + units,
+        account.unreported_demand + units,
+    )
+    outbox.customers.spend(now_us, account, units)
+    outbox.report_spending(now_us, account)
+    return account
+
+
+def test_what_a_full_part_spends_is_one_word_in_time() -> None:
+    """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
+    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
+    assert outbox.due_us > NOW + SPLIT_MARK_INTERVAL_US  # nothing wakes the gateway up for nothing
+    for number in range(4):
+        spend(outbox, THERE, NOW + number * MILLISECOND_US)
+        assert not outbox.take_due(NOW + number * MILLISECOND_US)
+    assert outbox.due_us == NOW + MAX_DEFERRAL_US and not outbox.waiting
+    assert not outbox.take_due(NOW + MAX_DEFERRAL_US - 1)
+    (sent,) = outbox.take_due(NOW + MAX_DEFERRAL_US)
+    (message,) = sent.messages
+    assert (
+        sent.peer == 1
+        and message.spent_units == 4.0
+        and message.requested_units == 0
+        and message.demand < 4.0 / 99
+    )
+    assert (
+        not outbox.deferred
+        and not outbox.deferred_since_us
+        and not outbox.take_due(NOW + 2 * MAX_DEFERRAL_US)
+    )
+
+
+def test_ask_takes_with_it_what_would_have_been_told_late() -> None:
+    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
+    account = spend(outbox, THERE, NOW)
+    outbox.enqueue(1, account, 1.0)
+    assert [message.spent_units for sent in outbox.take_due(NOW + 1) for message in sent.messages] == [1.0]
+    assert not outbox.take_due(NOW + MAX_DEFERRAL_US) and not outbox.deferred
+
+
+@pytest.mark.parametrize(("part", "spent"), [(9.9, 0.0), (20.0, 5.0)])
+def test_part_that_runs_low_and_much_that_is_untold_are_told_at_once(part: float, spent: float) -> None:
+    """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
+    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
+    account = outbox.customers.get(NOW, THERE)
+    account.local_tokens, account.unreported_units = part, spent
+    spend(outbox, THERE, NOW)
+    assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [
+        spent + 1.0
+    ]
+
+
+def test_small_part_is_told_of_each_unit_at_once() -> None:
+    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=2 * (1 / DEFER_MAX_UNREPORTED - 0.1)))
+    spend(outbox, THERE, NOW)
+    assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [1.0]
+
+
+def test_words_told_late_come_in_the_order_in_which_their_time_is_up() -> None:
+    settings = replace(SETTINGS, plans=(Plan(quota_rate=10.0, quota_burst=60.0),), proxy_count=3)
+    outbox = GossipOutbox(settings, Customers(settings, None), PeerLiveness())
+    first, second = CustomerKey(1, 0, 0, 3), CustomerKey(2, 0, 0, 3)
+    spend(outbox, second, NOW)
+    spend(outbox, first, NOW + MILLISECOND_US)
+    spend(outbox, second, NOW + 2 * MILLISECOND_US)
+    assert [sent.peer for sent in outbox.take_due(NOW + MAX_DEFERRAL_US)] == [2]
+    assert outbox.due_us == NOW + MILLISECOND_US + MAX_DEFERRAL_US
+    assert [sent.peer for sent in outbox.take_due(NOW + MILLISECOND_US + MAX_DEFERRAL_US)] == [1]
+
+
+def test_word_goes_to_the_home_that_there_is_by_then() -> None:
+    """Where shares move a customer may have another home by the time it is told of, or be at home here."""
+    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
+    spend(outbox, THERE, NOW).owner = 0
+    assert (
+        not outbox.take_due(NOW + MAX_DEFERRAL_US) and outbox.customers.accounts[THERE].unreported_units == 0
+    )
--- /dev/null
+++ b/tests/policy/test_load_balancing.py
@@ -0,0 +1,136 @@
+"""Which servers are known and which one an attempt goes to, without a gateway."""
+
+from dataclasses import replace
+from random import Random
+
+from molereach.policy.interface.events import (
+    Endpoint,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    LoadReport,
+    RequestReceived,
+)
+from molereach.policy.interface.messages import CustomerKey
+from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from molereach.policy.load_balancing import CHOICES, IDLE_CONNECTION_CHOICES, LoadBalancer
+from molereach.policy.pending_request import PendingRequest
+from molereach.policy.quota import CustomerAccount
+from tests.helpers import IDEMPOTENT, PLAN, SECOND_US, SETTINGS, endpoints
+
+NOW = 100 * SECOND_US
+KEYED = RequestClass(
+    2 * SECOND_US,
+    6 * SECOND_US,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window_us=3 * SECOND_US,
+)
+
+
+def balancer_of(entries: tuple[Endpoint, ...], settings: Settings = SETTINGS) -> LoadBalancer:
+    balancer = LoadBalancer(settings, Random(1))
+    balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FULL, 1, entries))
+    return balancer
+
+
+def pending_request(rule: RequestClass = IDEMPOTENT) -> PendingRequest:
+    customer = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), SETTINGS, NOW, 0)
+    return PendingRequest(RequestReceived("a", 0, 0, "c", 6 * SECOND_US), rule, customer, NOW, 0)
+
+
+def test_list_is_followed_by_its_kind() -> None:
+    first, second, third = endpoints(3)
+    balancer = balancer_of((first, second))
+    backend = balancer.backends["s0"]
+    balancer.apply_endpoint_list(
+        NOW,
+        EndpointListReceived(
+            EndpointListKind.CHANGES, 2, (third, replace(second, state=EndpointState.REMOVED))
+        ),
+    )
+    assert set(balancer.backends) == {"s0", "s2"} and balancer.backends["s0"] is backend
+    balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
+    assert set(balancer.backends) == {"s0", "s2"}  # the old list holds
+    balancer.apply_endpoint_list(
+        NOW, EndpointListReceived(EndpointListKind.FULL, 3, (replace(first, state=EndpointState.DRAINING),))
+    )
+    assert set(balancer.backends) == {"s0"} and not balancer.ready and not balancer.ready_capacity
+
+
+def test_servers_are_shared_by_those_that_see_them() -> None:
+    """What is told of a view says how many gateways share it; a failed call says nothing. The least that a
+    cold server is sent is one gateway's part among those."""
+    many = replace(SETTINGS, proxy_count=7500, slow_start_window_us=100 * SECOND_US)
+    starting = endpoints(4, started_us=NOW)
+    due = {}
+    for seen_by in (0, 21):
+        balancer = LoadBalancer(many, Random(1))
+        balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FULL, 2, starting, seen_by))
+        balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
+        assert balancer.sharing_proxies == (seen_by or 7500)
+        for backend in balancer.ready:
+            backend.slow_start_credit = 0.0
+        due[seen_by] = len(balancer.candidates(NOW + 80 * SECOND_US, balancer.ready))
+    assert due == {0: 0, 21: 4}
+
+
+def test_server_that_started_anew_is_cold_and_begins_at_a_time_of_its_own() -> None:
+    balancer = balancer_of(endpoints(2))
+    balancer.backends["s0"].failure_score = 1.0
+    balancer.apply_endpoint_list(
+        NOW, EndpointListReceived(EndpointListKind.CHANGES, 2, (endpoints(1, started_us=NOW)[0],))
+    )
+    backend = balancer.backends["s0"]
+    assert backend.failure_score == 0 and backend.forwarded_at_us == NOW and 0 < backend.slow_start_credit < 1
+    assert balancer.ready_capacity == 1 + SETTINGS.slow_start_fraction
+
+
+def test_least_expected_wait_is_chosen_and_none_of_the_tried_or_avoided() -> None:
+    balancer, asked = balancer_of(endpoints(4)), pending_request()
+    busy, slow, fast, full = balancer.ready
+    busy.in_flight[("x", 0)], slow.slowness, full.avoid_until_us = NOW, 1.5, NOW + 1
+    assert balancer.choose(NOW, asked) is fast
+    asked.backends.append(fast)
+    assert balancer.choose(NOW, asked) is slow
+    balancer.record_load_report(NOW, slow, LoadReport(cpu_utilization=0.9))
+    balancer.record_load_report(NOW, busy, LoadReport(cpu_utilization=0.01))
+    assert balancer.choose(NOW, asked) is busy
+    assert balancer.choose(NOW + 2 * SECOND_US, asked) is full  # no more avoided
+    assert (
+        balancer.expected_wait(NOW, slow) > 1.5 == balancer.expected_wait(NOW + 2 * SECOND_US, slow)
+    )  # reports that old say nothing
+    balancer.ready.clear()
+    assert balancer.choose(NOW, asked) is None
+
+
+def test_request_that_may_have_run_stays_where_its_repeats_are_dropped() -> None:
+    balancer, keyed = balancer_of(endpoints(4)), pending_request(KEYED)
+    first = balancer.backends["s1"]
+    keyed.first_backend, keyed.first_endpoint, keyed.first_forwarded_at_us = first, first.endpoint, NOW
+    chosen = {balancer.choose(NOW, keyed) for _ in range(40)}
+    assert chosen <= {balancer.backends["s1"], balancer.backends["s3"]}
+    assert balancer.choose(NOW + 3 * SECOND_US, keyed) is None
+    assert (
+        balancer.choose(NOW, pending_request(replace(KEYED, idempotency=Idempotency.NON_IDEMPOTENT)))
+        is not None
+    )
+
+
+def test_a_few_are_looked_at_and_most_have_a_connection_that_rests() -> None:
+    balancer = balancer_of(
+        endpoints(100), replace(SETTINGS, handshake_price=0.1, idle_connection_ttl_us=5 * SECOND_US)
+    )
+    for backend in balancer.ready[:20]:
+        backend.idle_connections, backend.idle_since_us = 1, NOW
+    few = balancer.candidates(NOW, balancer.ready)
+    assert len(few) == CHOICES and sum(backend.idle_connections for backend in few) == IDLE_CONNECTION_CHOICES
+
+
+def test_slowness_fades_and_the_rate_follows_what_was_to_be_sent() -> None:
+    balancer = balancer_of(endpoints(1))
+    balancer.ready[0].slowness = 2.0
+    balancer.end_period(NOW, 50, 2 * SECOND_US)
+    assert balancer.ready[0].slowness == 1.9 and balancer.forward_rate == 25
+    balancer.end_period(NOW, 0, SECOND_US)
+    assert balancer.forward_rate == 17.5
--- a/tests/policy/rules/test_cap.py
+++ b/tests/policy/test_overload_control.py
@@ -13,18 +13,18 @@
     next_n,
 )
 from molereach.policy.time_units import TICK_US
-from tests.helpers import SETTINGS, S
+from tests.helpers import SECOND_US, SETTINGS
 
 UTIL = UTILIZATION_TARGETS
 
 
-def cap_of(util: float | None = None, gateways: int = 2) -> OverloadControl:
-    cap = OverloadControl(replace(SETTINGS, proxy_count=gateways))
-    cap.period_started_at_us = 0
-    if util is not None:
-        cap.utilization_samples.append(util)
-        cap.update(100, 4, list)
-    return cap
+def control_of(utilization: float | None = None, gateways: int = 2) -> OverloadControl:
+    control = OverloadControl(replace(SETTINGS, proxy_count=gateways))
+    control.period_started_at_us = 0
+    if utilization is not None:
+        control.utilization_samples.append(utilization)
+        control.update(100, 4, list)
+    return control
 
 
 @pytest.mark.parametrize(
@@ -47,58 +47,62 @@
 
 
 def test_engages_by_the_ready_servers_and_is_lifted_when_little_of_it_is_used() -> None:
-    cap = cap_of(0.9)
-    assert cap.n_past == IN_FLIGHT_PER_BACKEND * 4 // 2
-    cap.utilization_samples.append(0.3)
-    cap.update(0, 4, list)
-    assert cap.n_past is None and cap.overhead == pytest.approx(0.3)
+    control = control_of(0.9)
+    assert control.n_past == IN_FLIGHT_PER_BACKEND * 4 // 2
+    control.utilization_samples.append(0.3)
+    control.update(0, 4, list)
+    assert control.n_past is None and control.overhead == pytest.approx(0.3)
 
 
 def test_in_full_use_it_rises_and_is_not_lifted() -> None:
-    cap = cap_of(0.9)
-    cap.utilization_samples.append(0.3)
-    cap.update(16, 4, list)
-    assert cap.n_past == 19  # the largest step from 16
+    control = control_of(0.9)
+    control.utilization_samples.append(0.3)
+    control.update(16, 4, list)
+    assert control.n_past == 19  # the largest step from 16
 
 
 def test_jam_in_which_nobody_answers_counts_by_the_ages_of_attempts() -> None:
-    cap = cap_of()
-    cap.update(0, 4, list)
-    assert cap.n_past is None  # no sample says anything
-    cap.update(0, 4, lambda: [0.8])
-    assert cap.n_past == 16
-    cores = cap_of()
+    control = control_of()
+    control.update(0, 4, list)
+    assert control.n_past is None  # no sample says anything
+    control.update(0, 4, lambda: [0.8])
+    assert control.n_past == 16
+    cores = control_of()
     cores.utilization_samples.append(0.7)
     cores.update(0, 4, lambda: [1.0, 1.0])  # where servers report busy cores, ages say nothing
     assert cores.n_past is None
 
 
 def test_what_it_allows_is_spread_over_the_period_and_what_is_out_is_bounded() -> None:
-    cap = cap_of(0.9)
-    cap.accepted = 8
-    assert not cap.allows(S // 4, 0, 4) and cap.allows(S // 2, 0, 4)
-    cap.accepted = 16
-    assert not cap.allows(S - TICK_US, 0, 4)
-    lifted = cap_of()
+    control = control_of(0.9)
+    control.accepted = 8
+    assert not control.allows(SECOND_US // 4, 0, 4) and control.allows(SECOND_US // 2, 0, 4)
+    control.accepted = 16
+    assert not control.allows(SECOND_US - TICK_US, 0, 4)
+    lifted = control_of()
     assert lifted.allows(0, 15, 4) and not lifted.allows(0, 16, 4)
     assert lifted.allows(0, MIN_IN_FLIGHT - 1, 0) and not lifted.allows(0, MIN_IN_FLIGHT, 0)
 
 
 def test_period_is_long_where_few_are_sent_and_n_goes_with_it() -> None:
-    cap = cap_of(0.9)
-    cap.accepted, cap.admitted = 3, 40
-    assert cap.offered() == 16  # no more than the cap
-    cap.end_period(5.0, 4, list)
-    assert (cap.control_period_us, cap.n_past, cap.period_started_at_us) == (
-        2 * S,
+    control = control_of(0.9)
+    control.accepted, control.admitted = 3, 40
+    assert control.offered() == 16  # no more than the cap
+    control.end_period(5.0, 4, list)
+    assert (control.control_period_us, control.n_past, control.period_started_at_us) == (
+        2 * SECOND_US,
         32,
-        S,
-    ) and cap.offered() == 0
-    cap.end_period(50.0, 4, list)
-    assert (cap.control_period_us, cap.n_past, cap.period_started_at_us) == (S, 16, 3 * S)
+        SECOND_US,
+    ) and control.offered() == 0
+    control.end_period(50.0, 4, list)
+    assert (control.control_period_us, control.n_past, control.period_started_at_us) == (
+        SECOND_US,
+        16,
+        3 * SECOND_US,
+    )
 
 
 def test_second_follows_the_aims_of_the_deployment() -> None:
-    for aim_us, second in ((3 * S, S), (3 * S // 4, S // 2)):
-        cap = OverloadControl(replace(SETTINGS, classes=(RequestClass(aim_us, 6 * S),)))
-        assert cap.time_unit_us == cap.control_period_us == second
+    for aim_us, second in ((3 * SECOND_US, SECOND_US), (3 * SECOND_US // 4, SECOND_US // 2)):
+        control = OverloadControl(replace(SETTINGS, classes=(RequestClass(aim_us, 6 * SECOND_US),)))
+        assert control.time_unit_us == control.control_period_us == second
--- a/tests/policy/rules/test_peers.py
+++ b/tests/policy/test_peer_liveness.py
@@ -6,9 +6,9 @@
     SPLIT_MARK_TTL_US,
     PeerLiveness,
 )
-from tests.helpers import S
+from tests.helpers import SECOND_US
 
-NOW = 100 * S
+NOW = 100 * SECOND_US
 
 
 def test_peer_that_answers_no_ask_is_silent_and_asked_now_and_then() -> None:
@@ -19,9 +19,9 @@
     peers.record_request(NOW + PEER_SILENCE_US, 1)
     assert peers.is_silent(NOW + PEER_SILENCE_US + 1, 1) and not peers.is_silent(NOW + PEER_SILENCE_US + 1, 2)
     assert not peers.is_silent(NOW + PEER_SILENCE_US + SILENT_PEER_RETRY_US, 1)  # asked all the same
-    peers.record_request(NOW + 2 * S, 1)
-    peers.record_message(NOW + 2 * S, 1)
-    assert not peers.is_silent(NOW + 2 * S + 1, 1)
+    peers.record_request(NOW + 2 * SECOND_US, 1)
+    peers.record_message(NOW + 2 * SECOND_US, 1)
+    assert not peers.is_silent(NOW + 2 * SECOND_US + 1, 1)
 
 
 def test_peer_that_speaks_and_does_not_say_so_keeps_its_whole_share() -> None:
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -16,32 +16,32 @@
     RequestReceived,
 )
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
-from tests.helpers import MS, SETTINGS, S, World, servers
+from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayDriver, endpoints
 
 CLASSES = (
-    RequestClass(S, 2 * S),
+    RequestClass(SECOND_US, 2 * SECOND_US),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
         deduplication_scope=DeduplicationScope.ZONE,
-        deduplication_window_us=S,
+        deduplication_window_us=SECOND_US,
     ),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
         deduplication_scope=DeduplicationScope.CELL,
-        deduplication_window_us=2 * S,
+        deduplication_window_us=2 * SECOND_US,
     ),
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
         deduplication_scope=DeduplicationScope.ALL,
-        deduplication_window_us=2 * S,
+        deduplication_window_us=2 * SECOND_US,
     ),
-    RequestClass(S, 3 * S, idempotency=Idempotency.NON_IDEMPOTENT),
+    RequestClass(SECOND_US, 3 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT),
 )
 PLANS = (
     Plan(quota_rate=5.0, quota_burst=5.0),
@@ -53,21 +53,21 @@
 STEP = st.tuples(st.integers(0, 9), st.integers(0, 10_000), st.integers(0, 400))
 
 
-class Referee(World):
+class Referee(GatewayDriver):
     """A world that checks each action against the rules."""
 
     def __init__(self, conf: Settings) -> None:
         self.requests: dict[str, tuple[RequestReceived, int]] = {}
         self.over: set[str] = set()
         self.might: dict[str, list[tuple[str, int]]] = {}
-        self.states = {server.name: server for server in servers(4)}
-        self.store, self.store_at = 10.0, 100 * S
+        self.states = {server.name: server for server in endpoints(4)}
+        self.store, self.store_at = 10.0, 100 * SECOND_US
         super().__init__(conf)
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         if isinstance(event, RequestReceived):
-            self.requests[event.request_id] = (event, self.now)
-        actions = super().tell(event)
+            self.requests[event.request_id] = (event, self.now_us)
+        actions = super().handle(event)
         for action in actions:
             if isinstance(action, ForwardAttempt):
                 self.check_send(action)
@@ -80,26 +80,28 @@
         rule, before = CLASSES[request.class_index], self.might.setdefault(action.request_id, [])
         assert action.request_id not in self.over
         assert self.states[action.endpoint].state is EndpointState.UP
-        outs = [key for key in self.out if key[0] == action.request_id]
+        outs = [key for key in self.in_flight if key[0] == action.request_id]
         assert len(outs) == 1 or (self.gateway.settings.may_hedge and len(outs) == 2)
         if before and rule.idempotency is not Idempotency.IDEMPOTENT:
             assert rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             first, place = self.states[before[0][0]], self.states[action.endpoint]
             assert rule.deduplication_scope is not DeduplicationScope.ZONE or first.zone == place.zone
             assert rule.deduplication_scope is not DeduplicationScope.CELL or first.cell == place.cell
-            assert self.now < before[0][1] + rule.deduplication_window_us
-        if not before and self.tries[action.request_id] == 1 and request.plan_index == 2:
-            self.store = min(10.0, self.store + 12.0 * (self.now - self.store_at) / S) - request.units
-            self.store_at = self.now
+            assert self.now_us < before[0][1] + rule.deduplication_window_us
+        if not before and self.attempt_counts[action.request_id] == 1 and request.plan_index == 2:
+            self.store = (
+                min(10.0, self.store + 12.0 * (self.now_us - self.store_at) / SECOND_US) - request.units
+            )
+            self.store_at = self.now_us
             assert self.store >= -1.0
-        before.append((action.endpoint, self.now))
+        before.append((action.endpoint, self.now_us))
 
     def check_end(self, action: Reject | FailRequest) -> None:
         request, came = self.requests[action.request_id]
         rule = CLASSES[request.class_index]
         assert action.request_id not in self.over
         self.over.add(action.request_id)
-        assert self.now <= came + request.remaining_us + 8 * MS
+        assert self.now_us <= came + request.remaining_us + 8 * MILLISECOND_US
         if isinstance(action, Reject) and self.might.get(action.request_id):
             keyed = (
                 rule.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
@@ -109,66 +111,66 @@
 
     def settle(self, key: tuple[str, int], result: AttemptResult) -> None:
         """An attempt ends; one that a proof says never ran no longer binds its request."""
-        server, sent, _ = self.out.pop(key)
+        server, sent, _ = self.in_flight.pop(key)
         if result in UNRUN:
             self.might[key[0]].remove((server, sent))
         over = key[0] in self.over or result is AttemptResult.OK
         if result is AttemptResult.OK:
             self.over.add(key[0])
-        self.tell(AttemptEnded(key[0], over, key[1], server, result, self.now - sent))
+        self.handle(AttemptEnded(key[0], over, key[1], server, result, self.now_us - sent))
 
     def pass_time(self, time_us: int) -> None:
         """Time goes by in steps of a millisecond, with time-outs where they fall due."""
-        end = self.now + time_us
-        while self.now < end:
-            self.run(min(MS, end - self.now))
-            for key, (_, sent, timeout) in list(self.out.items()):
+        end = self.now_us + time_us
+        while self.now_us < end:
+            self.advance(min(MILLISECOND_US, end - self.now_us))
+            for key, (_, sent, timeout) in list(self.in_flight.items()):
                 request, came = self.requests[key[0]]
-                if self.now >= min(sent + timeout, came + request.remaining_us) and key in self.out:
+                if self.now_us >= min(sent + timeout, came + request.remaining_us) and key in self.in_flight:
                     self.settle(key, AttemptResult.TIMEOUT)
 
     def restart(self) -> None:
         """The gateway is killed: its requests are void, and it starts again knowing only its list."""
         self.over.update(self.requests)
-        self.out.clear()
+        self.in_flight.clear()
         self.timers.clear()
         self.gateway = type(self.gateway)(self.gateway.settings)
-        self.tell(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(self.states.values())))
+        self.handle(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(self.states.values())))
 
     def change_server(self, number: int) -> None:
         name = f"s{number % 4}"
         state = list(EndpointState)[number % 3]
-        started = self.now if number % 5 == 0 else self.states[name].started_us
+        started = self.now_us if number % 5 == 0 else self.states[name].started_us
         self.states[name] = replace(self.states[name], state=state, started_us=started)
-        self.tell(EndpointListReceived(EndpointListKind.CHANGES, 2, (self.states[name],)))
+        self.handle(EndpointListReceived(EndpointListKind.CHANGES, 2, (self.states[name],)))
 
 
 def play(parallel: bool, steps: list[tuple[int, int, int]]) -> Referee:
-    world = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=parallel))
+    driver = Referee(replace(SETTINGS, classes=CLASSES, plans=PLANS, may_hedge=parallel))
     for count, (kind, number, wait) in enumerate(steps):
         if kind <= 4:
-            world.ask(
+            driver.send_request(
                 f"q{count}",
                 left_us=number * 100,
                 class_index=kind,
                 plan_index=number % 3,
                 customer=f"c{number % 3}",
             )
-        elif kind <= 7 and world.out:
-            key = list(world.out)[number % len(world.out)]
-            world.settle(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
+        elif kind <= 7 and driver.in_flight:
+            key = list(driver.in_flight)[number % len(driver.in_flight)]
+            driver.settle(key, AttemptResult.OK if kind == 5 else FAILURES[number % len(FAILURES)])
         elif kind == 8:
-            world.change_server(number)
+            driver.change_server(number)
         elif number % 20 == 0:
-            world.restart()
-        world.pass_time(wait * 250)
-    world.pass_time(4 * S)
-    return world
+            driver.restart()
+        driver.pass_time(wait * 250)
+    driver.pass_time(4 * SECOND_US)
+    return driver
 
 
 @settings(derandomize=True, max_examples=60, deadline=None, database=None)
 @given(st.booleans(), st.lists(STEP, min_size=5, max_size=50))
 def test_rules_hold_whatever_comes(parallel: bool, steps: list[tuple[int, int, int]]) -> None:
-    world = play(parallel, steps)
-    assert set(world.requests) == world.over
-    assert not world.gateway.attempts.pending and not world.gateway.queue.entries
+    driver = play(parallel, steps)
+    assert set(driver.requests) == driver.over
+    assert not driver.gateway.attempts.pending and not driver.gateway.queue.entries
--- a/tests/protocol/test_gossip_codec.py
+++ b/tests/protocol/test_gossip_codec.py
@@ -5,7 +5,7 @@
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
 from molereach.protocol.gossip_codec import RECORD, pack_messages, unpack_messages
-from tests.helpers import SETTINGS, World
+from tests.helpers import SETTINGS, GatewayDriver
 
 
 def test_messages_are_read_as_they_were_packed() -> None:
@@ -27,6 +27,6 @@
     assert unpack_messages(data) == messages
     assert len(data) == 3 * RECORD.size
     assert data[8] != 0  # an older version takes any flag for a reply, as which it is meant
-    world = World(replace(SETTINGS, proxy_count=2))
-    world.tell(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
+    world = GatewayDriver(replace(SETTINGS, proxy_count=2))
+    world.handle(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_MARK, 0, 2, requested_units=1.0),)))
     assert not world.gateway.customers.accounts
--- a/tests/races/test_attempts_place.py
+++ b/tests/races/test_attempts_place.py
@@ -7,13 +7,18 @@
 from molereach.policy.interface.actions import FailRequest, ForwardAttempt, Reject
 from molereach.policy.interface.events import AttemptResult, EndpointListKind, EndpointListReceived
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
-from tests.helpers import MS, SETTINGS, S, World, of, servers
+from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayDriver, endpoints, of_type
 
-FLEET = servers(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
-KEYED = RequestClass(2 * S, 6 * S, idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_window_us=3 * S)
+FLEET = endpoints(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
+KEYED = RequestClass(
+    2 * SECOND_US,
+    6 * SECOND_US,
+    idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+    deduplication_window_us=3 * SECOND_US,
+)
 
 
-def sent(world: World) -> list[str]:
+def sent(world: GatewayDriver) -> list[str]:
     return [action.endpoint for _, action in world.log if isinstance(action, ForwardAttempt)]
 
 
@@ -26,23 +31,23 @@
     group: DeduplicationScope, moved: dict[str, int], only: str, restarted: bool
 ) -> None:
     """Its entry changes while the attempt is out: what it did is known where it was."""
-    world = World(replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=group),)), FLEET[:1])
-    world.ask("a")
+    world = GatewayDriver(replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=group),)), FLEET[:1])
+    world.send_request("a")
     assert sent(world) == ["s0"]
     first = replace(FLEET[0], started_us=int(restarted), **moved)
-    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, (first, *FLEET[1:])))
-    world.run(10 * MS)
-    world.answer("a", AttemptResult.RESET)
+    world.handle(EndpointListReceived(EndpointListKind.FULL, 2, (first, *FLEET[1:])))
+    world.advance(10 * MILLISECOND_US)
+    world.end_attempt("a", AttemptResult.RESET)
     assert sent(world) == ["s0", only]
 
 
 def test_no_repeat_where_the_group_has_no_other_server_by_then() -> None:
-    world = World(
+    world = GatewayDriver(
         replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=DeduplicationScope.ZONE),)), FLEET[:1]
     )
-    world.ask("a")
-    world.tell(EndpointListReceived(EndpointListKind.FULL, 2, (replace(FLEET[0], zone=1), FLEET[1])))
-    assert of(FailRequest, world.answer("a", AttemptResult.RESET)) and sent(world) == ["s0"]
+    world.send_request("a")
+    world.handle(EndpointListReceived(EndpointListKind.FULL, 2, (replace(FLEET[0], zone=1), FLEET[1])))
+    assert of_type(FailRequest, world.end_attempt("a", AttemptResult.RESET)) and sent(world) == ["s0"]
 
 
 @pytest.mark.parametrize(
@@ -60,12 +65,12 @@
 def test_unsafe_request_is_never_sent_again_once_in_doubt(
     first: list[AttemptResult], second: AttemptResult, more: int
 ) -> None:
-    unsafe = RequestClass(2 * S, 6 * S, idempotency=Idempotency.NON_IDEMPOTENT)
-    world = World(replace(SETTINGS, classes=(unsafe,), max_attempts=9), FLEET)
-    world.ask("a")
+    unsafe = RequestClass(2 * SECOND_US, 6 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT)
+    world = GatewayDriver(replace(SETTINGS, classes=(unsafe,), max_attempts=9), FLEET)
+    world.send_request("a")
     for number, result in enumerate([*first, second]):
-        world.answer("a", result, number)
-    world.run(5 * S)
+        world.end_attempt("a", result, number)
+    world.advance(5 * SECOND_US)
     assert len(sent(world)) == len(first) + 1 + more
-    assert len(of(Reject, [action for _, action in world.log])) == 0
-    assert len(of(FailRequest, [action for _, action in world.log])) == 1 - more or more
+    assert len(of_type(Reject, [action for _, action in world.log])) == 0
+    assert len(of_type(FailRequest, [action for _, action in world.log])) == 1 - more or more
--- a/tests/races/test_peers_none.py
+++ b/tests/races/test_peers_none.py
@@ -8,7 +8,7 @@
 
 from molereach.policy.interface.settings import Plan
 from molereach.proxy.config import load
-from tests.helpers import MS, SETTINGS, Set
+from tests.helpers import MILLISECOND_US, SETTINGS, GatewayCluster
 from tests.races.test_settings_wrong import VALUES
 
 ALONE = replace(SETTINGS, may_gossip=False, gossip_messages_per_s=0.0)
@@ -20,19 +20,19 @@
     """Each was the customer's home for itself and let in the whole quota, so that the set spent it `size`
     times over."""
     plan = Plan(quota_rate=5.0, quota_burst=12.0, ceiling_rate=ceiling, ceiling_burst=2 * ceiling)
-    gates = Set(size, replace(ALONE, plans=(plan,)))
+    gates = GatewayCluster(size, replace(ALONE, plans=(plan,)))
     for n in range(400):
-        gates.ask(n % size, f"r{n}")
-        gates.run(50 * MS)
-    assert gates.sent() == pytest.approx(12 + 20 * 5, abs=2 * size)
+        gates.send_request(n % size, f"r{n}")
+        gates.advance(50 * MILLISECOND_US)
+    assert gates.forwarded_count() == pytest.approx(12 + 20 * 5, abs=2 * size)
 
 
 def test_one_front_door_alone_has_the_whole_quota() -> None:
-    gates = Set(1, ALONE)
+    gates = GatewayCluster(1, ALONE)
     for n in range(100):
-        gates.ask(0, f"r{n}")
-        gates.run(40 * MS)
-    assert gates.sent() == pytest.approx(20 + 4 * 10, abs=2)
+        gates.send_request(0, f"r{n}")
+        gates.advance(40 * MILLISECOND_US)
+    assert gates.forwarded_count() == pytest.approx(20 + 4 * 10, abs=2)
 
 
 @pytest.mark.parametrize("absent", ["peers", "peer_listen"])
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -20,16 +20,16 @@
 )
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import EndpointIndex, Subset
-from tests.helpers import SETTINGS, S
+from tests.helpers import SECOND_US, SETTINGS
 
-NOW = 100 * S
+NOW = 100 * SECOND_US
 KEYED = tuple(
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
         deduplication_scope=group,
-        deduplication_window_us=S,
+        deduplication_window_us=SECOND_US,
     )
     for group in (DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL)
 )
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -25,8 +25,8 @@
 from molereach.subsetting.interface import SubsetUpdate
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import Subset
-from tests.helpers import PLAN, SAFE
-from tests.subsetting.model import DRAINING, GONE, NOW, S, addresses_of, server, settings_of
+from tests.helpers import IDEMPOTENT, PLAN
+from tests.subsetting.model import DRAINING, GONE, NOW, SECOND_US, addresses_of, server, settings_of
 from tests.subsetting.steps import steps_of
 
 SIZES = (1_000, 10_000, 50_000)
@@ -162,14 +162,14 @@
         assert len(fleet.backends) <= SIZE + STANDINS_MOST and len(fleet.ready) == len(fleet.backends)
         up = fleet.ready = Counting(fleet.ready)  # type: ignore[assignment]
         number = int(seen_of(routing)[5][1:])
-        change = learn(routing, [replace(entry(number, count), started_us=NOW - 5 * S)])
+        change = learn(routing, [replace(entry(number, count), started_us=NOW - 5 * SECOND_US)])
         learn(routing, [entry(number, count)])
         assert change is not None and len(change.event.endpoints) == 1
         customer = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), SETTINGS, NOW, 0)
-        job = PendingRequest(RequestReceived("a", 0, 0, "c", 6 * S), SAFE, customer, NOW, 0)
+        job = PendingRequest(RequestReceived("a", 0, 0, "c", 6 * SECOND_US), IDEMPOTENT, customer, NOW, 0)
         calls: dict[str, Callable[[], object]] = {
             "choose": lambda fleet=fleet, job=job: fleet.choose(NOW, job),  # type: ignore[misc]
-            "end_period": lambda fleet=fleet: fleet.end_period(NOW, 9.0, S),  # type: ignore[misc]
+            "end_period": lambda fleet=fleet: fleet.end_period(NOW, 9.0, SECOND_US),  # type: ignore[misc]
             "learn": lambda fleet=fleet, change=change: fleet.apply_endpoint_list(NOW, change.event),  # type: ignore[misc]
         }
         steps.append(steps_of(calls[what]))
