--- a/molereach/discovery/watch_stream.py
+++ b/molereach/discovery/watch_stream.py
@@ -1,12 +1,12 @@
-"""One call to discovery: its request, and its answer until the connection ends.
+"""One request to discovery: a GET, and its response until the connection ends.
 
-An answer may have no length: then its end is that of the stream, which h11 has to be told. A reset is no end,
-and neither is one within a chunk or a length: an object that is not whole by then is dropped.
+A response may have no length: then its end is that of the stream, which h11 has to be notified of. A reset is
+no end, and neither is one within a chunk or a length: an object that is not complete by then is dropped.
 
-A long answer is worked off in turns of the loop, a piece of it in each, and nothing more is read meanwhile:
-requests come in between, and what waits is no more than what the loop had read at once. Whoever takes an
-object may have more to do with it than one turn; that is done in turns before the next piece. What comes in
-short pieces is read as it comes.
+A long response is processed in turns of the loop, a chunk of it in each, and nothing more is read meanwhile:
+requests come in between, and what is pending is no more than what the loop had read at once. Whoever gets an
+object may have more to do with it than one turn; that is done in turns before the next chunk. What comes in
+short chunks is processed as it is read.
 """
 
 import asyncio
@@ -17,170 +17,199 @@
 
 import h11
 
-from molereach.discovery.json_stream import Documents, Part
+from molereach.discovery.errors import WatchResponseError
+from molereach.discovery.json_stream import EntryList, JsonStream
 from molereach.resp import has_unread
 
 log = logging.getLogger(__name__)
 
-TURN_BYTES = 1 << 15  # of an answer in one turn of the loop
-# What an answer that makes no sense runs into here, or in whoever reads its objects.
-SENSELESS = (h11.ProtocolError, ValueError, LookupError, TypeError, AttributeError, ArithmeticError)
+CHUNK_BYTES = 1 << 15  # of a response in one turn of the loop
+# What a malformed response may raise here, or in whoever reads its objects.
+MALFORMED_RESPONSE_ERRORS = (
+    h11.ProtocolError,
+    ValueError,
+    LookupError,
+    TypeError,
+    AttributeError,
+    ArithmeticError,
+)
+END_OF_STREAM = b""
 
-Steps = Generator[None, None, None]  # what is done in turns: each step in one
-Event = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
+Steps = Generator[None, None, None]  # work that is done in turns of the loop: each step in one
+HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 
 class WatchConnection(asyncio.Protocol):
-    """`word` gets each whole object, and b"" for an empty line, and returns what is still to be done with it;
-    `part` gets the parts of a long object before it; `heard` is called when any bytes were read, with whether
-    the answer has begun."""
+    """Sends a request and hands on the objects of its response."""
 
     def __init__(
         self,
         target: str,
         host: str,
-        word: Callable[[bytes], Steps | None],
-        heard: Callable[[bool], None],
-        part: Callable[[bytes], None],
+        on_object: Callable[[bytes], Steps | None],
+        on_bytes: Callable[[bool], None],
+        on_entries: Callable[[bytes], None],
     ) -> None:
-        self.target, self.host, self.word, self.heard, self.part = target, host, word, heard, part
+        """`target` and `host` are the request's.
+
+        `on_object` gets each complete object, and b"" for an empty line, and returns what is still to be done
+        with it; `on_entries` gets the entries of a long object before it, as a JSON list; `on_bytes` is
+        called when any bytes were processed, with whether the response has begun.
+        """
+        self.target = target
+        self.host = host
+        self.on_object = on_object
+        self.on_bytes = on_bytes
+        self.on_entries = on_entries
         self.http = h11.Connection(h11.CLIENT)
-        self.documents = Documents()
-        self.begun = self.closed = False
-        self.waiting: deque[bytes | memoryview] = deque()  # pieces; b"" for the stream's end
-        self.steps: Steps | None = None  # those of the piece that is worked off
-        self.due = self.paused = False  # the next turn is; the loop reads nothing
-        self.is_lost = False  # behind all that waits
-        self.ended = asyncio.get_running_loop().create_future()
+        self.json_stream = JsonStream()
+        self.response_started = False
+        self.closed = False
+        self.pending_chunks: deque[bytes | memoryview] = deque()
+        self.current_steps: Steps | None = None  # those of the chunk that is being processed
+        self.turn_scheduled = False
+        self.reading_paused = False
+        self.connection_is_lost = False  # which counts after all pending chunks
+        self.finished = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport = cast(asyncio.Transport, transport)
+        """Send the request."""
+        self.transport = cast(asyncio.Transport, transport)
         request = h11.Request(method="GET", target=self.target, headers=[("Host", self.host)])
-        transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
+        self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
-    # --- what comes, in its order ---
+    # --- what is received, in its order ---
 
     def data_received(self, data: bytes) -> None:
-        view = memoryview(data) if len(data) > TURN_BYTES else data
-        self.come(*(view[at : at + TURN_BYTES] for at in range(0, len(data), TURN_BYTES)))
+        """Process bytes, in chunks where they are many."""
+        buffer = memoryview(data) if len(data) > CHUNK_BYTES else data
+        self.enqueue(*(buffer[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)))
 
     def eof_received(self) -> None:
-        self.come(b"")
+        """Process the stream's end after all that came before it."""
+        self.enqueue(END_OF_STREAM)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.is_lost = True
-        if not self.busy:
-            self.end()
+        """Finish once all that came before has been processed."""
+        self.connection_is_lost = True
+        if not self.is_processing:
+            self.finish()
 
-    def end(self) -> None:
+    def finish(self) -> None:
+        """Drop what is pending and resolve `finished`."""
         self.closed = True
-        self.waiting.clear()
-        self.steps = None
-        if not self.ended.done():
-            self.ended.set_result(None)
+        self.pending_chunks.clear()
+        self.current_steps = None
+        if not self.finished.done():
+            self.finished.set_result(None)
 
     @property
-    def busy(self) -> bool:
-        """Whether something that came is still to be worked off."""
-        return not self.closed and (bool(self.waiting) or self.steps is not None)
+    def is_processing(self) -> bool:
+        """Whether something that was received is still to be processed."""
+        return not self.closed and (bool(self.pending_chunks) or self.current_steps is not None)
 
-    def unread(self) -> bool:
-        """Whether something has come that has not been read yet, here or by the loop."""
-        if self.busy:
+    def has_unread_data(self) -> bool:
+        """Whether something has come that has not been processed yet, here or by the loop."""
+        if self.is_processing:
             return True
-        return self.transport is not None and not self.transport.is_closing() and has_unread(self.transport)
+        if self.transport is None or self.transport.is_closing():
+            return False
+        return has_unread(self.transport)
 
     def close(self) -> None:
-        """Let go of it, of all that waits and of what a step left open, at once: a list may be in there."""
+        """Drop the connection, all that is pending and what a step left open, at once: these may hold a
+        list.
+        """
         self.closed = True
-        self.waiting.clear()
-        self.steps = None
+        self.pending_chunks.clear()
+        self.current_steps = None
         if self.transport:
             self.transport.abort()
-        if self.is_lost:
-            self.end()
+        if self.connection_is_lost:
+            self.finish()
 
-    # --- turns ---
+    # --- turns of the loop ---
 
-    def come(self, *pieces: bytes | memoryview) -> None:
-        idle = not self.busy
+    def enqueue(self, *chunks: bytes | memoryview) -> None:
+        """Add chunks; the first is processed now where none was pending."""
+        was_idle = not self.is_processing
         if self.closed:
             return
-        self.waiting += pieces
-        if idle:
-            self.turn()
-
-    def turn(self) -> None:
-        """One piece, or one more step of what the last one brought; reading goes on a turn after the last."""
-        self.due = False
-        if not self.busy:
-            self.resume()
+        self.pending_chunks += chunks
+        if was_idle:
+            self.run_turn()
+
+    def run_turn(self) -> None:
+        """Process one chunk, or one more step of the last one; reading resumes a turn after the last."""
+        self.turn_scheduled = False
+        if not self.is_processing:
+            self.resume_reading()
             return
-        self.step()
-        if self.is_lost and not self.busy:
-            self.end()
-        elif self.busy or (self.paused and not self.closed):
-            self.go_on()
-
-    def go_on(self) -> None:
-        """More in another turn; nothing is read until then."""
-        if self.transport and not self.paused and not self.transport.is_closing():
-            self.paused = True
+        self.run_step()
+        if self.connection_is_lost and not self.is_processing:
+            self.finish()
+        elif self.is_processing or (self.reading_paused and not self.closed):
+            self.schedule_turn()
+
+    def schedule_turn(self) -> None:
+        """Go on in another turn; nothing is read until then."""
+        if self.transport and not self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = True
             self.transport.pause_reading()
-        if not self.due:
-            self.due = True
-            asyncio.get_running_loop().call_soon(self.turn)
-
-    def resume(self) -> None:
-        if self.paused and not self.closed and self.transport and not self.transport.is_closing():
-            self.paused = False
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
+            asyncio.get_running_loop().call_soon(self.run_turn)
+
+    def resume_reading(self) -> None:
+        """Have the loop read again, if it was paused."""
+        if self.reading_paused and not self.closed and self.transport and not self.transport.is_closing():
+            self.reading_paused = False
             self.transport.resume_reading()
 
-    def step(self) -> None:
-        if self.steps is None:
-            self.steps = self.read(self.waiting.popleft())
+    def run_step(self) -> None:
+        """Run one step of the current chunk, or of the next one; a failure closes the connection."""
+        if self.current_steps is None:
+            self.current_steps = self.parse_chunk(self.pending_chunks.popleft())
         try:
-            next(self.steps)
+            next(self.current_steps)
         except StopIteration:
-            self.steps = None
-        except SENSELESS as error:
-            log.error("the watch brings what makes no sense: %.200s", error)
-            self.fail()
+            self.current_steps = None
+        except MALFORMED_RESPONSE_ERRORS as error:
+            log.error("malformed watch response: %.200s", error)
+            self.close()
         except Exception:
-            log.exception("what the watch brings cannot be taken")
-            self.fail()
-
-    def fail(self) -> None:
-        self.steps = None
-        self.close()
+            log.exception("watch response could not be processed")
+            self.close()
 
-    def read(self, data: bytes | memoryview) -> Steps:
-        """What came, b"" for the stream's end."""
+    def parse_chunk(self, data: bytes | memoryview) -> Steps:
+        """Parse and deliver a chunk, or the stream's end, in steps."""
         self.http.receive_data(bytes(data))
         while not self.closed and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-            yield from self.take(event)
+            yield from self.handle_http_event(event)
         if data and not self.closed:
-            self.heard(self.begun)
+            self.on_bytes(self.response_started)
 
-    def take(self, event: Event) -> Steps:
+    def handle_http_event(self, event: HttpEvent) -> Steps:
+        """Deliver the objects of one event; WatchResponseError for a wrong status or an early end."""
         if isinstance(event, h11.Response):
             if event.status_code != 200:
-                raise ValueError(f"status {event.status_code}")
-            self.begun = True
+                raise WatchResponseError(f"status {event.status_code}")
+            self.response_started = True
         if isinstance(event, h11.Data):
-            for word in self.documents.feed(event.data):
-                yield from self.hand_on(word)
+            for received in self.json_stream.feed(event.data):
+                yield from self.deliver(received)
                 if self.closed:
                     return
-        if isinstance(event, h11.EndOfMessage) and self.documents.unfinished:
-            raise ValueError("the answer ends within an object")
+        if isinstance(event, h11.EndOfMessage) and self.json_stream.unfinished:
+            raise WatchResponseError("the answer ends within an object")
         if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
             self.close()
 
-    def hand_on(self, word: bytes | Part) -> Steps:
-        if isinstance(word, Part):
-            self.part(word.text)
-        elif steps := self.word(word):
+    def deliver(self, received: bytes | EntryList) -> Steps:
+        """Hand on an object or entries of one; what is then left to do follows in steps."""
+        if isinstance(received, EntryList):
+            self.on_entries(received.text)
+        elif steps := self.on_object(received):
             yield  # they begin in a turn of their own
             yield from steps
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -8,12 +8,12 @@
 from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.limits.settings import LimitSettings
 from molereach.operator_config import LimitsSection
-from molereach.proxy.proxy import FrontDoor
+from molereach.proxy.proxy import Proxy
 
 MILLISECOND_US = 1000
 
 
-def attacher(section: LimitsSection) -> Callable[[FrontDoor], Awaitable[Callable[[], None]]]:
+def attacher(section: LimitsSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
     """What switches limits on for a front door that has not had an event yet.
 
     Raises KeyFileError where the key file cannot be used.
@@ -26,7 +26,7 @@
         reserved_fraction=section.floor,
     )
 
-    async def attach(door: FrontDoor) -> Callable[[], None]:
+    async def attach(door: Proxy) -> Callable[[], None]:
         limits = Limits(door.settings, limit_settings)
         codec = LimitGossipCodec(
             limits.proxy_index,
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known, Life
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 from molereach.upkeep.permits.bodies import Word
 from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
@@ -26,7 +27,7 @@
 class Missed:
     """A front door that still could send to a machine, as far as is known."""
 
-    door: Life
+    door: NodeInstance
     why: str
 
 
@@ -44,21 +45,21 @@
 
     def account(self, now_us: int, begun: int, unstood: int) -> tuple[tuple[Word, ...], tuple[Missed, ...]]:
         """Words for a proof, and who is missed for one."""
-        found: list[tuple[ActiveSession | EndedSession, Accounted]] = []
+        found: list[tuple[ActiveSession | EndedSession, NodeClearance]] = []
         missed: list[Missed] = []
         for session in needed(self._sessions, begun):
             if why := self._why(now_us, session, begun, unstood):
-                missed.append(Missed(session.incarnation, why))
+                missed.append(Missed(session.instance, why))
             elif isinstance(session, ActiveSession):
-                clear = self._clears.clear(session.incarnation.name, session.fencing_token)
-                found.append((session, Accounted(session.incarnation, Known.SAID, clear)))
+                clear = self._clears.clear(session.instance.name, session.fencing_token)
+                found.append((session, NodeClearance(session.instance, ClearanceEvidence.REPORTED, clear)))
             else:
-                found.append((session, Accounted(session.incarnation, session.known, session.position)))
+                found.append((session, NodeClearance(session.instance, session.evidence, session.position)))
         return pack(found), tuple(missed)
 
     def _why(self, now_us: int, session: ActiveSession | EndedSession, begun: int, unstood: int) -> str:
         if isinstance(session, ActiveSession):
-            clear = self._clears.clear(session.incarnation.name, session.fencing_token)
+            clear = self._clears.clear(session.instance.name, session.fencing_token)
             return "" if clear >= begun else f"has said {clear} of {begun}"
         if not alone(self._sessions, session):
             return ""
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -14,20 +14,21 @@
 from benchmarks.scale.hollow import Hollow, configuration
 from benchmarks.scale.load import Load
 from benchmarks.scale.tier import Requests, Tier, backend_address, peer_address
-from molereach.discovery.endpoint_discovery import Discovery
-from molereach.discovery.endpoint_mapping import Catalog, LongNews, News
-from molereach.discovery.poll_backoff import CallPacing
+from molereach.discovery.endpoint_discovery import EndpointDiscovery
+from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
+from molereach.discovery.poll_backoff import PollBackoff
 from molereach.discovery.watch_stream import Steps
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
 from molereach.protocol.gossip_codec import pack_messages, unpack_messages
-from molereach.proxy.config import Address
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
 from tests.discovery.made import AllSeen
 
 WAIT_S = 5.0
 TIER = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=1)
+READER_CONFIG = configuration(TIER, 0)
 
 
 def played(test: Callable[[], Awaitable[None]]) -> None:
@@ -51,16 +52,16 @@
 class Reader:
     """A real front door's reader of an agent's list; its view is all that it is told."""
 
-    def __init__(self, address: Address, version: int) -> None:
+    def __init__(self, address: EndpointAddress, version: int) -> None:
         self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
-        self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, Address]]] = asyncio.Queue()
-        self.discovery = Discovery(
+        self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, EndpointAddress]]] = asyncio.Queue()
+        self.discovery = EndpointDiscovery(
             address,
-            Catalog(configuration(TIER, 0)),
+            EndpointMapping(READER_CONFIG.zone_numbers, READER_CONFIG.kind_numbers),
             version,
             self.hear,
             self.spawn,
-            lambda: CallPacing(1, must_ask=False),
+            lambda: PollBackoff(1, must_poll=False),
             random.Random(1).random,
             self.lists.stage,
         )
@@ -69,13 +70,13 @@
     def spawn(self, job: Coroutine[None, None, None]) -> None:
         self.tasks.add(asyncio.get_running_loop().create_task(job))
 
-    def hear(self, news: News | LongNews) -> Steps | None:
-        if isinstance(news, LongNews):
+    def hear(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+        if isinstance(news, StagedEndpointUpdate):
             return self.take(news)
         self.seen.put_nowait((news.event, news.addresses))
         return None
 
-    def take(self, news: LongNews) -> Steps:
+    def take(self, news: StagedEndpointUpdate) -> Steps:
         seen = yield from self.lists.take_over(news.staged, news.kind, news.version)
         assert seen
         self.seen.put_nowait((seen.event, seen.addresses))
@@ -97,7 +98,7 @@
             assert told["watching"] == 1 and event.kind is EndpointListKind.CHANGES
             assert [server.name for server in event.endpoints] == ["s-00000007", f"s-{size:08x}"]
             assert [server.state for server in event.endpoints] == [EndpointState.DRAINING, EndpointState.UP]
-            reader.discovery.move(second)  # asked for whole, and then watched
+            reader.discovery.change_address(second)  # asked for whole, and then watched
             event, _ = await reader.seen.get()
             assert event.kind is EndpointListKind.FULL and len(event.endpoints) == size + 1
             while len(agent.watching) != 1 or not agent.sent[1].calls > 1:
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -8,10 +8,11 @@
 from molereach.cache.hit import Hit
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
-from molereach.coordination.interface import Life, Terms
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.sessions import SessionRegistry
 
-TERMS = Terms(2 * S, 0.02)
+TERMS = SessionTerms(2 * S, 0.02)
 RATES = (1 - TERMS.drift / 2, 1.0, 1 + TERMS.drift / 2)  # between any two, the drift at most
 MEMBERS = tuple(f"{number:016x}" for number in range(3))
 CLASSES = ("load", "meter")
@@ -56,29 +57,31 @@
     """A front door's session, as its holder counts it."""
 
     def __init__(self) -> None:
-        self.fence, self.until_us, self.applied = 0, 0, 0
+        self.fencing_token, self.until_us, self.applied_position = 0, 0, 0
         self.opening: tuple[str, int] | None = None  # an id, and when it was proposed first
         self.left = False
 
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
 
-    def follow(self, sessions: SessionRegistry, life: Life, entry_id: str) -> None:
+    def follow(self, sessions: SessionRegistry, life: NodeInstance, entry_id: str) -> None:
         opened = sessions.active_session(life.name)
-        if opened is None or opened.incarnation != life:
-            self.fence = self.until_us = 0
-        elif opened.fencing_token != self.fence:
+        if opened is None or opened.instance != life:
+            self.fencing_token = self.until_us = 0
+        elif opened.fencing_token != self.fencing_token:
             mine = self.opening is not None and self.opening[0] == entry_id
-            self.until_us = self.opening[1] + TERMS.held_us if mine and self.opening and not self.left else 0
-            self.fence = opened.fencing_token
+            self.until_us = (
+                self.opening[1] + TERMS.holder_duration_us if mine and self.opening and not self.left else 0
+            )
+            self.fencing_token = opened.fencing_token
 
 
 @dataclass
 class Said:
     """What a session said to a leader."""
 
-    applied: int
-    clear: int
+    applied_position: int
+    clear_position: int
     received_at_us: int | None
     since_us: int
 
@@ -87,7 +90,7 @@
 class Seat:
     """One run of one front door."""
 
-    life: Life
+    life: NodeInstance
     offset_us: int
     rate: float
     sessions: SessionRegistry
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/logged.py
@@ -4,7 +4,9 @@
 
 import msgspec
 
-from molereach.coordination.interface import Entry, Known, Life, Outcome
+from molereach.coordination.interface.clearance import ClearanceEvidence
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.bodies import CloseSession, EndSession, OpenSession
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
@@ -18,7 +20,7 @@
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.upkeep.made import LOOSE, NOON_MS, doors, servers
 
-A, B, C = Life("a", 1), Life("b", 1), Life("c", 1)
+A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 FLEET = Facts(servers=servers(6), doors=doors(9), panel=("d0", "d1", "d2", "d3", "d4"))
 
 
@@ -26,8 +28,8 @@
     """With what a proof asks beside: who may serve on without a session."""
 
     def lone(self) -> list[EndedSession]:
-        found = [past for door in self._proxies.values() if not door.active and (past := door.ended[-1])]
-        return [past for past in found if past.known is Known.OVER]
+        found = [past for door in self._nodes.values() if not door.active and (past := door.ended[-1])]
+        return [past for past in found if past.evidence is ClearanceEvidence.SESSION_EXPIRED]
 
 
 class Logged:
@@ -39,19 +41,19 @@
         self.book = self.machine.book
         self.position, self.at_ms = 0, NOON_MS
 
-    def entry(self, machine: str, body: bytes, by: Life = A) -> Entry:
+    def entry(self, machine: str, body: bytes, by: NodeInstance = A) -> Entry:
         self.position += 1
         return Entry(self.position, machine, f"id{self.position}", by, self.at_ms, body)
 
-    def put(self, body: Body, by: Life = A) -> Outcome:
+    def put(self, body: Body, by: NodeInstance = A) -> Outcome:
         return self.machine.apply(self.entry("upkeep", encode(body), by))
 
-    def ok(self, body: Body, by: Life = A) -> Record | None:
+    def ok(self, body: Body, by: NodeInstance = A) -> Record | None:
         outcome = self.put(body, by)
         assert outcome.error == ""
         return msgspec.json.decode(outcome.value, type=Record) if outcome.value else None
 
-    def error(self, body: Body, by: Life = A) -> str:
+    def error(self, body: Body, by: NodeInstance = A) -> str:
         """And nothing has changed."""
         before = self.machine.snapshot()
         outcome = self.put(body, by)
@@ -60,26 +62,26 @@
 
     # --- sessions ---
 
-    def open(self, *lives: Life) -> None:
+    def open(self, *lives: NodeInstance) -> None:
         for life in lives:
             assert not self.sessions.apply(
                 self.entry("sessions", encode_session(OpenSession(life)), life)
             ).error
 
-    def over(self, life: Life) -> int:
+    def over(self, life: NodeInstance) -> int:
         fence = self.fence(life)
         assert not self.sessions.apply(
             self.entry("sessions", encode_session(EndSession(life, fence, 0)))
         ).error
         return self.position
 
-    def close(self, life: Life) -> None:
+    def close(self, life: NodeInstance) -> None:
         body = encode_session(CloseSession(life, self.fence(life)))
         assert not self.sessions.apply(self.entry("sessions", body, life)).error
 
-    def fence(self, life: Life) -> int:
+    def fence(self, life: NodeInstance) -> int:
         opened = self.sessions.active_session(life.name)
-        assert opened is not None and opened.incarnation == life
+        assert opened is not None and opened.instance == life
         return opened.fencing_token
 
     # --- works ---
@@ -106,9 +108,9 @@
         """As if all that are open had said so by now."""
         now = self.position if said is None else said
         return tuple(
-            Word(each.fencing_token, each.known, each.position)
+            Word(each.fencing_token, each.evidence, each.position)
             if isinstance(each, EndedSession)
-            else Word(each.fencing_token, Known.SAID, now)
+            else Word(each.fencing_token, ClearanceEvidence.REPORTED, now)
             for each in needed(self.sessions, self.record(id).begun)
         )
 
@@ -150,7 +152,9 @@
 }
 
 
-def logged(*works: Work, settings: UpkeepSettings = LOOSE, lives: Iterable[Life] = (A, B, C)) -> Logged:
+def logged(
+    *works: Work, settings: UpkeepSettings = LOOSE, lives: Iterable[NodeInstance] = (A, B, C)
+) -> Logged:
     """Sessions open, facts seen, works asked for."""
     log = Logged(settings)
     log.open(*lives)
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/players.py
@@ -2,18 +2,15 @@
 
 from dataclasses import dataclass, field
 
-from molereach.coordination.interface import (
-    Life,
-    ProposalOver,
-    S,
-)
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
+from molereach.coordination.interface.log import ProposalFinished
 from molereach.upkeep.door import DoorSide
 from molereach.upkeep.driver import Driver
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.upkeep.logged import LoneSessions
 
-STEP_US = 5 * S
+STEP_US = 5 * SECOND_US
 SETTINGS = UpkeepSettings(
     most_out=2,
     most_out_cell=2,
@@ -61,7 +58,7 @@
     """A front door's session, by its own clock."""
 
     def __init__(self) -> None:
-        self.until_us, self.fence, self.applied = 0, 0, 0
+        self.until_us, self.fencing_token, self.applied_position = 0, 0, 0
 
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
@@ -71,7 +68,7 @@
 class Door:
     """One run of one front door."""
 
-    life: Life
+    life: NodeInstance
     rate: float
     sessions: LoneSessions
     machine: Upkeep
@@ -81,7 +78,7 @@
     learnt: int = 0
     stopped: int = 0  # until this step
     cut: int = 0
-    waiting: list[ProposalOver] = field(default_factory=list)
+    waiting: list[ProposalFinished] = field(default_factory=list)
     given_us: int = 0  # when its session was renewed, in true time
 
     def now_us(self, step: int) -> int:
