--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is inside its quota, without a gateway: the part, the home's word, and the waits."""
+"""Admission by quota without a gateway: local tokens, replies of the owner, expired waits."""
 
 from dataclasses import replace
 from random import Random
@@ -17,7 +17,7 @@
 NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
 CEILED = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE = CustomerKey(0, 0, 0, 2)  # its home is the first of the set
+HERE = CustomerKey(0, 0, 0, 2)  # its owner is the first of the set
 THERE = CustomerKey(1, 0, 0, 2)
 
 
@@ -49,14 +49,14 @@
         self.receiver.receive(now, GossipReceived(1, words))
 
 
-def test_part_lets_in_and_the_home_is_told_afterwards() -> None:
+def test_local_tokens_admit_and_the_owner_is_notified_afterwards() -> None:
     table = Table()
     table.admit("a", THERE, part=1.0)
     assert table.decided == [("a", 1.0)] and not table.admission.awaiting_owner
     assert table.sent_messages() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
 
 
-def test_at_the_home_the_chance_rule_decides_at_once() -> None:
+def test_owner_draws_at_once() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
     customer.tokens, customer.remote_demand = 2.0, 3.0
@@ -64,7 +64,7 @@
     assert table.decided == [("a", 0.5)]
 
 
-def test_word_from_home_decides_those_that_wait_in_turn() -> None:
+def test_reply_of_the_owner_decides_waiting_requests_in_turn() -> None:
     table = Table()
     first, second = table.admit("a", THERE), table.admit("b", THERE)
     assert table.decided == [] and table.admission.awaiting_owner == [first, second]
@@ -85,7 +85,7 @@
     assert first.account.unreported_units == -1.0  # the home has counted it already
 
 
-def test_home_that_has_totals_has_counted_nothing_of_an_ask() -> None:
+def test_owner_that_has_totals_has_counted_nothing_of_a_request() -> None:
     table = Table()
     pending = table.admit("a", THERE)
     table.customers.limits = object()  # type: ignore[assignment]
@@ -93,7 +93,7 @@
     assert table.decided == [("a", 1.0)] and pending.account.unreported_units == 0
 
 
-def test_lost_words_are_asked_for_again_and_then_what_is_known_decides() -> None:
+def test_lost_requests_are_repeated_and_then_the_gateway_decides_itself() -> None:
     table = Table()
     pending = table.admit("a", THERE)
     for number in range(1, MAX_OWNER_REQUESTS):
@@ -110,7 +110,7 @@
     assert len(table.decided) == 1 and not table.admission.awaiting_owner
 
 
-def test_home_that_is_silent_is_not_waited_for() -> None:
+def test_silent_owner_is_not_waited_for() -> None:
     table = Table()
     table.admit("a", THERE)
     table.admission.request_from_owner(NOW + PEER_SILENCE_US, table.admit("b", THERE, NOW + PEER_SILENCE_US))
@@ -118,7 +118,7 @@
     assert [name for name, _ in table.decided] == ["c"]
 
 
-def test_home_adds_up_draws_and_answers() -> None:
+def test_owner_counts_draws_and_replies() -> None:
     table = Table()
     customer = table.customers.get(NOW, HERE)
     table.receive(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
@@ -139,14 +139,14 @@
     assert customer.tokens == 0.5  # it drew no
 
 
-def test_home_that_starts_anew_takes_over_the_level_that_it_is_told() -> None:
+def test_owner_that_restarted_takes_over_the_first_reported_tokens() -> None:
     table = Table()
     table.receive(GossipMessage(*HERE, tokens=6.0))
     table.receive(GossipMessage(*HERE, tokens=2.0))
     assert table.customers.accounts[HERE].tokens == 6.0
 
 
-def test_units_that_the_home_grants_come_with_its_word_and_do_not_keep() -> None:
+def test_granted_units_come_with_the_reply_and_expire() -> None:
     table = Table(CEILED)
     pending = table.admit("a", THERE)
     word = GossipMessage(
@@ -162,7 +162,7 @@
     ]  # its own share is short: it gives itself some
 
 
-def test_words_of_sets_without_this_gateway_are_passed_over() -> None:
+def test_messages_of_sets_without_this_gateway_are_ignored() -> None:
     table = Table()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
         table.receive(GossipMessage(*key, tokens=1.0))
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts without a gateway: time-outs, means, patience, the retry budget."""
+"""Attempts without a gateway: timeouts, mean latencies, idempotency, the retry budget."""
 
 from dataclasses import replace
 
@@ -36,7 +36,7 @@
     return replace(AttemptEnded("a", False, attempt, "", result, took), **changes)
 
 
-def test_attempt_is_out_until_it_ends_once() -> None:
+def test_attempt_is_in_flight_until_it_ends_once() -> None:
     attempts, pending = attempts_of()
     backend = BackendState(endpoints(1)[0])
     assert attempts.begin(NOW, pending, backend).endpoint == "s0"
@@ -65,7 +65,7 @@
     assert backend.idle_connections == 0  # the connection that rested is in use, if it did
 
 
-def test_request_that_ran_nowhere_may_go_anywhere() -> None:
+def test_unexecuted_request_may_run_on_any_backend() -> None:
     keyed = RequestClass(
         2 * SECOND_US,
         6 * SECOND_US,
@@ -89,7 +89,7 @@
         assert pending.unsent_count == (result is AttemptResult.CONNECT_FAILED)
 
 
-def test_refusal_of_what_may_have_run_ends_with_the_window_of_its_repeats() -> None:
+def test_executed_request_may_be_rejected_within_its_deduplication_window_only() -> None:
     """A refusal says that trying again is harmless: only for as long as servers know the first."""
     keyed = RequestClass(
         2 * SECOND_US,
@@ -104,7 +104,7 @@
     assert may_reject(pending, NOW + SECOND_US - 1) and not may_reject(pending, NOW + SECOND_US)
 
 
-def test_attempt_is_given_up_while_another_can_meet_the_aim() -> None:
+def test_attempt_times_out_while_a_retry_can_meet_the_objective() -> None:
     attempts, pending = attempts_of()
     attempts.mean_latency_us = [200.0 * MILLISECOND_US]
     assert (
@@ -120,7 +120,7 @@
     assert attempts.timeout_us(NOW + 7 * SECOND_US, pending) == 1
 
 
-def test_latencies_move_the_means_and_an_outlier_counts_for_little() -> None:
+def test_latencies_update_the_means_and_outliers_are_bounded() -> None:
     attempts, pending = attempts_of(costs_are_corrected=True)
     backend = BackendState(endpoints(1)[0])
     assert attempts.mean_latency_us == [500.0 * MILLISECOND_US]
@@ -134,7 +134,7 @@
     assert attempts.mean_latency_us == [950.0 * MILLISECOND_US] and backend.failure_score == 1
 
 
-def test_overdue_are_the_ages_of_what_is_out_for_longer_than_usual() -> None:
+def test_overdue_ages_are_of_attempts_in_flight_for_longer_than_the_mean() -> None:
     attempts, pending = attempts_of()
     attempts.begin(NOW, pending, ONE)
     assert attempts.overdue_ages(NOW + 500 * MILLISECOND_US) == []
@@ -142,7 +142,7 @@
     assert attempts.overdue_ages(NOW + 4 * SECOND_US) == [1.0]
 
 
-def test_further_attempts_live_on_a_share_of_first_ones() -> None:
+def test_retry_budget_is_a_fraction_of_first_attempts() -> None:
     attempts, pending = attempts_of(max_attempts=99)
     attempts.begin(NOW, pending, ONE)
     assert attempts.retry_policy.tokens == MAX_RETRY_TOKENS / 2 + RETRY_TOKENS_PER_REQUEST
@@ -171,7 +171,7 @@
     )
 
 
-def test_retry_has_that_much_less_of_its_time_left() -> None:
+def test_elapsed_time_of_a_retry_follows_the_client_timeout() -> None:
     timeouts = ClientTimeouts(SETTINGS)
     first = RequestReceived("f", 0, 0, "c", 6 * SECOND_US)
     assert timeouts.elapsed_us(replace(first, is_retry=True)) == 0  # nothing is known yet
@@ -188,7 +188,7 @@
     assert late.elapsed_us(replace(first, remaining_us=SECOND_US, is_retry=True)) == 0
 
 
-def test_repeat_says_until_when_it_may_still_be_written() -> None:
+def test_retry_of_an_executed_request_has_a_write_deadline() -> None:
     keyed = RequestClass(
         2 * SECOND_US,
         6 * SECOND_US,
--- a/tests/policy/test_backend_state.py
+++ b/tests/policy/test_backend_state.py
@@ -1,4 +1,4 @@
-"""A server's health and warmth, by hand."""
+"""A backend's ejection, slow start and idle connections."""
 
 from dataclasses import replace
 
@@ -15,7 +15,7 @@
     return BackendState(endpoints(1, **changes)[0])
 
 
-def test_suspect_is_left_alone_for_longer_each_time_until_a_trial_succeeds() -> None:
+def test_ejections_grow_until_a_trial_succeeds() -> None:
     backend, now_us, spans = backend_of(), NOW, []
     backend.record_result(now_us, False, WARM_US)
     assert not backend.on_trial
@@ -33,7 +33,7 @@
     )
 
 
-def test_spoilt_answers_and_resets_leave_a_server_in_that_answers_otherwise() -> None:
+def test_malformed_answers_and_resets_do_not_eject_a_backend_that_also_succeeds() -> None:
     backend = backend_of()
     for _ in range(40):
         backend.record_broken_connection(NOW, WARM_US)
@@ -44,7 +44,7 @@
     assert backend.on_trial  # one that does nothing else is suspect
 
 
-def test_full_server_is_avoided_and_a_slow_answer_of_one_that_answers_is_no_failure() -> None:
+def test_rejection_avoids_a_backend_and_a_timeout_beside_successes_is_no_failure() -> None:
     backend = backend_of()
     backend.record_attempt_end(NOW, AttemptResult.REJECTED, MILLISECOND_US, WARM_US)
     assert backend.avoid_until_us == NOW + REJECTION_AVOID_US and not backend.failure_score
@@ -58,7 +58,7 @@
     assert backend.failure_score == 1
 
 
-def test_warmth_rises_from_cold_and_a_connection_rests_for_its_time() -> None:
+def test_capacity_fraction_rises_and_idle_connections_expire() -> None:
     backend = backend_of(started_us=NOW)
     settings = replace(SETTINGS, slow_start_fraction=0.2, slow_start_window_us=10 * SECOND_US)
     assert [capacity_fraction(NOW + at * SECOND_US, backend, settings) for at in (-1, 0, 10)] == [
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -1,4 +1,4 @@
-"""The customers known, without a gateway: remembered, forgotten, and what limits are asked and told."""
+"""Accounts of customers without a gateway: eviction, ceilings, and calls of the limit policy."""
 
 from dataclasses import replace
 
@@ -46,7 +46,7 @@
     return Customers(settings, limits)  # type: ignore[arg-type]
 
 
-def test_name_of_another_set_opens_no_fresh_burst() -> None:
+def test_changed_set_opens_no_fresh_burst() -> None:
     customers = customers_of()
     assert customers.get(NOW, KEY).tokens == 20
     other = customers.get(NOW, CustomerKey(5, 0, 1, 2))
@@ -60,7 +60,7 @@
     assert list(customers.accounts) == [(5, 0, 1, 2), KEY]  # the one seen last at the end
 
 
-def test_customer_is_forgotten_once_its_stores_are_full_and_nothing_is_out() -> None:
+def test_idle_account_is_evicted_once_its_buckets_are_full() -> None:
     customers = customers_of()
     account = customers.get(NOW, KEY)
     customers.evict_idle(NOW + MIN_IDLE_TTL_US)
@@ -73,13 +73,13 @@
     assert not customers.accounts and not customers.first_keys
 
 
-def test_small_parts_of_a_ceiling_leave_a_share_to_the_home_unless_limits_move_it() -> None:
+def test_small_ceiling_has_a_reserve_unless_a_limit_policy_divides_it() -> None:
     assert customers_of().get(NOW, KEY).ceiling.split_fraction == 0.5
     assert customers_of(replace(PLAN, ceiling_burst=60.0)).get(NOW, KEY).ceiling.split_fraction == 1
     assert customers_of(limits=Limits()).get(NOW, KEY).ceiling.split_fraction == 1
 
 
-def test_ceiling_is_its_part_here_and_is_used_up() -> None:
+def test_split_ceiling_is_spent_and_refilled() -> None:
     customers = customers_of(replace(PLAN, ceiling_burst=60.0))
     account = customers.get(NOW, KEY)
     customers.started_at_us = NOW
@@ -93,7 +93,7 @@
     assert customers_of(Plan()).is_below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
 
 
-def test_limits_are_asked_and_told() -> None:
+def test_limit_policy_is_consulted_and_notified() -> None:
     limits = Limits()
     customers = customers_of(limits=limits)
     account = customers.get(NOW, KEY)
@@ -121,7 +121,7 @@
     assert account.unanswered_since_us > NOW + SECOND_US  # the new owner has been sent no request
 
 
-def test_totals_lower_the_store_and_what_joins_lifts_it() -> None:
+def test_spending_totals_take_tokens_and_joined_units_add_some() -> None:
     limits = Limits()
     limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
@@ -133,7 +133,7 @@
     assert account.tokens == 19
 
 
-def test_standing_only_reads() -> None:
+def test_quota_statuses_only_read() -> None:
     customers = customers_of()
     account = customers.get(NOW, KEY)
     customers.first_keys[(0, 0)] = customers.first_keys.pop(KEY[:2])
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -22,7 +22,7 @@
     assert of_type(Reject, driver.send_request("a", left_us=0))
 
 
-def test_deadline_of_an_unsafe_request_fails_it() -> None:
+def test_deadline_of_a_non_idempotent_request_fails_it() -> None:
     driver = GatewayDriver(with_class(NON_IDEMPOTENT))
     driver.send_request("a")
     driver.advance(6 * SECOND_US)
@@ -31,7 +31,7 @@
     assert driver.handle(ClientDisconnected("a")) == []
 
 
-def test_unsafe_goes_again_only_if_it_never_ran() -> None:
+def test_non_idempotent_request_is_retried_only_if_unexecuted() -> None:
     driver = GatewayDriver(with_class(NON_IDEMPOTENT))
     driver.send_request("a")
     assert of_type(ForwardAttempt, driver.end_attempt("a", AttemptResult.REJECTED))
@@ -39,7 +39,7 @@
     assert driver.end_attempt("a", AttemptResult.RESET, attempt=2) == [FailRequest("a")]
 
 
-def test_unsafe_proven_unrun_to_the_end_is_refused() -> None:
+def test_unexecuted_non_idempotent_request_is_rejected() -> None:
     driver = GatewayDriver(with_class(NON_IDEMPOTENT))
     driver.send_request("a")
     for attempt in range(3):
@@ -47,7 +47,7 @@
     assert of_type(Reject, actions)
 
 
-def test_keyed_stays_in_its_zone_and_window() -> None:
+def test_keyed_request_stays_in_its_zone_and_window() -> None:
     driver = GatewayDriver(with_class(KEYED))
     driver.send_request("a")
     first = driver.in_flight[("a", 0)][0]
@@ -82,7 +82,7 @@
     assert driver.gateway.load_balancer.backends["s0"].on_trial is False
 
 
-def test_further_attempts_are_few() -> None:
+def test_retries_are_few() -> None:
     driver = GatewayDriver(replace(SETTINGS, plans=(Plan(),)))
     for n in range(100):
         for action in of_type(ForwardAttempt, driver.send_request(f"r{n}")):
--- a/tests/policy/test_gateway_backends.py
+++ b/tests/policy/test_gateway_backends.py
@@ -79,7 +79,7 @@
     assert {action.endpoint for _, action in driver.log if isinstance(action, ForwardAttempt)} == {"s0"}
 
 
-def test_cold_server_is_sent_little() -> None:
+def test_backend_in_slow_start_gets_few_attempts() -> None:
     driver = GatewayDriver(replace(SETTINGS, plans=(Plan(),)))
     for n in range(120):
         if n == 60:
@@ -186,7 +186,7 @@
     assert not of_type(ForwardAttempt, driver.send_request("c"))
 
 
-def test_silent_server_is_left_and_tried_again() -> None:
+def test_silent_backend_is_ejected_and_tried_later() -> None:
     driver = GatewayDriver(replace(SETTINGS, plans=(Plan(),)), endpoints(3))
     bad, sends, trials = "s0", 0, 0
     for n in range(400):
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -147,7 +147,7 @@
     )  # 16 a second of which the home has half, for half a second
 
 
-def test_units_of_the_home_do_not_keep() -> None:
+def test_granted_units_expire() -> None:
     """What was given out while the home's store went on filling must not be added up beside it."""
     small = replace(CEILED, ceiling_burst=6.0)
     cluster = GatewayCluster(
--- a/tests/policy/test_gateway_overload_control.py
+++ b/tests/policy/test_gateway_overload_control.py
@@ -79,7 +79,7 @@
     assert driver.gateway.overload_control.n_past == 19  # the largest step from 16
 
 
-def test_held_leave_by_worth_then_arrival() -> None:
+def test_waiting_requests_are_forwarded_by_priority_then_arrival() -> None:
     plans = (Plan(priority_factor=1.0), Plan(priority_factor=3.0))
     driver = loaded_world(0.9, plans)
     for n in range(30):
@@ -91,7 +91,7 @@
     assert order[:2] == ["high1", "high2"]
 
 
-def test_held_past_its_aim_is_refused_in_time() -> None:
+def test_request_waiting_past_its_objective_is_rejected_in_time() -> None:
     driver = GatewayDriver(fleet=())
     driver.send_request("a")
     started = driver.now_us
@@ -101,7 +101,7 @@
     assert answered[0] - started < 2 * SECOND_US
 
 
-def test_attempts_out_at_once_are_bounded() -> None:
+def test_attempts_in_flight_are_bounded() -> None:
     """Servers that answer nobody must not be given more and more, whatever the cap says."""
     drivers = [
         GatewayDriver(replace(SETTINGS, plans=(Plan(),), proxy_count=5, proxy_index=me), endpoints(10))
--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -51,7 +51,7 @@
     )  # 10 a second for 6 s, of 100 asked
 
 
-def test_granted_asks_are_counted_once() -> None:
+def test_granted_requests_are_counted_once() -> None:
     """The home counts what it grants; what members tell it later must not be the same units again."""
     cluster, homes = GatewayCluster(20, replace(SETTINGS, plans=(replace(PLAN, quota_burst=10.0),))), []
     for n in range(300):
@@ -84,7 +84,7 @@
     assert levels == [pytest.approx(20, abs=0.5)]
 
 
-def test_quota_is_used_with_words_lost_or_the_home_dead() -> None:
+def test_quota_is_used_with_messages_lost_or_the_owner_dead() -> None:
     """Requests inside the quota leave without a word from the home, and in time."""
     for loss, down in ((0.3, -1), (0.0, 3)):
         cluster = GatewayCluster(20, loss=loss)
@@ -96,7 +96,7 @@
         assert cluster.forwarded_count() >= 180
 
 
-def test_messages_stay_under_half_the_intake() -> None:
+def test_messages_stay_under_half_of_what_a_gateway_receives() -> None:
     """However much one customer asks, its home can take in what is told of it."""
     for count in (3, 40):
         cluster, taken = GatewayCluster(count), 0
@@ -109,7 +109,7 @@
         assert taken / 5 <= 60
 
 
-def test_home_is_wrong_by_little_and_for_a_short_time() -> None:
+def test_owner_is_wrong_by_little_and_for_a_short_time() -> None:
     """What it has not heard of is a quarter of the others' parts at most, at any time, however the customer's
     requests come; and nothing half a second after the last one."""
     plan, size = replace(PLAN, quota_rate=8.0, quota_burst=64.0), 4
@@ -157,7 +157,7 @@
     assert len([at for at, action in after if isinstance(action, SetTimer) and at <= told]) <= 3
 
 
-def test_words_from_outside_are_checked() -> None:
+def test_messages_of_peers_are_validated() -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     huge = GossipMessage(1, 0, 0, 2, demand=1e9, requested_units=1e9, tokens=-1e9)
     for word in (GossipMessage(1, 9, 0, 2), GossipMessage(1, 0, 5, 1), GossipMessage(1, 0, 0, 0), huge):
@@ -187,7 +187,7 @@
     assert next(iter(driver.gateway.customers.accounts.values())).tokens == 20
 
 
-def test_max_out_plan() -> None:
+def test_plan_bounds_attempts_in_flight() -> None:
     driver = GatewayDriver(replace(SETTINGS, plans=(Plan(max_in_flight=2),)))
     assert of_type(ForwardAttempt, driver.send_request("a")) and of_type(
         ForwardAttempt, driver.send_request("b")
@@ -208,7 +208,7 @@
 
 
 @pytest.mark.parametrize("left", [5, 30, 60, 90, 130, 200, 260])
-def test_who_waits_for_word_is_answered_in_time(left: int) -> None:
+def test_request_waiting_for_a_reply_is_answered_in_time(left: int) -> None:
     """Clients that come with little time left, and a home that never answers."""
     cluster = GatewayCluster(
         20,
@@ -256,7 +256,7 @@
         assert least <= sum(isinstance(action, ForwardAttempt) for _, action in driver.log) <= most
 
 
-def test_home_counts_what_it_let_in_and_not_the_mean_of_it() -> None:
+def test_owner_counts_what_it_admitted_and_not_the_expected_value() -> None:
     """Each of 40 gateways asks once, so none tells the home later what came of the chance."""
     cluster = GatewayCluster(40, replace(SETTINGS, plans=(Plan(quota_rate=0.01, quota_burst=12.0),)))
     for number in range(40):
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("inside", [True, False])
-def test_what_the_home_drew_holds_at_the_asker(inside: bool) -> None:
+def test_draw_of_the_owner_holds_at_the_requester(inside: bool) -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(11):  # the eleventh is past this one's part of the burst
@@ -330,7 +330,7 @@
 
 
 @pytest.mark.parametrize(("first", "size"), [(0, 3), (0, 0), (0, 65535), (9, 2), (1, 1)])
-def test_words_of_a_set_that_cannot_be_are_passed_over(first: int, size: int) -> None:
+def test_messages_of_an_invalid_set_are_ignored(first: int, size: int) -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     driver.handle(
         GossipReceived(
@@ -342,7 +342,7 @@
     assert len(driver.gateway.customers.accounts) == 1
 
 
-def test_wait_for_word_ends_before_half_of_the_time() -> None:
+def test_wait_for_a_reply_ends_before_half_of_the_time() -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     driver.gateway.attempts.mean_latency_us = [10.0 * MILLISECOND_US]
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # the other one is its home
@@ -355,7 +355,7 @@
     assert driver.attempt_counts.get("last") == 1
 
 
-def test_word_of_a_home_that_has_gone_holds_for_a_second_only() -> None:
+def test_reply_of_a_failed_owner_holds_for_a_second_only() -> None:
     """What it said last stood for 10 s, while own demand only added to what it had said."""
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     name = peer_customer(driver)
@@ -374,7 +374,7 @@
     assert len(sent) >= 8
 
 
-def test_home_that_answers_nothing_is_not_waited_for() -> None:
+def test_owner_that_never_replies_is_not_waited_for() -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     name = peer_customer(driver)
     waited = 0
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""Words to peers without a gateway: what they say, when they leave, and what the home gives."""
+"""The gossip outbox without a gateway: contents of messages, when they are sent, ceiling grants."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE = CustomerKey(0, 0, 0, 2)  # its home is the first of the set
+HERE = CustomerKey(0, 0, 0, 2)  # its owner is the first of the set
 THERE = CustomerKey(1, 0, 0, 2)
 MARK = GossipMessage(0, SPLIT_CEILING_MARK, 0, 0)
 
@@ -24,7 +24,7 @@
     return GossipOutbox(settings, Customers(settings, None), PeerLiveness())
 
 
-def test_word_says_what_is_new_once() -> None:
+def test_report_holds_what_is_new_once() -> None:
     outbox = outbox_of()
     account = outbox.customers.get(NOW, THERE)
     account.unreported_demand, account.unreported_units = 3.0, 2.0
@@ -40,7 +40,7 @@
     assert not outbox.waiting and not outbox.take_due(NOW)
 
 
-def test_answer_says_what_the_set_has_left_and_brings_units_unless_the_draw_refused() -> None:
+def test_reply_holds_tokens_and_grants_units_unless_the_draw_rejected() -> None:
     outbox = outbox_of()
     account = outbox.customers.get(NOW, HERE)
     account.local_demand, account.remote_demand, reserve_tokens = 1.0, 2.0, account.ceiling.reserve_tokens
@@ -56,7 +56,7 @@
     assert account.ceiling.reserve_tokens == reserve_tokens - 1.0
 
 
-def test_words_to_a_peer_are_spaced_and_the_mark_comes_now_and_then() -> None:
+def test_messages_to_a_peer_are_spaced_and_the_mark_is_periodic() -> None:
     outbox = outbox_of(gossip_messages_per_s=1.0)
     account = outbox.customers.get(NOW, THERE)
     marks = []
@@ -69,7 +69,7 @@
     assert MARK not in unsplit.take_due(NOW)[0].messages
 
 
-def test_home_gives_what_the_set_leaves_and_no_more() -> None:
+def test_owner_grants_its_reserve_and_no_more() -> None:
     outbox = outbox_of()
     account = outbox.customers.get(NOW, HERE)
     assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 2)
@@ -98,7 +98,7 @@
     return account
 
 
-def test_what_a_full_part_spends_is_one_word_in_time() -> None:
+def test_spending_of_a_full_local_bucket_is_one_deferred_report() -> None:
     """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
     assert outbox.due_us > NOW + SPLIT_MARK_INTERVAL_US  # nothing wakes the gateway up for nothing
@@ -122,7 +122,7 @@
     )
 
 
-def test_ask_takes_with_it_what_would_have_been_told_late() -> None:
+def test_request_includes_deferred_reports() -> None:
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
     account = spend(outbox, THERE, NOW)
     outbox.enqueue(1, account, 1.0)
@@ -131,7 +131,9 @@
 
 
 @pytest.mark.parametrize(("part", "spent"), [(9.9, 0.0), (20.0, 5.0)])
-def test_part_that_runs_low_and_much_that_is_untold_are_told_at_once(part: float, spent: float) -> None:
+def test_low_local_tokens_and_large_unreported_spending_are_reported_at_once(
+    part: float, spent: float
+) -> None:
     """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
     account = outbox.customers.get(NOW, THERE)
@@ -142,13 +144,13 @@
     ]
 
 
-def test_small_part_is_told_of_each_unit_at_once() -> None:
+def test_small_local_bucket_reports_each_unit_at_once() -> None:
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=2 * (1 / DEFER_MAX_UNREPORTED - 0.1)))
     spend(outbox, THERE, NOW)
     assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [1.0]
 
 
-def test_words_told_late_come_in_the_order_in_which_their_time_is_up() -> None:
+def test_deferred_reports_are_sent_in_order_of_their_due_times() -> None:
     settings = replace(SETTINGS, plans=(Plan(quota_rate=10.0, quota_burst=60.0),), proxy_count=3)
     outbox = GossipOutbox(settings, Customers(settings, None), PeerLiveness())
     first, second = CustomerKey(1, 0, 0, 3), CustomerKey(2, 0, 0, 3)
@@ -160,7 +162,7 @@
     assert [sent.peer for sent in outbox.take_due(NOW + MILLISECOND_US + MAX_DEFERRAL_US)] == [1]
 
 
-def test_word_goes_to_the_home_that_there_is_by_then() -> None:
+def test_deferred_report_goes_to_the_present_owner() -> None:
     """Where shares move a customer may have another home by the time it is told of, or be at home here."""
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
     spend(outbox, THERE, NOW).owner = 0
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Which servers are known and which one an attempt goes to, without a gateway."""
+"""Known backends and the choice of one, without a gateway."""
 
 from dataclasses import replace
 from random import Random
@@ -39,7 +39,7 @@
     return PendingRequest(RequestReceived("a", 0, 0, "c", 6 * SECOND_US), rule, customer, NOW, 0)
 
 
-def test_list_is_followed_by_its_kind() -> None:
+def test_endpoint_list_is_applied_by_its_kind() -> None:
     first, second, third = endpoints(3)
     balancer = balancer_of((first, second))
     backend = balancer.backends["s0"]
@@ -58,7 +58,7 @@
     assert set(balancer.backends) == {"s0"} and not balancer.ready and not balancer.ready_capacity
 
 
-def test_servers_are_shared_by_those_that_see_them() -> None:
+def test_slow_start_rate_follows_the_number_of_sharing_proxies() -> None:
     """What is told of a view says how many gateways share it; a failed call says nothing. The least that a
     cold server is sent is one gateway's part among those."""
     many = replace(SETTINGS, proxy_count=7500, slow_start_window_us=100 * SECOND_US)
@@ -75,7 +75,7 @@
     assert due == {0: 0, 21: 4}
 
 
-def test_server_that_started_anew_is_cold_and_begins_at_a_time_of_its_own() -> None:
+def test_restarted_backend_begins_slow_start_at_a_random_time() -> None:
     balancer = balancer_of(endpoints(2))
     balancer.backends["s0"].failure_score = 1.0
     balancer.apply_endpoint_list(
@@ -86,7 +86,7 @@
     assert balancer.ready_capacity == 1 + SETTINGS.slow_start_fraction
 
 
-def test_least_expected_wait_is_chosen_and_none_of_the_tried_or_avoided() -> None:
+def test_shortest_expected_wait_is_chosen_among_usable_backends() -> None:
     balancer, asked = balancer_of(endpoints(4)), pending_request()
     busy, slow, fast, full = balancer.ready
     busy.in_flight[("x", 0)], slow.slowness, full.avoid_until_us = NOW, 1.5, NOW + 1
@@ -104,7 +104,7 @@
     assert balancer.choose(NOW, asked) is None
 
 
-def test_request_that_may_have_run_stays_where_its_repeats_are_dropped() -> None:
+def test_executed_request_stays_in_its_deduplication_scope() -> None:
     balancer, keyed = balancer_of(endpoints(4)), pending_request(KEYED)
     first = balancer.backends["s1"]
     keyed.first_backend, keyed.first_endpoint, keyed.first_forwarded_at_us = first, first.endpoint, NOW
@@ -117,7 +117,7 @@
     )
 
 
-def test_a_few_are_looked_at_and_most_have_a_connection_that_rests() -> None:
+def test_few_backends_are_examined_and_most_have_an_idle_connection() -> None:
     balancer = balancer_of(
         endpoints(100), replace(SETTINGS, handshake_price=0.1, idle_connection_ttl_us=5 * SECOND_US)
     )
@@ -127,7 +127,7 @@
     assert len(few) == CHOICES and sum(backend.idle_connections for backend in few) == IDLE_CONNECTION_CHOICES
 
 
-def test_slowness_fades_and_the_rate_follows_what_was_to_be_sent() -> None:
+def test_slowness_decays_and_the_rate_follows_offered_requests() -> None:
     balancer = balancer_of(endpoints(1))
     balancer.ready[0].slowness = 2.0
     balancer.end_period(NOW, 50, 2 * SECOND_US)
--- a/tests/policy/test_overload_control.py
+++ b/tests/policy/test_overload_control.py
@@ -1,4 +1,4 @@
-"""The cap without a gateway: it engages, moves, is lifted, and spreads what it allows over its period."""
+"""Overload control without a gateway: N engages, moves, is lifted, and is distributed over its period."""
 
 from dataclasses import replace
 
@@ -46,7 +46,7 @@
     assert next_n(n_past, na_past, occup, overhead, UTIL) == expected
 
 
-def test_engages_by_the_ready_servers_and_is_lifted_when_little_of_it_is_used() -> None:
+def test_engages_by_the_ready_backends_and_is_lifted_when_little_used() -> None:
     control = control_of(0.9)
     assert control.n_past == IN_FLIGHT_PER_BACKEND * 4 // 2
     control.utilization_samples.append(0.3)
@@ -54,14 +54,14 @@
     assert control.n_past is None and control.overhead == pytest.approx(0.3)
 
 
-def test_in_full_use_it_rises_and_is_not_lifted() -> None:
+def test_n_in_full_use_rises_and_is_not_lifted() -> None:
     control = control_of(0.9)
     control.utilization_samples.append(0.3)
     control.update(16, 4, list)
     assert control.n_past == 19  # the largest step from 16
 
 
-def test_jam_in_which_nobody_answers_counts_by_the_ages_of_attempts() -> None:
+def test_overdue_ages_count_while_nobody_answers() -> None:
     control = control_of()
     control.update(0, 4, list)
     assert control.n_past is None  # no sample says anything
@@ -73,7 +73,7 @@
     assert cores.n_past is None
 
 
-def test_what_it_allows_is_spread_over_the_period_and_what_is_out_is_bounded() -> None:
+def test_n_is_distributed_over_the_period_and_attempts_in_flight_are_bounded() -> None:
     control = control_of(0.9)
     control.accepted = 8
     assert not control.allows(SECOND_US // 4, 0, 4) and control.allows(SECOND_US // 2, 0, 4)
@@ -84,7 +84,7 @@
     assert lifted.allows(0, MIN_IN_FLIGHT - 1, 0) and not lifted.allows(0, MIN_IN_FLIGHT, 0)
 
 
-def test_period_is_long_where_few_are_sent_and_n_goes_with_it() -> None:
+def test_period_is_long_at_low_rates_and_n_scales_with_it() -> None:
     control = control_of(0.9)
     control.accepted, control.admitted = 3, 40
     assert control.offered() == 16  # no more than the cap
--- a/tests/policy/test_peer_liveness.py
+++ b/tests/policy/test_peer_liveness.py
@@ -1,4 +1,4 @@
-"""What is known of a peer: silent once it answers no ask, and whose share of ceilings it keeps to."""
+"""Liveness of peers, and whether they split ceilings."""
 
 from molereach.policy.peer_liveness import (
     PEER_SILENCE_US,
@@ -11,7 +11,7 @@
 NOW = 100 * SECOND_US
 
 
-def test_peer_that_answers_no_ask_is_silent_and_asked_now_and_then() -> None:
+def test_peer_without_a_reply_is_silent_and_sent_a_request_now_and_then() -> None:
     peers = PeerLiveness()
     assert not peers.is_silent(NOW, 1)
     peers.record_request(NOW, 1)
@@ -24,7 +24,7 @@
     assert not peers.is_silent(NOW + 2 * SECOND_US + 1, 1)
 
 
-def test_peer_that_speaks_and_does_not_say_so_keeps_its_whole_share() -> None:
+def test_peer_that_sends_no_mark_splits_no_ceilings() -> None:
     peers = PeerLiveness()
     assert peers.splits_ceilings(1)  # it has spent nothing that it had to tell
     peers.record_message(NOW, 1)
--- a/tests/policy/test_quota.py
+++ b/tests/policy/test_quota.py
@@ -1,4 +1,4 @@
-"""A customer's stores by hand: parts, level, the chance rule, and units that the home gave."""
+"""A customer's buckets by hand: refill, admission probability, debt, ceiling grants."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     return CustomerAccount(plan, CustomerKey(5, 0, 0, size), SETTINGS, NOW, since, split)
 
 
-def test_parts_are_of_the_set_and_the_ceiling_fills_from_the_start_of_the_gateway() -> None:
+def test_buckets_are_parts_of_the_set_and_the_ceiling_fills_from_the_start() -> None:
     account = account_of()
     assert (account.local_tokens, account.tokens, account.ceiling.tokens) == (5.0, 20.0, 1.5)
     assert account_of(since=NOW).ceiling.tokens == 0
@@ -33,7 +33,7 @@
     )
 
 
-def test_level_and_others_stay_as_told_while_that_is_fresh() -> None:
+def test_tokens_and_remote_demand_stay_as_reported_while_the_reply_is_fresh() -> None:
     account = account_of()
     account.tokens, account.remote_demand, account.local_tokens, account.replied_at_us = 2.0, 8.0, 0.0, NOW
     account.refill(NOW + REPLY_FRESH_US)
@@ -45,14 +45,14 @@
     assert account.tokens == 12.0 and account.remote_demand < 0.01
 
 
-def test_own_demand_ages_by_its_own_time() -> None:
+def test_local_demand_decays() -> None:
     account = account_of()
     account.local_demand = 1.0
     account.refill(NOW + round(DEMAND_DECAY_US))
     assert account.local_demand == pytest.approx(0.3679, abs=1e-4)
 
 
-def test_chance_is_quota_over_demand() -> None:
+def test_admission_probability_is_quota_over_demand() -> None:
     account = account_of()
     account.tokens, account.local_demand, account.remote_demand = 6.0, 4.0, 8.0
     assert account.admission_probability(1.0) == 0.5
@@ -67,7 +67,7 @@
     assert busy.admission_probability(1.0) == 0.0
 
 
-def test_store_owes_no_more_than_a_short_time_of_its_rate() -> None:
+def test_debt_of_a_bucket_is_bounded() -> None:
     account = account_of()
     account.spend(100.0)
     assert account.tokens == -10.0 * DEMAND_DECAY_US / SECOND_US
@@ -76,7 +76,7 @@
     assert small.tokens == -5.0
 
 
-def test_given_units_go_first_and_do_not_keep() -> None:
+def test_granted_units_are_spent_first_and_expire() -> None:
     account = account_of(split=True)
     before = account.ceiling.tokens
     account.ceiling.add_grant(NOW, NOW + GRANT_TTL_US, 1.0)
@@ -91,6 +91,6 @@
     assert account.ceiling.needs_grant(1.0) and not account_of().ceiling.needs_grant(9.0)
 
 
-def test_time_to_be_full_again() -> None:
+def test_full_refill_time() -> None:
     assert full_refill_us(Plan(quota_rate=10.0, quota_burst=20.0)) == 2 * SECOND_US + SECOND_US // 2
     assert full_refill_us(Plan(ceiling_rate=1.0, ceiling_burst=30.0)) == 30 * SECOND_US
