--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -139,7 +139,7 @@
         assert loan.last_grant is not None
         self.outbox.append(PeerMessage(borrower, loan.last_grant))
         borrowed = account.borrowed.get(borrower)
-        wants_more = request.wanted_share > request.held_share
+        wants_more = request.wanted_share > request.borrower_share
         if wants_more and borrowed and borrowed.usable_share(now_us) and not borrowed.pending_request:
             self.borrowing.report_soon(now_us, request.key, account, borrowed)
 
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -39,7 +39,7 @@
                     client.close()
                     await until(lambda: not door.open_requests)
                     await turns()
-                    assert not door.answered_requests and not door.gateway.attempts.jobs
+                    assert not door.answered_requests and not door.gateway.attempts.pending
                     dials.let_go()
                     peer = await held.accept()
                     pool = door.backends.pools["s0"]
@@ -87,7 +87,9 @@
                 await turns(9)
                 assert not held.waiting() and peer.pending() == b""
                 assert (
-                    not door.open_requests and not door.answered_requests and not door.gateway.attempts.jobs
+                    not door.open_requests
+                    and not door.answered_requests
+                    and not door.gateway.attempts.pending
                 )
 
     run(job())
