--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -18,26 +18,26 @@
 from molereach.fleet.agent.auth import Tokens
 from molereach.fleet.agent.run import hypercorn_config
 from molereach.fleet.journal import Journal
-from molereach.fleet.orders import BookState
-from molereach.fleet.settings import FleetFile, beside, load, load_token
+from molereach.fleet.orders import OrderStateRecord
+from molereach.fleet.settings import FleetFile, load, load_token, resolve
 from rig.fakedoor import FakeDoor
 
 
-async def unasked(peer: str, after: int) -> BookState | None:
+async def unasked(peer: str, after: int) -> OrderStateRecord | None:
     raise OSError("peers are not asked here")
 
 
 async def main(file: Path, first: int, count: int) -> None:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
     fleet = load(file, FleetFile)
-    token = load_token(beside(file, fleet.token))
+    token = load_token(resolve(file, fleet.token))
     stopped, tasks, agents = asyncio.Event(), [], []
     doors: list[FakeDoor] = []
     for entry in fleet.agents[first : first + count]:
         folder = file.parent / entry.name
         folder.mkdir()
-        doors.append(FakeDoor(entry.doors[0]))
-        await doors[-1].start(folder / f"{entry.doors[0]}.sock")
+        doors.append(FakeDoor(entry.proxies[0]))
+        await doors[-1].start(folder / f"{entry.proxies[0]}.sock")
         agent = Agent(entry.name, fleet.names, folder, Journal(folder / "journal", entry.name), unasked, 0.1)
         agent.start()
         agents.append(agent)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -156,11 +156,11 @@
     """What an agent asks of a front door: its news, and its state again and again."""
     link = Link(lambda state: None, lambda why: None)
     await link.open(path)
-    await link.ask("watch")
+    await link.request("watch")
 
     async def beat() -> None:
         while True:
-            await link.ask("state")
+            await link.request("state")
             await asyncio.sleep(BEAT_S)
 
     task = asyncio.get_running_loop().create_task(beat())
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -15,7 +15,7 @@
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.stats import LinksStats
 from molereach.coordination.transport.words import Words
-from molereach.keyfile import LEAST_KEY_BYTES, MOST_KEY_BYTES
+from molereach.keyfile import MAX_KEY_BYTES, MIN_KEY_BYTES
 
 log = logging.getLogger(__name__)
 
@@ -44,8 +44,8 @@
         settings: LinkSettings = LinkSettings(),  # noqa: B008
     ) -> None:
         """ValueError for a key of another size than BLAKE2b takes, or that is too short to be one."""
-        if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
-            raise ValueError(f"a key of {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes is needed")
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise ValueError(f"a key of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes is needed")
         self.settings, self.words = settings, Words(parts)
         all_rules = {name: (rules or {}).get(name, Rule()) for name in parts}
         self.board = Board(me, addresses, key, self.words, all_rules, draw, settings)
--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -18,15 +18,15 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from molereach.fleet.agent.agent import MOST_WATCHERS, Agent, Watcher
+from molereach.fleet.agent.agent import MAX_WATCHERS, Agent, Watcher
 from molereach.fleet.agent.auth import Role, Tokens
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
-from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem
+from molereach.fleet.api_bodies import MAX_BODY_BYTES, Event, Problem
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
 
-DROP_S = 1.0  # for the rest of a body that nobody wants
-MOST_AT_ONCE = 64  # calls under way, watchers apart
+DISCARD_TIMEOUT_S = 1.0  # for the rest of a body that nobody wants
+MAX_CONCURRENT_CALLS = 64  # calls under way, watchers apart
 CUSTOMER_DIGITS = 16
 JSON, LINES = "application/json", "application/x-ndjson"
 DOCUMENT = Path(__file__).with_name("openapi.json")
@@ -39,7 +39,7 @@
 )
 
 
-class RefusedError(Exception):
+class CallRejectedError(Exception):
     """A call that gets no answer but a problem."""
 
     def __init__(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
@@ -72,19 +72,21 @@
     """A bounded body, not read further than its bound."""
     length = request.headers.get("content-length", "0")
     data = bytearray()
-    if not length.isdigit() or int(length) > MOST_BODY_BYTES:
-        raise RefusedError(413, f"a body of more than {MOST_BODY_BYTES} bytes", {"connection": "close"})
+    if not length.isdigit() or int(length) > MAX_BODY_BYTES:
+        raise CallRejectedError(413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"})
     async for part in request.stream():
         data += part
-        if len(data) > MOST_BODY_BYTES:
-            raise RefusedError(413, f"a body of more than {MOST_BODY_BYTES} bytes", {"connection": "close"})
+        if len(data) > MAX_BODY_BYTES:
+            raise CallRejectedError(
+                413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"}
+            )
     return bytes(data)
 
 
 def number_of(request: Request, name: str) -> int:
     text = request.query_params.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > 16:
-        raise RefusedError(400, f"{name}: not a whole number")
+        raise CallRejectedError(400, f"{name}: not a whole number")
     return int(text)
 
 
@@ -92,7 +94,7 @@
     """The routes of one agent."""
 
     def __init__(self, agent: Agent, tokens: Tokens) -> None:
-        self.agent, self.tokens, self.under_way = agent, tokens, 0
+        self.agent, self.tokens, self.calls_in_progress = agent, tokens, 0
 
     def app(self) -> Starlette:
         """The ASGI application."""
@@ -100,17 +102,17 @@
         return Starlette(
             routes=[
                 Route("/v1/status", self.guarded(read, self.status)),
-                Route("/v1/view", self.guarded(read, self.view)),
+                Route("/v1/view", self.guarded(read, self.snapshot)),
                 Route("/v1/members", self.guarded(read, self.members)),
                 Route("/v1/orders", self.guarded(read, self.orders)),
                 Route("/v1/quota/{customer}", self.guarded(read, self.quota)),
-                Route("/v1/book", self.guarded(read, self.book)),
+                Route("/v1/book", self.guarded(read, self.order_state)),
                 Route("/v1/events", self.guarded(read, self.events)),
                 Route("/v1/watch", self.guarded(read, self.watch)),
                 Route("/v1/agreement", self.guarded(operate, self.agreement), methods=["POST"]),
                 Route("/v1/openapi.json", self.guarded(read, self.openapi)),
             ],
-            middleware=[Middleware(ReadFirst)],
+            middleware=[Middleware(DiscardUnreadBody)],
         )
 
     def guarded(
@@ -123,13 +125,17 @@
             name = client.name if client else ""
             try:
                 if client is None:
-                    raise RefusedError(401, "no token that is known here", {"www-authenticate": "Bearer"})
+                    raise CallRejectedError(
+                        401, "no token that is known here", {"www-authenticate": "Bearer"}
+                    )
                 if not client.role.may(role):
-                    raise RefusedError(403, f"{name} may not do this: it takes the role {role.value}")
-                if self.under_way >= MOST_AT_ONCE:
-                    raise RefusedError(503, f"{MOST_AT_ONCE} calls are under way", {"retry-after": "1"})
+                    raise CallRejectedError(403, f"{name} may not do this: it takes the role {role.value}")
+                if self.calls_in_progress >= MAX_CONCURRENT_CALLS:
+                    raise CallRejectedError(
+                        503, f"{MAX_CONCURRENT_CALLS} calls are under way", {"retry-after": "1"}
+                    )
                 return await self.counted(call, request, name)
-            except RefusedError as refused:
+            except CallRejectedError as refused:
                 peer = request.client.host if request.client else ""
                 log.warning(
                     "call refused",
@@ -151,19 +157,19 @@
     async def counted(
         self, call: Callable[[Request, str], Awaitable[Response]], request: Request, name: str
     ) -> Response:
-        self.under_way += 1
+        self.calls_in_progress += 1
         try:
             return await call(request, name)
         finally:
-            self.under_way -= 1
+            self.calls_in_progress -= 1
 
     # --- reading ---
 
     async def status(self, request: Request, client: str) -> Response:
         return answer(self.agent.status())
 
-    async def view(self, request: Request, client: str) -> Response:
-        return answer(await self.agent.view())
+    async def snapshot(self, request: Request, client: str) -> Response:
+        return answer(await self.agent.snapshot())
 
     async def members(self, request: Request, client: str) -> Response:
         return answer(await self.agent.members())
@@ -174,12 +180,12 @@
     async def quota(self, request: Request, client: str) -> Response:
         customer = request.path_params["customer"].lower()
         if len(customer) != CUSTOMER_DIGITS or set(customer) - set("0123456789abcdef"):
-            raise RefusedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
+            raise CallRejectedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
         return answer(await self.agent.quota(customer))
 
-    async def book(self, request: Request, client: str) -> Response:
+    async def order_state(self, request: Request, client: str) -> Response:
         """The book, where it is past a revision; 204 where it is not."""
-        state = self.agent.acceptor.book.state()
+        state = self.agent.acceptor.order_state.to_record()
         if state.revision <= number_of(request, "after"):
             return Response(status_code=204, headers=HEADERS)
         return answer(state)
@@ -190,8 +196,8 @@
     async def watch(self, request: Request, client: str) -> Response:
         """Events as they happen, a line each; one who does not read misses some, and is told how many."""
         agent = self.agent
-        if len(agent.watchers) >= MOST_WATCHERS:
-            raise RefusedError(503, f"{MOST_WATCHERS} watchers are there", {"retry-after": "5"})
+        if len(agent.watchers) >= MAX_WATCHERS:
+            raise CallRejectedError(503, f"{MAX_WATCHERS} watchers are there", {"retry-after": "5"})
         watcher = Watcher()
         agent.watchers.add(watcher)  # before the answer begins: nothing is missed after it
 
@@ -207,7 +213,7 @@
             finally:
                 agent.watchers.discard(watcher)
 
-        return Watching(lines(), agent, watcher)
+        return WatchResponse(lines(), agent, watcher)
 
     async def openapi(self, request: Request, client: str) -> Response:
         return Response(DOCUMENT.read_bytes(), 200, HEADERS, JSON)
@@ -220,14 +226,14 @@
             message = _message.decode(await body_of(request))
             check_message(message)
         except (msgspec.DecodeError, UnicodeDecodeError, OrderError) as error:
-            raise RefusedError(400, " ".join(str(error).split())) from error
+            raise CallRejectedError(400, " ".join(str(error).split())) from error
         try:
-            return answer(await self.agent.take(message, client))
+            return answer(await self.agent.handle_message(message, client))
         except JournalError as error:
-            raise RefusedError(503, str(error)) from error
+            raise CallRejectedError(503, str(error)) from error
 
 
-class Watching(StreamingResponse):
+class WatchResponse(StreamingResponse):
     """A stream whose watcher goes with it, also where it never began."""
 
     def __init__(self, lines: AsyncIterator[bytes], agent: Agent, watcher: Watcher) -> None:
@@ -247,7 +253,7 @@
     return _encode(event) + b"\n"
 
 
-class ReadFirst:
+class DiscardUnreadBody:
     """Middleware: what a client still sends is read and dropped before it is answered, within bounds.
 
     The HTTP server (hypercorn 0.18.0) forgets a stream of HTTP/2 as soon as it is answered, and a DATA frame
@@ -273,8 +279,8 @@
             nonlocal dropped
             if message["type"] == "http.response.start":
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(DROP_S):
-                        while not over and dropped <= MOST_BODY_BYTES:
+                    async with asyncio.timeout(DISCARD_TIMEOUT_S):
+                        while not over and dropped <= MAX_BODY_BYTES:
                             dropped += len((await hear()).get("body", b""))
             await send(message)
 
--- a/molereach/fleet/agent/auth.py
+++ b/molereach/fleet/agent/auth.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_CLIENTS = 256
-LEAST_TOKEN = 16
+MAX_CLIENTS = 256
+MIN_TOKEN_LENGTH = 16
 SCHEME = "Bearer "
 
 
@@ -38,12 +38,12 @@
             words = line.split()
             if not words or words[0].startswith("#"):
                 continue
-            if len(words) != 3 or words[0] not in ("read", "operate") or len(words[2]) < LEAST_TOKEN:
-                wanted = f"'read' or 'operate', a name and a token of {LEAST_TOKEN} or more characters"
+            if len(words) != 3 or words[0] not in ("read", "operate") or len(words[2]) < MIN_TOKEN_LENGTH:
+                wanted = f"'read' or 'operate', a name and a token of {MIN_TOKEN_LENGTH} or more characters"
                 raise ValueError(f"line {number} is not: {wanted}")
             self.clients.append((digest(words[2]), Client(words[1], Role(words[0]))))
-        if not 0 < len(self.clients) <= MOST_CLIENTS:
-            raise ValueError(f"{len(self.clients)} tokens; 1 to {MOST_CLIENTS} are taken")
+        if not 0 < len(self.clients) <= MAX_CLIENTS:
+            raise ValueError(f"{len(self.clients)} tokens; 1 to {MAX_CLIENTS} are taken")
 
     def client(self, authorization: str) -> Client | None:
         """Whose token an Authorization header carries (RFC 6750, section 2.1)."""
--- a/molereach/fleet/agent/openapi.py
+++ b/molereach/fleet/agent/openapi.py
@@ -23,13 +23,13 @@
 )
 BODIES = (
     api_bodies.Status,
-    api_bodies.View,
+    api_bodies.AgentSnapshot,
     api_bodies.Members,
     api_bodies.Orders,
     api_bodies.Quota,
     api_bodies.Event,
     api_bodies.Problem,
-    orders.BookState,
+    orders.OrderStateRecord,
 )
 PROBLEMS = {
     "400": "what came makes no sense",
@@ -48,7 +48,14 @@
 
 
 # Schemas are published under these names, whatever the classes are called: other people's clients use them.
-PUBLISHED_NAMES = {"CustomerLimits": "Held"}
+PUBLISHED_NAMES = {
+    "CustomerLimits": "Held",
+    "AgentSnapshot": "View",
+    "OrderStateRecord": "BookState",
+    "ProxyState": "State",
+    "ProxyStatus": "DoorView",
+    "QuotaStatus": "Standing",
+}
 
 
 def reference(kind: type) -> dict[str, str]:
@@ -95,7 +102,7 @@
 def paths() -> dict[str, Any]:
     """Every route and what it answers."""
     messages = {"oneOf": [reference(kind) for kind in MESSAGES]}
-    book = call("the book, where it is past a revision", reference(orders.BookState), AFTER)
+    book = call("the book, where it is past a revision", reference(orders.OrderStateRecord), AFTER)
     book["responses"]["204"] = {"description": "it is not past it"}
     take = call(
         "a message of the agreement, and the replies to it",
@@ -106,7 +113,9 @@
     events = {"type": "array", "items": reference(api_bodies.Event)}
     return {
         "/v1/status": {"get": call("the agent and its front doors", reference(api_bodies.Status))},
-        "/v1/view": {"get": call("all that a tool needs to give an order", reference(api_bodies.View))},
+        "/v1/view": {
+            "get": call("all that a tool needs to give an order", reference(api_bodies.AgentSnapshot))
+        },
         "/v1/members": {"get": call("servers as each front door sees them", reference(api_bodies.Members))},
         "/v1/orders": {
             "get": call("orders in force, the latest, one under way", reference(api_bodies.Orders))
--- a/molereach/fleet/agent/run.py
+++ b/molereach/fleet/agent/run.py
@@ -15,19 +15,19 @@
 from hypercorn.typing import ASGIFramework
 
 from molereach.fleet import settings
-from molereach.fleet.agent.agent import Agent, Fetch
+from molereach.fleet.agent.agent import Agent, FetchState
 from molereach.fleet.agent.api import Api
 from molereach.fleet.agent.auth import Tokens
-from molereach.fleet.api_bodies import MOST_BODY_BYTES
+from molereach.fleet.api_bodies import MAX_BODY_BYTES
 from molereach.fleet.journal import Journal, JournalError
-from molereach.fleet.orders import BookState
-from molereach.fleet.settings import AgentFile, FleetFile, SettingsError, TlsTable, beside, load
+from molereach.fleet.orders import OrderStateRecord
+from molereach.fleet.settings import AgentFile, FleetFile, SettingsError, TlsTable, load, resolve
 
 DONE, FAILED, BAD_INPUT = 0, 1, 2
-GRACE_S = 0.5  # for calls under way at the end
-IDLE_S = 30.0  # a connection without a call
-MOST_STREAMS = 100
-_books = msgspec.json.Decoder(BookState)
+SHUTDOWN_GRACE_S = 0.5  # for calls under way at the end
+IDLE_TIMEOUT_S = 30.0  # a connection without a call
+MAX_STREAMS = 100
+_books = msgspec.json.Decoder(OrderStateRecord)
 
 
 def configure_log() -> None:
@@ -46,18 +46,18 @@
     logging.getLogger("hypercorn.error").setLevel(logging.CRITICAL)
 
 
-def peers(client: httpx.AsyncClient, fleet: FleetFile) -> Fetch:
+def peers(client: httpx.AsyncClient, fleet: FleetFile) -> FetchState:
     """How to ask another agent for its book."""
     urls = {agent.name: agent.url.rstrip("/") for agent in fleet.agents}
 
-    async def fetch(peer: str, after: int) -> BookState | None:
+    async def fetch(peer: str, after: int) -> OrderStateRecord | None:
         try:
             found = await client.get(f"{urls[peer]}/v1/book", params={"after": after})
         except httpx.HTTPError as error:
             raise OSError(f"{type(error).__name__}: {error}") from error
         if found.status_code == httpx.codes.NO_CONTENT:
             return None
-        if found.status_code != httpx.codes.OK or len(found.content) > MOST_BODY_BYTES:
+        if found.status_code != httpx.codes.OK or len(found.content) > MAX_BODY_BYTES:
             raise OSError(f"status {found.status_code}, {len(found.content)} bytes")
         return _books.decode(found.content)
 
@@ -70,13 +70,13 @@
     config.bind = [listen]
     config.accesslog = config.errorlog = None
     config.include_server_header = False
-    config.graceful_timeout, config.keep_alive_timeout = GRACE_S, IDLE_S
-    config.h2_max_concurrent_streams = MOST_STREAMS
+    config.graceful_timeout, config.keep_alive_timeout = SHUTDOWN_GRACE_S, IDLE_TIMEOUT_S
+    config.h2_max_concurrent_streams = MAX_STREAMS
     config.h11_max_incomplete_size = 16 << 10
     if tls:
-        config.certfile, config.keyfile = str(beside(file, tls.cert)), str(beside(file, tls.key))
+        config.certfile, config.keyfile = str(resolve(file, tls.cert)), str(resolve(file, tls.key))
         if tls.client_ca:
-            config.ca_certs, config.verify_mode = str(beside(file, tls.client_ca)), ssl.CERT_REQUIRED
+            config.ca_certs, config.verify_mode = str(resolve(file, tls.client_ca)), ssl.CERT_REQUIRED
     return config
 
 
@@ -93,12 +93,17 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopped.set)
     loop.set_exception_handler(connection_failed)
-    headers = {"authorization": f"Bearer {settings.load_token(beside(fleet_path, fleet.token))}"}
+    headers = {"authorization": f"Bearer {settings.load_token(resolve(fleet_path, fleet.token))}"}
     verify = settings.client_tls(fleet_path, fleet)
-    journal = Journal(beside(file, own.journal), own.name)
+    journal = Journal(resolve(file, own.journal), own.name)
     async with httpx.AsyncClient(headers=headers, verify=verify, timeout=fleet.timeout_s) as client:
         agent = Agent(
-            own.name, fleet.names, beside(file, own.sockets), journal, peers(client, fleet), own.start_alone_s
+            own.name,
+            fleet.names,
+            resolve(file, own.sockets),
+            journal,
+            peers(client, fleet),
+            own.start_alone_s,
         )
         agent.start()
         config = hypercorn_config(own.listen, own.tls, file)
@@ -115,15 +120,15 @@
     configure_log()
     try:
         own = load(file, AgentFile)
-        fleet_path = beside(file, own.fleet)
+        fleet_path = resolve(file, own.fleet)
         fleet = load(fleet_path, FleetFile)
         if own.name not in fleet.names:
             raise SettingsError(f"{fleet_path}: agents: there is no '{own.name}'")
-        if not beside(file, own.sockets).is_dir():
-            raise SettingsError(f"{file}: sockets: there is no folder {beside(file, own.sockets)}")
-        tokens_path = beside(file, own.tokens)
+        if not resolve(file, own.sockets).is_dir():
+            raise SettingsError(f"{file}: sockets: there is no folder {resolve(file, own.sockets)}")
+        tokens_path = resolve(file, own.tokens)
         try:
-            tokens = Tokens(settings.secret(tokens_path))
+            tokens = Tokens(settings.read_secret(tokens_path))
         except ValueError as error:
             raise SettingsError(f"{tokens_path}: {error}") from error
         asyncio.run(run_agent(file, own, fleet_path, fleet, tokens))
--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from molereach.fleet.orders import Book, BookState, Decided, Order
+from molereach.fleet.orders import Decided, Order, OrderState, OrderStateRecord
 
-MOST_TOLD = 64  # decided orders in one reply
-MOST_BALLOT = 1 << 32
+MAX_DECIDED_PER_REPLY = 64  # decided orders in one reply
+MAX_BALLOT_NUMBER = 1 << 32
 
 
 class Ballot(msgspec.Struct, frozen=True, order=True, forbid_unknown_fields=True):
@@ -31,16 +31,18 @@
 # --- messages ---
 
 
-class Told(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind", tag=str.lower):
+class AgreementMessage(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind", tag=str.lower
+):
     """A message."""
 
 
-class Prepare(Told, frozen=True):
+class Prepare(AgreementMessage, frozen=True):
     revision: int
     ballot: Ballot
 
 
-class Promise(Told, frozen=True):
+class Promise(AgreementMessage, frozen=True):
     """Nothing under this ballot will be accepted; and what was accepted before, if anything."""
 
     revision: int
@@ -49,18 +51,18 @@
     accepted: Order | None = None
 
 
-class Accept(Told, frozen=True):
+class Accept(AgreementMessage, frozen=True):
     revision: int
     ballot: Ballot
     order: Order
 
 
-class Accepted(Told, frozen=True):
+class Accepted(AgreementMessage, frozen=True):
     revision: int
     ballot: Ballot
 
 
-class Outbid(Told, frozen=True):
+class Outbid(AgreementMessage, frozen=True):
     """A higher ballot was promised."""
 
     revision: int
@@ -68,16 +70,16 @@
     promised: Ballot
 
 
-class Known(Told, frozen=True):
+class Known(AgreementMessage, frozen=True):
     """Decided orders, for one that is behind; an answer to whatever is about a revision that is decided.
 
     `base` is a whole book, where single orders would not do."""
 
     decided: tuple[Decided, ...] = ()
-    base: BookState | None = None
+    base: OrderStateRecord | None = None
 
 
-class Behind(Told, frozen=True):
+class Behind(AgreementMessage, frozen=True):
     """The acceptor lacks the revisions from here on, and cannot judge a later one."""
 
     next_revision: int
@@ -104,41 +106,41 @@
     `state` and `book` outlive a restart.
     """
 
-    def __init__(self, state: Promised = Promised(), book: BookState = BookState()) -> None:
-        self.state, self.book = state, Book(book)
+    def __init__(self, state: Promised = Promised(), book: OrderStateRecord = OrderStateRecord()) -> None:
+        self.state, self.order_state = state, OrderState(book)
 
     def handle(self, message: Message) -> list[Message]:
         """The replies to one message. Those that are replies themselves say nothing to an acceptor."""
         match message:
             case Known():
-                self.learn(message)
+                self.record_decided(message)
                 return []
             case Prepare() | Accept():
-                if message.revision <= self.book.revision:
+                if message.revision <= self.order_state.revision:
                     return [self.known(message.revision)]
-                if message.revision > self.book.revision + 1:
-                    return [Behind(self.book.revision + 1)]
+                if message.revision > self.order_state.revision + 1:
+                    return [Behind(self.order_state.revision + 1)]
                 return self.prepare(message) if isinstance(message, Prepare) else self.accept(message)
             case _:
                 return []
 
-    def learn(self, known: Known) -> None:
+    def record_decided(self, known: Known) -> None:
         """What was decided elsewhere."""
         if known.base:
-            self.book.adopt(known.base)
+            self.order_state.adopt(known.base)
         for decided in known.decided:
-            self.book.learn(decided)
+            self.order_state.record_decided(decided)
 
     def known(self, since: int) -> Known:
-        last = min(self.book.revision, since + MOST_TOLD - 1)
-        recent = self.book.recent
+        last = min(self.order_state.revision, since + MAX_DECIDED_PER_REPLY - 1)
+        recent = self.order_state.recent
         if any(revision not in recent for revision in range(since, last + 1)):
-            return Known(base=self.book.state())
+            return Known(base=self.order_state.to_record())
         return Known(tuple(recent[revision] for revision in range(since, last + 1)))
 
     def pending(self) -> Order | None:
         """An order that was accepted here and is not known to be decided."""
-        return self.current(self.book.revision + 1).accepted
+        return self.current(self.order_state.revision + 1).accepted
 
     def current(self, revision: int) -> Promised:
         """What was promised about the revision under way; of an earlier one nothing holds any more."""
@@ -189,7 +191,7 @@
     accepts: set[str] = field(default_factory=set)
     chosen: Order | None = None
     outcome: Decided | None = None
-    overtaken: BookState | None = None  # a book that is past the revision, where no outcome is known
+    overtaken: OrderStateRecord | None = None  # a book that is past the revision, where no outcome is known
     outbid: int = 0  # the highest number heard of
 
     def __post_init__(self) -> None:
@@ -207,7 +209,7 @@
         """Ask all agents; also to try again after a time, with a ballot above all that were heard of."""
         if self.finished:
             return []
-        number = min(MOST_BALLOT, max(self.ballot.number, self.outbid) + 1)
+        number = min(MAX_BALLOT_NUMBER, max(self.ballot.number, self.outbid) + 1)
         self.ballot, self.phase = Ballot(number, self.name), Phase.PREPARING
         self.promises, self.accepts, self.chosen = {}, set(), None
         return [Prepare(self.revision, self.ballot)]
@@ -250,7 +252,7 @@
             if decided.revision == self.revision:
                 return self.settle(decided)
         if message.base and message.base.revision >= self.revision:
-            mine = Book(message.base).find(self.order.id)
+            mine = OrderState(message.base).find(self.order.id)
             self.phase, self.outcome = (Phase.DONE if mine else Phase.LOST), mine
             self.overtaken = message.base
             return [Known(base=message.base)]
--- a/molereach/fleet/anchored_clock.py
+++ b/molereach/fleet/anchored_clock.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 
-def anchored() -> Callable[[], int]:
+def anchored_unix_ms() -> Callable[[], int]:
     """A clock in milliseconds of Unix time."""
     start_ms = time.time_ns() // 1_000_000 - time.monotonic_ns() // 1_000_000
     return lambda: start_ms + time.monotonic_ns() // 1_000_000
--- a/molereach/fleet/api_bodies.py
+++ b/molereach/fleet/api_bodies.py
@@ -5,25 +5,25 @@
 
 import msgspec
 
-from molereach.fleet.orders import BookState, Decided, Order
-from molereach.fleet.wire import Member, Standing, State
+from molereach.fleet.orders import Decided, Order, OrderStateRecord
+from molereach.fleet.wire import Member, ProxyState, QuotaStatus
 
-MOST_BODY_BYTES = 1 << 20  # a whole book with room
-Reach = Literal["new", "up", "silent", "gone", "ended"]
+MAX_BODY_BYTES = 1 << 20  # a whole book with room
+Reachability = Literal["new", "up", "silent", "gone", "ended"]
 
 
 class Body(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A body of the API."""
 
 
-class DoorView(Body, frozen=True):
+class ProxyStatus(Body, frozen=True):
     """A front door as its agent knows it; times in milliseconds."""
 
     name: str
-    reach: Reach  # new: not heard yet; silent: takes all and says nothing; ended: in order, by itself
-    heard_ago_ms: int | None  # since its last word; None for never
-    why: str = ""
-    state: State | None = None  # as it was told last
+    reachability: Reachability = msgspec.field(name="reach")
+    reported_ago_ms: int | None = msgspec.field(name="heard_ago_ms")  # since its last answer; None for never
+    reason: str = msgspec.field(name="why", default="")
+    state: ProxyState | None = None  # the last one that was received
 
     @property
     def revision(self) -> int:
@@ -40,14 +40,14 @@
     synced: bool  # whether it has heard from a majority since it started
     journal: str  # "" or why nothing can be promised any more
     pending: Order | None  # accepted here and not known to be decided
-    doors: tuple[DoorView, ...]
+    proxies: tuple[ProxyStatus, ...] = msgspec.field(name="doors")
 
 
-class View(Body, frozen=True):
+class AgentSnapshot(Body, frozen=True):
     """All that a tool needs to give an order."""
 
     status: Status
-    book: BookState
+    order_state: OrderStateRecord = msgspec.field(name="book")
     ready: dict[str, str]  # servers that are up at each front door that answers, and their buildings
 
 
@@ -55,7 +55,7 @@
     """The servers as each front door that answers sees them."""
 
     agent: str
-    doors: dict[str, tuple[Member, ...]]
+    proxies: dict[str, tuple[Member, ...]] = msgspec.field(name="doors")
     missing: dict[str, str]  # front doors that did not answer, and why
 
 
@@ -63,7 +63,7 @@
     """What each front door that answers knows of a customer's quota."""
 
     agent: str
-    doors: dict[str, tuple[Standing, ...]]
+    proxies: dict[str, tuple[QuotaStatus, ...]] = msgspec.field(name="doors")
     missing: dict[str, str]
 
 
--- a/molereach/fleet/cli/client.py
+++ b/molereach/fleet/cli/client.py
@@ -12,16 +12,16 @@
 import msgspec
 
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
-from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem, View
+from molereach.fleet.api_bodies import MAX_BODY_BYTES, AgentSnapshot, Event, Problem
 from molereach.fleet.rollout import events as ev
 from molereach.fleet.rollout.report import Report
 from molereach.fleet.rollout.stages import TICK_INTERVAL_US, Rollout
-from molereach.fleet.settings import FleetFile, beside, client_tls, load_token
+from molereach.fleet.settings import FleetFile, client_tls, load_token, resolve
 
 T = TypeVar("T")
-LAST_WORDS_S = 0.3  # for what is still on its way when the report is there
-MOST_ANSWER_BYTES = 4 * MOST_BODY_BYTES  # members of many servers
-MOST_LINE_BYTES = 64 << 10
+FINAL_CALLS_TIMEOUT_S = 0.3  # for what is still on its way when the report is there
+MAX_RESPONSE_BYTES = 4 * MAX_BODY_BYTES  # members of many servers
+MAX_LINE_BYTES = 64 << 10
 _encode = msgspec.json.Encoder().encode
 Replies = tuple[Prepare | Promise | Accept | Accepted | Outbid | Known | Behind, ...]
 
@@ -30,11 +30,11 @@
     """An agent could not be asked; the text is one plain line."""
 
 
-class RefusedCallError(CallError):
+class CallRejectedError(CallError):
     """An agent answered, and refused: a token, a role, a body."""
 
 
-def why(error: httpx.HTTPError) -> str:
+def describe_failure(error: httpx.HTTPError) -> str:
     if isinstance(error, httpx.TimeoutException):
         return "no answer in time"
     return " ".join(str(error).split()) or type(error).__name__
@@ -51,7 +51,7 @@
         """
         self.settings = settings
         self.urls = {agent.name: agent.url.rstrip("/") for agent in settings.agents}
-        headers = {"authorization": f"Bearer {load_token(beside(file, settings.token))}"}
+        headers = {"authorization": f"Bearer {load_token(resolve(file, settings.token))}"}
         encrypted = any(url.startswith("https") for url in self.urls.values())
         tls = client_tls(file, settings) if encrypted else False
         # Without TLS there is nothing to negotiate by: HTTP/2 with prior knowledge (RFC 9113, section 3.3). A
@@ -96,7 +96,7 @@
                 else:
                     found = await self.clients[agent].post(url, content=_encode(message))
         except httpx.HTTPError as error:
-            raise CallError(why(error)) from error
+            raise CallError(describe_failure(error)) from error
         except TimeoutError:
             raise CallError(f"no answer within {within:g} s") from None
         return read(found.status_code, found.content, kind)
@@ -119,19 +119,19 @@
                 if answer.status_code != httpx.codes.OK:
                     read(answer.status_code, await answer.aread(), Event)
                 async for line in answer.aiter_lines():
-                    if len(line) > MOST_LINE_BYTES:
+                    if len(line) > MAX_LINE_BYTES:
                         raise CallError("a line that is too long")
                     if line.strip():
                         yield msgspec.json.decode(line, type=Event)
         except httpx.HTTPError as error:
-            raise CallError(why(error)) from error
+            raise CallError(describe_failure(error)) from error
         except msgspec.DecodeError as error:
             raise CallError(f"an answer that is none: {error}") from error
 
 
 def read(status: int, content: bytes, kind: type[T]) -> T:
     """An answer, checked."""
-    if len(content) > MOST_ANSWER_BYTES:
+    if len(content) > MAX_RESPONSE_BYTES:
         raise CallError(f"an answer of {len(content)} bytes")
     try:
         if status == httpx.codes.OK:
@@ -139,11 +139,11 @@
         text = msgspec.json.decode(content, type=Problem).error if content else ""
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise CallError(f"status {status} and an answer that is none: {error}") from error
-    kind_of_error = RefusedCallError if status in (400, 401, 403, 404, 413) else CallError
+    kind_of_error = CallRejectedError if status in (400, 401, 403, 404, 413) else CallError
     raise kind_of_error(text or f"status {status}")
 
 
-class Giver:
+class RolloutRunner:
     """Carries out a rollout's actions; `on_step` hears how far it has come."""
 
     def __init__(self, fleet: Fleet, rollout: Rollout, on_step: Callable[[str], None]) -> None:
@@ -154,51 +154,51 @@
     async def run(self) -> Report:
         """Give the order; the report of what became of it."""
         rollout = self.rollout
-        self.act(rollout.begin(now_us()))
+        self.carry_out_actions(rollout.begin(now_us()))
         tick_us = now_us()
         try:
             while rollout.report is None:
                 left_us = tick_us + TICK_INTERVAL_US - now_us()
                 if left_us <= 0:
                     tick_us = now_us()
-                    self.act(rollout.handle(tick_us, ev.Tick()))
+                    self.carry_out_actions(rollout.handle(tick_us, ev.Tick()))
                     continue
                 try:
                     event = await asyncio.wait_for(self.events.get(), left_us / 1e6)
                 except TimeoutError:
                     continue
-                self.act(rollout.handle(now_us(), event))
+                self.carry_out_actions(rollout.handle(now_us(), event))
             if self.tasks:
-                await asyncio.wait(self.tasks, timeout=LAST_WORDS_S)
+                await asyncio.wait(self.tasks, timeout=FINAL_CALLS_TIMEOUT_S)
         finally:
             for task in self.tasks:
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
         return rollout.report
 
-    def act(self, actions: list[ev.Action]) -> None:
+    def carry_out_actions(self, actions: list[ev.Action]) -> None:
         for action in actions:
             match action:
                 case ev.Step():
                     self.on_step(action.name)
                 case ev.RequestSnapshot():
-                    self.spawn(self.look(action.agent))
+                    self.spawn(self.request_snapshot(action.agent))
                 case ev.SendMessage():
-                    self.spawn(self.say(action.agent, action.message))
+                    self.spawn(self.send_message(action.agent, action.message))
 
     def spawn(self, job: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(job)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def look(self, agent: str) -> None:
+    async def request_snapshot(self, agent: str) -> None:
         try:
-            view = await self.fleet.call(agent, "/v1/view", View)
+            view = await self.fleet.call(agent, "/v1/view", AgentSnapshot)
             self.events.put_nowait(ev.SnapshotReceived(agent, view))
         except CallError as error:
             self.events.put_nowait(ev.RequestFailed(agent, str(error), snapshot_requested=True))
 
-    async def say(self, agent: str, message: Message) -> None:
+    async def send_message(self, agent: str, message: Message) -> None:
         try:
             for reply in await self.fleet.call(agent, "/v1/agreement", Replies, message):
                 self.events.put_nowait(ev.ReplyReceived(agent, reply))
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -10,8 +10,8 @@
 import click
 import msgspec
 
-from molereach.fleet.cli.client import Fleet, Giver
-from molereach.fleet.cli.exits import DONE, EXITS, PARTLY
+from molereach.fleet.cli.client import Fleet, RolloutRunner
+from molereach.fleet.cli.exits import DONE, EXITS, PARTIAL
 from molereach.fleet.cli.in_flight import show_in_flight, wait_for_end
 from molereach.fleet.cli.rollouts import rollout_for
 from molereach.fleet.cli.session import as_json, run
@@ -74,11 +74,11 @@
         Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
         out = Printer(json_only)
         rollout = rollout_for(made.settings, draft)
-        report = await Giver(made, rollout, lambda step: out.note(f"{step} ...")).run()
+        report = await RolloutRunner(made, rollout, lambda step: out.note(f"{step} ...")).run()
         code, in_flight = EXITS[report.verdict], None
-        if wait_s is not None and report.decided and code in (DONE, PARTLY):
+        if wait_s is not None and report.decided and code in (DONE, PARTIAL):
             in_flight = await wait_for_end(made, subject, wait_s, out.note)
-            code = code if in_flight.ended else PARTLY
+            code = code if in_flight.ended else PARTIAL
         out.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
         if not json_only:
             show_report(out, report)
--- a/molereach/fleet/cli/commands/orders.py
+++ b/molereach/fleet/cli/commands/orders.py
@@ -63,8 +63,8 @@
         [
             (f"{agent}/{door.name}", door)
             for agent, each in stood.items()
-            for door in each.doors
-            if door.reach != "ended"
+            for door in each.proxies
+            if door.reachability != "ended"
         ],
     )
     for each in found.values():
--- a/molereach/fleet/cli/commands/seen.py
+++ b/molereach/fleet/cli/commands/seen.py
@@ -39,7 +39,7 @@
                         one.in_flight,
                     )
                     for each in heard.values()
-                    for door, seen in each.doors.items()
+                    for door, seen in each.proxies.items()
                     for one in seen
                 ),
             )
@@ -78,23 +78,23 @@
                     (
                         door,
                         one.plan,
-                        f"{one.level:.1f}",
-                        f"{one.part:.2f}",
-                        f"{one.ceiling_part:.2f}",
+                        f"{one.available_units:.1f}",
+                        f"{one.rate_fraction:.2f}",
+                        f"{one.ceiling_fraction:.2f}",
                         f"{one.demand:.1f}",
-                        age(None if one.heard_s_ago is None else round(one.heard_s_ago * 1000)),
+                        age(None if one.updated_s_ago is None else round(one.updated_s_ago * 1000)),
                     )
                     for each in heard.values()
-                    for door, seen in each.doors.items()
+                    for door, seen in each.proxies.items()
                     for one in seen
                 ),
             )
             held = [
-                (door, one.plan, one.shares)
+                (door, one.plan, one.limits)
                 for each in heard.values()
-                for door, seen in each.doors.items()
+                for door, seen in each.proxies.items()
                 for one in seen
-                if one.shares
+                if one.limits
             ]
             if held:
                 names = (
--- a/molereach/fleet/cli/commands/status.py
+++ b/molereach/fleet/cli/commands/status.py
@@ -23,9 +23,9 @@
         heard: dict[str, Status] = good(found)
         unseen = [
             (agent, door)
-            for agent, doors in made.settings.expected().items()
+            for agent, doors in made.settings.expected_proxies().items()
             for door in doors
-            if agent not in heard or door not in {each.name for each in heard[agent].doors}
+            if agent not in heard or door not in {each.name for each in heard[agent].proxies}
         ]
         out.result(
             {
@@ -37,7 +37,9 @@
         if not json_only:
             show_status(out, heard, unseen)
             complain(out, errors(found))
-        away = any(door.reach not in ("up", "ended") for each in heard.values() for door in each.doors)
+        away = any(
+            door.reachability not in ("up", "ended") for each in heard.values() for door in each.proxies
+        )
         return reading_exit(found, away or bool(unseen))
 
     run(file, job)
@@ -46,20 +48,20 @@
 def show_status(out: Printer, heard: dict[str, Status], unseen: list[tuple[str, str]]) -> None:
     rows: list[tuple[Any, ...]] = []
     for agent, each in heard.items():
-        for door in each.doors:
+        for door in each.proxies:
             state = door.state
             rows.append(
                 (
                     agent,
                     door.name,
-                    door.reach,
-                    age(door.heard_ago_ms),
+                    door.reachability,
+                    age(door.reported_ago_ms),
                     door.revision,
-                    state and ("held" if state.held else "open"),
+                    state and ("held" if state.on_hold else "open"),
                     state and state.clients,
                     state and state.open_requests,
                     state and f"{state.up_s:.0f}",
-                    door.why,
+                    door.reason,
                 )
             )
     rows += [
--- a/molereach/fleet/cli/commands/watch.py
+++ b/molereach/fleet/cli/commands/watch.py
@@ -10,7 +10,7 @@
 
 from molereach.fleet.api_bodies import Event
 from molereach.fleet.cli.client import CallError, Fleet
-from molereach.fleet.cli.exits import DONE, PARTLY, UNREACHABLE
+from molereach.fleet.cli.exits import DONE, PARTIAL, UNREACHABLE
 from molereach.fleet.cli.session import as_json, run
 
 
@@ -45,6 +45,6 @@
                 await asyncio.gather(*(follow(agent) for agent in made.urls))
         except TimeoutError:
             pass
-        return (UNREACHABLE if len(failed) == len(made.urls) else PARTLY) if failed else DONE
+        return (UNREACHABLE if len(failed) == len(made.urls) else PARTIAL) if failed else DONE
 
     run(file, job, many_calls=True)
--- a/molereach/fleet/cli/exits.py
+++ b/molereach/fleet/cli/exits.py
@@ -2,17 +2,17 @@
 
 from typing import Any
 
-from molereach.fleet.cli.client import CallError, RefusedCallError
+from molereach.fleet.cli.client import CallError, CallRejectedError
 from molereach.fleet.cli.tables import Printer
 from molereach.fleet.rollout.report import Verdict
 
-DONE, FAILED, BAD_INPUT, PARTLY, CONFLICT, UNREACHABLE, REFUSED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
+DONE, FAILED, BAD_INPUT, PARTIAL, CONFLICT, UNREACHABLE, REJECTED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
 EXITS = {
     Verdict.DONE: DONE,
-    Verdict.PARTIAL: PARTLY,
+    Verdict.PARTIAL: PARTIAL,
     Verdict.CONFLICT: CONFLICT,
     Verdict.UNREACHABLE: UNREACHABLE,
-    Verdict.REJECTED: REFUSED,
+    Verdict.REJECTED: REJECTED,
 }
 EXIT_TEXT = """\b
 exit codes: 0 done everywhere; 1 a fault of the tool's own; 2 bad input;
@@ -32,9 +32,9 @@
 def reading_exit(found: dict[str, Any], missing: bool) -> int:
     """Of a command that reads: all answered, some did, none did, or all refused."""
     if not good(found):
-        refused = all(isinstance(each, RefusedCallError) for each in found.values())
-        return REFUSED if refused else UNREACHABLE
-    return PARTLY if errors(found) or missing else DONE
+        refused = all(isinstance(each, CallRejectedError) for each in found.values())
+        return REJECTED if refused else UNREACHABLE
+    return PARTIAL if errors(found) or missing else DONE
 
 
 def complain(out: Printer, failed: dict[str, str]) -> None:
--- a/molereach/fleet/cli/rollouts.py
+++ b/molereach/fleet/cli/rollouts.py
@@ -27,5 +27,5 @@
         time.time_ns() // 1_000_000,
         settings.floor,
         times,
-        settings.expected(),
+        settings.expected_proxies(),
     )
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -18,16 +18,16 @@
 
 from molereach.clock import now_us
 from molereach.fleet import wire
-from molereach.fleet.anchored_clock import anchored
-from molereach.fleet.orders import Book, Overlay, Verb
+from molereach.fleet.anchored_clock import anchored_unix_ms
+from molereach.fleet.orders import OrderState, Overlay, Verb
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
-MOST_CONNECTIONS = 8
-MOST_UNREAD_BYTES = 1 << 20  # of answers and news; past that the reader is dropped
-NEWS_S = 0.25  # between words to watchers, at least
-LAPSE_S = 0.5  # how often orders are looked through for those whose time is over
+MAX_CONNECTIONS = 8
+MAX_UNREAD_BYTES = 1 << 20  # of answers and news; past that the reader is dropped
+NOTIFICATION_DELAY_S = 0.25  # between words to watchers, at least
+EXPIRY_INTERVAL_S = 0.5  # how often orders are looked through for those whose time is over
 CREDENTIALS = struct.Struct("3i")
 
 
@@ -46,52 +46,52 @@
 
     def __init__(self, control: "Control") -> None:
         self.control = control
-        self.reader = wire.FrameReader(wire.MOST_ASK_BYTES)
+        self.reader = wire.FrameReader(wire.MAX_REQUEST_BYTES)
         self.transport: asyncio.Transport | None = None
-        self.watches = self.due = False
+        self.watches = self.handling_scheduled = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if not self.control.opened(self):
+        if not self.control.accept(self):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        if not self.due:
-            self.take_one()
+        if not self.handling_scheduled:
+            self.handle_next()
 
-    def take_one(self) -> None:
+    def handle_next(self) -> None:
         """One ask, and the next in another turn: requests come in between."""
-        self.due = False
+        self.handling_scheduled = False
         assert self.transport is not None
         if self.transport.is_closing():
             return
-        number = wire.NEWS
+        number = wire.NOTIFICATION_NUMBER
         try:
             body = self.reader.next()
             if body is None:
                 self.transport.resume_reading()
                 return
-            ask = wire.read_ask(body)
+            ask = wire.decode_request(body)
             number = ask.number
-            self.send(self.control.answer(ask, self))
+            self.send(self.control.handle(ask, self))
         except wire.WireError as error:
-            self.send(wire.Answer(wire.VERSION, number, error=str(error)))
-            if number == wire.NEWS:  # what follows cannot be trusted to be a frame
+            self.send(wire.Response(wire.VERSION, number, error=str(error)))
+            if number == wire.NOTIFICATION_NUMBER:  # what follows cannot be trusted to be a frame
                 self.transport.close()
                 return
         except Exception:
             log.exception("an ask of control failed")
-            self.send(wire.Answer(wire.VERSION, number, error="internal error"))
-        self.due = True
+            self.send(wire.Response(wire.VERSION, number, error="internal error"))
+        self.handling_scheduled = True
         self.transport.pause_reading()
-        self.control.door.loop.call_soon(self.take_one)
+        self.control.proxy.loop.call_soon(self.handle_next)
 
-    def send(self, answer: wire.Answer) -> None:
+    def send(self, answer: wire.Response) -> None:
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(wire.frame(answer))
-        if self.transport.get_write_buffer_size() > MOST_UNREAD_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             log.warning("a reader of control that does not read is dropped")
             self.transport.abort()
 
@@ -103,21 +103,21 @@
     """The control of one front door, and the orders in force there."""
 
     def __init__(self, door: Proxy, path: Path) -> None:
-        self.door, self.path = door, path
-        self.book, self.overlay = Book(), Overlay()
+        self.proxy, self.path = door, path
+        self.order_state, self.overlay = OrderState(), Overlay()
         self.connections: set[ControlConnection] = set()
         self.server: asyncio.AbstractServer | None = None
         self.inode: tuple[int, int] | None = None
         self.started_us = now_us()
-        self.unix_ms = anchored()
-        self.asks = self.refused = 0
-        self.news_due = False
-        self.lapse_timer: asyncio.TimerHandle | None = None
-        self.told = asyncio.Event()  # an agent has brought its orders, be they none
+        self.unix_ms = anchored_unix_ms()
+        self.request_count = self.rejected_connections = 0
+        self.notification_scheduled = False
+        self.expiry_timer: asyncio.TimerHandle | None = None
+        self.orders_received = asyncio.Event()  # an agent has brought its orders, be they none
         if door.saved_list:
-            self.overlay.on_list(door.saved_list.event)
-        door.overlay = self.overlay.on_list
-        self.answers: dict[str, Callable[[wire.Ask, ControlConnection], wire.Answer]] = {
+            self.overlay.on_endpoint_list(door.saved_list.event)
+        door.overlay = self.overlay.on_endpoint_list
+        self.handlers: dict[str, Callable[[wire.Request, ControlConnection], wire.Response]] = {
             "state": self.on_state,
             "members": self.on_members,
             "orders": self.on_orders,
@@ -131,10 +131,10 @@
 
     async def start(self) -> None:
         """Listen; ControlError where the place is taken or not private."""
-        self.clear_place()
+        self.remove_stale_socket()
         before = os.umask(0o177)  # nobody else, not for a moment
         try:
-            self.server = await self.door.loop.create_unix_server(
+            self.server = await self.proxy.loop.create_unix_server(
                 lambda: ControlConnection(self), str(self.path)
             )
         except OSError as error:
@@ -143,9 +143,9 @@
             os.umask(before)
         found = self.path.stat()
         self.inode = found.st_dev, found.st_ino
-        self.lapse()
+        self.expire_orders()
 
-    def clear_place(self) -> None:
+    def remove_stale_socket(self) -> None:
         """A dead predecessor's socket gives way; anything else does not."""
         folder = self.path.parent
         try:
@@ -164,8 +164,8 @@
         self.path.unlink()
 
     def close(self) -> None:
-        if self.lapse_timer:
-            self.lapse_timer.cancel()
+        if self.expiry_timer:
+            self.expiry_timer.cancel()
         if self.server:
             self.server.close()
         for connection in list(self.connections):
@@ -176,12 +176,12 @@
             if (found.st_dev, found.st_ino) == self.inode:  # a successor's stays
                 self.path.unlink()
 
-    def opened(self, connection: ControlConnection) -> bool:
+    def accept(self, connection: ControlConnection) -> bool:
         """Whether it may stay: it is the owner's, and there are not too many."""
         assert connection.transport is not None
         user = peer_user(connection.transport.get_extra_info("socket"))
-        if user not in (os.geteuid(), 0) or len(self.connections) >= MOST_CONNECTIONS:
-            self.refused += 1
+        if user not in (os.geteuid(), 0) or len(self.connections) >= MAX_CONNECTIONS:
+            self.rejected_connections += 1
             log.warning("a connection to control is refused: user %d, %d open", user, len(self.connections))
             return False
         self.connections.add(connection)
@@ -189,32 +189,32 @@
 
     # --- asks ---
 
-    def answer(self, ask: wire.Ask, connection: ControlConnection) -> wire.Answer:
-        self.asks += 1
-        return self.answers[ask.what](ask, connection)
+    def handle(self, ask: wire.Request, connection: ControlConnection) -> wire.Response:
+        self.request_count += 1
+        return self.handlers[ask.kind](ask, connection)
 
-    def on_state(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
-        return wire.Answer(wire.VERSION, ask.number, state=self.state())
+    def on_state(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
+        return wire.Response(wire.VERSION, ask.number, state=self.state())
 
-    def state(self) -> wire.State:
-        door = self.door
-        return wire.State(
+    def state(self) -> wire.ProxyState:
+        door = self.proxy
+        return wire.ProxyState(
             door.config.name,
             os.getpid(),
             round((now_us() - self.started_us) / 1e6, 3),
             door.clients.held,
-            self.book.revision,
+            self.order_state.revision,
             self.overlay.version,
             len(door.clients.connections),
             len(door.open_requests),
         )
 
-    def on_members(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
+    def on_members(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
         out: dict[str, int] = {}
-        for exchange in (*self.door.open_requests.values(), *self.door.answered_requests.values()):
+        for exchange in (*self.proxy.open_requests.values(), *self.proxy.answered_requests.values()):
             for attempt in exchange.in_flight.values():
                 out[attempt.server] = out.get(attempt.server, 0) + 1
-        buildings = {number: name for name, number in self.door.config.zone_numbers.items()}
+        buildings = {number: name for name, number in self.proxy.config.zone_numbers.items()}
         members = tuple(
             wire.Member(
                 name,
@@ -225,44 +225,44 @@
             )
             for name, server in self.overlay.listed.items()
         )
-        return wire.Answer(wire.VERSION, ask.number, members=members)
+        return wire.Response(wire.VERSION, ask.number, members=members)
 
-    def on_orders(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
-        found = self.book.state().in_force
-        return wire.Answer(wire.VERSION, ask.number, orders=found, state=self.state())
+    def on_orders(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
+        found = self.order_state.to_record().in_force
+        return wire.Response(wire.VERSION, ask.number, orders=found, state=self.state())
 
-    def on_counters(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
+    def on_counters(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
         counters = {
-            "asks": self.asks,
-            "connections_refused": self.refused,
-            "clients": len(self.door.clients.connections),
-            "open_requests": len(self.door.open_requests),
-            "backend_connections": self.door.backends.open_connections,
-            "held_bytes": self.door.open_bytes,
+            "asks": self.request_count,
+            "connections_refused": self.rejected_connections,
+            "clients": len(self.proxy.clients.connections),
+            "open_requests": len(self.proxy.open_requests),
+            "backend_connections": self.proxy.backends.open_connections,
+            "held_bytes": self.proxy.open_bytes,
         }
-        for beside in self.door.counter_sources:
+        for beside in self.proxy.counter_sources:
             counters |= beside()
-        return wire.Answer(wire.VERSION, ask.number, counters=counters)
+        return wire.Response(wire.VERSION, ask.number, counters=counters)
 
-    def on_quota(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
+    def on_quota(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
         now, customer = now_us(), ask.customer.lower()
-        shares = {held.plan: held for held in self.door.gateway.customers.customer_limits(customer, now)}
-        return wire.Answer(
+        shares = {held.plan: held for held in self.proxy.gateway.customers.customer_limits(customer, now)}
+        return wire.Response(
             wire.VERSION,
             ask.number,
             quota=tuple(
-                wire.Standing(plan, level, part, ceiling, demand, heard, shares.get(plan))
-                for plan, level, part, ceiling, demand, heard in self.door.gateway.customers.quota_statuses(
+                wire.QuotaStatus(plan, level, part, ceiling, demand, heard, shares.get(plan))
+                for plan, level, part, ceiling, demand, heard in self.proxy.gateway.customers.quota_statuses(
                     customer, now
                 )
             ),
         )
 
-    def on_put(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
+    def on_put(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
         """All orders in force at a revision; one that is behind what holds here changes nothing."""
-        before = dict(self.book.in_force)
-        if ask.book and self.book.adopt(ask.book):
-            for key, one in self.book.in_force.items():
+        before = dict(self.order_state.in_force)
+        if ask.order_state and self.order_state.adopt(ask.order_state):
+            for key, one in self.order_state.in_force.items():
                 if before.get(key) != one:
                     log.info(
                         "order %s: %s %s, by %s at revision %d: %s",
@@ -273,40 +273,40 @@
                         one.revision,
                         one.order.reason,
                     )
-            for verb, subject in before.keys() - self.book.in_force.keys():
-                log.info("order ended: %s %s, at revision %d", verb.value, subject, self.book.revision)
-            self.carry_out()
-        self.told.set()
-        return wire.Answer(wire.VERSION, ask.number, state=self.state())
+            for verb, subject in before.keys() - self.order_state.in_force.keys():
+                log.info("order ended: %s %s, at revision %d", verb.value, subject, self.order_state.revision)
+            self.apply_orders()
+        self.orders_received.set()
+        return wire.Response(wire.VERSION, ask.number, state=self.state())
 
-    def on_watch(self, ask: wire.Ask, connection: ControlConnection) -> wire.Answer:
+    def on_watch(self, ask: wire.Request, connection: ControlConnection) -> wire.Response:
         connection.watches = True
-        return wire.Answer(wire.VERSION, ask.number, state=self.state())
+        return wire.Response(wire.VERSION, ask.number, state=self.state())
 
     # --- orders ---
 
-    def carry_out(self) -> None:
+    def apply_orders(self) -> None:
         """Bring the front door to what is wanted now."""
         now_ms = self.unix_ms()
-        if news := self.overlay.on_orders(self.book.wanted(Verb.DRAIN, now_ms)):
-            self.door.publish(news, {})
-        self.door.clients.hold(self.door.config.name in self.book.wanted(Verb.HOLD, now_ms))
-        if not self.news_due:
-            self.news_due = True
-            self.door.loop.call_later(NEWS_S, self.tell_watchers)
-
-    def lapse(self) -> None:
+        if news := self.overlay.on_drained_servers(self.order_state.active_subjects(Verb.DRAIN, now_ms)):
+            self.proxy.publish(news, {})
+        self.proxy.clients.hold(self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, now_ms))
+        if not self.notification_scheduled:
+            self.notification_scheduled = True
+            self.proxy.loop.call_later(NOTIFICATION_DELAY_S, self.notify_watchers)
+
+    def expire_orders(self) -> None:
         """Look for orders whose time is over, and try again what could not be done."""
-        before = len(self.book.in_force)
-        self.book.forget_lapsed(self.unix_ms())
-        held = self.door.config.name in self.book.wanted(Verb.HOLD, self.unix_ms())
-        if len(self.book.in_force) != before or held != self.door.clients.held:
-            self.carry_out()
-        self.lapse_timer = self.door.loop.call_later(LAPSE_S, self.lapse)
-
-    def tell_watchers(self) -> None:
-        self.news_due = False
-        news = wire.Answer(wire.VERSION, wire.NEWS, state=self.state())
+        before = len(self.order_state.in_force)
+        self.order_state.remove_lapsed(self.unix_ms())
+        held = self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, self.unix_ms())
+        if len(self.order_state.in_force) != before or held != self.proxy.clients.held:
+            self.apply_orders()
+        self.expiry_timer = self.proxy.loop.call_later(EXPIRY_INTERVAL_S, self.expire_orders)
+
+    def notify_watchers(self) -> None:
+        self.notification_scheduled = False
+        news = wire.Response(wire.VERSION, wire.NOTIFICATION_NUMBER, state=self.state())
         for connection in [connection for connection in self.connections if connection.watches]:
             connection.send(news)
 
@@ -321,7 +321,7 @@
     await control.start()
     if wait_s:
         try:
-            await asyncio.wait_for(control.told.wait(), wait_s)
+            await asyncio.wait_for(control.orders_received.wait(), wait_s)
         except TimeoutError:
             log.warning("no agent has brought orders within %.1f s; starting without", wait_s)
     return control.close
--- a/molereach/fleet/journal.py
+++ b/molereach/fleet/journal.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from molereach.fleet.agreement import Promised
-from molereach.fleet.orders import BookState
+from molereach.fleet.orders import OrderStateRecord
 
 MAGIC = b"molereach-agent-journal"
 VERSION = 2
 DIGEST_BYTES = 16
 HEAD_BYTES = len(MAGIC) + 1 + 4 + DIGEST_BYTES  # magic, version, length of the body, digest of all of these
-MOST_BYTES = 4 << 20  # a book holds 512 orders of about 1 KB at most
+MAX_BODY_BYTES = 4 << 20  # a book holds 512 orders of about 1 KB at most
 PRIVATE = 0o600
 
 
@@ -34,7 +34,7 @@
 
     agent: str  # its name: another agent's journal is not its own
     promised: Promised = Promised()
-    book: BookState = BookState()
+    order_state: OrderStateRecord = msgspec.field(name="book", default=OrderStateRecord())
 
 
 _encoder = msgspec.json.Encoder()
@@ -48,8 +48,8 @@
 def encode(state: AgentState) -> bytes:
     """The whole file; ValueError for a state that is too large."""
     body = _encoder.encode(state)
-    if len(body) > MOST_BYTES:
-        raise ValueError(f"{len(body)} bytes of state; {MOST_BYTES} at most")
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"{len(body)} bytes of state; {MAX_BODY_BYTES} at most")
     head = MAGIC + bytes([VERSION]) + len(body).to_bytes(4)
     return head + digest(head, body) + body
 
@@ -67,7 +67,7 @@
     if digest(data[:start], body) != data[start:HEAD_BYTES]:
         raise ValueError("is damaged: its checksum is another")
     state = _decoder.decode(body)
-    state.book.check()
+    state.order_state.check()
     return state
 
 
@@ -76,7 +76,7 @@
 
     def __init__(self, path: Path, agent: str) -> None:
         self.path, self.agent = path, agent
-        self.beside = path.with_name(path.name + ".new")
+        self.temporary_path = path.with_name(path.name + ".new")
         self.broken = False  # a write failed in a way that leaves open what is on the disk
         lock = path.with_name(path.name + ".lock")
         try:
@@ -93,7 +93,7 @@
         """What was saved last; a new agent's state where there is no file."""
         try:
             with self.path.open("rb") as file:
-                data = file.read(HEAD_BYTES + MOST_BYTES + 1)
+                data = file.read(HEAD_BYTES + MAX_BODY_BYTES + 1)
         except FileNotFoundError:
             return AgentState(self.agent)
         except OSError as error:
@@ -118,7 +118,7 @@
             raise JournalError(f"{self.path}: {' '.join(str(error).split())}") from error
 
     def write(self, data: bytes) -> None:
-        file = os.open(self.beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, PRIVATE)
+        file = os.open(self.temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, PRIVATE)
         try:
             left = memoryview(data)
             while left:
@@ -126,7 +126,7 @@
             os.fsync(file)
         finally:
             os.close(file)
-        os.replace(self.beside, self.path)
+        os.replace(self.temporary_path, self.path)
         folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(folder)  # the name as well
--- a/molereach/fleet/rollout/events.py
+++ b/molereach/fleet/rollout/events.py
@@ -9,7 +9,7 @@
 from typing import Literal
 
 from molereach.fleet.agreement import Message
-from molereach.fleet.api_bodies import View
+from molereach.fleet.api_bodies import AgentSnapshot
 from molereach.fleet.orders import Verb
 
 
@@ -46,7 +46,7 @@
     """An agent's snapshot arrived."""
 
     agent: str
-    snapshot: View
+    snapshot: AgentSnapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/fleet/rollout/observations.py
+++ b/molereach/fleet/rollout/observations.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from molereach.fleet.api_bodies import View
+from molereach.fleet.api_bodies import AgentSnapshot
 from molereach.fleet.orders import Order, Verb
 from molereach.fleet.rollout.events import Action, RequestSnapshot
 
@@ -18,7 +18,7 @@
     """
 
     expected_proxies: Mapping[str, tuple[str, ...]]
-    snapshots: dict[str, View] = field(default_factory=dict)
+    snapshots: dict[str, AgentSnapshot] = field(default_factory=dict)
     received_us: dict[str, int] = field(default_factory=dict)
     failures: dict[str, str] = field(default_factory=dict)
     pending: set[str] = field(default_factory=set)
@@ -29,7 +29,7 @@
         self.pending.update(idle)
         return [RequestSnapshot(agent) for agent in idle]
 
-    def record_snapshot(self, now_us: int, agent: str, snapshot: View) -> None:
+    def record_snapshot(self, now_us: int, agent: str, snapshot: AgentSnapshot) -> None:
         """Store an agent's snapshot that arrived at `now_us`."""
         self.pending.discard(agent)
         self.failures.pop(agent, None)
@@ -64,15 +64,15 @@
 
     def notified_count(self, revision: int) -> int:
         """Return the number of agents known to have `revision`."""
-        return sum(snapshot.book.revision >= revision for snapshot in self.snapshots.values())
+        return sum(snapshot.order_state.revision >= revision for snapshot in self.snapshots.values())
 
     def confirmed(self, agent: str, revision: int) -> bool:
         """Return whether the agent and all its proxies are known to have `revision`."""
         snapshot = self.snapshots.get(agent)
-        if snapshot is None or snapshot.book.revision < revision:
+        if snapshot is None or snapshot.order_state.revision < revision:
             return False
-        proxies = snapshot.status.doors
-        if not all(proxy.revision >= revision or proxy.reach == "ended" for proxy in proxies):
+        proxies = snapshot.status.proxies
+        if not all(proxy.revision >= revision or proxy.reachability == "ended" for proxy in proxies):
             return False
         names = {proxy.name for proxy in proxies}
         return all(name in names for name in self.expected_proxies.get(agent, ()))
@@ -91,6 +91,6 @@
 
     def known_proxies(self) -> set[str]:
         """Return the names of the proxies that agents have reported or the fleet's file names."""
-        reported = {proxy.name for snapshot in self.snapshots.values() for proxy in snapshot.status.doors}
+        reported = {proxy.name for snapshot in self.snapshots.values() for proxy in snapshot.status.proxies}
         expected = {name for names in self.expected_proxies.values() for name in names}
         return reported | expected
--- a/molereach/fleet/rollout/stages.py
+++ b/molereach/fleet/rollout/stages.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from molereach.fleet.agreement import Behind, Known, Message, Phase
-from molereach.fleet.api_bodies import View
+from molereach.fleet.api_bodies import AgentSnapshot
 from molereach.fleet.orders import Decided
 from molereach.fleet.rollout import events
 from molereach.fleet.rollout.ballots import Ballots, handle_reply, resend
@@ -107,7 +107,7 @@
 
     # --- observing ---
 
-    def on_snapshot(self, now_us: int, agent: str, snapshot: View) -> list[events.Action]:
+    def on_snapshot(self, now_us: int, agent: str, snapshot: AgentSnapshot) -> list[events.Action]:
         """Store an agent's snapshot, and go on if it was the one that was missing."""
         status = snapshot.status
         if sorted(status.fleet) != sorted(self.agents) or status.agent != agent:
@@ -180,7 +180,7 @@
 
     def send_state(self, agent: str) -> events.SendMessage:
         """Return the action that sends an agent the whole state."""
-        return events.SendMessage(agent, Known(base=self.validation.order_state.state()))
+        return events.SendMessage(agent, Known(base=self.validation.order_state.to_record()))
 
     # --- notifying ---
 
@@ -202,9 +202,9 @@
         messages = [self.send_state(agent) for agent in self.agents]
         return [*messages, *self.on_tick(now_us)]
 
-    def on_confirmation(self, agent: str, snapshot: View) -> list[events.Action]:
+    def on_confirmation(self, agent: str, snapshot: AgentSnapshot) -> list[events.Action]:
         """Finish if the snapshot was the last one needed; send the state once more to one that lacks it."""
-        if snapshot.book.revision < self.target_revision:
+        if snapshot.order_state.revision < self.target_revision:
             return [self.send_state(agent)]
         if self.rejection:
             if self.observations.notified_count(self.target_revision) >= self.majority:
--- a/molereach/fleet/rollout/summary.py
+++ b/molereach/fleet/rollout/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from molereach.fleet.agreement import Phase, Proposer
-from molereach.fleet.api_bodies import DoorView
+from molereach.fleet.api_bodies import ProxyStatus
 from molereach.fleet.orders import Decided
 from molereach.fleet.rollout.observations import Observations
 from molereach.fleet.rollout.report import AgentReport, ProxyReport, Verdict
@@ -74,14 +74,16 @@
         """Yield what is known of each agent."""
         for agent in self.agents:
             snapshot = self.observations.snapshots.get(agent)
-            notified = bool(self.decided and snapshot and snapshot.book.revision >= self.decided.revision)
+            notified = bool(
+                self.decided and snapshot and snapshot.order_state.revision >= self.decided.revision
+            )
             yield AgentReport(agent, notified, self.observations.failures.get(agent, ""))
 
     def proxy_reports(self) -> Iterator[ProxyReport]:
         """Yield what is known of each proxy, including those that only the fleet's file names."""
         for agent in self.agents:
             snapshot = self.observations.snapshots.get(agent)
-            proxies = snapshot.status.doors if snapshot else ()
+            proxies = snapshot.status.proxies if snapshot else ()
             yield from (self.proxy_report(agent, proxy) for proxy in proxies)
             reason = "its agent does not answer" if snapshot is None else "its agent has never seen it"
             reported = {proxy.name for proxy in proxies}
@@ -89,10 +91,12 @@
                 if name not in reported:
                     yield ProxyReport(agent, name, False, "unknown", None, None, reason)
 
-    def proxy_report(self, agent: str, proxy: DoorView) -> ProxyReport:
+    def proxy_report(self, agent: str, proxy: ProxyStatus) -> ProxyReport:
         """Return what an agent's snapshot says of one proxy, with its age brought up to `now_us`."""
         applied = bool(self.decided and proxy.state and proxy.revision >= self.decided.revision)
         revision = proxy.revision if proxy.state else None
         snapshot_age_ms = (self.now_us - self.observations.received_us[agent]) // US_PER_MS
-        reported_ago_ms = None if proxy.heard_ago_ms is None else proxy.heard_ago_ms + snapshot_age_ms
-        return ProxyReport(agent, proxy.name, applied, proxy.reach, revision, reported_ago_ms, proxy.why)
+        reported_ago_ms = None if proxy.reported_ago_ms is None else proxy.reported_ago_ms + snapshot_age_ms
+        return ProxyReport(
+            agent, proxy.name, applied, proxy.reachability, revision, reported_ago_ms, proxy.reason
+        )
--- a/molereach/fleet/rollout/validation.py
+++ b/molereach/fleet/rollout/validation.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from molereach.fleet.api_bodies import View
-from molereach.fleet.orders import Book, Decided, Order, Refusal, Why
+from molereach.fleet.api_bodies import AgentSnapshot
+from molereach.fleet.orders import Decided, Order, OrderRejection, OrderState, RejectionReason
 from molereach.fleet.rollout.events import Draft
 from molereach.fleet.rollout.report import Verdict
 
@@ -28,13 +28,13 @@
 
     draft: Draft
     floor: int
-    order_state: Book = field(default_factory=Book)
+    order_state: OrderState = field(default_factory=OrderState)
     built_order: Order | None = None
 
-    def adopt(self, snapshots: Mapping[str, View]) -> None:
+    def adopt(self, snapshots: Mapping[str, AgentSnapshot]) -> None:
         """Adopt the newest state of all snapshots."""
         for snapshot in snapshots.values():
-            self.order_state.adopt(snapshot.book)
+            self.order_state.adopt(snapshot.order_state)
 
     def build_order(self) -> Order:
         """Return the order; the first call bases it on the current revision, unless the draft names one."""
@@ -55,9 +55,13 @@
 
     def validate(self, unix_ms: int, ready_servers: dict[str, str]) -> Rejection | Decided | None:
         """Check the order; `Decided` if it is decided already, None if nothing prevents it."""
-        found = self.order_state.judge(self.build_order(), unix_ms, ready_servers, self.floor)
-        if isinstance(found, Refusal):
-            verdict = Verdict.CONFLICT if found.why is Why.CONFLICT or found.winner else Verdict.REJECTED
+        found = self.order_state.validate(self.build_order(), unix_ms, ready_servers, self.floor)
+        if isinstance(found, OrderRejection):
+            verdict = (
+                Verdict.CONFLICT
+                if found.reason is RejectionReason.CONFLICT or found.winner
+                else Verdict.REJECTED
+            )
             return Rejection(verdict, found.text, found.winner)
         return found
 
@@ -71,4 +75,4 @@
     def record_decided(self, decided: Decided | None) -> None:
         """Add a decided order to the state, if there is one."""
         if decided:
-            self.order_state.learn(decided)
+            self.order_state.record_decided(decided)
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -8,55 +8,55 @@
 from collections import deque
 from dataclasses import dataclass
 
-from molereach.fleet.api_bodies import DoorView, Event, Reach
-from molereach.fleet.wire import State
+from molereach.fleet.api_bodies import Event, ProxyStatus, Reachability
+from molereach.fleet.wire import ProxyState
 
-MAX_MEMBERS = 64
-MOST_EVENTS = 512  # of the history
-QUIET_MS = 1000  # without a word, though it was asked
-FORGET_MS = 600_000  # after it has ended
-SILENT = "it takes what is sent and says nothing"
+MAX_PROXIES = 64
+MAX_EVENTS = 512  # of the history
+SILENCE_TIMEOUT_MS = 1000  # without a word, though it was asked
+REMOVAL_DELAY_MS = 600_000  # after it has ended
+SILENT_REASON = "it takes what is sent and says nothing"
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
+class SocketsListed:
     """The sockets that are there now, by the name of their front door."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class Connected:
     """A connection to a front door stands."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class StateReceived:
     """A front door told its state."""
 
-    door: str
-    state: State
+    proxy: str
+    state: ProxyState
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class Disconnected:
     """No connection, or none any more."""
 
-    door: str
-    why: str
+    proxy: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
+class RequestTimedOut:
     """A connection stands, and what was asked on it is not answered."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class RevisionChanged:
     """The book is at a revision; `ready` once this agent may speak for the fleet."""
 
     revision: int
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Tick:
     """Time has passed."""
 
 
@@ -72,36 +72,38 @@
 class Connect:
     """Open a connection to a front door."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
+class SendOrders:
     """Tell a front door the orders in force."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class Disconnect:
     """Close the connection to a front door."""
 
-    door: str
+    proxy: str
 
 
-Action = Connect | Put | Drop
-RosterEvent = Sockets | Opened | Heard | Lost | Quiet | Wanted | Look
+Action = Connect | SendOrders | Disconnect
+RosterEvent = (
+    SocketsListed | Connected | StateReceived | Disconnected | RequestTimedOut | RevisionChanged | Tick
+)
 
 
 @dataclass(slots=True)
-class Record:
+class ProxyRecord:
     """What is known of a front door."""
 
-    reach: Reach = "new"
-    heard_ms: int | None = None
+    reachability: Reachability = "new"
+    reported_ms: int | None = None
     changed_ms: int = 0
-    why: str = ""
-    state: State | None = None
+    reason: str = ""
+    state: ProxyState | None = None
     connecting: bool = False
 
 
@@ -110,102 +112,114 @@
 
     def __init__(self, agent: str) -> None:
         self.agent = agent
-        self.doors: dict[str, Record] = {}
+        self.proxies: dict[str, ProxyRecord] = {}
         self.revision, self.ready = 0, False
-        self.history: deque[Event] = deque(maxlen=MOST_EVENTS)
+        self.history: deque[Event] = deque(maxlen=MAX_EVENTS)
         self.number = 0
-        self.refused = 0  # sockets beyond the bound
+        self.rejected_sockets = 0  # sockets beyond the bound
 
     def handle(self, now_ms: int, event: RosterEvent) -> list[Action]:
         """Take one event at `now_ms`; what to do now."""
         match event:
-            case Sockets():
+            case SocketsListed():
                 return self.on_sockets(now_ms, event.names)
-            case Wanted():
+            case RevisionChanged():
                 self.revision, self.ready = event.revision, event.ready
-                return [Put(name) for name, record in self.doors.items() if self.lacks(record)]
-            case Look():
-                self.on_look(now_ms)
+                return [SendOrders(name) for name, record in self.proxies.items() if self.is_behind(record)]
+            case Tick():
+                self.on_tick(now_ms)
                 return []
-        record = self.doors.get(event.door)
+        record = self.proxies.get(event.proxy)
         if record is None:
             return []
         match event:
-            case Opened():
+            case Connected():
                 record.connecting = False
-                return [Put(event.door)] if self.ready else []
-            case Heard():
-                return self.on_heard(now_ms, event.door, record, event.state)
-            case Lost():
+                return [SendOrders(event.proxy)] if self.ready else []
+            case StateReceived():
+                return self.on_state(now_ms, event.proxy, record, event.state)
+            case Disconnected():
                 record.connecting = False
-                if record.reach != "gone":  # the first reason says most
-                    self.change(now_ms, event.door, record, "gone", event.why)
+                if record.reachability != "gone":  # the first reason says most
+                    self.set_reachability(now_ms, event.proxy, record, "gone", event.reason)
                 return []
-            case Quiet():
-                self.change(now_ms, event.door, record, "silent", SILENT)
+            case RequestTimedOut():
+                self.set_reachability(now_ms, event.proxy, record, "silent", SILENT_REASON)
                 return []
 
-    def lacks(self, record: Record) -> bool:
+    def is_behind(self, record: ProxyRecord) -> bool:
         """Whether a front door that answers is to be told of orders."""
         return (
             self.ready
-            and record.reach in ("up", "silent")
+            and record.reachability in ("up", "silent")
             and record.state is not None
             and record.state.revision < self.revision
         )
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
-        for name in sorted(names - self.doors.keys()):
-            if len(self.doors) >= MAX_MEMBERS:
-                self.refused += 1
+        for name in sorted(names - self.proxies.keys()):
+            if len(self.proxies) >= MAX_PROXIES:
+                self.rejected_sockets += 1
                 break
-            self.doors[name] = Record(changed_ms=now_ms)
+            self.proxies[name] = ProxyRecord(changed_ms=now_ms)
         actions: list[Action] = []
-        for name, record in list(self.doors.items()):
-            if name in names and record.reach in ("new", "gone", "ended") and not record.connecting:
+        for name, record in list(self.proxies.items()):
+            if name in names and record.reachability in ("new", "gone", "ended") and not record.connecting:
                 record.connecting = True
                 actions.append(Connect(name))
-            elif name not in names and record.reach in ("new", "gone"):
-                self.change(now_ms, name, record, "ended", "its socket is no longer there")
-            elif record.reach == "ended" and now_ms - record.changed_ms >= FORGET_MS:
-                del self.doors[name]
+            elif name not in names and record.reachability in ("new", "gone"):
+                self.set_reachability(now_ms, name, record, "ended", "its socket is no longer there")
+            elif record.reachability == "ended" and now_ms - record.changed_ms >= REMOVAL_DELAY_MS:
+                del self.proxies[name]
         return actions
 
-    def on_heard(self, now_ms: int, name: str, record: Record, state: State) -> list[Action]:
+    def on_state(self, now_ms: int, name: str, record: ProxyRecord, state: ProxyState) -> list[Action]:
         if state.name != name:
-            self.change(now_ms, name, record, "gone", f"another front door answers there: {state.name}")
-            return [Drop(name)]
+            self.set_reachability(
+                now_ms, name, record, "gone", f"another front door answers there: {state.name}"
+            )
+            return [Disconnect(name)]
         if record.state and record.state.pid != state.pid:
-            self.note(now_ms, "door", name, f"started anew, with revision {state.revision}")
+            self.add_event(now_ms, "door", name, f"started anew, with revision {state.revision}")
         if state.revision > self.revision:
-            self.note(now_ms, "door", name, f"has revision {state.revision}, past this agent's")
-        record.heard_ms, record.state = now_ms, state
-        self.change(now_ms, name, record, "up", "")
-        return [Put(name)] if self.lacks(record) else []
-
-    def on_look(self, now_ms: int) -> None:
-        for name, record in self.doors.items():
-            if record.reach == "up" and record.heard_ms is not None and now_ms - record.heard_ms >= QUIET_MS:
-                self.change(now_ms, name, record, "silent", SILENT)
-
-    def change(self, now_ms: int, name: str, record: Record, reach: Reach, why: str) -> None:
-        if record.reach != reach:
-            self.note(now_ms, "door", name, f"{record.reach} to {reach}" + (f": {why}" if why else ""))
+            self.add_event(now_ms, "door", name, f"has revision {state.revision}, past this agent's")
+        record.reported_ms, record.state = now_ms, state
+        self.set_reachability(now_ms, name, record, "up", "")
+        return [SendOrders(name)] if self.is_behind(record) else []
+
+    def on_tick(self, now_ms: int) -> None:
+        for name, record in self.proxies.items():
+            if (
+                record.reachability == "up"
+                and record.reported_ms is not None
+                and now_ms - record.reported_ms >= SILENCE_TIMEOUT_MS
+            ):
+                self.set_reachability(now_ms, name, record, "silent", SILENT_REASON)
+
+    def set_reachability(
+        self, now_ms: int, name: str, record: ProxyRecord, reach: Reachability, why: str
+    ) -> None:
+        if record.reachability != reach:
+            self.add_event(
+                now_ms, "door", name, f"{record.reachability} to {reach}" + (f": {why}" if why else "")
+            )
             record.changed_ms = now_ms
-        record.reach, record.why = reach, why
+        record.reachability, record.reason = reach, why
 
-    def note(self, now_ms: int, kind: str, subject: str, text: str) -> None:
+    def add_event(self, now_ms: int, kind: str, subject: str, text: str) -> None:
         """A line of the history."""
         self.number += 1
         self.history.append(Event(self.number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
 
-    def views(self, now_ms: int) -> tuple[DoorView, ...]:
+    def proxy_statuses(self, now_ms: int) -> tuple[ProxyStatus, ...]:
         """What is known of all front doors now."""
         return tuple(
-            DoorView(name, record.reach, age(now_ms, record.heard_ms), record.why, record.state)
-            for name, record in sorted(self.doors.items())
+            ProxyStatus(
+                name, record.reachability, age_ms(now_ms, record.reported_ms), record.reason, record.state
+            )
+            for name, record in sorted(self.proxies.items())
         )
 
 
-def age(now_ms: int, heard_ms: int | None) -> int | None:
+def age_ms(now_ms: int, heard_ms: int | None) -> int | None:
     return None if heard_ms is None else max(0, now_ms - heard_ms)
--- a/molereach/fleet/settings.py
+++ b/molereach/fleet/settings.py
@@ -14,10 +14,10 @@
 import msgspec
 from msgspec import Meta
 
-MOST_FILE_BYTES = 1 << 20
-MOST_SECRET_BYTES = 64 << 10
-MOST_AGENTS = 256
-LEAST_TOKEN_BYTES = 16
+MAX_FILE_BYTES = 1 << 20
+MAX_SECRET_BYTES = 64 << 10
+MAX_AGENTS = 256
+MIN_TOKEN_BYTES = 16
 LOOPBACK_NAMES = ("localhost",)
 
 Seconds = Annotated[float, Meta(gt=0.0, le=600.0)]
@@ -38,7 +38,8 @@
 
     name: Name
     url: str
-    doors: tuple[Name, ...] = ()  # that it should know; one that it does not is reported
+    # The proxies that it should know; one that it does not know is reported.
+    proxies: tuple[Name, ...] = msgspec.field(name="doors", default=())
 
     def __post_init__(self) -> None:
         parts = urlsplit(self.url)
@@ -52,7 +53,7 @@
 class FleetFile(Table, frozen=True, kw_only=True):
     """All agents, and how to speak with them."""
 
-    agents: Annotated[tuple[AgentEntry, ...], Meta(min_length=1, max_length=MOST_AGENTS)]
+    agents: Annotated[tuple[AgentEntry, ...], Meta(min_length=1, max_length=MAX_AGENTS)]
     floor: Annotated[int, Meta(ge=0, le=1000)] = 1  # ready servers that a drain leaves in each building
     timeout_s: Seconds = 2.0  # for one call
     agree_s: Seconds = 5.0  # for a majority of agents
@@ -65,7 +66,7 @@
     def __post_init__(self) -> None:
         for what, names in (
             ("agents", [agent.name for agent in self.agents]),
-            ("doors", [door for agent in self.agents for door in agent.doors]),
+            ("doors", [door for agent in self.agents for door in agent.proxies]),
         ):
             for name in names:
                 if names.count(name) > 1:
@@ -77,9 +78,9 @@
     def names(self) -> tuple[str, ...]:
         return tuple(agent.name for agent in self.agents)
 
-    def expected(self) -> dict[str, tuple[str, ...]]:
+    def expected_proxies(self) -> dict[str, tuple[str, ...]]:
         """The front doors that each agent should know."""
-        return {agent.name: agent.doors for agent in self.agents if agent.doors}
+        return {agent.name: agent.proxies for agent in self.agents if agent.proxies}
 
 
 class TlsTable(Table, frozen=True):
@@ -125,9 +126,9 @@
     """A TOML file as `kind`; SettingsError names the file, the key and the reason."""
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_FILE_BYTES + 1)
-        if len(data) > MOST_FILE_BYTES:
-            raise SettingsError(f"{path}: larger than {MOST_FILE_BYTES} bytes")
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise SettingsError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         return msgspec.convert(tomllib.loads(data.decode("utf-8")), kind)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror or one_line(error)}") from error
@@ -135,23 +136,23 @@
         raise SettingsError(f"{path}: {one_line(error)}") from error
 
 
-def beside(file: Path, name: str) -> Path:
+def resolve(file: Path, name: str) -> Path:
     """A path that a file names, from the folder that the file is in."""
     return file.parent / name
 
 
-def secret(path: Path) -> str:
+def read_secret(path: Path) -> str:
     """The text of a secret; SettingsError where it cannot be read, or others can."""
     try:
         with path.open("rb") as file:
             mode = stat.S_IMODE(path.stat().st_mode)
-            data = file.read(MOST_SECRET_BYTES + 1)
+            data = file.read(MAX_SECRET_BYTES + 1)
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from error
     if mode & 0o077:
         raise SettingsError(f"{path}: others may read it (mode {mode:o}); a secret is for its owner only")
-    if len(data) > MOST_SECRET_BYTES:
-        raise SettingsError(f"{path}: larger than {MOST_SECRET_BYTES} bytes")
+    if len(data) > MAX_SECRET_BYTES:
+        raise SettingsError(f"{path}: larger than {MAX_SECRET_BYTES} bytes")
     try:
         return data.decode("ascii").strip()
     except UnicodeDecodeError:
@@ -160,19 +161,19 @@
 
 def load_token(path: Path) -> str:
     """A client's bearer token."""
-    token = secret(path)
-    if len(token) < LEAST_TOKEN_BYTES or not token.isprintable() or " " in token:
-        raise SettingsError(f"{path}: not a token of {LEAST_TOKEN_BYTES} or more characters without spaces")
+    token = read_secret(path)
+    if len(token) < MIN_TOKEN_BYTES or not token.isprintable() or " " in token:
+        raise SettingsError(f"{path}: not a token of {MIN_TOKEN_BYTES} or more characters without spaces")
     return token
 
 
 def client_tls(file: Path, fleet: FleetFile) -> ssl.SSLContext:
     """What agents are verified by, and this client's own certificate; SettingsError if it cannot be had."""
     try:
-        context = ssl.create_default_context(cafile=str(beside(file, fleet.ca)) if fleet.ca else None)
+        context = ssl.create_default_context(cafile=str(resolve(file, fleet.ca)) if fleet.ca else None)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         if fleet.cert:
-            context.load_cert_chain(beside(file, fleet.cert), beside(file, fleet.key))
+            context.load_cert_chain(resolve(file, fleet.cert), resolve(file, fleet.key))
         return context
     except (OSError, ssl.SSLError) as error:
         raise SettingsError(f"{file}: ca, cert or key: {one_line(error)}") from error
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -9,30 +9,31 @@
 
 import msgspec
 
-from molereach.fleet.orders import BookState, Decided, OrderError
+from molereach.fleet.orders import Decided, OrderError, OrderStateRecord
 from molereach.policy.interface.protocols import CustomerLimits
 
 VERSION = 2
 HEAD_BYTES = 4
-MOST_ASK_BYTES = 512 * 1024  # a book with the most orders in force, each as long as can be
-MOST_ANSWER_BYTES = 1 << 20
+MAX_REQUEST_BYTES = 512 * 1024  # a book with the most orders in force, each as long as can be
+MAX_RESPONSE_BYTES = 1 << 20
 
 
 class WireError(ValueError):
     """What came is no frame, or no message, of this protocol."""
 
 
-What = Literal["state", "members", "orders", "counters", "quota", "put", "watch"]
+RequestKind = Literal["state", "members", "orders", "counters", "quota", "put", "watch"]
 
 
-class Ask(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What an agent asks of a front door. `number` comes back with the answer."""
 
     version: int
     number: int
-    what: What
+    kind: RequestKind = msgspec.field(name="what")
     customer: str = ""  # of `quota`: 16 hex digits
-    book: BookState | None = None  # of `put`: all orders in force at its revision
+    # Of `put`: all orders in force at its revision.
+    order_state: OrderStateRecord | None = msgspec.field(name="book", default=None)
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -45,54 +46,54 @@
     in_flight: int  # attempts of this front door that are out
 
 
-class State(msgspec.Struct, frozen=True):
+class ProxyState(msgspec.Struct, frozen=True):
     """How a front door stands."""
 
     name: str
     pid: int
     up_s: float
-    held: bool
+    on_hold: bool = msgspec.field(name="held")
     revision: int  # of the orders that it has
     list_version: int
     clients: int
     open_requests: int
 
 
-class Standing(msgspec.Struct, frozen=True):
+class QuotaStatus(msgspec.Struct, frozen=True):
     """What a front door knows of a customer's quota, for each of its sets; units and seconds."""
 
     plan: int
-    level: float
-    part: float
-    ceiling_part: float
+    available_units: float = msgspec.field(name="level")
+    rate_fraction: float = msgspec.field(name="part")
+    ceiling_fraction: float = msgspec.field(name="ceiling_part")
     demand: float
-    heard_s_ago: float | None  # since its home's word came; None for never
-    shares: CustomerLimits | None = None  # None where shares do not move
+    updated_s_ago: float | None = msgspec.field(name="heard_s_ago")  # None for never
+    limits: CustomerLimits | None = msgspec.field(name="shares", default=None)  # None without `[limits]`
 
 
-class Answer(msgspec.Struct, frozen=True, omit_defaults=True):
+class Response(msgspec.Struct, frozen=True, omit_defaults=True):
     """What a front door answers; `error` is one plain line. With `number` -1 it is news for a watcher."""
 
     version: int
     number: int
     error: str = ""
-    state: State | None = None
+    state: ProxyState | None = None
     members: tuple[Member, ...] | None = None
     orders: tuple[Decided, ...] | None = None
     counters: dict[str, int] | None = None
-    quota: tuple[Standing, ...] | None = None
+    quota: tuple[QuotaStatus, ...] | None = None
 
 
-NEWS = -1
+NOTIFICATION_NUMBER = -1
 _encoder = msgspec.json.Encoder()
-_asks = msgspec.json.Decoder(Ask)
-_answers = msgspec.json.Decoder(Answer)
+_asks = msgspec.json.Decoder(Request)
+_answers = msgspec.json.Decoder(Response)
 
 
-def frame(message: Ask | Answer) -> bytes:
+def frame(message: Request | Response) -> bytes:
     """A message as bytes; WireError for one that is too long."""
     body = _encoder.encode(message)
-    most = MOST_ASK_BYTES if isinstance(message, Ask) else MOST_ANSWER_BYTES
+    most = MAX_REQUEST_BYTES if isinstance(message, Request) else MAX_RESPONSE_BYTES
     if len(body) > most:
         raise WireError(f"a message of {len(body)} bytes; {most} at most")
     return len(body).to_bytes(HEAD_BYTES) + body
@@ -102,7 +103,7 @@
     """Cuts a stream of bytes into frames."""
 
     def __init__(self, most: int) -> None:
-        self.buffer, self.most = bytearray(), most
+        self.buffer, self.max_bytes = bytearray(), most
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
@@ -112,8 +113,8 @@
         if len(self.buffer) < HEAD_BYTES:
             return None
         size = int.from_bytes(self.buffer[:HEAD_BYTES])
-        if not 0 < size <= self.most:
-            raise WireError(f"a frame of {size} bytes; 1 to {self.most} are taken")
+        if not 0 < size <= self.max_bytes:
+            raise WireError(f"a frame of {size} bytes; 1 to {self.max_bytes} are taken")
         end = HEAD_BYTES + size
         if len(self.buffer) < end:
             return None
@@ -122,12 +123,12 @@
         return body
 
 
-def read_ask(body: bytes) -> Ask:
+def decode_request(body: bytes) -> Request:
     """WireError names the key that is wrong, or the version that is not ours."""
     try:
         ask = _asks.decode(body)
-        if ask.book:
-            ask.book.check()
+        if ask.order_state:
+            ask.order_state.check()
     except (msgspec.DecodeError, UnicodeDecodeError, OrderError) as error:
         raise WireError(" ".join(str(error).split())) from error
     if ask.version != VERSION:
@@ -135,7 +136,7 @@
     return ask
 
 
-def read_answer(body: bytes) -> Answer:
+def decode_response(body: bytes) -> Response:
     """As `read_ask`, on the other side."""
     try:
         answer = _answers.decode(body)
--- a/molereach/keyfile.py
+++ b/molereach/keyfile.py
@@ -3,7 +3,7 @@
 import stat
 from pathlib import Path
 
-LEAST_KEY_BYTES, MOST_KEY_BYTES = 16, 64  # of BLAKE2b's key at most
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # of BLAKE2b's key at most
 
 
 class KeyFileError(Exception):
@@ -16,9 +16,9 @@
         with path.open("rb") as file:
             if stat.S_IMODE(path.stat().st_mode) & 0o077:
                 raise KeyFileError(f"{setting}: {path}: others may read it")
-            key = file.read(MOST_KEY_BYTES + 2).strip()
+            key = file.read(MAX_KEY_BYTES + 2).strip()
     except OSError as error:
         raise KeyFileError(f"{setting}: {path}: {error.strerror}") from error
-    if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
-        raise KeyFileError(f"{setting}: {path}: not {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise KeyFileError(f"{setting}: {path}: not {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     return key
--- a/molereach/operator_config.py
+++ b/molereach/operator_config.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-MOST_FILE_BYTES = 1 << 20
-MOST_SOCKET_PATH_BYTES = 100  # the kernel takes 107
+MAX_FILE_BYTES = 1 << 20
+MAX_SOCKET_PATH_BYTES = 100  # the kernel takes 107
 ENVIRONMENT = "MOLEREACH_OPERATOR"  # names the file where `--operator` does not
 
 
@@ -47,8 +47,8 @@
     wait_for_orders_s: Annotated[float, msgspec.Meta(ge=0.0, le=30.0)] = 0.0  # at the start, for an agent
 
     def __post_init__(self) -> None:
-        if not self.socket.startswith("/") or len(self.socket.encode()) > MOST_SOCKET_PATH_BYTES:
-            raise ValueError(f"socket: not an absolute path of at most {MOST_SOCKET_PATH_BYTES} bytes")
+        if not self.socket.startswith("/") or len(self.socket.encode()) > MAX_SOCKET_PATH_BYTES:
+            raise ValueError(f"socket: not an absolute path of at most {MAX_SOCKET_PATH_BYTES} bytes")
 
 
 class LimitsSection(Section, frozen=True):
@@ -109,9 +109,9 @@
     """The operator file at `path`; OperatorError where it cannot be read or used."""
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_FILE_BYTES + 1)
-        if len(data) > MOST_FILE_BYTES:
-            raise OperatorError(f"{path}: larger than {MOST_FILE_BYTES} bytes")
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise OperatorError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
         return decode(data.decode("utf-8"))
     except OSError as error:
         raise OperatorError(f"{path}: {error.strerror or one_line(error)}") from error
--- a/rig/fakedoor.py
+++ b/rig/fakedoor.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 from molereach.fleet import wire
-from molereach.fleet.orders import Book
-from molereach.fleet.wire import Answer, Ask, FrameReader, Member, State, read_ask
+from molereach.fleet.orders import OrderState
+from molereach.fleet.wire import FrameReader, Member, ProxyState, Request, Response, decode_request
 
 SERVERS = tuple(Member(f"s-{number}", f"b-{number % 3}", "up", False, 0) for number in range(6))
 
@@ -15,24 +15,24 @@
     """Answers an agent as a front door does."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.book = name, Book()
+        self.name, self.book = name, OrderState()
         self.server: asyncio.Server | None = None
 
     async def start(self, path: Path) -> None:
         self.server = await asyncio.start_unix_server(self.serve, str(path))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        frames = FrameReader(wire.MOST_ASK_BYTES)
+        frames = FrameReader(wire.MAX_REQUEST_BYTES)
         while data := await reader.read(1 << 16):
             frames.feed(data)
             while (body := frames.next()) is not None:
-                writer.write(wire.frame(self.answer(read_ask(body))))
+                writer.write(wire.frame(self.answer(decode_request(body))))
         writer.close()
 
-    def answer(self, ask: Ask) -> Answer:
-        if ask.book:
-            self.book.adopt(ask.book)
-        state = State(self.name, os.getpid(), 1.0, False, self.book.revision, 1, 0, 0)
-        return Answer(
-            wire.VERSION, ask.number, state=state, members=SERVERS if ask.what == "members" else None
+    def answer(self, ask: Request) -> Response:
+        if ask.order_state:
+            self.book.adopt(ask.order_state)
+        state = ProxyState(self.name, os.getpid(), 1.0, False, self.book.revision, 1, 0, 0)
+        return Response(
+            wire.VERSION, ask.number, state=state, members=SERVERS if ask.kind == "members" else None
         )
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from molereach.fleet.cli.client import Fleet, Giver
+from molereach.fleet.cli.client import Fleet, RolloutRunner
 from molereach.fleet.cli.in_flight import wait_for_end
 from molereach.fleet.cli.rollouts import rollout_for
 from molereach.fleet.orders import Verb
@@ -68,7 +68,7 @@
     fleet: Fleet, what: ev.Draft, on_step: Callable[[str], None] = lambda step: None
 ) -> words.Report:
     """Give an order as the tool does."""
-    return await Giver(fleet, rollout_for(fleet.settings, what), on_step).run()
+    return await RolloutRunner(fleet, rollout_for(fleet.settings, what), on_step).run()
 
 
 async def kill_at(step: str, seed: int) -> Trial:
--- a/tests/compatibility/api_samples.py
+++ b/tests/compatibility/api_samples.py
@@ -65,7 +65,7 @@
         agent = made(Path(folder), name=samples.AGENT, fleet=("a", "b", "c"))
         state: AgentState = samples.JOURNALS["accepted"]
         agent.acceptor.state = state.promised
-        agent.acceptor.book.adopt(state.book)
+        agent.acceptor.order_state.adopt(state.order_state)
         try:
             yield Api(agent, Tokens(TOKENS)).app()
         finally:
--- a/tests/compatibility/campaign_samples.py
+++ b/tests/compatibility/campaign_samples.py
@@ -96,19 +96,21 @@
             found += self.rollout.handle(BEGUN_US, events.ReplyReceived(agent=agent, message=reply))
         return found
 
-    def view(self, agent: str) -> api_bodies.View:
+    def view(self, agent: str) -> api_bodies.AgentSnapshot:
         """How an agent stands, with no front doors."""
         acceptor = self.agents[agent]
         status = api_bodies.Status(
             agent=agent,
             fleet=AGENTS,
-            revision=acceptor.book.revision,
+            revision=acceptor.order_state.revision,
             synced=True,
             journal="",
             pending=acceptor.pending(),
-            doors=(),
+            proxies=(),
+        )
+        return api_bodies.AgentSnapshot(
+            status=status, order_state=acceptor.order_state.to_record(), ready=READY
         )
-        return api_bodies.View(status=status, book=acceptor.book.state(), ready=READY)
 
 
 def acceptors(accepted: Mapping[str, agreement.Accept]) -> dict[str, agreement.Acceptor]:
--- a/tests/compatibility/command_samples.py
+++ b/tests/compatibility/command_samples.py
@@ -41,8 +41,8 @@
 GIVING = ("--reason", "fan", "--issuer", "duty", "--id", "o1")
 SILENCE = "no answer in time"
 
-PEER_MEMBERS = api_bodies.Members(agent=samples.PEER, doors={}, missing={})
-PEER_QUOTA = api_bodies.Quota(agent=samples.PEER, doors={}, missing={})
+PEER_MEMBERS = api_bodies.Members(agent=samples.PEER, proxies={}, missing={})
+PEER_QUOTA = api_bodies.Quota(agent=samples.PEER, proxies={}, missing={})
 PEER_ORDERS = api_bodies.Orders(
     agent=samples.PEER, revision=2, in_force=samples.DECIDED[:2], recent=(), pending=None
 )
@@ -95,7 +95,7 @@
         yield event
 
 
-async def given(self: client.Giver) -> Report:
+async def given(self: client.RolloutRunner) -> Report:
     """In place of `Giver.run`: how it ended."""
     return samples.REPORTS[0]
 
@@ -113,7 +113,7 @@
         folder() as files,
         patch.object(client.Fleet, "call", answered),
         patch.object(client.Fleet, "watch", watched),
-        patch.object(client.Giver, "run", given),
+        patch.object(client.RolloutRunner, "run", given),
     ):
         (files / FLEET_FILE).write_text(FLEET_TEXT)
         (files / TOKEN_FILE).write_text(TOKEN)
--- a/tests/compatibility/control_samples.py
+++ b/tests/compatibility/control_samples.py
@@ -28,10 +28,10 @@
     names: list[str] = []
 
     async def job() -> None:
-        ask = wire.Ask(version=wire.VERSION, number=1, what="counters")
+        ask = wire.Request(version=wire.VERSION, number=1, kind="counters")
         with tempfile.TemporaryDirectory() as folder:
             async with controlled_front_door(Path(folder)) as control:
-                names.extend(control.answer(ask, ControlConnection(control)).counters or ())
+                names.extend(control.handle(ask, ControlConnection(control)).counters or ())
 
     run(job())
     return f"{json.dumps(names)}\n".encode()
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -37,8 +37,8 @@
 DECIDED = tuple(
     orders.Decided(revision=revision, order=order) for revision, order in enumerate(ORDERS, start=1)
 )
-FULL_BOOK = orders.BookState(revision=3, in_force=DECIDED[1:2], recent=DECIDED[:3])
-BOOKS = (orders.BookState(), FULL_BOOK, orders.BookState(revision=2, in_force=DECIDED[:2]))
+FULL_BOOK = orders.OrderStateRecord(revision=3, in_force=DECIDED[1:2], recent=DECIDED[:3])
+BOOKS = (orders.OrderStateRecord(), FULL_BOOK, orders.OrderStateRecord(revision=2, in_force=DECIDED[:2]))
 
 # --- the agreement ---
 
@@ -62,12 +62,12 @@
 JOURNALS = {
     "new": journal.AgentState(agent=AGENT),
     "promised": journal.AgentState(
-        agent=AGENT, promised=agreement.Promised(revision=1, promised=BALLOT), book=BOOKS[0]
+        agent=AGENT, promised=agreement.Promised(revision=1, promised=BALLOT), order_state=BOOKS[0]
     ),
     "accepted": journal.AgentState(
         agent=AGENT,
         promised=agreement.Promised(revision=4, promised=HIGHER_BALLOT, accepted_at=BALLOT, accepted=RELEASE),
-        book=FULL_BOOK,
+        order_state=FULL_BOOK,
     ),
 }
 
@@ -77,11 +77,11 @@
     wire.Member(name="s0", building="east", listed="up", drained=True, in_flight=3),
     wire.Member(name="s1", building="west", listed="draining", drained=False, in_flight=0),
 )
-STATE = wire.State(
+STATE = wire.ProxyState(
     name="n0",
     pid=4711,
     up_s=12.345,
-    held=True,
+    on_hold=True,
     revision=3,
     list_version=17,
     clients=5,
@@ -99,42 +99,50 @@
     apart=[2, 3],
 )
 STANDINGS = (
-    wire.Standing(
-        plan=0, level=10.5, part=0.5, ceiling_part=0.25, demand=3.0, heard_s_ago=0.125, shares=HELD
+    wire.QuotaStatus(
+        plan=0,
+        available_units=10.5,
+        rate_fraction=0.5,
+        ceiling_fraction=0.25,
+        demand=3.0,
+        updated_s_ago=0.125,
+        limits=HELD,
+    ),
+    wire.QuotaStatus(
+        plan=1, available_units=-1.0, rate_fraction=1.0, ceiling_fraction=1.0, demand=0.0, updated_s_ago=None
     ),
-    wire.Standing(plan=1, level=-1.0, part=1.0, ceiling_part=1.0, demand=0.0, heard_s_ago=None),
 )
 COUNTERS = {"asks": 9, "connections_refused": 0, "held_bytes": 1 << 20}
 
 ASKS = (
     *(
-        wire.Ask(version=wire.VERSION, number=number, what=what)
+        wire.Request(version=wire.VERSION, number=number, kind=what)
         for number, what in enumerate(("state", "members", "orders", "counters", "watch"), start=1)
     ),
-    wire.Ask(version=wire.VERSION, number=6, what="quota", customer="00000000b4d65521"),
+    wire.Request(version=wire.VERSION, number=6, kind="quota", customer="00000000b4d65521"),
     *(
-        wire.Ask(version=wire.VERSION, number=number, what="put", book=book)
+        wire.Request(version=wire.VERSION, number=number, kind="put", order_state=book)
         for number, book in enumerate(BOOKS, start=7)
     ),
 )
 ANSWERS = (
-    wire.Answer(version=wire.VERSION, number=1, state=STATE),
-    wire.Answer(version=wire.VERSION, number=2, members=MEMBERS),
-    wire.Answer(version=wire.VERSION, number=3, orders=DECIDED[:2], state=STATE),
-    wire.Answer(version=wire.VERSION, number=4, counters=COUNTERS),
-    wire.Answer(version=wire.VERSION, number=5, quota=STANDINGS),
-    wire.Answer(version=wire.VERSION, number=6, members=(), orders=(), quota=(), counters={}),
-    wire.Answer(version=wire.VERSION, number=7, error="internal error"),
-    wire.Answer(version=wire.VERSION, number=wire.NEWS, state=STATE),
+    wire.Response(version=wire.VERSION, number=1, state=STATE),
+    wire.Response(version=wire.VERSION, number=2, members=MEMBERS),
+    wire.Response(version=wire.VERSION, number=3, orders=DECIDED[:2], state=STATE),
+    wire.Response(version=wire.VERSION, number=4, counters=COUNTERS),
+    wire.Response(version=wire.VERSION, number=5, quota=STANDINGS),
+    wire.Response(version=wire.VERSION, number=6, members=(), orders=(), quota=(), counters={}),
+    wire.Response(version=wire.VERSION, number=7, error="internal error"),
+    wire.Response(version=wire.VERSION, number=wire.NOTIFICATION_NUMBER, state=STATE),
 )
 
 # --- bodies of the agents' API ---
 
 DOOR_VIEWS = (
-    api_bodies.DoorView(name="n0", reach="up", heard_ago_ms=40, state=STATE),
-    api_bodies.DoorView(name="n1", reach="new", heard_ago_ms=None),
+    api_bodies.ProxyStatus(name="n0", reachability="up", reported_ago_ms=40, state=STATE),
+    api_bodies.ProxyStatus(name="n1", reachability="new", reported_ago_ms=None),
     *(
-        api_bodies.DoorView(name=f"n{number}", reach=reach, heard_ago_ms=5000, why="no word")
+        api_bodies.ProxyStatus(name=f"n{number}", reachability=reach, reported_ago_ms=5000, reason="no word")
         for number, reach in enumerate(("silent", "gone", "ended"), start=2)
     ),
 )
@@ -145,7 +153,7 @@
     synced=True,
     journal="",
     pending=RELEASE,
-    doors=DOOR_VIEWS,
+    proxies=DOOR_VIEWS,
 )
 PEER_STATUS = api_bodies.Status(
     agent=PEER,
@@ -154,11 +162,11 @@
     synced=False,
     journal="j: No space left on device",
     pending=None,
-    doors=(),
+    proxies=(),
 )
-VIEW = api_bodies.View(status=STATUS, book=FULL_BOOK, ready={"s0": "east", "s1": "west"})
-MEMBERS_BODY = api_bodies.Members(agent=AGENT, doors={"n0": MEMBERS, "n1": ()}, missing={"n2": "no answer"})
-QUOTA_BODY = api_bodies.Quota(agent=AGENT, doors={"n0": STANDINGS}, missing={"n2": "no answer"})
+VIEW = api_bodies.AgentSnapshot(status=STATUS, order_state=FULL_BOOK, ready={"s0": "east", "s1": "west"})
+MEMBERS_BODY = api_bodies.Members(agent=AGENT, proxies={"n0": MEMBERS, "n1": ()}, missing={"n2": "no answer"})
+QUOTA_BODY = api_bodies.Quota(agent=AGENT, proxies={"n0": STANDINGS}, missing={"n2": "no answer"})
 ORDERS_BODY = api_bodies.Orders(
     agent=AGENT, revision=3, in_force=FULL_BOOK.in_force, recent=FULL_BOOK.recent, pending=RELEASE
 )
@@ -221,7 +229,7 @@
     return b"".join(msgspec.json.encode(value) + b"\n" for value in values)
 
 
-def frames(messages: tuple[wire.Ask, ...] | tuple[wire.Answer, ...]) -> bytes:
+def frames(messages: tuple[wire.Request, ...] | tuple[wire.Response, ...]) -> bytes:
     """The messages as they go through a connection, one after the other."""
     return b"".join(map(wire.frame, messages))
 
--- a/tests/compatibility/roster_samples.py
+++ b/tests/compatibility/roster_samples.py
@@ -12,16 +12,16 @@
 DOOR = samples.STATE.name
 # Each event, and how many milliseconds after the one before it.
 STEPS: tuple[tuple[int, roster.RosterEvent], ...] = (
-    (0, roster.Wanted(revision=4, ready=True)),
-    (1, roster.Sockets(names=frozenset({DOOR, "n1"}))),
-    (1, roster.Opened(door=DOOR)),
-    (1, roster.Heard(door=DOOR, state=samples.STATE)),
-    (1, roster.Lost(door="n1", why="Connection refused")),
-    (roster.QUIET_MS, roster.Look()),
-    (1, roster.Heard(door=DOOR, state=msgspec.structs.replace(samples.STATE, pid=4712, revision=5))),
-    (1, roster.Quiet(door=DOOR)),
-    (1, roster.Heard(door=DOOR, state=msgspec.structs.replace(samples.STATE, name="n8"))),
-    (1, roster.Sockets(names=frozenset({DOOR}))),
+    (0, roster.RevisionChanged(revision=4, ready=True)),
+    (1, roster.SocketsListed(names=frozenset({DOOR, "n1"}))),
+    (1, roster.Connected(proxy=DOOR)),
+    (1, roster.StateReceived(proxy=DOOR, state=samples.STATE)),
+    (1, roster.Disconnected(proxy="n1", reason="Connection refused")),
+    (roster.SILENCE_TIMEOUT_MS, roster.Tick()),
+    (1, roster.StateReceived(proxy=DOOR, state=msgspec.structs.replace(samples.STATE, pid=4712, revision=5))),
+    (1, roster.RequestTimedOut(proxy=DOOR)),
+    (1, roster.StateReceived(proxy=DOOR, state=msgspec.structs.replace(samples.STATE, name="n8"))),
+    (1, roster.SocketsListed(names=frozenset({DOOR}))),
 )
 
 
@@ -37,7 +37,7 @@
 def told() -> bytes:
     """The history, an event a line, and then each front door as the API tells of it."""
     made = played()
-    views = made.views(BEGUN_MS + 10_000)
+    views = made.proxy_statuses(BEGUN_MS + 10_000)
     return b"".join([*map(api.line, made.history), *(msgspec.json.encode(view) + b"\n" for view in views)])
 
 
--- a/tests/compatibility/test_control.py
+++ b/tests/compatibility/test_control.py
@@ -15,13 +15,13 @@
     received = bytearray()
 
     async def answer_all(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        frames = wire.FrameReader(wire.MOST_ASK_BYTES)
+        frames = wire.FrameReader(wire.MAX_REQUEST_BYTES)
         while data := await reader.read(1 << 16):
             received.extend(data)
             frames.feed(data)
             while (body := frames.next()) is not None:
-                number = wire.read_ask(body).number
-                writer.write(wire.frame(wire.Answer(version=wire.VERSION, number=number)))
+                number = wire.decode_request(body).number
+                writer.write(wire.frame(wire.Response(version=wire.VERSION, number=number)))
         writer.close()
 
     async def job() -> None:
@@ -30,7 +30,7 @@
             link = Link(lambda state: None, lambda why: None)
             await link.open(path)
             for ask in samples.ASKS:
-                await link.ask(ask.what, customer=ask.customer, book=ask.book)
+                await link.request(ask.kind, customer=ask.customer, book=ask.order_state)
             await link.close()
 
     run(job())
@@ -38,8 +38,11 @@
 
 
 def test_link_takes_the_recorded_answers(tmp_path: Path) -> None:
-    answers, news = [answer for answer in samples.ANSWERS if answer.number != wire.NEWS], samples.ANSWERS[-1]
-    heard: list[wire.State] = []
+    answers, news = (
+        [answer for answer in samples.ANSWERS if answer.number != wire.NOTIFICATION_NUMBER],
+        samples.ANSWERS[-1],
+    )
+    heard: list[wire.ProxyState] = []
 
     async def answer_at_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(wire.HEAD_BYTES)
@@ -53,7 +56,7 @@
         async with await asyncio.start_unix_server(answer_at_once, str(path)):
             link = Link(heard.append, lambda why: None)
             await link.open(path)
-            asks = [link.ask("state") for _ in answers]
+            asks = [link.request("state") for _ in answers]
             found = await asyncio.gather(*asks, return_exceptions=True)
             assert found[:-1] == answers[:-1]
             assert str(found[-1]) == answers[-1].error
@@ -64,20 +67,20 @@
 
 
 def test_front_door_answers_the_recorded_asks(tmp_path: Path) -> None:
-    found: list[wire.Answer] = []
+    found: list[wire.Response] = []
 
     async def job() -> None:
         async with controlled_front_door(tmp_path) as control:
             reader, writer = await asyncio.open_unix_connection(str(control.path))
             writer.write(recorded("fleet-control-asks.bin"))
-            frames = wire.FrameReader(wire.MOST_ANSWER_BYTES)
+            frames = wire.FrameReader(wire.MAX_RESPONSE_BYTES)
             while len(found) < len(samples.ASKS):
                 data = await reader.read(1 << 16)
                 assert data, "the front door has closed the connection"
                 frames.feed(data)
                 while (body := frames.next()) is not None:
-                    answer = wire.read_answer(body)
-                    found.extend([answer] if answer.number != wire.NEWS else [])
+                    answer = wire.decode_response(body)
+                    found.extend([answer] if answer.number != wire.NOTIFICATION_NUMBER else [])
             writer.close()
 
     run(job())
--- a/tests/compatibility/test_fleet.py
+++ b/tests/compatibility/test_fleet.py
@@ -39,10 +39,12 @@
     try:
         state = opened.load()
         assert state == samples.JOURNALS[name]
-        acceptor = agreement.Acceptor(state.promised, state.book)
+        acceptor = agreement.Acceptor(state.promised, state.order_state)
         path.unlink()
         opened.save(
-            journal.AgentState(agent=state.agent, promised=acceptor.state, book=acceptor.book.state())
+            journal.AgentState(
+                agent=state.agent, promised=acceptor.state, order_state=acceptor.order_state.to_record()
+            )
         )
     finally:
         opened.close()
@@ -62,22 +64,22 @@
 
 
 def test_asks_of_front_doors_are_read_as_sent() -> None:
-    found = bodies("fleet-control-asks.bin", wire.MOST_ASK_BYTES)
-    assert tuple(map(wire.read_ask, found)) == samples.ASKS
+    found = bodies("fleet-control-asks.bin", wire.MAX_REQUEST_BYTES)
+    assert tuple(map(wire.decode_request, found)) == samples.ASKS
 
 
 def test_answers_of_front_doors_are_read_as_sent() -> None:
-    found = bodies("fleet-control-answers.bin", wire.MOST_ANSWER_BYTES)
-    assert tuple(map(wire.read_answer, found)) == samples.ANSWERS
+    found = bodies("fleet-control-answers.bin", wire.MAX_RESPONSE_BYTES)
+    assert tuple(map(wire.decode_response, found)) == samples.ANSWERS
 
 
 def test_orders_and_books_are_read_as_written() -> None:
     assert read_lines("fleet-orders.json", orders.Decided) == samples.DECIDED
-    books = read_lines("fleet-books.json", orders.BookState)
+    books = read_lines("fleet-books.json", orders.OrderStateRecord)
     assert books == samples.BOOKS
     for book in books:
-        assert isinstance(book, orders.BookState)
-        assert orders.Book(book).state() == book
+        assert isinstance(book, orders.OrderStateRecord)
+        assert orders.OrderState(book).to_record() == book
 
 
 def test_messages_of_the_agreement_are_read_by_agents_as_sent() -> None:
--- a/tests/compatibility/test_roster.py
+++ b/tests/compatibility/test_roster.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
-from molereach.fleet.api_bodies import DoorView, Event
+from molereach.fleet.api_bodies import Event, ProxyStatus
 from tests.compatibility import roster_samples as samples
 from tests.compatibility.recording import recorded_lines
 
 
 def test_history_and_views_are_read_as_told() -> None:
     lines, made = recorded_lines("fleet-roster.json"), samples.played()
-    history, views = list(made.history), made.views(samples.BEGUN_MS + 10_000)
+    history, views = list(made.history), made.proxy_statuses(samples.BEGUN_MS + 10_000)
     assert [msgspec.json.decode(line, type=Event) for line in lines[: len(history)]] == history
-    assert tuple(msgspec.json.decode(line, type=DoorView) for line in lines[len(history) :]) == views
+    assert tuple(msgspec.json.decode(line, type=ProxyStatus) for line in lines[len(history) :]) == views
--- a/tests/coordination/test_attach.py
+++ b/tests/coordination/test_attach.py
@@ -148,9 +148,9 @@
 
     async def counters(self) -> dict[str, int]:
         reader, writer = await asyncio.open_unix_connection(str(self.home / "c.sock"))
-        writer.write(wire.frame(wire.Ask(wire.VERSION, 1, "counters")))
+        writer.write(wire.frame(wire.Request(wire.VERSION, 1, "counters")))
         size = int.from_bytes(await reader.readexactly(wire.HEAD_BYTES))
-        answer = wire.read_answer(await reader.readexactly(size))
+        answer = wire.decode_response(await reader.readexactly(size))
         writer.close()
         assert answer.counters is not None
         return answer.counters
--- a/tests/fleet/agents.py
+++ b/tests/fleet/agents.py
@@ -13,7 +13,7 @@
 from molereach.fleet.agent.auth import Tokens
 from molereach.fleet.agent.run import hypercorn_config
 from molereach.fleet.journal import Journal
-from molereach.fleet.orders import BookState
+from molereach.fleet.orders import OrderStateRecord
 from molereach.fleet.settings import TlsTable
 from tests.sockets import HOST, refusing_address
 
@@ -21,7 +21,7 @@
 TOKENS = f"operate duty {OPERATE}\nread wall {READ}\n"
 
 
-async def no_peer(peer: str, after: int) -> BookState | None:
+async def no_peer(peer: str, after: int) -> OrderStateRecord | None:
     raise OSError("cut off")
 
 
@@ -29,7 +29,7 @@
     folder: Path,
     name: str = "a0",
     fleet: tuple[str, ...] = ("a0",),
-    fetch: Callable[[str, int], Awaitable[BookState | None]] = no_peer,
+    fetch: Callable[[str, int], Awaitable[OrderStateRecord | None]] = no_peer,
     alone_s: float = 0.05,
 ) -> Agent:
     """An agent with its journal and sockets in a folder."""
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -23,14 +23,14 @@
 from molereach.fleet.api_bodies import Event
 from molereach.fleet.control import Control
 from molereach.fleet.journal import Journal, JournalError
-from molereach.fleet.orders import BookState, Decided, Order, Verb
+from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 from molereach.fleet.settings import TlsTable
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from tests.fleet.agents import OPERATE, READ, TOKENS, client, made, serving, until
 from tests.sockets import HOST, Backend, front_door, run
 
 ORDER = Order("o1", Verb.DRAIN, "s0", "duty", "why", 0)
-BOOK = BookState(1, (Decided(1, ORDER),), (Decided(1, ORDER),))
+BOOK = OrderStateRecord(1, (Decided(1, ORDER),), (Decided(1, ORDER),))
 GOOD = msgspec.json.encode(Prepare(1, Ballot(1, "t")))
 CALLS: list[tuple[str, str, bytes | None, str]] = [
     *[
@@ -113,7 +113,7 @@
     assert {path: {method.upper() for method in calls} for path, calls in paths.items()} == routes
 
     async def job() -> None:
-        kinds = {kind.__name__: kind for kind in (*openapi.BODIES, *openapi.MESSAGES)}
+        kinds = {openapi.published_name(kind.__name__): kind for kind in (*openapi.BODIES, *openapi.MESSAGES)}
         async with serving(agent) as url, client(url) as session:
             for path, calls in paths.items():
                 if "get" not in calls or path.endswith(("watch", "openapi.json")):
@@ -204,29 +204,29 @@
         async with front_door(Backend()) as (door, _), serving(agent):
             first = Control(door, tmp_path / "sockets" / "n0.sock")
             await first.start()
-            await until(lambda: first.told.is_set())
-            await agent.take(Known((Decided(1, ORDER),)))
-            await until(lambda: first.book.revision == 1)
+            await until(lambda: first.orders_received.is_set())
+            await agent.handle_message(Known((Decided(1, ORDER),)))
+            await until(lambda: first.order_state.revision == 1)
             assert first.overlay.drained == {"s0"}
-            await until(lambda: agent.status().doors[0].revision == 1)
+            await until(lambda: agent.status().proxies[0].revision == 1)
             servers = (Endpoint("s0", 0, 0, 0, EndpointState.UP),)
             door.on_endpoint_update(
                 EndpointUpdate(EndpointListReceived(EndpointListKind.FULL, 9, servers), {})
             )
-            assert (await agent.view()).ready == {"s0": "a"}
-            assert (await agent.members()).doors["n0"][0].drained
+            assert (await agent.snapshot()).ready == {"s0": "a"}
+            assert (await agent.members()).proxies["n0"][0].drained
             first.close()  # as a kill, if its socket stays
             (tmp_path / "sockets" / "n0.sock").touch()
-            await until(lambda: agent.status().doors[0].reach == "gone")
-            seen = agent.status().doors[0]
-            assert seen.revision == 1 and seen.heard_ago_ms is not None and seen.why
+            await until(lambda: agent.status().proxies[0].reachability == "gone")
+            seen = agent.status().proxies[0]
+            assert seen.revision == 1 and seen.reported_ago_ms is not None and seen.reason
             (tmp_path / "sockets" / "n0.sock").unlink()
             second = Control(door, tmp_path / "sockets" / "n0.sock")
             await second.start()
-            await until(lambda: second.book.revision == 1)
+            await until(lambda: second.order_state.revision == 1)
             assert second.overlay.drained == {"s0"}
             second.close()
-            await until(lambda: agent.status().doors[0].reach == "ended")
+            await until(lambda: agent.status().proxies[0].reachability == "ended")
 
     run(job())
 
@@ -246,14 +246,14 @@
             stopped = await asyncio.start_unix_server(say_nothing, str(tmp_path / "sockets" / "n1.sock"))
 
             def reach() -> dict[str, str]:
-                return {one.name: one.why for one in agent.status().doors}
+                return {one.name: one.reason for one in agent.status().proxies}
 
             await until(lambda: "n0" in reach().get("n9", ""))
             await until(lambda: "says nothing" in reach().get("n1", ""))
             members = await agent.members()
             assert "no answer within" in members.missing["n1"]
-            await agent.take(Known((Decided(1, ORDER),)))
-            assert control.book.revision in (0, 1)  # it may have been told before it was known
+            await agent.handle_message(Known((Decided(1, ORDER),)))
+            assert control.order_state.revision in (0, 1)  # it may have been told before it was known
             control.close()
             stopped.close()  # held until here: one that nobody holds is closed by a collection
             for writer in writers:
@@ -264,9 +264,12 @@
 
 def test_agent_learns_from_peers_before_it_speaks_for_the_fleet(tmp_path: Path) -> None:
     async def job() -> None:
-        answers: dict[str, BookState | OSError | None] = {"a1": OSError("cut off"), "a2": OSError("cut off")}
+        answers: dict[str, OrderStateRecord | OSError | None] = {
+            "a1": OSError("cut off"),
+            "a2": OSError("cut off"),
+        }
 
-        async def fetch(peer: str, after: int) -> BookState | None:
+        async def fetch(peer: str, after: int) -> OrderStateRecord | None:
             if isinstance(found := answers[peer], OSError):
                 raise found
             return found if found and found.revision > after else None
@@ -276,13 +279,13 @@
             control = Control(door, tmp_path / "sockets" / "n0.sock")
             await control.start()
             await until(lambda: bool(agent.links))
-            assert not control.told.is_set() and not agent.status().synced
+            assert not control.orders_received.is_set() and not agent.status().synced
             answers["a2"] = BOOK  # now a majority is heard
-            await until(lambda: control.told.is_set())
-            assert control.book.revision == 1 and agent.status().synced
+            await until(lambda: control.orders_received.is_set())
+            assert control.order_state.revision == 1 and agent.status().synced
             control.close()
         again = Journal(tmp_path / "a0.journal", "a0")
-        assert again.load().book == BOOK
+        assert again.load().order_state == BOOK
         again.close()
 
     run(job())
@@ -302,10 +305,10 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow = Watcher()
-    for number in range(agent_module.WATCHER_EVENTS + 7):
-        slow.tell(Event(number, 0, "a0", "door", "n0", "up"))
-    assert slow.missed == 7 and slow.queue.qsize() == agent_module.WATCHER_EVENTS
-    monkeypatch.setattr(api, "MOST_WATCHERS", 1)
+    for number in range(agent_module.MAX_QUEUED_EVENTS + 7):
+        slow.push(Event(number, 0, "a0", "door", "n0", "up"))
+    assert slow.missed == 7 and slow.queue.qsize() == agent_module.MAX_QUEUED_EVENTS
+    monkeypatch.setattr(api, "MAX_WATCHERS", 1)
 
     async def job() -> None:
         agent = made(tmp_path)
@@ -316,7 +319,7 @@
                 assert (await session.get("/v1/watch")).status_code == 503
                 (watcher,) = agent.watchers
                 watcher.missed = 3
-                await agent.take(Known((Decided(1, ORDER),)))
+                await agent.handle_message(Known((Decided(1, ORDER),)))
                 events = [msgspec.json.decode(await anext(lines), type=Event) for _ in range(2)]
                 assert [event.kind for event in events] == ["dropped", "order"]
                 assert "3 events" in events[0].text and events[1].subject == "o1"
@@ -337,14 +340,14 @@
             assert await anext(lines) == ""
             refused = await session.post("/v1/agreement", content=b"x" * 300_000)
             assert refused.status_code == 403
-            await agent.take(Known((Decided(1, ORDER),)))
+            await agent.handle_message(Known((Decided(1, ORDER),)))
             assert msgspec.json.decode(await anext(lines), type=Event).subject == "o1"
 
     run(job())
 
 
 def test_calls_under_way_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(api, "MOST_AT_ONCE", 0)
+    monkeypatch.setattr(api, "MAX_CONCURRENT_CALLS", 0)
 
     async def job() -> None:
         async with serving(made(tmp_path)) as url, client(url) as session:
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_agreement.py
@@ -46,7 +46,7 @@
         chance = self.random.random()
         if chance < 0.03:  # an agent starts again with what is on its disk
             name = self.random.choice(AGENTS)
-            self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].book.state())
+            self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].order_state.to_record())
         elif chance < 0.08 or not self.wires:  # a tool's patience is over
             tool = self.random.choice(list(self.tools.values()))
             if tool.name not in self.dead:
@@ -71,7 +71,7 @@
         """No two agents and no tool ever hold different orders at one revision."""
         stand: dict[int, str] = {}
         outcomes = [tool.outcome for tool in self.tools.values() if tool.outcome]
-        logs = [decided for agent in self.agents.values() for decided in agent.book.recent.values()]
+        logs = [decided for agent in self.agents.values() for decided in agent.order_state.recent.values()]
         for decided in (*outcomes, *logs):
             assert stand.setdefault(decided.revision, decided.order.id) == decided.order.id
         for tool in self.tools.values():
@@ -99,7 +99,7 @@
         assert winner
         for agent in fleet.agents.values():  # whoever was away is told on its return
             agent.handle(Known((winner,)))
-            assert agent.book.last_about("s1") == winner and agent.book.revision == 1
+            assert agent.order_state.latest_for("s1") == winner and agent.order_state.revision == 1
 
 
 def test_tool_killed_at_any_point_leaves_one_order_that_the_next_finishes() -> None:
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -15,8 +15,8 @@
 from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import control, wire
 from molereach.fleet.control import Control, ControlError, attach
-from molereach.fleet.orders import Book, BookState, Decided, Order, Verb
-from molereach.fleet.wire import Answer, Ask
+from molereach.fleet.orders import Decided, Order, OrderState, OrderStateRecord, Verb
+from molereach.fleet.wire import Request, Response
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import Proxy
 from tests.sockets import CUSTOMER, HOST, Backend, Client, catalog, entry, front_door, query, refusing_address
@@ -31,21 +31,21 @@
     async def open(cls, path: Path) -> "Agent":
         agent = cls()
         agent.reader, agent.writer = await asyncio.open_unix_connection(str(path))
-        agent.frames = wire.FrameReader(wire.MOST_ANSWER_BYTES)
+        agent.frames = wire.FrameReader(wire.MAX_RESPONSE_BYTES)
         agent.number = 0
         return agent
 
-    async def answer(self) -> Answer:
+    async def answer(self) -> Response:
         while (body := self.frames.next()) is None:
             data = await self.reader.read(1 << 16)
             if not data:
                 raise EOFError
             self.frames.feed(data)
-        return wire.read_answer(body)
+        return wire.decode_response(body)
 
-    async def ask(self, what: str, **more: object) -> Answer:
+    async def ask(self, what: str, **more: object) -> Response:
         self.number += 1
-        self.writer.write(wire.frame(Ask(wire.VERSION, self.number, what, **more)))  # type: ignore[arg-type]
+        self.writer.write(wire.frame(Request(wire.VERSION, self.number, what, **more)))  # type: ignore[arg-type]
         answer = await self.answer()
         assert answer.number == self.number
         return answer
@@ -55,12 +55,12 @@
     return Decided(revision, Order(f"o{revision}", Verb(verb), subject, "duty", "why", 0, **more))
 
 
-def book(*decided: Decided) -> BookState:
+def book(*decided: Decided) -> OrderStateRecord:
     """What an agent puts that has these orders."""
-    made = Book()
+    made = OrderState()
     for one in decided:
-        made.learn(one)
-    return BookState(made.revision, made.state().in_force)
+        made.record_decided(one)
+    return OrderStateRecord(made.revision, made.to_record().in_force)
 
 
 @contextlib.asynccontextmanager
@@ -125,7 +125,7 @@
             agent = await opened(tmp_path / "n0.sock")
             with pytest.raises(OSError):
                 await Client.open(address)  # it does not listen yet
-            put = await agent.ask("put", book=book(order(1, "drain", "s0")))
+            put = await agent.ask("put", order_state=book(order(1, "drain", "s0")))
             assert put.state and put.state.revision == 1
             await until_line(process, b"serves at")
             client = await Client.open(address)
@@ -138,7 +138,8 @@
                 ("s1", "up", False),
             }
             await agent.ask(
-                "put", book=book(order(1, "drain", "s0"), order(2, "undrain", "s0"), order(3, "drain", "s1"))
+                "put",
+                order_state=book(order(1, "drain", "s0"), order(2, "undrain", "s0"), order(3, "drain", "s1")),
             )
             for number in range(20, 40):
                 assert await client.ask(query(f"a{number}")) == b"ok"
@@ -157,7 +158,7 @@
     async def job() -> None:
         backend = Backend()
         async with controlled(tmp_path / "s", backend) as (door, address, agent, _):
-            await agent.ask("put", book=book(order(1, "drain", "s9")))
+            await agent.ask("put", order_state=book(order(1, "drain", "s9")))
             there = backend.server.sockets[0].getsockname()
             servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
             door.on_endpoint_update(
@@ -181,16 +182,16 @@
         async with controlled(tmp_path / "s", Backend()) as (door, address, agent, _):
             client = await Client.open(address)
             assert await client.ask(query("a1")) == b"ok"
-            held = await agent.ask("put", book=book(order(1, "hold", "n0"), order(2, "hold", "n7")))
-            assert held.state and held.state.held
+            held = await agent.ask("put", order_state=book(order(1, "hold", "n0"), order(2, "hold", "n7")))
+            assert held.state and held.state.on_hold
             with pytest.raises(OSError):
                 await Client.open(address)
             assert await client.ask(query("a2")) == b"ok"
             released = book(order(1, "hold", "n0"), order(2, "hold", "n7"), order(3, "release", "n0"))
-            await agent.ask("put", book=released)
+            await agent.ask("put", order_state=released)
             assert not door.clients.held
             for older in (book(order(1, "hold", "n0")), book(), None):  # it never goes back
-                state = (await agent.ask("put", book=older)).state
+                state = (await agent.ask("put", order_state=older)).state
                 assert state and state.revision == 3 and not door.clients.held
             assert await (await Client.open(address)).ask(query("a3")) == b"ok"
 
@@ -198,16 +199,16 @@
 
 
 def test_order_lapses_by_itself(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "LAPSE_S", 0.01)
+    monkeypatch.setattr(control, "EXPIRY_INTERVAL_S", 0.01)
 
     async def job() -> None:
         async with controlled(tmp_path / "s", Backend()) as (door, address, agent, made):
             lapses = made.unix_ms() + 200
-            await agent.ask("put", book=book(order(1, "hold", "n0", lapses_ms=lapses)))
+            await agent.ask("put", order_state=book(order(1, "hold", "n0", lapses_ms=lapses)))
             assert door.clients.held
             while door.clients.held:
                 await asyncio.sleep(0.01)
-            assert made.unix_ms() >= lapses and not made.book.in_force
+            assert made.unix_ms() >= lapses and not made.order_state.in_force
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
 
     run_job(job())
@@ -222,13 +223,13 @@
             await backend.came.wait()
             state = (await agent.ask("state")).state
             assert state and (state.name, state.open_requests, state.clients) == ("n0", 1, 1)
-            assert state.pid == os.getpid() and not state.held and state.revision == 0
+            assert state.pid == os.getpid() and not state.on_hold and state.revision == 0
             counters = (await agent.ask("counters")).counters
             assert counters and counters["open_requests"] == 1 and counters["backend_connections"] == 1
             (standing,) = (await agent.ask("quota", customer=CUSTOMER.upper())).quota or ()
-            assert standing.plan == 0 and 999 <= standing.level <= 1000 and standing.demand > 0
+            assert standing.plan == 0 and 999 <= standing.available_units <= 1000 and standing.demand > 0
             assert (await agent.ask("quota", customer="0" * 16)).quota == ()
-            await agent.ask("put", book=book(order(1, "drain", "sx")))
+            await agent.ask("put", order_state=book(order(1, "drain", "sx")))
             assert (await agent.ask("orders")).orders == (order(1, "drain", "sx"),)
 
     run_job(job())
@@ -247,10 +248,10 @@
                 order(9, "hold", "n1"),
             ):
                 hostile = await Agent.open(tmp_path / "s")
-                ask = Ask(wire.VERSION, 1, "put", book=BookState(3, (good, wrong)))
+                ask = Request(wire.VERSION, 1, "put", order_state=OrderStateRecord(3, (good, wrong)))
                 hostile.writer.write(wire.frame(ask))
                 assert (await hostile.answer()).error
-                assert made.book.revision == 0 and not made.door.clients.held
+                assert made.order_state.revision == 0 and not made.proxy.clients.held
 
     run_job(job())
 
@@ -273,19 +274,19 @@
 def test_watcher_hears_of_changes_and_one_that_reads_nothing_is_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(control, "NEWS_S", 0.0)
-    monkeypatch.setattr(control, "MOST_UNREAD_BYTES", 20_000)
+    monkeypatch.setattr(control, "NOTIFICATION_DELAY_S", 0.0)
+    monkeypatch.setattr(control, "MAX_UNREAD_BYTES", 20_000)
 
     async def job() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, address, agent, made):
             watcher = await Agent.open(tmp_path / "s")
             await watcher.ask("watch")
-            await agent.ask("put", book=book(order(1, "hold", "n0"), order(2, "release", "n0")))
+            await agent.ask("put", order_state=book(order(1, "hold", "n0"), order(2, "release", "n0")))
             news = await watcher.answer()
-            assert news.number == wire.NEWS and news.state and news.state.revision == 2
+            assert news.number == wire.NOTIFICATION_NUMBER and news.state and news.state.revision == 2
             silent = await Agent.open(tmp_path / "s")
             silent.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            asks = (wire.frame(Ask(wire.VERSION, number, "counters")) for number in range(9000))
+            asks = (wire.frame(Request(wire.VERSION, number, "counters")) for number in range(9000))
             silent.writer.write(b"".join(asks))
             while len(made.connections) > 2:  # it asks and asks, and reads nothing
                 await asyncio.sleep(0)
@@ -297,7 +298,7 @@
 def test_too_many_and_strangers_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def job() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, _, agent, made):
-            more = [await Agent.open(tmp_path / "s") for _ in range(control.MOST_CONNECTIONS)]
+            more = [await Agent.open(tmp_path / "s") for _ in range(control.MAX_CONNECTIONS)]
             assert (await agent.ask("state")).state
             with pytest.raises((EOFError, ConnectionError)):
                 await more[-1].ask("state")
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -14,7 +14,7 @@
 from molereach.fleet import journal
 from molereach.fleet.agreement import Acceptor, Ballot, Prepare, Promised
 from molereach.fleet.journal import AgentState, Journal, JournalError, decode, encode
-from molereach.fleet.orders import BookState, Decided, Order, Verb
+from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 
 ROOT = Path(__file__).parents[2]
 
@@ -27,7 +27,7 @@
     promised = Promised(
         revisions + 1, Ballot(7, "t1"), Ballot(5, "t2"), Order("x", Verb.HOLD, "n1", "duty", "r", 0, 99, True)
     )
-    return AgentState("a1", promised, BookState(revisions, log, log))
+    return AgentState("a1", promised, OrderStateRecord(revisions, log, log))
 
 
 def test_what_is_saved_is_loaded(tmp_path: Path) -> None:
@@ -38,8 +38,8 @@
     two = Journal(tmp_path / "j", "a1")
     assert two.load() == state()
     assert (tmp_path / "j").stat().st_mode & 0o777 == 0o600
-    agent = Acceptor(two.load().promised, two.load().book)
-    assert agent.book.revision == 3 and agent.handle(Prepare(4, Ballot(6, "t9")))[0] != []
+    agent = Acceptor(two.load().promised, two.load().order_state)
+    assert agent.order_state.revision == 3 and agent.handle(Prepare(4, Ballot(6, "t9")))[0] != []
     two.close()
 
 
@@ -61,7 +61,7 @@
     file = tmp_path / "j"
     newer = bytearray(encode(state()))
     newer[len(journal.MAGIC)] = 9
-    wrong = encode(AgentState("a1", book=BookState(1, state().book.in_force)))
+    wrong = encode(AgentState("a1", order_state=OrderStateRecord(1, state().order_state.in_force)))
     for data, reason in (
         (encode(state())[:-1], "as long as it says"),
         (b"", "no journal"),
@@ -128,12 +128,12 @@
 import itertools, sys
 from pathlib import Path
 from molereach.fleet.journal import AgentState, Journal
-from molereach.fleet.orders import BookState, Decided, Order, Verb
+from molereach.fleet.orders import OrderStateRecord, Decided, Order, Verb
 made = Journal(Path(sys.argv[1]), "a1")
-log = made.load().book.recent
+log = made.load().order_state.recent
 for number in itertools.count(len(log) + 1):
     log += (Decided(number, Order(f"o{number}", Verb.DRAIN, "s1", "duty", "r" * 200, 0)),)
-    made.save(AgentState("a1", book=BookState(number, (), log)))
+    made.save(AgentState("a1", order_state=OrderStateRecord(number, (), log)))
     print(number, flush=True)
 """
 
@@ -153,5 +153,5 @@
         rest, _ = process.communicate()
         said = int(rest.split()[-1]) if rest.split() else said
         made = Journal(tmp_path / "j", "a1")
-        assert len(made.load().book.recent) in (said, said + 1)
+        assert len(made.load().order_state.recent) in (said, said + 1)
         made.close()
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -6,7 +6,17 @@
 from msgspec.structs import replace
 
 from molereach.fleet import orders
-from molereach.fleet.orders import Book, BookState, Decided, Order, OrderError, Overlay, Refusal, Verb, Why
+from molereach.fleet.orders import (
+    Decided,
+    Order,
+    OrderError,
+    OrderRejection,
+    OrderState,
+    OrderStateRecord,
+    Overlay,
+    RejectionReason,
+    Verb,
+)
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 
 READY = {"s1": "east", "s2": "east", "s3": "west"}
@@ -23,10 +33,10 @@
     return Order(name, verb, subject, "duty", "replaced", based_on, lapses_ms, forced)
 
 
-def book(*given_orders: Order) -> Book:
-    made = Book()
+def book(*given_orders: Order) -> OrderState:
+    made = OrderState()
     for revision, one in enumerate(given_orders, 1):
-        made.learn(Decided(revision, one))
+        made.record_decided(Decided(revision, one))
     return made
 
 
@@ -50,59 +60,65 @@
 
 def test_drain_holds_until_it_is_taken_back_or_lapses() -> None:
     made = book(order(), order("o2", subject="s2", lapses_ms=500), order("o3", Verb.HOLD, "n1"))
-    assert made.wanted(Verb.DRAIN, 499) == {"s1", "s2"} and made.wanted(Verb.DRAIN, 500) == {"s1"}
-    assert made.wanted(Verb.HOLD, 0) == {"n1"}
-    made.forget_lapsed(500)
-    assert made.wanted(Verb.DRAIN, 499) == {"s1"}
-    made.learn(Decided(4, order("o4", Verb.UNDRAIN)))
-    made.learn(Decided(5, order("o5", Verb.RELEASE, "n1")))
-    assert not made.wanted(Verb.DRAIN, 0) and not made.wanted(Verb.HOLD, 0)
+    assert made.active_subjects(Verb.DRAIN, 499) == {"s1", "s2"} and made.active_subjects(
+        Verb.DRAIN, 500
+    ) == {"s1"}
+    assert made.active_subjects(Verb.HOLD, 0) == {"n1"}
+    made.remove_lapsed(500)
+    assert made.active_subjects(Verb.DRAIN, 499) == {"s1"}
+    made.record_decided(Decided(4, order("o4", Verb.UNDRAIN)))
+    made.record_decided(Decided(5, order("o5", Verb.RELEASE, "n1")))
+    assert not made.active_subjects(Verb.DRAIN, 0) and not made.active_subjects(Verb.HOLD, 0)
 
 
 def test_order_given_twice_is_one() -> None:
     made = book(order(), order("o2", Verb.UNDRAIN), order())
-    assert made.revision == 3 and not made.wanted(Verb.DRAIN, 0)  # the repeat did not drain it again
-    assert made.judge(order(), 0, READY, 0) == Decided(1, order())
+    assert made.revision == 3 and not made.active_subjects(Verb.DRAIN, 0)  # the repeat did not drain it again
+    assert made.validate(order(), 0, READY, 0) == Decided(1, order())
 
 
 def test_loser_is_told_who_won() -> None:
     made = book(order(), order("o2", Verb.UNDRAIN, based_on=1))
-    refusal = made.judge(order("o3", based_on=1), 0, READY, 0)
-    assert isinstance(refusal, Refusal) and refusal.why is Why.CONFLICT
+    refusal = made.validate(order("o3", based_on=1), 0, READY, 0)
+    assert isinstance(refusal, OrderRejection) and refusal.reason is RejectionReason.CONFLICT
     assert refusal.winner == Decided(2, order("o2", Verb.UNDRAIN, based_on=1))
     assert "duty" in refusal.text and "revision 2" in refusal.text and "replaced" in refusal.text
-    assert made.judge(order("o3", based_on=2), 0, READY, 0) is None  # its issuer has seen it
-    assert made.judge(order("o3", subject="s2", based_on=0), 0, READY, 0) is None  # about another server
-    assert made.judge(order("o3", Verb.UNDRAIN, based_on=0), 0, READY, 0) is None  # both want the same
+    assert made.validate(order("o3", based_on=2), 0, READY, 0) is None  # its issuer has seen it
+    assert made.validate(order("o3", subject="s2", based_on=0), 0, READY, 0) is None  # about another server
+    assert made.validate(order("o3", Verb.UNDRAIN, based_on=0), 0, READY, 0) is None  # both want the same
 
 
 def test_drain_leaves_each_building_its_floor_unless_forced() -> None:
     made = book(order())
-    refusal = made.judge(order("o2", subject="s2", based_on=1), 0, READY, 1)
-    assert isinstance(refusal, Refusal) and refusal.why is Why.FLOOR and "east" in refusal.text
+    refusal = made.validate(order("o2", subject="s2", based_on=1), 0, READY, 1)
+    assert (
+        isinstance(refusal, OrderRejection)
+        and refusal.reason is RejectionReason.FLOOR
+        and "east" in refusal.text
+    )
     assert refusal.winner == Decided(1, order())
-    assert made.judge(order("o2", subject="s2", based_on=1, forced=True), 0, READY, 1) is None
-    assert made.judge(order("o2", subject="s2", based_on=1), 0, READY, 0) is None
-    assert made.judge(order("o2", subject="gone", based_on=1), 0, READY, 1) is None
-    assert isinstance(made.judge(order("o2", subject="s3"), 0, READY, 1), Refusal)
+    assert made.validate(order("o2", subject="s2", based_on=1, forced=True), 0, READY, 1) is None
+    assert made.validate(order("o2", subject="s2", based_on=1), 0, READY, 0) is None
+    assert made.validate(order("o2", subject="gone", based_on=1), 0, READY, 1) is None
+    assert isinstance(made.validate(order("o2", subject="s3"), 0, READY, 1), OrderRejection)
     west = book(order(), order("o2", subject="s3", forced=True))
-    refusal = west.judge(order("o3", subject="s2", based_on=2), 0, READY, 1)
-    assert isinstance(refusal, Refusal) and refusal.winner == Decided(1, order())
+    refusal = west.validate(order("o3", subject="s2", based_on=2), 0, READY, 1)
+    assert isinstance(refusal, OrderRejection) and refusal.winner == Decided(1, order())
     lapsing = book(order(lapses_ms=100))
-    assert lapsing.judge(order("o2", subject="s2", based_on=1), 100, READY, 1) is None
+    assert lapsing.validate(order("o2", subject="s2", based_on=1), 100, READY, 1) is None
 
 
 def test_lapsed_order_and_too_many_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    late = Book().judge(order(lapses_ms=5), 5, READY, 0)
-    assert isinstance(late, Refusal) and late.why is Why.LAPSED
-    monkeypatch.setattr(orders, "MOST_IN_FORCE", 1)
-    full = book(order()).judge(order("o2", subject="s2", based_on=1), 0, READY, 0)
-    assert isinstance(full, Refusal) and full.why is Why.FULL
-    assert book(order()).judge(order("o2", Verb.UNDRAIN, based_on=1), 0, READY, 0) is None
+    late = OrderState().validate(order(lapses_ms=5), 5, READY, 0)
+    assert isinstance(late, OrderRejection) and late.reason is RejectionReason.LAPSED
+    monkeypatch.setattr(orders, "MAX_IN_FORCE", 1)
+    full = book(order()).validate(order("o2", subject="s2", based_on=1), 0, READY, 0)
+    assert isinstance(full, OrderRejection) and full.reason is RejectionReason.FULL
+    assert book(order()).validate(order("o2", Verb.UNDRAIN, based_on=1), 0, READY, 0) is None
     full = book(order(lapses_ms=50))
-    assert full.judge(order("o2", subject="s2", based_on=1), 50, READY, 0) is None
-    full.learn(Decided(2, order("o2", subject="s2", based_on=1)))
-    assert full.wanted(Verb.DRAIN, 0) == {"s2"}  # what has lapsed gave way
+    assert full.validate(order("o2", subject="s2", based_on=1), 50, READY, 0) is None
+    full.record_decided(Decided(2, order("o2", subject="s2", based_on=1)))
+    assert full.active_subjects(Verb.DRAIN, 0) == {"s2"}  # what has lapsed gave way
 
 
 ORDERS = st.lists(
@@ -122,24 +138,24 @@
     first = book(*given_orders)
     decided = [Decided(revision, one) for revision, one in enumerate(given_orders, 1)] * 2
     random.shuffle(decided)  # type: ignore[attr-defined]
-    second = Book()
-    entered = [one for each in decided for one in second.learn(each)]
+    second = OrderState()
+    entered = [one for each in decided for one in second.record_decided(each)]
     assert [one.revision for one in entered] == list(range(1, len(given_orders) + 1))
-    assert second.state() == first.state()
+    assert second.to_record() == first.to_record()
 
 
 def test_what_waits_and_what_is_remembered_is_bounded() -> None:
-    made = Book()
+    made = OrderState()
     for revision in range(2, 10_000):
-        made.learn(Decided(revision, order(f"o{revision}")))
-    assert len(made.ahead) == orders.MOST_AHEAD and made.revision == 0
-    long = Book()
+        made.record_decided(Decided(revision, order(f"o{revision}")))
+    assert len(made.pending) == orders.MAX_PENDING_ORDERS and made.revision == 0
+    long = OrderState()
     for revision in range(1, 3000):
-        long.learn(Decided(revision, order(f"o{revision}", subject=f"s{revision}")))
-    assert len(long.recent) == orders.MOST_RECENT and long.find("o2999") and not long.find("o2000")
-    late = long.judge(order("late", Verb.UNDRAIN), 0, READY, 0)  # nobody knows what it did not see
-    assert isinstance(late, Refusal) and late.why is Why.CONFLICT
-    long.state().check()
+        long.record_decided(Decided(revision, order(f"o{revision}", subject=f"s{revision}")))
+    assert len(long.recent) == orders.MAX_RECENT_REVISIONS and long.find("o2999") and not long.find("o2000")
+    late = long.validate(order("late", Verb.UNDRAIN), 0, READY, 0)  # nobody knows what it did not see
+    assert isinstance(late, OrderRejection) and late.reason is RejectionReason.CONFLICT
+    long.to_record().check()
 
 
 @given(ORDERS, st.integers(0, 12), st.integers(1, 3))
@@ -147,29 +163,29 @@
     given_orders: list[Order], at: int, recent: int
 ) -> None:
     with pytest.MonkeyPatch.context() as small:
-        small.setattr(orders, "MOST_RECENT", recent)
-        whole, late = Book(), Book()
+        small.setattr(orders, "MAX_RECENT_REVISIONS", recent)
+        whole, late = OrderState(), OrderState()
         for revision, one in enumerate(given_orders, 1):
-            whole.learn(Decided(revision, one))
+            whole.record_decided(Decided(revision, one))
             if revision == at:
-                assert late.adopt(whole.state()) and not late.adopt(whole.state())
+                assert late.adopt(whole.to_record()) and not late.adopt(whole.to_record())
             elif revision > at:
-                late.learn(Decided(revision, one))
+                late.record_decided(Decided(revision, one))
         if at and at <= len(given_orders):
-            assert late.state() == whole.state()
+            assert late.to_record() == whole.to_record()
 
 
 def test_state_that_no_book_can_have_is_refused() -> None:
     one, two = Decided(1, order()), Decided(2, order("o2", subject="s2"))
-    BookState(2, (one, two), (one, two)).check()
+    OrderStateRecord(2, (one, two), (one, two)).check()
     for wrong in (
-        BookState(-1),
-        BookState(1, (one, two)),
-        BookState(2, (two, one)),
-        BookState(2, (one, one)),
-        BookState(2, (Decided(2, order(verb=Verb.UNDRAIN)),)),
-        BookState(2, (), (Decided(0, order()),)),
-        BookState(1000, tuple(Decided(n, order()) for n in range(1, orders.MOST_IN_FORCE + 2))),
+        OrderStateRecord(-1),
+        OrderStateRecord(1, (one, two)),
+        OrderStateRecord(2, (two, one)),
+        OrderStateRecord(2, (one, one)),
+        OrderStateRecord(2, (Decided(2, order(verb=Verb.UNDRAIN)),)),
+        OrderStateRecord(2, (), (Decided(0, order()),)),
+        OrderStateRecord(1000, tuple(Decided(n, order()) for n in range(1, orders.MAX_IN_FORCE + 2))),
     ):
         with pytest.raises(OrderError):
             wrong.check()
@@ -191,27 +207,31 @@
     full = EndpointListReceived(
         EndpointListKind.FULL, 4, (server("s1"), server("s2", EndpointState.DRAINING))
     )
-    assert overlay.on_list(full) == full
-    changes = overlay.on_orders({"s1", "s2", "unheard"})
+    assert overlay.on_endpoint_list(full) == full
+    changes = overlay.on_drained_servers({"s1", "s2", "unheard"})
     assert states(changes) == {"s1": EndpointState.DRAINING} and changes and changes.version == 4
-    assert overlay.on_orders({"s1", "s2", "unheard"}) is None
-    again = overlay.on_list(EndpointListReceived(EndpointListKind.CHANGES, 5, (server("s1"), server("s3"))))
+    assert overlay.on_drained_servers({"s1", "s2", "unheard"}) is None
+    again = overlay.on_endpoint_list(
+        EndpointListReceived(EndpointListKind.CHANGES, 5, (server("s1"), server("s3")))
+    )
     assert states(again) == {"s1": EndpointState.DRAINING, "s3": EndpointState.UP}
-    assert states(overlay.on_orders(())) == {"s1": EndpointState.UP}  # and s2 stays as discovery has it
+    assert states(overlay.on_drained_servers(())) == {
+        "s1": EndpointState.UP
+    }  # and s2 stays as discovery has it
 
 
 def test_drain_waits_for_a_server_that_is_not_listed_yet() -> None:
     overlay = Overlay()
-    assert overlay.on_orders({"s1"}) is None
-    first = overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"),)))
+    assert overlay.on_drained_servers({"s1"}) is None
+    first = overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"),)))
     assert states(first) == {"s1": EndpointState.DRAINING}  # before any request could reach it
 
 
 def test_server_that_is_listed_no_more_is_not_told_of() -> None:
     overlay = Overlay()
-    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"), server("s2"))))
-    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 2, (server("s2"),)))
-    assert overlay.on_orders({"s1"}) is None
+    overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"), server("s2"))))
+    overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 2, (server("s2"),)))
+    assert overlay.on_drained_servers({"s1"}) is None
 
 
 STATES = st.sampled_from(list(EndpointState))
@@ -245,12 +265,12 @@
     drained: frozenset[str] = frozenset()
     for step in steps:
         if isinstance(step, frozenset):
-            drained, news = step, overlay.on_orders(step)
+            drained, news = step, overlay.on_drained_servers(step)
         else:
             kind, entries = step
             entries = {} if kind is EndpointListKind.FAILED else entries
             listed = entries if kind in (EndpointListKind.FULL, EndpointListKind.SAVED) else listed | entries
-            news = overlay.on_list(
+            news = overlay.on_endpoint_list(
                 EndpointListReceived(kind, 1, tuple(server(name, state) for name, state in entries.items()))
             )
             if kind in (EndpointListKind.FULL, EndpointListKind.SAVED):
@@ -265,6 +285,6 @@
 
 def test_orders_over_a_view_say_how_many_share_its_servers() -> None:
     overlay, one = Overlay(), Endpoint("s0", 0, 0, 0, EndpointState.UP)
-    overlay.on_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), sharing_proxies=21))
-    news = overlay.on_orders({"s0"})
+    overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), sharing_proxies=21))
+    news = overlay.on_drained_servers({"s0"})
     assert news is not None and news.sharing_proxies == 21 and news.version == 4
--- a/tests/fleet/test_rollout.py
+++ b/tests/fleet/test_rollout.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from molereach.fleet.orders import BookState, Decided, Order, Verb
+from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 from molereach.fleet.rollout.events import Draft
 from molereach.fleet.rollout.report import Verdict
 from tests.fleet.virtual import MS, Fleet, once
@@ -136,7 +136,7 @@
         report = tool.rollout.report
         assert report
         if report.verdict is Verdict.CONFLICT:
-            knowing = sum(agent.book.revision >= 1 for agent in fleet.agents.values())
+            knowing = sum(agent.order_state.revision >= 1 for agent in fleet.agents.values())
             assert knowing >= 3 or "have said that they know" in report.text
 
 
@@ -229,7 +229,7 @@
 def test_agent_far_behind_takes_over_a_whole_book() -> None:
     fleet = Fleet(9)
     order = Order("old", Verb.DRAIN, "s3", "duty", "why", 0)
-    state = BookState(900, (Decided(700, order),), (Decided(700, order),))
+    state = OrderStateRecord(900, (Decided(700, order),), (Decided(700, order),))
     for name in fleet.names[:3]:
         fleet.learn(name, state)
     assert reported(fleet, drain("o1")) is Verdict.DONE
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,9 +1,11 @@
 """The fleet's file, an agent's, tokens and secrets: one line that names file, key and reason."""
 
 import json
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
+import structlog
 from click.testing import CliRunner
 
 from molereach.fleet import settings
@@ -24,7 +26,7 @@
 def test_examples_can_be_used() -> None:
     deploy = Path(__file__).parents[2] / "deploy"
     found = load(deploy / "fleet.toml", FleetFile)
-    assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected()
+    assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected_proxies()
 
 
 @pytest.mark.parametrize(
@@ -52,6 +54,14 @@
     assert done.exit_code == 2 and reason in done.stderr and done.stderr.count("\n") == 1
 
 
+@pytest.fixture
+def restored_log() -> Iterator[None]:
+    """Undoes the agent's log set-up: later tests must not write to the stream that pytest has closed."""
+    yield
+    structlog.reset_defaults()
+
+
+@pytest.mark.usefixtures("restored_log")
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
@@ -134,4 +144,4 @@
 
 def test_secret_that_is_no_file(tmp_path: Path) -> None:
     with pytest.raises(SettingsError):
-        settings.secret(tmp_path)
+        settings.read_secret(tmp_path)
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -6,13 +6,21 @@
 from random import Random
 
 from molereach.fleet.agreement import Acceptor, Message
-from molereach.fleet.api_bodies import Status, View
-from molereach.fleet.orders import Book, BookState, Decided, Verb
+from molereach.fleet.api_bodies import AgentSnapshot, Status
+from molereach.fleet.orders import Decided, OrderState, OrderStateRecord, Verb
 from molereach.fleet.rollout import events as ev
 from molereach.fleet.rollout.report import Verdict
 from molereach.fleet.rollout.stages import Rollout
-from molereach.fleet.roster import Heard, Lost, Opened, Put, Roster, Sockets, Wanted
-from molereach.fleet.wire import State
+from molereach.fleet.roster import (
+    Connected,
+    Disconnected,
+    RevisionChanged,
+    Roster,
+    SendOrders,
+    SocketsListed,
+    StateReceived,
+)
+from molereach.fleet.wire import ProxyState
 
 MS = 1000
 CALL_US, BEAT_US, SYNC_US, TICK_US = 300 * MS, 200 * MS, 400 * MS, 25 * MS
@@ -26,11 +34,11 @@
     name: str
     up: bool = True
     pid: int = 1
-    book: Book = field(default_factory=Book)
+    book: OrderState = field(default_factory=OrderState)
     carried: list[int] = field(default_factory=list)  # revisions, over all its starts
 
-    def state(self) -> State:
-        return State(self.name, self.pid, 1.0, False, self.book.revision, 1, 0, 0)
+    def state(self) -> ProxyState:
+        return ProxyState(self.name, self.pid, 1.0, False, self.book.revision, 1, 0, 0)
 
 
 @dataclass
@@ -60,7 +68,7 @@
         self.connected: set[str] = set()
         self.tools: list[Tool] = []
         for name in self.names:
-            self.tell(name, Wanted(0, True))
+            self.tell(name, RevisionChanged(0, True))
             self.beat(name)
             self.sync(name)
 
@@ -95,18 +103,20 @@
 
     # --- agents and doors ---
 
-    def tell(self, name: str, event: Heard | Lost | Opened | Sockets | Wanted) -> None:
+    def tell(
+        self, name: str, event: StateReceived | Disconnected | Connected | SocketsListed | RevisionChanged
+    ) -> None:
         for action in self.rosters[name].handle(self.now_us // MS, event):
-            if isinstance(action, Put):
+            if isinstance(action, SendOrders):
                 self.put(name)
 
     def put(self, name: str) -> None:
-        book = self.agents[name].book.state()
+        book = self.agents[name].order_state.to_record()
         door, start = self.doors[name], self.doors[name].pid
 
         def arrive() -> None:
             if door.up and door.pid == start:
-                if door.book.adopt(BookState(book.revision, book.in_force)):
+                if door.book.adopt(OrderStateRecord(book.revision, book.in_force)):
                     door.carried.append(book.revision)
                 self.hop(lambda: self.heard(name, start))
 
@@ -114,19 +124,19 @@
 
     def heard(self, name: str, start: int) -> None:
         if name not in self.away and self.doors[name].pid == start and self.doors[name].up:
-            self.tell(name, Heard(self.doors[name].name, self.doors[name].state()))
+            self.tell(name, StateReceived(self.doors[name].name, self.doors[name].state()))
 
     def beat(self, name: str) -> None:
         """The agent looks at its front door, and tells it again what it lacks."""
         door = self.doors[name]
         if name not in self.away:
-            self.tell(name, Sockets(frozenset({door.name})))
+            self.tell(name, SocketsListed(frozenset({door.name})))
             if door.up and name not in self.connected:
                 self.connected.add(name)
-                self.tell(name, Opened(door.name))
+                self.tell(name, Connected(door.name))
             elif not door.up:
                 self.connected.discard(name)
-                self.tell(name, Lost(door.name, "refused"))
+                self.tell(name, Disconnected(door.name, "refused"))
             if door.up:
                 self.hop(lambda: self.heard(name, door.pid))
         self.after(BEAT_US, lambda: self.beat(name))
@@ -134,36 +144,36 @@
     def sync(self, name: str) -> None:
         peer = self.random.choice(self.names)
         if not {name, peer} & self.away:
-            self.hop(lambda: self.learn(name, self.agents[peer].book.state()))
+            self.hop(lambda: self.learn(name, self.agents[peer].order_state.to_record()))
         self.after(SYNC_US, lambda: self.sync(name))
 
-    def learn(self, name: str, book: BookState) -> None:
-        if name not in self.away and self.agents[name].book.adopt(book):
-            self.tell(name, Wanted(book.revision, True))
+    def learn(self, name: str, book: OrderStateRecord) -> None:
+        if name not in self.away and self.agents[name].order_state.adopt(book):
+            self.tell(name, RevisionChanged(book.revision, True))
 
     def restart_agent(self, name: str) -> None:
         """With what is on its disk; what it knew of its front door is gone."""
-        self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].book.state())
+        self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].order_state.to_record())
         self.rosters[name] = Roster(name)
         self.connected.discard(name)
-        self.tell(name, Wanted(self.agents[name].book.revision, True))
+        self.tell(name, RevisionChanged(self.agents[name].order_state.revision, True))
 
     def kill_door(self, name: str) -> None:
         door = self.doors[name]
-        door.up, door.pid, door.book = False, door.pid + 1, Book()
+        door.up, door.pid, door.book = False, door.pid + 1, OrderState()
 
-    def view(self, name: str) -> View:
+    def view(self, name: str) -> AgentSnapshot:
         acceptor = self.agents[name]
         status = Status(
             name,
             self.names,
-            acceptor.book.revision,
+            acceptor.order_state.revision,
             True,
             "",
             acceptor.pending(),
-            self.rosters[name].views(self.now_us // MS),
+            self.rosters[name].proxy_statuses(self.now_us // MS),
         )
-        return View(status, acceptor.book.state(), READY if self.doors[name].up else {})
+        return AgentSnapshot(status, acceptor.order_state.to_record(), READY if self.doors[name].up else {})
 
     # --- tools ---
 
@@ -232,10 +242,10 @@
             if agent in self.away:
                 self.after(CALL_US, failed)
                 return
-            before = self.agents[agent].book.revision
+            before = self.agents[agent].order_state.revision
             replies = self.agents[agent].handle(message)
-            if self.agents[agent].book.revision > before:
-                self.tell(agent, Wanted(self.agents[agent].book.revision, True))
+            if self.agents[agent].order_state.revision > before:
+                self.tell(agent, RevisionChanged(self.agents[agent].order_state.revision, True))
             for reply in replies:
                 self.hop(lambda reply=reply: self.hand(tool, ev.ReplyReceived(agent, reply)), failed)
 
@@ -247,7 +257,7 @@
         """No two agents hold different orders at one revision, and no report claims what was not so."""
         stand: dict[int, str] = {}
         for agent in self.agents.values():
-            for decided in agent.book.recent.values():
+            for decided in agent.order_state.recent.values():
                 assert stand.setdefault(decided.revision, decided.order.id) == decided.order.id
 
     def check_report(self, tool: Tool) -> None:
@@ -269,14 +279,14 @@
                 not word.notified for word in report.agents
             )
 
-    def final(self) -> tuple[BookState, list[frozenset[str]]]:
+    def final(self) -> tuple[OrderStateRecord, list[frozenset[str]]]:
         """The one book of all agents, and what each front door drains."""
-        books = {agent.book.state() for agent in self.agents.values()}
+        books = {agent.order_state.to_record() for agent in self.agents.values()}
         assert len(books) == 1
-        return books.pop(), [door.book.wanted(Verb.DRAIN, 0) for door in self.doors.values()]
+        return books.pop(), [door.book.active_subjects(Verb.DRAIN, 0) for door in self.doors.values()]
 
 
-def once(book: BookState, order_id: str) -> Decided | None:
+def once(book: OrderStateRecord, order_id: str) -> Decided | None:
     """The order with an id in a book, where it stands at most once."""
     found = [decided for decided in book.recent if decided.order.id == order_id]
     assert len(found) <= 1
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -54,7 +54,7 @@
 
 def test_file_that_is_not_there_too_large_or_no_text(tmp_path: Path) -> None:
     large, odd = tmp_path / "large", tmp_path / "odd"
-    large.write_bytes(b"#" * (operator_config.MOST_FILE_BYTES + 1))
+    large.write_bytes(b"#" * (operator_config.MAX_FILE_BYTES + 1))
     odd.write_bytes(b"\xff\xfe")
     for path, reason in ((tmp_path / "none", "No such file"), (large, "larger than"), (odd, "utf-8")):
         with pytest.raises(operator_config.OperatorError, match=reason) as caught:
