--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -1,7 +1,7 @@
-"""The agent: an acceptor with its journal, the front doors of its machine, and what it learns of its peers.
+"""The agent: an acceptor with its journal, the proxies of its machine, and synchronization with its peers.
 
-The shell of `agreement`, `roster` and `journal`. One message of the agreement is taken at a time, and its
-reply leaves when the journal is on the disk.
+It does the I/O for `agreement`, `roster` and `journal`. It handles one message of the agreement at a time and
+replies only after the journal is on the disk: a promise that a crash could undo would be worthless.
 """
 
 import asyncio
@@ -13,90 +13,85 @@
 
 import structlog
 
-from molereach.fleet import roster as r
+from molereach.fleet import roster
 from molereach.fleet.agent.link import REQUEST_TIMEOUT_S, Link, LinkError
-from molereach.fleet.agreement import Acceptor, Message
+from molereach.fleet.agent.watcher import Watcher
+from molereach.fleet.agreement import Acceptor, Message, Promised
 from molereach.fleet.anchored_clock import anchored_unix_ms
 from molereach.fleet.api_bodies import AgentSnapshot, Event, Members, Orders, Quota, Status, ready_servers
 from molereach.fleet.journal import AgentState, Journal, JournalError
 from molereach.fleet.orders import Decided, OrderStateRecord
 from molereach.fleet.wire import RequestKind, Response
 
-SCAN_INTERVAL_S = 0.1  # between looks into the folder of sockets, and at how old the doors' words are
-HEARTBEAT_INTERVAL_S = 0.3  # between asks for a front door's state
-SYNC_INTERVAL_S = 1.0  # between asks of a peer, about
-INITIAL_SYNC_INTERVAL_S = 0.2  # the same, until a majority has been heard
-INITIAL_SYNC_PEERS = 8  # asked at once, until a majority has been heard
+SCAN_INTERVAL_S = 0.1  # between scans of the folder of sockets
+HEARTBEAT_INTERVAL_S = 0.3  # between requests for a proxy's state
+SYNC_INTERVAL_S = 1.0  # between requests to a peer; varied by SYNC_JITTER
+INITIAL_SYNC_INTERVAL_S = 0.2  # the same, until a majority has answered
+INITIAL_SYNC_PEERS = 8  # requests at once, until a majority has answered
+SYNC_JITTER = (0.8, 1.2)  # the interval is multiplied by a number between these
 MAX_WATCHERS = 16
-MAX_QUEUED_EVENTS = 256  # that wait for a watcher; beyond that they are counted
 SOCKET_SUFFIX = ".sock"
+MS_PER_S = 1000
 
 log = structlog.get_logger()
 FetchState = Callable[[str, int], Awaitable[OrderStateRecord | None]]
 
 
-class Watcher:
-    """Somebody who hears of what happens; one who does not read misses events, and is told how many."""
-
-    def __init__(self) -> None:
-        self.queue: asyncio.Queue[Event] = asyncio.Queue(MAX_QUEUED_EVENTS)
-        self.missed = 0
-
-    def push(self, event: Event) -> None:
-        if self.queue.full():
-            self.missed += 1
-        else:
-            self.queue.put_nowait(event)
-
-
 class Agent:
-    """One agent; `fetch` asks a peer for a book that is past a revision."""
+    """One agent.
+
+    `fetch` requests a peer's state that is newer than a revision. `synced_agents` are the agents whose state
+    has been received since the start, and this one; `alone` is set when the agent went on without a majority
+    of them. `journal_error` is the reason why nothing may be promised any more, or "".
+    """
 
     def __init__(
         self,
         name: str,
         fleet: tuple[str, ...],
-        folder: Path,
+        socket_folder: Path,
         journal: Journal,
         fetch: FetchState,
         start_alone_s: float = 3.0,
         random: Random | None = None,
     ) -> None:
-        self.name, self.fleet, self.socket_folder, self.journal, self.fetch = (
-            name,
-            fleet,
-            folder,
-            journal,
-            fetch,
-        )
-        self.start_alone_s, self.random = start_alone_s, random or Random()
+        """Load the journal; `start` begins the work. JournalError if it cannot be read."""
+        self.name = name
+        self.fleet = fleet
+        self.socket_folder = socket_folder
+        self.journal = journal
+        self.fetch = fetch
+        self.start_alone_s = start_alone_s
+        self.random = random or Random()
         state = journal.load()
         self.acceptor = Acceptor(state.promised, state.order_state)
-        self.roster = r.Roster(name)
+        self.roster = roster.Roster(name)
         self.now_ms = anchored_unix_ms()
         self.lock = asyncio.Lock()
         self.links: dict[str, Link] = {}
         self.sending_orders: set[str] = set()
-        self.synced_agents = {name}  # agents that have told their book since the start
-        self.alone = False  # it goes on without a majority
+        self.synced_agents = {name}
+        self.alone = False
         self.journal_error = ""
         self.watchers: set[Watcher] = set()
-        self.last_published = 0  # the last event that watchers have heard
+        self.last_published = 0  # number of the last event that was sent to watchers
         self.tasks: set[asyncio.Task[Any]] = set()
 
     @property
     def synced(self) -> bool:
+        """Whether a majority of agents has been synchronized with since the start."""
         return len(self.synced_agents) > len(self.fleet) // 2
 
-    # --- life ---
+    # --- start and end ---
 
     def start(self) -> None:
-        """Begin to look for front doors and to ask peers."""
+        """Start to scan for proxies and to synchronize with peers."""
         self.add_event("agent", self.name, f"starts at revision {self.acceptor.order_state.revision}")
-        for job in (self.scan_loop(), self.heartbeat_loop(), self.sync_loop()):
-            self.spawn(job)
+        for loop in (self.scan_loop(), self.heartbeat_loop(), self.sync_loop()):
+            self.spawn(loop)
 
     async def close(self) -> None:
+        """Cancel all tasks, then close the connections and the journal."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -104,22 +99,26 @@
             await link.close()
         self.journal.close()
 
-    def spawn(self, job: Coroutine[Any, Any, Any]) -> None:
-        task = asyncio.get_running_loop().create_task(job)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine as a task that `close` cancels."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.on_task_done)
 
     def on_task_done(self, task: asyncio.Task[Any]) -> None:
+        """Forget a task, and log its error."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             log.error("a task of the agent failed", exc_info=error)
 
     async def scan_loop(self) -> None:
+        """Scan for sockets at the interval."""
         while True:
             self.scan()
             await asyncio.sleep(SCAN_INTERVAL_S)
 
     def scan(self) -> None:
+        """Read which sockets exist, and let the roster check the age of states."""
         try:
             names = frozenset(
                 path.name.removesuffix(SOCKET_SUFFIX)
@@ -131,36 +130,40 @@
                 "the folder of sockets cannot be read", folder=str(self.socket_folder), error=error.strerror
             )
             return
-        self.update_roster(r.SocketsListed(names))
-        self.update_roster(r.Tick())
+        self.update_roster(roster.SocketsListed(names))
+        self.update_roster(roster.Tick())
 
     async def heartbeat_loop(self) -> None:
+        """Request the states of all connected proxies at the interval."""
         while True:
             for name in list(self.links):
                 self.spawn(self.send_heartbeat(name))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def send_heartbeat(self, name: str) -> None:
-        with contextlib.suppress(LinkError):  # its age tells
+        """Request a proxy's state; without an answer the roster finds its last state too old."""
+        with contextlib.suppress(LinkError):
             self.on_response(name, await self.request(name, "state", HEARTBEAT_INTERVAL_S))
 
-    # --- front doors ---
+    # --- proxies ---
 
-    def update_roster(self, event: r.RosterEvent) -> None:
+    def update_roster(self, event: roster.RosterEvent) -> None:
+        """Hand an event to the roster and carry out its actions."""
         for action in self.roster.handle(self.now_ms(), event):
             match action:
-                case r.Connect():
+                case roster.Connect():
                     self.spawn(self.connect(action.proxy))
-                case r.SendOrders():
+                case roster.SendOrders():
                     self.spawn(self.send_orders(action.proxy))
-                case r.Disconnect():
+                case roster.Disconnect():
                     self.spawn(self.disconnect(action.proxy))
         self.publish_events()
 
     async def connect(self, name: str) -> None:
+        """Connect to a proxy and watch it."""
         link = Link(
-            lambda state: self.update_roster(r.StateReceived(name, state)),
-            lambda why: self.on_disconnected(name, why),
+            lambda state: self.update_roster(roster.StateReceived(name, state)),
+            lambda reason: self.on_disconnected(name, reason),
         )
         try:
             await link.open(self.socket_folder / f"{name}{SOCKET_SUFFIX}")
@@ -169,103 +172,107 @@
             await link.close()
             self.on_disconnected(name, str(error))
             return
-        self.update_roster(r.Connected(name))
+        self.update_roster(roster.Connected(name))
         try:
             self.on_response(name, await link.request("watch"))
-        except LinkError:  # it may be stopped: the connection stays, and its state is asked for again
+        except LinkError:  # it may be stopped: the connection stays, and heartbeats go on
             if name in self.links:
-                self.update_roster(r.RequestTimedOut(name))
+                self.update_roster(roster.RequestUnanswered(name))
 
-    def on_disconnected(self, name: str, why: str) -> None:
+    def on_disconnected(self, name: str, reason: str) -> None:
+        """Forget a connection that has ended."""
         self.links.pop(name, None)
-        self.update_roster(r.Disconnected(name, why))
+        self.update_roster(roster.Disconnected(name, reason))
 
     async def disconnect(self, name: str) -> None:
+        """Close the connection to a proxy."""
         if link := self.links.pop(name, None):
             await link.close()
 
     async def request(
         self,
         name: str,
-        what: RequestKind,
+        kind: RequestKind,
         within_s: float = REQUEST_TIMEOUT_S,
         customer: str = "",
-        book: OrderStateRecord | None = None,
+        order_state: OrderStateRecord | None = None,
     ) -> Response:
+        """Send a request to a proxy; return the response, or raise LinkError if there is none."""
         if (link := self.links.get(name)) is None:
             raise LinkError("not connected")
-        return await link.request(what, within_s, customer, book)
+        return await link.request(kind, within_s, customer, order_state)
 
-    def on_response(self, name: str, answer: Response) -> None:
-        if answer.state:
-            self.update_roster(r.StateReceived(name, answer.state))
+    def on_response(self, name: str, response: Response) -> None:
+        """Hand the state in a response to the roster."""
+        if response.state:
+            self.update_roster(roster.StateReceived(name, response.state))
 
     async def send_orders(self, name: str) -> None:
-        """Tell a front door all orders in force; again once it has answered, where there are newer ones."""
+        """Send a proxy all orders in force; the roster repeats that if newer ones come meanwhile."""
         if name in self.sending_orders:
             return
         self.sending_orders.add(name)
-        book = self.acceptor.order_state.to_record()
+        record = self.acceptor.order_state.to_record()
+        in_force = OrderStateRecord(record.revision, record.in_force)
         try:
-            answer = await self.request(name, "put", book=OrderStateRecord(book.revision, book.in_force))
+            response = await self.request(name, "put", order_state=in_force)
         except LinkError as error:
-            log.warning("a front door was not told", door=name, revision=book.revision, error=str(error))
+            log.warning("a front door was not told", door=name, revision=record.revision, error=str(error))
             return
         finally:
             self.sending_orders.discard(name)
-        self.on_response(name, answer)
+        self.on_response(name, response)
 
     async def request_all(
-        self, what: RequestKind, customer: str = ""
+        self, kind: RequestKind, customer: str = ""
     ) -> tuple[dict[str, Response], dict[str, str]]:
-        """The answers of all front doors, and why others gave none."""
+        """Send a request to all proxies; return the responses, and the reasons where there is none."""
         names = [
-            view.name for view in self.roster.proxy_statuses(self.now_ms()) if view.reachability != "ended"
+            status.name
+            for status in self.roster.proxy_statuses(self.now_ms())
+            if status.reachability != "ended"
         ]
-        asks = (self.request(name, what, customer=customer) for name in names)
-        found = await asyncio.gather(*asks, return_exceptions=True)
-        answers, missing = {}, {}
-        for name, answer in zip(names, found, strict=True):
-            if isinstance(answer, Response):
-                answers[name] = answer
-            elif isinstance(answer, LinkError):
-                missing[name] = str(answer)
+        requests = (self.request(name, kind, customer=customer) for name in names)
+        results = await asyncio.gather(*requests, return_exceptions=True)
+        responses: dict[str, Response] = {}
+        missing: dict[str, str] = {}
+        for name, result in zip(names, results, strict=True):
+            if isinstance(result, Response):
+                responses[name] = result
+            elif isinstance(result, LinkError):
+                missing[name] = str(result)
             else:
-                raise answer
-        return answers, missing
+                raise result
+        return responses, missing
 
     # --- the agreement ---
 
     async def handle_message(self, message: Message, by: str = "") -> list[Message]:
-        """A message of a tool; JournalError where its reply may not leave. Nothing is told before it is on
-        the disk, also where whoever asked has gone."""
+        """Handle a tool's message; return the replies, or raise JournalError if none may be sent.
+
+        A client that disconnects does not cancel this: an acceptor's state that has changed must be saved
+        before any later reply.
+        """
         return await asyncio.shield(asyncio.ensure_future(self.handle_message_locked(message, by)))
 
     async def handle_message_locked(self, message: Message, by: str) -> list[Message]:
+        """Handle one message at a time, and save the state before the replies are returned."""
         async with self.lock:
             if self.journal_error:
                 raise JournalError(self.journal_error)
             acceptor = self.acceptor
-            before = acceptor.state, acceptor.order_state.revision
+            state_before = acceptor.state
+            revision_before = acceptor.order_state.revision
             replies = acceptor.handle(message)
-            if (acceptor.state, acceptor.order_state.revision) != before:
+            if acceptor.state != state_before or acceptor.order_state.revision != revision_before:
                 await self.save()
-                now, order = acceptor.state, acceptor.state.accepted
-                if order and now.accepted_at != before[0].accepted_at:
-                    log.info(
-                        "order accepted",
-                        by=by,
-                        order=order.id,
-                        verb=order.verb.value,
-                        subject=order.subject,
-                        issuer=order.issuer,
-                        reason=order.reason,
-                        revision=now.revision,
-                    )
-                self.on_orders_applied(before[1])
+                if acceptor.state.accepted_at != state_before.accepted_at:
+                    log_accepted(acceptor.state, by)
+                self.on_orders_applied(revision_before)
         return replies
 
     async def save(self) -> None:
+        """Write the journal; after a failure nothing is promised any more."""
         state = AgentState(self.name, self.acceptor.state, self.acceptor.order_state.to_record())
         try:
             await asyncio.get_running_loop().run_in_executor(None, self.journal.save, state)
@@ -274,16 +281,17 @@
             log.error("the journal is broken: nothing is promised any more", error=str(error))
             raise
 
-    def on_orders_applied(self, before: int) -> None:
-        """Orders that have come into the book."""
-        book = self.acceptor.order_state
-        if book.revision == before:
+    def on_orders_applied(self, revision_before: int) -> None:
+        """Log the orders applied since a revision, and have them sent to proxies."""
+        order_state = self.acceptor.order_state
+        if order_state.revision == revision_before:
             return
-        for decided in [each for each in book.recent.values() if each.revision > before]:
+        for decided in [each for each in order_state.recent.values() if each.revision > revision_before]:
             self.record_order(decided)
-        self.update_roster(r.RevisionChanged(book.revision, self.roster.ready))
+        self.update_roster(roster.RevisionChanged(order_state.revision, self.roster.ready))
 
     def record_order(self, decided: Decided) -> None:
+        """Log a decided order and add it to the history."""
         order = decided.order
         log.info(
             "order decided",
@@ -301,26 +309,32 @@
     # --- peers ---
 
     async def sync_loop(self) -> None:
-        """Learn what was decided while it was away; front doors hear of orders once a majority was heard, or
-        after a time alone."""
-        started_ms, peers, turn = self.now_ms(), [name for name in self.fleet if name != self.name], 0
+        """Synchronize with peers at the interval.
+
+        Orders are sent to proxies only after a majority has answered, or after `start_alone_s`: this agent
+        may have missed orders that were decided while it was down.
+        """
+        started_ms = self.now_ms()
+        peers = [name for name in self.fleet if name != self.name]
+        turn = 0
         while True:
             if not self.roster.ready:
-                # A few at a time, and by chance which: agents that start together must not ask each other for
-                # so much that nobody is heard in time.
-                unheard = [peer for peer in peers if peer not in self.synced_agents]
-                asked = self.random.sample(unheard, min(INITIAL_SYNC_PEERS, len(unheard)))
-                await asyncio.gather(*map(self.sync, asked))
-                alone = self.now_ms() - started_ms >= self.start_alone_s * 1000
+                # A few random ones at a time: agents that start together must not load each other so much
+                # that none answers in time.
+                missing = [peer for peer in peers if peer not in self.synced_agents]
+                sample = self.random.sample(missing, min(INITIAL_SYNC_PEERS, len(missing)))
+                await asyncio.gather(*map(self.sync, sample))
+                alone = self.now_ms() - started_ms >= self.start_alone_s * MS_PER_S
                 if self.synced or alone:
                     self.become_ready(alone and not self.synced)
             elif peers:
                 turn += 1
                 await self.sync(peers[turn % len(peers)])
             pause = SYNC_INTERVAL_S if self.roster.ready else INITIAL_SYNC_INTERVAL_S
-            await asyncio.sleep(pause * self.random.uniform(0.8, 1.2))
+            await asyncio.sleep(pause * self.random.uniform(*SYNC_JITTER))
 
     def become_ready(self, alone: bool) -> None:
+        """Send orders to proxies from now on; `alone` if no majority of agents has answered."""
         self.alone = alone
         if alone:
             log.warning(
@@ -328,33 +342,35 @@
                 heard=len(self.synced_agents),
                 fleet=len(self.fleet),
             )
-        self.update_roster(r.RevisionChanged(self.acceptor.order_state.revision, True))
+        self.update_roster(roster.RevisionChanged(self.acceptor.order_state.revision, True))
         for name in list(self.links):
             self.spawn(self.send_orders(name))
 
     async def sync(self, peer: str) -> None:
-        """Take over a peer's book that is past ours."""
+        """Take over a peer's state if it is newer, and save it before anything is done with it."""
         try:
-            book = await self.fetch(peer, self.acceptor.order_state.revision)
-            if book is not None:
-                book.check()
+            record = await self.fetch(peer, self.acceptor.order_state.revision)
+            if record is not None:
+                record.check()
                 async with self.lock:
-                    before = self.acceptor.order_state.revision
-                    if self.acceptor.order_state.adopt(book):
+                    revision_before = self.acceptor.order_state.revision
+                    if self.acceptor.order_state.adopt(record):
                         await self.save()
-                        self.add_event("agent", self.name, f"learned revision {book.revision} from {peer}")
-                        self.on_orders_applied(before)
+                        self.add_event("agent", self.name, f"learned revision {record.revision} from {peer}")
+                        self.on_orders_applied(revision_before)
             self.synced_agents.add(peer)
         except (OSError, ValueError, JournalError) as error:
             log.debug("a peer was not heard", peer=peer, error=str(error))
 
-    # --- what is told ---
+    # --- reading ---
 
     def add_event(self, kind: str, subject: str, text: str) -> None:
+        """Add an event to the history and publish it."""
         self.roster.add_event(self.now_ms(), kind, subject, text)
         self.publish_events()
 
     def publish_events(self) -> None:
+        """Send the events since the last call to all watchers."""
         for event in self.events(self.last_published):
             if event.kind == "door":
                 log.info("front door", door=event.subject, change=event.text)
@@ -363,12 +379,13 @@
         self.last_published = self.roster.number
 
     def events(self, after: int) -> list[Event]:
-        """The history past a number, as far as it is kept."""
+        """Return the events with a number greater than `after`, as far as they are kept."""
         if after >= self.roster.number:
             return []
         return [event for event in self.roster.history if event.number > after]
 
     def status(self) -> Status:
+        """Return the state of the agent and of its proxies."""
         acceptor = self.acceptor
         return Status(
             self.name,
@@ -381,18 +398,41 @@
         )
 
     async def snapshot(self) -> AgentSnapshot:
-        answers, _ = await self.request_all("members")
-        ready = ready_servers(answer.members or () for answer in answers.values())
+        """Return all that a tool needs to give an order."""
+        responses, _ = await self.request_all("members")
+        ready = ready_servers(response.members or () for response in responses.values())
         return AgentSnapshot(self.status(), self.acceptor.order_state.to_record(), ready)
 
     async def members(self) -> Members:
-        answers, missing = await self.request_all("members")
-        return Members(self.name, {name: answer.members or () for name, answer in answers.items()}, missing)
+        """Return the servers as each proxy sees them."""
+        responses, missing = await self.request_all("members")
+        members = {name: response.members or () for name, response in responses.items()}
+        return Members(self.name, members, missing)
 
     async def quota(self, customer: str) -> Quota:
-        answers, missing = await self.request_all("quota", customer=customer)
-        return Quota(self.name, {name: answer.quota or () for name, answer in answers.items()}, missing)
+        """Return what each proxy knows of a customer's quota."""
+        responses, missing = await self.request_all("quota", customer=customer)
+        quota = {name: response.quota or () for name, response in responses.items()}
+        return Quota(self.name, quota, missing)
 
     def orders(self) -> Orders:
-        state = self.acceptor.order_state.to_record()
-        return Orders(self.name, state.revision, state.in_force, state.recent, self.acceptor.pending())
+        """Return the orders in force, the latest ones, and one that is under way."""
+        record = self.acceptor.order_state.to_record()
+        return Orders(self.name, record.revision, record.in_force, record.recent, self.acceptor.pending())
+
+
+def log_accepted(state: Promised, by: str) -> None:
+    """Log the order that the acceptor has accepted from client `by`."""
+    order = state.accepted
+    if order is None:
+        return
+    log.info(
+        "order accepted",
+        by=by,
+        order=order.id,
+        verb=order.verb.value,
+        subject=order.subject,
+        issuer=order.issuer,
+        reason=order.reason,
+        revision=state.revision,
+    )
--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -1,7 +1,7 @@
 """The agent's HTTP API, the same over HTTP/1.1 and HTTP/2. `openapi.json` beside this file describes it.
 
-What comes is bounded before it is read whole, and typed before it is believed. A client shows a bearer token;
-its role says what it may do. Every refusal is an audit line.
+A body's length is checked before it is read and its type before it is used. A client sends a bearer token,
+whose role says what it may do. Every rejected call is logged.
 """
 
 import asyncio
@@ -18,17 +18,20 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from molereach.fleet.agent.agent import MAX_WATCHERS, Agent, Watcher
+from molereach.fleet.agent.agent import MAX_WATCHERS, Agent
 from molereach.fleet.agent.auth import Role, Tokens
+from molereach.fleet.agent.watcher import Watcher
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
 from molereach.fleet.api_bodies import MAX_BODY_BYTES, Event, Problem
+from molereach.fleet.errors import FleetError
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
 
-DISCARD_TIMEOUT_S = 1.0  # for the rest of a body that nobody wants
-MAX_CONCURRENT_CALLS = 64  # calls under way, watchers apart
+DISCARD_TIMEOUT_S = 1.0  # for reading the rest of a body that is not used
+MAX_CONCURRENT_CALLS = 64  # without watchers
 CUSTOMER_DIGITS = 16
-JSON, LINES = "application/json", "application/x-ndjson"
+JSON = "application/json"
+JSON_LINES = "application/x-ndjson"
 DOCUMENT = Path(__file__).with_name("openapi.json")
 HEADERS = {"cache-control": "no-store"}
 
@@ -39,20 +42,24 @@
 )
 
 
-class CallRejectedError(Exception):
-    """A call that gets no answer but a problem."""
+class CallRejectedError(FleetError):
+    """A call that is answered with a `Problem` and an HTTP status."""
 
     def __init__(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
+        """Answer with an HTTP status, one line of text, and additional headers."""
         super().__init__(text)
-        self.status, self.text, self.headers = status, text, headers or {}
+        self.status = status
+        self.text = text
+        self.headers = headers or {}
 
 
 def answer(body: object, status: int = 200, headers: dict[str, str] | None = None) -> Response:
+    """Return a JSON response."""
     return Response(_encode(body), status, HEADERS | (headers or {}), JSON)
 
 
 def check_message(message: Message) -> None:
-    """OrderError where what a message carries cannot be."""
+    """Raise OrderError if the content of a message is not valid."""
     match message:
         case Accept():
             message.order.check()
@@ -69,13 +76,13 @@
 
 
 async def body_of(request: Request) -> bytes:
-    """A bounded body, not read further than its bound."""
+    """Return a request's body; reject one that is too large without reading all of it."""
     length = request.headers.get("content-length", "0")
     data = bytearray()
     if not length.isdigit() or int(length) > MAX_BODY_BYTES:
         raise CallRejectedError(413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"})
-    async for part in request.stream():
-        data += part
+    async for chunk in request.stream():
+        data += chunk
         if len(data) > MAX_BODY_BYTES:
             raise CallRejectedError(
                 413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"}
@@ -84,6 +91,7 @@
 
 
 def number_of(request: Request, name: str) -> int:
+    """Return a query parameter that is a whole number, 0 without it."""
     text = request.query_params.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > 16:
         raise CallRejectedError(400, f"{name}: not a whole number")
@@ -94,11 +102,15 @@
     """The routes of one agent."""
 
     def __init__(self, agent: Agent, tokens: Tokens) -> None:
-        self.agent, self.tokens, self.calls_in_progress = agent, tokens, 0
+        """Serve an agent to the holders of tokens."""
+        self.agent = agent
+        self.tokens = tokens
+        self.calls_in_progress = 0
 
     def app(self) -> Starlette:
-        """The ASGI application."""
-        read, operate = Role.READ, Role.OPERATE
+        """Return the ASGI application."""
+        read = Role.READ
+        operate = Role.OPERATE
         return Starlette(
             routes=[
                 Route("/v1/status", self.guarded(read, self.status)),
@@ -118,7 +130,7 @@
     def guarded(
         self, role: Role, call: Callable[[Request, str], Awaitable[Response]]
     ) -> Callable[[Request], Awaitable[Response]]:
-        """A call for clients with a role; whatever goes wrong in it is a problem in one line."""
+        """Return a route for clients with a role; every error in `call` is answered with a `Problem`."""
 
         async def guard(request: Request) -> Response:
             client = self.tokens.client(request.headers.get("authorization", ""))
@@ -135,17 +147,17 @@
                         503, f"{MAX_CONCURRENT_CALLS} calls are under way", {"retry-after": "1"}
                     )
                 return await self.counted(call, request, name)
-            except CallRejectedError as refused:
+            except CallRejectedError as rejection:
                 peer = request.client.host if request.client else ""
                 log.warning(
                     "call refused",
                     path=request.url.path,
-                    status=refused.status,
+                    status=rejection.status,
                     peer=peer,
                     client=name,
-                    why=refused.text,
+                    why=rejection.text,
                 )
-                return answer(Problem(refused.text), refused.status, refused.headers)
+                return answer(Problem(rejection.text), rejection.status, rejection.headers)
             except ClientDisconnect:
                 return Response(status_code=499)
             except Exception:
@@ -157,6 +169,7 @@
     async def counted(
         self, call: Callable[[Request, str], Awaitable[Response]], request: Request, name: str
     ) -> Response:
+        """Run a call, counted among the calls in progress."""
         self.calls_in_progress += 1
         try:
             return await call(request, name)
@@ -166,48 +179,55 @@
     # --- reading ---
 
     async def status(self, request: Request, client: str) -> Response:
+        """Answer with the state of the agent and its proxies."""
         return answer(self.agent.status())
 
     async def snapshot(self, request: Request, client: str) -> Response:
+        """Answer with all that a tool needs to give an order."""
         return answer(await self.agent.snapshot())
 
     async def members(self, request: Request, client: str) -> Response:
+        """Answer with the servers as each proxy sees them."""
         return answer(await self.agent.members())
 
     async def orders(self, request: Request, client: str) -> Response:
+        """Answer with the orders in force, the latest ones, and one that is under way."""
         return answer(self.agent.orders())
 
     async def quota(self, request: Request, client: str) -> Response:
+        """Answer with what each proxy knows of a customer's quota."""
         customer = request.path_params["customer"].lower()
         if len(customer) != CUSTOMER_DIGITS or set(customer) - set("0123456789abcdef"):
             raise CallRejectedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
         return answer(await self.agent.quota(customer))
 
     async def order_state(self, request: Request, client: str) -> Response:
-        """The book, where it is past a revision; 204 where it is not."""
+        """Answer with the replicated state if it is newer than a revision, otherwise 204."""
         state = self.agent.acceptor.order_state.to_record()
         if state.revision <= number_of(request, "after"):
             return Response(status_code=204, headers=HEADERS)
         return answer(state)
 
     async def events(self, request: Request, client: str) -> Response:
+        """Answer with the events after a number."""
         return answer(self.agent.events(number_of(request, "after")))
 
     async def watch(self, request: Request, client: str) -> Response:
-        """Events as they happen, a line each; one who does not read misses some, and is told how many."""
+        """Stream events as lines; a client that reads too slowly misses some and gets their number."""
         agent = self.agent
         if len(agent.watchers) >= MAX_WATCHERS:
             raise CallRejectedError(503, f"{MAX_WATCHERS} watchers are there", {"retry-after": "5"})
         watcher = Watcher()
-        agent.watchers.add(watcher)  # before the answer begins: nothing is missed after it
+        agent.watchers.add(watcher)  # before the response starts, so that no event after it is missed
 
         async def lines() -> AsyncIterator[bytes]:
             try:
-                yield b"\n"  # so that the answer's head leaves
+                yield b"\n"  # sends the headers at once
                 while True:
                     event = await watcher.queue.get()
                     if watcher.missed:
-                        text, watcher.missed = f"{watcher.missed} events were not read", 0
+                        text = f"{watcher.missed} events were not read"
+                        watcher.missed = 0
                         yield line(Event(event.number, event.at_ms, agent.name, "dropped", agent.name, text))
                     yield line(event)
             finally:
@@ -216,12 +236,13 @@
         return WatchResponse(lines(), agent, watcher)
 
     async def openapi(self, request: Request, client: str) -> Response:
+        """Answer with the description of the API."""
         return Response(DOCUMENT.read_bytes(), 200, HEADERS, JSON)
 
     # --- operating ---
 
     async def agreement(self, request: Request, client: str) -> Response:
-        """A message of a tool; the replies."""
+        """Handle a tool's message; answer with the replies."""
         try:
             message = _message.decode(await body_of(request))
             check_message(message)
@@ -234,13 +255,16 @@
 
 
 class WatchResponse(StreamingResponse):
-    """A stream whose watcher goes with it, also where it never began."""
+    """A stream that removes its watcher when it ends, even if it never started."""
 
     def __init__(self, lines: AsyncIterator[bytes], agent: Agent, watcher: Watcher) -> None:
-        super().__init__(lines, headers=HEADERS, media_type=LINES)
-        self.agent, self.watcher = agent, watcher
+        """Stream `lines` to a watcher of an agent."""
+        super().__init__(lines, headers=HEADERS, media_type=JSON_LINES)
+        self.agent = agent
+        self.watcher = watcher
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
+        """Send the stream, and remove the watcher."""
         try:
             await super().__call__(scope, receive, send)
         except asyncio.CancelledError:
@@ -250,38 +274,43 @@
 
 
 def line(event: Event) -> bytes:
+    """Return an event as a line of JSON."""
     return _encode(event) + b"\n"
 
 
 class DiscardUnreadBody:
-    """Middleware: what a client still sends is read and dropped before it is answered, within bounds.
+    """Middleware that reads the rest of a request's body, within limits, before the response is sent.
 
-    The HTTP server (hypercorn 0.18.0) forgets a stream of HTTP/2 as soon as it is answered, and a DATA frame
-    of it that comes then ends the connection, other streams included. Beyond the bound that is deserved.
+    The HTTP server (hypercorn 0.18.0) forgets an HTTP/2 stream as soon as it is answered; a later DATA frame
+    of it would end the connection with all its other streams. A client that exceeds the limits accepts that.
     """
 
     def __init__(self, app: Any) -> None:  # noqa: ANN401
+        """Wrap an ASGI application."""
         self.app = app
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
-        if scope["type"] != "http" or scope["method"] in ("GET", "HEAD"):  # a stream hears of its own end
+        """Run the application on one request."""
+        # Streams are GET calls, and must receive the disconnect themselves.
+        if scope["type"] != "http" or scope["method"] in ("GET", "HEAD"):
             await self.app(scope, receive, send)
             return
-        over, dropped = False, 0
+        complete = False
+        dropped_bytes = 0
 
-        async def hear() -> Any:  # noqa: ANN401
-            nonlocal over
+        async def receive_chunk() -> Any:  # noqa: ANN401
+            nonlocal complete
             message = await receive()
-            over = over or message["type"] != "http.request" or not message.get("more_body", False)
+            complete = complete or message["type"] != "http.request" or not message.get("more_body", False)
             return message
 
-        async def tell(message: Any) -> None:  # noqa: ANN401
-            nonlocal dropped
+        async def send_after_body(message: Any) -> None:  # noqa: ANN401
+            nonlocal dropped_bytes
             if message["type"] == "http.response.start":
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(DISCARD_TIMEOUT_S):
-                        while not over and dropped <= MAX_BODY_BYTES:
-                            dropped += len((await hear()).get("body", b""))
+                        while not complete and dropped_bytes <= MAX_BODY_BYTES:
+                            dropped_bytes += len((await receive_chunk()).get("body", b""))
             await send(message)
 
-        await self.app(scope, hear, tell)
+        await self.app(scope, receive_chunk, send_after_body)
--- a/molereach/fleet/agent/auth.py
+++ b/molereach/fleet/agent/auth.py
@@ -1,4 +1,4 @@
-"""Who may do what at an agent's API: bearer tokens with a name and a role. A core."""
+"""Authorization of an agent's API: bearer tokens, each with a name and a role."""
 
 import hashlib
 import hmac
@@ -11,45 +11,51 @@
 
 
 class Role(Enum):
-    """What a client may do; whoever may operate may read."""
+    """What a client may do; OPERATE includes READ."""
 
     READ = "read"
     OPERATE = "operate"
 
     def may(self, wanted: "Role") -> bool:
+        """Return whether this role includes another."""
         return self is Role.OPERATE or wanted is Role.READ
 
 
 @dataclass(frozen=True, slots=True)
 class Client:
-    """Somebody with a token."""
+    """The holder of a token."""
 
     name: str
     role: Role
 
 
 class Tokens:
-    """The clients of an agent. Tokens are kept as digests and compared in constant time."""
+    """The clients of an agent; tokens are stored as digests and compared in constant time."""
 
     def __init__(self, text: str) -> None:
-        """A line `ROLE NAME TOKEN` for each; ValueError says which line is wrong, and never what is in it."""
+        """Read a line `ROLE NAME TOKEN` for each client; ValueError names a wrong line without its text."""
         self.clients: list[tuple[bytes, Client]] = []
         for number, line in enumerate(text.splitlines(), 1):
-            words = line.split()
-            if not words or words[0].startswith("#"):
+            columns = line.split()
+            if not columns or columns[0].startswith("#"):
                 continue
-            if len(words) != 3 or words[0] not in ("read", "operate") or len(words[2]) < MIN_TOKEN_LENGTH:
+            if (
+                len(columns) != 3
+                or columns[0] not in ("read", "operate")
+                or len(columns[2]) < MIN_TOKEN_LENGTH
+            ):
                 wanted = f"'read' or 'operate', a name and a token of {MIN_TOKEN_LENGTH} or more characters"
                 raise ValueError(f"line {number} is not: {wanted}")
-            self.clients.append((digest(words[2]), Client(words[1], Role(words[0]))))
+            self.clients.append((digest(columns[2]), Client(columns[1], Role(columns[0]))))
         if not 0 < len(self.clients) <= MAX_CLIENTS:
             raise ValueError(f"{len(self.clients)} tokens; 1 to {MAX_CLIENTS} are taken")
 
     def client(self, authorization: str) -> Client | None:
-        """Whose token an Authorization header carries (RFC 6750, section 2.1)."""
+        """Return the client whose token an Authorization header carries (RFC 6750, section 2.1)."""
         if not authorization.startswith(SCHEME):
             return None
-        given, found = digest(authorization[len(SCHEME) :]), None
+        given = digest(authorization[len(SCHEME) :])
+        found = None
         for known, client in self.clients:
             if hmac.compare_digest(known, given):
                 found = client
@@ -57,4 +63,5 @@
 
 
 def digest(token: str) -> bytes:
+    """Return the digest under which a token is stored."""
     return hashlib.sha256(token.encode("utf-8", "replace")).digest()
--- a/molereach/fleet/agent/openapi.py
+++ b/molereach/fleet/agent/openapi.py
@@ -1,6 +1,6 @@
-"""The description of the API (OpenAPI 3.1.0), made of the types that the code reads and writes.
+"""The description of the API (OpenAPI 3.1.0), generated from the types of its bodies.
 
-`python -m molereach.fleet.agent.openapi` prints what `openapi.json` holds; a test holds it to the code.
+`python -m molereach.fleet.agent.openapi` prints the content of `openapi.json`; a test compares them.
 """
 
 import json
@@ -77,7 +77,8 @@
     return dict(sorted(json.loads(text).items()))
 
 
-def reply(schema: dict[str, Any], media: str = "application/json") -> dict[str, Any]:
+def response(schema: dict[str, Any], media: str = "application/json") -> dict[str, Any]:
+    """Return the description of a successful response."""
     return {"description": "the answer", "content": {media: {"schema": schema}}}
 
 
@@ -88,6 +89,7 @@
     media: str = "application/json",
     **more: Any,  # noqa: ANN401
 ) -> dict[str, Any]:
+    """Return the description of an operation."""
     problems = {
         status: {
             "description": text,
@@ -95,15 +97,18 @@
         }
         for status, text in PROBLEMS.items()
     }
-    made: dict[str, Any] = {"summary": summary, "responses": {"200": reply(schema, media), **problems}}
-    return made | ({"parameters": list(parameters)} if parameters else {}) | more
+    operation: dict[str, Any] = {
+        "summary": summary,
+        "responses": {"200": response(schema, media), **problems},
+    }
+    return operation | ({"parameters": list(parameters)} if parameters else {}) | more
 
 
 def paths() -> dict[str, Any]:
-    """Every route and what it answers."""
+    """Return the description of all routes."""
     messages = {"oneOf": [reference(kind) for kind in MESSAGES]}
-    book = call("the book, where it is past a revision", reference(orders.OrderStateRecord), AFTER)
-    book["responses"]["204"] = {"description": "it is not past it"}
+    state = call("the book, where it is past a revision", reference(orders.OrderStateRecord), AFTER)
+    state["responses"]["204"] = {"description": "it is not past it"}
     take = call(
         "a message of the agreement, and the replies to it",
         {"type": "array", "items": messages},
@@ -121,7 +126,7 @@
             "get": call("orders in force, the latest, one under way", reference(api_bodies.Orders))
         },
         "/v1/quota/{customer}": {"get": call("a customer's quota", reference(api_bodies.Quota), CUSTOMER)},
-        "/v1/book": {"get": book},
+        "/v1/book": {"get": state},
         "/v1/events": {"get": call("the history past a number", events, AFTER)},
         "/v1/watch": {
             "get": call(
@@ -136,7 +141,7 @@
 
 
 def document() -> dict[str, Any]:
-    """The whole document."""
+    """Return the whole document."""
     _, schemas = msgspec.json.schema_components((*BODIES, *MESSAGES), ref_template=TEMPLATE)
     return {
         "openapi": "3.1.0",
@@ -156,6 +161,7 @@
 
 
 def text() -> str:
+    """Return the document as it is published."""
     return json.dumps(document(), indent=1, sort_keys=True) + "\n"
 
 
--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -1,9 +1,13 @@
-"""How agents agree on one order for each revision: single-decree Paxos, one instance a revision.
+"""Agreement of the agents on one order for each revision: single-decree Paxos, one instance for each.
 
 Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 to 2.4. The agents are the acceptors; the tool that
-gives an order is the proposer. An order takes hold when a majority of all agents has accepted it, so two
-tools cannot both succeed at one revision, and a tool that dies half way leaves what the next one finishes. An
-acceptor's state must be on disk before its reply leaves: `Acceptor.state` is what to write.
+gives an order is the proposer. An order is decided when a majority of all agents has accepted it, so two
+tools cannot both succeed at one revision, and the next tool completes what a killed one has begun. An
+acceptor's state must be on disk before its reply is sent: `Acceptor.state` is what to write.
+
+Class names of messages are their tags on the wire, and docstrings of messages are published in the API's
+description (`agent/openapi.json`): neither may change. `Prepare`, `Accept` and `Accepted` are published
+without a description.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +15,8 @@
 
 import msgspec
 
-from molereach.fleet.orders import Decided, Order, OrderState, OrderStateRecord
+from molereach.fleet.order_state import OrderState
+from molereach.fleet.orders import Decided, Order, OrderStateRecord
 
 MAX_DECIDED_PER_REPLY = 64  # decided orders in one reply
 MAX_BALLOT_NUMBER = 1 << 32
@@ -34,10 +39,10 @@
 class AgreementMessage(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="kind", tag=str.lower
 ):
-    """A message."""
+    """A message between a tool and an agent."""
 
 
-class Prepare(AgreementMessage, frozen=True):
+class Prepare(AgreementMessage, frozen=True):  # noqa: D101  (published without a description)
     revision: int
     ballot: Ballot
 
@@ -51,13 +56,13 @@
     accepted: Order | None = None
 
 
-class Accept(AgreementMessage, frozen=True):
+class Accept(AgreementMessage, frozen=True):  # noqa: D101  (as `Prepare`)
     revision: int
     ballot: Ballot
     order: Order
 
 
-class Accepted(AgreementMessage, frozen=True):
+class Accepted(AgreementMessage, frozen=True):  # noqa: D101  (as `Prepare`)
     revision: int
     ballot: Ballot
 
@@ -66,7 +71,7 @@
     """A higher ballot was promised."""
 
     revision: int
-    ballot: Ballot  # of what was asked
+    ballot: Ballot  # of the request
     promised: Ballot
 
 
@@ -88,11 +93,11 @@
 Message = Prepare | Promise | Accept | Accepted | Outbid | Known | Behind
 
 
-# --- an agent ---
+# --- acceptor ---
 
 
 class Promised(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an acceptor must not forget about the revision under way."""
+    """The state of an acceptor about the revision under way, which must survive a restart."""
 
     revision: int = 0
     promised: Ballot | None = None
@@ -101,16 +106,18 @@
 
 
 class Acceptor:
-    """One agent's part: at most one order accepted at a ballot, and none under a promise.
+    """An agent as an acceptor: accepts one order at most for each ballot, and none below its promise.
 
-    `state` and `book` outlive a restart.
+    `state` and `order_state` must survive a restart.
     """
 
-    def __init__(self, state: Promised = Promised(), book: OrderStateRecord = OrderStateRecord()) -> None:
-        self.state, self.order_state = state, OrderState(book)
+    def __init__(self, state: Promised = Promised(), record: OrderStateRecord = OrderStateRecord()) -> None:
+        """Start from stored state."""
+        self.state = state
+        self.order_state = OrderState(record)
 
     def handle(self, message: Message) -> list[Message]:
-        """The replies to one message. Those that are replies themselves say nothing to an acceptor."""
+        """Handle one message; return the replies to it. Messages that are replies themselves get none."""
         match message:
             case Known():
                 self.record_decided(message)
@@ -125,13 +132,14 @@
                 return []
 
     def record_decided(self, known: Known) -> None:
-        """What was decided elsewhere."""
+        """Add orders that were decided elsewhere."""
         if known.base:
             self.order_state.adopt(known.base)
         for decided in known.decided:
             self.order_state.record_decided(decided)
 
     def known(self, since: int) -> Known:
+        """Return the decided orders from revision `since` on, or the whole state if some are forgotten."""
         last = min(self.order_state.revision, since + MAX_DECIDED_PER_REPLY - 1)
         recent = self.order_state.recent
         if any(revision not in recent for revision in range(since, last + 1)):
@@ -139,46 +147,49 @@
         return Known(tuple(recent[revision] for revision in range(since, last + 1)))
 
     def pending(self) -> Order | None:
-        """An order that was accepted here and is not known to be decided."""
+        """Return the order that was accepted here and is not known to be decided."""
         return self.current(self.order_state.revision + 1).accepted
 
     def current(self, revision: int) -> Promised:
-        """What was promised about the revision under way; of an earlier one nothing holds any more."""
+        """Return the promise for a revision; one for an earlier revision does not bind it."""
         return self.state if self.state.revision == revision else Promised(revision)
 
     def prepare(self, message: Prepare) -> list[Message]:
-        now = self.current(message.revision)
-        if now.promised and now.promised > message.ballot:
-            return [Outbid(message.revision, message.ballot, now.promised)]
-        self.state = Promised(message.revision, message.ballot, now.accepted_at, now.accepted)
-        return [Promise(message.revision, message.ballot, now.accepted_at, now.accepted)]
+        """Promise to accept nothing below the ballot, unless a higher one has been promised."""
+        current = self.current(message.revision)
+        if current.promised and current.promised > message.ballot:
+            return [Outbid(message.revision, message.ballot, current.promised)]
+        self.state = Promised(message.revision, message.ballot, current.accepted_at, current.accepted)
+        return [Promise(message.revision, message.ballot, current.accepted_at, current.accepted)]
 
     def accept(self, message: Accept) -> list[Message]:
-        now = self.current(message.revision)
-        if now.promised and now.promised > message.ballot:
-            return [Outbid(message.revision, message.ballot, now.promised)]
+        """Accept the order, unless a higher ballot has been promised."""
+        current = self.current(message.revision)
+        if current.promised and current.promised > message.ballot:
+            return [Outbid(message.revision, message.ballot, current.promised)]
         self.state = Promised(message.revision, message.ballot, message.ballot, message.order)
         return [Accepted(message.revision, message.ballot)]
 
 
-# --- a tool ---
+# --- proposer ---
 
 
 class Phase(Enum):
-    """Where a proposer stands."""
+    """The phase of a proposer."""
 
     PREPARING = "preparing"
     ACCEPTING = "accepting"
-    DONE = "done"  # its own order stands
-    LOST = "lost"  # another order stands at the revision that it wanted
+    DONE = "done"  # its own order is decided
+    LOST = "lost"  # another order is decided at the revision
 
 
 @dataclass(slots=True)
 class Proposer:
-    """Gives one order at one revision; its messages are for all agents.
+    """Proposes one order at one revision; its messages are for all agents.
 
-    After `DONE` or `LOST` `outcome` is what stands at the revision, or `overtaken` a book that is past it. A
-    tool that lost may look at the book, judge its order anew, and propose it at the next revision.
+    After `DONE` or `LOST` either `outcome` is what is decided at the revision, or `overtaken` is a state past
+    it, in which the outcome is no longer known. A tool that lost may validate its order against that state
+    and propose it at the next revision.
     """
 
     name: str
@@ -191,31 +202,37 @@
     accepts: set[str] = field(default_factory=set)
     chosen: Order | None = None
     outcome: Decided | None = None
-    overtaken: OrderStateRecord | None = None  # a book that is past the revision, where no outcome is known
-    outbid: int = 0  # the highest number heard of
+    overtaken: OrderStateRecord | None = None
+    outbid: int = 0  # the highest ballot number that was received
 
     def __post_init__(self) -> None:
+        """Start below the first ballot."""
         self.ballot = Ballot(1, self.name)
 
     @property
     def finished(self) -> bool:
+        """Whether the proposer has ended, with its own order or another one."""
         return self.phase in (Phase.DONE, Phase.LOST)
 
     @property
     def majority(self) -> int:
+        """The number of agents that must accept."""
         return len(self.agents) // 2 + 1
 
     def begin(self) -> list[Message]:
-        """Ask all agents; also to try again after a time, with a ballot above all that were heard of."""
+        """Start or restart with a ballot above all known ones; return the message to all agents."""
         if self.finished:
             return []
         number = min(MAX_BALLOT_NUMBER, max(self.ballot.number, self.outbid) + 1)
-        self.ballot, self.phase = Ballot(number, self.name), Phase.PREPARING
-        self.promises, self.accepts, self.chosen = {}, set(), None
+        self.ballot = Ballot(number, self.name)
+        self.phase = Phase.PREPARING
+        self.promises = {}
+        self.accepts = set()
+        self.chosen = None
         return [Prepare(self.revision, self.ballot)]
 
     def handle(self, agent: str, message: Message) -> list[Message]:
-        """A reply of an agent; what to send to all of them now."""
+        """Handle an agent's reply; return the messages to all agents."""
         if self.finished or agent not in self.agents:
             return []
         match message:
@@ -234,10 +251,12 @@
         return []
 
     def on_promise(self, agent: str, message: Promise) -> list[Message]:
+        """Go on to accepting once a majority has promised."""
         self.promises[agent] = message
         if len(self.promises) < self.majority:
             return []
-        # What a majority may have accepted already must be finished, whoever gave it.
+        # An order that a majority may have accepted must be completed, whoever proposed it: the promise with
+        # the highest ballot names it (section 2.2 of the source).
         earlier = [
             (promise.accepted_at, promise.accepted)
             for promise in self.promises.values()
@@ -248,17 +267,19 @@
         return [Accept(self.revision, self.ballot, self.chosen)]
 
     def on_known(self, message: Known) -> list[Message]:
+        """End if the revision is decided, and pass on what is known to all agents."""
         for decided in message.decided:
             if decided.revision == self.revision:
                 return self.settle(decided)
         if message.base and message.base.revision >= self.revision:
-            mine = OrderState(message.base).find(self.order.id)
-            self.phase, self.outcome = (Phase.DONE if mine else Phase.LOST), mine
+            self.outcome = OrderState(message.base).find(self.order.id)
+            self.phase = Phase.DONE if self.outcome else Phase.LOST
             self.overtaken = message.base
             return [Known(base=message.base)]
         return []
 
     def settle(self, decided: Decided) -> list[Message]:
+        """End with what is decided at the revision."""
         self.outcome = decided
         self.phase = Phase.DONE if decided.order.id == self.order.id else Phase.LOST
         return [Known((decided,))]
--- a/molereach/fleet/anchored_clock.py
+++ b/molereach/fleet/anchored_clock.py
@@ -1,7 +1,7 @@
-"""Unix time that does not step: read once, then counted on by the monotonic clock.
+"""Unix time that does not step: read once, then advanced by the monotonic clock.
 
-An order lapses by it. A step of the machine's clock, forwards or back, neither ends an order early nor brings
-one back; what is left is the clock's error at the start, and its drift since.
+Orders lapse by it, so a step of the machine's clock neither ends an order early nor revives one. What is left
+is the error of the clock at the start, and its drift since.
 """
 
 import time
@@ -9,6 +9,6 @@
 
 
 def anchored_unix_ms() -> Callable[[], int]:
-    """A clock in milliseconds of Unix time."""
+    """Return a clock that reads Unix time in milliseconds, anchored now."""
     start_ms = time.time_ns() // 1_000_000 - time.monotonic_ns() // 1_000_000
     return lambda: start_ms + time.monotonic_ns() // 1_000_000
--- a/molereach/fleet/api_bodies.py
+++ b/molereach/fleet/api_bodies.py
@@ -1,4 +1,8 @@
-"""What an agent tells of itself and its front doors: the bodies of its API. A core."""
+"""The bodies of an agent's API: the agent and its proxies.
+
+Class docstrings and the names given to `msgspec.field` are published in the API's description
+(`agent/openapi.json`), as are class names unless `agent/openapi.py` maps them: they stay as they are.
+"""
 
 from collections.abc import Iterable
 from typing import Literal
@@ -8,7 +12,8 @@
 from molereach.fleet.orders import Decided, Order, OrderStateRecord
 from molereach.fleet.wire import Member, ProxyState, QuotaStatus
 
-MAX_BODY_BYTES = 1 << 20  # a whole book with room
+MAX_BODY_BYTES = 1 << 20  # more than the largest record of orders
+# new: no answer yet; silent: connected, but does not answer; gone: not connected; ended: removed its socket
 Reachability = Literal["new", "up", "silent", "gone", "ended"]
 
 
@@ -27,7 +32,7 @@
 
     @property
     def revision(self) -> int:
-        """The orders that it had at its last word."""
+        """The revision of the orders in its last state, 0 without a state."""
         return self.state.revision if self.state else 0
 
 
@@ -37,9 +42,9 @@
     agent: str
     fleet: tuple[str, ...]  # the names of all agents, which decide together
     revision: int
-    synced: bool  # whether it has heard from a majority since it started
-    journal: str  # "" or why nothing can be promised any more
-    pending: Order | None  # accepted here and not known to be decided
+    synced: bool  # whether a majority has answered since the start
+    journal: str  # why the journal cannot be written any more, or ""
+    pending: Order | None  # accepted by this agent and not known to be decided
     proxies: tuple[ProxyStatus, ...] = msgspec.field(name="doors")
 
 
@@ -48,7 +53,7 @@
 
     status: Status
     order_state: OrderStateRecord = msgspec.field(name="book")
-    ready: dict[str, str]  # servers that are up at each front door that answers, and their buildings
+    ready: dict[str, str]  # servers listed as up by all proxies that list them, and their buildings
 
 
 class Members(Body, frozen=True):
@@ -56,7 +61,7 @@
 
     agent: str
     proxies: dict[str, tuple[Member, ...]] = msgspec.field(name="doors")
-    missing: dict[str, str]  # front doors that did not answer, and why
+    missing: dict[str, str]  # proxies that did not answer, and why
 
 
 class Quota(Body, frozen=True):
@@ -94,13 +99,13 @@
     error: str
 
 
-def ready_servers(doors: Iterable[Iterable[Member]]) -> dict[str, str]:
-    """Servers that discovery lists as up at each of the front doors that list them, and their buildings."""
-    found: dict[str, str] = {}
-    lost: set[str] = set()
-    for members in doors:
+def ready_servers(proxies: Iterable[Iterable[Member]]) -> dict[str, str]:
+    """Return the servers listed as up by every proxy that lists them, with their buildings."""
+    buildings: dict[str, str] = {}
+    not_up: set[str] = set()
+    for members in proxies:
         for member in members:
-            found[member.name] = member.building
+            buildings[member.name] = member.building
             if member.listed != "up":
-                lost.add(member.name)
-    return {name: building for name, building in found.items() if name not in lost}
+                not_up.add(member.name)
+    return {name: building for name, building in buildings.items() if name not in not_up}
--- a/molereach/fleet/cli/client.py
+++ b/molereach/fleet/cli/client.py
@@ -13,7 +13,8 @@
 
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
 from molereach.fleet.api_bodies import MAX_BODY_BYTES, AgentSnapshot, Event, Problem
-from molereach.fleet.rollout import events as ev
+from molereach.fleet.errors import FleetError
+from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Report
 from molereach.fleet.rollout.stages import TICK_INTERVAL_US, Rollout
 from molereach.fleet.settings import FleetFile, client_tls, load_token, resolve
@@ -26,7 +27,7 @@
 Replies = tuple[Prepare | Promise | Accept | Accepted | Outbid | Known | Behind, ...]
 
 
-class CallError(Exception):
+class CallError(FleetError):
     """An agent could not be asked; the text is one plain line."""
 
 
@@ -148,7 +149,7 @@
 
     def __init__(self, fleet: Fleet, rollout: Rollout, on_step: Callable[[str], None]) -> None:
         self.fleet, self.rollout, self.on_step = fleet, rollout, on_step
-        self.events: asyncio.Queue[ev.Event] = asyncio.Queue()
+        self.events: asyncio.Queue[events.Event] = asyncio.Queue()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> Report:
@@ -161,7 +162,7 @@
                 left_us = tick_us + TICK_INTERVAL_US - now_us()
                 if left_us <= 0:
                     tick_us = now_us()
-                    self.carry_out_actions(rollout.handle(tick_us, ev.Tick()))
+                    self.carry_out_actions(rollout.handle(tick_us, events.Tick()))
                     continue
                 try:
                     event = await asyncio.wait_for(self.events.get(), left_us / 1e6)
@@ -176,14 +177,14 @@
             await asyncio.gather(*self.tasks, return_exceptions=True)
         return rollout.report
 
-    def carry_out_actions(self, actions: list[ev.Action]) -> None:
+    def carry_out_actions(self, actions: list[events.Action]) -> None:
         for action in actions:
             match action:
-                case ev.Step():
+                case events.Step():
                     self.on_step(action.name)
-                case ev.RequestSnapshot():
+                case events.RequestSnapshot():
                     self.spawn(self.request_snapshot(action.agent))
-                case ev.SendMessage():
+                case events.SendMessage():
                     self.spawn(self.send_message(action.agent, action.message))
 
     def spawn(self, job: Coroutine[Any, Any, None]) -> None:
@@ -194,16 +195,16 @@
     async def request_snapshot(self, agent: str) -> None:
         try:
             view = await self.fleet.call(agent, "/v1/view", AgentSnapshot)
-            self.events.put_nowait(ev.SnapshotReceived(agent, view))
+            self.events.put_nowait(events.SnapshotReceived(agent, view))
         except CallError as error:
-            self.events.put_nowait(ev.RequestFailed(agent, str(error), snapshot_requested=True))
+            self.events.put_nowait(events.RequestFailed(agent, str(error), snapshot_requested=True))
 
     async def send_message(self, agent: str, message: Message) -> None:
         try:
             for reply in await self.fleet.call(agent, "/v1/agreement", Replies, message):
-                self.events.put_nowait(ev.ReplyReceived(agent, reply))
+                self.events.put_nowait(events.ReplyReceived(agent, reply))
         except CallError as error:
-            self.events.put_nowait(ev.RequestFailed(agent, str(error)))
+            self.events.put_nowait(events.RequestFailed(agent, str(error)))
 
 
 def now_us() -> int:
--- a/molereach/fleet/cli/commands/seen.py
+++ b/molereach/fleet/cli/commands/seen.py
@@ -78,11 +78,11 @@
                     (
                         door,
                         one.plan,
-                        f"{one.available_units:.1f}",
-                        f"{one.rate_fraction:.2f}",
-                        f"{one.ceiling_fraction:.2f}",
+                        f"{one.tokens:.1f}",
+                        f"{one.local_tokens:.2f}",
+                        f"{one.ceiling_tokens:.2f}",
                         f"{one.demand:.1f}",
-                        age(None if one.updated_s_ago is None else round(one.updated_s_ago * 1000)),
+                        age(None if one.reply_age_s is None else round(one.reply_age_s * 1000)),
                     )
                     for each in heard.values()
                     for door, seen in each.proxies.items()
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -1,8 +1,8 @@
-"""Control of one front door on a private Unix-domain socket: the shell of `wire` and `orders`.
+"""Control of one proxy through a private Unix-domain socket.
 
-It can never hold up a request: it runs in turns of the loop between them, takes one ask a turn from each
-connection, has few connections, and drops whoever does not read. Only the owner may open the socket, and the
-kernel's word on who connected is checked as well.
+It cannot delay the proxy's requests for long: it handles one message of a connection in each turn of the
+event loop, limits the number of connections, and drops a client that does not read. Only the owner can open
+the socket, and the user that the kernel reports for a connection is checked as well.
 """
 
 import asyncio
@@ -12,56 +12,68 @@
 import socket
 import stat
 import struct
-from collections.abc import Callable
+from collections import Counter
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import cast
 
 from molereach.clock import now_us
 from molereach.fleet import wire
 from molereach.fleet.anchored_clock import anchored_unix_ms
-from molereach.fleet.orders import OrderState, Overlay, Verb
+from molereach.fleet.errors import FleetError
+from molereach.fleet.order_state import OrderState
+from molereach.fleet.orders import Decided, Verb
+from molereach.fleet.overlay import Overlay
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 8
-MAX_UNREAD_BYTES = 1 << 20  # of answers and news; past that the reader is dropped
-NOTIFICATION_DELAY_S = 0.25  # between words to watchers, at least
-EXPIRY_INTERVAL_S = 0.5  # how often orders are looked through for those whose time is over
-CREDENTIALS = struct.Struct("3i")
+MAX_UNREAD_BYTES = 1 << 20  # written and not read by a client, which is then dropped
+NOTIFICATION_DELAY_S = 0.25  # least time between notifications
+EXPIRY_INTERVAL_S = 0.5  # between checks for lapsed orders
+PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group, as in struct ucred
 
 
-class ControlError(OSError):
-    """The socket cannot be had; the text is one plain line."""
+class ControlError(FleetError, OSError):
+    """The socket cannot be opened; the text is one line."""
 
 
 def peer_user(connection: socket.socket) -> int:
-    """Who opened a connection, by the kernel's word."""
-    packed = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    return int(CREDENTIALS.unpack(packed)[1])
+    """Return the user that opened a connection, as the kernel reports it."""
+    packed = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    return int(PEER_CREDENTIALS.unpack(packed)[1])
 
 
 class ControlConnection(asyncio.Protocol):
-    """An agent's connection."""
+    """An agent's connection.
+
+    `watches` is set once it has asked for notifications, `handling_scheduled` while a turn of the event loop
+    is due to handle its next request.
+    """
 
     def __init__(self, control: "Control") -> None:
+        """Prepare a connection of `control`."""
         self.control = control
         self.reader = wire.FrameReader(wire.MAX_REQUEST_BYTES)
         self.transport: asyncio.Transport | None = None
-        self.watches = self.handling_scheduled = False
+        self.watches = False
+        self.handling_scheduled = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Accept the connection, or abort it."""
         self.transport = cast(asyncio.Transport, transport)
         if not self.control.accept(self):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Buffer received bytes and handle the first request."""
         self.reader.feed(data)
         if not self.handling_scheduled:
             self.handle_next()
 
     def handle_next(self) -> None:
-        """One ask, and the next in another turn: requests come in between."""
+        """Handle one request, and schedule the next one, so that the proxy's own requests come in between."""
         self.handling_scheduled = False
         assert self.transport is not None
         if self.transport.is_closing():
@@ -72,12 +84,12 @@
             if body is None:
                 self.transport.resume_reading()
                 return
-            ask = wire.decode_request(body)
-            number = ask.number
-            self.send(self.control.handle(ask, self))
+            request = wire.decode_request(body)
+            number = request.number
+            self.send(self.control.handle(request, self))
         except wire.WireError as error:
             self.send(wire.Response(wire.VERSION, number, error=str(error)))
-            if number == wire.NOTIFICATION_NUMBER:  # what follows cannot be trusted to be a frame
+            if number == wire.NOTIFICATION_NUMBER:  # the next frame's start is not known
                 self.transport.close()
                 return
         except Exception:
@@ -87,36 +99,45 @@
         self.transport.pause_reading()
         self.control.proxy.loop.call_soon(self.handle_next)
 
-    def send(self, answer: wire.Response) -> None:
+    def send(self, response: wire.Response) -> None:
+        """Send a message, and drop a client that leaves too many unread."""
         if self.transport is None or self.transport.is_closing():
             return
-        self.transport.write(wire.frame(answer))
+        self.transport.write(wire.frame(response))
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             log.warning("a reader of control that does not read is dropped")
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Forget the connection."""
         self.control.connections.discard(self)
 
 
 class Control:
-    """The control of one front door, and the orders in force there."""
+    """The control of one proxy, and the orders in force there.
 
-    def __init__(self, door: Proxy, path: Path) -> None:
-        self.proxy, self.path = door, path
-        self.order_state, self.overlay = OrderState(), Overlay()
+    `orders_received` is set once an agent has sent its orders, even if there are none.
+    """
+
+    def __init__(self, proxy: Proxy, path: Path) -> None:
+        """Attach to a proxy; `start` listens at `path`."""
+        self.proxy = proxy
+        self.path = path
+        self.order_state = OrderState()
+        self.overlay = Overlay()
         self.connections: set[ControlConnection] = set()
         self.server: asyncio.AbstractServer | None = None
         self.inode: tuple[int, int] | None = None
         self.started_us = now_us()
         self.unix_ms = anchored_unix_ms()
-        self.request_count = self.rejected_connections = 0
+        self.request_count = 0
+        self.rejected_connections = 0
         self.notification_scheduled = False
         self.expiry_timer: asyncio.TimerHandle | None = None
-        self.orders_received = asyncio.Event()  # an agent has brought its orders, be they none
-        if door.saved_list:
-            self.overlay.on_endpoint_list(door.saved_list.event)
-        door.overlay = self.overlay.on_endpoint_list
+        self.orders_received = asyncio.Event()
+        if proxy.saved_list:
+            self.overlay.on_endpoint_list(proxy.saved_list.event)
+        proxy.overlay = self.overlay.on_endpoint_list
         self.handlers: dict[str, Callable[[wire.Request, ControlConnection], wire.Response]] = {
             "state": self.on_state,
             "members": self.on_members,
@@ -130,9 +151,10 @@
     # --- start and end ---
 
     async def start(self) -> None:
-        """Listen; ControlError where the place is taken or not private."""
+        """Listen; raise ControlError if the path is taken or not private."""
         self.remove_stale_socket()
-        before = os.umask(0o177)  # nobody else, not for a moment
+        # The mode is set by the mask, since a later chmod would leave a moment in which others can connect.
+        previous_mask = os.umask(0o177)
         try:
             self.server = await self.proxy.loop.create_unix_server(
                 lambda: ControlConnection(self), str(self.path)
@@ -140,13 +162,13 @@
         except OSError as error:
             raise ControlError(f"{self.path}: {error.strerror or error}") from error
         finally:
-            os.umask(before)
+            os.umask(previous_mask)
         found = self.path.stat()
         self.inode = found.st_dev, found.st_ino
         self.expire_orders()
 
     def remove_stale_socket(self) -> None:
-        """A dead predecessor's socket gives way; anything else does not."""
+        """Remove the socket of a proxy that has died; raise ControlError for anything else at the path."""
         folder = self.path.parent
         try:
             if stat.S_IMODE(folder.stat().st_mode) & 0o022:
@@ -158,12 +180,13 @@
             return
         if not stat.S_ISSOCK(found.st_mode):
             raise ControlError(f"{self.path}: is there and is no socket")
-        with socket.socket(socket.AF_UNIX) as probe:
-            if probe.connect_ex(str(self.path)) == 0:
+        with socket.socket(socket.AF_UNIX) as client:
+            if client.connect_ex(str(self.path)) == 0:
                 raise ControlError(f"{self.path}: another front door is there")
         self.path.unlink()
 
     def close(self) -> None:
+        """Close all connections and remove the socket, unless a successor has replaced it."""
         if self.expiry_timer:
             self.expiry_timer.cancel()
         if self.server:
@@ -173,11 +196,11 @@
                 connection.transport.abort()
         with contextlib.suppress(OSError):
             found = self.path.lstat()
-            if (found.st_dev, found.st_ino) == self.inode:  # a successor's stays
+            if (found.st_dev, found.st_ino) == self.inode:
                 self.path.unlink()
 
     def accept(self, connection: ControlConnection) -> bool:
-        """Whether it may stay: it is the owner's, and there are not too many."""
+        """Return whether a connection may stay: it is the owner's, and there are not too many."""
         assert connection.transport is not None
         user = peer_user(connection.transport.get_extra_info("socket"))
         if user not in (os.geteuid(), 0) or len(self.connections) >= MAX_CONNECTIONS:
@@ -187,33 +210,38 @@
         self.connections.add(connection)
         return True
 
-    # --- asks ---
+    # --- requests ---
 
-    def handle(self, ask: wire.Request, connection: ControlConnection) -> wire.Response:
+    def handle(self, request: wire.Request, connection: ControlConnection) -> wire.Response:
+        """Handle a request; return the response."""
         self.request_count += 1
-        return self.handlers[ask.kind](ask, connection)
+        return self.handlers[request.kind](request, connection)
 
-    def on_state(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
-        return wire.Response(wire.VERSION, ask.number, state=self.state())
+    def on_state(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `state`: the state of the proxy."""
+        return wire.Response(wire.VERSION, request.number, state=self.state())
 
     def state(self) -> wire.ProxyState:
-        door = self.proxy
+        """Return the state of the proxy."""
+        proxy = self.proxy
         return wire.ProxyState(
-            door.config.name,
+            proxy.config.name,
             os.getpid(),
             round((now_us() - self.started_us) / 1e6, 3),
-            door.clients.held,
+            proxy.clients.held,
             self.order_state.revision,
             self.overlay.version,
-            len(door.clients.connections),
-            len(door.open_requests),
+            len(proxy.clients.connections),
+            len(proxy.open_requests),
         )
 
-    def on_members(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
-        out: dict[str, int] = {}
-        for exchange in (*self.proxy.open_requests.values(), *self.proxy.answered_requests.values()):
-            for attempt in exchange.in_flight.values():
-                out[attempt.server] = out.get(attempt.server, 0) + 1
+    def on_members(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `members`: the servers, and the attempts in flight at each."""
+        in_flight = Counter(
+            attempt.server
+            for exchange in (*self.proxy.open_requests.values(), *self.proxy.answered_requests.values())
+            for attempt in exchange.in_flight.values()
+        )
         buildings = {number: name for name, number in self.proxy.config.zone_numbers.items()}
         members = tuple(
             wire.Member(
@@ -221,17 +249,19 @@
                 buildings.get(server.zone, str(server.zone)),
                 server.state.value,
                 name in self.overlay.drained,
-                out.get(name, 0),
+                in_flight[name],
             )
             for name, server in self.overlay.listed.items()
         )
-        return wire.Response(wire.VERSION, ask.number, members=members)
+        return wire.Response(wire.VERSION, request.number, members=members)
 
-    def on_orders(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
-        found = self.order_state.to_record().in_force
-        return wire.Response(wire.VERSION, ask.number, orders=found, state=self.state())
+    def on_orders(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `orders`: the orders in force."""
+        in_force = self.order_state.to_record().in_force
+        return wire.Response(wire.VERSION, request.number, orders=in_force, state=self.state())
 
-    def on_counters(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
+    def on_counters(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `counters`: those of the proxy, and of the services attached to it."""
         counters = {
             "asks": self.request_count,
             "connections_refused": self.rejected_connections,
@@ -240,84 +270,87 @@
             "backend_connections": self.proxy.backends.open_connections,
             "held_bytes": self.proxy.open_bytes,
         }
-        for beside in self.proxy.counter_sources:
-            counters |= beside()
-        return wire.Response(wire.VERSION, ask.number, counters=counters)
-
-    def on_quota(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
-        now, customer = now_us(), ask.customer.lower()
-        shares = {held.plan: held for held in self.proxy.gateway.customers.customer_limits(customer, now)}
-        return wire.Response(
-            wire.VERSION,
-            ask.number,
-            quota=tuple(
-                wire.QuotaStatus(plan, level, part, ceiling, demand, heard, shares.get(plan))
-                for plan, level, part, ceiling, demand, heard in self.proxy.gateway.customers.quota_statuses(
-                    customer, now
-                )
-            ),
-        )
-
-    def on_put(self, ask: wire.Request, _: ControlConnection) -> wire.Response:
-        """All orders in force at a revision; one that is behind what holds here changes nothing."""
+        for read_counters in self.proxy.counter_sources:
+            counters |= read_counters()
+        return wire.Response(wire.VERSION, request.number, counters=counters)
+
+    def on_quota(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `quota`: what the proxy knows of a customer's quota, for each plan."""
+        read_us = now_us()
+        customer = request.customer.lower()
+        customers = self.proxy.gateway.customers
+        limits = {each.plan: each for each in customers.customer_limits(customer, read_us)}
+        statuses = customers.quota_statuses(customer, read_us)
+        quota = tuple(wire.QuotaStatus(*status, limits.get(status.plan_index)) for status in statuses)
+        return wire.Response(wire.VERSION, request.number, quota=quota)
+
+    def on_put(self, request: wire.Request, _: ControlConnection) -> wire.Response:
+        """Handle `put`: adopt the orders in force at a revision, unless a newer one is known."""
         before = dict(self.order_state.in_force)
-        if ask.order_state and self.order_state.adopt(ask.order_state):
-            for key, one in self.order_state.in_force.items():
-                if before.get(key) != one:
-                    log.info(
-                        "order %s: %s %s, by %s at revision %d: %s",
-                        one.order.id,
-                        one.order.verb.value,
-                        one.order.subject,
-                        one.order.issuer,
-                        one.revision,
-                        one.order.reason,
-                    )
-            for verb, subject in before.keys() - self.order_state.in_force.keys():
-                log.info("order ended: %s %s, at revision %d", verb.value, subject, self.order_state.revision)
+        if request.order_state and self.order_state.adopt(request.order_state):
+            self.log_changes(before)
             self.apply_orders()
         self.orders_received.set()
-        return wire.Response(wire.VERSION, ask.number, state=self.state())
+        return wire.Response(wire.VERSION, request.number, state=self.state())
 
-    def on_watch(self, ask: wire.Request, connection: ControlConnection) -> wire.Response:
+    def on_watch(self, request: wire.Request, connection: ControlConnection) -> wire.Response:
+        """Handle `watch`: notify the connection of changes from now on."""
         connection.watches = True
-        return wire.Response(wire.VERSION, ask.number, state=self.state())
+        return wire.Response(wire.VERSION, request.number, state=self.state())
 
     # --- orders ---
 
+    def log_changes(self, before: Mapping[tuple[Verb, str], Decided]) -> None:
+        """Log the orders that came into force and those that ended, compared with `before`."""
+        for key, decided in self.order_state.in_force.items():
+            if before.get(key) != decided:
+                log.info(
+                    "order %s: %s %s, by %s at revision %d: %s",
+                    decided.order.id,
+                    decided.order.verb.value,
+                    decided.order.subject,
+                    decided.order.issuer,
+                    decided.revision,
+                    decided.order.reason,
+                )
+        for verb, subject in before.keys() - self.order_state.in_force.keys():
+            log.info("order ended: %s %s, at revision %d", verb.value, subject, self.order_state.revision)
+
     def apply_orders(self) -> None:
-        """Bring the front door to what is wanted now."""
+        """Apply the orders in force to the proxy, and schedule a notification."""
         now_ms = self.unix_ms()
-        if news := self.overlay.on_drained_servers(self.order_state.active_subjects(Verb.DRAIN, now_ms)):
-            self.proxy.publish(news, {})
+        drained = self.order_state.active_subjects(Verb.DRAIN, now_ms)
+        if changes := self.overlay.on_drained_servers(drained):
+            self.proxy.publish(changes, {})
         self.proxy.clients.hold(self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, now_ms))
         if not self.notification_scheduled:
             self.notification_scheduled = True
             self.proxy.loop.call_later(NOTIFICATION_DELAY_S, self.notify_watchers)
 
     def expire_orders(self) -> None:
-        """Look for orders whose time is over, and try again what could not be done."""
+        """Drop lapsed orders and apply the others once more if something differs; schedule the next check."""
         before = len(self.order_state.in_force)
         self.order_state.remove_lapsed(self.unix_ms())
-        held = self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, self.unix_ms())
-        if len(self.order_state.in_force) != before or held != self.proxy.clients.held:
+        on_hold = self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, self.unix_ms())
+        if len(self.order_state.in_force) != before or on_hold != self.proxy.clients.held:
             self.apply_orders()
         self.expiry_timer = self.proxy.loop.call_later(EXPIRY_INTERVAL_S, self.expire_orders)
 
     def notify_watchers(self) -> None:
+        """Send the state to all watchers."""
         self.notification_scheduled = False
-        news = wire.Response(wire.VERSION, wire.NOTIFICATION_NUMBER, state=self.state())
+        notification = wire.Response(wire.VERSION, wire.NOTIFICATION_NUMBER, state=self.state())
         for connection in [connection for connection in self.connections if connection.watches]:
-            connection.send(news)
+            connection.send(notification)
 
 
-async def attach(door: Proxy, path: Path, wait_s: float) -> Callable[[], None]:
-    """Switch control on for a front door that is about to start; what switches it off again.
+async def attach(proxy: Proxy, path: Path, wait_s: float) -> Callable[[], None]:
+    """Start control of a proxy that is about to start; return the function that ends it.
 
-    It waits for `wait_s` at most for an agent to bring the orders in force, so that they hold before the
+    It waits up to `wait_s` seconds for an agent to send the orders in force, so that they apply before the
     first request is taken.
     """
-    control = Control(door, path)
+    control = Control(proxy, path)
     await control.start()
     if wait_s:
         try:
--- a/molereach/fleet/journal.py
+++ b/molereach/fleet/journal.py
@@ -1,9 +1,8 @@
-"""What an agent must not forget, on its disk: its promise under way and the book of decided
-orders.
+"""An agent's journal: a file with the acceptor's promise and the state of the orders.
 
-The file is written whole beside the old one, synced, and put in its place; a reader finds the old one or the
-new one and nothing between. A file that is damaged is refused and never taken for an empty one: an acceptor
-that forgot a promise could help two orders to one revision.
+Each write makes a new file, syncs it, renames it over the old one and syncs the directory, in this sequence:
+after a crash either the old or the new state is there, whole. A damaged file is an error and never read as an
+empty one, since an acceptor that forgot a promise could let two orders be decided at one revision.
 """
 
 import contextlib
@@ -15,24 +14,25 @@
 import msgspec
 
 from molereach.fleet.agreement import Promised
+from molereach.fleet.errors import FleetError
 from molereach.fleet.orders import OrderStateRecord
 
 MAGIC = b"molereach-agent-journal"
 VERSION = 2
 DIGEST_BYTES = 16
-HEAD_BYTES = len(MAGIC) + 1 + 4 + DIGEST_BYTES  # magic, version, length of the body, digest of all of these
-MAX_BODY_BYTES = 4 << 20  # a book holds 512 orders of about 1 KB at most
-PRIVATE = 0o600
+HEAD_BYTES = len(MAGIC) + 1 + 4 + DIGEST_BYTES  # magic, version, body length, digest
+MAX_BODY_BYTES = 4 << 20  # a state holds at most 512 orders of about 1 KB
+PRIVATE_MODE = 0o600
 
 
-class JournalError(Exception):
-    """The journal cannot be read or written; the text is one plain line that names the file."""
+class JournalError(FleetError):
+    """The journal cannot be read or written; the text is one line that names the file."""
 
 
 class AgentState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What outlives an agent."""
+    """The state of an agent that survives a restart."""
 
-    agent: str  # its name: another agent's journal is not its own
+    agent: str  # its name, so that no agent starts with another's journal
     promised: Promised = Promised()
     order_state: OrderStateRecord = msgspec.field(name="book", default=OrderStateRecord())
 
@@ -42,11 +42,12 @@
 
 
 def digest(head: bytes, body: bytes) -> bytes:
+    """Return the checksum of a file's head and body."""
     return hashlib.blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
 
 def encode(state: AgentState) -> bytes:
-    """The whole file; ValueError for a state that is too large."""
+    """Return the file's bytes for a state; raise ValueError if it is too large."""
     body = _encoder.encode(state)
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f"{len(body)} bytes of state; {MAX_BODY_BYTES} at most")
@@ -55,7 +56,7 @@
 
 
 def decode(data: bytes) -> AgentState:
-    """The state in a file; ValueError says what is wrong with it."""
+    """Return the state in a file's bytes; ValueError says what is wrong with them."""
     start = len(MAGIC) + 1 + 4
     if len(data) < HEAD_BYTES or not data.startswith(MAGIC):
         raise ValueError("is no journal of an agent, or is cut off")
@@ -72,15 +73,20 @@
 
 
 class Journal:
-    """The file of one agent, locked for as long as it is open."""
+    """The journal of one agent, locked for as long as it is open.
+
+    `broken` is set by a failed write, after which it is not known what is on the disk.
+    """
 
     def __init__(self, path: Path, agent: str) -> None:
-        self.path, self.agent = path, agent
+        """Lock the journal at `path`; raise JournalError if that fails, or another process has it."""
+        self.path = path
+        self.agent = agent
         self.temporary_path = path.with_name(path.name + ".new")
-        self.broken = False  # a write failed in a way that leaves open what is on the disk
+        self.broken = False
         lock = path.with_name(path.name + ".lock")
         try:
-            self.lock = os.open(lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, PRIVATE)
+            self.lock = os.open(lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, PRIVATE_MODE)
         except OSError as error:
             raise JournalError(f"{lock}: {error.strerror}") from error
         try:
@@ -107,8 +113,11 @@
         return state
 
     def save(self, state: AgentState) -> None:
-        """Returns once it is on the disk. After a failure nothing may be promised any more: a second sync may
-        say that all is well when it is not, so the journal stays broken until it is opened anew."""
+        """Write a state and return once it is on the disk; raise JournalError if it may not be.
+
+        After a failure nothing may be promised any more. A second sync may succeed although data is lost, so
+        the journal stays broken until it is opened anew.
+        """
         if self.broken:
             raise JournalError(f"{self.path}: a write has failed before; start the agent again")
         try:
@@ -118,7 +127,10 @@
             raise JournalError(f"{self.path}: {' '.join(str(error).split())}") from error
 
     def write(self, data: bytes) -> None:
-        file = os.open(self.temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, PRIVATE)
+        """Replace the file atomically and durably."""
+        file = os.open(
+            self.temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, PRIVATE_MODE
+        )
         try:
             left = memoryview(data)
             while left:
@@ -129,10 +141,11 @@
         os.replace(self.temporary_path, self.path)
         folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)  # the name as well
+            os.fsync(folder)  # the rename is durable only after this
         finally:
             os.close(folder)
 
     def close(self) -> None:
+        """Release the lock."""
         with contextlib.suppress(OSError):
             os.close(self.lock)
--- a/molereach/fleet/rollout/validation.py
+++ b/molereach/fleet/rollout/validation.py
@@ -4,7 +4,8 @@
 from dataclasses import dataclass, field
 
 from molereach.fleet.api_bodies import AgentSnapshot
-from molereach.fleet.orders import Decided, Order, OrderRejection, OrderState, RejectionReason
+from molereach.fleet.order_state import OrderRejection, OrderState, RejectionReason
+from molereach.fleet.orders import Decided, Order
 from molereach.fleet.rollout.events import Draft
 from molereach.fleet.rollout.report import Verdict
 
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -1,8 +1,8 @@
-"""The front doors of one agent: what is known of each, how old that is, and what each is to be told. A core.
+"""The proxies of one agent: their last states, and which of them lack orders. A state machine without I/O.
 
-A front door that is killed leaves its socket behind: it is gone, and remembered. One that ends in order takes
-its socket away: it has ended, and is forgotten after a while. One that is stopped takes what is sent and
-says nothing: it is silent.
+A proxy that was killed leaves its socket behind: it is "gone" and stays listed. One that ended regularly has
+removed its socket: it is "ended" and dropped after a while. One that is stopped takes requests but does not
+answer: it is "silent".
 """
 
 from collections import deque
@@ -12,29 +12,29 @@
 from molereach.fleet.wire import ProxyState
 
 MAX_PROXIES = 64
-MAX_EVENTS = 512  # of the history
-SILENCE_TIMEOUT_MS = 1000  # without a word, though it was asked
-REMOVAL_DELAY_MS = 600_000  # after it has ended
+MAX_EVENTS = 512  # kept in the history
+SILENCE_TIMEOUT_MS = 1000  # without an answer
+REMOVAL_DELAY_MS = 600_000  # from "ended" until a proxy is dropped
 SILENT_REASON = "it takes what is sent and says nothing"
 
 
 @dataclass(frozen=True, slots=True)
 class SocketsListed:
-    """The sockets that are there now, by the name of their front door."""
+    """The sockets that exist now, by the name of their proxy."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Connected:
-    """A connection to a front door stands."""
+    """A connection to a proxy was opened."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class StateReceived:
-    """A front door told its state."""
+    """A proxy sent its state."""
 
     proxy: str
     state: ProxyState
@@ -42,22 +42,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnected:
-    """No connection, or none any more."""
+    """A connection to a proxy failed or was closed."""
 
     proxy: str
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class RequestTimedOut:
-    """A connection stands, and what was asked on it is not answered."""
+class RequestUnanswered:
+    """A request on an open connection was not answered in time."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionChanged:
-    """The book is at a revision; `ready` once this agent may speak for the fleet."""
+    """The agent's revision changed; `ready` once orders may be sent to proxies."""
 
     revision: int
     ready: bool
@@ -70,34 +70,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a connection to a front door."""
+    """Open a connection to a proxy."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendOrders:
-    """Tell a front door the orders in force."""
+    """Send a proxy the orders in force."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Close the connection to a front door."""
+    """Close the connection to a proxy."""
 
     proxy: str
 
 
 Action = Connect | SendOrders | Disconnect
 RosterEvent = (
-    SocketsListed | Connected | StateReceived | Disconnected | RequestTimedOut | RevisionChanged | Tick
+    SocketsListed | Connected | StateReceived | Disconnected | RequestUnanswered | RevisionChanged | Tick
 )
 
 
 @dataclass(slots=True)
 class ProxyRecord:
-    """What is known of a front door."""
+    """What is known of a proxy; times in milliseconds."""
 
     reachability: Reachability = "new"
     reported_ms: int | None = None
@@ -108,23 +108,26 @@
 
 
 class Roster:
-    """All front doors of an agent."""
+    """The proxies of an agent, and the history of their changes."""
 
     def __init__(self, agent: str) -> None:
+        """Start without proxies; `agent` is the name in events."""
         self.agent = agent
         self.proxies: dict[str, ProxyRecord] = {}
-        self.revision, self.ready = 0, False
+        self.revision = 0
+        self.ready = False
         self.history: deque[Event] = deque(maxlen=MAX_EVENTS)
-        self.number = 0
-        self.rejected_sockets = 0  # sockets beyond the bound
+        self.number = 0  # of the last event
+        self.rejected_sockets = 0  # beyond MAX_PROXIES
 
     def handle(self, now_ms: int, event: RosterEvent) -> list[Action]:
-        """Take one event at `now_ms`; what to do now."""
+        """Handle one event at `now_ms`; return the actions to carry out."""
         match event:
             case SocketsListed():
                 return self.on_sockets(now_ms, event.names)
             case RevisionChanged():
-                self.revision, self.ready = event.revision, event.ready
+                self.revision = event.revision
+                self.ready = event.ready
                 return [SendOrders(name) for name, record in self.proxies.items() if self.is_behind(record)]
             case Tick():
                 self.on_tick(now_ms)
@@ -140,15 +143,15 @@
                 return self.on_state(now_ms, event.proxy, record, event.state)
             case Disconnected():
                 record.connecting = False
-                if record.reachability != "gone":  # the first reason says most
+                if record.reachability != "gone":  # the first reason is the useful one
                     self.set_reachability(now_ms, event.proxy, record, "gone", event.reason)
                 return []
-            case RequestTimedOut():
+            case RequestUnanswered():
                 self.set_reachability(now_ms, event.proxy, record, "silent", SILENT_REASON)
                 return []
 
     def is_behind(self, record: ProxyRecord) -> bool:
-        """Whether a front door that answers is to be told of orders."""
+        """Return whether a connected proxy lacks orders that may be sent."""
         return (
             self.ready
             and record.reachability in ("up", "silent")
@@ -157,6 +160,7 @@
         )
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
+        """Add proxies with new sockets, connect to those without a connection, drop ended ones."""
         for name in sorted(names - self.proxies.keys()):
             if len(self.proxies) >= MAX_PROXIES:
                 self.rejected_sockets += 1
@@ -174,6 +178,7 @@
         return actions
 
     def on_state(self, now_ms: int, name: str, record: ProxyRecord, state: ProxyState) -> list[Action]:
+        """Store a proxy's state; send it the orders that it lacks."""
         if state.name != name:
             self.set_reachability(
                 now_ms, name, record, "gone", f"another front door answers there: {state.name}"
@@ -183,11 +188,13 @@
             self.add_event(now_ms, "door", name, f"started anew, with revision {state.revision}")
         if state.revision > self.revision:
             self.add_event(now_ms, "door", name, f"has revision {state.revision}, past this agent's")
-        record.reported_ms, record.state = now_ms, state
+        record.reported_ms = now_ms
+        record.state = state
         self.set_reachability(now_ms, name, record, "up", "")
         return [SendOrders(name)] if self.is_behind(record) else []
 
     def on_tick(self, now_ms: int) -> None:
+        """Mark proxies whose last answer is too old as silent."""
         for name, record in self.proxies.items():
             if (
                 record.reachability == "up"
@@ -197,22 +204,27 @@
                 self.set_reachability(now_ms, name, record, "silent", SILENT_REASON)
 
     def set_reachability(
-        self, now_ms: int, name: str, record: ProxyRecord, reach: Reachability, why: str
+        self, now_ms: int, name: str, record: ProxyRecord, reachability: Reachability, reason: str
     ) -> None:
-        if record.reachability != reach:
+        """Set the reachability of a proxy, with an event if it changed."""
+        if record.reachability != reachability:
             self.add_event(
-                now_ms, "door", name, f"{record.reachability} to {reach}" + (f": {why}" if why else "")
+                now_ms,
+                "door",
+                name,
+                f"{record.reachability} to {reachability}" + (f": {reason}" if reason else ""),
             )
             record.changed_ms = now_ms
-        record.reachability, record.reason = reach, why
+        record.reachability = reachability
+        record.reason = reason
 
     def add_event(self, now_ms: int, kind: str, subject: str, text: str) -> None:
-        """A line of the history."""
+        """Add an event to the history."""
         self.number += 1
         self.history.append(Event(self.number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
 
     def proxy_statuses(self, now_ms: int) -> tuple[ProxyStatus, ...]:
-        """What is known of all front doors now."""
+        """Return what is known of all proxies, sorted by name."""
         return tuple(
             ProxyStatus(
                 name, record.reachability, age_ms(now_ms, record.reported_ms), record.reason, record.state
@@ -221,5 +233,6 @@
         )
 
 
-def age_ms(now_ms: int, heard_ms: int | None) -> int | None:
-    return None if heard_ms is None else max(0, now_ms - heard_ms)
+def age_ms(now_ms: int, reported_ms: int | None) -> int | None:
+    """Return the age of a report, None if there is none."""
+    return None if reported_ms is None else max(0, now_ms - reported_ms)
--- a/molereach/fleet/settings.py
+++ b/molereach/fleet/settings.py
@@ -1,6 +1,6 @@
-"""The fleet's file, which tools and agents share, and an agent's own: typed, and checked as a whole.
+"""The fleet's file, which tools and agents share, and an agent's file: typed and checked as a whole.
 
-Secrets are files that these name; one that others can read is refused.
+Both name files with secrets; one that other users can read is an error. Keys are field names in kebab case.
 """
 
 import ipaddress
@@ -14,6 +14,8 @@
 import msgspec
 from msgspec import Meta
 
+from molereach.fleet.errors import FleetError
+
 MAX_FILE_BYTES = 1 << 20
 MAX_SECRET_BYTES = 64 << 10
 MAX_AGENTS = 256
@@ -25,12 +27,12 @@
 T = TypeVar("T")
 
 
-class SettingsError(Exception):
-    """A file is not usable; the text is one plain line that names it."""
+class SettingsError(FleetError):
+    """A file is not usable; the text is one line that names it."""
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """A table of a file."""
+    """A table of such a file."""
 
 
 class AgentEntry(Table, frozen=True):
@@ -42,28 +44,30 @@
     proxies: tuple[Name, ...] = msgspec.field(name="doors", default=())
 
     def __post_init__(self) -> None:
-        parts = urlsplit(self.url)
-        beyond = parts.path.strip("/") or parts.query
-        if parts.scheme not in ("http", "https") or not parts.hostname or beyond:
+        """Raise ValueError for a URL that is not usable."""
+        address = urlsplit(self.url)
+        beyond = address.path.strip("/") or address.query
+        if address.scheme not in ("http", "https") or not address.hostname or beyond:
             raise ValueError(f"url: '{self.url}' is not http(s)://HOST:PORT")
-        if parts.scheme == "http" and not is_loopback(parts.hostname):
+        if address.scheme == "http" and not is_loopback(address.hostname):
             raise ValueError(f"url: '{self.url}' would carry a token in the clear; https, or loopback")
 
 
 class FleetFile(Table, frozen=True, kw_only=True):
-    """All agents, and how to speak with them."""
+    """The agents of a fleet, and how to call them."""
 
     agents: Annotated[tuple[AgentEntry, ...], Meta(min_length=1, max_length=MAX_AGENTS)]
     floor: Annotated[int, Meta(ge=0, le=1000)] = 1  # ready servers that a drain leaves in each building
     timeout_s: Seconds = 2.0  # for one call
     agree_s: Seconds = 5.0  # for a majority of agents
-    confirm_s: Seconds = 3.0  # for the front doors' word
+    confirm_s: Seconds = 3.0  # for the confirmations of the proxies
     token: str  # a file with a bearer token
     ca: str = ""  # a file with the certificates that agents are verified by
     cert: str = ""  # of this client, where agents want one
     key: str = ""
 
     def __post_init__(self) -> None:
+        """Raise ValueError for names that are not unique, or a certificate without its key."""
         for what, names in (
             ("agents", [agent.name for agent in self.agents]),
             ("doors", [door for agent in self.agents for door in agent.proxies]),
@@ -76,10 +80,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
+        """The names of all agents."""
         return tuple(agent.name for agent in self.agents)
 
     def expected_proxies(self) -> dict[str, tuple[str, ...]]:
-        """The front doors that each agent should know."""
+        """Return the proxies that each agent should know, for agents that list any."""
         return {agent.name: agent.proxies for agent in self.agents if agent.proxies}
 
 
@@ -96,14 +101,15 @@
 
     name: Name
     fleet: str  # the fleet's file, in which it stands
-    sockets: str  # a folder: each NAME.sock in it is the control socket of front door NAME
+    sockets: str  # a folder: NAME.sock in it is the control socket of proxy NAME
     journal: str
     listen: str
     tokens: str  # a file: a line `ROLE NAME TOKEN` for each client, ROLE read or operate
-    start_alone_s: Seconds = 3.0  # without a majority of agents, front doors are told of orders after that
+    start_alone_s: Seconds = 3.0  # then orders are sent without a majority of agents
     tls: TlsTable | None = None
 
     def __post_init__(self) -> None:
+        """Raise ValueError for an address that is not usable, or not safe without TLS."""
         host, _, port = self.listen.rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
             raise ValueError(f"listen: '{self.listen}' is not HOST:PORT")
@@ -112,6 +118,7 @@
 
 
 def is_loopback(host: str) -> bool:
+    """Return whether a host is a loopback address or name."""
     try:
         return ipaddress.ip_address(host).is_loopback
     except ValueError:
@@ -119,11 +126,12 @@
 
 
 def one_line(error: object) -> str:
+    """Return an error's text as one line."""
     return " ".join(str(error).split())
 
 
 def load(path: Path, kind: type[T]) -> T:
-    """A TOML file as `kind`; SettingsError names the file, the key and the reason."""
+    """Return a TOML file as `kind`; SettingsError names the file, the key and the reason."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -137,12 +145,12 @@
 
 
 def resolve(file: Path, name: str) -> Path:
-    """A path that a file names, from the folder that the file is in."""
+    """Return a path that a file names, relative to the folder of the file."""
     return file.parent / name
 
 
 def read_secret(path: Path) -> str:
-    """The text of a secret; SettingsError where it cannot be read, or others can."""
+    """Return the text of a secret; raise SettingsError if it cannot be read, or others can read it."""
     try:
         with path.open("rb") as file:
             mode = stat.S_IMODE(path.stat().st_mode)
@@ -160,7 +168,7 @@
 
 
 def load_token(path: Path) -> str:
-    """A client's bearer token."""
+    """Return a client's bearer token; raise SettingsError if the file holds none."""
     token = read_secret(path)
     if len(token) < MIN_TOKEN_BYTES or not token.isprintable() or " " in token:
         raise SettingsError(f"{path}: not a token of {MIN_TOKEN_BYTES} or more characters without spaces")
@@ -168,7 +176,7 @@
 
 
 def client_tls(file: Path, fleet: FleetFile) -> ssl.SSLContext:
-    """What agents are verified by, and this client's own certificate; SettingsError if it cannot be had."""
+    """Return the TLS context of a client of the agents; raise SettingsError if a file is not usable."""
     try:
         context = ssl.create_default_context(cafile=str(resolve(file, fleet.ca)) if fleet.ca else None)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -1,32 +1,33 @@
-"""The control protocol of one front door: frames and messages, a core.
+"""The control protocol between an agent and one proxy: frames and messages, without I/O.
 
-A frame is four bytes of length (big-endian) and that many bytes of JSON. Every message names the protocol's
-version. Both sides bound what they take before they make room for it; a frame that breaks a bound ends the
-connection.
+A frame is a length of four bytes (big-endian) and that many bytes of JSON. Every message names the version of
+the protocol. Both sides check a frame's length before they allocate memory for it; a frame that is too long
+ends the connection. The names given to `msgspec.field` are those on the wire.
 """
 
 from typing import Literal
 
 import msgspec
 
+from molereach.fleet.errors import FleetError
 from molereach.fleet.orders import Decided, OrderError, OrderStateRecord
 from molereach.policy.interface.protocols import CustomerLimits
 
 VERSION = 2
 HEAD_BYTES = 4
-MAX_REQUEST_BYTES = 512 * 1024  # a book with the most orders in force, each as long as can be
+MAX_REQUEST_BYTES = 512 * 1024  # MAX_IN_FORCE orders, each of the greatest length
 MAX_RESPONSE_BYTES = 1 << 20
 
 
-class WireError(ValueError):
-    """What came is no frame, or no message, of this protocol."""
+class WireError(FleetError, ValueError):
+    """Received bytes are not a frame, or not a message, of this protocol."""
 
 
 RequestKind = Literal["state", "members", "orders", "counters", "quota", "put", "watch"]
 
 
 class Request(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an agent asks of a front door. `number` comes back with the answer."""
+    """An agent's request to a proxy; the response carries the same `number`."""
 
     version: int
     number: int
@@ -43,7 +44,7 @@
     building: str
     listed: str  # by discovery
     drained: bool  # by an order
-    in_flight: int  # attempts of this front door that are out
+    in_flight: int  # attempts of this proxy
 
 
 class ProxyState(msgspec.Struct, frozen=True):
@@ -53,7 +54,7 @@
     pid: int
     up_s: float
     on_hold: bool = msgspec.field(name="held")
-    revision: int  # of the orders that it has
+    revision: int  # of the orders in force
     list_version: int
     clients: int
     open_requests: int
@@ -63,16 +64,16 @@
     """What a front door knows of a customer's quota, for each of its sets; units and seconds."""
 
     plan: int
-    available_units: float = msgspec.field(name="level")
-    rate_fraction: float = msgspec.field(name="part")
-    ceiling_fraction: float = msgspec.field(name="ceiling_part")
+    tokens: float = msgspec.field(name="level")
+    local_tokens: float = msgspec.field(name="part")
+    ceiling_tokens: float = msgspec.field(name="ceiling_part")
     demand: float
-    updated_s_ago: float | None = msgspec.field(name="heard_s_ago")  # None for never
+    reply_age_s: float | None = msgspec.field(name="heard_s_ago")  # None for never
     limits: CustomerLimits | None = msgspec.field(name="shares", default=None)  # None without `[limits]`
 
 
 class Response(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a front door answers; `error` is one plain line. With `number` -1 it is news for a watcher."""
+    """A proxy's response, or a notification to a watcher; `error` is one line, '' without an error."""
 
     version: int
     number: int
@@ -84,32 +85,35 @@
     quota: tuple[QuotaStatus, ...] | None = None
 
 
-NOTIFICATION_NUMBER = -1
+NOTIFICATION_NUMBER = -1  # `Response.number` of a notification
 _encoder = msgspec.json.Encoder()
-_asks = msgspec.json.Decoder(Request)
-_answers = msgspec.json.Decoder(Response)
+_request_decoder = msgspec.json.Decoder(Request)
+_response_decoder = msgspec.json.Decoder(Response)
 
 
 def frame(message: Request | Response) -> bytes:
-    """A message as bytes; WireError for one that is too long."""
+    """Encode a message as a frame; raise WireError if it is too long."""
     body = _encoder.encode(message)
-    most = MAX_REQUEST_BYTES if isinstance(message, Request) else MAX_RESPONSE_BYTES
-    if len(body) > most:
-        raise WireError(f"a message of {len(body)} bytes; {most} at most")
+    max_bytes = MAX_REQUEST_BYTES if isinstance(message, Request) else MAX_RESPONSE_BYTES
+    if len(body) > max_bytes:
+        raise WireError(f"a message of {len(body)} bytes; {max_bytes} at most")
     return len(body).to_bytes(HEAD_BYTES) + body
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a stream of bytes into frames."""
 
-    def __init__(self, most: int) -> None:
-        self.buffer, self.max_bytes = bytearray(), most
+    def __init__(self, max_bytes: int) -> None:
+        """Read frames whose body has at most `max_bytes` bytes."""
+        self.buffer = bytearray()
+        self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes."""
         self.buffer += data
 
     def next(self) -> bytes | None:
-        """The next whole frame's body; None if there is none yet."""
+        """Return the body of the next complete frame, or None; raise WireError for a wrong length."""
         if len(self.buffer) < HEAD_BYTES:
             return None
         size = int.from_bytes(self.buffer[:HEAD_BYTES])
@@ -124,24 +128,24 @@
 
 
 def decode_request(body: bytes) -> Request:
-    """WireError names the key that is wrong, or the version that is not ours."""
+    """Decode the body of a request; WireError names the key that is wrong, or the version."""
     try:
-        ask = _asks.decode(body)
-        if ask.order_state:
-            ask.order_state.check()
+        request = _request_decoder.decode(body)
+        if request.order_state:
+            request.order_state.check()
     except (msgspec.DecodeError, UnicodeDecodeError, OrderError) as error:
         raise WireError(" ".join(str(error).split())) from error
-    if ask.version != VERSION:
-        raise WireError(f"version {ask.version} is not spoken here; {VERSION} is")
-    return ask
+    if request.version != VERSION:
+        raise WireError(f"version {request.version} is not spoken here; {VERSION} is")
+    return request
 
 
 def decode_response(body: bytes) -> Response:
-    """As `read_ask`, on the other side."""
+    """Decode the body of a response; WireError names the key that is wrong, or the version."""
     try:
-        answer = _answers.decode(body)
+        response = _response_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise WireError(" ".join(str(error).split())) from error
-    if answer.version != VERSION:
-        raise WireError(f"version {answer.version} is not spoken here; {VERSION} is")
-    return answer
+    if response.version != VERSION:
+        raise WireError(f"version {response.version} is not spoken here; {VERSION} is")
+    return response
--- a/rig/fakedoor.py
+++ b/rig/fakedoor.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from molereach.fleet import wire
-from molereach.fleet.orders import OrderState
+from molereach.fleet.order_state import OrderState
 from molereach.fleet.wire import FrameReader, Member, ProxyState, Request, Response, decode_request
 
 SERVERS = tuple(Member(f"s-{number}", f"b-{number % 3}", "up", False, 0) for number in range(6))
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -101,16 +101,14 @@
 STANDINGS = (
     wire.QuotaStatus(
         plan=0,
-        available_units=10.5,
-        rate_fraction=0.5,
-        ceiling_fraction=0.25,
+        tokens=10.5,
+        local_tokens=0.5,
+        ceiling_tokens=0.25,
         demand=3.0,
-        updated_s_ago=0.125,
+        reply_age_s=0.125,
         limits=HELD,
     ),
-    wire.QuotaStatus(
-        plan=1, available_units=-1.0, rate_fraction=1.0, ceiling_fraction=1.0, demand=0.0, updated_s_ago=None
-    ),
+    wire.QuotaStatus(plan=1, tokens=-1.0, local_tokens=1.0, ceiling_tokens=1.0, demand=0.0, reply_age_s=None),
 )
 COUNTERS = {"asks": 9, "connections_refused": 0, "held_bytes": 1 << 20}
 
--- a/tests/compatibility/roster_samples.py
+++ b/tests/compatibility/roster_samples.py
@@ -19,7 +19,7 @@
     (1, roster.Disconnected(proxy="n1", reason="Connection refused")),
     (roster.SILENCE_TIMEOUT_MS, roster.Tick()),
     (1, roster.StateReceived(proxy=DOOR, state=msgspec.structs.replace(samples.STATE, pid=4712, revision=5))),
-    (1, roster.RequestTimedOut(proxy=DOOR)),
+    (1, roster.RequestUnanswered(proxy=DOOR)),
     (1, roster.StateReceived(proxy=DOOR, state=msgspec.structs.replace(samples.STATE, name="n8"))),
     (1, roster.SocketsListed(names=frozenset({DOOR}))),
 )
--- a/tests/compatibility/test_control.py
+++ b/tests/compatibility/test_control.py
@@ -30,7 +30,7 @@
             link = Link(lambda state: None, lambda why: None)
             await link.open(path)
             for ask in samples.ASKS:
-                await link.request(ask.kind, customer=ask.customer, book=ask.order_state)
+                await link.request(ask.kind, customer=ask.customer, order_state=ask.order_state)
             await link.close()
 
     run(job())
--- a/tests/compatibility/test_fleet.py
+++ b/tests/compatibility/test_fleet.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from molereach.fleet import agreement, api_bodies, journal, orders, wire
+from molereach.fleet import agreement, api_bodies, journal, order_state, orders, wire
 from molereach.fleet.agent import api
 from molereach.fleet.cli.client import Replies, read
 from molereach.fleet.rollout import report
@@ -79,7 +79,7 @@
     assert books == samples.BOOKS
     for book in books:
         assert isinstance(book, orders.OrderStateRecord)
-        assert orders.OrderState(book).to_record() == book
+        assert order_state.OrderState(book).to_record() == book
 
 
 def test_messages_of_the_agreement_are_read_by_agents_as_sent() -> None:
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -14,11 +14,10 @@
 
 from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import api_bodies
-from molereach.fleet.agent import agent as agent_module
 from molereach.fleet.agent import api, openapi
-from molereach.fleet.agent.agent import Watcher
 from molereach.fleet.agent.api import Api
 from molereach.fleet.agent.auth import Tokens
+from molereach.fleet.agent.watcher import MAX_QUEUED_EVENTS, Watcher
 from molereach.fleet.agreement import Accept, Accepted, Acceptor, Ballot, Known, Prepare, Promise
 from molereach.fleet.api_bodies import Event
 from molereach.fleet.control import Control
@@ -305,9 +304,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow = Watcher()
-    for number in range(agent_module.MAX_QUEUED_EVENTS + 7):
+    for number in range(MAX_QUEUED_EVENTS + 7):
         slow.push(Event(number, 0, "a0", "door", "n0", "up"))
-    assert slow.missed == 7 and slow.queue.qsize() == agent_module.MAX_QUEUED_EVENTS
+    assert slow.missed == 7 and slow.queue.qsize() == MAX_QUEUED_EVENTS
     monkeypatch.setattr(api, "MAX_WATCHERS", 1)
 
     async def job() -> None:
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -15,7 +15,8 @@
 from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import control, wire
 from molereach.fleet.control import Control, ControlError, attach
-from molereach.fleet.orders import Decided, Order, OrderState, OrderStateRecord, Verb
+from molereach.fleet.order_state import OrderState
+from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 from molereach.fleet.wire import Request, Response
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import Proxy
@@ -227,7 +228,7 @@
             counters = (await agent.ask("counters")).counters
             assert counters and counters["open_requests"] == 1 and counters["backend_connections"] == 1
             (standing,) = (await agent.ask("quota", customer=CUSTOMER.upper())).quota or ()
-            assert standing.plan == 0 and 999 <= standing.available_units <= 1000 and standing.demand > 0
+            assert standing.plan == 0 and 999 <= standing.tokens <= 1000 and standing.demand > 0
             assert (await agent.ask("quota", customer="0" * 16)).quota == ()
             await agent.ask("put", order_state=book(order(1, "drain", "sx")))
             assert (await agent.ask("orders")).orders == (order(1, "drain", "sx"),)
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -5,18 +5,10 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from molereach.fleet import orders
-from molereach.fleet.orders import (
-    Decided,
-    Order,
-    OrderError,
-    OrderRejection,
-    OrderState,
-    OrderStateRecord,
-    Overlay,
-    RejectionReason,
-    Verb,
-)
+from molereach.fleet import order_state, orders
+from molereach.fleet.order_state import OrderRejection, OrderState, RejectionReason
+from molereach.fleet.orders import Decided, Order, OrderError, OrderStateRecord, Verb
+from molereach.fleet.overlay import Overlay
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 
 READY = {"s1": "east", "s2": "east", "s3": "west"}
@@ -111,7 +103,7 @@
 def test_lapsed_order_and_too_many_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     late = OrderState().validate(order(lapses_ms=5), 5, READY, 0)
     assert isinstance(late, OrderRejection) and late.reason is RejectionReason.LAPSED
-    monkeypatch.setattr(orders, "MAX_IN_FORCE", 1)
+    monkeypatch.setattr(order_state, "MAX_IN_FORCE", 1)
     full = book(order()).validate(order("o2", subject="s2", based_on=1), 0, READY, 0)
     assert isinstance(full, OrderRejection) and full.reason is RejectionReason.FULL
     assert book(order()).validate(order("o2", Verb.UNDRAIN, based_on=1), 0, READY, 0) is None
@@ -148,7 +140,7 @@
     made = OrderState()
     for revision in range(2, 10_000):
         made.record_decided(Decided(revision, order(f"o{revision}")))
-    assert len(made.pending) == orders.MAX_PENDING_ORDERS and made.revision == 0
+    assert len(made.pending) == order_state.MAX_PENDING_ORDERS and made.revision == 0
     long = OrderState()
     for revision in range(1, 3000):
         long.record_decided(Decided(revision, order(f"o{revision}", subject=f"s{revision}")))
@@ -163,7 +155,7 @@
     given_orders: list[Order], at: int, recent: int
 ) -> None:
     with pytest.MonkeyPatch.context() as small:
-        small.setattr(orders, "MAX_RECENT_REVISIONS", recent)
+        small.setattr(order_state, "MAX_RECENT_REVISIONS", recent)
         whole, late = OrderState(), OrderState()
         for revision, one in enumerate(given_orders, 1):
             whole.record_decided(Decided(revision, one))
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -7,7 +7,8 @@
 
 from molereach.fleet.agreement import Acceptor, Message
 from molereach.fleet.api_bodies import AgentSnapshot, Status
-from molereach.fleet.orders import Decided, OrderState, OrderStateRecord, Verb
+from molereach.fleet.order_state import OrderState
+from molereach.fleet.orders import Decided, OrderStateRecord, Verb
 from molereach.fleet.rollout import events as ev
 from molereach.fleet.rollout.report import Verdict
 from molereach.fleet.rollout.stages import Rollout
