--- a/molereach/command.py
+++ b/molereach/command.py
@@ -1,6 +1,7 @@
-"""The `molereach` command: what stands beside the front door itself. Imported only when it is asked for.
+"""The `molereach` command line: the proxy with an operator file, and the tools beside it.
 
-Exit codes: 0 done, 1 failed in service, 2 bad input or usage; `molereach fleet` has more.
+Exit codes: 0 done, 1 failed in service, 2 invalid input or usage; `molereach fleet` has more. The tools'
+packages are imported only by the commands that need them.
 """
 
 import importlib.util
@@ -18,10 +19,10 @@
 
     from molereach.proxy.proxy import Proxy
 
-BAD_INPUT = 2
-DEFAULT_LEVEL = "INFO"
+EXIT_INVALID_INPUT = 2
+DEFAULT_LOG_LEVEL = "INFO"
 OPERATOR_OPTION = "--operator"
-WORLDS = {"demo": "rig", "simulate": "sim"}  # commands, and the packages that they are
+PACKAGE_COMMANDS = {"demo": "rig", "simulate": "sim"}  # commands that run another package, and its name
 FLEET_PACKAGES = ("httpx", "hypercorn", "rich", "starlette", "structlog")
 EPILOG = """\b
 With no command the front door itself starts, as the environment tells it
@@ -32,23 +33,24 @@
 Attach = Callable[["Proxy"], Awaitable[Callable[[], None]]]
 
 
-def complain(text: str) -> int:
+def report_invalid_input(text: str) -> int:
+    """Print one line to standard error; return the exit code."""
     print(f"molereach: {text}", file=sys.stderr)
-    return BAD_INPUT
+    return EXIT_INVALID_INPUT
 
 
 def check_config(path: Path, as_json: bool) -> int:
-    """Say whether an operator file can be used; starts nothing."""
+    """Print whether an operator file is usable, as text or JSON; return the exit code."""
     try:
         settings = operator_config.load(path)
         limits_of(path, settings)
-        council_of(path, settings)
+        coordination_of(path, settings)
         sections = settings.sections_on()
     except operator_config.OperatorError as error:
         if as_json:
             print(json.dumps({"file": str(path), "ok": False, "error": str(error)}))
-            return BAD_INPUT
-        return complain(str(error))
+            return EXIT_INVALID_INPUT
+        return report_invalid_input(str(error))
     if as_json:
         print(json.dumps({"file": str(path), "ok": True, "sections": sections}))
     else:
@@ -57,20 +59,23 @@
 
 
 def installed(*packages: str) -> bool:
+    """Return whether all packages can be imported."""
     return all(importlib.util.find_spec(name) is not None for name in packages)
 
 
-def become(name: str, arguments: Sequence[str]) -> int:
-    """Become the rig or the simulation, which the front door never imports."""
-    package = WORLDS[name]
+def run_package(name: str, arguments: Sequence[str]) -> int:
+    """Replace this process by the rig or the simulation, which the proxy never imports."""
+    package = PACKAGE_COMMANDS[name]
     if not installed(package, "hiredis"):
-        return complain(f"{name}: is not installed; install the package with its extra, molereach[rig]")
+        return report_invalid_input(
+            f"{name}: is not installed; install the package with its extra, molereach[rig]"
+        )
     sys.stdout.flush()
     os.execv(sys.executable, [sys.executable, "-m", package, *arguments])
 
 
 def limits_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
-    """What switches `[limits]` on; OperatorError where its key cannot be used."""
+    """Return what starts `[limits]`, None if it is off; raise OperatorError for an unusable key."""
     if settings.limits is None:
         return None
     from molereach import keyfile
@@ -82,8 +87,8 @@
         raise operator_config.OperatorError(f"{path}: {error}") from error
 
 
-def council_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
-    """What switches `[council]` on; OperatorError where its settings or its key cannot be used."""
+def coordination_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
+    """Return what starts `[council]`, None if it is off; raise OperatorError for unusable settings."""
     if settings.council is None:
         return None
     from molereach import keyfile
@@ -96,35 +101,33 @@
 
 
 def start(path: Path, serve: Serve) -> int:
-    """Start the front door with an operator file; one that cannot be used starts nothing."""
+    """Run the proxy with an operator file; return its exit code."""
     try:
         settings = operator_config.load(path)
-        limits, council = limits_of(path, settings), council_of(path, settings)
+        attachers = [each for each in (limits_of(path, settings), coordination_of(path, settings)) if each]
     except operator_config.OperatorError as error:
-        return complain(str(error))
-    level = (settings.log or operator_config.LogSection()).level.name
-    # Off means not imported.
-    attach = [each for each in (limits, council) if each]
+        return report_invalid_input(str(error))
+    log_level = (settings.log or operator_config.LogSection()).level.name
     if section := settings.control:
-        from molereach.fleet import control
+        from molereach.fleet import control  # a subsystem that is off is not imported
 
-        attach.append(lambda door: control.attach(door, Path(section.socket), section.wait_for_orders_s))
-    return serve(level, lambda door: attach_all(door, attach)) if attach else serve(level)
+        attachers.append(lambda proxy: control.attach(proxy, Path(section.socket), section.wait_for_orders_s))
+    return serve(log_level, lambda proxy: attach_all(proxy, attachers)) if attachers else serve(log_level)
 
 
-async def attach_all(door: "Proxy", attach: Sequence[Attach]) -> Callable[[], None]:
-    """Switch on one after the other; what is returned switches them off, the last one first."""
-    ends = [await each(door) for each in attach]
+async def attach_all(proxy: "Proxy", attachers: Sequence[Attach]) -> Callable[[], None]:
+    """Start subsystems in sequence; return what stops them in reverse, as later ones may use earlier ones."""
+    stops = [await attach(proxy) for attach in attachers]
 
     def detach() -> None:
-        for end in reversed(ends):
-            end()
+        for stop in reversed(stops):
+            stop()
 
     return detach
 
 
 def fleet_commands(top: "click.Group") -> None:
-    """`fleet` and `agent`, or one line on how to have them."""
+    """Add `fleet` and `agent`; without their packages, commands that say how to install them."""
     import click
 
     if not installed(*FLEET_PACKAGES):
@@ -134,7 +137,7 @@
             @click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
             def missing(arguments: tuple[str, ...]) -> None:
                 """Not installed: install the package with its extra, molereach[fleet]."""
-                raise SystemExit(complain("install the package with its extra, molereach[fleet]"))
+                raise SystemExit(report_invalid_input("install the package with its extra, molereach[fleet]"))
 
         return
     from molereach.fleet.cli.commands.group import fleet
@@ -158,7 +161,7 @@
 
 
 def group(serve: Serve) -> "click.Group":
-    """The whole command line."""
+    """Return the whole command line."""
     import click
 
     @click.group("molereach", invoke_without_command=True, epilog=EPILOG)
@@ -173,16 +176,16 @@
     def top(context: click.Context, path: Path | None) -> None:
         """A front door that keeps customers' quotas, and what goes with it."""
         if context.invoked_subcommand is None:
-            raise SystemExit(start(path, serve) if path else serve(DEFAULT_LEVEL))
+            raise SystemExit(start(path, serve) if path else serve(DEFAULT_LOG_LEVEL))
 
     for name, text in (
         ("demo", "Front doors, servers, discovery and clients on loopback, with an audit at the end."),
         ("simulate", "The same in virtual time, many days at once, each from a seed."),
     ):
-        as_is = click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
-        loose = {"ignore_unknown_options": True}
-        top.command(name, add_help_option=False, help=text, context_settings=loose)(
-            as_is(lambda arguments, name=name: sys.exit(become(name, arguments)))
+        all_arguments = click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
+        context_settings = {"ignore_unknown_options": True}
+        top.command(name, add_help_option=False, help=text, context_settings=context_settings)(
+            all_arguments(lambda arguments, name=name: sys.exit(run_package(name, arguments)))
         )
 
     @top.group()
@@ -201,15 +204,15 @@
 
 
 def run(arguments: Sequence[str], env: Mapping[str, str], serve: Serve) -> int:
-    """Carry out a command line; `serve` starts the front door and returns its exit code."""
-    if arguments and arguments[0] in WORLDS:  # its options are its own
-        return become(arguments[0], arguments[1:])
-    # A front door with an operator file takes nothing of the command line's library into its memory.
+    """Run a command line; `serve` runs the proxy and returns its exit code, which is returned."""
+    if arguments and arguments[0] in PACKAGE_COMMANDS:  # the package parses its own options
+        return run_package(arguments[0], arguments[1:])
+    # The two ways to start the proxy do not import click, which would stay in its memory.
     if len(arguments) == 2 and arguments[0] == OPERATOR_OPTION:
         return start(Path(arguments[1]), serve)
     if not arguments:
         path = env.get(operator_config.ENVIRONMENT)
-        return start(Path(path), serve) if path else serve(DEFAULT_LEVEL)
+        return start(Path(path), serve) if path else serve(DEFAULT_LOG_LEVEL)
     try:
         group(serve).main(list(arguments), prog_name="molereach")
     except SystemExit as end:
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -10,7 +10,7 @@
 from molereach.coordination.storage.store import StoreError
 from molereach.endpoint_address import read_address
 from molereach.keyfile import read_key
-from molereach.operator_config import CouncilSection
+from molereach.operator_config import CoordinationSection
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
@@ -20,7 +20,7 @@
     """The front door cannot take its part; the text is one plain line."""
 
 
-def read_settings(section: CouncilSection) -> CouncilSettings:
+def read_settings(section: CoordinationSection) -> CouncilSettings:
     """ValueError with the key where the settings cannot be."""
     try:
         doors = {name: read_address(address) for name, address in section.doors.items()}
@@ -30,7 +30,7 @@
         raise ValueError(f"council.{error}") from error
 
 
-def attacher(section: CouncilSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
+def attacher(section: CoordinationSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
     """What switches the council on for a front door that is about to start."""
     settings, key = read_settings(section), read_key(Path(section.key_file), "council.key_file")
 
@@ -43,7 +43,9 @@
     return attach
 
 
-async def begin(section: CouncilSection, settings: CouncilSettings, key: bytes, name: str) -> CouncilService:
+async def begin(
+    section: CoordinationSection, settings: CouncilSettings, key: bytes, name: str
+) -> CouncilService:
     """Open the folder, take links and join; CouncilError where that cannot be."""
     if name not in settings.doors:
         raise CouncilError(f"council.doors: '{name}' is not among them")
--- a/molereach/fleet/cli/__init__.py
+++ b/molereach/fleet/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The tool that manages many front doors as one.
+"""The command-line tool that operates many proxies as one.
 
-In reading order: `client` (calls of all agents; the shell of a rollout), `tables` (what is printed),
-`exits` (exit codes), `session` (one command on one fleet), `rollouts` (as the tool begins one),
-`in_flight` (the wait after a drain), `commands`.
+In reading order: `client` (calls of all agents), `runner` (carries a rollout out), `rollouts` (makes one),
+`tables` (output), `exits` (exit codes), `session` (one command on one fleet), `in_flight` (the wait after a
+drain), `commands`.
 """
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -1,4 +1,4 @@
-"""`drain`, `undrain`, `hold`, `release`: an order given, and what became of it."""
+"""`drain`, `undrain`, `hold`, `release`: roll out an order and print the report."""
 
 import getpass
 import secrets
@@ -10,43 +10,45 @@
 import click
 import msgspec
 
-from molereach.fleet.cli.client import Fleet, RolloutRunner
+from molereach.fleet.cli.client import Fleet
 from molereach.fleet.cli.exits import DONE, EXITS, PARTIAL
-from molereach.fleet.cli.in_flight import show_in_flight, wait_for_end
+from molereach.fleet.cli.in_flight import print_in_flight, wait_for_end
 from molereach.fleet.cli.rollouts import rollout_for
+from molereach.fleet.cli.runner import RolloutRunner
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
 from molereach.fleet.orders import Order, Verb
-from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Report
 
 
-def show_report(out: Printer, report: Report) -> None:
-    out.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
+def print_report(printer: Printer, report: Report) -> None:
+    """Print a report for people."""
+    printer.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
     if report.winner:
         other = report.winner.order
-        out.line(
+        printer.line(
             f"  stands: {other.verb.value} {other.subject} at revision {report.winner.revision}, by "
             f"{other.issuer}: {other.reason} (order {other.id})"
         )
-    for word in report.agents:
-        if word.reason or (report.decided and not word.notified):
-            out.line(f"  agent {word.agent}: {word.reason or 'has not said that it knows the order'}")
+    for each in report.agents:
+        if each.reason or (report.decided and not each.notified):
+            printer.line(f"  agent {each.agent}: {each.reason or 'has not said that it knows the order'}")
     if report.decided and report.proxies:
-        out.table(
+        printer.table(
             "",
             ("agent", "front door", "carried out", "reach", "revision", "heard", ""),
             (
                 (
-                    word.agent,
-                    word.proxy,
-                    "yes" if word.applied else "NOT KNOWN",
-                    word.reachability,
-                    word.revision,
-                    age(word.reported_ago_ms),
-                    word.reason,
+                    each.agent,
+                    each.proxy,
+                    "yes" if each.applied else "NOT KNOWN",
+                    each.reachability,
+                    each.revision,
+                    age(each.reported_ago_ms),
+                    each.reason,
                 )
-                for word in report.proxies
+                for each in report.proxies
             ),
         )
 
@@ -64,35 +66,36 @@
     based_on: int | None,
     wait_s: float | None,
 ) -> None:
-    """Give an order and end with the exit code of what became of it."""
+    """Roll out an order and end with the exit code of its verdict."""
     lapses_ms = time.time_ns() // 1_000_000 + round(lapse * 1000) if lapse else 0
-    draft = ev.Draft(
+    draft = events.Draft(
         order_id or secrets.token_hex(8), verb, subject, issuer, reason, lapses_ms, forced, based_on
     )
 
-    async def job(made: Fleet) -> int:
+    async def command(fleet: Fleet) -> int:
         Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
-        out = Printer(json_only)
-        rollout = rollout_for(made.settings, draft)
-        report = await RolloutRunner(made, rollout, lambda step: out.note(f"{step} ...")).run()
-        code, in_flight = EXITS[report.verdict], None
+        printer = Printer(json_only)
+        rollout = rollout_for(fleet.settings, draft)
+        report = await RolloutRunner(fleet, rollout, lambda step: printer.note(f"{step} ...")).run()
+        code = EXITS[report.verdict]
+        in_flight = None
         if wait_s is not None and report.decided and code in (DONE, PARTIAL):
-            in_flight = await wait_for_end(made, subject, wait_s, out.note)
+            in_flight = await wait_for_end(fleet, subject, wait_s, printer.note)
             code = code if in_flight.ended else PARTIAL
-        out.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
+        printer.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
         if not json_only:
-            show_report(out, report)
+            print_report(printer, report)
             if in_flight:
-                show_in_flight(out, subject, in_flight, wait_s or 0.0)
+                print_in_flight(printer, subject, in_flight, wait_s or 0.0)
         return code
 
-    run(file, job, many_calls=True)
+    run(file, command, many_calls=True)
 
 
-def giving(verb: Verb, what: str, text: str) -> click.Command:
-    """The command of one verb."""
+def order_command(verb: Verb, metavar: str, text: str) -> click.Command:
+    """Return the command of one verb."""
     options = [
-        click.argument("subject", metavar=what),
+        click.argument("subject", metavar=metavar),
         as_json,
         click.option("--reason", required=True, help="Why; others read it."),
         click.option("--issuer", default=getpass.getuser, help="Who gives it (default: the user)."),
--- a/molereach/fleet/cli/commands/group.py
+++ b/molereach/fleet/cli/commands/group.py
@@ -1,12 +1,12 @@
-"""`molereach fleet`: all its commands."""
+"""`molereach fleet` with all its commands."""
 
 from pathlib import Path
 
 import click
 
-from molereach.fleet.cli.commands.give import giving
+from molereach.fleet.cli.commands.give import order_command
 from molereach.fleet.cli.commands.orders import orders
-from molereach.fleet.cli.commands.seen import members, quota
+from molereach.fleet.cli.commands.servers import members, quota
 from molereach.fleet.cli.commands.status import status
 from molereach.fleet.cli.commands.watch import watch
 from molereach.fleet.cli.exits import EXIT_TEXT
@@ -31,7 +31,11 @@
 
 for command in (status, members, quota, orders, watch):
     fleet.add_command(command)
-fleet.add_command(giving(Verb.DRAIN, "SERVER", "Nothing new to a SERVER, at every front door."))
-fleet.add_command(giving(Verb.UNDRAIN, "SERVER", "End the drain of a SERVER; discovery's own drains stay."))
-fleet.add_command(giving(Verb.HOLD, "DOOR", "No new clients at a front DOOR; those that it has are served."))
-fleet.add_command(giving(Verb.RELEASE, "DOOR", "End the hold of a front DOOR."))
+fleet.add_command(order_command(Verb.DRAIN, "SERVER", "Nothing new to a SERVER, at every front door."))
+fleet.add_command(
+    order_command(Verb.UNDRAIN, "SERVER", "End the drain of a SERVER; discovery's own drains stay.")
+)
+fleet.add_command(
+    order_command(Verb.HOLD, "DOOR", "No new clients at a front DOOR; those that it has are served.")
+)
+fleet.add_command(order_command(Verb.RELEASE, "DOOR", "End the hold of a front DOOR."))
--- a/molereach/fleet/cli/commands/status.py
+++ b/molereach/fleet/cli/commands/status.py
@@ -1,16 +1,30 @@
-"""`status`: every agent and every front door."""
+"""`status`: the state of every agent and every proxy."""
 
 from pathlib import Path
 from typing import Any
 
 import click
 
-from molereach.fleet.api_bodies import Status
+from molereach.fleet.api_bodies import ProxyStatus, Status
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import complain, errors, good, reading_exit
+from molereach.fleet.cli.exits import answers, errors, print_errors, reading_exit
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
 
+PROXY_COLUMNS = (
+    "agent",
+    "door",
+    "reach",
+    "heard",
+    "revision",
+    "clients are",
+    "clients",
+    "requests",
+    "up s",
+    "",
+)
+AGENT_COLUMNS = ("agent", "revision", "synced", "pending", "journal")
+
 
 @click.command()
 @as_json
@@ -18,72 +32,80 @@
 def status(file: Path | None, json_only: bool) -> None:
     """The state of every agent and every front door."""
 
-    async def job(made: Fleet) -> int:
-        out, found = Printer(json_only), await made.all("/v1/status", Status)
-        heard: dict[str, Status] = good(found)
-        unseen = [
-            (agent, door)
-            for agent, doors in made.settings.expected_proxies().items()
-            for door in doors
-            if agent not in heard or door not in {each.name for each in heard[agent].proxies}
-        ]
-        out.result(
+    async def command(fleet: Fleet) -> int:
+        printer = Printer(json_only)
+        results = await fleet.all("/v1/status", Status)
+        statuses: dict[str, Status] = answers(results)
+        unknown = unknown_proxies(fleet.settings.expected_proxies(), statuses)
+        printer.result(
             {
-                "agents": list(heard.values()),
-                "not_reached": errors(found),
-                "not_seen": [{"agent": agent, "door": door} for agent, door in unseen],
+                "agents": list(statuses.values()),
+                "not_reached": errors(results),
+                "not_seen": [{"agent": agent, "door": proxy} for agent, proxy in unknown],
             }
         )
         if not json_only:
-            show_status(out, heard, unseen)
-            complain(out, errors(found))
-        away = any(
-            door.reachability not in ("up", "ended") for each in heard.values() for door in each.proxies
+            print_status(printer, statuses, unknown)
+            print_errors(printer, errors(results))
+        unreachable = any(
+            proxy.reachability not in ("up", "ended")
+            for agent_status in statuses.values()
+            for proxy in agent_status.proxies
         )
-        return reading_exit(found, away or bool(unseen))
+        return reading_exit(results, unreachable or bool(unknown))
 
-    run(file, job)
+    run(file, command)
 
 
-def show_status(out: Printer, heard: dict[str, Status], unseen: list[tuple[str, str]]) -> None:
-    rows: list[tuple[Any, ...]] = []
-    for agent, each in heard.items():
-        for door in each.proxies:
-            state = door.state
-            rows.append(
-                (
-                    agent,
-                    door.name,
-                    door.reachability,
-                    age(door.reported_ago_ms),
-                    door.revision,
-                    state and ("held" if state.on_hold else "open"),
-                    state and state.clients,
-                    state and state.open_requests,
-                    state and f"{state.up_s:.0f}",
-                    door.reason,
-                )
-            )
+def unknown_proxies(
+    expected: dict[str, tuple[str, ...]], statuses: dict[str, Status]
+) -> list[tuple[str, str]]:
+    """Return agent and name of the proxies that the fleet's file names and no agent has reported."""
+    known = {
+        (agent, proxy.name) for agent, agent_status in statuses.items() for proxy in agent_status.proxies
+    }
+    named = [(agent, name) for agent, names in expected.items() for name in names]
+    return [each for each in named if each not in known]
+
+
+def print_status(printer: Printer, statuses: dict[str, Status], unknown: list[tuple[str, str]]) -> None:
+    """Print a table of the proxies, with the unknown ones at its end, and a table of the agents."""
+    rows = [
+        proxy_row(agent, proxy) for agent, agent_status in statuses.items() for proxy in agent_status.proxies
+    ]
     rows += [
-        (agent, door, "unknown", "never", None, None, None, None, None, "named in the fleet's file only")
-        for agent, door in unseen
+        (agent, name, "unknown", "never", None, None, None, None, None, "named in the fleet's file only")
+        for agent, name in unknown
     ]
-    out.table(
-        "front doors",
-        ("agent", "door", "reach", "heard", "revision", "clients are", "clients", "requests", "up s", ""),
-        rows,
-    )
-    out.table(
+    printer.table("front doors", PROXY_COLUMNS, rows)
+    printer.table(
         "agents",
-        ("agent", "revision", "synced", "pending", "journal"),
+        AGENT_COLUMNS,
         (
             (
                 agent,
-                each.revision,
-                "yes" if each.synced else "NO",
-                each.pending and each.pending.id,
-                each.journal or "well",
+                agent_status.revision,
+                "yes" if agent_status.synced else "NO",
+                agent_status.pending and agent_status.pending.id,
+                agent_status.journal or "well",
             )
-            for agent, each in heard.items()
+            for agent, agent_status in statuses.items()
         ),
     )
+
+
+def proxy_row(agent: str, proxy: ProxyStatus) -> tuple[Any, ...]:
+    """Return the table's row of a proxy."""
+    state = proxy.state
+    return (
+        agent,
+        proxy.name,
+        proxy.reachability,
+        age(proxy.reported_ago_ms),
+        proxy.revision,
+        state and ("held" if state.on_hold else "open"),
+        state and state.clients,
+        state and state.open_requests,
+        state and f"{state.up_s:.0f}",
+        proxy.reason,
+    )
--- a/molereach/fleet/cli/commands/watch.py
+++ b/molereach/fleet/cli/commands/watch.py
@@ -1,4 +1,4 @@
-"""`watch`: what happens at all agents, as it happens."""
+"""`watch`: the events of all agents as they happen."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 def watch(file: Path | None, json_only: bool, seconds: float | None) -> None:
     """What happens at all agents, as it happens; with --json an object a line."""
 
-    async def job(made: Fleet) -> int:
+    async def command(fleet: Fleet) -> int:
         failed: dict[str, str] = {}
 
         def show(event: Event) -> None:
@@ -33,7 +33,7 @@
 
         async def follow(agent: str) -> None:
             try:
-                async for event in made.watch(agent):
+                async for event in fleet.watch(agent):
                     show(event)
                 failed[agent] = "its stream has ended"
             except CallError as error:
@@ -42,9 +42,9 @@
 
         try:
             async with asyncio.timeout(seconds):
-                await asyncio.gather(*(follow(agent) for agent in made.urls))
+                await asyncio.gather(*(follow(agent) for agent in fleet.urls))
         except TimeoutError:
             pass
-        return (UNREACHABLE if len(failed) == len(made.urls) else PARTIAL) if failed else DONE
+        return (UNREACHABLE if len(failed) == len(fleet.urls) else PARTIAL) if failed else DONE
 
-    run(file, job, many_calls=True)
+    run(file, command, many_calls=True)
--- a/molereach/fleet/cli/exits.py
+++ b/molereach/fleet/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the tool, and what many agents' answers come to as one of them."""
+"""Exit codes of the tool, and the code for the answers of many agents."""
 
 from typing import Any
 
@@ -6,7 +6,14 @@
 from molereach.fleet.cli.tables import Printer
 from molereach.fleet.rollout.report import Verdict
 
-DONE, FAILED, BAD_INPUT, PARTIAL, CONFLICT, UNREACHABLE, REJECTED, INTERRUPTED = 0, 1, 2, 3, 4, 5, 6, 130
+DONE = 0
+FAILED = 1
+INVALID_INPUT = 2
+PARTIAL = 3
+CONFLICT = 4
+UNREACHABLE = 5
+REJECTED = 6
+INTERRUPTED = 130
 EXITS = {
     Verdict.DONE: DONE,
     Verdict.PARTIAL: PARTIAL,
@@ -21,22 +28,25 @@
 agents, or no agent, answered; 6 refused; 130 interrupted"""
 
 
-def good(found: dict[str, Any]) -> dict[str, Any]:
-    return {name: each for name, each in found.items() if not isinstance(each, CallError)}
+def answers(results: dict[str, Any]) -> dict[str, Any]:
+    """Return the answers among the results of `Fleet.all`, by agent."""
+    return {name: each for name, each in results.items() if not isinstance(each, CallError)}
 
 
-def errors(found: dict[str, Any]) -> dict[str, str]:
-    return {name: str(each) for name, each in found.items() if isinstance(each, CallError)}
+def errors(results: dict[str, Any]) -> dict[str, str]:
+    """Return the texts of the errors among the results of `Fleet.all`, by agent."""
+    return {name: str(each) for name, each in results.items() if isinstance(each, CallError)}
 
 
-def reading_exit(found: dict[str, Any], missing: bool) -> int:
-    """Of a command that reads: all answered, some did, none did, or all refused."""
-    if not good(found):
-        refused = all(isinstance(each, CallRejectedError) for each in found.values())
-        return REJECTED if refused else UNREACHABLE
-    return PARTIAL if errors(found) or missing else DONE
+def reading_exit(results: dict[str, Any], missing: bool) -> int:
+    """Return the exit code of a command that reads; `missing` if an agent's answer was not complete."""
+    if not answers(results):
+        rejected = all(isinstance(each, CallRejectedError) for each in results.values())
+        return REJECTED if rejected else UNREACHABLE
+    return PARTIAL if errors(results) or missing else DONE
 
 
-def complain(out: Printer, failed: dict[str, str]) -> None:
+def print_errors(printer: Printer, failed: dict[str, str]) -> None:
+    """Print a line for each agent that did not answer."""
     for name, text in failed.items():
-        out.line(f"agent {name}: not reached: {text}")
+        printer.line(f"agent {name}: not reached: {text}")
--- a/molereach/fleet/cli/session.py
+++ b/molereach/fleet/cli/session.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import BAD_INPUT, INTERRUPTED
+from molereach.fleet.cli.exits import INTERRUPTED, INVALID_INPUT
 from molereach.fleet.orders import OrderError
 from molereach.fleet.settings import FleetFile, SettingsError, load
 
@@ -16,25 +16,26 @@
 as_json = click.option("--json", "json_only", is_flag=True, help="Print one JSON object and nothing else.")
 
 
-def opened(file: Path | None) -> tuple[Path, FleetFile]:
+def load_fleet(file: Path | None) -> tuple[Path, FleetFile]:
+    """Return a fleet's file and its settings; raise UsageError without a file."""
     if file is None:
         raise click.UsageError(f"no fleet file: give --fleet FILE, or set {FLEET_VARIABLE}")
     return file, load(file, FleetFile)
 
 
-def run(file: Path | None, job: Callable[[Fleet], Awaitable[int]], many_calls: bool = False) -> None:
-    """Carry out a command on a fleet and end with its exit code."""
+def run(file: Path | None, command: Callable[[Fleet], Awaitable[int]], many_calls: bool = False) -> None:
+    """Run a command on a fleet and end with its exit code; `many_calls` if it calls an agent repeatedly."""
 
-    async def all_of_it(path: Path, settings: FleetFile) -> int:
-        async with Fleet(path, settings, http1=not many_calls) as made:
-            return await job(made)
+    async def run_with_clients(path: Path, settings: FleetFile) -> int:
+        async with Fleet(path, settings, http1=not many_calls) as fleet:
+            return await command(fleet)
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            code = runner.run(all_of_it(*opened(file)))
+            code = runner.run(run_with_clients(*load_fleet(file)))
     except (SettingsError, OrderError) as error:
         click.echo(f"molereach fleet: {error}", err=True)
-        code = BAD_INPUT
+        code = INVALID_INPUT
     except KeyboardInterrupt:
         click.echo("molereach fleet: interrupted; 'orders' shows how far it came", err=True)
         code = INTERRUPTED
--- a/molereach/keyfile.py
+++ b/molereach/keyfile.py
@@ -1,17 +1,21 @@
-"""A secret of the whole tier in a file: read once at the start, refused where others can read it."""
+"""Reads the file with the secret key that all proxies of a tier share; other users must not be able to."""
 
 import stat
 from pathlib import Path
 
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # of BLAKE2b's key at most
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64  # the longest key of BLAKE2b
 
 
 class KeyFileError(Exception):
-    """The key cannot be used; the text is one plain line that names key, file and reason."""
+    """The key is not usable; the text is one line that names setting, file and reason."""
 
 
 def read_key(path: Path, setting: str) -> bytes:
-    """The key in a file that nobody but its owner can read; `setting` names it in the operator file."""
+    """Return the key in the file at `path`, which the operator file names as `setting`.
+
+    KeyFileError if it cannot be read, others can read it, or its length is wrong.
+    """
     try:
         with path.open("rb") as file:
             if stat.S_IMODE(path.stat().st_mode) & 0o077:
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -9,9 +9,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from molereach.fleet.cli.client import Fleet, RolloutRunner
+from molereach.fleet.cli.client import Fleet
 from molereach.fleet.cli.in_flight import wait_for_end
 from molereach.fleet.cli.rollouts import rollout_for
+from molereach.fleet.cli.runner import RolloutRunner
 from molereach.fleet.orders import Verb
 from molereach.fleet.rollout import events as ev
 from molereach.fleet.rollout import report as words
--- a/tests/compatibility/command_samples.py
+++ b/tests/compatibility/command_samples.py
@@ -21,7 +21,7 @@
 from molereach.command import check_config
 from molereach.fleet import api_bodies
 from molereach.fleet.agent import api
-from molereach.fleet.cli import client
+from molereach.fleet.cli import client, runner
 from molereach.fleet.cli.commands.group import fleet
 from molereach.fleet.rollout.report import Report
 from tests.compatibility import fleet_samples as samples
@@ -95,8 +95,8 @@
         yield event
 
 
-async def given(self: client.RolloutRunner) -> Report:
-    """In place of `Giver.run`: how it ended."""
+async def given(self: runner.RolloutRunner) -> Report:
+    """In place of `RolloutRunner.run`: a recorded report."""
     return samples.REPORTS[0]
 
 
@@ -113,7 +113,7 @@
         folder() as files,
         patch.object(client.Fleet, "call", answered),
         patch.object(client.Fleet, "watch", watched),
-        patch.object(client.RolloutRunner, "run", given),
+        patch.object(runner.RolloutRunner, "run", given),
     ):
         (files / FLEET_FILE).write_text(FLEET_TEXT)
         (files / TOKEN_FILE).write_text(TOKEN)
--- a/tests/compatibility/test_fleet.py
+++ b/tests/compatibility/test_fleet.py
@@ -7,7 +7,8 @@
 
 from molereach.fleet import agreement, api_bodies, journal, order_state, orders, wire
 from molereach.fleet.agent import api
-from molereach.fleet.cli.client import Replies, read
+from molereach.fleet.cli.client import read
+from molereach.fleet.cli.runner import Replies
 from molereach.fleet.rollout import report
 from tests.compatibility import fleet_samples as samples
 from tests.compatibility.recording import recorded, recorded_lines
--- a/tests/docs/options.py
+++ b/tests/docs/options.py
@@ -51,7 +51,7 @@
 @functools.cache
 def help_of(path: Path) -> tuple[int, str]:
     """Exit code and text of `--help` after these words; by a process where the program becomes another."""
-    if path[0] == "molereach" and path[1:2] not in [(name,) for name in command.WORLDS]:
+    if path[0] == "molereach" and path[1:2] not in [(name,) for name in command.PACKAGE_COMMANDS]:
         with contextlib.redirect_stdout(said := io.StringIO()):
             code = command.run([*path[1:], "--help"], {}, lambda *_: 1)
         return code, said.getvalue()
