--- a/molereach/cache/purge/holdings.py
+++ b/molereach/cache/purge/holdings.py
@@ -30,7 +30,7 @@
     stays: str
 
 
-RULES, DOOR, LIMITS = "molereach.policy", "molereach.proxy.proxy.Proxy", "molereach.limits"
+RULES, DOOR, LIMITS = "molereach.policy", "molereach.proxy", "molereach.limits"
 CACHE, CLIENT = "molereach.cache", "molereach.clients.resp.ClientConnection"
 REQUEST = "until its request is answered and its last attempt is over"
 FULL_AGAIN = "until its stores are full again: as good as new then"
@@ -125,9 +125,21 @@
         Effect.ENDS,
         "until the next event",
     ),
-    Holding(DOOR, "inbox", "events of this turn", Effect.ENDS, "a turn of the loop"),
-    Holding(DOOR, "open_requests", "requests", Effect.ENDS, REQUEST),
-    Holding(DOOR, "answered_requests", "requests with attempts still out", Effect.ENDS, REQUEST),
+    Holding(
+        f"{DOOR}.policy_driver.PolicyDriver",
+        "inbox",
+        "events of this turn",
+        Effect.ENDS,
+        "a turn of the loop",
+    ),
+    Holding(f"{DOOR}.request_registry.RequestRegistry", "open", "requests", Effect.ENDS, REQUEST),
+    Holding(
+        f"{DOOR}.request_registry.RequestRegistry",
+        "answered",
+        "requests with attempts still out",
+        Effect.ENDS,
+        REQUEST,
+    ),
     Holding(
         CLIENT,
         "replies",
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -114,9 +114,9 @@
         self.news_due = False
         self.lapse_timer: asyncio.TimerHandle | None = None
         self.told = asyncio.Event()  # an agent has brought its orders, be they none
-        if door.saved_list:
-            self.overlay.on_list(door.saved_list.event)
-        door.overlay = self.overlay.on_list
+        if door.endpoints.saved_list:
+            self.overlay.on_list(door.endpoints.saved_list.event)
+        door.endpoints.overlay = self.overlay.on_list
         self.answers: dict[str, Callable[[wire.Ask, ControlConnection], wire.Answer]] = {
             "state": self.on_state,
             "members": self.on_members,
@@ -206,12 +206,12 @@
             self.book.revision,
             self.overlay.version,
             len(door.clients.connections),
-            len(door.open_requests),
+            len(door.requests.open),
         )
 
     def on_members(self, ask: wire.Ask, _: ControlConnection) -> wire.Answer:
         out: dict[str, int] = {}
-        for exchange in (*self.door.open_requests.values(), *self.door.answered_requests.values()):
+        for exchange in (*self.door.requests.open.values(), *self.door.requests.answered.values()):
             for attempt in exchange.in_flight.values():
                 out[attempt.server] = out.get(attempt.server, 0) + 1
         buildings = {number: name for name, number in self.door.config.zone_numbers.items()}
@@ -236,9 +236,9 @@
             "asks": self.asks,
             "connections_refused": self.refused,
             "clients": len(self.door.clients.connections),
-            "open_requests": len(self.door.open_requests),
+            "open_requests": len(self.door.requests.open),
             "backend_connections": self.door.backends.count(),
-            "held_bytes": self.door.open_bytes,
+            "held_bytes": self.door.requests.open_bytes,
         }
         for beside in self.door.counter_sources:
             counters |= beside()
@@ -287,7 +287,7 @@
         """Bring the front door to what is wanted now."""
         now_ms = self.unix_ms()
         if news := self.overlay.on_orders(self.book.wanted(Verb.DRAIN, now_ms)):
-            self.door.publish(news, {})
+            self.door.endpoints.publish(news, {})
         self.door.clients.hold(self.door.config.name in self.book.wanted(Verb.HOLD, now_ms))
         if not self.news_due:
             self.news_due = True
--- a/molereach/proxy/__init__.py
+++ b/molereach/proxy/__init__.py
@@ -1,4 +1,6 @@
 """One front door: events to the policy, its actions to the sockets.
 
-In reading order: `config`, `gossip`, `graceful_shutdown`, `connection_draining`, `proxy`.
+In reading order: `config`, `resources` (bounds), `gossip`, `request_registry`, `policy_driver` (batches and
+timers), `action_execution`, `endpoint_updates`, `graceful_shutdown` (when), `connection_draining` (how),
+`proxy` (all of it).
 """
--- /dev/null
+++ b/molereach/proxy/request_registry.py
@@ -0,0 +1,83 @@
+"""The requests that a proxy has taken: open ones, and those answered while attempts are in flight."""
+
+import asyncio
+
+from molereach.backends.attempt import Attempt
+from molereach.clients.commands import Command
+from molereach.clients.replies import Reply
+from molereach.clients.requests import CommandError, NoRoomError
+from molereach.policy.interface.events import AttemptResult
+
+OPEN_REQUEST_BYTES = 4096  # that an open request takes besides its command
+
+
+class OpenRequest:
+    """A request from its arrival until its answer, with its attempts in flight by their numbers."""
+
+    __slots__ = ("attempts_sent", "command", "deadline_us", "in_flight", "reply", "timer")
+
+    def __init__(self, command: Command, reply: Reply, deadline_us: int) -> None:
+        self.command = command
+        self.reply = reply
+        self.deadline_us = deadline_us
+        self.attempts_sent = 0
+        self.in_flight: dict[int, Attempt] = {}
+        self.timer: asyncio.TimerHandle | None = None
+
+
+class RequestRegistry:
+    """Requests by their ids, bounded in number and in bytes."""
+
+    def __init__(self, max_open: int, max_open_bytes: int) -> None:
+        self.max_open = max_open
+        self.max_open_bytes = max_open_bytes
+        self.open: dict[str, OpenRequest] = {}  # that are owed an answer
+        self.answered: dict[str, OpenRequest] = {}  # with attempts in flight
+        self.open_bytes = 0
+
+    def check_admission(self, request_id: str) -> None:
+        """CommandError for an id in use, NoRoomError where a bound is reached."""
+        if request_id in self.open or request_id in self.answered:
+            raise CommandError("this id is in use")
+        if len(self.open) >= self.max_open or self.open_bytes > self.max_open_bytes:
+            raise NoRoomError("too many requests are open")
+
+    def add(self, request_id: str, request: OpenRequest) -> None:
+        """Count a request as open."""
+        self.open[request_id] = request
+        self.open_bytes += request.command.size + OPEN_REQUEST_BYTES
+
+    def settle(self, request_id: str) -> OpenRequest | None:
+        """The request is owed nothing more; None if that is so already.
+
+        It counts as answered before its attempts are withdrawn, as a withdrawn attempt reports its result at
+        once and must find it there.
+        """
+        request = self.open.pop(request_id, None)
+        if request is None:
+            return None
+        self.open_bytes -= request.command.size + OPEN_REQUEST_BYTES
+        if request.timer:
+            request.timer.cancel()
+        if request.in_flight:
+            self.answered[request_id] = request
+        for attempt in list(request.in_flight.values()):
+            attempt.withdraw(
+                AttemptResult.CANCELLED
+            )  # one that was not sent needs no setting to be cancelled
+        return request
+
+    def finish_attempt(self, request_id: str, number: int) -> bool:
+        """An attempt is no longer in flight; whether its request has been answered."""
+        is_answered = request_id not in self.open
+        request = self.answered.get(request_id) if is_answered else self.open[request_id]
+        if request:
+            request.in_flight.pop(number, None)
+            if is_answered and not request.in_flight:
+                del self.answered[request_id]
+        return is_answered
+
+    def attempt_in_flight(self, request_id: str, number: int) -> Attempt | None:
+        """The attempt of that number, also of a request that has been answered."""
+        request = self.open.get(request_id) or self.answered.get(request_id)
+        return request.in_flight.get(number) if request else None
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -20,7 +20,9 @@
 from molereach.policy.interface.actions import ForwardAttempt
 from molereach.policy.interface.events import EndpointState
 from molereach.policy.interface.settings import Idempotency
+from molereach.proxy.action_execution import ActionExecutor
 from molereach.proxy.config import Config
+from molereach.proxy.endpoint_updates import EndpointUpdates
 from molereach.proxy.proxy import Proxy
 
 EVERY = 40
@@ -39,11 +41,11 @@
 
 
 def twice() -> None:
-    send = Proxy.forward
+    send = ActionExecutor.forward
 
-    def broken(self: Proxy, action: ForwardAttempt) -> None:
+    def broken(self: ActionExecutor, action: ForwardAttempt) -> None:
         send(self, action)
-        exchange = self.open_requests.get(action.request_id)
+        exchange = self.requests.open.get(action.request_id)
         others = [name for name in self.backends.pools if name != action.endpoint]
         effect = self.settings.classes[exchange.command.request.class_index].idempotency if exchange else None
         if exchange and others and effect is Idempotency.NON_IDEMPOTENT:
@@ -51,21 +53,21 @@
             unheard = Attempt(action.request_id, 99, others[0], payload, lambda *outcome: None)
             self.backends.send(unheard, 1_000_000)
 
-    Proxy.forward = broken  # type: ignore[method-assign]
+    ActionExecutor.forward = broken  # type: ignore[method-assign]
 
 
 def drain() -> None:
-    heard = Proxy.on_endpoint_update
+    heard = EndpointUpdates.on_update
 
-    def broken(self: Proxy, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
-        servers = news.event.endpoints if isinstance(news, EndpointUpdate) else ()
+    def broken(self: EndpointUpdates, update: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
+        servers = update.event.endpoints if isinstance(update, EndpointUpdate) else ()
         up = [server for server in servers if server.state is EndpointState.UP]
         if len(up) == len(servers):
-            return heard(self, news)
-        self.loop.call_later(LATE_S, heard, self, news)
+            return heard(self, update)
+        asyncio.get_running_loop().call_later(LATE_S, heard, self, update)
         return None
 
-    Proxy.on_endpoint_update = broken  # type: ignore[method-assign]
+    EndpointUpdates.on_update = broken  # type: ignore[method-assign]
 
 
 def crash() -> None:
@@ -79,12 +81,12 @@
 
 
 def foreign() -> None:
-    answer = Proxy.answer
+    answer = ActionExecutor.answer
 
-    def broken(self: Proxy, name: str, data: bytes) -> None:
-        answer(self, name, b"$2\r\nok\r\n" if data.startswith(b"$") else data)
+    def broken(self: ActionExecutor, request_id: str, data: bytes) -> None:
+        answer(self, request_id, b"$2\r\nok\r\n" if data.startswith(b"$") else data)
 
-    Proxy.answer = broken  # type: ignore[method-assign]
+    ActionExecutor.answer = broken  # type: ignore[method-assign]
 
 
 def hold() -> None:
@@ -127,7 +129,7 @@
     def broken(self: Proxy, config: Config) -> None:
         settings = config.settings
         make(self, replace(config, settings=replace(settings, slow_start_fraction=1.0)))
-        self.mapping.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
+        self.endpoints.mapping.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
 
     Proxy.__init__ = broken  # type: ignore[method-assign]
 
--- a/sim/seam.py
+++ b/sim/seam.py
@@ -68,7 +68,7 @@
         ("molereach.__main__", "gc", SimpleNamespace(collect=lambda: None, freeze=lambda: None)),
         ("molereach.__main__", "reload", reload),
         (
-            "molereach.proxy.proxy",
+            "molereach.proxy.resources",
             "resource",
             SimpleNamespace(RLIMIT_NOFILE=0, getrlimit=lambda which: (DESCRIPTORS, DESCRIPTORS)),
         ),
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -154,7 +154,7 @@
             held.set()
             for number, client in enumerate((second, third, fourth)):
                 client.send(query(f"a{number}"))
-            while len(door.open_requests) < 3:
+            while len(door.requests.open) < 3:
                 await asyncio.sleep(0)
             late = await Client.open(address)  # nobody is idle
             assert await late.answer() == "-ERR max number of clients reached"
@@ -312,12 +312,12 @@
             for number, client in enumerate(asking):
                 client.send(b"".join(query(f"a{number}x{other}") for other in range(16)))
             last = await Client.open(address)
-            while len(door.open_requests) < 30:
+            while len(door.requests.open) < 30:
                 await asyncio.sleep(0)
-            while (answer := await last.ask(query(f"b{len(door.open_requests)}", wait_ms=10))) == "-BUSY 750":
+            while (answer := await last.ask(query(f"b{len(door.requests.open)}", wait_ms=10))) == "-BUSY 750":
                 pass
             assert answer == "-ERR too many requests are open"
-            assert door.open_bytes < (1 << 20) // 8 + 5000
+            assert door.requests.open_bytes < (1 << 20) // 8 + 5000
 
     run(job())
 
@@ -328,7 +328,7 @@
 
         def answer(words: list[bytes]) -> bytes:
             nonlocal most
-            most = max(most, len(door.open_requests))
+            most = max(most, len(door.requests.open))
             return value(words[2])
 
         backend = Backend(answer)
@@ -372,7 +372,7 @@
             answers = [await client.answer() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
             assert await client.ended()
-            assert not door.open_requests
+            assert not door.requests.open
 
     run(job())
     assert "a fault of ours" in caplog.text
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -105,7 +105,10 @@
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
             assert new.targets == [WHOLE, f"{AFTER}9"]
-            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == LONG
+            assert (
+                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
+                and door.endpoints.endpoint_list.count == LONG
+            )
             assert set(watch.targets) == {f"{AFTER}3"}
 
     run(job())
@@ -196,11 +199,12 @@
             assert watch.targets == [f"{AFTER}3"] * 2
             await until(lambda: door.discovery.version == 5)
             assert (
-                isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == LONG + 1
+                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
+                and door.endpoints.endpoint_list.count == LONG + 1
             )
             end.set()
             await until(lambda: door.discovery.version == 9)
-            assert door.endpoint_lists.count == LONG
+            assert door.endpoints.endpoint_list.count == LONG
 
     run(job())
     (line,) = said(caplog, "malformed watch response")
@@ -240,8 +244,11 @@
 
             assert door.discovery.successor
             door.discovery.successor.on_update = taking
-            hear = door.publish
-            door.publish = lambda event, addresses: (heard.append(event.version), hear(event, addresses))  # type: ignore
+            hear = door.endpoints.publish
+            door.endpoints.publish = lambda event, addresses: (
+                heard.append(event.version),
+                hear(event, addresses),
+            )  # type: ignore
             await until(lambda: door.discovery.version == 9)
             assert heard == [5, 9]
             assert "s-00000000" not in door.backends.pools and "s-00000001" in door.backends.pools
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -139,7 +139,10 @@
                 assert await client.ask(query(f"r{served}")) == b"ok"
                 served += 1
             assert served > 10 and set(door.backends.pools) == {"s0"}  # of all, the one that is up
-            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == 20_001
+            assert (
+                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
+                and door.endpoints.endpoint_list.count == 20_001
+            )
         finally:
             door.close()
 
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -8,7 +8,7 @@
 
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
-from molereach.proxy import proxy
+from molereach.proxy import proxy, resources
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
 from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
@@ -30,7 +30,7 @@
 ) -> None:
     asked = []
     monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: asked.append(values) or AllSeen())
-    monkeypatch.setattr(proxy.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
+    monkeypatch.setattr(resources.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
 
     async def job() -> None:
         Proxy(replace(CONFIG, sockets=sockets, memory_mb=memory_mb)).close()
@@ -82,11 +82,11 @@
             await asyncio.Event().wait()
 
         async with door_before(play) as (door, _):
-            assert door.saved_list and door.saved_list.event.endpoints[0].name == "s1"
+            assert door.endpoints.saved_list and door.endpoints.saved_list.event.endpoints[0].name == "s1"
             heard: list[EndpointListReceived] = []
-            door.overlay = lambda news: replace(news, sharing_proxies=7)
-            hear = door.publish
-            door.publish = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
+            door.endpoints.overlay = lambda news: replace(news, sharing_proxies=7)
+            hear = door.endpoints.publish
+            door.endpoints.publish = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
             await until(lambda: door.discovery.version == 4)
             assert [[one.name for one in event.endpoints] for event in heard] == [["s-00000000"]]
             assert heard[0].sharing_proxies == 7 and list(door.backends.pools) == ["s-00000000"]
@@ -111,6 +111,8 @@
 
     async def job() -> None:
         async with door_before(says(HEAD)) as (door, _):
-            assert door.saved_list is None and door.discovery.version == 3 and not door.backends.pools
+            assert (
+                door.endpoints.saved_list is None and door.discovery.version == 3 and not door.backends.pools
+            )
 
     run(job())
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -210,7 +210,7 @@
             assert first.overlay.drained == {"s0"}
             await until(lambda: agent.status().doors[0].revision == 1)
             servers = (Endpoint("s0", 0, 0, 0, EndpointState.UP),)
-            door.on_endpoint_update(
+            door.endpoints.on_update(
                 EndpointUpdate(EndpointListReceived(EndpointListKind.FULL, 9, servers), {})
             )
             assert (await agent.view()).ready == {"s0": "a"}
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -160,7 +160,7 @@
             await agent.ask("put", book=book(order(1, "drain", "s9")))
             there = backend.server.sockets[0].getsockname()
             servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
-            door.on_endpoint_update(
+            door.endpoints.on_update(
                 EndpointUpdate(
                     EndpointListReceived(EndpointListKind.FULL, 9, servers), {"s8": there, "s9": there}
                 )
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -119,14 +119,17 @@
         try:
             assert left == list(range(len(left)))[::-1] and not door.config.known_parts
             assert (
-                door.saved_list
-                and door.saved_list.event.kind is EndpointListKind.SAVED
+                door.endpoints.saved_list
+                and door.endpoints.saved_list.event.kind is EndpointListKind.SAVED
                 and door.discovery.version == 4
             )
-            names = {server.name for server in door.saved_list.event.endpoints}
+            names = {server.name for server in door.endpoints.saved_list.event.endpoints}
             listed = {f"s-{number:08x}" for number in range(COUNT)}
             assert names == listed  # a front door alone sees all
-            assert isinstance(door.endpoint_lists, EndpointSubsetting) and door.endpoint_lists.count == COUNT
+            assert (
+                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
+                and door.endpoints.endpoint_list.count == COUNT
+            )
         finally:
             door.close()
 
@@ -150,7 +153,9 @@
     async def job() -> None:
         door = Proxy(found)
         try:
-            assert door.saved_list is None and door.discovery.version == 0 and not door.backends.pools
+            assert (
+                door.endpoints.saved_list is None and door.discovery.version == 0 and not door.backends.pools
+            )
             assert not found.known_parts
         finally:
             door.close()
@@ -167,7 +172,7 @@
 
     async def job() -> None:
         door = Proxy(found)
-        assert door.saved_list is None and not found.known_parts
+        assert door.endpoints.saved_list is None and not found.known_parts
         door.close()
 
     run(job())
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -112,7 +112,7 @@
             assert time.monotonic() - started < 0.3
             await backend.left.wait()  # the attempt was given up by closing its connection
             assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
-            assert not door.open_requests and not door.answered_requests and door.open_bytes == 0
+            assert not door.requests.open and not door.requests.answered and door.requests.open_bytes == 0
 
     run(job())
 
@@ -126,7 +126,7 @@
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.open_requests and not door.gateway.attempts.jobs
+            assert not door.requests.open and not door.gateway.attempts.jobs
 
     run(job())
 
@@ -184,7 +184,7 @@
             assert await client.ask(query("a1")) == b"ok"
             seen: list[Event] = []
             door.gateway.handle = lambda now, event: seen.append(event) or []
-            door.forward(ForwardAttempt("a1", "s0"))
+            door.actions.forward(ForwardAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [
@@ -218,9 +218,9 @@
         for token in range(40):
             delay = 5_000 + 37 * token
             due[token] = time.monotonic_ns() // 1000 + delay
-            door.set_timer(SetTimer(delay, token))
+            door.driver.set_timer(SetTimer(delay, token))
         for number in range(5):
-            door.post(ClientDisconnected(str(number)))
+            door.driver.post(ClientDisconnected(str(number)))
         await done.wait()
         assert all(rung[token] >= due[token] for token in due)
         assert len(moments) == 5 and len(set(moments)) == 1
@@ -368,10 +368,10 @@
                 for _ in range(10):
                     assert await client.answer() is not None
             view = door.gateway
-            while door.open_requests or door.answered_requests or view.attempts.jobs:
+            while door.requests.open or door.requests.answered or view.attempts.jobs:
                 await asyncio.sleep(0.01)
             assert view.attempts.out == 0 and not any(server.out for server in view.fleet.servers.values())
-            assert not view.held and not view.admission.waits and door.open_bytes == 0
+            assert not view.held and not view.admission.waits and door.requests.open_bytes == 0
             assert all(customer.out == 0 for customer in view.customers.known.values())
             pools = door.backends.pools.values()
             while door.backends.count() > sum(len(pool.idle) for pool in pools):
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -71,7 +71,7 @@
                 await turns(5)
                 assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"
                 assert (
-                    not door.open_requests and not door.answered_requests and not door.gateway.attempts.jobs
+                    not door.requests.open and not door.requests.answered and not door.gateway.attempts.jobs
                 )
 
     run(job())
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -16,7 +16,7 @@
 
 def tell(door: Proxy, *servers: Endpoint, **addresses: tuple[str, int]) -> None:
     """News of the list, as discovery brings them."""
-    door.publish(EndpointListReceived(EndpointListKind.CHANGES, 8, servers), addresses)
+    door.endpoints.publish(EndpointListReceived(EndpointListKind.CHANGES, 8, servers), addresses)
 
 
 async def nothing_comes(held: Machine) -> None:
@@ -62,7 +62,7 @@
                 client = Peer.dial(address)
                 await until(lambda: bool(door.clients.connections))
                 client.say(submit("a1"))
-                while not door.inbox:
+                while not door.driver.inbox:
                     await asyncio.sleep(0)
                 tell(door, replace(OLD, state=EndpointState.DRAINING), OTHER, other=at)
                 assert await client.hear_until(b"ok\r\n")
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -37,9 +37,9 @@
                     client = await asked(door)
                     await dials.came.wait()
                     client.close()
-                    await until(lambda: not door.open_requests)
+                    await until(lambda: not door.requests.open)
                     await turns()
-                    assert not door.answered_requests and not door.gateway.attempts.jobs
+                    assert not door.requests.answered and not door.gateway.attempts.jobs
                     dials.let_go()
                     peer = await held.accept()
                     pool = door.backends.pools["s0"]
@@ -63,9 +63,9 @@
                 peer = await held.accept()
                 await peer.hear(1)
                 client.close()
-                await until(lambda: not door.open_requests)
+                await until(lambda: not door.requests.open)
                 heard = await peer.hear_all()  # it is ended, and not whole
-                assert not heard.endswith(b"BODY\r\n") and not door.answered_requests
+                assert not heard.endswith(b"BODY\r\n") and not door.requests.answered
 
     run(job())
 
@@ -80,14 +80,14 @@
                 peer = await held.accept()
                 await peer.hear_until(b"BODY")
                 peer.say(b"-BUSY\r\n")  # it never ran: a second try is free
-                while not door.inbox:
+                while not door.driver.inbox:
                     await asyncio.sleep(0)
                 client.close()
-                door.client_gone(next(iter(door.open_requests.values())).reply)
+                door.client_gone(next(iter(door.requests.open.values())).reply)
                 await turns(9)
                 assert not held.waiting() and peer.pending() == b""
                 assert (
-                    not door.open_requests and not door.answered_requests and not door.gateway.attempts.jobs
+                    not door.requests.open and not door.requests.answered and not door.gateway.attempts.jobs
                 )
 
     run(job())
@@ -105,10 +105,10 @@
                 with Dials() as dials:
                     client = await asked(door)
                     await dials.came.wait()
-                    door.on_backstop("a1")
+                    door.actions.on_backstop("a1")
                     assert await client.hear_until(b"-ERR failed\r\n")
                     await turns()
-                    assert not door.answered_requests
+                    assert not door.requests.answered
                     dials.let_go()
                     peer = await held.accept()
                     await until(lambda: bool(door.backends.pools["s0"].idle))
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -101,12 +101,12 @@
                     if answer == b"ok":
                         server = Endpoint("other", 0, 0, 0, EndpointState.UP)
                         news = EndpointListReceived(EndpointListKind.CHANGES, 8, (server, gone()))
-                        door.publish(news, {"other": await other.start()})
+                        door.endpoints.publish(news, {"other": await other.start()})
                     end(peer)
                     assert await client.answer() == answer
                     assert not held.waiting()  # an unsafe one is not tried again anywhere
                     assert await client.ask(b"*1\r\n$4\r\nPING\r\n") == b"PONG"  # nothing else came
-                    assert not door.open_requests and not door.answered_requests
+                    assert not door.requests.open and not door.requests.answered
                 assert len(other.commands) == 1
 
     run(job())
--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -58,7 +58,7 @@
                     dials.let_go()
                     peer = await held.accept()
                     assert await client.answer() == "-ERR failed"  # a next try would run again as well
-                    assert peer.pending() == b"" and not door.open_requests and not door.answered_requests
+                    assert peer.pending() == b"" and not door.requests.open and not door.requests.answered
 
     run(job())
 
@@ -110,7 +110,7 @@
                 client = await Client.open(address)
                 await broken_after_the_last_byte(client, held, body=LONG)
                 peer = await held.accept()
-                attempt = next(iter(door.open_requests["a1"].in_flight.values()))
+                attempt = next(iter(door.requests.open["a1"].in_flight.values()))
                 await until(lambda: attempt.connection is not None)
                 assert not attempt.written
                 await asyncio.sleep(WINDOW_US / 1e6)
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -24,7 +24,7 @@
         async with front_door(Backend(lambda words: None), max_open=1) as (door, address):
             holder, peer = Peer.dial(address), Peer.dial(address)
             holder.say(query("a1"))
-            await until(lambda: len(door.open_requests) == 1)
+            await until(lambda: len(door.requests.open) == 1)
             count = 2 * clients.MOST_ERRORS
             peer.say(b"".join(query(f"b{number}") for number in range(count)) + resp("PING"))
             heard = await peer.hear_until(b"+PONG\r\n")
@@ -161,7 +161,7 @@
                 door_most = max(door_most, connection.waiting_bytes())
             await until(lambda: not connection.reading)
             assert max(door_most, connection.waiting_bytes()) <= 3 * listener.READ_BYTES
-            assert len(door.open_requests) <= clients.MOST_PIPELINED
+            assert len(door.requests.open) <= clients.MOST_PIPELINED
             sending.cancel()
             await turns()
 
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -44,7 +44,7 @@
 
 async def taken(door: Proxy, peer: Peer, data: bytes, count: int) -> None:
     peer.say(data)
-    await until(lambda: len(door.open_requests) == count)
+    await until(lambda: len(door.requests.open) == count)
 
 
 @GOES
@@ -58,7 +58,7 @@
             await taken(door, peer, query("a1"), 1)
             go(peer)
             await until(lambda: gone(told) == ["a1"])
-            assert not door.open_requests and door.open_bytes == 0
+            assert not door.requests.open and door.requests.open_bytes == 0
 
     run(job())
 
@@ -75,7 +75,7 @@
                 go(peer)
                 await until(lambda: gone(told) == ["a1"])
                 dials.let_go()
-                await until(lambda: not door.answered_requests)
+                await until(lambda: not door.requests.answered)
                 await turns(10)
             assert backend.commands == []
 
@@ -97,7 +97,7 @@
             await turns()
             go(peer)
             await until(lambda: len(gone(told)) == most)
-            assert not door.open_requests
+            assert not door.requests.open
 
     run(job())
 
@@ -200,7 +200,7 @@
             assert await client.ask(resp("PING")) == b"PONG"
             await until(lambda: len(door.clients.connections) == 1)
             assert backend.commands == [] and backend.opened == 0
-            assert not door.open_requests and not door.answered_requests
+            assert not door.requests.open and not door.requests.answered
 
     run(job())
 
@@ -217,7 +217,7 @@
             peer.say(query("a2"))
             peer.finish()
             await until(lambda: gone(told) == ["a2"])
-            await until(lambda: not door.answered_requests)
+            await until(lambda: not door.requests.answered)
             assert await peer.hear_all() == b""
 
     run(job())
@@ -233,7 +233,7 @@
             await taken(door, peer, resp("SVC.QUERY", CUSTOMER, "a1", fields), 1)
             peer.close()
             await until(lambda: gone(told) == ["a1"])
-            assert not door.open_requests
+            assert not door.requests.open
 
     run(job())
 
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -36,7 +36,7 @@
 def servers_are(door: Proxy, state: EndpointState) -> None:
     """The list says so of all of them, as if discovery had told."""
     entries = tuple(replace(server.entry, state=state) for server in door.gateway.fleet.servers.values())
-    door.publish(EndpointListReceived(EndpointListKind.CHANGES, 8, entries), {})
+    door.endpoints.publish(EndpointListReceived(EndpointListKind.CHANGES, 8, entries), {})
 
 
 def test_end_behind_what_is_not_read_is_looked_for_soon_enough() -> None:
@@ -55,12 +55,12 @@
             peer = Peer.dial(address)
             peer.say(query("a1"))
             await until(lambda: len(door.gateway.held) == 1)
-            assert not door.open_requests["a1"].in_flight
+            assert not door.requests.open["a1"].in_flight
             go(peer)
             await until(lambda: gone(told) == ["a1"])
             for writer in backend.writers[:ROOM]:
                 writer.write(value(b"ok"))
-            await until(lambda: not door.open_requests)
+            await until(lambda: not door.requests.open)
             door.gateway.release()
             await turns(9)
             assert [words[2] for words in backend.commands if words[2] == b"a1"] == []
@@ -89,7 +89,7 @@
             door.gateway.release()
             await turns(9)
             assert len(backend.commands) == 1
-            assert not door.open_requests and not door.answered_requests and not door.gateway.attempts.jobs
+            assert not door.requests.open and not door.requests.answered and not door.gateway.attempts.jobs
 
     run(job())
 
@@ -106,18 +106,18 @@
                 peer.say(query("a1"))
                 await until(
                     lambda: any(
-                        each.written for x in door.open_requests.values() for each in x.in_flight.values()
+                        each.written for x in door.requests.open.values() for each in x.in_flight.values()
                     )
                 )
                 first, second = (
-                    (one, other) if door.open_requests["a1"].in_flight[0].server == "s0" else (other, one)
+                    (one, other) if door.requests.open["a1"].in_flight[0].server == "s0" else (other, one)
                 )
                 backend = await first.accept()
                 peer.close()
                 await until(lambda: gone(told) == ["a1"])
                 if not may_cancel:
                     backend.reset()  # a safe request would be sent again
-                await until(lambda: not door.answered_requests)
+                await until(lambda: not door.requests.answered)
                 await turns(9)
                 assert not second.waiting() and not first.waiting()
                 assert not door.gateway.attempts.jobs
@@ -146,7 +146,7 @@
             fields = "c=read,t=team,d=3000,spread=2,first=0"
             peer.say(resp("SVC.QUERY", customer, "a1", fields))
             await asyncio.get_running_loop().sock_recv(home, 2048)  # it is asked
-            assert "a1" in door.open_requests and not door.open_requests["a1"].in_flight
+            assert "a1" in door.requests.open and not door.requests.open["a1"].in_flight
             go(peer)
             await until(lambda: gone(told) == ["a1"])
             await until(lambda: not door.gateway.words.waiting)
@@ -168,7 +168,7 @@
             told, peer = events(door), Peer.dial(address)
             most = clients.MOST_PIPELINED
             peer.say(b"".join(query(f"a{number}") for number in range(most)))
-            await until(lambda: len(door.open_requests) == most)
+            await until(lambda: len(door.requests.open) == most)
             (connection,) = door.clients.connections
             peer.say(submit("b1", body=b"x" * READ_BYTES)[: READ_BYTES + 9000 * half])
             await until(lambda: not connection.reading or len(connection.reader.buffer) >= READ_BYTES // 2)
@@ -178,6 +178,6 @@
             await until(lambda: all(writer.is_closing() for writer in backend.writers))  # called off
             door.gateway.release()
             await turns(9)
-            assert len(backend.commands) == ROOM and not door.open_requests
+            assert len(backend.commands) == ROOM and not door.requests.open
 
     run(job())
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -41,7 +41,7 @@
     peers = [Peer.dial(address) for _ in range(count)]
     for number, peer in enumerate(peers):
         peer.say(query(f"b{number}"))
-    await until(lambda: len(door.open_requests) == count)
+    await until(lambda: len(door.requests.open) == count)
     return peers
 
 
@@ -123,7 +123,7 @@
             assert await late.hear_all() == CROWDED and resets([late]) == [0]
             late.close()
             await until(lambda: len(door.clients.connections) == 14)
-            assert len(door.open_requests) == door.clients.sockets == len(peers)
+            assert len(door.requests.open) == door.clients.sockets == len(peers)
 
     run(job())
 
@@ -173,7 +173,7 @@
             assert await late.hear_until(b"\r\n") == b"+PONG\r\n"
             silent.say(query("a1"))
             assert await silent.hear_all() == CROWDED
-            assert len(door.open_requests) == len(peers)
+            assert len(door.requests.open) == len(peers)
 
     run(job())
 
@@ -192,9 +192,9 @@
                 seen = max(seen, door.clients.sockets)
                 await asyncio.sleep(0)
             assert 16 <= max(seen, door.clients.sockets) <= 17
-            assert len(door.open_requests) == 14
+            assert len(door.requests.open) == 14
             for number, peer in enumerate(peers):
-                door.answer(f"b{number}", OK)
+                door.actions.answer(f"b{number}", OK)
                 assert await peer.hear_until(OK) == OK
             for late in flood:
                 with contextlib.suppress(OSError):
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_tries.py
@@ -8,14 +8,14 @@
 
 
 def written(door: Proxy, name: str) -> bool:
-    return name in door.open_requests and any(
-        each.written for each in door.open_requests[name].in_flight.values()
+    return name in door.requests.open and any(
+        each.written for each in door.requests.open[name].in_flight.values()
     )
 
 
 def heard_from(door: Proxy, name: str, answer: bytes) -> None:
     """A backend's answer to the first try, in this turn and at this place among what else comes in it."""
-    connection = door.open_requests[name].in_flight[0].connection
+    connection = door.requests.open[name].in_flight[0].connection
     assert connection
     connection.data_received(answer)
 
@@ -39,8 +39,8 @@
                 (connection,) = door.clients.connections
                 heard_from(door, "a1", b"-BUSY\r\n")
                 connection.eof_received()
-                await until(lambda: not door.open_requests and not door.gateway.attempts.jobs)
-                assert sent == [] and not door.answered_requests
+                await until(lambda: not door.requests.open and not door.gateway.attempts.jobs)
+                assert sent == [] and not door.requests.answered
                 assert not any(server.out for server in door.gateway.fleet.servers.values())
 
     run(job())
@@ -64,12 +64,12 @@
                 return [ForwardAttempt("a1", "s0", attempt=1)] if event == asks else handle(now, event)
 
             door.gateway.handle = ask_again
-            door.post(asks)
+            door.driver.post(asks)
             heard_from(door, "a1", value(b"ok"))
             assert await peer.hear_until(b"ok\r\n")
             await until(lambda: sum(isinstance(event, AttemptEnded) for event in told) == 2)
             outcomes = [(event.attempt, event.result) for event in told if isinstance(event, AttemptEnded)]
             assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.NOT_SENT)]
-            assert not door.answered_requests
+            assert not door.requests.answered
 
     run(job())
--- a/tests/races/test_descriptors.py
+++ b/tests/races/test_descriptors.py
@@ -5,7 +5,7 @@
 import json
 from pathlib import Path
 
-from molereach.proxy.proxy import CLIENT_SOCKET_FRACTION, RESERVED_SOCKETS
+from molereach.proxy.resources import CLIENT_SOCKET_FRACTION, RESERVED_SOCKETS
 from tests.races.processes import Process, processes
 from tests.races.wire import Machine, Peer, machine, until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
--- a/tests/races/test_restarts_known.py
+++ b/tests/races/test_restarts_known.py
@@ -22,10 +22,10 @@
             {**good, "instances": [7]},
         ):
             async with front_door(known=known) as (door, _):
-                assert door.saved_list is None or not door.saved_list.event.endpoints
+                assert door.endpoints.saved_list is None or not door.endpoints.saved_list.event.endpoints
         async with front_door(known={**good, "instances": [infinite]}) as (door, _):
-            assert door.saved_list and [server.cell for server in door.saved_list.event.endpoints] == [
-                0
-            ]  # says nothing
+            assert door.endpoints.saved_list and [
+                server.cell for server in door.endpoints.saved_list.event.endpoints
+            ] == [0]  # says nothing
 
     run(job())
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -12,7 +12,7 @@
 
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.settings import Plan
-from molereach.proxy import proxy
+from molereach.proxy import resources
 from molereach.proxy.proxy import Proxy
 from tests.races.wire import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
@@ -83,7 +83,7 @@
                 await watch.hear_until(b"\r\n\r\n")
                 body = catalog(5, [entry("s0", backend)])
                 client.send(request("a1"))
-                while not door.open_requests:
+                while not door.requests.open:
                     await asyncio.sleep(0)
                 watch.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                 assert await client.answer() == b"ok"
@@ -164,7 +164,7 @@
     async def job() -> None:
         for sockets in (48, 100, 1024):
             door = Proxy(replace(CONFIG, sockets=sockets))
-            assert door.clients.most + door.backends.most + proxy.RESERVED_SOCKETS <= sockets
+            assert door.clients.most + door.backends.most + resources.RESERVED_SOCKETS <= sockets
             assert door.clients.most > 0 and door.backends.most > 0
             door.close()
 
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_ends.py
@@ -131,7 +131,7 @@
                 taken += 1
 
             before(door, "take", count)
-            before(door, "answer", ask)  # the next one has come when an answer leaves
+            before(door.actions, "answer", ask)  # the next one has come when an answer leaves
             ask()
             heard = asyncio.create_task(client.hear_all())
             draining = asyncio.create_task(drained(door))
@@ -148,10 +148,10 @@
         async with front_door(Backend(lambda words: None)) as (door, address):
             client = Peer.dial(address)
             client.say(b"".join(query(f"r{number}") for number in range(40)))
-            await until(lambda: len(door.open_requests) == MOST_PIPELINED)
+            await until(lambda: len(door.requests.open) == MOST_PIPELINED)
             door.clients.end()
-            for name in list(door.open_requests):
-                door.answer(name, OK)
+            for name in list(door.requests.open):
+                door.actions.answer(name, OK)
             assert await client.hear_all() == OK * MOST_PIPELINED + FAILED * (40 - MOST_PIPELINED)
 
     run(job())
@@ -172,7 +172,7 @@
 def clogged(door: Proxy) -> bool:
     return (
         any(each.waiting_bytes() > len(ANSWER) for each in door.clients.connections)
-        and not door.open_requests
+        and not door.requests.open
     )
 
 
--- a/tests/races/test_sigterm_requests.py
+++ b/tests/races/test_sigterm_requests.py
@@ -44,8 +44,8 @@
         async with front_door(settings=settings) as (door, address):
             client = Peer.dial(address)
             client.say(submit("held", wait_ms=12_000))
-            await until(lambda: "held" in door.open_requests)
-            assert not door.open_requests["held"].attempts_sent
+            await until(lambda: "held" in door.requests.open)
+            assert not door.requests.open["held"].attempts_sent
             draining = asyncio.create_task(door.drain())
             async with asyncio.timeout(5):  # the module would refuse it after half of its time, 6 s
                 assert await client.hear_all() == FAILED
