--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -11,7 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.coordination.interface import Entry, Position, Wire
+from molereach.coordination.interface.identifiers import Position, WireStruct
+from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.acceptor import Acceptor, in_order
 from molereach.coordination.replicated_log.once import Done
 from molereach.coordination.replicated_log.settings import MOST_RUNS
@@ -20,7 +21,7 @@
 Runs = Annotated[tuple[Run, ...], Meta(max_length=MOST_RUNS)]
 
 
-class Snapshot(Wire, frozen=True):
+class Snapshot(WireStruct, frozen=True):
     """All that entries up to `position` came to: the log's own state, and each machine's."""
 
     position: Position
@@ -33,7 +34,7 @@
     failed: tuple[str, ...] = ()  # stopped at who made it: their state is not here
 
 
-class Base(Wire, frozen=True):
+class Base(WireStruct, frozen=True):
     """What takes the place of all records so far."""
 
     disk: Disk
@@ -45,7 +46,7 @@
     snapshot: Snapshot
 
 
-class Record(Wire, frozen=True, tag_field="kind", tag=str.lower):
+class Record(WireStruct, frozen=True, tag_field="kind", tag=str.lower):
     """One record."""
 
 
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol
 
-from molereach.coordination.interface import Accounted, Known
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 from molereach.upkeep.permits.bodies import Word
 
@@ -41,20 +41,20 @@
     """The sessions that a proof must speak of, by fence."""
     found = {each.fencing_token: each for each in (*sessions.sessions_open_at(begun), *sessions.lone())}
     for opened in sessions.active_sessions():
-        past = sessions.last_ended_session(opened.incarnation.name)
-        if past is not None and past.incarnation == opened.incarnation:  # again in the same life
+        past = sessions.last_ended_session(opened.instance.name)
+        if past is not None and past.instance == opened.instance:  # again in the same life
             found[opened.fencing_token] = opened
     return tuple(found[fence] for fence in sorted(found))
 
 
 def alone(sessions: SessionsAt, session: EndedSession) -> bool:
     """Whether the front door that had this session may serve on without any."""
-    last = sessions.last_ended_session(session.incarnation.name)
+    last = sessions.last_ended_session(session.instance.name)
     return (
-        session.known is Known.OVER
-        and sessions.active_session(session.incarnation.name) is None
+        session.evidence is ClearanceEvidence.SESSION_EXPIRED
+        and sessions.active_session(session.instance.name) is None
         and last is not None
-        and last.known is Known.OVER
+        and last.evidence is ClearanceEvidence.SESSION_EXPIRED
     )
 
 
@@ -66,10 +66,10 @@
     by_fence = {word.fence: word for word in words}
     for session in needed(sessions, begun):
         word = by_fence.get(session.fencing_token)
-        name = session.incarnation.name
+        name = session.instance.name
         if word is None:
             return f"no word of {name}"
-        if word.known is Known.SAID:
+        if word.known is ClearanceEvidence.REPORTED:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             if isinstance(session, EndedSession) and session.position < begun:
@@ -77,8 +77,8 @@
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.known, session.position):
-            return f"{name} is {session.known.value} by {session.position}"
+        if (word.known, word.position) != (session.evidence, session.position):
+            return f"{name} is {session.evidence.value} by {session.position}"
         if alone(sessions, session):
             if unstood >= session.fencing_token:
                 return f"{name} may still count on it"
@@ -87,6 +87,6 @@
     return ""
 
 
-def pack(accounted: Iterable[tuple[ActiveSession | EndedSession, Accounted]]) -> tuple[Word, ...]:
+def pack(accounted: Iterable[tuple[ActiveSession | EndedSession, NodeClearance]]) -> tuple[Word, ...]:
     """As it goes into an entry."""
-    return tuple(Word(session.fencing_token, each.known, each.position) for session, each in accounted)
+    return tuple(Word(session.fencing_token, each.evidence, each.position) for session, each in accounted)
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -2,7 +2,9 @@
 
 from collections.abc import Sequence
 
-from molereach.coordination.interface import Accounted, Ask, Entry, Grant, Known, Outcome, Terms
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.log import Entry, Outcome
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest, SessionTerms
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
 from molereach.coordination.leases.bodies import EndSession, decode, encode
 from molereach.coordination.leases.holder import LeaseHolder
@@ -20,7 +22,7 @@
         before = self._expires_at_us
         super()._apply_grants(now_us, event)
         if self._expires_at_us > before:
-            self._expires_at_us = now_us + self.terms.held_us
+            self._expires_at_us = now_us + self.terms.holder_duration_us
 
 
 class OpenedFromTheAnswer(LeaseHolder):
@@ -28,7 +30,7 @@
 
     def _start_session(self, now_us: int, fence: int, mine: int) -> None:
         super()._start_session(now_us, fence, mine)
-        self._expires_at_us = now_us + self.terms.held_us
+        self._expires_at_us = now_us + self.terms.holder_duration_us
 
 
 class StillHeldWhileClosing(LeaseHolder):
@@ -41,10 +43,10 @@
 
 
 class _AnyAsk(PendingRenewals):
-    def match_grant(self, grant: Grant) -> tuple[int, Ask] | None:
-        if (grant.name, grant.life) != (
-            self._incarnation.name,
-            self._incarnation.number,
+    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
+        if (grant.name, grant.instance_number) != (
+            self._instance.name,
+            self._instance.number,
         ) or not self._pending:
             return None
         return next(reversed(self._pending.values()))
@@ -55,13 +57,13 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _AnyAsk(self.incarnation)
+        self._renewals = _AnyAsk(self.instance)
 
 
 class _NumbersAgain(PendingRenewals):
-    def match_grant(self, grant: Grant) -> tuple[int, Ask] | None:
+    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         found = self._pending.get(grant.number)
-        return found if grant.name == self._incarnation.name else None
+        return found if grant.name == self._instance.name else None
 
     def clear(self) -> None:
         super().clear()
@@ -73,13 +75,13 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _NumbersAgain(self.incarnation)
+        self._renewals = _NumbersAgain(self.instance)
 
 
 class GivenUnconfirmed(LeaseManager):
     """Renewals are given at once, by whoever believes to lead."""
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         super()._handle_renewals(now_us, asks)
         self.unconfirmed = self._grant(now_us, asks) if self.manages else ()
 
@@ -99,11 +101,11 @@
 class GivenAfterItsEnd(LeaseManager):
     """What was proposed as ended is renewed all the same."""
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[Ask]) -> None:
+    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
         self._revive()
         super()._handle_renewals(now_us, asks)
 
-    def _grant(self, now_us: int, asks: Sequence[Ask]) -> tuple[Grant, ...]:
+    def _grant(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
         self._revive()
         return super()._grant(now_us, asks)
 
@@ -115,10 +117,10 @@
 class AWordIsEnough(AcknowledgementTracker):
     """Whoever was heard of since the entry counts as having it."""
 
-    def _acknowledgement(self, session: ActiveSession | EndedSession) -> Accounted | None:
-        said = self._reports.report(session.incarnation.name, session.fencing_token)
+    def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
+        said = self._reports.report(session.instance.name, session.fencing_token)
         if said is not None and said.received_at_us is not None and said.received_at_us >= self.since_us:
-            return Accounted(session.incarnation, Known.SAID, self.position)
+            return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
         return super()._acknowledgement(session)
 
 
@@ -134,16 +136,16 @@
                 entry.id,
                 entry.proposer,
                 entry.at_ms,
-                encode(EndSession(body.incarnation, body.fencing_token, self.ballot)),
+                encode(EndSession(body.instance, body.fencing_token, self.ballot)),
             )
         return super().apply(entry)
 
 
-class NoDrift(Terms):
+class NoDrift(SessionTerms):
     """The council takes its own clock for true."""
 
     @property
-    def over_us(self) -> int:
+    def expiry_us(self) -> int:
         return self.duration_us
 
 
--- a/tests/coordination/node/test_council.py
+++ b/tests/coordination/node/test_council.py
@@ -50,14 +50,14 @@
     until(play, mark, 3)
     core = play.cored[play.leaders()[0]]
     past = core.parts.sessions.last_ended_session(life.name)
-    assert past is not None and past.incarnation == life
+    assert past is not None and past.instance == life
     assert life.name not in {alive.name for alive in core.parts.membership.alive()}
 
 
 def test_a_front_door_that_stood_still_finds_its_session_over_before_it_acts() -> None:
     play = well()
     stopped = next(door for door in range(5, 7))
-    before = play.cored[stopped].parts.holder.fence
+    before = play.cored[stopped].parts.holder.fencing_token
     play.stop(play.nodes[stopped])
     play.run(play.now + 12 * S)
     assert not play.holding(stopped)  # by its own clock, whatever it has read
@@ -65,7 +65,7 @@
     until(play, mark, 3)  # nobody waits for it
     play.resume(play.nodes[stopped])
     play.run(play.now + 4 * S)
-    assert play.holding(stopped) and play.cored[stopped].parts.holder.fence > before
+    assert play.holding(stopped) and play.cored[stopped].parts.holder.fencing_token > before
     assert play.cored[stopped].position >= play.marks[mark].position
 
 
@@ -101,7 +101,7 @@
     assert leader.account(position, 0).proof() is not None
     account = leader.account(position, 0, clear=True)
     assert account.proof() is None
-    assert [(each.proxy.name, each.reason) for each in account.pending()] == [
+    assert [(each.instance.name, each.reason) for each in account.pending()] == [
         ("n006", "something is under way there still")
     ]
     busy.clear = lambda position: position
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -6,17 +6,10 @@
 
 import msgspec
 
-from molereach.coordination.interface import (
-    Accounted,
-    Applied,
-    Entry,
-    Known,
-    Life,
-    Outcome,
-    Propose,
-    Restored,
-    Tick,
-)
+from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
+from molereach.coordination.interface.core import Tick
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import Applied, Entry, Outcome, Propose, Restored
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.policy.interface.settings import Idempotency
@@ -71,7 +64,7 @@
 class Reader:
     """One life of one front door."""
 
-    def __init__(self, me: Life, kinds: Kinds) -> None:
+    def __init__(self, me: NodeInstance, kinds: Kinds) -> None:
         self.me, self.sessions, self.upkeep = me, SessionRegistry(), ToyUpkeep()
         self.shards = kinds.shards(SplitSettings(WINDOW_MS), self.sessions, self.upkeep)
         self.upkeep.shards = self.shards
@@ -113,7 +106,7 @@
         self.cells = cells_of(first, kinds.cell)
         for home in HOMES[:8]:
             self.cells.setdefault(home.cell, kinds.cell(home, self.cells))
-        self.truth = Reader(Life("truth", 0), kinds)
+        self.truth = Reader(NodeInstance("truth", 0), kinds)
         self.readers: dict[str, Reader] = {}
         self.said: dict[int, tuple[int, int]] = {}  # by fence: applied and clear
         self.pool: list[Callable[[], None]] = []  # under way; each may be lost and late
@@ -127,12 +120,12 @@
         self.number = 0
         self.answers: list[Answer] = []
         for name in "abc":
-            self.start(Life(name, 1))
-        self.add(bodies.MACHINE, bodies.encode(Found(first.pieces, (0,) * shards)), Life("a", 1))
+            self.start(NodeInstance(name, 1))
+        self.add(bodies.MACHINE, bodies.encode(Found(first.pieces, (0,) * shards)), NodeInstance("a", 1))
 
     # --- the log ---
 
-    def add(self, machine: str, body: bytes, proposer: Life, id: str = "") -> Outcome:
+    def add(self, machine: str, body: bytes, proposer: NodeInstance, id: str = "") -> Outcome:
         id = id or f"own{len(self.entries)}"
         if id in self.ids:
             return Outcome("told again")
@@ -161,16 +154,16 @@
                     if (
                         pin
                         and opened
-                        and opened.incarnation == reader.me
+                        and opened.instance == reader.me
                         and opened.fencing_token < self.handed[body.id]
                     ):
                         assert pin.until_us <= self.now_us, "a front door still sends repeats to the old side"
 
     def all_have(self, position: int, has: Callable[[Reader], int]) -> None:
         for session in self.truth.sessions.active_sessions():
-            reader = self.readers.get(session.incarnation.name)
-            if session.fencing_token < position and reader and reader.me == session.incarnation:
-                assert has(reader) >= position, f"{session.incarnation.name} does not have {position}"
+            reader = self.readers.get(session.instance.name)
+            if session.fencing_token < position and reader and reader.me == session.instance:
+                assert has(reader) >= position, f"{session.instance.name} does not have {position}"
 
     def sound(self) -> None:
         book, found = self.truth.shards.book, self.truth.shards.map
@@ -180,7 +173,7 @@
         for home in homes:
             assert not (home.cell in self.truth.upkeep.out and self.truth.shards.at_work(home)), "upkeep too"
 
-    def start(self, life: Life) -> Reader:
+    def start(self, life: NodeInstance) -> Reader:
         reader = Reader(life, self.kinds)
         reader.restore(self.now_us, self.truth)
         self.readers[life.name] = reader
@@ -193,8 +186,8 @@
     def over(self, name: str) -> None:
         opened = self.truth.sessions.active_session(name)
         if opened:
-            ended = leases.EndSession(opened.incarnation, opened.fencing_token, 0)
-            self.add(leases.MACHINE, leases.encode(ended), opened.incarnation)
+            ended = leases.EndSession(opened.instance, opened.fencing_token, 0)
+            self.add(leases.MACHINE, leases.encode(ended), opened.instance)
 
     def catch_up(self, reader: Reader, most: int = 1 << 30) -> None:
         for entry in self.entries[reader.applied : reader.applied + most]:
@@ -203,21 +196,21 @@
     def say(self, reader: Reader) -> None:
         """With its session, as the keeper hears it."""
         opened = reader.sessions.active_session(reader.me.name)
-        if opened and opened.incarnation == reader.me:
+        if opened and opened.instance == reader.me:
             reader.door.handle(self.now_us, Tick())
             self.said[opened.fencing_token] = (reader.applied, reader.door.clear)
 
     # --- accounts, for the driver at a reader ---
 
-    def account(self, reader: Reader, position: int, which: int) -> tuple[Accounted, ...] | None:
+    def account(self, reader: Reader, position: int, which: int) -> tuple[NodeClearance, ...] | None:
         found = []
         if reader.applied < position:
             return None
         for session in reader.sessions.sessions_open_at(position):
             if isinstance(session, EndedSession):
-                found.append(Accounted(session.incarnation, session.known, session.position))
+                found.append(NodeClearance(session.instance, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[which] >= position:
-                found.append(Accounted(session.incarnation, Known.SAID, position))
+                found.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, position))
             else:
                 return None
         return tuple(found)
@@ -226,10 +219,10 @@
         world, reader = self, self.readers[name]
 
         class Accounts:
-            def applied(self, position: int) -> tuple[Accounted, ...] | None:
+            def applied(self, position: int) -> tuple[NodeClearance, ...] | None:
                 return world.account(reader, position, 0)
 
-            def clear(self, position: int) -> tuple[Accounted, ...] | None:
+            def clear(self, position: int) -> tuple[NodeClearance, ...] | None:
                 return world.account(reader, position, 1)
 
         reader.driver = Driver(reader.shards, reader.sessions, Accounts(), ballot)
@@ -256,15 +249,15 @@
         words = []
         for session in self.truth.sessions.sessions_open_at(split.position):
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.known, session.position))
+                words.append(Word(session.fencing_token, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[split.state is State.HANDED] >= split.position:
-                words.append(Word(session.fencing_token, Known.SAID, split.position))
+                words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, split.position))
         body: bodies.Body = Close(split.id, split.position, tuple(words))
         if split.state is State.HANDED:
             body = Clear(split.id, split.position, tuple(words))
         elif self.draw() < 0.04:
             body = GiveUp(split.id, split.position, "no reason")
-        self.add(bodies.MACHINE, bodies.encode(body), Life("a", 1))
+        self.add(bodies.MACHINE, bodies.encode(body), NodeInstance("a", 1))
 
     # --- requests ---
 
