--- a/molereach/__main__.py
+++ b/molereach/__main__.py
@@ -11,7 +11,8 @@
 import uvloop
 
 from molereach.clock import now_us
-from molereach.proxy.config import Config, ConfigError, is_long, load, reload, reload_in_steps
+from molereach.proxy.config import Config, ConfigError
+from molereach.proxy.config_file import is_long, load, reload, reload_in_steps
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach")
@@ -40,7 +41,8 @@
         if record.created - start >= SPAN_S:
             if count > MAX_LINES_PER_SPAN:
                 record.msg = f"{record.msg} ({count - MAX_LINES_PER_SPAN} like it were left out)"
-            start, count = record.created, 0
+            start = record.created
+            count = 0
         self.places[place] = start, count + 1
         return count < MAX_LINES_PER_SPAN
 
@@ -79,11 +81,13 @@
 async def serve(config: Config, attach: AttachSubsystems | None = None) -> None:
     """Serve until SIGTERM or SIGINT, then drain; on SIGHUP take over the configuration."""
     loop = asyncio.get_running_loop()
-    told: asyncio.Future[int] = loop.create_future()  # when it was told to end; further words change nothing
+    notified_at: asyncio.Future[int] = (
+        loop.create_future()
+    )  # of the first signal to end; later ones change nothing
 
     def end() -> None:
-        if not told.done():
-            told.set_result(now_us())
+        if not notified_at.done():
+            notified_at.set_result(now_us())
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
@@ -95,9 +99,9 @@
     gc.collect()
     gc.freeze()
     log.info("%s serves at %s:%d", config.name, *config.listen)
-    told_us = await told
+    notified_at_us = await notified_at
     log.info("%s drains", config.name)
-    await door.drain(told_us)
+    await door.drain(notified_at_us)
     if detach:
         detach()
     log.info("%s ends", config.name)
--- a/molereach/clock.py
+++ b/molereach/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of a front door."""
+"""The one clock of a proxy."""
 
 import time
 
--- a/molereach/proxy/endpoint_updates.py
+++ b/molereach/proxy/endpoint_updates.py
@@ -10,7 +10,7 @@
 from molereach.discovery.watch_stream import Steps
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, Event
-from molereach.proxy.config import run_to_end
+from molereach.proxy.config_file import run_to_end
 from molereach.subsetting.interface import EndpointList, SubsetUpdate
 
 log = logging.getLogger(__name__)
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between the front doors of a tier."""
+"""Gossip between the proxies of a tier, in datagrams."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,20 +11,28 @@
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """Words to and from the other front doors; what strangers send or what is malformed is dropped."""
+    """Sends and receives gossip; datagrams that are malformed or not from a peer are dropped."""
 
     def __init__(
-        self, addresses: tuple[EndpointAddress, ...], me: int, heard: Callable[[GossipReceived], None]
+        self,
+        addresses: tuple[EndpointAddress, ...],
+        proxy_index: int,
+        on_message: Callable[[GossipReceived], None],
     ) -> None:
-        self.addresses, self.own_index, self.on_message = addresses, me, heard
-        self.senders = {address: number for number, address in enumerate(addresses) if number != me}
+        """`addresses`: those of all proxies of the tier; `proxy_index`: which of them is this one."""
+        self.addresses = addresses
+        self.proxy_index = proxy_index
+        self.on_message = on_message
+        self.senders = {address: index for index, address in enumerate(addresses) if index != proxy_index}
         self.transport: asyncio.DatagramTransport | None = None
         self.codec: GossipCodec = QuotaGossipCodec()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket is bound."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: EndpointAddress) -> None:
+        """Hand on a peer's message."""
         sender = self.senders.get(address)
         if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return
@@ -32,13 +40,15 @@
             self.on_message(message)
 
     def error_received(self, error: Exception) -> None:
-        """A peer that is down may show as an error here; words may be lost in any case."""
+        """A peer that is down may show as an error here; datagrams may be lost in any case."""
 
     def send(self, action: SendGossip) -> None:
-        if self.transport and action.peer != self.own_index and action.peer < len(self.addresses):
+        """Send the messages of an action to its peer."""
+        if self.transport and action.peer != self.proxy_index and action.peer < len(self.addresses):
             for data in self.codec.pack(action.peer, action.messages):
                 self.transport.sendto(data, self.addresses[action.peer])
 
     def close(self) -> None:
+        """Close the socket, if it was bound."""
         if self.transport:
             self.transport.close()
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -90,7 +90,7 @@
         self.gossip = GossipTransport(config.peers, config.settings.proxy_index, self.driver.post)
         self.driver.connect(self.action_handlers(), self.actions.fail_and_forget)
         # Before discovery is made: it asks for what comes after the saved list's version.
-        saved_version = self.endpoints.load_saved_list(config.known, config.known_parts)
+        saved_version = self.endpoints.load_saved_list(config.known, config.known_entry_lists)
         self.discovery = self.make_discovery(saved_version)
 
     def action_handlers(self) -> Handlers:
@@ -146,7 +146,7 @@
             config,
             discovery=self.config.discovery,
             known=self.config.known,
-            known_parts=[],
+            known_entry_lists=[],
             settings=replace(config.settings, seed=self.settings.seed),
         )
         changed = [
@@ -199,9 +199,9 @@
 
     # --- what clients' connections call ---
 
-    def take(self, words: list[bytes], reply: Reply) -> None:
+    def take(self, arguments: list[bytes], reply: Reply) -> None:
         """Take a client's command; CommandError for one that is wrong or too many."""
-        command = self.parser.parse(words, ANSWER_MARGIN_US)
+        command = self.parser.parse(arguments, ANSWER_MARGIN_US)
         request = command.request
         self.requests.check_admission(request.request_id)
         if self.shutdown:
--- a/tests/compatibility/test_settings.py
+++ b/tests/compatibility/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from molereach.fleet import settings as fleet_settings
-from molereach.proxy import config
+from molereach.proxy import config_file
 from tests.compatibility import settings_samples as samples
 from tests.compatibility.recording import recorded
 
@@ -27,7 +27,7 @@
 def test_a_file_of_a_front_door_is_loaded_as_recorded(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(samples.WHOLE_DOOR)
-    found = config.load({"PROXY_CONFIG": str(file)})
+    found = config_file.load({"PROXY_CONFIG": str(file)})
     assert samples.values_of(found) == json.loads(recorded("settings-door-whole.json"))
 
 
--- a/tests/proxy/test_long_config.py
+++ b/tests/proxy/test_long_config.py
@@ -12,8 +12,9 @@
 from molereach.__main__ import reload_configuration
 from molereach.discovery.endpoint_mapping import EndpointMapping
 from molereach.policy.interface.events import EndpointListKind
-from molereach.proxy import config as reader
-from molereach.proxy.config import ConfigError, load, load_in_steps, reload
+from molereach.proxy import config_file as reader
+from molereach.proxy.config import ConfigError
+from molereach.proxy.config_file import load, load_in_steps, reload
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.made import entries_text
@@ -56,10 +57,10 @@
 ) -> None:
     short = load(env_of(tmp_path, long_text(entries_text(3), first)))
     long = load(env_of(tmp_path, long_text(entries_text(COUNT), first)))
-    assert long.known["generation"] == 4 and not short.known_parts
-    listed = [one for part in long.known_parts for one in json.loads(part)] + long.known["instances"]
+    assert long.known["generation"] == 4 and not short.known_entry_lists
+    listed = [one for part in long.known_entry_lists for one in json.loads(part)] + long.known["instances"]
     assert listed == json.loads(b"[%b]" % entries_text(COUNT))
-    assert max(map(len, long.known_parts)) < 1 << 17
+    assert max(map(len, long.known_entry_lists)) < 1 << 17
     assert [getattr(long, name) for name in ("settings", "listen", "peers", "sockets")] == [
         getattr(short, name) for name in ("settings", "listen", "peers", "sockets")
     ]
@@ -68,7 +69,7 @@
 def test_long_file_is_read_in_short_steps_and_a_reload_holds_no_part(tmp_path: Path) -> None:
     env = env_of(tmp_path, text := long_text(entries_text(COUNT)))
     assert sum(1 for _ in load_in_steps(env)) == -(-len(text) // reader.READ_CHUNK_BYTES)
-    assert not reload(env).known_parts
+    assert not reload(env).known_entry_lists
 
 
 @pytest.mark.parametrize(
@@ -104,12 +105,12 @@
     parsed, loads = [0], json.loads
     monkeypatch.setattr(json, "loads", lambda text: parsed.append(len(text)) or loads(text))
     found = load(env)
-    assert max(parsed) < 1 << 17 and sum(map(len, found.known_parts)) < 600_000
+    assert max(parsed) < 1 << 17 and sum(map(len, found.known_entry_lists)) < 600_000
     left: list[int] = []
     part = EndpointMapping.read_entry_list
 
     def spied(self: object, text: bytes) -> object:
-        left.append(len(found.known_parts))
+        left.append(len(found.known_entry_lists))
         return part(self, text)
 
     monkeypatch.setattr("molereach.discovery.endpoint_mapping.EndpointMapping.read_entry_list", spied)
@@ -117,7 +118,7 @@
     async def job() -> None:
         door = Proxy(found)
         try:
-            assert left == list(range(len(left)))[::-1] and not door.config.known_parts
+            assert left == list(range(len(left)))[::-1] and not door.config.known_entry_lists
             assert (
                 door.endpoints.saved_list
                 and door.endpoints.saved_list.event.kind is EndpointListKind.SAVED
@@ -156,7 +157,7 @@
             assert (
                 door.endpoints.saved_list is None and door.discovery.version == 0 and not door.backends.pools
             )
-            assert not found.known_parts
+            assert not found.known_entry_lists
         finally:
             door.close()
 
@@ -172,7 +173,7 @@
 
     async def job() -> None:
         door = Proxy(found)
-        assert door.endpoints.saved_list is None and not found.known_parts
+        assert door.endpoints.saved_list is None and not found.known_entry_lists
         door.close()
 
     run(job())
--- a/tests/races/test_peers_none.py
+++ b/tests/races/test_peers_none.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molereach.policy.interface.settings import Plan
-from molereach.proxy.config import load
+from molereach.proxy.config_file import load
 from tests.helpers import MS, SETTINGS, Set
 from tests.races.test_settings_wrong import VALUES
 
--- a/tests/races/test_settings_wrong.py
+++ b/tests/races/test_settings_wrong.py
@@ -11,7 +11,8 @@
 import pytest
 
 from molereach.__main__ import reload_configuration
-from molereach.proxy.config import ConfigError, load
+from molereach.proxy.config import ConfigError
+from molereach.proxy.config_file import load
 from tests.sockets import HOST, front_door, run
 
 Path_ = tuple[str | int, ...]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,7 +12,7 @@
 import pytest
 
 from molereach.__main__ import MAX_LINES_PER_SPAN, SPAN_S, RateLimit
-from molereach.proxy.config import load
+from molereach.proxy.config_file import load
 from tests.sockets import (
     CUSTOMER,
     HEAD,
