--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -17,7 +17,7 @@
 LIFECYCLE_STATES = {
     "SERVING": EndpointState.UP,
     "DRAINING": EndpointState.DRAINING,
-    "DELETED": EndpointState.GONE,
+    "DELETED": EndpointState.REMOVED,
 }
 # What reading a malformed entry may raise; errors of this package and of addresses are ValueErrors.
 MALFORMED_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
@@ -101,7 +101,7 @@
         That an endpoint drains or is removed must count in any case, and needs no address.
         """
         try:
-            return read_address(entry["hostPort"]) if state is not EndpointState.GONE else None
+            return read_address(entry["hostPort"]) if state is not EndpointState.REMOVED else None
         except MALFORMED_ENTRY_ERRORS:
             if state is EndpointState.UP or "lifecycle" not in entry:
                 raise
--- a/molereach/limits/gossip_records.py
+++ b/molereach/limits/gossip_records.py
@@ -11,6 +11,7 @@
 from molereach.limits.errors import MalformedRecordError
 from molereach.limits.loans import FULL_SHARE
 from molereach.policy.interface.messages import (
+    CustomerKey,
     GossipMessage,
     Join,
     JoinAcknowledged,
@@ -55,13 +56,13 @@
     match message:
         case GossipMessage():
             return _pack_quota(message)
-        case LoanRequest(key, number, accepted, held_share, wanted_share, returned_units):
+        case LoanRequest(key, number, accepted, borrower_share, wanted_share, returned_units):
             return LOAN_REQUEST_RECORD.pack(
                 RecordKind.LOAN_REQUEST,
                 *key,
                 number,
                 accepted,
-                held_share,
+                borrower_share,
                 wanted_share,
                 _unsigned_steps(returned_units),
             )
@@ -143,10 +144,10 @@
 def _parse_loan_request(fields: list[int]) -> LoanRequest:
     checksum, plan, first, size, number, accepted, borrower_share, wanted_share, returned = fields
     return LoanRequest(
-        key=(checksum, plan, first, size),
+        key=CustomerKey(checksum, plan, first, size),
         number=number,
         accepted=accepted,
-        held_share=_checked_share(borrower_share),
+        borrower_share=_checked_share(borrower_share),
         wanted_share=_checked_share(wanted_share),
         returned_units=returned / STEPS_PER_UNIT,
     )
@@ -155,7 +156,7 @@
 def _parse_loan_grant(fields: list[int]) -> LoanGrant:
     checksum, plan, first, size, number, granted_share, granted = fields
     return LoanGrant(
-        key=(checksum, plan, first, size),
+        key=CustomerKey(checksum, plan, first, size),
         number=number,
         granted_share=_checked_share(granted_share),
         granted_units=granted / STEPS_PER_UNIT,
@@ -164,7 +165,9 @@
 
 def _parse_spending_total(fields: list[int]) -> SpendingTotal:
     checksum, plan, first, size, spent, remaining = fields
-    return SpendingTotal((checksum, plan, first, size), spent / STEPS_PER_UNIT, remaining / STEPS_PER_UNIT)
+    return SpendingTotal(
+        CustomerKey(checksum, plan, first, size), spent / STEPS_PER_UNIT, remaining / STEPS_PER_UNIT
+    )
 
 
 def _checked_share(share: int) -> int:
--- a/molereach/limits/lending.py
+++ b/molereach/limits/lending.py
@@ -56,7 +56,7 @@
             loan.borrower_incarnation = borrower_incarnation
             return 0
         # A claim to hold more than was lent is not believed.
-        borrower_share = max(0, min(request.held_share, lent_share))
+        borrower_share = max(0, min(request.borrower_share, lent_share))
         # Tokens come back with the share that they went with or not at all: a share that came back by time
         # has been refilled since.
         is_last_grant_void = request.accepted != loan.request_number and now_us < loan.granted_until_us
