--- a/molereach/coordination/node/first.py
+++ b/molereach/coordination/node/first.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections.abc import Sequence
 
-from molereach.coordination.replicated_log.words import Panel, Seat
+from molereach.coordination.replicated_log.messages import Voter, Voters
 
 IDENTITY_BYTES = 16
 NO_DISK = "0" * 32  # of a front door without a folder: it learns, and has no seat
@@ -20,5 +20,5 @@
     return hashlib.blake2b(name, digest_size=IDENTITY_BYTES, key=key, person=b"council-seat").digest()
 
 
-def first_panel(key: bytes, names: Sequence[str]) -> Panel:
-    return tuple(sorted(Seat(name, first_identity(key, name).hex()) for name in names))
+def first_panel(key: bytes, names: Sequence[str]) -> Voters:
+    return tuple(sorted(Voter(name, first_identity(key, name).hex()) for name in names))
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -15,11 +15,11 @@
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.settings import MembershipSettings
 from molereach.coordination.node.settings import CouncilSettings
-from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log.core import LogCore
+from molereach.coordination.replicated_log.messages import Voters
 from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.settings import Settings as LogSettings
-from molereach.coordination.replicated_log.words import Panel
+from molereach.coordination.replicated_log.settings import LogSettings as LogSettings
 
 MEMBERSHIP, LOG, SPREAD = "membership", "log", "spread"
 WORDS: dict[str, Any] = {
@@ -38,7 +38,7 @@
         settings: CouncilSettings,
         disk: str,
         recovered: Recovered,
-        panel: Panel,
+        panel: Voters,
         machines: Mapping[str, StateMachine],
         draw: Callable[[], float],
         wall_ms: Callable[[int], int],
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -32,9 +32,9 @@
 from molereach.coordination.node.settings import Address, CouncilSettings
 from molereach.coordination.node.wiring import Action, Begin, Council, Ended, Event, From, Leave, Left, To
 from molereach.coordination.replicated_log.learner import MachineFailed
-from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered, recover
-from molereach.coordination.replicated_log.starts import SetBack
+from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
 from molereach.coordination.storage.store import Opened, Store, draw_identity
 from molereach.coordination.storage.worker import Worker
 from molereach.coordination.transport.service import Links
@@ -123,8 +123,8 @@
             LeaseAcquired: self.on_held,
             LeaseLost: self.on_lost,
             Changed: self.on_changed,
-            Stopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
-            SetBack: self.on_set_back,
+            LogStopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
+            DiskRolledBack: self.on_set_back,
             MachineFailed: self.on_machine_failed,
         }
 
@@ -269,12 +269,12 @@
         if action.previous is not action.status:
             log.info("council: %s is %s", action.life.name, action.status.name.lower())
 
-    def on_set_back(self, action: SetBack) -> None:
+    def on_set_back(self, action: DiskRolledBack) -> None:
         log.error(
             "council: the folder was set back (start %d, %d is known): it votes no more; give it "
             "a new folder",
-            action.starts,
-            action.known,
+            action.start_count,
+            action.known_start_count,
         )
 
     def on_machine_failed(self, action: MachineFailed) -> None:
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -32,12 +32,12 @@
 from molereach.coordination.membership.events import Leave as LeaveMembers
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
 from molereach.coordination.node.settings import CouncilSettings
-from molereach.coordination.replicated_log.core import CatchUp, Learn
+from molereach.coordination.replicated_log.core import CatchUp, EntriesLearned
 from molereach.coordination.replicated_log.learner import MachineFailed
-from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.messages import Voters
+from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.starts import SetBack
-from molereach.coordination.replicated_log.words import Panel
+from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
 
 MOST_RECENT = 64  # entries that were just applied, handed to the tree at once
 
@@ -87,8 +87,8 @@
     | LeaderChanged
     | lease.LeaseAcquired
     | lease.LeaseLost
-    | Stopped
-    | SetBack
+    | LogStopped
+    | DiskRolledBack
     | MachineFailed
     | tree.Parent
 )
@@ -105,7 +105,7 @@
         settings: CouncilSettings,
         disk: str,
         recovered: Recovered,
-        panel: Panel,
+        panel: Voters,
         machines: Mapping[str, StateMachine],
         draw: Callable[[], float],
         wall_ms: Callable[[int], int],
@@ -237,7 +237,7 @@
         self._view(now_us)
 
     def _view(self, now_us: int) -> None:
-        seats = tuple(seat.name for seat in self.parts.log.panel)
+        seats = tuple(seat.name for seat in self.parts.log.voters)
         view = tree.View(self.parts.membership.alive(), self.leader, self.ballot, seats)
         self._run(SPREAD, self.parts.spread, now_us, view)
 
@@ -291,7 +291,7 @@
 
 
 def _learn(self: Council, now_us: int, action: tree.Learn) -> None:
-    self._run(LOG, self.parts.log, now_us, Learn(action.entries))
+    self._run(LOG, self.parts.log, now_us, EntriesLearned(action.entries))
 
 
 def _fetch(self: Council, now_us: int, action: tree.Fetch) -> None:
--- a/molereach/coordination/replicated_log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -11,7 +11,7 @@
 from itertools import pairwise
 
 from molereach.coordination.interface.log import Entry
-from molereach.coordination.replicated_log.words import NOBODY, Ballot
+from molereach.coordination.replicated_log.messages import NOBODY, Ballot
 
 
 class Acceptor:
@@ -53,14 +53,14 @@
             self.promised = max(promised, accepted_at)
         return higher_vote or higher_promise
 
-    def decided(self, last: Entry) -> None:
+    def discard_decided(self, last: Entry) -> None:
         """All up to `last` is decided: nothing is open there."""
-        self.accepted = rest(self.accepted, last)
+        self.accepted = undecided_rest(self.accepted, last)
         if not self.accepted:
             self.accepted_at = NOBODY
 
 
-def rest(accepted: Sequence[Entry], last: Entry) -> tuple[Entry, ...]:
+def undecided_rest(accepted: Sequence[Entry], last: Entry) -> tuple[Entry, ...]:
     """What is still open of an accepted batch when all up to `last` is decided.
 
     Where another entry was decided at one of its positions, no majority accepted the batch: it is void, and
@@ -71,7 +71,7 @@
     return tuple(entry for entry in accepted if entry.position > last.position)
 
 
-def in_order(entries: Sequence[Entry], after: int) -> bool:
+def are_consecutive(entries: Sequence[Entry], after: int) -> bool:
     """Whether they are the positions that follow, without a gap, and times do not go back."""
     if any(entry.position != after + 1 + index for index, entry in enumerate(entries)):
         return False
--- /dev/null
+++ b/molereach/coordination/replicated_log/catch_up_protocol.py
@@ -0,0 +1,141 @@
+"""Getting what is missing from another front door, and giving it: entries, or a snapshot in pieces.
+
+Who asks keeps at most one snapshot under way and takes a piece only where it fits; who gives keeps one
+snapshot, made when first asked for and used as long as its tail leads on from it.
+"""
+
+from hashlib import blake2b
+
+from molereach.coordination.replicated_log.messages import (
+    EntriesReply,
+    EntriesRequest,
+    SnapshotChunk,
+    SnapshotChunkRequest,
+)
+from molereach.coordination.replicated_log.records import decode_snapshot, encode
+from molereach.coordination.replicated_log.replica_state import ReplicaState
+from molereach.coordination.replicated_log.settings import MAX_CHUNK_BYTES, MAX_SNAPSHOT_BYTES
+
+MAX_RETRIES = 5  # of a question that is not answered
+
+
+class CatchUpProtocol:
+    """Both sides of it at one front door."""
+
+    def __init__(self, ledger: ReplicaState) -> None:
+        self.state, self.outbox = ledger, ledger.outbox
+        self.source = ""  # who is asked; empty for nobody
+        self.retry_at_us = 0  # when it is asked again; 0 for the next `tick`
+        self.retries = 0
+        self.position, self.total, self.digest = 0, 0, b""  # of the snapshot under way
+        self.data = bytearray()
+        self.sent_snapshot: tuple[int, bytes, bytes] | None = (
+            None  # position, bytes and digest of the one given
+        )
+
+    # --- asking ---
+
+    def request_from(self, source: str) -> None:
+        """Ask it for what follows; a snapshot that is coming in goes on instead."""
+        if source == self.outbox.instance.name or self.data:
+            return
+        self.source, self.retry_at_us, self.retries = source, 0, 0
+        self._send_request()
+
+    def _send_request(self) -> None:
+        if self.data:
+            self.outbox.send(self.source, SnapshotChunkRequest(self.position, len(self.data)))
+        else:
+            self.outbox.send(self.source, EntriesRequest(self.state.position))
+
+    def on_entries(self, sender: str, word: EntriesReply) -> bool:
+        """Take entries; whether any was new."""
+        new = self.state.apply_decided(word.entries)
+        if new:
+            self._drop_passed()
+        if word.decided > self.state.position:
+            if new:
+                self.request_from(sender)
+        elif sender == self.source and not self.data:
+            self.source = ""
+        return new
+
+    def on_chunk(self, sender: str, word: SnapshotChunk) -> bool:
+        """Take a piece; whether a snapshot was whole and of use."""
+        if word.position <= self.state.position or not self._accepts(sender, word):
+            return False
+        self.data += word.data
+        self.retry_at_us = self.retries = 0
+        if len(self.data) < self.total:
+            self._send_request()
+            return False
+        data, total, digest = bytes(self.data), self.total, self.digest
+        self._drop()
+        if len(data) != total or blake2b(data, digest_size=16).digest() != digest:
+            return False
+        try:
+            snapshot = decode_snapshot(data)
+        except ValueError:
+            return False
+        if not self.state.restore(snapshot):
+            return False
+        self.request_from(sender)  # what came since
+        return True
+
+    def _accepts(self, sender: str, word: SnapshotChunk) -> bool:
+        """Whether it goes on with the snapshot under way, or begins the first or a newer one."""
+        if self.data and sender == self.source and word.position == self.position:
+            return (word.total, word.digest, word.offset) == (self.total, self.digest, len(self.data))
+        if word.offset or (self.data and (sender != self.source or word.position < self.position)):
+            return False
+        self.source, self.data = sender, bytearray()
+        self.position, self.total, self.digest = word.position, word.total, word.digest
+        return True
+
+    def _drop_passed(self) -> None:
+        if self.data and self.position <= self.state.position:
+            self._drop()
+
+    def _drop(self) -> None:
+        self.source, self.data = "", bytearray()
+
+    def tick(self, now_us: int, again_us: int) -> None:
+        """Ask again where no answer came."""
+        if not self.source:
+            return
+        if not self.retry_at_us:
+            self.retry_at_us = now_us + again_us
+        elif now_us >= self.retry_at_us:
+            self.retries += 1
+            self.retry_at_us = now_us + again_us
+            if self.retries > MAX_RETRIES:
+                self._drop()
+            else:
+                self._send_request()
+
+    # --- giving ---
+
+    def send_entries(self, to: str, after: int) -> None:
+        """What follows a position, as far as it goes into one word."""
+        learner = self.state.learner
+        entries = learner.entries_after(after)
+        if entries is None:
+            self.send_chunk(to, 0, 0)
+        else:
+            self.outbox.send(to, EntriesReply(entries, learner.position))
+
+    def send_chunk(self, to: str, position: int, offset: int) -> None:
+        """A piece of a snapshot; the first of the newest where another is asked for."""
+        learner = self.state.learner
+        if self.sent_snapshot is None or learner.entries_after(self.sent_snapshot[0]) is None:
+            if learner.failed_machines:  # a state that stopped at some entry is no state of the log
+                return
+            data = encode(learner.snapshot())
+            if len(data) > MAX_SNAPSHOT_BYTES:
+                return
+            self.sent_snapshot = (learner.position, data, blake2b(data, digest_size=16).digest())
+        made, data, digest = self.sent_snapshot
+        if position != made or offset >= len(data):
+            offset = 0
+        piece = data[offset : offset + MAX_CHUNK_BYTES]
+        self.outbox.send(to, SnapshotChunk(made, len(data), offset, digest, piece))
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -8,48 +8,48 @@
 from molereach.coordination.interface.disk import DiskFailed, Persisted
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import ConfirmLeadership, Entry, Propose, StateMachine
-from molereach.coordination.replicated_log.acceptor import in_order
-from molereach.coordination.replicated_log.catchup import CatchingUp
+from molereach.coordination.replicated_log.acceptor import are_consecutive
+from molereach.coordination.replicated_log.acceptor_protocol import AcceptorProtocol
+from molereach.coordination.replicated_log.catch_up_protocol import CatchUpProtocol
 from molereach.coordination.replicated_log.election import Election
-from molereach.coordination.replicated_log.leader import Queue
-from molereach.coordination.replicated_log.leading import Leading
-from molereach.coordination.replicated_log.learner import OWN, Learner
-from molereach.coordination.replicated_log.ledger import Ledger
-from molereach.coordination.replicated_log.outbox import Outbox
-from molereach.coordination.replicated_log.panel import check
-from molereach.coordination.replicated_log.proposals import Proposals
-from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.recovery import Recovery
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.starts import Starts
-from molereach.coordination.replicated_log.voting import Voting
-from molereach.coordination.replicated_log.words import (
+from molereach.coordination.replicated_log.leader_protocol import LeaderProtocol
+from molereach.coordination.replicated_log.leadership import ProposalQueue
+from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
+from molereach.coordination.replicated_log.messages import (
     Accept,
     Accepted,
-    Ask,
     Ballot,
-    Beat,
-    Exists,
-    Follow,
-    Known,
-    Leader,
+    BallotRejected,
+    EntriesReply,
+    EntriesRequest,
+    Heartbeat,
+    HeartbeatReply,
+    LeaderHint,
     Message,
-    Noted,
-    Outbid,
-    Panel,
-    Piece,
-    Poll,
-    Polled,
     Prepare,
+    PreVote,
+    PreVoteReply,
     Promise,
-    Start,
-    Want,
-    WantPiece,
+    ProposalRequest,
+    RunAcknowledged,
+    RunConflict,
+    RunStarted,
+    SnapshotChunk,
+    SnapshotChunkRequest,
+    Voters,
 )
+from molereach.coordination.replicated_log.outbox import Outbox
+from molereach.coordination.replicated_log.proposals import ProposalTracker
+from molereach.coordination.replicated_log.records import Recovered
+from molereach.coordination.replicated_log.recovery import Recovery
+from molereach.coordination.replicated_log.replica_state import ReplicaState
+from molereach.coordination.replicated_log.settings import LogSettings
+from molereach.coordination.replicated_log.start_protocol import StartProtocol
+from molereach.coordination.replicated_log.voters import voters_error
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class EntriesLearned:
     """Event: decided entries that came another way, in order; a gap is passed over."""
 
     entries: tuple[Entry, ...]
@@ -74,31 +74,31 @@
         me: NodeInstance,
         disk: str,
         recovered: Recovered,
-        panel: Panel,
+        panel: Voters,
         machines: Mapping[str, StateMachine],
-        settings: Settings,
+        settings: LogSettings,
         draw: Callable[[], float],
         wall_ms: Callable[[int], int],
     ) -> None:
         if recovered.disk not in ("", disk):
             raise ValueError("these records are another disk's")
-        if error := check(panel):
+        if error := voters_error(panel):
             raise ValueError(error)
-        if OWN in machines:
-            raise ValueError(f"the name {OWN!r} is the log's own")
-        self.me, self.settings, self.draw = me, settings, draw
+        if LOG_MACHINE in machines:
+            raise ValueError(f"the name {LOG_MACHINE!r} is the log's own")
+        self.instance, self.settings, self.random_fraction = me, settings, draw
         self.now_us = 0
         self.outbox = Outbox(me)
         self.learner = Learner(tuple(sorted(panel)), machines, settings)
-        self.recovery = Recovery(me, disk, recovered.starts + 1, recovered.runs)
-        self.ledger = Ledger(settings, self.outbox, self.learner, self.recovery, recovered)
+        self.recovery = Recovery(me, disk, recovered.start_count + 1, recovered.runs)
+        self.state = ReplicaState(settings, self.outbox, self.learner, self.recovery, recovered)
         self.election = Election(settings, draw)
-        self.catching_up = CatchingUp(self.ledger)
-        self.voting = Voting(self.ledger, self.election, self.catching_up)
-        self.starts = Starts(self.ledger, self.election, self.catching_up)
-        self.leading = Leading(me, self.ledger, self.election, Queue(settings, wall_ms))
-        self.proposals = Proposals(me, settings, self.learner)
-        self.settled_at = 0  # the position up to which proposals were looked at
+        self.catch_up = CatchUpProtocol(self.state)
+        self.acceptor_protocol = AcceptorProtocol(self.state, self.election, self.catch_up)
+        self.start_protocol = StartProtocol(self.state, self.election, self.catch_up)
+        self.leader_protocol = LeaderProtocol(me, self.state, self.election, ProposalQueue(settings, wall_ms))
+        self.proposals = ProposalTracker(me, settings, self.learner)
+        self.finished_position = 0  # the position up to which proposals were looked at
 
     # --- what is to be seen from outside ---
 
@@ -107,141 +107,143 @@
         return self.learner.position
 
     @property
-    def panel(self) -> Panel:
-        return self.learner.panel
+    def voters(self) -> Voters:
+        return self.learner.voters
 
     @property
     def leader(self) -> Ballot | None:
-        return self.leading.leader
+        return self.leader_protocol.leader
 
     def digest(self) -> str:
         return self.learner.digest()
 
     @property
     def wake_us(self) -> int:
-        due = [self.leading.wake_us, self.starts.wake_us, self.proposals.wake_us]
-        if self.catching_up.source:
-            due.append(self.catching_up.due_us)
-        return max(min(due), self.now_us + 1) if self.election.heard_us is not None else 0
+        due = [self.leader_protocol.wake_us, self.start_protocol.wake_us, self.proposals.wake_us]
+        if self.catch_up.source:
+            due.append(self.catch_up.retry_at_us)
+        return max(min(due), self.now_us + 1) if self.election.leader_contact_us is not None else 0
 
     # --- events ---
 
     def handle(self, now_us: int, event: Any) -> Sequence[Any]:  # noqa: ANN401
         """Take one event; what is to be done, in order."""
         self.now_us = now_us
-        if self.election.heard_us is None:  # the first: a leader may live
-            self.election.hear(now_us)
+        if self.election.leader_contact_us is None:  # the first: a leader may live
+            self.election.record_leader_contact(now_us)
         self._take(now_us, event)
-        self._end(now_us)
-        while self.outbox.mine:
-            self._heard(now_us, self.me, self.outbox.mine.popleft())
-            self._end(now_us)
-        return self.outbox.taken()
+        self._finish_step(now_us)
+        while self.outbox.own_messages:
+            self._receive(now_us, self.instance, self.outbox.own_messages.popleft())
+            self._finish_step(now_us)
+        return self.outbox.take_actions()
 
-    def _end(self, now_us: int) -> None:
+    def _finish_step(self, now_us: int) -> None:
         """After each step: what follows from it, then what leaves."""
-        self.leading.moved(now_us)
-        if self.settled_at != self.position:
-            self.settled_at = self.position
-            for over in self.proposals.settle():
-                self.outbox.act(over)
-        self.starts.tick(now_us, self.settings.again_us)
-        self.leading.announce()
-        self._tell(now_us)
-        self.leading.step(now_us)
-        self.catching_up.tick(now_us, self.settings.again_us)
+        self.leader_protocol.check_leadership(now_us)
+        if self.finished_position != self.position:
+            self.finished_position = self.position
+            for over in self.proposals.finish_applied():
+                self.outbox.emit(over)
+        self.start_protocol.tick(now_us, self.settings.retry_interval_us)
+        self.leader_protocol.announce_leadership()
+        self._send_proposals(now_us)
+        self.leader_protocol.propose_next_batch(now_us)
+        self.catch_up.tick(now_us, self.settings.retry_interval_us)
         self.outbox.flush()
 
     def _take(self, now_us: int, event: object) -> None:
         match event:
             case Tick():
-                self.leading.tick(now_us)
+                self.leader_protocol.tick(now_us)
                 for over in self.proposals.expire(now_us):
-                    self.outbox.act(over)
+                    self.outbox.emit(over)
             case MessageReceived(sender, message):
-                if sender.name != self.me.name:
-                    self._heard(now_us, sender, message)
+                if sender.name != self.instance.name:
+                    self._receive(now_us, sender, message)
             case Persisted(token):
                 self.outbox.persisted(token)
                 self.outbox.release()
             case Propose():
                 self._propose(now_us, event)
             case ConfirmLeadership(token):
-                self.leading.confirm(now_us, token)
-            case Learn(entries):
-                if entries and in_order(entries, entries[0].position - 1):
-                    self.ledger.learn(entries)
+                self.leader_protocol.confirm_leadership(now_us, token)
+            case EntriesLearned(entries):
+                if entries and are_consecutive(entries, entries[0].position - 1):
+                    self.state.apply_decided(entries)
             case CatchUp(source):
-                self.catching_up.want(source)
+                self.catch_up.request_from(source)
             case DiskFailed(reason):
                 if self.outbox.fail(reason):
-                    self.leading.step_down(now_us)
+                    self.leader_protocol.step_down(now_us)
             case _:
                 raise TypeError(f"no event of the log: {event!r}")
 
     def _propose(self, now_us: int, event: Propose) -> None:
         if over := self.proposals.propose(now_us, event):
-            self.outbox.act(over)
+            self.outbox.emit(over)
 
-    def _heard(self, now_us: int, sender: NodeInstance, message: Message) -> None:
+    def _receive(self, now_us: int, sender: NodeInstance, message: Message) -> None:
         match message:
-            case Start():
-                self.starts.on_start(sender, message)
-            case Noted():
-                self.starts.on_noted(sender, message)
-            case Exists():
-                self.starts.on_exists(message)
-            case Poll():
-                self.voting.on_poll(now_us, sender, message)
+            case RunStarted():
+                self.start_protocol.on_run_started(sender, message)
+            case RunAcknowledged():
+                self.start_protocol.on_run_acknowledged(sender, message)
+            case RunConflict():
+                self.start_protocol.on_run_conflict(message)
+            case PreVote():
+                self.acceptor_protocol.on_pre_vote(now_us, sender, message)
             case Prepare():
-                self.voting.on_prepare(now_us, sender, message)
+                self.acceptor_protocol.on_prepare(now_us, sender, message)
             case Accept():
-                self.voting.on_accept(now_us, sender, message)
-            case Beat():
-                if self.voting.on_beat(now_us, sender, message) and sender != self.me:
-                    self._hail(now_us, message.ballot)
-            case Polled():
-                self.leading.on_polled(now_us, sender, message)
+                self.acceptor_protocol.on_accept(now_us, sender, message)
+            case Heartbeat():
+                if self.acceptor_protocol.on_heartbeat(now_us, sender, message) and sender != self.instance:
+                    self._follow_leader(now_us, message.ballot)
+            case PreVoteReply():
+                self.leader_protocol.on_pre_vote_reply(now_us, sender, message)
             case Promise():
-                self.leading.on_promise(now_us, sender, message)
-            case Outbid():
-                self.leading.on_outbid(now_us, message)
+                self.leader_protocol.on_promise(now_us, sender, message)
+            case BallotRejected():
+                self.leader_protocol.on_ballot_rejected(now_us, message)
             case Accepted():
-                self.leading.on_accepted(now_us, sender, message)
-            case Follow():
-                self.leading.on_follow(now_us, sender, message)
-            case Want(after):
-                self.catching_up.tell(sender.name, after)
-            case Known():
-                if in_order(message.entries, message.entries[0].position - 1 if message.entries else 0):
-                    self.catching_up.on_known(sender.name, message)
-            case WantPiece(position, offset):
-                self.catching_up.give(sender.name, position, offset)
-            case Piece():
-                self.catching_up.on_piece(sender.name, message)
-            case Ask():
-                if message.proposer == sender or any(seat.name == sender.name for seat in self.panel):
-                    self.leading.on_ask(sender.name, message)
-            case Leader():
-                if self.leading.on_leader(message):
-                    self.proposals.hurry()
-
-    def _hail(self, now_us: int, ballot: Ballot) -> None:
+                self.leader_protocol.on_accepted(now_us, sender, message)
+            case HeartbeatReply():
+                self.leader_protocol.on_heartbeat_reply(now_us, sender, message)
+            case EntriesRequest(after):
+                self.catch_up.send_entries(sender.name, after)
+            case EntriesReply():
+                if are_consecutive(
+                    message.entries, message.entries[0].position - 1 if message.entries else 0
+                ):
+                    self.catch_up.on_entries(sender.name, message)
+            case SnapshotChunkRequest(position, offset):
+                self.catch_up.send_chunk(sender.name, position, offset)
+            case SnapshotChunk():
+                self.catch_up.on_chunk(sender.name, message)
+            case ProposalRequest():
+                if message.proposer == sender or any(seat.name == sender.name for seat in self.voters):
+                    self.leader_protocol.on_proposal_request(sender.name, message)
+            case LeaderHint():
+                if self.leader_protocol.on_leader_hint(message):
+                    self.proposals.retry_now()
+
+    def _follow_leader(self, now_us: int, ballot: Ballot) -> None:
         """A leader was heard that may still lead."""
-        lead = self.leading.leadership
+        lead = self.leader_protocol.leadership
         if lead and ballot > lead.ballot:
-            self.leading.step_down(now_us)
-        if self.leading.leadership is None and ballot != self.leading.leader:
-            self.leading.follow(ballot)
-            self.proposals.hurry()
+            self.leader_protocol.step_down(now_us)
+        if self.leader_protocol.leadership is None and ballot != self.leader_protocol.leader:
+            self.leader_protocol.set_leader(ballot)
+            self.proposals.retry_now()
 
-    def _tell(self, now_us: int) -> None:
+    def _send_proposals(self, now_us: int) -> None:
         """Proposals go to the leader; where it is not known or does not answer, a seat knows better."""
-        for ask, told in self.proposals.due(now_us):
-            leader = self.leading.leader
+        for ask, told in self.proposals.due_requests(now_us):
+            leader = self.leader_protocol.leader
             if leader is None or told % 3 == 2:
-                seat = self.panel[min(int(self.draw() * len(self.panel)), len(self.panel) - 1)]
+                seat = self.voters[min(int(self.random_fraction() * len(self.voters)), len(self.voters) - 1)]
                 name = seat.name
             else:
                 name = leader.name
-            self.outbox.say(name, ask)
+            self.outbox.send(name, ask)
--- a/molereach/coordination/replicated_log/once.py
+++ b/molereach/coordination/replicated_log/deduplication.py
@@ -15,11 +15,11 @@
 from molereach.coordination.interface.identifiers import Id, Position, WireStruct
 from molereach.coordination.interface.log import Entry, Outcome
 
-REPEATED = "a repeat of the entry at {}"
-USED = "an id used for something else"
+REPEATED_ERROR = "a repeat of the entry at {}"
+REUSED_ERROR = "an id used for something else"
 
 
-class Done(WireStruct, frozen=True):
+class AppliedProposal(WireStruct, frozen=True):
     """What the first entry with an id came to."""
 
     id: Id
@@ -29,22 +29,22 @@
     outcome: Outcome
 
 
-class Once:
+class DeduplicationTable:
     """The newest ids, in the order of their entries."""
 
-    def __init__(self, most: int, done: Iterable[Done] = (), floor: int = 0) -> None:
-        self.most, self.floor = most, floor  # `floor`: the position of the newest that was dropped
-        self.done = {each.id: each for each in done}
+    def __init__(self, most: int, done: Iterable[AppliedProposal] = (), floor: int = 0) -> None:
+        self.max_ids, self.floor = most, floor  # `floor`: the position of the newest that was dropped
+        self.proposals = {each.id: each for each in done}
 
-    def find(self, entry_id: str) -> Done | None:
-        return self.done.get(entry_id)
+    def find(self, entry_id: str) -> AppliedProposal | None:
+        return self.proposals.get(entry_id)
 
     def add(self, entry: Entry, body: bytes, outcome: Outcome) -> None:
-        self.done[entry.id] = Done(entry.id, entry.machine, body, entry.position, outcome)
-        while len(self.done) > self.most:
-            oldest = next(iter(self.done))
-            self.floor = self.done.pop(oldest).position
+        self.proposals[entry.id] = AppliedProposal(entry.id, entry.machine, body, entry.position, outcome)
+        while len(self.proposals) > self.max_ids:
+            oldest = next(iter(self.proposals))
+            self.floor = self.proposals.pop(oldest).position
 
-    def certain(self, since: int) -> bool:
+    def covers(self, since: int) -> bool:
         """Whether something first asked at this position would be in the table, had it been applied."""
         return since >= self.floor
--- /dev/null
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -0,0 +1,251 @@
+"""How a seat comes to lead, leads, and stops: the polls, rounds and batches of one front door.
+
+A leader that hears no majority for an election time-out steps down (Ongaro 2014, section 6.2). One whose
+log moves by anything but its own decisions while it leads was replaced, and steps down as well.
+"""
+
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.log import LeaderChanged, LeadershipConfirmed
+from molereach.coordination.replicated_log.acceptor import are_consecutive
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.leadership import Leadership, LeadershipPhase, ProposalQueue
+from molereach.coordination.replicated_log.messages import (
+    Accept,
+    Accepted,
+    Ballot,
+    BallotRejected,
+    Heartbeat,
+    HeartbeatReply,
+    LeaderHint,
+    Prepare,
+    PreVote,
+    PreVoteReply,
+    Promise,
+    ProposalRequest,
+    Voters,
+    VoteSource,
+)
+from molereach.coordination.replicated_log.replica_state import ReplicaState
+from molereach.coordination.replicated_log.voters import voter_of_disk
+
+
+class LeaderProtocol:
+    """The part of one who leads or would."""
+
+    def __init__(
+        self, me: NodeInstance, ledger: ReplicaState, election: Election, queue: ProposalQueue
+    ) -> None:
+        self.instance, self.state, self.election, self.queue = me, ledger, election, queue
+        self.outbox, self.settings = ledger.outbox, ledger.settings
+        self.leadership: Leadership | None = None
+        self.heartbeat_due_us = 0
+        self.leader: Ballot | None = None  # of the leader that is known here
+        self.is_leader = False  # that is this front door, and it leads
+
+    # --- who leads ---
+
+    def set_leader(self, ballot: Ballot | None) -> None:
+        """Another leads, or nobody that is known."""
+        if self.is_leader or ballot != self.leader:
+            known = ballot or self.leader
+            self.leader, self.is_leader = ballot, False
+            self.outbox.emit(
+                LeaderChanged(ballot.name if ballot else None, known.number if known else 0, False)
+            )
+
+    def announce_leadership(self) -> None:
+        lead = self.leadership
+        if lead and lead.leads and not (self.is_leader and self.leader == lead.ballot):
+            self.leader, self.is_leader = lead.ballot, True
+            self.outbox.emit(LeaderChanged(self.instance.name, lead.ballot.number, True))
+
+    def step_down(self, now_us: int) -> None:
+        """Lead no more; what is proposed may still be decided, by whoever leads next."""
+        if self.leadership is None:
+            return
+        self.leadership = None
+        self.queue.requests.clear()
+        self.election.restart_timeout(now_us)
+        if self.is_leader:
+            self.set_leader(None)
+
+    def check_leadership(self, now_us: int) -> None:
+        """The log may have moved by what others said, or a higher ballot may have been promised here."""
+        lead = self.leadership
+        if lead is None:
+            return
+        if self.state.acceptor.promised > lead.ballot or self.state.recovery.voter not in self.state.voters:
+            self.step_down(now_us)
+        elif self.state.position != lead.after:
+            if lead.phase is LeadershipPhase.LEADING:
+                self.step_down(now_us)
+            else:
+                self.prepare(now_us, lead)
+
+    # --- time ---
+
+    @property
+    def wake_us(self) -> int:
+        lead = self.leadership
+        return (
+            min(self.heartbeat_due_us, self.election.timeout_at_us) if lead else self.election.timeout_at_us
+        )
+
+    def tick(self, now_us: int) -> None:
+        lead = self.leadership
+        if lead and lead.elected:
+            if not lead.has_quorum_contact(self.state.voters, now_us, self.settings.max_election_timeout_us):
+                self.step_down(now_us)
+            elif now_us >= self.heartbeat_due_us:
+                self.send_heartbeat(now_us, lead)
+            elif now_us >= self.election.timeout_at_us:
+                self.election.restart_timeout(now_us)
+            return
+        if now_us >= self.election.timeout_at_us:
+            self.leadership = None
+            self.start_pre_vote(now_us)
+        elif lead and now_us >= self.heartbeat_due_us:
+            self.resend(now_us, lead)
+
+    def start_pre_vote(self, now_us: int) -> None:
+        self.set_leader(None)
+        if not self.state.may_vote:
+            self.election.restart_timeout(now_us)
+            return
+        self.election.observe_ballot(self.state.acceptor.promised)
+        ballot = self.election.start_pre_vote(now_us, self.instance.name, self.instance.number)
+        for seat in self.state.voters:
+            self.outbox.send(seat.name, PreVote(ballot, self.state.position))
+
+    # --- promises ---
+
+    def on_pre_vote_reply(self, now_us: int, sender: NodeInstance, word: PreVoteReply) -> None:
+        seat = voter_of_disk(self.state.voters, word.disk)
+        if seat and seat.name == sender.name and self.election.record_reply(word, self.state.voters):
+            self.leadership = Leadership(word.ballot, self.state.position, now_us)
+            self.election.restart_timeout(now_us)
+            self.resend(now_us, self.leadership)
+
+    def prepare(self, now_us: int, lead: Leadership) -> None:
+        """Ask for promises anew, about what follows now."""
+        lead.prepare(self.state.position, now_us)
+        self.resend(now_us, lead)
+
+    def resend(self, now_us: int, lead: Leadership) -> None:
+        """Say again what was not answered."""
+        self.heartbeat_due_us = now_us + self.settings.heartbeat_interval_us
+        answered = lead.promises if lead.phase is LeadershipPhase.PREPARING else lead.votes
+        for seat in self.state.voters:
+            if seat.disk in answered:
+                continue
+            if lead.phase is LeadershipPhase.PREPARING:
+                self.outbox.send(seat.name, Prepare(lead.ballot, lead.after))
+            elif lead.batch:
+                self.outbox.send(seat.name, Accept(lead.ballot, lead.batch))
+
+    def _leadership_for(
+        self, now_us: int, sender: NodeInstance, ballot: Ballot, voter: VoteSource
+    ) -> Leadership | None:
+        """The leadership that a vote is for, if it is one of this panel's."""
+        lead, seat = self.leadership, voter_of_disk(self.state.voters, voter.run.disk)
+        if lead is None or lead.ballot != ballot or seat is None:
+            return None
+        if seat.name != sender.name or voter.run.instance_number != sender.number:
+            return None
+        lead.contact_us[seat.disk] = now_us
+        return lead
+
+    def on_promise(self, now_us: int, sender: NodeInstance, word: Promise) -> None:
+        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
+        if lead is None or not are_consecutive(word.accepted, word.after):
+            return
+        if lead.record_promise(word.source.run.disk, word, self.state.voters):
+            self.send_heartbeat(now_us, lead)
+
+    def on_ballot_rejected(self, now_us: int, word: BallotRejected) -> None:
+        self.election.observe_ballot(word.promised)
+        lead = self.leadership
+        if lead and lead.ballot == word.ballot and word.promised.number >= lead.ballot.number:
+            self.step_down(now_us)
+
+    # --- batches ---
+
+    def propose_next_batch(self, now_us: int) -> None:
+        """Propose the next batch, if its time has come."""
+        lead = self.leadership
+        if lead is None or not lead.leads or lead.batch:
+            return
+        if batch := self.queue.batch(now_us, self.state.learner):
+            lead.propose(batch)
+            for seat in self.state.voters:
+                self.outbox.send(seat.name, Accept(lead.ballot, batch))
+
+    def on_accepted(self, now_us: int, sender: NodeInstance, word: Accepted) -> None:
+        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
+        if lead is None:
+            return
+        panel = self.state.voters
+        batch = lead.record_vote(word.source.run.disk, word.last, word.source, panel)
+        if not batch:
+            return
+        self.state.apply_decided(batch)
+        lead.after = self.state.position
+        if self.state.voters == panel:
+            self.send_heartbeat(now_us, lead)
+        else:
+            self.change_voters(now_us, lead, panel)
+
+    def change_voters(self, now_us: int, lead: Leadership, before: Voters) -> None:
+        """The panel changed: both are told, and the new one is asked to promise, if this seat is in it."""
+        for seat in before:
+            if seat not in self.state.voters:
+                self.outbox.send(seat.name, Heartbeat(lead.ballot, self.state.position, lead.rounds.number))
+        self.send_heartbeat(now_us, lead)
+        if self.state.recovery.voter in self.state.voters:
+            self.prepare(now_us, lead)
+        else:
+            self.step_down(now_us)
+
+    # --- rounds ---
+
+    def send_heartbeat(self, now_us: int, lead: Leadership) -> None:
+        number = lead.rounds.begin()
+        for seat in self.state.voters:
+            self.outbox.send(seat.name, Heartbeat(lead.ballot, self.state.position, number))
+        self.resend(now_us, lead)
+
+    def on_heartbeat_reply(self, now_us: int, sender: NodeInstance, word: HeartbeatReply) -> None:
+        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
+        if lead is None:
+            return
+        lead.rounds.record_reply(word.source.run.disk, word)
+        if not lead.leads:
+            return
+        tokens = lead.rounds.take_confirmed(self.state.voters)
+        for token in tokens:
+            self.outbox.emit(LeadershipConfirmed(token, lead.ballot.number))
+        if tokens and lead.rounds.has_unsent_question:
+            self.send_heartbeat(now_us, lead)
+
+    def confirm_leadership(self, now_us: int, token: int) -> None:
+        lead = self.leadership
+        if lead and lead.leads and lead.rounds.add_question(token):
+            self.send_heartbeat(now_us, lead)
+
+    # --- proposals ---
+
+    def on_proposal_request(self, sender: str, ask: ProposalRequest) -> None:
+        if self.leadership and self.leadership.elected:
+            self.queue.add(ask, self.state.learner)
+        elif self.leader:
+            self.outbox.send(sender, LeaderHint(self.leader))
+            if sender == ask.proposer.name:  # it may not reach the leader itself; passed on once
+                self.outbox.send(self.leader.name, ask)
+
+    def on_leader_hint(self, word: LeaderHint) -> bool:
+        """Take word of who leads; whether it is new."""
+        newer = self.leader is None or word.ballot.number > self.leader.number
+        if self.leadership or word.ballot.name == self.instance.name or not newer:
+            return False
+        self.set_leader(word.ballot)
+        return True
--- a/molereach/coordination/replicated_log/leader.py
+++ b/molereach/coordination/replicated_log/leadership.py
@@ -9,15 +9,21 @@
 from enum import Enum
 
 from molereach.coordination.interface.log import Entry
-from molereach.coordination.replicated_log.confirm import Rounds
-from molereach.coordination.replicated_log.learner import OWN, Learner
-from molereach.coordination.replicated_log.panel import majority
-from molereach.coordination.replicated_log.recovery import settled
-from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
-from molereach.coordination.replicated_log.words import Ask, Ballot, Panel, Promise, Voter
-
-
-class Phase(Enum):
+from molereach.coordination.replicated_log.leadership_confirmation import ConfirmationRounds
+from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
+from molereach.coordination.replicated_log.messages import (
+    Ballot,
+    Promise,
+    ProposalRequest,
+    Voters,
+    VoteSource,
+)
+from molereach.coordination.replicated_log.recovery import has_majority
+from molereach.coordination.replicated_log.settings import MAX_BATCH_BYTES, MAX_BATCH_ENTRIES, LogSettings
+from molereach.coordination.replicated_log.voters import majority
+
+
+class LeadershipPhase(Enum):
     PREPARING = "preparing"  # asks a majority to promise
     LEADING = "leading"  # has their promises
 
@@ -27,33 +33,33 @@
 
     def __init__(self, ballot: Ballot, after: int, now_us: int) -> None:
         self.ballot = ballot
-        self.rounds = Rounds()
-        self.heard: dict[str, int] = {}  # when each disk was last heard to follow
+        self.rounds = ConfirmationRounds()
+        self.contact_us: dict[str, int] = {}  # when each disk was last heard to follow
         self.elected = False  # had a majority's promises once
         self.prepare(after, now_us)
 
     def prepare(self, after: int, now_us: int) -> None:
         """Ask for promises about all that follows this position."""
-        self.phase, self.after, self.since_us = Phase.PREPARING, after, now_us
+        self.phase, self.after, self.since_us = LeadershipPhase.PREPARING, after, now_us
         self.promises: dict[str, Promise] = {}
         self.batch: tuple[Entry, ...] = ()  # proposed, and not known to be decided
-        self.votes: dict[str, Voter] = {}
+        self.votes: dict[str, VoteSource] = {}
         self.inherited = False  # the batch was proposed by an earlier leader
 
     @property
     def leads(self) -> bool:
         """Has all that was decided before it: what it says of the log holds."""
-        return self.phase is Phase.LEADING and not self.inherited
+        return self.phase is LeadershipPhase.LEADING and not self.inherited
 
-    def promised(self, disk: str, word: Promise, panel: Panel) -> bool:
+    def record_promise(self, disk: str, word: Promise, panel: Voters) -> bool:
         """Take a promise; whether that makes a majority. Then `batch` is what must be proposed first."""
-        if self.phase is not Phase.PREPARING or word.after != self.after:
+        if self.phase is not LeadershipPhase.PREPARING or word.after != self.after:
             return False
         self.promises[disk] = word
-        if not settled({key: promise.voter for key, promise in self.promises.items()}, panel):
+        if not has_majority({key: promise.source for key, promise in self.promises.items()}, panel):
             return False
         highest = max(self.promises.values(), key=lambda promise: promise.accepted_at)
-        self.phase, self.elected = Phase.LEADING, True
+        self.phase, self.elected = LeadershipPhase.LEADING, True
         self.batch, self.inherited = highest.accepted, bool(highest.accepted)
         return True
 
@@ -61,51 +67,51 @@
         assert self.leads and not self.batch
         self.batch, self.votes = entries, {}
 
-    def accepted(self, disk: str, last: int, voter: Voter, panel: Panel) -> tuple[Entry, ...]:
+    def record_vote(self, disk: str, last: int, voter: VoteSource, panel: Voters) -> tuple[Entry, ...]:
         """Take a vote; the batch, once it is decided by it."""
         if not self.batch or last != self.batch[-1].position:
             return ()
         self.votes[disk] = voter
-        if not settled(self.votes, panel):
+        if not has_majority(self.votes, panel):
             return ()
         batch, self.batch, self.votes, self.inherited = self.batch, (), {}, False
         return batch
 
-    def followed(self, panel: Panel, now_us: int, within_us: int) -> bool:
+    def has_quorum_contact(self, panel: Voters, now_us: int, within_us: int) -> bool:
         """Whether a majority was heard of late."""
-        heard = sum(now_us - self.heard.get(seat.disk, self.since_us) < within_us for seat in panel)
+        heard = sum(now_us - self.contact_us.get(seat.disk, self.since_us) < within_us for seat in panel)
         return heard >= majority(panel)
 
 
-class Queue:
+class ProposalQueue:
     """Proposals that wait for a leader's next batch, each once."""
 
-    def __init__(self, settings: Settings, wall_ms: Callable[[int], int]) -> None:
-        self.settings, self.wall_ms = settings, wall_ms
-        self.asks: dict[str, Ask] = {}
+    def __init__(self, settings: LogSettings, wall_ms: Callable[[int], int]) -> None:
+        self.settings, self.unix_ms = settings, wall_ms
+        self.requests: dict[str, ProposalRequest] = {}
 
-    def add(self, ask: Ask, learner: Learner) -> None:
+    def add(self, ask: ProposalRequest, learner: Learner) -> None:
         """One more, unless it is known, too old to judge, or there are too many: then it is told again."""
-        if learner.once.find(ask.id) or not learner.once.certain(ask.since):
+        if learner.deduplication.find(ask.id) or not learner.deduplication.covers(ask.since):
             return
-        if len(self.asks) < self.settings.most_queued:
-            self.asks.setdefault(ask.id, ask)
+        if len(self.requests) < self.settings.max_queued:
+            self.requests.setdefault(ask.id, ask)
 
     def batch(self, now_us: int, learner: Learner) -> tuple[Entry, ...]:
         """The next entries. One that may change the panel is the last of its batch."""
         entries: list[Entry] = []
         size = 0
-        at_ms = max(self.wall_ms(now_us), learner.at_ms)
-        while self.asks and len(entries) < MOST_BATCH:
-            ask = next(iter(self.asks.values()))
+        at_ms = max(self.unix_ms(now_us), learner.at_ms)
+        while self.requests and len(entries) < MAX_BATCH_ENTRIES:
+            ask = next(iter(self.requests.values()))
             size += len(ask.body)
-            if entries and size > MOST_BATCH_BYTES:
+            if entries and size > MAX_BATCH_BYTES:
                 break
-            del self.asks[ask.id]
-            if learner.once.find(ask.id) or not learner.once.certain(ask.since):
+            del self.requests[ask.id]
+            if learner.deduplication.find(ask.id) or not learner.deduplication.covers(ask.since):
                 continue
             position = learner.position + 1 + len(entries)
             entries.append(Entry(position, ask.machine, ask.id, ask.proposer, at_ms, ask.body))
-            if ask.machine == OWN:
+            if ask.machine == LOG_MACHINE:
                 break
         return tuple(entries)
--- a/molereach/coordination/replicated_log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -12,13 +12,20 @@
 import msgspec
 
 from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
-from molereach.coordination.replicated_log.once import REPEATED, USED, Done, Once
-from molereach.coordination.replicated_log.panel import changed
+from molereach.coordination.replicated_log.deduplication import (
+    REPEATED_ERROR,
+    REUSED_ERROR,
+    AppliedProposal,
+    DeduplicationTable,
+)
+from molereach.coordination.replicated_log.messages import Voters
 from molereach.coordination.replicated_log.records import Snapshot
-from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_BATCH_BYTES, Settings
-from molereach.coordination.replicated_log.words import Panel
+from molereach.coordination.replicated_log.settings import MAX_BATCH_BYTES, MAX_BATCH_ENTRIES, LogSettings
+from molereach.coordination.replicated_log.voters import apply_change
 
-OWN = "log"  # the machine of entries of the log's own; `Entry.machine` cannot be empty once it was sent
+LOG_MACHINE = (
+    "log"  # the machine of entries of the log's own; `Entry.machine` cannot be empty once it was sent
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,19 +36,19 @@
     reason: str
 
 
-def short_hash(body: bytes) -> bytes:
+def body_hash(body: bytes) -> bytes:
     return blake2b(body, digest_size=16).digest()
 
 
 class Learner:
     """All that was decided, as far as it is known here."""
 
-    def __init__(self, panel: Panel, machines: Mapping[str, StateMachine], settings: Settings) -> None:
+    def __init__(self, panel: Voters, machines: Mapping[str, StateMachine], settings: LogSettings) -> None:
         self.settings, self.machines = settings, machines
-        self.panel, self.position, self.chain = panel, 0, b""
+        self.voters, self.position, self.chain = panel, 0, b""
         self.last: Entry | None = None
-        self.once = Once(settings.most_once)
-        self.failed: set[str] = set()
+        self.deduplication = DeduplicationTable(settings.max_deduplicated_ids)
+        self.failed_machines: set[str] = set()
         self.tail: deque[Entry] = deque()
         self.tail_bytes = 0
 
@@ -51,7 +58,7 @@
 
     # --- entries ---
 
-    def new(self, entries: Sequence[Entry]) -> tuple[Entry, ...]:
+    def unapplied(self, entries: Sequence[Entry]) -> tuple[Entry, ...]:
         """Those that follow what is applied here; none where there is a gap."""
         fresh = tuple(entry for entry in entries if entry.position > self.position)
         expected = range(self.position + 1, self.position + 1 + len(fresh))
@@ -62,61 +69,65 @@
         assert entry.position == self.position + 1
         self.position, self.last = entry.position, entry
         self.chain = blake2b(self.chain + msgspec.msgpack.encode(entry), digest_size=32).digest()
-        self._keep(entry)
+        self._append_to_tail(entry)
         failures: list[Applied | MachineFailed] = []
-        body, done = short_hash(entry.body), self.once.find(entry.id)
+        body, done = body_hash(entry.body), self.deduplication.find(entry.id)
         if done is None:
             outcome = self._outcome(entry, failures)
-            self.once.add(entry, body, outcome)
+            self.deduplication.add(entry, body, outcome)
         elif (done.machine, done.body) == (entry.machine, body):
-            outcome = Outcome(REPEATED.format(done.position))
+            outcome = Outcome(REPEATED_ERROR.format(done.position))
         else:
-            outcome = Outcome(USED)
+            outcome = Outcome(REUSED_ERROR)
         return [*failures, Applied(entry, outcome)]
 
     def _outcome(self, entry: Entry, failures: list[Applied | MachineFailed]) -> Outcome:
-        if entry.machine == OWN:
-            self.panel, outcome = changed(self.panel, entry.body)
+        if entry.machine == LOG_MACHINE:
+            self.voters, outcome = apply_change(self.voters, entry.body)
             return outcome
         machine = self.machines.get(entry.machine)
         if machine is None:
             return Outcome("no such machine")
-        if entry.machine in self.failed:
+        if entry.machine in self.failed_machines:
             return Outcome("stopped here by a fault")
         try:
             return machine.apply(entry)
         except Exception as error:
-            failures.append(self._failed(entry.machine, f"at entry {entry.position}: {error!r}"))
+            failures.append(self._stop_machine(entry.machine, f"at entry {entry.position}: {error!r}"))
             return Outcome("stopped here by a fault")
 
-    def _failed(self, name: str, reason: str) -> MachineFailed:
-        self.failed.add(name)
+    def _stop_machine(self, name: str, reason: str) -> MachineFailed:
+        self.failed_machines.add(name)
         return MachineFailed(name, reason[:200])
 
-    def outcome_of(self, entry_id: str, machine: str, body: bytes) -> tuple[Done, Outcome] | None:
+    def outcome_of(self, entry_id: str, machine: str, body: bytes) -> tuple[AppliedProposal, Outcome] | None:
         """What a proposal came to, if the table of ids has it."""
-        done = self.once.find(entry_id)
+        done = self.deduplication.find(entry_id)
         if done is None:
             return None
-        same = (done.machine, done.body) == (machine, short_hash(body))
-        return done, done.outcome if same else Outcome(USED)
+        same = (done.machine, done.body) == (machine, body_hash(body))
+        return done, done.outcome if same else Outcome(REUSED_ERROR)
 
     # --- the tail ---
 
-    def _keep(self, entry: Entry) -> None:
+    def _append_to_tail(self, entry: Entry) -> None:
         self.tail.append(entry)
         self.tail_bytes += len(entry.body)
-        while len(self.tail) > self.settings.most_tail or self.tail_bytes > self.settings.most_tail_bytes:
+        while (
+            len(self.tail) > self.settings.max_tail_entries or self.tail_bytes > self.settings.max_tail_bytes
+        ):
             self.tail_bytes -= len(self.tail.popleft().body)
 
-    def following(self, after: int) -> tuple[Entry, ...] | None:
+    def entries_after(self, after: int) -> tuple[Entry, ...] | None:
         """A bounded number of entries after a position; None where the tail does not reach back."""
         if after >= self.position:
             return ()
         if not self.tail or self.tail[0].position > after + 1:
             return None
         skip = after + 1 - self.tail[0].position
-        return bounded(self.tail[index] for index in range(skip, min(len(self.tail), skip + MOST_BATCH)))
+        return first_batch(
+            self.tail[index] for index in range(skip, min(len(self.tail), skip + MAX_BATCH_ENTRIES))
+        )
 
     # --- snapshots ---
 
@@ -124,17 +135,17 @@
         machines = {
             name: machine.snapshot()
             for name, machine in sorted(self.machines.items())
-            if name not in self.failed
+            if name not in self.failed_machines
         }
         return Snapshot(
             self.position,
             self.last,
             self.chain,
-            self.panel,
-            tuple(self.once.done.values()),
-            self.once.floor,
+            self.voters,
+            tuple(self.deduplication.proposals.values()),
+            self.deduplication.floor,
             machines,
-            tuple(sorted(self.failed)),
+            tuple(sorted(self.failed_machines)),
         )
 
     def restore(self, snapshot: Snapshot) -> list[MachineFailed]:
@@ -142,17 +153,19 @@
         failures = []
         for name, machine in self.machines.items():
             data = snapshot.machines.get(name)
-            if name in snapshot.failed:
-                failures.append(self._failed(name, "stopped before, by a fault"))
+            if name in snapshot.failed_machines:
+                failures.append(self._stop_machine(name, "stopped before, by a fault"))
             elif data is not None:
-                self.failed.discard(name)
+                self.failed_machines.discard(name)
                 try:
                     machine.restore(data)
                 except Exception as error:
-                    failures.append(self._failed(name, f"snapshot of {snapshot.position}: {error!r}"))
+                    failures.append(self._stop_machine(name, f"snapshot of {snapshot.position}: {error!r}"))
         self.position, self.last, self.chain = snapshot.position, snapshot.last, snapshot.chain
-        self.panel = snapshot.panel
-        self.once = Once(self.settings.most_once, snapshot.once, snapshot.once_floor)
+        self.voters = snapshot.voters
+        self.deduplication = DeduplicationTable(
+            self.settings.max_deduplicated_ids, snapshot.applied_proposals, snapshot.deduplication_floor
+        )
         self.tail.clear()
         self.tail_bytes = 0
         return failures
@@ -162,13 +175,13 @@
         return blake2b(msgspec.msgpack.encode(self.snapshot()), digest_size=16).hexdigest()
 
 
-def bounded(entries: Iterable[Entry]) -> tuple[Entry, ...]:
+def first_batch(entries: Iterable[Entry]) -> tuple[Entry, ...]:
     """As many as go into one word; at least one."""
     taken: list[Entry] = []
     size = 0
     for entry in entries:
         size += len(entry.body)
-        if taken and (size > MOST_BATCH_BYTES or len(taken) == MOST_BATCH):
+        if taken and (size > MAX_BATCH_BYTES or len(taken) == MAX_BATCH_ENTRIES):
             break
         taken.append(entry)
     return tuple(taken)
--- a/molereach/coordination/replicated_log/words.py
+++ b/molereach/coordination/replicated_log/messages.py
@@ -6,6 +6,7 @@
 
 from typing import Annotated
 
+import msgspec
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import (
@@ -17,13 +18,19 @@
     WireStruct,
 )
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Entry
-from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_SNAPSHOT_BYTES
+from molereach.coordination.replicated_log.settings import (
+    MAX_BATCH_ENTRIES,
+    MAX_CHUNK_BYTES,
+    MAX_SNAPSHOT_BYTES,
+)
 
-MOST_SEATS = 7
+MAX_VOTERS = 7
 
-Disk = Annotated[str, Meta(pattern=r"^[0-9a-f]{32}\Z")]  # 128 random bits, drawn when its folder was made
-Starts = Annotated[int, Meta(ge=0, le=1 << 53)]
-Batch = Annotated[tuple[Entry, ...], Meta(max_length=MOST_BATCH)]
+DiskIdentity = Annotated[
+    str, Meta(pattern=r"^[0-9a-f]{32}\Z")
+]  # 128 random bits, drawn when its folder was made
+StartCount = Annotated[int, Meta(ge=0, le=1 << 53)]
+Batch = Annotated[tuple[Entry, ...], Meta(max_length=MAX_BATCH_ENTRIES)]
 
 
 class Ballot(WireStruct, frozen=True, order=True):
@@ -31,63 +38,65 @@
 
     number: InstanceNumber = 0
     name: Name = "0"
-    life: InstanceNumber = 0
+    instance_number: InstanceNumber = msgspec.field(name="life", default=0)
 
 
 NOBODY = Ballot()
 
 
-class Seat(WireStruct, frozen=True, order=True):
+class Voter(WireStruct, frozen=True, order=True):
     """One place of the panel: a front door and its disk. Either alone is not the seat."""
 
     name: Name
-    disk: Disk
+    disk: DiskIdentity
 
 
-Panel = Annotated[tuple[Seat, ...], Meta(max_length=MOST_SEATS)]
+Voters = Annotated[tuple[Voter, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class Run(WireStruct, frozen=True):
     """One start of one disk: how many there were, and the life that it began."""
 
-    disk: Disk
-    starts: Starts
-    life: InstanceNumber
+    disk: DiskIdentity
+    start_count: StartCount = msgspec.field(name="starts")
+    instance_number: InstanceNumber = msgspec.field(name="life")
 
 
-class Voter(WireStruct, frozen=True):
+class VoteSource(WireStruct, frozen=True):
     """Whose vote it is, and the runs of others that it has written down: votes of earlier ones are void."""
 
     run: Run
-    knows: Annotated[tuple[Run, ...], Meta(max_length=MOST_SEATS)] = ()
+    known_runs: Annotated[tuple[Run, ...], Meta(max_length=MAX_VOTERS)] = msgspec.field(
+        name="knows", default=()
+    )
 
 
-class Word(WireStruct, frozen=True, tag_field="kind", tag=lambda name: "l." + name.lower()):
+class LogMessage(WireStruct, frozen=True, tag_field="kind"):
     """A message of the log."""
 
 
 # --- a start ---
 
 
-class Start(Word, frozen=True):
+class RunStarted(LogMessage, frozen=True, tag="l.start"):
     """This disk was started: what do you know of it?"""
 
     run: Run
     after: Position
 
 
-class Noted(Word, frozen=True):
+class RunAcknowledged(LogMessage, frozen=True, tag="l.noted"):
     """The run is written down, and no equal or higher one was; this was promised and accepted by me."""
 
     run: Run
-    by: Run
+    acknowledged_by: Run = msgspec.field(name="by")
     after: Position
     promised: Ballot
     accepted_at: Ballot = NOBODY
     accepted: Batch = ()
 
 
-class Exists(Word, frozen=True):
+class RunConflict(LogMessage, frozen=True, tag="l.exists"):
     """An equal or higher start is known under another life: the disk was set back."""
 
     run: Run
@@ -97,36 +106,36 @@
 # --- an election ---
 
 
-class Poll(Word, frozen=True):
+class PreVote(LogMessage, frozen=True, tag="l.poll"):
     """Would you promise this? Nothing is promised by the answer."""
 
     ballot: Ballot
     after: Position
 
 
-class Polled(Word, frozen=True):
+class PreVoteReply(LogMessage, frozen=True, tag="l.polled"):
     ballot: Ballot
-    disk: Disk
+    disk: DiskIdentity
     granted: bool
     promised: Ballot
 
 
-class Prepare(Word, frozen=True):
+class Prepare(LogMessage, frozen=True, tag="l.prepare"):
     ballot: Ballot
     after: Position
 
 
-class Promise(Word, frozen=True):
+class Promise(LogMessage, frozen=True, tag="l.promise"):
     """Nothing under this ballot will be accepted, at any later position; and what was accepted before."""
 
     ballot: Ballot
     after: Position
-    voter: Voter
+    source: VoteSource = msgspec.field(name="voter")
     accepted_at: Ballot = NOBODY
     accepted: Batch = ()
 
 
-class Outbid(Word, frozen=True):
+class BallotRejected(LogMessage, frozen=True, tag="l.outbid"):
     """A higher ballot was promised than that of what was asked."""
 
     ballot: Ballot
@@ -136,18 +145,18 @@
 # --- a leader ---
 
 
-class Accept(Word, frozen=True):
+class Accept(LogMessage, frozen=True, tag="l.accept"):
     ballot: Ballot
-    entries: Annotated[tuple[Entry, ...], Meta(min_length=1, max_length=MOST_BATCH)]
+    entries: Annotated[tuple[Entry, ...], Meta(min_length=1, max_length=MAX_BATCH_ENTRIES)]
 
 
-class Accepted(Word, frozen=True):
+class Accepted(LogMessage, frozen=True, tag="l.accepted"):
     ballot: Ballot
     last: Position  # of the batch
-    voter: Voter
+    source: VoteSource = msgspec.field(name="voter")
 
 
-class Beat(Word, frozen=True):
+class Heartbeat(LogMessage, frozen=True, tag="l.beat"):
     """The leader lives; all up to `decided` is decided, and what was accepted of this ballot up to there."""
 
     ballot: Ballot
@@ -155,47 +164,47 @@
     round: Position
 
 
-class Follow(Word, frozen=True):
+class HeartbeatReply(LogMessage, frozen=True, tag="l.follow"):
     """No higher ballot was promised here when this round's beat came."""
 
     ballot: Ballot
     round: Position
-    voter: Voter
+    source: VoteSource = msgspec.field(name="voter")
 
 
 # --- what is decided ---
 
 
-class Want(Word, frozen=True):
+class EntriesRequest(LogMessage, frozen=True, tag="l.want"):
     after: Position
 
 
-class Known(Word, frozen=True):
+class EntriesReply(LogMessage, frozen=True, tag="l.known"):
     entries: Batch
     decided: Position
 
 
-class WantPiece(Word, frozen=True):
+class SnapshotChunkRequest(LogMessage, frozen=True, tag="l.wantpiece"):
     """The next bytes of the snapshot of this position."""
 
     position: Position
-    offset: Annotated[int, Meta(ge=0, le=MOST_SNAPSHOT_BYTES)]
+    offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
 
 
-class Piece(Word, frozen=True):
+class SnapshotChunk(LogMessage, frozen=True, tag="l.piece"):
     """Some bytes of a snapshot. With one that does not fit to what came before nothing is done."""
 
     position: Position
-    total: Annotated[int, Meta(ge=1, le=MOST_SNAPSHOT_BYTES)]
-    offset: Annotated[int, Meta(ge=0, le=MOST_SNAPSHOT_BYTES)]
+    total: Annotated[int, Meta(ge=1, le=MAX_SNAPSHOT_BYTES)]
+    offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
     digest: Annotated[bytes, Meta(min_length=16, max_length=16)]  # BLAKE2b of the whole
-    data: Annotated[bytes, Meta(min_length=1, max_length=MOST_PIECE_BYTES)]
+    data: Annotated[bytes, Meta(min_length=1, max_length=MAX_CHUNK_BYTES)]
 
 
 # --- proposals ---
 
 
-class Ask(Word, frozen=True):
+class ProposalRequest(LogMessage, frozen=True, tag="l.ask"):
     """A proposal for the leader. `since` is what its proposer had applied when it first asked."""
 
     machine: Annotated[str, Meta(max_length=64)]
@@ -205,29 +214,29 @@
     body: Annotated[bytes, Meta(max_length=MAX_ENTRY_BODY_BYTES)]
 
 
-class Leader(Word, frozen=True):
+class LeaderHint(LogMessage, frozen=True, tag="l.leader"):
     """Another leads, as far as is known here."""
 
     ballot: Ballot
 
 
 Message = (
-    Start
-    | Noted
-    | Exists
-    | Poll
-    | Polled
+    RunStarted
+    | RunAcknowledged
+    | RunConflict
+    | PreVote
+    | PreVoteReply
     | Prepare
     | Promise
-    | Outbid
+    | BallotRejected
     | Accept
     | Accepted
-    | Beat
-    | Follow
-    | Want
-    | Known
-    | WantPiece
-    | Piece
-    | Ask
-    | Leader
+    | Heartbeat
+    | HeartbeatReply
+    | EntriesRequest
+    | EntriesReply
+    | SnapshotChunkRequest
+    | SnapshotChunk
+    | ProposalRequest
+    | LeaderHint
 )
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -11,15 +11,15 @@
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.disk import Persist
 from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.replicated_log.messages import Message
 from molereach.coordination.replicated_log.records import Base, Record, encode
-from molereach.coordination.replicated_log.words import Message
 
-MOST_UNSYNCED = 1024  # writes under way: with more, a disk that hangs is given nothing new to vote for
-MOST_WAITING = 4096  # words that wait for the disk
+MAX_UNSYNCED_WRITES = 1024  # writes under way: with more, a disk that hangs is given nothing new to vote for
+MAX_WAITING_MESSAGES = 4096  # words that wait for the disk
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class LogStopped:
     """Action: the disk failed; nothing is promised, accepted or led here any more in this run."""
 
     reason: str
@@ -29,32 +29,32 @@
     """Actions of one turn, in order, and words that wait for a write."""
 
     def __init__(self, me: NodeInstance) -> None:
-        self.me = me
+        self.instance = me
         self.actions: list[Any] = []
-        self.mine: deque[Message] = deque()  # to this front door itself
+        self.own_messages: deque[Message] = deque()  # to this front door itself
         self.written, self.synced = 0, 0  # tokens
         self.failed = False
         self._records: list[bytes] = []
         self._base: bytes | None = None
         self._new: list[tuple[str, Message, int | None]] = []
-        self._waiting: deque[tuple[int, str, Message, int | None]] = deque(maxlen=MOST_WAITING)
+        self._waiting: deque[tuple[int, str, Message, int | None]] = deque(maxlen=MAX_WAITING_MESSAGES)
 
     @property
-    def able(self) -> bool:
+    def can_write(self) -> bool:
         """Whether the disk takes writes and is not far behind."""
-        return not self.failed and self.written - self.synced < MOST_UNSYNCED
+        return not self.failed and self.written - self.synced < MAX_UNSYNCED_WRITES
 
-    def act(self, action: object) -> None:
+    def emit(self, action: object) -> None:
         self.actions.append(action)
 
-    def say(self, to: str, message: Message, life: int | None = None) -> None:
+    def send(self, to: str, message: Message, life: int | None = None) -> None:
         """A word that rests on nothing."""
-        if to == self.me.name:
-            self.mine.append(message)
+        if to == self.instance.name:
+            self.own_messages.append(message)
         else:
             self.actions.append(SendMessage(to, message, life))
 
-    def vote(self, to: str, message: Message, life: int | None = None) -> None:
+    def send_after_sync(self, to: str, message: Message, life: int | None = None) -> None:
         """A word that rests on all that was written so far, also in this turn."""
         if not self.failed:
             self._new.append((to, message, life))
@@ -63,7 +63,7 @@
         if not self.failed:
             self._records.append(encode(record))
 
-    def rebase(self, base: Base) -> None:
+    def write_base(self, base: Base) -> None:
         """Write this in place of all before."""
         if not self.failed:
             self._base, self._records = encode(base), []
@@ -72,7 +72,7 @@
         """The end of a step: one write for all that it changed; then what may leave."""
         if self._records or self._base is not None:
             self.written += 1
-            self.act(Persist(self.written, tuple(self._records), self._base))
+            self.emit(Persist(self.written, tuple(self._records), self._base))
             self._records, self._base = [], None
         self._waiting.extend((self.written, *word) for word in self._new)
         self._new.clear()
@@ -81,7 +81,7 @@
     def release(self) -> None:
         while self._waiting and self._waiting[0][0] <= self.synced:
             _, to, message, life = self._waiting.popleft()
-            self.say(to, message, life)
+            self.send(to, message, life)
 
     def persisted(self, token: int) -> None:
         if not self.failed:
@@ -95,9 +95,9 @@
         self._records, self._base = [], None
         self._new.clear()
         self._waiting.clear()
-        self.act(Stopped(reason[:200]))
+        self.emit(LogStopped(reason[:200]))
         return True
 
-    def taken(self) -> list[Any]:
+    def take_actions(self) -> list[Any]:
         actions, self.actions = self.actions, []
         return actions
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -14,77 +14,79 @@
     ProposalStatus,
     Propose,
 )
-from molereach.coordination.replicated_log.learner import OWN, Learner
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.words import Ask
+from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
+from molereach.coordination.replicated_log.messages import ProposalRequest
+from molereach.coordination.replicated_log.settings import LogSettings
 
 
 @dataclass(slots=True)
-class _Pending:
-    ask: Ask
-    until_us: int
-    again_us: int
-    told: int = 0
+class _PendingProposal:
+    request: ProposalRequest
+    deadline_us: int
+    retry_at_us: int
+    attempts: int = 0
 
 
-class Proposals:
+class ProposalTracker:
     """Those under way, by id."""
 
-    def __init__(self, me: NodeInstance, settings: Settings, learner: Learner) -> None:
-        self.me, self.settings, self.learner = me, settings, learner
-        self.pending: dict[str, _Pending] = {}
+    def __init__(self, me: NodeInstance, settings: LogSettings, learner: Learner) -> None:
+        self.instance, self.settings, self.learner = me, settings, learner
+        self.pending: dict[str, _PendingProposal] = {}
 
     def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
         """Take a proposal; its word where it is over at once."""
         if event.id in self.pending:
             pending = self.pending[event.id]
-            pending.until_us = max(pending.until_us, now_us + event.timeout_us)
+            pending.deadline_us = max(pending.deadline_us, now_us + event.timeout_us)
             return None
-        machine = event.machine or OWN
-        known = machine == OWN or machine in self.learner.machines
+        machine = event.machine or LOG_MACHINE
+        known = machine == LOG_MACHINE or machine in self.learner.machines
         fits = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
-        if not known or not fits or len(self.pending) >= self.settings.most_pending:
+        if not known or not fits or len(self.pending) >= self.settings.max_pending:
             return ProposalFinished(event.id, ProposalStatus.REJECTED)
-        ask = Ask(machine, event.id, self.me, self.learner.position, event.body)
-        if over := self._settled(ask):
+        ask = ProposalRequest(machine, event.id, self.instance, self.learner.position, event.body)
+        if over := self._result(ask):
             return over
-        self.pending[event.id] = _Pending(ask, now_us + event.timeout_us, now_us)
+        self.pending[event.id] = _PendingProposal(ask, now_us + event.timeout_us, now_us)
         return None
 
-    def _settled(self, ask: Ask) -> ProposalFinished | None:
+    def _result(self, ask: ProposalRequest) -> ProposalFinished | None:
         found = self.learner.outcome_of(ask.id, ask.machine, ask.body)
         return (
             ProposalFinished(ask.id, ProposalStatus.APPLIED, found[1], found[0].position) if found else None
         )
 
-    def settle(self) -> list[ProposalFinished]:
+    def finish_applied(self) -> list[ProposalFinished]:
         """Those that have been applied here by now."""
-        overs = [over for each in self.pending.values() if (over := self._settled(each.ask))]
+        overs = [over for each in self.pending.values() if (over := self._result(each.request))]
         for over in overs:
             del self.pending[over.id]
         return overs
 
     def expire(self, now_us: int) -> list[ProposalFinished]:
-        late = [key for key, each in self.pending.items() if now_us >= each.until_us]
+        late = [key for key, each in self.pending.items() if now_us >= each.deadline_us]
         for key in late:
             del self.pending[key]
         return [ProposalFinished(key, ProposalStatus.UNKNOWN) for key in late]
 
-    def due(self, now_us: int) -> list[tuple[Ask, int]]:
+    def due_requests(self, now_us: int) -> list[tuple[ProposalRequest, int]]:
         """What to tell now, and how often it was told before."""
         asks = []
         for each in self.pending.values():
-            if now_us >= each.again_us:
-                asks.append((each.ask, each.told))
-                each.told += 1
-                each.again_us = now_us + self.settings.again_us
+            if now_us >= each.retry_at_us:
+                asks.append((each.request, each.attempts))
+                each.attempts += 1
+                each.retry_at_us = now_us + self.settings.retry_interval_us
         return asks
 
-    def hurry(self) -> None:
+    def retry_now(self) -> None:
         """Another leader: tell it at once."""
         for each in self.pending.values():
-            each.again_us, each.told = 0, 0
+            each.retry_at_us, each.attempts = 0, 0
 
     @property
     def wake_us(self) -> int:
-        return min((min(each.until_us, each.again_us) for each in self.pending.values()), default=NEVER_US)
+        return min(
+            (min(each.deadline_us, each.retry_at_us) for each in self.pending.values()), default=NEVER_US
+        )
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -13,12 +13,20 @@
 
 from molereach.coordination.interface.identifiers import Position, WireStruct
 from molereach.coordination.interface.log import Entry
-from molereach.coordination.replicated_log.acceptor import Acceptor, in_order
-from molereach.coordination.replicated_log.once import Done
-from molereach.coordination.replicated_log.settings import MOST_RUNS
-from molereach.coordination.replicated_log.words import NOBODY, Ballot, Batch, Disk, Panel, Run, Starts
-
-Runs = Annotated[tuple[Run, ...], Meta(max_length=MOST_RUNS)]
+from molereach.coordination.replicated_log.acceptor import Acceptor, are_consecutive
+from molereach.coordination.replicated_log.deduplication import AppliedProposal
+from molereach.coordination.replicated_log.messages import (
+    NOBODY,
+    Ballot,
+    Batch,
+    DiskIdentity,
+    Run,
+    StartCount,
+    Voters,
+)
+from molereach.coordination.replicated_log.settings import MAX_RUNS
+
+Runs = Annotated[tuple[Run, ...], Meta(max_length=MAX_RUNS)]
 
 
 class Snapshot(WireStruct, frozen=True):
@@ -27,18 +35,20 @@
     position: Position
     last: Entry | None  # the entry there
     chain: Annotated[bytes, Meta(max_length=32)]  # BLAKE2b over all entries
-    panel: Panel
-    once: tuple[Done, ...]
-    once_floor: Position
+    voters: Voters = msgspec.field(name="panel")
+    applied_proposals: tuple[AppliedProposal, ...] = msgspec.field(name="once")
+    deduplication_floor: Position = msgspec.field(name="once_floor")
     machines: dict[str, bytes]
-    failed: tuple[str, ...] = ()  # stopped at who made it: their state is not here
+    failed_machines: tuple[str, ...] = msgspec.field(
+        name="failed", default=()
+    )  # stopped at who made it: their state is not here
 
 
 class Base(WireStruct, frozen=True):
     """What takes the place of all records so far."""
 
-    disk: Disk
-    starts: Starts
+    disk: DiskIdentity
+    start_count: StartCount = msgspec.field(name="starts")
     runs: Runs
     promised: Ballot
     accepted_at: Ballot
@@ -46,32 +56,32 @@
     snapshot: Snapshot
 
 
-class Record(WireStruct, frozen=True, tag_field="kind", tag=str.lower):
+class Record(WireStruct, frozen=True, tag_field="kind"):
     """One record."""
 
 
-class Started(Record, frozen=True):
+class DiskStarted(Record, frozen=True, tag="started"):
     """This disk was started once more."""
 
     run: Run
 
 
-class Wrote(Record, frozen=True):
+class RunRecorded(Record, frozen=True, tag="wrote"):
     """Another disk's newest run is known, and told with each vote."""
 
     run: Run
 
 
-class Promised(Record, frozen=True):
+class BallotPromised(Record, frozen=True, tag="promised"):
     ballot: Ballot
 
 
-class Voted(Record, frozen=True):
+class BatchAccepted(Record, frozen=True, tag="voted"):
     ballot: Ballot
     entries: Batch
 
 
-class Raised(Record, frozen=True):
+class StateAdopted(Record, frozen=True, tag="raised"):
     """What other seats had promised and accepted, taken over at a start."""
 
     promised: Ballot
@@ -79,11 +89,13 @@
     accepted: Batch
 
 
-class Decided(Record, frozen=True):
+class EntriesDecided(Record, frozen=True, tag="decided"):
     entries: Batch
 
 
-_decoder = msgspec.msgpack.Decoder(Started | Wrote | Promised | Voted | Raised | Decided)
+_decoder = msgspec.msgpack.Decoder(
+    DiskStarted | RunRecorded | BallotPromised | BatchAccepted | StateAdopted | EntriesDecided
+)
 _base_decoder = msgspec.msgpack.Decoder(Base)
 _snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 
@@ -93,7 +105,7 @@
     """What the disk says. As made, it is that of a disk that was never used."""
 
     disk: str = ""  # empty where it was never started
-    starts: int = 0
+    start_count: int = 0
     runs: dict[str, Run] = field(default_factory=dict)
     acceptor: Acceptor = field(default_factory=Acceptor)
     snapshot: Snapshot | None = None
@@ -120,7 +132,7 @@
     now = Recovered()
     if base is not None:
         known = _base_decoder.decode(base)
-        now.disk, now.starts, now.snapshot = known.disk, known.starts, known.snapshot
+        now.disk, now.start_count, now.snapshot = known.disk, known.start_count, known.snapshot
         now.runs = {run.disk: run for run in known.runs}
         now.acceptor = Acceptor(known.promised, known.accepted_at, known.accepted)
     for data in records:
@@ -130,25 +142,29 @@
 
 def _replay(now: Recovered, record: Record) -> None:
     match record:
-        case Started(run):
+        case DiskStarted(run):
             if now.disk not in ("", run.disk):
                 raise ValueError("records of two disks in one folder")
-            now.disk, now.starts = run.disk, run.starts
-        case Wrote(run):
+            now.disk, now.start_count = run.disk, run.start_count
+        case RunRecorded(run):
             now.runs.pop(run.disk, None)
             now.runs[run.disk] = run
-        case Promised(ballot):
+        case BallotPromised(ballot):
             if not now.acceptor.promise(ballot):
                 raise ValueError("a promise was taken back")
-        case Voted(ballot, entries):
-            if not entries or not in_order(entries, now.position) or not now.acceptor.accept(ballot, entries):
+        case BatchAccepted(ballot, entries):
+            if (
+                not entries
+                or not are_consecutive(entries, now.position)
+                or not now.acceptor.accept(ballot, entries)
+            ):
                 raise ValueError("a vote out of order")
-        case Raised(promised, accepted_at, accepted):
-            if accepted and not in_order(accepted, now.position):
+        case StateAdopted(promised, accepted_at, accepted):
+            if accepted and not are_consecutive(accepted, now.position):
                 raise ValueError("a vote taken over out of order")
             now.acceptor.adopt(promised, accepted_at if accepted else NOBODY, accepted)
-        case Decided(entries):
-            if not entries or not in_order(entries, now.position):
+        case EntriesDecided(entries):
+            if not entries or not are_consecutive(entries, now.position):
                 raise ValueError("a gap between decided entries")
             now.entries.extend(entries)
-            now.acceptor.decided(entries[-1])
+            now.acceptor.discard_decided(entries[-1])
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -16,11 +16,19 @@
 from collections.abc import Mapping
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.replicated_log.acceptor import Acceptor, rest
+from molereach.coordination.replicated_log.acceptor import Acceptor, undecided_rest
 from molereach.coordination.replicated_log.learner import Learner
-from molereach.coordination.replicated_log.panel import majority
-from molereach.coordination.replicated_log.settings import MOST_RUNS
-from molereach.coordination.replicated_log.words import NOBODY, Exists, Noted, Panel, Run, Seat, Voter
+from molereach.coordination.replicated_log.messages import (
+    NOBODY,
+    Run,
+    RunAcknowledged,
+    RunConflict,
+    Voter,
+    Voters,
+    VoteSource,
+)
+from molereach.coordination.replicated_log.settings import MAX_RUNS
+from molereach.coordination.replicated_log.voters import majority
 
 
 class Recovery:
@@ -28,89 +36,93 @@
 
     def __init__(self, me: NodeInstance, disk: str, starts: int, runs: Mapping[str, Run]) -> None:
         self.run = Run(disk, starts, me.number)
-        self.seat = Seat(me.name, disk)
+        self.voter = Voter(me.name, disk)
         self.runs = {key: run for key, run in runs.items() if key != disk}  # newest known, oldest word first
-        self.answers: dict[Seat, Noted] = {}
-        self.set_back: Run | None = None
+        self.acknowledgements: dict[Voter, RunAcknowledged] = {}
+        self.rollback_evidence: Run | None = None
 
     # --- this disk ---
 
-    def lacking(self, panel: Panel) -> list[Seat]:
+    def unanswered_voters(self, panel: Voters) -> list[Voter]:
         """Whom to ask still. All, as each answer more lets one more be dead later."""
-        if self.set_back or self.seat not in panel:
+        if self.rollback_evidence or self.voter not in panel:
             return []
-        return [seat for seat in panel if seat != self.seat and seat not in self.answers]
+        return [seat for seat in panel if seat != self.voter and seat not in self.acknowledgements]
 
-    def answered(self, sender: NodeInstance, noted: Noted, panel: Panel) -> bool:
+    def record_acknowledgement(self, sender: NodeInstance, noted: RunAcknowledged, panel: Voters) -> bool:
         """Take an answer; whether it was new and for this run. Those of no seat go when there are many."""
-        seat = Seat(sender.name, noted.by.disk)
-        if noted.run != self.run or noted.by.life != sender.number or seat in self.answers:
+        seat = Voter(sender.name, noted.acknowledged_by.disk)
+        if (
+            noted.run != self.run
+            or noted.acknowledged_by.instance_number != sender.number
+            or seat in self.acknowledgements
+        ):
             return False
-        if len(self.answers) >= MOST_RUNS:
-            del self.answers[next(each for each in self.answers if each not in panel)]
-        self.answers[seat] = noted
+        if len(self.acknowledgements) >= MAX_RUNS:
+            del self.acknowledgements[next(each for each in self.acknowledgements if each not in panel)]
+        self.acknowledgements[seat] = noted
         return True
 
-    def refused(self, exists: Exists) -> bool:
+    def record_conflict(self, exists: RunConflict) -> bool:
         """Whether an answer shows, for the first time, that this disk was set back."""
         known = exists.known
-        if exists.run != self.run or known.disk != self.run.disk or self.set_back:
+        if exists.run != self.run or known.disk != self.run.disk or self.rollback_evidence:
             return False
-        if known == self.run or known.starts < self.run.starts:
+        if known == self.run or known.start_count < self.run.start_count:
             return False
-        self.set_back = known
+        self.rollback_evidence = known
         return True
 
-    def may_vote(self, panel: Panel, position: int) -> bool:
+    def may_vote(self, panel: Voters, position: int) -> bool:
         """Whether this run may vote at the position after this one, whose panel is given."""
-        if self.set_back or self.seat not in panel:
+        if self.rollback_evidence or self.voter not in panel:
             return False
-        answers = [self.answers[seat] for seat in panel if seat in self.answers]
+        answers = [self.acknowledgements[seat] for seat in panel if seat in self.acknowledgements]
         return len(answers) >= majority(panel) and all(answer.after <= position for answer in answers)
 
-    def raise_to(self, acceptor: Acceptor, learner: Learner) -> bool:
+    def adopt_acknowledged(self, acceptor: Acceptor, learner: Learner) -> bool:
         """Be no lower than those who answered; whether that changed anything."""
         raised = False
-        for answer in self.answers.values():
+        for answer in self.acknowledgements.values():
             accepted = answer.accepted if answer.after <= learner.position else ()
             if accepted and learner.last:
-                accepted = rest(accepted, learner.last)
+                accepted = undecided_rest(accepted, learner.last)
             raised |= acceptor.adopt(answer.promised, answer.accepted_at if accepted else NOBODY, accepted)
         return raised
 
     # --- the disks of others ---
 
-    def note(self, run: Run) -> Run | None:
+    def conflicting_run(self, run: Run) -> Run | None:
         """A run that shows that this one's disk was set back, or None: then it is to be written down."""
         known = self.runs.get(run.disk)
-        if known and known != run and known.starts >= run.starts:
+        if known and known != run and known.start_count >= run.start_count:
             return known
         return None
 
-    def write(self, run: Run, panel: Panel) -> bool:
+    def record_run(self, run: Run, panel: Voters) -> bool:
         """Remember a run; whether it was new. Disks without a seat go first when there are too many."""
         if self.runs.get(run.disk) == run:
             return False
         self.runs.pop(run.disk, None)
         self.runs[run.disk] = run
-        if len(self.runs) > MOST_RUNS:
+        if len(self.runs) > MAX_RUNS:
             seats = {seat.disk for seat in panel}
             del self.runs[next(disk for disk in self.runs if disk not in seats)]
         return True
 
-    def voter(self, panel: Panel) -> Voter:
+    def vote_source(self, panel: Voters) -> VoteSource:
         """Whose a vote of this run is, and what it has written down of the panel's other disks."""
-        return Voter(self.run, tuple(self.runs[seat.disk] for seat in panel if seat.disk in self.runs))
+        return VoteSource(self.run, tuple(self.runs[seat.disk] for seat in panel if seat.disk in self.runs))
 
 
-def counted(votes: Mapping[str, Voter], panel: Panel) -> int:
+def count_votes(votes: Mapping[str, VoteSource], panel: Voters) -> int:
     """How many seats of the panel voted, by disk. One is void when a voter knows a later run."""
     newest: dict[str, int] = {}
     for voter in votes.values():
-        for run in (voter.run, *voter.knows):
-            newest[run.disk] = max(newest.get(run.disk, 0), run.starts)
-    return sum(seat.disk in votes and votes[seat.disk].run.starts >= newest[seat.disk] for seat in panel)
+        for run in (voter.run, *voter.known_runs):
+            newest[run.disk] = max(newest.get(run.disk, 0), run.start_count)
+    return sum(seat.disk in votes and votes[seat.disk].run.start_count >= newest[seat.disk] for seat in panel)
 
 
-def settled(votes: Mapping[str, Voter], panel: Panel) -> bool:
-    return counted(votes, panel) >= majority(panel)
+def has_majority(votes: Mapping[str, VoteSource], panel: Voters) -> bool:
+    return count_votes(votes, panel) >= majority(panel)
--- a/molereach/coordination/replicated_log/ledger.py
+++ b/molereach/coordination/replicated_log/replica_state.py
@@ -9,62 +9,67 @@
 from molereach.coordination.interface.log import Applied, Entry, Restored
 from molereach.coordination.replicated_log.acceptor import Acceptor
 from molereach.coordination.replicated_log.learner import Learner
+from molereach.coordination.replicated_log.messages import Ballot, Run, Voters, VoteSource
 from molereach.coordination.replicated_log.outbox import Outbox
 from molereach.coordination.replicated_log.records import (
+    BallotPromised,
     Base,
-    Decided,
-    Promised,
-    Raised,
+    BatchAccepted,
+    DiskStarted,
+    EntriesDecided,
     Recovered,
+    RunRecorded,
     Snapshot,
-    Started,
-    Voted,
-    Wrote,
+    StateAdopted,
 )
 from molereach.coordination.replicated_log.recovery import Recovery
-from molereach.coordination.replicated_log.settings import MOST_BATCH, Settings
-from molereach.coordination.replicated_log.words import Ballot, Panel, Run, Voter
+from molereach.coordination.replicated_log.settings import MAX_BATCH_ENTRIES, LogSettings
 
 
-class Ledger:
+class ReplicaState:
     """State and disk of one front door."""
 
     def __init__(
-        self, settings: Settings, outbox: Outbox, learner: Learner, recovery: Recovery, recovered: Recovered
+        self,
+        settings: LogSettings,
+        outbox: Outbox,
+        learner: Learner,
+        recovery: Recovery,
+        recovered: Recovered,
     ) -> None:
         self.settings, self.outbox = settings, outbox
         self.learner, self.recovery = learner, recovery
         self.acceptor: Acceptor = recovered.acceptor
         self.entries_since_base, self.bytes_since_base = 0, 0
         self._replay(recovered)
-        outbox.write(Started(recovery.run))
+        outbox.write(DiskStarted(recovery.run))
 
     def _replay(self, recovered: Recovered) -> None:
         if recovered.snapshot:
             for failure in self.learner.restore(recovered.snapshot):
-                self.outbox.act(failure)
+                self.outbox.emit(failure)
         for entry in recovered.entries:
             for action in self.learner.apply(entry):
                 if not isinstance(action, Applied):
-                    self.outbox.act(action)
+                    self.outbox.emit(action)
             self._count(entry)
         if self.position:
-            self.outbox.act(Restored(self.position))
+            self.outbox.emit(Restored(self.position))
 
     @property
     def position(self) -> int:
         return self.learner.position
 
     @property
-    def panel(self) -> Panel:
-        return self.learner.panel
+    def voters(self) -> Voters:
+        return self.learner.voters
 
     @property
     def may_vote(self) -> bool:
-        return self.outbox.able and self.recovery.may_vote(self.panel, self.position)
+        return self.outbox.can_write and self.recovery.may_vote(self.voters, self.position)
 
-    def voter(self) -> Voter:
-        return self.recovery.voter(self.panel)
+    def vote_source(self) -> VoteSource:
+        return self.recovery.vote_source(self.voters)
 
     # --- votes: the caller has asked `may_vote` ---
 
@@ -73,7 +78,7 @@
         if not self.acceptor.promise(ballot):
             return False
         if ballot != before:
-            self.outbox.write(Promised(ballot))
+            self.outbox.write(BallotPromised(ballot))
         return True
 
     def accept(self, ballot: Ballot, entries: Sequence[Entry]) -> bool:
@@ -81,38 +86,38 @@
         if not self.acceptor.accept(ballot, entries):
             return False
         if had != (ballot, self.acceptor.accepted):
-            self.outbox.write(Voted(ballot, self.acceptor.accepted))
+            self.outbox.write(BatchAccepted(ballot, self.acceptor.accepted))
         return True
 
     # --- runs ---
 
-    def note(self, run: Run) -> Run | None:
+    def record_run(self, run: Run) -> Run | None:
         """Write a run down, or what shows that its disk was set back."""
-        known = self.recovery.note(run)
-        if known is None and self.recovery.write(run, self.panel):
-            self.outbox.write(Wrote(run))
+        known = self.recovery.conflicting_run(run)
+        if known is None and self.recovery.record_run(run, self.voters):
+            self.outbox.write(RunRecorded(run))
         return known
 
-    def raise_to_others(self) -> None:
-        if self.recovery.raise_to(self.acceptor, self.learner):
+    def adopt_acknowledged(self) -> None:
+        if self.recovery.adopt_acknowledged(self.acceptor, self.learner):
             acceptor = self.acceptor
-            self.outbox.write(Raised(acceptor.promised, acceptor.accepted_at, acceptor.accepted))
+            self.outbox.write(StateAdopted(acceptor.promised, acceptor.accepted_at, acceptor.accepted))
 
     # --- what is decided ---
 
-    def learn(self, entries: Sequence[Entry]) -> bool:
+    def apply_decided(self, entries: Sequence[Entry]) -> bool:
         """Take decided entries; whether any was new. A gap is passed over."""
-        new = self.learner.new(entries)
+        new = self.learner.unapplied(entries)
         if not new:
             return False
         for entry in new:
             for action in self.learner.apply(entry):
-                self.outbox.act(action)
+                self.outbox.emit(action)
             self._count(entry)
-        self.acceptor.decided(new[-1])
-        for begin in range(0, len(new), MOST_BATCH):
-            self.outbox.write(Decided(new[begin : begin + MOST_BATCH]))
-        self.raise_to_others()
+        self.acceptor.discard_decided(new[-1])
+        for begin in range(0, len(new), MAX_BATCH_ENTRIES):
+            self.outbox.write(EntriesDecided(new[begin : begin + MAX_BATCH_ENTRIES]))
+        self.adopt_acknowledged()
         self._compact()
         return True
 
@@ -121,11 +126,11 @@
         if snapshot.position <= self.position or snapshot.last is None:
             return False
         for failure in self.learner.restore(snapshot):
-            self.outbox.act(failure)
-        self.acceptor.decided(snapshot.last)
-        self.recovery.raise_to(self.acceptor, self.learner)
-        self.rebase()
-        self.outbox.act(Restored(self.position))
+            self.outbox.emit(failure)
+        self.acceptor.discard_decided(snapshot.last)
+        self.recovery.adopt_acknowledged(self.acceptor, self.learner)
+        self.write_base()
+        self.outbox.emit(Restored(self.position))
         return True
 
     # --- the base ---
@@ -135,17 +140,17 @@
         self.bytes_since_base += len(entry.body)
 
     def _compact(self) -> None:
-        many = self.entries_since_base > self.settings.most_tail
-        if many or self.bytes_since_base > self.settings.most_tail_bytes:
-            self.rebase()
+        many = self.entries_since_base > self.settings.max_tail_entries
+        if many or self.bytes_since_base > self.settings.max_tail_bytes:
+            self.write_base()
 
-    def rebase(self) -> None:
+    def write_base(self) -> None:
         acceptor, recovery = self.acceptor, self.recovery
         self.entries_since_base, self.bytes_since_base = 0, 0
-        self.outbox.rebase(
+        self.outbox.write_base(
             Base(
                 recovery.run.disk,
-                recovery.run.starts,
+                recovery.run.start_count,
                 tuple(recovery.runs.values()),
                 acceptor.promised,
                 acceptor.accepted_at,
--- /dev/null
+++ b/molereach/coordination/replicated_log/start_protocol.py
@@ -0,0 +1,92 @@
+"""The words of a start: this disk's to the other seats until all have answered, and answers to theirs.
+
+What is decided by them is in `recovery`.
+"""
+
+from dataclasses import dataclass
+
+from molereach.coordination.interface.core import NEVER_US
+from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.replicated_log.catch_up_protocol import CatchUpProtocol
+from molereach.coordination.replicated_log.election import Election
+from molereach.coordination.replicated_log.messages import RunAcknowledged, RunConflict, RunStarted
+from molereach.coordination.replicated_log.replica_state import ReplicaState
+
+SLOW_RETRY_FACTOR = 8  # times `again_us` between words to seats whose answers are not needed any more
+
+
+@dataclass(frozen=True, slots=True)
+class DiskRolledBack:
+    """Action: this disk holds an older state than it once did; it votes no more under its identity.
+
+    The seat is to be replaced by one with a new disk identity, in a new folder."""
+
+    start_count: int  # of this run
+    known_start_count: int  # that another front door has written down
+
+
+class StartProtocol:
+    """Both sides of it at one front door."""
+
+    def __init__(self, ledger: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
+        self.state, self.election, self.catch_up = ledger, election, catching_up
+        self.outbox, self.recovery = ledger.outbox, ledger.recovery
+        self.retry_at_us = 0
+
+    @property
+    def wake_us(self) -> int:
+        asks = self.outbox.can_write and self.recovery.unanswered_voters(self.state.voters)
+        return self.retry_at_us if asks else NEVER_US
+
+    def tick(self, now_us: int, again_us: int) -> None:
+        if now_us < self.retry_at_us or not self.outbox.can_write:
+            return
+        lacking = self.recovery.unanswered_voters(self.state.voters)
+        enough = self.recovery.may_vote(self.state.voters, self.state.position)
+        self.retry_at_us = now_us + again_us * (SLOW_RETRY_FACTOR if enough else 1)
+        for seat in lacking:
+            self.outbox.send_after_sync(seat.name, RunStarted(self.recovery.run, self.state.position))
+        self._catch_up()
+
+    def _catch_up(self) -> None:
+        """No vote before all is here that those who answered had."""
+        for seat, answer in self.recovery.acknowledgements.items():
+            if answer.after > self.state.position and seat in self.state.voters:
+                self.catch_up.request_from(seat.name)
+                return
+
+    def on_run_started(self, sender: NodeInstance, word: RunStarted) -> None:
+        ours = word.run.disk == self.recovery.run.disk
+        if (
+            ours
+            or word.run.instance_number != sender.number
+            or self.recovery.rollback_evidence
+            or not self.outbox.can_write
+        ):
+            return
+        if known := self.state.record_run(word.run):
+            self.outbox.send(sender.name, RunConflict(word.run, known), sender.number)
+            return
+        acceptor = self.state.acceptor
+        self.outbox.send_after_sync(
+            sender.name,
+            RunAcknowledged(
+                word.run,
+                self.recovery.run,
+                self.state.position,
+                acceptor.promised,
+                acceptor.accepted_at,
+                acceptor.accepted,
+            ),
+            sender.number,
+        )
+
+    def on_run_acknowledged(self, sender: NodeInstance, word: RunAcknowledged) -> None:
+        if self.recovery.record_acknowledgement(sender, word, self.state.voters):
+            self.election.observe_ballot(word.promised)
+            self.state.adopt_acknowledged()
+            self._catch_up()
+
+    def on_run_conflict(self, word: RunConflict) -> None:
+        if self.recovery.record_conflict(word):
+            self.outbox.emit(DiskRolledBack(self.recovery.run.start_count, word.known.start_count))
--- a/molereach/coordination/replicated_log/panel.py
+++ b/molereach/coordination/replicated_log/voters.py
@@ -13,35 +13,35 @@
 
 from molereach.coordination.interface.identifiers import WireStruct
 from molereach.coordination.interface.log import VOTER_COUNTS, Outcome
-from molereach.coordination.replicated_log.words import Panel, Seat
+from molereach.coordination.replicated_log.messages import Voter, Voters
 
-Pair = Annotated[tuple[Seat, ...], Meta(min_length=2, max_length=2)]
+VoterPair = Annotated[tuple[Voter, ...], Meta(min_length=2, max_length=2)]
 
 
-class PanelChange(WireStruct, frozen=True, tag_field="kind", tag=str.lower):
+class VoterChange(WireStruct, frozen=True, tag_field="kind"):
     """The body of an entry of the log's own (machine "")."""
 
 
-class Replace(PanelChange, frozen=True):
+class ReplaceVoter(VoterChange, frozen=True, tag="replace"):
     """One seat for another: another front door, or the same with another disk."""
 
-    out: Seat
-    into: Seat
+    removed: Voter = msgspec.field(name="out")
+    added: Voter = msgspec.field(name="into")
 
 
-class Grow(PanelChange, frozen=True):
-    seats: Pair
+class AddVoters(VoterChange, frozen=True, tag="grow"):
+    voters: VoterPair = msgspec.field(name="seats")
 
 
-class Shrink(PanelChange, frozen=True):
-    seats: Pair
+class RemoveVoters(VoterChange, frozen=True, tag="shrink"):
+    voters: VoterPair = msgspec.field(name="seats")
 
 
-Change = Replace | Grow | Shrink
+Change = ReplaceVoter | AddVoters | RemoveVoters
 _decoder = msgspec.json.Decoder(Change)
 
 
-def check(panel: Panel) -> str:
+def voters_error(panel: Voters) -> str:
     """What is wrong with a panel in one line; empty for nothing."""
     if len(panel) not in VOTER_COUNTS:
         return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(panel)}"
@@ -50,34 +50,34 @@
     return ""
 
 
-def changed(panel: Panel, body: bytes) -> tuple[Panel, Outcome]:
+def apply_change(panel: Voters, body: bytes) -> tuple[Voters, Outcome]:
     """The panel after an entry, and what the entry came to."""
     try:
         change = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return panel, Outcome("not a change of the panel")
-    gone: tuple[Seat, ...]
-    new: tuple[Seat, ...]
+    gone: tuple[Voter, ...]
+    new: tuple[Voter, ...]
     match change:
-        case Replace(out, into):
+        case ReplaceVoter(out, into):
             gone, new = (out,), (into,)
-        case Grow(seats):
+        case AddVoters(seats):
             gone, new = (), seats
-        case Shrink(seats):
+        case RemoveVoters(seats):
             gone, new = seats, ()
     if any(seat not in panel for seat in gone):
         return panel, Outcome("no such seat")
     after = tuple(sorted({*(seat for seat in panel if seat not in gone), *new}))
     if len(after) != len(panel) - len(gone) + len(new):
         return panel, Outcome("the seat is taken")
-    if error := check(after):
+    if error := voters_error(after):
         return panel, Outcome(error)
     return after, Outcome()
 
 
-def majority(panel: Panel) -> int:
+def majority(panel: Voters) -> int:
     return len(panel) // 2 + 1
 
 
-def seat_of(panel: Panel, disk: str) -> Seat | None:
+def voter_of_disk(panel: Voters, disk: str) -> Voter | None:
     return next((seat for seat in panel if seat.disk == disk), None)
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -13,20 +13,20 @@
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
-from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
-from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log import voters as log_panel
 from molereach.coordination.transport import hello as link_hello
 from molereach.coordination.transport import words as link_words
 from tests.compatibility import council_samples as samples
 
 RECORD_TYPES = (
-    log_records.Started
-    | log_records.Wrote
-    | log_records.Promised
-    | log_records.Voted
-    | log_records.Raised
-    | log_records.Decided
+    log_records.DiskStarted
+    | log_records.RunRecorded
+    | log_records.BallotPromised
+    | log_records.BatchAccepted
+    | log_records.StateAdopted
+    | log_records.EntriesDecided
 )
 HANDSHAKE_TYPES = link_hello.Greeting | link_hello.Hello | link_hello.Welcome | link_hello.Refused
 
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -7,10 +7,10 @@
 from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import words as membership_words
-from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
-from molereach.coordination.replicated_log import words as log_words
-from molereach.coordination.replicated_log.once import Done
+from molereach.coordination.replicated_log import voters as log_panel
+from molereach.coordination.replicated_log.deduplication import AppliedProposal
 from molereach.coordination.transport import hello as link_hello
 from molereach.coordination.transport import words as link_words
 
@@ -58,52 +58,54 @@
 
 def ballot(number: int = 3) -> log_words.Ballot:
     """A ballot of the first front door."""
-    return log_words.Ballot(number=number, name=FIRST_DOOR.name, life=FIRST_DOOR.number)
+    return log_words.Ballot(number=number, name=FIRST_DOOR.name, instance_number=FIRST_DOOR.number)
 
 
 def first_run() -> log_words.Run:
     """The fourth start of the first disk."""
-    return log_words.Run(disk=FIRST_DISK, starts=4, life=FIRST_DOOR.number)
+    return log_words.Run(disk=FIRST_DISK, start_count=4, instance_number=FIRST_DOOR.number)
 
 
 def second_run() -> log_words.Run:
     """The first start of the second disk."""
-    return log_words.Run(disk=SECOND_DISK, starts=1, life=SECOND_DOOR.number)
+    return log_words.Run(disk=SECOND_DISK, start_count=1, instance_number=SECOND_DOOR.number)
 
 
-def voter() -> log_words.Voter:
+def voter() -> log_words.VoteSource:
     """A vote of the first disk that knows the second."""
-    return log_words.Voter(run=first_run(), knows=(second_run(),))
+    return log_words.VoteSource(run=first_run(), known_runs=(second_run(),))
 
 
 def log_start_messages() -> dict[str, log_words.Message]:
     """Messages of a disk's start."""
     return {
-        "start": log_words.Start(run=first_run(), after=16),
-        "noted": log_words.Noted(
+        "start": log_words.RunStarted(run=first_run(), after=16),
+        "noted": log_words.RunAcknowledged(
             run=first_run(),
-            by=second_run(),
+            acknowledged_by=second_run(),
             after=16,
             promised=ballot(5),
             accepted_at=ballot(4),
             accepted=(entry(17), entry(18, machine="log")),
         ),
-        "noted-empty": log_words.Noted(run=first_run(), by=second_run(), after=0, promised=log_words.NOBODY),
-        "exists": log_words.Exists(run=first_run(), known=second_run()),
+        "noted-empty": log_words.RunAcknowledged(
+            run=first_run(), acknowledged_by=second_run(), after=0, promised=log_words.NOBODY
+        ),
+        "exists": log_words.RunConflict(run=first_run(), known=second_run()),
     }
 
 
 def log_election_messages() -> dict[str, log_words.Message]:
     """Messages of an election."""
     return {
-        "poll": log_words.Poll(ballot=ballot(), after=17),
-        "polled": log_words.Polled(ballot=ballot(), disk=SECOND_DISK, granted=True, promised=ballot(2)),
+        "poll": log_words.PreVote(ballot=ballot(), after=17),
+        "polled": log_words.PreVoteReply(ballot=ballot(), disk=SECOND_DISK, granted=True, promised=ballot(2)),
         "prepare": log_words.Prepare(ballot=ballot(), after=17),
         "promise": log_words.Promise(
-            ballot=ballot(), after=17, voter=voter(), accepted_at=ballot(2), accepted=(entry(18),)
+            ballot=ballot(), after=17, source=voter(), accepted_at=ballot(2), accepted=(entry(18),)
         ),
-        "promise-empty": log_words.Promise(ballot=ballot(), after=17, voter=voter()),
-        "outbid": log_words.Outbid(ballot=ballot(), promised=ballot(9)),
+        "promise-empty": log_words.Promise(ballot=ballot(), after=17, source=voter()),
+        "outbid": log_words.BallotRejected(ballot=ballot(), promised=ballot(9)),
     }
 
 
@@ -111,23 +113,23 @@
     """Messages of a leader, of those that follow it, and of proposers."""
     return {
         "accept": log_words.Accept(ballot=ballot(), entries=(entry(18), entry(19, body=b""))),
-        "accepted": log_words.Accepted(ballot=ballot(), last=19, voter=voter()),
-        "beat": log_words.Beat(ballot=ballot(), decided=19, round=77),
-        "follow": log_words.Follow(ballot=ballot(), round=77, voter=voter()),
-        "ask": log_words.Ask(
+        "accepted": log_words.Accepted(ballot=ballot(), last=19, source=voter()),
+        "beat": log_words.Heartbeat(ballot=ballot(), decided=19, round=77),
+        "follow": log_words.HeartbeatReply(ballot=ballot(), round=77, source=voter()),
+        "ask": log_words.ProposalRequest(
             machine="upkeep", id="proposal-1", proposer=SECOND_DOOR, since=18, body=b'{"kind":"ask"}'
         ),
-        "leader": log_words.Leader(ballot=ballot()),
+        "leader": log_words.LeaderHint(ballot=ballot()),
     }
 
 
 def log_catch_up_messages() -> dict[str, log_words.Message]:
     """Messages by which a replica catches up."""
     return {
-        "want": log_words.Want(after=12),
-        "known": log_words.Known(entries=(entry(13), entry(14)), decided=19),
-        "want-piece": log_words.WantPiece(position=19, offset=65_536),
-        "piece": log_words.Piece(
+        "want": log_words.EntriesRequest(after=12),
+        "known": log_words.EntriesReply(entries=(entry(13), entry(14)), decided=19),
+        "want-piece": log_words.SnapshotChunkRequest(position=19, offset=65_536),
+        "piece": log_words.SnapshotChunk(
             position=19, total=100_000, offset=65_536, digest=bytes(range(16)), data=b"snapshot\x00\xff"
         ),
     }
@@ -149,23 +151,25 @@
         position=12,
         last=entry(12),
         chain=bytes(range(32)),
-        panel=(
-            log_words.Seat(name=FIRST_DOOR.name, disk=FIRST_DISK),
-            log_words.Seat(name=SECOND_DOOR.name, disk=SECOND_DISK),
+        voters=(
+            log_words.Voter(name=FIRST_DOOR.name, disk=FIRST_DISK),
+            log_words.Voter(name=SECOND_DOOR.name, disk=SECOND_DISK),
         ),
-        once=(
-            Done(
+        applied_proposals=(
+            AppliedProposal(
                 id="entry-12",
                 machine="sessions",
                 body=bytes(range(16)),
                 position=12,
                 outcome=Outcome(error="", value=b"{}"),
             ),
-            Done(id="entry-11", machine="", body=b"", position=11, outcome=Outcome(error="refused")),
+            AppliedProposal(
+                id="entry-11", machine="", body=b"", position=11, outcome=Outcome(error="refused")
+            ),
         ),
-        once_floor=3,
+        deduplication_floor=3,
         machines={"sessions": b'{"ballot":3,"doors":[]}'},
-        failed=("upkeep",),
+        failed_machines=("upkeep",),
     )
 
 
@@ -173,7 +177,7 @@
     """What takes the place of all records before it."""
     return log_records.Base(
         disk=FIRST_DISK,
-        starts=3,
+        start_count=3,
         runs=(second_run(),),
         promised=ballot(3),
         accepted_at=ballot(2),
@@ -185,12 +189,12 @@
 def log_record_samples() -> dict[str, log_records.Record]:
     """Records in an order in which a disk holds them behind `log_base`."""
     return {
-        "started": log_records.Started(run=first_run()),
-        "wrote": log_records.Wrote(run=second_run()),
-        "promised": log_records.Promised(ballot=ballot(4)),
-        "voted": log_records.Voted(ballot=ballot(4), entries=(entry(13), entry(14))),
-        "decided": log_records.Decided(entries=(entry(13), entry(14))),
-        "raised": log_records.Raised(promised=ballot(7), accepted_at=ballot(6), accepted=(entry(15),)),
+        "started": log_records.DiskStarted(run=first_run()),
+        "wrote": log_records.RunRecorded(run=second_run()),
+        "promised": log_records.BallotPromised(ballot=ballot(4)),
+        "voted": log_records.BatchAccepted(ballot=ballot(4), entries=(entry(13), entry(14))),
+        "decided": log_records.EntriesDecided(entries=(entry(13), entry(14))),
+        "raised": log_records.StateAdopted(promised=ballot(7), accepted_at=ballot(6), accepted=(entry(15),)),
     }
 
 
@@ -206,12 +210,12 @@
 
 def panel_changes() -> dict[str, log_panel.Change]:
     """Bodies of the log's own entries: a seat for another, two more, two less."""
-    first = log_words.Seat(name=FIRST_DOOR.name, disk=FIRST_DISK)
-    second = log_words.Seat(name=SECOND_DOOR.name, disk=SECOND_DISK)
+    first = log_words.Voter(name=FIRST_DOOR.name, disk=FIRST_DISK)
+    second = log_words.Voter(name=SECOND_DOOR.name, disk=SECOND_DISK)
     return {
-        "replace": log_panel.Replace(out=first, into=second),
-        "grow": log_panel.Grow(seats=(first, second)),
-        "shrink": log_panel.Shrink(seats=(first, second)),
+        "replace": log_panel.ReplaceVoter(removed=first, added=second),
+        "grow": log_panel.AddVoters(voters=(first, second)),
+        "shrink": log_panel.RemoveVoters(voters=(first, second)),
     }
 
 
--- a/tests/compatibility/machines_log.py
+++ b/tests/compatibility/machines_log.py
@@ -8,8 +8,8 @@
 from molereach.cache.purge import bodies as purge_bodies
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.leases import bodies as lease_bodies
-from molereach.coordination.replicated_log import panel as log_panel
-from molereach.coordination.replicated_log.learner import OWN
+from molereach.coordination.replicated_log import voters as log_panel
+from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
@@ -64,7 +64,7 @@
     upkeep_bodies.MACHINE: upkeep_bodies.encode,
     purge_bodies.MACHINE: purge_bodies.encode,
     count_bodies.MACHINE: count_bodies.encode,
-    OWN: _encode_change,
+    LOG_MACHINE: _encode_change,
 }
 DECODERS: Mapping[str, Callable[[bytes], Any]] = {
     lease_bodies.MACHINE: lease_bodies.decode,
@@ -72,7 +72,7 @@
     upkeep_bodies.MACHINE: upkeep_bodies.decode,
     purge_bodies.MACHINE: purge_bodies.decode,
     count_bodies.MACHINE: count_bodies.decode,
-    OWN: _decode_change,
+    LOG_MACHINE: _decode_change,
 }
 BODY_TYPES: Mapping[str, tuple[type, ...]] = {
     lease_bodies.MACHINE: get_args(lease_bodies.Body),
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -7,7 +7,7 @@
 
 from molereach.cache.purge import bodies as purge_bodies
 from molereach.coordination.leases import bodies as lease_bodies
-from molereach.coordination.replicated_log.learner import OWN
+from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.map.pieces import Home
 from molereach.shards.splits import bodies as split_bodies
@@ -105,7 +105,7 @@
         Command("repeat", machine, body, id=f"id-{samples.KEPT}"),
         Command("used-id", machine, body, id=f"id-{samples.OPENED_FIRST}"),
         Command("no-machine", "unknown", b"{}"),
-        Command("no-such-seat", OWN, samples.panel_change().body),
+        Command("no-such-seat", LOG_MACHINE, samples.panel_change().body),
     ]
 
 
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -10,7 +10,7 @@
 from molereach.cache.purge.records import Finished
 from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.learner import Learner
-from molereach.coordination.replicated_log.settings import Settings
+from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.shards.counts.folds import Folds
 from molereach.shards.splits.machine import Shards, SplitSettings
 from molereach.shards.splits.rooms import NoUpkeep
@@ -55,7 +55,7 @@
             self.folds,
         )
         self.machines = {machine.name: machine for machine in machines}
-        self.learner = Learner(samples.panel(), self.machines, Settings())
+        self.learner = Learner(samples.panel(), self.machines, LogSettings())
 
     def apply(self, entries: Iterable[Entry]) -> list[Outcome]:
         """What each entry came to; a machine that failed is a fault."""
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -11,9 +11,9 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as lease_bodies
-from molereach.coordination.replicated_log import panel as log_panel
-from molereach.coordination.replicated_log import words as log_words
-from molereach.coordination.replicated_log.learner import OWN
+from molereach.coordination.replicated_log import messages as log_words
+from molereach.coordination.replicated_log import voters as log_panel
+from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards import proof as shard_proof
 from molereach.shards.counts import bodies as count_bodies
 from molereach.shards.counts import words as count_words
@@ -63,10 +63,10 @@
     id: str = ""
 
 
-def panel() -> log_words.Panel:
+def panel() -> log_words.Voters:
     """The seats before any entry."""
     doors = (FIRST, SECOND, THIRD)
-    return tuple(log_words.Seat(name=life.name, disk=disk) for life, disk in zip(doors, DISKS, strict=False))
+    return tuple(log_words.Voter(name=life.name, disk=disk) for life, disk in zip(doors, DISKS, strict=False))
 
 
 # --- sessions ---
@@ -321,10 +321,11 @@
 
 def panel_change() -> Command:
     """One seat for another."""
-    body = log_panel.Replace(
-        out=log_words.Seat(name=THIRD.name, disk=DISKS[2]), into=log_words.Seat(name="door-d", disk=DISKS[3])
+    body = log_panel.ReplaceVoter(
+        removed=log_words.Voter(name=THIRD.name, disk=DISKS[2]),
+        added=log_words.Voter(name="door-d", disk=DISKS[3]),
     )
-    return Command("panel", OWN, body)
+    return Command("panel", LOG_MACHINE, body)
 
 
 def commands() -> list[Command]:
--- a/tests/compatibility/test_council_messages.py
+++ b/tests/compatibility/test_council_messages.py
@@ -3,8 +3,8 @@
 import pytest
 
 from molereach.coordination.node.first import first_panel
-from molereach.coordination.replicated_log import panel, records
-from molereach.coordination.replicated_log.words import Seat
+from molereach.coordination.replicated_log import records, voters
+from molereach.coordination.replicated_log.messages import Voter
 from tests.compatibility import council_families, council_samples, council_session
 from tests.compatibility.council_families import FAMILIES, Family
 from tests.compatibility.council_files import recorded_bytes, recorded_values
@@ -40,7 +40,7 @@
     base = recorded_values("council_log_bases.hex")["base"]
     recovered = records.recover(base, list(recorded_values("council_log_records.hex").values()))
     assert recovered.disk == council_samples.FIRST_DISK
-    assert recovered.starts == council_samples.first_run().starts
+    assert recovered.start_count == council_samples.first_run().start_count
     assert recovered.runs == {council_samples.SECOND_DISK: council_samples.second_run()}
     assert recovered.snapshot == council_samples.log_snapshot()
     assert recovered.entries == [council_samples.entry(13), council_samples.entry(14)]
@@ -57,15 +57,15 @@
 
 def test_the_recorded_changes_are_applied_to_a_panel() -> None:
     changes = recorded_values("council_panel_changes.hex")
-    panel_of_three = tuple(Seat(name=f"door-{at}", disk=f"{at:032x}") for at in range(3))
-    grown, outcome = panel.changed(panel_of_three, changes["grow"])
+    panel_of_three = tuple(Voter(name=f"door-{at}", disk=f"{at:032x}") for at in range(3))
+    grown, outcome = voters.apply_change(panel_of_three, changes["grow"])
     assert outcome.error == "" and len(grown) == 5
-    assert panel.changed(grown, changes["shrink"])[0] == panel_of_three
+    assert voters.apply_change(grown, changes["shrink"])[0] == panel_of_three
     replaced = council_samples.panel_changes()["replace"]
-    assert isinstance(replaced, panel.Replace)
-    with_first = tuple(sorted((*panel_of_three[:2], replaced.out)))
-    with_second = tuple(sorted((*panel_of_three[:2], replaced.into)))
-    assert panel.changed(with_first, changes["replace"])[0] == with_second
+    assert isinstance(replaced, voters.ReplaceVoter)
+    with_first = tuple(sorted((*panel_of_three[:2], replaced.removed)))
+    with_second = tuple(sorted((*panel_of_three[:2], replaced.added)))
+    assert voters.apply_change(with_first, changes["replace"])[0] == with_second
 
 
 def test_the_first_panel_has_the_recorded_disks() -> None:
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -10,7 +10,7 @@
 from molereach.coordination.leases.holder import LeaseHolder
 from molereach.coordination.leases.manager import LeaseManager
 from molereach.coordination.leases.messages import GrantsReceived, RenewalsReceived, SendGrants
-from molereach.coordination.leases.renewals import PendingRenewals
+from molereach.coordination.leases.renewals import PendingRenewals, SentRenewal
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
 from tests.coordination.leases.world import TERMS, Cores
 
@@ -43,7 +43,7 @@
 
 
 class _AnyAsk(PendingRenewals):
-    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
+    def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
         if (grant.name, grant.instance_number) != (
             self._instance.name,
             self._instance.number,
@@ -61,7 +61,7 @@
 
 
 class _NumbersAgain(PendingRenewals):
-    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
+    def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
         found = self._pending.get(grant.number)
         return found if grant.name == self._instance.name else None
 
--- a/tests/coordination/replicated_log/explore.py
+++ b/tests/coordination/replicated_log/explore.py
@@ -15,27 +15,27 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.acceptor import Acceptor
-from molereach.coordination.replicated_log.leader import Leadership, Phase
-from molereach.coordination.replicated_log.recovery import Recovery
-from molereach.coordination.replicated_log.words import (
+from molereach.coordination.replicated_log.leadership import Leadership, LeadershipPhase
+from molereach.coordination.replicated_log.messages import (
     NOBODY,
     Accept,
     Accepted,
     Ballot,
-    Exists,
-    Known,
+    EntriesReply,
     Message,
-    Noted,
     Prepare,
     Promise,
     Run,
-    Seat,
-    Start,
+    RunAcknowledged,
+    RunConflict,
+    RunStarted,
+    Voter,
 )
+from molereach.coordination.replicated_log.recovery import Recovery
 
 NAMES = ("a", "b", "c")
 DISKS = ("0" * 31 + "1", "0" * 31 + "2", "0" * 31 + "3")
-PANEL = tuple(Seat(name, disk) for name, disk in zip(NAMES, DISKS, strict=True))
+PANEL = tuple(Voter(name, disk) for name, disk in zip(NAMES, DISKS, strict=True))
 RUNS = tuple(Run(disk, 1, 1) for disk in DISKS)
 BALLOTS = (Ballot(1, "p", 1), Ballot(2, "q", 1))
 
@@ -52,7 +52,7 @@
     decided: tuple[Entry, ...] = ()
     run: Run = RUNS[0]
     knows: tuple[Run, ...] = ()
-    answers: tuple[tuple[Seat, Noted], ...] = ()
+    answers: tuple[tuple[Voter, RunAcknowledged], ...] = ()
     set_back: Run | None = None
 
     def acceptor(self) -> Acceptor:
@@ -65,8 +65,10 @@
 
     def recovery(self, name: str) -> Recovery:
         runs = {run.disk: run for run in self.knows}
-        recovery = Recovery(NodeInstance(name, self.run.life), self.run.disk, self.run.starts, runs)
-        recovery.answers, recovery.set_back = dict(self.answers), self.set_back
+        recovery = Recovery(
+            NodeInstance(name, self.run.instance_number), self.run.disk, self.run.start_count, runs
+        )
+        recovery.acknowledgements, recovery.rollback_evidence = dict(self.answers), self.set_back
         return recovery
 
 
@@ -74,7 +76,7 @@
 class LeaderState:
     """A leader's votes are not kept: any two that it may have got are tried."""
 
-    phase: Phase = Phase.PREPARING
+    phase: LeadershipPhase = LeadershipPhase.PREPARING
     batch: tuple[Entry, ...] = ()
     inherited: bool = False
     decided: tuple[Entry, ...] = ()
@@ -125,7 +127,9 @@
         """All had answered one another at the first start."""
         run = RUNS[index]
         answers = tuple(
-            (seat, Noted(run, by, 0, NOBODY)) for seat, by in zip(PANEL, RUNS, strict=True) if by != run
+            (seat, RunAcknowledged(run, by, 0, NOBODY))
+            for seat, by in zip(PANEL, RUNS, strict=True)
+            if by != run
         )
         return SeatState(run=run, knows=tuple(each for each in RUNS if each != run), answers=answers)
 
@@ -184,7 +188,7 @@
             if step := self.leader_steps[pair]:
                 self.check(state, index, step)
                 yield after(state, index, step)
-        if self.restart and self.seats.things[state[2]].run.life == 1:
+        if self.restart and self.seats.things[state[2]].run.instance_number == 1:
             for seat, word in self.start_anew(self.seats.things[state[2]]):
                 yield after(state, 2, (self.seats.of(seat), (self.words.of(word),)))
 
@@ -199,9 +203,9 @@
             match word:
                 case Promise() | Accepted():
                     votes.setdefault((type(word), word.ballot), []).append(number)
-                case Noted() | Exists():
+                case RunAcknowledged() | RunConflict():
                     seats.append((2, number))
-                case Prepare() | Accept() | Known() | Start():
+                case Prepare() | Accept() | EntriesReply() | RunStarted():
                     seats += [(index, number) for index in range(3)]
         leaders = [
             (3 + BALLOTS.index(ballot), one, other)
@@ -236,7 +240,7 @@
         """With its disk as it was, or set back to a copy of this run, or to one from before it."""
         kept = old if self.restart == "kept" else self.first_seat(2)
         run = Run(DISKS[2], 1 if self.restart == "before" else 2, 2)
-        yield replace(kept, run=run, answers=()), Start(run, len(kept.decided))
+        yield replace(kept, run=run, answers=()), RunStarted(run, len(kept.decided))
 
     def at_seat(self, index: int, seat: SeatState, word: Message) -> tuple[SeatState, list[Message]] | None:
         recovery, acceptor = seat.recovery(NAMES[index]), seat.acceptor()
@@ -245,34 +249,46 @@
             case Prepare(ballot, after) if voting and after == len(seat.decided):
                 if acceptor.promise(ballot):
                     return seat.having(acceptor), [
-                        Promise(ballot, after, recovery.voter(PANEL), acceptor.accepted_at, acceptor.accepted)
+                        Promise(
+                            ballot,
+                            after,
+                            recovery.vote_source(PANEL),
+                            acceptor.accepted_at,
+                            acceptor.accepted,
+                        )
                     ]
             case Accept(ballot, entries) if voting and entries[0].position == len(seat.decided) + 1:
                 if acceptor.accept(ballot, entries):
-                    vote = Accepted(ballot, entries[-1].position, recovery.voter(PANEL))
+                    vote = Accepted(ballot, entries[-1].position, recovery.vote_source(PANEL))
                     return seat.having(acceptor), [vote]
-            case Known(entries) if entries[0].position == len(seat.decided) + 1:
-                acceptor.decided(entries[-1])
+            case EntriesReply(entries) if entries[0].position == len(seat.decided) + 1:
+                acceptor.discard_decided(entries[-1])
                 decided = seat.decided + entries
-                recovery.raise_to(acceptor, Learned(decided))  # type: ignore[arg-type]
+                recovery.adopt_acknowledged(acceptor, Learned(decided))  # type: ignore[arg-type]
                 return replace(seat.having(acceptor), decided=decided), []
-            case Start(run) if run.disk != seat.run.disk:
-                if known := recovery.note(run):
-                    return seat, [Exists(run, known)]
-                recovery.write(run, PANEL)
+            case RunStarted(run) if run.disk != seat.run.disk:
+                if known := recovery.conflicting_run(run):
+                    return seat, [RunConflict(run, known)]
+                recovery.record_run(run, PANEL)
                 knows = tuple(sorted(recovery.runs.values(), key=lambda each: each.disk))
                 return replace(seat, knows=knows), [
-                    Noted(run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted)
+                    RunAcknowledged(
+                        run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted
+                    )
                 ]
-            case Noted(run) if run.disk == seat.run.disk:
-                if recovery.answered(
-                    NodeInstance(NAMES[DISKS.index(word.by.disk)], word.by.life), word, PANEL
+            case RunAcknowledged(run) if run.disk == seat.run.disk:
+                if recovery.record_acknowledgement(
+                    NodeInstance(
+                        NAMES[DISKS.index(word.acknowledged_by.disk)], word.acknowledged_by.instance_number
+                    ),
+                    word,
+                    PANEL,
                 ):
-                    recovery.raise_to(acceptor, Learned(seat.decided))  # type: ignore[arg-type]
-                    answers = tuple(sorted(recovery.answers.items(), key=lambda each: each[0]))
+                    recovery.adopt_acknowledged(acceptor, Learned(seat.decided))  # type: ignore[arg-type]
+                    answers = tuple(sorted(recovery.acknowledgements.items(), key=lambda each: each[0]))
                     return replace(seat.having(acceptor), answers=answers), []
-            case Exists() if recovery.refused(word):
-                return replace(seat, set_back=recovery.set_back), []
+            case RunConflict() if recovery.record_conflict(word):
+                return replace(seat, set_back=recovery.rollback_evidence), []
         return None
 
     def at_leader(
@@ -283,16 +299,18 @@
         for word in (one, other):
             if not isinstance(word, Promise | Accepted) or word.ballot != BALLOTS[index]:
                 return None
-            disk = word.voter.run.disk
-            if isinstance(word, Promise) and lead.promised(disk, word, PANEL):
+            disk = word.source.run.disk
+            if isinstance(word, Promise) and lead.record_promise(disk, word, PANEL):
                 self.propose(lead, index, 0)
                 return LeaderState(lead.phase, lead.batch, lead.inherited), [Accept(lead.ballot, lead.batch)]
-            if isinstance(word, Accepted) and (batch := lead.accepted(disk, word.last, word.voter, PANEL)):
+            if isinstance(word, Accepted) and (
+                batch := lead.record_vote(disk, word.last, word.source, PANEL)
+            ):
                 decided = now.decided + batch
                 self.propose(lead, index, len(decided))
                 said: list[Message] = [Accept(lead.ballot, lead.batch)] if lead.batch else []
                 if len(decided) < self.last:  # of the last position there is nothing to be told
-                    said.append(Known(batch, len(decided)))
+                    said.append(EntriesReply(batch, len(decided)))
                 return LeaderState(lead.phase, lead.batch, False, decided), said
         return None
 
@@ -309,8 +327,8 @@
     match word:
         case Promise(ballot, place, voter) | Accepted(ballot, place, voter):
             return type(word), ballot, place, voter.run
-        case Noted(run, by):
-            return Noted, run, by
+        case RunAcknowledged(run, by):
+            return RunAcknowledged, run, by
     return None
 
 
--- a/tests/coordination/replicated_log/histories.py
+++ b/tests/coordination/replicated_log/histories.py
@@ -3,14 +3,18 @@
 from collections.abc import Callable
 
 from molereach.coordination.interface.log import ProposalStatus
-from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.words import Panel, Seat
+from molereach.coordination.replicated_log.messages import Voter, Voters
+from molereach.coordination.replicated_log.settings import LogSettings
+from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter
 from tests.coordination.replicated_log.world import MS, Disk, Node, S, World
 
 FAULTS_US, HEAL_US = 2_500 * MS, 25 * S
-QUICK = Settings(
-    beat_us=100 * MS, election_least_us=300 * MS, election_most_us=600 * MS, again_us=200 * MS, most_tail=24
+QUICK = LogSettings(
+    heartbeat_interval_us=100 * MS,
+    min_election_timeout_us=300 * MS,
+    max_election_timeout_us=600 * MS,
+    retry_interval_us=200 * MS,
+    max_tail_entries=24,
 )
 
 
@@ -31,13 +35,15 @@
 
     # --- faults ---
 
-    def seats(self) -> Panel:
+    def seats(self) -> Voters:
         cores = [node.core for node in self.world.nodes.values() if node.core]
-        return max(cores, key=lambda core: core.position).panel if cores else self.world.panel
+        return max(cores, key=lambda core: core.position).voters if cores else self.world.panel
 
     def some(self) -> Node:
         """Any front door; more often one that leads."""
-        leading = [node for node in self.world.nodes.values() if node.core and node.core.leading.leadership]
+        leading = [
+            node for node in self.world.nodes.values() if node.core and node.core.leader_protocol.leadership
+        ]
         return self.random.choice(
             leading if leading and self.random.random() < 0.4 else list(self.world.nodes.values())
         )
@@ -112,8 +118,8 @@
 
     # --- the operator ---
 
-    def seat(self, name: str) -> Seat:
-        return Seat(name, self.world.nodes[name].disk.identity)
+    def seat(self, name: str) -> Voter:
+        return Voter(name, self.world.nodes[name].disk.identity)
 
     def change_panel(self) -> None:
         panel = self.seats()
@@ -123,11 +129,11 @@
         kind = self.random.random()
         if kind < 0.5 and free:
             into = self.seat(self.random.choice(free))
-            self.world.change(name, f"c{self.numbers}", Replace(self.random.choice(panel), into))
+            self.world.change(name, f"c{self.numbers}", ReplaceVoter(self.random.choice(panel), into))
         elif kind < 0.75 and len(free) >= 2:
-            self.world.change(name, f"c{self.numbers}", Grow((self.seat(free[0]), self.seat(free[1]))))
+            self.world.change(name, f"c{self.numbers}", AddVoters((self.seat(free[0]), self.seat(free[1]))))
         elif len(panel) > (3 if len(self.world.panel) == 3 else 5):  # three bear no lost disk and a start
-            self.world.change(name, f"c{self.numbers}", Shrink((panel[0], panel[-1])))
+            self.world.change(name, f"c{self.numbers}", RemoveVoters((panel[0], panel[-1])))
 
     def mend(self) -> None:
         """A seat whose disk was lost or set back is given to the disk that is there now."""
@@ -143,8 +149,8 @@
             elif node.core and held and held.disk != node.disk.identity:
                 name = self.random.choice(list(self.world.nodes))
                 self.numbers += 1
-                self.world.change(name, f"m{self.numbers}", Replace(held, self.seat(self.broken)))
-            elif node.core and held and node.core.ledger.may_vote:
+                self.world.change(name, f"m{self.numbers}", ReplaceVoter(held, self.seat(self.broken)))
+            elif node.core and held and node.core.state.may_vote:
                 self.broken = ""
         self.world.at(500 * MS, self.mend)
 
@@ -217,13 +223,13 @@
                     node.core
                     and (
                         node.core.position,
-                        node.core.ledger.may_vote,
-                        node.core.leading.mine,
+                        node.core.state.may_vote,
+                        node.core.leader_protocol.is_leader,
                         node.core.leader,
                         node.stopped,
                         node.set_back,
                         len(node.open),
-                        len(node.core.recovery.answers),
+                        len(node.core.recovery.acknowledgements),
                     ),
                 )
                 for node in self.world.nodes.values()
--- a/tests/coordination/replicated_log/test_core.py
+++ b/tests/coordination/replicated_log/test_core.py
@@ -7,11 +7,19 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Outcome, ProposalStatus
 from molereach.coordination.replicated_log.core import LogCore
-from molereach.coordination.replicated_log.once import USED
-from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink
+from molereach.coordination.replicated_log.deduplication import REUSED_ERROR
+from molereach.coordination.replicated_log.messages import (
+    NOBODY,
+    Ballot,
+    Prepare,
+    Promise,
+    Run,
+    RunAcknowledged,
+    Voter,
+)
 from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.words import NOBODY, Ballot, Noted, Prepare, Promise, Run, Seat
+from molereach.coordination.replicated_log.settings import LogSettings
+from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter
 from tests.coordination.replicated_log.machine import Sum
 from tests.coordination.replicated_log.world import MS, S, World
 
@@ -32,8 +40,8 @@
     return world.words[identity][-1].status is ProposalStatus.APPLIED
 
 
-def seat(world: World, name: str) -> Seat:
-    return Seat(name, world.nodes[name].disk.identity)
+def seat(world: World, name: str) -> Voter:
+    return Voter(name, world.nodes[name].disk.identity)
 
 
 def test_it_settles_at_all_seats_and_learners() -> None:
@@ -84,7 +92,7 @@
     assert world.run(3 * S, lambda: len(world.led) == 2)
     world.run(2 * S)
     core = world.nodes[old].core
-    assert core and core.leading.leadership is None and not core.leading.mine
+    assert core and core.leader_protocol.leadership is None and not core.leader_protocol.is_leader
     assert world.leader() not in (None, old)
 
 
@@ -120,16 +128,18 @@
 
 
 def test_nothing_is_promised_before_it_is_written() -> None:
-    panel = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
+    panel = tuple(Voter(f"d{number}", f"{number:032x}") for number in range(3))
     me = NodeInstance("d0", 7)
-    core = LogCore(me, panel[0].disk, Recovered(), panel, {}, Settings(), lambda: 0.5, lambda now_us: now_us)
+    core = LogCore(
+        me, panel[0].disk, Recovered(), panel, {}, LogSettings(), lambda: 0.5, lambda now_us: now_us
+    )
     actions = list(core.handle(S, Tick()))
     assert not any(isinstance(action, SendMessage) for action in actions)  # its start is not written yet
     token = next(action.token for action in actions if isinstance(action, Persist))
     said = [action for action in core.handle(S, Persisted(token)) if isinstance(action, SendMessage)]
     assert [action.recipient for action in said] == ["d1", "d2"]
     for other in panel[1:]:
-        noted = Noted(Run(panel[0].disk, 1, 7), Run(other.disk, 1, 1), 0, NOBODY)
+        noted = RunAcknowledged(Run(panel[0].disk, 1, 7), Run(other.disk, 1, 1), 0, NOBODY)
         core.handle(S, MessageReceived(NodeInstance(other.name, 1), noted))
     ballot = Ballot(4, "d1", 1)
     for _ in range(2):  # asked again, it waits all the same
@@ -143,7 +153,7 @@
 def test_the_new_panel_decides_and_the_old_one_does_not() -> None:
     world = led(size=3, learners=2)
     for number, (out, into) in enumerate((("d1", "d3"), ("d2", "d4"))):
-        world.change("d0", f"c{number}", Replace(seat(world, out), seat(world, into)))
+        world.change("d0", f"c{number}", ReplaceVoter(seat(world, out), seat(world, into)))
         world.run(4 * S)
         assert world.words[f"c{number}"][0].outcome == Outcome()
     world.groups = {"d3": 1, "d4": 1}
@@ -154,7 +164,7 @@
 
 def test_a_panel_grows_and_shrinks_by_two() -> None:
     world = led(size=3, learners=2)
-    world.change("d1", "grow", Grow((seat(world, "d3"), seat(world, "d4"))))
+    world.change("d1", "grow", AddVoters((seat(world, "d3"), seat(world, "d4"))))
     world.run(3 * S)
     for name in ("d0", "d3"):
         world.kill(name)
@@ -163,10 +173,10 @@
     for name in ("d0", "d3"):
         world.start(name)
     world.run(3 * S)
-    world.change("d1", "shrink", Shrink((seat(world, "d1"), seat(world, "d2"))))
+    world.change("d1", "shrink", RemoveVoters((seat(world, "d1"), seat(world, "d2"))))
     world.run(3 * S)
     assert settles(world, "d1", "by its learner")
-    assert {each.name for each in world.nodes["d2"].core.panel} == {"d0", "d3", "d4"}  # type: ignore[union-attr]
+    assert {each.name for each in world.nodes["d2"].core.voters} == {"d0", "d3", "d4"}  # type: ignore[union-attr]
     assert [words[0].status for words in world.words.values()] == [ProposalStatus.APPLIED] * 4
 
 
@@ -177,7 +187,7 @@
     assert settles(world, name, "p1")
     world.run(S)
     node = world.nodes[name]
-    assert node.stopped and node.core and not node.core.ledger.may_vote
+    assert node.stopped and node.core and not node.core.state.may_vote
     before = world.turns
     assert settles(world, name, "p2") and node.core.position == 2
     assert world.turns - before < 2000  # it waits for nothing that has passed
@@ -191,22 +201,22 @@
     world.start(name)
     world.run(3 * S)
     core = world.nodes[name].core
-    assert core and core.ledger.may_vote
+    assert core and core.state.may_vote
     world.kill(name)
     world.nodes[name].disk = old
     world.start(name)
     world.run(3 * S)
     core = world.nodes[name].core
-    assert world.nodes[name].set_back and core and not core.ledger.may_vote
+    assert world.nodes[name].set_back and core and not core.state.may_vote
     assert settles(world, name, "it still proposes")
     held = seat(world, name)
     world.kill(name)
     world.nodes[name].disk = world.new_disk()
     world.start(name)
-    world.change(name, "c", Replace(held, seat(world, name)))
+    world.change(name, "c", ReplaceVoter(held, seat(world, name)))
     world.run(3 * S)
     core = world.nodes[name].core
-    assert core and core.ledger.may_vote and not world.nodes[name].set_back
+    assert core and core.state.may_vote and not world.nodes[name].set_back
 
 
 def test_a_snapshot_comes_in_pieces() -> None:
@@ -218,7 +228,7 @@
     for number in range(100):
         world.propose("d0", f"p{number}")
     world.run(3 * S)
-    assert len(world.entries) == 100 > world.settings.most_tail
+    assert len(world.entries) == 100 > world.settings.max_tail_entries
     world.start("d3")
     world.beat()
     world.loss = 0.3
@@ -233,7 +243,7 @@
         world.outcomes.clear()
         world.propose(name, "p", b"2")
         world.run(3 * S)
-        assert world.words["p"][-1].outcome == Outcome(USED)
+        assert world.words["p"][-1].outcome == Outcome(REUSED_ERROR)
 
 
 def test_what_is_refused() -> None:
@@ -241,10 +251,10 @@
     world.propose("d0", "a", machine="none")
     world.propose("d0", "b", b"1" * 20_000)
     world.propose("d0", "x" * 100)
-    for number in range(world.settings.most_pending + 1):
+    for number in range(world.settings.max_pending + 1):
         world.propose("d0", f"p{number}")
     refused = [key for key, words in world.words.items() if words[0].status is ProposalStatus.REJECTED]
-    assert refused == ["a", "b", "x" * 100, f"p{world.settings.most_pending}"]
+    assert refused == ["a", "b", "x" * 100, f"p{world.settings.max_pending}"]
 
 
 def test_a_machine_that_raises_is_stopped_alone() -> None:
@@ -265,7 +275,7 @@
 
 
 def test_another_disks_records_are_refused() -> None:
-    panel = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(3))
+    panel = tuple(Voter(f"d{number}", f"{number:032x}") for number in range(3))
     recovered = Recovered(disk="f" * 32)
     with pytest.raises(ValueError, match="another disk"):
         LogCore(
@@ -274,7 +284,7 @@
             recovered,
             panel,
             {},
-            Settings(),
+            LogSettings(),
             lambda: 0.5,
             lambda now_us: 0,
         )
--- a/tests/coordination/replicated_log/test_explore.py
+++ b/tests/coordination/replicated_log/test_explore.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from molereach.coordination.replicated_log import leader, recovery
+from molereach.coordination.replicated_log import leadership, recovery
 from molereach.coordination.replicated_log.acceptor import Acceptor
-from molereach.coordination.replicated_log.leader import Leadership
+from molereach.coordination.replicated_log.leadership import Leadership
+from molereach.coordination.replicated_log.messages import NOBODY, Ballot, Promise, Run, Voters
 from molereach.coordination.replicated_log.recovery import Recovery
-from molereach.coordination.replicated_log.words import NOBODY, Ballot, Panel, Promise, Run
 from tests.coordination.replicated_log.explore import ONE, TWO, Own, Scope
 
 ELECTED = (0, 2)
@@ -39,29 +39,29 @@
 
 
 def votes_at_once(patch: Patch) -> None:
-    patch.setattr(Recovery, "may_vote", lambda self, panel, position: self.seat in panel)
+    patch.setattr(Recovery, "may_vote", lambda self, panel, position: self.voter in panel)
 
 
 def one_answer_less(patch: Patch) -> None:
-    def may_vote(self: Recovery, panel: Panel, position: int) -> bool:
-        return bool(self.answers) and self.seat in panel
+    def may_vote(self: Recovery, panel: Voters, position: int) -> bool:
+        return bool(self.acknowledgements) and self.voter in panel
 
     patch.setattr(Recovery, "may_vote", may_vote)
 
 
 def answers_not_taken_over(patch: Patch) -> None:
-    patch.setattr(Recovery, "raise_to", lambda self, acceptor, learner: False)
+    patch.setattr(Recovery, "adopt_acknowledged", lambda self, acceptor, learner: False)
 
 
 def void_votes_counted(patch: Patch) -> None:
-    patch.setattr(recovery, "counted", lambda votes, panel: len(votes))
+    patch.setattr(recovery, "count_votes", lambda votes, panel: len(votes))
 
 
 def set_back_not_told(patch: Patch) -> None:
     def note(self: Recovery, run: Run) -> Run | None:
         return None
 
-    patch.setattr(Recovery, "note", note)
+    patch.setattr(Recovery, "conflicting_run", note)
 
 
 def promise_forgets_the_vote(patch: Patch) -> None:
@@ -75,30 +75,30 @@
 
 
 def proposes_its_own(patch: Patch) -> None:
-    promised = Leadership.promised
+    promised = Leadership.record_promise
 
-    def own(self: Leadership, disk: str, word: Promise, panel: Panel) -> bool:
+    def own(self: Leadership, disk: str, word: Promise, panel: Voters) -> bool:
         led = promised(self, disk, word, panel)
         if led:
             self.batch, self.inherited = (), False
         return led
 
-    patch.setattr(Leadership, "promised", own)
+    patch.setattr(Leadership, "record_promise", own)
 
 
 def proposes_half_of_a_batch(patch: Patch) -> None:
-    promised = Leadership.promised
+    promised = Leadership.record_promise
 
-    def half(self: Leadership, disk: str, word: Promise, panel: Panel) -> bool:
+    def half(self: Leadership, disk: str, word: Promise, panel: Voters) -> bool:
         led = promised(self, disk, word, panel)
         self.batch = self.batch[:1]
         return led
 
-    patch.setattr(Leadership, "promised", half)
+    patch.setattr(Leadership, "record_promise", half)
 
 
 def half_is_enough(patch: Patch) -> None:
-    for module in (recovery, leader):
+    for module in (recovery, leadership):
         patch.setattr(module, "majority", lambda panel: len(panel) // 2)
 
 
--- a/tests/coordination/replicated_log/test_mutations.py
+++ b/tests/coordination/replicated_log/test_mutations.py
@@ -8,68 +8,68 @@
 import pytest
 
 from molereach.coordination.interface.log import LeadershipConfirmed
-from molereach.coordination.replicated_log import leader, ledger, recovery
+from molereach.coordination.replicated_log import leadership, recovery, replica_state
+from molereach.coordination.replicated_log.deduplication import DeduplicationTable
 from molereach.coordination.replicated_log.election import Election
-from molereach.coordination.replicated_log.leader import Leadership
-from molereach.coordination.replicated_log.leading import Leading
-from molereach.coordination.replicated_log.ledger import Ledger
-from molereach.coordination.replicated_log.once import Once
+from molereach.coordination.replicated_log.leader_protocol import LeaderProtocol
+from molereach.coordination.replicated_log.leadership import Leadership
+from molereach.coordination.replicated_log.messages import Run, Voters
 from molereach.coordination.replicated_log.outbox import Outbox
 from molereach.coordination.replicated_log.recovery import Recovery
-from molereach.coordination.replicated_log.words import Panel, Run
+from molereach.coordination.replicated_log.replica_state import ReplicaState
 from tests.coordination.replicated_log import test_core as core
 
 Patch = pytest.MonkeyPatch
 
 
 def said_before_it_is_written(patch: Patch) -> None:
-    patch.setattr(Outbox, "vote", Outbox.say)
+    patch.setattr(Outbox, "send_after_sync", Outbox.send)
 
 
 def no_pre_vote(patch: Patch) -> None:
-    def poll(self: Leading, now_us: int) -> None:
-        if self.ledger.may_vote:
-            self.election.seen(self.ledger.acceptor.promised)
-            ballot = self.election.poll(now_us, self.me.name, self.me.number)
-            self.leadership = Leadership(ballot, self.ledger.position, now_us)
-            self.repeat(now_us, self.leadership)
+    def poll(self: LeaderProtocol, now_us: int) -> None:
+        if self.state.may_vote:
+            self.election.observe_ballot(self.state.acceptor.promised)
+            ballot = self.election.start_pre_vote(now_us, self.instance.name, self.instance.number)
+            self.leadership = Leadership(ballot, self.state.position, now_us)
+            self.resend(now_us, self.leadership)
 
-    patch.setattr(Leading, "poll", poll)
+    patch.setattr(LeaderProtocol, "start_pre_vote", poll)
 
 
 def granted_though_a_leader_is_heard(patch: Patch) -> None:
-    patch.setattr(Election, "hears", lambda self, now_us: False)
+    patch.setattr(Election, "has_live_leader", lambda self, now_us: False)
 
 
 def no_quorum_check(patch: Patch) -> None:
-    patch.setattr(Leadership, "followed", lambda self, panel, now_us, within_us: True)
+    patch.setattr(Leadership, "has_quorum_contact", lambda self, panel, now_us, within_us: True)
 
 
 def confirmed_at_once(patch: Patch) -> None:
-    def confirm(self: Leading, now_us: int, token: int) -> None:
+    def confirm(self: LeaderProtocol, now_us: int, token: int) -> None:
         if self.leadership and self.leadership.leads:
-            self.outbox.act(LeadershipConfirmed(token, self.leadership.ballot.number))
+            self.outbox.emit(LeadershipConfirmed(token, self.leadership.ballot.number))
 
-    patch.setattr(Leading, "confirm", confirm)
+    patch.setattr(LeaderProtocol, "confirm_leadership", confirm)
 
 
 def counted_from_the_old_panel(patch: Patch) -> None:
-    def panel(self: Ledger) -> Panel:
-        return tuple(sorted(self.first)) if hasattr(self, "first") else self.learner.panel  # type: ignore[no-any-return]
+    def panel(self: ReplicaState) -> Voters:
+        return tuple(sorted(self.first)) if hasattr(self, "first") else self.learner.voters  # type: ignore[no-any-return]
 
-    init = Ledger.__init__
+    init = ReplicaState.__init__
 
-    def remembers(self: Ledger, *args: object) -> None:
+    def remembers(self: ReplicaState, *args: object) -> None:
         init(self, *args)  # type: ignore[arg-type]
-        self.first = self.learner.panel  # type: ignore[attr-defined]
+        self.first = self.learner.voters  # type: ignore[attr-defined]
 
-    patch.setattr(ledger.Ledger, "__init__", remembers)
-    patch.setattr(ledger.Ledger, "panel", property(panel))
+    patch.setattr(replica_state.ReplicaState, "__init__", remembers)
+    patch.setattr(replica_state.ReplicaState, "voters", property(panel))
 
 
 def votes_before_its_start_is_vouched_for(patch: Patch) -> None:
-    def may_vote(self: Recovery, panel: Panel, position: int) -> bool:
-        return self.seat in panel and not self.set_back
+    def may_vote(self: Recovery, panel: Voters, position: int) -> bool:
+        return self.voter in panel and not self.rollback_evidence
 
     patch.setattr(Recovery, "may_vote", may_vote)
 
@@ -78,19 +78,19 @@
     def note(self: Recovery, run: Run) -> Run | None:
         return None
 
-    patch.setattr(Recovery, "note", note)
+    patch.setattr(Recovery, "conflicting_run", note)
 
 
 def ids_are_forgotten(patch: Patch) -> None:
-    patch.setattr(Once, "find", lambda self, entry_id: None)
+    patch.setattr(DeduplicationTable, "find", lambda self, entry_id: None)
 
 
 def no_new_promises_after_a_change(patch: Patch) -> None:
-    patch.setattr(Leading, "change", lambda self, now_us, lead, before: self.beat(now_us, lead))
+    patch.setattr(LeaderProtocol, "change_voters", lambda self, now_us, lead, before: self.beat(now_us, lead))
 
 
 def half_is_enough(patch: Patch) -> None:
-    for module in (recovery, leader):
+    for module in (recovery, leadership):
         patch.setattr(module, "majority", lambda panel: len(panel) // 2)
 
 
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -7,45 +7,50 @@
 from molereach.coordination.interface.disk import Persist
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Applied, Entry, Outcome
-from molereach.coordination.replicated_log.acceptor import Acceptor, in_order, rest
-from molereach.coordination.replicated_log.catchup import CatchingUp
-from molereach.coordination.replicated_log.leader import Queue
-from molereach.coordination.replicated_log.learner import OWN, Learner
-from molereach.coordination.replicated_log.ledger import Ledger
-from molereach.coordination.replicated_log.once import REPEATED, Once
+from molereach.coordination.replicated_log.acceptor import Acceptor, are_consecutive, undecided_rest
+from molereach.coordination.replicated_log.catch_up_protocol import CatchUpProtocol
+from molereach.coordination.replicated_log.deduplication import REPEATED_ERROR, DeduplicationTable
+from molereach.coordination.replicated_log.leadership import ProposalQueue
+from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
+from molereach.coordination.replicated_log.messages import (
+    NOBODY,
+    Ballot,
+    EntriesReply,
+    EntriesRequest,
+    Message,
+    ProposalRequest,
+    Run,
+    RunAcknowledged,
+    RunConflict,
+    SnapshotChunk,
+    Voter,
+    VoteSource,
+)
 from molereach.coordination.replicated_log.outbox import Outbox
-from molereach.coordination.replicated_log.panel import Grow, Replace, Shrink, changed
 from molereach.coordination.replicated_log.records import (
-    Decided,
-    Promised,
-    Raised,
+    BallotPromised,
+    BatchAccepted,
+    DiskStarted,
+    EntriesDecided,
     Recovered,
-    Started,
-    Voted,
-    Wrote,
+    RunRecorded,
+    StateAdopted,
     encode,
     recover,
 )
-from molereach.coordination.replicated_log.recovery import Recovery, counted
-from molereach.coordination.replicated_log.settings import MOST_BATCH, MOST_PIECE_BYTES, MOST_RUNS, Settings
-from molereach.coordination.replicated_log.words import (
-    NOBODY,
-    Ask,
-    Ballot,
-    Exists,
-    Known,
-    Message,
-    Noted,
-    Piece,
-    Run,
-    Seat,
-    Voter,
-    Want,
+from molereach.coordination.replicated_log.recovery import Recovery, count_votes
+from molereach.coordination.replicated_log.replica_state import ReplicaState
+from molereach.coordination.replicated_log.settings import (
+    MAX_BATCH_ENTRIES,
+    MAX_CHUNK_BYTES,
+    MAX_RUNS,
+    LogSettings,
 )
+from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter, apply_change
 from tests.coordination.replicated_log.machine import Sum
 
 ME = NodeInstance("d0", 1)
-SEATS = tuple(Seat(f"d{number}", f"{number:032x}") for number in range(9))
+SEATS = tuple(Voter(f"d{number}", f"{number:032x}") for number in range(9))
 PANEL = SEATS[:5]
 RUNS = tuple(Run(seat.disk, 1, 1) for seat in SEATS)
 
@@ -54,10 +59,10 @@
     return Entry(position, machine, identity or f"p{position}", ME, at_ms, b"1")
 
 
-def ledger(settings: Settings = Settings(), machine: Sum | None = None) -> Ledger:  # noqa: B008
+def ledger(settings: LogSettings = LogSettings(), machine: Sum | None = None) -> ReplicaState:  # noqa: B008
     outbox = Outbox(ME)
     learner = Learner(PANEL, {"sum": machine or Sum()}, settings)
-    return Ledger(settings, outbox, learner, Recovery(ME, SEATS[0].disk, 1, {}), Recovered())
+    return ReplicaState(settings, outbox, learner, Recovery(ME, SEATS[0].disk, 1, {}), Recovered())
 
 
 # --- the acceptor ---
@@ -65,10 +70,14 @@
 
 def test_what_is_left_of_a_batch() -> None:
     batch = (entry(1), entry(2), entry(3))
-    assert rest(batch, entry(1)) == batch[1:]
-    assert rest(batch, entry(3)) == rest(batch, entry(7)) == ()
-    assert rest(batch, entry(2, 5)) == ()  # another was decided there: the batch is void
-    assert in_order(batch, 0) and not in_order(batch, 1) and not in_order((entry(1, 2), entry(2, 1)), 0)
+    assert undecided_rest(batch, entry(1)) == batch[1:]
+    assert undecided_rest(batch, entry(3)) == undecided_rest(batch, entry(7)) == ()
+    assert undecided_rest(batch, entry(2, 5)) == ()  # another was decided there: the batch is void
+    assert (
+        are_consecutive(batch, 0)
+        and not are_consecutive(batch, 1)
+        and not are_consecutive((entry(1, 2), entry(2, 1)), 0)
+    )
 
 
 def test_a_number_is_promised_once() -> None:
@@ -83,15 +92,15 @@
 def test_records_are_read_back() -> None:
     low, high = Ballot(1, "a", 1), Ballot(2, "b", 1)
     records = [
-        Started(RUNS[0]),
-        Wrote(RUNS[1]),
-        Promised(low),
-        Voted(low, (entry(1), entry(2))),
-        Decided((entry(1),)),
-        Raised(high, NOBODY, ()),
+        DiskStarted(RUNS[0]),
+        RunRecorded(RUNS[1]),
+        BallotPromised(low),
+        BatchAccepted(low, (entry(1), entry(2))),
+        EntriesDecided((entry(1),)),
+        StateAdopted(high, NOBODY, ()),
     ]
     now = recover(None, [encode(record) for record in records])
-    assert (now.disk, now.starts, now.position) == (RUNS[0].disk, 1, 1)
+    assert (now.disk, now.start_count, now.position) == (RUNS[0].disk, 1, 1)
     assert now.runs == {RUNS[1].disk: RUNS[1]}
     assert (now.acceptor.promised, now.acceptor.accepted_at) == (high, low)
     assert now.acceptor.accepted == (entry(2),)
@@ -100,14 +109,14 @@
 @pytest.mark.parametrize(
     "records",
     [
-        [Promised(Ballot(2, "a", 1)), Promised(Ballot(1, "a", 1))],
-        [Decided((entry(2),))],
-        [Voted(Ballot(1, "a", 1), (entry(2),))],
-        [Raised(Ballot(1, "a", 1), Ballot(1, "a", 1), (entry(2),))],
-        [Started(RUNS[0]), Started(RUNS[1])],
+        [BallotPromised(Ballot(2, "a", 1)), BallotPromised(Ballot(1, "a", 1))],
+        [EntriesDecided((entry(2),))],
+        [BatchAccepted(Ballot(1, "a", 1), (entry(2),))],
+        [StateAdopted(Ballot(1, "a", 1), Ballot(1, "a", 1), (entry(2),))],
+        [DiskStarted(RUNS[0]), DiskStarted(RUNS[1])],
     ],
 )
-def test_records_that_make_no_sense(records: list[Started]) -> None:
+def test_records_that_make_no_sense(records: list[DiskStarted]) -> None:
     with pytest.raises(ValueError):
         recover(None, [encode(record) for record in records])
     with pytest.raises(ValueError):
@@ -115,49 +124,52 @@
 
 
 def test_a_base_takes_the_place_of_records() -> None:
-    settings = Settings(most_tail=3)
+    settings = LogSettings(max_tail_entries=3)
     one = ledger(settings)
     one.promise(Ballot(4, "a", 1))
-    one.note(RUNS[1])
+    one.record_run(RUNS[1])
     for position in range(1, 6):
-        one.learn([entry(position)])
+        one.apply_decided([entry(position)])
         one.outbox.flush()
-    writes = [action for action in one.outbox.taken() if isinstance(action, Persist)]
+    writes = [action for action in one.outbox.take_actions() if isinstance(action, Persist)]
     last = max(index for index, write in enumerate(writes) if write.base is not None)
     now = recover(writes[last].base, [record for write in writes[last:] for record in write.records])
     assert now.snapshot and now.snapshot.position == 4 and now.position == 5
     again = Learner(PANEL, {"sum": Sum()}, settings)
-    two = Ledger(settings, Outbox(ME), again, Recovery(ME, SEATS[0].disk, 2, now.runs), now)
+    two = ReplicaState(settings, Outbox(ME), again, Recovery(ME, SEATS[0].disk, 2, now.runs), now)
     assert again.digest() == one.learner.digest()
     assert two.acceptor.promised == Ballot(4, "a", 1) and two.recovery.runs == {RUNS[1].disk: RUNS[1]}
 
 
 def test_many_entries_at_once_are_read_back() -> None:
     one = ledger()
-    one.learn([entry(position) for position in range(1, MOST_BATCH + 10)])
+    one.apply_decided([entry(position) for position in range(1, MAX_BATCH_ENTRIES + 10)])
     one.outbox.flush()
-    writes = [action for action in one.outbox.taken() if isinstance(action, Persist)]
-    assert recover(None, [record for write in writes for record in write.records]).position == MOST_BATCH + 9
+    writes = [action for action in one.outbox.take_actions() if isinstance(action, Persist)]
+    assert (
+        recover(None, [record for write in writes for record in write.records]).position
+        == MAX_BATCH_ENTRIES + 9
+    )
 
 
 def test_nothing_leaves_before_its_write_and_nothing_after_a_failure() -> None:
     outbox = Outbox(ME)
-    outbox.write(Promised(Ballot(1, "a", 1)))
-    outbox.vote("a", Want(0))
+    outbox.write(BallotPromised(Ballot(1, "a", 1)))
+    outbox.send_after_sync("a", EntriesRequest(0))
     outbox.flush()
-    outbox.vote("a", Want(1))  # rests on the same write
+    outbox.send_after_sync("a", EntriesRequest(1))  # rests on the same write
     outbox.flush()
-    assert [type(action) for action in outbox.taken()] == [Persist]
+    assert [type(action) for action in outbox.take_actions()] == [Persist]
     outbox.persisted(99)  # a token that was never given says nothing of those to come
     outbox.release()
-    assert [type(action) for action in outbox.taken()] == [SendMessage, SendMessage]
-    outbox.write(Promised(Ballot(2, "a", 1)))
-    outbox.vote("a", Want(2))
+    assert [type(action) for action in outbox.take_actions()] == [SendMessage, SendMessage]
+    outbox.write(BallotPromised(Ballot(2, "a", 1)))
+    outbox.send_after_sync("a", EntriesRequest(2))
     outbox.flush()
     assert outbox.fail("no space") and not outbox.fail("no space")
     outbox.persisted(2)
     outbox.release()
-    assert not [action for action in outbox.taken() if isinstance(action, SendMessage)]
+    assert not [action for action in outbox.take_actions() if isinstance(action, SendMessage)]
 
 
 # --- starts ---
@@ -167,90 +179,92 @@
     recovery = Recovery(ME, SEATS[0].disk, 1, {})
     for index, after in ((1, 0), (2, 7), (3, 0)):
         assert not recovery.may_vote(PANEL, 0)
-        noted = Noted(recovery.run, RUNS[index], after, NOBODY)
-        assert recovery.answered(NodeInstance(SEATS[index].name, 1), noted, PANEL)
-        assert not recovery.answered(NodeInstance(SEATS[index].name, 1), noted, PANEL)
+        noted = RunAcknowledged(recovery.run, RUNS[index], after, NOBODY)
+        assert recovery.record_acknowledgement(NodeInstance(SEATS[index].name, 1), noted, PANEL)
+        assert not recovery.record_acknowledgement(NodeInstance(SEATS[index].name, 1), noted, PANEL)
     assert not recovery.may_vote(PANEL, 6) and recovery.may_vote(PANEL, 7)
     assert not recovery.may_vote(SEATS[1:6], 7)  # no seat
     assert not recovery.may_vote((SEATS[0], *SEATS[3:7]), 7)  # another panel: its seats are asked
-    other_run = Noted(Run(SEATS[0].disk, 1, 9), RUNS[4], 0, NOBODY)
-    assert not recovery.answered(NodeInstance("d4", 1), other_run, PANEL)
-    assert not recovery.refused(Exists(Run(SEATS[0].disk, 1, 9), Run(SEATS[0].disk, 5, 4)))
-    assert recovery.refused(Exists(recovery.run, Run(SEATS[0].disk, 1, 4)))
+    other_run = RunAcknowledged(Run(SEATS[0].disk, 1, 9), RUNS[4], 0, NOBODY)
+    assert not recovery.record_acknowledgement(NodeInstance("d4", 1), other_run, PANEL)
+    assert not recovery.record_conflict(RunConflict(Run(SEATS[0].disk, 1, 9), Run(SEATS[0].disk, 5, 4)))
+    assert recovery.record_conflict(RunConflict(recovery.run, Run(SEATS[0].disk, 1, 4)))
     assert not recovery.may_vote(PANEL, 7)
 
 
 def test_a_vote_of_an_earlier_run_is_void() -> None:
-    votes = {run.disk: Voter(run) for run in RUNS[:3]}
-    assert counted(votes, PANEL) == 3
-    votes[RUNS[1].disk] = Voter(RUNS[1], (Run(RUNS[0].disk, 2, 2),))
-    assert counted(votes, PANEL) == 2
-    votes[RUNS[0].disk] = Voter(Run(RUNS[0].disk, 2, 2))
-    assert counted(votes, PANEL) == 3
-    assert counted(votes, SEATS[1:6]) == 2
+    votes = {run.disk: VoteSource(run) for run in RUNS[:3]}
+    assert count_votes(votes, PANEL) == 3
+    votes[RUNS[1].disk] = VoteSource(RUNS[1], (Run(RUNS[0].disk, 2, 2),))
+    assert count_votes(votes, PANEL) == 2
+    votes[RUNS[0].disk] = VoteSource(Run(RUNS[0].disk, 2, 2))
+    assert count_votes(votes, PANEL) == 3
+    assert count_votes(votes, SEATS[1:6]) == 2
 
 
 def test_runs_and_answers_are_bounded() -> None:
     recovery = Recovery(ME, SEATS[0].disk, 1, {})
-    for number in range(1, 3 * MOST_RUNS):
+    for number in range(1, 3 * MAX_RUNS):
         run = Run(f"{number:032x}", 1, 1)
-        assert recovery.answered(NodeInstance(f"d{number}", 1), Noted(recovery.run, run, 0, NOBODY), PANEL)
-        assert recovery.write(run, PANEL)
-    assert len(recovery.answers) == len(recovery.runs) == MOST_RUNS
-    assert recovery.may_vote(PANEL, 0) and len(recovery.voter(PANEL).knows) == 4
+        assert recovery.record_acknowledgement(
+            NodeInstance(f"d{number}", 1), RunAcknowledged(recovery.run, run, 0, NOBODY), PANEL
+        )
+        assert recovery.record_run(run, PANEL)
+    assert len(recovery.acknowledgements) == len(recovery.runs) == MAX_RUNS
+    assert recovery.may_vote(PANEL, 0) and len(recovery.vote_source(PANEL).known_runs) == 4
 
 
 # --- proposals ---
 
 
 def test_an_ask_from_before_the_window_settles_nothing() -> None:
-    learner = Learner(PANEL, {"sum": Sum()}, Settings(most_once=2))
-    queue = Queue(Settings(), lambda now_us: 5)
-    early = Ask("sum", "p1", ME, 0, b"1")
+    learner = Learner(PANEL, {"sum": Sum()}, LogSettings(max_deduplicated_ids=2))
+    queue = ProposalQueue(LogSettings(), lambda now_us: 5)
+    early = ProposalRequest("sum", "p1", ME, 0, b"1")
     for position in (1, 2, 3):
         learner.apply(entry(position))
     queue.add(early, learner)  # applied once, and out of the table since
     assert queue.batch(0, learner) == ()
-    queue.add(Ask("sum", "p9", ME, 1, b"1"), learner)
+    queue.add(ProposalRequest("sum", "p9", ME, 1, b"1"), learner)
     assert [each.id for each in queue.batch(0, learner)] == ["p9"]
 
 
 def test_a_batch_ends_with_a_change_of_the_panel() -> None:
-    learner = Learner(PANEL, {"sum": Sum()}, Settings())
+    learner = Learner(PANEL, {"sum": Sum()}, LogSettings())
     learner.apply(entry(1, at_ms=50))
-    queue = Queue(Settings(), lambda now_us: 7)
-    for number, machine in enumerate(("sum", OWN, "sum")):
-        queue.add(Ask(machine, f"q{number}", ME, 0, b"1"), learner)
-    queue.add(Ask("sum", "p1", ME, 0, b"1"), learner)  # applied before
+    queue = ProposalQueue(LogSettings(), lambda now_us: 7)
+    for number, machine in enumerate(("sum", LOG_MACHINE, "sum")):
+        queue.add(ProposalRequest(machine, f"q{number}", ME, 0, b"1"), learner)
+    queue.add(ProposalRequest("sum", "p1", ME, 0, b"1"), learner)  # applied before
     batch = queue.batch(0, learner)
     assert [each.id for each in batch] == ["q0", "q1"]
     assert [each.at_ms for each in batch] == [50, 50]  # a clock that is behind takes no time back
     assert [each.id for each in queue.batch(0, learner)] == ["q2"]
-    assert not queue.asks
+    assert not queue.requests
 
 
 def test_a_batch_is_bounded_in_bytes() -> None:
-    learner = Learner(PANEL, {"sum": Sum()}, Settings())
-    queue = Queue(Settings(), lambda now_us: 7)
+    learner = Learner(PANEL, {"sum": Sum()}, LogSettings())
+    queue = ProposalQueue(LogSettings(), lambda now_us: 7)
     for number in range(10):
-        queue.add(Ask("sum", f"q{number}", ME, 0, b"1" * 16_000), learner)
+        queue.add(ProposalRequest("sum", f"q{number}", ME, 0, b"1" * 16_000), learner)
     assert len(queue.batch(0, learner)) == 4
 
 
 def test_ids_are_kept_up_to_a_bound() -> None:
-    once = Once(2)
+    once = DeduplicationTable(2)
     for position in (1, 2, 3):
         once.add(entry(position), b"", Outcome())
     assert once.find("p1") is None and once.find("p2") and once.floor == 1
 
 
 def test_a_repeat_and_an_unknown_machine() -> None:
-    learner = Learner(PANEL, {"sum": Sum()}, Settings())
+    learner = Learner(PANEL, {"sum": Sum()}, LogSettings())
     entries = [entry(1), entry(2, identity="p1"), entry(3, machine="none")]
     outcomes = [
         action.outcome for each in entries for action in learner.apply(each) if isinstance(action, Applied)
     ]
-    assert outcomes == [Outcome(value=b"1"), Outcome(REPEATED.format(1)), Outcome("no such machine")]
+    assert outcomes == [Outcome(value=b"1"), Outcome(REPEATED_ERROR.format(1)), Outcome("no such machine")]
 
 
 # --- the panel ---
@@ -259,28 +273,28 @@
 @pytest.mark.parametrize(
     ("change", "error"),
     [
-        (Replace(SEATS[0], SEATS[7]), ""),
-        (Replace(SEATS[7], SEATS[8]), "no such seat"),
-        (Replace(SEATS[0], SEATS[1]), "the seat is taken"),
-        (Replace(SEATS[0], Seat("d1", SEATS[8].disk)), "a front door and a disk have one seat each"),
-        (Replace(SEATS[0], Seat("d0", SEATS[8].disk)), ""),
-        (Grow((SEATS[7], SEATS[8])), ""),
-        (Grow((SEATS[7], SEATS[7])), "the seat is taken"),
-        (Shrink((SEATS[0], SEATS[1])), ""),
-        (Shrink((SEATS[0], SEATS[0])), "the seat is taken"),
+        (ReplaceVoter(SEATS[0], SEATS[7]), ""),
+        (ReplaceVoter(SEATS[7], SEATS[8]), "no such seat"),
+        (ReplaceVoter(SEATS[0], SEATS[1]), "the seat is taken"),
+        (ReplaceVoter(SEATS[0], Voter("d1", SEATS[8].disk)), "a front door and a disk have one seat each"),
+        (ReplaceVoter(SEATS[0], Voter("d0", SEATS[8].disk)), ""),
+        (AddVoters((SEATS[7], SEATS[8])), ""),
+        (AddVoters((SEATS[7], SEATS[7])), "the seat is taken"),
+        (RemoveVoters((SEATS[0], SEATS[1])), ""),
+        (RemoveVoters((SEATS[0], SEATS[0])), "the seat is taken"),
     ],
 )
-def test_changes_of_the_panel(change: Replace, error: str) -> None:
-    after, outcome = changed(PANEL, msgspec.json.encode(change))
+def test_changes_of_the_panel(change: ReplaceVoter, error: str) -> None:
+    after, outcome = apply_change(PANEL, msgspec.json.encode(change))
     assert outcome == Outcome(error)
     assert (after == PANEL) == bool(error)
 
 
 def test_sizes_of_the_panel() -> None:
-    pair = msgspec.json.encode(Grow((SEATS[7], SEATS[8])))
-    assert changed(SEATS[:7], pair)[1].error.startswith("a panel has")
-    assert changed(SEATS[:3], msgspec.json.encode(Shrink((SEATS[0], SEATS[1]))))[1].error
-    assert changed(PANEL, b'{"kind": "other"}')[1].error == "not a change of the panel"
+    pair = msgspec.json.encode(AddVoters((SEATS[7], SEATS[8])))
+    assert apply_change(SEATS[:7], pair)[1].error.startswith("a panel has")
+    assert apply_change(SEATS[:3], msgspec.json.encode(RemoveVoters((SEATS[0], SEATS[1]))))[1].error
+    assert apply_change(PANEL, b'{"kind": "other"}')[1].error == "not a change of the panel"
 
 
 # --- words ---
@@ -288,14 +302,14 @@
 
 def test_words_are_typed_and_bounded() -> None:
     decoder = msgspec.json.Decoder(Message)
-    assert decoder.decode(msgspec.json.encode(Want(3))) == Want(3)
-    many = tuple(entry(position) for position in range(1, MOST_BATCH + 2))
+    assert decoder.decode(msgspec.json.encode(EntriesRequest(3))) == EntriesRequest(3)
+    many = tuple(entry(position) for position in range(1, MAX_BATCH_ENTRIES + 2))
     for wrong in (
         b'{"kind":"l.want","after":3,"more":1}',
         b'{"kind":"l.want","after":-1}',
         b'{"kind":"want","after":1}',
-        msgspec.json.encode(Known(many, 1)),
-        msgspec.json.encode(Voter(RUNS[0])),
+        msgspec.json.encode(EntriesReply(many, 1)),
+        msgspec.json.encode(VoteSource(RUNS[0])),
     ):
         with pytest.raises(msgspec.MsgspecError):
             decoder.decode(wrong)
@@ -304,74 +318,74 @@
 # --- catching up ---
 
 
-def asked(one: Ledger) -> list[object]:
-    return [action.message for action in one.outbox.taken() if isinstance(action, SendMessage)]
+def asked(one: ReplicaState) -> list[object]:
+    return [action.message for action in one.outbox.take_actions() if isinstance(action, SendMessage)]
 
 
-def pieces(of: Ledger, position: int = 0) -> list[Piece]:
+def pieces(of: ReplicaState, position: int = 0) -> list[SnapshotChunk]:
     """All of a snapshot, as asked for one after the other."""
-    giving, got = CatchingUp(of), []
+    giving, got = CatchUpProtocol(of), []
     while not got or got[-1].offset + len(got[-1].data) < got[-1].total:
-        giving.give("d1", position, sum(len(piece.data) for piece in got))
-        got.append(next(message for message in asked(of) if isinstance(message, Piece)))
+        giving.send_chunk("d1", position, sum(len(piece.data) for piece in got))
+        got.append(next(message for message in asked(of) if isinstance(message, SnapshotChunk)))
         position = got[0].position
     return got
 
 
-def behind(ballast: int) -> tuple[Ledger, Ledger, list[Piece]]:
-    one = ledger(Settings(most_tail=3), Sum(ballast=ballast))
-    one.learn([entry(position) for position in range(1, 9)])
-    assert one.learner.following(2) is None
+def behind(ballast: int) -> tuple[ReplicaState, ReplicaState, list[SnapshotChunk]]:
+    one = ledger(LogSettings(max_tail_entries=3), Sum(ballast=ballast))
+    one.apply_decided([entry(position) for position in range(1, 9)])
+    assert one.learner.entries_after(2) is None
     return one, ledger(machine=Sum(ballast=ballast)), pieces(one)
 
 
 def test_pieces_that_fit_make_a_snapshot() -> None:
-    one, two, got = behind(3 * MOST_PIECE_BYTES)
-    catching_up = CatchingUp(two)
-    assert len(got) == 4 and all(len(piece.data) <= MOST_PIECE_BYTES for piece in got)
-    assert not catching_up.on_piece("d1", got[1])  # begins nothing
+    one, two, got = behind(3 * MAX_CHUNK_BYTES)
+    catching_up = CatchUpProtocol(two)
+    assert len(got) == 4 and all(len(piece.data) <= MAX_CHUNK_BYTES for piece in got)
+    assert not catching_up.on_chunk("d1", got[1])  # begins nothing
     for piece in (got[0], got[0], got[2], got[1], got[2]):  # a repeat and one too early are thrown away
-        assert not catching_up.on_piece("d1", piece)
-    assert not catching_up.on_piece("d2", got[3])  # another's
-    assert catching_up.on_piece("d1", got[3])
+        assert not catching_up.on_chunk("d1", piece)
+    assert not catching_up.on_chunk("d2", got[3])  # another's
+    assert catching_up.on_chunk("d1", got[3])
     assert two.position == 8 and two.learner.digest() == one.learner.digest()
 
 
 def test_a_snapshot_that_is_not_what_it_says_is_dropped() -> None:
     _, two, got = behind(10)
-    catching_up = CatchingUp(two)
+    catching_up = CatchUpProtocol(two)
     wrong = msgspec.structs.replace(got[0], data=got[0].data[:-1] + b"\x00")
-    assert not catching_up.on_piece("d1", wrong) and two.position == 0 and not catching_up.data
-    assert catching_up.on_piece("d1", got[0])
+    assert not catching_up.on_chunk("d1", wrong) and two.position == 0 and not catching_up.data
+    assert catching_up.on_chunk("d1", got[0])
 
 
 def test_a_snapshot_that_is_older_or_lacks_a_machine_is_of_no_use() -> None:
     one, two, got = behind(10)
-    two.learn([entry(position) for position in range(1, 10)])
-    assert not CatchingUp(two).on_piece("d1", got[0]) and two.position == 9
+    two.apply_decided([entry(position) for position in range(1, 10)])
+    assert not CatchUpProtocol(two).on_chunk("d1", got[0]) and two.position == 9
     assert not two.restore(one.learner.snapshot())
-    one.learner.failed.add("sum")
-    giving = CatchingUp(one)
-    giving.tell("d2", 0)
+    one.learner.failed_machines.add("sum")
+    giving = CatchUpProtocol(one)
+    giving.send_entries("d2", 0)
     assert asked(one) == []
 
 
 def test_it_asks_again_and_gives_up() -> None:
     two = ledger()
-    catching_up = CatchingUp(two)
-    catching_up.want("d1")
+    catching_up = CatchUpProtocol(two)
+    catching_up.request_from("d1")
     now = 0
     for _ in range(20):
         now += 300
         catching_up.tick(now, 300)
-    assert asked(two) == [Want(0)] * 6 and not catching_up.source
+    assert asked(two) == [EntriesRequest(0)] * 6 and not catching_up.source
 
 
 def test_entries_are_asked_for_as_long_as_they_help() -> None:
     two = ledger()
-    catching_up = CatchingUp(two)
-    assert catching_up.on_known("d1", Known((entry(1),), 5))
-    assert not catching_up.on_known("d1", Known((entry(1),), 5))  # a repeat asks for nothing
-    assert asked(two) == [Want(1)]
-    assert not catching_up.on_known("d1", Known((entry(3),), 5))  # a gap
+    catching_up = CatchUpProtocol(two)
+    assert catching_up.on_entries("d1", EntriesReply((entry(1),), 5))
+    assert not catching_up.on_entries("d1", EntriesReply((entry(1),), 5))  # a repeat asks for nothing
+    assert asked(two) == [EntriesRequest(1)]
+    assert not catching_up.on_entries("d1", EntriesReply((entry(3),), 5))  # a gap
     assert two.position == 1
--- a/tests/coordination/replicated_log/world.py
+++ b/tests/coordination/replicated_log/world.py
@@ -27,19 +27,19 @@
     Propose,
     Restored,
 )
-from molereach.coordination.replicated_log.core import CatchUp, Learn, LogCore
+from molereach.coordination.replicated_log.core import CatchUp, EntriesLearned, LogCore
 from molereach.coordination.replicated_log.learner import MachineFailed
-from molereach.coordination.replicated_log.outbox import Stopped
-from molereach.coordination.replicated_log.panel import Change
+from molereach.coordination.replicated_log.messages import Message, Voter, Voters
+from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import recover
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.starts import SetBack
-from molereach.coordination.replicated_log.words import Message, Panel, Seat
+from molereach.coordination.replicated_log.settings import LogSettings
+from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
+from molereach.coordination.replicated_log.voters import Change
 from tests.coordination.replicated_log.machine import Sum
 
 MS = 1000
 S = 1_000_000
-SMALL = Settings(most_tail=24, most_once=4096)
+SMALL = LogSettings(max_tail_entries=24, max_deduplicated_ids=4096)
 
 _encoder, _decoder = msgspec.json.Encoder(), msgspec.json.Decoder(Message)
 
@@ -80,7 +80,7 @@
 class World:
     """`size` seats and `learners` front doors without one."""
 
-    def __init__(self, seed: int, size: int = 5, learners: int = 0, settings: Settings = SMALL) -> None:
+    def __init__(self, seed: int, size: int = 5, learners: int = 0, settings: LogSettings = SMALL) -> None:
         self.random = Random(seed)
         self.settings = settings
         self.now_us, self.serial = 5 * S, 0
@@ -91,7 +91,7 @@
         self.disks = 0
         names = [f"d{number}" for number in range(size + learners)]
         self.nodes = {name: Node(name, self.new_disk()) for name in names}
-        self.panel: Panel = tuple(Seat(name, self.nodes[name].disk.identity) for name in names[:size])
+        self.panel: Voters = tuple(Voter(name, self.nodes[name].disk.identity) for name in names[:size])
         self.entries: dict[int, Entry] = {}
         self.digests: dict[int, str] = {}
         self.outcomes: dict[str, set[tuple[Any, int]]] = {}
@@ -223,9 +223,9 @@
             case LeadershipConfirmed(token, ballot):
                 assert ballot >= self.asked[token], "confirmed, though replaced before it was asked"
                 self.confirmed.append(token)
-            case Stopped():
+            case LogStopped():
                 node.stopped = True
-            case SetBack():
+            case DiskRolledBack():
                 node.set_back = True
             case MachineFailed(machine):
                 assert self.may_fail, action
@@ -296,14 +296,16 @@
         return token
 
     def leader(self) -> str | None:
-        leading = [node.name for node in self.nodes.values() if node.core and node.core.leading.mine]
+        leading = [
+            node.name for node in self.nodes.values() if node.core and node.core.leader_protocol.is_leader
+        ]
         return leading[-1] if len(leading) == 1 else None
 
     def spread(self, name: str, entries: Sequence[Entry]) -> None:
         """The tree, as far as this goes: who has no seat is told by whom has it."""
         node = self.nodes[name]
         if self.groups.get(node.name, 0) == 0 and self.random.random() >= self.loss:
-            self.give(node, Learn(tuple(entries)))
+            self.give(node, EntriesLearned(tuple(entries)))
 
     def beat(self) -> None:
         """Each half a second those without a seat ask another."""
@@ -320,9 +322,9 @@
         assert known == entry, f"two values at {entry.position}: {known} and {entry}"
         before = self.entries.get(entry.position - 1)
         assert before is None or before.at_ms <= entry.at_ms, "time went back"
-        if len(self.entries) == entry.position and node.core and node.core.leading.mine:
+        if len(self.entries) == entry.position and node.core and node.core.leader_protocol.is_leader:
             for other in self.nodes.values():
-                if other.core and other.core.recovery.seat not in other.core.panel:
+                if other.core and other.core.recovery.voter not in other.core.voters:
                     self.at(30 * MS, lambda name=other.name: self.spread(name, [entry]))  # type: ignore[misc]
 
     def check(self, node: Node) -> None:
