--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -34,7 +34,7 @@
 from molereach.coordination.replicated_log.learner import MachineFailed
 from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered, recover
-from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
+from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.storage.store import Opened, Store, draw_identity
 from molereach.coordination.storage.worker import Worker
 from molereach.coordination.transport.service import Links
@@ -124,7 +124,7 @@
             LeaseLost: self.on_lost,
             Changed: self.on_changed,
             LogStopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
-            DiskRolledBack: self.on_set_back,
+            DiskRollbackDetected: self.on_set_back,
             MachineFailed: self.on_machine_failed,
         }
 
@@ -269,7 +269,7 @@
         if action.previous is not action.status:
             log.info("council: %s is %s", action.life.name, action.status.name.lower())
 
-    def on_set_back(self, action: DiskRolledBack) -> None:
+    def on_set_back(self, action: DiskRollbackDetected) -> None:
         log.error(
             "council: the folder was set back (start %d, %d is known): it votes no more; give it "
             "a new folder",
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -37,7 +37,7 @@
 from molereach.coordination.replicated_log.messages import Voters
 from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
+from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 
 MOST_RECENT = 64  # entries that were just applied, handed to the tree at once
 
@@ -88,7 +88,7 @@
     | lease.LeaseAcquired
     | lease.LeaseLost
     | LogStopped
-    | DiskRolledBack
+    | DiskRollbackDetected
     | MachineFailed
     | tree.Parent
 )
--- a/molereach/coordination/replicated_log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -20,7 +20,9 @@
     def __init__(
         self, promised: Ballot = NOBODY, accepted_at: Ballot = NOBODY, accepted: Sequence[Entry] = ()
     ) -> None:
-        self.promised, self.accepted_at, self.accepted = promised, accepted_at, tuple(accepted)
+        self.promised = promised
+        self.accepted_at = accepted_at
+        self.accepted = tuple(accepted)
 
     def promise(self, ballot: Ballot) -> bool:
         """Whether it is promised; the same again is. A number is promised once: no two lead with it."""
@@ -30,13 +32,15 @@
         return True
 
     def would_promise(self, ballot: Ballot) -> bool:
+        """Whether `promise` would accept this ballot; nothing changes."""
         return ballot == self.promised or ballot.number > self.promised.number
 
     def accept(self, ballot: Ballot, entries: Sequence[Entry]) -> bool:
         """Whether it is accepted. It is a promise as well."""
         if not self.promise(ballot):
             return False
-        self.accepted_at, self.accepted = ballot, tuple(entries)
+        self.accepted_at = ballot
+        self.accepted = tuple(entries)
         return True
 
     def adopt(self, promised: Ballot, accepted_at: Ballot, accepted: Sequence[Entry]) -> bool:
@@ -47,7 +51,8 @@
         """
         higher_vote = bool(accepted) and accepted_at > self.accepted_at
         if higher_vote:
-            self.accepted_at, self.accepted = accepted_at, tuple(accepted)
+            self.accepted_at = accepted_at
+            self.accepted = tuple(accepted)
         higher_promise = max(promised, accepted_at) > self.promised
         if higher_promise:
             self.promised = max(promised, accepted_at)
--- a/molereach/coordination/replicated_log/acceptor_protocol.py
+++ b/molereach/coordination/replicated_log/acceptor_protocol.py
@@ -23,16 +23,19 @@
 from molereach.coordination.replicated_log.replica_state import ReplicaState
 
 
-def is_own_ballot(ballot: Ballot, sender: NodeInstance) -> bool:
+def is_ballot_of(ballot: Ballot, sender: NodeInstance) -> bool:
+    """Whether a ballot belongs to the instance that sent it."""
     return ballot.name == sender.name and ballot.instance_number == sender.number
 
 
 class AcceptorProtocol:
     """The seat's part."""
 
-    def __init__(self, ledger: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
-        self.state, self.election, self.catch_up = ledger, election, catching_up
-        self.outbox = ledger.outbox
+    def __init__(self, state: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
+        self.state = state
+        self.election = election
+        self.catch_up = catching_up
+        self.outbox = state.outbox
 
     def has_same_entries(self, sender: NodeInstance, after: int) -> bool:
         """Whether both have the same decided entries; if not, who lacks some gets or asks for them."""
@@ -42,34 +45,36 @@
             self.catch_up.request_from(sender.name)
         return after == self.state.position
 
-    def on_pre_vote(self, now_us: int, sender: NodeInstance, word: PreVote) -> None:
-        self.election.observe_ballot(word.ballot)
-        self.has_same_entries(sender, word.after)
+    def on_pre_vote(self, now_us: int, sender: NodeInstance, message: PreVote) -> None:
+        """Answer whether this voter would promise; nothing is promised."""
+        self.election.observe_ballot(message.ballot)
+        self.has_same_entries(sender, message.after)
         if not self.state.may_vote:
             return
         promised = self.state.acceptor.promised
-        granted = self.election.grant(now_us, word.ballot, promised)
+        granted = self.election.grant(now_us, message.ballot, promised)
         disk = self.state.recovery.run.disk
-        self.outbox.send(sender.name, PreVoteReply(word.ballot, disk, granted, promised), sender.number)
+        self.outbox.send(sender.name, PreVoteReply(message.ballot, disk, granted, promised), sender.number)
 
-    def on_prepare(self, now_us: int, sender: NodeInstance, word: Prepare) -> None:
-        self.election.observe_ballot(word.ballot)
+    def on_prepare(self, now_us: int, sender: NodeInstance, message: Prepare) -> None:
+        """Phase 1: promise the ballot, or reject it."""
+        self.election.observe_ballot(message.ballot)
         if (
-            not is_own_ballot(word.ballot, sender)
-            or not self.has_same_entries(sender, word.after)
+            not is_ballot_of(message.ballot, sender)
+            or not self.has_same_entries(sender, message.after)
             or not self.state.may_vote
         ):
             return
-        if not self.state.promise(word.ballot):
-            self.reject_ballot(sender, word.ballot)
+        if not self.state.promise(message.ballot):
+            self.reject_ballot(sender, message.ballot)
             return
         self.election.restart_timeout(now_us)
         acceptor = self.state.acceptor
         self.outbox.send_after_sync(
             sender.name,
             Promise(
-                word.ballot,
-                word.after,
+                message.ballot,
+                message.after,
                 self.state.vote_source(),
                 acceptor.accepted_at,
                 acceptor.accepted,
@@ -77,39 +82,43 @@
             sender.number,
         )
 
-    def on_accept(self, now_us: int, sender: NodeInstance, word: Accept) -> None:
-        after = word.entries[0].position - 1
-        if not is_own_ballot(word.ballot, sender) or not are_consecutive(word.entries, after):
+    def on_accept(self, now_us: int, sender: NodeInstance, message: Accept) -> None:
+        """Phase 2: accept the batch, or reject the ballot."""
+        after = message.entries[0].position - 1
+        if not is_ballot_of(message.ballot, sender) or not are_consecutive(message.entries, after):
             return
         if not self.has_same_entries(sender, after) or not self.state.may_vote:
             return
-        if not self.state.accept(word.ballot, word.entries):
-            self.reject_ballot(sender, word.ballot)
+        if not self.state.accept(message.ballot, message.entries):
+            self.reject_ballot(sender, message.ballot)
             return
         self.election.record_leader_contact(now_us)
-        last = word.entries[-1].position
+        last = message.entries[-1].position
         self.outbox.send_after_sync(
-            sender.name, Accepted(word.ballot, last, self.state.vote_source()), sender.number
+            sender.name, Accepted(message.ballot, last, self.state.vote_source()), sender.number
         )
 
-    def on_heartbeat(self, now_us: int, sender: NodeInstance, word: Heartbeat) -> bool:
+    def on_heartbeat(self, now_us: int, sender: NodeInstance, message: Heartbeat) -> bool:
         """Whether it is from a leader that may still lead."""
         acceptor = self.state.acceptor
-        self.election.observe_ballot(word.ballot)
-        if not is_own_ballot(word.ballot, sender):
+        self.election.observe_ballot(message.ballot)
+        if not is_ballot_of(message.ballot, sender):
             return False
-        if word.ballot < acceptor.promised:
-            self.reject_ballot(sender, word.ballot)
+        if message.ballot < acceptor.promised:
+            self.reject_ballot(sender, message.ballot)
             return False
         self.election.record_leader_contact(now_us)
-        if word.ballot == acceptor.accepted_at:  # one value for a ballot at a position
-            self.state.apply_decided([entry for entry in acceptor.accepted if entry.position <= word.decided])
-        if word.decided > self.state.position:
+        if message.ballot == acceptor.accepted_at:  # one value for a ballot at a position
+            self.state.apply_decided(
+                [entry for entry in acceptor.accepted if entry.position <= message.decided]
+            )
+        if message.decided > self.state.position:
             self.catch_up.request_from(sender.name)
         if self.state.may_vote:
-            follow = HeartbeatReply(word.ballot, word.round, self.state.vote_source())
+            follow = HeartbeatReply(message.ballot, message.round, self.state.vote_source())
             self.outbox.send(sender.name, follow, sender.number)
         return True
 
     def reject_ballot(self, sender: NodeInstance, ballot: Ballot) -> None:
+        """Answer with the higher ballot that was promised."""
         self.outbox.send(sender.name, BallotRejected(ballot, self.state.acceptor.promised), sender.number)
--- a/molereach/coordination/replicated_log/catch_up_protocol.py
+++ b/molereach/coordination/replicated_log/catch_up_protocol.py
@@ -22,12 +22,16 @@
 class CatchUpProtocol:
     """Both sides of it at one front door."""
 
-    def __init__(self, ledger: ReplicaState) -> None:
-        self.state, self.outbox = ledger, ledger.outbox
+    def __init__(self, state: ReplicaState) -> None:
+        self.state = state
+        self.outbox = state.outbox
         self.source = ""  # who is asked; empty for nobody
         self.retry_at_us = 0  # when it is asked again; 0 for the next `tick`
         self.retries = 0
-        self.position, self.total, self.digest = 0, 0, b""  # of the snapshot under way
+        # of the snapshot under way
+        self.position = 0
+        self.total = 0
+        self.digest = b""
         self.data = bytearray()
         self.sent_snapshot: tuple[int, bytes, bytes] | None = (
             None  # position, bytes and digest of the one given
@@ -39,7 +43,9 @@
         """Ask it for what follows; a snapshot that is coming in goes on instead."""
         if source == self.outbox.instance.name or self.data:
             return
-        self.source, self.retry_at_us, self.retries = source, 0, 0
+        self.source = source
+        self.retry_at_us = 0
+        self.retries = 0
         self._send_request()
 
     def _send_request(self) -> None:
@@ -48,28 +54,31 @@
         else:
             self.outbox.send(self.source, EntriesRequest(self.state.position))
 
-    def on_entries(self, sender: str, word: EntriesReply) -> bool:
+    def on_entries(self, sender: str, message: EntriesReply) -> bool:
         """Take entries; whether any was new."""
-        new = self.state.apply_decided(word.entries)
+        new = self.state.apply_decided(message.entries)
         if new:
             self._drop_passed()
-        if word.decided > self.state.position:
+        if message.decided > self.state.position:
             if new:
                 self.request_from(sender)
         elif sender == self.source and not self.data:
             self.source = ""
         return new
 
-    def on_chunk(self, sender: str, word: SnapshotChunk) -> bool:
+    def on_chunk(self, sender: str, message: SnapshotChunk) -> bool:
         """Take a piece; whether a snapshot was whole and of use."""
-        if word.position <= self.state.position or not self._accepts(sender, word):
+        if message.position <= self.state.position or not self._accepts(sender, message):
             return False
-        self.data += word.data
-        self.retry_at_us = self.retries = 0
+        self.data += message.data
+        self.retry_at_us = 0
+        self.retries = 0
         if len(self.data) < self.total:
             self._send_request()
             return False
-        data, total, digest = bytes(self.data), self.total, self.digest
+        data = bytes(self.data)
+        total = self.total
+        digest = self.digest
         self._drop()
         if len(data) != total or blake2b(data, digest_size=16).digest() != digest:
             return False
@@ -82,14 +91,21 @@
         self.request_from(sender)  # what came since
         return True
 
-    def _accepts(self, sender: str, word: SnapshotChunk) -> bool:
+    def _accepts(self, sender: str, message: SnapshotChunk) -> bool:
         """Whether it goes on with the snapshot under way, or begins the first or a newer one."""
-        if self.data and sender == self.source and word.position == self.position:
-            return (word.total, word.digest, word.offset) == (self.total, self.digest, len(self.data))
-        if word.offset or (self.data and (sender != self.source or word.position < self.position)):
+        if self.data and sender == self.source and message.position == self.position:
+            return (message.total, message.digest, message.offset) == (
+                self.total,
+                self.digest,
+                len(self.data),
+            )
+        if message.offset or (self.data and (sender != self.source or message.position < self.position)):
             return False
-        self.source, self.data = sender, bytearray()
-        self.position, self.total, self.digest = word.position, word.total, word.digest
+        self.source = sender
+        self.data = bytearray()
+        self.position = message.position
+        self.total = message.total
+        self.digest = message.digest
         return True
 
     def _drop_passed(self) -> None:
@@ -97,17 +113,18 @@
             self._drop()
 
     def _drop(self) -> None:
-        self.source, self.data = "", bytearray()
+        self.source = ""
+        self.data = bytearray()
 
-    def tick(self, now_us: int, again_us: int) -> None:
+    def tick(self, now_us: int, retry_interval_us: int) -> None:
         """Ask again where no answer came."""
         if not self.source:
             return
         if not self.retry_at_us:
-            self.retry_at_us = now_us + again_us
+            self.retry_at_us = now_us + retry_interval_us
         elif now_us >= self.retry_at_us:
             self.retries += 1
-            self.retry_at_us = now_us + again_us
+            self.retry_at_us = now_us + retry_interval_us
             if self.retries > MAX_RETRIES:
                 self._drop()
             else:
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -74,7 +74,7 @@
         me: NodeInstance,
         disk: str,
         recovered: Recovered,
-        panel: Voters,
+        voters: Voters,
         machines: Mapping[str, StateMachine],
         settings: LogSettings,
         draw: Callable[[], float],
@@ -82,14 +82,16 @@
     ) -> None:
         if recovered.disk not in ("", disk):
             raise ValueError("these records are another disk's")
-        if error := voters_error(panel):
+        if error := voters_error(voters):
             raise ValueError(error)
         if LOG_MACHINE in machines:
             raise ValueError(f"the name {LOG_MACHINE!r} is the log's own")
-        self.instance, self.settings, self.random_fraction = me, settings, draw
+        self.instance = me
+        self.settings = settings
+        self.random_fraction = draw
         self.now_us = 0
         self.outbox = Outbox(me)
-        self.learner = Learner(tuple(sorted(panel)), machines, settings)
+        self.learner = Learner(tuple(sorted(voters)), machines, settings)
         self.recovery = Recovery(me, disk, recovered.start_count + 1, recovered.runs)
         self.state = ReplicaState(settings, self.outbox, self.learner, self.recovery, recovered)
         self.election = Election(settings, draw)
@@ -104,21 +106,26 @@
 
     @property
     def position(self) -> int:
+        """The position of the last entry applied here; 0 for none."""
         return self.learner.position
 
     @property
     def voters(self) -> Voters:
+        """The voters at the next position."""
         return self.learner.voters
 
     @property
     def leader(self) -> Ballot | None:
+        """The ballot of the leader that is known here, or None."""
         return self.leader_protocol.leader
 
     def digest(self) -> str:
+        """A digest of all entries and state: equal at equal positions, everywhere."""
         return self.learner.digest()
 
     @property
     def wake_us(self) -> int:
+        """When it wants a `Tick`, in microseconds of its clock."""
         due = [self.leader_protocol.wake_us, self.start_protocol.wake_us, self.proposals.wake_us]
         if self.catch_up.source:
             due.append(self.catch_up.retry_at_us)
@@ -133,8 +140,8 @@
             self.election.record_leader_contact(now_us)
         self._take(now_us, event)
         self._finish_step(now_us)
-        while self.outbox.own_messages:
-            self._receive(now_us, self.instance, self.outbox.own_messages.popleft())
+        while self.outbox.local_messages:
+            self._receive(now_us, self.instance, self.outbox.local_messages.popleft())
             self._finish_step(now_us)
         return self.outbox.take_actions()
 
@@ -222,7 +229,7 @@
             case SnapshotChunk():
                 self.catch_up.on_chunk(sender.name, message)
             case ProposalRequest():
-                if message.proposer == sender or any(seat.name == sender.name for seat in self.voters):
+                if message.proposer == sender or any(voter.name == sender.name for voter in self.voters):
                     self.leader_protocol.on_proposal_request(sender.name, message)
             case LeaderHint():
                 if self.leader_protocol.on_leader_hint(message):
@@ -239,11 +246,11 @@
 
     def _send_proposals(self, now_us: int) -> None:
         """Proposals go to the leader; where it is not known or does not answer, a seat knows better."""
-        for ask, told in self.proposals.due_requests(now_us):
+        for request, attempts in self.proposals.due_requests(now_us):
             leader = self.leader_protocol.leader
-            if leader is None or told % 3 == 2:
-                seat = self.voters[min(int(self.random_fraction() * len(self.voters)), len(self.voters) - 1)]
-                name = seat.name
+            if leader is None or attempts % 3 == 2:
+                voter = self.voters[min(int(self.random_fraction() * len(self.voters)), len(self.voters) - 1)]
+                name = voter.name
             else:
                 name = leader.name
-            self.outbox.send(name, ask)
+            self.outbox.send(name, request)
--- a/molereach/coordination/replicated_log/deduplication.py
+++ b/molereach/coordination/replicated_log/deduplication.py
@@ -32,14 +32,18 @@
 class DeduplicationTable:
     """The newest ids, in the order of their entries."""
 
-    def __init__(self, most: int, done: Iterable[AppliedProposal] = (), floor: int = 0) -> None:
-        self.max_ids, self.floor = most, floor  # `floor`: the position of the newest that was dropped
+    def __init__(self, max_ids: int, done: Iterable[AppliedProposal] = (), floor: int = 0) -> None:
+        # `floor`: the position of the newest that was dropped
+        self.max_ids = max_ids
+        self.floor = floor
         self.proposals = {each.id: each for each in done}
 
     def find(self, entry_id: str) -> AppliedProposal | None:
+        """The proposal that was applied under an id, or None."""
         return self.proposals.get(entry_id)
 
     def add(self, entry: Entry, body: bytes, outcome: Outcome) -> None:
+        """Remember an entry and its outcome; the oldest ids drop out."""
         self.proposals[entry.id] = AppliedProposal(entry.id, entry.machine, body, entry.position, outcome)
         while len(self.proposals) > self.max_ids:
             oldest = next(iter(self.proposals))
--- a/molereach/coordination/replicated_log/election.py
+++ b/molereach/coordination/replicated_log/election.py
@@ -16,25 +16,31 @@
     """Time-outs and the poll under way."""
 
     def __init__(self, settings: LogSettings, draw: Callable[[], float]) -> None:
-        self.settings, self.random_fraction = settings, draw
+        self.settings = settings
+        self.random_fraction = draw
         self.leader_contact_us: int | None = None  # when a leader was last heard, or the start
         self.timeout_at_us = 0
         self.ballot: Ballot | None = None  # that is asked about
         self.granted: set[str] = set()  # disks
         self.highest = 0  # number of any ballot seen
-        self.favored, self.favored_until_us = "", 0  # whom this seat would promise
+        # whom this seat would promise
+        self.favored = ""
+        self.favored_until_us = 0
 
     def restart_timeout(self, now_us: int) -> None:
         """Wait anew for a leader, or for the end of what was begun."""
-        least, most = self.settings.min_election_timeout_us, self.settings.max_election_timeout_us
-        self.timeout_at_us = now_us + least + int(self.random_fraction() * (most - least))
+        minimum_us = self.settings.min_election_timeout_us
+        maximum_us = self.settings.max_election_timeout_us
+        self.timeout_at_us = now_us + minimum_us + int(self.random_fraction() * (maximum_us - minimum_us))
 
     def record_leader_contact(self, now_us: int) -> None:
         """A leader lives."""
-        self.leader_contact_us, self.ballot = now_us, None
+        self.leader_contact_us = now_us
+        self.ballot = None
         self.restart_timeout(now_us)
 
     def has_live_leader(self, now_us: int) -> bool:
+        """Whether a leader was heard within the shortest election timeout."""
         return (
             self.leader_contact_us is not None
             and now_us - self.leader_contact_us < self.settings.min_election_timeout_us
@@ -48,25 +54,28 @@
         favoured = self.favored != ballot.name and now_us < self.favored_until_us
         if ballot.number <= promised.number or favoured or self.has_live_leader(now_us):
             return False
-        self.favored, self.favored_until_us = ballot.name, now_us + self.settings.min_election_timeout_us // 2
+        self.favored = ballot.name
+        self.favored_until_us = now_us + self.settings.min_election_timeout_us // 2
         return True
 
     def observe_ballot(self, ballot: Ballot) -> None:
+        """Remember the highest ballot number that was seen."""
         self.highest = max(self.highest, ballot.number)
 
-    def start_pre_vote(self, now_us: int, name: str, life: int) -> Ballot:
+    def start_pre_vote(self, now_us: int, name: str, instance_number: int) -> Ballot:
         """Begin to ask about a ballot higher than all that were seen."""
-        self.ballot, self.granted = Ballot(self.highest + 1, name, life), set()
+        self.ballot = Ballot(self.highest + 1, name, instance_number)
+        self.granted = set()
         self.restart_timeout(now_us)
         return self.ballot
 
-    def record_reply(self, word: PreVoteReply, panel: Voters) -> bool:
+    def record_reply(self, message: PreVoteReply, voters: Voters) -> bool:
         """Take an answer; whether a majority would promise, which ends the poll."""
-        self.observe_ballot(word.promised)
-        if word.ballot != self.ballot or not word.granted:
+        self.observe_ballot(message.promised)
+        if message.ballot != self.ballot or not message.granted:
             return False
-        self.granted.add(word.disk)
-        if sum(seat.disk in self.granted for seat in panel) < majority(panel):
+        self.granted.add(message.disk)
+        if sum(voter.disk in self.granted for voter in voters) < majority(voters):
             return False
         self.ballot = None
         return True
--- a/molereach/coordination/replicated_log/leader_protocol.py
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -33,10 +33,14 @@
     """The part of one who leads or would."""
 
     def __init__(
-        self, me: NodeInstance, ledger: ReplicaState, election: Election, queue: ProposalQueue
+        self, me: NodeInstance, state: ReplicaState, election: Election, queue: ProposalQueue
     ) -> None:
-        self.instance, self.state, self.election, self.queue = me, ledger, election, queue
-        self.outbox, self.settings = ledger.outbox, ledger.settings
+        self.instance = me
+        self.state = state
+        self.election = election
+        self.queue = queue
+        self.outbox = state.outbox
+        self.settings = state.settings
         self.leadership: Leadership | None = None
         self.heartbeat_due_us = 0
         self.leader: Ballot | None = None  # of the leader that is known here
@@ -48,15 +52,18 @@
         """Another leads, or nobody that is known."""
         if self.is_leader or ballot != self.leader:
             known = ballot or self.leader
-            self.leader, self.is_leader = ballot, False
+            self.leader = ballot
+            self.is_leader = False
             self.outbox.emit(
                 LeaderChanged(ballot.name if ballot else None, known.number if known else 0, False)
             )
 
     def announce_leadership(self) -> None:
+        """Report that this node leads, once it has all earlier decisions."""
         lead = self.leadership
         if lead and lead.leads and not (self.is_leader and self.leader == lead.ballot):
-            self.leader, self.is_leader = lead.ballot, True
+            self.leader = lead.ballot
+            self.is_leader = True
             self.outbox.emit(LeaderChanged(self.instance.name, lead.ballot.number, True))
 
     def step_down(self, now_us: int) -> None:
@@ -86,12 +93,14 @@
 
     @property
     def wake_us(self) -> int:
+        """When it wants a `Tick`, in microseconds of its clock."""
         lead = self.leadership
         return (
             min(self.heartbeat_due_us, self.election.timeout_at_us) if lead else self.election.timeout_at_us
         )
 
     def tick(self, now_us: int) -> None:
+        """Send what is due, step down without a majority, or begin an election."""
         lead = self.leadership
         if lead and lead.elected:
             if not lead.has_quorum_contact(self.state.voters, now_us, self.settings.max_election_timeout_us):
@@ -108,21 +117,23 @@
             self.resend(now_us, lead)
 
     def start_pre_vote(self, now_us: int) -> None:
+        """Ask all voters whether they would promise a new ballot."""
         self.set_leader(None)
         if not self.state.may_vote:
             self.election.restart_timeout(now_us)
             return
         self.election.observe_ballot(self.state.acceptor.promised)
         ballot = self.election.start_pre_vote(now_us, self.instance.name, self.instance.number)
-        for seat in self.state.voters:
-            self.outbox.send(seat.name, PreVote(ballot, self.state.position))
+        for voter in self.state.voters:
+            self.outbox.send(voter.name, PreVote(ballot, self.state.position))
 
     # --- promises ---
 
-    def on_pre_vote_reply(self, now_us: int, sender: NodeInstance, word: PreVoteReply) -> None:
-        seat = voter_of_disk(self.state.voters, word.disk)
-        if seat and seat.name == sender.name and self.election.record_reply(word, self.state.voters):
-            self.leadership = Leadership(word.ballot, self.state.position, now_us)
+    def on_pre_vote_reply(self, now_us: int, sender: NodeInstance, message: PreVoteReply) -> None:
+        """Begin phase 1 once a majority would promise."""
+        voter = voter_of_disk(self.state.voters, message.disk)
+        if voter and voter.name == sender.name and self.election.record_reply(message, self.state.voters):
+            self.leadership = Leadership(message.ballot, self.state.position, now_us)
             self.election.restart_timeout(now_us)
             self.resend(now_us, self.leadership)
 
@@ -135,37 +146,40 @@
         """Say again what was not answered."""
         self.heartbeat_due_us = now_us + self.settings.heartbeat_interval_us
         answered = lead.promises if lead.phase is LeadershipPhase.PREPARING else lead.votes
-        for seat in self.state.voters:
-            if seat.disk in answered:
+        for voter in self.state.voters:
+            if voter.disk in answered:
                 continue
             if lead.phase is LeadershipPhase.PREPARING:
-                self.outbox.send(seat.name, Prepare(lead.ballot, lead.after))
+                self.outbox.send(voter.name, Prepare(lead.ballot, lead.after))
             elif lead.batch:
-                self.outbox.send(seat.name, Accept(lead.ballot, lead.batch))
+                self.outbox.send(voter.name, Accept(lead.ballot, lead.batch))
 
     def _leadership_for(
-        self, now_us: int, sender: NodeInstance, ballot: Ballot, voter: VoteSource
+        self, now_us: int, sender: NodeInstance, ballot: Ballot, source: VoteSource
     ) -> Leadership | None:
         """The leadership that a vote is for, if it is one of this panel's."""
-        lead, seat = self.leadership, voter_of_disk(self.state.voters, voter.run.disk)
-        if lead is None or lead.ballot != ballot or seat is None:
+        lead = self.leadership
+        voter = voter_of_disk(self.state.voters, source.run.disk)
+        if lead is None or lead.ballot != ballot or voter is None:
             return None
-        if seat.name != sender.name or voter.run.instance_number != sender.number:
+        if voter.name != sender.name or source.run.instance_number != sender.number:
             return None
-        lead.contact_us[seat.disk] = now_us
+        lead.contact_us[voter.disk] = now_us
         return lead
 
-    def on_promise(self, now_us: int, sender: NodeInstance, word: Promise) -> None:
-        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
-        if lead is None or not are_consecutive(word.accepted, word.after):
+    def on_promise(self, now_us: int, sender: NodeInstance, message: Promise) -> None:
+        """Record a promise; lead once a majority has promised."""
+        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
+        if lead is None or not are_consecutive(message.accepted, message.after):
             return
-        if lead.record_promise(word.source.run.disk, word, self.state.voters):
+        if lead.record_promise(message.source.run.disk, message, self.state.voters):
             self.send_heartbeat(now_us, lead)
 
-    def on_ballot_rejected(self, now_us: int, word: BallotRejected) -> None:
-        self.election.observe_ballot(word.promised)
+    def on_ballot_rejected(self, now_us: int, message: BallotRejected) -> None:
+        """Step down where a higher ballot was promised."""
+        self.election.observe_ballot(message.promised)
         lead = self.leadership
-        if lead and lead.ballot == word.ballot and word.promised.number >= lead.ballot.number:
+        if lead and lead.ballot == message.ballot and message.promised.number >= lead.ballot.number:
             self.step_down(now_us)
 
     # --- batches ---
@@ -177,29 +191,30 @@
             return
         if batch := self.queue.batch(now_us, self.state.learner):
             lead.propose(batch)
-            for seat in self.state.voters:
-                self.outbox.send(seat.name, Accept(lead.ballot, batch))
+            for voter in self.state.voters:
+                self.outbox.send(voter.name, Accept(lead.ballot, batch))
 
-    def on_accepted(self, now_us: int, sender: NodeInstance, word: Accepted) -> None:
-        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
+    def on_accepted(self, now_us: int, sender: NodeInstance, message: Accepted) -> None:
+        """Record a vote; apply the batch once it is decided."""
+        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
         if lead is None:
             return
-        panel = self.state.voters
-        batch = lead.record_vote(word.source.run.disk, word.last, word.source, panel)
+        voters = self.state.voters
+        batch = lead.record_vote(message.source.run.disk, message.last, message.source, voters)
         if not batch:
             return
         self.state.apply_decided(batch)
         lead.after = self.state.position
-        if self.state.voters == panel:
+        if self.state.voters == voters:
             self.send_heartbeat(now_us, lead)
         else:
-            self.change_voters(now_us, lead, panel)
+            self.change_voters(now_us, lead, voters)
 
     def change_voters(self, now_us: int, lead: Leadership, before: Voters) -> None:
         """The panel changed: both are told, and the new one is asked to promise, if this seat is in it."""
-        for seat in before:
-            if seat not in self.state.voters:
-                self.outbox.send(seat.name, Heartbeat(lead.ballot, self.state.position, lead.rounds.number))
+        for voter in before:
+            if voter not in self.state.voters:
+                self.outbox.send(voter.name, Heartbeat(lead.ballot, self.state.position, lead.rounds.number))
         self.send_heartbeat(now_us, lead)
         if self.state.recovery.voter in self.state.voters:
             self.prepare(now_us, lead)
@@ -209,16 +224,18 @@
     # --- rounds ---
 
     def send_heartbeat(self, now_us: int, lead: Leadership) -> None:
+        """Begin a heartbeat round, and resend what was not answered."""
         number = lead.rounds.begin()
-        for seat in self.state.voters:
-            self.outbox.send(seat.name, Heartbeat(lead.ballot, self.state.position, number))
+        for voter in self.state.voters:
+            self.outbox.send(voter.name, Heartbeat(lead.ballot, self.state.position, number))
         self.resend(now_us, lead)
 
-    def on_heartbeat_reply(self, now_us: int, sender: NodeInstance, word: HeartbeatReply) -> None:
-        lead = self._leadership_for(now_us, sender, word.ballot, word.source)
+    def on_heartbeat_reply(self, now_us: int, sender: NodeInstance, message: HeartbeatReply) -> None:
+        """Record a reply; report the confirmations that it completes."""
+        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
         if lead is None:
             return
-        lead.rounds.record_reply(word.source.run.disk, word)
+        lead.rounds.record_reply(message.source.run.disk, message)
         if not lead.leads:
             return
         tokens = lead.rounds.take_confirmed(self.state.voters)
@@ -228,24 +245,26 @@
             self.send_heartbeat(now_us, lead)
 
     def confirm_leadership(self, now_us: int, token: int) -> None:
+        """Wait for a heartbeat round that begins after this call."""
         lead = self.leadership
         if lead and lead.leads and lead.rounds.add_question(token):
             self.send_heartbeat(now_us, lead)
 
     # --- proposals ---
 
-    def on_proposal_request(self, sender: str, ask: ProposalRequest) -> None:
+    def on_proposal_request(self, sender: str, request: ProposalRequest) -> None:
+        """Queue a proposal, or name the leader and forward it once."""
         if self.leadership and self.leadership.elected:
-            self.queue.add(ask, self.state.learner)
+            self.queue.add(request, self.state.learner)
         elif self.leader:
             self.outbox.send(sender, LeaderHint(self.leader))
-            if sender == ask.proposer.name:  # it may not reach the leader itself; passed on once
-                self.outbox.send(self.leader.name, ask)
+            if sender == request.proposer.name:  # it may not reach the leader itself; passed on once
+                self.outbox.send(self.leader.name, request)
 
-    def on_leader_hint(self, word: LeaderHint) -> bool:
+    def on_leader_hint(self, message: LeaderHint) -> bool:
         """Take word of who leads; whether it is new."""
-        newer = self.leader is None or word.ballot.number > self.leader.number
-        if self.leadership or word.ballot.name == self.instance.name or not newer:
+        newer = self.leader is None or message.ballot.number > self.leader.number
+        if self.leadership or message.ballot.name == self.instance.name or not newer:
             return False
-        self.set_leader(word.ballot)
+        self.set_leader(message.ballot)
         return True
--- a/molereach/coordination/replicated_log/leadership.py
+++ b/molereach/coordination/replicated_log/leadership.py
@@ -24,6 +24,8 @@
 
 
 class LeadershipPhase(Enum):
+    """How far a leadership has come."""
+
     PREPARING = "preparing"  # asks a majority to promise
     LEADING = "leading"  # has their promises
 
@@ -40,7 +42,9 @@
 
     def prepare(self, after: int, now_us: int) -> None:
         """Ask for promises about all that follows this position."""
-        self.phase, self.after, self.since_us = LeadershipPhase.PREPARING, after, now_us
+        self.phase = LeadershipPhase.PREPARING
+        self.after = after
+        self.since_us = now_us
         self.promises: dict[str, Promise] = {}
         self.batch: tuple[Entry, ...] = ()  # proposed, and not known to be decided
         self.votes: dict[str, VoteSource] = {}
@@ -51,51 +55,61 @@
         """Has all that was decided before it: what it says of the log holds."""
         return self.phase is LeadershipPhase.LEADING and not self.inherited
 
-    def record_promise(self, disk: str, word: Promise, panel: Voters) -> bool:
+    def record_promise(self, disk: str, message: Promise, voters: Voters) -> bool:
         """Take a promise; whether that makes a majority. Then `batch` is what must be proposed first."""
-        if self.phase is not LeadershipPhase.PREPARING or word.after != self.after:
+        if self.phase is not LeadershipPhase.PREPARING or message.after != self.after:
             return False
-        self.promises[disk] = word
-        if not has_majority({key: promise.source for key, promise in self.promises.items()}, panel):
+        self.promises[disk] = message
+        if not has_majority({key: promise.source for key, promise in self.promises.items()}, voters):
             return False
         highest = max(self.promises.values(), key=lambda promise: promise.accepted_at)
-        self.phase, self.elected = LeadershipPhase.LEADING, True
-        self.batch, self.inherited = highest.accepted, bool(highest.accepted)
+        self.phase = LeadershipPhase.LEADING
+        self.elected = True
+        self.batch = highest.accepted
+        self.inherited = bool(highest.accepted)
         return True
 
     def propose(self, entries: tuple[Entry, ...]) -> None:
+        """Propose a batch; the one before must be decided."""
         assert self.leads and not self.batch
-        self.batch, self.votes = entries, {}
+        self.batch = entries
+        self.votes = {}
 
-    def record_vote(self, disk: str, last: int, voter: VoteSource, panel: Voters) -> tuple[Entry, ...]:
+    def record_vote(self, disk: str, last: int, source: VoteSource, voters: Voters) -> tuple[Entry, ...]:
         """Take a vote; the batch, once it is decided by it."""
         if not self.batch or last != self.batch[-1].position:
             return ()
-        self.votes[disk] = voter
-        if not has_majority(self.votes, panel):
+        self.votes[disk] = source
+        if not has_majority(self.votes, voters):
             return ()
-        batch, self.batch, self.votes, self.inherited = self.batch, (), {}, False
+        batch = self.batch
+        self.batch = ()
+        self.votes = {}
+        self.inherited = False
         return batch
 
-    def has_quorum_contact(self, panel: Voters, now_us: int, within_us: int) -> bool:
+    def has_quorum_contact(self, voters: Voters, now_us: int, within_us: int) -> bool:
         """Whether a majority was heard of late."""
-        heard = sum(now_us - self.contact_us.get(seat.disk, self.since_us) < within_us for seat in panel)
-        return heard >= majority(panel)
+        reachable = sum(
+            now_us - self.contact_us.get(voter.disk, self.since_us) < within_us for voter in voters
+        )
+        return reachable >= majority(voters)
 
 
 class ProposalQueue:
     """Proposals that wait for a leader's next batch, each once."""
 
     def __init__(self, settings: LogSettings, wall_ms: Callable[[int], int]) -> None:
-        self.settings, self.unix_ms = settings, wall_ms
+        self.settings = settings
+        self.unix_ms = wall_ms
         self.requests: dict[str, ProposalRequest] = {}
 
-    def add(self, ask: ProposalRequest, learner: Learner) -> None:
+    def add(self, request: ProposalRequest, learner: Learner) -> None:
         """One more, unless it is known, too old to judge, or there are too many: then it is told again."""
-        if learner.deduplication.find(ask.id) or not learner.deduplication.covers(ask.since):
+        if learner.deduplication.find(request.id) or not learner.deduplication.covers(request.since):
             return
         if len(self.requests) < self.settings.max_queued:
-            self.requests.setdefault(ask.id, ask)
+            self.requests.setdefault(request.id, request)
 
     def batch(self, now_us: int, learner: Learner) -> tuple[Entry, ...]:
         """The next entries. One that may change the panel is the last of its batch."""
@@ -103,15 +117,17 @@
         size = 0
         at_ms = max(self.unix_ms(now_us), learner.at_ms)
         while self.requests and len(entries) < MAX_BATCH_ENTRIES:
-            ask = next(iter(self.requests.values()))
-            size += len(ask.body)
+            request = next(iter(self.requests.values()))
+            size += len(request.body)
             if entries and size > MAX_BATCH_BYTES:
                 break
-            del self.requests[ask.id]
-            if learner.deduplication.find(ask.id) or not learner.deduplication.covers(ask.since):
+            del self.requests[request.id]
+            if learner.deduplication.find(request.id) or not learner.deduplication.covers(request.since):
                 continue
             position = learner.position + 1 + len(entries)
-            entries.append(Entry(position, ask.machine, ask.id, ask.proposer, at_ms, ask.body))
-            if ask.machine == LOG_MACHINE:
+            entries.append(
+                Entry(position, request.machine, request.id, request.proposer, at_ms, request.body)
+            )
+            if request.machine == LOG_MACHINE:
                 break
         return tuple(entries)
--- a/molereach/coordination/replicated_log/leadership_confirmation.py
+++ b/molereach/coordination/replicated_log/leadership_confirmation.py
@@ -20,6 +20,7 @@
         self.waiting_questions: list[tuple[int, int]] = []  # the round that it waits for, and the token
 
     def begin(self) -> int:
+        """Begin a round; returns its number."""
         self.number += 1
         return self.number
 
@@ -30,17 +31,18 @@
             self.waiting_questions.append((self.number + 1, token))
         return idle
 
-    def record_reply(self, disk: str, word: HeartbeatReply) -> None:
+    def record_reply(self, disk: str, message: HeartbeatReply) -> None:
+        """Record a voter's reply to a round, the newest of each disk."""
         had = self.replies.get(disk)
-        if word.round <= self.number and (had is None or had[0] < word.round):
-            self.replies[disk] = (word.round, word.source)
+        if message.round <= self.number and (had is None or had[0] < message.round):
+            self.replies[disk] = (message.round, message.source)
 
-    def take_confirmed(self, panel: Voters) -> list[int]:
+    def take_confirmed(self, voters: Voters) -> list[int]:
         """Tokens whose round a majority of the panel has followed."""
         done = []
         for needed in sorted({needed for needed, _ in self.waiting_questions}, reverse=True):
-            votes = {disk: voter for disk, (number, voter) in self.replies.items() if number >= needed}
-            if has_majority(votes, panel):
+            votes = {disk: source for disk, (number, source) in self.replies.items() if number >= needed}
+            if has_majority(votes, voters):
                 done = [token for wanted, token in self.waiting_questions if wanted <= needed]
                 self.waiting_questions = [each for each in self.waiting_questions if each[0] > needed]
                 break
--- a/molereach/coordination/replicated_log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -37,15 +37,19 @@
 
 
 def body_hash(body: bytes) -> bytes:
+    """The BLAKE2b digest of a body, 16 bytes."""
     return blake2b(body, digest_size=16).digest()
 
 
 class Learner:
     """All that was decided, as far as it is known here."""
 
-    def __init__(self, panel: Voters, machines: Mapping[str, StateMachine], settings: LogSettings) -> None:
-        self.settings, self.machines = settings, machines
-        self.voters, self.position, self.chain = panel, 0, b""
+    def __init__(self, voters: Voters, machines: Mapping[str, StateMachine], settings: LogSettings) -> None:
+        self.settings = settings
+        self.machines = machines
+        self.voters = voters
+        self.position = 0
+        self.chain = b""
         self.last: Entry | None = None
         self.deduplication = DeduplicationTable(settings.max_deduplicated_ids)
         self.failed_machines: set[str] = set()
@@ -54,6 +58,7 @@
 
     @property
     def at_ms(self) -> int:
+        """The time of the last entry, Unix milliseconds; 0 without one."""
         return self.last.at_ms if self.last else 0
 
     # --- entries ---
@@ -67,11 +72,13 @@
     def apply(self, entry: Entry) -> list[Applied | MachineFailed]:
         """Take the next entry."""
         assert entry.position == self.position + 1
-        self.position, self.last = entry.position, entry
+        self.position = entry.position
+        self.last = entry
         self.chain = blake2b(self.chain + msgspec.msgpack.encode(entry), digest_size=32).digest()
         self._append_to_tail(entry)
         failures: list[Applied | MachineFailed] = []
-        body, done = body_hash(entry.body), self.deduplication.find(entry.id)
+        body = body_hash(entry.body)
+        done = self.deduplication.find(entry.id)
         if done is None:
             outcome = self._outcome(entry, failures)
             self.deduplication.add(entry, body, outcome)
@@ -132,6 +139,7 @@
     # --- snapshots ---
 
     def snapshot(self) -> Snapshot:
+        """All state at the current position."""
         machines = {
             name: machine.snapshot()
             for name, machine in sorted(self.machines.items())
@@ -161,7 +169,9 @@
                     machine.restore(data)
                 except Exception as error:
                     failures.append(self._stop_machine(name, f"snapshot of {snapshot.position}: {error!r}"))
-        self.position, self.last, self.chain = snapshot.position, snapshot.last, snapshot.chain
+        self.position = snapshot.position
+        self.last = snapshot.last
+        self.chain = snapshot.chain
         self.voters = snapshot.voters
         self.deduplication = DeduplicationTable(
             self.settings.max_deduplicated_ids, snapshot.applied_proposals, snapshot.deduplication_floor
--- a/molereach/coordination/replicated_log/messages.py
+++ b/molereach/coordination/replicated_log/messages.py
@@ -114,6 +114,8 @@
 
 
 class PreVoteReply(LogMessage, frozen=True, tag="l.polled"):
+    """Whether the voter would promise the ballot, and what it has promised."""
+
     ballot: Ballot
     disk: DiskIdentity
     granted: bool
@@ -121,6 +123,8 @@
 
 
 class Prepare(LogMessage, frozen=True, tag="l.prepare"):
+    """Phase 1: promise this ballot, for all positions after `after`."""
+
     ballot: Ballot
     after: Position
 
@@ -146,11 +150,15 @@
 
 
 class Accept(LogMessage, frozen=True, tag="l.accept"):
+    """Phase 2: accept these entries under this ballot."""
+
     ballot: Ballot
     entries: Annotated[tuple[Entry, ...], Meta(min_length=1, max_length=MAX_BATCH_ENTRIES)]
 
 
 class Accepted(LogMessage, frozen=True, tag="l.accepted"):
+    """The batch up to `last` was accepted and written to disk."""
+
     ballot: Ballot
     last: Position  # of the batch
     source: VoteSource = msgspec.field(name="voter")
@@ -176,10 +184,14 @@
 
 
 class EntriesRequest(LogMessage, frozen=True, tag="l.want"):
+    """Send the entries that follow this position."""
+
     after: Position
 
 
 class EntriesReply(LogMessage, frozen=True, tag="l.known"):
+    """Decided entries; `decided` is the sender's own position."""
+
     entries: Batch
     decided: Position
 
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -31,8 +31,10 @@
     def __init__(self, me: NodeInstance) -> None:
         self.instance = me
         self.actions: list[Any] = []
-        self.own_messages: deque[Message] = deque()  # to this front door itself
-        self.written, self.synced = 0, 0  # tokens
+        self.local_messages: deque[Message] = deque()  # to this front door itself
+        # tokens
+        self.written = 0
+        self.synced = 0
         self.failed = False
         self._records: list[bytes] = []
         self._base: bytes | None = None
@@ -45,45 +47,51 @@
         return not self.failed and self.written - self.synced < MAX_UNSYNCED_WRITES
 
     def emit(self, action: object) -> None:
+        """Add an action."""
         self.actions.append(action)
 
-    def send(self, to: str, message: Message, life: int | None = None) -> None:
+    def send(self, to: str, message: Message, instance_number: int | None = None) -> None:
         """A word that rests on nothing."""
         if to == self.instance.name:
-            self.own_messages.append(message)
+            self.local_messages.append(message)
         else:
-            self.actions.append(SendMessage(to, message, life))
+            self.actions.append(SendMessage(to, message, instance_number))
 
-    def send_after_sync(self, to: str, message: Message, life: int | None = None) -> None:
+    def send_after_sync(self, to: str, message: Message, instance_number: int | None = None) -> None:
         """A word that rests on all that was written so far, also in this turn."""
         if not self.failed:
-            self._new.append((to, message, life))
+            self._new.append((to, message, instance_number))
 
     def write(self, record: Record) -> None:
+        """Add a record to this step's write."""
         if not self.failed:
             self._records.append(encode(record))
 
     def write_base(self, base: Base) -> None:
         """Write this in place of all before."""
         if not self.failed:
-            self._base, self._records = encode(base), []
+            self._base = encode(base)
+            self._records = []
 
     def flush(self) -> None:
         """The end of a step: one write for all that it changed; then what may leave."""
         if self._records or self._base is not None:
             self.written += 1
             self.emit(Persist(self.written, tuple(self._records), self._base))
-            self._records, self._base = [], None
-        self._waiting.extend((self.written, *word) for word in self._new)
+            self._records = []
+            self._base = None
+        self._waiting.extend((self.written, *message) for message in self._new)
         self._new.clear()
         self.release()
 
     def release(self) -> None:
+        """Send the messages whose writes have been synced."""
         while self._waiting and self._waiting[0][0] <= self.synced:
-            _, to, message, life = self._waiting.popleft()
-            self.send(to, message, life)
+            _, to, message, instance_number = self._waiting.popleft()
+            self.send(to, message, instance_number)
 
     def persisted(self, token: int) -> None:
+        """Everything up to `token` is on the disk."""
         if not self.failed:
             self.synced = max(self.synced, min(token, self.written))
 
@@ -92,12 +100,15 @@
         if self.failed:
             return False
         self.failed = True
-        self._records, self._base = [], None
+        self._records = []
+        self._base = None
         self._new.clear()
         self._waiting.clear()
         self.emit(LogStopped(reason[:200]))
         return True
 
     def take_actions(self) -> list[Any]:
-        actions, self.actions = self.actions, []
+        """The actions so far, in order; they are handed out once."""
+        actions = self.actions
+        self.actions = []
         return actions
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -31,7 +31,9 @@
     """Those under way, by id."""
 
     def __init__(self, me: NodeInstance, settings: LogSettings, learner: Learner) -> None:
-        self.instance, self.settings, self.learner = me, settings, learner
+        self.instance = me
+        self.settings = settings
+        self.learner = learner
         self.pending: dict[str, _PendingProposal] = {}
 
     def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
@@ -45,16 +47,18 @@
         fits = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
         if not known or not fits or len(self.pending) >= self.settings.max_pending:
             return ProposalFinished(event.id, ProposalStatus.REJECTED)
-        ask = ProposalRequest(machine, event.id, self.instance, self.learner.position, event.body)
-        if over := self._result(ask):
+        request = ProposalRequest(machine, event.id, self.instance, self.learner.position, event.body)
+        if over := self._result(request):
             return over
-        self.pending[event.id] = _PendingProposal(ask, now_us + event.timeout_us, now_us)
+        self.pending[event.id] = _PendingProposal(request, now_us + event.timeout_us, now_us)
         return None
 
-    def _result(self, ask: ProposalRequest) -> ProposalFinished | None:
-        found = self.learner.outcome_of(ask.id, ask.machine, ask.body)
+    def _result(self, request: ProposalRequest) -> ProposalFinished | None:
+        found = self.learner.outcome_of(request.id, request.machine, request.body)
         return (
-            ProposalFinished(ask.id, ProposalStatus.APPLIED, found[1], found[0].position) if found else None
+            ProposalFinished(request.id, ProposalStatus.APPLIED, found[1], found[0].position)
+            if found
+            else None
         )
 
     def finish_applied(self) -> list[ProposalFinished]:
@@ -65,6 +69,7 @@
         return overs
 
     def expire(self, now_us: int) -> list[ProposalFinished]:
+        """Remove the proposals whose deadline has passed."""
         late = [key for key, each in self.pending.items() if now_us >= each.deadline_us]
         for key in late:
             del self.pending[key]
@@ -72,21 +77,23 @@
 
     def due_requests(self, now_us: int) -> list[tuple[ProposalRequest, int]]:
         """What to tell now, and how often it was told before."""
-        asks = []
+        requests = []
         for each in self.pending.values():
             if now_us >= each.retry_at_us:
-                asks.append((each.request, each.attempts))
+                requests.append((each.request, each.attempts))
                 each.attempts += 1
                 each.retry_at_us = now_us + self.settings.retry_interval_us
-        return asks
+        return requests
 
     def retry_now(self) -> None:
         """Another leader: tell it at once."""
         for each in self.pending.values():
-            each.retry_at_us, each.attempts = 0, 0
+            each.retry_at_us = 0
+            each.attempts = 0
 
     @property
     def wake_us(self) -> int:
+        """When a deadline or retry is due; `NEVER_US` for none."""
         return min(
             (min(each.deadline_us, each.retry_at_us) for each in self.pending.values()), default=NEVER_US
         )
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -73,10 +73,14 @@
 
 
 class BallotPromised(Record, frozen=True, tag="promised"):
+    """A ballot was promised."""
+
     ballot: Ballot
 
 
 class BatchAccepted(Record, frozen=True, tag="voted"):
+    """A batch was accepted."""
+
     ballot: Ballot
     entries: Batch
 
@@ -90,6 +94,8 @@
 
 
 class EntriesDecided(Record, frozen=True, tag="decided"):
+    """Decided entries, in order."""
+
     entries: Batch
 
 
@@ -113,12 +119,14 @@
 
     @property
     def position(self) -> int:
+        """The position of the last decided entry on the disk; 0 for none."""
         if self.entries:
             return self.entries[-1].position
         return self.snapshot.position if self.snapshot else 0
 
 
 def encode(record: Record | Base | Snapshot) -> bytes:
+    """A record, base or snapshot as msgpack."""
     return msgspec.msgpack.encode(record)
 
 
@@ -129,42 +137,45 @@
 
 def recover(base: bytes | None, records: Sequence[bytes]) -> Recovered:
     """What the disk says; ValueError where it makes no sense, and then this disk must not vote."""
-    now = Recovered()
+    recovered = Recovered()
     if base is not None:
         known = _base_decoder.decode(base)
-        now.disk, now.start_count, now.snapshot = known.disk, known.start_count, known.snapshot
-        now.runs = {run.disk: run for run in known.runs}
-        now.acceptor = Acceptor(known.promised, known.accepted_at, known.accepted)
+        recovered.disk = known.disk
+        recovered.start_count = known.start_count
+        recovered.snapshot = known.snapshot
+        recovered.runs = {run.disk: run for run in known.runs}
+        recovered.acceptor = Acceptor(known.promised, known.accepted_at, known.accepted)
     for data in records:
-        _replay(now, _decoder.decode(data))
-    return now
+        _replay(recovered, _decoder.decode(data))
+    return recovered
 
 
-def _replay(now: Recovered, record: Record) -> None:
+def _replay(recovered: Recovered, record: Record) -> None:
     match record:
         case DiskStarted(run):
-            if now.disk not in ("", run.disk):
+            if recovered.disk not in ("", run.disk):
                 raise ValueError("records of two disks in one folder")
-            now.disk, now.start_count = run.disk, run.start_count
+            recovered.disk = run.disk
+            recovered.start_count = run.start_count
         case RunRecorded(run):
-            now.runs.pop(run.disk, None)
-            now.runs[run.disk] = run
+            recovered.runs.pop(run.disk, None)
+            recovered.runs[run.disk] = run
         case BallotPromised(ballot):
-            if not now.acceptor.promise(ballot):
+            if not recovered.acceptor.promise(ballot):
                 raise ValueError("a promise was taken back")
         case BatchAccepted(ballot, entries):
             if (
                 not entries
-                or not are_consecutive(entries, now.position)
-                or not now.acceptor.accept(ballot, entries)
+                or not are_consecutive(entries, recovered.position)
+                or not recovered.acceptor.accept(ballot, entries)
             ):
                 raise ValueError("a vote out of order")
         case StateAdopted(promised, accepted_at, accepted):
-            if accepted and not are_consecutive(accepted, now.position):
+            if accepted and not are_consecutive(accepted, recovered.position):
                 raise ValueError("a vote taken over out of order")
-            now.acceptor.adopt(promised, accepted_at if accepted else NOBODY, accepted)
+            recovered.acceptor.adopt(promised, accepted_at if accepted else NOBODY, accepted)
         case EntriesDecided(entries):
-            if not entries or not are_consecutive(entries, now.position):
+            if not entries or not are_consecutive(entries, recovered.position):
                 raise ValueError("a gap between decided entries")
-            now.entries.extend(entries)
-            now.acceptor.discard_decided(entries[-1])
+            recovered.entries.extend(entries)
+            recovered.acceptor.discard_decided(entries[-1])
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -43,24 +43,24 @@
 
     # --- this disk ---
 
-    def unanswered_voters(self, panel: Voters) -> list[Voter]:
+    def unanswered_voters(self, voters: Voters) -> list[Voter]:
         """Whom to ask still. All, as each answer more lets one more be dead later."""
-        if self.rollback_evidence or self.voter not in panel:
+        if self.rollback_evidence or self.voter not in voters:
             return []
-        return [seat for seat in panel if seat != self.voter and seat not in self.acknowledgements]
+        return [voter for voter in voters if voter != self.voter and voter not in self.acknowledgements]
 
-    def record_acknowledgement(self, sender: NodeInstance, noted: RunAcknowledged, panel: Voters) -> bool:
+    def record_acknowledgement(self, sender: NodeInstance, noted: RunAcknowledged, voters: Voters) -> bool:
         """Take an answer; whether it was new and for this run. Those of no seat go when there are many."""
-        seat = Voter(sender.name, noted.acknowledged_by.disk)
+        voter = Voter(sender.name, noted.acknowledged_by.disk)
         if (
             noted.run != self.run
             or noted.acknowledged_by.instance_number != sender.number
-            or seat in self.acknowledgements
+            or voter in self.acknowledgements
         ):
             return False
         if len(self.acknowledgements) >= MAX_RUNS:
-            del self.acknowledgements[next(each for each in self.acknowledgements if each not in panel)]
-        self.acknowledgements[seat] = noted
+            del self.acknowledgements[next(each for each in self.acknowledgements if each not in voters)]
+        self.acknowledgements[voter] = noted
         return True
 
     def record_conflict(self, exists: RunConflict) -> bool:
@@ -73,12 +73,12 @@
         self.rollback_evidence = known
         return True
 
-    def may_vote(self, panel: Voters, position: int) -> bool:
+    def may_vote(self, voters: Voters, position: int) -> bool:
         """Whether this run may vote at the position after this one, whose panel is given."""
-        if self.rollback_evidence or self.voter not in panel:
+        if self.rollback_evidence or self.voter not in voters:
             return False
-        answers = [self.acknowledgements[seat] for seat in panel if seat in self.acknowledgements]
-        return len(answers) >= majority(panel) and all(answer.after <= position for answer in answers)
+        answers = [self.acknowledgements[voter] for voter in voters if voter in self.acknowledgements]
+        return len(answers) >= majority(voters) and all(answer.after <= position for answer in answers)
 
     def adopt_acknowledged(self, acceptor: Acceptor, learner: Learner) -> bool:
         """Be no lower than those who answered; whether that changed anything."""
@@ -99,30 +99,35 @@
             return known
         return None
 
-    def record_run(self, run: Run, panel: Voters) -> bool:
+    def record_run(self, run: Run, voters: Voters) -> bool:
         """Remember a run; whether it was new. Disks without a seat go first when there are too many."""
         if self.runs.get(run.disk) == run:
             return False
         self.runs.pop(run.disk, None)
         self.runs[run.disk] = run
         if len(self.runs) > MAX_RUNS:
-            seats = {seat.disk for seat in panel}
-            del self.runs[next(disk for disk in self.runs if disk not in seats)]
+            voter_disks = {voter.disk for voter in voters}
+            del self.runs[next(disk for disk in self.runs if disk not in voter_disks)]
         return True
 
-    def vote_source(self, panel: Voters) -> VoteSource:
+    def vote_source(self, voters: Voters) -> VoteSource:
         """Whose a vote of this run is, and what it has written down of the panel's other disks."""
-        return VoteSource(self.run, tuple(self.runs[seat.disk] for seat in panel if seat.disk in self.runs))
+        return VoteSource(
+            self.run, tuple(self.runs[voter.disk] for voter in voters if voter.disk in self.runs)
+        )
 
 
-def count_votes(votes: Mapping[str, VoteSource], panel: Voters) -> int:
+def count_votes(votes: Mapping[str, VoteSource], voters: Voters) -> int:
     """How many seats of the panel voted, by disk. One is void when a voter knows a later run."""
     newest: dict[str, int] = {}
     for voter in votes.values():
         for run in (voter.run, *voter.known_runs):
             newest[run.disk] = max(newest.get(run.disk, 0), run.start_count)
-    return sum(seat.disk in votes and votes[seat.disk].run.start_count >= newest[seat.disk] for seat in panel)
+    return sum(
+        voter.disk in votes and votes[voter.disk].run.start_count >= newest[voter.disk] for voter in voters
+    )
 
 
-def has_majority(votes: Mapping[str, VoteSource], panel: Voters) -> bool:
-    return count_votes(votes, panel) >= majority(panel)
+def has_majority(votes: Mapping[str, VoteSource], voters: Voters) -> bool:
+    """Whether the votes that count are a majority of the voters."""
+    return count_votes(votes, voters) >= majority(voters)
--- a/molereach/coordination/replicated_log/replica_state.py
+++ b/molereach/coordination/replicated_log/replica_state.py
@@ -37,10 +37,13 @@
         recovery: Recovery,
         recovered: Recovered,
     ) -> None:
-        self.settings, self.outbox = settings, outbox
-        self.learner, self.recovery = learner, recovery
+        self.settings = settings
+        self.outbox = outbox
+        self.learner = learner
+        self.recovery = recovery
         self.acceptor: Acceptor = recovered.acceptor
-        self.entries_since_base, self.bytes_since_base = 0, 0
+        self.entries_since_base = 0
+        self.bytes_since_base = 0
         self._replay(recovered)
         outbox.write(DiskStarted(recovery.run))
 
@@ -58,22 +61,27 @@
 
     @property
     def position(self) -> int:
+        """The position of the last entry applied here."""
         return self.learner.position
 
     @property
     def voters(self) -> Voters:
+        """The voters at the next position."""
         return self.learner.voters
 
     @property
     def may_vote(self) -> bool:
+        """Whether this run may vote, and its disk takes writes."""
         return self.outbox.can_write and self.recovery.may_vote(self.voters, self.position)
 
     def vote_source(self) -> VoteSource:
+        """Who casts a vote of this run."""
         return self.recovery.vote_source(self.voters)
 
     # --- votes: the caller has asked `may_vote` ---
 
     def promise(self, ballot: Ballot) -> bool:
+        """Promise a ballot and write it; whether it was promised."""
         before = self.acceptor.promised
         if not self.acceptor.promise(ballot):
             return False
@@ -82,6 +90,7 @@
         return True
 
     def accept(self, ballot: Ballot, entries: Sequence[Entry]) -> bool:
+        """Accept a batch and write it; whether it was accepted."""
         had = (self.acceptor.accepted_at, self.acceptor.accepted)
         if not self.acceptor.accept(ballot, entries):
             return False
@@ -99,6 +108,7 @@
         return known
 
     def adopt_acknowledged(self) -> None:
+        """Adopt what other voters acknowledged, and write it."""
         if self.recovery.adopt_acknowledged(self.acceptor, self.learner):
             acceptor = self.acceptor
             self.outbox.write(StateAdopted(acceptor.promised, acceptor.accepted_at, acceptor.accepted))
@@ -145,8 +155,11 @@
             self.write_base()
 
     def write_base(self) -> None:
-        acceptor, recovery = self.acceptor, self.recovery
-        self.entries_since_base, self.bytes_since_base = 0, 0
+        """Write the whole state, in place of all records so far."""
+        acceptor = self.acceptor
+        recovery = self.recovery
+        self.entries_since_base = 0
+        self.bytes_since_base = 0
         self.outbox.write_base(
             Base(
                 recovery.run.disk,
--- a/molereach/coordination/replicated_log/settings.py
+++ b/molereach/coordination/replicated_log/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-MS = 1000  # microseconds in a millisecond
+MILLISECOND_US = 1000  # microseconds in a millisecond
 
 MAX_BATCH_ENTRIES = 64  # entries accepted in one round
 MAX_BATCH_BYTES = 64 << 10  # of their bodies
@@ -16,11 +16,11 @@
     """The same at all front doors of a council: an acceptor that waits too short deposes a living leader."""
 
     heartbeat_interval_us: int = (
-        150 * MS
+        150 * MILLISECOND_US
     )  # a leader's heartbeat, and how often what was not answered is said again
-    min_election_timeout_us: int = 600 * MS  # with no word of a leader; drawn between the two
-    max_election_timeout_us: int = 1200 * MS
-    retry_interval_us: int = 300 * MS  # until a proposal or a question is told again
+    min_election_timeout_us: int = 600 * MILLISECOND_US  # with no word of a leader; drawn between the two
+    max_election_timeout_us: int = 1200 * MILLISECOND_US
+    retry_interval_us: int = 300 * MILLISECOND_US  # until a proposal or a question is told again
     max_pending: int = 256  # proposals of this front door under way
     max_queued: int = 1024  # proposals that wait at the leader
     max_deduplicated_ids: int = 4096  # ids whose outcome is known; what was asked before them is refused
--- a/molereach/coordination/replicated_log/voters.py
+++ b/molereach/coordination/replicated_log/voters.py
@@ -30,10 +30,14 @@
 
 
 class AddVoters(VoterChange, frozen=True, tag="grow"):
+    """Two more voters."""
+
     voters: VoterPair = msgspec.field(name="seats")
 
 
 class RemoveVoters(VoterChange, frozen=True, tag="shrink"):
+    """Two voters less."""
+
     voters: VoterPair = msgspec.field(name="seats")
 
 
@@ -41,43 +45,50 @@
 _decoder = msgspec.json.Decoder(Change)
 
 
-def voters_error(panel: Voters) -> str:
+def voters_error(voters: Voters) -> str:
     """What is wrong with a panel in one line; empty for nothing."""
-    if len(panel) not in VOTER_COUNTS:
-        return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(panel)}"
-    if len({seat.name for seat in panel}) < len(panel) or len({seat.disk for seat in panel}) < len(panel):
+    if len(voters) not in VOTER_COUNTS:
+        return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(voters)}"
+    if len({voter.name for voter in voters}) < len(voters) or len({voter.disk for voter in voters}) < len(
+        voters
+    ):
         return "a front door and a disk have one seat each"
     return ""
 
 
-def apply_change(panel: Voters, body: bytes) -> tuple[Voters, Outcome]:
+def apply_change(voters: Voters, body: bytes) -> tuple[Voters, Outcome]:
     """The panel after an entry, and what the entry came to."""
     try:
         change = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        return panel, Outcome("not a change of the panel")
-    gone: tuple[Voter, ...]
+        return voters, Outcome("not a change of the panel")
+    removed: tuple[Voter, ...]
     new: tuple[Voter, ...]
     match change:
         case ReplaceVoter(out, into):
-            gone, new = (out,), (into,)
-        case AddVoters(seats):
-            gone, new = (), seats
-        case RemoveVoters(seats):
-            gone, new = seats, ()
-    if any(seat not in panel for seat in gone):
-        return panel, Outcome("no such seat")
-    after = tuple(sorted({*(seat for seat in panel if seat not in gone), *new}))
-    if len(after) != len(panel) - len(gone) + len(new):
-        return panel, Outcome("the seat is taken")
+            removed = (out,)
+            new = (into,)
+        case AddVoters(voter_disks):
+            removed = ()
+            new = voter_disks
+        case RemoveVoters(voter_disks):
+            removed = voter_disks
+            new = ()
+    if any(voter not in voters for voter in removed):
+        return voters, Outcome("no such seat")
+    after = tuple(sorted({*(voter for voter in voters if voter not in removed), *new}))
+    if len(after) != len(voters) - len(removed) + len(new):
+        return voters, Outcome("the seat is taken")
     if error := voters_error(after):
-        return panel, Outcome(error)
+        return voters, Outcome(error)
     return after, Outcome()
 
 
-def majority(panel: Voters) -> int:
-    return len(panel) // 2 + 1
+def majority(voters: Voters) -> int:
+    """How many voters are a majority."""
+    return len(voters) // 2 + 1
 
 
-def voter_of_disk(panel: Voters, disk: str) -> Voter | None:
-    return next((seat for seat in panel if seat.disk == disk), None)
+def voter_of_disk(voters: Voters, disk: str) -> Voter | None:
+    """The voter with this disk, or None."""
+    return next((voter for voter in voters if voter.disk == disk), None)
--- a/tests/coordination/replicated_log/world.py
+++ b/tests/coordination/replicated_log/world.py
@@ -33,7 +33,7 @@
 from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import recover
 from molereach.coordination.replicated_log.settings import LogSettings
-from molereach.coordination.replicated_log.start_protocol import DiskRolledBack
+from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.replicated_log.voters import Change
 from tests.coordination.replicated_log.machine import Sum
 
@@ -225,7 +225,7 @@
                 self.confirmed.append(token)
             case LogStopped():
                 node.stopped = True
-            case DiskRolledBack():
+            case DiskRollbackDetected():
                 node.set_back = True
             case MachineFailed(machine):
                 assert self.may_fail, action
