--- a/molereach/coordination/replicated_log/__init__.py
+++ b/molereach/coordination/replicated_log/__init__.py
@@ -1,7 +1,8 @@
-"""The log: one value at each position, by Multi-Paxos with one batch open at a time.
+"""The replicated log: one value at each position, by Multi-Paxos with one batch open at a time.
 
-Read `settings`, `words` (messages) and `panel` (seats and their change); what is promised: `acceptor`,
-`recovery` (a start), `leader` (one ballot), `election`, `confirm`; what is decided: `once`, `learner`,
-`records` (the disk); `outbox` and `ledger` (nothing is told before it is written); the words of each:
-`starts`, `voting`, `leading`, `catchup`, `proposals`; and `core`, which hands events to them.
+Read `settings`, `messages` and `voters` (who accepts, and how that changes); what is promised: `acceptor`,
+`recovery` (a start), `leadership` (one ballot), `election`, `leadership_confirmation`; what is decided:
+`deduplication`, `learner`, `records` (the disk); `outbox` and `replica_state` (nothing is sent before it is
+written); who handles which messages: `start_protocol`, `acceptor_protocol`, `leader_protocol`,
+`catch_up_protocol`, `proposals`; and `core`, which hands events to them.
 """
--- a/molereach/coordination/replicated_log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -1,8 +1,8 @@
-"""What one seat has promised and accepted: one value at each position, whoever proposes.
+"""What one voter has promised and accepted: one value at each position, whoever proposes.
 
 Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 and 3. A promise holds for all positions after
-what is decided; what is accepted is one batch, which starts at the first of them. A batch is accepted whole
-or not at all, and whoever leads next proposes the highest one whole again, so entries need not be learned
+what is decided; what is accepted is one batch, which starts at the first of them. A batch is accepted as a
+whole or not at all, and the next leader proposes the highest one as a whole, so entries need not be learned
 in batches: of one that was learned in part the rest is still an accepted value. The caller has both on the
 disk before it answers, and calls only about the position that follows all it has decided.
 """
@@ -44,10 +44,10 @@
         return True
 
     def adopt(self, promised: Ballot, accepted_at: Ballot, accepted: Sequence[Entry]) -> bool:
-        """Be no lower than another seat, whether one knew this before or not; whether anything was new.
+        """Be no lower than another voter; whether anything was new.
 
-        A vote that was not cast here harms nothing: it was proposed, and it is told to those who lead next
-        only. It is not answered to who proposed it.
+        A vote that was not cast here harms nothing: it was proposed, and it is reported to those who lead
+        next only. It is not answered to who proposed it.
         """
         higher_vote = bool(accepted) and accepted_at > self.accepted_at
         if higher_vote:
--- a/molereach/coordination/replicated_log/acceptor_protocol.py
+++ b/molereach/coordination/replicated_log/acceptor_protocol.py
@@ -1,7 +1,7 @@
-"""How a seat answers those who would lead, and the leader.
+"""How a voter answers candidates and the leader.
 
-Each word about what follows a position is judged only by a seat that has decided just as much: one that has
-more tells it, one that has less asks. A ballot is believed only from its own run.
+Each message about what follows a position is judged only by a voter that has decided just as much: one that
+has more sends its entries, one that has less requests them. A ballot is accepted only from its own instance.
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -29,7 +29,7 @@
 
 
 class AcceptorProtocol:
-    """The seat's part."""
+    """The part of one voter."""
 
     def __init__(self, state: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
         self.state = state
@@ -38,7 +38,7 @@
         self.outbox = state.outbox
 
     def has_same_entries(self, sender: NodeInstance, after: int) -> bool:
-        """Whether both have the same decided entries; if not, who lacks some gets or asks for them."""
+        """Whether both have the same decided entries; if not, the one that lacks some gets them."""
         if after < self.state.position:
             self.catch_up.send_entries(sender.name, after)
         elif after > self.state.position:
--- a/molereach/coordination/replicated_log/catch_up_protocol.py
+++ b/molereach/coordination/replicated_log/catch_up_protocol.py
@@ -1,10 +1,11 @@
-"""Getting what is missing from another front door, and giving it: entries, or a snapshot in pieces.
+"""Fetching missing entries from another node, and sending them: entries, or a snapshot in chunks.
 
-Who asks keeps at most one snapshot under way and takes a piece only where it fits; who gives keeps one
-snapshot, made when first asked for and used as long as its tail leads on from it.
+The receiver has at most one snapshot in progress and takes a chunk only where it fits; the sender keeps one
+snapshot, made at the first request and used as long as its tail continues from it.
 """
 
 from hashlib import blake2b
+from typing import NamedTuple
 
 from molereach.coordination.replicated_log.messages import (
     EntriesReply,
@@ -19,28 +20,34 @@
 MAX_RETRIES = 5  # of a question that is not answered
 
 
+class _EncodedSnapshot(NamedTuple):
+    """A snapshot that is sent in chunks; the digest is BLAKE2b, 16 bytes."""
+
+    position: int
+    data: bytes
+    digest: bytes
+
+
 class CatchUpProtocol:
-    """Both sides of it at one front door."""
+    """Both sides of catching up at one node."""
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.outbox = state.outbox
-        self.source = ""  # who is asked; empty for nobody
-        self.retry_at_us = 0  # when it is asked again; 0 for the next `tick`
+        self.source = ""  # whom the requests go to; empty for nobody
+        self.retry_at_us = 0  # when the request is repeated; 0 for the next `tick`
         self.retries = 0
         # of the snapshot under way
         self.position = 0
         self.total = 0
         self.digest = b""
         self.data = bytearray()
-        self.sent_snapshot: tuple[int, bytes, bytes] | None = (
-            None  # position, bytes and digest of the one given
-        )
+        self.sent_snapshot: _EncodedSnapshot | None = None
 
-    # --- asking ---
+    # --- receiving ---
 
     def request_from(self, source: str) -> None:
-        """Ask it for what follows; a snapshot that is coming in goes on instead."""
+        """Request what follows; a snapshot in progress continues instead."""
         if source == self.outbox.instance.name or self.data:
             return
         self.source = source
@@ -67,7 +74,7 @@
         return new
 
     def on_chunk(self, sender: str, message: SnapshotChunk) -> bool:
-        """Take a piece; whether a snapshot was whole and of use."""
+        """Take a chunk; whether a snapshot was complete and of use."""
         if message.position <= self.state.position or not self._accepts(sender, message):
             return False
         self.data += message.data
@@ -117,7 +124,7 @@
         self.data = bytearray()
 
     def tick(self, now_us: int, retry_interval_us: int) -> None:
-        """Ask again where no answer came."""
+        """Repeat the request where no answer came."""
         if not self.source:
             return
         if not self.retry_at_us:
@@ -130,10 +137,10 @@
             else:
                 self._send_request()
 
-    # --- giving ---
+    # --- sending ---
 
     def send_entries(self, to: str, after: int) -> None:
-        """What follows a position, as far as it goes into one word."""
+        """Send what follows a position, as far as it fits into one message."""
         learner = self.state.learner
         entries = learner.entries_after(after)
         if entries is None:
@@ -142,17 +149,19 @@
             self.outbox.send(to, EntriesReply(entries, learner.position))
 
     def send_chunk(self, to: str, position: int, offset: int) -> None:
-        """A piece of a snapshot; the first of the newest where another is asked for."""
+        """Send a chunk of a snapshot; the first of the newest one where another is requested."""
         learner = self.state.learner
-        if self.sent_snapshot is None or learner.entries_after(self.sent_snapshot[0]) is None:
+        if self.sent_snapshot is None or learner.entries_after(self.sent_snapshot.position) is None:
             if learner.failed_machines:  # a state that stopped at some entry is no state of the log
                 return
             data = encode(learner.snapshot())
             if len(data) > MAX_SNAPSHOT_BYTES:
                 return
-            self.sent_snapshot = (learner.position, data, blake2b(data, digest_size=16).digest())
-        made, data, digest = self.sent_snapshot
-        if position != made or offset >= len(data):
+            digest = blake2b(data, digest_size=16).digest()
+            self.sent_snapshot = _EncodedSnapshot(learner.position, data, digest)
+        snapshot = self.sent_snapshot
+        total = len(snapshot.data)
+        if position != snapshot.position or offset >= total:
             offset = 0
-        piece = data[offset : offset + MAX_CHUNK_BYTES]
-        self.outbox.send(to, SnapshotChunk(made, len(data), offset, digest, piece))
+        chunk = snapshot.data[offset : offset + MAX_CHUNK_BYTES]
+        self.outbox.send(to, SnapshotChunk(snapshot.position, total, offset, snapshot.digest, chunk))
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -1,4 +1,4 @@
-"""The log at one front door: events in, actions out. The parts it hands them to decide."""
+"""The log at one node: events in, actions out; hands each event to the part that decides on it."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -50,23 +50,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesLearned:
-    """Event: decided entries that came another way, in order; a gap is passed over."""
+    """Event: decided entries that came another way, in order; a gap is ignored."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CatchUp:
-    """Event: ask this front door for what is missing here."""
+    """Event: request from this node what is missing here."""
 
     source: str
 
 
 class LogCore:
-    """One front door's part in the log: learner always, acceptor with a seat, leader when elected.
+    """One node's part in the log: learner always, acceptor as a voter, leader when elected.
 
     `wall_ms` gives Unix milliseconds for a `now_us`. ValueError where the disk is not the one named, the
-    first panel is none, or a machine has the log's own name.
+    first voters are invalid, or a machine has the log's own name.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self.proposals = ProposalTracker(me, settings, self.learner)
         self.finished_position = 0  # the position up to which proposals were looked at
 
-    # --- what is to be seen from outside ---
+    # --- queries ---
 
     @property
     def position(self) -> int:
@@ -136,7 +136,7 @@
     def handle(self, now_us: int, event: Any) -> Sequence[Any]:  # noqa: ANN401
         """Take one event; what is to be done, in order."""
         self.now_us = now_us
-        if self.election.leader_contact_us is None:  # the first: a leader may live
+        if self.election.leader_contact_us is None:  # the first event: a leader may be alive
             self.election.record_leader_contact(now_us)
         self._take(now_us, event)
         self._finish_step(now_us)
@@ -146,7 +146,7 @@
         return self.outbox.take_actions()
 
     def _finish_step(self, now_us: int) -> None:
-        """After each step: what follows from it, then what leaves."""
+        """After each step: what follows from it, then what is sent."""
         self.leader_protocol.check_leadership(now_us)
         if self.finished_position != self.position:
             self.finished_position = self.position
@@ -236,7 +236,7 @@
                     self.proposals.retry_now()
 
     def _follow_leader(self, now_us: int, ballot: Ballot) -> None:
-        """A leader was heard that may still lead."""
+        """Follow a leader whose heartbeat came and that may still lead."""
         lead = self.leader_protocol.leadership
         if lead and ballot > lead.ballot:
             self.leader_protocol.step_down(now_us)
@@ -245,7 +245,7 @@
             self.proposals.retry_now()
 
     def _send_proposals(self, now_us: int) -> None:
-        """Proposals go to the leader; where it is not known or does not answer, a seat knows better."""
+        """Send proposals to the leader, or to a voter where it is unknown or does not answer."""
         for request, attempts in self.proposals.due_requests(now_us):
             leader = self.leader_protocol.leader
             if leader is None or attempts % 3 == 2:
--- a/molereach/coordination/replicated_log/deduplication.py
+++ b/molereach/coordination/replicated_log/deduplication.py
@@ -1,10 +1,10 @@
-"""Each proposal is applied once, however often it was told and by whom.
+"""Each proposal is applied once, however often it was sent and by whom.
 
-The log keeps the ids of the newest entries with what they came to, as part of its state, so all front doors
-judge a repeat alike. Their number is bounded, so an id that has fallen out is unknown again; therefore who
-asks says what it had applied when it first asked, and an ask from before the window is refused by the
-leader: a word that was a long time under way settles nothing a second time. An id used again by its owner
-after the window (4,096 entries) is a new proposal.
+The log keeps the ids of the newest entries with their outcomes as part of its state, so all nodes judge a
+repeat alike. Their number is bounded, so an id that has dropped out is unknown. Therefore a request says what
+its proposer had applied when it first sent it, and the leader rejects one from before the window: a message
+that was delayed for long has no effect a second time. An id that its owner reuses after the window (4,096
+entries) is a new proposal.
 """
 
 from collections.abc import Iterable
@@ -50,5 +50,5 @@
             self.floor = self.proposals.pop(oldest).position
 
     def covers(self, since: int) -> bool:
-        """Whether something first asked at this position would be in the table, had it been applied."""
+        """Whether a proposal first sent at this position would be in the table, had it been applied."""
         return since >= self.floor
--- a/molereach/coordination/replicated_log/election.py
+++ b/molereach/coordination/replicated_log/election.py
@@ -1,8 +1,8 @@
-"""When a seat tries to lead, and whether it would let another.
+"""When a voter tries to lead, and whether it would let another.
 
-Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 9.6 (pre-vote): a seat asks first
-whether a majority would promise, and is refused by all that hear a living leader. So one that was cut off
-deposes nobody when it is back.
+Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 9.6 (pre-vote): a candidate first
+checks whether a majority would promise, and all that hear from a live leader refuse. So a node that was
+partitioned deposes nobody when it is connected again.
 """
 
 from collections.abc import Callable
@@ -13,17 +13,17 @@
 
 
 class Election:
-    """Time-outs and the poll under way."""
+    """Timeouts and the pre-vote in progress."""
 
     def __init__(self, settings: LogSettings, draw: Callable[[], float]) -> None:
         self.settings = settings
         self.random_fraction = draw
-        self.leader_contact_us: int | None = None  # when a leader was last heard, or the start
+        self.leader_contact_us: int | None = None  # the last contact with a leader, or the start
         self.timeout_at_us = 0
-        self.ballot: Ballot | None = None  # that is asked about
+        self.ballot: Ballot | None = None  # of the pre-vote in progress
         self.granted: set[str] = set()  # disks
         self.highest = 0  # number of any ballot seen
-        # whom this seat would promise
+        # whom this voter would promise
         self.favored = ""
         self.favored_until_us = 0
 
@@ -34,7 +34,7 @@
         self.timeout_at_us = now_us + minimum_us + int(self.random_fraction() * (maximum_us - minimum_us))
 
     def record_leader_contact(self, now_us: int) -> None:
-        """A leader lives."""
+        """A leader is alive."""
         self.leader_contact_us = now_us
         self.ballot = None
         self.restart_timeout(now_us)
@@ -47,9 +47,9 @@
         )
 
     def grant(self, now_us: int, ballot: Ballot, promised: Ballot) -> bool:
-        """Whether this seat would promise a ballot: it hears no leader, and did not just say so to another.
+        """Whether this voter would promise: it has no live leader, and did not just grant another.
 
-        Else two whose time-outs end together would both be told to go on, and each undo the other's ballot.
+        Otherwise two whose timeouts end together would both be granted, and each undo the other's ballot.
         """
         favoured = self.favored != ballot.name and now_us < self.favored_until_us
         if ballot.number <= promised.number or favoured or self.has_live_leader(now_us):
@@ -63,14 +63,14 @@
         self.highest = max(self.highest, ballot.number)
 
     def start_pre_vote(self, now_us: int, name: str, instance_number: int) -> Ballot:
-        """Begin to ask about a ballot higher than all that were seen."""
+        """Begin a pre-vote for a ballot higher than all that were seen."""
         self.ballot = Ballot(self.highest + 1, name, instance_number)
         self.granted = set()
         self.restart_timeout(now_us)
         return self.ballot
 
     def record_reply(self, message: PreVoteReply, voters: Voters) -> bool:
-        """Take an answer; whether a majority would promise, which ends the poll."""
+        """Take a reply; whether a majority would promise, which ends the pre-vote."""
         self.observe_ballot(message.promised)
         if message.ballot != self.ballot or not message.granted:
             return False
--- a/molereach/coordination/replicated_log/leader_protocol.py
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -1,7 +1,7 @@
-"""How a seat comes to lead, leads, and stops: the polls, rounds and batches of one front door.
+"""How a voter comes to lead, leads, and stops: the elections, rounds and batches of one node.
 
-A leader that hears no majority for an election time-out steps down (Ongaro 2014, section 6.2). One whose
-log moves by anything but its own decisions while it leads was replaced, and steps down as well.
+A leader without contact to a majority for an election timeout steps down (Ongaro 2014, section 6.2). One
+whose log moves by anything but its own decisions while it leads was replaced, and steps down as well.
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -30,7 +30,7 @@
 
 
 class LeaderProtocol:
-    """The part of one who leads or would."""
+    """The part of a leader or candidate."""
 
     def __init__(
         self, me: NodeInstance, state: ReplicaState, election: Election, queue: ProposalQueue
@@ -44,7 +44,7 @@
         self.leadership: Leadership | None = None
         self.heartbeat_due_us = 0
         self.leader: Ballot | None = None  # of the leader that is known here
-        self.is_leader = False  # that is this front door, and it leads
+        self.is_leader = False  # this node leads
 
     # --- who leads ---
 
@@ -77,7 +77,7 @@
             self.set_leader(None)
 
     def check_leadership(self, now_us: int) -> None:
-        """The log may have moved by what others said, or a higher ballot may have been promised here."""
+        """Step down if others moved the log, or a higher ballot was promised here."""
         lead = self.leadership
         if lead is None:
             return
@@ -138,12 +138,12 @@
             self.resend(now_us, self.leadership)
 
     def prepare(self, now_us: int, lead: Leadership) -> None:
-        """Ask for promises anew, about what follows now."""
+        """Run phase 1 anew, about what follows now."""
         lead.prepare(self.state.position, now_us)
         self.resend(now_us, lead)
 
     def resend(self, now_us: int, lead: Leadership) -> None:
-        """Say again what was not answered."""
+        """Resend what was not answered."""
         self.heartbeat_due_us = now_us + self.settings.heartbeat_interval_us
         answered = lead.promises if lead.phase is LeadershipPhase.PREPARING else lead.votes
         for voter in self.state.voters:
@@ -157,7 +157,7 @@
     def _leadership_for(
         self, now_us: int, sender: NodeInstance, ballot: Ballot, source: VoteSource
     ) -> Leadership | None:
-        """The leadership that a vote is for, if it is one of this panel's."""
+        """The leadership that a vote is for, if it came from a voter."""
         lead = self.leadership
         voter = voter_of_disk(self.state.voters, source.run.disk)
         if lead is None or lead.ballot != ballot or voter is None:
@@ -211,7 +211,7 @@
             self.change_voters(now_us, lead, voters)
 
     def change_voters(self, now_us: int, lead: Leadership, before: Voters) -> None:
-        """The panel changed: both are told, and the new one is asked to promise, if this seat is in it."""
+        """Notify old and new voters, and prepare anew with the new ones, or step down if not among them."""
         for voter in before:
             if voter not in self.state.voters:
                 self.outbox.send(voter.name, Heartbeat(lead.ballot, self.state.position, lead.rounds.number))
@@ -258,11 +258,11 @@
             self.queue.add(request, self.state.learner)
         elif self.leader:
             self.outbox.send(sender, LeaderHint(self.leader))
-            if sender == request.proposer.name:  # it may not reach the leader itself; passed on once
+            if sender == request.proposer.name:  # it may not reach the leader itself; forwarded once
                 self.outbox.send(self.leader.name, request)
 
     def on_leader_hint(self, message: LeaderHint) -> bool:
-        """Take word of who leads; whether it is new."""
+        """Record who leads; whether that is new."""
         newer = self.leader is None or message.ballot.number > self.leader.number
         if self.leadership or message.ballot.name == self.instance.name or not newer:
             return False
--- a/molereach/coordination/replicated_log/leadership.py
+++ b/molereach/coordination/replicated_log/leadership.py
@@ -1,8 +1,8 @@
-"""One try to lead: a majority's promises, then one batch after another, one at a time.
+"""One attempt to lead: a majority's promises, then one batch after another, one at a time.
 
 Source: Lamport, "Paxos Made Simple" (2001), section 3. Promises hold for all later positions under the same
-panel, so a batch costs one round trip. The first batch is the highest that was accepted among the promises,
-whole. After a change of panel the new panel's promises are asked for before anything else is proposed.
+voters, so a batch costs one round trip. The first batch is the highest that was accepted among the promises,
+as a whole. After a change of voters the new voters' promises are requested before anything else is proposed.
 """
 
 from collections.abc import Callable
@@ -26,22 +26,22 @@
 class LeadershipPhase(Enum):
     """How far a leadership has come."""
 
-    PREPARING = "preparing"  # asks a majority to promise
+    PREPARING = "preparing"  # phase 1 in progress
     LEADING = "leading"  # has their promises
 
 
 class Leadership:
-    """State of one ballot of this front door."""
+    """State of one ballot of this node."""
 
     def __init__(self, ballot: Ballot, after: int, now_us: int) -> None:
         self.ballot = ballot
         self.rounds = ConfirmationRounds()
-        self.contact_us: dict[str, int] = {}  # when each disk was last heard to follow
+        self.contact_us: dict[str, int] = {}  # by disk: its last reply
         self.elected = False  # had a majority's promises once
         self.prepare(after, now_us)
 
     def prepare(self, after: int, now_us: int) -> None:
-        """Ask for promises about all that follows this position."""
+        """Begin phase 1 for all that follows this position."""
         self.phase = LeadershipPhase.PREPARING
         self.after = after
         self.since_us = now_us
@@ -89,7 +89,7 @@
         return batch
 
     def has_quorum_contact(self, voters: Voters, now_us: int, within_us: int) -> bool:
-        """Whether a majority was heard of late."""
+        """Whether a majority replied within the last `within_us` microseconds."""
         reachable = sum(
             now_us - self.contact_us.get(voter.disk, self.since_us) < within_us for voter in voters
         )
@@ -105,14 +105,15 @@
         self.requests: dict[str, ProposalRequest] = {}
 
     def add(self, request: ProposalRequest, learner: Learner) -> None:
-        """One more, unless it is known, too old to judge, or there are too many: then it is told again."""
+        """Queue a proposal, unless it is known, too old to judge, or the queue is full: it is sent once more
+        then."""
         if learner.deduplication.find(request.id) or not learner.deduplication.covers(request.since):
             return
         if len(self.requests) < self.settings.max_queued:
             self.requests.setdefault(request.id, request)
 
     def batch(self, now_us: int, learner: Learner) -> tuple[Entry, ...]:
-        """The next entries. One that may change the panel is the last of its batch."""
+        """The next entries. One that may change the voters is the last of its batch."""
         entries: list[Entry] = []
         size = 0
         at_ms = max(self.unix_ms(now_us), learner.at_ms)
--- a/molereach/coordination/replicated_log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -1,13 +1,14 @@
-"""What is decided, applied in order: the machines, the panel, the tail kept for others, digests.
+"""What is decided, applied in order: the state machines, the voters, the tail for other nodes, digests.
 
-All here follows from the entries alone, so it is the same at all front doors at the same position. A machine
-that raises is stopped at this front door and named; the others go on.
+Everything here follows from the entries alone, so it is the same at all nodes at the same position. A machine
+that raises is stopped at this node and named; the others go on.
 """
 
 from collections import deque
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import NamedTuple
 
 import msgspec
 
@@ -15,7 +16,6 @@
 from molereach.coordination.replicated_log.deduplication import (
     REPEATED_ERROR,
     REUSED_ERROR,
-    AppliedProposal,
     DeduplicationTable,
 )
 from molereach.coordination.replicated_log.messages import Voters
@@ -30,12 +30,19 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineFailed:
-    """Action: a state machine raised and is stopped at this front door."""
+    """Action: a state machine raised and is stopped at this node."""
 
     machine: str
     reason: str
 
 
+class ProposalResult(NamedTuple):
+    """Where a proposal was applied, and its outcome."""
+
+    position: int
+    outcome: Outcome
+
+
 def body_hash(body: bytes) -> bytes:
     """The BLAKE2b digest of a body, 16 bytes."""
     return blake2b(body, digest_size=16).digest()
@@ -107,13 +114,13 @@
         self.failed_machines.add(name)
         return MachineFailed(name, reason[:200])
 
-    def outcome_of(self, entry_id: str, machine: str, body: bytes) -> tuple[AppliedProposal, Outcome] | None:
-        """What a proposal came to, if the table of ids has it."""
+    def outcome_of(self, entry_id: str, machine: str, body: bytes) -> ProposalResult | None:
+        """The result of a proposal, if its id is remembered."""
         done = self.deduplication.find(entry_id)
         if done is None:
             return None
         same = (done.machine, done.body) == (machine, body_hash(body))
-        return done, done.outcome if same else Outcome(REUSED_ERROR)
+        return ProposalResult(done.position, done.outcome if same else Outcome(REUSED_ERROR))
 
     # --- the tail ---
 
@@ -186,7 +193,7 @@
 
 
 def first_batch(entries: Iterable[Entry]) -> tuple[Entry, ...]:
-    """As many as go into one word; at least one."""
+    """As many as fit into one message; at least one."""
     taken: list[Entry] = []
     size = 0
     for entry in entries:
--- a/molereach/coordination/replicated_log/messages.py
+++ b/molereach/coordination/replicated_log/messages.py
@@ -1,7 +1,7 @@
-"""What the parts of the log say to one another, between front doors. All may be lost, doubled, late or old.
+"""The messages between the nodes of the log. All may be lost, duplicated, late or old.
 
-Every word is typed and bounded; a word of another kind is refused by the link's decoder. `after` is always
-the position of the last entry that the speaker has: what is asked or told is about those that follow it.
+Every message is typed and bounded; the transport's decoder rejects any other. `after` is always the position
+of the last entry that the sender has: the message is about those that follow it.
 """
 
 from typing import Annotated
@@ -34,7 +34,7 @@
 
 
 class Ballot(WireStruct, frozen=True, order=True):
-    """A try to lead. No two runs can have the same one; that of nobody is the lowest."""
+    """An attempt to lead. No two runs can have the same one; that of nobody is the lowest."""
 
     number: InstanceNumber = 0
     name: Name = "0"
@@ -45,7 +45,7 @@
 
 
 class Voter(WireStruct, frozen=True, order=True):
-    """One place of the panel: a front door and its disk. Either alone is not the seat."""
+    """A voter: a node with its disk. Either alone is not the voter."""
 
     name: Name
     disk: DiskIdentity
@@ -55,7 +55,7 @@
 
 
 class Run(WireStruct, frozen=True):
-    """One start of one disk: how many there were, and the life that it began."""
+    """One start of one disk: how many there were, and the instance that it began."""
 
     disk: DiskIdentity
     start_count: StartCount = msgspec.field(name="starts")
@@ -79,7 +79,7 @@
 
 
 class RunStarted(LogMessage, frozen=True, tag="l.start"):
-    """This disk was started: what do you know of it?"""
+    """This disk was started: what is known of it?"""
 
     run: Run
     after: Position
@@ -97,7 +97,7 @@
 
 
 class RunConflict(LogMessage, frozen=True, tag="l.exists"):
-    """An equal or higher start is known under another life: the disk was set back."""
+    """An equal or higher start is known under another instance: the disk was rolled back."""
 
     run: Run
     known: Run
@@ -140,7 +140,7 @@
 
 
 class BallotRejected(LogMessage, frozen=True, tag="l.outbid"):
-    """A higher ballot was promised than that of what was asked."""
+    """A higher ballot was promised than the one in the request."""
 
     ballot: Ballot
     promised: Ballot
@@ -165,7 +165,7 @@
 
 
 class Heartbeat(LogMessage, frozen=True, tag="l.beat"):
-    """The leader lives; all up to `decided` is decided, and what was accepted of this ballot up to there."""
+    """The leader is alive; all up to `decided` is decided, also what was accepted of this ballot."""
 
     ballot: Ballot
     decided: Position
@@ -173,7 +173,7 @@
 
 
 class HeartbeatReply(LogMessage, frozen=True, tag="l.follow"):
-    """No higher ballot was promised here when this round's beat came."""
+    """No higher ballot was promised here when this round's heartbeat came."""
 
     ballot: Ballot
     round: Position
@@ -204,12 +204,12 @@
 
 
 class SnapshotChunk(LogMessage, frozen=True, tag="l.piece"):
-    """Some bytes of a snapshot. With one that does not fit to what came before nothing is done."""
+    """Some bytes of a snapshot. A chunk that does not continue what came before is ignored."""
 
     position: Position
     total: Annotated[int, Meta(ge=1, le=MAX_SNAPSHOT_BYTES)]
     offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
-    digest: Annotated[bytes, Meta(min_length=16, max_length=16)]  # BLAKE2b of the whole
+    digest: Annotated[bytes, Meta(min_length=16, max_length=16)]  # BLAKE2b of the complete snapshot
     data: Annotated[bytes, Meta(min_length=1, max_length=MAX_CHUNK_BYTES)]
 
 
@@ -217,7 +217,7 @@
 
 
 class ProposalRequest(LogMessage, frozen=True, tag="l.ask"):
-    """A proposal for the leader. `since` is what its proposer had applied when it first asked."""
+    """A proposal for the leader. `since` is what its proposer had applied when it first sent it."""
 
     machine: Annotated[str, Meta(max_length=64)]
     id: Id
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -1,12 +1,12 @@
-"""What leaves, and when: a word that rests on the disk leaves only once the disk has said so.
+"""What is sent, and when: a message that depends on the disk leaves only once the disk has synced.
 
-Words to this front door's own seat go the same way as those to others and come back in order, so its own vote
-counts no earlier than theirs. What does not fit any more is lost, as any word may be.
+Messages to this node's own voter go the same way as those to others and come back in order, so its own vote
+counts no earlier than theirs. What does not fit any more is lost, as any message may be.
 """
 
 from collections import deque
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.disk import Persist
@@ -14,8 +14,8 @@
 from molereach.coordination.replicated_log.messages import Message
 from molereach.coordination.replicated_log.records import Base, Record, encode
 
-MAX_UNSYNCED_WRITES = 1024  # writes under way: with more, a disk that hangs is given nothing new to vote for
-MAX_WAITING_MESSAGES = 4096  # words that wait for the disk
+MAX_UNSYNCED_WRITES = 1024  # writes under way: beyond it, a disk that hangs gets nothing new to vote for
+MAX_WAITING_MESSAGES = 4096  # messages that wait for the disk
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,21 +25,31 @@
     reason: str
 
 
+class _WaitingMessage(NamedTuple):
+    """A message that may leave once the write `token` is synced."""
+
+    token: int
+    recipient: str
+    message: Message
+    instance_number: int | None
+
+
 class Outbox:
-    """Actions of one turn, in order, and words that wait for a write."""
+    """Actions of one turn, in order, and messages that wait for a write."""
 
-    def __init__(self, me: NodeInstance) -> None:
-        self.instance = me
+    def __init__(self, instance: NodeInstance) -> None:
+        self.instance = instance
         self.actions: list[Any] = []
-        self.local_messages: deque[Message] = deque()  # to this front door itself
-        # tokens
-        self.written = 0
-        self.synced = 0
+        self.local_messages: deque[Message] = deque()  # to this node itself
+        self.written = 0  # the token of the last write
+        self.synced = 0  # the token of the last write that is on the disk
         self.failed = False
         self._records: list[bytes] = []
         self._base: bytes | None = None
-        self._new: list[tuple[str, Message, int | None]] = []
-        self._waiting: deque[tuple[int, str, Message, int | None]] = deque(maxlen=MAX_WAITING_MESSAGES)
+        # The messages of this step, then those that wait for a write; beyond the bound the oldest are
+        # lost.
+        self._new: list[_WaitingMessage] = []
+        self._waiting: deque[_WaitingMessage] = deque(maxlen=MAX_WAITING_MESSAGES)
 
     @property
     def can_write(self) -> bool:
@@ -51,16 +61,16 @@
         self.actions.append(action)
 
     def send(self, to: str, message: Message, instance_number: int | None = None) -> None:
-        """A word that rests on nothing."""
+        """Send a message that does not depend on the disk."""
         if to == self.instance.name:
             self.local_messages.append(message)
         else:
             self.actions.append(SendMessage(to, message, instance_number))
 
     def send_after_sync(self, to: str, message: Message, instance_number: int | None = None) -> None:
-        """A word that rests on all that was written so far, also in this turn."""
+        """Send a message once everything written so far, also in this step, is synced."""
         if not self.failed:
-            self._new.append((to, message, instance_number))
+            self._new.append(_WaitingMessage(0, to, message, instance_number))
 
     def write(self, record: Record) -> None:
         """Add a record to this step's write."""
@@ -80,15 +90,15 @@
             self.emit(Persist(self.written, tuple(self._records), self._base))
             self._records = []
             self._base = None
-        self._waiting.extend((self.written, *message) for message in self._new)
+        self._waiting.extend(each._replace(token=self.written) for each in self._new)
         self._new.clear()
         self.release()
 
     def release(self) -> None:
         """Send the messages whose writes have been synced."""
-        while self._waiting and self._waiting[0][0] <= self.synced:
-            _, to, message, instance_number = self._waiting.popleft()
-            self.send(to, message, instance_number)
+        while self._waiting and self._waiting[0].token <= self.synced:
+            waiting = self._waiting.popleft()
+            self.send(waiting.recipient, waiting.message, waiting.instance_number)
 
     def persisted(self, token: int) -> None:
         """Everything up to `token` is on the disk."""
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -1,10 +1,11 @@
-"""This front door's own proposals: told to the leader again and again until one word ends each.
+"""This node's own proposals: sent to the leader repeatedly until one result ends each.
 
-SETTLED when the entry was applied here; REFUSED when it never left; UNKNOWN when its time is over. An id
-that is under way already has one word for both times that it was given.
+APPLIED when the entry was applied here; REJECTED when it was never sent; UNKNOWN when its time is over. An id
+that is pending already has one result for both times that it was proposed.
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from molereach.coordination.interface.core import NEVER_US
 from molereach.coordination.interface.identifiers import MAX_ID_CHARACTERS, NodeInstance
@@ -27,8 +28,15 @@
     attempts: int = 0
 
 
+class DueRequest(NamedTuple):
+    """A request to send now, and how often it was sent before."""
+
+    request: ProposalRequest
+    attempts: int
+
+
 class ProposalTracker:
-    """Those under way, by id."""
+    """The pending proposals, by id."""
 
     def __init__(self, me: NodeInstance, settings: LogSettings, learner: Learner) -> None:
         self.instance = me
@@ -37,7 +45,7 @@
         self.pending: dict[str, _PendingProposal] = {}
 
     def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
-        """Take a proposal; its word where it is over at once."""
+        """Take a proposal; its result where it ends at once."""
         if event.id in self.pending:
             pending = self.pending[event.id]
             pending.deadline_us = max(pending.deadline_us, now_us + event.timeout_us)
@@ -55,11 +63,9 @@
 
     def _result(self, request: ProposalRequest) -> ProposalFinished | None:
         found = self.learner.outcome_of(request.id, request.machine, request.body)
-        return (
-            ProposalFinished(request.id, ProposalStatus.APPLIED, found[1], found[0].position)
-            if found
-            else None
-        )
+        if found is None:
+            return None
+        return ProposalFinished(request.id, ProposalStatus.APPLIED, found.outcome, found.position)
 
     def finish_applied(self) -> list[ProposalFinished]:
         """Those that have been applied here by now."""
@@ -75,18 +81,18 @@
             del self.pending[key]
         return [ProposalFinished(key, ProposalStatus.UNKNOWN) for key in late]
 
-    def due_requests(self, now_us: int) -> list[tuple[ProposalRequest, int]]:
-        """What to tell now, and how often it was told before."""
+    def due_requests(self, now_us: int) -> list[DueRequest]:
+        """The requests that are due, with the number of earlier attempts."""
         requests = []
         for each in self.pending.values():
             if now_us >= each.retry_at_us:
-                requests.append((each.request, each.attempts))
+                requests.append(DueRequest(each.request, each.attempts))
                 each.attempts += 1
                 each.retry_at_us = now_us + self.settings.retry_interval_us
         return requests
 
     def retry_now(self) -> None:
-        """Another leader: tell it at once."""
+        """Send all at once, as another leader is known."""
         for each in self.pending.values():
             each.retry_at_us = 0
             each.attempts = 0
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -1,7 +1,7 @@
 """What the log has on its disk, and what it is after a start: records in order, on top of a base.
 
 A record that was not synced may be missing, with all that follow it; none is missing in between. Nothing that
-waits for a record leaves before it is synced, so whatever another front door has seen is here.
+depends on a record leaves before it is synced, so whatever another node has seen is here.
 """
 
 from collections.abc import Sequence
@@ -15,6 +15,7 @@
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.replicated_log.acceptor import Acceptor, are_consecutive
 from molereach.coordination.replicated_log.deduplication import AppliedProposal
+from molereach.coordination.replicated_log.errors import CorruptRecordsError
 from molereach.coordination.replicated_log.messages import (
     NOBODY,
     Ballot,
@@ -67,7 +68,7 @@
 
 
 class RunRecorded(Record, frozen=True, tag="wrote"):
-    """Another disk's newest run is known, and told with each vote."""
+    """Another disk's newest run is known, and is part of each vote."""
 
     run: Run
 
@@ -86,7 +87,7 @@
 
 
 class StateAdopted(Record, frozen=True, tag="raised"):
-    """What other seats had promised and accepted, taken over at a start."""
+    """What other voters had promised and accepted, adopted at a start."""
 
     promised: Ballot
     accepted_at: Ballot
@@ -131,12 +132,12 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """ValueError where it is none."""
+    """The snapshot in `data`; raises a ValueError where it is none."""
     return _snapshot_decoder.decode(data)  # msgspec's errors are ValueErrors
 
 
 def recover(base: bytes | None, records: Sequence[bytes]) -> Recovered:
-    """What the disk says; ValueError where it makes no sense, and then this disk must not vote."""
+    """What the disk says; Raises a ValueError where it makes no sense; then this disk must not vote."""
     recovered = Recovered()
     if base is not None:
         known = _base_decoder.decode(base)
@@ -154,7 +155,7 @@
     match record:
         case DiskStarted(run):
             if recovered.disk not in ("", run.disk):
-                raise ValueError("records of two disks in one folder")
+                raise CorruptRecordsError("records of two disks in one folder")
             recovered.disk = run.disk
             recovered.start_count = run.start_count
         case RunRecorded(run):
@@ -162,20 +163,20 @@
             recovered.runs[run.disk] = run
         case BallotPromised(ballot):
             if not recovered.acceptor.promise(ballot):
-                raise ValueError("a promise was taken back")
+                raise CorruptRecordsError("a promise was taken back")
         case BatchAccepted(ballot, entries):
             if (
                 not entries
                 or not are_consecutive(entries, recovered.position)
                 or not recovered.acceptor.accept(ballot, entries)
             ):
-                raise ValueError("a vote out of order")
+                raise CorruptRecordsError("a vote out of order")
         case StateAdopted(promised, accepted_at, accepted):
             if accepted and not are_consecutive(accepted, recovered.position):
-                raise ValueError("a vote taken over out of order")
+                raise CorruptRecordsError("a vote taken over out of order")
             recovered.acceptor.adopt(promised, accepted_at if accepted else NOBODY, accepted)
         case EntriesDecided(entries):
             if not entries or not are_consecutive(entries, recovered.position):
-                raise ValueError("a gap between decided entries")
+                raise CorruptRecordsError("a gap between decided entries")
             recovered.entries.extend(entries)
             recovered.acceptor.discard_decided(entries[-1])
--- a/molereach/coordination/replicated_log/replica_state.py
+++ b/molereach/coordination/replicated_log/replica_state.py
@@ -1,4 +1,4 @@
-"""What one front door has of the log, and its disk: each change of it is written before it is told.
+"""What one node has of the log, and its disk: each change is written before it is sent.
 
 It joins what is decided (`Learner`), what was promised and accepted (`Acceptor`) and whose runs are known
 (`Recovery`), so that none changes without the record of it.
@@ -27,7 +27,7 @@
 
 
 class ReplicaState:
-    """State and disk of one front door."""
+    """State and disk of one node."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         """Who casts a vote of this run."""
         return self.recovery.vote_source(self.voters)
 
-    # --- votes: the caller has asked `may_vote` ---
+    # --- votes: the caller has checked `may_vote` ---
 
     def promise(self, ballot: Ballot) -> bool:
         """Promise a ballot and write it; whether it was promised."""
@@ -101,7 +101,7 @@
     # --- runs ---
 
     def record_run(self, run: Run) -> Run | None:
-        """Write a run down, or what shows that its disk was set back."""
+        """Record a run and return None, or return the run that shows that its disk was rolled back."""
         known = self.recovery.conflicting_run(run)
         if known is None and self.recovery.record_run(run, self.voters):
             self.outbox.write(RunRecorded(run))
@@ -116,7 +116,7 @@
     # --- what is decided ---
 
     def apply_decided(self, entries: Sequence[Entry]) -> bool:
-        """Take decided entries; whether any was new. A gap is passed over."""
+        """Take decided entries; whether any was new. A gap is ignored."""
         new = self.learner.unapplied(entries)
         if not new:
             return False
--- a/molereach/coordination/replicated_log/start_protocol.py
+++ b/molereach/coordination/replicated_log/start_protocol.py
@@ -1,6 +1,6 @@
-"""The words of a start: this disk's to the other seats until all have answered, and answers to theirs.
+"""The messages of a start: to the other voters until all have acknowledged it, and answers to theirs.
 
-What is decided by them is in `recovery`.
+What they decide is in `recovery`.
 """
 
 from dataclasses import dataclass
@@ -12,21 +12,21 @@
 from molereach.coordination.replicated_log.messages import RunAcknowledged, RunConflict, RunStarted
 from molereach.coordination.replicated_log.replica_state import ReplicaState
 
-SLOW_RETRY_FACTOR = 8  # times `again_us` between words to seats whose answers are not needed any more
+SLOW_RETRY_FACTOR = 8  # times the retry interval, to voters whose answers are not needed any more
 
 
 @dataclass(frozen=True, slots=True)
 class DiskRollbackDetected:
     """Action: this disk holds an older state than it once did; it votes no more under its identity.
 
-    The seat is to be replaced by one with a new disk identity, in a new folder."""
+    The voter is to be replaced by one with a new disk identity, in a new folder."""
 
     start_count: int  # of this run
-    known_start_count: int  # that another front door has written down
+    known_start_count: int  # that another node has written down
 
 
 class StartProtocol:
-    """Both sides of it at one front door."""
+    """Both sides of a start at one node."""
 
     def __init__(self, state: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
         self.state = state
--- a/molereach/coordination/replicated_log/voters.py
+++ b/molereach/coordination/replicated_log/voters.py
@@ -1,9 +1,9 @@
-"""Who accepts: the seats, and how an entry of the log changes them.
+"""Who accepts: the voters, and how an entry of the log changes them.
 
-The panel of a position is what the entries before it say, so a change is an entry like any other (Lamport,
-"Paxos Made Simple", section 3, with a window of one). Panels in turn need no seat in common: nothing is
-proposed under the new one before a majority of *it* has promised, and whoever votes at a position has all
-entries before it. Sizes stay odd, so the changes are: one seat for another, two more, or two less.
+The voters of a position follow from the entries before it, so a change is an entry like any other (Lamport,
+"Paxos Made Simple", section 3, with a window of one). Successive groups need no voter in common: nothing is
+proposed under the new group before a majority of *it* has promised, and a voter at a position has all entries
+before it. Sizes stay odd, so the changes are: one voter for another, two more, or two less.
 """
 
 from typing import Annotated
@@ -19,11 +19,11 @@
 
 
 class VoterChange(WireStruct, frozen=True, tag_field="kind"):
-    """The body of an entry of the log's own (machine "")."""
+    """The body of an entry of the log's own."""
 
 
 class ReplaceVoter(VoterChange, frozen=True, tag="replace"):
-    """One seat for another: another front door, or the same with another disk."""
+    """One voter for another: another node, or the same with another disk."""
 
     removed: Voter = msgspec.field(name="out")
     added: Voter = msgspec.field(name="into")
@@ -46,7 +46,7 @@
 
 
 def voters_error(voters: Voters) -> str:
-    """What is wrong with a panel in one line; empty for nothing."""
+    """What is wrong with a group of voters, in one line; empty for nothing."""
     if len(voters) not in VOTER_COUNTS:
         return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(voters)}"
     if len({voter.name for voter in voters}) < len(voters) or len({voter.disk for voter in voters}) < len(
@@ -57,7 +57,7 @@
 
 
 def apply_change(voters: Voters, body: bytes) -> tuple[Voters, Outcome]:
-    """The panel after an entry, and what the entry came to."""
+    """The voters after an entry, and its outcome."""
     try:
         change = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
