--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -7,7 +7,7 @@
 from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.node.service import CouncilService, open_folder
 from molereach.coordination.node.settings import MS, CouncilSettings
-from molereach.coordination.storage.store import StoreError
+from molereach.coordination.storage.errors import FolderError
 from molereach.keyfile import read_key
 from molereach.operator_config import CouncilSection
 from molereach.proxy.config import ConfigError, read_address
@@ -54,7 +54,7 @@
         if section.folder is not None:
             seated = section.forming and name in settings.panel
             opened = open_folder(Path(section.folder), name, key, seated)
-    except StoreError as error:
+    except FolderError as error:
         raise CouncilError(f"council.folder: {error}") from error
     service = CouncilService(name, settings, key, opened, {})
     host, port = settings.doors[name]
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -35,8 +35,8 @@
 from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered, recover
 from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
-from molereach.coordination.storage.store import Opened, Store, draw_identity
-from molereach.coordination.storage.worker import Worker
+from molereach.coordination.storage.folder import LogFolder, OpenedFolder, random_identity
+from molereach.coordination.storage.worker import WriterThread
 from molereach.coordination.transport.service import Links
 
 log = logging.getLogger(__name__)
@@ -51,9 +51,9 @@
     return NodeInstance(name, (time.time_ns() // 1_000_000 << LIFE_SHIFT) | random.getrandbits(LIFE_SHIFT))
 
 
-def open_folder(folder: Path, name: str, key: bytes, seated: bool) -> Opened:
+def open_folder(folder: Path, name: str, key: bytes, seated: bool) -> OpenedFolder:
     """The folder of a seat; a new one takes the seat of the first panel where that is `seated` there."""
-    return Store.open(folder, name, (lambda: first_identity(key, name)) if seated else draw_identity)
+    return LogFolder.open(folder, name, (lambda: first_identity(key, name)) if seated else random_identity)
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
         name: str,
         settings: CouncilSettings,
         key: bytes,
-        opened: Opened | None,
+        opened: OpenedFolder | None,
         machines: Mapping[str, StateMachine],
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
@@ -104,7 +104,7 @@
             lambda at_us: wall_ms + at_us // 1000,
         )
         # Its word comes in a turn of its own: that too much waits is said while an action is carried out.
-        self.worker = Worker(opened.store, self.from_disk) if opened else None
+        self.worker = WriterThread(opened.folder, self.from_disk) if opened else None
         self.links = Links(self.me, addresses or settings.doors, key, WORDS, self.heard, random.random)
         self.timer: asyncio.TimerHandle | None = None
         self.due_us = NEVER_US
--- a/molereach/coordination/storage/__init__.py
+++ b/molereach/coordination/storage/__init__.py
@@ -1,6 +1,5 @@
-"""The durable folder of one front door that sits on the panel: what it promised and accepted.
+"""The folder of one node's log: written before anything that depends on it is sent, and read at a start.
 
-Read `frames` (the journal's frames), `whole` (the other files), `plan` (what to make of the files found): all
-pure; then `disk` (the system calls), `reader` (what a folder holds), `store` (opens, writes) and `worker` (a
-thread, so that no turn of the loop waits for a sync).
+Read `disk` (system calls), `sealed_files` and `frames` (formats), `plan` (names in a folder), `reader`
+(what a folder holds), `folder` (opening and writing) and `worker` (the thread that writes).
 """
--- a/molereach/coordination/storage/disk.py
+++ b/molereach/coordination/storage/disk.py
@@ -1,6 +1,7 @@
-"""The system calls of a store, and nothing else: each can fail or be the last before a crash.
+"""The system calls of a log folder, and nothing else: each can fail or be the last before a crash.
 
-All names are within the folder, which is held open: one that is put in its place meanwhile is not written to.
+All names are relative to the folder, which is held open: a folder that takes its place later is not written
+to.
 """
 
 import fcntl
@@ -10,6 +11,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from molereach.coordination.storage.errors import FileSystemError
+
 PRIVATE_FILE = 0o600
 PRIVATE_FOLDER = 0o700
 OTHERS = 0o077
@@ -26,15 +29,15 @@
 
 @contextmanager
 def named(name: str) -> Iterator[None]:
-    """An OSError that says which file it is about."""
+    """Raise an `OSError` of the block as a `FileSystemError` that names the file."""
     try:
         yield
     except OSError as error:
-        raise OSError(error.errno, error.strerror, name) from error
+        raise FileSystemError(error.errno, error.strerror, name) from error
 
 
 class Disk:
-    """One folder, made if it is missing, locked for as long as it is open; OSError with the file's name."""
+    """One folder, created if it is missing; each call raises `FileSystemError` with the file's name."""
 
     def __init__(self, folder: Path) -> None:
         with named(""):
@@ -43,15 +46,16 @@
             except FileExistsError:
                 pass
             else:
-                sync_at(folder.parent)  # a folder that a crash takes back has another identity after it
+                sync_at(folder.parent)  # a folder that is lost in a crash gets another identity
             self.folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
     def open_to_others(self) -> bool:
+        """Whether other users may read or write the folder."""
         with named(""):
             return bool(os.fstat(self.folder).st_mode & OTHERS)
 
     def lock(self) -> bool:
-        """False where another process has it."""
+        """Lock the folder; False where another process has the lock."""
         with named(""):
             try:
                 fcntl.flock(self.folder, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -59,57 +63,63 @@
                 return False
             return True
 
-    def list(self, most: int) -> list[str]:
-        """At most `most` names."""
+    def list(self, max_names: int) -> list[str]:
+        """At most `max_names` names of the folder."""
         with named(""), os.scandir(self.folder) as entries:
-            return [entry.name for entry, _ in zip(entries, range(most), strict=False)]
+            return [entry.name for entry, _ in zip(entries, range(max_names), strict=False)]
 
-    def read(self, name: str, most: int) -> bytes:
-        """The file's first `most` bytes."""
+    def read(self, name: str, max_bytes: int) -> bytes:
+        """The file's first `max_bytes` bytes."""
         with named(name):
             file = os.open(name, os.O_RDONLY | SAFE, dir_fd=self.folder)
             with os.fdopen(file, "rb") as reader:
-                return reader.read(most)
+                return reader.read(max_bytes)
 
     def create(self, name: str) -> File:
-        """An empty file; one of that name is cut to nothing."""
+        """Create an empty file; an existing one is truncated."""
         with named(name):
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | SAFE
             return File(name, os.open(name, flags, PRIVATE_FILE, dir_fd=self.folder))
 
     def write(self, file: File, data: bytes) -> None:
-        """All of it; after an error any part of it may be there."""
+        """Append all of `data`; after an error any part of it may be there."""
         with named(file.name):
             left = memoryview(data)
             while left:
                 left = left[os.write(file.number, left) :]
 
     def sync(self, file: File) -> None:
+        """Return once the file's data is on the disk."""
         with named(file.name):
             os.fdatasync(file.number)
 
     def close(self, file: File) -> None:
+        """Close a file."""
         with named(file.name):
             os.close(file.number)
 
     def rename(self, old: str, new: str) -> None:
+        """Rename a file; one that has the new name is replaced."""
         with named(new):
             os.rename(old, new, src_dir_fd=self.folder, dst_dir_fd=self.folder)
 
     def remove(self, name: str) -> None:
+        """Remove a file."""
         with named(name):
             os.unlink(name, dir_fd=self.folder)
 
     def sync_folder(self) -> None:
+        """Return once the folder's names are on the disk."""
         with named(""):
             os.fsync(self.folder)
 
     def release(self) -> None:
-        """Gives up the lock."""
+        """Release the lock and close the folder."""
         os.close(self.folder)
 
 
 def sync_at(folder: Path) -> None:
+    """Sync the names of a folder that is not open."""
     number = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(number)
--- a/molereach/coordination/storage/reader.py
+++ b/molereach/coordination/storage/reader.py
@@ -1,53 +1,61 @@
-"""What a folder holds: its files read and judged, and nothing changed."""
+"""What a folder holds: its files are read and checked, and nothing is changed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TypeVar
+from typing import NamedTuple, TypeVar
 
-from molereach.coordination.storage import frames, whole
+from molereach.coordination.storage import frames, sealed_files
 from molereach.coordination.storage.disk import Disk
-from molereach.coordination.storage.plan import IDENTITY, FileError, base_name, tail_name
-from molereach.coordination.storage.whole import Owner
+from molereach.coordination.storage.errors import InvalidFileError
+from molereach.coordination.storage.plan import IDENTITY, base_name, tail_name
+from molereach.coordination.storage.sealed_files import FolderOwner
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """All that counts of a folder."""
+class FolderContents:
+    """All valid contents of a folder."""
 
-    owner: Owner
+    owner: FolderOwner
     base: bytes | None
     records: list[bytes]
 
 
-def load(disk: Disk, door: str, generation: int) -> Held:
-    """OSError or `FileError` for the first file that is wrong."""
-    owner = judge(disk, IDENTITY, whole.MOST_IDENTITY_FILE_BYTES, whole.decode_owner)
-    if owner.door != door:
-        raise FileError(f"{IDENTITY}: is of front door '{owner.door}', not '{door}'")
-    most = whole.BASE_HEAD_BYTES + whole.MOST_BASE_BYTES
-    seed, base = judge(
-        disk,
-        base_name(generation),
-        most,
-        lambda data: (whole.seed_of(data), whole.decode_base(owner, generation, data)),
-    )
-
-    def records_of(data: bytes) -> list[bytes]:
-        whole.check_tail_head(seed, data)
-        return frames.read(data, seed, whole.TAIL_HEAD_BYTES)
-
-    most = whole.TAIL_HEAD_BYTES + frames.MOST_TAIL_BYTES
-    return Held(owner, base, judge(disk, tail_name(generation), most, records_of))
-
-
-def judge(disk: Disk, name: str, most: int, decode: Callable[[bytes], T]) -> T:
-    """What a file of at most `most` bytes says."""
-    data = disk.read(name, most + 1)
-    if len(data) > most:
-        raise FileError(f"{name}: is larger than {most} bytes")
+class _BaseFile(NamedTuple):
+    """A base, and the seed of the tail behind it."""
+
+    seed: bytes
+    base: bytes | None
+
+
+def read_folder(disk: Disk, node_name: str, generation: int) -> FolderContents:
+    """Read a generation; raises an OSError or `InvalidFileError` for the first file that is wrong."""
+    owner = read_file(disk, IDENTITY, sealed_files.MAX_IDENTITY_FILE_BYTES, sealed_files.decode_owner)
+    if owner.node_name != node_name:
+        raise InvalidFileError(f"{IDENTITY}: is of front door '{owner.node_name}', not '{node_name}'")
+
+    def decode_base(data: bytes) -> _BaseFile:
+        return _BaseFile(sealed_files.tail_seed(data), sealed_files.decode_base(owner, generation, data))
+
+    max_base_bytes = sealed_files.BASE_HEAD_BYTES + sealed_files.MAX_BASE_BYTES
+    base_file = read_file(disk, base_name(generation), max_base_bytes, decode_base)
+
+    def decode_tail(data: bytes) -> list[bytes]:
+        sealed_files.check_tail_head(base_file.seed, data)
+        return frames.read(data, base_file.seed, sealed_files.TAIL_HEAD_BYTES)
+
+    max_tail_bytes = sealed_files.TAIL_HEAD_BYTES + frames.MAX_TAIL_BYTES
+    records = read_file(disk, tail_name(generation), max_tail_bytes, decode_tail)
+    return FolderContents(owner, base_file.base, records)
+
+
+def read_file(disk: Disk, name: str, max_bytes: int, decode: Callable[[bytes], T]) -> T:
+    """Read and decode a file of at most `max_bytes`; raises `InvalidFileError` where it is wrong."""
+    data = disk.read(name, max_bytes + 1)
+    if len(data) > max_bytes:
+        raise InvalidFileError(f"{name}: is larger than {max_bytes} bytes")
     try:
         return decode(data)
     except ValueError as error:
-        raise FileError(f"{name}: {error}") from error
+        raise InvalidFileError(f"{name}: {error}") from error
--- a/tests/compatibility/council_folder.py
+++ b/tests/compatibility/council_folder.py
@@ -6,7 +6,7 @@
 
 from molereach.coordination.interface.disk import Persist
 from molereach.coordination.replicated_log import records as log_records
-from molereach.coordination.storage.store import Opened, Store
+from molereach.coordination.storage.folder import LogFolder, OpenedFolder
 from tests.compatibility import council_samples as samples
 
 DOOR = samples.FIRST_DOOR.name
@@ -54,12 +54,12 @@
     ]
 
 
-def open_folder(folder: Path) -> Opened:
+def open_folder(folder: Path) -> OpenedFolder:
     """Open a folder; a new one is given the fixed identity."""
-    return Store.open(folder, DOOR, draw=lambda: IDENTITY)
+    return LogFolder.open(folder, DOOR, draw_identity=lambda: IDENTITY)
 
 
-def write_all(store: Store) -> None:
+def write_all(store: LogFolder) -> None:
     """Write all batches to a new folder."""
     for batch in batches():
         store.write(batch)
@@ -80,7 +80,7 @@
 def open_and_close(folder: Path) -> Content:
     """What a folder holds; opening it copies that into the next generation of files."""
     opened = open_folder(folder)
-    opened.store.close()
+    opened.folder.close()
     return Content(opened.identity, opened.base, opened.records)
 
 
@@ -88,8 +88,8 @@
     """The files of a folder after each step; the folder must not be there yet."""
     opened = open_folder(folder)
     steps = {"new": files_of(folder)}
-    write_all(opened.store)
-    opened.store.close()
+    write_all(opened.folder)
+    opened.folder.close()
     steps["written"] = files_of(folder)
     open_and_close(folder)
     steps["reopened"] = files_of(folder)
--- a/tests/coordination/node/test_service.py
+++ b/tests/coordination/node/test_service.py
@@ -30,7 +30,7 @@
 
         service.core.handle = handle  # type: ignore[method-assign,assignment]
         busy = True
-        service.carry_out(Persist(1, (b"x" * (worker.MOST_WAITING_BYTES + 1),)))
+        service.carry_out(Persist(1, (b"x" * (worker.MAX_WAITING_BYTES + 1),)))
         busy = False
         assert within == []
         await asyncio.sleep(0)
--- a/tests/coordination/storage/test_crash.py
+++ b/tests/coordination/storage/test_crash.py
@@ -7,7 +7,8 @@
 import pytest
 
 from molereach.coordination.interface.disk import Persist
-from molereach.coordination.storage.store import Opened, Store, StoreError
+from molereach.coordination.storage.errors import FolderError
+from molereach.coordination.storage.folder import LogFolder, OpenedFolder
 from tests.coordination.storage.medium import Crash, Medium, MemoryDisk
 
 BATCHES = [
@@ -35,12 +36,12 @@
     return found
 
 
-def opened(medium: Medium) -> Opened:
+def opened(medium: Medium) -> OpenedFolder:
     identity = len(medium.names).to_bytes(16)
-    return Store.open(Path("/folder"), "d1", lambda: identity, MemoryDisk.on(medium))
+    return LogFolder.open(Path("/folder"), "d1", lambda: identity, MemoryDisk.on(medium))
 
 
-def state(found: Opened) -> State:
+def state(found: OpenedFolder) -> State:
     return found.base, found.records
 
 
@@ -49,10 +50,10 @@
     found = opened(medium)
     yield found.identity
     for number, batch in enumerate(BATCHES, 1):
-        found.store.write(batch)
+        found.folder.write(batch)
         yield found.identity
         if number == REOPENED_AFTER:
-            found.store.close()
+            found.folder.close()
             found = opened(medium)
             assert state(found) == states()[number]
 
@@ -125,7 +126,7 @@
         medium = Medium()
         medium.fail, medium.most_written = {cut: OSError(number, "the disk says no", "name")}, 5
         done: list[str] = []
-        with pytest.raises(StoreError, match=r"^/folder/name: the disk says no$"):
+        with pytest.raises(FolderError, match=r"^/folder/name: the disk says no$"):
             for identity in played(medium):
                 done.append(identity)
         for left in (*medium.after_crash(), medium.restarted()):
@@ -137,12 +138,12 @@
     medium = Medium()
     found = opened(medium)
     medium.fail = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
-    with pytest.raises(StoreError, match=r"tail\.0: Input"):
-        found.store.write(BATCHES[0])
+    with pytest.raises(FolderError, match=r"tail\.0: Input"):
+        found.folder.write(BATCHES[0])
     calls = len(medium.calls)
     for batch in BATCHES:
-        with pytest.raises(StoreError, match="has failed before"):
-            found.store.write(batch)
+        with pytest.raises(FolderError, match="has failed before"):
+            found.folder.write(batch)
     assert len(medium.calls) == calls
 
 
@@ -151,10 +152,10 @@
     medium = Medium()
     found = opened(medium)
     medium.fail = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
-    with pytest.raises(StoreError):
-        found.store.write(BATCHES[0])
+    with pytest.raises(FolderError):
+        found.folder.write(BATCHES[0])
     found = opened(medium.restarted())
     assert found.records == [b"a"]  # what follows may rest on it
-    found.store.write([Persist(1, (b"more",))])
+    found.folder.write([Persist(1, (b"more",))])
     for left in medium.after_crash():
         assert opened(left).records == [b"a", b"more"]
--- a/tests/coordination/storage/test_folder.py
+++ b/tests/coordination/storage/test_folder.py
@@ -12,23 +12,24 @@
 import pytest
 
 from molereach.coordination.interface.disk import Persist
-from molereach.coordination.storage import frames, plan, whole
-from molereach.coordination.storage.store import Opened, Store, StoreError
+from molereach.coordination.storage import frames, plan, sealed_files
+from molereach.coordination.storage.errors import FolderError
+from molereach.coordination.storage.folder import LogFolder, OpenedFolder
 
 ROOT = Path(__file__).parents[3]
 
 
-def opened(folder: Path, door: str = "d1") -> Opened:
-    return Store.open(folder, door)
+def opened(folder: Path, door: str = "d1") -> OpenedFolder:
+    return LogFolder.open(folder, door)
 
 
 def filled(folder: Path, base: bytes | None = None, count: int = 3) -> str:
     found = opened(folder)
     if base is not None:
-        found.store.write([Persist(0, (), base)])
+        found.folder.write([Persist(0, (), base)])
     for number in range(count):
-        found.store.write([Persist(number, (b"record %d" % number,))])
-    found.store.close()
+        found.folder.write([Persist(number, (b"record %d" % number,))])
+    found.folder.close()
     return found.identity
 
 
@@ -39,7 +40,7 @@
 def refused(folder: Path, reason: str, door: str = "d1") -> None:
     """In one line that names the place, and nothing in the folder is another."""
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
-    with pytest.raises(StoreError, match=reason) as caught:
+    with pytest.raises(FolderError, match=reason) as caught:
         opened(folder, door)
     assert str(caught.value).startswith((f"{folder}: ", f"{folder}/")) and "\n" not in str(caught.value)
     assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
@@ -50,21 +51,21 @@
     first = opened(folder)
     assert (first.base, first.records) == (None, [])
     assert len(first.identity) == 32 and int(first.identity, 16)
-    first.store.write([Persist(1, (b"a", b"")), Persist(2, (b"b",))])
-    first.store.close()
+    first.folder.write([Persist(1, (b"a", b"")), Persist(2, (b"b",))])
+    first.folder.close()
     second = opened(folder)
     assert (second.identity, second.base, second.records) == (first.identity, None, [b"a", b"", b"b"])
-    second.store.write([Persist(3, (b"c",), b"base")])
-    second.store.write([Persist(4, (b"d",))])
-    second.store.close()
+    second.folder.write([Persist(3, (b"c",), b"base")])
+    second.folder.write([Persist(4, (b"d",))])
+    second.folder.close()
     third = opened(folder)
     assert (third.identity, third.base, third.records) == (first.identity, b"base", [b"c", b"d"])
     assert sorted(path.name for path in folder.iterdir()) == ["base.3", "identity", "tail.3"]
     assert {path.stat().st_mode & 0o777 for path in folder.iterdir()} == {0o600}
     assert folder.stat().st_mode & 0o777 == 0o700
-    third.store.close()
-    with pytest.raises(StoreError, match="is closed"):
-        third.store.write([Persist(5, (b"e",))])
+    third.folder.close()
+    with pytest.raises(FolderError, match="is closed"):
+        third.folder.write([Persist(5, (b"e",))])
     assert opened(tmp_path / "other").identity != first.identity
 
 
@@ -91,8 +92,8 @@
         raise OSError(errno.EIO, "Input/output error")
 
     monkeypatch.setattr(os, "fdatasync", fails)
-    with pytest.raises(StoreError, match=rf"^{seat}/tail\.0: Input/output error$"):
-        found.store.write([Persist(1, (b"a",))])
+    with pytest.raises(FolderError, match=rf"^{seat}/tail\.0: Input/output error$"):
+        found.folder.write([Persist(1, (b"a",))])
 
 
 @pytest.mark.parametrize("mode", [0o750, 0o701, 0o720])
@@ -106,13 +107,13 @@
     identity = filled(tmp_path)
     held = opened(tmp_path)
     program = (
-        "import sys; from pathlib import Path; from molereach.coordination.storage.store import Store\n"
-        "Store.open(Path(sys.argv[1]), 'd1')"
+        "import sys; from pathlib import Path; from molereach.coordination.storage.folder import LogFolder\n"
+        "LogFolder.open(Path(sys.argv[1]), 'd1')"
     )
     command = [sys.executable, "-c", program, str(tmp_path)]
     child = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     assert child.returncode and "another process has it" in child.stderr
-    held.store.close()
+    held.folder.close()
     refused(tmp_path, "is of front door 'd1', not 'd2'", "d2")
     assert opened(tmp_path).identity == identity
 
@@ -136,7 +137,7 @@
         data = path.read_bytes()
         for at in range(len(data)):
             path.write_bytes(data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :])
-            with pytest.raises(StoreError, match=path.name):
+            with pytest.raises(FolderError, match=path.name):
                 opened(tmp_path)
         path.write_bytes(data)
     assert opened(tmp_path).records == [b"record 0", b"record 1"]
@@ -153,8 +154,8 @@
     tail.write_bytes(data[:-3])
     found = opened(tmp_path)
     assert found.records == [b"record 0", b"record 1"]
-    found.store.write([Persist(1, (b"again",))])
-    found.store.close()
+    found.folder.write([Persist(1, (b"again",))])
+    found.folder.close()
     assert opened(tmp_path).records == [b"record 0", b"record 1", b"again"]
 
 
@@ -170,7 +171,7 @@
         (base, kept[tail], "is no base file"),
         (tail, b"", "is no tail file"),
         (base, kept[base] + b"x", "is not as long as it says"),
-        (seat / "identity", whole.seal("identity", b'{"door": "d1", "identity": "12"}'), "identity: "),
+        (seat / "identity", sealed_files.seal("identity", b'{"door": "d1", "identity": "12"}'), "identity: "),
     ):
         path.write_bytes(data)
         refused(seat, reason)
@@ -178,7 +179,7 @@
     base.rename(seat / "base.7")
     tail.rename(seat / "tail.7")
     refused(seat, r"base\.7: is of another folder or another generation")
-    monkeypatch.setattr(whole, "VERSION", 2)
+    monkeypatch.setattr(sealed_files, "VERSION", 2)
     refused(seat, "identity: is of version 1; 2 is read here")
 
 
@@ -186,15 +187,15 @@
     filled(tmp_path, b"12345678")
     tail_bytes = last(tmp_path, "tail").stat().st_size
     with monkeypatch.context() as less:
-        less.setattr(whole, "MOST_BASE_BYTES", 7)
+        less.setattr(sealed_files, "MAX_BASE_BYTES", 7)
         refused(tmp_path, r"base\.1: is larger than \d+ bytes")
     with monkeypatch.context() as less:
-        less.setattr(frames, "MOST_TAIL_BYTES", tail_bytes - whole.TAIL_HEAD_BYTES - 1)
+        less.setattr(frames, "MAX_TAIL_BYTES", tail_bytes - sealed_files.TAIL_HEAD_BYTES - 1)
         refused(tmp_path, r"tail\.1: is larger than \d+ bytes")
     with monkeypatch.context() as less:
-        less.setattr(whole, "MOST_IDENTITY_FILE_BYTES", 20)
+        less.setattr(sealed_files, "MAX_IDENTITY_FILE_BYTES", 20)
         refused(tmp_path, "identity: is larger than 20 bytes")
-    for number in range(plan.MOST_NAMES):
+    for number in range(plan.MAX_NAMES):
         (tmp_path / f"x{number}").touch()
     refused(tmp_path, "holds more than 256 files")
 
@@ -202,9 +203,9 @@
 @pytest.mark.parametrize(
     ("name", "most", "persist", "reason"),
     [
-        ("whole.MOST_BASE_BYTES", 4, Persist(1, (), b"12345"), "a base of 5 bytes; 4 at most"),
-        ("frames.MOST_RECORD_BYTES", 4, Persist(1, (b"12345",)), "a record of 5 bytes; 4 at most"),
-        ("store.MOST_TAIL_BYTES", 60, Persist(1, (b"12345678901234",)), r"tail\.0 would hold 63 bytes"),
+        ("sealed_files.MAX_BASE_BYTES", 4, Persist(1, (), b"12345"), "a base of 5 bytes; 4 at most"),
+        ("frames.MAX_RECORD_BYTES", 4, Persist(1, (b"12345",)), "a record of 5 bytes; 4 at most"),
+        ("folder.MAX_TAIL_BYTES", 60, Persist(1, (b"12345678901234",)), r"tail\.0 would hold 63 bytes"),
     ],
 )
 def test_too_large_to_write_breaks_the_store_and_writes_nothing(
@@ -218,25 +219,25 @@
     found = opened(tmp_path)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     monkeypatch.setattr(f"molereach.coordination.storage.{name}", most)
-    with pytest.raises(StoreError, match=f"^{tmp_path}: {reason}"):
-        found.store.write([persist])
-    with pytest.raises(StoreError, match="has failed before"):
-        found.store.write([Persist(2, (b"x",))])
+    with pytest.raises(FolderError, match=f"^{tmp_path}: {reason}"):
+        found.folder.write([persist])
+    with pytest.raises(FolderError, match="has failed before"):
+        found.folder.write([Persist(2, (b"x",))])
     assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == before
 
 
 def test_place_that_cannot_be_a_folder_is_one_line(tmp_path: Path) -> None:
     (tmp_path / "file").touch()
-    with pytest.raises(StoreError, match="seat: Expected `str`"):
+    with pytest.raises(FolderError, match="seat: Expected `str`"):
         opened(tmp_path / "seat", "no name")
     for place, reason in (("file", "Not a directory"), ("none/seat", "No such file")):
-        with pytest.raises(StoreError, match=f"{place}: {reason}"):
+        with pytest.raises(FolderError, match=f"{place}: {reason}"):
             opened(tmp_path / place)
     filled(tmp_path / "seat")
     tail = last(tmp_path / "seat", "tail")
     tail.rename(tmp_path / "elsewhere")
     tail.symlink_to(tmp_path / "elsewhere")
-    with pytest.raises(StoreError, match=rf"{tail.name}: Too many levels of symbolic links"):
+    with pytest.raises(FolderError, match=rf"{tail.name}: Too many levels of symbolic links"):
         opened(tmp_path / "seat")
 
 
@@ -244,18 +245,18 @@
 import asyncio, sys
 from pathlib import Path
 from molereach.coordination.interface.disk import Persisted
-from molereach.coordination.storage.store import Store
-from molereach.coordination.storage.worker import Worker
+from molereach.coordination.storage.folder import LogFolder
+from molereach.coordination.storage.worker import WriterThread
 
 async def main():
-    found = Store.open(Path(sys.argv[1]), "d1")
+    found = LogFolder.open(Path(sys.argv[1]), "d1")
     first = max([int(found.base or 0), *map(int, found.records)])
     room = asyncio.Semaphore(5)
     def told(event):
         assert isinstance(event, Persisted), event
         print(event.token, flush=True)
         room.release()
-    worker = Worker(found.store, told)
+    worker = WriterThread(found.folder, told)
     for token in range(first + 1, first + 100000):
         await room.acquire()
         worker.append(token, [b"%d" % token], b"%d" % (token - 1) if token % 23 == 0 else None)
@@ -283,5 +284,5 @@
         since = int(found.base or 0)
         until = since + len(found.records)
         assert found.records == [b"%d" % number for number in range(since + 1, until + 1)] and until >= told
-        found.store.close()
+        found.folder.close()
     assert told > 200
--- a/tests/coordination/storage/test_frames.py
+++ b/tests/coordination/storage/test_frames.py
@@ -5,14 +5,15 @@
 from hypothesis import strategies as st
 
 from molereach.coordination.storage import frames
-from molereach.coordination.storage.frames import FRAME_BYTES, Chain, DamageError, digest, read
+from molereach.coordination.storage.errors import DamagedTailError
+from molereach.coordination.storage.frames import FRAME_BYTES, FrameChain, digest, read
 
 SEED = digest(b"seed")
 WRITES = [[b"one"], [b"two", b""], [b"x" * 700], [b"four" * 9, b"five"]]
 
 
 def made(writes: list[list[bytes]] = WRITES, seed: bytes = SEED) -> list[bytes]:
-    chain = Chain(seed)
+    chain = FrameChain(seed)
     return [chain.frame(records) for records in writes]
 
 
@@ -56,31 +57,31 @@
         damaged[at] ^= 1 + at % 200
         if at == len(data) - 1:
             damaged[at] = 1  # zero is an end that was not written
-        with pytest.raises(DamageError, match=r"damaged at byte|does not follow"):
+        with pytest.raises(DamagedTailError, match=r"damaged at byte|does not follow"):
             read(bytes(damaged), SEED)
 
 
 def test_zeroes_or_a_gap_before_whole_frames_are_damage() -> None:
     parts = made()
     for gone in (bytes(len(parts[1])), bytes(512), b"", parts[1][:-9], parts[1][30:]):
-        with pytest.raises(DamageError, match=r"whole frames behind it|does not follow"):
+        with pytest.raises(DamagedTailError, match=r"whole frames behind it|does not follow"):
             read(parts[0] + gone + b"".join(parts[2:]), SEED)
 
 
 def test_frames_of_another_history_or_out_of_order_are_damage() -> None:
     parts, others = made(), made([[b"other"], *WRITES[1:]])
     for mixed in (parts[0] + others[1], parts[0] + parts[2], parts[0] + parts[0]):
-        with pytest.raises(DamageError, match="does not follow"):
+        with pytest.raises(DamagedTailError, match="does not follow"):
             read(mixed, SEED)
     for foreign in (b"".join(parts), parts[0][:-1]):
-        with pytest.raises(DamageError, match="damaged at byte 0"):
+        with pytest.raises(DamagedTailError, match="damaged at byte 0"):
             read(foreign, digest(b"another seed"))
-    chain = Chain(SEED)
+    chain = FrameChain(SEED)
     chain.sequence = 1
-    with pytest.raises(DamageError, match="does not follow"):
+    with pytest.raises(DamagedTailError, match="does not follow"):
         read(chain.frame([b"second"]), SEED)
-    with pytest.raises(DamageError, match="longer than its frame"):
-        frames.records_of(b"\0\0\0\5four")
+    with pytest.raises(DamagedTailError, match="longer than its frame"):
+        frames.decode_records(b"\0\0\0\5four")
 
 
 def test_whole_frame_within_a_record_is_not_taken_for_one_behind_it() -> None:
@@ -91,14 +92,14 @@
 
 
 def test_too_large_is_refused_when_written_and_never_believed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frames, "MOST_RECORD_BYTES", 8)
+    monkeypatch.setattr(frames, "MAX_RECORD_BYTES", 8)
     with pytest.raises(ValueError, match="a record of 9 bytes; 8 at most"):
-        Chain(SEED).frame([b"", bytes(9)])
+        FrameChain(SEED).frame([b"", bytes(9)])
     [large] = made([[b"12345678"]])
-    monkeypatch.setattr(frames, "MOST_FRAME_BYTES", 11)
+    monkeypatch.setattr(frames, "MAX_FRAME_BYTES", 11)
     with pytest.raises(ValueError, match="12 bytes for one write; 11 at most"):
-        Chain(SEED).frame([b"12345678"])
-    with pytest.raises(DamageError):
+        FrameChain(SEED).frame([b"12345678"])
+    with pytest.raises(DamagedTailError):
         read(large, SEED)
 
 
--- a/tests/coordination/storage/test_plan.py
+++ b/tests/coordination/storage/test_plan.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.storage.plan import FileError, Fresh, Kept, plan
+from molereach.coordination.storage.errors import InvalidFileError
+from molereach.coordination.storage.plan import ExistingFolder, NewFolder, plan_opening
 
 SET = ("identity", "base.3", "tail.3")
 
@@ -10,20 +11,20 @@
 @pytest.mark.parametrize(
     ("names", "found"),
     [
-        ((), Fresh()),
-        (("lost+found", "base.1x", "tail.01", "base"), Fresh()),
-        (("identity.new",), Fresh()),
-        (("identity.new", "base.0", "tail.0"), Fresh()),
-        (("identity.new", "base.0.new", "tail.0"), Fresh()),
-        (SET, Kept(3)),
-        ((*SET, "base.4.new"), Kept(3, ("base.4.new",))),
-        ((*SET, "base.4.new", "tail.4"), Kept(3, ("tail.4", "base.4.new"))),
-        (("identity", "base.10", "tail.10", "base.9", "tail.9"), Kept(10, ("tail.9", "base.9"))),
-        ((*SET, "base.2", "identity.new"), Kept(3, ("base.2", "identity.new"))),
+        ((), NewFolder()),
+        (("lost+found", "base.1x", "tail.01", "base"), NewFolder()),
+        (("identity.new",), NewFolder()),
+        (("identity.new", "base.0", "tail.0"), NewFolder()),
+        (("identity.new", "base.0.new", "tail.0"), NewFolder()),
+        (SET, ExistingFolder(3)),
+        ((*SET, "base.4.new"), ExistingFolder(3, ("base.4.new",))),
+        ((*SET, "base.4.new", "tail.4"), ExistingFolder(3, ("tail.4", "base.4.new"))),
+        (("identity", "base.10", "tail.10", "base.9", "tail.9"), ExistingFolder(10, ("tail.9", "base.9"))),
+        ((*SET, "base.2", "identity.new"), ExistingFolder(3, ("base.2", "identity.new"))),
     ],
 )
-def test_what_counts_and_what_goes(names: tuple[str, ...], found: Fresh | Kept) -> None:
-    assert plan(names) == found
+def test_what_counts_and_what_goes(names: tuple[str, ...], found: NewFolder | ExistingFolder) -> None:
+    assert plan_opening(names) == found
 
 
 @pytest.mark.parametrize(
@@ -42,5 +43,5 @@
     ],
 )
 def test_one_of_the_set_is_gone(names: tuple[str, ...], reason: str) -> None:
-    with pytest.raises(FileError, match=reason):
-        plan(names)
+    with pytest.raises(InvalidFileError, match=reason):
+        plan_opening(names)
--- a/tests/coordination/storage/test_worker.py
+++ b/tests/coordination/storage/test_worker.py
@@ -10,8 +10,8 @@
 
 from molereach.coordination.interface.disk import DiskFailed, Persisted
 from molereach.coordination.storage import worker as module
-from molereach.coordination.storage.store import Store
-from molereach.coordination.storage.worker import PERSIST_BYTES, TOO_MUCH, Worker
+from molereach.coordination.storage.folder import LogFolder
+from molereach.coordination.storage.worker import PERSIST_BYTES, QUEUE_FULL, WriterThread
 from tests.coordination.storage.medium import Medium, MemoryDisk
 
 TIMEOUT_S = 10
@@ -37,10 +37,10 @@
     def __init__(self) -> None:
         self.medium = Medium()
         self.disk = SlowDisk(self.medium)
-        store = Store.open(Path("/folder"), "d1", lambda: bytes(16), lambda folder: self.disk).store
+        store = LogFolder.open(Path("/folder"), "d1", lambda: bytes(16), lambda folder: self.disk).folder
         self.told: list[Persisted | DiskFailed] = []
         self.changed = asyncio.Event()
-        self.worker = Worker(store, self.done)
+        self.worker = WriterThread(store, self.done)
 
     def done(self, event: Persisted | DiskFailed) -> None:
         self.told.append(event)
@@ -71,7 +71,7 @@
 
 def state(case: Case) -> tuple[bytes | None, list[bytes]]:
     case.medium.locked = False
-    found = Store.open(Path("/folder"), "d1", lambda: bytes(16), MemoryDisk.on(case.medium))
+    found = LogFolder.open(Path("/folder"), "d1", lambda: bytes(16), MemoryDisk.on(case.medium))
     return found.base, found.records
 
 
@@ -109,7 +109,7 @@
 
 
 def test_group_has_a_bound_and_a_larger_one_goes_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_GROUP_BYTES", 2 * (PERSIST_BYTES + 4 + 10))
+    monkeypatch.setattr(module, "MAX_GROUP_BYTES", 2 * (PERSIST_BYTES + 4 + 10))
 
     async def play(case: Case) -> None:
         await case.held()
@@ -132,7 +132,7 @@
         case.worker.append(1, [b"waits"])
         await case.until(1)
         case.worker.append(2, [b"too late"])
-        assert not case.worker.under_way
+        assert not case.worker.is_writing
         assert await case.worker.close(TIMEOUT_S)
         assert len(case.medium.calls) == number + 1
 
@@ -140,25 +140,25 @@
 
 
 def test_too_much_that_waits_is_a_failure_and_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_WAITING_BYTES", 10 * (PERSIST_BYTES + 8))
+    monkeypatch.setattr(module, "MAX_WAITING_BYTES", 10 * (PERSIST_BYTES + 8))
 
     async def play(case: Case) -> None:
         await case.held()
         for token in range(1, 50):
             case.worker.append(token, [])
-        assert case.told == [DiskFailed(TOO_MUCH)]
+        assert case.told == [DiskFailed(QUEUE_FULL)]
         assert not case.worker.waiting
         case.medium.fail = {len(case.medium.calls): OSError(errno.EIO, "Input/output error", "tail.0")}
         case.disk.go.set()
         assert await case.worker.close(TIMEOUT_S)
 
     case = run(play)
-    assert case.told == [DiskFailed(TOO_MUCH)]
+    assert case.told == [DiskFailed(QUEUE_FULL)]
     assert state(case) == (None, [b"first"])
 
 
 def test_what_was_written_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_WAITING_BYTES", 3 * (PERSIST_BYTES + 5))
+    monkeypatch.setattr(module, "MAX_WAITING_BYTES", 3 * (PERSIST_BYTES + 5))
 
     async def play(case: Case) -> None:
         for token in range(20):
@@ -174,7 +174,7 @@
             case.done(event)
             raise RuntimeError("a fault of the log's")
 
-        case.worker.done = fault
+        case.worker.on_result = fault
         case.worker.append(0, [b"a"])
         case.worker.append(1, [b"b"])
         await case.until(2)
