--- a/tests/races/wire.py
+++ b/tests/races/wire.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from typing import Any
 
-from molereach.proxy.config import Address
+from molereach.endpoint_address import EndpointAddress
 from tests.sockets import HOST
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
@@ -26,7 +26,7 @@
         own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def dial(cls, address: Address) -> "Peer":
+    def dial(cls, address: EndpointAddress) -> "Peer":
         """Connected when this returns, whether or not the front door has accepted it yet."""
         own = socket.create_connection(address)
         return cls(own)
@@ -81,8 +81,8 @@
         self.listener.setblocking(False)
 
     @property
-    def address(self) -> Address:
-        address: Address = self.listener.getsockname()
+    def address(self) -> EndpointAddress:
+        address: EndpointAddress = self.listener.getsockname()
         return address
 
     async def accept(self) -> Peer:
@@ -159,12 +159,12 @@
 
 def narrow(monkeypatch: Any) -> None:  # noqa: ANN401
     """The kernel takes little of what the front door writes to a backend: a long command only in part."""
-    from molereach.backends.connection import Connection
+    from molereach.backends.connection import BackendConnection
 
-    made = Connection.connection_made
+    made = BackendConnection.connection_made
 
-    def connection_made(self: Connection, transport: asyncio.Transport) -> None:
+    def connection_made(self: BackendConnection, transport: asyncio.Transport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         made(self, transport)
 
-    monkeypatch.setattr(Connection, "connection_made", connection_made)
+    monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
