--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -17,9 +17,9 @@
     return Entry(position, machine, name or f"id{position}", proposer, position, data)
 
 
-def opened(sessions: SessionRegistry, position: int, life: NodeInstance) -> Outcome:
-    return sessions.apply(entry(position, OpenSession(life), life))
+def opened(sessions: SessionRegistry, position: int, instance: NodeInstance) -> Outcome:
+    return sessions.apply(entry(position, OpenSession(instance), instance))
 
 
-def fence_of(outcome: Outcome) -> int:
+def fencing_token_of(outcome: Outcome) -> int:
     return msgspec.json.decode(outcome.value, type=ActiveSession).fencing_token
--- a/tests/coordination/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -13,18 +13,18 @@
 def trouble(world: World) -> None:
     """One thing goes wrong, and the next is planned."""
     chance = world.chance
-    door = world.doors[chance.choice(NAMES)]
+    proxy = world.proxies[chance.choice(NAMES)]
     match chance.randrange(12):
         case 0 | 1:
-            world.elect(door)
+            world.elect(proxy)
         case 2 | 3 | 4 | 5:
-            world.stop(door, chance.randrange(50 * MS, 5 * SECOND_US))
+            world.stop(proxy, chance.randrange(50 * MS, 5 * SECOND_US))
         case 6 | 7:
-            door.cut_until = world.now + chance.randrange(100 * MS, 4 * SECOND_US)
+            proxy.cut_until = world.now + chance.randrange(100 * MS, 4 * SECOND_US)
         case 8:
-            world.start(door.life.name)
+            world.start(proxy.instance.name)
         case 9:
-            world.to(door, lambda: world.cores_handle(door, ReleaseLease()))
+            world.to(proxy, lambda: world.cores_handle(proxy, ReleaseLease()))
         case _:
             forbid(world)
     world.after(chance.randrange(50 * MS, 1200 * MS), lambda: trouble(world))
@@ -33,7 +33,7 @@
 def forbid(world: World) -> None:
     """An entry of some other machine, which is to be accounted for."""
     number = len(world.open_at)
-    world.append(Propose("other", f"forbid.{number}", b"", SECOND_US), world.doors["a"].life)
+    world.append(Propose("other", f"forbid.{number}", b"", SECOND_US), world.proxies["a"].instance)
 
 
 def history(seed: int, cores: Cores = Cores(), quick: bool = False) -> World:  # noqa: B008
@@ -42,7 +42,7 @@
     world.quick = quick
     for name in NAMES:
         world.start(name)
-    world.elect(world.doors["a"])
+    world.elect(world.proxies["a"])
     world.after(2 * SECOND_US, lambda: trouble(world))
     world.run(LENGTH_US)
     return world
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -28,8 +28,8 @@
 class OpenedFromTheAnswer(LeaseHolder):
     """A session counts from when its opening was seen here."""
 
-    def _start_session(self, now_us: int, fence: int, mine: int) -> None:
-        super()._start_session(now_us, fence, mine)
+    def _start_session(self, now_us: int, fencing_token: int, mine: int) -> None:
+        super()._start_session(now_us, fencing_token, mine)
         self._expires_at_us = now_us + self.terms.holder_duration_us
 
 
@@ -81,9 +81,9 @@
 class GivenUnconfirmed(LeaseManager):
     """Renewals are given at once, by whoever believes to lead."""
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
-        super()._handle_renewals(now_us, asks)
-        self.unconfirmed = self._grant(now_us, asks) if self.manages else ()
+    def _handle_renewals(self, now_us: int, requests: Sequence[RenewalRequest]) -> None:
+        super()._handle_renewals(now_us, requests)
+        self.unconfirmed = self._grant(now_us, requests) if self.manages else ()
 
     def handle(self, now_us: int, event: object) -> Sequence[object]:  # type: ignore[override]
         out = list(super().handle(now_us, event))  # type: ignore[arg-type]
@@ -101,13 +101,13 @@
 class GivenAfterItsEnd(LeaseManager):
     """What was proposed as ended is renewed all the same."""
 
-    def _handle_renewals(self, now_us: int, asks: Sequence[RenewalRequest]) -> None:
+    def _handle_renewals(self, now_us: int, requests: Sequence[RenewalRequest]) -> None:
         self._revive()
-        super()._handle_renewals(now_us, asks)
+        super()._handle_renewals(now_us, requests)
 
-    def _grant(self, now_us: int, asks: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
+    def _grant(self, now_us: int, requests: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
         self._revive()
-        return super()._grant(now_us, asks)
+        return super()._grant(now_us, requests)
 
     def _revive(self) -> None:
         for kept in self._managed.values():
@@ -154,9 +154,9 @@
     "opening counted from the answer": Cores(holder=OpenedFromTheAnswer),
     "close that still holds": Cores(holder=StillHeldWhileClosing),
     "an old grant taken for a new ask": Cores(holder=OldGrantForANewAsk),
-    "grant without confirm": Cores(keeper=GivenUnconfirmed),
-    "new leader counts from its old times": Cores(keeper=OldLeadersTimes),
-    "a renewal after the end was proposed": Cores(keeper=GivenAfterItsEnd),
+    "grant without confirm": Cores(manager=GivenUnconfirmed),
+    "new leader counts from its old times": Cores(manager=OldLeadersTimes),
+    "a renewal after the end was proposed": Cores(manager=GivenAfterItsEnd),
     "ends of any leader": Cores(sessions=EndsOfAnyLeader),
     "a word is enough": Cores(account=AWordIsEnough),
 }
--- a/tests/coordination/leases/test_acknowledgements.py
+++ b/tests/coordination/leases/test_acknowledgements.py
@@ -21,8 +21,8 @@
 
     def __init__(self, order: list[tuple[NodeInstance, Body | None]]) -> None:
         self.sessions, self.now = SessionRegistry(), 0
-        self.keeper = LeaseManager(self.sessions, SessionTerms())
-        self.keeper.handle(0, LeaderChanged("k", 1, True))
+        self.manager = LeaseManager(self.sessions, SessionTerms())
+        self.manager.handle(0, LeaderChanged("k", 1, True))
         self.position = 0
         for proposer, body in order:
             self.learn(proposer, body)
@@ -32,15 +32,16 @@
         self.position += 1
         step = entry(self.position, body or b"", proposer, machine="sessions" if body else "other")
         outcome = self.sessions.apply(step) if body else Outcome()
-        self.keeper.handle(self.now, Applied(step, outcome))
+        self.manager.handle(self.now, Applied(step, outcome))
 
-    def said(self, life: NodeInstance, fence: int, applied: int) -> None:
-        self.keeper.handle(
-            self.now, RenewalsReceived((RenewalRequest(life.name, life.number, fence, 1, applied),))
+    def said(self, instance: NodeInstance, fencing_token: int, applied: int) -> None:
+        self.manager.handle(
+            self.now,
+            RenewalsReceived((RenewalRequest(instance.name, instance.number, fencing_token, 1, applied),)),
         )
 
     def account(self, position: int = 5) -> AcknowledgementTracker:
-        return AcknowledgementTracker(position, self.sessions, self.keeper, self.now)
+        return AcknowledgementTracker(position, self.sessions, self.manager, self.now)
 
 
 OPENED: list[tuple[NodeInstance, Body | None]] = [
@@ -98,21 +99,21 @@
     assert leader.account(1).proof() == ()
 
 
-def test_a_session_of_which_the_keeper_has_not_heard_yet_is_missing() -> None:
+def test_a_session_of_which_the_lease_manager_has_no_report_yet_is_missing() -> None:
     leader = Leader(OPENED)
     leader.sessions.apply(
         entry(6, OpenSession(NodeInstance("e", 1)), NodeInstance("e", 1))
     )  # the replica is ahead of the events
     account = leader.account(7)
     assert account.pending()[-1].reason == "nothing heard since 0"
-    leader.keeper.position = 7
+    leader.manager.position = 7
     assert account.proof() is None
 
 
 def test_nothing_is_proven_before_the_entry_was_applied_here() -> None:
     leader = Leader(OPENED[:4])
-    for life, fence in ((A, 4), (B, 3), (C, 2), (D, 1)):
-        leader.said(life, fence, 5)
+    for instance, fencing_token in ((A, 4), (B, 3), (C, 2), (D, 1)):
+        leader.said(instance, fencing_token, 5)
     account = leader.account()
     assert account.proof() is None
     leader.learn(A, None)
@@ -122,7 +123,7 @@
 def test_another_leader_comes_to_the_same_proof_also_from_a_snapshot() -> None:
     one, other, third = Leader(OPENED + SINCE), Leader(OPENED + SINCE), Leader([])
     third.sessions.restore(one.sessions.snapshot())
-    third.keeper.handle(0, Restored(10))
+    third.manager.handle(0, Restored(10))
     one.said(A, 4, 5)
     other.now = 9 * SECOND_US
     other.said(A, 4, 10)  # asked later
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -40,15 +40,15 @@
 LATER = 100 * SECOND_US
 
 
-class Here:
+class Harness:
     """A holder, its replica, and a log that settles what it is told to."""
 
     def __init__(
-        self, life: NodeInstance = A, holder: type[LeaseHolder] = LeaseHolder, at_us: int = 0
+        self, instance: NodeInstance = A, holder: type[LeaseHolder] = LeaseHolder, at_us: int = 0
     ) -> None:
         self.sessions, self.now, self.position = SessionRegistry(), at_us, 0
-        self.holder = holder(life, self.sessions, TERMS, random.Random(1).random)
-        self.life = life
+        self.holder = holder(instance, self.sessions, TERMS, random.Random(1).random)
+        self.instance = instance
 
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
         return self.holder.handle(self.now, event)
@@ -57,28 +57,28 @@
         self, body: Body | bytes, name: str = "", proposer: NodeInstance | None = None
     ) -> Sequence[Any]:
         self.position += 1
-        step = entry(self.position, body, proposer or self.life, name)
+        step = entry(self.position, body, proposer or self.instance, name)
         return self.handle(Applied(step, self.sessions.apply(step)))
 
     def open(self) -> Sequence[Any]:
         """Open at once; the actions on its entry."""
         [propose] = self.handle(Tick())
-        assert isinstance(propose, Propose) and decode(propose.body) == OpenSession(self.life)
+        assert isinstance(propose, Propose) and decode(propose.body) == OpenSession(self.instance)
         return self.settle(propose.body, propose.id)
 
-    def ask(self) -> RenewalRequest:
+    def request(self) -> RenewalRequest:
         while True:
             self.now = max(self.now, self.holder.wake_us)
             for each in self.handle(Tick()):
                 if isinstance(each, RenewalRequest):
                     return each
 
-    def grant(self, ask: RenewalRequest, **changed: Any) -> Sequence[Any]:  # noqa: ANN401
+    def grant(self, request: RenewalRequest, **changed: Any) -> Sequence[Any]:  # noqa: ANN401
         fields = {
-            "name": ask.name,
-            "instance_number": ask.instance_number,
-            "fencing_token": ask.fencing_token,
-            "number": ask.number,
+            "name": request.name,
+            "instance_number": request.instance_number,
+            "fencing_token": request.fencing_token,
+            "number": request.number,
         } | changed
         return self.handle(GrantsReceived((RenewalGrant(**fields),)))
 
@@ -88,345 +88,355 @@
 
 
 def test_it_counts_from_when_the_opening_was_proposed_first() -> None:
-    here = Here()
-    [first] = here.handle(Tick())
-    here.now = 2 * SECOND_US
-    here.handle(ProposalFinished(first.id, ProposalStatus.UNKNOWN))
-    here.now = max(here.now, here.holder.wake_us)
-    [again] = here.handle(Tick())
+    harness = Harness()
+    [first] = harness.handle(Tick())
+    harness.now = 2 * SECOND_US
+    harness.handle(ProposalFinished(first.id, ProposalStatus.UNKNOWN))
+    harness.now = max(harness.now, harness.holder.wake_us)
+    [again] = harness.handle(Tick())
     assert again == first, "the same id, as either may be settled"
-    here.now = 4 * SECOND_US
-    assert LeaseAcquired(1) in here.settle(first.body, first.id) and here.holder.fencing_token == 1
-    assert here.holder.holds(TERMS.holder_duration_us - 1) and not here.holder.holds(TERMS.holder_duration_us)
+    harness.now = 4 * SECOND_US
+    assert LeaseAcquired(1) in harness.settle(first.body, first.id) and harness.holder.fencing_token == 1
+    assert harness.holder.holds(TERMS.holder_duration_us - 1) and not harness.holder.holds(
+        TERMS.holder_duration_us
+    )
 
 
 def test_an_opening_settled_too_late_is_renewed_by_a_grant() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    here.now = 6 * SECOND_US
-    [ask] = here.settle(propose.body, propose.id)
-    assert not here.holds and here.holder.fencing_token == 0
-    assert here.grant(ask) == [LeaseAcquired(1)] and here.holds
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    harness.now = 6 * SECOND_US
+    [request] = harness.settle(propose.body, propose.id)
+    assert not harness.holds and harness.holder.fencing_token == 0
+    assert harness.grant(request) == [LeaseAcquired(1)] and harness.holds
 
 
 def test_a_refused_opening_is_proposed_anew_and_counts_from_then() -> None:
-    here = Here()
-    [first] = here.handle(Tick())
-    here.handle(ProposalFinished(first.id, ProposalStatus.REJECTED))
-    assert here.holder.wake_us > 0, "not at once"
-    here.now = here.holder.wake_us
-    [second] = here.handle(Tick())
+    harness = Harness()
+    [first] = harness.handle(Tick())
+    harness.handle(ProposalFinished(first.id, ProposalStatus.REJECTED))
+    assert harness.holder.wake_us > 0, "not at once"
+    harness.now = harness.holder.wake_us
+    [second] = harness.handle(Tick())
     assert second.id != first.id
-    here.settle(second.body, second.id)
-    assert here.holder.holds(here.now + TERMS.holder_duration_us - 1)
-
-
-def test_a_session_counts_from_the_ask_and_not_from_its_grant() -> None:
-    here = Here()
-    here.open()
-    ask = here.ask()
-    asked_us = here.now
-    here.now += 2 * SECOND_US
-    here.grant(ask)
-    assert here.holder.holds(asked_us + TERMS.holder_duration_us - 1) and not here.holder.holds(
+    harness.settle(second.body, second.id)
+    assert harness.holder.holds(harness.now + TERMS.holder_duration_us - 1)
+
+
+def test_a_session_counts_from_the_request_and_not_from_its_grant() -> None:
+    harness = Harness()
+    harness.open()
+    request = harness.request()
+    asked_us = harness.now
+    harness.now += 2 * SECOND_US
+    harness.grant(request)
+    assert harness.holder.holds(asked_us + TERMS.holder_duration_us - 1) and not harness.holder.holds(
         asked_us + TERMS.holder_duration_us
     )
 
 
-def test_what_is_not_for_an_open_ask_of_this_session_renews_nothing() -> None:
-    here = Here()
-    here.open()
-    ask = here.ask()
+def test_what_is_not_for_a_pending_request_of_this_session_renews_nothing() -> None:
+    harness = Harness()
+    harness.open()
+    request = harness.request()
     until_us = TERMS.holder_duration_us
-    for changed in ({"name": "b"}, {"instance_number": 2}, {"fencing_token": 2}, {"number": ask.number + 1}):
-        here.grant(ask, **changed)
-        assert not here.holder.holds(until_us)
-    here.grant(ask)
-    assert here.holder.holds(until_us)
-
-
-def test_old_and_doubled_grants_and_grants_of_forgotten_asks_renew_nothing() -> None:
-    here = Here()
-    here.open()
-    first, second = here.ask(), here.ask()
-    asked_us = here.now
-    here.grant(second)
+    for changed in (
+        {"name": "b"},
+        {"instance_number": 2},
+        {"fencing_token": 2},
+        {"number": request.number + 1},
+    ):
+        harness.grant(request, **changed)
+        assert not harness.holder.holds(until_us)
+    harness.grant(request)
+    assert harness.holder.holds(until_us)
+
+
+def test_old_and_doubled_grants_and_grants_of_dropped_requests_renew_nothing() -> None:
+    harness = Harness()
+    harness.open()
+    first, second = harness.request(), harness.request()
+    asked_us = harness.now
+    harness.grant(second)
     for old in (first, second):
-        here.now += 100_000
-        here.grant(old)
-        assert not here.holder.holds(asked_us + TERMS.holder_duration_us)
-    oldest = here.ask()
+        harness.now += 100_000
+        harness.grant(old)
+        assert not harness.holder.holds(asked_us + TERMS.holder_duration_us)
+    oldest = harness.request()
     for _ in range(MAX_PENDING_RENEWALS):
-        here.ask()
-    assert len(here.holder._renewals._pending) == MAX_PENDING_RENEWALS
-    here.grant(oldest)
-    assert not here.holds
+        harness.request()
+    assert len(harness.holder._renewals._pending) == MAX_PENDING_RENEWALS
+    harness.grant(oldest)
+    assert not harness.holds
 
 
 def test_numbers_go_on_when_the_session_is_opened_anew() -> None:
-    here = Here()
-    here.open()
-    old = here.ask()
-    here.now = 6 * SECOND_US
-    reopened = [each for each in here.settle(EndSession(A, 1, 0)) if isinstance(each, Propose)]
-    here.settle(reopened[0].body, reopened[0].id)
-    assert here.ask().number > old.number
+    harness = Harness()
+    harness.open()
+    old = harness.request()
+    harness.now = 6 * SECOND_US
+    reopened = [each for each in harness.settle(EndSession(A, 1, 0)) if isinstance(each, Propose)]
+    harness.settle(reopened[0].body, reopened[0].id)
+    assert harness.request().number > old.number
 
 
 @pytest.mark.parametrize("holder, wrong", [(LeaseHolder, False), (NumbersUsedAgain, True)])
-def test_a_grant_to_an_earlier_life_renews_nothing_of_the_next(
+def test_a_grant_to_an_earlier_instance_renews_nothing_of_the_next(
     holder: type[LeaseHolder], wrong: bool
 ) -> None:
     """The grant was on its way when the front door started anew; nothing was given to the new life, so by its
     keeper's count it is over `expiry_us` after its opening."""
-    before = Here(A, holder)
+    before = Harness(A, holder)
     before.open()
-    old = before.ask()
-    again = Here(NodeInstance("a", 2), holder, LATER)
+    old = before.request()
+    again = Harness(NodeInstance("a", 2), holder, LATER)
     again.open()
     opened_us = again.now
     again.now += SECOND_US
-    assert again.ask().number == old.number
+    assert again.request().number == old.number
     again.grant(old)
     assert again.holder.holds(opened_us + TERMS.expiry_us) is wrong
 
 
-def test_it_is_over_by_itself_and_says_so_and_is_renewed_under_the_same_fence() -> None:
-    here = Here()
-    here.open()
-    here.ask()
+def test_it_is_over_by_itself_and_says_so_and_is_renewed_under_the_same_fencing_token() -> None:
+    harness = Harness()
+    harness.open()
+    harness.request()
     late = LeaseLost(1, "not renewed in time")
-    here.now = TERMS.holder_duration_us
-    assert here.handle(Tick())[0] == late and here.holder.fencing_token == 0
-    assert LeaseAcquired(1) in here.grant(here.ask()) and here.holder.fencing_token == 1
+    harness.now = TERMS.holder_duration_us
+    assert harness.handle(Tick())[0] == late and harness.holder.fencing_token == 0
+    assert LeaseAcquired(1) in harness.grant(harness.request()) and harness.holder.fencing_token == 1
 
 
 def test_it_wakes_when_its_time_is_over() -> None:
-    here = Here()
-    here.open()
+    harness = Harness()
+    harness.open()
     for _ in range(20):
-        here.now = here.holder.wake_us
-        if any(isinstance(each, LeaseLost) for each in here.handle(Tick())):
+        harness.now = harness.holder.wake_us
+        if any(isinstance(each, LeaseLost) for each in harness.handle(Tick())):
             break
-    assert here.now == TERMS.holder_duration_us
+    assert harness.now == TERMS.holder_duration_us
 
 
-def test_it_asks_each_beat_while_it_holds_and_backs_off_to_ten_beats() -> None:
-    here = Here()
-    here.open()
+def test_it_renews_each_interval_while_it_holds_and_backs_off_to_ten_intervals() -> None:
+    harness = Harness()
+    harness.open()
     asked = []
     for _ in range(30):
-        here.ask()
-        asked.append(here.now)
+        harness.request()
+        asked.append(harness.now)
     gaps = [later - earlier for earlier, later in pairwise(asked)]
     assert (
         gaps[:8] == [RENEWAL_INTERVAL_US] * 8
         and gaps[-1] == 10 * RENEWAL_INTERVAL_US
         and max(gaps) == 10 * RENEWAL_INTERVAL_US
     )
-    here.handle(LeaderChanged("b", 2, False))
-    here.ask()
-    assert here.now - asked[-1] <= RENEWAL_INTERVAL_US, "one that may answer leads"
-    here.ask()
-    here.grant(here.ask())
+    harness.handle(LeaderChanged("b", 2, False))
+    harness.request()
+    assert harness.now - asked[-1] <= RENEWAL_INTERVAL_US, "one that may answer leads"
+    harness.request()
+    harness.grant(harness.request())
     assert (
-        here.now - asked[-1] <= 4 * RENEWAL_INTERVAL_US
-        and here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
+        harness.now - asked[-1] <= 4 * RENEWAL_INTERVAL_US
+        and harness.holder.wake_us == harness.now + RENEWAL_INTERVAL_US
     )
 
 
 def test_after_a_long_time_without_an_answer_a_grant_brings_the_beat_back() -> None:
-    here = Here()
-    here.open()
+    harness = Harness()
+    harness.open()
     for _ in range(30):
-        ask = here.ask()
-    here.now += SECOND_US
-    here.grant(ask)
-    assert here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
+        request = harness.request()
+    harness.now += SECOND_US
+    harness.grant(request)
+    assert harness.holder.wake_us == harness.now + RENEWAL_INTERVAL_US
 
 
 def test_a_proposal_is_not_made_again_before_the_log_has_had_its_time() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    here.handle(ProposalFinished("another", ProposalStatus.REJECTED))
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    harness.handle(ProposalFinished("another", ProposalStatus.REJECTED))
     assert (
-        here.settle(b"", proposer=B) == [] and here.holder.wake_us == propose.timeout_us + RENEWAL_INTERVAL_US
+        harness.settle(b"", proposer=B) == []
+        and harness.holder.wake_us == propose.timeout_us + RENEWAL_INTERVAL_US
     )
 
 
-def test_the_session_of_an_earlier_life_is_not_taken_for_its_own() -> None:
-    here = Here(NodeInstance("a", 2))
-    here.sessions.apply(entry(1, OpenSession(A), A))
-    assert [type(each) for each in here.handle(Restored(1))] == [Propose]
-    assert here.holder.phase is LeasePhase.ABSENT
+def test_the_session_of_an_earlier_instance_is_not_taken_for_its_own() -> None:
+    harness = Harness(NodeInstance("a", 2))
+    harness.sessions.apply(entry(1, OpenSession(A), A))
+    assert [type(each) for each in harness.handle(Restored(1))] == [Propose]
+    assert harness.holder.phase is LeasePhase.ABSENT
 
 
-def test_the_word_that_it_is_settled_may_come_before_the_entry() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    here.now = SECOND_US
-    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, None, 1))
-    assert not here.holds
-    here.settle(propose.body, propose.id)
-    assert here.holder.holds(TERMS.holder_duration_us - 1) and not here.holder.holds(TERMS.holder_duration_us)
+def test_the_result_that_it_is_applied_may_come_before_the_entry() -> None:
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    harness.now = SECOND_US
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, None, 1))
+    assert not harness.holds
+    harness.settle(propose.body, propose.id)
+    assert harness.holder.holds(TERMS.holder_duration_us - 1) and not harness.holder.holds(
+        TERMS.holder_duration_us
+    )
 
 
 def test_a_grant_to_an_ended_session_renews_nothing_of_the_next() -> None:
-    here = Here()
-    here.open()
-    ask = here.ask()
-    here.settle(EndSession(A, 1, 0))
-    here.sessions.apply(entry(9, OpenSession(A), A))
-    here.handle(Restored(9))
-    here.grant(ask)
-    assert not here.holds
-
-
-def test_openings_without_an_answer_are_made_again_and_back_off_to_ten_beats() -> None:
-    here, made = Here(), []
+    harness = Harness()
+    harness.open()
+    request = harness.request()
+    harness.settle(EndSession(A, 1, 0))
+    harness.sessions.apply(entry(9, OpenSession(A), A))
+    harness.handle(Restored(9))
+    harness.grant(request)
+    assert not harness.holds
+
+
+def test_openings_without_an_answer_are_made_again_and_back_off_to_ten_intervals() -> None:
+    harness, made = Harness(), []
     for _ in range(12):
-        here.now = max(here.now, here.holder.wake_us)
-        [propose] = here.handle(Tick())
-        made.append(here.now)
-        here.now += propose.timeout_us
-        here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
+        harness.now = max(harness.now, harness.holder.wake_us)
+        [propose] = harness.handle(Tick())
+        made.append(harness.now)
+        harness.now += propose.timeout_us
+        harness.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
     assert made[-1] - made[-2] == 10 * RENEWAL_INTERVAL_US
 
 
 def test_it_opens_anew_only_once_its_end_was_applied_here() -> None:
-    here = Here()
-    here.open()
-    here.now = 20 * SECOND_US
-    here.ask()  # nobody answers: its session may be over, but it has not applied so
-    assert all(not isinstance(each, Propose) for each in here.handle(Tick()))
-    [propose] = here.settle(EndSession(A, 1, 0))
+    harness = Harness()
+    harness.open()
+    harness.now = 20 * SECOND_US
+    harness.request()  # nobody answers: its session may be over, but it has not applied so
+    assert all(not isinstance(each, Propose) for each in harness.handle(Tick()))
+    [propose] = harness.settle(EndSession(A, 1, 0))
     assert decode(propose.body) == OpenSession(A)
     # The log's word alone does not open it: what was settled up to there must have been applied here.
-    here.handle(
+    harness.handle(
         ProposalFinished(
-            propose.id, ProposalStatus.APPLIED, here.sessions.apply(entry(9, OpenSession(A), A)), 9
+            propose.id, ProposalStatus.APPLIED, harness.sessions.apply(entry(9, OpenSession(A), A)), 9
         )
     )
-    assert not here.holds and here.holder.phase is LeasePhase.ABSENT
-    here.handle(Applied(entry(8, b"", B), Outcome("-")))  # the replica is ahead of what it was told
-    assert here.holder.phase is LeasePhase.ABSENT
-    assert here.handle(Restored(9)) and here.holder.phase is LeasePhase.OPEN
+    assert not harness.holds and harness.holder.phase is LeasePhase.ABSENT
+    harness.handle(Applied(entry(8, b"", B), Outcome("-")))  # the replica is ahead of what it was told
+    assert harness.holder.phase is LeasePhase.ABSENT
+    assert harness.handle(Restored(9)) and harness.holder.phase is LeasePhase.OPEN
 
 
-def test_a_session_that_came_by_snapshot_is_held_by_a_grant_alone() -> None:
-    here = Here()
-    here.handle(Tick())
-    here.sessions.apply(entry(4, OpenSession(A), A))
-    [ask] = here.handle(Restored(4))
-    assert not here.holds and ask == RenewalRequest("a", 1, 4, 1, 4)
-    assert here.grant(ask) == [LeaseAcquired(4)]
+def test_a_session_that_came_by_snapshot_holds_by_a_grant_alone() -> None:
+    harness = Harness()
+    harness.handle(Tick())
+    harness.sessions.apply(entry(4, OpenSession(A), A))
+    [request] = harness.handle(Restored(4))
+    assert not harness.holds and request == RenewalRequest("a", 1, 4, 1, 4)
+    assert harness.grant(request) == [LeaseAcquired(4)]
 
 
 def test_an_opening_that_is_over_before_it_is_seen_here_is_made_anew_with_another_id() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    outcome = here.sessions.apply(entry(4, OpenSession(A), A))
-    here.sessions.apply(entry(5, EndSession(A, 4, 0)))
-    here.handle(Restored(5))
-    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, outcome, 4))
-    here.now = here.holder.wake_us
-    [again] = here.handle(Tick())
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    outcome = harness.sessions.apply(entry(4, OpenSession(A), A))
+    harness.sessions.apply(entry(5, EndSession(A, 4, 0)))
+    harness.handle(Restored(5))
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, outcome, 4))
+    harness.now = harness.holder.wake_us
+    [again] = harness.handle(Tick())
     assert again.id != propose.id
 
 
 def test_a_proposal_that_a_rule_refuses_is_not_made_again() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    here.settle(b"", propose.id)
-    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, Outcome("refused"), 1))
-    here.now = here.holder.wake_us
-    [again] = here.handle(Tick())
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    harness.settle(b"", propose.id)
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED, Outcome("refused"), 1))
+    harness.now = harness.holder.wake_us
+    [again] = harness.handle(Tick())
     assert again.id != propose.id
 
 
-def test_one_that_another_proposal_opened_than_the_one_under_way_is_held_by_a_grant_alone() -> None:
-    here = Here()
-    here.handle(Tick())
-    [ask] = here.settle(OpenSession(A), "another")
-    assert not here.holds and here.grant(ask) == [LeaseAcquired(1)]
+def test_one_that_another_proposal_opened_than_the_one_under_way_holds_by_a_grant_alone() -> None:
+    harness = Harness()
+    harness.handle(Tick())
+    [request] = harness.settle(OpenSession(A), "another")
+    assert not harness.holds and harness.grant(request) == [LeaseAcquired(1)]
 
 
-def test_a_later_life_of_its_name_ends_it_for_good() -> None:
-    here = Here()
-    here.open()
-    assert here.settle(OpenSession(NodeInstance("a", 2)), proposer=NodeInstance("a", 2)) == [
+def test_a_later_instance_of_its_name_ends_it_for_good() -> None:
+    harness = Harness()
+    harness.open()
+    assert harness.settle(OpenSession(NodeInstance("a", 2)), proposer=NodeInstance("a", 2)) == [
         LeaseLost(1, "a later life has the name")
     ]
-    here.now = LATER
-    assert not here.handle(Tick()) and not here.holds and here.holder.phase is LeasePhase.SUPERSEDED
+    harness.now = LATER
+    assert not harness.handle(Tick()) and not harness.holds and harness.holder.phase is LeasePhase.SUPERSEDED
 
 
 def test_it_tells_what_it_has_applied_and_knows_what_was_heard() -> None:
-    here = Here()
-    here.open()
+    harness = Harness()
+    harness.open()
     for _ in range(3):
-        here.settle(b"", proposer=B)
-    ask = here.ask()
-    assert ask.applied_position == 4 and here.holder.applied_position == 0
-    here.settle(b"", proposer=B)
-    later = here.ask()
-    here.grant(later)
-    here.grant(ask)
-    assert here.holder.applied_position == 5, "also where an older grant comes late"
+        harness.settle(b"", proposer=B)
+    request = harness.request()
+    assert request.applied_position == 4 and harness.holder.applied_position == 0
+    harness.settle(b"", proposer=B)
+    later = harness.request()
+    harness.grant(later)
+    harness.grant(request)
+    assert harness.holder.applied_position == 5, "also where an older grant comes late"
 
 
 def test_entries_of_others_change_nothing() -> None:
-    here = Here()
-    [propose] = here.settle(OpenSession(B), proposer=B)
-    here.settle(propose.body, propose.id)
-    assert here.holds and here.settle(CloseSession(B, 1), proposer=B) == [] and here.holds
-
-
-def test_it_does_not_hold_from_the_moment_it_asks_to_close() -> None:
-    here = Here()
-    here.open()
-    ask = here.ask()
-    lost, close = here.handle(ReleaseLease())
-    assert lost == LeaseLost(1, "leaves") and decode(close.body) == CloseSession(A, 1) and not here.holds
-    here.grant(ask)
-    assert not here.holds
-    again_us = here.now + close.timeout_us + RENEWAL_INTERVAL_US
-    here.now += RENEWAL_INTERVAL_US
-    here.handle(ProposalFinished("another", ProposalStatus.REJECTED))
-    assert here.holder.wake_us == again_us, "a beat after the log should have said how it ended"
-    here.handle(ProposalFinished(close.id, ProposalStatus.REJECTED))
-    assert here.holder.wake_us == here.now + RENEWAL_INTERVAL_US
-    here.now = here.holder.wake_us
-    assert here.handle(Tick()) == [close]
-    here.settle(close.body, close.id)
-    assert here.holder.phase is LeasePhase.LEFT
-    here.now = LATER
-    assert here.handle(Tick()) == [] and here.handle(LeaderChanged("b", 2, False)) == []
-    here.now = here.holder.wake_us
-    assert here.handle(Tick()) == [] and here.holder.wake_us == NEVER_US
+    harness = Harness()
+    [propose] = harness.settle(OpenSession(B), proposer=B)
+    harness.settle(propose.body, propose.id)
+    assert harness.holds and harness.settle(CloseSession(B, 1), proposer=B) == [] and harness.holds
+
+
+def test_it_does_not_hold_from_the_moment_it_closes() -> None:
+    harness = Harness()
+    harness.open()
+    request = harness.request()
+    lost, close = harness.handle(ReleaseLease())
+    assert lost == LeaseLost(1, "leaves") and decode(close.body) == CloseSession(A, 1) and not harness.holds
+    harness.grant(request)
+    assert not harness.holds
+    again_us = harness.now + close.timeout_us + RENEWAL_INTERVAL_US
+    harness.now += RENEWAL_INTERVAL_US
+    harness.handle(ProposalFinished("another", ProposalStatus.REJECTED))
+    assert harness.holder.wake_us == again_us, "a beat after the log should have said how it ended"
+    harness.handle(ProposalFinished(close.id, ProposalStatus.REJECTED))
+    assert harness.holder.wake_us == harness.now + RENEWAL_INTERVAL_US
+    harness.now = harness.holder.wake_us
+    assert harness.handle(Tick()) == [close]
+    harness.settle(close.body, close.id)
+    assert harness.holder.phase is LeasePhase.LEFT
+    harness.now = LATER
+    assert harness.handle(Tick()) == [] and harness.handle(LeaderChanged("b", 2, False)) == []
+    harness.now = harness.holder.wake_us
+    assert harness.handle(Tick()) == [] and harness.holder.wake_us == NEVER_US
 
 
 def test_one_that_leaves_before_it_was_opened_closes_what_is_settled_late() -> None:
-    here = Here()
-    [propose] = here.handle(Tick())
-    assert here.handle(ReleaseLease()) == [] and here.holder.phase is LeasePhase.LEAVING
-    here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
-    here.handle(ReleaseLease())
-    assert here.holder.phase is LeasePhase.LEFT
-    [close] = here.settle(propose.body, propose.id)
-    assert decode(close.body) == CloseSession(A, 1) and not here.holds
-    idle = Here()
+    harness = Harness()
+    [propose] = harness.handle(Tick())
+    assert harness.handle(ReleaseLease()) == [] and harness.holder.phase is LeasePhase.LEAVING
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
+    harness.handle(ReleaseLease())
+    assert harness.holder.phase is LeasePhase.LEFT
+    [close] = harness.settle(propose.body, propose.id)
+    assert decode(close.body) == CloseSession(A, 1) and not harness.holds
+    idle = Harness()
     idle.handle(ReleaseLease())
     idle.handle(ReleaseLease())
     assert idle.holder.phase is LeasePhase.LEFT and idle.handle(Tick()) == []
 
 
-def test_why_it_was_lost_is_not_told_of_the_next_session() -> None:
-    here = Here()
-    here.open()
-    here.now = 6 * SECOND_US
-    here.handle(Tick())
-    [propose] = here.settle(EndSession(A, 1, 0))
-    here.settle(propose.body, propose.id)
-    here.now += TERMS.holder_duration_us
-    assert here.handle(Tick())[0] == LeaseLost(here.position, "not renewed in time")
+def test_why_it_was_lost_is_not_reported_for_the_next_session() -> None:
+    harness = Harness()
+    harness.open()
+    harness.now = 6 * SECOND_US
+    harness.handle(Tick())
+    [propose] = harness.settle(EndSession(A, 1, 0))
+    harness.settle(propose.body, propose.id)
+    harness.now += TERMS.holder_duration_us
+    assert harness.handle(Tick())[0] == LeaseLost(harness.position, "not renewed in time")
--- a/tests/coordination/leases/test_manager.py
+++ b/tests/coordination/leases/test_manager.py
@@ -34,28 +34,32 @@
 OVER_US = TERMS.expiry_us + 1  # by whole microseconds of a clock
 
 
-class Here:
+class Harness:
     """A keeper at ballot 7, with a session of `a` opened at position 1 and its `Keeping` at position 2."""
 
-    def __init__(self, keeps: bool = True) -> None:
+    def __init__(self, manages: bool = True) -> None:
         self.sessions, self.now, self.position = SessionRegistry(), 0, 0
-        self.keeper = LeaseManager(self.sessions, TERMS)
+        self.manager = LeaseManager(self.sessions, TERMS)
         self.settle(OpenSession(A))
-        if keeps:
+        if manages:
             self.handle(LeaderChanged("k", 7, True))
             self.settle(BecomeManager(7))
 
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
-        return self.keeper.handle(self.now, event)
+        return self.manager.handle(self.now, event)
 
     def settle(self, body: Body, proposer: NodeInstance = A) -> Sequence[Any]:
         self.position += 1
         step = entry(self.position, body, proposer)
         return self.handle(Applied(step, self.sessions.apply(step)))
 
-    def asked(self, number: int, applied: int = 0, fence: int = 1, life: NodeInstance = A) -> Sequence[Any]:
+    def asked(
+        self, number: int, applied: int = 0, fencing_token: int = 1, instance: NodeInstance = A
+    ) -> Sequence[Any]:
         return self.handle(
-            RenewalsReceived((RenewalRequest(life.name, life.number, fence, number, applied),))
+            RenewalsReceived(
+                (RenewalRequest(instance.name, instance.number, fencing_token, number, applied),)
+            )
         )
 
     def given(self, token: int, ballot: int = 7) -> list[int]:
@@ -65,216 +69,228 @@
 
     def ends(self) -> list[Propose]:
         """Go to where the end is due and confirm."""
-        self.now = self.keeper.wake_us
+        self.now = self.manager.wake_us
         [confirm] = self.handle(Tick())
         return [
             each for each in self.handle(LeadershipConfirmed(confirm.token, 7)) if isinstance(each, Propose)
         ]
 
 
-def test_a_renewal_is_given_after_a_round_that_began_after_the_ask() -> None:
-    here = Here()
-    [first] = here.asked(1)
+def test_a_renewal_is_given_after_a_round_that_began_after_the_request() -> None:
+    harness = Harness()
+    [first] = harness.asked(1)
     assert isinstance(first, ConfirmLeadership)
-    assert here.asked(2) == [], "the round that is out began before this ask"
-    first_given, second = here.handle(LeadershipConfirmed(first.token, 7))
+    assert harness.asked(2) == [], "the round that is out began before this ask"
+    first_given, second = harness.handle(LeadershipConfirmed(first.token, 7))
     assert first_given == SendGrants((RenewalGrant("a", 1, 1, 1),)) and isinstance(second, ConfirmLeadership)
-    assert here.given(first.token) == [], "an answer counts once"
-    assert here.given(second.token) == [2]
+    assert harness.given(first.token) == [], "an answer counts once"
+    assert harness.given(second.token) == [2]
 
 
 def test_a_later_round_lets_pass_what_waited_for_an_earlier_one() -> None:
-    here = Here()
-    [first] = here.asked(1)
-    here.settle(OpenSession(B), B)
-    here.asked(1, fence=3, life=B)
-    here.now += RENEWAL_INTERVAL_US
-    [second] = here.handle(Tick())
-    assert here.given(second.token) == [1, 1] and here.given(first.token) == []
+    harness = Harness()
+    [first] = harness.asked(1)
+    harness.settle(OpenSession(B), B)
+    harness.asked(1, fencing_token=3, instance=B)
+    harness.now += RENEWAL_INTERVAL_US
+    [second] = harness.handle(Tick())
+    assert harness.given(second.token) == [1, 1] and harness.given(first.token) == []
 
 
 def test_nothing_is_given_under_another_ballot_or_by_one_that_does_not_lead() -> None:
-    here = Here()
-    [confirm] = here.asked(1)
-    here.asked(2)
-    assert here.given(confirm.token, 6) == [] == here.given(confirm.token, 8)
-    here.handle(LeaderChanged("other", 8, False))
-    assert here.given(confirm.token) == [] and here.keeper.wake_us == NEVER_US and here.asked(3) == []
-    here.handle(LeaderChanged("k", 9, True))
-    assert here.settle(BecomeManager(9)) == []
-    assert here.given(confirm.token, 9) == [], "what was asked of its earlier time is void"
-
-
-def test_nothing_is_given_or_ended_before_its_own_keeping_is_in_the_log() -> None:
-    here = Here(keeps=False)
-    [propose] = here.handle(LeaderChanged("k", 7, True))
-    assert decode(propose.body) == BecomeManager(7) and here.asked(1) == []
-    here.now = 20 * SECOND_US
-    assert here.handle(Tick()) == [propose], "no word came: again, with the same id"
-    here.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
-    here.now += RENEWAL_INTERVAL_US - 1
-    here.handle(ProposalFinished("another", ProposalStatus.UNKNOWN))
-    here.now += 1
-    assert here.handle(Tick()) == [propose], "a beat after no word on its own"
-    [confirm] = here.settle(BecomeManager(7))
-    [given] = here.handle(LeadershipConfirmed(confirm.token, 7))
+    harness = Harness()
+    [confirm] = harness.asked(1)
+    harness.asked(2)
+    assert harness.given(confirm.token, 6) == [] == harness.given(confirm.token, 8)
+    harness.handle(LeaderChanged("other", 8, False))
+    assert (
+        harness.given(confirm.token) == [] and harness.manager.wake_us == NEVER_US and harness.asked(3) == []
+    )
+    harness.handle(LeaderChanged("k", 9, True))
+    assert harness.settle(BecomeManager(9)) == []
+    assert harness.given(confirm.token, 9) == [], "what was asked of its earlier time is void"
+
+
+def test_nothing_is_given_or_ended_before_its_own_takeover_is_in_the_log() -> None:
+    harness = Harness(manages=False)
+    [propose] = harness.handle(LeaderChanged("k", 7, True))
+    assert decode(propose.body) == BecomeManager(7) and harness.asked(1) == []
+    harness.now = 20 * SECOND_US
+    assert harness.handle(Tick()) == [propose], "no word came: again, with the same id"
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
+    harness.now += RENEWAL_INTERVAL_US - 1
+    harness.handle(ProposalFinished("another", ProposalStatus.UNKNOWN))
+    harness.now += 1
+    assert harness.handle(Tick()) == [propose], "a beat after no word on its own"
+    [confirm] = harness.settle(BecomeManager(7))
+    [given] = harness.handle(LeadershipConfirmed(confirm.token, 7))
     assert given == SendGrants((RenewalGrant("a", 1, 1, 1),)), (
         "what was asked meanwhile is given, and not ended"
     )
 
 
-def test_it_gives_way_to_a_later_keeper_before_it_is_told() -> None:
-    here = Here()
-    [confirm] = here.asked(1)
-    here.settle(BecomeManager(8), B)
-    assert here.given(confirm.token) == [] and not here.keeper.manages and here.keeper.wake_us == NEVER_US
-
-
-def test_asks_that_are_not_of_the_open_session_or_not_new_are_passed_over() -> None:
-    here = Here()
-    assert here.asked(1, fence=2) == here.asked(1, life=NodeInstance("a", 2)) == here.asked(1, life=B) == []
-    [confirm] = here.asked(4)
-    assert here.given(confirm.token) == [4]
-    assert here.asked(4) == here.asked(3) == []
-    [confirm] = here.asked(6)
-    here.asked(5)
-    here.settle(CloseSession(A, 1))
-    assert here.given(confirm.token) == [], "closed since"
+def test_it_gives_way_to_a_later_lease_manager_before_it_is_notified() -> None:
+    harness = Harness()
+    [confirm] = harness.asked(1)
+    harness.settle(BecomeManager(8), B)
+    assert (
+        harness.given(confirm.token) == []
+        and not harness.manager.manages
+        and harness.manager.wake_us == NEVER_US
+    )
 
 
-def test_the_newest_ask_of_a_session_waits_and_of_two_sessions_the_later_ones() -> None:
-    here = Here()
-    [first] = here.asked(1)
+def test_requests_that_are_not_of_the_open_session_or_not_new_are_passed_over() -> None:
+    harness = Harness()
+    assert (
+        harness.asked(1, fencing_token=2)
+        == harness.asked(1, instance=NodeInstance("a", 2))
+        == harness.asked(1, instance=B)
+        == []
+    )
+    [confirm] = harness.asked(4)
+    assert harness.given(confirm.token) == [4]
+    assert harness.asked(4) == harness.asked(3) == []
+    [confirm] = harness.asked(6)
+    harness.asked(5)
+    harness.settle(CloseSession(A, 1))
+    assert harness.given(confirm.token) == [], "closed since"
+
+
+def test_the_newest_request_of_a_session_waits_and_of_two_sessions_the_later_ones() -> None:
+    harness = Harness()
+    [first] = harness.asked(1)
     for number in (5, 6, 5):
-        here.asked(number)
-    _, second = here.handle(LeadershipConfirmed(first.token, 7))
-    assert here.given(second.token) == [6]
-    [third] = here.asked(7)
-    here.asked(8)
-    here.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
-    here.asked(1, fence=3, life=NodeInstance("a", 2))
-    [fourth] = here.handle(LeadershipConfirmed(third.token, 7))
-    assert here.given(fourth.token) == [1]
+        harness.asked(number)
+    _, second = harness.handle(LeadershipConfirmed(first.token, 7))
+    assert harness.given(second.token) == [6]
+    [third] = harness.asked(7)
+    harness.asked(8)
+    harness.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
+    harness.asked(1, fencing_token=3, instance=NodeInstance("a", 2))
+    [fourth] = harness.handle(LeadershipConfirmed(third.token, 7))
+    assert harness.given(fourth.token) == [1]
 
 
-def test_an_ask_that_came_twice_is_given_once() -> None:
-    here = Here()
-    [first] = here.asked(1)
-    here.asked(1)
-    _, second = here.handle(LeadershipConfirmed(first.token, 7))
-    assert here.given(second.token) == []
+def test_a_request_that_came_twice_is_given_once() -> None:
+    harness = Harness()
+    [first] = harness.asked(1)
+    harness.asked(1)
+    _, second = harness.handle(LeadershipConfirmed(first.token, 7))
+    assert harness.given(second.token) == []
 
 
 def test_an_end_is_proposed_after_the_time_and_once_it_is_confirmed() -> None:
-    here = Here()
-    assert here.keeper.wake_us == OVER_US
-    here.now = OVER_US - 1
-    assert here.handle(Tick()) == []
-    here.now = OVER_US
-    [confirm] = here.handle(Tick())
+    harness = Harness()
+    assert harness.manager.wake_us == OVER_US
+    harness.now = OVER_US - 1
+    assert harness.handle(Tick()) == []
+    harness.now = OVER_US
+    [confirm] = harness.handle(Tick())
     assert isinstance(confirm, ConfirmLeadership), "an end waits for a word from the panel"
-    [propose] = here.handle(LeadershipConfirmed(confirm.token, 7))
-    assert decode(propose.body) == EndSession(A, 1, 7) and here.handle(Tick()) == []
+    [propose] = harness.handle(LeadershipConfirmed(confirm.token, 7))
+    assert decode(propose.body) == EndSession(A, 1, 7) and harness.handle(Tick()) == []
 
 
 def test_a_round_from_before_the_end_was_due_does_not_let_it_pass() -> None:
-    here = Here()
-    here.now = OVER_US - 1
-    here.settle(OpenSession(B), B)
-    [confirm] = here.asked(1, fence=3, life=B)
-    here.now = OVER_US
-    assert [type(each) for each in here.handle(LeadershipConfirmed(confirm.token, 7))] == [
+    harness = Harness()
+    harness.now = OVER_US - 1
+    harness.settle(OpenSession(B), B)
+    [confirm] = harness.asked(1, fencing_token=3, instance=B)
+    harness.now = OVER_US
+    assert [type(each) for each in harness.handle(LeadershipConfirmed(confirm.token, 7))] == [
         SendGrants,
         ConfirmLeadership,
     ]
 
 
-def test_without_a_word_from_the_panel_nothing_is_ended_and_rounds_are_bounded() -> None:
-    here = Here()
+def test_without_a_confirmation_nothing_is_ended_and_rounds_are_bounded() -> None:
+    harness = Harness()
     for _ in range(40):
-        here.now = here.keeper.wake_us
-        [confirm] = here.handle(Tick())
+        harness.now = harness.manager.wake_us
+        [confirm] = harness.handle(Tick())
         assert isinstance(confirm, ConfirmLeadership)
     assert (
-        len(here.keeper._rounds._unanswered) == MAX_ROUNDS and here.now >= OVER_US + 39 * RENEWAL_INTERVAL_US
+        len(harness.manager._rounds._unanswered) == MAX_ROUNDS
+        and harness.now >= OVER_US + 39 * RENEWAL_INTERVAL_US
     )
 
 
 def test_what_was_proposed_as_ended_is_given_nothing_more_and_is_proposed_again() -> None:
-    here = Here()
-    [propose] = here.ends()
+    harness = Harness()
+    [propose] = harness.ends()
     for over in (ProposalStatus.UNKNOWN, ProposalStatus.REJECTED):
-        here.handle(ProposalFinished(propose.id, over))
-        assert here.keeper.wake_us == here.now + RENEWAL_INTERVAL_US
-        assert here.asked(9) == [], "held back, also where the end is not certain"
-        here.handle(ProposalFinished("another", over))
-        assert here.keeper.wake_us == here.now + RENEWAL_INTERVAL_US
-        here.handle(LeaderChanged("k", 7, True))  # told again
-        assert here.asked(9) == []
-        assert here.ends() == [propose], "with the same id"
-        here.handle(ProposalFinished("another", over))
-        assert here.keeper.wake_us == here.now + 5 * RENEWAL_INTERVAL_US
-    here.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED))
-    assert here.asked(10) == []
-
-
-def test_an_ask_that_waited_when_the_end_was_proposed_is_not_given() -> None:
-    here = Here()
-    here.now = OVER_US
-    [confirm] = here.handle(Tick())
-    here.asked(1)  # after the round that lets the end pass
-    propose, second = here.handle(LeadershipConfirmed(confirm.token, 7))
-    assert isinstance(propose, Propose) and here.given(second.token) == []
-
-
-def test_an_ask_that_came_in_time_of_the_round_is_given_and_nothing_is_ended() -> None:
-    here = Here()
-    here.now = OVER_US
-    [first] = here.handle(Tick())
-    here.asked(1)
-    here.now += RENEWAL_INTERVAL_US
-    [second] = here.handle(Tick())
-    assert here.given(second.token) == [1] and here.keeper.wake_us == here.now + OVER_US
+        harness.handle(ProposalFinished(propose.id, over))
+        assert harness.manager.wake_us == harness.now + RENEWAL_INTERVAL_US
+        assert harness.asked(9) == [], "held back, also where the end is not certain"
+        harness.handle(ProposalFinished("another", over))
+        assert harness.manager.wake_us == harness.now + RENEWAL_INTERVAL_US
+        harness.handle(LeaderChanged("k", 7, True))  # told again
+        assert harness.asked(9) == []
+        assert harness.ends() == [propose], "with the same id"
+        harness.handle(ProposalFinished("another", over))
+        assert harness.manager.wake_us == harness.now + 5 * RENEWAL_INTERVAL_US
+    harness.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED))
+    assert harness.asked(10) == []
+
+
+def test_a_request_that_waited_when_the_end_was_proposed_is_not_given() -> None:
+    harness = Harness()
+    harness.now = OVER_US
+    [confirm] = harness.handle(Tick())
+    harness.asked(1)  # after the round that lets the end pass
+    propose, second = harness.handle(LeadershipConfirmed(confirm.token, 7))
+    assert isinstance(propose, Propose) and harness.given(second.token) == []
+
+
+def test_a_request_that_came_in_time_of_the_round_is_given_and_nothing_is_ended() -> None:
+    harness = Harness()
+    harness.now = OVER_US
+    [first] = harness.handle(Tick())
+    harness.asked(1)
+    harness.now += RENEWAL_INTERVAL_US
+    [second] = harness.handle(Tick())
+    assert harness.given(second.token) == [1] and harness.manager.wake_us == harness.now + OVER_US
     assert first.token != second.token
 
 
 def test_a_new_leader_takes_all_as_given_when_it_was_elected() -> None:
-    here = Here()
-    here.handle(LeaderChanged("other", 8, False))
-    here.now = 9 * SECOND_US
-    here.handle(LeaderChanged("k", 9, True))
-    here.settle(BecomeManager(9))
-    assert here.keeper.wake_us == here.now + OVER_US
-    here.handle(LeaderChanged("k", 9, True))  # told again
-    assert here.keeper.manages
+    harness = Harness()
+    harness.handle(LeaderChanged("other", 8, False))
+    harness.now = 9 * SECOND_US
+    harness.handle(LeaderChanged("k", 9, True))
+    harness.settle(BecomeManager(9))
+    assert harness.manager.wake_us == harness.now + OVER_US
+    harness.handle(LeaderChanged("k", 9, True))  # told again
+    assert harness.manager.manages
 
 
 def test_a_session_counts_from_when_its_opening_was_applied_here() -> None:
-    here = Here()
-    here.now = 3 * SECOND_US
-    here.sessions.apply(entry(3, OpenSession(B), B))
-    here.handle(Restored(3))
-    assert here.keeper.wake_us == OVER_US, "that of a, which was open before"
-    here.settle(CloseSession(A, 1))
-    assert here.keeper.wake_us == 3 * SECOND_US + OVER_US and here.keeper.position == 3
+    harness = Harness()
+    harness.now = 3 * SECOND_US
+    harness.sessions.apply(entry(3, OpenSession(B), B))
+    harness.handle(Restored(3))
+    assert harness.manager.wake_us == OVER_US, "that of a, which was open before"
+    harness.settle(CloseSession(A, 1))
+    assert harness.manager.wake_us == 3 * SECOND_US + OVER_US and harness.manager.position == 3
 
 
-def test_a_keeper_that_was_stopped_counts_from_when_it_gave() -> None:
-    here = Here()
-    [confirm] = here.asked(1)
-    here.now = 100 * SECOND_US  # stopped between the round and its answer
-    assert here.given(confirm.token) == [1] and here.keeper.wake_us == 100 * SECOND_US + OVER_US
+def test_a_lease_manager_that_was_stopped_counts_from_when_it_gave() -> None:
+    harness = Harness()
+    [confirm] = harness.asked(1)
+    harness.now = 100 * SECOND_US  # stopped between the round and its answer
+    assert harness.given(confirm.token) == [1] and harness.manager.wake_us == 100 * SECOND_US + OVER_US
 
 
 def test_what_was_said_only_grows_and_is_of_one_session() -> None:
-    here = Here()
-    here.now = SECOND_US
-    here.asked(2, applied=5)
-    here.now = 2 * SECOND_US
-    here.asked(1, applied=3)
-    kept = here.keeper.report("a", 1)
+    harness = Harness()
+    harness.now = SECOND_US
+    harness.asked(2, applied=5)
+    harness.now = 2 * SECOND_US
+    harness.asked(1, applied=3)
+    kept = harness.manager.report("a", 1)
     assert kept and (kept.applied_position, kept.received_at_us) == (5, 2 * SECOND_US)
-    assert here.keeper.report("a", 2) is None and here.keeper.report("b", 1) is None
-    here.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
-    kept = here.keeper.report("a", 3)
+    assert harness.manager.report("a", 2) is None and harness.manager.report("b", 1) is None
+    harness.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
+    kept = harness.manager.report("a", 3)
     assert kept and (kept.applied_position, kept.received_at_us) == (0, None)
--- a/tests/coordination/leases/test_messages.py
+++ b/tests/coordination/leases/test_messages.py
@@ -6,10 +6,10 @@
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 
-def test_an_ask_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
-    ask = RenewalRequest("front-door-0123456789", 1 << 61, 1 << 31, 1 << 31, 1 << 31)
-    data = msgspec.msgpack.encode(ask)
-    assert len(data) <= 48 and msgspec.msgpack.decode(data, type=RenewalRequest) == ask
+def test_a_request_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
+    request = RenewalRequest("front-door-0123456789", 1 << 61, 1 << 31, 1 << 31, 1 << 31)
+    data = msgspec.msgpack.encode(request)
+    assert len(data) <= 48 and msgspec.msgpack.decode(data, type=RenewalRequest) == request
 
 
 @pytest.mark.parametrize(
@@ -25,7 +25,7 @@
         ["a", 1, 1, "1", 1],
     ],
 )
-def test_an_ask_that_is_not_one_is_refused(fields: list[object]) -> None:
+def test_a_request_that_is_not_one_is_refused(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(fields, RenewalRequest)
 
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -22,16 +22,16 @@
     EndedSession,
     SessionRegistry,
 )
-from tests.coordination.leases.entries import A, B, entry, fence_of, opened
+from tests.coordination.leases.entries import A, B, entry, fencing_token_of, opened
 
 A2 = NodeInstance("a", 2)
 
 
-def test_the_fence_is_the_position_and_the_same_life_gets_the_same_answer() -> None:
+def test_the_fencing_token_is_the_position_and_the_same_instance_gets_the_same_answer() -> None:
     sessions = SessionRegistry()
-    assert fence_of(opened(sessions, 7, A)) == 7
+    assert fencing_token_of(opened(sessions, 7, A)) == 7
     before = sessions.snapshot()
-    assert fence_of(opened(sessions, 9, A)) == 7
+    assert fencing_token_of(opened(sessions, 9, A)) == 7
     assert (
         sessions.snapshot() == before
         and sessions.active_session("a") == ActiveSession(A, 7)
@@ -39,10 +39,10 @@
     )
 
 
-def test_a_higher_life_replaces_the_lower_and_a_lower_is_refused() -> None:
+def test_a_higher_instance_replaces_the_lower_and_a_lower_is_refused() -> None:
     sessions = SessionRegistry()
     opened(sessions, 3, A)
-    assert fence_of(opened(sessions, 5, A2)) == 5
+    assert fencing_token_of(opened(sessions, 5, A2)) == 5
     assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.RESTARTED, 5)
     assert opened(sessions, 6, A).error and sessions.active_session("a") == ActiveSession(A2, 5)
     sessions.apply(entry(7, EndSession(A2, 5, 0)))
@@ -53,7 +53,7 @@
     sessions = SessionRegistry()
     opened(sessions, 1, A)
     assert not sessions.apply(entry(2, EndSession(A, 1, 0))).error
-    assert fence_of(opened(sessions, 3, A)) == 3
+    assert fencing_token_of(opened(sessions, 3, A)) == 3
     assert not sessions.apply(entry(4, CloseSession(A, 3), A)).error
     assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.LEFT, 4)
     assert opened(sessions, 5, A).error and sessions.active_session("a") is None
@@ -92,11 +92,11 @@
 
 
 def test_the_longest_body_is_read() -> None:
-    life = NodeInstance("n" * 64, 1 << 62)
+    instance = NodeInstance("n" * 64, 1 << 62)
     sessions = SessionRegistry()
     assert sessions.apply(entry(1, BecomeManager(1 << 62))) == Outcome()
-    opened(sessions, 1 << 62, life)
-    assert not sessions.apply(entry(1 << 62, EndSession(life, 1 << 62, 1 << 62))).error
+    opened(sessions, 1 << 62, instance)
+    assert not sessions.apply(entry(1 << 62, EndSession(instance, 1 << 62, 1 << 62))).error
 
 
 def test_names_are_bounded_and_the_one_that_ended_first_makes_room() -> None:
@@ -111,7 +111,7 @@
     assert len(sessions.active_sessions()) == MAX_MEMBERS - 1
 
 
-def test_what_was_open_at_a_position_is_told_later_the_same() -> None:
+def test_what_was_open_at_a_position_is_known_later_the_same() -> None:
     sessions = SessionRegistry()
     opened(sessions, 1, A)
     opened(sessions, 2, B)
@@ -153,21 +153,21 @@
 def history(seed: int) -> SessionRegistry:
     chance, sessions = random.Random(seed), SessionRegistry()
     for position in range(1, 120):
-        life = NodeInstance(chance.choice("xyz"), chance.randrange(1, 9))
-        fence = chance.randrange(max(1, position - 4), position + 1)
-        open_now = sessions.active_session(life.name)
+        instance = NodeInstance(chance.choice("xyz"), chance.randrange(1, 9))
+        fencing_token = chance.randrange(max(1, position - 4), position + 1)
+        open_now = sessions.active_session(instance.name)
         if open_now and chance.random() < 0.7:
-            life, fence = open_now.instance, open_now.fencing_token
+            instance, fencing_token = open_now.instance, open_now.fencing_token
         body = chance.choice(
             (
-                OpenSession(life),
-                OpenSession(life),
-                EndSession(life, fence, sessions.ballot),
-                CloseSession(life, fence),
+                OpenSession(instance),
+                OpenSession(instance),
+                EndSession(instance, fencing_token, sessions.ballot),
+                CloseSession(instance, fencing_token),
                 BecomeManager(chance.randrange(position)),
             )
         )
-        sessions.apply(entry(position, body, life))
+        sessions.apply(entry(position, body, instance))
     return sessions
 
 
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -57,14 +57,14 @@
 
 
 @dataclass(eq=False)
-class Door:
+class ProxyRun:
     """One run of one front door: its replica, its cores, and the mail that waits while it is stopped."""
 
-    life: NodeInstance
+    instance: NodeInstance
     clock: Clock
     sessions: SessionRegistry
     holder: LeaseHolder
-    keeper: LeaseManager
+    manager: LeaseManager
     leader: str | None = None
     stopped_until: int = 0
     cut_until: int = 0
@@ -81,7 +81,7 @@
     """What a world is made of; a mutation changes one."""
 
     holder: type[LeaseHolder] = LeaseHolder
-    keeper: type[LeaseManager] = LeaseManager
+    manager: type[LeaseManager] = LeaseManager
     sessions: type[SessionRegistry] = SessionRegistry
     account: type[AcknowledgementTracker] = AcknowledgementTracker
     terms: SessionTerms = TERMS
@@ -96,13 +96,13 @@
         self.lossy = True
         self.now, self._sequence = 0, 0
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.doors: dict[str, Door] = {}
+        self.proxies: dict[str, ProxyRun] = {}
         self.order: list[Entry] = []
         self.truth = cores.sessions()
         self.outcomes: list[Outcome] = []
         self.snapshots: list[bytes] = []
         self.ids: dict[str, int] = {}
-        self.leader: Door | None = None
+        self.leader: ProxyRun | None = None
         self.ballot = 0
         self.over: set[int] = set()  # fences of sessions that were decided as ended or closed
         self.open_at: dict[
@@ -127,87 +127,87 @@
 
     # --- front doors ---
 
-    def start(self, name: str) -> Door:
+    def start(self, name: str) -> ProxyRun:
         """Start a front door; an earlier run of the name is dead."""
-        before = self.doors.get(name)
+        before = self.proxies.get(name)
         if before is not None and before is self.leader:
             self.leader = None
-        life = NodeInstance(name, before.life.number + 1 if before else 1)
+        instance = NodeInstance(name, before.instance.number + 1 if before else 1)
         rate = self.chance.choice(self.rates) if self.rates else 1.0
         sessions, terms = self.cores.sessions(), self.cores.terms
-        holder = self.cores.holder(life, sessions, terms, self.chance.random)
-        door = Door(
-            life,
+        holder = self.cores.holder(instance, sessions, terms, self.chance.random)
+        proxy = ProxyRun(
+            instance,
             Clock(self.chance.randrange(1 << 40), rate),
             sessions,
             holder,
-            self.cores.keeper(sessions, terms),
+            self.cores.manager(sessions, terms),
         )
-        self.doors[name] = door
-        self.after(0, lambda: self.to(door, lambda: self.learn(door, len(self.order))))
-        self.after(0, lambda: self.to(door, lambda: self.cores_handle(door, Tick())))
-        return door
+        self.proxies[name] = proxy
+        self.after(0, lambda: self.to(proxy, lambda: self.learn(proxy, len(self.order))))
+        self.after(0, lambda: self.to(proxy, lambda: self.cores_handle(proxy, Tick())))
+        return proxy
 
-    def alive(self, door: Door) -> bool:
-        return self.doors[door.life.name] is door
+    def alive(self, proxy: ProxyRun) -> bool:
+        return self.proxies[proxy.instance.name] is proxy
 
-    def to(self, door: Door, act: Callable[[], None]) -> None:
+    def to(self, proxy: ProxyRun, act: Callable[[], None]) -> None:
         """Let a front door act; one that is stopped does so when it wakes, one that is dead never."""
-        if not self.alive(door):
+        if not self.alive(proxy):
             return
-        if self.now < door.stopped_until:
-            door.mail.append(act)
+        if self.now < proxy.stopped_until:
+            proxy.mail.append(act)
             return
         act()
-        self.plan(door)
+        self.plan(proxy)
 
-    def stop(self, door: Door, for_us: int) -> None:
-        door.stopped_until = max(door.stopped_until, self.now + for_us)
-        self.after(for_us, lambda: self.wake(door))
+    def stop(self, proxy: ProxyRun, for_us: int) -> None:
+        proxy.stopped_until = max(proxy.stopped_until, self.now + for_us)
+        self.after(for_us, lambda: self.wake(proxy))
 
-    def wake(self, door: Door) -> None:
-        if self.now < door.stopped_until:
+    def wake(self, proxy: ProxyRun) -> None:
+        if self.now < proxy.stopped_until:
             return
-        mail, door.mail = door.mail, []
+        mail, proxy.mail = proxy.mail, []
         for act in mail:
-            self.to(door, act)
+            self.to(proxy, act)
             self.check()
 
-    def plan(self, door: Door) -> None:
-        at = max(self.now, door.clock.true(min(door.holder.wake_us, door.keeper.wake_us)))
-        if at < door.tick_at or door.tick_at < self.now:
-            door.tick_at = at
-            self.after(at - self.now, lambda: self.to(door, lambda: self.tick(door, at)))
+    def plan(self, proxy: ProxyRun) -> None:
+        at = max(self.now, proxy.clock.true(min(proxy.holder.wake_us, proxy.manager.wake_us)))
+        if at < proxy.tick_at or proxy.tick_at < self.now:
+            proxy.tick_at = at
+            self.after(at - self.now, lambda: self.to(proxy, lambda: self.tick(proxy, at)))
 
-    def tick(self, door: Door, at: int) -> None:
-        if door.tick_at == at:
-            door.tick_at = 1 << 62
-            self.cores_handle(door, Tick())
+    def tick(self, proxy: ProxyRun, at: int) -> None:
+        if proxy.tick_at == at:
+            proxy.tick_at = 1 << 62
+            self.cores_handle(proxy, Tick())
 
-    def cores_handle(self, door: Door, event: Any) -> None:  # noqa: ANN401
+    def cores_handle(self, proxy: ProxyRun, event: Any) -> None:  # noqa: ANN401
         """Hand an event to who takes it, the keeper first: what was applied is told as applied last."""
-        now_us = door.clock.at(self.now)
+        now_us = proxy.clock.at(self.now)
         if isinstance(
             event,
             (LeaderChanged, RenewalsReceived, LeadershipConfirmed, Tick, Applied, Restored, ProposalFinished),
         ):
-            self.act(door, door.keeper.handle(now_us, event))
+            self.act(proxy, proxy.manager.handle(now_us, event))
         if isinstance(
             event, (Tick, Applied, Restored, ProposalFinished, GrantsReceived, LeaderChanged, ReleaseLease)
         ):
-            self.act(door, door.holder.handle(now_us, event))
+            self.act(proxy, proxy.holder.handle(now_us, event))
 
-    def act(self, door: Door, actions: Sequence[Any]) -> None:
+    def act(self, proxy: ProxyRun, actions: Sequence[Any]) -> None:
         for action in actions:
             match action:
                 case RenewalRequest():
-                    self.ask(door, action)
+                    self.request(proxy, action)
                 case SendGrants():
                     self.give(action)
                 case Propose():
-                    self.propose(door, action)
+                    self.propose(proxy, action)
                 case ConfirmLeadership():
-                    self.confirm(door, action)
+                    self.confirm(proxy, action)
 
     # --- the tree ---
 
@@ -225,35 +225,35 @@
         draw = self.chance.random() if self.lossy else 0.5
         return 0 if draw < 0.05 else 2 if draw > 0.95 else 1
 
-    def ask(self, door: Door, ask: RenewalRequest) -> None:
-        to = self.doors.get(door.leader or "")
-        if to is None or self.now < max(door.cut_until, to.cut_until):
+    def request(self, proxy: ProxyRun, request: RenewalRequest) -> None:
+        to = self.proxies.get(proxy.leader or "")
+        if to is None or self.now < max(proxy.cut_until, to.cut_until):
             return
         for _ in range(self.copies()):
             self.after(
-                self.delay(), lambda: self.to(to, lambda: self.cores_handle(to, RenewalsReceived((ask,))))
+                self.delay(), lambda: self.to(to, lambda: self.cores_handle(to, RenewalsReceived((request,))))
             )
 
     def give(self, given: SendGrants) -> None:
         for grant in given.grants:
             self.given += 1
-            to = self.doors[grant.name]
+            to = self.proxies[grant.name]
             if self.now >= to.cut_until:
                 for _ in range(self.copies()):
                     self.after(self.delay(), lambda to=to: self.granted(to, given))  # type: ignore[misc]
 
-    def granted(self, door: Door, given: SendGrants) -> None:
+    def granted(self, proxy: ProxyRun, given: SendGrants) -> None:
         """By name, whoever runs under it by now: a grant may reach a later life."""
-        to = self.doors[door.life.name]
+        to = self.proxies[proxy.instance.name]
         self.to(to, lambda: self.cores_handle(to, GrantsReceived(given.grants)))
 
     # --- the log ---
 
-    def elect(self, door: Door) -> None:
-        self.leader, self.ballot = door, self.ballot + 1
-        for each in self.doors.values():
-            if each is door or not self.lossy or self.chance.random() < 0.85:  # some go on in an old belief
-                news = LeaderChanged(door.life.name, self.ballot, each is door)
+    def elect(self, proxy: ProxyRun) -> None:
+        self.leader, self.ballot = proxy, self.ballot + 1
+        for each in self.proxies.values():
+            if each is proxy or not self.lossy or self.chance.random() < 0.85:  # some go on in an old belief
+                news = LeaderChanged(proxy.instance.name, self.ballot, each is proxy)
                 self.after(
                     self.delay(),
                     lambda each=each, news=news: self.to(  # type: ignore[misc]
@@ -261,49 +261,50 @@
                     ),
                 )
 
-    def hear(self, door: Door, news: LeaderChanged) -> None:
-        door.leader = news.leader
-        self.cores_handle(door, news)
+    def hear(self, proxy: ProxyRun, news: LeaderChanged) -> None:
+        proxy.leader = news.leader
+        self.cores_handle(proxy, news)
 
-    def confirm(self, door: Door, confirm: ConfirmLeadership) -> None:
+    def confirm(self, proxy: ProxyRun, confirm: ConfirmLeadership) -> None:
         def followed() -> None:
-            if self.leader is door and self.now >= door.cut_until:
+            if self.leader is proxy and self.now >= proxy.cut_until:
                 answer = LeadershipConfirmed(confirm.token, self.ballot)
-                self.after(self.delay(), lambda: self.to(door, lambda: self.cores_handle(door, answer)))
+                self.after(self.delay(), lambda: self.to(proxy, lambda: self.cores_handle(proxy, answer)))
 
         self.after(self.delay(), followed)
 
-    def propose(self, door: Door, propose: Propose) -> None:
-        door.out.add(propose.id)
+    def propose(self, proxy: ProxyRun, propose: Propose) -> None:
+        proxy.out.add(propose.id)
         unknown = ProposalFinished(propose.id, ProposalStatus.UNKNOWN)
         self.after(
-            int(propose.timeout_us / door.clock.rate), lambda: self.to(door, lambda: self.word(door, unknown))
+            int(propose.timeout_us / proxy.clock.rate),
+            lambda: self.to(proxy, lambda: self.word(proxy, unknown)),
         )
         draw = self.chance.random() if self.lossy else 0.5
         if draw < 0.03:
             refused = ProposalFinished(propose.id, ProposalStatus.REJECTED)
-            self.after(0, lambda: self.to(door, lambda: self.word(door, refused)))
-        elif draw < 0.95 and self.now >= door.cut_until:
-            self.after(self.delay(), lambda: self.settle(door, propose))
+            self.after(0, lambda: self.to(proxy, lambda: self.word(proxy, refused)))
+        elif draw < 0.95 and self.now >= proxy.cut_until:
+            self.after(self.delay(), lambda: self.settle(proxy, propose))
 
-    def word(self, door: Door, over: ProposalFinished) -> None:
-        if over.id in door.out:
-            door.out.remove(over.id)
-            self.cores_handle(door, over)
+    def word(self, proxy: ProxyRun, over: ProposalFinished) -> None:
+        if over.id in proxy.out:
+            proxy.out.remove(over.id)
+            self.cores_handle(proxy, over)
 
-    def settle(self, door: Door, propose: Propose) -> None:
+    def settle(self, proxy: ProxyRun, propose: Propose) -> None:
         if propose.id not in self.ids:
-            self.append(propose, door.life)
+            self.append(propose, proxy.instance)
         position = self.ids[propose.id]
         over = ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
 
         def told() -> None:
-            if door.learnt >= position:
-                self.word(door, over)
+            if proxy.learnt >= position:
+                self.word(proxy, over)
             else:
-                door.waiting[propose.id] = over
+                proxy.waiting[propose.id] = over
 
-        self.after(self.delay(), lambda: self.to(door, told))
+        self.after(self.delay(), lambda: self.to(proxy, told))
 
     def append(self, propose: Propose, proposer: NodeInstance) -> Entry:
         position = len(self.order) + 1
@@ -321,7 +322,7 @@
         self.outcomes.append(outcome)
         self.snapshots.append(self.truth.snapshot())
         self.ids[propose.id] = position
-        for each in self.doors.values():
+        for each in self.proxies.values():
             self.after(
                 self.delay(),
                 lambda each=each: self.to(  # type: ignore[misc]
@@ -330,50 +331,50 @@
             )
         return entry
 
-    def learn(self, door: Door, position: int) -> None:
+    def learn(self, proxy: ProxyRun, position: int) -> None:
         """Apply the order up to a position, at times by a snapshot."""
-        if position - door.learnt > 1 and self.chance.random() < 0.3:
-            door.sessions.restore(self.snapshots[position - 1])
-            self.accounts(door, range(door.learnt + 1, position + 1))
-            door.learnt = position
-            self.cores_handle(door, Restored(position))
-        while door.learnt < position:
-            entry = self.order[door.learnt]
-            outcome = door.sessions.apply(entry) if entry.machine == MACHINE else Outcome()
+        if position - proxy.learnt > 1 and self.chance.random() < 0.3:
+            proxy.sessions.restore(self.snapshots[position - 1])
+            self.accounts(proxy, range(proxy.learnt + 1, position + 1))
+            proxy.learnt = position
+            self.cores_handle(proxy, Restored(position))
+        while proxy.learnt < position:
+            entry = self.order[proxy.learnt]
+            outcome = proxy.sessions.apply(entry) if entry.machine == MACHINE else Outcome()
             if entry.machine == MACHINE and outcome != self.outcomes[entry.position - 1]:
                 raise BrokenError(f"another outcome at {entry.position}")
-            door.learnt = entry.position
-            self.accounts(door, range(entry.position, entry.position + 1))
-            self.cores_handle(door, Applied(entry, outcome))
-        for over in [over for over in door.waiting.values() if over.position <= door.learnt]:
-            del door.waiting[over.id]
-            self.word(door, over)
-
-    def accounts(self, door: Door, positions: range) -> None:
+            proxy.learnt = entry.position
+            self.accounts(proxy, range(entry.position, entry.position + 1))
+            self.cores_handle(proxy, Applied(entry, outcome))
+        for over in [over for over in proxy.waiting.values() if over.position <= proxy.learnt]:
+            del proxy.waiting[over.id]
+            self.word(proxy, over)
+
+    def accounts(self, proxy: ProxyRun, positions: range) -> None:
         for position in positions:
             if position in self.open_at:
-                now_us = door.clock.at(self.now)
-                door.accounts[position] = self.cores.account(position, door.sessions, door.keeper, now_us)
+                now_us = proxy.clock.at(self.now)
+                proxy.accounts[position] = self.cores.account(position, proxy.sessions, proxy.manager, now_us)
 
     # --- what must hold after each step ---
 
     def check(self) -> None:
-        for door in self.doors.values():
-            if door.holder.holds(door.clock.at(self.now)) and door.holder.fencing_token in self.over:
+        for proxy in self.proxies.values():
+            if proxy.holder.holds(proxy.clock.at(self.now)) and proxy.holder.fencing_token in self.over:
                 raise BrokenError(
-                    f"{door.life} holds {door.holder.fencing_token}, which is over, at {self.now}"
+                    f"{proxy.instance} holds {proxy.holder.fencing_token}, which is over, at {self.now}"
                 )
-            if self.now >= door.stopped_until:
-                for position, account in list(door.accounts.items()):
+            if self.now >= proxy.stopped_until:
+                for position, account in list(proxy.accounts.items()):
                     if proof := account.proof():
-                        del door.accounts[position]
-                        self.proof(door, position, proof)
+                        del proxy.accounts[position]
+                        self.proof(proxy, position, proof)
 
-    def proof(self, door: Door, position: int, proof: tuple[NodeClearance, ...]) -> None:
+    def proof(self, proxy: ProxyRun, position: int, proof: tuple[NodeClearance, ...]) -> None:
         self.proven += 1
         known, were = {each.instance.name: each for each in proof}, self.open_at[position]
         often = {
-            name for name, each in door.sessions._nodes.items() if each.first_dropped_token
+            name for name, each in proxy.sessions._nodes.items() if each.first_dropped_token
         }  # the last are kept
         if (
             were.keys() - known.keys()
@@ -381,10 +382,10 @@
             or any(known[name].instance != were[name].instance for name in were.keys() - often)
         ):
             raise BrokenError(f"the proof of {position} is not of those that were open")
-        if self.proofs.setdefault((position, door.learnt), proof) != proof:
-            raise BrokenError(f"two proofs of {position} at {door.learnt}")
-        for each in self.doors.values():
-            session = self.open_at[position].get(each.life.name)
+        if self.proofs.setdefault((position, proxy.learnt), proof) != proof:
+            raise BrokenError(f"two proofs of {position} at {proxy.learnt}")
+        for each in self.proxies.values():
+            session = self.open_at[position].get(each.instance.name)
             held = session is not None and each.holder.fencing_token == session.fencing_token
             if held and each.learnt < position and each.holder.holds(each.clock.at(self.now)):
-                raise BrokenError(f"{each.life} holds without {position}, which was proven")
+                raise BrokenError(f"{each.instance} holds without {position}, which was proven")
