--- a/tests/coordination/replicated_log/test_core.py
+++ b/tests/coordination/replicated_log/test_core.py
@@ -44,7 +44,7 @@
     return Voter(name, world.nodes[name].disk.identity)
 
 
-def test_it_settles_at_all_seats_and_learners() -> None:
+def test_it_decides_at_all_voters_and_learners() -> None:
     world = led(size=3, learners=2)
     for number, name in enumerate(world.nodes):
         world.propose(name, f"p{number}")
@@ -53,7 +53,7 @@
     assert len(world.entries) == 5
 
 
-def test_the_first_start_takes_one_seat_more_than_a_majority() -> None:
+def test_the_first_start_takes_one_voter_more_than_a_majority() -> None:
     world = World(1)
     for name in ("d0", "d1", "d2"):
         world.start(name)
@@ -65,7 +65,7 @@
     assert settles(world, "d0", "p")
 
 
-def test_a_seat_that_was_cut_off_deposes_nobody() -> None:
+def test_a_voter_that_was_cut_off_deposes_nobody() -> None:
     world = led()
     other = next(name for name in world.nodes if name != world.leader())
     world.groups = {other: 1}
@@ -75,7 +75,7 @@
     assert len(world.led) == 1
 
 
-def test_a_seat_that_does_not_hear_the_leader_deposes_nobody() -> None:
+def test_a_voter_that_has_no_contact_to_the_leader_deposes_nobody() -> None:
     world = led()
     leader = world.leader()
     assert leader
@@ -150,7 +150,7 @@
     assert said[0].instance_number == 1
 
 
-def test_the_new_panel_decides_and_the_old_one_does_not() -> None:
+def test_the_new_voters_decide_and_the_old_ones_do_not() -> None:
     world = led(size=3, learners=2)
     for number, (out, into) in enumerate((("d1", "d3"), ("d2", "d4"))):
         world.change("d0", f"c{number}", ReplaceVoter(seat(world, out), seat(world, into)))
@@ -162,7 +162,7 @@
     assert settles(world, "d3", "new")
 
 
-def test_a_panel_grows_and_shrinks_by_two() -> None:
+def test_the_voters_grow_and_shrink_by_two() -> None:
     world = led(size=3, learners=2)
     world.change("d1", "grow", AddVoters((seat(world, "d3"), seat(world, "d4"))))
     world.run(3 * S)
@@ -193,7 +193,7 @@
     assert world.turns - before < 2000  # it waits for nothing that has passed
 
 
-def test_a_disk_set_back_is_found_and_its_seat_replaced() -> None:
+def test_a_disk_rolled_back_is_found_and_its_voter_replaced() -> None:
     world = led()
     name = next(name for name in world.nodes if name != world.leader())
     old = world.nodes[name].disk.copy()
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -217,7 +217,7 @@
 # --- proposals ---
 
 
-def test_an_ask_from_before_the_window_settles_nothing() -> None:
+def test_a_request_from_before_the_window_decides_nothing() -> None:
     learner = Learner(PANEL, {"sum": Sum()}, LogSettings(max_deduplicated_ids=2))
     queue = ProposalQueue(LogSettings(), lambda now_us: 5)
     early = ProposalRequest("sum", "p1", ME, 0, b"1")
@@ -229,7 +229,7 @@
     assert [each.id for each in queue.batch(0, learner)] == ["p9"]
 
 
-def test_a_batch_ends_with_a_change_of_the_panel() -> None:
+def test_a_batch_ends_with_a_change_of_the_voters() -> None:
     learner = Learner(PANEL, {"sum": Sum()}, LogSettings())
     learner.apply(entry(1, at_ms=50))
     queue = ProposalQueue(LogSettings(), lambda now_us: 7)
@@ -251,7 +251,7 @@
     assert len(queue.batch(0, learner)) == 4
 
 
-def test_ids_are_kept_up_to_a_bound() -> None:
+def test_ids_are_remembered_up_to_a_bound() -> None:
     once = DeduplicationTable(2)
     for position in (1, 2, 3):
         once.add(entry(position), b"", Outcome())
@@ -284,13 +284,13 @@
         (RemoveVoters((SEATS[0], SEATS[0])), "the seat is taken"),
     ],
 )
-def test_changes_of_the_panel(change: ReplaceVoter, error: str) -> None:
+def test_changes_of_the_voters(change: ReplaceVoter, error: str) -> None:
     after, outcome = apply_change(PANEL, msgspec.json.encode(change))
     assert outcome == Outcome(error)
     assert (after == PANEL) == bool(error)
 
 
-def test_sizes_of_the_panel() -> None:
+def test_sizes_of_the_voters() -> None:
     pair = msgspec.json.encode(AddVoters((SEATS[7], SEATS[8])))
     assert apply_change(SEATS[:7], pair)[1].error.startswith("a panel has")
     assert apply_change(SEATS[:3], msgspec.json.encode(RemoveVoters((SEATS[0], SEATS[1]))))[1].error
@@ -300,7 +300,7 @@
 # --- words ---
 
 
-def test_words_are_typed_and_bounded() -> None:
+def test_messages_are_typed_and_bounded() -> None:
     decoder = msgspec.json.Decoder(Message)
     assert decoder.decode(msgspec.json.encode(EntriesRequest(3))) == EntriesRequest(3)
     many = tuple(entry(position) for position in range(1, MAX_BATCH_ENTRIES + 2))
@@ -370,7 +370,7 @@
     assert asked(one) == []
 
 
-def test_it_asks_again_and_gives_up() -> None:
+def test_it_retries_and_gives_up() -> None:
     two = ledger()
     catching_up = CatchUpProtocol(two)
     catching_up.request_from("d1")
@@ -381,7 +381,7 @@
     assert asked(two) == [EntriesRequest(0)] * 6 and not catching_up.source
 
 
-def test_entries_are_asked_for_as_long_as_they_help() -> None:
+def test_entries_are_requested_as_long_as_they_help() -> None:
     two = ledger()
     catching_up = CatchUpProtocol(two)
     assert catching_up.on_entries("d1", EntriesReply((entry(1),), 5))
--- a/tests/coordination/replicated_log/test_scripted.py
+++ b/tests/coordination/replicated_log/test_scripted.py
@@ -94,7 +94,7 @@
         return ballot
 
 
-def test_a_beat_of_a_ballot_that_is_outbid() -> None:
+def test_a_heartbeat_of_a_ballot_that_is_rejected() -> None:
     door = Door()
     assert [type(word) for word in door.hear(2, Prepare(HIGH, 0))] == [Promise]
     assert door.hear(1, Heartbeat(LOW, 0, 1)) == [BallotRejected(LOW, HIGH)]
@@ -115,7 +115,7 @@
     assert door.hear(1, Accept(LOW, (entry(1), entry(3)))) == []
 
 
-def test_a_beat_decides_what_was_accepted_of_its_ballot_alone() -> None:
+def test_a_heartbeat_decides_what_was_accepted_of_its_ballot_alone() -> None:
     door = Door()
     door.hear(1, Accept(LOW, (entry(1), entry(2))))
     assert EntriesRequest(0) in door.hear(2, Heartbeat(HIGH, 2, 1)) and door.core.position == 0
@@ -125,7 +125,7 @@
     assert door.core.position == 1 and door.core.state.acceptor.accepted == (entry(2),)
 
 
-def test_who_lacks_entries_gets_or_asks_for_them() -> None:
+def test_who_lacks_entries_gets_or_requests_them() -> None:
     door = Door()
     assert door.hear(1, Prepare(LOW, 3)) == [EntriesRequest(0)]
     door.give(EntriesLearned((entry(1), entry(2))))
@@ -154,7 +154,7 @@
     assert door.core.state.vote_source().known_runs == (again,)
 
 
-def test_a_disk_that_was_set_back_vouches_for_nobody() -> None:
+def test_a_disk_that_was_rolled_back_vouches_for_nobody() -> None:
     door = Door()
     door.hear(1, RunConflict(RUNS[0], Run(PANEL[0].disk, 4, 9)))
     assert door.hear(2, RunStarted(Run(PANEL[2].disk, 2, 7), 0), life=7) == []
@@ -191,7 +191,7 @@
     assert any(isinstance(action, LeaderChanged) and not action.is_self for action in door.acted)
 
 
-def test_votes_for_a_leader_are_those_of_seats() -> None:
+def test_votes_for_a_leader_are_those_of_voters() -> None:
     door = Door()
     ballot = door.lead()
     door.hear(7, ProposalRequest("sum", "p", LIVES[1], 0, b"1"))  # neither its own nor passed on by a seat
--- a/tests/coordination/storage/test_crash.py
+++ b/tests/coordination/storage/test_crash.py
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-def test_call_that_fails_breaks_the_store_for_good_and_loses_nothing_told(number: int) -> None:
+def test_call_that_fails_disables_the_folder_for_good_and_loses_nothing_synced(number: int) -> None:
     whole = Medium()
     list(played(whole))
     for cut in range(len(whole.calls)):
--- a/tests/coordination/storage/test_folder.py
+++ b/tests/coordination/storage/test_folder.py
@@ -103,7 +103,7 @@
     refused(tmp_path / "seat", "others can read or write it")
 
 
-def test_two_processes_do_not_share_a_folder_and_a_refused_one_is_not_kept(tmp_path: Path) -> None:
+def test_two_processes_do_not_share_a_folder_and_a_refused_one_is_not_held_open(tmp_path: Path) -> None:
     identity = filled(tmp_path)
     held = opened(tmp_path)
     program = (
@@ -143,7 +143,7 @@
     assert opened(tmp_path).records == [b"record 0", b"record 1"]
 
 
-def test_damage_before_whole_frames_is_refused_and_a_torn_end_is_cut_away(tmp_path: Path) -> None:
+def test_damage_before_complete_frames_is_refused_and_a_torn_end_is_cut_away(tmp_path: Path) -> None:
     filled(tmp_path)
     tail = last(tmp_path, "tail")
     data = tail.read_bytes()
@@ -208,7 +208,7 @@
         ("folder.MAX_TAIL_BYTES", 60, Persist(1, (b"12345678901234",)), r"tail\.0 would hold 63 bytes"),
     ],
 )
-def test_too_large_to_write_breaks_the_store_and_writes_nothing(
+def test_too_large_to_write_disables_the_folder_and_writes_nothing(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     name: str,
@@ -265,7 +265,7 @@
 """
 
 
-def test_killed_at_twenty_points_all_that_was_told_is_there_in_order(tmp_path: Path) -> None:
+def test_killed_at_twenty_points_all_that_was_synced_is_there_in_order(tmp_path: Path) -> None:
     chance, told = Random(20), 0
     for _ in range(20):
         child = subprocess.Popen(
--- a/tests/coordination/storage/test_frames.py
+++ b/tests/coordination/storage/test_frames.py
@@ -26,7 +26,7 @@
     assert read(bytes(start) + b"".join(made(writes)), SEED, start) == records(writes)
 
 
-def test_cut_at_every_byte_the_whole_frames_are_there() -> None:
+def test_cut_at_every_byte_the_complete_frames_are_there() -> None:
     parts = made()
     data = b"".join(parts)
     ends = [len(b"".join(parts[:count])) for count in range(len(parts) + 1)]
@@ -61,7 +61,7 @@
             read(bytes(damaged), SEED)
 
 
-def test_zeroes_or_a_gap_before_whole_frames_are_damage() -> None:
+def test_zeroes_or_a_gap_before_complete_frames_are_damage() -> None:
     parts = made()
     for gone in (bytes(len(parts[1])), bytes(512), b"", parts[1][:-9], parts[1][30:]):
         with pytest.raises(DamagedTailError, match=r"whole frames behind it|does not follow"):
@@ -84,7 +84,7 @@
         frames.decode_records(b"\0\0\0\5four")
 
 
-def test_whole_frame_within_a_record_is_not_taken_for_one_behind_it() -> None:
+def test_complete_frame_within_a_record_is_not_taken_for_one_behind_it() -> None:
     """A record may hold what looks like a frame: of another tail, as the marker follows from the seed."""
     inner = b"".join(made([[b"a"], [b"b"]], digest(b"another tail")))
     first, torn = made([[b"one"], [inner]])
--- a/tests/coordination/storage/test_worker.py
+++ b/tests/coordination/storage/test_worker.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("call", ["write", "sync"])
-def test_failed_write_or_sync_is_told_once_and_nothing_more_is_written(call: str) -> None:
+def test_failed_write_or_sync_is_reported_once_and_nothing_more_is_written(call: str) -> None:
     async def play(case: Case) -> None:
         number = len(case.medium.calls) + ("write", "sync").index(call)
         case.medium.fail = {number: OSError(errno.EIO, "Input/output error", "tail.0")}
@@ -168,7 +168,7 @@
     assert run(play).told == [Persisted(token) for token in range(20)]
 
 
-def test_fault_of_the_log_or_of_the_store_does_not_end_the_worker(caplog: pytest.LogCaptureFixture) -> None:
+def test_fault_of_the_log_or_of_the_folder_does_not_end_the_writer(caplog: pytest.LogCaptureFixture) -> None:
     async def play(case: Case) -> None:
         def fault(event: Persisted | DiskFailed) -> None:
             case.done(event)
