--- a/molereach/coordination/replicated_log/election.py
+++ b/molereach/coordination/replicated_log/election.py
@@ -1,69 +1,81 @@
-"""When a seat tries to lead, and whether it would let another.
+"""When a voter tries to lead, and whether it would let another.
 
-Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 9.6 (pre-vote): a seat asks first
-whether a majority would promise, and is refused by all that hear a living leader. So one that was cut off
-deposes nobody when it is back.
+Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), section 9.6 (pre-vote): a candidate first
+checks whether a majority would promise, and all that hear from a live leader refuse. So a node that was
+partitioned deposes nobody when it is connected again.
 """
 
 from collections.abc import Callable
 
-from molereach.coordination.replicated_log.panel import majority
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.words import Ballot, Panel, Polled
+from molereach.coordination.replicated_log.messages import Ballot, PreVoteReply, Voters
+from molereach.coordination.replicated_log.settings import LogSettings
+from molereach.coordination.replicated_log.voters import majority
 
 
 class Election:
-    """Time-outs and the poll under way."""
+    """Timeouts and the pre-vote in progress."""
 
-    def __init__(self, settings: Settings, draw: Callable[[], float]) -> None:
-        self.settings, self.draw = settings, draw
-        self.heard_us: int | None = None  # when a leader was last heard, or the start
-        self.due_us = 0
-        self.ballot: Ballot | None = None  # that is asked about
+    def __init__(self, settings: LogSettings, draw: Callable[[], float]) -> None:
+        self.settings = settings
+        self.random_fraction = draw
+        self.leader_contact_us: int | None = None  # the last contact with a leader, or the start
+        self.timeout_at_us = 0
+        self.ballot: Ballot | None = None  # of the pre-vote in progress
         self.granted: set[str] = set()  # disks
         self.highest = 0  # number of any ballot seen
-        self.favoured, self.favoured_until_us = "", 0  # whom this seat would promise
+        # whom this voter would promise
+        self.favored = ""
+        self.favored_until_us = 0
 
-    def listen(self, now_us: int) -> None:
+    def restart_timeout(self, now_us: int) -> None:
         """Wait anew for a leader, or for the end of what was begun."""
-        least, most = self.settings.election_least_us, self.settings.election_most_us
-        self.due_us = now_us + least + int(self.draw() * (most - least))
+        minimum_us = self.settings.min_election_timeout_us
+        maximum_us = self.settings.max_election_timeout_us
+        self.timeout_at_us = now_us + minimum_us + int(self.random_fraction() * (maximum_us - minimum_us))
 
-    def hear(self, now_us: int) -> None:
-        """A leader lives."""
-        self.heard_us, self.ballot = now_us, None
-        self.listen(now_us)
+    def record_leader_contact(self, now_us: int) -> None:
+        """A leader is alive."""
+        self.leader_contact_us = now_us
+        self.ballot = None
+        self.restart_timeout(now_us)
 
-    def hears(self, now_us: int) -> bool:
-        return self.heard_us is not None and now_us - self.heard_us < self.settings.election_least_us
+    def has_live_leader(self, now_us: int) -> bool:
+        """Whether a leader was heard within the shortest election timeout."""
+        return (
+            self.leader_contact_us is not None
+            and now_us - self.leader_contact_us < self.settings.min_election_timeout_us
+        )
 
     def grant(self, now_us: int, ballot: Ballot, promised: Ballot) -> bool:
-        """Whether this seat would promise a ballot: it hears no leader, and did not just say so to another.
+        """Whether this voter would promise: it has no live leader, and did not just grant another.
 
-        Else two whose time-outs end together would both be told to go on, and each undo the other's ballot.
+        Otherwise two whose timeouts end together would both be granted, and each undo the other's ballot.
         """
-        favoured = self.favoured != ballot.name and now_us < self.favoured_until_us
-        if ballot.number <= promised.number or favoured or self.hears(now_us):
+        favoured = self.favored != ballot.name and now_us < self.favored_until_us
+        if ballot.number <= promised.number or favoured or self.has_live_leader(now_us):
             return False
-        self.favoured, self.favoured_until_us = ballot.name, now_us + self.settings.election_least_us // 2
+        self.favored = ballot.name
+        self.favored_until_us = now_us + self.settings.min_election_timeout_us // 2
         return True
 
-    def seen(self, ballot: Ballot) -> None:
+    def observe_ballot(self, ballot: Ballot) -> None:
+        """Remember the highest ballot number that was seen."""
         self.highest = max(self.highest, ballot.number)
 
-    def poll(self, now_us: int, name: str, life: int) -> Ballot:
-        """Begin to ask about a ballot higher than all that were seen."""
-        self.ballot, self.granted = Ballot(self.highest + 1, name, life), set()
-        self.listen(now_us)
+    def start_pre_vote(self, now_us: int, name: str, instance_number: int) -> Ballot:
+        """Begin a pre-vote for a ballot higher than all that were seen."""
+        self.ballot = Ballot(self.highest + 1, name, instance_number)
+        self.granted = set()
+        self.restart_timeout(now_us)
         return self.ballot
 
-    def polled(self, word: Polled, panel: Panel) -> bool:
-        """Take an answer; whether a majority would promise, which ends the poll."""
-        self.seen(word.promised)
-        if word.ballot != self.ballot or not word.granted:
+    def record_reply(self, message: PreVoteReply, voters: Voters) -> bool:
+        """Take a reply; whether a majority would promise, which ends the pre-vote."""
+        self.observe_ballot(message.promised)
+        if message.ballot != self.ballot or not message.granted:
             return False
-        self.granted.add(word.disk)
-        if sum(seat.disk in self.granted for seat in panel) < majority(panel):
+        self.granted.add(message.disk)
+        if sum(voter.disk in self.granted for voter in voters) < majority(voters):
             return False
         self.ballot = None
         return True
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -1,10 +1,11 @@
-"""This front door's own proposals: told to the leader again and again until one word ends each.
+"""This node's own proposals: sent to the leader repeatedly until one result ends each.
 
-SETTLED when the entry was applied here; REFUSED when it never left; UNKNOWN when its time is over. An id
-that is under way already has one word for both times that it was given.
+APPLIED when the entry was applied here; REJECTED when it was never sent; UNKNOWN when its time is over. An id
+that is pending already has one result for both times that it was proposed.
 """
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from molereach.coordination.interface.core import NEVER_US
 from molereach.coordination.interface.identifiers import MAX_ID_CHARACTERS, NodeInstance
@@ -14,77 +15,91 @@
     ProposalStatus,
     Propose,
 )
-from molereach.coordination.replicated_log.learner import OWN, Learner
-from molereach.coordination.replicated_log.settings import Settings
-from molereach.coordination.replicated_log.words import Ask
+from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
+from molereach.coordination.replicated_log.messages import ProposalRequest
+from molereach.coordination.replicated_log.settings import LogSettings
 
 
 @dataclass(slots=True)
-class _Pending:
-    ask: Ask
-    until_us: int
-    again_us: int
-    told: int = 0
+class _PendingProposal:
+    request: ProposalRequest
+    deadline_us: int
+    retry_at_us: int
+    attempts: int = 0
 
 
-class Proposals:
-    """Those under way, by id."""
+class DueRequest(NamedTuple):
+    """A request to send now, and how often it was sent before."""
 
-    def __init__(self, me: NodeInstance, settings: Settings, learner: Learner) -> None:
-        self.me, self.settings, self.learner = me, settings, learner
-        self.pending: dict[str, _Pending] = {}
+    request: ProposalRequest
+    attempts: int
+
+
+class ProposalTracker:
+    """The pending proposals, by id."""
+
+    def __init__(self, me: NodeInstance, settings: LogSettings, learner: Learner) -> None:
+        self.instance = me
+        self.settings = settings
+        self.learner = learner
+        self.pending: dict[str, _PendingProposal] = {}
 
     def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
-        """Take a proposal; its word where it is over at once."""
+        """Take a proposal; its result where it ends at once."""
         if event.id in self.pending:
             pending = self.pending[event.id]
-            pending.until_us = max(pending.until_us, now_us + event.timeout_us)
+            pending.deadline_us = max(pending.deadline_us, now_us + event.timeout_us)
             return None
-        machine = event.machine or OWN
-        known = machine == OWN or machine in self.learner.machines
+        machine = event.machine or LOG_MACHINE
+        known = machine == LOG_MACHINE or machine in self.learner.machines
         fits = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
-        if not known or not fits or len(self.pending) >= self.settings.most_pending:
+        if not known or not fits or len(self.pending) >= self.settings.max_pending:
             return ProposalFinished(event.id, ProposalStatus.REJECTED)
-        ask = Ask(machine, event.id, self.me, self.learner.position, event.body)
-        if over := self._settled(ask):
+        request = ProposalRequest(machine, event.id, self.instance, self.learner.position, event.body)
+        if over := self._result(request):
             return over
-        self.pending[event.id] = _Pending(ask, now_us + event.timeout_us, now_us)
+        self.pending[event.id] = _PendingProposal(request, now_us + event.timeout_us, now_us)
         return None
 
-    def _settled(self, ask: Ask) -> ProposalFinished | None:
-        found = self.learner.outcome_of(ask.id, ask.machine, ask.body)
-        return (
-            ProposalFinished(ask.id, ProposalStatus.APPLIED, found[1], found[0].position) if found else None
-        )
+    def _result(self, request: ProposalRequest) -> ProposalFinished | None:
+        found = self.learner.outcome_of(request.id, request.machine, request.body)
+        if found is None:
+            return None
+        return ProposalFinished(request.id, ProposalStatus.APPLIED, found.outcome, found.position)
 
-    def settle(self) -> list[ProposalFinished]:
+    def finish_applied(self) -> list[ProposalFinished]:
         """Those that have been applied here by now."""
-        overs = [over for each in self.pending.values() if (over := self._settled(each.ask))]
+        overs = [over for each in self.pending.values() if (over := self._result(each.request))]
         for over in overs:
             del self.pending[over.id]
         return overs
 
     def expire(self, now_us: int) -> list[ProposalFinished]:
-        late = [key for key, each in self.pending.items() if now_us >= each.until_us]
+        """Remove the proposals whose deadline has passed."""
+        late = [key for key, each in self.pending.items() if now_us >= each.deadline_us]
         for key in late:
             del self.pending[key]
         return [ProposalFinished(key, ProposalStatus.UNKNOWN) for key in late]
 
-    def due(self, now_us: int) -> list[tuple[Ask, int]]:
-        """What to tell now, and how often it was told before."""
-        asks = []
+    def due_requests(self, now_us: int) -> list[DueRequest]:
+        """The requests that are due, with the number of earlier attempts."""
+        requests = []
         for each in self.pending.values():
-            if now_us >= each.again_us:
-                asks.append((each.ask, each.told))
-                each.told += 1
-                each.again_us = now_us + self.settings.again_us
-        return asks
-
-    def hurry(self) -> None:
-        """Another leader: tell it at once."""
+            if now_us >= each.retry_at_us:
+                requests.append(DueRequest(each.request, each.attempts))
+                each.attempts += 1
+                each.retry_at_us = now_us + self.settings.retry_interval_us
+        return requests
+
+    def retry_now(self) -> None:
+        """Send all at once, as another leader is known."""
         for each in self.pending.values():
-            each.again_us, each.told = 0, 0
+            each.retry_at_us = 0
+            each.attempts = 0
 
     @property
     def wake_us(self) -> int:
-        return min((min(each.until_us, each.again_us) for each in self.pending.values()), default=NEVER_US)
+        """When a deadline or retry is due; `NEVER_US` for none."""
+        return min(
+            (min(each.deadline_us, each.retry_at_us) for each in self.pending.values()), default=NEVER_US
+        )
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -1,26 +1,34 @@
-"""When a seat may vote after a start, and whose votes count: what a disk that was set back must not do.
-
-Each start of a disk has a number, written before anything is said. A seat votes at a position only when
-more than half of all seats of that position's panel, its own not counted, have written down this run of it
-and said what they have promised and accepted, and when it has all that they had decided. Two such sets of
-others meet, and each meets every majority that its disk was part of: so whatever an earlier run voted for
-is either among what was said, or comes from a voter that knows this run, and then the earlier run's vote is
-void. One that knows of an equal or higher start under another life shows that the disk was set back; then
-it does not vote again.
-
-At the first start of a fresh panel all answer one another before any of them votes. So it takes one seat
-more than a majority to begin (all three of 3, four of 5, five of 7), as for any seat that starts anew;
-after that a majority of running seats is enough.
+"""When a voter may vote after a start, and whose votes count: what a disk that was rolled back must not do.
+
+Each start of a disk has a number, written before anything is sent. A voter votes at a position only when more
+than half of all voters of that position, itself not counted, have written down this run of it and reported
+what they have promised and accepted, and when it has all that they had decided. Two such sets of others
+intersect, and each intersects every majority that its disk was part of: so whatever an earlier run voted for
+is either among the reports, or comes from a voter that knows this run, and then the earlier run's vote is
+void. A voter that knows of an equal or higher start under another instance shows that the disk was rolled
+back; then this run never votes.
+
+At the first start of a fresh group all acknowledge one another before any of them votes. So it takes one
+voter more than a majority to begin (all three of 3, four of 5, five of 7), as for any voter that starts anew;
+after that a majority of running voters is enough.
 """
 
 from collections.abc import Mapping
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.replicated_log.acceptor import Acceptor, rest
+from molereach.coordination.replicated_log.acceptor import Acceptor, undecided_rest
 from molereach.coordination.replicated_log.learner import Learner
-from molereach.coordination.replicated_log.panel import majority
-from molereach.coordination.replicated_log.settings import MOST_RUNS
-from molereach.coordination.replicated_log.words import NOBODY, Exists, Noted, Panel, Run, Seat, Voter
+from molereach.coordination.replicated_log.messages import (
+    NOBODY,
+    Run,
+    RunAcknowledged,
+    RunConflict,
+    Voter,
+    Voters,
+    VoteSource,
+)
+from molereach.coordination.replicated_log.settings import MAX_RUNS
+from molereach.coordination.replicated_log.voters import majority
 
 
 class Recovery:
@@ -28,89 +36,100 @@
 
     def __init__(self, me: NodeInstance, disk: str, starts: int, runs: Mapping[str, Run]) -> None:
         self.run = Run(disk, starts, me.number)
-        self.seat = Seat(me.name, disk)
-        self.runs = {key: run for key, run in runs.items() if key != disk}  # newest known, oldest word first
-        self.answers: dict[Seat, Noted] = {}
-        self.set_back: Run | None = None
+        self.voter = Voter(me.name, disk)
+        self.runs = {
+            key: run for key, run in runs.items() if key != disk
+        }  # newest known run of each, the least recently updated first
+        self.acknowledgements: dict[Voter, RunAcknowledged] = {}
+        self.rollback_evidence: Run | None = None
 
     # --- this disk ---
 
-    def lacking(self, panel: Panel) -> list[Seat]:
-        """Whom to ask still. All, as each answer more lets one more be dead later."""
-        if self.set_back or self.seat not in panel:
+    def unanswered_voters(self, voters: Voters) -> list[Voter]:
+        """Voters without an acknowledgement. All are asked, as each more tolerates one more failure later."""
+        if self.rollback_evidence or self.voter not in voters:
             return []
-        return [seat for seat in panel if seat != self.seat and seat not in self.answers]
-
-    def answered(self, sender: NodeInstance, noted: Noted, panel: Panel) -> bool:
-        """Take an answer; whether it was new and for this run. Those of no seat go when there are many."""
-        seat = Seat(sender.name, noted.by.disk)
-        if noted.run != self.run or noted.by.life != sender.number or seat in self.answers:
+        return [voter for voter in voters if voter != self.voter and voter not in self.acknowledgements]
+
+    def record_acknowledgement(self, sender: NodeInstance, noted: RunAcknowledged, voters: Voters) -> bool:
+        """Take an acknowledgement; whether it was new and of this run. Those of non-voters drop out first."""
+        voter = Voter(sender.name, noted.acknowledged_by.disk)
+        if (
+            noted.run != self.run
+            or noted.acknowledged_by.instance_number != sender.number
+            or voter in self.acknowledgements
+        ):
             return False
-        if len(self.answers) >= MOST_RUNS:
-            del self.answers[next(each for each in self.answers if each not in panel)]
-        self.answers[seat] = noted
+        if len(self.acknowledgements) >= MAX_RUNS:
+            del self.acknowledgements[next(each for each in self.acknowledgements if each not in voters)]
+        self.acknowledgements[voter] = noted
         return True
 
-    def refused(self, exists: Exists) -> bool:
-        """Whether an answer shows, for the first time, that this disk was set back."""
+    def record_conflict(self, exists: RunConflict) -> bool:
+        """Whether an answer shows, for the first time, that this disk was rolled back."""
         known = exists.known
-        if exists.run != self.run or known.disk != self.run.disk or self.set_back:
+        if exists.run != self.run or known.disk != self.run.disk or self.rollback_evidence:
             return False
-        if known == self.run or known.starts < self.run.starts:
+        if known == self.run or known.start_count < self.run.start_count:
             return False
-        self.set_back = known
+        self.rollback_evidence = known
         return True
 
-    def may_vote(self, panel: Panel, position: int) -> bool:
-        """Whether this run may vote at the position after this one, whose panel is given."""
-        if self.set_back or self.seat not in panel:
+    def may_vote(self, voters: Voters, position: int) -> bool:
+        """Whether this run may vote at the position after this one, whose voters are given."""
+        if self.rollback_evidence or self.voter not in voters:
             return False
-        answers = [self.answers[seat] for seat in panel if seat in self.answers]
-        return len(answers) >= majority(panel) and all(answer.after <= position for answer in answers)
+        answers = [self.acknowledgements[voter] for voter in voters if voter in self.acknowledgements]
+        return len(answers) >= majority(voters) and all(answer.after <= position for answer in answers)
 
-    def raise_to(self, acceptor: Acceptor, learner: Learner) -> bool:
+    def adopt_acknowledged(self, acceptor: Acceptor, learner: Learner) -> bool:
         """Be no lower than those who answered; whether that changed anything."""
         raised = False
-        for answer in self.answers.values():
+        for answer in self.acknowledgements.values():
             accepted = answer.accepted if answer.after <= learner.position else ()
             if accepted and learner.last:
-                accepted = rest(accepted, learner.last)
+                accepted = undecided_rest(accepted, learner.last)
             raised |= acceptor.adopt(answer.promised, answer.accepted_at if accepted else NOBODY, accepted)
         return raised
 
     # --- the disks of others ---
 
-    def note(self, run: Run) -> Run | None:
-        """A run that shows that this one's disk was set back, or None: then it is to be written down."""
+    def conflicting_run(self, run: Run) -> Run | None:
+        """A known run that shows that this run's disk was rolled back, or None: then it is to be recorded."""
         known = self.runs.get(run.disk)
-        if known and known != run and known.starts >= run.starts:
+        if known and known != run and known.start_count >= run.start_count:
             return known
         return None
 
-    def write(self, run: Run, panel: Panel) -> bool:
-        """Remember a run; whether it was new. Disks without a seat go first when there are too many."""
+    def record_run(self, run: Run, voters: Voters) -> bool:
+        """Remember a run; whether it was new. Disks of non-voters drop out first."""
         if self.runs.get(run.disk) == run:
             return False
         self.runs.pop(run.disk, None)
         self.runs[run.disk] = run
-        if len(self.runs) > MOST_RUNS:
-            seats = {seat.disk for seat in panel}
-            del self.runs[next(disk for disk in self.runs if disk not in seats)]
+        if len(self.runs) > MAX_RUNS:
+            voter_disks = {voter.disk for voter in voters}
+            del self.runs[next(disk for disk in self.runs if disk not in voter_disks)]
         return True
 
-    def voter(self, panel: Panel) -> Voter:
-        """Whose a vote of this run is, and what it has written down of the panel's other disks."""
-        return Voter(self.run, tuple(self.runs[seat.disk] for seat in panel if seat.disk in self.runs))
+    def vote_source(self, voters: Voters) -> VoteSource:
+        """Whose vote it is, and the runs of the other voters' disks that it has written down."""
+        return VoteSource(
+            self.run, tuple(self.runs[voter.disk] for voter in voters if voter.disk in self.runs)
+        )
 
 
-def counted(votes: Mapping[str, Voter], panel: Panel) -> int:
-    """How many seats of the panel voted, by disk. One is void when a voter knows a later run."""
+def count_votes(votes: Mapping[str, VoteSource], voters: Voters) -> int:
+    """How many of the voters voted, by disk. A vote is void when another voter knows a later run."""
     newest: dict[str, int] = {}
-    for voter in votes.values():
-        for run in (voter.run, *voter.knows):
-            newest[run.disk] = max(newest.get(run.disk, 0), run.starts)
-    return sum(seat.disk in votes and votes[seat.disk].run.starts >= newest[seat.disk] for seat in panel)
+    for source in votes.values():
+        for run in (source.run, *source.known_runs):
+            newest[run.disk] = max(newest.get(run.disk, 0), run.start_count)
+    return sum(
+        voter.disk in votes and votes[voter.disk].run.start_count >= newest[voter.disk] for voter in voters
+    )
 
 
-def settled(votes: Mapping[str, Voter], panel: Panel) -> bool:
-    return counted(votes, panel) >= majority(panel)
+def has_majority(votes: Mapping[str, VoteSource], voters: Voters) -> bool:
+    """Whether the votes that count are a majority of the voters."""
+    return count_votes(votes, voters) >= majority(voters)
