--- a/molereach/clients/__init__.py
+++ b/molereach/clients/__init__.py
@@ -1,5 +1,5 @@
-"""Clients: taking them in, what they speak, and the checks that all of them share.
+"""Clients: accepting them, the protocol that they speak, and the checks that all protocols share.
 
-In reading order: `connection_state`, `disconnect_watch`, `listener`, `requests`, `commands`, `replies`,
-`resp`.
+In reading order: `connection_state`, `eviction`, `disconnect_watch`, `listener`, `requests`, `commands`,
+`replies`, `resp`.
 """
--- a/molereach/clients/disconnect_watch.py
+++ b/molereach/clients/disconnect_watch.py
@@ -1,40 +1,45 @@
-"""Clients that go while they are not read: a loop hears neither an end nor a reset there.
+"""Notices clients that disconnect while they are not read: an event loop sees neither an end nor a reset there.
 
-Without this a client that sent more than is taken at once, and went, would be found out only when the last of
-its requests was sent on for nobody.
+Without this, a client that sent more than is read at once, and disconnected, would be noticed only when the
+last of its requests had been forwarded for nobody.
 """
 
 import asyncio
 
 from molereach.clients.connection_state import Connection
-from molereach.resp import have_ended
+from molereach.resp import have_disconnected
 
-LOOK_S = 0.05  # no attempt may begin more than 0.1 s after its client went: a look, and a turn of the loop
+POLL_INTERVAL_S = (
+    0.05  # no attempt may begin over 0.1 s after its client left: one interval, one turn of the loop
+)
 
 
-class EndWatch:
-    """Looks at the connections that are not read, for as long as there are any: one call for all."""
+class DisconnectWatch:
+    """Polls the connections that are not read, for as long as there are any: one system call for all."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.watched: dict[Connection, None] = {}
-        self.due = False
+        self.is_scheduled = False
 
     def watch(self, connection: Connection) -> None:
+        """A connection is not read from now on."""
         self.watched[connection] = None
-        if not self.due:
-            self.due = True
-            self.loop.call_later(LOOK_S, self.look)
+        if not self.is_scheduled:
+            self.is_scheduled = True
+            self.loop.call_later(POLL_INTERVAL_S, self.poll)
 
-    def let_go(self, connection: Connection) -> None:
-        """It is read again, or closed."""
+    def unwatch(self, connection: Connection) -> None:
+        """A connection is read again, or closed."""
         self.watched.pop(connection, None)
 
-    def look(self) -> None:
-        self.due = bool(self.watched)
-        if self.due:
-            self.loop.call_later(LOOK_S, self.look)  # whatever becomes of this one
+    def poll(self) -> None:
+        """Look for disconnects, and again after the interval."""
+        self.is_scheduled = bool(self.watched)
+        if self.is_scheduled:
+            self.loop.call_later(POLL_INTERVAL_S, self.poll)  # first: a fault below must not end the polling
         watched = [each for each in self.watched if not each.transport.is_closing()]
-        for connection, ended in zip(watched, have_ended(each.transport for each in watched), strict=True):
-            if ended:
-                connection.peer_ended()
+        disconnected = have_disconnected(each.transport for each in watched)
+        for connection, is_disconnected in zip(watched, disconnected, strict=True):
+            if is_disconnected:
+                connection.on_peer_closed()
--- a/molereach/clients/replies.py
+++ b/molereach/clients/replies.py
@@ -1,31 +1,37 @@
-"""The place of an answer among those of its connection, and who takes commands for one."""
+"""The place of a reply among those of its connection, and what handles commands."""
 
 from typing import Protocol
 
 
-class Replies(Protocol):
-    """A connection whose answers leave in the order of its commands."""
+class ReplyQueue(Protocol):
+    """A connection whose replies leave in the order of its commands."""
 
-    def flush(self) -> None: ...
+    def flush(self) -> None:
+        """Send the replies that are next."""
 
 
 class Reply:
-    """The place of one answer among those of its connection."""
+    """The place of one reply among those of its connection."""
 
-    __slots__ = ("connection", "data", "id")
+    __slots__ = ("connection", "data", "request_id")
 
-    def __init__(self, connection: Replies, data: bytes | None = None) -> None:
-        self.connection, self.data = connection, data
-        self.id: str | None = None  # of the request that it answers
+    def __init__(self, connection: ReplyQueue, data: bytes | None = None) -> None:
+        self.connection = connection
+        self.data = data
+        self.request_id: str | None = None  # of the request that it answers
 
     def send(self, data: bytes) -> None:
+        """Answer; any further answer is ignored."""
         if self.data is None:
             self.data = data
             self.connection.flush()
 
 
-class Front(Protocol):
-    """What takes commands, and hears whose client has gone."""
+class CommandHandler(Protocol):
+    """What handles commands, and is told whose client has disconnected."""
 
-    def take(self, words: list[bytes], reply: Reply) -> None: ...
-    def client_gone(self, reply: Reply) -> None: ...
+    def handle_command(self, arguments: list[bytes], reply: Reply) -> None:
+        """Handle a command; raises CommandError for one that is invalid."""
+
+    def on_client_disconnected(self, reply: Reply) -> None:
+        """The client that a reply was for has disconnected."""
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -1,6 +1,6 @@
-"""The checks on a request's fields, one set for every front: what is wrong goes no further.
+"""The checks on a request's fields, one set for every protocol that clients speak.
 
-A front brings the fields as texts, in whatever syntax it speaks, and gets the request as the module sees it.
+A protocol brings the fields as texts, in whatever syntax it has, and gets the request as the policy sees it.
 """
 
 import re
@@ -10,24 +10,28 @@
 from molereach.policy.interface.settings import Idempotency, Plan
 from molereach.proxy.config import Config
 
-CUSTOMERS = 1 << 33
-MOST_WAITS = 2  # times the class's time, that a client may say it waits
-MOST_UNITS = 1e6  # where a plan has no burst
-MOST_ID_BYTES = 64
-HEX = frozenset(b"0123456789abcdefABCDEF")
-UNITS = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?")
+CUSTOMER_LIMIT = 1 << 33  # customers are numbers below it
+CUSTOMER_DIGITS = 16
+MAX_WAIT_FACTOR = 2  # times the class's deadline, that a client may say it waits
+MAX_UNITS = 1e6  # where a plan has no burst
+MAX_ID_BYTES = 64
+MAX_NUMBER_DIGITS = 12
+HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
+UNITS_FORM = re.compile(r"[0-9]{1,7}(\.[0-9]{1,6})?")
 
 
 class CommandError(Exception):
-    """A well-formed command that is wrong; the connection lives."""
+    """A well-formed command that is invalid; the connection stays open."""
 
 
-class NoRoomError(CommandError):
-    """A command that is good, and that there is no room for now."""
+class OverloadedError(CommandError):
+    """A valid command for which there is no capacity now."""
 
 
-def whole(text: str, name: str, least: int, most: int) -> int:
-    if not (text.isascii() and text.isdigit()) or len(text) > 12 or not least <= int(text) <= most:
+def parse_whole_number(text: str, name: str, minimum: int, maximum: int) -> int:
+    """A whole number within its range; raises CommandError that names the field."""
+    is_number = text.isascii() and text.isdigit()
+    if not is_number or len(text) > MAX_NUMBER_DIGITS or not minimum <= int(text) <= maximum:
         raise CommandError(f"invalid {name}")
     return int(text)
 
@@ -36,7 +40,9 @@
     """Checks a request's fields against the settings."""
 
     def __init__(self, config: Config) -> None:
-        self.classes, self.plans, self.settings = config.class_numbers, config.plan_numbers, config.settings
+        self.classes = config.class_numbers
+        self.plans = config.plan_numbers
+        self.settings = config.settings
 
     def check(
         self,
@@ -46,71 +52,75 @@
         is_write: bool,
         answer_margin_us: int,
     ) -> RequestReceived:
-        """The request that the fields describe; a CommandError for one that is wrong.
+        """The request that the fields describe; raises CommandError for one that is invalid.
 
         `values` go by the protocol's names: c (class), t (plan), d (ms that the client waits), k (key),
         r (1 for a retry), units, spread and first. `answer_margin_us` is taken off the time that the client
         waits.
         """
-        name, identity = self.customer(customer), self.request_id(request_id)
-        number = self.class_number(values, is_write)
-        plan = self.plans.get(values.get("t", ""))
-        if plan is None:
+        checked_customer = self.customer(customer)
+        checked_id = self.request_id(request_id)
+        class_index = self.class_number(values, is_write)
+        plan_index = self.plans.get(values.get("t", ""))
+        if plan_index is None:
             raise CommandError("unknown plan")
-        # Clients wait a little longer than the class's time, seen by up to a tenth; a day of waiting would
-        # hold memory for a day.
-        most_ms = MOST_WAITS * self.settings.classes[number].deadline_us // 1000
-        wait_ms = whole(values.get("d", ""), "time", 0, most_ms)
-        size, first = self.customers_set(values)
+        # Clients wait a little longer than the class's deadline; a day of waiting would hold memory for a day.
+        max_wait_ms = MAX_WAIT_FACTOR * self.settings.classes[class_index].deadline_us // 1000
+        wait_ms = parse_whole_number(values.get("d", ""), "time", 0, max_wait_ms)
+        set_size, set_first = self.proxy_set(values)
         return RequestReceived(
-            request_id=identity,
-            class_index=number,
-            plan_index=plan,
-            customer=name,
+            request_id=checked_id,
+            class_index=class_index,
+            plan_index=plan_index,
+            customer=checked_customer,
             remaining_us=max(0, wait_ms * 1000 - answer_margin_us),
-            units=self.units(values, self.settings.plans[plan]),
-            set_size=size,
-            set_first=first,
+            units=self.units(values, self.settings.plans[plan_index]),
+            set_size=set_size,
+            set_first=set_first,
             is_retry=values.get("r") == "1",
             is_write=is_write,
         )
 
-    def customer(self, word: bytes) -> str:
-        if len(word) != 16 or not HEX.issuperset(word) or int(word, 16) >= CUSTOMERS:
+    def customer(self, text: bytes) -> str:
+        """The customer, in lower case."""
+        is_hex = len(text) == CUSTOMER_DIGITS and HEX_DIGITS.issuperset(text)
+        if not is_hex or int(text, 16) >= CUSTOMER_LIMIT:
             raise CommandError("invalid customer")
-        return word.decode().lower()
+        return text.decode().lower()
 
-    def request_id(self, word: bytes) -> str:
-        if not 0 < len(word) <= MOST_ID_BYTES or not word.isalnum():
+    def request_id(self, text: bytes) -> str:
+        """The request's id."""
+        if not 0 < len(text) <= MAX_ID_BYTES or not text.isalnum():
             raise CommandError("invalid id")
-        return word.decode()
+        return text.decode()
 
     def class_number(self, values: Mapping[str, str], is_write: bool) -> int:
-        number = self.classes.get(values.get("c", ""))
-        if number is None:
+        """The index of the request's class, which must suit the command."""
+        class_index = self.classes.get(values.get("c", ""))
+        if class_index is None:
             raise CommandError("unknown class")
-        effect = self.settings.classes[number].idempotency
-        if is_write == (effect is Idempotency.IDEMPOTENT):
+        idempotency = self.settings.classes[class_index].idempotency
+        if is_write == (idempotency is Idempotency.IDEMPOTENT):
             raise CommandError("the command does not serve this class")
-        if effect is Idempotency.IDEMPOTENT_WITH_KEY and not values.get("k"):
+        if idempotency is Idempotency.IDEMPOTENT_WITH_KEY and not values.get("k"):
             raise CommandError("a key is missing")
-        return number
+        return class_index
 
     def units(self, values: Mapping[str, str], plan: Plan) -> float:
-        """More than a plan lets through at once would only drain what is its customer's."""
+        """The request's cost; more than a plan's bursts would never be admitted."""
         text = values.get("units", "1")
-        most = min(
-            (burst for burst in (plan.quota_burst, plan.ceiling_burst) if burst > 0), default=MOST_UNITS
-        )
-        if not UNITS.fullmatch(text) or not 0 < float(text) <= max(1.0, most):
+        bursts = (burst for burst in (plan.quota_burst, plan.ceiling_burst) if burst > 0)
+        max_units = max(1.0, min(bursts, default=MAX_UNITS))
+        if not UNITS_FORM.fullmatch(text) or not 0 < float(text) <= max_units:
             raise CommandError("invalid units")
         return float(text)
 
-    def customers_set(self, values: Mapping[str, str]) -> tuple[int, int]:
-        """The customer's front doors, as their number and the first; this one is among them."""
-        gateways = self.settings.proxy_count
-        size = whole(values.get("spread", "1"), "spread", 1, gateways)
-        first = whole(values.get("first", str(self.settings.proxy_index)), "first", 0, gateways - 1)
-        if (self.settings.proxy_index - first) % gateways >= size:
+    def proxy_set(self, values: Mapping[str, str]) -> tuple[int, int]:
+        """The customer's set of proxies, as its size and its first; this proxy is among them."""
+        proxy_count = self.settings.proxy_count
+        proxy_index = self.settings.proxy_index
+        size = parse_whole_number(values.get("spread", "1"), "spread", 1, proxy_count)
+        first = parse_whole_number(values.get("first", str(proxy_index)), "first", 0, proxy_count - 1)
+        if (proxy_index - first) % proxy_count >= size:
             raise CommandError("the set is without this front door")
         return size, first
--- a/molereach/clients/resp.py
+++ b/molereach/clients/resp.py
@@ -1,7 +1,7 @@
-"""RESP2 clients: commands in, answers out in the order of the commands.
+"""RESP2 clients: commands in, replies out in the order of the commands.
 
-A client is not trusted: whoever says nothing, stops within a command, reads no answers or sends what
-cannot be read is told or closed in time.
+A client is not trusted: one that sends nothing, stops within a command, reads no replies or sends what cannot be
+read is sent an error or closed in time.
 """
 
 import asyncio
@@ -9,137 +9,182 @@
 from collections import deque
 from typing import cast
 
-from molereach.clients.connection_state import CROWDED
-from molereach.clients.listener import READ_BYTES, WAITS_US, Connection, Intake, State
-from molereach.clients.replies import Front, Reply
-from molereach.clients.requests import CommandError, NoRoomError
+from molereach.clients.connection_state import TIMEOUTS_US, TOO_MANY_CLIENTS, Connection, State
+from molereach.clients.listener import READ_BYTES, ClientListener
+from molereach.clients.replies import CommandHandler, Reply
+from molereach.clients.requests import CommandError, OverloadedError
 from molereach.clock import now_us
 from molereach.resp import CommandReader, ProtocolError, has_unread
 
 log = logging.getLogger(__name__)
 
-MOST_PIPELINED = 16  # requests open on a connection; further commands wait unread
-DISCARD_BYTES = 256 * 1024  # read of what follows a last answer; then the client has to wait
-MOST_ERRORS = 16  # wrong commands in a row on a connection, then it is closed
-FAILED = b"-ERR failed\r\n"
-ENDS = b"-ERR the front door ends\r\n"
+MAX_PIPELINED = 16  # requests open on a connection; further commands wait unread
+MAX_DISCARDED_BYTES = 256 * 1024  # read of what follows a last reply; then the client has to wait
+MAX_CONSECUTIVE_ERRORS = 16  # invalid commands in a row, then the connection is closed
+REQUEST_FAILED = b"-ERR failed\r\n"
+SHUTTING_DOWN = b"-ERR the front door ends\r\n"
+PING = b"PING"
+PONG = b"+PONG\r\n"
 
 
 class ClientConnection(Connection, asyncio.BufferedProtocol):
-    """A client's connection; answers leave in the order of its commands."""
+    """A client's connection; replies leave in the order of its commands."""
 
-    def __init__(self, intake: Intake, front: Front) -> None:
-        self.intake, self.front = intake, front
+    def __init__(self, listener: ClientListener, handler: CommandHandler) -> None:
+        self.listener = listener
+        self.handler = handler
         self.reader = CommandReader()
         self.replies: deque[Reply] = deque()
-        self.closing, self.reading, self.clogged, self.processing = False, True, False, False
-        self.known, self.asked, self.errors = False, False, 0  # it has sent a good command; a request
-        self.unread, self.discarded = False, 0  # closing: what comes stays unread, or so much was thrown away
-        self.more = self.scheduled = False  # whole commands may wait to be taken; that is due
-        self.state, self.since_us = State.NEW, now_us()
-        self.until_us = self.since_us + WAITS_US[State.NEW]
+        self.is_closing = False
+        self.is_reading = True
+        self.is_write_blocked = False
+        self.is_processing = False
+        self.sent_valid_command = False
+        self.sent_request = False
+        self.consecutive_errors = 0
+        self.stops_reading = False  # while closing: what arrives stays unread
+        self.discarded_bytes = 0  # while closing: what was read and thrown away
+        self.has_commands_left = False  # complete commands may wait to be handled
+        self.is_processing_scheduled = False
+        self.state = State.NEW
+        self.since_us = now_us()
+        self.timeout_at_us = self.since_us + TIMEOUTS_US[State.NEW]
+
+    # --- events of the transport ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport, self.attached = cast(asyncio.Transport, transport), True
-        self.intake.opened(self)
-        if self.crowded:
-            self.finish(CROWDED)
+        """Take the transport over."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.is_attached = True
+        self.listener.on_opened(self)
+        if self.is_over_limit:
+            self.send_last_reply(TOO_MANY_CLIENTS)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.intake.read_buffer
+        """The buffer into which the transport reads: one for all connections."""
+        return self.listener.read_buffer
 
     def buffer_updated(self, count: int) -> None:
-        if self.closing:
-            self.discarded += count
+        """So many bytes were read."""
+        if self.is_closing:
+            self.discarded_bytes += count
             self.update()
             return
-        self.reader.feed(self.intake.read_buffer[:count])
+        self.reader.feed(self.listener.read_buffer[:count])
         if self.state is State.NEW and count < READ_BYTES:
-            # A burst of clients that ask and leave at once is not sent on: their ends are heard first.
-            self.more = True
-            self.process_soon()
-        elif not self.scheduled:
-            self.process()
+            # Requests of a burst of clients that disconnect at once are not forwarded: their ends are read first.
+            self.has_commands_left = True
+            self.schedule_processing()
+        elif not self.is_processing_scheduled:
+            self.process_commands()
 
     def eof_received(self) -> None:
-        """An end is all that is seen of a close. What is written still leaves, in bounded time."""
-        self.gone()
-        self.enter(State.CLOGGED)
+        """A half-close is all that is seen of a close. What is written still leaves, in bounded time."""
+        self.on_client_gone()
+        self.enter_state(State.CLOGGED)
 
-    def peer_ended(self) -> None:
-        self.gone()
-        self.abort()
+    def pause_writing(self) -> None:
+        """The client does not read its replies."""
+        self.is_write_blocked = True
+        if not self.is_processing:
+            self.update()
+
+    def resume_writing(self) -> None:
+        """The client reads again."""
+        self.is_write_blocked = False
+        if self.is_closing:
+            self.flush()
+        elif not self.is_processing:
+            self.process_commands()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """The socket is closed."""
+        self.on_client_gone()
+        self.listener.on_closed(self)
+
+    # --- commands and replies ---
 
-    def gone(self) -> None:
-        """The client has left: what is still open for it is for nobody."""
-        self.closing, replies = True, [reply for reply in self.replies if reply.data is None]
+    def on_client_gone(self) -> None:
+        """The client has disconnected: what is still open for it is for nobody."""
+        self.is_closing = True
+        pending = [reply for reply in self.replies if reply.data is None]
         self.replies.clear()
-        for reply in replies:
-            self.front.client_gone(reply)
+        for reply in pending:
+            self.handler.on_client_disconnected(reply)
 
-    def process(self) -> None:
-        """Take the commands that are whole, as many as may be open at once; others come in between."""
-        self.processing, taken, self.more = True, 0, False
+    def process_commands(self) -> None:
+        """Handle the commands that are complete, as many as may be open at once; then other clients' turn."""
+        self.is_processing = True
+        self.has_commands_left = False
         try:
-            while not self.closing and len(self.replies) < MOST_PIPELINED and not self.clogged:
-                if taken >= MOST_PIPELINED:
-                    self.more = True
-                    self.process_soon()
-                    break
-                words = self.reader.next()
-                if words is None:
-                    break
-                taken += 1
-                self.command(words)
-            else:
-                self.more = not self.closing
+            self.handle_complete_commands()
         except ProtocolError as error:
-            log.warning("a client sends what cannot be read: %s", error)
-            self.finish(b"-ERR Protocol error: %b\r\n" % str(error).encode())
+            log.warning("malformed command from a client: %s", error)
+            self.send_last_reply(b"-ERR Protocol error: %b\r\n" % str(error).encode())
         except Exception:
-            # A fault of ours costs this connection, not the front door, and still answers what it owes.
+            # A fault of the program costs this connection, not the process, and still answers what it owes.
             log.exception("a client's connection failed")
-            self.fail_all()
-            self.finish(b"-ERR internal error\r\n")
+            self.fail_pending()
+            self.send_last_reply(b"-ERR internal error\r\n")
         finally:
-            self.processing = False
+            self.is_processing = False
         self.flush()
 
-    def process_soon(self) -> None:
-        if not self.scheduled:
-            self.scheduled = True
-            self.intake.loop.call_soon(self.process_more)
-
-    def process_more(self) -> None:
-        self.scheduled = False
-        if self.more and not self.closing:
-            self.process()
-
-    def command(self, words: list[bytes]) -> None:
+    def handle_complete_commands(self) -> None:
+        """Handle up to `MAX_PIPELINED` commands; raises ProtocolError for what cannot be read."""
+        handled = 0
+        while not self.is_closing and len(self.replies) < MAX_PIPELINED and not self.is_write_blocked:
+            if handled >= MAX_PIPELINED:
+                self.has_commands_left = True
+                self.schedule_processing()
+                return
+            arguments = self.reader.next()
+            if arguments is None:
+                return
+            handled += 1
+            self.handle(arguments)
+        self.has_commands_left = not self.is_closing
+
+    def schedule_processing(self) -> None:
+        """Handle further commands in the next turn of the loop."""
+        if not self.is_processing_scheduled:
+            self.is_processing_scheduled = True
+            self.listener.loop.call_soon(self.on_processing_due)
+
+    def on_processing_due(self) -> None:
+        """The next turn of the loop has come."""
+        self.is_processing_scheduled = False
+        if self.has_commands_left and not self.is_closing:
+            self.process_commands()
+
+    def handle(self, arguments: list[bytes]) -> None:
+        """Handle one command, and answer it where it is invalid or needs no request."""
         reply = Reply(self)
         self.replies.append(reply)
-        name = words[0].upper()
         try:
-            if name == b"PING" and len(words) <= 2:
-                pong = b"+PONG\r\n" if len(words) == 1 else b"$%d\r\n%b\r\n" % (len(words[1]), words[1])
-                reply.send(pong)
+            if arguments[0].upper() == PING and len(arguments) <= 2:
+                reply.send(pong(arguments))
             else:
-                self.front.take(words, reply)
-                self.asked = True
-        except NoRoomError as error:  # no fault of the client's
-            self.known, self.asked, self.state = True, True, State.CHANGED
-            reply.send(b"-ERR %b\r\n" % str(error).encode())
+                self.handler.handle_command(arguments, reply)
+                self.sent_request = True
+        except OverloadedError as error:  # no fault of the client's
+            self.sent_valid_command = True
+            self.sent_request = True
+            self.state = State.CHANGED
+            reply.send(error_reply(error))
         except CommandError as error:
-            self.errors += 1
-            reply.send(b"-ERR %b\r\n" % str(error).encode())
-            if self.errors >= MOST_ERRORS:
-                self.finish(b"-ERR too many wrong commands\r\n")
+            self.consecutive_errors += 1
+            reply.send(error_reply(error))
+            if self.consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
+                self.send_last_reply(b"-ERR too many wrong commands\r\n")
         else:
-            self.known, self.errors, self.state = True, 0, State.CHANGED
+            self.sent_valid_command = True
+            self.consecutive_errors = 0
+            self.state = State.CHANGED
 
     def flush(self) -> None:
-        """Send the answers whose turn it is, and see what is next."""
-        if self.processing or not self.attached:
+        """Send the replies that are next, and see what follows."""
+        if self.is_processing or not self.is_attached:
             return
         ready = []
         while self.replies and (data := self.replies[0].data) is not None:
@@ -149,86 +194,74 @@
             return
         if ready:
             self.transport.write(b"".join(ready))
-        if self.closing and not self.replies:
-            self.hang_up()
-        elif self.more and ready:
-            self.process_soon()
+        if self.is_closing and not self.replies:
+            self.half_close()
+        elif self.has_commands_left and ready:
+            self.schedule_processing()
         self.update()
 
-    def finish(self, data: bytes) -> None:
-        """A last answer, then close. What still comes is thrown away, so that no reset takes the answer."""
-        self.closing = True
+    def send_last_reply(self, data: bytes) -> None:
+        """Send a last reply, then close. What still arrives is discarded, so that no reset takes the reply."""
+        self.is_closing = True
         self.replies.append(Reply(self, data))
         self.flush()
 
-    def hang_up(self) -> None:
-        """End our side; the rest follows when the client has had time to read."""
-        if self.transport.can_write_eof():
-            self.transport.write_eof()
-
-    def fail_all(self) -> None:
+    def fail_pending(self) -> None:
+        """Fail the requests that have no reply yet."""
         for reply in [reply for reply in self.replies if reply.data is None]:
-            self.front.client_gone(reply)
-            reply.send(FAILED)
+            self.handler.on_client_disconnected(reply)
+            reply.send(REQUEST_FAILED)
+
+    # --- state ---
 
     def update(self) -> None:
-        """Read on or not, and set the time until which it may stay as it is."""
+        """Start or stop reading, and enter the state that now holds."""
         if self.transport.is_closing():
             return
-        wanted = self.wants_more()
-        if wanted and not self.reading:
+        should_read = self.should_read()
+        if should_read and not self.is_reading:
             self.transport.resume_reading()
-            self.intake.ends.let_go(self)
-        elif self.reading and not wanted:
+            self.listener.disconnect_watch.unwatch(self)
+        elif self.is_reading and not should_read:
             self.transport.pause_reading()
-            self.intake.ends.watch(self)
-        self.reading = wanted
+            self.listener.disconnect_watch.watch(self)
+        self.is_reading = should_read
         state = self.current_state()
         if state is not self.state:
-            self.enter(state)
+            self.enter_state(state)
 
-    def wants_more(self) -> bool:
-        """Whether to read on: somewhat ahead of what can be taken, as the client's end stands behind it."""
-        if self.closing:
-            return not self.unread and self.discarded < DISCARD_BYTES
-        full = self.more or self.clogged or len(self.replies) >= MOST_PIPELINED
-        return not full or len(self.reader.buffer) < READ_BYTES
+    def should_read(self) -> bool:
+        """Whether to read on: somewhat ahead of what can be handled, as the client's end is behind it."""
+        if self.is_closing:
+            return not self.stops_reading and self.discarded_bytes < MAX_DISCARDED_BYTES
+        is_full = self.has_commands_left or self.is_write_blocked or len(self.replies) >= MAX_PIPELINED
+        return not is_full or len(self.reader.buffer) < READ_BYTES
 
-    def enter(self, state: State) -> None:
+    def enter_state(self, state: State) -> None:
+        """Enter a state; its timeout starts, but that of a new connection, which started with it."""
         self.state = state
         if state is not State.NEW:
             self.since_us = now_us()
-            self.until_us = self.since_us + WAITS_US[state]
-        self.intake.moved(self)
+            self.timeout_at_us = self.since_us + TIMEOUTS_US[state]
+        self.listener.on_state_changed(self)
 
     def current_state(self) -> State:
-        if self.closing and not self.replies:
-            # Its time to read the last answer begins when that has left.
+        """The state that now holds."""
+        if self.is_closing and not self.replies:
+            # The time to read the last reply starts when the reply has left.
             return State.CLOGGED if self.transport.get_write_buffer_size() else State.CLOSING
-        if self.clogged:
+        if self.is_write_blocked:
             return State.CLOGGED
         if self.replies:
             return State.BUSY
-        if not self.known:
+        if not self.sent_valid_command:
             return State.NEW
         if self.reader.buffer:
             return State.PARTIAL
-        return State.IDLE if self.asked else State.GREETED
-
-    def pause_writing(self) -> None:
-        self.clogged = True
-        if not self.processing:
-            self.update()
-
-    def resume_writing(self) -> None:
-        self.clogged = False
-        if self.closing:
-            self.flush()
-        elif not self.processing:
-            self.process()
+        return State.IDLE if self.sent_request else State.GREETED
 
-    def overdue(self) -> None:
-        """It has been as it is for too long."""
+    def on_timeout(self) -> None:
+        """It has been in its state for too long."""
         if self.state is State.CLOGGED and not self.transport.get_write_buffer_size():
             self.update()
         elif self.state in (State.CLOGGED, State.CLOSING):
@@ -236,57 +269,85 @@
         elif self.transport.is_closing():
             return
         elif self.state is State.NEW and not self.reader.buffer and has_unread(self.transport):
-            return  # its first command comes in this very moment
+            return  # its first command arrives in this very moment
         elif self.state in (State.IDLE, State.GREETED):
             self.close()
         else:
-            self.finish(b"-ERR timed out\r\n")
+            self.send_last_reply(b"-ERR timed out\r\n")
 
-    def connection_lost(self, error: Exception | None) -> None:
-        self.gone()
-        self.intake.closed(self)
+    # --- closing ---
+
+    def on_peer_closed(self) -> None:
+        """Its client has closed it behind bytes that are not read, or has reset it."""
+        self.on_client_gone()
+        self.abort()
+
+    def half_close(self) -> None:
+        """Close this side; the rest follows when the client has had time to read."""
+        if self.transport.can_write_eof():
+            self.transport.write_eof()
 
     def close(self) -> None:
-        """Half-close between requests, unless one has just come or begun.
+        """Half-close between requests, unless one has just arrived or begun.
 
-        One that crosses it stays unread: its client hears the end and sends it again elsewhere. The socket is
-        let go of when the client's end has come too, or after a while, as a close over unread bytes resets
-        the connection, and the last answer with it (RFC 9112, section 9.6: lingering close).
+        A request that crosses it stays unread: its client reads the end and sends it again elsewhere. The
+        socket is closed when the client's end has arrived too, or after a while, as a close over unread bytes
+        resets the connection, and the last reply with it (RFC 9112, section 9.6: lingering close).
         """
-        if self.replies or self.closing or self.reader.buffer or self.transport.is_closing():
+        if self.replies or self.is_closing or self.reader.buffer or self.transport.is_closing():
             return
         if not has_unread(self.transport):
-            self.closing = self.unread = True
+            self.is_closing = True
+            self.stops_reading = True
             self.flush()
 
-    def end(self) -> None:
-        """The front door ends. What was read and not taken yet fails; so does a command of which only a part
-        was read, and a first one that was not read, as they may be whole by now. Else what crosses the end
-        stays unread, as at a close."""
-        if self.closing or self.transport.is_closing():
+    def shut_down(self) -> None:
+        """End the connection, as the process ends.
+
+        Commands that were read and not handled yet fail; so does one of which only a part was read, and a
+        first one that was not read, as they may be complete by now. Else what crosses the end stays unread,
+        as at a close.
+        """
+        if self.is_closing or self.transport.is_closing():
             return
         try:
             while self.reader.next() is not None:
-                self.replies.append(Reply(self, FAILED))
+                self.replies.append(Reply(self, REQUEST_FAILED))
         except ProtocolError:
             pass  # it stays in the buffer
-        begun = self.state is State.NEW or bool(self.reader.buffer)
-        self.unread = not begun
-        self.finish(ENDS if begun else b"")
+        has_begun = self.state is State.NEW or bool(self.reader.buffer)
+        self.stops_reading = not has_begun
+        self.send_last_reply(SHUTTING_DOWN if has_begun else b"")
 
-    def on_its_way(self) -> bool:
-        """A command unread, a good one not taken yet, or an answer that has not left."""
-        return self.scheduled or self.transport.get_write_buffer_size() > 0 or has_unread(self.transport)
+    def has_data_in_flight(self) -> bool:
+        """Whether a command is unread or not handled yet, or a reply has not left."""
+        is_writing = self.transport.get_write_buffer_size() > 0
+        return self.is_processing_scheduled or is_writing or has_unread(self.transport)
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
+        """Close for another connection."""
         if self.state in (State.IDLE, State.GREETED):
             self.close()
         else:
-            self.finish(CROWDED)  # a request that crosses this has its answer
+            self.send_last_reply(TOO_MANY_CLIENTS)  # a request that crosses this is answered by it
 
     def abort(self) -> None:
-        if self.attached:
+        """Close at once."""
+        if self.is_attached:
             self.transport.abort()
 
-    def waiting_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
+        """Bytes of incomplete commands and of replies that are not read."""
         return len(self.reader.buffer) + self.transport.get_write_buffer_size()
+
+
+def pong(arguments: list[bytes]) -> bytes:
+    """The reply to PING, with or without a message."""
+    if len(arguments) == 1:
+        return PONG
+    return b"$%d\r\n%b\r\n" % (len(arguments[1]), arguments[1])
+
+
+def error_reply(error: CommandError) -> bytes:
+    """The reply to an invalid command."""
+    return b"-ERR %b\r\n" % str(error).encode()
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -202,7 +202,7 @@
             door.config.name,
             os.getpid(),
             round((now_us() - self.started_us) / 1e6, 3),
-            door.clients.held,
+            door.clients.is_paused,
             self.book.revision,
             self.overlay.version,
             len(door.clients.connections),
@@ -288,7 +288,7 @@
         now_ms = self.unix_ms()
         if news := self.overlay.on_orders(self.book.wanted(Verb.DRAIN, now_ms)):
             self.door.publish(news, {})
-        self.door.clients.hold(self.door.config.name in self.book.wanted(Verb.HOLD, now_ms))
+        self.door.clients.set_paused(self.door.config.name in self.book.wanted(Verb.HOLD, now_ms))
         if not self.news_due:
             self.news_due = True
             self.door.loop.call_later(NEWS_S, self.tell_watchers)
@@ -298,7 +298,7 @@
         before = len(self.book.in_force)
         self.book.forget_lapsed(self.unix_ms())
         held = self.door.config.name in self.book.wanted(Verb.HOLD, self.unix_ms())
-        if len(self.book.in_force) != before or held != self.door.clients.held:
+        if len(self.book.in_force) != before or held != self.door.clients.is_paused:
             self.carry_out()
         self.lapse_timer = self.door.loop.call_later(LAPSE_S, self.lapse)
 
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -15,10 +15,10 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.clients.commands import Command, CommandParser
-from molereach.clients.listener import Intake
+from molereach.clients.listener import ClientListener
 from molereach.clients.replies import Reply
-from molereach.clients.requests import CommandError, NoRoomError
-from molereach.clients.resp import FAILED, ClientConnection
+from molereach.clients.requests import CommandError, OverloadedError
+from molereach.clients.resp import REQUEST_FAILED, ClientConnection
 from molereach.clock import now_us
 from molereach.discovery.endpoint_discovery import EndpointDiscovery
 from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate, StagedEndpointUpdate
@@ -114,7 +114,7 @@
         most_clients = round(sockets * CLIENT_SOCKET_FRACTION)
         self.backends = Backends(config.conn_idle_us, config.connect_timeout_us, sockets - most_clients)
         self.parser = CommandParser(config)
-        self.clients = Intake(
+        self.clients = ClientListener(
             most_clients,
             round(memory * CLIENT_BUFFERS_FRACTION),
             lambda: ClientConnection(self.clients, self),
@@ -286,7 +286,7 @@
     def fail_and_forget(self, request_id: str) -> None:
         """Fail a request over a fault, and have the module forget it."""
         if request_id in self.open_requests:
-            self.answer(request_id, FAILED)
+            self.answer(request_id, REQUEST_FAILED)
             self.post(ClientDisconnected(request_id))
 
     def on_endpoint_update(self, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
@@ -329,13 +329,13 @@
         if request.request_id in self.open_requests or request.request_id in self.answered_requests:
             raise CommandError("this id is in use")
         if len(self.open_requests) >= self.config.max_open or self.open_bytes > self.max_open_bytes:
-            raise NoRoomError("too many requests are open")
+            raise OverloadedError("too many requests are open")
         if self.shutdown:
             request = replace(request, remaining_us=self.shutdown.admit(now_us(), request.remaining_us))
         exchange = OpenRequest(command, reply, now_us() + request.remaining_us)
         delay = (request.remaining_us + BACKSTOP_US) / 1e6
         exchange.timer = self.loop.call_later(delay, self.on_backstop, request.request_id)
-        reply.id = request.request_id
+        reply.request_id = request.request_id
         self.open_requests[request.request_id] = exchange
         self.open_bytes += command.size + OPEN_REQUEST_BYTES
         self.post(request)
@@ -347,8 +347,8 @@
             self.fail_and_forget(request_id)
 
     def client_gone(self, reply: Reply) -> None:
-        if reply.id is not None and self.settle(reply.id):
-            self.post(ClientDisconnected(reply.id))
+        if reply.request_id is not None and self.settle(reply.request_id):
+            self.post(ClientDisconnected(reply.request_id))
 
     # --- actions ---
 
@@ -404,7 +404,7 @@
         self.answer(action.request_id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
 
     def fail(self, action: FailRequest) -> None:
-        self.answer(action.request_id, FAILED)
+        self.answer(action.request_id, REQUEST_FAILED)
 
     def answer(self, name: str, data: bytes) -> None:
         if exchange := self.settle(name):
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -32,7 +32,7 @@
     count, send = itertools.count(1), Reply.send
 
     def broken(self: Reply, data: bytes) -> None:
-        if self.id is None or next(count) % EVERY:
+        if self.request_id is None or next(count) % EVERY:
             send(self, data)
 
     Reply.send = broken  # type: ignore[method-assign]
@@ -91,7 +91,7 @@
     count, send = itertools.count(1), Reply.send
 
     def broken(self: Reply, data: bytes) -> None:
-        if self.id is None or next(count) % EVERY:
+        if self.request_id is None or next(count) % EVERY:
             send(self, data)
         else:
             asyncio.get_running_loop().call_later(HOLD_S, send, self, data)
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -132,7 +132,7 @@
         held = asyncio.Event()
         backend = Backend(lambda words: None if held.is_set() else value(b"ok"))
         async with front_door(backend) as (door, address):
-            door.clients.most = 3
+            door.clients.max_sockets = 3
             first, second = await Client.open(address), await Client.open(address)
             assert await first.ask(query("a")) == b"ok"
             assert await second.ask(query("b")) == b"ok"
@@ -146,7 +146,7 @@
             early = await Client.open(address)  # the others have not been idle for long enough
             assert await early.answer() == "-ERR max number of clients reached"
             assert await early.ended()
-            for connection in door.clients.leaving[listener.State.IDLE]:
+            for connection in door.clients.evictable[listener.State.IDLE]:
                 connection.since_us -= listener.LEAST_IDLE_US
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
@@ -168,7 +168,7 @@
 
     async def job() -> None:
         async with front_door() as (door, address):
-            door.clients.most, most = 20, 0
+            door.clients.max_sockets, most = 20, 0
             attach = door.clients.attach
 
             def counted(accepted: socket.socket) -> object:
@@ -262,7 +262,7 @@
                         await loop.sock_sendall(deaf, query(f"a{number}"))
                 while not door.clients.connections:
                     await asyncio.sleep(0)
-                assert await door.clients.left(20)
+                assert await door.clients.wait_closed(20)
 
     run(job())
 
@@ -281,7 +281,7 @@
             read = len(connection.reader.buffer)
             assert await client.ended()
             assert read <= listener.READ_BYTES  # nothing was taken in behind the head
-            assert await door.clients.left(20)
+            assert await door.clients.wait_closed(20)
 
     run(job())
 
@@ -291,7 +291,7 @@
 
     async def job() -> None:
         async with front_door() as (door, address):
-            door.clients.most_bytes = 100_000
+            door.clients.max_buffered_bytes = 100_000
             small = await Client.open(address)
             assert await small.ask(resp("PING")) == b"PONG"
             large = [await Client.open(address) for _ in range(2)]
@@ -338,7 +338,7 @@
             client.send(b"".join(query(name) for name in names) + resp("PING") * 300)
             assert [await client.answer() for _ in names] == [name.encode() for name in names]
             assert [await client.answer() for _ in names] == [b"PONG"] * 300
-            assert 1 < most <= clients.MOST_PIPELINED
+            assert 1 < most <= clients.MAX_PIPELINED
 
     run(job())
 
@@ -348,7 +348,7 @@
         async with front_door() as (_, address):
             client = await Client.open(address)
             client.send(resp("WHAT") * 1000)
-            for _ in range(clients.MOST_ERRORS):
+            for _ in range(clients.MAX_CONSECUTIVE_ERRORS):
                 assert await client.answer() == "-ERR unknown command"
             assert await client.answer() == "-ERR too many wrong commands"
             assert await client.ended()
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -188,10 +188,10 @@
             assert await client.ask(query("a2")) == b"ok"
             released = book(order(1, "hold", "n0"), order(2, "hold", "n7"), order(3, "release", "n0"))
             await agent.ask("put", book=released)
-            assert not door.clients.held
+            assert not door.clients.is_paused
             for older in (book(order(1, "hold", "n0")), book(), None):  # it never goes back
                 state = (await agent.ask("put", book=older)).state
-                assert state and state.revision == 3 and not door.clients.held
+                assert state and state.revision == 3 and not door.clients.is_paused
             assert await (await Client.open(address)).ask(query("a3")) == b"ok"
 
     run_job(job())
@@ -204,8 +204,8 @@
         async with controlled(tmp_path / "s", Backend()) as (door, address, agent, made):
             lapses = made.unix_ms() + 200
             await agent.ask("put", book=book(order(1, "hold", "n0", lapses_ms=lapses)))
-            assert door.clients.held
-            while door.clients.held:
+            assert door.clients.is_paused
+            while door.clients.is_paused:
                 await asyncio.sleep(0.01)
             assert made.unix_ms() >= lapses and not made.book.in_force
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
@@ -250,7 +250,7 @@
                 ask = Ask(wire.VERSION, 1, "put", book=BookState(3, (good, wrong)))
                 hostile.writer.write(wire.frame(ask))
                 assert (await hostile.answer()).error
-                assert made.book.revision == 0 and not made.door.clients.held
+                assert made.book.revision == 0 and not made.door.clients.is_paused
 
     run_job(job())
 
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -261,7 +261,7 @@
             await asyncio.sleep(0)
             hanging.send(query("slow"))
             served = 0
-            while not door.clients.draining:
+            while not door.clients.is_draining:
                 served += await asking.ask(query(f"r{served}")) == b"ok"
             assert (
                 door.shutdown and now_us() >= door.shutdown.accepts_until_us > door.shutdown.settled_at_us - 1
@@ -312,7 +312,7 @@
             busy.send(submit("a1"))
             await backend.came.wait()
             draining = asyncio.create_task(door.drain())
-            while not door.clients.draining:
+            while not door.clients.is_draining:
                 await asyncio.sleep(0)
             client = await Client.open(address)
             backend.came.clear()
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_answer.py
@@ -7,7 +7,7 @@
 
 from molereach.backends import pool
 from molereach.policy.interface.events import AttemptResult
-from molereach.resp import MOST_VALUE
+from molereach.resp import MAX_VALUE_BYTES
 from tests.races.attempts import S, Sender
 from tests.races.wire import Machine, Peer, machine, turns, until
 from tests.sockets import Client, front_door, query, run, submit, value
@@ -184,7 +184,7 @@
             while at < len(answer) and not sender.ended:
                 at += peer.socket.send(answer[at : at + 8192])
                 await asyncio.sleep(0)
-                assert len(connection.reader.buffer) <= MOST_VALUE + 8192
+                assert len(connection.reader.buffer) <= MAX_VALUE_BYTES + 8192
             await until(
                 lambda: sender.ended == [AttemptResult.MALFORMED] and sender.backends.open_connections == 0
             )
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -25,7 +25,7 @@
             holder, peer = Peer.dial(address), Peer.dial(address)
             holder.say(query("a1"))
             await until(lambda: len(door.open_requests) == 1)
-            count = 2 * clients.MOST_ERRORS
+            count = 2 * clients.MAX_CONSECUTIVE_ERRORS
             peer.say(b"".join(query(f"b{number}") for number in range(count)) + resp("PING"))
             heard = await peer.hear_until(b"+PONG\r\n")
             assert heard == b"-ERR too many requests are open\r\n" * count + b"+PONG\r\n"
@@ -72,9 +72,9 @@
                 raise RuntimeError("a fault of ours")
 
             monkeypatch.setattr(first, "overdue", broken)
-            first.until_us = 0
+            first.timeout_at_us = 0
             assert await peers[0].hear_all() == b""
-            second.until_us = 0
+            second.timeout_at_us = 0
             assert await peers[1].hear_all() == b"-ERR timed out\r\n"
 
     run(job())
@@ -98,9 +98,9 @@
                 peer.say(bytes([byte]))
                 await until(lambda: len(connection.reader.buffer) == count)  # noqa: B023
                 await turns()
-                times.add(connection.until_us)
+                times.add(connection.timeout_at_us)
             assert len(times) == 1 and connection.state is (State.PARTIAL if known else State.NEW)
-            connection.until_us = 0
+            connection.timeout_at_us = 0
             door.clients.sweep()
             assert await peer.hear_all() == b"-ERR timed out\r\n"
 
@@ -158,10 +158,10 @@
             other = await Client.open(address)
             for _ in range(20):
                 assert await other.ask(resp("PING")) == b"PONG"
-                door_most = max(door_most, connection.waiting_bytes())
+                door_most = max(door_most, connection.buffered_bytes())
             await until(lambda: not connection.reading)
-            assert max(door_most, connection.waiting_bytes()) <= 3 * listener.READ_BYTES
-            assert len(door.open_requests) <= clients.MOST_PIPELINED
+            assert max(door_most, connection.buffered_bytes()) <= 3 * listener.READ_BYTES
+            assert len(door.open_requests) <= clients.MAX_PIPELINED
             sending.cancel()
             await turns()
 
@@ -171,8 +171,8 @@
 def test_spare_sockets_are_within_those_of_clients() -> None:
     async def job() -> None:
         door = Proxy(replace(CONFIG, sockets=1000))
-        assert door.clients.most + door.backends.max_connections <= 1000
-        assert door.clients.most > listener.MOST_SPARE
+        assert door.clients.max_sockets + door.backends.max_connections <= 1000
+        assert door.clients.max_sockets > listener.MAX_CLOSING_RESERVE
         door.close()
 
     run(job())
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -63,7 +63,7 @@
             assert await peer.hear_all() == (b"" if hear else b"$2\r\nok\r\n")
             assert len(backend.commands) == 1 and has_unread(connection.transport)
             peer.close()
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
             assert len(backend.commands) == 1 and door.clients.sockets == 0
 
     run(job())
@@ -84,7 +84,7 @@
                 assert await peer.hear_all() == b""
                 if sends:
                     peer.say(query("a2"))
-                assert await door.clients.left(10)
+                assert await door.clients.wait_closed(10)
             assert len(backend.commands) == 2 and door.clients.sockets == 0
 
     run(job())
@@ -130,7 +130,7 @@
             await until(lambda: len(door.clients.connections) == 1)
             (connection,) = door.clients.connections
             peer.say(query("a1"))
-            connection.overdue()
+            connection.on_timeout()
             assert await peer.hear_until(b"\r\n") == b"$2\r\nok\r\n"
 
     run(job())
@@ -150,8 +150,8 @@
             heard = await peer.hear_until(b"\r\n")
             peer.say(more)
             await turns(10)
-            connection.overdue()  # its time to read the answer is over
-            assert await door.clients.left(10)
+            connection.on_timeout()  # its time to read the answer is over
+            assert await door.clients.wait_closed(10)
             assert peer.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset came
             assert heard + await peer.hear_all() == b"-ERR Protocol error: expected '*'\r\n"
             assert backend.commands == []
@@ -172,8 +172,8 @@
                     await asyncio.get_running_loop().sock_sendall(peer.socket, b"x" * 65536)
 
             flooding = asyncio.create_task(flood())
-            assert await door.clients.left(10)
-            assert connection.discarded <= clients.DISCARD_BYTES + listener.READ_BYTES
+            assert await door.clients.wait_closed(10)
+            assert connection.discarded <= clients.MAX_DISCARDED_BYTES + listener.READ_BYTES
             assert not connection.reader.buffer[64:]
             await asyncio.wait([flooding])
 
@@ -226,7 +226,7 @@
                     connection.transport.write(b"x" * 10_000)
                 connection.close()
                 assert connection.state is State.CLOGGED
-                assert await door.clients.left(10)
+                assert await door.clients.wait_closed(10)
                 assert door.clients.sockets == 0
 
     run(job())
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("behind", [b"", b"*4\r\n$9\r\nSVC.", small(40)[: READ_BYTES // 2]])
 def test_client_that_goes_with_as_many_open_as_may_be(go: Callable[[Peer], None], behind: bytes) -> None:
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most) + behind.replace(b"$2\r\na", b"$2\r\nb"), most)
@@ -107,10 +107,10 @@
     monkeypatch: pytest.MonkeyPatch, go: Callable[[Peer], None]
 ) -> None:
     """Its end stands behind bytes that stay unread: it is looked for."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most), most)
@@ -121,14 +121,14 @@
             go(peer)
             await until(lambda: len(gone(told)) == most)
             await until(lambda: not door.clients.connections)
-            assert not door.clients.ends.watched
+            assert not door.clients.disconnect_watch.watched
 
     run(job())
 
 
 def test_client_that_goes_while_it_reads_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clogged: what it sent behind is not taken, and its end, which stands behind that, is seen."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
         body = b"x" * 65_000
@@ -180,7 +180,7 @@
             assert not connection.clogged
             peer.finish()
             await until(lambda: gone(told) == ["a1"])
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
             assert door.clients.sockets == 0
 
     run(job())
@@ -247,6 +247,6 @@
             peer.say(resp("PING"))
             peer.finish()
             assert await peer.hear_all() == b"+PONG\r\n"
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
 
     run(job())
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_gone_waits.py
@@ -41,7 +41,7 @@
 
 def test_end_behind_what_is_not_read_is_looked_for_soon_enough() -> None:
     """A connection that is not read is looked at that often; one that is read tells its end by itself."""
-    assert disconnect_watch.LOOK_S + TURN_S < GONE_S
+    assert disconnect_watch.POLL_INTERVAL_S + TURN_S < GONE_S
 
 
 @GOES
@@ -166,7 +166,7 @@
         backend = Backend(lambda words: None)
         async with front_door(backend) as (door, address):
             told, peer = events(door), Peer.dial(address)
-            most = clients.MOST_PIPELINED
+            most = clients.MAX_PIPELINED
             peer.say(b"".join(query(f"a{number}") for number in range(most)))
             await until(lambda: len(door.open_requests) == most)
             (connection,) = door.clients.connections
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -9,7 +9,7 @@
 
 from molereach.clients import listener
 from molereach.clients import resp as clients
-from molereach.clients.connection_state import CROWDED
+from molereach.clients.connection_state import TOO_MANY_CLIENTS
 from molereach.clients.listener import State
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import RequestReceived
@@ -29,7 +29,7 @@
         peer.say(query(f"r{number}"))
         assert await peer.hear_until(OK) == OK
         peers.append(peer)
-    for connection in door.clients.leaving[State.IDLE]:
+    for connection in door.clients.evictable[State.IDLE]:
         connection.since_us -= listener.LEAST_IDLE_US
     return peers
 
@@ -54,7 +54,7 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 3
+            door.clients.max_sockets = 3
             peers = await rested(door, address, 3)
             peers[0].say(query("a1"))
             late = Peer.dial(address)
@@ -71,14 +71,14 @@
 def test_newcomer_is_turned_away_where_all_have_commands_on_their_way() -> None:
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 3
+            door.clients.max_sockets = 3
             peers = await rested(door, address, 3)
             for number, peer in enumerate(peers):
                 peer.say(query(f"a{number}"))
             late = Peer.dial(address)
             door.clients.accept()
             assert [await peer.hear_until(OK) for peer in peers] == [OK] * 3
-            assert await late.hear_all() == CROWDED
+            assert await late.hear_all() == TOO_MANY_CLIENTS
 
     run(job())
 
@@ -86,9 +86,9 @@
 def test_answer_that_is_not_sent_yet_does_not_give_way() -> None:
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 2
+            door.clients.max_sockets = 2
             peers = await rested(door, address, 2)
-            first = next(iter(door.clients.leaving[State.IDLE]))
+            first = next(iter(door.clients.evictable[State.IDLE]))
             peers[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             kernel = first.transport.get_extra_info("socket")
             kernel.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -113,14 +113,14 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 16
+            door.clients.max_sockets = 16
             peers = await busy(door, address, 14)
             late = Peer.dial(address)
             late.say(query("a1"))
             await until(lambda: len(door.clients.connections) == 15)
             await turns()
             late.say(query("a2"))
-            assert await late.hear_all() == CROWDED and resets([late]) == [0]
+            assert await late.hear_all() == TOO_MANY_CLIENTS and resets([late]) == [0]
             late.close()
             await until(lambda: len(door.clients.connections) == 14)
             assert len(door.open_requests) == door.clients.sockets == len(peers)
@@ -134,7 +134,7 @@
     async def job() -> None:
         backend = Backend()
         async with front_door(backend) as (door, address):
-            door.clients.most = 16
+            door.clients.max_sockets = 16
             peers = await rested(door, address, 14)
 
             def look(transport: asyncio.BaseTransport) -> bool:
@@ -164,7 +164,7 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 16
+            door.clients.max_sockets = 16
             peers = await busy(door, address, 13)
             silent = Peer.dial(address)
             await until(lambda: len(door.clients.connections) == 14)
@@ -172,7 +172,7 @@
             late.say(resp("PING"))
             assert await late.hear_until(b"\r\n") == b"+PONG\r\n"
             silent.say(query("a1"))
-            assert await silent.hear_all() == CROWDED
+            assert await silent.hear_all() == TOO_MANY_CLIENTS
             assert len(door.open_requests) == len(peers)
 
     run(job())
@@ -181,7 +181,7 @@
 def test_flood_of_newcomers_takes_no_more_sockets_and_no_ones_place() -> None:
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most, seen = 16, 0
+            door.clients.max_sockets, seen = 16, 0
             peers = await busy(door, address, 14)
             flood = []
             for number in range(100):
@@ -210,7 +210,7 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 16
+            door.clients.max_sockets = 16
             peers = await rested(door, address, 14)
 
             def look(transport: asyncio.BaseTransport) -> bool:
@@ -227,6 +227,6 @@
             assert await late.hear_until(OK) == OK
             peers[1].close()
             await until(lambda: door.clients.sockets == 14)
-            assert len(door.clients.leaving[State.IDLE]) == 14
+            assert len(door.clients.evictable[State.IDLE]) == 14
 
     run(job())
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_start.py
@@ -164,8 +164,8 @@
     async def job() -> None:
         for sockets in (48, 100, 1024):
             door = Proxy(replace(CONFIG, sockets=sockets))
-            assert door.clients.most + door.backends.max_connections + proxy.RESERVED_SOCKETS <= sockets
-            assert door.clients.most > 0 and door.backends.max_connections > 0
+            assert door.clients.max_sockets + door.backends.max_connections + proxy.RESERVED_SOCKETS <= sockets
+            assert door.clients.max_sockets > 0 and door.backends.max_connections > 0
             door.close()
 
     run(job())
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_ends.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from molereach.clients.connection_state import NEVER, WAITS_US, State
-from molereach.clients.resp import MOST_PIPELINED
+from molereach.clients.connection_state import NEVER_US, TIMEOUTS_US, State
+from molereach.clients.resp import MAX_PIPELINED
 from molereach.proxy import connection_draining, graceful_shutdown
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
@@ -55,7 +55,7 @@
         async with front_door(backend) as (door, address):
             client = await resting(address)
             before(door, "take", lambda: taken.append(None))
-            door.clients.end()
+            door.clients.shut_down()
             assert await client.hear_all() == b""  # it rests until the front door ends it: an end, no reset
             client.say(query("a1"))
             await turns()
@@ -74,7 +74,7 @@
             client = await resting(address)
             client.say(command[:40])
             draining = asyncio.create_task(drained(door))
-            await until(lambda: door.clients.draining)
+            await until(lambda: door.clients.is_draining)
             door.clients.sweep()
             client.say(command[40:])
             assert is_answer(await client.hear_all())
@@ -148,11 +148,11 @@
         async with front_door(Backend(lambda words: None)) as (door, address):
             client = Peer.dial(address)
             client.say(b"".join(query(f"r{number}") for number in range(40)))
-            await until(lambda: len(door.open_requests) == MOST_PIPELINED)
-            door.clients.end()
+            await until(lambda: len(door.open_requests) == MAX_PIPELINED)
+            door.clients.shut_down()
             for name in list(door.open_requests):
                 door.answer(name, OK)
-            assert await client.hear_all() == OK * MOST_PIPELINED + FAILED * (40 - MOST_PIPELINED)
+            assert await client.hear_all() == OK * MAX_PIPELINED + FAILED * (40 - MAX_PIPELINED)
 
     run(job())
 
@@ -171,7 +171,7 @@
 
 def clogged(door: Proxy) -> bool:
     return (
-        any(each.waiting_bytes() > len(ANSWER) for each in door.clients.connections)
+        any(each.buffered_bytes() > len(ANSWER) for each in door.clients.connections)
         and not door.open_requests
     )
 
@@ -207,7 +207,7 @@
 ) -> None:
     """It can tell that what it gets of the last value is not whole."""
     monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
-    monkeypatch.setitem(WAITS_US, State.CLOGGED, NEVER)  # not by the time that it has to read
+    monkeypatch.setitem(TIMEOUTS_US, State.CLOGGED, NEVER_US)  # not by the time that it has to read
 
     async def job() -> None:
         async with front_door(Backend(lambda words: LARGE)) as (door, address):
--- a/tests/races/test_sigterm_listener.py
+++ b/tests/races/test_sigterm_listener.py
@@ -42,7 +42,7 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.most = 4
+            door.clients.max_sockets = 4
             before(door.clients, "stop_listening", lambda: came.extend(Peer.dial(address) for _ in range(10)))
             before(door.clients, "end", lambda: held.append(door.clients.sockets))
             await drained(door)
@@ -76,7 +76,7 @@
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
             asked = [dial_and_ask(address, f"r{number}") for number in range(40)]
-            door.clients.hold(True)
+            door.clients.set_paused(True)
             answers = [await client.hear_until(b"ok\r\n") for client in asked]
             assert len(answers) == 40 and all(map(is_answer, answers))
             with pytest.raises(ConnectionRefusedError):
@@ -97,7 +97,7 @@
             monkeypatch.setattr(door.clients.loop, "connect_accepted_socket", gone)
             Peer.dial(address)
             door.clients.accept()
-            assert door.clients.sockets == 1 and await door.clients.left(60)
+            assert door.clients.sockets == 1 and await door.clients.wait_closed(60)
 
     run(job())
 
@@ -107,9 +107,9 @@
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
-            door.clients.hold(True)
+            door.clients.set_paused(True)
             door.clients.stop_listening()
-            door.clients.hold(False)
+            door.clients.set_paused(False)
             assert door.clients.listener is None
             with pytest.raises(ConnectionRefusedError):
                 Peer.dial(address)
@@ -125,7 +125,7 @@
             client = Peer.dial(address)
             await until(lambda: bool(door.clients.connections))
             draining = asyncio.create_task(drained(door))
-            await until(lambda: door.clients.draining)
+            await until(lambda: door.clients.is_draining)
             client.say(query("a1"))
             assert is_answer(await client.hear_all())
             client.close()
--- a/tests/sim/test_network.py
+++ b/tests/sim/test_network.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.resp import has_unread, have_ended
+from molereach.resp import has_unread, have_disconnected
 from sim.loop import SimLoop
 from sim.network.endpoint import WINDOW_BYTES
 from sim.network.kernel import FIRST_PORT, LAST_PORT
@@ -186,11 +186,11 @@
         client.transport.write(b"a")
         await asyncio.sleep(0.05)
         assert has_unread(there.transport)
-        assert list(have_ended([there.transport, client.transport])) == [False, False]
+        assert list(have_disconnected([there.transport, client.transport])) == [False, False]
         client.transport.close()
         await asyncio.sleep(0.05)
         assert has_unread(there.transport)
-        assert list(have_ended([there.transport])) == [True]  # behind the byte that nobody has read
+        assert list(have_disconnected([there.transport])) == [True]  # behind the byte that nobody has read
 
     run(job)
 
