--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -6,7 +6,7 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from molereach.policy.load_balancing import Fleet
+from molereach.policy.load_balancing import LoadBalancer
 from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR, EndpointSubsetting
 from molereach.subsetting.idempotency_groups import SUBSTITUTES
 from molereach.subsetting.interface import Address, SubsetUpdate
@@ -20,16 +20,16 @@
 )
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import EndpointIndex, Subset
-from tests.helpers import SETTINGS, S
+from tests.helpers import SECOND_US, SETTINGS
 
-NOW = 100 * S
+NOW = 100 * SECOND_US
 KEYED = tuple(
     RequestClass(
-        S,
-        3 * S,
+        SECOND_US,
+        3 * SECOND_US,
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
         deduplication_scope=group,
-        deduplication_window_us=S,
+        deduplication_window_us=SECOND_US,
     )
     for group in (DeduplicationScope.ZONE, DeduplicationScope.CELL, DeduplicationScope.ALL)
 )
@@ -39,7 +39,7 @@
 }
 Known = dict[str, tuple[Endpoint, Address | None]]
 Place = Callable[[bytes], int]
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE
+UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
 def settings_of(me: int = 0, doors: int = 5, groups: Sequence[DeduplicationScope] = ()) -> Settings:
@@ -120,14 +120,14 @@
     ) -> None:
         self.settings, self.size, self.place = settings, size, place
         self.routing = EndpointSubsetting(settings, size, most)
-        self.fleet = Fleet(settings, Random(1))
+        self.fleet = LoadBalancer(settings, Random(1))
         self.known: Known = {}
         self.addresses: dict[str, Address] = {}
         self.long = False
 
     @property
     def told(self) -> Known:
-        entries = (known.entry for known in self.fleet.servers.values())
+        entries = (known.endpoint for known in self.fleet.backends.values())
         return {entry.name: (entry, self.addresses.get(entry.name)) for entry in entries}
 
     @property
@@ -139,7 +139,7 @@
     def hear(self, seen: SubsetUpdate | None) -> None:
         if seen:
             self.addresses |= seen.addresses
-            self.fleet.learn(NOW, seen.event)
+            self.fleet.apply_endpoint_list(NOW, seen.event)
 
     def change(self, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
         """The model's own way with news."""
