--- a/molereach/clients/disconnect_watch.py
+++ b/molereach/clients/disconnect_watch.py
@@ -1,4 +1,4 @@
-"""Notices clients that disconnect while they are not read: an event loop sees neither an end nor a reset there.
+"""Notices clients that disconnect while they are not read: the event loop sees neither end nor reset then.
 
 Without this, a client that sent more than is read at once, and disconnected, would be noticed only when the
 last of its requests had been forwarded for nobody.
@@ -15,7 +15,7 @@
 
 
 class DisconnectWatch:
-    """Polls the connections that are not read, for as long as there are any: one system call for all."""
+    """Polls the connections that are not read, while there are any: one system call for all."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
--- a/molereach/clients/listener.py
+++ b/molereach/clients/listener.py
@@ -100,7 +100,7 @@
             except OSError as error:
                 log.error("cannot accept: %s", error)
                 self.loop.remove_reader(self.listener)
-                self.loop.call_later(ACCEPT_RETRY_S, self.accept_again)
+                self.loop.call_later(ACCEPT_RETRY_S, self.resume_accepting)
                 return
             if not self.admit(accepted):
                 return
@@ -111,9 +111,9 @@
         Where another connection has to be closed for it, this is one too many until the loop has closed the
         other, so the next one is accepted after that.
         """
-        is_out_of_sockets = self.sockets >= self.max_sockets
+        has_no_socket = self.sockets >= self.max_sockets
         is_full = self.is_full()
-        may_linger = not is_out_of_sockets or self.evictable.abort_one_closing()
+        may_linger = not has_no_socket or self.evictable.abort_one_closing()
         is_over_limit = is_full and not self.evictable.evict_one(may_linger)
         if not may_linger and (is_over_limit or not is_full):
             reject_with_reset(accepted)
@@ -121,9 +121,9 @@
         accepted.setblocking(False)
         self.sockets += 1
         self.spawn(self.reject(accepted) if is_over_limit else self.attach(accepted))
-        return not (is_out_of_sockets or is_full)
+        return not (has_no_socket or is_full)
 
-    def accept_again(self) -> None:
+    def resume_accepting(self) -> None:
         """Go on after a failure to accept."""
         if self.listener:
             self.loop.add_reader(self.listener, self.accept)
@@ -276,7 +276,7 @@
 
 
 def reject_with_reset(accepted: socket.socket) -> None:
-    """Send an error and close at once, where there is no socket to linger: with bytes unread it is a reset."""
+    """Send an error and close at once, with no socket to linger: a reset where bytes are unread."""
     with contextlib.suppress(OSError):
         accepted.send(TOO_MANY_CLIENTS)
     accepted.close()
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -28,7 +28,7 @@
     """A valid command for which there is no capacity now."""
 
 
-def parse_whole_number(text: str, name: str, minimum: int, maximum: int) -> int:
+def parse_integer(text: str, name: str, minimum: int, maximum: int) -> int:
     """A whole number within its range; raises CommandError that names the field."""
     is_number = text.isascii() and text.isdigit()
     if not is_number or len(text) > MAX_NUMBER_DIGITS or not minimum <= int(text) <= maximum:
@@ -64,9 +64,9 @@
         plan_index = self.plans.get(values.get("t", ""))
         if plan_index is None:
             raise CommandError("unknown plan")
-        # Clients wait a little longer than the class's deadline; a day of waiting would hold memory for a day.
+        # Clients wait a little longer than the class's deadline; a day's wait would hold memory for a day.
         max_wait_ms = MAX_WAIT_FACTOR * self.settings.classes[class_index].deadline_us // 1000
-        wait_ms = parse_whole_number(values.get("d", ""), "time", 0, max_wait_ms)
+        wait_ms = parse_integer(values.get("d", ""), "time", 0, max_wait_ms)
         set_size, set_first = self.proxy_set(values)
         return RequestReceived(
             request_id=checked_id,
@@ -119,8 +119,8 @@
         """The customer's set of proxies, as its size and its first; this proxy is among them."""
         proxy_count = self.settings.proxy_count
         proxy_index = self.settings.proxy_index
-        size = parse_whole_number(values.get("spread", "1"), "spread", 1, proxy_count)
-        first = parse_whole_number(values.get("first", str(proxy_index)), "first", 0, proxy_count - 1)
+        size = parse_integer(values.get("spread", "1"), "spread", 1, proxy_count)
+        first = parse_integer(values.get("first", str(proxy_index)), "first", 0, proxy_count - 1)
         if (proxy_index - first) % proxy_count >= size:
             raise CommandError("the set is without this front door")
         return size, first
--- a/molereach/clients/resp.py
+++ b/molereach/clients/resp.py
@@ -1,7 +1,7 @@
 """RESP2 clients: commands in, replies out in the order of the commands.
 
-A client is not trusted: one that sends nothing, stops within a command, reads no replies or sends what cannot be
-read is sent an error or closed in time.
+A client is not trusted: one that sends nothing, stops within a command, reads no replies or sends what cannot
+be read is sent an error or closed in time.
 """
 
 import asyncio
@@ -72,7 +72,7 @@
             return
         self.reader.feed(self.listener.read_buffer[:count])
         if self.state is State.NEW and count < READ_BYTES:
-            # Requests of a burst of clients that disconnect at once are not forwarded: their ends are read first.
+            # Requests of clients that disconnect at once are not forwarded: their ends are read first.
             self.has_commands_left = True
             self.schedule_processing()
         elif not self.is_processing_scheduled:
@@ -80,7 +80,7 @@
 
     def eof_received(self) -> None:
         """A half-close is all that is seen of a close. What is written still leaves, in bounded time."""
-        self.on_client_gone()
+        self.on_disconnected()
         self.enter_state(State.CLOGGED)
 
     def pause_writing(self) -> None:
@@ -99,12 +99,12 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """The socket is closed."""
-        self.on_client_gone()
+        self.on_disconnected()
         self.listener.on_closed(self)
 
     # --- commands and replies ---
 
-    def on_client_gone(self) -> None:
+    def on_disconnected(self) -> None:
         """The client has disconnected: what is still open for it is for nobody."""
         self.is_closing = True
         pending = [reply for reply in self.replies if reply.data is None]
@@ -201,7 +201,7 @@
         self.update()
 
     def send_last_reply(self, data: bytes) -> None:
-        """Send a last reply, then close. What still arrives is discarded, so that no reset takes the reply."""
+        """Send a last reply, then close. What still arrives is discarded: a reset would take the reply."""
         self.is_closing = True
         self.replies.append(Reply(self, data))
         self.flush()
@@ -279,7 +279,7 @@
 
     def on_peer_closed(self) -> None:
         """Its client has closed it behind bytes that are not read, or has reset it."""
-        self.on_client_gone()
+        self.on_disconnected()
         self.abort()
 
     def half_close(self) -> None:
--- a/molereach/resp.py
+++ b/molereach/resp.py
@@ -16,7 +16,7 @@
 MAX_LINE_BYTES = 512  # an error line with a load report in it
 MAX_LENGTH_DIGITS = 12  # with the type mark before them
 LINE_END = b"\r\n"
-ANSWER_PARTS = 3
+ANSWER_LENGTH = 3
 
 
 class ProtocolError(Exception):
@@ -140,10 +140,10 @@
         """The next answer; None if it is incomplete."""
         if self.buffer.startswith(b"-"):
             return self.error()
-        header = self.read_length(0, b"*", ANSWER_PARTS)
+        header = self.read_length(0, b"*", ANSWER_LENGTH)
         if header is None:
             return None
-        if header[0] != ANSWER_PARTS:
+        if header[0] != ANSWER_LENGTH:
             raise ProtocolError("an answer has three parts")
         value = self.read_bulk_string(header[1], MAX_VALUE_BYTES)
         if value is None:
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -9,7 +9,7 @@
 from molereach.__main__ import RateLimit
 from molereach.clients import listener
 from molereach.clients import resp as clients
-from molereach.clients.listener import State
+from molereach.clients.connection_state import State
 from molereach.proxy.proxy import Proxy
 from tests.races.wire import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
@@ -24,7 +24,7 @@
         async with front_door(Backend(lambda words: None), max_open=1) as (door, address):
             holder, peer = Peer.dial(address), Peer.dial(address)
             holder.say(query("a1"))
-            await until(lambda: len(door.open_requests) == 1)
+            await until(lambda: len(door.requests.open) == 1)
             count = 2 * clients.MAX_CONSECUTIVE_ERRORS
             peer.say(b"".join(query(f"b{number}") for number in range(count)) + resp("PING"))
             heard = await peer.hear_until(b"+PONG\r\n")
@@ -71,7 +71,7 @@
             def broken() -> None:
                 raise RuntimeError("a fault of ours")
 
-            monkeypatch.setattr(first, "overdue", broken)
+            monkeypatch.setattr(first, "on_timeout", broken)
             first.timeout_at_us = 0
             assert await peers[0].hear_all() == b""
             second.timeout_at_us = 0
@@ -159,9 +159,9 @@
             for _ in range(20):
                 assert await other.ask(resp("PING")) == b"PONG"
                 door_most = max(door_most, connection.buffered_bytes())
-            await until(lambda: not connection.reading)
+            await until(lambda: not connection.is_reading)
             assert max(door_most, connection.buffered_bytes()) <= 3 * listener.READ_BYTES
-            assert len(door.open_requests) <= clients.MAX_PIPELINED
+            assert len(door.requests.open) <= clients.MAX_PIPELINED
             sending.cancel()
             await turns()
 
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -7,10 +7,9 @@
 
 import pytest
 
-from molereach.clients import listener
+from molereach.clients import connection_state
 from molereach.clients import resp as clients
-from molereach.clients.connection_state import TOO_MANY_CLIENTS
-from molereach.clients.listener import State
+from molereach.clients.connection_state import TOO_MANY_CLIENTS, State
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import RequestReceived
 from molereach.proxy.proxy import Proxy
@@ -29,8 +28,8 @@
         peer.say(query(f"r{number}"))
         assert await peer.hear_until(OK) == OK
         peers.append(peer)
-    for connection in door.clients.evictable[State.IDLE]:
-        connection.since_us -= listener.LEAST_IDLE_US
+    for connection in door.clients.evictable.by_state[State.IDLE]:
+        connection.since_us -= connection_state.MIN_IDLE_US
     return peers
 
 
@@ -41,7 +40,7 @@
     peers = [Peer.dial(address) for _ in range(count)]
     for number, peer in enumerate(peers):
         peer.say(query(f"b{number}"))
-    await until(lambda: len(door.open_requests) == count)
+    await until(lambda: len(door.requests.open) == count)
     return peers
 
 
@@ -88,7 +87,7 @@
         async with front_door(Backend()) as (door, address):
             door.clients.max_sockets = 2
             peers = await rested(door, address, 2)
-            first = next(iter(door.clients.evictable[State.IDLE]))
+            first = next(iter(door.clients.evictable.by_state[State.IDLE]))
             peers[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             kernel = first.transport.get_extra_info("socket")
             kernel.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -123,7 +122,7 @@
             assert await late.hear_all() == TOO_MANY_CLIENTS and resets([late]) == [0]
             late.close()
             await until(lambda: len(door.clients.connections) == 14)
-            assert len(door.open_requests) == door.clients.sockets == len(peers)
+            assert len(door.requests.open) == door.clients.sockets == len(peers)
 
     run(job())
 
@@ -173,7 +172,7 @@
             assert await late.hear_until(b"\r\n") == b"+PONG\r\n"
             silent.say(query("a1"))
             assert await silent.hear_all() == TOO_MANY_CLIENTS
-            assert len(door.open_requests) == len(peers)
+            assert len(door.requests.open) == len(peers)
 
     run(job())
 
@@ -192,9 +191,9 @@
                 seen = max(seen, door.clients.sockets)
                 await asyncio.sleep(0)
             assert 16 <= max(seen, door.clients.sockets) <= 17
-            assert len(door.open_requests) == 14
+            assert len(door.requests.open) == 14
             for number, peer in enumerate(peers):
-                door.answer(f"b{number}", OK)
+                door.actions.answer(f"b{number}", OK)
                 assert await peer.hear_until(OK) == OK
             for late in flood:
                 with contextlib.suppress(OSError):
@@ -227,6 +226,6 @@
             assert await late.hear_until(OK) == OK
             peers[1].close()
             await until(lambda: door.clients.sockets == 14)
-            assert len(door.clients.evictable[State.IDLE]) == 14
+            assert len(door.clients.evictable.by_state[State.IDLE]) == 14
 
     run(job())
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_ends.py
@@ -54,7 +54,7 @@
         backend = Backend()
         async with front_door(backend) as (door, address):
             client = await resting(address)
-            before(door, "take", lambda: taken.append(None))
+            before(door, "handle_command", lambda: taken.append(None))
             door.clients.shut_down()
             assert await client.hear_all() == b""  # it rests until the front door ends it: an end, no reset
             client.say(query("a1"))
@@ -130,8 +130,8 @@
                 nonlocal taken
                 taken += 1
 
-            before(door, "take", count)
-            before(door, "answer", ask)  # the next one has come when an answer leaves
+            before(door, "handle_command", count)
+            before(door.actions, "answer", ask)  # the next one has come when an answer leaves
             ask()
             heard = asyncio.create_task(client.hear_all())
             draining = asyncio.create_task(drained(door))
@@ -148,10 +148,10 @@
         async with front_door(Backend(lambda words: None)) as (door, address):
             client = Peer.dial(address)
             client.say(b"".join(query(f"r{number}") for number in range(40)))
-            await until(lambda: len(door.open_requests) == MAX_PIPELINED)
+            await until(lambda: len(door.requests.open) == MAX_PIPELINED)
             door.clients.shut_down()
-            for name in list(door.open_requests):
-                door.answer(name, OK)
+            for name in list(door.requests.open):
+                door.actions.answer(name, OK)
             assert await client.hear_all() == OK * MAX_PIPELINED + FAILED * (40 - MAX_PIPELINED)
 
     run(job())
@@ -172,7 +172,7 @@
 def clogged(door: Proxy) -> bool:
     return (
         any(each.buffered_bytes() > len(ANSWER) for each in door.clients.connections)
-        and not door.open_requests
+        and not door.requests.open
     )
 
 
@@ -192,7 +192,7 @@
                 monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
                 ended.set()
 
-            before(door.clients, "end", end)
+            before(door.clients, "shut_down", end)
             task = asyncio.create_task(drained(door))
             await ended.wait()
             assert await client.hear_all() == ANSWER * 4
--- a/tests/races/test_sigterm_listener.py
+++ b/tests/races/test_sigterm_listener.py
@@ -44,10 +44,10 @@
         async with front_door(Backend()) as (door, address):
             door.clients.max_sockets = 4
             before(door.clients, "stop_listening", lambda: came.extend(Peer.dial(address) for _ in range(10)))
-            before(door.clients, "end", lambda: held.append(door.clients.sockets))
+            before(door.clients, "shut_down", lambda: held.append(door.clients.sockets))
             await drained(door)
             heard = [await client.hear_all() for client in came]
-            assert heard == [ENDS] * 4 + [listener.CROWDED] * 6 and held == [4]
+            assert heard == [ENDS] * 4 + [listener.TOO_MANY_CLIENTS] * 6 and held == [4]
 
     run(job())
 
