--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -12,7 +12,7 @@
 
 from molereach.backends.pools import Backends
 from molereach.clients.commands import CommandParser
-from molereach.clients.listener import Intake
+from molereach.clients.listener import ClientListener
 from molereach.clients.replies import Reply
 from molereach.clients.resp import ClientConnection
 from molereach.clock import now_us
@@ -75,7 +75,7 @@
         self.backends = Backends(config.conn_idle_us, config.connect_timeout_us, budget.backend_sockets)
         self.actions = ActionExecutor(config.settings, self.requests, self.backends, self.driver.post)
         self.parser = CommandParser(config)
-        self.clients = Intake(
+        self.clients = ClientListener(
             budget.client_sockets,
             budget.client_buffer_bytes,
             lambda: ClientConnection(self.clients, self),
@@ -199,7 +199,7 @@
 
     # --- what clients' connections call ---
 
-    def take(self, arguments: list[bytes], reply: Reply) -> None:
+    def handle_command(self, arguments: list[bytes], reply: Reply) -> None:
         """Take a client's command; CommandError for one that is wrong or too many."""
         command = self.parser.parse(arguments, ANSWER_MARGIN_US)
         request = command.request
@@ -209,11 +209,11 @@
         open_request = OpenRequest(command, reply, now_us() + request.remaining_us)
         backstop_s = (request.remaining_us + BACKSTOP_US) / 1e6
         open_request.timer = self.loop.call_later(backstop_s, self.actions.on_backstop, request.request_id)
-        reply.id = request.request_id
+        reply.request_id = request.request_id
         self.requests.add(request.request_id, open_request)
         self.driver.post(request)
 
-    def client_gone(self, reply: Reply) -> None:
+    def on_client_disconnected(self, reply: Reply) -> None:
         """A client has disconnected before its answer: the policy is notified if one was owed."""
-        if reply.id is not None and self.requests.settle(reply.id):
-            self.driver.post(ClientDisconnected(reply.id))
+        if reply.request_id is not None and self.requests.settle(reply.request_id):
+            self.driver.post(ClientDisconnected(reply.request_id))
--- a/molereach/proxy/request_registry.py
+++ b/molereach/proxy/request_registry.py
@@ -5,7 +5,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.clients.commands import Command
 from molereach.clients.replies import Reply
-from molereach.clients.requests import CommandError, NoRoomError
+from molereach.clients.requests import CommandError, OverloadedError
 from molereach.policy.interface.events import AttemptResult
 
 OPEN_REQUEST_BYTES = 4096  # that an open request takes besides its command
@@ -40,7 +40,7 @@
         if request_id in self.open or request_id in self.answered:
             raise CommandError("this id is in use")
         if len(self.open) >= self.max_open or self.open_bytes > self.max_open_bytes:
-            raise NoRoomError("too many requests are open")
+            raise OverloadedError("too many requests are open")
 
     def add(self, request_id: str, request: OpenRequest) -> None:
         """Count a request as open."""
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from molereach.clients import listener
+from molereach.clients import connection_state, listener
 from molereach.clients import resp as clients
 from molereach.clients.commands import CommandParser
 from molereach.clients.requests import CommandError
@@ -132,7 +132,7 @@
         held = asyncio.Event()
         backend = Backend(lambda words: None if held.is_set() else value(b"ok"))
         async with front_door(backend) as (door, address):
-            door.clients.most = 3
+            door.clients.max_sockets = 3
             first, second = await Client.open(address), await Client.open(address)
             assert await first.ask(query("a")) == b"ok"
             assert await second.ask(query("b")) == b"ok"
@@ -146,8 +146,8 @@
             early = await Client.open(address)  # the others have not been idle for long enough
             assert await early.answer() == "-ERR max number of clients reached"
             assert await early.ended()
-            for connection in door.clients.leaving[listener.State.IDLE]:
-                connection.since_us -= listener.LEAST_IDLE_US
+            for connection in door.clients.evictable.by_state[connection_state.State.IDLE]:
+                connection.since_us -= connection_state.MIN_IDLE_US
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
             assert await first.ended()
@@ -168,7 +168,7 @@
 
     async def job() -> None:
         async with front_door() as (door, address):
-            door.clients.most, most = 20, 0
+            door.clients.max_sockets, most = 20, 0
             attach = door.clients.attach
 
             def counted(accepted: socket.socket) -> object:
@@ -195,27 +195,29 @@
 def hurry(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
     """Make one of the times short."""
     monkeypatch.setattr(listener, "SWEEP_S", 0.01)
-    monkeypatch.setattr(listener, name, TEST_US)
-    monkeypatch.setitem(listener.WAITS_US, listener.State.GREETED, listener.IDLE_US)
+    monkeypatch.setattr(connection_state, name, TEST_US)
+    monkeypatch.setitem(
+        connection_state.TIMEOUTS_US, connection_state.State.GREETED, connection_state.IDLE_TIMEOUT_US
+    )
     states = {
-        "FIRST_US": listener.State.NEW,
-        "IDLE_US": listener.State.IDLE,
-        "REST_OF_COMMAND_US": listener.State.PARTIAL,
-        "READS_US": listener.State.CLOGGED,
-        "LINGER_US": listener.State.CLOSING,
+        "FIRST_COMMAND_TIMEOUT_US": connection_state.State.NEW,
+        "IDLE_TIMEOUT_US": connection_state.State.IDLE,
+        "COMMAND_TIMEOUT_US": connection_state.State.PARTIAL,
+        "WRITE_TIMEOUT_US": connection_state.State.CLOGGED,
+        "LINGER_TIMEOUT_US": connection_state.State.CLOSING,
     }
     if name in states:
-        monkeypatch.setitem(listener.WAITS_US, states[name], TEST_US)
+        monkeypatch.setitem(connection_state.TIMEOUTS_US, states[name], TEST_US)
 
 
 @pytest.mark.parametrize(
     ("name", "data", "answers"),
     [
-        ("FIRST_US", b"", 0),
-        ("FIRST_US", b"*4\r\n$9\r\nSVC.", 0),
-        ("FIRST_US", resp("WHAT"), 1),
-        ("REST_OF_COMMAND_US", resp("PING") + b"*4\r\n$9\r\nSVC.", 1),
-        ("IDLE_US", resp("PING"), 1),
+        ("FIRST_COMMAND_TIMEOUT_US", b"", 0),
+        ("FIRST_COMMAND_TIMEOUT_US", b"*4\r\n$9\r\nSVC.", 0),
+        ("FIRST_COMMAND_TIMEOUT_US", resp("WHAT"), 1),
+        ("COMMAND_TIMEOUT_US", resp("PING") + b"*4\r\n$9\r\nSVC.", 1),
+        ("IDLE_TIMEOUT_US", resp("PING"), 1),
     ],
 )
 def test_connection_that_is_of_no_use_ends(
@@ -229,7 +231,7 @@
             client.send(data)
             for _ in range(answers):
                 await client.answer()
-            if name == "IDLE_US":
+            if name == "IDLE_TIMEOUT_US":
                 assert await client.ended()
             else:
                 assert await client.answer() == "-ERR timed out"
@@ -240,14 +242,14 @@
 
 def test_times_keep_the_protocol() -> None:
     sweep_us = listener.SWEEP_S * 1e6
-    assert 2_000_000 < listener.FIRST_US < 3_000_000 - 2 * sweep_us
-    assert listener.REST_OF_COMMAND_US + 2 * sweep_us < 3_000_000
-    assert listener.READS_US + 2 * sweep_us < 3_000_000
-    assert min(listener.IDLE_US, listener.LEAST_IDLE_US) > 2_000_000
+    assert 2_000_000 < connection_state.FIRST_COMMAND_TIMEOUT_US < 3_000_000 - 2 * sweep_us
+    assert connection_state.COMMAND_TIMEOUT_US + 2 * sweep_us < 3_000_000
+    assert connection_state.WRITE_TIMEOUT_US + 2 * sweep_us < 3_000_000
+    assert min(connection_state.IDLE_TIMEOUT_US, connection_state.MIN_IDLE_US) > 2_000_000
 
 
 def test_answers_that_nobody_reads_end_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    hurry(monkeypatch, "READS_US")
+    hurry(monkeypatch, "WRITE_TIMEOUT_US")
 
     async def job() -> None:
         body = b"x" * 65536
@@ -262,7 +264,7 @@
                         await loop.sock_sendall(deaf, query(f"a{number}"))
                 while not door.clients.connections:
                     await asyncio.sleep(0)
-                assert await door.clients.left(20)
+                assert await door.clients.wait_closed(20)
 
     run(job())
 
@@ -270,7 +272,7 @@
 def test_close_is_bounded_where_the_client_reads_nothing_and_sends_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    hurry(monkeypatch, "LINGER_US")
+    hurry(monkeypatch, "LINGER_TIMEOUT_US")
 
     async def job() -> None:
         async with front_door() as (door, address):
@@ -281,7 +283,7 @@
             read = len(connection.reader.buffer)
             assert await client.ended()
             assert read <= listener.READ_BYTES  # nothing was taken in behind the head
-            assert await door.clients.left(20)
+            assert await door.clients.wait_closed(20)
 
     run(job())
 
@@ -291,7 +293,7 @@
 
     async def job() -> None:
         async with front_door() as (door, address):
-            door.clients.most_bytes = 100_000
+            door.clients.max_buffered_bytes = 100_000
             small = await Client.open(address)
             assert await small.ask(resp("PING")) == b"PONG"
             large = [await Client.open(address) for _ in range(2)]
@@ -338,7 +340,7 @@
             client.send(b"".join(query(name) for name in names) + resp("PING") * 300)
             assert [await client.answer() for _ in names] == [name.encode() for name in names]
             assert [await client.answer() for _ in names] == [b"PONG"] * 300
-            assert 1 < most <= clients.MOST_PIPELINED
+            assert 1 < most <= clients.MAX_PIPELINED
 
     run(job())
 
@@ -348,7 +350,7 @@
         async with front_door() as (_, address):
             client = await Client.open(address)
             client.send(resp("WHAT") * 1000)
-            for _ in range(clients.MOST_ERRORS):
+            for _ in range(clients.MAX_CONSECUTIVE_ERRORS):
                 assert await client.answer() == "-ERR unknown command"
             assert await client.answer() == "-ERR too many wrong commands"
             assert await client.ended()
@@ -367,7 +369,7 @@
             def broken(words: list[bytes], reply: object) -> None:
                 raise RuntimeError("a fault of ours")
 
-            door.take = broken
+            door.handle_command = broken
             client.send(query("a2"))
             answers = [await client.answer() for _ in range(3)]
             assert answers == ["-ERR failed", "-ERR failed", "-ERR internal error"]
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("behind", [b"", b"*4\r\n$9\r\nSVC.", small(40)[: READ_BYTES // 2]])
 def test_client_that_goes_with_as_many_open_as_may_be(go: Callable[[Peer], None], behind: bytes) -> None:
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most) + behind.replace(b"$2\r\na", b"$2\r\nb"), most)
@@ -107,28 +107,28 @@
     monkeypatch: pytest.MonkeyPatch, go: Callable[[Peer], None]
 ) -> None:
     """Its end stands behind bytes that stay unread: it is looked for."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most), most)
             (connection,) = door.clients.connections
             peer.say(submit("b1", body=b"x" * 60_000))
-            await until(lambda: not connection.reading)
+            await until(lambda: not connection.is_reading)
             assert READ_BYTES <= len(connection.reader.buffer) < 3 * READ_BYTES
             go(peer)
             await until(lambda: len(gone(told)) == most)
             await until(lambda: not door.clients.connections)
-            assert not door.clients.ends.watched
+            assert not door.clients.disconnect_watch.watched
 
     run(job())
 
 
 def test_client_that_goes_while_it_reads_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clogged: what it sent behind is not taken, and its end, which stands behind that, is seen."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
         body = b"x" * 65_000
@@ -139,7 +139,7 @@
             (connection,) = door.clients.connections
             connection.pause_writing()
             peer.say(resp("PING") * 5000)
-            await until(lambda: not connection.reading)
+            await until(lambda: not connection.is_reading)
             peer.finish()
             await until(lambda: gone(told) == ["b1"])
 
@@ -163,7 +163,7 @@
 def test_half_close_with_answers_unread_is_noticed_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The transport would wait for the last byte to be read before it says that the connection is lost."""
     monkeypatch.setattr("molereach.clients.listener.SWEEP_S", 0.01)
-    monkeypatch.setitem(clients.WAITS_US, clients.State.CLOGGED, 50_000)
+    monkeypatch.setitem(clients.TIMEOUTS_US, clients.State.CLOGGED, 50_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -177,10 +177,10 @@
             # Bytes that the kernel does not take, below the mark at which writing is paused.
             while not connection.transport.get_write_buffer_size():
                 connection.transport.write(b"x" * 10_000)
-            assert not connection.clogged
+            assert not connection.is_write_blocked
             peer.finish()
             await until(lambda: gone(told) == ["a1"])
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
             assert door.clients.sockets == 0
 
     run(job())
@@ -247,6 +247,6 @@
             peer.say(resp("PING"))
             peer.finish()
             assert await peer.hear_all() == b"+PONG\r\n"
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
 
     run(job())
