--- a/molereach/coordination/leases/asks.py
+++ b/molereach/coordination/leases/renewals.py
@@ -5,45 +5,50 @@
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.leases.words import RenewalGrant, RenewalRequest
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-MOST_ASKS = 16  # remembered without a grant
+MAX_PENDING_RENEWALS = 16  # remembered without a grant
 
 
-class Asks:
+class PendingRenewals:
     """The asks of one front door's one life."""
 
     def __init__(self, life: NodeInstance) -> None:
-        self._life = life
+        self._incarnation = life
         self._number = 0
-        self._open: dict[
+        self._pending: dict[
             int, tuple[int, RenewalRequest]
         ] = {}  # when it was made; by number, so the oldest is the first
 
-    def make(self, now_us: int, fence: int, applied: int, clear: int) -> RenewalRequest:
+    def create(self, now_us: int, fence: int, applied: int, clear: int) -> RenewalRequest:
         """Make the next ask; the oldest is forgotten when there are too many."""
         self._number += 1
         ask = RenewalRequest(
-            self._life.name, self._life.number, fence, self._number, applied, max(0, applied - clear)
+            self._incarnation.name,
+            self._incarnation.number,
+            fence,
+            self._number,
+            applied,
+            max(0, applied - clear),
         )
-        self._open[ask.number] = now_us, ask
-        if len(self._open) > MOST_ASKS:
-            del self._open[next(iter(self._open))]
+        self._pending[ask.number] = now_us, ask
+        if len(self._pending) > MAX_PENDING_RENEWALS:
+            del self._pending[next(iter(self._pending))]
         return ask
 
-    def granted(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
+    def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         """When the ask was made that this grant is for; it and all before it are then forgotten."""
         if (grant.name, grant.instance_number) != (
-            self._life.name,
-            self._life.number,
-        ) or grant.number not in self._open:
+            self._incarnation.name,
+            self._incarnation.number,
+        ) or grant.number not in self._pending:
             return None
-        made_us, ask = self._open[grant.number]
+        made_us, ask = self._pending[grant.number]
         if ask.fencing_token != grant.fencing_token:
             return None
-        self._open = {number: made for number, made in self._open.items() if number > grant.number}
+        self._pending = {number: made for number, made in self._pending.items() if number > grant.number}
         return made_us, ask
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Of a session that is over; its numbers are not used again all the same."""
-        self._open.clear()
+        self._pending.clear()
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -8,9 +8,9 @@
 from molereach.coordination.dissemination.settings import Settings as SpreadSettings
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import StateMachine
-from molereach.coordination.leases.holder import Holder
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.holder import LeaseHolder
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.sessions import SessionRegistry
 from molereach.coordination.membership import messages as membership_messages
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.settings import MembershipSettings
@@ -44,14 +44,14 @@
         wall_ms: Callable[[int], int],
     ) -> None:
         beat_us = settings.beat_us
-        self.sessions = Sessions()
+        self.sessions = SessionRegistry()
         on_log = {self.sessions.name: self.sessions, **machines}
         self.membership = Membership(
             me, MembershipSettings(probe_interval_us=beat_us, ping_timeout_us=beat_us * 2 // 5), draw
         )
         self.log = LogCore(me, disk, recovered, panel, on_log, LogSettings(), draw, wall_ms)
-        self.holder = Holder(me, self.sessions, settings.terms, draw, beat_us)
-        self.keeper = Keeper(self.sessions, settings.terms, beat_us)
+        self.holder = LeaseHolder(me, self.sessions, settings.terms, draw, beat_us)
+        self.keeper = LeaseManager(self.sessions, settings.terms, beat_us)
         self.spread = Spread(me, SpreadSettings(beat_us=beat_us), draw)
 
     @property
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -25,9 +25,9 @@
     StateMachine,
 )
 from molereach.coordination.interface.sessions import RenewalRequest
-from molereach.coordination.leases import words as lease
-from molereach.coordination.leases.accounts import Account
-from molereach.coordination.leases.words import Phase
+from molereach.coordination.leases import messages as lease
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
+from molereach.coordination.leases.messages import LeasePhase
 from molereach.coordination.membership.events import Join, LocalHealthChanged, MemberStatusChanged, Superseded
 from molereach.coordination.membership.events import Leave as LeaveMembers
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
@@ -85,8 +85,8 @@
     MemberStatusChanged
     | LocalHealthChanged
     | LeaderChanged
-    | lease.Held
-    | lease.Lost
+    | lease.LeaseAcquired
+    | lease.LeaseLost
     | Stopped
     | SetBack
     | MachineFailed
@@ -138,9 +138,9 @@
     def hears_nobody(self, now_us: int) -> bool:
         return len(self.settings.doors) > 1 and now_us - self.heard_us > self.settings.doubt_us
 
-    def account(self, position: int, since_us: int, clear: bool = False) -> Account:
+    def account(self, position: int, since_us: int, clear: bool = False) -> AcknowledgementTracker:
         """Of the entry at `position`: who does not have it, or is not clear of it; or the proof of all."""
-        return Account(position, self.parts.sessions, self.parts.keeper, since_us, clear)
+        return AcknowledgementTracker(position, self.parts.sessions, self.parts.keeper, since_us, clear)
 
     # --- events ---
 
@@ -177,7 +177,7 @@
                 self._view(now_us)
                 self._tick(now_us)
             case Leave():
-                self._run("holder", parts.holder, now_us, lease.Leave())
+                self._run("holder", parts.holder, now_us, lease.ReleaseLease())
                 self._run(MEMBERSHIP, parts.membership, now_us, LeaveMembers())
 
     def _tick(self, now_us: int) -> None:
@@ -247,17 +247,17 @@
         self._out.append(action)
         self._look_over()
 
-    def _lost(self, now_us: int, action: lease.Lost) -> None:
+    def _lost(self, now_us: int, action: lease.LeaseLost) -> None:
         self._out.append(action)
         self._look_over()
 
     def _look_over(self) -> None:
         """What the holder came to: gone in order, or in another run's way."""
         phase = self.parts.holder.phase
-        if phase is Phase.LEFT and not self.left:
+        if phase is LeasePhase.LEFT and not self.left:
             self.left = True
             self._out.append(Left())
-        elif phase is Phase.SUPERSEDED and not self.ended:
+        elif phase is LeasePhase.SUPERSEDED and not self.ended:
             self.ended = "a later run of this front door has a session"
             self._out.append(Ended(self.ended))
 
@@ -279,15 +279,15 @@
 
 
 def _gathered(self: Council, now_us: int, action: tree.Gathered) -> None:
-    self._run("keeper", self.parts.keeper, now_us, lease.Asked(action.asks))
+    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.asks))
 
 
-def _given(self: Council, now_us: int, action: lease.Given) -> None:
+def _given(self: Council, now_us: int, action: lease.SendGrants) -> None:
     self._run(SPREAD, self.parts.spread, now_us, tree.Give(action.grants))
 
 
 def _granted(self: Council, now_us: int, action: tree.Granted) -> None:
-    self._run("holder", self.parts.holder, now_us, lease.Granted(action.grants))
+    self._run("holder", self.parts.holder, now_us, lease.GrantsReceived(action.grants))
 
 
 def _learn(self: Council, now_us: int, action: tree.Learn) -> None:
@@ -305,12 +305,12 @@
     MemberStatusChanged: Council._changed,
     Superseded: Council._displaced,
     ProposalFinished: Council._over,
-    lease.Lost: Council._lost,
+    lease.LeaseLost: Council._lost,
     Propose: _to_log,
     ConfirmLeadership: _to_log,
     LeadershipConfirmed: _to_keeper,
     RenewalRequest: _mine,
-    lease.Given: _given,
+    lease.SendGrants: _given,
     tree.Gathered: _gathered,
     tree.Granted: _granted,
     tree.Learn: _learn,
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -1,11 +1,14 @@
-"""What the decisions consult on limits, `Limits` in molereach/policy/interface. A core, over the two others.
+"""The limits that the policy consults, `LimitPolicy` in molereach/policy/interface. A core, over two others.
 
-`Escrow` has the ceilings, `Reach` the quotas. Words of both go out within a budget for each peer.
+`Escrow` has the ceilings, `PartitionQuota` the quotas. Messages of both go out within a budget a peer.
 """
 
-from molereach.limits.escrow import REPEAT_US, WHOLE, Escrow
-from molereach.limits.partition_quota import Reach
-from molereach.limits.settings import LimitSettings, S
+from molereach.limits.borrowing import NEVER_DUE_US, RETRY_US
+from molereach.limits.escrow import Escrow
+from molereach.limits.message_budget import MessageBudget
+from molereach.limits.partition_quota import PartitionQuota
+from molereach.limits.settings import SECOND_US, LimitSettings
+from molereach.limits.snapshots import customer_snapshots
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
     CustomerKey,
@@ -17,182 +20,172 @@
     LoanRequest,
     SpendingTotal,
 )
-from molereach.policy.interface.protocols import CustomerLimits
+from molereach.policy.interface.protocols import CustomerLimits, PeerMessage, ReachableQuota
 from molereach.policy.interface.settings import Settings
 
-GENERATIONS = 1 << 16
-TOTALS_AT_ONCE = 2  # at each look: 100 a second, to all homes together
-LOOK_US = 20_000  # between two looks at what is to be told
-MOST_PER_S, MOST_AT_ONCE = 100.0, 24.0  # words to one peer; about ten go into a datagram
-FORGET_US = S
+INCARNATIONS = 1 << 16  # as gossip has 16 bits for their numbers
+MAX_TOTALS_PER_POLL = 2  # 100 a second, to all owners together
+POLL_INTERVAL_US = 20_000
+EVICTION_INTERVAL_US = SECOND_US
 
 
 class Limits:
-    """Limits of one front door; with several, each has one."""
-
-    def __init__(self, settings: Settings, figures: LimitSettings) -> None:
-        self.me, self.doors = settings.proxy_index, settings.proxy_count
-        self.generation = settings.seed % GENERATIONS
-        self.settings = figures
-        self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, figures)
-        self.reach_of = Reach(
+    """The limits of one proxy."""
+
+    def __init__(self, settings: Settings, limit_settings: LimitSettings) -> None:
+        self.proxy_index = settings.proxy_index
+        self.proxy_count = settings.proxy_count
+        self.incarnation = settings.seed % INCARNATIONS
+        self.settings = limit_settings
+        self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, limit_settings)
+        self.partition_quota = PartitionQuota(
             settings.proxy_index,
             settings.proxy_count,
             settings.plans,
-            figures,
+            limit_settings,
             settings.gossip_messages_per_s,
         )
-        self.start_us = self.hello_us = self.look_us = self.forget_us = self.now_us = -1
-        self.budget: dict[int, tuple[float, int]] = {}  # by peer: words that may go, and at what time
-        self.answers: list[tuple[int, LimitMessage]] = []
+        self.start_us = -1
+        self.next_join_us = -1
+        self.next_poll_us = -1
+        self.next_eviction_us = -1
+        self.now_us = -1
+        self.message_budget = MessageBudget()
+        self.pending_replies: list[PeerMessage[LimitMessage]] = []
 
     def start(self, now_us: int) -> None:
-        self.start_us = self.hello_us = self.look_us = self.forget_us = now_us
+        """The proxy starts; called once, before all other methods."""
+        self.start_us = now_us
+        self.next_join_us = now_us
+        self.next_poll_us = now_us
+        self.next_eviction_us = now_us
         self.escrow.start(now_us)
-        self.reach_of.start_us = now_us
+        self.partition_quota.start_us = now_us
 
-    # --- ceilings ---
+    # Ceilings
 
-    def want(self, now_us: int, key: CustomerKey, units: float) -> None:
-        self.escrow.want(now_us, key, units)
+    def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
+        """A request came that will take so many units of its customer's ceiling."""
+        self.escrow.request_capacity(now_us, key, units)
 
-    def room(self, now_us: int, key: CustomerKey, units: float) -> bool:
-        return self.escrow.room(now_us, key, units) >= units
+    def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
+        """Whether so many units may be forwarded under the customer's ceiling now."""
+        return self.escrow.available_units(now_us, key, units) >= units
 
-    def take(self, now_us: int, key: CustomerKey, units: float) -> None:
-        self.escrow.take(now_us, key, units)
+    def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
+        """So many units are forwarded."""
+        self.escrow.consume(now_us, key, units)
 
-    # --- quotas ---
+    # Quotas
 
-    def reach(self, now_us: int, key: CustomerKey) -> tuple[int, float, float]:
-        return self.reach_of.reach(now_us, key)
+    def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
+        """The customer's owner as seen from here, and what of the quota may be spent on this side."""
+        return self.partition_quota.reachable_quota(now_us, key)
 
-    def spend(self, now_us: int, key: CustomerKey, units: float, left: float) -> None:
-        self.reach_of.spend(now_us, key, units, left)
+    def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
+        """So much of the quota was spent here, or given back where it is negative."""
+        self.partition_quota.record_spending(now_us, key, units, remaining_units)
 
-    def spent(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        return self.reach_of.spent(now_us, sender, total)
+    def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
+        """Units that a peer's total takes from the customer's tokens at its owner."""
+        return self.partition_quota.apply_spending_total(now_us, sender, total)
 
-    def counts(self, sender: int) -> bool:
-        return sender in self.reach_of.lives
+    def sends_totals(self, sender: int) -> bool:
+        """Whether a peer sends totals, so that the spending in its other messages does not count."""
+        return sender in self.partition_quota.contacts.incarnations
 
-    # --- words ---
+    # Messages
 
-    def hear(self, now_us: int, message: GossipReceived) -> None:
-        sender, generation = message.sender, message.incarnation
+    def receive(self, now_us: int, message: GossipReceived) -> None:
+        """Apply a peer's message, except for the spending totals in it."""
         self.now_us = now_us
-        self.reach_of.heard(now_us, sender, generation, message.is_heard)
-        if generation is None:
+        sender = message.sender
+        incarnation = message.incarnation
+        self.partition_quota.record_message(now_us, sender, incarnation, message.is_heard)
+        if incarnation is None:
             return
-        for word in message.messages:
-            match word:
+        for each in message.messages:
+            match each:
                 case LoanRequest():
-                    self.escrow.asked(now_us, sender, generation, word)
+                    self.escrow.handle_request(now_us, sender, incarnation, each)
                 case LoanGrant():
-                    self.escrow.granted(now_us, sender, word)
+                    self.escrow.apply_grant(now_us, sender, each)
                 case Join():
-                    self.escrow.drop(now_us, sender)
-                    self.answers.append(
-                        (sender, JoinAcknowledged(generation, self.reach_of.tell_all(sender)))
-                    )
+                    self._acknowledge_join(now_us, sender, incarnation)
                 case Leave():
-                    self.reach_of.left(now_us, sender, generation)
-                case JoinAcknowledged(wanted, totals) if wanted == self.generation:
-                    self.escrow.clear(now_us, sender)
-                    if not totals:
-                        self.reach_of.nothing_to_tell(sender)
+                    self.partition_quota.contacts.record_leave(sender, incarnation)
+                case JoinAcknowledged(joined_incarnation, total_count):
+                    if joined_incarnation == self.incarnation:
+                        self._record_acknowledgement(now_us, sender, total_count)
 
-    def bye(self) -> list[tuple[int, LimitMessage]]:
-        """Nothing is spent here from now on: the last words, to all peers."""
-        return [(peer, Leave()) for peer in range(self.doors) if peer != self.me]
+    def leave_messages(self) -> list[PeerMessage[LimitMessage]]:
+        """The last messages, to all peers: nothing is spent here from now on."""
+        return [PeerMessage(peer, Leave()) for peer in range(self.proxy_count) if peer != self.proxy_index]
 
-    def hears(self, peer: int) -> bool:
-        """Whether the peer has been heard of late, as of the last event."""
-        return self.reach_of.hears(self.now_us, peer)
+    def receives_from(self, peer: int) -> bool:
+        """Whether messages of the peer have come of late, as of the last event."""
+        return self.partition_quota.contacts.receives_from(self.now_us, peer)
 
-    def told(self, now_us: int, peer: int) -> None:
+    def mark_sent(self, now_us: int, peer: int) -> None:
+        """A datagram has just been sent to a peer."""
         self.now_us = now_us
-        self.reach_of.told_us[peer] = now_us
+        self.partition_quota.contacts.sent_us[peer] = now_us
 
-    def due(self, now_us: int) -> list[tuple[int, LimitMessage | None]]:
-        """Words to peers by now; None is a beat, which needs no word."""
-        waiting = self.answers or self.escrow.out
-        if not waiting and now_us < min(self.look_us, self.escrow.wake_us):
+    def due_messages(self, now_us: int) -> list[PeerMessage[LimitMessage | None]]:
+        """Messages to peers by now; one that is None is a heartbeat."""
+        is_waiting = self.pending_replies or self.escrow.outbox
+        if not is_waiting and now_us < min(self.next_poll_us, self.escrow.next_due_us):
             return []
-        found: list[tuple[int, LimitMessage | None]] = [*self.answers]
-        self.answers = []
-        found += self.escrow.due(now_us)
-        if now_us >= self.look_us:
-            self.look_us = now_us + LOOK_US
-            found += self.reach_of.due(now_us, TOTALS_AT_ONCE)
-            found += self.hellos(now_us)
-            found += [(peer, None) for peer in self.reach_of.beats(now_us)]
-        if now_us >= self.forget_us:
-            self.forget_us = now_us + FORGET_US
-            self.escrow.forget(now_us)
-            self.reach_of.forget(now_us)
-        return [each for each in found if each[1] is None or self.may_tell(now_us, each[0])]
-
-    def hellos(self, now_us: int) -> list[tuple[int, LimitMessage]]:
-        over = now_us - self.start_us > self.settings.quiet_us
-        if over or now_us < self.hello_us:
-            return []
-        self.hello_us = now_us + REPEAT_US
-        return [
-            (peer, Join())
-            for peer in range(self.doors)
-            if peer != self.me and peer not in self.escrow.cleared
-        ]
-
-    def may_tell(self, now_us: int, peer: int) -> bool:
-        """Words past the budget are left out: asks and hellos come again, totals grow."""
-        left, at = self.budget.get(peer, (MOST_AT_ONCE, now_us))
-        left = min(MOST_AT_ONCE, left + MOST_PER_S * (now_us - at) / S)
-        self.budget[peer] = (left - (left >= 1), now_us)
-        return left >= 1
+        due: list[PeerMessage[LimitMessage | None]] = [*self.pending_replies]
+        self.pending_replies = []
+        due += self.escrow.due_messages(now_us)
+        if now_us >= self.next_poll_us:
+            self.next_poll_us = now_us + POLL_INTERVAL_US
+            due += self.partition_quota.due_totals(now_us, MAX_TOTALS_PER_POLL)
+            due += self._due_joins(now_us)
+            due += [PeerMessage(peer, None) for peer in self.partition_quota.contacts.due_heartbeats(now_us)]
+        if now_us >= self.next_eviction_us:
+            self.next_eviction_us = now_us + EVICTION_INTERVAL_US
+            self.escrow.evict_idle(now_us)
+            self.partition_quota.evict_idle(now_us)
+        # What is beyond the budget is left out: requests and joins are sent again, totals grow.
+        return [each for each in due if each.message is None or self.message_budget.take(now_us, each.peer)]
 
     @property
-    def wake_us(self) -> int:
-        """When something is to be told without an event: the next look, as long as there is anybody."""
-        if self.doors == 1:
-            return 1 << 62
-        look_us = self.look_us if self.busy else self.look_us + self.reach_of.beat_us // 2
-        return min(self.escrow.wake_us, look_us)
+    def next_due_us(self) -> int:
+        """When `due_messages` has something to do without an event."""
+        if self.proxy_count == 1:
+            return NEVER_DUE_US
+        next_poll_us = self.next_poll_us
+        if not self._has_messages_soon():
+            next_poll_us += self.partition_quota.contacts.heartbeat_us // 2
+        return min(self.escrow.next_due_us, next_poll_us)
+
+    def snapshot(self, customer_checksum: int, now_us: int) -> list[CustomerLimits]:
+        """What is known of a customer, by the checksum of its name; it only reads."""
+        return customer_snapshots(self.escrow, self.partition_quota, customer_checksum, now_us)
 
-    @property
-    def busy(self) -> bool:
-        quiet = self.look_us - self.start_us <= self.settings.quiet_us
-        return bool(self.reach_of.fresh or self.reach_of.again or self.answers or quiet)
+    def _acknowledge_join(self, now_us: int, peer: int, incarnation: int) -> None:
+        self.escrow.drop_borrowed_from(now_us, peer)
+        total_count = self.partition_quota.resend_totals(peer)
+        self.pending_replies.append(PeerMessage(peer, JoinAcknowledged(incarnation, total_count)))
 
-    # --- for those who look ---
+    def _record_acknowledgement(self, now_us: int, peer: int, total_count: int) -> None:
+        self.escrow.record_acknowledgement(now_us, peer)
+        if not total_count:
+            self.partition_quota.contacts.record_no_spending(peer)
 
-    def held(self, customer: int, now_us: int) -> list[CustomerLimits]:
-        """What is known of a customer, by the checksum of its name; it only reads."""
-        keys = {
-            key: None
-            for known in (self.escrow.accounts, self.reach_of.mine, self.reach_of.homes)
-            for key in known
-            if key[0] == customer
-        }
-        return [self.held_of(key, now_us) for key in keys]
-
-    def held_of(self, key: CustomerKey, now_us: int) -> CustomerLimits:
-        account, mine = self.escrow.accounts.get(key), self.reach_of.mine.get(key)
-        home = self.reach_of.homes.get(key)
-        spent, apart = mine.spent if mine else 0.0, sorted(home.apart) if home else []
-        if account is None:
-            return CustomerLimits(key[1], 0.0, 0.0, {}, {}, 0.0, 0.0, spent, apart)
-        lent = {peer: part / WHOLE for peer, loan in account.loans.items() if (part := loan.lent(now_us))}
-        debts = {peer: debt for peer, debt in account.debts.items() if debt.held(now_us)}
-        ages = [now_us - debt.asked_us for debt in debts.values()]
-        return CustomerLimits(
-            key[1],
-            account.share(now_us) / WHOLE,
-            account.store,
-            lent,
-            {peer: debt.share / WHOLE for peer, debt in debts.items()},
-            round(max(ages, default=0) / S, 3),
-            account.taken,
-            spent,
-            apart,
-        )
+    def _due_joins(self, now_us: int) -> list[PeerMessage[LimitMessage]]:
+        is_started = now_us - self.start_us > self.settings.startup_wait_us
+        if is_started or now_us < self.next_join_us:
+            return []
+        self.next_join_us = now_us + RETRY_US
+        return [
+            PeerMessage(peer, Join())
+            for peer in range(self.proxy_count)
+            if peer != self.proxy_index and peer not in self.escrow.acknowledged_us
+        ]
+
+    def _has_messages_soon(self) -> bool:
+        is_starting = self.next_poll_us - self.start_us <= self.settings.startup_wait_us
+        return is_starting or self.partition_quota.totals.has_pending() or bool(self.pending_replies)
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -9,7 +9,7 @@
 
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.interface.identifiers import NodeInstance, Position, WireStruct
-from molereach.coordination.leases.sessions import Opened, Past
+from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
 class Word(WireStruct, frozen=True, array_like=True):
@@ -23,17 +23,17 @@
 class SessionsAt(Protocol):
     """Of the state machine "sessions", as the log has it at the same position."""
 
-    def open(self, name: str) -> Opened | None: ...
+    def active_session(self, name: str) -> ActiveSession | None: ...
 
-    def past(self, name: str) -> Past | None:
+    def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
 
-    def life(self, name: str) -> NodeInstance | None:
+    def latest_incarnation(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
 
-    def all_open(self) -> list[Opened]: ...
+    def all_open(self) -> list[ActiveSession]: ...
 
-    def at(self, position: int) -> Iterable[Opened | Past]:
+    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
         """Those that were open when this position was applied, as they stand now."""
 
 
@@ -44,21 +44,21 @@
     false it must be accounted for by itself, or by a new life.
     """
     by_fence = {word.fence: word for word in words}
-    for session in sessions.at(begun):
-        word, name = by_fence.get(session.fence), session.life.name
+    for session in sessions.sessions_open_at(begun):
+        word, name = by_fence.get(session.fencing_token), session.incarnation.name
         if word is None:
             return f"no word of {name}"
         if word.known is ClearanceEvidence.REPORTED:
             if word.position < begun:
                 return f"{name} has said {word.position} of {begun}"
             continue
-        if isinstance(session, Opened):
+        if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
         if (word.known, word.position) != (session.known, session.position):
             return f"{name} is {session.known.value} by {session.position}"
         if session.known is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
-            later = sessions.life(name)
-            if later is None or later == session.life:
+            later = sessions.latest_incarnation(name)
+            if later is None or later == session.incarnation:
                 return f"{name} may come back"
     return ""
 
@@ -67,8 +67,8 @@
     """As it goes into an entry: the words of an account, with the fences of the sessions that they are of."""
     by_life = {each.instance: each for each in accounted}
     found = []
-    for session in sessions.at(begun):
-        one = by_life.get(session.life)
+    for session in sessions.sessions_open_at(begun):
+        one = by_life.get(session.incarnation)
         if one is not None:
-            found.append(Word(session.fence, one.evidence, one.position))
+            found.append(Word(session.fencing_token, one.evidence, one.position))
     return tuple(found)
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -10,7 +10,7 @@
 from molereach.cache.readings.settings import MOST_ASKED_BYTES, OVERHEAD_BYTES, ReadingSettings, S
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.sessions import SessionTerms
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.sessions import SessionRegistry
 
 TERMS = SessionTerms(2 * S, 0.02)
 RATES = (1 - TERMS.drift / 2, 1.0, 1 + TERMS.drift / 2)  # between any two, the drift at most
@@ -64,16 +64,16 @@
     def holds(self, now_us: int) -> bool:
         return now_us < self.until_us
 
-    def follow(self, sessions: Sessions, life: NodeInstance, entry_id: str) -> None:
-        opened = sessions.open(life.name)
-        if opened is None or opened.life != life:
+    def follow(self, sessions: SessionRegistry, life: NodeInstance, entry_id: str) -> None:
+        opened = sessions.active_session(life.name)
+        if opened is None or opened.incarnation != life:
             self.fencing_token = self.until_us = 0
-        elif opened.fence != self.fencing_token:
+        elif opened.fencing_token != self.fencing_token:
             mine = self.opening is not None and self.opening[0] == entry_id
             self.until_us = (
                 self.opening[1] + TERMS.holder_duration_us if mine and self.opening and not self.left else 0
             )
-            self.fencing_token = opened.fence
+            self.fencing_token = opened.fencing_token
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
     applied: int
     clear: int
-    heard_us: int | None
+    received_at_us: int | None
     since_us: int
 
 
@@ -93,7 +93,7 @@
     life: NodeInstance
     offset_us: int
     rate: float
-    sessions: Sessions
+    sessions: SessionRegistry
     purges: Purges
     lease: Lease
     door: Door
@@ -112,5 +112,5 @@
     def now(self, true_us: int) -> int:
         return self.offset_us + int(true_us * self.rate)
 
-    def said(self, name: str, fence: int) -> Said | None:
+    def report(self, name: str, fence: int) -> Said | None:
         return self.heard.get(fence)
--- a/tests/cache/purge/entries.py
+++ b/tests/cache/purge/entries.py
@@ -5,7 +5,7 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.sessions import Sessions
+from molereach.coordination.leases.sessions import SessionRegistry
 
 A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 MEMBER, OTHER = "00000000000000aa", "00000000000000bb"
@@ -20,7 +20,7 @@
     """Both machines of one front door, and the position at which they are."""
 
     def __init__(self, bounds: Bounds = SMALL) -> None:
-        self.sessions = Sessions()
+        self.sessions = SessionRegistry()
         self.purges = Purges(self.sessions, bounds)
         self.position, self.at_ms = 0, 1000
         self.entries: list[Entry] = []
@@ -36,12 +36,12 @@
 
     def opens(self, *lives: NodeInstance) -> None:
         for life in lives:
-            assert not self.lease(leases.Open(life), life).error
+            assert not self.lease(leases.OpenSession(life), life).error
 
     def fence(self, life: NodeInstance) -> int:
-        opened = self.sessions.open(life.name)
+        opened = self.sessions.active_session(life.name)
         assert opened
-        return opened.fence
+        return opened.fencing_token
 
     def purge(self, body: Body | bytes, at_ms: int = 0) -> Outcome:
         return self.add(MACHINE, body if isinstance(body, bytes) else encode(body), A, at_ms)
--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -4,8 +4,8 @@
 
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry, Outcome
-from molereach.coordination.leases.bodies import MACHINE, Body, Open, encode
-from molereach.coordination.leases.sessions import Opened, Sessions
+from molereach.coordination.leases.bodies import MACHINE, Body, OpenSession, encode
+from molereach.coordination.leases.sessions import ActiveSession, SessionRegistry
 
 A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 
@@ -17,9 +17,9 @@
     return Entry(position, machine, name or f"id{position}", proposer, position, data)
 
 
-def opened(sessions: Sessions, position: int, life: NodeInstance) -> Outcome:
-    return sessions.apply(entry(position, Open(life), life))
+def opened(sessions: SessionRegistry, position: int, life: NodeInstance) -> Outcome:
+    return sessions.apply(entry(position, OpenSession(life), life))
 
 
 def fence_of(outcome: Outcome) -> int:
-    return msgspec.json.decode(outcome.value, type=Opened).fence
+    return msgspec.json.decode(outcome.value, type=ActiveSession).fencing_token
--- a/tests/coordination/leases/test_accounts.py
+++ b/tests/coordination/leases/test_acknowledgements.py
@@ -3,13 +3,13 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import Applied, LeaderChanged, Outcome, Restored
-from molereach.coordination.interface.sessions import Session, SessionTerms
-from molereach.coordination.leases.accounts import Account, Missing
-from molereach.coordination.leases.bodies import Body, Close, Ended, Keeping, Open
-from molereach.coordination.leases.keeper import Keeper
-from molereach.coordination.leases.permits import RULES, Use, may
-from molereach.coordination.leases.sessions import Sessions
-from molereach.coordination.leases.words import Asked, RenewalRequest
+from molereach.coordination.interface.sessions import RenewalRequest, Session, SessionTerms
+from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, MissingAcknowledgement
+from molereach.coordination.leases.bodies import BecomeManager, Body, CloseSession, EndSession, OpenSession
+from molereach.coordination.leases.manager import LeaseManager
+from molereach.coordination.leases.messages import RenewalsReceived
+from molereach.coordination.leases.permits import ACTIVITY_RULES, LeasedActivity, is_allowed
+from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, C, entry
 
 D = NodeInstance("d", 1)
@@ -20,8 +20,8 @@
     """A replica with its keeper, at ballot 1."""
 
     def __init__(self, order: list[tuple[NodeInstance, Body | None]]) -> None:
-        self.sessions, self.now = Sessions(), 0
-        self.keeper = Keeper(self.sessions, SessionTerms())
+        self.sessions, self.now = SessionRegistry(), 0
+        self.keeper = LeaseManager(self.sessions, SessionTerms())
         self.keeper.handle(0, LeaderChanged("k", 1, True))
         self.position = 0
         for proposer, body in order:
@@ -35,25 +35,27 @@
         self.keeper.handle(self.now, Applied(step, outcome))
 
     def said(self, life: NodeInstance, fence: int, applied: int) -> None:
-        self.keeper.handle(self.now, Asked((RenewalRequest(life.name, life.number, fence, 1, applied),)))
+        self.keeper.handle(
+            self.now, RenewalsReceived((RenewalRequest(life.name, life.number, fence, 1, applied),))
+        )
 
-    def account(self, position: int = 5) -> Account:
-        return Account(position, self.sessions, self.keeper, self.now)
+    def account(self, position: int = 5) -> AcknowledgementTracker:
+        return AcknowledgementTracker(position, self.sessions, self.keeper, self.now)
 
 
 OPENED: list[tuple[NodeInstance, Body | None]] = [
-    (D, Open(D)),
-    (C, Open(C)),
-    (B, Open(B)),
-    (A, Open(A)),
+    (D, OpenSession(D)),
+    (C, OpenSession(C)),
+    (B, OpenSession(B)),
+    (A, OpenSession(A)),
     (A, None),
 ]
 SINCE: list[tuple[NodeInstance, Body | None]] = [
-    (A, Keeping(1)),
-    (ANEW, Open(ANEW)),
-    (A, Ended(C, 2, 1)),
-    (D, Close(D, 1)),
-    (C, Open(C)),
+    (A, BecomeManager(1)),
+    (ANEW, OpenSession(ANEW)),
+    (A, EndSession(C, 2, 1)),
+    (D, CloseSession(D, 1)),
+    (C, OpenSession(C)),
 ]
 
 
@@ -64,9 +66,9 @@
     leader.said(A, 4, 3)
     leader.now = 4 * SECOND_US
     missing = account.pending()
-    assert [each.door for each in missing] == [A, B, C, D]
-    assert missing[0] == Missing(A, 3 * SECOND_US, 3, 3 * SECOND_US, "applied only to 3")
-    assert missing[1] == Missing(B, 3 * SECOND_US, 0, None, "nothing heard since 3000000")
+    assert [each.proxy for each in missing] == [A, B, C, D]
+    assert missing[0] == MissingAcknowledgement(A, 3 * SECOND_US, 3, 3 * SECOND_US, "applied only to 3")
+    assert missing[1] == MissingAcknowledgement(B, 3 * SECOND_US, 0, None, "nothing heard since 3000000")
     assert account.proof() is None
 
 
@@ -74,14 +76,14 @@
     leader = Leader(OPENED)
     leader.said(A, 4, 3)
     leader.now = 3 * SECOND_US
-    assert leader.account().pending()[0].why == "nothing heard since 0"
+    assert leader.account().pending()[0].reason == "nothing heard since 0"
 
 
 def test_each_is_accounted_for_in_its_own_way_and_the_proof_is_by_name() -> None:
     leader = Leader(OPENED + SINCE)
     account = leader.account()
     leader.said(A, 4, 4)
-    assert account.proof() is None and [each.door for each in account.pending()] == [A]
+    assert account.proof() is None and [each.proxy for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
         NodeClearance(A, ClearanceEvidence.REPORTED, 5),
@@ -92,17 +94,17 @@
 
 
 def test_one_that_opened_after_the_entry_needs_no_account() -> None:
-    leader = Leader([(A, None), (A, Open(A))])
+    leader = Leader([(A, None), (A, OpenSession(A))])
     assert leader.account(1).proof() == ()
 
 
 def test_a_session_of_which_the_keeper_has_not_heard_yet_is_missing() -> None:
     leader = Leader(OPENED)
     leader.sessions.apply(
-        entry(6, Open(NodeInstance("e", 1)), NodeInstance("e", 1))
+        entry(6, OpenSession(NodeInstance("e", 1)), NodeInstance("e", 1))
     )  # the replica is ahead of the events
     account = leader.account(7)
-    assert account.pending()[-1].why == "nothing heard since 0"
+    assert account.pending()[-1].reason == "nothing heard since 0"
     leader.keeper.position = 7
     assert account.proof() is None
 
@@ -140,6 +142,6 @@
 
 def test_each_use_hangs_on_the_session_but_serving() -> None:
     session: Session = _Held()
-    assert set(RULES) == set(Use)
-    for use in Use:
-        assert may(use, session, 9) and may(use, session, 10) is (use is Use.SERVE)
+    assert set(ACTIVITY_RULES) == set(LeasedActivity)
+    for use in LeasedActivity:
+        assert is_allowed(use, session, 9) and is_allowed(use, session, 10) is (use is LeasedActivity.SERVE)
--- a/tests/coordination/leases/test_bounds.py
+++ b/tests/coordination/leases/test_bounds.py
@@ -4,12 +4,12 @@
 
 from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.interface.sessions import SessionTerms
-from molereach.coordination.leases.words import BEAT_US
+from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US
 from tests.coordination.leases.world import Cores, World
 
 TERMS = SessionTerms()
 RATES = (1 - TERMS.drift, 1 + TERMS.drift)
-OVER_US = int(TERMS.duration_us * (1 + TERMS.drift)) + 2 * BEAT_US
+OVER_US = int(TERMS.duration_us * (1 + TERMS.drift)) + 2 * RENEWAL_INTERVAL_US
 
 
 def quiet(seed: int) -> World:
@@ -35,7 +35,7 @@
     world = quiet(seed)
     door, fence = world.doors["d"], world.doors["d"].holder.fencing_token
     world.stop(door, 20 * SECOND_US)
-    world.run(3 * SECOND_US + TERMS.holder_duration_us - BEAT_US)
+    world.run(3 * SECOND_US + TERMS.holder_duration_us - RENEWAL_INTERVAL_US)
     assert fence not in world.over
     world.run(3 * SECOND_US + OVER_US)
     assert fence in world.over and holding(world) == "abc"
@@ -64,7 +64,7 @@
 def test_without_a_leader_nobody_holds_and_nothing_ends_and_then_all_go_on(seed: int) -> None:
     world = quiet(seed)
     world.leader = None
-    world.run(3 * SECOND_US + TERMS.duration_us + BEAT_US)
+    world.run(3 * SECOND_US + TERMS.duration_us + RENEWAL_INTERVAL_US)
     assert holding(world) == "" and not world.over
     world.run(20 * SECOND_US)
     world.elect(world.doors["c"])
--- a/tests/coordination/leases/test_words.py
+++ b/tests/coordination/leases/test_messages.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from molereach.coordination.leases.words import RenewalGrant, RenewalRequest
+from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 
 def test_an_ask_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/world.py
@@ -7,7 +7,7 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Applied, Entry, Outcome, Propose
 from molereach.coordination.leases import bodies as leases
-from molereach.coordination.leases.sessions import Past, Sessions
+from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.shards.counts import bodies
 from molereach.shards.counts.bodies import Forget
 from molereach.shards.counts.door import BEAT_US, Confirmed, DoorCounts, Leader
@@ -24,7 +24,7 @@
     """A front door with its own copy of the machines, which may lag."""
 
     def __init__(self, me: NodeInstance, folds: type[Folds] = Folds) -> None:
-        self.me, self.sessions = me, Sessions()
+        self.me, self.sessions = me, SessionRegistry()
         self.folds = folds(self.sessions, AllCounted())
         self.door = DoorCounts(me, self.folds, 0)
         self.applied, self.alive, self.written = 0, True, 0
@@ -55,7 +55,7 @@
 
     def start(self, life: NodeInstance) -> Reader:
         self.readers[life] = Reader(life, self.folds)
-        self.add(leases.MACHINE, leases.encode(leases.Open(life)), life)
+        self.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)
         self.catch_up(life)
         self.lead(self.leader)
         return self.readers[life]
@@ -68,9 +68,9 @@
             reader.door.handle(self.now_us, Leader(name))
 
     def over(self, life: NodeInstance) -> None:
-        opened = self.truth.sessions.open(life.name)
+        opened = self.truth.sessions.active_session(life.name)
         assert opened
-        ended = leases.Ended(life, opened.fence, 0)
+        ended = leases.EndSession(life, opened.fencing_token, 0)
         assert not self.add(leases.MACHINE, leases.encode(ended), life).error
 
     def catch_up(self, life: NodeInstance, most: int = 1 << 30) -> None:
@@ -103,12 +103,12 @@
         if begun is None:
             return Outcome("not folded")
         words = []
-        for session in self.truth.sessions.at(begun):
-            reader = self.readers.get(session.life)
-            if isinstance(session, Past):
-                words.append(Word(session.fence, session.known, session.position))
+        for session in self.truth.sessions.sessions_open_at(begun):
+            reader = self.readers.get(session.incarnation)
+            if isinstance(session, EndedSession):
+                words.append(Word(session.fencing_token, session.known, session.position))
             elif reader and reader.door.clear >= begun:
-                words.append(Word(session.fence, ClearanceEvidence.REPORTED, reader.door.clear))
+                words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, reader.door.clear))
         return self.add(bodies.MACHINE, bodies.encode(Forget(life, begun, tuple(words))), life)
 
     def bearable(self, life: NodeInstance) -> bool:
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_steps.py
@@ -38,8 +38,8 @@
 
 def said(world: World, position: int) -> tuple[Word, ...]:
     return tuple(
-        Word(session.fence, ClearanceEvidence.REPORTED, position)
-        for session in world.truth.sessions.all_open()
+        Word(session.fencing_token, ClearanceEvidence.REPORTED, position)
+        for session in world.truth.sessions.active_sessions()
     )
 
 
