--- a/molereach/cache/purge/answers.py
+++ b/molereach/cache/purge/answers.py
@@ -81,10 +81,10 @@
         return Behind(purge_id, applied)
     if known is None:
         return TooOld(purge_id) if purges.forgot(purge_id) else NotHere(purge_id, applied)
-    whys = {each.proxy: each.reason for each in missing or ()}
+    whys = {each.instance: each.reason for each in missing or ()}
     doors = [
-        Waiting(opened.incarnation, known.at_ms, whys.get(opened.incarnation, UNTOLD))
+        Waiting(opened.instance, known.at_ms, whys.get(opened.instance, UNTOLD))
         for opened in purges.waiting(known)
-        if missing is None or opened.incarnation in whys
+        if missing is None or opened.instance in whys
     ]
     return Pending(purge_id, known.position, known.at_ms, applied, tuple(doors))
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -84,7 +84,7 @@
         return tuple(
             opened
             for opened in self.cohorts[asked.cohort]
-            if self.sessions.active_session(opened.incarnation.name) == opened
+            if self.sessions.active_session(opened.instance.name) == opened
         )
 
     def oldest(self, most: int) -> list[Asked]:
@@ -166,7 +166,7 @@
                 rows += len(opened) + 1
                 found = roster(opened, asked.position, said, self.sessions, entry.position)
                 if isinstance(found, ActiveSession):
-                    why = f"front door {found.incarnation.name} is not accounted for"
+                    why = f"front door {found.instance.name} is not accounted for"
                     break
                 rosters[asked.cohort] = self.rosters.use(found)
             else:
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -24,7 +24,7 @@
 
 def cohort(sessions: SessionsView) -> tuple[ActiveSession, ...]:
     """Whose session is open now, by name."""
-    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.incarnation))
+    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.instance))
 
 
 def roster(
@@ -39,12 +39,12 @@
     }
     known: list[NodeClearance] = []
     for session in opened:
-        if sessions.active_session(session.incarnation.name) == session:
+        if sessions.active_session(session.instance.name) == session:
             if session.fencing_token not in said:
                 return session
-            known.append(NodeClearance(session.incarnation, ClearanceEvidence.REPORTED, 0))
+            known.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, 0))
         elif end := ends.get(session.fencing_token):
-            known.append(NodeClearance(session.incarnation, end.known, end.position))
+            known.append(NodeClearance(session.instance, end.evidence, end.position))
         else:  # it ended so long ago that how is forgotten
-            known.append(NodeClearance(session.incarnation, ClearanceEvidence.SESSION_EXPIRED, position))
+            known.append(NodeClearance(session.instance, ClearanceEvidence.SESSION_EXPIRED, position))
     return tuple(known)
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/folds.py
@@ -81,7 +81,7 @@
 
     def dead(self, life: NodeInstance) -> bool:
         """Whether it never comes back: it left, or a later life of its name has had a session."""
-        last = self._sessions.latest_incarnation(life.name)
+        last = self._sessions.latest_instance(life.name)
         if last is None:
             return False  # the name made room for others, and its process may yet come back
         if last > life:
@@ -90,14 +90,14 @@
         return (
             last == life
             and past is not None
-            and past.incarnation == life
-            and past.known is ClearanceEvidence.LEFT
+            and past.instance == life
+            and past.evidence is ClearanceEvidence.LEFT
         )
 
     def over(self, life: NodeInstance) -> bool:
         """Whether it has no session, and it or a later one had."""
-        opened, last = self._sessions.active_session(life.name), self._sessions.latest_incarnation(life.name)
-        return (opened is None or opened.incarnation != life) and last is not None and last >= life
+        opened, last = self._sessions.active_session(life.name), self._sessions.latest_instance(life.name)
+        return (opened is None or opened.instance != life) and last is not None and last >= life
 
     # --- entries ---
 
@@ -158,7 +158,7 @@
                 each
                 for each in self._kept
                 if each.name != life.name
-                and (self.dead(each) or self._sessions.latest_incarnation(each.name) is None)
+                and (self.dead(each) or self._sessions.latest_instance(each.name) is None)
             ]
             if not dead or len(self._horizon) >= MOST_NAMES:
                 return False
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -28,7 +28,7 @@
     def last_ended_session(self, name: str) -> EndedSession | None:
         """What ended last of a name."""
 
-    def latest_incarnation(self, name: str) -> NodeInstance | None:
+    def latest_instance(self, name: str) -> NodeInstance | None:
         """The highest life of a name that had a session."""
 
     def all_open(self) -> list[ActiveSession]: ...
@@ -45,7 +45,7 @@
     """
     by_fence = {word.fence: word for word in words}
     for session in sessions.sessions_open_at(begun):
-        word, name = by_fence.get(session.fencing_token), session.incarnation.name
+        word, name = by_fence.get(session.fencing_token), session.instance.name
         if word is None:
             return f"no word of {name}"
         if word.known is ClearanceEvidence.REPORTED:
@@ -54,11 +54,11 @@
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.known, session.position):
-            return f"{name} is {session.known.value} by {session.position}"
-        if session.known is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
-            later = sessions.latest_incarnation(name)
-            if later is None or later == session.incarnation:
+        if (word.known, word.position) != (session.evidence, session.position):
+            return f"{name} is {session.evidence.value} by {session.position}"
+        if session.evidence is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
+            later = sessions.latest_instance(name)
+            if later is None or later == session.instance:
                 return f"{name} may come back"
     return ""
 
@@ -68,7 +68,7 @@
     by_life = {each.instance: each for each in accounted}
     found = []
     for session in sessions.sessions_open_at(begun):
-        one = by_life.get(session.incarnation)
+        one = by_life.get(session.instance)
         if one is not None:
             found.append(Word(session.fencing_token, one.evidence, one.position))
     return tuple(found)
--- a/molereach/upkeep/permits/accounting.py
+++ b/molereach/upkeep/permits/accounting.py
@@ -49,17 +49,17 @@
         missed: list[Missed] = []
         for session in needed(self._sessions, begun):
             if why := self._why(now_us, session, begun, unstood):
-                missed.append(Missed(session.incarnation, why))
+                missed.append(Missed(session.instance, why))
             elif isinstance(session, ActiveSession):
-                clear = self._clears.clear(session.incarnation.name, session.fencing_token)
-                found.append((session, NodeClearance(session.incarnation, ClearanceEvidence.REPORTED, clear)))
+                clear = self._clears.clear(session.instance.name, session.fencing_token)
+                found.append((session, NodeClearance(session.instance, ClearanceEvidence.REPORTED, clear)))
             else:
-                found.append((session, NodeClearance(session.incarnation, session.known, session.position)))
+                found.append((session, NodeClearance(session.instance, session.evidence, session.position)))
         return pack(found), tuple(missed)
 
     def _why(self, now_us: int, session: ActiveSession | EndedSession, begun: int, unstood: int) -> str:
         if isinstance(session, ActiveSession):
-            clear = self._clears.clear(session.incarnation.name, session.fencing_token)
+            clear = self._clears.clear(session.instance.name, session.fencing_token)
             return "" if clear >= begun else f"has said {clear} of {begun}"
         if not alone(self._sessions, session):
             return ""
--- a/sim/council.py
+++ b/sim/council.py
@@ -241,9 +241,7 @@
         if entry.machine == SESSIONS:
             body: Any = decode(entry.body)
             if isinstance(body, SessionEnded):
-                self.over[body.incarnation.name] = max(
-                    self.over.get(body.incarnation.name, 0), body.fencing_token
-                )
+                self.over[body.instance.name] = max(self.over.get(body.instance.name, 0), body.fencing_token)
 
     def judge(self, node: Node, core: Council) -> None:
         if self.judged.get(node.number) != (core.me, core.position):
@@ -261,7 +259,7 @@
         """Whether any front door has applied an end of this session."""
         for core in self.cored.values():
             past = core.parts.sessions.last_ended_session(life.name)
-            if past and past.incarnation == life and past.fencing_token >= fence:
+            if past and past.instance == life and past.fencing_token >= fence:
                 return True
         return False
 
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -138,7 +138,7 @@
 
         class Fewer:
             def active_sessions(self) -> list[ActiveSession]:
-                return sorted(whole.active_sessions(), key=lambda each: each.incarnation)[:-1]
+                return sorted(whole.active_sessions(), key=lambda each: each.instance)[:-1]
 
         self.sessions = Fewer()  # type: ignore[assignment]
         try:
--- a/tests/cache/players.py
+++ b/tests/cache/players.py
@@ -66,7 +66,7 @@
 
     def follow(self, sessions: SessionRegistry, life: NodeInstance, entry_id: str) -> None:
         opened = sessions.active_session(life.name)
-        if opened is None or opened.incarnation != life:
+        if opened is None or opened.instance != life:
             self.fencing_token = self.until_us = 0
         elif opened.fencing_token != self.fencing_token:
             mine = self.opening is not None and self.opening[0] == entry_id
@@ -80,8 +80,8 @@
 class Said:
     """What a session said to a leader."""
 
-    applied: int
-    clear: int
+    applied_position: int
+    clear_position: int
     received_at_us: int | None
     since_us: int
 
--- a/tests/cache/test_driver.py
+++ b/tests/cache/test_driver.py
@@ -23,8 +23,8 @@
 class Said:
     """What a session said of itself."""
 
-    applied: int
-    clear: int
+    applied_position: int
+    clear_position: int
     received_at_us: int | None = 0
 
 
@@ -80,7 +80,7 @@
     place.heard.by_fence = {1: asked.position}
     assert list(place.driver.handle(10 + LOOK_US, Tick())) == []
     missing = place.driver.missing(asked)
-    assert missing and [(each.proxy, each.since_us) for each in missing] == [(B, 10)]
+    assert missing and [(each.instance, each.since_us) for each in missing] == [(B, 10)]
     place.heard.by_fence[2] = asked.position
     assert list(place.driver.handle(11 + LOOK_US, Tick())) == []  # not its time yet
     (propose,) = place.driver.handle(10 + 2 * LOOK_US, Tick())
--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -114,9 +114,7 @@
         self.order.append(entry)
         self.outcomes.append(outcome)
         if machine == MACHINE:
-            self.open_at[position] = tuple(
-                sorted(each.incarnation for each in self.sessions.active_sessions())
-            )
+            self.open_at[position] = tuple(sorted(each.instance for each in self.sessions.active_sessions()))
             self.settled(entry, outcome)
         for (
             each
@@ -148,7 +146,7 @@
     def rash(self, seat: Seat) -> None:
         """A driver that does not wait for a proof; it says no more than what it has heard."""
         upto = self.chance.randrange(len(self.order)) + 1
-        said = tuple(fence for fence, each in self.leader.heard.items() if each.clear >= upto)
+        said = tuple(fence for fence, each in self.leader.heard.items() if each.clear_position >= upto)
         self.append(MACHINE, encode(Done(upto, said)), self.leader.life)
 
     def send(self, act: Callable[[], None], most_ms: int = 300) -> None:
@@ -205,7 +203,7 @@
     def renew(self, seat: Seat) -> None:
         now, lease = seat.now(self.now), seat.lease
         opened = seat.sessions.active_session(seat.life.name)
-        if opened and opened.incarnation == seat.life:
+        if opened and opened.instance == seat.life:
             fence, clear = opened.fencing_token, seat.door.clear
             self.check_clear(seat)
             applied = seat.position
@@ -224,7 +222,10 @@
             return
         now = self.leader.now(self.now)
         said.since_us, said.received_at_us = now, now
-        said.applied, said.clear = max(said.applied, applied), max(said.clear, clear)
+        said.applied_position, said.clear_position = (
+            max(said.applied_position, applied),
+            max(said.clear_position, clear),
+        )
         self.send(lambda: self.granted(seat, made_us, fence))
 
     def granted(self, seat: Seat, made_us: int, fence: int) -> None:
@@ -238,13 +239,13 @@
         for opened in self.sessions.active_sessions():
             said = self.leader.heard.get(opened.fencing_token)
             if said and now > said.since_us + TERMS.expiry_us:
-                body = leases.encode(leases.EndSession(opened.incarnation, opened.fencing_token, self.ballot))
+                body = leases.encode(leases.EndSession(opened.instance, opened.fencing_token, self.ballot))
                 self.append(leases.MACHINE, body, self.leader.life)
 
     def leave(self, seat: Seat) -> None:
         seat.lease.left, seat.lease.until_us = True, 0
         opened = seat.sessions.active_session(seat.life.name)
-        if opened and opened.incarnation == seat.life:
+        if opened and opened.instance == seat.life:
             body = leases.encode(leases.CloseSession(seat.life, opened.fencing_token))
             self.send(lambda: self.append(leases.MACHINE, body, seat.life))
 
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -197,9 +197,9 @@
 def lease_body_samples() -> dict[str, lease_bodies.Body]:
     """Bodies of the entries about sessions."""
     return {
-        "open": lease_bodies.OpenSession(incarnation=FIRST_DOOR),
-        "ended": lease_bodies.EndSession(incarnation=FIRST_DOOR, fencing_token=11, ballot=3),
-        "close": lease_bodies.CloseSession(incarnation=SECOND_DOOR, fencing_token=12),
+        "open": lease_bodies.OpenSession(instance=FIRST_DOOR),
+        "ended": lease_bodies.EndSession(instance=FIRST_DOOR, fencing_token=11, ballot=3),
+        "close": lease_bodies.CloseSession(instance=SECOND_DOOR, fencing_token=12),
         "keeping": lease_bodies.BecomeManager(ballot=3),
     }
 
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -76,7 +76,7 @@
     """Three sessions, and a leader that keeps them."""
     machine = lease_bodies.MACHINE
     opens = [
-        Command("open", machine, lease_bodies.OpenSession(incarnation=life), proposer=life)
+        Command("open", machine, lease_bodies.OpenSession(instance=life), proposer=life)
         for life in (FIRST, SECOND, THIRD)
     ]
     return [*opens, Command("keeping", machine, lease_bodies.BecomeManager(ballot=3))]
@@ -85,12 +85,12 @@
 def session_ends() -> list[Command]:
     """Sessions that end by time, in order, and by a new life."""
     machine = lease_bodies.MACHINE
-    ended = lease_bodies.EndSession(incarnation=SECOND, fencing_token=OPENED_SECOND, ballot=3)
-    closed = lease_bodies.CloseSession(incarnation=THIRD, fencing_token=OPENED_THIRD)
+    ended = lease_bodies.EndSession(instance=SECOND, fencing_token=OPENED_SECOND, ballot=3)
+    closed = lease_bodies.CloseSession(instance=THIRD, fencing_token=OPENED_THIRD)
     return [
         Command("ended", machine, ended),
         Command("close", machine, closed, proposer=THIRD),
-        Command("open-anew", machine, lease_bodies.OpenSession(incarnation=FIRST_ANEW), proposer=FIRST_ANEW),
+        Command("open-anew", machine, lease_bodies.OpenSession(instance=FIRST_ANEW), proposer=FIRST_ANEW),
         Command("keeping-late", machine, lease_bodies.BecomeManager(ballot=2)),
     ]
 
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -89,8 +89,8 @@
 class Said:
     """What an open session has said of itself."""
 
-    applied: int
-    clear: int
+    applied_position: int
+    clear_position: int
     received_at_us: int | None
 
 
@@ -102,7 +102,7 @@
 
     def report(self, name: str, fence: int) -> SessionReport | None:
         """What is known of an open session."""
-        return Said(applied=self.position, clear=self.position, received_at_us=0)
+        return Said(applied_position=self.position, clear_position=self.position, received_at_us=0)
 
 
 def account(replica: Replica, position: int) -> tuple[NodeClearance, ...] | None:
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -45,8 +45,8 @@
 class _AnyAsk(PendingRenewals):
     def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         if (grant.name, grant.instance_number) != (
-            self._incarnation.name,
-            self._incarnation.number,
+            self._instance.name,
+            self._instance.number,
         ) or not self._pending:
             return None
         return next(reversed(self._pending.values()))
@@ -57,13 +57,13 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _AnyAsk(self.incarnation)
+        self._renewals = _AnyAsk(self.instance)
 
 
 class _NumbersAgain(PendingRenewals):
     def match_grant(self, grant: RenewalGrant) -> tuple[int, RenewalRequest] | None:
         found = self._pending.get(grant.number)
-        return found if grant.name == self._incarnation.name else None
+        return found if grant.name == self._instance.name else None
 
     def clear(self) -> None:
         super().clear()
@@ -75,7 +75,7 @@
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _NumbersAgain(self.incarnation)
+        self._renewals = _NumbersAgain(self.instance)
 
 
 class GivenUnconfirmed(LeaseManager):
@@ -118,9 +118,9 @@
     """Whoever was heard of since the entry counts as having it."""
 
     def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
-        said = self._reports.report(session.incarnation.name, session.fencing_token)
+        said = self._reports.report(session.instance.name, session.fencing_token)
         if said is not None and said.received_at_us is not None and said.received_at_us >= self.since_us:
-            return NodeClearance(session.incarnation, ClearanceEvidence.REPORTED, self.position)
+            return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
         return super()._acknowledgement(session)
 
 
@@ -136,7 +136,7 @@
                 entry.id,
                 entry.proposer,
                 entry.at_ms,
-                encode(EndSession(body.incarnation, body.fencing_token, self.ballot)),
+                encode(EndSession(body.instance, body.fencing_token, self.ballot)),
             )
         return super().apply(entry)
 
--- a/tests/coordination/leases/test_acknowledgements.py
+++ b/tests/coordination/leases/test_acknowledgements.py
@@ -66,7 +66,7 @@
     leader.said(A, 4, 3)
     leader.now = 4 * SECOND_US
     missing = account.pending()
-    assert [each.proxy for each in missing] == [A, B, C, D]
+    assert [each.instance for each in missing] == [A, B, C, D]
     assert missing[0] == MissingAcknowledgement(A, 3 * SECOND_US, 3, 3 * SECOND_US, "applied only to 3")
     assert missing[1] == MissingAcknowledgement(B, 3 * SECOND_US, 0, None, "nothing heard since 3000000")
     assert account.proof() is None
@@ -83,7 +83,7 @@
     leader = Leader(OPENED + SINCE)
     account = leader.account()
     leader.said(A, 4, 4)
-    assert account.proof() is None and [each.proxy for each in account.pending()] == [A]
+    assert account.proof() is None and [each.instance for each in account.pending()] == [A]
     leader.said(A, 4, 5)
     assert account.pending() == () and account.proof() == (
         NodeClearance(A, ClearanceEvidence.REPORTED, 5),
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -18,7 +18,7 @@
     Propose,
     Restored,
 )
-from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest, SessionTerms
+from molereach.coordination.interface.sessions import SessionTerms
 from molereach.coordination.leases.bodies import Body, CloseSession, EndSession, OpenSession, decode
 from molereach.coordination.leases.holder import LeaseHolder
 from molereach.coordination.leases.messages import (
@@ -28,6 +28,8 @@
     LeaseLost,
     LeasePhase,
     ReleaseLease,
+    RenewalGrant,
+    RenewalRequest,
 )
 from molereach.coordination.leases.renewals import MAX_PENDING_RENEWALS
 from molereach.coordination.leases.sessions import SessionRegistry
--- a/tests/coordination/leases/test_manager.py
+++ b/tests/coordination/leases/test_manager.py
@@ -273,8 +273,8 @@
     here.now = 2 * SECOND_US
     here.asked(1, applied=3)
     kept = here.keeper.report("a", 1)
-    assert kept and (kept.applied, kept.received_at_us) == (5, 2 * SECOND_US)
+    assert kept and (kept.applied_position, kept.received_at_us) == (5, 2 * SECOND_US)
     assert here.keeper.report("a", 2) is None and here.keeper.report("b", 1) is None
     here.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
     kept = here.keeper.report("a", 3)
-    assert kept and (kept.applied, kept.received_at_us) == (0, None)
+    assert kept and (kept.applied_position, kept.received_at_us) == (0, None)
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -157,7 +157,7 @@
         fence = chance.randrange(max(1, position - 4), position + 1)
         open_now = sessions.active_session(life.name)
         if open_now and chance.random() < 0.7:
-            life, fence = open_now.incarnation, open_now.fencing_token
+            life, fence = open_now.instance, open_now.fencing_token
         body = chance.choice(
             (
                 OpenSession(life),
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -1,6 +1,6 @@
 """A virtual world of front doors with clocks of their own, one true log, and what can go wrong between them.
 
-The log here keeps to what `coordination/interface.py` promises and to no more: one order, each id once,
+The log here keeps to what `coordination/interface/log.py` promises and to no more: one order, each id once,
 any proposal settled at any time or never, also when its proposer leads no more; `Confirmed` only if its asker
 truly led after it asked. True time is in microseconds; each front door sees its own clock only.
 """
@@ -316,7 +316,7 @@
                 self.over.add(body.fencing_token)
                 self.ended += isinstance(body, EndSession)
         else:
-            self.open_at[position] = {each.incarnation.name: each for each in self.truth.active_sessions()}
+            self.open_at[position] = {each.instance.name: each for each in self.truth.active_sessions()}
         self.order.append(entry)
         self.outcomes.append(outcome)
         self.snapshots.append(self.truth.snapshot())
@@ -373,12 +373,12 @@
         self.proven += 1
         known, were = {each.instance.name: each for each in proof}, self.open_at[position]
         often = {
-            name for name, each in door.sessions._proxies.items() if each.first_dropped_token
+            name for name, each in door.sessions._nodes.items() if each.first_dropped_token
         }  # the last are kept
         if (
             were.keys() - known.keys()
             or known.keys() - were.keys() - often
-            or any(known[name].instance != were[name].incarnation for name in were.keys() - often)
+            or any(known[name].instance != were[name].instance for name in were.keys() - often)
         ):
             raise BrokenError(f"the proof of {position} is not of those that were open")
         if self.proofs.setdefault((position, door.learnt), proof) != proof:
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -223,7 +223,7 @@
     found = world(A, B, C)
     sessions, begun = found.truth.sessions, len(found.entries) + 1
     found.add(MACHINE, b"{}", A)
-    fences = {session.incarnation: session.fencing_token for session in sessions.active_sessions()}
+    fences = {session.instance: session.fencing_token for session in sessions.active_sessions()}
     words = {life: Word(fence, ClearanceEvidence.REPORTED, begun) for life, fence in fences.items()}
 
     def said(**changed: Word) -> str:
@@ -289,7 +289,7 @@
             found.deliver(int(draw() * len(found.told)), keep=draw() < 0.5)
         elif chance < 0.88:
             found.catch_up(life, 1 + int(draw() * 4))
-        elif chance < 0.92 and opened and opened.incarnation == life:
+        elif chance < 0.92 and opened and opened.instance == life:
             found.over(life)
         elif chance < 0.95 and not opened:
             found.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)  # it wakes
@@ -309,7 +309,7 @@
                 found.forget(each)
     for name, life in lives.items():
         opened = found.truth.sessions.active_session(name)
-        if not opened or opened.incarnation != life:
+        if not opened or opened.instance != life:
             found.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)
     for leader in "abc":
         found.lead(leader)
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_histories.py
@@ -72,7 +72,7 @@
         case 1:
             reader.stopped = False
             opened = world.truth.sessions.active_session(name)
-            if not opened or opened.incarnation != reader.me:
+            if not opened or opened.instance != reader.me:
                 world.open(reader)
         case 2:
             world.over(name)
@@ -109,7 +109,7 @@
         reader.stopped, reader.driver = False, None
         world.catch_up(reader)
         opened = world.truth.sessions.active_session(name)
-        if not opened or opened.incarnation != reader.me:
+        if not opened or opened.instance != reader.me:
             world.open(reader)
     for cell in list(world.truth.upkeep.out):
         home = next(home for home in HOMES if home.cell == cell)
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/world.py
@@ -154,16 +154,16 @@
                     if (
                         pin
                         and opened
-                        and opened.incarnation == reader.me
+                        and opened.instance == reader.me
                         and opened.fencing_token < self.handed[body.id]
                     ):
                         assert pin.until_us <= self.now_us, "a front door still sends repeats to the old side"
 
     def all_have(self, position: int, has: Callable[[Reader], int]) -> None:
         for session in self.truth.sessions.active_sessions():
-            reader = self.readers.get(session.incarnation.name)
-            if session.fencing_token < position and reader and reader.me == session.incarnation:
-                assert has(reader) >= position, f"{session.incarnation.name} does not have {position}"
+            reader = self.readers.get(session.instance.name)
+            if session.fencing_token < position and reader and reader.me == session.instance:
+                assert has(reader) >= position, f"{session.instance.name} does not have {position}"
 
     def sound(self) -> None:
         book, found = self.truth.shards.book, self.truth.shards.map
@@ -186,8 +186,8 @@
     def over(self, name: str) -> None:
         opened = self.truth.sessions.active_session(name)
         if opened:
-            ended = leases.EndSession(opened.incarnation, opened.fencing_token, 0)
-            self.add(leases.MACHINE, leases.encode(ended), opened.incarnation)
+            ended = leases.EndSession(opened.instance, opened.fencing_token, 0)
+            self.add(leases.MACHINE, leases.encode(ended), opened.instance)
 
     def catch_up(self, reader: Reader, most: int = 1 << 30) -> None:
         for entry in self.entries[reader.applied : reader.applied + most]:
@@ -196,7 +196,7 @@
     def say(self, reader: Reader) -> None:
         """With its session, as the keeper hears it."""
         opened = reader.sessions.active_session(reader.me.name)
-        if opened and opened.incarnation == reader.me:
+        if opened and opened.instance == reader.me:
             reader.door.handle(self.now_us, Tick())
             self.said[opened.fencing_token] = (reader.applied, reader.door.clear)
 
@@ -208,9 +208,9 @@
             return None
         for session in reader.sessions.sessions_open_at(position):
             if isinstance(session, EndedSession):
-                found.append(NodeClearance(session.incarnation, session.known, session.position))
+                found.append(NodeClearance(session.instance, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[which] >= position:
-                found.append(NodeClearance(session.incarnation, ClearanceEvidence.REPORTED, position))
+                found.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, position))
             else:
                 return None
         return tuple(found)
@@ -249,7 +249,7 @@
         words = []
         for session in self.truth.sessions.sessions_open_at(split.position):
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.known, session.position))
+                words.append(Word(session.fencing_token, session.evidence, session.position))
             elif self.said.get(session.fencing_token, (0, 0))[split.state is State.HANDED] >= split.position:
                 words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, split.position))
         body: bodies.Body = Close(split.id, split.position, tuple(words))
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -268,16 +268,15 @@
             self.sessions.active_session(door.life.name),
             door.sessions.active_session(door.life.name),
         )
-        if true is None or true.incarnation != door.life:
+        if true is None or true.instance != door.life:
             if self.chance.random() < 0.5:
                 self.append("sessions", encode_session(OpenSession(door.life)), door.life)
                 door.given_us = self.now * STEP_US
         elif mine == true:
             clear = door.side.clear
-            if clear < self.said.get(true.fencing_token, 0):
-                raise BrokenError(
-                    f"{door.life} is clear only of {clear}, after {self.said[true.fencing_token]}"
-                )
+            before = self.said.get(true.fencing_token, 0)
+            if clear < before:
+                raise BrokenError(f"{door.life} is clear only of {clear}, after {before}")
             self.said[true.fencing_token], door.given_us = clear, self.now * STEP_US
             door.held.fencing_token = true.fencing_token
             door.held.until_us = door.now_us(self.now) + int(TERMS.holder_duration_us * 0.99)
@@ -285,13 +284,10 @@
     def end_sessions(self) -> None:
         for name, door in self.doors.items():
             opened = self.sessions.active_session(name)
-            given_us = door.given_us if opened and opened.incarnation == door.life else 0
+            given_us = door.given_us if opened and opened.instance == door.life else 0
             if opened and self.now * STEP_US - given_us > int(TERMS.expiry_us * 1.02):
-                self.append(
-                    "sessions",
-                    encode_session(SessionEnded(opened.incarnation, opened.fencing_token, 0)),
-                    door.life,
-                )
+                ended = SessionEnded(opened.instance, opened.fencing_token, 0)
+                self.append("sessions", encode_session(ended), door.life)
 
     def lead(self, door: Door) -> None:
         now_us = door.now_us(self.now)
@@ -367,7 +363,7 @@
             self.append("upkeep", encode(Move(record.work.id, step, record.begun)), door.life)
         else:
             words = tuple(
-                Word(each.fencing_token, each.known, each.position)
+                Word(each.fencing_token, each.evidence, each.position)
                 if isinstance(each, EndedSession)
                 else Word(
                     each.fencing_token, ClearanceEvidence.REPORTED, self.said.get(each.fencing_token, 0)
