--- a/molereach/coordination/dissemination/__init__.py
+++ b/molereach/coordination/dissemination/__init__.py
@@ -1,7 +1,8 @@
-"""Who tells whom: entries from the leader to all, renewals of sessions back, along a tree.
+"""The dissemination tree: log entries from the leader to all proxies, session renewals back to it.
 
-In reading order: `settings`, `words` (events, actions, messages), `ranks` (the tree by rank), `standing` (who
-lives and leads), `parent` (whom one listens to, and when that is in doubt), `listening` (what changes that),
-`children` (who listens here), `gather` (asks up, grants down), `pass_on` (entries), `telling` (words down),
-`beat` (when to speak), `core`.
+In reading order: `settings`, `messages` (events, actions, messages), `ranked_tree` (the tree by rank),
+`tree_state` (which proxies are live and which leads), `parent_tracker` (the parent, and when it is given up),
+`parent_selection` (what changes the parent), `children` (who follows this proxy), `aggregation` (renewal
+requests up, grants down), `entry_forwarding` (entries down), `downstream` (messages to children), `heartbeat`
+(when to send), `core`.
 """
--- a/molereach/coordination/dissemination/gather.py
+++ b/molereach/coordination/dissemination/aggregation.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from molereach.coordination.dissemination.words import RenewalGrant, RenewalRequest
+from molereach.coordination.dissemination.messages import RenewalGrant, RenewalRequest
 from molereach.coordination.interface.identifiers import MAX_MEMBERS
 
 K = TypeVar("K")
 V = TypeVar("V")
 
 
-class Places(Generic[K, V]):
+class BoundedRegistry(Generic[K, V]):
     """A mapping of at most `MAX_MEMBERS`, in which the known come before the unknown."""
 
     def __init__(self) -> None:
@@ -49,43 +49,45 @@
 class _Route:
     child: str
     order: tuple[int, int]  # life and number of the ask that came this way
-    heard_us: int
-    open: bool = True  # nothing was granted since it came: in a ring of doors a grant goes round once a beat
+    received_us: int
+    awaits_grant: bool = (
+        True  # nothing was granted since it came: in a ring of doors a grant goes round once a beat
+    )
 
 
-class Gather:
+class RenewalAggregator:
     """The newest ask of each session, and the child that the newest ask of each name came by."""
 
     def __init__(self, me: str, kept_us: int) -> None:
-        self.me, self.kept_us = me, kept_us
-        self.own: RenewalRequest | None = None
-        self.asks: Places[tuple[str, int, int], RenewalRequest] = Places()
-        self.routes: Places[str, _Route] = Places()
+        self.local_name, self.route_lifetime_us = me, kept_us
+        self.local_request: RenewalRequest | None = None
+        self.requests: BoundedRegistry[tuple[str, int, int], RenewalRequest] = BoundedRegistry()
+        self.routes: BoundedRegistry[str, _Route] = BoundedRegistry()
 
-    def mine(self, ask: RenewalRequest) -> None:
+    def set_local_request(self, ask: RenewalRequest) -> None:
         """Said again with each word up until it is granted, as any word may be lost."""
-        self.own = ask
+        self.local_request = ask
 
-    def take(self, now: int, child: str, asks: Iterable[RenewalRequest], alive: dict[str, int]) -> None:
+    def collect(self, now_us: int, child: str, asks: Iterable[RenewalRequest], alive: dict[str, int]) -> None:
         for ask in asks:
-            if ask.name == self.me:  # its own come from here alone
+            if ask.name == self.local_name:  # its own come from here alone
                 continue
             key, known = (ask.name, ask.instance_number, ask.fencing_token), ask.name in alive
-            held = self.asks.get(key)
+            held = self.requests.get(key)
             if held is None or ask.number > held.number:
-                self.asks.put(key, ask, known)
+                self.requests.put(key, ask, known)
             route, order = self.routes.get(ask.name), (ask.instance_number, ask.number)
             if route is None or order >= route.order:
-                self.routes.put(ask.name, _Route(child, order, now), known)
+                self.routes.put(ask.name, _Route(child, order, now_us), known)
 
-    def flush(self, now: int) -> tuple[RenewalRequest, ...]:
+    def flush(self, now_us: int) -> tuple[RenewalRequest, ...]:
         """All that is to go up, this front door's own first; it is not kept, as who asked will ask again."""
-        asks = self.asks.values()
-        self.asks = Places()
-        self.routes.keep(lambda route: now - route.heard_us <= self.kept_us)
-        return ((self.own, *asks) if self.own else asks)[:MAX_MEMBERS]
+        asks = self.requests.values()
+        self.requests = BoundedRegistry()
+        self.routes.keep(lambda route: now_us - route.received_us <= self.route_lifetime_us)
+        return ((self.local_request, *asks) if self.local_request else asks)[:MAX_MEMBERS]
 
-    def split(
+    def route_grants(
         self, grants: Iterable[RenewalGrant]
     ) -> tuple[list[RenewalGrant], dict[str, list[RenewalGrant]]]:
         """Those for this front door, and those for each child; without a way to go they are dropped."""
@@ -93,22 +95,22 @@
         below: dict[str, list[RenewalGrant]] = {}
         shut: list[_Route] = []
         for grant in grants:
-            if grant.name == self.me:
+            if grant.name == self.local_name:
                 own.append(grant)
-            elif (route := self.routes.get(grant.name)) and route.open:
+            elif (route := self.routes.get(grant.name)) and route.awaits_grant:
                 shut.append(route)
                 below.setdefault(route.child, []).append(grant)
         for route in shut:
-            route.open = False
+            route.awaits_grant = False
         for grant in own:
-            self.granted(grant)
+            self.on_local_grant(grant)
         return own, below
 
-    def granted(self, grant: RenewalGrant) -> None:
-        ask = self.own
+    def on_local_grant(self, grant: RenewalGrant) -> None:
+        ask = self.local_request
         if (
             ask
             and (grant.instance_number, grant.fencing_token) == (ask.instance_number, ask.fencing_token)
             and grant.number >= ask.number
         ):
-            self.own = None
+            self.local_request = None
--- a/molereach/coordination/dissemination/words.py
+++ b/molereach/coordination/dissemination/messages.py
@@ -13,10 +13,19 @@
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-__all__ = ["MOST_ENTRIES", "Down", "Message", "Redirect", "RenewalGrant", "RenewalRequest", "Up", "Whom"]
-
-MOST_ENTRIES = 64  # in one word
-MOST_DEPTH = 64
+__all__ = [
+    "MAX_ENTRIES",
+    "DownstreamUpdate",
+    "Message",
+    "ParentRequest",
+    "Redirect",
+    "RenewalGrant",
+    "RenewalRequest",
+    "UpstreamReport",
+]
+
+MAX_ENTRIES = 64  # in one word
+MAX_DEPTH = 64
 
 Ballot = Position
 Count = Annotated[int, Meta(ge=0, le=1 << 62)]
@@ -25,35 +34,35 @@
 # --- messages ---
 
 
-class Word(WireStruct, frozen=True, array_like=True, tag_field="kind", tag=lambda name: "s." + name.lower()):
+class TreeMessage(WireStruct, frozen=True, array_like=True, tag_field="kind"):
     """A message."""
 
 
-class Up(Word, frozen=True):
+class UpstreamReport(TreeMessage, frozen=True, tag="s.up"):
     """From a child, once a beat: what it has, and the asks of all below it, its own first."""
 
-    applied: Position
-    below: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # front doors, itself counted
-    asks: Annotated[tuple[RenewalRequest, ...], Meta(max_length=MAX_MEMBERS)] = ()
+    applied_position: Position
+    subtree_size: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # front doors, itself counted
+    renewal_requests: Annotated[tuple[RenewalRequest, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
-class Down(Word, frozen=True):
+class DownstreamUpdate(TreeMessage, frozen=True, tag="s.down"):
     """From a parent. A `number` that was not seen before is a pulse; only the leader makes new ones."""
 
     ballot: Ballot
-    number: Count
+    heartbeat_number: Count
     leader: Name
-    depth: Annotated[int, Meta(ge=0, le=MOST_DEPTH)]  # of who speaks; 0 is the leader
-    decided: Position  # applied by who speaks
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)] = ()
+    depth: Annotated[int, Meta(ge=0, le=MAX_DEPTH)]  # of who speaks; 0 is the leader
+    applied_position: Position  # applied by who speaks
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
     grants: Annotated[tuple[RenewalGrant, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
-class Whom(Word, frozen=True):
+class ParentRequest(TreeMessage, frozen=True, tag="s.whom"):
     """From one that has a parent and would rather have this one."""
 
 
-class Redirect(Word, frozen=True):
+class Redirect(TreeMessage, frozen=True, tag="s.redirect"):
     """Take this parent (it may be who speaks), and hear of the newest leader known."""
 
     parent: Name
@@ -61,24 +70,24 @@
     leader: Name | None = None
 
 
-Message = Up | Down | Whom | Redirect
+Message = UpstreamReport | DownstreamUpdate | ParentRequest | Redirect
 
 
 # --- events, with `MessageReceived` and `Tick` of the interface ---
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ClusterState:
     """Who lives, by membership, and who leads, by the log; either may be wrong for a time."""
 
-    alive: tuple[NodeInstance, ...]
+    live_instances: tuple[NodeInstance, ...]
     leader: str | None
     ballot: int
-    panel: tuple[str, ...] = ()
+    voters: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Grown:
+class LogAdvanced:
     """The log here has applied all up to `position`; `entries` are the newest of them, in order."""
 
     position: int
@@ -86,14 +95,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mine:
+class RenewalWanted:
     """This front door's own ask, in the place of its last one."""
 
-    ask: RenewalRequest
+    request: RenewalRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
+class GrantsIssued:
     """At the leader: what the keeper of sessions gave."""
 
     grants: tuple[RenewalGrant, ...]
@@ -103,38 +112,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
+class EntriesReceived:
     """For the log: entries that follow on what is applied here, or on what is already given to it."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchEntries:
     """The log here is behind and should catch up from this front door."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
-class Gathered:
+class RequestsCollected:
     """At the leader: asks of all who came up, for the keeper."""
 
-    asks: tuple[RenewalRequest, ...]
+    requests: tuple[RenewalRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class LocalGrants:
     """For this front door's own session."""
 
     grants: tuple[RenewalGrant, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Parent:
+class ParentChanged:
     """Whom this front door listens to from now on; None for the leader, or for nobody."""
 
     name: str | None
 
 
-Action = Learn | Fetch | Gathered | Granted | Parent
+Action = EntriesReceived | FetchEntries | RequestsCollected | LocalGrants | ParentChanged
--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.dissemination.core import Spread
-from molereach.coordination.dissemination.settings import Settings as SpreadSettings
+from molereach.coordination.dissemination import messages as dissemination_types
+from molereach.coordination.dissemination.core import DisseminationTree
+from molereach.coordination.dissemination.settings import DisseminationSettings as SpreadSettings
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import StateMachine
 from molereach.coordination.leases.holder import LeaseHolder
@@ -25,7 +25,7 @@
 WORDS: dict[str, Any] = {
     MEMBERSHIP: membership_messages.Message,
     LOG: log_words.Message,
-    SPREAD: spread_words.Message,
+    SPREAD: dissemination_types.Message,
 }
 
 
@@ -52,7 +52,7 @@
         self.log = LogCore(me, disk, recovered, panel, on_log, LogSettings(), draw, wall_ms)
         self.holder = LeaseHolder(me, self.sessions, settings.terms, draw, beat_us)
         self.keeper = LeaseManager(self.sessions, settings.terms, beat_us)
-        self.spread = Spread(me, SpreadSettings(beat_us=beat_us), draw)
+        self.spread = DisseminationTree(me, SpreadSettings(heartbeat_interval_us=beat_us), draw)
 
     @property
     def wake_us(self) -> int:
--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.dissemination import words as tree
+from molereach.coordination.dissemination import messages as tree
 from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -90,7 +90,7 @@
     | Stopped
     | SetBack
     | MachineFailed
-    | tree.Parent
+    | tree.ParentChanged
 )
 Action = To | Persist | Applied | Restored | ProposalFinished | Left | Ended | Notice
 Route = Callable[["Council", int, Any], None]
@@ -216,7 +216,7 @@
 
     def _grown(self, now_us: int) -> None:
         recent, self._recent = tuple(self._recent), []
-        self._run(SPREAD, self.parts.spread, now_us, tree.Grown(self.position, recent))
+        self._run(SPREAD, self.parts.spread, now_us, tree.LogAdvanced(self.position, recent))
 
     def _restored(self, now_us: int, action: Restored) -> None:
         self._out.append(action)
@@ -238,7 +238,7 @@
 
     def _view(self, now_us: int) -> None:
         seats = tuple(seat.name for seat in self.parts.log.panel)
-        view = tree.View(self.parts.membership.live_instances(), self.leader, self.ballot, seats)
+        view = tree.ClusterState(self.parts.membership.live_instances(), self.leader, self.ballot, seats)
         self._run(SPREAD, self.parts.spread, now_us, view)
 
     def _over(self, now_us: int, action: ProposalFinished) -> None:
@@ -275,26 +275,26 @@
 
 
 def _mine(self: Council, now_us: int, action: RenewalRequest) -> None:
-    self._run(SPREAD, self.parts.spread, now_us, tree.Mine(action))
+    self._run(SPREAD, self.parts.spread, now_us, tree.RenewalWanted(action))
 
 
-def _gathered(self: Council, now_us: int, action: tree.Gathered) -> None:
-    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.asks))
+def _gathered(self: Council, now_us: int, action: tree.RequestsCollected) -> None:
+    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.requests))
 
 
 def _given(self: Council, now_us: int, action: lease.SendGrants) -> None:
-    self._run(SPREAD, self.parts.spread, now_us, tree.Give(action.grants))
+    self._run(SPREAD, self.parts.spread, now_us, tree.GrantsIssued(action.grants))
 
 
-def _granted(self: Council, now_us: int, action: tree.Granted) -> None:
+def _granted(self: Council, now_us: int, action: tree.LocalGrants) -> None:
     self._run("holder", self.parts.holder, now_us, lease.GrantsReceived(action.grants))
 
 
-def _learn(self: Council, now_us: int, action: tree.Learn) -> None:
+def _learn(self: Council, now_us: int, action: tree.EntriesReceived) -> None:
     self._run(LOG, self.parts.log, now_us, Learn(action.entries))
 
 
-def _fetch(self: Council, now_us: int, action: tree.Fetch) -> None:
+def _fetch(self: Council, now_us: int, action: tree.FetchEntries) -> None:
     self._run(LOG, self.parts.log, now_us, CatchUp(action.source))
 
 
@@ -311,8 +311,8 @@
     LeadershipConfirmed: _to_keeper,
     RenewalRequest: _mine,
     lease.SendGrants: _given,
-    tree.Gathered: _gathered,
-    tree.Granted: _granted,
-    tree.Learn: _learn,
-    tree.Fetch: _fetch,
+    tree.RequestsCollected: _gathered,
+    tree.LocalGrants: _granted,
+    tree.EntriesReceived: _learn,
+    tree.FetchEntries: _fetch,
 }
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.dissemination import messages as dissemination_types
 from molereach.coordination.interface.sessions import RenewalGrant
 from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
@@ -108,7 +108,7 @@
     lease_family(),
     link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_types.Message),
     link_family("link_log", LOG, samples.log_messages(), log_words.Message),
-    link_family("link_spread", SPREAD, samples.spread_messages(), spread_words.Message),
+    link_family("link_spread", SPREAD, samples.spread_messages(), dissemination_types.Message),
     link_family("link_own", link_words.OWN, samples.link_own_messages(), link_words.Beat | link_words.Bye),
     binary_family("handshake", samples.handshake_messages(), HANDSHAKE_TYPES),
     binary_family("log_records", samples.log_record_samples(), RECORD_TYPES),
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -1,6 +1,6 @@
 """Council messages and records with fixed content: one of each type, built by the program's own types."""
 
-from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.dissemination import messages as dissemination_types
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.interface.sessions import RenewalGrant
@@ -242,24 +242,28 @@
     }
 
 
-def spread_messages() -> dict[str, spread_words.Message]:
+def spread_messages() -> dict[str, dissemination_types.Message]:
     """Messages along the dissemination tree."""
     return {
-        "up": spread_words.Up(applied=19, below=2, asks=tuple(session_asks().values())),
-        "up-without-asks": spread_words.Up(applied=0, below=1),
-        "down": spread_words.Down(
+        "up": dissemination_types.UpstreamReport(
+            applied_position=19, subtree_size=2, renewal_requests=tuple(session_asks().values())
+        ),
+        "up-without-asks": dissemination_types.UpstreamReport(applied_position=0, subtree_size=1),
+        "down": dissemination_types.DownstreamUpdate(
             ballot=3,
-            number=120,
+            heartbeat_number=120,
             leader=FIRST_DOOR.name,
             depth=1,
-            decided=19,
+            applied_position=19,
             entries=(entry(19),),
             grants=tuple(session_grants().values()),
         ),
-        "down-empty": spread_words.Down(ballot=3, number=121, leader="door-a", depth=0, decided=19),
-        "whom": spread_words.Whom(),
-        "redirect": spread_words.Redirect(parent="door-b", ballot=3, leader="door-a"),
-        "redirect-without-leader": spread_words.Redirect(parent="door-b", ballot=0),
+        "down-empty": dissemination_types.DownstreamUpdate(
+            ballot=3, heartbeat_number=121, leader="door-a", depth=0, applied_position=19
+        ),
+        "whom": dissemination_types.ParentRequest(),
+        "redirect": dissemination_types.Redirect(parent="door-b", ballot=3, leader="door-a"),
+        "redirect-without-leader": dissemination_types.Redirect(parent="door-b", ballot=0),
     }
 
 
--- a/tests/coordination/dissemination/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -5,26 +5,26 @@
 import msgspec
 import pytest
 
-from molereach.coordination.dissemination.core import Spread
-from molereach.coordination.dissemination.settings import Settings
-from molereach.coordination.dissemination.words import (
-    MOST_ENTRIES,
-    Down,
-    Fetch,
-    Gathered,
-    Give,
-    Granted,
-    Grown,
-    Learn,
+from molereach.coordination.dissemination.core import DisseminationTree
+from molereach.coordination.dissemination.messages import (
+    MAX_ENTRIES,
+    ClusterState,
+    DownstreamUpdate,
+    EntriesReceived,
+    FetchEntries,
+    GrantsIssued,
+    LocalGrants,
+    LogAdvanced,
     Message,
-    Mine,
+    ParentRequest,
     Redirect,
     RenewalGrant,
     RenewalRequest,
-    Up,
-    View,
-    Whom,
+    RenewalWanted,
+    RequestsCollected,
+    UpstreamReport,
 )
+from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
 from tests.coordination.dissemination.world import BEAT, entry
@@ -32,16 +32,16 @@
 NAMES = [f"d{at:02}" for at in range(20)]  # d00 leads; d01 to d08 are below it, d09 to d16 below d01
 LIVES = {name: NodeInstance(name, 10) for name in NAMES}
 RANKED = {f"d0{at}" for at in range(1, 9)}
-VIEW = View(tuple(LIVES.values()), "d00", 3)
+VIEW = ClusterState(tuple(LIVES.values()), "d00", 3)
 
 
-def door(name: str) -> Spread:
-    core = Spread(LIVES[name], Settings(), lambda: 0.5)
+def door(name: str) -> DisseminationTree:
+    core = DisseminationTree(LIVES[name], DisseminationSettings(), lambda: 0.5)
     core.handle(0, VIEW)
     return core
 
 
-def tell(core: Spread, now: int, sender: str, message: Message, life: int = 10) -> list[Any]:
+def tell(core: DisseminationTree, now: int, sender: str, message: Message, life: int = 10) -> list[Any]:
     return core.handle(now, MessageReceived(NodeInstance(sender, life), message))
 
 
@@ -57,10 +57,10 @@
     return RenewalRequest(name, life, fence, number, 0)
 
 
-def inner() -> Spread:
+def inner() -> DisseminationTree:
     """d01, served by the leader."""
     core = door("d01")
-    tell(core, 1, "d00", Down(3, 1, "d00", 0, 0))
+    tell(core, 1, "d00", DownstreamUpdate(3, 1, "d00", 0, 0))
     return core
 
 
@@ -70,9 +70,9 @@
     )
     assert len(msgspec.msgpack.encode(largest)) <= 48
     for word in (
-        Up(1, 2, (largest,)),
-        Down(1, 2, "a", 0, 3, (entry(3),), (RenewalGrant("a", 1, 2, 3),)),
-        Whom(),
+        UpstreamReport(1, 2, (largest,)),
+        DownstreamUpdate(1, 2, "a", 0, 3, (entry(3),), (RenewalGrant("a", 1, 2, 3),)),
+        ParentRequest(),
         Redirect("a", 4, None),
     ):
         assert msgspec.msgpack.decode(msgspec.msgpack.encode(word), type=Message) == word
@@ -86,7 +86,7 @@
         ["s.up", 0, 1, [["a", 1, 1, 1, 1, -1]]],
         ["s.down", 1, 1, "a", 65, 0],
         ["s.down", 1, 1, "a", 0, 0, [], [["a", 1, 1, 1]] * (MAX_MEMBERS + 1)],
-        ["s.down", 1, 1, "a", 0, 0, [entry(1)] * (MOST_ENTRIES + 1)],
+        ["s.down", 1, 1, "a", 0, 0, [entry(1)] * (MAX_ENTRIES + 1)],
         ["s.redirect", "x" * 65, 1, None],
     ],
 )
@@ -98,195 +98,229 @@
 def test_children_are_bounded_and_one_by_rank_always_finds_room() -> None:
     core = door("d00")
     for at in range(40):
-        actions = tell(core, at, f"x{at}", Up(0, 1))
+        actions = tell(core, at, f"x{at}", UpstreamReport(0, 1))
         if at >= 16:  # it is sent on, to one that was taken
-            assert said(actions, Redirect)[f"x{at}"].parent in core.below.children
-        assert len(core.below.children.table) <= 16
+            assert said(actions, Redirect)[f"x{at}"].parent in core.downstream.children
+        assert len(core.downstream.children.table) <= 16
     for at in range(1, 9):
-        actions = tell(core, 50 + at, f"d0{at}", Up(0, 1))
-        assert said(actions, Down)[f"d0{at}"].number == 1
+        actions = tell(core, 50 + at, f"d0{at}", UpstreamReport(0, 1))
+        assert said(actions, DownstreamUpdate)[f"d0{at}"].heartbeat_number == 1
         (gone,) = said(actions, Redirect)
-        assert gone.startswith("x") and gone not in core.below.children
-    assert len(core.below.children.table) == 16
-    assert set(core.below.children.table) >= RANKED
+        assert gone.startswith("x") and gone not in core.downstream.children
+    assert len(core.downstream.children.table) == 16
+    assert set(core.downstream.children.table) >= RANKED
     # Those who are sent on go to different ones.
-    sent = [said(tell(core, 60, f"y{at}", Up(0, 1)), Redirect)[f"y{at}"].parent for at in range(16)]
+    sent = [
+        said(tell(core, 60, f"y{at}", UpstreamReport(0, 1)), Redirect)[f"y{at}"].parent for at in range(16)
+    ]
     assert len(set(sent)) == 16
 
 
 def test_the_silent_are_forgotten_and_told_nothing() -> None:
     core = door("d00")
-    tell(core, 0, "d01", Up(0, 1))
-    tell(core, 0, "d02", Up(0, 1))
+    tell(core, 0, "d01", UpstreamReport(0, 1))
+    tell(core, 0, "d02", UpstreamReport(0, 1))
     for beat in range(1, 6):
         actions = core.handle(beat * BEAT, Tick())
-        assert set(said(actions, Down)) == ({"d01", "d02"} if beat <= 3 else {"d02"})
-        tell(core, beat * BEAT + 1, "d02", Up(0, 1))
+        assert set(said(actions, DownstreamUpdate)) == ({"d01", "d02"} if beat <= 3 else {"d02"})
+        tell(core, beat * BEAT + 1, "d02", UpstreamReport(0, 1))
 
 
 def test_a_flood_of_asks_is_bounded_and_those_that_live_come_before_it() -> None:
     core = inner()
     for at in range(20):
         asks = tuple(ask(f"x{at}-{number}") for number in range(MAX_MEMBERS))
-        tell(core, 2, f"y{at}", Up(0, 1, asks))
-    tell(core, 3, "d09", Up(0, 2, (ask("d09"), ask("d10"))))
-    core.handle(4, Mine(ask("d01")))
-    gather = core.below.gather
-    assert len(gather.asks) <= MAX_MEMBERS and len(gather.routes) <= MAX_MEMBERS
-    (up,) = said(core.handle(BEAT * 7 // 8, Tick()), Up).values()
-    assert len(up.asks) == MAX_MEMBERS
-    assert up.asks[0] == ask("d01") and {ask("d09"), ask("d10")} <= set(up.asks)
+        tell(core, 2, f"y{at}", UpstreamReport(0, 1, asks))
+    tell(core, 3, "d09", UpstreamReport(0, 2, (ask("d09"), ask("d10"))))
+    core.handle(4, RenewalWanted(ask("d01")))
+    gather = core.downstream.aggregator
+    assert len(gather.requests) <= MAX_MEMBERS and len(gather.routes) <= MAX_MEMBERS
+    (up,) = said(core.handle(BEAT * 7 // 8, Tick()), UpstreamReport).values()
+    assert len(up.renewal_requests) == MAX_MEMBERS
+    assert up.renewal_requests[0] == ask("d01") and {ask("d09"), ask("d10")} <= set(up.renewal_requests)
     # What is granted to them finds its way, past all the invented names.
-    word = Down(3, 2, "d00", 0, 0, (), (RenewalGrant("d10", 10, 5, 1),))
-    assert said(tell(core, BEAT, "d00", word), Down)["d09"].grants == (RenewalGrant("d10", 10, 5, 1),)
+    word = DownstreamUpdate(3, 2, "d00", 0, 0, (), (RenewalGrant("d10", 10, 5, 1),))
+    assert said(tell(core, BEAT, "d00", word), DownstreamUpdate)["d09"].grants == (
+        RenewalGrant("d10", 10, 5, 1),
+    )
     for beat in range(2, 9):  # and none of it is kept
-        tell(core, beat * BEAT, "d00", Down(3, 1 + beat, "d00", 0, 0))
+        tell(core, beat * BEAT, "d00", DownstreamUpdate(3, 1 + beat, "d00", 0, 0))
         core.handle(beat * BEAT + BEAT * 7 // 8, Tick())
-    assert not len(gather.asks) and not len(gather.routes)
+    assert not len(gather.requests) and not len(gather.routes)
 
 
 def test_the_newest_ask_of_each_session_goes_up_once_and_unchanged() -> None:
     core = inner()
-    tell(core, 2, "d09", Up(0, 1, (ask("d09", 7), ask("d09", 1, fence=6), ask("d09", 1, life=9))))
-    tell(core, 3, "d10", Up(0, 1, (ask("d09", 6),)))
-    tell(core, 4, "d09", Up(0, 1, (ask("d09", 8),)))
-    tell(core, 4, "d09", Up(0, 1, (ask("d09", 7),)))
-    tell(core, 5, "d09", Up(0, 1, (ask("d01", 99),)))  # in its own name: from itself alone
-    (up,) = said(core.handle(BEAT, Tick()), Up).values()
-    assert set(up.asks) == {ask("d09", 8), ask("d09", 1, fence=6), ask("d09", 1, life=9)}
-    assert up.below == 3
+    tell(core, 2, "d09", UpstreamReport(0, 1, (ask("d09", 7), ask("d09", 1, fence=6), ask("d09", 1, life=9))))
+    tell(core, 3, "d10", UpstreamReport(0, 1, (ask("d09", 6),)))
+    tell(core, 4, "d09", UpstreamReport(0, 1, (ask("d09", 8),)))
+    tell(core, 4, "d09", UpstreamReport(0, 1, (ask("d09", 7),)))
+    tell(core, 5, "d09", UpstreamReport(0, 1, (ask("d01", 99),)))  # in its own name: from itself alone
+    (up,) = said(core.handle(BEAT, Tick()), UpstreamReport).values()
+    assert set(up.renewal_requests) == {ask("d09", 8), ask("d09", 1, fence=6), ask("d09", 1, life=9)}
+    assert up.subtree_size == 3
 
 
 def test_a_grant_goes_to_one_child_once() -> None:
     core = inner()
-    tell(core, 2, "d09", Up(0, 1, (ask("d09"), ask("x"))))
-    tell(core, 2, "d10", Up(0, 1, (ask("d10"),)))
+    tell(core, 2, "d09", UpstreamReport(0, 1, (ask("d09"), ask("x"))))
+    tell(core, 2, "d10", UpstreamReport(0, 1, (ask("d10"),)))
     grants = (RenewalGrant("x", 10, 5, 1), RenewalGrant("nobody", 10, 5, 1), RenewalGrant("d01", 10, 5, 1))
-    actions = tell(core, 3, "d00", Down(3, 1, "d00", 0, 0, (), grants))
-    assert {name: word.grants for name, word in said(actions, Down).items()} == {"d09": grants[:1]}
-    assert Granted(grants[2:]) in actions
+    actions = tell(core, 3, "d00", DownstreamUpdate(3, 1, "d00", 0, 0, (), grants))
+    assert {name: word.grants for name, word in said(actions, DownstreamUpdate).items()} == {
+        "d09": grants[:1]
+    }
+    assert LocalGrants(grants[2:]) in actions
     # Told again, as in a ring: it goes no further until who asked asks again.
-    assert not said(tell(core, 4, "d00", Down(3, 1, "d00", 0, 0, (), grants)), Down)
-    tell(core, 5, "d09", Up(0, 1, (ask("x"),)))
-    assert said(tell(core, 6, "d00", Down(3, 1, "d00", 0, 0, (), grants)), Down)
+    assert not said(tell(core, 4, "d00", DownstreamUpdate(3, 1, "d00", 0, 0, (), grants)), DownstreamUpdate)
+    tell(core, 5, "d09", UpstreamReport(0, 1, (ask("x"),)))
+    assert said(tell(core, 6, "d00", DownstreamUpdate(3, 1, "d00", 0, 0, (), grants)), DownstreamUpdate)
     # With a pulse it is in the one word that each child has.
-    tell(core, 7, "d09", Up(0, 1, (ask("x"),)))
-    actions = tell(core, BEAT, "d00", Down(3, 2, "d00", 0, 0, (), grants))
-    assert {name: word.grants for name, word in said(actions, Down).items()} == {"d09": grants[:1], "d10": ()}
+    tell(core, 7, "d09", UpstreamReport(0, 1, (ask("x"),)))
+    actions = tell(core, BEAT, "d00", DownstreamUpdate(3, 2, "d00", 0, 0, (), grants))
+    assert {name: word.grants for name, word in said(actions, DownstreamUpdate).items()} == {
+        "d09": grants[:1],
+        "d10": (),
+    }
     assert sum(isinstance(action, SendMessage) for action in actions) == 2
 
 
 def test_an_older_ask_that_was_overtaken_does_not_turn_the_grant() -> None:
     core = inner()
-    tell(core, 2, "d09", Up(0, 1, (ask("x", 5),)))
-    tell(core, 3, "d10", Up(0, 1, (ask("x", 4),)))
-    actions = tell(core, 4, "d00", Down(3, 1, "d00", 0, 0, (), (RenewalGrant("x", 10, 5, 5),)))
-    assert set(said(actions, Down)) == {"d09"}
+    tell(core, 2, "d09", UpstreamReport(0, 1, (ask("x", 5),)))
+    tell(core, 3, "d10", UpstreamReport(0, 1, (ask("x", 4),)))
+    actions = tell(core, 4, "d00", DownstreamUpdate(3, 1, "d00", 0, 0, (), (RenewalGrant("x", 10, 5, 5),)))
+    assert set(said(actions, DownstreamUpdate)) == {"d09"}
 
 
 def test_an_own_ask_is_said_until_it_is_granted() -> None:
     core = inner()
-    core.handle(2, Mine(ask("d01", 3)))
+    core.handle(2, RenewalWanted(ask("d01", 3)))
     for beat in (1, 2):
-        (up,) = said(core.handle(core.wake_us, Tick()), Up).values()
-        assert up.asks == (ask("d01", 3),)
-        tell(core, beat * BEAT, "d00", Down(3, 1 + beat, "d00", 0, 0))
+        (up,) = said(core.handle(core.wake_us, Tick()), UpstreamReport).values()
+        assert up.renewal_requests == (ask("d01", 3),)
+        tell(core, beat * BEAT, "d00", DownstreamUpdate(3, 1 + beat, "d00", 0, 0))
     for number in (2, 3):  # of an earlier ask, and of this one
-        assert core.below.gather.own
-        tell(core, 2 * BEAT + 1, "d00", Down(3, 3, "d00", 0, 0, (), (RenewalGrant("d01", 10, 5, number),)))
-    assert not core.below.gather.own
+        assert core.downstream.aggregator.local_request
+        tell(
+            core,
+            2 * BEAT + 1,
+            "d00",
+            DownstreamUpdate(3, 3, "d00", 0, 0, (), (RenewalGrant("d01", 10, 5, number),)),
+        )
+    assert not core.downstream.aggregator.local_request
 
 
 def test_the_leader_lets_grants_wait_for_its_pulse_unless_they_are_late() -> None:
     core = door("d00")
-    tell(core, 1, "d01", Up(0, 1, (ask("d01"), ask("d09"))))
-    tell(core, 1, "d02", Up(0, 1, (ask("d02"),)))
-    core.handle(1, Mine(ask("d00")))
-    core.handle(1, Mine(ask("d00", 2, life=9)))
-    core.handle(1, Mine(ask("d05")))
-    (gathered,) = [action for action in core.handle(BEAT * 3 // 4, Tick()) if isinstance(action, Gathered)]
-    assert gathered.asks == (ask("d00"), ask("d01"), ask("d09"), ask("d02"))
-    assert Gathered((ask("d00"), ask("d03"))) in tell(core, BEAT * 7 // 8, "d03", Up(0, 1, (ask("d03"),)))
+    tell(core, 1, "d01", UpstreamReport(0, 1, (ask("d01"), ask("d09"))))
+    tell(core, 1, "d02", UpstreamReport(0, 1, (ask("d02"),)))
+    core.handle(1, RenewalWanted(ask("d00")))
+    core.handle(1, RenewalWanted(ask("d00", 2, life=9)))
+    core.handle(1, RenewalWanted(ask("d05")))
+    (gathered,) = [
+        action for action in core.handle(BEAT * 3 // 4, Tick()) if isinstance(action, RequestsCollected)
+    ]
+    assert gathered.requests == (ask("d00"), ask("d01"), ask("d09"), ask("d02"))
+    assert RequestsCollected((ask("d00"), ask("d03"))) in tell(
+        core, BEAT * 7 // 8, "d03", UpstreamReport(0, 1, (ask("d03"),))
+    )
     grant = RenewalGrant("d09", 10, 5, 1)
     own = RenewalGrant("d00", 10, 5, 1)
-    assert core.handle(BEAT * 7 // 8, Give((grant, own))) == [Granted((own,))]
-    words = said(core.handle(BEAT, Tick()), Down)
+    assert core.handle(BEAT * 7 // 8, GrantsIssued((grant, own))) == [LocalGrants((own,))]
+    words = said(core.handle(BEAT, Tick()), DownstreamUpdate)
     assert words["d01"].grants == (grant,) and words["d02"].grants == ()
     late = RenewalGrant("d02", 10, 5, 1)
-    assert set(said(core.handle(BEAT + 1, Give((late,))), Down)) == {"d02"}
+    assert set(said(core.handle(BEAT + 1, GrantsIssued((late,))), DownstreamUpdate)) == {"d02"}
     for at in range(400):
-        core.handle(BEAT * 7 // 4, Give((RenewalGrant(f"x{at}", 1, 1, 1),)))
-    assert len(core.held) == MAX_MEMBERS
+        core.handle(BEAT * 7 // 4, GrantsIssued((RenewalGrant(f"x{at}", 1, 1, 1),)))
+    assert len(core.pending_grants) == MAX_MEMBERS
 
 
 def test_pulses_that_come_late_all_at_once_are_passed_on_once() -> None:
     core = inner()
-    tell(core, 2, "d09", Up(0, 1))
-    words = [said(tell(core, 2 * BEAT, "d00", Down(3, number, "d00", 0, 0)), Down) for number in range(2, 12)]
+    tell(core, 2, "d09", UpstreamReport(0, 1))
+    words = [
+        said(tell(core, 2 * BEAT, "d00", DownstreamUpdate(3, number, "d00", 0, 0)), DownstreamUpdate)
+        for number in range(2, 12)
+    ]
     assert sum(map(len, words)) == 1
-    assert core.above.mark == (3, 11)
-    assert not said(tell(core, 3 * BEAT, "d00", Down(3, 5, "d00", 0, 0)), Down)  # a replay
+    assert core.tracker.last_heartbeat == (3, 11)
+    assert not said(
+        tell(core, 3 * BEAT, "d00", DownstreamUpdate(3, 5, "d00", 0, 0)), DownstreamUpdate
+    )  # a replay
 
 
 def test_stale_ballots_and_earlier_lives_change_nothing() -> None:
     core = inner()
-    (answer,) = said(tell(core, 2, "d05", Down(2, 99, "d07", 0, 0)), Redirect).values()
+    (answer,) = said(tell(core, 2, "d05", DownstreamUpdate(2, 99, "d07", 0, 0)), Redirect).values()
     assert (answer.ballot, answer.leader) == (3, "d00")
-    core.handle(3, View(tuple(LIVES.values()), "d07", 2))
+    core.handle(3, ClusterState(tuple(LIVES.values()), "d07", 2))
     tell(core, 3, "d05", Redirect("d07", 2, "d07"))
-    assert (core.standing.ballot, core.standing.leader) == (3, "d00")
-    assert not tell(core, 4, "d00", Down(4, 1, "d00", 0, 0), life=9)
-    assert core.standing.ballot == 3
-    tell(core, 4, "d09", Up(0, 1), life=11)
-    assert not tell(core, 5, "d09", Up(7, 1), life=10)  # overtaken by its next life
-    assert core.below.children.table["d09"].applied == 0
+    assert (core.state.ballot, core.state.leader) == (3, "d00")
+    assert not tell(core, 4, "d00", DownstreamUpdate(4, 1, "d00", 0, 0), life=9)
+    assert core.state.ballot == 3
+    tell(core, 4, "d09", UpstreamReport(0, 1), life=11)
+    assert not tell(core, 5, "d09", UpstreamReport(7, 1), life=10)  # overtaken by its next life
+    assert core.downstream.children.table["d09"].applied_position == 0
 
 
 def test_a_leader_that_hears_of_a_higher_ballot_leads_no_more() -> None:
     core = door("d00")
-    tell(core, 1, "d01", Up(0, 1, (ask("d01"),)))
-    assert "d07" in said(tell(core, 2, "d01", Redirect("d07", 4, "d07")), Up)
-    assert not said(core.handle(BEAT, Tick()), Down)
-    assert not core.handle(BEAT, Give((RenewalGrant("d00", 10, 5, 1),)))
+    tell(core, 1, "d01", UpstreamReport(0, 1, (ask("d01"),)))
+    assert "d07" in said(tell(core, 2, "d01", Redirect("d07", 4, "d07")), UpstreamReport)
+    assert not said(core.handle(BEAT, Tick()), DownstreamUpdate)
+    assert not core.handle(BEAT, GrantsIssued((RenewalGrant("d00", 10, 5, 1),)))
     core.handle(BEAT, VIEW)  # of before
-    assert not core.standing.leads
+    assert not core.state.is_leader
 
 
 def test_entries_go_only_to_those_that_have_all_before_and_within_the_bytes() -> None:
     core = inner()
-    tell(core, 2, "d09", Up(0, 1))
-    tell(core, 2, "d10", Up(1, 1))
-    core.handle(3, Grown(1, (entry(1),)))
-    words = said(core.handle(4, Grown(3, (entry(2), entry(3)))), Down)
+    tell(core, 2, "d09", UpstreamReport(0, 1))
+    tell(core, 2, "d10", UpstreamReport(1, 1))
+    core.handle(3, LogAdvanced(1, (entry(1),)))
+    words = said(core.handle(4, LogAdvanced(3, (entry(2), entry(3)))), DownstreamUpdate)
     assert [one.position for one in words["d10"].entries] == [2, 3]
     assert [one.position for one in words["d09"].entries] == [1, 2, 3]
-    core.handle(5, Grown(9, (entry(8), entry(9))))  # a snapshot, and what followed
-    words = said(core.handle(6, Grown(10, (entry(10),))), Down)
-    assert words["d09"].entries == words["d10"].entries == () and words["d10"].decided == 10
-    tell(core, 7, "d10", Up(9, 1))
-    tell(core, 7, "d10", Up(8, 1))  # overtaken
-    words = said(core.handle(7, Grown(11, (entry(11),))), Down)
+    core.handle(5, LogAdvanced(9, (entry(8), entry(9))))  # a snapshot, and what followed
+    words = said(core.handle(6, LogAdvanced(10, (entry(10),))), DownstreamUpdate)
+    assert words["d09"].entries == words["d10"].entries == () and words["d10"].applied_position == 10
+    tell(core, 7, "d10", UpstreamReport(9, 1))
+    tell(core, 7, "d10", UpstreamReport(8, 1))  # overtaken
+    words = said(core.handle(7, LogAdvanced(11, (entry(11),))), DownstreamUpdate)
     assert [one.position for one in words["d10"].entries] == [10, 11]
-    assert [one.position for one in said(tell(core, 7, "d11", Up(10, 1)), Down)["d11"].entries] == [11]
+    assert [
+        one.position
+        for one in said(tell(core, 7, "d11", UpstreamReport(10, 1)), DownstreamUpdate)["d11"].entries
+    ] == [11]
     for position in range(12, 100):
-        core.handle(8, Grown(position, (entry(position),)))
-        assert len(core.below.pass_on.tail) <= MOST_ENTRIES
+        core.handle(8, LogAdvanced(position, (entry(position),)))
+        assert len(core.downstream.forwarder.recent) <= MAX_ENTRIES
     for position in range(100, 200):
-        for word in said(core.handle(8, Grown(position, (entry(position, b"x" * 5000),))), Down).values():
+        for word in said(
+            core.handle(8, LogAdvanced(position, (entry(position, b"x" * 5000),))), DownstreamUpdate
+        ).values():
             assert len(msgspec.msgpack.encode(word.entries)) <= 32 << 10
-        assert len(core.below.pass_on.tail) <= MOST_ENTRIES
+        assert len(core.downstream.forwarder.recent) <= MAX_ENTRIES
 
 
 def test_what_follows_is_learned_and_a_gap_is_fetched() -> None:
     core = inner()
-    assert Learn((entry(1), entry(2))) in tell(core, 2, "d00", Down(3, 1, "d00", 0, 2, (entry(1), entry(2))))
-    again = tell(core, 3, "d00", Down(3, 1, "d00", 0, 3, (entry(1), entry(2), entry(3))))
-    assert Learn((entry(3),)) in again and not any(isinstance(action, Fetch) for action in again)
-    assert tell(core, 4, "d00", Down(3, 1, "d00", 0, 7, (entry(7),))) == [Fetch("d00")]
-    assert tell(core, 5, "d00", Down(3, 1, "d00", 0, 8)) == []  # it was said just now
-    core.handle(6, Grown(8))
-    assert not tell(core, 7, "d00", Down(3, 1, "d00", 0, 8, (entry(9), entry(11))))  # a hole
+    assert EntriesReceived((entry(1), entry(2))) in tell(
+        core, 2, "d00", DownstreamUpdate(3, 1, "d00", 0, 2, (entry(1), entry(2)))
+    )
+    again = tell(core, 3, "d00", DownstreamUpdate(3, 1, "d00", 0, 3, (entry(1), entry(2), entry(3))))
+    assert EntriesReceived((entry(3),)) in again and not any(
+        isinstance(action, FetchEntries) for action in again
+    )
+    assert tell(core, 4, "d00", DownstreamUpdate(3, 1, "d00", 0, 7, (entry(7),))) == [FetchEntries("d00")]
+    assert tell(core, 5, "d00", DownstreamUpdate(3, 1, "d00", 0, 8)) == []  # it was said just now
+    core.handle(6, LogAdvanced(8))
+    assert not tell(core, 7, "d00", DownstreamUpdate(3, 1, "d00", 0, 8, (entry(9), entry(11))))  # a hole
     # What the log was given and lost is fetched after a beat.
-    assert Learn((entry(9),)) in tell(core, BEAT, "d00", Down(3, 2, "d00", 0, 9, (entry(9),)))
-    assert Fetch("d00") not in tell(core, BEAT * 2, "d00", Down(3, 3, "d00", 0, 9))
-    assert Fetch("d00") in tell(core, BEAT * 3, "d00", Down(3, 4, "d00", 0, 9))
+    assert EntriesReceived((entry(9),)) in tell(
+        core, BEAT, "d00", DownstreamUpdate(3, 2, "d00", 0, 9, (entry(9),))
+    )
+    assert FetchEntries("d00") not in tell(core, BEAT * 2, "d00", DownstreamUpdate(3, 3, "d00", 0, 9))
+    assert FetchEntries("d00") in tell(core, BEAT * 3, "d00", DownstreamUpdate(3, 4, "d00", 0, 9))
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from molereach.coordination.dissemination.core import Spread
-from molereach.coordination.dissemination.settings import Settings
-from molereach.coordination.dissemination.words import Down
+from molereach.coordination.dissemination.core import DisseminationTree
+from molereach.coordination.dissemination.messages import DownstreamUpdate
+from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import MessageReceived
 from tests.coordination.dissemination.world import BEAT, World
 
-FAN = Settings().fan
+FAN = DisseminationSettings().fanout
 HEALED = 10  # beats
 
 
@@ -23,8 +23,8 @@
     """The tree is the one by rank."""
     for name in world.living:
         core = world.nodes[name].core
-        assert core.above.name == core.standing.ranks.parent
-        assert len(core.below.children.table) <= FAN
+        assert core.tracker.name == core.state.tree.parent
+        assert len(core.downstream.children.table) <= FAN
 
 
 @pytest.mark.parametrize("count", [9, 50, 200])
@@ -73,8 +73,8 @@
     world.cut = set()
     world.run(5)
     all_reach_all(world)
-    assert {world.nodes[name].core.standing.leader for name in world.living} == {"door-030"}
-    assert not any(world.nodes[name].core.standing.leads for name in half)
+    assert {world.nodes[name].core.state.leader for name in world.living} == {"door-030"}
+    assert not any(world.nodes[name].core.state.is_leader for name in half)
 
 
 def test_a_ring_of_doors_falls_apart() -> None:
@@ -86,15 +86,15 @@
     homes = {(name, world.parents()[name] or "") for name in ring}
     world.cut = homes | {(home, name) for name, home in homes}
     for at, name in enumerate(ring):
-        core: Spread = world.nodes[name].core
-        core.above.name = ring[at - 1]  # still fresh, as far as it knows
+        core: DisseminationTree = world.nodes[name].core
+        core.tracker.name = ring[at - 1]  # still fresh, as far as it knows
         world.feed(name, None)
     world.run(1.1)
     core = world.nodes[ring[0]].core
-    ballot, number = core.above.mark
-    assert core.above.name == ring[-1]
-    pulse = Down(ballot, number + 1, world.leader, 3, 0)  # a late one
-    world.feed(ring[0], MessageReceived(world.nodes[ring[-1]].core.me, pulse))
+    ballot, number = core.tracker.last_heartbeat
+    assert core.tracker.name == ring[-1]
+    pulse = DownstreamUpdate(ballot, number + 1, world.leader, 3, 0)  # a late one
+    world.feed(ring[0], MessageReceived(world.nodes[ring[-1]].core.local, pulse))
     world.run(1)
     all_reach_all(world)
 
@@ -110,7 +110,7 @@
     assert world.parents()[child] != parent
     all_reach_all(world, 4)
     world.cut = set()
-    world.run(Settings().most_home_beats + 4)
+    world.run(DisseminationSettings().max_preferred_parent_intervals + 4)
     steady(world)
 
 
@@ -134,7 +134,7 @@
     world.view([name for name in world.living if name != "door-001"], within_us=2 * BEAT)
     world.run(5.5)
     all_reach_all(world)
-    assert not world.nodes["door-001"].core.standing.leads
+    assert not world.nodes["door-001"].core.state.is_leader
 
 
 def test_only_the_panel_knows_who_leads_at_first() -> None:
@@ -189,7 +189,7 @@
         if rnd.random() < 0.7:
             world.propose(b"x" * rnd.choice((10, 9000)))
         most = 2 * FAN
-        assert all(len(world.nodes[name].core.below.children.table) <= most for name in world.living)
+        assert all(len(world.nodes[name].core.downstream.children.table) <= most for name in world.living)
     world.loss, world.cut = 0.0, set()
     for node in world.nodes.values():
         node.stopped_until = min(node.stopped_until, world.now)
--- a/tests/coordination/dissemination/test_steady.py
+++ b/tests/coordination/dissemination/test_steady.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.settings import DisseminationSettings
 from tests.coordination.dissemination.world import BEAT, World
 
-FAN = Settings().fan
+FAN = DisseminationSettings().fanout
 
 
 @pytest.mark.parametrize(("count", "depth"), [(3, 1), (9, 1), (50, 2), (200, 3)])
--- a/tests/coordination/dissemination/world.py
+++ b/tests/coordination/dissemination/world.py
@@ -9,28 +9,28 @@
 
 import msgspec
 
-from molereach.coordination.dissemination.core import Spread
-from molereach.coordination.dissemination.settings import Settings
-from molereach.coordination.dissemination.words import (
-    Down,
-    Fetch,
-    Gathered,
-    Give,
-    Granted,
-    Grown,
-    Learn,
-    Mine,
-    Parent,
+from molereach.coordination.dissemination.core import DisseminationTree
+from molereach.coordination.dissemination.messages import (
+    ClusterState,
+    DownstreamUpdate,
+    EntriesReceived,
+    FetchEntries,
+    GrantsIssued,
+    LocalGrants,
+    LogAdvanced,
+    ParentChanged,
     RenewalGrant,
     RenewalRequest,
-    Up,
-    View,
+    RenewalWanted,
+    RequestsCollected,
+    UpstreamReport,
 )
+from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry
 
-BEAT = Settings().beat_us
+BEAT = DisseminationSettings().heartbeat_interval_us
 KEEPER_US = 40_000  # from what was gathered to what is given
 
 
@@ -40,7 +40,7 @@
 
 @dataclass
 class Node:
-    core: Spread
+    core: DisseminationTree
     applied: int = 0
     asked: dict[int, int] = field(default_factory=dict)  # number of an ask to when it was made
     granted: dict[int, int] = field(default_factory=dict)
@@ -73,7 +73,9 @@
         for at in range(count):
             name = f"door-{at:03}"
             life = NodeInstance(name, (1_800_000_000_000 << 20) + at)
-            self.nodes[name] = Node(Spread(life, Settings(), random.Random(seed * 1000 + at).random))
+            self.nodes[name] = Node(
+                DisseminationTree(life, DisseminationSettings(), random.Random(seed * 1000 + at).random)
+            )
             self.at(self.random.randrange(BEAT), "ask", name)
 
     # --- what happens ---
@@ -95,7 +97,9 @@
                 node.number += 1
                 node.asked[node.number] = self.now
                 self.at(self.now + BEAT, "ask", name)
-                what = Mine(RenewalRequest(name, node.core.me.number, 7, node.number, node.applied))
+                what = RenewalWanted(
+                    RenewalRequest(name, node.core.local.number, 7, node.number, node.applied)
+                )
             if kind == "fetch":
                 self.fetched(name, what)
                 continue
@@ -127,44 +131,44 @@
         match action:
             case SendMessage():
                 self.say(name, node, action)
-            case Learn():
+            case EntriesReceived():
                 if action.entries[0].position <= node.applied + 1:
                     news = [entry for entry in action.entries if entry.position > node.applied]
                     self.grow(name, news[-1].position if news else node.applied, tuple(news))
-            case Fetch():
+            case FetchEntries():
                 self.fetches += 1
                 self.at(self.now + 2 * self.delay_us, "fetch", name, action.source)
-            case Gathered():
+            case RequestsCollected():
                 grants = tuple(
                     RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number)
-                    for ask in action.asks
+                    for ask in action.requests
                 )
                 if name == self.leader:
-                    self.at(self.now + KEEPER_US, "give", name, Give(grants))
-            case Granted():
+                    self.at(self.now + KEEPER_US, "give", name, GrantsIssued(grants))
+            case LocalGrants():
                 for grant in action.grants:
                     node.granted.setdefault(grant.number, self.now)
-            case Parent():
+            case ParentChanged():
                 assert action.name != name
                 self.moves[name] += 1
 
     def say(self, name: str, node: Node, say: SendMessage) -> None:
         self.said[name, type(say.message).__name__] += 1
-        if isinstance(say.message, Up | Down):
+        if isinstance(say.message, UpstreamReport | DownstreamUpdate):
             self.peers[name].add(say.recipient)
             self.peers[say.recipient].add(name)
         size = len(msgspec.msgpack.encode(say.message))
-        if isinstance(say.message, Up):
-            self.most_up_over = max(self.most_up_over, size - 48 * say.message.below)
+        if isinstance(say.message, UpstreamReport):
+            self.most_up_over = max(self.most_up_over, size - 48 * say.message.subtree_size)
         else:
             assert size <= (64 << 10)
         target = self.nodes.get(say.recipient)
         if target is None or (name, say.recipient) in self.cut or self.random.random() < self.loss:
             return
-        if say.instance_number not in (None, target.core.me.number):
+        if say.instance_number not in (None, target.core.local.number):
             return
         delay = self.delay_us + (self.random.randrange(self.jitter_us) if self.jitter_us else 0)
-        self.at(self.now + delay, "mail", say.recipient, MessageReceived(node.core.me, say.message))
+        self.at(self.now + delay, "mail", say.recipient, MessageReceived(node.core.local, say.message))
 
     def grow(self, name: str, position: int, entries: tuple[Entry, ...]) -> None:
         node = self.nodes[name]
@@ -173,7 +177,7 @@
         for at in range(node.applied + 1, position + 1):
             node.applied_at[at] = self.now
         node.applied = position
-        self.feed(name, Grown(position, entries))
+        self.feed(name, LogAdvanced(position, entries))
 
     def fetched(self, name: str, source: str) -> None:
         other = self.nodes[source]
@@ -196,8 +200,8 @@
 
     def view(self, names: Iterable[str] = (), within_us: int = 0, alive: Iterable[str] | None = None) -> None:
         """Say who lives and leads to these front doors (all), each at some moment within that time."""
-        lives = tuple(self.nodes[name].core.me for name in (self.living if alive is None else alive))
-        view = View(lives, self.leader or None, self.ballot, tuple(self.nodes)[:5])
+        lives = tuple(self.nodes[name].core.local for name in (self.living if alive is None else alive))
+        view = ClusterState(lives, self.leader or None, self.ballot, tuple(self.nodes)[:5])
         for name in names or self.living:
             self.at(self.now + (self.random.randrange(within_us) if within_us else 0), "view", name, view)
 
@@ -224,4 +228,4 @@
         ]
 
     def parents(self) -> dict[str, str | None]:
-        return {name: self.nodes[name].core.above.name for name in self.living}
+        return {name: self.nodes[name].core.tracker.name for name in self.living}
