--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -1,7 +1,7 @@
-"""The tree at one front door: pulses, entries and grants down, asks up, a parent that is true to the leader.
+"""The dissemination tree at one proxy: heartbeats, entries and grants down, reports with renewal requests up.
 
-Any tree is safe: a word that is lost or comes twice costs time only, and a stale ballot never replaces a
-newer one. Source: docs/design/council.md, "How entries reach all".
+Any tree is safe: a message that is lost or doubled costs time only, and a stale ballot never replaces a newer
+one. Source: docs/design/council.md, "How entries reach all".
 """
 
 from collections.abc import Callable, Iterable
@@ -19,43 +19,47 @@
     ParentChanged,
     ParentRequest,
     Redirect,
-    RenewalGrant,
     RenewalWanted,
     RequestsCollected,
     UpstreamReport,
 )
 from molereach.coordination.dissemination.parent_selection import ParentSelection
+from molereach.coordination.dissemination.parent_tracker import HeartbeatId
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import NEVER_US, MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
+from molereach.coordination.interface.sessions import RenewalGrant
 
 
 class DisseminationTree:
-    """Decides who tells whom. A `Core` of the interface."""
-
-    def __init__(self, me: NodeInstance, settings: DisseminationSettings, draw: Callable[[], float]) -> None:
-        self.local, self.settings = me, settings
-        self.selection = ParentSelection(me, settings, draw)
-        self.state, self.tracker = self.selection.state, self.selection.tracker
+    """Decides what is sent to the parent and the children. A `Core` of the interface."""
+
+    def __init__(
+        self, local: NodeInstance, settings: DisseminationSettings, draw: Callable[[], float]
+    ) -> None:
+        self.local = local
+        self.settings = settings
+        self.selection = ParentSelection(local, settings, draw)
+        self.state = self.selection.state
+        self.tracker = self.selection.tracker
         self.downstream = Downstream(settings, self.state, self.tracker)
         self.heartbeat = HeartbeatTimer(settings)
-        self.reported_parent: str | None = None  # as was last told by `Parent`
-        self.heartbeat_number = 0  # of the last pulse that was made here
-        self.pending_grants: dict[str, RenewalGrant] = {}  # at the leader, for the next pulse
+        self.reported_parent: str | None = None  # by the last `ParentChanged`
+        self.heartbeat_number = 0  # of the last heartbeat that this proxy made
+        self.pending_grants: dict[str, RenewalGrant] = {}  # at the leader, for the next heartbeat
         self.last_fetch_us = -settings.fetch_interval_us
         self.actions: Actions = []
 
     @property
     def wake_us(self) -> int:
-        wake = self.heartbeat.wake_us(self.downstream.children.all_reported)
-        return (
-            wake
-            if self.state.is_leader
-            else min(wake, self.tracker.expires_us, self.tracker.preferred_retry_us)
-        )
+        """When the next Tick is wanted."""
+        wake_us = self.heartbeat.wake_us(self.downstream.children.all_reported)
+        if self.state.is_leader:
+            return wake_us
+        return min(wake_us, self.tracker.expires_us, self.tracker.preferred_retry_us)
 
     def handle(self, now_us: int, event: Any) -> Actions:  # noqa: ANN401
-        """Take one event; what is to be done, in order."""
+        """Apply one event at `now_us` (microseconds, monotonic); the actions to carry out, in order."""
         match event:
             case MessageReceived():
                 if not self.state.is_stale(event.sender):
@@ -65,77 +69,111 @@
             case LogAdvanced():
                 self.downstream.on_log_advanced(event, self.actions)
             case RenewalWanted():
-                if (
-                    event.request.name == self.local.name
-                    and event.request.instance_number == self.local.number
-                ):
-                    self.downstream.aggregator.set_local_request(event.request)
+                self.on_renewal_wanted(event)
             case GrantsIssued():
                 self.on_grants(now_us, event.grants)
             case Tick():
                 pass
         self.tick(now_us)
-        out, self.actions = self.actions, []
-        return out
+        actions = self.actions
+        self.actions = []
+        return actions
 
     # --- time ---
 
     def tick(self, now_us: int) -> None:
+        """Do what is due, after every event."""
         if self.state.is_leader:
             if now_us >= self.heartbeat.next_heartbeat_us:
                 self.start_heartbeat(now_us)
         else:
-            self.heartbeat.next_heartbeat_us = NEVER_US
-            if self.tracker.is_expired(now_us):
-                self.selection.search(now_us, self.downstream.children.table)
-            if home := self.tracker.preferred_to_request(now_us, self.state.tree):
-                self.actions.append(SendMessage(home, ParentRequest()))
-        moved = self.tracker.name != self.reported_parent
-        if moved:
+            self._check_parent(now_us)
+        changed = self.tracker.name != self.reported_parent
+        if changed:
             self.reported_parent = self.tracker.name
             self.actions.append(ParentChanged(self.reported_parent))
-        if self.heartbeat.should_report(now_us, self.downstream.children.all_reported) or (
-            moved and self.reported_parent is not None
-        ):
+        # A new parent gets a report at once: it makes this proxy a child by it.
+        has_new_parent = changed and self.reported_parent is not None
+        if self.heartbeat.should_report(now_us, self.downstream.children.all_reported) or has_new_parent:
             self.send_report(now_us)
 
+    def _check_parent(self, now_us: int) -> None:
+        self.heartbeat.next_heartbeat_us = NEVER_US
+        if self.tracker.is_expired(now_us):
+            self.selection.search(now_us, self.downstream.children.table)
+        if preferred := self.tracker.preferred_to_request(now_us, self.state.tree):
+            self.actions.append(SendMessage(preferred, ParentRequest()))
+
     def start_heartbeat(self, now_us: int) -> None:
+        """At the leader: make a new heartbeat, with the grants that wait for it."""
         self.heartbeat_number += 1
         self.heartbeat.next_heartbeat_us = now_us + self.settings.heartbeat_interval_us
-        self.tracker.last_heartbeat = (self.state.ballot, self.heartbeat_number)
-        held, self.pending_grants = self.pending_grants, {}
-        self.forward_heartbeat(now_us, held.values())
+        self.tracker.last_heartbeat = HeartbeatId(self.state.ballot, self.heartbeat_number)
+        grants = self.pending_grants
+        self.pending_grants = {}
+        self.forward_heartbeat(now_us, grants.values())
 
     def forward_heartbeat(self, now_us: int, grants: Iterable[RenewalGrant]) -> None:
+        """Send a heartbeat to the children, and wait for their reports."""
         self.downstream.send_heartbeat(now_us, grants, self.actions)
         self.heartbeat.on_heartbeat(now_us, self.state.ballot, self.tracker.depth)
 
     def send_report(self, now_us: int) -> None:
-        """What was gathered goes up; at the leader it is there."""
-        asks = self.downstream.aggregator.flush(now_us)
+        """Send the collected requests to the parent; at the leader, deliver them."""
+        requests = self.downstream.aggregator.flush(now_us)
         if self.state.is_leader:
             self.heartbeat.on_collected()
-            if asks:
-                self.actions.append(RequestsCollected(asks))
+            if requests:
+                self.actions.append(RequestsCollected(requests))
             return
         self.heartbeat.on_report(now_us)
         if self.tracker.name is not None:
-            word = UpstreamReport(
-                self.downstream.forwarder.applied_position, self.downstream.children.subtree_size, asks
-            )
-            self.actions.append(SendMessage(self.tracker.name, word))
-
-    def on_cluster_state(self, now_us: int, view: ClusterState) -> None:
-        begins = self.selection.apply_cluster_state(now_us, view, self.downstream.children.table)
-        for name, life in self.state.live_numbers.items():
-            self.downstream.children.remove_older_instance(name, life)
+            position = self.downstream.forwarder.applied_position
+            report = UpstreamReport(position, self.downstream.children.subtree_size, requests)
+            self.actions.append(SendMessage(self.tracker.name, report))
+
+    # --- events of this proxy ---
+
+    def on_cluster_state(self, now_us: int, reported: ClusterState) -> None:
+        """Apply membership and leadership; a leader that begins makes a heartbeat at once."""
+        begins = self.selection.apply_cluster_state(now_us, reported, self.downstream.children.table)
+        for name, instance_number in self.state.live_numbers.items():
+            self.downstream.children.remove_older_instance(name, instance_number)
         if begins:
             self.pending_grants = {}
             self.start_heartbeat(now_us)
 
-    # --- what others say ---
+    def on_renewal_wanted(self, event: RenewalWanted) -> None:
+        """Set the request of this proxy, if it is of this instance."""
+        request = event.request
+        if request.name == self.local.name and request.instance_number == self.local.number:
+            self.downstream.aggregator.set_local_request(request)
+
+    def on_grants(self, now_us: int, grants: tuple[RenewalGrant, ...]) -> None:
+        """At the leader: keep grants for the next heartbeat, or send them at once if that is far off."""
+        if not self.state.is_leader:
+            return
+        if not self.heartbeat.can_wait(now_us):
+            self.downstream.forward_grants(grants[:MAX_MEMBERS], self.actions)
+            return
+        local_grants = [grant for grant in grants if grant.name == self.local.name]
+        self.downstream.forward_grants(local_grants, self.actions)
+        for grant in grants:
+            if grant.name != self.local.name:
+                self._keep_grant(grant)
+
+    def _keep_grant(self, grant: RenewalGrant) -> None:
+        pending = self.pending_grants.get(grant.name)
+        if pending is None:
+            if len(self.pending_grants) < MAX_MEMBERS:
+                self.pending_grants[grant.name] = grant
+        elif (grant.instance_number, grant.number) >= (pending.instance_number, pending.number):
+            self.pending_grants[grant.name] = grant
+
+    # --- messages ---
 
     def on_message(self, now_us: int, sender: NodeInstance, message: Any) -> None:  # noqa: ANN401
+        """Apply a message of another proxy; an unknown one is ignored."""
         match message:
             case UpstreamReport():
                 self.on_report(now_us, sender, message)
@@ -144,70 +182,60 @@
             case Redirect():
                 self.selection.on_redirect(now_us, sender.name, message, self.downstream.children.table)
             case ParentRequest():
-                room = self.downstream.children.has_capacity_for(sender.name, self.state.tree.children)
-                if room and sender.name != self.tracker.name and self.selection.is_connected(now_us):
-                    self.downstream.send_redirect(sender.name, self.local.name, self.actions)
+                self.on_parent_request(now_us, sender)
+
+    def on_parent_request(self, now_us: int, sender: NodeInstance) -> None:
+        """Consent to be the parent, with capacity and connected, unless the sender is the own parent."""
+        has_capacity = self.downstream.children.has_capacity_for(sender.name, self.state.tree.children)
+        if has_capacity and sender.name != self.tracker.name and self.selection.is_connected(now_us):
+            self.downstream.send_redirect(sender.name, self.local.name, self.actions)
 
-    def on_report(self, now_us: int, sender: NodeInstance, up: UpstreamReport) -> None:
+    def on_report(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> None:
+        """Apply a report; its sender becomes a child or is redirected to one."""
         children = self.downstream.children
         if children.has_newer_instance(sender):
             return
-        if not children.update(now_us, sender, up):
-            taken, gone = children.admit(now_us, sender, up, self.state.tree.children)
-            if gone:
-                self.downstream.send_redirect(gone, children.smallest_child(gone), self.actions)
-            if not taken:
-                self.downstream.send_redirect(sender.name, children.smallest_child(sender.name), self.actions)
-                return
-            if self.selection.is_connected(now_us):
-                self.downstream.send_update(sender.name, self.actions, with_entries=True)
-        self.downstream.aggregator.collect(now_us, sender.name, up.renewal_requests, self.state.live_numbers)
-        if self.state.is_leader and self.heartbeat.is_collected:  # too late for this beat's others
+        if not children.update(now_us, sender, report) and not self._admit(now_us, sender, report):
+            return
+        live = self.state.live_numbers
+        self.downstream.aggregator.collect(now_us, sender.name, report.renewal_requests, live)
+        if self.state.is_leader and self.heartbeat.is_collected:  # too late for the others of this interval
             self.send_report(now_us)
 
-    def on_update(self, now_us: int, sender: NodeInstance, down: DownstreamUpdate) -> None:
-        if down.ballot < self.state.ballot:  # it still follows one that was replaced
+    def _admit(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> bool:
+        children = self.downstream.children
+        admission = children.admit(now_us, sender, report, self.state.tree.children)
+        if evicted := admission.evicted:
+            self.downstream.send_redirect(evicted, children.smallest_child(evicted), self.actions)
+        if not admission.admitted:
+            self.downstream.send_redirect(sender.name, children.smallest_child(sender.name), self.actions)
+            return False
+        if self.selection.is_connected(now_us):
+            self.downstream.send_update(sender.name, self.actions, with_entries=True)
+        return True
+
+    def on_update(self, now_us: int, sender: NodeInstance, update: DownstreamUpdate) -> None:
+        """Apply an update; a sender that follows a replaced leader is redirected."""
+        if update.ballot < self.state.ballot:
             self.downstream.send_redirect(sender.name, self.state.leader, self.actions)
             return
-        newer = self.selection.observe_leader(now_us, down.ballot, down.leader)
-        if self.state.is_leader or down.leader != self.state.leader:
+        is_newer = self.selection.observe_leader(now_us, update.ballot, update.leader)
+        if self.state.is_leader or update.leader != self.state.leader:
             return
-        pulse = self.selection.on_update(
-            now_us, sender.name, (down.ballot, down.heartbeat_number), down.depth, newer
-        )
-        if pulse and self.heartbeat.should_forward(now_us, down.ballot):
-            self.forward_heartbeat(now_us, down.grants)
+        heartbeat = HeartbeatId(update.ballot, update.heartbeat_number)
+        is_heartbeat = self.selection.on_update(now_us, sender.name, heartbeat, update.depth, is_newer)
+        if is_heartbeat and self.heartbeat.should_forward(now_us, update.ballot):
+            self.forward_heartbeat(now_us, update.grants)
         else:
-            self.downstream.forward_grants(down.grants, self.actions)
-        self.take_entries(now_us, sender.name, down)
-
-    def take_entries(self, now_us: int, sender: str, down: DownstreamUpdate) -> None:
-        if news := self.downstream.forwarder.take_new(down.entries):
-            self.actions.append(EntriesReceived(news))
-        if (
-            self.downstream.forwarder.is_behind(down.applied_position)
-            and now_us - self.last_fetch_us >= self.settings.fetch_interval_us
-        ):
+            self.downstream.forward_grants(update.grants, self.actions)
+        self.take_entries(now_us, sender.name, update)
+
+    def take_entries(self, now_us: int, sender: str, update: DownstreamUpdate) -> None:
+        """Give new entries to the log, and let it catch up if it is still behind."""
+        forwarder = self.downstream.forwarder
+        if new_entries := forwarder.take_new(update.entries):
+            self.actions.append(EntriesReceived(new_entries))
+        may_fetch = now_us - self.last_fetch_us >= self.settings.fetch_interval_us
+        if forwarder.is_behind(update.applied_position) and may_fetch:
             self.last_fetch_us = now_us
             self.actions.append(FetchEntries(sender))
-
-    # --- what the keeper of sessions gave ---
-
-    def on_grants(self, now_us: int, grants: tuple[RenewalGrant, ...]) -> None:
-        """What comes in time for the next pulse goes with it; what is late goes at once."""
-        if not self.state.is_leader:
-            return
-        if not self.heartbeat.can_wait(now_us):
-            self.downstream.forward_grants(grants[:MAX_MEMBERS], self.actions)
-            return
-        self.downstream.forward_grants(
-            [grant for grant in grants if grant.name == self.local.name], self.actions
-        )
-        for grant in grants:
-            held = self.pending_grants.get(grant.name)
-            newer = held is None or (grant.instance_number, grant.number) >= (
-                held.instance_number,
-                held.number,
-            )
-            if grant.name != self.local.name and newer and (held or len(self.pending_grants) < MAX_MEMBERS):
-                self.pending_grants[grant.name] = grant
--- a/molereach/coordination/dissemination/downstream.py
+++ b/molereach/coordination/dissemination/downstream.py
@@ -1,4 +1,4 @@
-"""Words down: a pulse to all below, entries at once, each grant only to the child that its ask came by."""
+"""Messages to the children: heartbeats to all, entries at once, each grant to the child of its request."""
 
 from collections.abc import Iterable
 
@@ -11,66 +11,78 @@
     LocalGrants,
     LogAdvanced,
     Redirect,
-    RenewalGrant,
 )
 from molereach.coordination.dissemination.parent_tracker import ParentTracker
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.dissemination.tree_state import TreeState
 from molereach.coordination.interface.core import SendMessage
+from molereach.coordination.interface.sessions import RenewalGrant
 
 Actions = list[Action | SendMessage]
 
+ROUTE_LIFETIME_INTERVALS = 4  # for which the way of a grant is known
+
 
 class Downstream:
-    """What is known below, and what goes there; `out` is the core's list of actions."""
+    """What is known of the children, and what is sent there; `actions` is the core's list."""
 
-    def __init__(self, settings: DisseminationSettings, standing: TreeState, above: ParentTracker) -> None:
-        self.state, self.tracker = standing, above
+    def __init__(self, settings: DisseminationSettings, state: TreeState, tracker: ParentTracker) -> None:
+        self.state = state
+        self.tracker = tracker
         self.children = Children(settings)
-        self.aggregator = RenewalAggregator(standing.local.name, 4 * settings.heartbeat_interval_us)
+        route_lifetime_us = ROUTE_LIFETIME_INTERVALS * settings.heartbeat_interval_us
+        self.aggregator = RenewalAggregator(state.local.name, route_lifetime_us)
         self.forwarder = EntryForwarder(settings)
 
-    def send_heartbeat(self, now_us: int, grants: Iterable[RenewalGrant], out: Actions) -> None:
-        """A beat begins: one word to each child, with the grants for those below it."""
+    def send_heartbeat(self, now_us: int, grants: Iterable[RenewalGrant], actions: Actions) -> None:
+        """Start an interval: one message to each child, with the grants for its subtree."""
         self.forwarder.on_heartbeat()
         self.children.start_interval(now_us)
-        below = self.route_grants(grants, out)
+        by_child = self.route_grants(grants, actions)
         for name in self.children.table:
-            self.send_update(name, out, grants=tuple(below.get(name, ())))
+            self.send_update(name, actions, grants=tuple(by_child.get(name, ())))
 
-    def forward_grants(self, grants: Iterable[RenewalGrant], out: Actions) -> None:
-        """Pass grants on between pulses."""
-        for name, some in self.route_grants(grants, out).items():
+    def forward_grants(self, grants: Iterable[RenewalGrant], actions: Actions) -> None:
+        """Forward grants between heartbeats."""
+        for name, child_grants in self.route_grants(grants, actions).items():
             if name in self.children:
-                self.send_update(name, out, grants=tuple(some))
+                self.send_update(name, actions, grants=tuple(child_grants))
 
-    def route_grants(self, grants: Iterable[RenewalGrant], out: Actions) -> dict[str, list[RenewalGrant]]:
-        """Keep what is this front door's own; the rest by child."""
-        own, below = self.aggregator.route_grants(grants)
-        if own:
-            out.append(LocalGrants(tuple(own)))
-        return below
+    def route_grants(self, grants: Iterable[RenewalGrant], actions: Actions) -> dict[str, list[RenewalGrant]]:
+        """Deliver the grants of this proxy; those of others by child."""
+        routed = self.aggregator.route_grants(grants)
+        if routed.local:
+            actions.append(LocalGrants(tuple(routed.local)))
+        return routed.by_child
 
-    def on_log_advanced(self, grown: LogAdvanced, out: Actions) -> None:
-        if not self.forwarder.advance(grown.position, grown.entries):
+    def on_log_advanced(self, event: LogAdvanced, actions: Actions) -> None:
+        """Send new entries to the children that lack them."""
+        if not self.forwarder.advance(event.position, event.entries):
             return
         for name, child in self.children.table.items():
             if child.applied_position < self.forwarder.applied_position:
-                self.send_update(name, out, with_entries=True)
+                self.send_update(name, actions, with_entries=True)
 
     def send_update(
-        self, name: str, out: Actions, with_entries: bool = False, grants: tuple[RenewalGrant, ...] = ()
+        self,
+        name: str,
+        actions: Actions,
+        with_entries: bool = False,
+        grants: tuple[RenewalGrant, ...] = (),
     ) -> None:
-        child, (ballot, number) = self.children.table[name], self.tracker.last_heartbeat
+        """Send an update to a child, unless no heartbeat of the newest leader has come here yet."""
+        child = self.children.table[name]
+        ballot, number = self.tracker.last_heartbeat
         leader = self.state.leader
-        if leader is None or ballot < self.state.ballot:  # nothing of the newest leader is known here
+        if leader is None or ballot < self.state.ballot:
             return
+        position = self.forwarder.applied_position
         entries = self.forwarder.entries_after(child.applied_position) if with_entries else ()
-        word = DownstreamUpdate(
-            ballot, number, leader, self.tracker.depth, self.forwarder.applied_position, entries, grants
-        )
-        out.append(SendMessage(name, word, child.instance_number))
+        update = DownstreamUpdate(ballot, number, leader, self.tracker.depth, position, entries, grants)
+        actions.append(SendMessage(name, update, child.instance_number))
 
-    def send_redirect(self, name: str, parent: str | None, out: Actions) -> None:
+    def send_redirect(self, name: str, parent: str | None, actions: Actions) -> None:
+        """Tell a proxy to follow `parent`."""
         if parent is not None and parent != name:
-            out.append(SendMessage(name, Redirect(parent, self.state.ballot, self.state.leader)))
+            redirect = Redirect(parent, self.state.ballot, self.state.leader)
+            actions.append(SendMessage(name, redirect))
--- a/molereach/coordination/dissemination/messages.py
+++ b/molereach/coordination/dissemination/messages.py
@@ -1,7 +1,7 @@
-"""What the core is told, what it does, and what front doors say to each other along the tree.
+"""The events, actions and messages of the dissemination tree.
 
-Words are arrays on the wire. An ask takes at most 48 bytes of msgpack for names of up to 21 characters and
-positions below 2**32.
+Messages are arrays on the wire. A renewal request takes at most 48 bytes of MessagePack for names of up to 21
+characters and positions below 2**32.
 """
 
 from dataclasses import dataclass
@@ -13,18 +13,7 @@
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-__all__ = [
-    "MAX_ENTRIES",
-    "DownstreamUpdate",
-    "Message",
-    "ParentRequest",
-    "Redirect",
-    "RenewalGrant",
-    "RenewalRequest",
-    "UpstreamReport",
-]
-
-MAX_ENTRIES = 64  # in one word
+MAX_ENTRIES = 64  # in one message
 MAX_DEPTH = 64
 
 Ballot = Position
@@ -35,35 +24,35 @@
 
 
 class TreeMessage(WireStruct, frozen=True, array_like=True, tag_field="kind"):
-    """A message."""
+    """Base of the messages."""
 
 
 class UpstreamReport(TreeMessage, frozen=True, tag="s.up"):
-    """From a child, once a beat: what it has, and the asks of all below it, its own first."""
+    """From a child, once an interval: its position, and the requests of its subtree, its own first."""
 
     applied_position: Position
-    subtree_size: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # front doors, itself counted
+    subtree_size: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # proxies, itself included
     renewal_requests: Annotated[tuple[RenewalRequest, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class DownstreamUpdate(TreeMessage, frozen=True, tag="s.down"):
-    """From a parent. A `number` that was not seen before is a pulse; only the leader makes new ones."""
+    """From a parent. A new `heartbeat_number` is a heartbeat; only the leader makes new ones."""
 
     ballot: Ballot
     heartbeat_number: Count
     leader: Name
-    depth: Annotated[int, Meta(ge=0, le=MAX_DEPTH)]  # of who speaks; 0 is the leader
-    applied_position: Position  # applied by who speaks
+    depth: Annotated[int, Meta(ge=0, le=MAX_DEPTH)]  # of the sender; 0 is the leader
+    applied_position: Position  # of the sender
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
     grants: Annotated[tuple[RenewalGrant, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class ParentRequest(TreeMessage, frozen=True, tag="s.whom"):
-    """From one that has a parent and would rather have this one."""
+    """From a proxy that has a parent and would prefer the receiver."""
 
 
 class Redirect(TreeMessage, frozen=True, tag="s.redirect"):
-    """Take this parent (it may be who speaks), and hear of the newest leader known."""
+    """Follow this parent, which may be the sender; with the newest leader that the sender knows."""
 
     parent: Name
     ballot: Ballot
@@ -78,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """Who lives, by membership, and who leads, by the log; either may be wrong for a time."""
+    """The live proxies, by membership, and the leader, by the log; either may be wrong for a time."""
 
     live_instances: tuple[NodeInstance, ...]
     leader: str | None
@@ -88,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogAdvanced:
-    """The log here has applied all up to `position`; `entries` are the newest of them, in order."""
+    """The log here has applied everything up to `position`; `entries` are the newest of it, in order."""
 
     position: int
     entries: tuple[Entry, ...] = ()
@@ -96,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalWanted:
-    """This front door's own ask, in the place of its last one."""
+    """This proxy's own renewal request, in place of its last one."""
 
     request: RenewalRequest
 
 
 @dataclass(frozen=True, slots=True)
 class GrantsIssued:
-    """At the leader: what the keeper of sessions gave."""
+    """At the leader: the grants of the lease manager."""
 
     grants: tuple[RenewalGrant, ...]
 
@@ -113,35 +102,35 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesReceived:
-    """For the log: entries that follow on what is applied here, or on what is already given to it."""
+    """For the log: entries that follow what is applied here or was already given to it."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEntries:
-    """The log here is behind and should catch up from this front door."""
+    """The log here is behind and should catch up from this proxy."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsCollected:
-    """At the leader: asks of all who came up, for the keeper."""
+    """At the leader: all renewal requests that came up, for the lease manager."""
 
     requests: tuple[RenewalRequest, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LocalGrants:
-    """For this front door's own session."""
+    """Grants for this proxy's own session."""
 
     grants: tuple[RenewalGrant, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ParentChanged:
-    """Whom this front door listens to from now on; None for the leader, or for nobody."""
+    """The parent from now on; None for the leader, or for no parent."""
 
     name: str | None
 
