--- a/molereach/limits/borrowing.py
+++ b/molereach/limits/borrowing.py
@@ -161,7 +161,7 @@
             key=key,
             number=next_request_number(now_us, borrowed),
             accepted=borrowed.accepted_number,
-            held_share=min(usable_share, wanted_share),
+            borrower_share=min(usable_share, wanted_share),
             wanted_share=wanted_share,
             returned_units=returned_units,
         )
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -101,7 +101,7 @@
         self.now_us = now_us
         sender = message.sender
         incarnation = message.incarnation
-        self.partition_quota.record_message(now_us, sender, incarnation, message.is_heard)
+        self.partition_quota.record_message(now_us, sender, incarnation, message.is_receiving)
         if incarnation is None:
             return
         for each in message.messages:
--- a/tests/coordination/dissemination/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -64,7 +64,7 @@
     return core
 
 
-def test_an_ask_is_48_bytes_and_words_come_back_as_they_were() -> None:
+def test_renewal_request_is_48_bytes_and_messages_round_trip() -> None:
     largest = RenewalRequest(
         "front-door-123.site-a", (1 << 62) - 1, (1 << 32) - 1, (1 << 32) - 1, (1 << 32) - 1
     )
@@ -90,12 +90,12 @@
         ["s.redirect", "x" * 65, 1, None],
     ],
 )
-def test_words_out_of_bounds_are_refused(word: list[Any]) -> None:
+def test_messages_out_of_bounds_are_rejected(word: list[Any]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(msgspec.msgpack.encode(word), type=Message)
 
 
-def test_children_are_bounded_and_one_by_rank_always_finds_room() -> None:
+def test_children_are_bounded_and_a_child_by_rank_is_always_admitted() -> None:
     core = door("d00")
     for at in range(40):
         actions = tell(core, at, f"x{at}", UpstreamReport(0, 1))
@@ -116,7 +116,7 @@
     assert len(set(sent)) == 16
 
 
-def test_the_silent_are_forgotten_and_told_nothing() -> None:
+def test_silent_children_are_forgotten_and_get_no_messages() -> None:
     core = door("d00")
     tell(core, 0, "d01", UpstreamReport(0, 1))
     tell(core, 0, "d02", UpstreamReport(0, 1))
@@ -126,7 +126,7 @@
         tell(core, beat * BEAT + 1, "d02", UpstreamReport(0, 1))
 
 
-def test_a_flood_of_asks_is_bounded_and_those_that_live_come_before_it() -> None:
+def test_flood_of_requests_is_bounded_and_live_names_take_precedence() -> None:
     core = inner()
     for at in range(20):
         asks = tuple(ask(f"x{at}-{number}") for number in range(MAX_MEMBERS))
@@ -149,7 +149,7 @@
     assert not len(gather.requests) and not len(gather.routes)
 
 
-def test_the_newest_ask_of_each_session_goes_up_once_and_unchanged() -> None:
+def test_newest_request_of_each_session_is_reported_once_and_unchanged() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1, (ask("d09", 7), ask("d09", 1, fence=6), ask("d09", 1, life=9))))
     tell(core, 3, "d10", UpstreamReport(0, 1, (ask("d09", 6),)))
@@ -161,7 +161,7 @@
     assert up.subtree_size == 3
 
 
-def test_a_grant_goes_to_one_child_once() -> None:
+def test_grant_is_sent_to_one_child_once() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1, (ask("d09"), ask("x"))))
     tell(core, 2, "d10", UpstreamReport(0, 1, (ask("d10"),)))
@@ -185,7 +185,7 @@
     assert sum(isinstance(action, SendMessage) for action in actions) == 2
 
 
-def test_an_older_ask_that_was_overtaken_does_not_turn_the_grant() -> None:
+def test_older_request_that_was_overtaken_does_not_reroute_the_grant() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1, (ask("x", 5),)))
     tell(core, 3, "d10", UpstreamReport(0, 1, (ask("x", 4),)))
@@ -193,7 +193,7 @@
     assert set(said(actions, DownstreamUpdate)) == {"d09"}
 
 
-def test_an_own_ask_is_said_until_it_is_granted() -> None:
+def test_local_request_is_repeated_until_it_is_granted() -> None:
     core = inner()
     core.handle(2, RenewalWanted(ask("d01", 3)))
     for beat in (1, 2):
@@ -211,7 +211,7 @@
     assert not core.downstream.aggregator.local_request
 
 
-def test_the_leader_lets_grants_wait_for_its_pulse_unless_they_are_late() -> None:
+def test_leader_keeps_grants_for_its_heartbeat_unless_they_are_late() -> None:
     core = door("d00")
     tell(core, 1, "d01", UpstreamReport(0, 1, (ask("d01"), ask("d09"))))
     tell(core, 1, "d02", UpstreamReport(0, 1, (ask("d02"),)))
@@ -237,7 +237,7 @@
     assert len(core.pending_grants) == MAX_MEMBERS
 
 
-def test_pulses_that_come_late_all_at_once_are_passed_on_once() -> None:
+def test_heartbeats_that_arrive_late_together_are_forwarded_once() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1))
     words = [
@@ -251,7 +251,7 @@
     )  # a replay
 
 
-def test_stale_ballots_and_earlier_lives_change_nothing() -> None:
+def test_stale_ballots_and_older_instances_change_nothing() -> None:
     core = inner()
     (answer,) = said(tell(core, 2, "d05", DownstreamUpdate(2, 99, "d07", 0, 0)), Redirect).values()
     assert (answer.ballot, answer.leader) == (3, "d00")
@@ -265,7 +265,7 @@
     assert core.downstream.children.table["d09"].applied_position == 0
 
 
-def test_a_leader_that_hears_of_a_higher_ballot_leads_no_more() -> None:
+def test_leader_steps_down_on_a_higher_ballot() -> None:
     core = door("d00")
     tell(core, 1, "d01", UpstreamReport(0, 1, (ask("d01"),)))
     assert "d07" in said(tell(core, 2, "d01", Redirect("d07", 4, "d07")), UpstreamReport)
@@ -275,7 +275,7 @@
     assert not core.state.is_leader
 
 
-def test_entries_go_only_to_those_that_have_all_before_and_within_the_bytes() -> None:
+def test_entries_are_sent_only_after_all_before_them_and_within_the_byte_limit() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1))
     tell(core, 2, "d10", UpstreamReport(1, 1))
@@ -305,7 +305,7 @@
         assert len(core.downstream.forwarder.recent) <= MAX_ENTRIES
 
 
-def test_what_follows_is_learned_and_a_gap_is_fetched() -> None:
+def test_consecutive_entries_are_delivered_and_a_gap_is_fetched() -> None:
     core = inner()
     assert EntriesReceived((entry(1), entry(2))) in tell(
         core, 2, "d00", DownstreamUpdate(3, 1, "d00", 0, 2, (entry(1), entry(2)))
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("count", [9, 50, 200])
-def test_an_inner_door_dies_and_nobody_says_so(count: int) -> None:
+def test_inner_proxy_fails_without_notice(count: int) -> None:
     world = World(count)
     world.start()
     dead = ("door-000", "door-002", "door-003")  # of the leader's children
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 9, 50, 200])
-def test_the_leader_dies_and_views_of_the_next_come_over_seconds(count: int) -> None:
+def test_leader_fails_and_its_successor_is_learnt_over_seconds(count: int) -> None:
     world = World(count)
     world.start()
     world.kill("door-001")
@@ -60,7 +60,7 @@
     steady(world)
 
 
-def test_half_of_the_tree_with_the_old_leader_comes_over_without_being_told() -> None:
+def test_half_of_the_tree_leaves_the_old_leader_without_notice() -> None:
     world = World(50)
     world.start()
     half = world.living[:25]  # the old leader's
@@ -77,7 +77,7 @@
     assert not any(world.nodes[name].core.state.is_leader for name in half)
 
 
-def test_a_ring_of_doors_falls_apart() -> None:
+def test_ring_of_proxies_dissolves() -> None:
     """Each listens to the next and cannot reach its parent by rank. A word needs more than half a beat to go
     round, so nothing but its mark keeps it from going round for ever."""
     world = World(50)
@@ -99,7 +99,7 @@
     all_reach_all(world)
 
 
-def test_a_link_that_is_cut_for_long_is_gone_around_and_taken_again() -> None:
+def test_failed_connection_is_bypassed_and_used_again_later() -> None:
     world = World(50)
     world.start()
     child = "door-049"
@@ -114,7 +114,7 @@
     steady(world)
 
 
-def test_a_leader_that_stopped_and_woke_pulses_once_for_all_its_late_ticks() -> None:
+def test_leader_that_stalled_sends_one_heartbeat_for_all_late_ticks() -> None:
     world = World(9)
     world.start()
     world.nodes["door-001"].stopped_until = world.now + 10 * BEAT
@@ -125,7 +125,7 @@
     all_reach_all(world)
 
 
-def test_a_leader_that_was_replaced_while_it_was_stopped_follows() -> None:
+def test_leader_replaced_during_a_stall_follows() -> None:
     world = World(50)
     world.start()
     world.nodes["door-001"].stopped_until = world.now + 10 * BEAT
@@ -137,7 +137,7 @@
     assert not world.nodes["door-001"].core.state.is_leader
 
 
-def test_only_the_panel_knows_who_leads_at_first() -> None:
+def test_only_voters_know_the_leader_at_first() -> None:
     world = World(50)
     world.view()  # who lives, and no leader
     world.run(3)
@@ -147,7 +147,7 @@
     all_reach_all(world)
 
 
-def test_views_lag_behind_many_deaths() -> None:
+def test_cluster_states_lag_behind_many_failures() -> None:
     world = World(50, 7)
     world.start()
     for name in world.random.sample([name for name in world.living if name != world.leader], 20):
@@ -198,7 +198,7 @@
     all_reach_all(world)
 
 
-def test_a_random_history_at_120() -> None:
+def test_random_history_of_120_proxies() -> None:
     history(1, 120)
 
 
--- a/tests/coordination/dissemination/test_parent.py
+++ b/tests/coordination/dissemination/test_parent.py
@@ -38,7 +38,7 @@
     return turns
 
 
-def test_the_order_of_those_asked_and_the_time_between() -> None:
+def test_order_of_candidates_and_the_time_between() -> None:
     draws = iter([0.0] * 10_000)
     core = DisseminationTree(LIVES["d17"], DisseminationSettings(), lambda: next(draws))
     first = core.handle(0, ClusterState(ALIVE, "d00", 3, ("d05",)))
@@ -55,21 +55,21 @@
     assert asked(core, now + 2 * BEAT)
 
 
-def test_the_grandparent_is_asked_before_the_leader() -> None:
+def test_grandparent_is_tried_before_the_leader() -> None:
     lives = tuple(NodeInstance(f"e{at:03}", 1) for at in range(100))
     core = DisseminationTree(lives[99], DisseminationSettings(fanout=2), lambda: 0.5)
     assert set(said(core.handle(0, ClusterState(lives, "e000", 1)), UpstreamReport)) == {"e049"}
     assert [name for _, name in asked(core, 4 * BEAT)] == ["e024", "e000"]
 
 
-def test_a_pulse_told_again_does_not_prolong_a_parent() -> None:
+def test_repeated_heartbeat_does_not_confirm_a_parent() -> None:
     core = inner()
     for now in range(BEAT, 3 * BEAT, BEAT // 8):
         tell(core, now, "d00", DownstreamUpdate(3, 1, "d00", 0, 0))
     assert core.tracker.name != "d00"
 
 
-def test_one_too_many_steps_from_the_leader_is_left() -> None:
+def test_parent_too_far_from_the_leader_is_left() -> None:
     for steps, kept in ((2, True), (5, True), (6, False)):  # a full tree of 256 has three
         core = inner()
         for beat in range(1, 4):
@@ -77,7 +77,7 @@
         assert (core.tracker.name == "d00") is kept
 
 
-def test_a_new_ballot_must_be_heard_from_the_parent_itself() -> None:
+def test_new_ballot_must_come_from_the_parent_itself() -> None:
     core = inner()
     tell(core, 2, "d09", UpstreamReport(0, 1))
     assert said(tell(core, 3, "d10", ParentRequest()), Redirect)["d10"].parent == "d01"
@@ -93,7 +93,7 @@
     assert said(tell(core, 7, "d10", ParentRequest()), Redirect)
 
 
-def test_whom_is_answered_only_where_there_is_room_and_never_to_the_own_parent() -> None:
+def test_parent_request_needs_capacity_and_never_comes_from_the_own_parent() -> None:
     core = inner()
     assert not tell(core, 2, "d00", ParentRequest())
     for at in range(16):
@@ -103,7 +103,7 @@
     assert said(tell(core, 4, "d09", ParentRequest()), Redirect)
 
 
-def test_redirects_are_followed_but_not_without_end() -> None:
+def test_redirects_are_followed_a_bounded_number_of_times() -> None:
     core = inner()
     parent = "d00"
     for at in range(MAX_REDIRECTS):
@@ -116,7 +116,7 @@
     assert not tell(core, 10, "d00", Redirect("d01", 3, "d00"))  # to itself
 
 
-def test_a_change_of_ranks_makes_one_that_waited_long_ask_soon() -> None:
+def test_change_of_ranks_ends_a_long_backoff() -> None:
     core = door("d09")  # below d01 by rank
     tell(core, 1, "d01", Redirect("d05", 3, "d00"))
     whoms: list[int] = []
@@ -152,7 +152,7 @@
     assert set(said(tell(core, 64 * BEAT, "d00", Redirect("d00", 3, "d00")), UpstreamReport)) == {"d00"}
 
 
-def test_a_new_ballot_brings_one_that_is_elsewhere_to_its_parent_by_rank_at_once() -> None:
+def test_new_ballot_attaches_to_the_parent_by_rank_at_once() -> None:
     core = door("d09")
     tell(core, 1, "d01", Redirect("d05", 3, "d00"))
     tell(core, 2, "d05", DownstreamUpdate(3, 1, "d00", 1, 0))
@@ -160,7 +160,7 @@
     assert set(said(core.handle(3, ClusterState(ALIVE, "d00", 4)), UpstreamReport)) == {"d01"}
 
 
-def test_words_up_are_half_a_beat_apart_at_least() -> None:
+def test_reports_are_at_least_half_an_interval_apart() -> None:
     core = inner()
     now = core.wake_us
     assert said(core.handle(now, Tick()), UpstreamReport)
@@ -170,7 +170,7 @@
     assert said(core.handle(now + BEAT // 2, Tick()), UpstreamReport)
 
 
-def test_what_was_to_be_granted_under_an_earlier_ballot_is_not() -> None:
+def test_pending_grants_of_an_earlier_ballot_are_dropped() -> None:
     core = door("d00")
     tell(core, 1, "d01", UpstreamReport(0, 1, (RenewalRequest("d01", 10, 5, 1, 0),)))
     core.handle(BEAT // 2, GrantsIssued((RenewalGrant("d01", 10, 5, 1),)))
@@ -179,7 +179,7 @@
     assert core.state.is_leader and words["d01"].grants == ()
 
 
-def test_a_later_life_in_the_view_ends_the_earlier_child() -> None:
+def test_newer_instance_in_the_cluster_state_removes_the_older_child() -> None:
     core = door("d00")
     tell(core, 1, "d01", UpstreamReport(0, 1))
     core.handle(
@@ -188,7 +188,7 @@
     assert "d01" not in core.downstream.children
 
 
-def test_one_that_the_view_lacks_is_in_its_own_tree() -> None:
+def test_proxy_missing_from_the_cluster_state_is_in_its_own_tree() -> None:
     many = [f"a{at:03}" for at in range(300)]
     for ranks in (
         RankedTree("z", many, "m"),
@@ -200,7 +200,7 @@
     assert RankedTree("z", many, "z").parent is None and RankedTree("z", many, "m").parent
 
 
-def test_a_view_that_nobody_leads_ends_a_leader() -> None:
+def test_cluster_state_without_a_leader_ends_leadership() -> None:
     core = door("d00")
     actions = core.handle(1, ClusterState(ALIVE, None, 3))
     assert not core.state.is_leader and said(actions, UpstreamReport)
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -66,7 +66,7 @@
             await peer.hear_until(b"first")
             peer.say(value(b"ok"))
             await until(lambda: sender.ended == [AttemptResult.OK])
-            next(iter(sender.backends.pools["s"].idle)).idle_since = 0  # it has rested
+            next(iter(sender.backends.pools["s"].idle)).idle_since_us = 0  # it has rested
             monkeypatch.setattr(pool, "has_unread", lambda transport: peer.reset())
             sender.send(b"second")
             await until(lambda: len(sender.ended) == 2)
@@ -77,7 +77,7 @@
 
 
 def gone() -> Endpoint:
-    return Endpoint("s0", 0, 0, 0, EndpointState.GONE)
+    return Endpoint("s0", 0, 0, 0, EndpointState.REMOVED)
 
 
 @pytest.mark.parametrize("said", [b"", b"*3\r\n$2\r\no", b"-ERR fai"])
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -104,9 +104,9 @@
         name, *fields = line.split(" ")
         if name != "M":
             host.handle(name, fields, iter(ENDPOINT_LIST.splitlines()[1:]))
-    endpoint = host.instances[0].gateway.attempts.jobs["rq_a"].servers[0].entry.name
+    endpoint = host.instances[0].gateway.attempts.pending["rq_a"].backends[0].endpoint.name
     host.handle("ATTEMPT_END", ["rq_a", "1", "0", endpoint, "served", "9", "-", "-", "9,0.4"], iter(()))
-    assert host.instances[0].gateway.cap.signals["util"] == [0.4]
+    assert host.instances[0].gateway.overload_control.utilization_samples == [0.4]
 
 
 @pytest.mark.parametrize(
