--- a/tests/cache/world.py
+++ b/tests/cache/world.py
@@ -1,6 +1,6 @@
 """A small world of front doors over one toy log, with a server that says when it read what it tells.
 
-The log keeps to what `coordination/interface.py` promises and to no more: one true order, entries that
+The log keeps to what `coordination/interface/log.py` promises and to no more: one true order, entries that
 come late, in part or by snapshot, proposals settled late, twice or never. Sessions are counted by clocks at
 the bound of their drift, renewed and ended as `coordination/leases` does. Times are true microseconds;
 each front door sees its own clock only. `check` functions raise `BrokenError` where a promise is broken.
