--- a/molereach/coordination/transport/board.py
+++ b/molereach/coordination/transport/board.py
@@ -17,11 +17,11 @@
 from molereach.clock import now_us
 from molereach.coordination.interface.core import MessageReceived
 from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.transport.connection_slots import ConnectionSlots
 from molereach.coordination.transport.hello import NONCE_BYTES, Answering, Dialling
 from molereach.coordination.transport.link import Link
 from molereach.coordination.transport.owner import Phase
 from molereach.coordination.transport.peer import Peer
-from molereach.coordination.transport.places import Places
 from molereach.coordination.transport.queue import Item, Outbox, Rule
 from molereach.coordination.transport.retry import Retry
 from molereach.coordination.transport.settings import LinkSettings
@@ -54,7 +54,7 @@
         self.rules, self.draw, self.settings = rules, draw, settings
         self.loop = asyncio.get_running_loop()
         self.turns = Turns(self.loop, now_us)
-        self.places = Places(settings.most_unproven, settings.most_unproven_of_source)
+        self.places = ConnectionSlots(settings.most_unproven, settings.most_unproven_of_source)
         self.peers: dict[str, Peer] = {}
         self.dials: deque[tuple[Peer, Link]] = deque()  # to be begun
         self.links: dict[Link, None] = {}  # all with a socket, in the order in which they came
@@ -106,7 +106,7 @@
     # --- whom to take ---
 
     def arrived(self, link: Link) -> bool:
-        if self.closed or not (link.dialled or self.places.take(link.source)):
+        if self.closed or not (link.dialled or self.places.acquire(link.source)):
             return False
         self.links[link] = None
         return True
@@ -114,7 +114,7 @@
     def free_place(self, link: Link) -> None:
         """It takes no place of the unproven any more."""
         if link.source:
-            self.places.leave(link.source)
+            self.places.release(link.source)
             link.source = ""
 
     def refuses(self, life: NodeInstance) -> str:
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -126,8 +126,8 @@
         return LinksStats(
             {name: peer.stats() for name, peer in board.peers.items()},
             len(board.accepted()),
-            board.places.taken.total(),
-            board.refused + board.places.refused,
+            board.places.used.total(),
+            board.refused + board.places.rejected,
             self.unsaid,
             board.failed,
             board.turns.taken,
--- a/molereach/coordination/transport/turns.py
+++ b/molereach/coordination/transport/turns.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from molereach.coordination.transport.budget import Turn
+from molereach.coordination.transport.budget import EventLoopBudget
 from molereach.coordination.transport.link import Link
 
 
@@ -30,8 +30,8 @@
 
     def work(self) -> None:
         self.planned, self.taken = False, self.taken + 1
-        turn = Turn(self.clock())
-        while self.due and turn.another(self.clock()):
+        turn = EventLoopBudget(self.clock())
+        while self.due and turn.allows_step(self.clock()):
             link = self.due.popleft()
             if link.step():
                 self.due.append(link)
--- a/tests/coordination/transport/test_cores.py
+++ b/tests/coordination/transport/test_cores.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from molereach.coordination.transport import retry
-from molereach.coordination.transport.budget import BEGIN_US, MOST_STEPS, MOST_TURN_US, Turn
-from molereach.coordination.transport.places import Places
+from molereach.coordination.transport.budget import BEGIN_US, MAX_STEPS, MAX_TURN_US, EventLoopBudget
+from molereach.coordination.transport.connection_slots import ConnectionSlots
 from molereach.coordination.transport.pulse import Pulse, Verdict
 from molereach.coordination.transport.queue import Item, Outbox, Room, Rule
 from molereach.coordination.transport.retry import Retry
@@ -180,22 +180,22 @@
 
 
 def test_a_turn_ends_by_steps_or_by_time_and_always_takes_one_step() -> None:
-    turn, steps = Turn(0), 0
-    while turn.another(0):
+    turn, steps = EventLoopBudget(0), 0
+    while turn.allows_step(0):
         steps += 1
-    assert steps == MOST_STEPS
-    late = Turn(0)
-    assert late.another(10 * MOST_TURN_US) and not late.another(10 * MOST_TURN_US)
-    turn = Turn(0)
-    assert turn.another(0) and turn.another(BEGIN_US - 1) and not turn.another(BEGIN_US)
+    assert steps == MAX_STEPS
+    late = EventLoopBudget(0)
+    assert late.allows_step(10 * MAX_TURN_US) and not late.allows_step(10 * MAX_TURN_US)
+    turn = EventLoopBudget(0)
+    assert turn.allows_step(0) and turn.allows_step(BEGIN_US - 1) and not turn.allows_step(BEGIN_US)
 
 
 def test_unproven_connections_are_bounded_in_all_and_of_each_source() -> None:
-    places = Places(5, 3)
-    assert [places.take("x") for _ in range(4)] == [True, True, True, False]
-    assert [places.take("y") for _ in range(3)] == [True, True, False] and places.refused == 2
-    places.leave("x")
-    assert places.take("y") and not places.take("z")
+    places = ConnectionSlots(5, 3)
+    assert [places.acquire("x") for _ in range(4)] == [True, True, True, False]
+    assert [places.acquire("y") for _ in range(3)] == [True, True, False] and places.rejected == 2
+    places.release("x")
+    assert places.acquire("y") and not places.acquire("z")
     for source in ("x", "x", "y", "y", "y"):
-        places.leave(source)
-    assert not places.taken
+        places.release(source)
+    assert not places.used
--- a/tests/coordination/transport/test_room.py
+++ b/tests/coordination/transport/test_room.py
@@ -6,7 +6,7 @@
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.board import BEATS_AT_ONCE, DIALS_AT_ONCE
-from molereach.coordination.transport.budget import MOST_STEPS
+from molereach.coordination.transport.budget import MAX_STEPS
 from molereach.coordination.transport.queue import DOWN_ROOM
 from molereach.coordination.transport.settings import LinkSettings
 from molereach.coordination.transport.words import Bye
@@ -84,7 +84,7 @@
         await b.until(lambda: len(b.heard) == 5000)
         await spin(lambda: sum(between) == 5000)
         assert b.numbers == list(range(5000))
-        assert 0 < max(between) <= MOST_STEPS
+        assert 0 < max(between) <= MAX_STEPS
         assert max(waiting) <= BY_HAND.most_unhandled_bytes + (256 << 10)  # and what the loop reads at once
 
     run(job())
