--- a/molereach/coordination/node/parts.py
+++ b/molereach/coordination/node/parts.py
@@ -3,15 +3,15 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from molereach.coordination.dissemination import words as spread_words
-from molereach.coordination.dissemination.core import Spread
-from molereach.coordination.dissemination.settings import Settings as SpreadSettings
+from molereach.coordination.dissemination import messages as dissemination_types
+from molereach.coordination.dissemination.core import DisseminationTree
+from molereach.coordination.dissemination.settings import DisseminationSettings as SpreadSettings
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import StateMachine
 from molereach.coordination.leases.holder import LeaseHolder
 from molereach.coordination.leases.manager import LeaseManager
 from molereach.coordination.leases.sessions import SessionRegistry
-from molereach.coordination.membership import words as membership_words
+from molereach.coordination.membership import messages as membership_messages
 from molereach.coordination.membership.core import Membership
 from molereach.coordination.membership.settings import MembershipSettings
 from molereach.coordination.node.settings import CouncilSettings
@@ -23,9 +23,9 @@
 
 MEMBERSHIP, LOG, SPREAD = "membership", "log", "spread"
 WORDS: dict[str, Any] = {
-    MEMBERSHIP: membership_words.Message,
+    MEMBERSHIP: membership_messages.Message,
     LOG: log_words.Message,
-    SPREAD: spread_words.Message,
+    SPREAD: dissemination_types.Message,
 }
 
 
@@ -47,12 +47,12 @@
         self.sessions = SessionRegistry()
         on_log = {self.sessions.name: self.sessions, **machines}
         self.membership = Membership(
-            me, MembershipSettings(beat_us=beat_us, direct_us=beat_us * 2 // 5), draw
+            me, MembershipSettings(probe_interval_us=beat_us, ping_timeout_us=beat_us * 2 // 5), draw
         )
         self.log = LogCore(me, disk, recovered, panel, on_log, LogSettings(), draw, wall_ms)
         self.holder = LeaseHolder(me, self.sessions, settings.terms, draw, beat_us)
         self.keeper = LeaseManager(self.sessions, settings.terms, beat_us)
-        self.spread = Spread(me, SpreadSettings(beat_us=beat_us), draw)
+        self.spread = DisseminationTree(me, SpreadSettings(heartbeat_interval_us=beat_us), draw)
 
     @property
     def wake_us(self) -> int:
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -1,12 +1,12 @@
 """Council messages and records with fixed content: one of each type, built by the program's own types."""
 
-from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.dissemination import messages as dissemination_types
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.interface.sessions import RenewalGrant
 from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
-from molereach.coordination.membership import words as membership_words
+from molereach.coordination.membership import messages as membership_types
 from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
 from molereach.coordination.replicated_log import voters as log_panel
@@ -33,26 +33,26 @@
     )
 
 
-def membership_messages() -> dict[str, membership_words.Message]:
+def membership_messages() -> dict[str, membership_types.Message]:
     """Datagrams of the membership protocol, with every status in their rumours."""
     rumours = tuple(
-        membership_words.Rumour(
+        membership_types.Rumour(
             name=f"door-{status.name.lower()}",
-            number=5 + status,
+            instance_number=5 + status,
             incarnation=2 * status,
             status=status,
-            accuser="door-a" if status is membership_words.Status.SUSPECT else None,
+            accuser="door-a" if status is membership_types.MemberStatus.SUSPECT else None,
         )
-        for status in membership_words.Status
+        for status in membership_types.MemberStatus
     )
     return {
-        "ping": membership_words.Ping(seq=1, rumours=rumours),
-        "ping-without-rumours": membership_words.Ping(seq=0),
-        "ping-request": membership_words.PingReq(seq=2, name="door-c", number=9, rumours=rumours[:1]),
-        "ack": membership_words.Ack(seq=membership_words.MOST_SEQ, rumours=rumours[1:2]),
-        "nack": membership_words.Nack(seq=4, rumours=rumours[2:3]),
-        "sync": membership_words.Sync(rumours=rumours, answer=True),
-        "sync-reply": membership_words.Sync(rumours=rumours[:2]),
+        "ping": membership_types.Ping(seq=1, rumours=rumours),
+        "ping-without-rumours": membership_types.Ping(seq=0),
+        "ping-request": membership_types.PingReq(seq=2, name="door-c", number=9, rumours=rumours[:1]),
+        "ack": membership_types.Ack(seq=membership_types.MAX_SEQUENCE_NUMBER, rumours=rumours[1:2]),
+        "nack": membership_types.Nack(seq=4, rumours=rumours[2:3]),
+        "sync": membership_types.Sync(rumours=rumours, wants_reply=True),
+        "sync-reply": membership_types.Sync(rumours=rumours[:2]),
     }
 
 
@@ -246,24 +246,28 @@
     }
 
 
-def spread_messages() -> dict[str, spread_words.Message]:
+def spread_messages() -> dict[str, dissemination_types.Message]:
     """Messages along the dissemination tree."""
     return {
-        "up": spread_words.Up(applied=19, below=2, asks=tuple(session_asks().values())),
-        "up-without-asks": spread_words.Up(applied=0, below=1),
-        "down": spread_words.Down(
+        "up": dissemination_types.UpstreamReport(
+            applied_position=19, subtree_size=2, renewal_requests=tuple(session_asks().values())
+        ),
+        "up-without-asks": dissemination_types.UpstreamReport(applied_position=0, subtree_size=1),
+        "down": dissemination_types.DownstreamUpdate(
             ballot=3,
-            number=120,
+            heartbeat_number=120,
             leader=FIRST_DOOR.name,
             depth=1,
-            decided=19,
+            applied_position=19,
             entries=(entry(19),),
             grants=tuple(session_grants().values()),
         ),
-        "down-empty": spread_words.Down(ballot=3, number=121, leader="door-a", depth=0, decided=19),
-        "whom": spread_words.Whom(),
-        "redirect": spread_words.Redirect(parent="door-b", ballot=3, leader="door-a"),
-        "redirect-without-leader": spread_words.Redirect(parent="door-b", ballot=0),
+        "down-empty": dissemination_types.DownstreamUpdate(
+            ballot=3, heartbeat_number=121, leader="door-a", depth=0, applied_position=19
+        ),
+        "whom": dissemination_types.ParentRequest(),
+        "redirect": dissemination_types.Redirect(parent="door-b", ballot=3, leader="door-a"),
+        "redirect-without-leader": dissemination_types.Redirect(parent="door-b", ballot=0),
     }
 
 
