--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -1,89 +1,107 @@
-"""What leaves, and when: a word that rests on the disk leaves only once the disk has said so.
+"""What is sent, and when: a message that depends on the disk leaves only once the disk has synced.
 
-Words to this front door's own seat go the same way as those to others and come back in order, so its own vote
-counts no earlier than theirs. What does not fit any more is lost, as any word may be.
+Messages to this node's own voter go the same way as those to others and come back in order, so its own vote
+counts no earlier than theirs. What does not fit any more is lost, as any message may be.
 """
 
 from collections import deque
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.disk import Persist
 from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.replicated_log.messages import Message
 from molereach.coordination.replicated_log.records import Base, Record, encode
-from molereach.coordination.replicated_log.words import Message
 
-MOST_UNSYNCED = 1024  # writes under way: with more, a disk that hangs is given nothing new to vote for
-MOST_WAITING = 4096  # words that wait for the disk
+MAX_UNSYNCED_WRITES = 1024  # writes under way: beyond it, a disk that hangs gets nothing new to vote for
+MAX_WAITING_MESSAGES = 4096  # messages that wait for the disk
 
 
 @dataclass(frozen=True, slots=True)
-class Stopped:
+class LogStopped:
     """Action: the disk failed; nothing is promised, accepted or led here any more in this run."""
 
     reason: str
 
 
+class _WaitingMessage(NamedTuple):
+    """A message that may leave once the write `token` is synced."""
+
+    token: int
+    recipient: str
+    message: Message
+    instance_number: int | None
+
+
 class Outbox:
-    """Actions of one turn, in order, and words that wait for a write."""
+    """Actions of one turn, in order, and messages that wait for a write."""
 
-    def __init__(self, me: NodeInstance) -> None:
-        self.me = me
+    def __init__(self, instance: NodeInstance) -> None:
+        self.instance = instance
         self.actions: list[Any] = []
-        self.mine: deque[Message] = deque()  # to this front door itself
-        self.written, self.synced = 0, 0  # tokens
+        self.local_messages: deque[Message] = deque()  # to this node itself
+        self.written = 0  # the token of the last write
+        self.synced = 0  # the token of the last write that is on the disk
         self.failed = False
         self._records: list[bytes] = []
         self._base: bytes | None = None
-        self._new: list[tuple[str, Message, int | None]] = []
-        self._waiting: deque[tuple[int, str, Message, int | None]] = deque(maxlen=MOST_WAITING)
+        # The messages of this step, then those that wait for a write; beyond the bound the oldest are
+        # lost.
+        self._new: list[_WaitingMessage] = []
+        self._waiting: deque[_WaitingMessage] = deque(maxlen=MAX_WAITING_MESSAGES)
 
     @property
-    def able(self) -> bool:
+    def can_write(self) -> bool:
         """Whether the disk takes writes and is not far behind."""
-        return not self.failed and self.written - self.synced < MOST_UNSYNCED
+        return not self.failed and self.written - self.synced < MAX_UNSYNCED_WRITES
 
-    def act(self, action: object) -> None:
+    def emit(self, action: object) -> None:
+        """Add an action."""
         self.actions.append(action)
 
-    def say(self, to: str, message: Message, life: int | None = None) -> None:
-        """A word that rests on nothing."""
-        if to == self.me.name:
-            self.mine.append(message)
+    def send(self, to: str, message: Message, instance_number: int | None = None) -> None:
+        """Send a message that does not depend on the disk."""
+        if to == self.instance.name:
+            self.local_messages.append(message)
         else:
-            self.actions.append(SendMessage(to, message, life))
+            self.actions.append(SendMessage(to, message, instance_number))
 
-    def vote(self, to: str, message: Message, life: int | None = None) -> None:
-        """A word that rests on all that was written so far, also in this turn."""
+    def send_after_sync(self, to: str, message: Message, instance_number: int | None = None) -> None:
+        """Send a message once everything written so far, also in this step, is synced."""
         if not self.failed:
-            self._new.append((to, message, life))
+            self._new.append(_WaitingMessage(0, to, message, instance_number))
 
     def write(self, record: Record) -> None:
+        """Add a record to this step's write."""
         if not self.failed:
             self._records.append(encode(record))
 
-    def rebase(self, base: Base) -> None:
+    def write_base(self, base: Base) -> None:
         """Write this in place of all before."""
         if not self.failed:
-            self._base, self._records = encode(base), []
+            self._base = encode(base)
+            self._records = []
 
     def flush(self) -> None:
         """The end of a step: one write for all that it changed; then what may leave."""
         if self._records or self._base is not None:
             self.written += 1
-            self.act(Persist(self.written, tuple(self._records), self._base))
-            self._records, self._base = [], None
-        self._waiting.extend((self.written, *word) for word in self._new)
+            self.emit(Persist(self.written, tuple(self._records), self._base))
+            self._records = []
+            self._base = None
+        self._waiting.extend(each._replace(token=self.written) for each in self._new)
         self._new.clear()
         self.release()
 
     def release(self) -> None:
-        while self._waiting and self._waiting[0][0] <= self.synced:
-            _, to, message, life = self._waiting.popleft()
-            self.say(to, message, life)
+        """Send the messages whose writes have been synced."""
+        while self._waiting and self._waiting[0].token <= self.synced:
+            waiting = self._waiting.popleft()
+            self.send(waiting.recipient, waiting.message, waiting.instance_number)
 
     def persisted(self, token: int) -> None:
+        """Everything up to `token` is on the disk."""
         if not self.failed:
             self.synced = max(self.synced, min(token, self.written))
 
@@ -92,12 +110,15 @@
         if self.failed:
             return False
         self.failed = True
-        self._records, self._base = [], None
+        self._records = []
+        self._base = None
         self._new.clear()
         self._waiting.clear()
-        self.act(Stopped(reason[:200]))
+        self.emit(LogStopped(reason[:200]))
         return True
 
-    def taken(self) -> list[Any]:
-        actions, self.actions = self.actions, []
+    def take_actions(self) -> list[Any]:
+        """The actions so far, in order; they are handed out once."""
+        actions = self.actions
+        self.actions = []
         return actions
--- a/molereach/proxy/action_execution.py
+++ b/molereach/proxy/action_execution.py
@@ -5,7 +5,7 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
-from molereach.clients.resp import FAILED
+from molereach.clients.resp import REQUEST_FAILED
 from molereach.clock import now_us
 from molereach.policy.interface.actions import CancelAttempt, FailRequest, ForwardAttempt, Reject, WriteLog
 from molereach.policy.interface.events import (
@@ -90,7 +90,7 @@
 
     def fail(self, action: FailRequest) -> None:
         """Answer that the request failed."""
-        self.answer(action.request_id, FAILED)
+        self.answer(action.request_id, REQUEST_FAILED)
 
     def answer(self, request_id: str, data: bytes) -> None:
         """Answer a request, unless it has been answered."""
@@ -100,7 +100,7 @@
     def fail_and_forget(self, request_id: str) -> None:
         """Fail a request over a programming error, and have the policy forget it."""
         if request_id in self.requests.open:
-            self.answer(request_id, FAILED)
+            self.answer(request_id, REQUEST_FAILED)
             self.post(ClientDisconnected(request_id))
 
     def on_backstop(self, request_id: str) -> None:
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -83,7 +83,7 @@
                 while not door.driver.inbox:
                     await asyncio.sleep(0)
                 client.close()
-                door.client_gone(next(iter(door.requests.open.values())).reply)
+                door.on_client_disconnected(next(iter(door.requests.open.values())).reply)
                 await turns(9)
                 assert not held.waiting() and peer.pending() == b""
                 assert (
