--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -1,7 +1,7 @@
 """Messages between gateways: on customers' quotas, to and from their owners, and of the `LimitPolicy`.
 
 Amounts are in units. Names of fields are not on the wire: `molereach.protocol.gossip_codec` and
-`molereach.limits.messages` pack the values.
+`molereach.limits.gossip_codec` pack the values.
 """
 
 from dataclasses import dataclass
