--- a/molereach/proxy/action_execution.py
+++ b/molereach/proxy/action_execution.py
@@ -7,7 +7,14 @@
 from molereach.backends.pools import Backends
 from molereach.clients.resp import REQUEST_FAILED
 from molereach.clock import now_us
-from molereach.policy.interface.actions import CancelAttempt, FailRequest, ForwardAttempt, Reject, WriteLog
+from molereach.policy.interface.actions import (
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    ForwardAttempt,
+    Reject,
+    WriteLog,
+)
 from molereach.policy.interface.events import (
     AttemptEnded,
     AttemptResult,
@@ -109,6 +116,10 @@
             log.error("request %s was left without an answer", request_id)
             self.fail_and_forget(request_id)
 
+    def close_idle(self, action: CloseIdleConnections) -> None:
+        """Close the idle connections to a backend."""
+        self.backends.close_idle(action.endpoint)
+
     @staticmethod
     def write_log(action: WriteLog) -> None:
         """Write the policy's log line."""
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -103,7 +103,7 @@
             SetTimer: self.driver.set_timer,
             SendGossip: self.gossip.send,
             WriteLog: self.actions.write_log,
-            CloseIdleConnections: lambda action: self.backends.close_idle(action.server),
+            CloseIdleConnections: self.actions.close_idle,
             SubscribeToEndpoints: lambda action: None,
             FetchEndpoints: lambda action: None,  # the watch is always open
         }
