--- a/molereach/coordination/node/wiring.py
+++ b/molereach/coordination/node/wiring.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.dissemination import words as tree
+from molereach.coordination.dissemination import messages as tree
 from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -28,16 +28,16 @@
 from molereach.coordination.leases import messages as lease
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
 from molereach.coordination.leases.messages import LeasePhase
-from molereach.coordination.membership.events import Changed, Displaced, Doubts, Join
+from molereach.coordination.membership.events import Join, LocalHealthChanged, MemberStatusChanged, Superseded
 from molereach.coordination.membership.events import Leave as LeaveMembers
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, Parts
 from molereach.coordination.node.settings import CouncilSettings
-from molereach.coordination.replicated_log.core import CatchUp, Learn
+from molereach.coordination.replicated_log.core import CatchUp, EntriesLearned
 from molereach.coordination.replicated_log.learner import MachineFailed
-from molereach.coordination.replicated_log.outbox import Stopped
+from molereach.coordination.replicated_log.messages import Voters
+from molereach.coordination.replicated_log.outbox import LogStopped
 from molereach.coordination.replicated_log.records import Recovered
-from molereach.coordination.replicated_log.starts import SetBack
-from molereach.coordination.replicated_log.words import Panel
+from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 
 MOST_RECENT = 64  # entries that were just applied, handed to the tree at once
 
@@ -82,15 +82,15 @@
 
 Event = Begin | Leave | Tick | From | Persisted | DiskFailed | Propose
 Notice = (
-    Changed
-    | Doubts
+    MemberStatusChanged
+    | LocalHealthChanged
     | LeaderChanged
     | lease.LeaseAcquired
     | lease.LeaseLost
-    | Stopped
-    | SetBack
+    | LogStopped
+    | DiskRollbackDetected
     | MachineFailed
-    | tree.Parent
+    | tree.ParentChanged
 )
 Action = To | Persist | Applied | Restored | ProposalFinished | Left | Ended | Notice
 Route = Callable[["Council", int, Any], None]
@@ -105,7 +105,7 @@
         settings: CouncilSettings,
         disk: str,
         recovered: Recovered,
-        panel: Panel,
+        panel: Voters,
         machines: Mapping[str, StateMachine],
         draw: Callable[[], float],
         wall_ms: Callable[[int], int],
@@ -216,7 +216,7 @@
 
     def _grown(self, now_us: int) -> None:
         recent, self._recent = tuple(self._recent), []
-        self._run(SPREAD, self.parts.spread, now_us, tree.Grown(self.position, recent))
+        self._run(SPREAD, self.parts.spread, now_us, tree.LogAdvanced(self.position, recent))
 
     def _restored(self, now_us: int, action: Restored) -> None:
         self._out.append(action)
@@ -232,13 +232,13 @@
         self._run("holder", self.parts.holder, now_us, action)
         self._view(now_us)
 
-    def _changed(self, now_us: int, action: Changed) -> None:
+    def _changed(self, now_us: int, action: MemberStatusChanged) -> None:
         self._out.append(action)
         self._view(now_us)
 
     def _view(self, now_us: int) -> None:
-        seats = tuple(seat.name for seat in self.parts.log.panel)
-        view = tree.View(self.parts.membership.alive(), self.leader, self.ballot, seats)
+        seats = tuple(seat.name for seat in self.parts.log.voters)
+        view = tree.ClusterState(self.parts.membership.live_instances(), self.leader, self.ballot, seats)
         self._run(SPREAD, self.parts.spread, now_us, view)
 
     def _over(self, now_us: int, action: ProposalFinished) -> None:
@@ -261,8 +261,8 @@
             self.ended = "a later run of this front door has a session"
             self._out.append(Ended(self.ended))
 
-    def _displaced(self, now_us: int, action: Displaced) -> None:
-        self.ended = f"a later run goes by this front door's name: {action.life.number}"
+    def _displaced(self, now_us: int, action: Superseded) -> None:
+        self.ended = f"a later run goes by this front door's name: {action.instance.number}"
         self._out.append(Ended(self.ended))
 
 
@@ -275,26 +275,26 @@
 
 
 def _mine(self: Council, now_us: int, action: RenewalRequest) -> None:
-    self._run(SPREAD, self.parts.spread, now_us, tree.Mine(action))
+    self._run(SPREAD, self.parts.spread, now_us, tree.RenewalWanted(action))
 
 
-def _gathered(self: Council, now_us: int, action: tree.Gathered) -> None:
-    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.asks))
+def _gathered(self: Council, now_us: int, action: tree.RequestsCollected) -> None:
+    self._run("keeper", self.parts.keeper, now_us, lease.RenewalsReceived(action.requests))
 
 
 def _given(self: Council, now_us: int, action: lease.SendGrants) -> None:
-    self._run(SPREAD, self.parts.spread, now_us, tree.Give(action.grants))
+    self._run(SPREAD, self.parts.spread, now_us, tree.GrantsIssued(action.grants))
 
 
-def _granted(self: Council, now_us: int, action: tree.Granted) -> None:
+def _granted(self: Council, now_us: int, action: tree.LocalGrants) -> None:
     self._run("holder", self.parts.holder, now_us, lease.GrantsReceived(action.grants))
 
 
-def _learn(self: Council, now_us: int, action: tree.Learn) -> None:
-    self._run(LOG, self.parts.log, now_us, Learn(action.entries))
+def _learn(self: Council, now_us: int, action: tree.EntriesReceived) -> None:
+    self._run(LOG, self.parts.log, now_us, EntriesLearned(action.entries))
 
 
-def _fetch(self: Council, now_us: int, action: tree.Fetch) -> None:
+def _fetch(self: Council, now_us: int, action: tree.FetchEntries) -> None:
     self._run(LOG, self.parts.log, now_us, CatchUp(action.source))
 
 
@@ -302,8 +302,8 @@
     Applied: Council._applied,
     Restored: Council._restored,
     LeaderChanged: Council._leads,
-    Changed: Council._changed,
-    Displaced: Council._displaced,
+    MemberStatusChanged: Council._changed,
+    Superseded: Council._displaced,
     ProposalFinished: Council._over,
     lease.LeaseLost: Council._lost,
     Propose: _to_log,
@@ -311,8 +311,8 @@
     LeadershipConfirmed: _to_keeper,
     RenewalRequest: _mine,
     lease.SendGrants: _given,
-    tree.Gathered: _gathered,
-    tree.Granted: _granted,
-    tree.Learn: _learn,
-    tree.Fetch: _fetch,
+    tree.RequestsCollected: _gathered,
+    tree.LocalGrants: _granted,
+    tree.EntriesReceived: _learn,
+    tree.FetchEntries: _fetch,
 }
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -135,9 +135,9 @@
         self.notification_scheduled = False
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.orders_received = asyncio.Event()
-        if proxy.saved_list:
-            self.overlay.on_endpoint_list(proxy.saved_list.event)
-        proxy.overlay = self.overlay.on_endpoint_list
+        if proxy.endpoints.saved_list:
+            self.overlay.on_endpoint_list(proxy.endpoints.saved_list.event)
+        proxy.endpoints.overlay = self.overlay.on_endpoint_list
         self.handlers: dict[str, Callable[[wire.Request, ControlConnection], wire.Response]] = {
             "state": self.on_state,
             "members": self.on_members,
@@ -228,18 +228,18 @@
             proxy.config.name,
             os.getpid(),
             round((now_us() - self.started_us) / 1e6, 3),
-            proxy.clients.held,
+            proxy.clients.is_paused,
             self.order_state.revision,
             self.overlay.version,
             len(proxy.clients.connections),
-            len(proxy.open_requests),
+            len(proxy.requests.open),
         )
 
     def on_members(self, request: wire.Request, _: ControlConnection) -> wire.Response:
         """Handle `members`: the servers, and the attempts in flight at each."""
         in_flight = Counter(
             attempt.server
-            for exchange in (*self.proxy.open_requests.values(), *self.proxy.answered_requests.values())
+            for exchange in (*self.proxy.requests.open.values(), *self.proxy.requests.answered.values())
             for attempt in exchange.in_flight.values()
         )
         buildings = {number: name for name, number in self.proxy.config.zone_numbers.items()}
@@ -266,9 +266,9 @@
             "asks": self.request_count,
             "connections_refused": self.rejected_connections,
             "clients": len(self.proxy.clients.connections),
-            "open_requests": len(self.proxy.open_requests),
+            "open_requests": len(self.proxy.requests.open),
             "backend_connections": self.proxy.backends.open_connections,
-            "held_bytes": self.proxy.open_bytes,
+            "held_bytes": self.proxy.requests.open_bytes,
         }
         for read_counters in self.proxy.counter_sources:
             counters |= read_counters()
@@ -321,8 +321,10 @@
         now_ms = self.unix_ms()
         drained = self.order_state.active_subjects(Verb.DRAIN, now_ms)
         if changes := self.overlay.on_drained_servers(drained):
-            self.proxy.publish(changes, {})
-        self.proxy.clients.hold(self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, now_ms))
+            self.proxy.endpoints.publish(changes, {})
+        self.proxy.clients.set_paused(
+            self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, now_ms)
+        )
         if not self.notification_scheduled:
             self.notification_scheduled = True
             self.proxy.loop.call_later(NOTIFICATION_DELAY_S, self.notify_watchers)
@@ -332,7 +334,7 @@
         before = len(self.order_state.in_force)
         self.order_state.remove_lapsed(self.unix_ms())
         on_hold = self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, self.unix_ms())
-        if len(self.order_state.in_force) != before or on_hold != self.proxy.clients.held:
+        if len(self.order_state.in_force) != before or on_hold != self.proxy.clients.is_paused:
             self.apply_orders()
         self.expiry_timer = self.proxy.loop.call_later(EXPIRY_INTERVAL_S, self.expire_orders)
 
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -7,26 +7,26 @@
 
 import msgspec
 
-from molereach.coordination.dissemination import words as spread_words
+from molereach.coordination.dissemination import messages as dissemination_types
 from molereach.coordination.interface.sessions import RenewalGrant
 from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
-from molereach.coordination.membership import words as membership_words
+from molereach.coordination.membership import messages as membership_types
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
-from molereach.coordination.replicated_log import panel as log_panel
+from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
-from molereach.coordination.replicated_log import words as log_words
+from molereach.coordination.replicated_log import voters as log_panel
 from molereach.coordination.transport import hello as link_hello
 from molereach.coordination.transport import words as link_words
 from tests.compatibility import council_samples as samples
 
 RECORD_TYPES = (
-    log_records.Started
-    | log_records.Wrote
-    | log_records.Promised
-    | log_records.Voted
-    | log_records.Raised
-    | log_records.Decided
+    log_records.DiskStarted
+    | log_records.RunRecorded
+    | log_records.BallotPromised
+    | log_records.BatchAccepted
+    | log_records.StateAdopted
+    | log_records.EntriesDecided
 )
 HANDSHAKE_TYPES = link_hello.Greeting | link_hello.Hello | link_hello.Welcome | link_hello.Refused
 
@@ -74,9 +74,9 @@
     return Family(
         "membership_messages",
         samples.membership_messages(),
-        get_args(membership_words.Message),
-        membership_words.encode,
-        membership_words.decode,
+        get_args(membership_types.Message),
+        membership_types.encode,
+        membership_types.decode,
     )
 
 
@@ -106,9 +106,9 @@
     membership_family(),
     panel_family(),
     lease_family(),
-    link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_words.Message),
+    link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_types.Message),
     link_family("link_log", LOG, samples.log_messages(), log_words.Message),
-    link_family("link_spread", SPREAD, samples.spread_messages(), spread_words.Message),
+    link_family("link_spread", SPREAD, samples.spread_messages(), dissemination_types.Message),
     link_family("link_own", link_words.OWN, samples.link_own_messages(), link_words.Beat | link_words.Bye),
     binary_family("handshake", samples.handshake_messages(), HANDSHAKE_TYPES),
     binary_family("log_records", samples.log_record_samples(), RECORD_TYPES),
--- a/tests/coordination/dissemination/test_steady.py
+++ b/tests/coordination/dissemination/test_steady.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from molereach.coordination.dissemination.settings import Settings
+from molereach.coordination.dissemination.settings import DisseminationSettings
 from tests.coordination.dissemination.world import BEAT, World
 
-FAN = Settings().fan
+FAN = DisseminationSettings().fanout
 
 
 @pytest.mark.parametrize(("count", "depth"), [(3, 1), (9, 1), (50, 2), (200, 3)])
 @pytest.mark.parametrize("delay_us", [500, 20_000])
-def test_words_links_and_bytes_do_not_grow(count: int, depth: int, delay_us: int) -> None:
+def test_messages_connections_and_bytes_do_not_grow(count: int, depth: int, delay_us: int) -> None:
     world = World(count, delay_us=delay_us)
     world.start()
     world.said.clear()
@@ -38,7 +38,7 @@
     assert not world.fetches
 
 
-def test_entries_in_a_burst_reach_all_within_a_beat_of_the_last() -> None:
+def test_burst_of_entries_reaches_all_within_an_interval_of_the_last() -> None:
     world = World(50)
     world.start()
     for _ in range(30):
@@ -49,7 +49,7 @@
     assert world.fetches  # by the log, as they are not at hand
 
 
-def test_a_late_door_is_told_or_catches_up() -> None:
+def test_late_proxy_gets_entries_or_catches_up() -> None:
     world = World(9)
     world.start()
     away = "door-005"
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from molereach.clients import listener
+from molereach.clients import connection_state, listener
 from molereach.clients import resp as clients
-from molereach.clients.listener import State
+from molereach.clients.connection_state import State
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
 from tests.races.wire import Peer, turns, until
@@ -22,7 +22,7 @@
 @pytest.fixture
 def short(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "SWEEP_S", 0.01)
-    monkeypatch.setitem(listener.WAITS_US, State.CLOSING, LINGER_US)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOSING, LINGER_US)
 
 
 def crossed_by(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
@@ -63,7 +63,7 @@
             assert await peer.hear_all() == (b"" if hear else b"$2\r\nok\r\n")
             assert len(backend.commands) == 1 and has_unread(connection.transport)
             peer.close()
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
             assert len(backend.commands) == 1 and door.clients.sockets == 0
 
     run(job())
@@ -84,7 +84,7 @@
                 assert await peer.hear_all() == b""
                 if sends:
                     peer.say(query("a2"))
-                assert await door.clients.left(10)
+                assert await door.clients.wait_closed(10)
             assert len(backend.commands) == 2 and door.clients.sockets == 0
 
     run(job())
@@ -130,7 +130,7 @@
             await until(lambda: len(door.clients.connections) == 1)
             (connection,) = door.clients.connections
             peer.say(query("a1"))
-            connection.overdue()
+            connection.on_timeout()
             assert await peer.hear_until(b"\r\n") == b"$2\r\nok\r\n"
 
     run(job())
@@ -150,8 +150,8 @@
             heard = await peer.hear_until(b"\r\n")
             peer.say(more)
             await turns(10)
-            connection.overdue()  # its time to read the answer is over
-            assert await door.clients.left(10)
+            connection.on_timeout()  # its time to read the answer is over
+            assert await door.clients.wait_closed(10)
             assert peer.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset came
             assert heard + await peer.hear_all() == b"-ERR Protocol error: expected '*'\r\n"
             assert backend.commands == []
@@ -172,8 +172,8 @@
                     await asyncio.get_running_loop().sock_sendall(peer.socket, b"x" * 65536)
 
             flooding = asyncio.create_task(flood())
-            assert await door.clients.left(10)
-            assert connection.discarded <= clients.DISCARD_BYTES + listener.READ_BYTES
+            assert await door.clients.wait_closed(10)
+            assert connection.discarded_bytes <= clients.MAX_DISCARDED_BYTES + listener.READ_BYTES
             assert not connection.reader.buffer[64:]
             await asyncio.wait([flooding])
 
@@ -184,7 +184,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connection is closing, and its answers were not read for a while: then they are, and it goes on."""
-    monkeypatch.setitem(listener.WAITS_US, State.CLOGGED, 0)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOGGED, 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -214,7 +214,7 @@
     monkeypatch: pytest.MonkeyPatch, short: None
 ) -> None:
     """A transport that closes waits without end for what the kernel does not take."""
-    monkeypatch.setitem(listener.WAITS_US, State.CLOGGED, LINGER_US)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOGGED, LINGER_US)
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
@@ -226,7 +226,7 @@
                     connection.transport.write(b"x" * 10_000)
                 connection.close()
                 assert connection.state is State.CLOGGED
-                assert await door.clients.left(10)
+                assert await door.clients.wait_closed(10)
                 assert door.clients.sockets == 0
 
     run(job())
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -44,7 +44,7 @@
 
 async def taken(door: Proxy, peer: Peer, data: bytes, count: int) -> None:
     peer.say(data)
-    await until(lambda: len(door.open_requests) == count)
+    await until(lambda: len(door.requests.open) == count)
 
 
 @GOES
@@ -58,7 +58,7 @@
             await taken(door, peer, query("a1"), 1)
             go(peer)
             await until(lambda: gone(told) == ["a1"])
-            assert not door.open_requests and door.open_bytes == 0
+            assert not door.requests.open and door.requests.open_bytes == 0
 
     run(job())
 
@@ -75,7 +75,7 @@
                 go(peer)
                 await until(lambda: gone(told) == ["a1"])
                 dials.let_go()
-                await until(lambda: not door.answered_requests)
+                await until(lambda: not door.requests.answered)
                 await turns(10)
             assert backend.commands == []
 
@@ -90,14 +90,14 @@
 @pytest.mark.parametrize("behind", [b"", b"*4\r\n$9\r\nSVC.", small(40)[: READ_BYTES // 2]])
 def test_client_that_goes_with_as_many_open_as_may_be(go: Callable[[Peer], None], behind: bytes) -> None:
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most) + behind.replace(b"$2\r\na", b"$2\r\nb"), most)
             await turns()
             go(peer)
             await until(lambda: len(gone(told)) == most)
-            assert not door.open_requests
+            assert not door.requests.open
 
     run(job())
 
@@ -107,28 +107,28 @@
     monkeypatch: pytest.MonkeyPatch, go: Callable[[Peer], None]
 ) -> None:
     """Its end stands behind bytes that stay unread: it is looked for."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
-        most = clients.MOST_PIPELINED
+        most = clients.MAX_PIPELINED
         async with front_door(Backend(lambda words: None)) as (door, address):
             told, peer = events(door), Peer.dial(address)
             await taken(door, peer, small(most), most)
             (connection,) = door.clients.connections
             peer.say(submit("b1", body=b"x" * 60_000))
-            await until(lambda: not connection.reading)
+            await until(lambda: not connection.is_reading)
             assert READ_BYTES <= len(connection.reader.buffer) < 3 * READ_BYTES
             go(peer)
             await until(lambda: len(gone(told)) == most)
             await until(lambda: not door.clients.connections)
-            assert not door.clients.ends.watched
+            assert not door.clients.disconnect_watch.watched
 
     run(job())
 
 
 def test_client_that_goes_while_it_reads_no_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clogged: what it sent behind is not taken, and its end, which stands behind that, is seen."""
-    monkeypatch.setattr(disconnect_watch, "LOOK_S", 0.01)
+    monkeypatch.setattr(disconnect_watch, "POLL_INTERVAL_S", 0.01)
 
     async def job() -> None:
         body = b"x" * 65_000
@@ -139,7 +139,7 @@
             (connection,) = door.clients.connections
             connection.pause_writing()
             peer.say(resp("PING") * 5000)
-            await until(lambda: not connection.reading)
+            await until(lambda: not connection.is_reading)
             peer.finish()
             await until(lambda: gone(told) == ["b1"])
 
@@ -163,7 +163,7 @@
 def test_half_close_with_answers_unread_is_noticed_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The transport would wait for the last byte to be read before it says that the connection is lost."""
     monkeypatch.setattr("molereach.clients.listener.SWEEP_S", 0.01)
-    monkeypatch.setitem(clients.WAITS_US, clients.State.CLOGGED, 50_000)
+    monkeypatch.setitem(clients.TIMEOUTS_US, clients.State.CLOGGED, 50_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -177,10 +177,10 @@
             # Bytes that the kernel does not take, below the mark at which writing is paused.
             while not connection.transport.get_write_buffer_size():
                 connection.transport.write(b"x" * 10_000)
-            assert not connection.clogged
+            assert not connection.is_write_blocked
             peer.finish()
             await until(lambda: gone(told) == ["a1"])
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
             assert door.clients.sockets == 0
 
     run(job())
@@ -200,7 +200,7 @@
             assert await client.ask(resp("PING")) == b"PONG"
             await until(lambda: len(door.clients.connections) == 1)
             assert backend.commands == [] and backend.opened == 0
-            assert not door.open_requests and not door.answered_requests
+            assert not door.requests.open and not door.requests.answered
 
     run(job())
 
@@ -217,7 +217,7 @@
             peer.say(query("a2"))
             peer.finish()
             await until(lambda: gone(told) == ["a2"])
-            await until(lambda: not door.answered_requests)
+            await until(lambda: not door.requests.answered)
             assert await peer.hear_all() == b""
 
     run(job())
@@ -233,7 +233,7 @@
             await taken(door, peer, resp("SVC.QUERY", CUSTOMER, "a1", fields), 1)
             peer.close()
             await until(lambda: gone(told) == ["a1"])
-            assert not door.open_requests
+            assert not door.requests.open
 
     run(job())
 
@@ -247,6 +247,6 @@
             peer.say(resp("PING"))
             peer.finish()
             assert await peer.hear_all() == b"+PONG\r\n"
-            assert await door.clients.left(10)
+            assert await door.clients.wait_closed(10)
 
     run(job())
