--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -29,7 +29,7 @@
 from tests.sockets import HOST, Backend, front_door, run
 
 ORDER = Order("o1", Verb.DRAIN, "s0", "duty", "why", 0)
-BOOK = OrderStateRecord(1, (Decided(1, ORDER),), (Decided(1, ORDER),))
+RECORD = OrderStateRecord(1, (Decided(1, ORDER),), (Decided(1, ORDER),))
 GOOD = msgspec.json.encode(Prepare(1, Ballot(1, "t")))
 CALLS: list[tuple[str, str, bytes | None, str]] = [
     *[
@@ -91,7 +91,7 @@
                     answers.append((found.status_code, same(found.content)))
         return answers
 
-    async def job() -> None:
+    async def scenario() -> None:
         first, second = await ask(False), await ask(True)
         assert first == second
         assert [status for status, _ in first] == EXPECTED
@@ -99,10 +99,10 @@
         assert all(isinstance(body, dict) and set(body) == {"error"} for body in errors)
         assert first[-1][1]["in_force"][0]["order"]["id"] == "o1"  # type: ignore[index]
 
-    run(job())
+    run(scenario())
 
 
-def test_description_is_what_the_code_does(tmp_path: Path) -> None:
+def test_description_matches_the_code(tmp_path: Path) -> None:
     text = Path(openapi.__file__).with_name("openapi.json").read_text()
     assert text == openapi.text()
     paths: dict[str, Any] = json.loads(text)["paths"]
@@ -111,7 +111,7 @@
     routes = {route.path: route.methods - {"HEAD"} for route in found}  # type: ignore[attr-defined]
     assert {path: {method.upper() for method in calls} for path, calls in paths.items()} == routes
 
-    async def job() -> None:
+    async def scenario() -> None:
         kinds = {openapi.published_name(kind.__name__): kind for kind in (*openapi.BODIES, *openapi.MESSAGES)}
         async with serving(agent) as url, client(url) as session:
             for path, calls in paths.items():
@@ -125,12 +125,12 @@
                     shape: Any = kind if "$ref" in schema else list[kind]  # type: ignore[valid-type]
                     msgspec.json.decode(found.content, type=shape)
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("http2", [False, True])
 @pytest.mark.parametrize("told", [False, True])
-def test_body_of_100_mb_is_refused_before_it_is_read(tmp_path: Path, http2: bool, told: bool) -> None:
+def test_body_of_100_mb_is_rejected_before_it_is_read(tmp_path: Path, http2: bool, told: bool) -> None:
     sent = 0
 
     async def body() -> AsyncIterator[bytes]:
@@ -139,7 +139,7 @@
             sent += 1 << 16
             yield b"x" * (1 << 16)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with serving(made(tmp_path)) as url, client(url, http2=http2) as session:
             headers = {"content-length": str(1600 << 16)} if told else {}
             try:
@@ -151,11 +151,13 @@
             async with client(url) as another:
                 assert (await another.get("/v1/status")).status_code == 200
 
-    run(job())
+    run(scenario())
 
 
-def test_no_reply_leaves_before_it_is_on_the_disk(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def job() -> None:
+def test_no_reply_is_sent_before_the_journal_is_on_the_disk(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         async with serving(agent) as url, client(url) as session:
             replies = await session.post("/v1/agreement", content=GOOD)
@@ -174,11 +176,11 @@
             assert (await session.get("/v1/status")).json()["journal"].startswith("j: No space")
             assert agent.journal.load() == state
 
-    run(job())
+    run(scenario())
 
 
-def test_agent_starts_again_with_what_it_had(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_agent_restarts_with_its_stored_state(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with serving(made(tmp_path)) as url, client(url) as session:
             for message in (Prepare(1, Ballot(4, "t")), Accept(1, Ballot(4, "t"), ORDER)):
                 await session.post("/v1/agreement", content=msgspec.json.encode(message))
@@ -192,13 +194,13 @@
             replies = (await session.post("/v1/agreement", content=message)).content
             assert msgspec.json.decode(replies, type=list[Accepted]) == [Accepted(1, Ballot(9, "u"))]
 
-    run(job())
+    run(scenario())
 
 
-def test_front_doors_are_found_told_and_remembered(tmp_path: Path) -> None:
+def test_proxies_are_discovered_sent_orders_and_remembered(tmp_path: Path) -> None:
     """A front door that starts anew has the orders before it is said to be up; one may end in order."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         async with front_door(Backend()) as (door, _), serving(agent):
             first = Control(door, tmp_path / "sockets" / "n0.sock")
@@ -217,8 +219,8 @@
             first.close()  # as a kill, if its socket stays
             (tmp_path / "sockets" / "n0.sock").touch()
             await until(lambda: agent.status().proxies[0].reachability == "gone")
-            seen = agent.status().proxies[0]
-            assert seen.revision == 1 and seen.reported_ago_ms is not None and seen.reason
+            status = agent.status().proxies[0]
+            assert status.revision == 1 and status.reported_ago_ms is not None and status.reason
             (tmp_path / "sockets" / "n0.sock").unlink()
             second = Control(door, tmp_path / "sockets" / "n0.sock")
             await second.start()
@@ -227,11 +229,11 @@
             second.close()
             await until(lambda: agent.status().proxies[0].reachability == "ended")
 
-    run(job())
+    run(scenario())
 
 
-def test_front_door_that_says_nothing_and_one_with_another_name_are_named(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_silent_proxy_and_one_with_another_name_are_reported(tmp_path: Path) -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         writers: list[asyncio.StreamWriter] = []
 
@@ -244,11 +246,11 @@
             await control.start()
             stopped = await asyncio.start_unix_server(say_nothing, str(tmp_path / "sockets" / "n1.sock"))
 
-            def reach() -> dict[str, str]:
+            def reachability() -> dict[str, str]:
                 return {one.name: one.reason for one in agent.status().proxies}
 
-            await until(lambda: "n0" in reach().get("n9", ""))
-            await until(lambda: "says nothing" in reach().get("n1", ""))
+            await until(lambda: "n0" in reachability().get("n9", ""))
+            await until(lambda: "says nothing" in reachability().get("n1", ""))
             members = await agent.members()
             assert "no answer within" in members.missing["n1"]
             await agent.handle_message(Known((Decided(1, ORDER),)))
@@ -258,11 +260,11 @@
             for writer in writers:
                 writer.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_agent_learns_from_peers_before_it_speaks_for_the_fleet(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_agent_syncs_with_peers_before_it_sends_orders(tmp_path: Path) -> None:
+    async def scenario() -> None:
         answers: dict[str, OrderStateRecord | OSError | None] = {
             "a1": OSError("cut off"),
             "a2": OSError("cut off"),
@@ -279,28 +281,28 @@
             await control.start()
             await until(lambda: bool(agent.links))
             assert not control.orders_received.is_set() and not agent.status().synced
-            answers["a2"] = BOOK  # now a majority is heard
+            answers["a2"] = RECORD  # now a majority is heard
             await until(lambda: control.orders_received.is_set())
             assert control.order_state.revision == 1 and agent.status().synced
             control.close()
         again = Journal(tmp_path / "a0.journal", "a0")
-        assert again.load().order_state == BOOK
+        assert again.load().order_state == RECORD
         again.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_agent_alone_goes_on_after_a_time_and_says_so(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_agent_without_majority_goes_on_after_a_time_and_logs_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
         agent = made(tmp_path, fleet=("a0", "a1", "a2"))
         async with serving(agent):
             await until(lambda: agent.roster.ready)
             assert agent.alone and not agent.status().synced
 
-    run(job())
+    run(scenario())
 
 
-def test_watcher_hears_events_and_one_that_does_not_read_misses_some(
+def test_watcher_gets_events_and_one_that_does_not_read_misses_some(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow = Watcher()
@@ -309,7 +311,7 @@
     assert slow.missed == 7 and slow.queue.qsize() == MAX_QUEUED_EVENTS
     monkeypatch.setattr(api, "MAX_WATCHERS", 1)
 
-    async def job() -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         async with serving(agent) as url:
             async with client(url, READ) as session, session.stream("GET", "/v1/watch") as stream:
@@ -324,11 +326,11 @@
                 assert "3 events" in events[0].text and events[1].subject == "o1"
             await until(lambda: not agent.watchers)
 
-    run(job())
+    run(scenario())
 
 
-def test_call_refused_before_its_body_came_does_not_end_the_connection(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_call_rejected_before_its_body_arrived_does_not_end_the_connection(tmp_path: Path) -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         async with (
             serving(agent) as url,
@@ -342,32 +344,32 @@
             await agent.handle_message(Known((Decided(1, ORDER),)))
             assert msgspec.json.decode(await anext(lines), type=Event).subject == "o1"
 
-    run(job())
+    run(scenario())
 
 
-def test_calls_under_way_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_concurrent_calls_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(api, "MAX_CONCURRENT_CALLS", 0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with serving(made(tmp_path)) as url, client(url) as session:
             found = await session.get("/v1/status")
             assert found.status_code == 503 and found.headers["retry-after"] == "1"
 
-    run(job())
+    run(scenario())
 
 
 def test_fault_in_a_call_is_one_line_to_the_client(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         agent = made(tmp_path)
         monkeypatch.setattr(agent, "status", lambda: 1 // 0)
         async with serving(agent) as url, client(url) as session:
             found = await session.get("/v1/status")
             assert (found.status_code, found.json()) == (500, {"error": "internal error"})
 
-    run(job())
+    run(scenario())
 
 
-def test_tls_takes_only_clients_of_its_own(tmp_path: Path) -> None:
+def test_tls_accepts_only_clients_with_a_certificate_of_its_ca(tmp_path: Path) -> None:
     authority, stranger = trustme.CA(), trustme.CA()
     server = authority.issue_cert(HOST)
     server.private_key_and_cert_chain_pem.write_to_path(tmp_path / "server.pem")
@@ -381,7 +383,7 @@
             issuer.issue_cert("tool@fleet").configure_cert(made_context)
         return made_context
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with serving(made(tmp_path), tls, tmp_path) as url:
             async with httpx.AsyncClient(base_url=url, verify=context(authority), http2=True) as session:
                 headers = {"authorization": f"Bearer {READ}"}
@@ -393,7 +395,7 @@
                     with pytest.raises(httpx.HTTPError):
                         await session.get("/v1/status", headers=headers)
 
-    run(job())
+    run(scenario())
 
 
 def test_ready_servers_are_up_wherever_they_are_listed() -> None:
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_agreement.py
@@ -102,7 +102,7 @@
             assert agent.order_state.latest_for("s1") == winner and agent.order_state.revision == 1
 
 
-def test_tool_killed_at_any_point_leaves_one_order_that_the_next_finishes() -> None:
+def test_order_of_a_killed_tool_is_completed_by_the_next_one() -> None:
     for seed in range(300):
         first = Proposer("t1", AGENTS, order("drain"), 1)
         fleet = Fleet(seed, 0.1, [first])
@@ -172,7 +172,7 @@
     ]
 
 
-def test_what_is_decided_is_told_and_what_is_missing_is_asked_for() -> None:
+def test_decided_orders_are_sent_and_missing_ones_requested() -> None:
     agent = Acceptor()
     agent.handle(Known((Decided(1, order("x")), Decided(2, order("y")))))
     ballot = Ballot(1, "t1")
@@ -213,7 +213,7 @@
     assert tool.handle("a3", Promise(1, tool.ballot)) == [Accept(1, tool.ballot, order("y"))]
 
 
-def test_ballot_goes_above_whatever_was_heard_of() -> None:
+def test_ballot_is_above_all_received_ones() -> None:
     tool = Proposer("t1", AGENTS, order("x"), 1)
     tool.begin()
     tool.handle("a1", Outbid(1, tool.ballot, Ballot(77, "t2")))
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -21,7 +21,7 @@
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import Proxy
 from tests.sockets import CUSTOMER, HOST, Backend, Client, catalog, entry, front_door, query, refusing_address
-from tests.sockets import run as run_job
+from tests.sockets import run as run_scenario
 from tests.test_program import ROOT, SETTINGS, config, write
 
 
@@ -56,7 +56,7 @@
     return Decided(revision, Order(f"o{revision}", Verb(verb), subject, "duty", "why", 0, **more))
 
 
-def book(*decided: Decided) -> OrderStateRecord:
+def record_of(*decided: Decided) -> OrderStateRecord:
     """What an agent puts that has these orders."""
     made = OrderState()
     for one in decided:
@@ -115,10 +115,10 @@
         await asyncio.sleep(0.01)
 
 
-def test_program_carries_out_orders_that_came_before_its_first_request(tmp_path: Path) -> None:
+def test_program_applies_orders_received_before_its_first_request(tmp_path: Path) -> None:
     """A drain that was given while it was away holds before it listens; an undrain ends it."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         backends = [Backend(), Backend()]
         process, address = await started(tmp_path, backends, wait_s=30.0)
         assert isinstance(process, asyncio.subprocess.Process) and isinstance(address, tuple)
@@ -126,7 +126,7 @@
             agent = await opened(tmp_path / "n0.sock")
             with pytest.raises(OSError):
                 await Client.open(address)  # it does not listen yet
-            put = await agent.ask("put", order_state=book(order(1, "drain", "s0")))
+            put = await agent.ask("put", order_state=record_of(order(1, "drain", "s0")))
             assert put.state and put.state.revision == 1
             await until_line(process, b"serves at")
             client = await Client.open(address)
@@ -140,7 +140,9 @@
             }
             await agent.ask(
                 "put",
-                order_state=book(order(1, "drain", "s0"), order(2, "undrain", "s0"), order(3, "drain", "s1")),
+                order_state=record_of(
+                    order(1, "drain", "s0"), order(2, "undrain", "s0"), order(3, "drain", "s1")
+                ),
             )
             for number in range(20, 40):
                 assert await client.ask(query(f"a{number}")) == b"ok"
@@ -152,14 +154,14 @@
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
 
-    run_job(job())
+    run_scenario(scenario())
 
 
-def test_list_that_comes_after_a_drain_is_seen_with_it(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_endpoint_list_received_after_a_drain_includes_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
         backend = Backend()
         async with controlled(tmp_path / "s", backend) as (door, address, agent, _):
-            await agent.ask("put", order_state=book(order(1, "drain", "s9")))
+            await agent.ask("put", order_state=record_of(order(1, "drain", "s9")))
             there = backend.server.sockets[0].getsockname()
             servers = tuple(Endpoint(name, 0, 0, 0, EndpointState.UP) for name in ("s8", "s9"))
             door.endpoints.on_update(
@@ -175,49 +177,51 @@
             state = (await agent.ask("state")).state
             assert state and state.list_version == 9
 
-    run_job(job())
+    run_scenario(scenario())
 
 
 def test_hold_takes_no_new_clients_and_keeps_those_it_has(tmp_path: Path) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (door, address, agent, _):
             client = await Client.open(address)
             assert await client.ask(query("a1")) == b"ok"
-            held = await agent.ask("put", order_state=book(order(1, "hold", "n0"), order(2, "hold", "n7")))
-            assert held.state and held.state.on_hold
+            on_hold = await agent.ask(
+                "put", order_state=record_of(order(1, "hold", "n0"), order(2, "hold", "n7"))
+            )
+            assert on_hold.state and on_hold.state.on_hold
             with pytest.raises(OSError):
                 await Client.open(address)
             assert await client.ask(query("a2")) == b"ok"
-            released = book(order(1, "hold", "n0"), order(2, "hold", "n7"), order(3, "release", "n0"))
+            released = record_of(order(1, "hold", "n0"), order(2, "hold", "n7"), order(3, "release", "n0"))
             await agent.ask("put", order_state=released)
             assert not door.clients.is_paused
-            for older in (book(order(1, "hold", "n0")), book(), None):  # it never goes back
+            for older in (record_of(order(1, "hold", "n0")), record_of(), None):  # it never goes back
                 state = (await agent.ask("put", order_state=older)).state
                 assert state and state.revision == 3 and not door.clients.is_paused
             assert await (await Client.open(address)).ask(query("a3")) == b"ok"
 
-    run_job(job())
+    run_scenario(scenario())
 
 
 def test_order_lapses_by_itself(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control, "EXPIRY_INTERVAL_S", 0.01)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (door, address, agent, made):
             lapses = made.unix_ms() + 200
-            await agent.ask("put", order_state=book(order(1, "hold", "n0", lapses_ms=lapses)))
+            await agent.ask("put", order_state=record_of(order(1, "hold", "n0", lapses_ms=lapses)))
             assert door.clients.is_paused
             while door.clients.is_paused:
                 await asyncio.sleep(0.01)
             assert made.unix_ms() >= lapses and not made.order_state.in_force
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
 
-    run_job(job())
+    run_scenario(scenario())
 
 
-def test_state_orders_counters_and_quota_are_told(tmp_path: Path) -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_state_orders_counters_and_quota_are_reported(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda reported: None)
         async with controlled(tmp_path / "s", backend) as (_, address, agent, _):
             client = await Client.open(address)
             client.send(query("a1"))
@@ -230,14 +234,14 @@
             (standing,) = (await agent.ask("quota", customer=CUSTOMER.upper())).quota or ()
             assert standing.plan == 0 and 999 <= standing.tokens <= 1000 and standing.demand > 0
             assert (await agent.ask("quota", customer="0" * 16)).quota == ()
-            await agent.ask("put", order_state=book(order(1, "drain", "sx")))
+            await agent.ask("put", order_state=record_of(order(1, "drain", "sx")))
             assert (await agent.ask("orders")).orders == (order(1, "drain", "sx"),)
 
-    run_job(job())
+    run_scenario(scenario())
 
 
 def test_unusable_orders_change_nothing(tmp_path: Path) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, _, _, made):
             good = order(1, "hold", "n0")
             for wrong in (
@@ -254,11 +258,11 @@
                 assert (await hostile.answer()).error
                 assert made.order_state.revision == 0 and not made.proxy.clients.is_paused
 
-    run_job(job())
+    run_scenario(scenario())
 
 
-def test_malformed_asks_end_the_connection_and_not_the_front_door(tmp_path: Path) -> None:
-    async def job() -> None:
+def test_malformed_requests_end_the_connection_and_not_the_proxy(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, address, agent, _):
             for data in (b"\xff\xff\xff\xff", b"\0\0\0\x02{}", b"\0\0\0\x01\xff"):
                 hostile = await Agent.open(tmp_path / "s")
@@ -269,35 +273,41 @@
             assert (await agent.ask("state")).state
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
 
-    run_job(job())
+    run_scenario(scenario())
 
 
-def test_watcher_hears_of_changes_and_one_that_reads_nothing_is_dropped(
+def test_watcher_is_notified_of_changes_and_one_that_reads_nothing_is_dropped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(control, "NOTIFICATION_DELAY_S", 0.0)
     monkeypatch.setattr(control, "MAX_UNREAD_BYTES", 20_000)
 
-    async def job() -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, address, agent, made):
             watcher = await Agent.open(tmp_path / "s")
             await watcher.ask("watch")
-            await agent.ask("put", order_state=book(order(1, "hold", "n0"), order(2, "release", "n0")))
-            news = await watcher.answer()
-            assert news.number == wire.NOTIFICATION_NUMBER and news.state and news.state.revision == 2
+            await agent.ask("put", order_state=record_of(order(1, "hold", "n0"), order(2, "release", "n0")))
+            notification = await watcher.answer()
+            assert (
+                notification.number == wire.NOTIFICATION_NUMBER
+                and notification.state
+                and notification.state.revision == 2
+            )
             silent = await Agent.open(tmp_path / "s")
             silent.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            asks = (wire.frame(Request(wire.VERSION, number, "counters")) for number in range(9000))
-            silent.writer.write(b"".join(asks))
-            while len(made.connections) > 2:  # it asks and asks, and reads nothing
+            requests = (wire.frame(Request(wire.VERSION, number, "counters")) for number in range(9000))
+            silent.writer.write(b"".join(requests))
+            while len(made.connections) > 2:  # it requests and requests, and reads nothing
                 await asyncio.sleep(0)
             assert await (await Client.open(address)).ask(query("a1")) == b"ok"
 
-    run_job(job())
+    run_scenario(scenario())
 
 
-def test_too_many_and_strangers_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def job() -> None:
+def test_too_many_connections_and_other_users_are_rejected(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (_, _, agent, made):
             more = [await Agent.open(tmp_path / "s") for _ in range(control.MAX_CONNECTIONS)]
             assert (await agent.ask("state")).state
@@ -312,11 +322,11 @@
             with pytest.raises((EOFError, ConnectionError)):
                 await stranger.ask("state")
 
-    run_job(job())
+    run_scenario(scenario())
 
 
 def test_socket_is_private_and_its_place_is_checked(tmp_path: Path) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         async with controlled(tmp_path / "s", Backend()) as (door, _, _, _):
             assert (tmp_path / "s").stat().st_mode & 0o777 == 0o600
             (tmp_path / "file").write_text("x")
@@ -335,14 +345,14 @@
             (await attach(door, tmp_path / "dead", 0.0))()
             assert not (tmp_path / "dead").exists() and (tmp_path / "file").read_text() == "x"
 
-    run_job(job())
+    run_scenario(scenario())
 
 
 def test_start_goes_on_without_an_agent(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         async with front_door(Backend()) as (door, _):
             detach = await attach(door, tmp_path / "s", 0.05)
             detach()
 
-    run_job(job())
+    run_scenario(scenario())
     assert "no agent has brought orders" in caplog.text
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -43,7 +43,7 @@
     two.close()
 
 
-def test_every_cut_and_every_flipped_byte_is_refused() -> None:
+def test_every_truncation_and_every_flipped_byte_is_rejected() -> None:
     data = encode(state(1))
     for end in range(len(data)):
         with pytest.raises(ValueError):
@@ -78,7 +78,7 @@
         made.close()
 
 
-def test_two_agents_do_not_share_a_journal(tmp_path: Path) -> None:
+def test_journal_belongs_to_one_agent(tmp_path: Path) -> None:
     one = Journal(tmp_path / "j", "a1")
     with pytest.raises(JournalError, match="another agent has it"):
         Journal(tmp_path / "j", "a1")
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_disk_that_fails_leaves_the_old_state_and_the_journal_broken(
+def test_disk_error_preserves_the_old_state_and_breaks_the_journal(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: str
 ) -> None:
     made = Journal(tmp_path / "j", "a1")
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -34,7 +34,7 @@
     return made
 
 
-def test_front_door_is_told_as_soon_as_it_is_there_and_until_it_has_all() -> None:
+def test_proxy_is_sent_orders_once_connected_and_until_it_has_all() -> None:
     made = roster()
     assert made.handle(5, known("n0")) == []  # one connect at a time
     assert made.handle(9, Connected("n0")) == [SendOrders("n0")]
@@ -44,17 +44,17 @@
     assert made.handle(13, StateReceived("n0", state(revision=0, pid=2))) == [
         SendOrders("n0")
     ]  # it began anew
-    (view,) = made.proxy_statuses(50)
-    assert (view.reachability, view.reported_ago_ms, view.revision) == ("up", 37, 0)
+    (status,) = made.proxy_statuses(50)
+    assert (status.reachability, status.reported_ago_ms, status.revision) == ("up", 37, 0)
 
 
-def test_nobody_is_told_before_the_agent_may_speak() -> None:
+def test_no_orders_are_sent_before_the_agent_is_ready() -> None:
     made = roster(ready=False)
     assert made.handle(1, Connected("n0")) == [] == made.handle(2, StateReceived("n0", state()))
     assert made.handle(3, RevisionChanged(3, True)) == [SendOrders("n0")]
 
 
-def test_killed_stopped_and_ended_are_told_apart_and_what_was_known_stays() -> None:
+def test_killed_stopped_and_ended_proxies_differ_and_last_states_stay() -> None:
     made = roster()
     made.handle(1, Connected("n0"))
     made.handle(2, StateReceived("n0", state(revision=3)))
@@ -65,8 +65,8 @@
     made.handle(1500, StateReceived("n0", state(revision=3)))
     assert made.proxy_statuses(1500)[0].reachability == "up"
     made.handle(1600, Disconnected("n0", "it closed the connection"))
-    view = made.proxy_statuses(2000)[0]
-    assert (view.reachability, view.reported_ago_ms, view.revision, view.reason) == (
+    status = made.proxy_statuses(2000)[0]
+    assert (status.reachability, status.reported_ago_ms, status.revision, status.reason) == (
         "gone",
         500,
         3,
@@ -81,7 +81,7 @@
     assert texts == ["new to up", "up to silent", "silent to up", "up to gone", "gone to ended"]
 
 
-def test_front_door_with_another_name_is_not_believed() -> None:
+def test_proxy_with_another_name_is_disconnected() -> None:
     made = roster()
     made.handle(1, Connected("n0"))
     assert made.handle(2, StateReceived("n0", state("n7", revision=3))) == [Disconnect("n0")]
@@ -104,7 +104,7 @@
     assert now_ms() == 1_700_000_000_500
 
 
-def test_what_is_kept_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_proxies_and_history_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     made = Roster("a0")
     made.handle(0, SocketsListed(frozenset(f"n{number}" for number in range(1000))))
     assert len(made.proxies) == module.MAX_PROXIES and made.rejected_sockets
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -17,7 +17,7 @@
 
 AGENT = '[[agents]]\nname = "a{}"\nurl = "http://127.0.0.1:{}"\n'
 FLEET = 'token = "token"\n' + AGENT.format(0, 7000) + 'doors = ["n0"]\n' + AGENT.format(1, 7001)
-OWN = (
+AGENT_FILE = (
     'name = "a0"\nfleet = "fleet.toml"\nsockets = "sockets"\njournal = "j"\nlisten = "127.0.0.1:0"\n'
     'tokens = "tokens"\n'
 )
@@ -91,7 +91,7 @@
         (tmp_path / name).chmod(0o644 if name == "open" else 0o600)
     (tmp_path / "fleet.toml").write_text(FLEET)
     file = tmp_path / "agent.toml"
-    file.write_text(OWN.replace(*change))
+    file.write_text(AGENT_FILE.replace(*change))
     assert agent_run.main(file) == 2
     line = capsys.readouterr().err
     assert line.startswith("molereach agent: ") and reason in line and line.count("\n") == 1
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -16,7 +16,7 @@
     frame,
 )
 
-BOOK = OrderStateRecord(3, (Decided(3, Order("o1", Verb.DRAIN, "s1", "duty", "replaced", 2)),))
+RECORD = OrderStateRecord(3, (Decided(3, Order("o1", Verb.DRAIN, "s1", "duty", "replaced", 2)),))
 
 
 @given(
@@ -25,21 +25,21 @@
             [
                 Request(2, 7, "state"),
                 Request(2, 8, "quota", customer="0" * 16),
-                Request(2, 9, "put", order_state=BOOK),
+                Request(2, 9, "put", order_state=RECORD),
             ]
         ),
         max_size=5,
     ),
     st.integers(1, 40),
 )
-def test_frames_come_out_whole_however_they_are_cut(asks: list[Request], size: int) -> None:
-    data = b"".join(map(frame, asks))
+def test_frames_are_complete_however_the_stream_is_split(requests: list[Request], size: int) -> None:
+    data = b"".join(map(frame, requests))
     reader, found = FrameReader(wire.MAX_REQUEST_BYTES), []
     for start in range(0, len(data), size):
         reader.feed(data[start : start + size])
         while (body := reader.next()) is not None:
             found.append(decode_request(body))
-    assert found == asks and not reader.buffer
+    assert found == requests and not reader.buffer
 
 
 def test_length_is_checked_before_anything_is_waited_for() -> None:
@@ -63,7 +63,7 @@
         (b'{"version":2,"number":1,"what":"put","book":{"revision":1,"in_force":[{}]}}', r"in_force"),
     ],
 )
-def test_what_is_no_ask_is_named(body: bytes, reason: str) -> None:
+def test_invalid_request_is_named(body: bytes, reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         decode_request(body)
 
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: agents with disks, front doors without, tools, and a network that fails."""
+"""A fleet in virtual time: agents with journals, proxies without, tools, and a network with losses."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -9,7 +9,7 @@
 from molereach.fleet.api_bodies import AgentSnapshot, Status
 from molereach.fleet.order_state import OrderState
 from molereach.fleet.orders import Decided, OrderStateRecord, Verb
-from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Verdict
 from molereach.fleet.rollout.stages import Rollout
 from molereach.fleet.roster import (
@@ -23,23 +23,26 @@
 )
 from molereach.fleet.wire import ProxyState
 
-MS = 1000
-CALL_US, BEAT_US, SYNC_US, TICK_US = 300 * MS, 200 * MS, 400 * MS, 25 * MS
+MS_US = 1000
+CALL_US = 300 * MS_US
+HEARTBEAT_US = 200 * MS_US
+SYNC_US = 400 * MS_US
+TICK_US = 25 * MS_US
 READY = {"s1": "east", "s2": "east", "s3": "west", "s4": "west"}
 
 
 @dataclass
-class Door:
-    """A front door: what it was told is lost when it starts anew."""
+class SimulatedProxy:
+    """A proxy, which loses its orders when it restarts."""
 
     name: str
     up: bool = True
     pid: int = 1
-    book: OrderState = field(default_factory=OrderState)
+    order_state: OrderState = field(default_factory=OrderState)
     carried: list[int] = field(default_factory=list)  # revisions, over all its starts
 
     def state(self) -> ProxyState:
-        return ProxyState(self.name, self.pid, 1.0, False, self.book.revision, 1, 0, 0)
+        return ProxyState(self.name, self.pid, 1.0, False, self.order_state.revision, 1, 0, 0)
 
 
 @dataclass
@@ -51,26 +54,29 @@
     dead: bool = False
     steps: list[str] = field(default_factory=list)
     on_step: Callable[[str], None] = lambda step: None
-    truth: dict[str, list[int]] = field(default_factory=dict)  # what doors had carried out at the report
+    truth: dict[str, list[int]] = field(default_factory=dict)  # what proxies had carried out at the report
 
 
 class Fleet:
-    """Five agents with a front door each, by default."""
-
-    def __init__(self, seed: int, loss: float = 0.0, size: int = 5, slowest_us: int = 40 * MS) -> None:
-        self.random, self.loss, self.slowest_us = Random(seed), loss, slowest_us
-        self.now_us, self.serial = 0, 0
+    """Five agents with a proxy each, by default."""
+
+    def __init__(self, seed: int, loss: float = 0.0, size: int = 5, slowest_us: int = 40 * MS_US) -> None:
+        self.random = Random(seed)
+        self.loss = loss
+        self.slowest_us = slowest_us
+        self.now_us = 0
+        self.serial = 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.names = tuple(f"a{number}" for number in range(size))
         self.agents = {name: Acceptor() for name in self.names}
         self.away: set[str] = set()  # agents that are down or cut off
-        self.doors = {name: Door(f"n{name[1:]}") for name in self.names}
+        self.proxies = {name: SimulatedProxy(f"n{name[1:]}") for name in self.names}
         self.rosters = {name: Roster(name) for name in self.names}
         self.connected: set[str] = set()
         self.tools: list[Tool] = []
         for name in self.names:
-            self.tell(name, RevisionChanged(0, True))
-            self.beat(name)
+            self.update_roster(name, RevisionChanged(0, True))
+            self.send_heartbeat(name)
             self.sync(name)
 
     # --- time and the network ---
@@ -86,8 +92,8 @@
         else:
             self.after(self.random.randint(1, self.slowest_us), do)
 
-    def run(self, until: Callable[[], bool], most_us: int = 60_000 * MS) -> None:
-        end = self.now_us + most_us
+    def run(self, until: Callable[[], bool], max_us: int = 60_000 * MS_US) -> None:
+        end = self.now_us + max_us
         while not until() and self.heap and self.now_us < end:
             self.now_us, _, do = heapq.heappop(self.heap)
             do()
@@ -98,72 +104,74 @@
         self.loss = 0.0
         for name in self.names:
             self.away.discard(name)
-            self.doors[name].up = True
-        end = self.now_us + 5_000 * MS
+            self.proxies[name].up = True
+        end = self.now_us + 5_000 * MS_US
         self.run(lambda: self.now_us >= end)
 
-    # --- agents and doors ---
+    # --- agents and proxies ---
 
-    def tell(
+    def update_roster(
         self, name: str, event: StateReceived | Disconnected | Connected | SocketsListed | RevisionChanged
     ) -> None:
-        for action in self.rosters[name].handle(self.now_us // MS, event):
+        for action in self.rosters[name].handle(self.now_us // MS_US, event):
             if isinstance(action, SendOrders):
                 self.put(name)
 
     def put(self, name: str) -> None:
-        book = self.agents[name].order_state.to_record()
-        door, start = self.doors[name], self.doors[name].pid
+        order_state = self.agents[name].order_state.to_record()
+        proxy, start = self.proxies[name], self.proxies[name].pid
 
         def arrive() -> None:
-            if door.up and door.pid == start:
-                if door.book.adopt(OrderStateRecord(book.revision, book.in_force)):
-                    door.carried.append(book.revision)
-                self.hop(lambda: self.heard(name, start))
+            if proxy.up and proxy.pid == start:
+                if proxy.order_state.adopt(OrderStateRecord(order_state.revision, order_state.in_force)):
+                    proxy.carried.append(order_state.revision)
+                self.hop(lambda: self.on_state(name, start))
 
         self.hop(arrive)
 
-    def heard(self, name: str, start: int) -> None:
-        if name not in self.away and self.doors[name].pid == start and self.doors[name].up:
-            self.tell(name, StateReceived(self.doors[name].name, self.doors[name].state()))
+    def on_state(self, name: str, start: int) -> None:
+        if name not in self.away and self.proxies[name].pid == start and self.proxies[name].up:
+            self.update_roster(name, StateReceived(self.proxies[name].name, self.proxies[name].state()))
 
-    def beat(self, name: str) -> None:
-        """The agent looks at its front door, and tells it again what it lacks."""
-        door = self.doors[name]
+    def send_heartbeat(self, name: str) -> None:
+        """The agent looks at its proxy, and tells it again what it lacks."""
+        proxy = self.proxies[name]
         if name not in self.away:
-            self.tell(name, SocketsListed(frozenset({door.name})))
-            if door.up and name not in self.connected:
+            self.update_roster(name, SocketsListed(frozenset({proxy.name})))
+            if proxy.up and name not in self.connected:
                 self.connected.add(name)
-                self.tell(name, Connected(door.name))
-            elif not door.up:
+                self.update_roster(name, Connected(proxy.name))
+            elif not proxy.up:
                 self.connected.discard(name)
-                self.tell(name, Disconnected(door.name, "refused"))
-            if door.up:
-                self.hop(lambda: self.heard(name, door.pid))
-        self.after(BEAT_US, lambda: self.beat(name))
+                self.update_roster(name, Disconnected(proxy.name, "refused"))
+            if proxy.up:
+                self.hop(lambda: self.on_state(name, proxy.pid))
+        self.after(HEARTBEAT_US, lambda: self.send_heartbeat(name))
 
     def sync(self, name: str) -> None:
         peer = self.random.choice(self.names)
         if not {name, peer} & self.away:
-            self.hop(lambda: self.learn(name, self.agents[peer].order_state.to_record()))
+            self.hop(lambda: self.adopt(name, self.agents[peer].order_state.to_record()))
         self.after(SYNC_US, lambda: self.sync(name))
 
-    def learn(self, name: str, book: OrderStateRecord) -> None:
-        if name not in self.away and self.agents[name].order_state.adopt(book):
-            self.tell(name, RevisionChanged(book.revision, True))
+    def adopt(self, name: str, order_state: OrderStateRecord) -> None:
+        if name not in self.away and self.agents[name].order_state.adopt(order_state):
+            self.update_roster(name, RevisionChanged(order_state.revision, True))
 
     def restart_agent(self, name: str) -> None:
-        """With what is on its disk; what it knew of its front door is gone."""
+        """With what is on its disk; what it knew of its proxy is gone."""
         self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].order_state.to_record())
         self.rosters[name] = Roster(name)
         self.connected.discard(name)
-        self.tell(name, RevisionChanged(self.agents[name].order_state.revision, True))
+        self.update_roster(name, RevisionChanged(self.agents[name].order_state.revision, True))
 
-    def kill_door(self, name: str) -> None:
-        door = self.doors[name]
-        door.up, door.pid, door.book = False, door.pid + 1, OrderState()
+    def kill_proxy(self, name: str) -> None:
+        proxy = self.proxies[name]
+        proxy.up = False
+        proxy.pid += 1
+        proxy.order_state = OrderState()
 
-    def view(self, name: str) -> AgentSnapshot:
+    def snapshot(self, name: str) -> AgentSnapshot:
         acceptor = self.agents[name]
         status = Status(
             name,
@@ -172,9 +180,9 @@
             True,
             "",
             acceptor.pending(),
-            self.rosters[name].proxy_statuses(self.now_us // MS),
+            self.rosters[name].proxy_statuses(self.now_us // MS_US),
         )
-        return AgentSnapshot(status, acceptor.order_state.to_record(), READY if self.doors[name].up else {})
+        return AgentSnapshot(status, acceptor.order_state.to_record(), READY if self.proxies[name].up else {})
 
     # --- tools ---
 
@@ -183,13 +191,13 @@
             yield self.random.random()
 
     def give(
-        self, draft: ev.Draft, kill_at: str = "", on_step: Callable[[str], None] = lambda step: None
+        self, draft: events.Draft, kill_at: str = "", on_step: Callable[[str], None] = lambda step: None
     ) -> Tool:
         """Start a tool."""
-        expected = {name: (self.doors[name].name,) for name in self.names}
+        expected = {name: (self.proxies[name].name,) for name in self.names}
         run = f"run{len(self.tools)}"
         tool = Tool(
-            Rollout(self.names, draft, run, self.draws(), 0, 1, ev.Timeouts(), expected),
+            Rollout(self.names, draft, run, self.draws(), 0, 1, events.Timeouts(), expected),
             kill_at,
             on_step=on_step,
         )
@@ -200,44 +208,44 @@
 
     def tick(self, tool: Tool) -> None:
         if not tool.dead and tool.rollout.report is None:
-            self.hand(tool, ev.Tick())
+            self.hand(tool, events.Tick())
             self.after(TICK_US, lambda: self.tick(tool))
 
-    def hand(self, tool: Tool, event: ev.Event) -> None:
+    def hand(self, tool: Tool, event: events.Event) -> None:
         if not tool.dead and tool.rollout.report is None:
             self.act(tool, tool.rollout.handle(self.now_us, event))
 
-    def act(self, tool: Tool, actions: list[ev.Action]) -> None:
+    def act(self, tool: Tool, actions: list[events.Action]) -> None:
         for action in actions:
             if tool.dead:
                 return
-            if isinstance(action, ev.Step):
+            if isinstance(action, events.Step):
                 tool.steps.append(action.name)
                 tool.dead = action.name == tool.kill_at
                 tool.on_step(action.name)
                 if action.name == "reported":
-                    tool.truth = {door.name: list(door.carried) for door in self.doors.values()}
-            elif isinstance(action, ev.RequestSnapshot):
-                self.look(tool, action.agent)
+                    tool.truth = {proxy.name: list(proxy.carried) for proxy in self.proxies.values()}
+            elif isinstance(action, events.RequestSnapshot):
+                self.request_snapshot(tool, action.agent)
             else:
                 self.say(tool, action.agent, action.message)
 
-    def look(self, tool: Tool, agent: str) -> None:
+    def request_snapshot(self, tool: Tool, agent: str) -> None:
         def failed() -> None:
-            self.hand(tool, ev.RequestFailed(agent, "no answer", snapshot_requested=True))
+            self.hand(tool, events.RequestFailed(agent, "no answer", snapshot_requested=True))
 
         def arrive() -> None:
             if agent in self.away:
                 self.after(CALL_US, failed)
                 return
-            view = self.view(agent)
-            self.hop(lambda: self.hand(tool, ev.SnapshotReceived(agent, view)), failed)
+            snapshot = self.snapshot(agent)
+            self.hop(lambda: self.hand(tool, events.SnapshotReceived(agent, snapshot)), failed)
 
         self.hop(arrive, failed)
 
     def say(self, tool: Tool, agent: str, message: Message) -> None:
         def failed() -> None:
-            self.hand(tool, ev.RequestFailed(agent, "no answer"))
+            self.hand(tool, events.RequestFailed(agent, "no answer"))
 
         def arrive() -> None:
             if agent in self.away:
@@ -246,9 +254,9 @@
             before = self.agents[agent].order_state.revision
             replies = self.agents[agent].handle(message)
             if self.agents[agent].order_state.revision > before:
-                self.tell(agent, RevisionChanged(self.agents[agent].order_state.revision, True))
+                self.update_roster(agent, RevisionChanged(self.agents[agent].order_state.revision, True))
             for reply in replies:
-                self.hop(lambda reply=reply: self.hand(tool, ev.ReplyReceived(agent, reply)), failed)
+                self.hop(lambda reply=reply: self.hand(tool, events.ReplyReceived(agent, reply)), failed)
 
         self.hop(arrive, failed)
 
@@ -256,39 +264,41 @@
 
     def check(self) -> None:
         """No two agents hold different orders at one revision, and no report claims what was not so."""
-        stand: dict[int, str] = {}
+        decided_ids: dict[int, str] = {}
         for agent in self.agents.values():
             for decided in agent.order_state.recent.values():
-                assert stand.setdefault(decided.revision, decided.order.id) == decided.order.id
+                assert decided_ids.setdefault(decided.revision, decided.order.id) == decided.order.id
 
     def check_report(self, tool: Tool) -> None:
-        """What the tool said is what each front door had done by then."""
+        """What the tool said is what each proxy had done by then."""
         report = tool.rollout.report
         assert report is not None
         revision = report.decided.revision if report.decided else 0
-        for word in report.proxies:
-            done = bool(revision) and any(each >= revision for each in tool.truth.get(word.proxy, ()))
-            assert done or not word.applied, (word, tool.truth)
-        named = {word.proxy for word in report.proxies}
-        assert named == {door.name for door in self.doors.values()}
+        for proxy_report in report.proxies:
+            done = bool(revision) and any(each >= revision for each in tool.truth.get(proxy_report.proxy, ()))
+            assert done or not proxy_report.applied, (proxy_report, tool.truth)
+        named = {each.proxy for each in report.proxies}
+        assert named == {proxy.name for proxy in self.proxies.values()}
         if report.verdict is Verdict.DONE:
-            assert all(word.applied for word in report.proxies) and all(
-                word.notified for word in report.agents
+            assert all(each.applied for each in report.proxies) and all(
+                each.notified for each in report.agents
             )
         elif report.verdict is Verdict.PARTIAL:
-            assert any(not word.applied for word in report.proxies) or any(
-                not word.notified for word in report.agents
+            assert any(not each.applied for each in report.proxies) or any(
+                not each.notified for each in report.agents
             )
 
     def final(self) -> tuple[OrderStateRecord, list[frozenset[str]]]:
-        """The one book of all agents, and what each front door drains."""
-        books = {agent.order_state.to_record() for agent in self.agents.values()}
-        assert len(books) == 1
-        return books.pop(), [door.book.active_subjects(Verb.DRAIN, 0) for door in self.doors.values()]
+        """The record that all agents have, and what each proxy drains."""
+        records = {agent.order_state.to_record() for agent in self.agents.values()}
+        assert len(records) == 1
+        return records.pop(), [
+            proxy.order_state.active_subjects(Verb.DRAIN, 0) for proxy in self.proxies.values()
+        ]
 
 
-def once(book: OrderStateRecord, order_id: str) -> Decided | None:
-    """The order with an id in a book, where it stands at most once."""
-    found = [decided for decided in book.recent if decided.order.id == order_id]
+def once(record: OrderStateRecord, order_id: str) -> Decided | None:
+    """The decided order with an id, of which a record holds one at most."""
+    found = [decided for decided in record.recent if decided.order.id == order_id]
     assert len(found) <= 1
     return found[0] if found else None
