--- a/molereach/clients/commands.py
+++ b/molereach/clients/commands.py
@@ -1,4 +1,4 @@
-"""Commands of clients: their arguments cut into the fields that the shared checks take, and forwarded."""
+"""Commands of clients: their fields cut out for the shared checks, and the command as it is forwarded."""
 
 from dataclasses import dataclass
 
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -77,7 +77,7 @@
             units=self.units(values, self.settings.plans[plan_index]),
             set_size=set_size,
             set_first=set_first,
-            is_retry=values.get("r") == "1",
+            is_client_retry=values.get("r") == "1",
             is_write=is_write,
         )
 
--- a/molereach/coordination/leases/bodies.py
+++ b/molereach/coordination/leases/bodies.py
@@ -41,7 +41,7 @@
 
 
 class BecomeManager(WireStruct, frozen=True, tag_field="kind", tag="keeping"):
-    """Open a session for this instance, its proposer; a lower instance's session of the name ends then."""
+    """The leader of this ballot is lease manager from here on; ends under lower ballots are void."""
 
     ballot: BallotNumber
 
--- a/molereach/coordination/leases/manager.py
+++ b/molereach/coordination/leases/manager.py
@@ -29,7 +29,7 @@
 from molereach.coordination.leases.bodies import MACHINE, BecomeManager, EndSession, encode
 from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US, RenewalsReceived, SendGrants
 from molereach.coordination.leases.proposal import PROPOSAL_TIMEOUT_INTERVALS
-from molereach.coordination.leases.rounds import ConfirmationRounds
+from molereach.coordination.leases.rounds import RenewalConfirmationRounds
 from molereach.coordination.leases.sessions import SessionRegistry
 
 Event = LeaderChanged | RenewalsReceived | LeadershipConfirmed | Tick | Applied | Restored | ProposalFinished
@@ -67,7 +67,7 @@
         self._managed: dict[str, ManagedSession] = {}
         self._ballot: int | None = None  # under which it leads
         self._takeover_retry_us = 0  # when its `BecomeManager` is proposed once more
-        self._rounds = ConfirmationRounds()
+        self._rounds = RenewalConfirmationRounds()
 
     # --- queries ---
 
--- a/molereach/coordination/leases/rounds.py
+++ b/molereach/coordination/leases/rounds.py
@@ -20,7 +20,7 @@
     requests: tuple[RenewalRequest, ...]  # received before it was sent, and after the round before
 
 
-class ConfirmationRounds:
+class RenewalConfirmationRounds:
     """The renewal requests of one leader's term, the newest of each node, each bound to the next round."""
 
     def __init__(self) -> None:
--- a/molereach/coordination/replicated_log/acceptor_protocol.py
+++ b/molereach/coordination/replicated_log/acceptor_protocol.py
@@ -37,7 +37,7 @@
         self.catch_up = catching_up
         self.outbox = state.outbox
 
-    def has_same_entries(self, sender: NodeInstance, after: int) -> bool:
+    def synchronize_with(self, sender: NodeInstance, after: int) -> bool:
         """Whether both have the same decided entries; if not, the one that lacks some gets them."""
         if after < self.state.position:
             self.catch_up.send_entries(sender.name, after)
@@ -48,7 +48,7 @@
     def on_pre_vote(self, now_us: int, sender: NodeInstance, message: PreVote) -> None:
         """Answer whether this voter would promise; nothing is promised."""
         self.election.observe_ballot(message.ballot)
-        self.has_same_entries(sender, message.after)
+        self.synchronize_with(sender, message.after)
         if not self.state.may_vote:
             return
         promised = self.state.acceptor.promised
@@ -61,7 +61,7 @@
         self.election.observe_ballot(message.ballot)
         if (
             not is_ballot_of(message.ballot, sender)
-            or not self.has_same_entries(sender, message.after)
+            or not self.synchronize_with(sender, message.after)
             or not self.state.may_vote
         ):
             return
@@ -87,7 +87,7 @@
         after = message.entries[0].position - 1
         if not is_ballot_of(message.ballot, sender) or not are_consecutive(message.entries, after):
             return
-        if not self.has_same_entries(sender, after) or not self.state.may_vote:
+        if not self.synchronize_with(sender, after) or not self.state.may_vote:
             return
         if not self.state.accept(message.ballot, message.entries):
             self.reject_ballot(sender, message.ballot)
--- a/molereach/coordination/replicated_log/election.py
+++ b/molereach/coordination/replicated_log/election.py
@@ -51,8 +51,8 @@
 
         Otherwise two whose timeouts end together would both be granted, and each undo the other's ballot.
         """
-        favoured = self.favored != ballot.name and now_us < self.favored_until_us
-        if ballot.number <= promised.number or favoured or self.has_live_leader(now_us):
+        favors_another = self.favored != ballot.name and now_us < self.favored_until_us
+        if ballot.number <= promised.number or favors_another or self.has_live_leader(now_us):
             return False
         self.favored = ballot.name
         self.favored_until_us = now_us + self.settings.min_election_timeout_us // 2
--- a/molereach/coordination/replicated_log/leadership.py
+++ b/molereach/coordination/replicated_log/leadership.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from molereach.coordination.interface.log import Entry
-from molereach.coordination.replicated_log.leadership_confirmation import ConfirmationRounds
+from molereach.coordination.replicated_log.leadership_confirmation import HeartbeatRounds
 from molereach.coordination.replicated_log.learner import LOG_MACHINE, Learner
 from molereach.coordination.replicated_log.messages import (
     Ballot,
@@ -35,7 +35,7 @@
 
     def __init__(self, ballot: Ballot, after: int, now_us: int) -> None:
         self.ballot = ballot
-        self.rounds = ConfirmationRounds()
+        self.rounds = HeartbeatRounds()
         self.contact_us: dict[str, int] = {}  # by disk: its last reply
         self.elected = False  # had a majority's promises once
         self.prepare(after, now_us)
--- a/molereach/coordination/replicated_log/leadership_confirmation.py
+++ b/molereach/coordination/replicated_log/leadership_confirmation.py
@@ -28,7 +28,7 @@
     token: int
 
 
-class ConfirmationRounds:
+class HeartbeatRounds:
     """Heartbeat rounds of one leader, the replies, and the questions that wait for a round."""
 
     def __init__(self) -> None:
--- a/molereach/discovery/poll_backoff.py
+++ b/molereach/discovery/poll_backoff.py
@@ -15,7 +15,7 @@
 
 That holds where the list must be polled for. Where changes are sent unasked, the address is an agent on the
 proxy's own machine: it answers at once and at no cost, and what it has counts as known. A delay helps nobody
-there, and a proxy that restarts would serve from a list that it was notified is old.
+there, and a proxy that restarts would serve from a list that it was told is old.
 """
 
 import math
@@ -28,7 +28,7 @@
 UNSPREAD_POLLS = 8  # that may come in step and are no burden
 BASE_BACKOFF_S = 0.1  # after a first failure, for one proxy alone
 MAX_BACKOFF_S = 1.0
-MAX_AGENT_BACKOFF_S = 0.25  # where the address is an agent on the own machine
+MAX_LOCAL_DISCOVERY_BACKOFF_S = 0.25  # where the address is an agent on the own machine
 MAX_DOUBLINGS = 8  # more make no number that is of use
 MAX_WINDOWS = 4  # polls that failed come no further apart than so many windows, at their middle
 # Of the time within which a proxy must have polled, so that what was listed does not count as known before
@@ -56,7 +56,7 @@
     @classmethod
     def from_settings(cls, settings: Settings) -> "PollBackoff":
         """The backoff for a tier of the settings' size."""
-        return cls(settings.proxy_count, settings.must_subscribe, settings.poll_within_us / 1e6)
+        return cls(settings.proxy_count, settings.must_poll_endpoints, settings.poll_within_us / 1e6)
 
     def initial_delay_s(self, draw: float) -> float:
         """Before the first poll of a process that has a list already: others may have started with it."""
@@ -81,6 +81,6 @@
 
     def single_proxy_delay_s(self) -> float:
         """What a tier of one proxy would wait after the failure that comes next."""
-        limit_s = MAX_BACKOFF_S if self.must_poll else MAX_AGENT_BACKOFF_S
+        limit_s = MAX_BACKOFF_S if self.must_poll else MAX_LOCAL_DISCOVERY_BACKOFF_S
         delay_s: float = min(limit_s, BASE_BACKOFF_S * 2 ** min(self.failures, MAX_DOUBLINGS))
         return delay_s
--- a/molereach/discovery/watch_stream.py
+++ b/molereach/discovery/watch_stream.py
@@ -1,6 +1,6 @@
 """One request to discovery: a GET, and its response until the connection ends.
 
-A response may have no length: then its end is that of the stream, which h11 has to be notified of. A reset is
+A response may have no length: then its end is that of the stream, which h11 must be told of. A reset is
 no end, and neither is one within a chunk or a length: an object that is not complete by then is dropped.
 
 A long response is processed in turns of the loop, a chunk of it in each, and nothing more is read meanwhile:
--- a/molereach/discovery/watch_supervisor.py
+++ b/molereach/discovery/watch_supervisor.py
@@ -1,12 +1,12 @@
 """Which watches on discovery are open, which of them have failed, and when to open the next one.
 
-Discovery sends a heartbeat every 2 s, and what it has to notify counts as known 6 s after a watch has fallen
-silent. A watch on an agent of the own machine costs nothing: it is given up when it has missed one heartbeat
-and half of the time to the next, which leaves 3 s for a connect that hangs for its full second and for one
-more. Where the list must be polled for, a request costs discovery work, and none is made on a guess: two
-heartbeats must be missed, and half a second more, which leaves time for one connect that hangs.
+Discovery sends a heartbeat every 2 s, and a change that it has to announce counts as known 6 s after a watch
+has fallen silent. A watch on a local discovery process costs nothing: it is given up when it has missed one
+heartbeat and half of the time to the next, which leaves 3 s for a connect that hangs for its full second and
+for one more. Where the list must be polled for, a request costs discovery work, and none is made on a guess:
+two heartbeats must be missed, and half a second more, which leaves time for one connect that hangs.
 
-An agent on the own machine answers at once and at no cost; only while discovery is down it is silent, and
+A local discovery process answers at once and at no cost; only while discovery is down it is silent, and
 what it gets when that returns counts at that moment. Then nobody can know whether a request that was made
 meanwhile will be answered or has been forgotten. So an attempt that has no response yet is left open for a
 while, as it may be the one that is answered, and every half second another is made beside it (a hedged
@@ -36,12 +36,12 @@
 
 HEARTBEAT_INTERVAL_S = 2.0  # of discovery: an empty line while nothing changes
 # A response without a byte for so long is dead: of an agent, and of a discovery that must be polled.
-AGENT_SILENCE_TIMEOUT_S = 1.5 * HEARTBEAT_INTERVAL_S
+LOCAL_DISCOVERY_SILENCE_TIMEOUT_S = 1.5 * HEARTBEAT_INTERVAL_S
 POLLED_SILENCE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.5
-AGENT_OBJECT_TIMEOUT_S = 5.0  # so is one that brings bytes, but neither an object nor an empty line
-AGENT_RESPONSE_TIMEOUT_S = 5.0  # how long an attempt may wait for its response to begin
+LOCAL_DISCOVERY_OBJECT_TIMEOUT_S = 5.0  # so is one that brings bytes, but neither an object nor an empty line
+LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S = 5.0  # how long an attempt may wait for its response to begin
 POLLED_RESPONSE_TIMEOUT_S = 30.0  # in the queue of a discovery that must be polled, with another beside it
-AGENT_HEDGE_DELAY_S = 0.5  # after an attempt that is still without a response
+LOCAL_DISCOVERY_HEDGE_DELAY_S = 0.5  # after an attempt that is still without a response
 MAX_OPEN_ATTEMPTS = 2
 
 
@@ -56,10 +56,10 @@
     def expires_at_s(self, must_poll: bool) -> float:
         """When it has failed, if it brings nothing more."""
         if self.last_byte_at_s is None:
-            timeout_s = POLLED_RESPONSE_TIMEOUT_S if must_poll else AGENT_RESPONSE_TIMEOUT_S
+            timeout_s = POLLED_RESPONSE_TIMEOUT_S if must_poll else LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S
             return self.opened_at_s + timeout_s
-        silence_timeout_s = POLLED_SILENCE_TIMEOUT_S if must_poll else AGENT_SILENCE_TIMEOUT_S
-        object_timeout_s = POLL_INTERVAL_LIMIT_S if must_poll else AGENT_OBJECT_TIMEOUT_S
+        silence_timeout_s = POLLED_SILENCE_TIMEOUT_S if must_poll else LOCAL_DISCOVERY_SILENCE_TIMEOUT_S
+        object_timeout_s = POLL_INTERVAL_LIMIT_S if must_poll else LOCAL_DISCOVERY_OBJECT_TIMEOUT_S
         return min(self.last_byte_at_s + silence_timeout_s, self.last_object_at_s + object_timeout_s)
 
 
@@ -75,7 +75,7 @@
         self.open_attempts: dict[int, WatchAttempt] = {}  # the eldest first
         self.opened_count = 0
         self.next_open_at_s = 0.0
-        self.hedge_delay_s = POLL_INTERVAL_LIMIT_S if backoff.must_poll else AGENT_HEDGE_DELAY_S
+        self.hedge_delay_s = POLL_INTERVAL_LIMIT_S if backoff.must_poll else LOCAL_DISCOVERY_HEDGE_DELAY_S
         self.response_due_at_s = 0.0  # by when a response must begin, for what the last watch misses
 
     def wait_s(self, now_s: float) -> float:
--- a/molereach/limits/peer_contacts.py
+++ b/molereach/limits/peer_contacts.py
@@ -8,7 +8,7 @@
 
 MISSED_HEARTBEATS = 4  # after which a peer counts as silent
 HEARTBEAT_FRACTION = 0.3  # of the messages that a proxy takes in, at most, are heartbeats
-NEVER_US = -1 << 60
+LONG_AGO_US = -1 << 60
 
 
 class PeerContacts:
@@ -34,17 +34,17 @@
 
     def is_silent(self, now_us: int, peer: int) -> bool:
         """Whether the peer may spend without this proxy learning of it."""
-        return now_us - self.mutual_contact_us.get(peer, NEVER_US) > self.failure_timeout_us
+        return now_us - self.mutual_contact_us.get(peer, LONG_AGO_US) > self.failure_timeout_us
 
     def is_present(self, now_us: int, peer: int) -> bool:
         """Whether the peer is neither silent nor has left."""
         if peer in self.departed_incarnations:
             return False
-        return now_us - self.mutual_contact_us.get(peer, NEVER_US) <= self.failure_timeout_us
+        return now_us - self.mutual_contact_us.get(peer, LONG_AGO_US) <= self.failure_timeout_us
 
     def receives_from(self, now_us: int, peer: int) -> bool:
         """Whether messages of the peer have come of late, of which it is to be notified."""
-        return now_us - self.received_us.get(peer, NEVER_US) <= self.failure_timeout_us
+        return now_us - self.received_us.get(peer, LONG_AGO_US) <= self.failure_timeout_us
 
     def record_message(self, now_us: int, peer: int, incarnation: int | None, is_mutual: bool) -> bool:
         """Record a message of a peer; whether the peer was silent and is so no more.
@@ -67,16 +67,16 @@
     def record_leave(self, peer: int, incarnation: int) -> None:
         """The incarnation of a peer spends nothing any more, whatever message of it arrives late."""
         self.departed_incarnations[peer] = incarnation
-        self.mutual_contact_us[peer] = NEVER_US
+        self.mutual_contact_us[peer] = LONG_AGO_US
 
     def record_no_spending(self, peer: int) -> None:
         """The peer has spent of no customer here: its local quotas join at once."""
-        self.reconnected_us[peer] = NEVER_US
+        self.reconnected_us[peer] = LONG_AGO_US
 
     def due_heartbeats(self, now_us: int) -> list[int]:
         """Peers to which nothing was sent for the time between heartbeats."""
         return [
             peer
             for peer in range(self.proxy_count)
-            if peer != self.proxy_index and now_us - self.sent_us.get(peer, NEVER_US) >= self.heartbeat_us
+            if peer != self.proxy_index and now_us - self.sent_us.get(peer, LONG_AGO_US) >= self.heartbeat_us
         ]
--- a/molereach/policy/__init__.py
+++ b/molereach/policy/__init__.py
@@ -19,19 +19,23 @@
 ========  =================================================  ====================  ==========================
 quota     is beyond its customer's quota, by draw, and       `admission`, `quota`  `Customers.quota_statuses`
           worth no more than its cost, or overload control
-          is engaged
+          is engaged; or its plan's `max_in_flight` is       `quota`               `CustomerAccount.in_flight`
+          reached at this gateway (no draw)
 ceiling   waited for its customer's ceiling                  `ceiling`, or the     `Customers.customer_limits`
                                                              `LimitPolicy`
 cap       waited for overload control: N first attempts per  `overload_control`    `OverloadControl.n_past`
           period, or the bound of attempts in flight
 server    waited for a usable backend                        `load_balancing`      `LoadBalancer.ready`
 late      came too late for its latency objective or its     `giving_up`           `Attempts.mean_latency_us`
-          deadline, or waited for a retry until then
+          deadline (in a shutdown the deadline is cut), or
+          waited for a retry until then
 attempts  had its last attempt end without success: its      `retry_policy`,       `RetryPolicy.tokens`
           attempts, its time or the retry budget are used    `idempotency`
-          up, or no backend may execute it again
+          up, no backend may execute it again, or no socket                        `Backends.may_open`
+          was free for it (`NOT_SENT`)
 ========  =================================================  ====================  ==========================
 
-The client is told that a retry is harmless (`Reject`) where `idempotency.may_reject` says so, else that the
-request failed (`FailRequest`).
+`Gateway.ended` counts both final answers: the client is told that a retry is harmless (`Reject`) where
+`idempotency.may_reject` says so, else that the request failed (`FailRequest`). A request of which nothing was
+sent is given up at half of its client's wait (`PendingRequest.reject_by_us`).
 """
--- a/molereach/policy/attempts.py
+++ b/molereach/policy/attempts.py
@@ -59,8 +59,8 @@
         backend.forwarded_at_us = now_us
         backend.slow_start_credit = 0.0
         deadline_us = write_deadline_us(pending)  # of a retry: the first attempt has none
-        if pending.first_backend is None:
-            pending.first_backend = backend
+        if pending.maybe_executed_on is None:
+            pending.maybe_executed_on = backend
             pending.first_endpoint = backend.endpoint
             pending.first_forwarded_at_us = now_us
         timeout_us = self.timeout_us(now_us, pending)
@@ -104,7 +104,7 @@
         if result in UNEXECUTED:
             pending.unexecuted_count += 1
         if pending.unexecuted_count == len(pending.backends):
-            pending.first_backend = None
+            pending.maybe_executed_on = None
         return pending
 
     def record_success(
--- a/molereach/policy/client_timeouts.py
+++ b/molereach/policy/client_timeouts.py
@@ -27,7 +27,7 @@
         known_us = self.timeout_us[request.class_index]
         if self.settings.classes[request.class_index].late_priority_weight:
             return 0
-        if request.is_retry:
+        if request.is_client_retry:
             return max(0, known_us - request.remaining_us)
         longer_us = known_us + known_us // GROWTH_STEPS + 1 if known_us else request.remaining_us
         self.timeout_us[request.class_index] = min(request.remaining_us, longer_us)
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -60,9 +60,9 @@
         """The account of a request's customer, refilled."""
         checksum = zlib.crc32(request.customer.encode())
         key = CustomerKey(checksum, request.plan_index, request.set_first, request.set_size)
-        return self.get(now_us, key)
+        return self.refreshed_account(now_us, key)
 
-    def get(self, now_us: int, key: CustomerKey) -> CustomerAccount:
+    def refreshed_account(self, now_us: int, key: CustomerKey) -> CustomerAccount:
         """The customer's account, refilled; a new one where it is not known."""
         account = self.accounts.pop(key, None)
         if account is None:
@@ -136,7 +136,7 @@
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> None:
         """Count at the owner what a peer spent since its last message; units that join a set are added."""
         assert self.limits
-        account = self.get(now_us, total.key)
+        account = self.refreshed_account(now_us, total.key)
         units = self.limits.apply_spending_total(now_us, sender, total)
         if units >= 0:
             account.spend(units)
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -26,7 +26,6 @@
     AttemptEnded,
     AttemptResult,
     ClientDisconnected,
-    EndpointListKind,
     EndpointListReceived,
     Event,
     GossipReceived,
@@ -36,7 +35,7 @@
 )
 from molereach.policy.interface.protocols import LimitPolicy
 from molereach.policy.interface.settings import Settings
-from molereach.policy.load_balancing import LoadBalancer
+from molereach.policy.load_balancing import STALE_LIST_KINDS, LoadBalancer
 from molereach.policy.overload_control import OverloadControl
 from molereach.policy.pending_request import PendingRequest
 from molereach.policy.time_units import NEVER_US, TICK_US
@@ -122,9 +121,7 @@
         self.admission.resolve_expired(self.now_us)
         entries = self.queue.entries
         self.queue.entries = [
-            each
-            for each in entries
-            if not self.give_up_if_late(each.pending, giving_up.WAITING_REQUEST_LATENCIES)
+            each for each in entries if not self.give_up_if_late(each.pending, is_waiting=True)
         ]
         self.forward_waiting()
 
@@ -135,12 +132,12 @@
         elapsed_us = self.client_timeouts.elapsed_us(request)
         pending = PendingRequest(request, request_class, account, self.now_us, elapsed_us)
         self.attempts.pending[request.request_id] = pending
-        if not self.give_up_if_late(pending, giving_up.NEW_REQUEST_LATENCIES):
+        if not self.give_up_if_late(pending, is_waiting=False):
             self.admission.admit(self.now_us, pending)
 
     def on_endpoint_list_received(self, event: EndpointListReceived) -> None:
         """Apply a list of the backends; after a saved one or a failure, subscribe to its changes."""
-        if self.settings.must_subscribe and event.kind in (EndpointListKind.SAVED, EndpointListKind.FAILED):
+        if self.settings.must_poll_endpoints and event.kind in STALE_LIST_KINDS:
             self.actions.append(SubscribeToEndpoints(True))
         self.load_balancer.apply_endpoint_list(self.now_us, event)
         self.overload_control.sharing_proxies = self.load_balancer.sharing_proxies
@@ -206,7 +203,7 @@
             retry_policy.spend(result)
             self.actions.append(self.queue.forward(self.now_us, pending, backend))
             return True
-        if pending.first_backend is None:
+        if pending.maybe_executed_on is None:
             self.queue.add(pending)
             return True
         return False
@@ -215,14 +212,15 @@
         """Whether a retry is harmless at the time at which the client is told to send it."""
         return idempotency.may_reject(pending, self.now_us + self.settings.max_retry_after_us)
 
-    def give_up_if_late(self, pending: PendingRequest, latencies: float) -> bool:
-        """Give up a request that comes too late with so many mean latencies; whether it is closed."""
-        latency_us = latencies * self.attempts.mean_latency_us[pending.request.class_index]
+    def give_up_if_late(self, pending: PendingRequest, is_waiting: bool) -> bool:
+        """Give up a new or a waiting request that would be answered too late; whether it is closed."""
+        latency_us = self.attempts.mean_latency_us[pending.request.class_index]
+        latency_us *= giving_up.required_latencies(is_waiting)
         if not pending.is_closed and giving_up.is_too_late(
             self.now_us, pending, latency_us, self.may_reject(pending)
         ):
             reason = EndReason.LATE
-            if latencies == giving_up.WAITING_REQUEST_LATENCIES and not pending.backends:
+            if is_waiting and not pending.backends:
                 reason = self.queue.waiting_reason(self.now_us, pending)
             self.give_up(pending, reason)
         return pending.is_closed
--- a/molereach/policy/giving_up.py
+++ b/molereach/policy/giving_up.py
@@ -16,7 +16,7 @@
 
 
 class EndReason(Enum):
-    """Why a request was given up; the values are the counters' names."""
+    """Why a request was given up; the values are the keys of `Gateway.ended`."""
 
     QUOTA = "quota"
     CEILING = "ceiling"
@@ -26,6 +26,11 @@
     ATTEMPTS = "attempts"
 
 
+def required_latencies(is_waiting: bool) -> float:
+    """How many mean latencies must remain, for a request that has waited and for a new one."""
+    return WAITING_REQUEST_LATENCIES if is_waiting else NEW_REQUEST_LATENCIES
+
+
 def is_too_late(now_us: int, pending: PendingRequest, latency_us: float, may_reject: bool) -> bool:
     """Whether the request must be ended now.
 
--- a/molereach/policy/gossip_receiver.py
+++ b/molereach/policy/gossip_receiver.py
@@ -51,7 +51,7 @@
         key = CustomerKey(message.customer_checksum, message.plan_index, message.set_first, message.set_size)
         if not self.is_in_set(key):
             return
-        account = self.customers.get(now_us, key)
+        account = self.customers.refreshed_account(now_us, key)
         if message.is_reply:
             self.apply_reply(now_us, account, message)
         elif account.owner == self.settings.proxy_index:
--- a/molereach/policy/idempotency.py
+++ b/molereach/policy/idempotency.py
@@ -17,7 +17,7 @@
     when it was forwarded.
     """
     if (
-        pending.first_backend is not None
+        pending.maybe_executed_on is not None
         and pending.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     ):
         return pending.first_forwarded_at_us + pending.request_class.deduplication_window_us
@@ -26,7 +26,7 @@
 
 def may_reject(pending: PendingRequest, retry_at_us: int) -> bool:
     """Whether a client may be told that a retry at that time is harmless."""
-    if pending.first_backend is None:
+    if pending.maybe_executed_on is None:
         return True
     request_class = pending.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -42,7 +42,11 @@
     """Whether a further attempt may be forwarded to that backend now."""
     request_class = pending.request_class
     first = pending.first_endpoint
-    if first is None or pending.first_backend is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+    if (
+        first is None
+        or pending.maybe_executed_on is None
+        or request_class.idempotency is Idempotency.IDEMPOTENT
+    ):
         return True
     scope = request_class.deduplication_scope
     if scope is DeduplicationScope.ALL:
--- a/molereach/policy/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -10,17 +10,17 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt, a health check or a call of the shared counter ended."""
+    """How an attempt, a health check or a call of the shared counter ended, and whether it was executed."""
 
     OK = "ok"
-    ERROR = "error"
-    REJECTED = "full"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    MALFORMED = "spoilt"  # an answer that cannot be parsed: the request was executed
-    CANCELLED = "cancelled"
-    NOT_SENT = "moot"
+    ERROR = "error"  # executed
+    REJECTED = "full"  # not executed: the backend has no capacity
+    TIMEOUT = "timeout"  # maybe executed
+    CONNECT_FAILED = "connect_failed"  # not executed: not written completely, for whatever reason
+    RESET = "reset"  # maybe executed: the connection ended after the command was written
+    MALFORMED = "spoilt"  # executed: the answer cannot be parsed
+    CANCELLED = "cancelled"  # maybe executed
+    NOT_SENT = "moot"  # not executed: withdrawn here, or no socket was free
 
 
 class EndpointState(Enum):
@@ -90,7 +90,7 @@
     units: float = 1.0
     set_size: int = 1
     set_first: int = 0
-    is_retry: bool = False
+    is_client_retry: bool = False
     is_write: bool = False
 
 
--- a/molereach/policy/load_balancing.py
+++ b/molereach/policy/load_balancing.py
@@ -29,6 +29,7 @@
 MIN_MEAN_LOAD = 0.01
 
 INCREMENTAL = (EndpointListKind.CHANGES, EndpointListKind.FAILED)  # after a failure the old list holds
+STALE_LIST_KINDS = (EndpointListKind.SAVED, EndpointListKind.FAILED)  # newer changes may be missing
 
 
 class LoadBalancer:
@@ -110,7 +111,7 @@
         Ejected backends and those that the request was sent to already are used only if there is no other.
         """
         allowed = self.ready
-        if pending.first_backend is not None:
+        if pending.maybe_executed_on is not None:
             allowed = [each for each in allowed if idempotency.may_run_on(pending, now_us, each)]
         is_unsafe = pending.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         usable = [
--- a/molereach/policy/pending_request.py
+++ b/molereach/policy/pending_request.py
@@ -15,13 +15,13 @@
         "backends",
         "deadline_us",
         "decide_by_us",
-        "first_backend",
         "first_endpoint",
         "first_forwarded_at_us",
         "in_flight",
         "is_closed",
         "is_drawn_here",
         "is_within_quota",
+        "maybe_executed_on",
         "objective_at_us",
         "owner_request_count",
         "owner_requested_at_us",
@@ -48,13 +48,15 @@
         self.priority = request_class.priority_weight * account.plan.priority_factor * request.units
         self.deadline_us = now_us + request.remaining_us
         self.objective_at_us = min(now_us + request_class.latency_objective_us - elapsed_us, self.deadline_us)
-        self.reject_by_us = now_us + request.remaining_us // 2  # with nothing sent; a later one is of no use
+        self.reject_by_us = (
+            now_us + request.remaining_us // 2
+        )  # where nothing is sent by then: a client rejected later cannot go elsewhere in time
         self.is_closed = False  # answered or abandoned
         self.is_within_quota = False
         # Attempts
         self.backends: list[BackendState] = []  # of its attempts, in order
         self.in_flight: dict[int, int] = {}  # forwarding time by attempt
-        self.first_backend: BackendState | None = None  # where it may first have been executed
+        self.maybe_executed_on: BackendState | None = None  # None while no attempt may have been executed
         self.first_endpoint: Endpoint | None = None  # that backend as it was listed then
         self.first_forwarded_at_us = 0
         self.unexecuted_count = 0  # attempts that were not executed for certain
--- a/molereach/policy/waiting_queue.py
+++ b/molereach/policy/waiting_queue.py
@@ -1,7 +1,8 @@
 """Admitted requests that wait to be forwarded, and what each waits for.
 
-A first attempt needs overload control, the customer's ceiling and a usable backend; a retry that was not
-executed needs a backend alone.
+A first attempt needs overload control, the customer's ceiling and a usable backend. A retry after attempts
+that were not executed waits here too, for a backend and for overload control; the retry budget is not charged
+for it.
 """
 
 import itertools
--- a/molereach/protocol/settings.py
+++ b/molereach/protocol/settings.py
@@ -70,7 +70,7 @@
         may_cancel=reader.flag("ceilings.may-cancel"),
         may_gossip=reader.flag("ceilings.peers"),
         may_count=reader.flag("extra.counter"),
-        must_subscribe=reader.text("registry-mode") == "subscribe",
+        must_poll_endpoints=reader.text("registry-mode") == "subscribe",
         costs_are_corrected=reader.flag("extra.trued-up"),
         gossip_messages_per_s=reader.number("extra.mail-per-s"),
         cross_zone_price=reader.number("prices.cross-zone"),
--- a/molereach/proxy/endpoint_updates.py
+++ b/molereach/proxy/endpoint_updates.py
@@ -51,7 +51,7 @@
                 subset_update = self.apply_complete(update)
                 version = update.event.version
         except (KeyError, TypeError, ValueError, ArithmeticError) as error:
-            log.error("the known list makes no sense: %s", error)
+            log.error("saved endpoint list is malformed: %s", error)
             return 0
         finally:
             entry_lists.clear()
--- a/molereach/proxy/graceful_shutdown.py
+++ b/molereach/proxy/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 Its clients go on using the connections that they have, and whoever directs them here notices the shutdown
 only after seconds: what it does not take until then is refused by a dead address. So it serves for as long as
-an answer can be in progress before it is killed, which by the protocol ("Figures") is no sooner than the
+an answer can be in progress before it is killed, which by the platform's protocol is no sooner than the
 longest deadline and 0.7 s more. All its moments follow from that one, however short the deadlines are.
 """
 
--- a/molereach/proxy/policy_driver.py
+++ b/molereach/proxy/policy_driver.py
@@ -59,7 +59,7 @@
         try:
             return self.gateway.handle(at_us, event)
         except Exception:
-            log.exception("the module failed on %r", event)
+            log.exception("policy failed on %r", event)
             self.fail_request(getattr(event, "request_id", ""))
             if isinstance(event, TimerExpired):  # the policy depends on it: it comes again
                 self.set_timer(SetTimer(TIMER_RETRY_US, event.token))
--- a/molereach/proxy/request_registry.py
+++ b/molereach/proxy/request_registry.py
@@ -36,7 +36,7 @@
         self.open_bytes = 0
 
     def check_admission(self, request_id: str) -> None:
-        """CommandError for an id in use, NoRoomError where a bound is reached."""
+        """CommandError for an id in use, OverloadedError where a bound is reached."""
         if request_id in self.open or request_id in self.answered:
             raise CommandError("this id is in use")
         if len(self.open) >= self.max_open or self.open_bytes > self.max_open_bytes:
--- a/molereach/simulator/event_parser.py
+++ b/molereach/simulator/event_parser.py
@@ -127,7 +127,7 @@
         units=units,
         set_size=max(1, set_size),
         set_first=set_first,
-        is_retry=bool(marks & RETRY_MARK),
+        is_client_retry=bool(marks & RETRY_MARK),
         is_write=bool(marks & WRITE_MARK),
     )
 
--- a/tests/clients/test_requests.py
+++ b/tests/clients/test_requests.py
@@ -12,7 +12,7 @@
     found = RequestChecks(CONFIG).check(CUSTOMER.upper().encode(), b"a1", {**FIELDS, "r": "1"}, True, 25_000)
     assert (found.request_id, found.class_index, found.plan_index, found.customer) == ("a1", 1, 0, CUSTOMER)
     assert (found.remaining_us, found.units, found.set_size, found.set_first) == (875_000, 2.5, 2, 1)
-    assert found.is_retry and found.is_write
+    assert found.is_client_retry and found.is_write
 
 
 @pytest.mark.parametrize(
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -95,7 +95,7 @@
     """A front door with a known list, that calls on these."""
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
-    settings = replace(CONFIG.settings, must_subscribe=False)
+    settings = replace(CONFIG.settings, must_poll_endpoints=False)
     door = Proxy(
         replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=memory_mb)
     )
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -63,7 +63,7 @@
         found.look()
 
     monkeypatch.setattr(Staging, "add", spied)
-    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_AGENT_BACKOFF_S", 0.02)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_LOCAL_DISCOVERY_BACKOFF_S", 0.02)
     yield found
 
 
@@ -72,7 +72,7 @@
     """A front door that knows a long list, and calls on these."""
     watch = Watch(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry(f"k{number}", AT) for number in range(LONG)]}
-    settings = replace(CONFIG.settings, must_subscribe=False)
+    settings = replace(CONFIG.settings, must_poll_endpoints=False)
     door = Proxy(replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4))
     door.discovery.start()
     try:
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -185,7 +185,7 @@
 
 
 def test_taking_over_is_no_silence_of_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "LOCAL_DISCOVERY_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with Heard(says(HEAD + chunk(list_text(5, entries_text(1000))))) as door:
@@ -251,7 +251,7 @@
         monkeypatch.setattr(client, "STAGING_TIMEOUT_S", -1.0)
     if what == "no end at all":
         monkeypatch.setattr(json_stream, "MAX_STREAMED_BYTES", 200_000)
-    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_AGENT_BACKOFF_S", 0.02)
+    monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_LOCAL_DISCOVERY_BACKOFF_S", 0.02)
 
     async def job() -> None:
         bad = says(HEAD, chunk(text), chunk(b""), stay=False)
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -10,8 +10,8 @@
 from molereach.discovery.endpoint_mapping import EndpointMapping, EndpointUpdate
 from molereach.discovery.poll_backoff import (
     BASE_BACKOFF_S,
-    MAX_AGENT_BACKOFF_S,
     MAX_BACKOFF_S,
+    MAX_LOCAL_DISCOVERY_BACKOFF_S,
     POLL_COST_S,
     POLL_INTERVAL_LIMIT_S,
     UNSPREAD_POLLS,
@@ -109,13 +109,19 @@
     """What it has counts as told: 148 of 212 were killed and sent to drained servers meanwhile."""
 
     async def job() -> None:
-        settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=False, poll_within_us=10_000_000)
+        settings = replace(
+            CONFIG.settings, proxy_count=200, must_poll_endpoints=False, poll_within_us=10_000_000
+        )
         door = Proxy(replace(CONFIG, settings=settings))
         try:
             pacing = door.discovery.current.backoff
             assert pacing.initial_delay_s(1.0) == 0
             assert pacing.record_failure(1.0) == BASE_BACKOFF_S
-            assert max(pacing.record_failure(1.0) for _ in range(100)) == MAX_AGENT_BACKOFF_S < MAX_BACKOFF_S
+            assert (
+                max(pacing.record_failure(1.0) for _ in range(100))
+                == MAX_LOCAL_DISCOVERY_BACKOFF_S
+                < MAX_BACKOFF_S
+            )
         finally:
             door.close()
 
@@ -125,7 +131,7 @@
 def test_large_tier_that_must_ask_has_called_before_lists_count_as_told() -> None:
     """However many they are; and after failed calls too: a change counts as told 6 s after discovery could be
     reached, whatever else is allowed."""
-    settings = replace(CONFIG.settings, proxy_count=200, must_subscribe=True, poll_within_us=10_000_000)
+    settings = replace(CONFIG.settings, proxy_count=200, must_poll_endpoints=True, poll_within_us=10_000_000)
     pacing = PollBackoff.from_settings(settings)
     assert 0 < pacing.initial_delay_s(1.0) < ASK_WITHIN_S
     assert pacing.record_failure(1.0) < ASK_WITHIN_S
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -36,7 +36,7 @@
         self.decided.append((pending.request.request_id, chance))
 
     def admit(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> PendingRequest:
-        customer = self.customers.get(now, key)
+        customer = self.customers.refreshed_account(now, key)
         customer.local_tokens = part
         pending = PendingRequest(RequestReceived(name, 0, 0, "", 6 * SECOND_US), IDEMPOTENT, customer, now, 0)
         self.admission.admit(now, pending)
@@ -58,7 +58,7 @@
 
 def test_owner_draws_at_once() -> None:
     table = Table()
-    customer = table.customers.get(NOW, HERE)
+    customer = table.customers.refreshed_account(NOW, HERE)
     customer.tokens, customer.remote_demand = 2.0, 3.0
     table.admit("a", HERE)
     assert table.decided == [("a", 0.5)]
@@ -120,7 +120,7 @@
 
 def test_owner_counts_draws_and_replies() -> None:
     table = Table()
-    customer = table.customers.get(NOW, HERE)
+    customer = table.customers.refreshed_account(NOW, HERE)
     table.receive(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
     assert (
         customer.remote_demand == 2.0 and customer.tokens == 20.0 - 3.0 - 1.0
@@ -155,7 +155,7 @@
     table.receive(word, now=NOW + SECOND_US // 10)
     assert pending.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
     owner = Table(CEILED)
-    owner.customers.get(NOW, HERE).ceiling.tokens = 0.0
+    owner.customers.refreshed_account(NOW, HERE).ceiling.tokens = 0.0
     here = owner.admit("a", HERE, part=5.0)
     assert here.account.ceiling.grants == [
         (NOW + GRANT_TTL_US, 1.0)
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -40,7 +40,12 @@
     attempts, pending = attempts_of()
     backend = BackendState(endpoints(1)[0])
     assert attempts.begin(NOW, pending, backend).endpoint == "s0"
-    assert (attempts.in_flight, pending.account.in_flight, len(backend.in_flight), pending.first_backend) == (
+    assert (
+        attempts.in_flight,
+        pending.account.in_flight,
+        len(backend.in_flight),
+        pending.maybe_executed_on,
+    ) == (
         1,
         1,
         1,
@@ -174,18 +179,20 @@
 def test_elapsed_time_of_a_retry_follows_the_client_timeout() -> None:
     timeouts = ClientTimeouts(SETTINGS)
     first = RequestReceived("f", 0, 0, "c", 6 * SECOND_US)
-    assert timeouts.elapsed_us(replace(first, is_retry=True)) == 0  # nothing is known yet
+    assert timeouts.elapsed_us(replace(first, is_client_retry=True)) == 0  # nothing is known yet
     assert timeouts.elapsed_us(first) == 0
-    assert timeouts.elapsed_us(replace(first, remaining_us=4 * SECOND_US, is_retry=True)) == 2 * SECOND_US
+    assert (
+        timeouts.elapsed_us(replace(first, remaining_us=4 * SECOND_US, is_client_retry=True)) == 2 * SECOND_US
+    )
     assert timeouts.elapsed_us(replace(first, remaining_us=3 * SECOND_US)) == 0
     assert (
-        timeouts.elapsed_us(replace(first, remaining_us=3 * SECOND_US, is_retry=True)) == 0
+        timeouts.elapsed_us(replace(first, remaining_us=3 * SECOND_US, is_client_retry=True)) == 0
     )  # the least of late
     timeouts.elapsed_us(first)
     assert timeouts.timeout_us == [3 * SECOND_US + 3 * SECOND_US // 200 + 1]
     late = ClientTimeouts(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_priority_weight=0.5),)))
     late.elapsed_us(first)
-    assert late.elapsed_us(replace(first, remaining_us=SECOND_US, is_retry=True)) == 0
+    assert late.elapsed_us(replace(first, remaining_us=SECOND_US, is_client_retry=True)) == 0
 
 
 def test_retry_of_an_executed_request_has_a_write_deadline() -> None:
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -48,21 +48,21 @@
 
 def test_changed_set_opens_no_fresh_burst() -> None:
     customers = customers_of()
-    assert customers.get(NOW, KEY).tokens == 20
-    other = customers.get(NOW, CustomerKey(5, 0, 1, 2))
+    assert customers.refreshed_account(NOW, KEY).tokens == 20
+    other = customers.refreshed_account(NOW, CustomerKey(5, 0, 1, 2))
     assert (other.tokens, other.local_tokens, other.ceiling.tokens, other.ceiling.reserve_tokens) == (
         0,
         0,
         0,
         0,
     )
-    assert customers.get(NOW + SECOND_US, KEY) is customers.accounts[KEY]
+    assert customers.refreshed_account(NOW + SECOND_US, KEY) is customers.accounts[KEY]
     assert list(customers.accounts) == [(5, 0, 1, 2), KEY]  # the one seen last at the end
 
 
 def test_idle_account_is_evicted_once_its_buckets_are_full() -> None:
     customers = customers_of()
-    account = customers.get(NOW, KEY)
+    account = customers.refreshed_account(NOW, KEY)
     customers.evict_idle(NOW + MIN_IDLE_TTL_US)
     assert KEY in customers.accounts
     account.in_flight = 1
@@ -74,14 +74,17 @@
 
 
 def test_small_ceiling_has_a_reserve_unless_a_limit_policy_divides_it() -> None:
-    assert customers_of().get(NOW, KEY).ceiling.split_fraction == 0.5
-    assert customers_of(replace(PLAN, ceiling_burst=60.0)).get(NOW, KEY).ceiling.split_fraction == 1
-    assert customers_of(limits=Limits()).get(NOW, KEY).ceiling.split_fraction == 1
+    assert customers_of().refreshed_account(NOW, KEY).ceiling.split_fraction == 0.5
+    assert (
+        customers_of(replace(PLAN, ceiling_burst=60.0)).refreshed_account(NOW, KEY).ceiling.split_fraction
+        == 1
+    )
+    assert customers_of(limits=Limits()).refreshed_account(NOW, KEY).ceiling.split_fraction == 1
 
 
 def test_split_ceiling_is_spent_and_refilled() -> None:
     customers = customers_of(replace(PLAN, ceiling_burst=60.0))
-    account = customers.get(NOW, KEY)
+    account = customers.refreshed_account(NOW, KEY)
     customers.started_at_us = NOW
     assert customers.is_below_ceiling(NOW, account, 30.0) and not customers.is_below_ceiling(
         NOW, account, 31.0
@@ -90,13 +93,13 @@
     assert not customers.is_below_ceiling(NOW, account, 1.0) and customers.is_below_ceiling(
         NOW + SECOND_US, account, 2.0
     )
-    assert customers_of(Plan()).is_below_ceiling(NOW, customers_of(Plan()).get(NOW, KEY), 1e9)
+    assert customers_of(Plan()).is_below_ceiling(NOW, customers_of(Plan()).refreshed_account(NOW, KEY), 1e9)
 
 
 def test_limit_policy_is_consulted_and_notified() -> None:
     limits = Limits()
     customers = customers_of(limits=limits)
-    account = customers.get(NOW, KEY)
+    account = customers.refreshed_account(NOW, KEY)
     assert (account.owner, account.reachable_fraction) == (1, 0.5)
     assert not customers.is_below_ceiling(NOW, account, 1.0)
     limits.has_room = True
@@ -111,12 +114,12 @@
     ]
     limits.quota = ReachableQuota(1, 0.9, 0.0)
     account.unanswered_since_us = NOW
-    assert customers.get(NOW + PEER_SILENCE_US, KEY).reachable_fraction == 0.9
+    assert customers.refreshed_account(NOW + PEER_SILENCE_US, KEY).reachable_fraction == 0.9
     # Its local bucket alone, of a set of two
-    assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
+    assert customers.refreshed_account(NOW + PEER_SILENCE_US + 1, KEY).reachable_fraction == 0.5
     limits.quota = ReachableQuota(2, 1.0, 1.5)
     tokens = account.tokens
-    assert customers.get(NOW + PEER_SILENCE_US + 1, KEY).owner == 2
+    assert customers.refreshed_account(NOW + PEER_SILENCE_US + 1, KEY).owner == 2
     assert account.tokens == tokens + 1.5
     assert account.unanswered_since_us > NOW + SECOND_US  # the new owner has been sent no request
 
@@ -125,7 +128,7 @@
     limits = Limits()
     limits.quota = ReachableQuota(0, 1.0, 0.0)
     customers = customers_of(limits=limits)
-    account = customers.get(NOW, KEY)
+    account = customers.refreshed_account(NOW, KEY)
     customers.apply_spending_total(NOW, 2, SpendingTotal(KEY, 3.0, 0.0))
     assert account.tokens == 17
     limits.new = -2.0
@@ -135,7 +138,7 @@
 
 def test_quota_statuses_only_read() -> None:
     customers = customers_of()
-    account = customers.get(NOW, KEY)
+    account = customers.refreshed_account(NOW, KEY)
     customers.first_keys[(0, 0)] = customers.first_keys.pop(KEY[:2])
     account.replied_at_us = NOW - SECOND_US // 2
     customers.accounts = {customers.first_keys[(0, 0)]: account}
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -130,18 +130,18 @@
 def test_retry_that_comes_after_the_aim_of_its_first_try_is_refused_at_once() -> None:
     driver = GatewayDriver()
     driver.send_request("first", left_us=6 * SECOND_US)
-    assert of_type(ForwardAttempt, driver.send_request("soon", left_us=5 * SECOND_US, is_retry=True))
+    assert of_type(ForwardAttempt, driver.send_request("soon", left_us=5 * SECOND_US, is_client_retry=True))
     late = driver.send_request(
-        "late", left_us=4 * SECOND_US, is_retry=True
+        "late", left_us=4 * SECOND_US, is_client_retry=True
     )  # asked first 2 s ago, as long as the aim is
     assert of_type(Reject, late) and not of_type(ForwardAttempt, late)
     worth = GatewayDriver(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_priority_weight=0.5),)))
     worth.send_request("first", left_us=6 * SECOND_US)
-    assert of_type(ForwardAttempt, worth.send_request("late", left_us=4 * SECOND_US, is_retry=True))
+    assert of_type(ForwardAttempt, worth.send_request("late", left_us=4 * SECOND_US, is_client_retry=True))
 
 
 def test_clients_that_wait_for_different_times_are_no_reason_to_refuse_retries() -> None:
     driver = GatewayDriver()
     for number, left in enumerate([6 * SECOND_US, 3 * SECOND_US, 6 * SECOND_US, 3 * SECOND_US]):
         driver.send_request(f"first{number}", left_us=left)
-    assert of_type(ForwardAttempt, driver.send_request("retry", left_us=2 * SECOND_US, is_retry=True))
+    assert of_type(ForwardAttempt, driver.send_request("retry", left_us=2 * SECOND_US, is_client_retry=True))
--- a/tests/policy/test_gateway_backends.py
+++ b/tests/policy/test_gateway_backends.py
@@ -212,7 +212,7 @@
 
 
 def test_list_must_be_asked_for() -> None:
-    gateway = Gateway(replace(SETTINGS, must_subscribe=True))
+    gateway = Gateway(replace(SETTINGS, must_poll_endpoints=True))
     assert SubscribeToEndpoints(True) in gateway.handle(
         5, EndpointListReceived(EndpointListKind.SAVED, 1, endpoints(2))
     )
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -26,7 +26,7 @@
 
 def test_report_holds_what_is_new_once() -> None:
     outbox = outbox_of()
-    account = outbox.customers.get(NOW, THERE)
+    account = outbox.customers.refreshed_account(NOW, THERE)
     account.unreported_demand, account.unreported_units = 3.0, 2.0
     outbox.enqueue(1, account, 1.0)
     outbox.enqueue(1, account, 0.0)
@@ -42,7 +42,7 @@
 
 def test_reply_holds_tokens_and_grants_units_unless_the_draw_rejected() -> None:
     outbox = outbox_of()
-    account = outbox.customers.get(NOW, HERE)
+    account = outbox.customers.refreshed_account(NOW, HERE)
     account.local_demand, account.remote_demand, reserve_tokens = 1.0, 2.0, account.ceiling.reserve_tokens
     outbox.enqueue(1, account, 1.0, True)
     outbox.enqueue(1, account, 1.0, False)
@@ -58,20 +58,20 @@
 
 def test_messages_to_a_peer_are_spaced_and_the_mark_is_periodic() -> None:
     outbox = outbox_of(gossip_messages_per_s=1.0)
-    account = outbox.customers.get(NOW, THERE)
+    account = outbox.customers.refreshed_account(NOW, THERE)
     marks = []
     for at in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US):
         outbox.enqueue(1, account, 0.0)
         marks.append([MARK in sent.messages for sent in outbox.take_due(NOW + at)])
     assert marks == [[True], [], [False], [True]]
     unsplit = outbox_of(Plan(quota_rate=10.0, quota_burst=20.0))
-    unsplit.enqueue(1, unsplit.customers.get(NOW, THERE), 0.0)
+    unsplit.enqueue(1, unsplit.customers.refreshed_account(NOW, THERE), 0.0)
     assert MARK not in unsplit.take_due(NOW)[0].messages
 
 
 def test_owner_grants_its_reserve_and_no_more() -> None:
     outbox = outbox_of()
-    account = outbox.customers.get(NOW, HERE)
+    account = outbox.customers.refreshed_account(NOW, HERE)
     assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 2)
     assert (
         outbox.grant_ceiling(account, 1.0)
@@ -88,7 +88,7 @@
 
 def spend(outbox: GossipOutbox, key: CustomerKey, now_us: int, units: float = 1.0) -> CustomerAccount:
     """A request is let in by the part here."""
-    account = outbox.customers.get(now_us, key)
+    account = outbox.customers.refreshed_account(now_us, key)
     account.local_demand, account.unreported_demand = (
         account.local_demand + units,
         account.unreported_demand + units,
@@ -136,7 +136,7 @@
 ) -> None:
     """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    account = outbox.customers.get(NOW, THERE)
+    account = outbox.customers.refreshed_account(NOW, THERE)
     account.local_tokens, account.unreported_units = part, spent
     spend(outbox, THERE, NOW)
     assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -107,7 +107,7 @@
 def test_executed_request_stays_in_its_deduplication_scope() -> None:
     balancer, keyed = balancer_of(endpoints(4)), pending_request(KEYED)
     first = balancer.backends["s1"]
-    keyed.first_backend, keyed.first_endpoint, keyed.first_forwarded_at_us = first, first.endpoint, NOW
+    keyed.maybe_executed_on, keyed.first_endpoint, keyed.first_forwarded_at_us = first, first.endpoint, NOW
     chosen = {balancer.choose(NOW, keyed) for _ in range(40)}
     assert chosen <= {balancer.backends["s1"], balancer.backends["s3"]}
     assert balancer.choose(NOW + 3 * SECOND_US, keyed) is None
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -163,7 +163,7 @@
 
     run(job())
     (line,) = [one.getMessage() for one in caplog.records]
-    assert line.startswith("the known list makes no sense") and len(line) < 300
+    assert line.startswith("saved endpoint list is malformed") and len(line) < 300
 
 
 def test_known_list_over_the_memory_bound_is_refused_with_a_line(
@@ -177,7 +177,7 @@
         door.close()
 
     run(job())
-    assert "the known list makes no sense" in caplog.text
+    assert "saved endpoint list is malformed" in caplog.text
 
 
 # --- SIGHUP ---
--- a/tests/races/test_discovery_calls.py
+++ b/tests/races/test_discovery_calls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from molereach.discovery import client, watch_supervisor
-from molereach.discovery.poll_backoff import MAX_AGENT_BACKOFF_S
+from molereach.discovery.poll_backoff import MAX_LOCAL_DISCOVERY_BACKOFF_S
 from molereach.policy.interface.events import EndpointState
 from molereach.proxy.proxy import Proxy
 from tests.races.listing import after, asked, call, changes, gone, watch
@@ -27,7 +27,7 @@
 def test_watch_that_fell_silent_is_closed_and_opened_anew(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "LOCAL_DISCOVERY_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -44,7 +44,7 @@
 
 def test_own_standstill_is_not_taken_for_silence(agent: Machine, monkeypatch: pytest.MonkeyPatch) -> None:
     """The signs of life came while the process was stopped; they are read before anything is judged."""
-    monkeypatch.setattr(watch_supervisor, "AGENT_SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "LOCAL_DISCOVERY_SILENCE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -66,7 +66,7 @@
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first one stays, as it may be the one that is answered when the agent is back."""
-    monkeypatch.setattr(watch_supervisor, "AGENT_HEDGE_DELAY_S", 0.05)
+    monkeypatch.setattr(watch_supervisor, "LOCAL_DISCOVERY_HEDGE_DELAY_S", 0.05)
 
     async def job() -> None:
         async with asked(agent) as door:
@@ -83,7 +83,7 @@
 def test_first_call_that_is_answered_closes_those_before_it(
     agent: Machine, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_supervisor, "AGENT_HEDGE_DELAY_S", 0.02)
+    monkeypatch.setattr(watch_supervisor, "LOCAL_DISCOVERY_HEDGE_DELAY_S", 0.02)
     monkeypatch.setattr(watch_supervisor, "MAX_OPEN_ATTEMPTS", 1000)  # none is closed but for the answer
 
     async def job() -> None:
@@ -141,7 +141,7 @@
             peer, _ = await call(agent)
             peer.reset()
             await until(lambda: not door.discovery.current.watches)
-            assert door.discovery.current.supervisor.wait_s(time.monotonic()) <= MAX_AGENT_BACKOFF_S
+            assert door.discovery.current.supervisor.wait_s(time.monotonic()) <= MAX_LOCAL_DISCOVERY_BACKOFF_S
             await watch(agent)
 
     run(job())
--- a/tests/races/test_discovery_silence.py
+++ b/tests/races/test_discovery_silence.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.discovery.poll_backoff import MAX_AGENT_BACKOFF_S, POLL_INTERVAL_LIMIT_S, PollBackoff
+from molereach.discovery.poll_backoff import MAX_LOCAL_DISCOVERY_BACKOFF_S, POLL_INTERVAL_LIMIT_S, PollBackoff
 from molereach.discovery.watch_supervisor import (
-    AGENT_HEDGE_DELAY_S,
-    AGENT_OBJECT_TIMEOUT_S,
-    AGENT_SILENCE_TIMEOUT_S,
     HEARTBEAT_INTERVAL_S,
+    LOCAL_DISCOVERY_HEDGE_DELAY_S,
+    LOCAL_DISCOVERY_OBJECT_TIMEOUT_S,
+    LOCAL_DISCOVERY_SILENCE_TIMEOUT_S,
     MAX_OPEN_ATTEMPTS,
     POLLED_RESPONSE_TIMEOUT_S,
     WatchSupervisor,
@@ -90,16 +90,16 @@
     while number in agent.calling.open_attempts:
         agent.go_to(agent.now_s + bytes_each_s)
         agent.calling.record_bytes(number, agent.now_s)
-        assert agent.now_s < AGENT_OBJECT_TIMEOUT_S + bytes_each_s
-    assert agent.opened[1] <= AGENT_OBJECT_TIMEOUT_S < TOLD_S
+        assert agent.now_s < LOCAL_DISCOVERY_OBJECT_TIMEOUT_S + bytes_each_s
+    assert agent.opened[1] <= LOCAL_DISCOVERY_OBJECT_TIMEOUT_S < TOLD_S
 
 
 def test_answer_that_is_only_a_head_is_as_silent_as_a_watch() -> None:
     agent = Agent()
     agent.step(0)
     agent.calling.record_bytes(1, 0.0)
-    agent.go_to(AGENT_SILENCE_TIMEOUT_S)
-    assert agent.opened == [0.0, AGENT_SILENCE_TIMEOUT_S]
+    agent.go_to(LOCAL_DISCOVERY_SILENCE_TIMEOUT_S)
+    assert agent.opened == [0.0, LOCAL_DISCOVERY_SILENCE_TIMEOUT_S]
 
 
 def test_signs_of_life_keep_a_watch_however_long() -> None:
@@ -117,8 +117,8 @@
     """Calls made while it is down are held and answered when it is back, or refused, or never answered."""
     agent = Agent()
     agent.lives()
-    agent.go_to(AGENT_SILENCE_TIMEOUT_S)
-    back_s += AGENT_SILENCE_TIMEOUT_S
+    agent.go_to(LOCAL_DISCOVERY_SILENCE_TIMEOUT_S)
+    back_s += LOCAL_DISCOVERY_SILENCE_TIMEOUT_S
     while agent.now_s < back_s:
         if while_down == "refuses":
             for number in list(agent.calling.open_attempts):
@@ -132,7 +132,7 @@
     while len(agent.opened) == opened:
         agent.step(math.inf)
     assert agent.now_s + dial_s - back_s < GRACE_S
-    assert agent.now_s - back_s <= max(AGENT_HEDGE_DELAY_S, MAX_AGENT_BACKOFF_S)
+    assert agent.now_s - back_s <= max(LOCAL_DISCOVERY_HEDGE_DELAY_S, MAX_LOCAL_DISCOVERY_BACKOFF_S)
 
 
 def test_agent_that_refuses_is_called_at_a_bounded_rate() -> None:
@@ -141,18 +141,18 @@
         for number in list(agent.calling.open_attempts):
             agent.calling.record_failure(number, agent.now_s)
         agent.step(10)
-    assert len(agent.opened) <= 10 / MAX_AGENT_BACKOFF_S + 3
+    assert len(agent.opened) <= 10 / MAX_LOCAL_DISCOVERY_BACKOFF_S + 3
 
 
 def test_slow_answer_comes_by_the_eldest_call() -> None:
     """It is kept while younger ones come and go beside it."""
     agent = Agent()
     agent.step(0)
-    agent.go_to(3 * AGENT_HEDGE_DELAY_S)
+    agent.go_to(3 * LOCAL_DISCOVERY_HEDGE_DELAY_S)
     assert list(agent.calling.open_attempts) == [1, 4]
     assert agent.calling.record_object(1, agent.now_s) == [4]
     agent.calling.complete(4)
-    agent.go_to(agent.now_s + AGENT_SILENCE_TIMEOUT_S - 0.1)
+    agent.go_to(agent.now_s + LOCAL_DISCOVERY_SILENCE_TIMEOUT_S - 0.1)
     assert list(agent.calling.open_attempts) == [1]
 
 
