--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Generator, Mapping, Sequence
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import (
     Endpoint,
     EndpointListKind,
@@ -16,7 +17,7 @@
 from molereach.policy.interface.settings import Settings
 from molereach.subsetting.entry_budget import MAX_LIST_COPIES, EntryBudget
 from molereach.subsetting.idempotency_groups import scope_keys
-from molereach.subsetting.interface import Address, EndpointListError, StagedEndpoints, SubsetUpdate
+from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
 from molereach.subsetting.packed_records import name_of, unpack
 from molereach.subsetting.placement import MIN_PROXIES_PER_BACKEND, min_subset_distance, proxy_position
 from molereach.subsetting.staging import STEP_ENTRIES, Staging, entry_of
@@ -29,7 +30,7 @@
 MAX_SHOWN_NAME_BYTES = 80
 
 Steps = Generator[None, None, SubsetUpdate | None]
-AddressedEndpoint = tuple[Endpoint, Address | None]
+AddressedEndpoint = tuple[Endpoint, EndpointAddress | None]
 ShortList = dict[str, AddressedEndpoint]
 
 
@@ -67,7 +68,9 @@
         """Begin a list that arrives in pieces."""
         return self.budget.track(Staging(self.max_entries, self.budget))
 
-    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+    def apply(
+        self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+    ) -> SubsetUpdate | None:
         """Apply a list or changes that arrived in one piece, and so have few entries."""
         if event.kind is EndpointListKind.FAILED:
             return SubsetUpdate(event, {})
@@ -204,7 +207,7 @@
 
 
 def apply_to_short_list(
-    short_list: ShortList, endpoints: Sequence[Endpoint], addresses: Mapping[str, Address]
+    short_list: ShortList, endpoints: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]
 ) -> None:
     """Apply changes to a short list; a backend keeps its address where a change names none."""
     for endpoint in endpoints:
--- a/molereach/subsetting/interface.py
+++ b/molereach/subsetting/interface.py
@@ -7,10 +7,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
 
-Address = tuple[str, int]
-
 
 class EndpointListError(ValueError):
     """An endpoint list that cannot be applied. The text is one line; the list in service stays in force."""
@@ -25,13 +24,13 @@
     """An event for the policy, and the addresses of the endpoints that it names."""
 
     event: EndpointListReceived
-    addresses: dict[str, Address]
+    addresses: dict[str, EndpointAddress]
 
 
 class StagedEndpoints(Protocol):
     """Entries of one list that arrives in pieces; none of them is in force before the list is taken over."""
 
-    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
         """Add the entries of the next piece.
 
         Raises EndpointListError where the list would exceed its own bound, EntryBudgetExceededError where
@@ -45,7 +44,9 @@
     def stage(self) -> StagedEndpoints:
         """Begin a list of which a first piece has arrived."""
 
-    def apply(self, event: EndpointListReceived, addresses: Mapping[str, Address]) -> SubsetUpdate | None:
+    def apply(
+        self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
+    ) -> SubsetUpdate | None:
         """Apply a list or changes that arrived in one piece; None where the subset does not change."""
 
     def take_over(
--- a/molereach/subsetting/packed_records.py
+++ b/molereach/subsetting/packed_records.py
@@ -2,8 +2,9 @@
 
 from struct import Struct, error
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointState
-from molereach.subsetting.interface import Address, EndpointListError
+from molereach.subsetting.interface import EndpointListError
 
 # State, zone, kind, cell, size, start in microseconds, port, length of the name; then the name and the host.
 HEADER = Struct("<BiiidqHH")
@@ -26,7 +27,7 @@
         return name.encode(TEXT_ENCODING, TEXT_ERRORS)
 
 
-def pack(server: Endpoint, address: Address | None, name: bytes = b"") -> bytes:
+def pack(server: Endpoint, address: EndpointAddress | None, name: bytes = b"") -> bytes:
     """The record of an endpoint that is up or draining.
 
     `name` is its encoded name where the caller has it already. Raises EndpointListError for what fits no
@@ -44,7 +45,7 @@
     return header + name + encode_name(host)
 
 
-def unpack(record: bytes) -> tuple[Endpoint, Address | None]:
+def unpack(record: bytes) -> tuple[Endpoint, EndpointAddress | None]:
     """The endpoint of a record, and its address where it has one."""
     state, zone, kind, cell, size, started_us, port, name_length = HEADER.unpack_from(record)
     name_end = HEADER.size + name_length
--- a/molereach/subsetting/staging.py
+++ b/molereach/subsetting/staging.py
@@ -9,9 +9,10 @@
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointState
 from molereach.subsetting.entry_budget import EntryBudget
-from molereach.subsetting.interface import Address, EndpointListError
+from molereach.subsetting.interface import EndpointListError
 from molereach.subsetting.packed_records import encode_name, pack
 from molereach.subsetting.placement import backend_position
 
@@ -26,7 +27,7 @@
     is_removed: bool
 
 
-def entry_of(server: Endpoint, address: Address | None) -> StagedEntry:
+def entry_of(server: Endpoint, address: EndpointAddress | None) -> StagedEntry:
     """The entry of an endpoint; raises EndpointListError where it fits no record."""
     name = encode_name(server.name)
     if server.state is EndpointState.REMOVED:
@@ -70,7 +71,7 @@
         self.added_count = 0
         self.entry_count = 0  # of the slices that are not consumed
 
-    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
         """Add the entries of a piece.
 
         Raises EndpointListError where the list would have too many entries, EntryBudgetExceededError where
--- a/molereach/subsetting/takeover_overlay.py
+++ b/molereach/subsetting/takeover_overlay.py
@@ -11,8 +11,9 @@
 from collections.abc import Callable, Generator, Iterable, Mapping
 from weakref import WeakSet
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint
-from molereach.subsetting.interface import Address, EndpointListError
+from molereach.subsetting.interface import EndpointListError
 from molereach.subsetting.packed_records import is_later, name_of
 from molereach.subsetting.staging import StagedEntry, Staging, entry_of
 from molereach.subsetting.subset import EndpointIndex
@@ -39,7 +40,9 @@
                 if recording.added_count <= recording.max_entries:  # one too many shows that it is incomplete
                     recording.append(entry)
 
-    def record_short_list(self, servers: Iterable[Endpoint], addresses: Mapping[str, Address]) -> None:
+    def record_short_list(
+        self, servers: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]
+    ) -> None:
         """Record changes to a short list, whose entries are not packed."""
         if self.recordings:
             for server in servers:
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -4,12 +4,13 @@
 from dataclasses import replace
 from random import Random
 
+from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.policy.load_balancing import LoadBalancer
 from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR, EndpointSubsetting
 from molereach.subsetting.idempotency_groups import SUBSTITUTES
-from molereach.subsetting.interface import Address, SubsetUpdate
+from molereach.subsetting.interface import SubsetUpdate
 from molereach.subsetting.packed_records import encode_name
 from molereach.subsetting.placement import (
     MIN_PROXIES_PER_BACKEND,
@@ -37,7 +38,7 @@
     DeduplicationScope.ZONE: lambda server: server.zone,
     DeduplicationScope.CELL: lambda server: server.cell,
 }
-Known = dict[str, tuple[Endpoint, Address | None]]
+Known = dict[str, tuple[Endpoint, EndpointAddress | None]]
 Place = Callable[[bytes], int]
 UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
@@ -51,12 +52,12 @@
     return replace(Endpoint(f"b{number}", number % zones, 0, number % cells, UP, 1.0, 1 + number), **changes)
 
 
-def address_of(server: Endpoint) -> Address | None:
+def address_of(server: Endpoint) -> EndpointAddress | None:
     """Another one with each start; none for one that is gone."""
     return None if server.state is GONE else (f"h{server.name}", 1 + server.started_us % 9_000)
 
 
-def addresses_of(servers: Iterable[Endpoint]) -> dict[str, Address]:
+def addresses_of(servers: Iterable[Endpoint]) -> dict[str, EndpointAddress]:
     return {server.name: address for server in servers if (address := address_of(server))}
 
 
@@ -83,7 +84,7 @@
 
 
 def naive_subset(
-    known: Mapping[str, tuple[Endpoint, Address | None]],
+    known: Mapping[str, tuple[Endpoint, EndpointAddress | None]],
     settings: Settings,
     size: int,
     place: Place = backend_position,
@@ -122,7 +123,7 @@
         self.routing = EndpointSubsetting(settings, size, most)
         self.fleet = LoadBalancer(settings, Random(1))
         self.known: Known = {}
-        self.addresses: dict[str, Address] = {}
+        self.addresses: dict[str, EndpointAddress] = {}
         self.long = False
 
     @property
