--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import contextlib
 from collections.abc import AsyncIterator, Awaitable, Callable
 from pathlib import Path
 from typing import Any
@@ -20,6 +19,7 @@
 
 from molereach.fleet.agent.agent import MAX_WATCHERS, Agent
 from molereach.fleet.agent.auth import Role, Tokens
+from molereach.fleet.agent.middleware import DiscardUnreadBody
 from molereach.fleet.agent.watcher import Watcher
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
 from molereach.fleet.api_bodies import MAX_BODY_BYTES, Event, Problem
@@ -27,7 +27,6 @@
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
 
-DISCARD_TIMEOUT_S = 1.0  # for reading the rest of a body that is not used
 MAX_CONCURRENT_CALLS = 64  # without watchers
 CUSTOMER_DIGITS = 16
 JSON = "application/json"
@@ -276,41 +275,3 @@
 def line(event: Event) -> bytes:
     """Return an event as a line of JSON."""
     return _encode(event) + b"\n"
-
-
-class DiscardUnreadBody:
-    """Middleware that reads the rest of a request's body, within limits, before the response is sent.
-
-    The HTTP server (hypercorn 0.18.0) forgets an HTTP/2 stream as soon as it is answered; a later DATA frame
-    of it would end the connection with all its other streams. A client that exceeds the limits accepts that.
-    """
-
-    def __init__(self, app: Any) -> None:  # noqa: ANN401
-        """Wrap an ASGI application."""
-        self.app = app
-
-    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
-        """Run the application on one request."""
-        # Streams are GET calls, and must receive the disconnect themselves.
-        if scope["type"] != "http" or scope["method"] in ("GET", "HEAD"):
-            await self.app(scope, receive, send)
-            return
-        complete = False
-        dropped_bytes = 0
-
-        async def receive_chunk() -> Any:  # noqa: ANN401
-            nonlocal complete
-            message = await receive()
-            complete = complete or message["type"] != "http.request" or not message.get("more_body", False)
-            return message
-
-        async def send_after_body(message: Any) -> None:  # noqa: ANN401
-            nonlocal dropped_bytes
-            if message["type"] == "http.response.start":
-                with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(DISCARD_TIMEOUT_S):
-                        while not complete and dropped_bytes <= MAX_BODY_BYTES:
-                            dropped_bytes += len((await receive_chunk()).get("body", b""))
-            await send(message)
-
-        await self.app(scope, receive_chunk, send_after_body)
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -21,6 +21,10 @@
 from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Report
 
+ORDER_ID_BYTES = 8
+NS_PER_MS = 1_000_000
+MS_PER_S = 1000
+
 
 def print_report(printer: Printer, report: Report) -> None:
     """Print a report for people."""
@@ -53,47 +57,53 @@
         )
 
 
-def give(
-    file: Path | None,
-    verb: Verb,
-    subject: str,
-    json_only: bool,
-    reason: str,
-    issuer: str,
-    order_id: str,
-    lapse: float,
-    forced: bool,
-    based_on: int | None,
-    wait_s: float | None,
-) -> None:
-    """Roll out an order and end with the exit code of its verdict."""
-    lapses_ms = time.time_ns() // 1_000_000 + round(lapse * 1000) if lapse else 0
-    draft = events.Draft(
-        order_id or secrets.token_hex(8), verb, subject, issuer, reason, lapses_ms, forced, based_on
-    )
+def give(file: Path | None, draft: events.Draft, json_only: bool, wait_s: float | None) -> None:
+    """Roll out an order and end with the exit code of its verdict.
+
+    `wait_s` is how long to wait until nothing is in flight at a drained server, in seconds; None: no wait.
+    """
 
     async def command(fleet: Fleet) -> int:
-        Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
+        check_draft(draft)
         printer = Printer(json_only)
         rollout = rollout_for(fleet.settings, draft)
         report = await RolloutRunner(fleet, rollout, lambda step: printer.note(f"{step} ...")).run()
         code = EXITS[report.verdict]
         in_flight = None
         if wait_s is not None and report.decided and code in (DONE, PARTIAL):
-            in_flight = await wait_for_end(fleet, subject, wait_s, printer.note)
+            in_flight = await wait_for_end(fleet, draft.subject, wait_s, printer.note)
             code = code if in_flight.ended else PARTIAL
         printer.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
         if not json_only:
             print_report(printer, report)
             if in_flight:
-                print_in_flight(printer, subject, in_flight, wait_s or 0.0)
+                print_in_flight(printer, draft.subject, in_flight, wait_s or 0.0)
         return code
 
     run(file, command, many_calls=True)
 
 
-def order_command(verb: Verb, metavar: str, text: str) -> click.Command:
-    """Return the command of one verb."""
+def check_draft(draft: events.Draft) -> None:
+    """Raise OrderError if the order of a draft is not valid."""
+    Order(
+        draft.id,
+        draft.verb,
+        draft.subject,
+        draft.issuer,
+        draft.reason,
+        draft.based_on or 0,
+        draft.lapses_ms,
+        draft.forced,
+    ).check()
+
+
+def lapse_time_ms(lapse_s: float) -> int:
+    """Return the Unix time in milliseconds after so many seconds; 0, for never, after 0."""
+    return time.time_ns() // NS_PER_MS + round(lapse_s * MS_PER_S) if lapse_s else 0
+
+
+def order_options(verb: Verb, metavar: str) -> list[Callable[..., Any]]:
+    """Return the argument and the options of one verb's command, in the order of its help."""
     options = [
         click.argument("subject", metavar=metavar),
         as_json,
@@ -131,12 +141,38 @@
                 help="Then wait until nothing is in flight there, so long at most.",
             )
         )
+    return options
+
 
-    def command(file: Path | None, forced: bool = False, wait_s: float | None = None, **more: Any) -> None:  # noqa: ANN401
-        give(file, verb, forced=forced, wait_s=wait_s, **more)
+def order_command(verb: Verb, metavar: str, text: str) -> click.Command:
+    """Return the command of one verb; `metavar` names its argument, and `text` is its help."""
+
+    def command(
+        file: Path | None,
+        subject: str,
+        json_only: bool,
+        reason: str,
+        issuer: str,
+        order_id: str,
+        lapse: float,
+        based_on: int | None,
+        forced: bool = False,
+        wait_s: float | None = None,
+    ) -> None:
+        draft = events.Draft(
+            order_id or secrets.token_hex(ORDER_ID_BYTES),
+            verb,
+            subject,
+            issuer,
+            reason,
+            lapse_time_ms(lapse),
+            forced,
+            based_on,
+        )
+        give(file, draft, json_only, wait_s)
 
     command.__doc__ = text
-    made: Callable[..., None] = command
-    for option in reversed(options):
-        made = option(made)
-    return click.command(verb.value)(click.pass_obj(made))
+    decorated: Callable[..., None] = command
+    for option in reversed(order_options(verb, metavar)):
+        decorated = option(decorated)
+    return click.command(verb.value)(click.pass_obj(decorated))
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -9,9 +9,6 @@
 import contextlib
 import logging
 import os
-import socket
-import stat
-import struct
 from collections import Counter
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -20,7 +17,7 @@
 from molereach.clock import now_us
 from molereach.fleet import wire
 from molereach.fleet.anchored_clock import anchored_unix_ms
-from molereach.fleet.errors import FleetError
+from molereach.fleet.control_socket import ControlError, peer_user, remove_stale_socket
 from molereach.fleet.order_state import OrderState
 from molereach.fleet.orders import Decided, Verb
 from molereach.fleet.overlay import Overlay
@@ -32,17 +29,6 @@
 MAX_UNREAD_BYTES = 1 << 20  # written and not read by a client, which is then dropped
 NOTIFICATION_DELAY_S = 0.25  # least time between notifications
 EXPIRY_INTERVAL_S = 0.5  # between checks for lapsed orders
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group, as in struct ucred
-
-
-class ControlError(FleetError, OSError):
-    """The socket cannot be opened; the text is one line."""
-
-
-def peer_user(connection: socket.socket) -> int:
-    """Return the user that opened a connection, as the kernel reports it."""
-    packed = connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
-    return int(PEER_CREDENTIALS.unpack(packed)[1])
 
 
 class ControlConnection(asyncio.Protocol):
@@ -152,7 +138,7 @@
 
     async def start(self) -> None:
         """Listen; raise ControlError if the path is taken or not private."""
-        self.remove_stale_socket()
+        remove_stale_socket(self.path)
         # The mode is set by the mask, since a later chmod would leave a moment in which others can connect.
         previous_mask = os.umask(0o177)
         try:
@@ -167,24 +153,6 @@
         self.inode = found.st_dev, found.st_ino
         self.expire_orders()
 
-    def remove_stale_socket(self) -> None:
-        """Remove the socket of a proxy that has died; raise ControlError for anything else at the path."""
-        folder = self.path.parent
-        try:
-            if stat.S_IMODE(folder.stat().st_mode) & 0o022:
-                raise ControlError(f"{folder}: others may write to this folder")
-            found = self.path.lstat()
-        except FileNotFoundError:
-            if not folder.is_dir():
-                raise ControlError(f"{folder}: there is no such folder") from None
-            return
-        if not stat.S_ISSOCK(found.st_mode):
-            raise ControlError(f"{self.path}: is there and is no socket")
-        with socket.socket(socket.AF_UNIX) as client:
-            if client.connect_ex(str(self.path)) == 0:
-                raise ControlError(f"{self.path}: another front door is there")
-        self.path.unlink()
-
     def close(self) -> None:
         """Close all connections and remove the socket, unless a successor has replaced it."""
         if self.expiry_timer:
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -14,7 +14,8 @@
 
 from molereach.discovery.endpoint_mapping import EndpointUpdate
 from molereach.fleet import control, wire
-from molereach.fleet.control import Control, ControlError, attach
+from molereach.fleet.control import Control, attach
+from molereach.fleet.control_socket import ControlError
 from molereach.fleet.order_state import OrderState
 from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 from molereach.fleet.wire import Request, Response
