--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -1,11 +1,10 @@
 """The agent's HTTP API, the same over HTTP/1.1 and HTTP/2. `openapi.json` beside this file describes it.
 
-What comes is bounded before it is read whole, and typed before it is believed. A client shows a bearer token;
-its role says what it may do. Every refusal is an audit line.
+A body's length is checked before it is read and its type before it is used. A client sends a bearer token,
+whose role says what it may do. Every rejected call is logged.
 """
 
 import asyncio
-import contextlib
 from collections.abc import AsyncIterator, Awaitable, Callable
 from pathlib import Path
 from typing import Any
@@ -18,17 +17,20 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from molereach.fleet.agent.agent import MOST_WATCHERS, Agent, Watcher
+from molereach.fleet.agent.agent import MAX_WATCHERS, Agent
 from molereach.fleet.agent.auth import Role, Tokens
+from molereach.fleet.agent.middleware import DiscardUnreadBody
+from molereach.fleet.agent.watcher import Watcher
 from molereach.fleet.agreement import Accept, Accepted, Behind, Known, Message, Outbid, Prepare, Promise
-from molereach.fleet.api_bodies import MOST_BODY_BYTES, Event, Problem
+from molereach.fleet.api_bodies import MAX_BODY_BYTES, Event, Problem
+from molereach.fleet.errors import FleetError
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
 
-DROP_S = 1.0  # for the rest of a body that nobody wants
-MOST_AT_ONCE = 64  # calls under way, watchers apart
+MAX_CONCURRENT_CALLS = 64  # without watchers
 CUSTOMER_DIGITS = 16
-JSON, LINES = "application/json", "application/x-ndjson"
+JSON = "application/json"
+JSON_LINES = "application/x-ndjson"
 DOCUMENT = Path(__file__).with_name("openapi.json")
 HEADERS = {"cache-control": "no-store"}
 
@@ -39,20 +41,24 @@
 )
 
 
-class RefusedError(Exception):
-    """A call that gets no answer but a problem."""
+class CallRejectedError(FleetError):
+    """A call that is answered with a `Problem` and an HTTP status."""
 
     def __init__(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
+        """Answer with an HTTP status, one line of text, and additional headers."""
         super().__init__(text)
-        self.status, self.text, self.headers = status, text, headers or {}
+        self.status = status
+        self.text = text
+        self.headers = headers or {}
 
 
 def answer(body: object, status: int = 200, headers: dict[str, str] | None = None) -> Response:
+    """Return a JSON response."""
     return Response(_encode(body), status, HEADERS | (headers or {}), JSON)
 
 
 def check_message(message: Message) -> None:
-    """OrderError where what a message carries cannot be."""
+    """Raise OrderError if the content of a message is not valid."""
     match message:
         case Accept():
             message.order.check()
@@ -69,22 +75,25 @@
 
 
 async def body_of(request: Request) -> bytes:
-    """A bounded body, not read further than its bound."""
+    """Return a request's body; reject one that is too large without reading all of it."""
     length = request.headers.get("content-length", "0")
     data = bytearray()
-    if not length.isdigit() or int(length) > MOST_BODY_BYTES:
-        raise RefusedError(413, f"a body of more than {MOST_BODY_BYTES} bytes", {"connection": "close"})
-    async for part in request.stream():
-        data += part
-        if len(data) > MOST_BODY_BYTES:
-            raise RefusedError(413, f"a body of more than {MOST_BODY_BYTES} bytes", {"connection": "close"})
+    if not length.isdigit() or int(length) > MAX_BODY_BYTES:
+        raise CallRejectedError(413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"})
+    async for chunk in request.stream():
+        data += chunk
+        if len(data) > MAX_BODY_BYTES:
+            raise CallRejectedError(
+                413, f"a body of more than {MAX_BODY_BYTES} bytes", {"connection": "close"}
+            )
     return bytes(data)
 
 
 def number_of(request: Request, name: str) -> int:
+    """Return a query parameter that is a whole number, 0 without it."""
     text = request.query_params.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > 16:
-        raise RefusedError(400, f"{name}: not a whole number")
+        raise CallRejectedError(400, f"{name}: not a whole number")
     return int(text)
 
 
@@ -92,54 +101,62 @@
     """The routes of one agent."""
 
     def __init__(self, agent: Agent, tokens: Tokens) -> None:
-        self.agent, self.tokens, self.under_way = agent, tokens, 0
+        """Serve an agent to the holders of tokens."""
+        self.agent = agent
+        self.tokens = tokens
+        self.calls_in_progress = 0
 
     def app(self) -> Starlette:
-        """The ASGI application."""
-        read, operate = Role.READ, Role.OPERATE
+        """Return the ASGI application."""
+        read = Role.READ
+        operate = Role.OPERATE
         return Starlette(
             routes=[
                 Route("/v1/status", self.guarded(read, self.status)),
-                Route("/v1/view", self.guarded(read, self.view)),
+                Route("/v1/view", self.guarded(read, self.snapshot)),
                 Route("/v1/members", self.guarded(read, self.members)),
                 Route("/v1/orders", self.guarded(read, self.orders)),
                 Route("/v1/quota/{customer}", self.guarded(read, self.quota)),
-                Route("/v1/book", self.guarded(read, self.book)),
+                Route("/v1/book", self.guarded(read, self.order_state)),
                 Route("/v1/events", self.guarded(read, self.events)),
                 Route("/v1/watch", self.guarded(read, self.watch)),
                 Route("/v1/agreement", self.guarded(operate, self.agreement), methods=["POST"]),
                 Route("/v1/openapi.json", self.guarded(read, self.openapi)),
             ],
-            middleware=[Middleware(ReadFirst)],
+            middleware=[Middleware(DiscardUnreadBody)],
         )
 
     def guarded(
         self, role: Role, call: Callable[[Request, str], Awaitable[Response]]
     ) -> Callable[[Request], Awaitable[Response]]:
-        """A call for clients with a role; whatever goes wrong in it is a problem in one line."""
+        """Return a route for clients with a role; every error in `call` is answered with a `Problem`."""
 
         async def guard(request: Request) -> Response:
             client = self.tokens.client(request.headers.get("authorization", ""))
             name = client.name if client else ""
             try:
                 if client is None:
-                    raise RefusedError(401, "no token that is known here", {"www-authenticate": "Bearer"})
+                    raise CallRejectedError(
+                        401, "no token that is known here", {"www-authenticate": "Bearer"}
+                    )
                 if not client.role.may(role):
-                    raise RefusedError(403, f"{name} may not do this: it takes the role {role.value}")
-                if self.under_way >= MOST_AT_ONCE:
-                    raise RefusedError(503, f"{MOST_AT_ONCE} calls are under way", {"retry-after": "1"})
+                    raise CallRejectedError(403, f"{name} may not do this: it takes the role {role.value}")
+                if self.calls_in_progress >= MAX_CONCURRENT_CALLS:
+                    raise CallRejectedError(
+                        503, f"{MAX_CONCURRENT_CALLS} calls are under way", {"retry-after": "1"}
+                    )
                 return await self.counted(call, request, name)
-            except RefusedError as refused:
+            except CallRejectedError as rejection:
                 peer = request.client.host if request.client else ""
                 log.warning(
                     "call refused",
                     path=request.url.path,
-                    status=refused.status,
+                    status=rejection.status,
                     peer=peer,
                     client=name,
-                    why=refused.text,
+                    why=rejection.text,
                 )
-                return answer(Problem(refused.text), refused.status, refused.headers)
+                return answer(Problem(rejection.text), rejection.status, rejection.headers)
             except ClientDisconnect:
                 return Response(status_code=499)
             except Exception:
@@ -151,90 +168,102 @@
     async def counted(
         self, call: Callable[[Request, str], Awaitable[Response]], request: Request, name: str
     ) -> Response:
-        self.under_way += 1
+        """Run a call, counted among the calls in progress."""
+        self.calls_in_progress += 1
         try:
             return await call(request, name)
         finally:
-            self.under_way -= 1
+            self.calls_in_progress -= 1
 
     # --- reading ---
 
     async def status(self, request: Request, client: str) -> Response:
+        """Answer with the state of the agent and its proxies."""
         return answer(self.agent.status())
 
-    async def view(self, request: Request, client: str) -> Response:
-        return answer(await self.agent.view())
+    async def snapshot(self, request: Request, client: str) -> Response:
+        """Answer with all that a tool needs to give an order."""
+        return answer(await self.agent.snapshot())
 
     async def members(self, request: Request, client: str) -> Response:
+        """Answer with the servers as each proxy sees them."""
         return answer(await self.agent.members())
 
     async def orders(self, request: Request, client: str) -> Response:
+        """Answer with the orders in force, the latest ones, and one that is under way."""
         return answer(self.agent.orders())
 
     async def quota(self, request: Request, client: str) -> Response:
+        """Answer with what each proxy knows of a customer's quota."""
         customer = request.path_params["customer"].lower()
         if len(customer) != CUSTOMER_DIGITS or set(customer) - set("0123456789abcdef"):
-            raise RefusedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
+            raise CallRejectedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
         return answer(await self.agent.quota(customer))
 
-    async def book(self, request: Request, client: str) -> Response:
-        """The book, where it is past a revision; 204 where it is not."""
-        state = self.agent.acceptor.book.state()
+    async def order_state(self, request: Request, client: str) -> Response:
+        """Answer with the replicated state if it is newer than a revision, otherwise 204."""
+        state = self.agent.acceptor.order_state.to_record()
         if state.revision <= number_of(request, "after"):
             return Response(status_code=204, headers=HEADERS)
         return answer(state)
 
     async def events(self, request: Request, client: str) -> Response:
+        """Answer with the events after a number."""
         return answer(self.agent.events(number_of(request, "after")))
 
     async def watch(self, request: Request, client: str) -> Response:
-        """Events as they happen, a line each; one who does not read misses some, and is told how many."""
+        """Stream events as lines; a client that reads too slowly misses some and gets their number."""
         agent = self.agent
-        if len(agent.watchers) >= MOST_WATCHERS:
-            raise RefusedError(503, f"{MOST_WATCHERS} watchers are there", {"retry-after": "5"})
+        if len(agent.watchers) >= MAX_WATCHERS:
+            raise CallRejectedError(503, f"{MAX_WATCHERS} watchers are there", {"retry-after": "5"})
         watcher = Watcher()
-        agent.watchers.add(watcher)  # before the answer begins: nothing is missed after it
+        agent.watchers.add(watcher)  # before the response starts, so that no event after it is missed
 
         async def lines() -> AsyncIterator[bytes]:
             try:
-                yield b"\n"  # so that the answer's head leaves
+                yield b"\n"  # sends the headers at once
                 while True:
                     event = await watcher.queue.get()
                     if watcher.missed:
-                        text, watcher.missed = f"{watcher.missed} events were not read", 0
+                        text = f"{watcher.missed} events were not read"
+                        watcher.missed = 0
                         yield line(Event(event.number, event.at_ms, agent.name, "dropped", agent.name, text))
                     yield line(event)
             finally:
                 agent.watchers.discard(watcher)
 
-        return Watching(lines(), agent, watcher)
+        return WatchResponse(lines(), agent, watcher)
 
     async def openapi(self, request: Request, client: str) -> Response:
+        """Answer with the description of the API."""
         return Response(DOCUMENT.read_bytes(), 200, HEADERS, JSON)
 
     # --- operating ---
 
     async def agreement(self, request: Request, client: str) -> Response:
-        """A message of a tool; the replies."""
+        """Handle a tool's message; answer with the replies."""
         try:
             message = _message.decode(await body_of(request))
             check_message(message)
         except (msgspec.DecodeError, UnicodeDecodeError, OrderError) as error:
-            raise RefusedError(400, " ".join(str(error).split())) from error
+            raise CallRejectedError(400, " ".join(str(error).split())) from error
         try:
-            return answer(await self.agent.take(message, client))
+            return answer(await self.agent.handle_message(message, client))
         except JournalError as error:
-            raise RefusedError(503, str(error)) from error
+            raise CallRejectedError(503, str(error)) from error
 
 
-class Watching(StreamingResponse):
-    """A stream whose watcher goes with it, also where it never began."""
+class WatchResponse(StreamingResponse):
+    """A stream that removes its watcher when it ends, even if it never started."""
 
     def __init__(self, lines: AsyncIterator[bytes], agent: Agent, watcher: Watcher) -> None:
-        super().__init__(lines, headers=HEADERS, media_type=LINES)
-        self.agent, self.watcher = agent, watcher
+        """Stream `lines` to a watcher of an agent."""
+        super().__init__(lines, headers=HEADERS, media_type=JSON_LINES)
+        self.agent = agent
+        self.watcher = watcher
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
+        """Send the stream, and remove the watcher."""
         try:
             await super().__call__(scope, receive, send)
         except asyncio.CancelledError:
@@ -244,38 +273,5 @@
 
 
 def line(event: Event) -> bytes:
+    """Return an event as a line of JSON."""
     return _encode(event) + b"\n"
-
-
-class ReadFirst:
-    """Middleware: what a client still sends is read and dropped before it is answered, within bounds.
-
-    The HTTP server (hypercorn 0.18.0) forgets a stream of HTTP/2 as soon as it is answered, and a DATA frame
-    of it that comes then ends the connection, other streams included. Beyond the bound that is deserved.
-    """
-
-    def __init__(self, app: Any) -> None:  # noqa: ANN401
-        self.app = app
-
-    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
-        if scope["type"] != "http" or scope["method"] in ("GET", "HEAD"):  # a stream hears of its own end
-            await self.app(scope, receive, send)
-            return
-        over, dropped = False, 0
-
-        async def hear() -> Any:  # noqa: ANN401
-            nonlocal over
-            message = await receive()
-            over = over or message["type"] != "http.request" or not message.get("more_body", False)
-            return message
-
-        async def tell(message: Any) -> None:  # noqa: ANN401
-            nonlocal dropped
-            if message["type"] == "http.response.start":
-                with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(DROP_S):
-                        while not over and dropped <= MOST_BODY_BYTES:
-                            dropped += len((await hear()).get("body", b""))
-            await send(message)
-
-        await self.app(scope, hear, tell)
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -1,4 +1,4 @@
-"""`drain`, `undrain`, `hold`, `release`: an order given, and what became of it."""
+"""`drain`, `undrain`, `hold`, `release`: roll out an order and print the report."""
 
 import getpass
 import secrets
@@ -10,89 +10,102 @@
 import click
 import msgspec
 
-from molereach.fleet.cli.campaigns import campaign_for
-from molereach.fleet.cli.client import Fleet, Giver
-from molereach.fleet.cli.exits import DONE, EXITS, PARTLY
-from molereach.fleet.cli.in_flight import show_in_flight, wait_for_end
+from molereach.fleet.cli.client import Fleet
+from molereach.fleet.cli.exits import DONE, EXITS, PARTIAL
+from molereach.fleet.cli.in_flight import print_in_flight, wait_for_end
+from molereach.fleet.cli.rollouts import rollout_for
+from molereach.fleet.cli.runner import RolloutRunner
 from molereach.fleet.cli.session import as_json, run
 from molereach.fleet.cli.tables import Printer, age
 from molereach.fleet.orders import Order, Verb
-from molereach.fleet.rollout import events as ev
+from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Report
 
+ORDER_ID_BYTES = 8
+NS_PER_MS = 1_000_000
+MS_PER_S = 1000
 
-def show_report(out: Printer, report: Report) -> None:
-    out.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
+
+def print_report(printer: Printer, report: Report) -> None:
+    """Print a report for people."""
+    printer.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
     if report.winner:
         other = report.winner.order
-        out.line(
+        printer.line(
             f"  stands: {other.verb.value} {other.subject} at revision {report.winner.revision}, by "
             f"{other.issuer}: {other.reason} (order {other.id})"
         )
-    for word in report.agents:
-        if word.why or (report.decided and not word.told):
-            out.line(f"  agent {word.agent}: {word.why or 'has not said that it knows the order'}")
-    if report.decided and report.doors:
-        out.table(
+    for each in report.agents:
+        if each.reason or (report.decided and not each.notified):
+            printer.line(f"  agent {each.agent}: {each.reason or 'has not said that it knows the order'}")
+    if report.decided and report.proxies:
+        printer.table(
             "",
             ("agent", "front door", "carried out", "reach", "revision", "heard", ""),
             (
                 (
-                    word.agent,
-                    word.door,
-                    "yes" if word.carried_out else "NOT KNOWN",
-                    word.reach,
-                    word.revision,
-                    age(word.heard_ago_ms),
-                    word.why,
+                    each.agent,
+                    each.proxy,
+                    "yes" if each.applied else "NOT KNOWN",
+                    each.reachability,
+                    each.revision,
+                    age(each.reported_ago_ms),
+                    each.reason,
                 )
-                for word in report.doors
+                for each in report.proxies
             ),
         )
 
 
-def give(
-    file: Path | None,
-    verb: Verb,
-    subject: str,
-    json_only: bool,
-    reason: str,
-    issuer: str,
-    order_id: str,
-    lapse: float,
-    forced: bool,
-    based_on: int | None,
-    wait_s: float | None,
-) -> None:
-    """Give an order and end with the exit code of what became of it."""
-    lapses_ms = time.time_ns() // 1_000_000 + round(lapse * 1000) if lapse else 0
-    draft = ev.Draft(
-        order_id or secrets.token_hex(8), verb, subject, issuer, reason, lapses_ms, forced, based_on
-    )
-
-    async def job(made: Fleet) -> int:
-        Order(draft.id, verb, subject, issuer, reason, based_on or 0, lapses_ms, forced).check()
-        out = Printer(json_only)
-        campaign = campaign_for(made.settings, draft)
-        report = await Giver(made, campaign, lambda step: out.note(f"{step} ...")).run()
-        code, in_flight = EXITS[report.verdict], None
-        if wait_s is not None and report.decided and code in (DONE, PARTLY):
-            in_flight = await wait_for_end(made, subject, wait_s, out.note)
-            code = code if in_flight.ended else PARTLY
-        out.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
+def give(file: Path | None, draft: events.Draft, json_only: bool, wait_s: float | None) -> None:
+    """Roll out an order and end with the exit code of its verdict.
+
+    `wait_s` is how long to wait until nothing is in flight at a drained server, in seconds; None: no wait.
+    """
+
+    async def command(fleet: Fleet) -> int:
+        check_draft(draft)
+        printer = Printer(json_only)
+        rollout = rollout_for(fleet.settings, draft)
+        report = await RolloutRunner(fleet, rollout, lambda step: printer.note(f"{step} ...")).run()
+        code = EXITS[report.verdict]
+        in_flight = None
+        if wait_s is not None and report.decided and code in (DONE, PARTIAL):
+            in_flight = await wait_for_end(fleet, draft.subject, wait_s, printer.note)
+            code = code if in_flight.ended else PARTIAL
+        printer.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
         if not json_only:
-            show_report(out, report)
+            print_report(printer, report)
             if in_flight:
-                show_in_flight(out, subject, in_flight, wait_s or 0.0)
+                print_in_flight(printer, draft.subject, in_flight, wait_s or 0.0)
         return code
 
-    run(file, job, many_calls=True)
+    run(file, command, many_calls=True)
+
+
+def check_draft(draft: events.Draft) -> None:
+    """Raise OrderError if the order of a draft is not valid."""
+    Order(
+        draft.id,
+        draft.verb,
+        draft.subject,
+        draft.issuer,
+        draft.reason,
+        draft.based_on or 0,
+        draft.lapses_ms,
+        draft.forced,
+    ).check()
 
 
-def giving(verb: Verb, what: str, text: str) -> click.Command:
-    """The command of one verb."""
+def lapse_time_ms(lapse_s: float) -> int:
+    """Return the Unix time in milliseconds after so many seconds; 0, for never, after 0."""
+    return time.time_ns() // NS_PER_MS + round(lapse_s * MS_PER_S) if lapse_s else 0
+
+
+def order_options(verb: Verb, metavar: str) -> list[Callable[..., Any]]:
+    """Return the argument and the options of one verb's command, in the order of its help."""
     options = [
-        click.argument("subject", metavar=what),
+        click.argument("subject", metavar=metavar),
         as_json,
         click.option("--reason", required=True, help="Why; others read it."),
         click.option("--issuer", default=getpass.getuser, help="Who gives it (default: the user)."),
@@ -128,12 +141,38 @@
                 help="Then wait until nothing is in flight there, so long at most.",
             )
         )
+    return options
+
 
-    def command(file: Path | None, forced: bool = False, wait_s: float | None = None, **more: Any) -> None:  # noqa: ANN401
-        give(file, verb, forced=forced, wait_s=wait_s, **more)
+def order_command(verb: Verb, metavar: str, text: str) -> click.Command:
+    """Return the command of one verb; `metavar` names its argument, and `text` is its help."""
+
+    def command(
+        file: Path | None,
+        subject: str,
+        json_only: bool,
+        reason: str,
+        issuer: str,
+        order_id: str,
+        lapse: float,
+        based_on: int | None,
+        forced: bool = False,
+        wait_s: float | None = None,
+    ) -> None:
+        draft = events.Draft(
+            order_id or secrets.token_hex(ORDER_ID_BYTES),
+            verb,
+            subject,
+            issuer,
+            reason,
+            lapse_time_ms(lapse),
+            forced,
+            based_on,
+        )
+        give(file, draft, json_only, wait_s)
 
     command.__doc__ = text
-    made: Callable[..., None] = command
-    for option in reversed(options):
-        made = option(made)
-    return click.command(verb.value)(click.pass_obj(made))
+    decorated: Callable[..., None] = command
+    for option in reversed(order_options(verb, metavar)):
+        decorated = option(decorated)
+    return click.command(verb.value)(click.pass_obj(decorated))
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -1,211 +1,238 @@
-"""The front doors of one agent: what is known of each, how old that is, and what each is to be told. A core.
+"""The proxies of one agent: their last states, and which of them lack orders. A state machine without I/O.
 
-A front door that is killed leaves its socket behind: it is gone, and remembered. One that ends in order takes
-its socket away: it has ended, and is forgotten after a while. One that is stopped takes what is sent and
-says nothing: it is silent.
+A proxy that was killed leaves its socket behind: it is "gone" and stays listed. One that ended regularly has
+removed its socket: it is "ended" and dropped after a while. One that is stopped takes requests but does not
+answer: it is "silent".
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-from molereach.fleet.api_bodies import DoorView, Event, Reach
-from molereach.fleet.wire import State
+from molereach.fleet.api_bodies import Event, ProxyStatus, Reachability
+from molereach.fleet.wire import ProxyState
 
-MAX_MEMBERS = 64
-MOST_EVENTS = 512  # of the history
-QUIET_MS = 1000  # without a word, though it was asked
-FORGET_MS = 600_000  # after it has ended
-SILENT = "it takes what is sent and says nothing"
+MAX_PROXIES = 64
+MAX_EVENTS = 512  # kept in the history
+SILENCE_TIMEOUT_MS = 1000  # without an answer
+REMOVAL_DELAY_MS = 600_000  # from "ended" until a proxy is dropped
+SILENT_REASON = "it takes what is sent and says nothing"
 
 
 @dataclass(frozen=True, slots=True)
-class Sockets:
-    """The sockets that are there now, by the name of their front door."""
+class SocketsListed:
+    """The sockets that exist now, by the name of their proxy."""
 
     names: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A connection to a front door stands."""
+class Connected:
+    """A connection to a proxy was opened."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
-    """A front door told its state."""
+class StateReceived:
+    """A proxy sent its state."""
 
-    door: str
-    state: State
+    proxy: str
+    state: ProxyState
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """No connection, or none any more."""
+class Disconnected:
+    """A connection to a proxy failed or was closed."""
 
-    door: str
-    why: str
+    proxy: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
-    """A connection stands, and what was asked on it is not answered."""
+class RequestUnanswered:
+    """A request on an open connection was not answered in time."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """The book is at a revision; `ready` once this agent may speak for the fleet."""
+class RevisionChanged:
+    """The agent's revision changed; `ready` once orders may be sent to proxies."""
 
     revision: int
     ready: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Tick:
     """Time has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """Open a connection to a front door."""
+    """Open a connection to a proxy."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Put:
-    """Tell a front door the orders in force."""
+class SendOrders:
+    """Send a proxy the orders in force."""
 
-    door: str
+    proxy: str
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
-    """Close the connection to a front door."""
+class Disconnect:
+    """Close the connection to a proxy."""
 
-    door: str
+    proxy: str
 
 
-Action = Connect | Put | Drop
-RosterEvent = Sockets | Opened | Heard | Lost | Quiet | Wanted | Look
+Action = Connect | SendOrders | Disconnect
+RosterEvent = (
+    SocketsListed | Connected | StateReceived | Disconnected | RequestUnanswered | RevisionChanged | Tick
+)
 
 
 @dataclass(slots=True)
-class Record:
-    """What is known of a front door."""
+class ProxyRecord:
+    """What is known of a proxy; times in milliseconds."""
 
-    reach: Reach = "new"
-    heard_ms: int | None = None
+    reachability: Reachability = "new"
+    reported_ms: int | None = None
     changed_ms: int = 0
-    why: str = ""
-    state: State | None = None
+    reason: str = ""
+    state: ProxyState | None = None
     connecting: bool = False
 
 
 class Roster:
-    """All front doors of an agent."""
+    """The proxies of an agent, and the history of their changes."""
 
     def __init__(self, agent: str) -> None:
+        """Start without proxies; `agent` is the name in events."""
         self.agent = agent
-        self.doors: dict[str, Record] = {}
-        self.revision, self.ready = 0, False
-        self.history: deque[Event] = deque(maxlen=MOST_EVENTS)
-        self.number = 0
-        self.refused = 0  # sockets beyond the bound
+        self.proxies: dict[str, ProxyRecord] = {}
+        self.revision = 0
+        self.ready = False
+        self.history: deque[Event] = deque(maxlen=MAX_EVENTS)
+        self.number = 0  # of the last event
+        self.rejected_sockets = 0  # beyond MAX_PROXIES
 
     def handle(self, now_ms: int, event: RosterEvent) -> list[Action]:
-        """Take one event at `now_ms`; what to do now."""
+        """Handle one event at `now_ms`; return the actions to carry out."""
         match event:
-            case Sockets():
+            case SocketsListed():
                 return self.on_sockets(now_ms, event.names)
-            case Wanted():
-                self.revision, self.ready = event.revision, event.ready
-                return [Put(name) for name, record in self.doors.items() if self.lacks(record)]
-            case Look():
-                self.on_look(now_ms)
+            case RevisionChanged():
+                self.revision = event.revision
+                self.ready = event.ready
+                return [SendOrders(name) for name, record in self.proxies.items() if self.is_behind(record)]
+            case Tick():
+                self.on_tick(now_ms)
                 return []
-        record = self.doors.get(event.door)
+        record = self.proxies.get(event.proxy)
         if record is None:
             return []
         match event:
-            case Opened():
+            case Connected():
                 record.connecting = False
-                return [Put(event.door)] if self.ready else []
-            case Heard():
-                return self.on_heard(now_ms, event.door, record, event.state)
-            case Lost():
+                return [SendOrders(event.proxy)] if self.ready else []
+            case StateReceived():
+                return self.on_state(now_ms, event.proxy, record, event.state)
+            case Disconnected():
                 record.connecting = False
-                if record.reach != "gone":  # the first reason says most
-                    self.change(now_ms, event.door, record, "gone", event.why)
+                if record.reachability != "gone":  # the first reason is the useful one
+                    self.set_reachability(now_ms, event.proxy, record, "gone", event.reason)
                 return []
-            case Quiet():
-                self.change(now_ms, event.door, record, "silent", SILENT)
+            case RequestUnanswered():
+                self.set_reachability(now_ms, event.proxy, record, "silent", SILENT_REASON)
                 return []
 
-    def lacks(self, record: Record) -> bool:
-        """Whether a front door that answers is to be told of orders."""
+    def is_behind(self, record: ProxyRecord) -> bool:
+        """Return whether a connected proxy lacks orders that may be sent."""
         return (
             self.ready
-            and record.reach in ("up", "silent")
+            and record.reachability in ("up", "silent")
             and record.state is not None
             and record.state.revision < self.revision
         )
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
-        for name in sorted(names - self.doors.keys()):
-            if len(self.doors) >= MAX_MEMBERS:
-                self.refused += 1
+        """Add proxies with new sockets, connect to those without a connection, drop ended ones."""
+        for name in sorted(names - self.proxies.keys()):
+            if len(self.proxies) >= MAX_PROXIES:
+                self.rejected_sockets += 1
                 break
-            self.doors[name] = Record(changed_ms=now_ms)
+            self.proxies[name] = ProxyRecord(changed_ms=now_ms)
         actions: list[Action] = []
-        for name, record in list(self.doors.items()):
-            if name in names and record.reach in ("new", "gone", "ended") and not record.connecting:
+        for name, record in list(self.proxies.items()):
+            if name in names and record.reachability in ("new", "gone", "ended") and not record.connecting:
                 record.connecting = True
                 actions.append(Connect(name))
-            elif name not in names and record.reach in ("new", "gone"):
-                self.change(now_ms, name, record, "ended", "its socket is no longer there")
-            elif record.reach == "ended" and now_ms - record.changed_ms >= FORGET_MS:
-                del self.doors[name]
+            elif name not in names and record.reachability in ("new", "gone"):
+                self.set_reachability(now_ms, name, record, "ended", "its socket is no longer there")
+            elif record.reachability == "ended" and now_ms - record.changed_ms >= REMOVAL_DELAY_MS:
+                del self.proxies[name]
         return actions
 
-    def on_heard(self, now_ms: int, name: str, record: Record, state: State) -> list[Action]:
+    def on_state(self, now_ms: int, name: str, record: ProxyRecord, state: ProxyState) -> list[Action]:
+        """Store a proxy's state; send it the orders that it lacks."""
         if state.name != name:
-            self.change(now_ms, name, record, "gone", f"another front door answers there: {state.name}")
-            return [Drop(name)]
+            self.set_reachability(
+                now_ms, name, record, "gone", f"another front door answers there: {state.name}"
+            )
+            return [Disconnect(name)]
         if record.state and record.state.pid != state.pid:
-            self.note(now_ms, "door", name, f"started anew, with revision {state.revision}")
+            self.add_event(now_ms, "door", name, f"started anew, with revision {state.revision}")
         if state.revision > self.revision:
-            self.note(now_ms, "door", name, f"has revision {state.revision}, past this agent's")
-        record.heard_ms, record.state = now_ms, state
-        self.change(now_ms, name, record, "up", "")
-        return [Put(name)] if self.lacks(record) else []
-
-    def on_look(self, now_ms: int) -> None:
-        for name, record in self.doors.items():
-            if record.reach == "up" and record.heard_ms is not None and now_ms - record.heard_ms >= QUIET_MS:
-                self.change(now_ms, name, record, "silent", SILENT)
-
-    def change(self, now_ms: int, name: str, record: Record, reach: Reach, why: str) -> None:
-        if record.reach != reach:
-            self.note(now_ms, "door", name, f"{record.reach} to {reach}" + (f": {why}" if why else ""))
+            self.add_event(now_ms, "door", name, f"has revision {state.revision}, past this agent's")
+        record.reported_ms = now_ms
+        record.state = state
+        self.set_reachability(now_ms, name, record, "up", "")
+        return [SendOrders(name)] if self.is_behind(record) else []
+
+    def on_tick(self, now_ms: int) -> None:
+        """Mark proxies whose last answer is too old as silent."""
+        for name, record in self.proxies.items():
+            if (
+                record.reachability == "up"
+                and record.reported_ms is not None
+                and now_ms - record.reported_ms >= SILENCE_TIMEOUT_MS
+            ):
+                self.set_reachability(now_ms, name, record, "silent", SILENT_REASON)
+
+    def set_reachability(
+        self, now_ms: int, name: str, record: ProxyRecord, reachability: Reachability, reason: str
+    ) -> None:
+        """Set the reachability of a proxy, with an event if it changed."""
+        if record.reachability != reachability:
+            self.add_event(
+                now_ms,
+                "door",
+                name,
+                f"{record.reachability} to {reachability}" + (f": {reason}" if reason else ""),
+            )
             record.changed_ms = now_ms
-        record.reach, record.why = reach, why
+        record.reachability = reachability
+        record.reason = reason
 
-    def note(self, now_ms: int, kind: str, subject: str, text: str) -> None:
-        """A line of the history."""
+    def add_event(self, now_ms: int, kind: str, subject: str, text: str) -> None:
+        """Add an event to the history."""
         self.number += 1
         self.history.append(Event(self.number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
 
-    def views(self, now_ms: int) -> tuple[DoorView, ...]:
-        """What is known of all front doors now."""
+    def proxy_statuses(self, now_ms: int) -> tuple[ProxyStatus, ...]:
+        """Return what is known of all proxies, sorted by name."""
         return tuple(
-            DoorView(name, record.reach, age(now_ms, record.heard_ms), record.why, record.state)
-            for name, record in sorted(self.doors.items())
+            ProxyStatus(
+                name, record.reachability, age_ms(now_ms, record.reported_ms), record.reason, record.state
+            )
+            for name, record in sorted(self.proxies.items())
         )
 
 
-def age(now_ms: int, heard_ms: int | None) -> int | None:
-    return None if heard_ms is None else max(0, now_ms - heard_ms)
+def age_ms(now_ms: int, reported_ms: int | None) -> int | None:
+    """Return the age of a report, None if there is none."""
+    return None if reported_ms is None else max(0, now_ms - reported_ms)
