--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -37,7 +37,7 @@
 from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.storage.folder import LogFolder, OpenedFolder, random_identity
 from molereach.coordination.storage.worker import WriterThread
-from molereach.coordination.transport.service import Links
+from molereach.coordination.transport.service import TransportService
 
 log = logging.getLogger(__name__)
 
@@ -105,7 +105,9 @@
         )
         # Its word comes in a turn of its own: that too much waits is said while an action is carried out.
         self.worker = WriterThread(opened.folder, self.from_disk) if opened else None
-        self.links = Links(self.me, addresses or settings.doors, key, WORDS, self.heard, random.random)
+        self.transport = TransportService(
+            self.me, addresses or settings.doors, key, WORDS, self.heard, random.random
+        )
         self.timer: asyncio.TimerHandle | None = None
         self.due_us = NEVER_US
         self.asked: dict[str, asyncio.Future[ProposalFinished]] = {}
@@ -132,7 +134,7 @@
 
     async def start(self, listen: Address) -> Address:
         """Take links, and join; OSError where the address cannot be had."""
-        address = await self.links.start(listen)
+        address = await self.transport.start(listen)
         self.take(Begin())
         return address
 
@@ -149,7 +151,7 @@
         self.closed = True
         if self.timer:
             self.timer.cancel()
-        self.links.close()
+        self.transport.close()
         for name in list(self.asked):
             self.on_over(ProposalFinished(name, ProposalStatus.UNKNOWN))
         if self.worker and not await self.worker.close(DISK_LAST_S):
@@ -221,7 +223,7 @@
     # --- actions ---
 
     def on_to(self, action: To) -> None:
-        self.links.say(action.part, action.say)
+        self.transport.send(action.part, action.say)
 
     def on_persist(self, action: Persist) -> None:
         if self.worker:
@@ -284,7 +286,7 @@
 
     def counters(self) -> dict[str, int]:
         """How this front door's part stands, as numbers."""
-        stats, core = self.links.stats(), self.core
+        stats, core = self.transport.stats(), self.core
         session = core.parts.holder.fencing_token if self.holds() else 0
         return {
             "council_position": core.position,
--- a/molereach/coordination/transport/peer.py
+++ b/molereach/coordination/transport/peer.py
@@ -4,10 +4,15 @@
 from collections.abc import Callable
 
 from molereach.clock import now_us
-from molereach.coordination.transport.link import Link
-from molereach.coordination.transport.owner import Phase
-from molereach.coordination.transport.queue import DOWN_ROOM, FULL_ROOM, Item, Outbox
-from molereach.coordination.transport.retry import Retry
+from molereach.coordination.transport.connection import PeerConnection
+from molereach.coordination.transport.connection_owner import ConnectionPhase
+from molereach.coordination.transport.retry_backoff import RetryBackoff
+from molereach.coordination.transport.send_queue import (
+    FAILED_PEER_CAPACITY,
+    FULL_CAPACITY,
+    QueuedMessage,
+    SendQueue,
+)
 from molereach.coordination.transport.stats import PeerStats
 
 
@@ -18,98 +23,116 @@
     def __init__(
         self,
         name: str,
-        outbox: Outbox,
-        retry: Retry,
+        outbox: SendQueue,
+        retry: RetryBackoff,
         dial: "Callable[[Peer], None]",
     ) -> None:
-        self.name, self.outbox, self.retry, self.dial = name, outbox, retry, dial
-        self.link: Link | None = None
-        self.dialling: Link | None = None
-        self.task: asyncio.Task[None] | None = None  # of the dial, once it has begun
-        self.timer: asyncio.TimerHandle | None = None
-        self.again = False  # one dial, also with nothing that waits
-        self.bytes_in = self.bytes_out = 0  # of links that are over
-        self.reason = ""
+        self.name, self.send_queue, self.retry, self.dial = name, outbox, retry, dial
+        self.connection: PeerConnection | None = None
+        self.pending_connection: PeerConnection | None = None
+        self.dial_task: asyncio.Task[None] | None = None  # of the dial, once it has begun
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.redial = False  # one dial, also with nothing that waits
+        self.closed_bytes_received = self.closed_bytes_sent = 0  # of links that are over
+        self.close_reason = ""
 
-    def wait(self, item: Item) -> None:
+    def enqueue(self, item: QueuedMessage) -> None:
         """Say it when there is a link. One that is too large to wait for a peer that fails is lost, but who
         said it will say it again: to a link, if there is one by then."""
-        if not self.outbox.put(item) and not self.link:
-            self.again = True
+        if not self.send_queue.put(item) and not self.connection:
+            self.redial = True
 
-    def want(self) -> None:
+    def dial_if_needed(self) -> None:
         """Dial, now or when it is time, if there is a reason to."""
-        if self.link or self.dialling or self.timer or not (self.again or len(self.outbox)):
+        if (
+            self.connection
+            or self.pending_connection
+            or self.retry_timer
+            or not (self.redial or len(self.send_queue))
+        ):
             return
-        if wait_us := self.retry.wait_us(now_us()):
-            self.timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self.on_time)
+        if wait_us := self.retry.delay_us(now_us()):
+            self.retry_timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self.on_retry_timer)
             return
-        self.again = False
+        self.redial = False
         self.dial(self)
 
-    def on_time(self) -> None:
-        self.timer = None
-        self.want()
+    def on_retry_timer(self) -> None:
+        self.retry_timer = None
+        self.dial_if_needed()
 
-    def opened(self, link: Link) -> Link | None:
+    def on_opened(self, link: PeerConnection) -> PeerConnection | None:
         """`link` is the one in use from now on; the one that was until now."""
-        old, self.link, self.again = self.link, link, False
-        if self.dialling is link:
-            self.dialling = None
-        self.give_up()
-        self.outbox.fit(FULL_ROOM)
-        self.retry.opened(now_us())
+        old, self.connection, self.redial = self.connection, link, False
+        if self.pending_connection is link:
+            self.pending_connection = None
+        self.cancel_dial()
+        self.send_queue.set_capacity(FULL_CAPACITY)
+        self.retry.on_opened(now_us())
         return old
 
-    def ended(self, link: Link, reason: str, fault: bool) -> bool:
+    def on_ended(self, link: PeerConnection, reason: str, fault: bool) -> bool:
         """Whether it was the link in use."""
-        self.bytes_in, self.bytes_out = self.bytes_in + link.bytes_in, self.bytes_out + link.bytes_out
-        if link is not self.link and link is not self.dialling:
+        self.closed_bytes_received, self.closed_bytes_sent = (
+            self.closed_bytes_received + link.bytes_received,
+            self.closed_bytes_sent + link.bytes_sent,
+        )
+        if link is not self.connection and link is not self.pending_connection:
             return False
-        used = link is self.link
-        self.reason = reason
+        used = link is self.connection
+        self.close_reason = reason
         if fault:
-            self.retry.failed(now_us())
-            self.outbox.fit(DOWN_ROOM)
+            self.retry.on_failed(now_us())
+            self.send_queue.set_capacity(FAILED_PEER_CAPACITY)
         else:
-            self.retry.closed(now_us())
+            self.retry.on_closed(now_us())
         if used:
-            self.link, self.again = None, fault
+            self.connection, self.redial = None, fault
         else:
-            self.dialling = None
+            self.pending_connection = None
         return used
 
-    def give_up(self) -> None:
+    def cancel_dial(self) -> None:
         """End the dial that is under way."""
-        link, self.dialling = self.dialling, None
+        link, self.pending_connection = self.pending_connection, None
         if link:
-            link.lose("another link is in use", fault=False)
-            if self.task:
-                self.task.cancel()
+            link.abort("another link is in use", fault=False)
+            if self.dial_task:
+                self.dial_task.cancel()
 
     def close(self) -> None:
-        self.again = False
-        self.outbox.clear()
-        self.give_up()
-        if self.timer:
-            self.timer.cancel()
-            self.timer = None
-        if self.link:
-            self.link.leave("closed")
+        self.redial = False
+        self.send_queue.clear()
+        self.cancel_dial()
+        if self.retry_timer:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+        if self.connection:
+            self.connection.close_gracefully("closed")
 
     def stats(self) -> PeerStats:
-        link = self.link
-        state = "up" if link else "dialling" if self.dialling else "waiting" if self.timer else "idle"
-        live = [one for one in (link, self.dialling) if one and one.phase is not Phase.OVER]
+        link = self.connection
+        state = (
+            "up"
+            if link
+            else "dialling"
+            if self.pending_connection
+            else "waiting"
+            if self.retry_timer
+            else "idle"
+        )
+        live = [
+            one for one in (link, self.pending_connection) if one and one.phase is not ConnectionPhase.CLOSED
+        ]
         return PeerStats(
             state,
-            link.life.number if link else None,
-            len(self.outbox),
-            self.outbox.size,
-            self.outbox.dropped,
-            self.bytes_in + sum(one.bytes_in for one in live),
-            self.bytes_out + sum(one.bytes_out for one in live),
-            now_us() - link.heard_us if link else None,
+            link.peer_instance.number if link else None,
+            len(self.send_queue),
+            self.send_queue.size,
+            self.send_queue.dropped,
+            self.closed_bytes_received + sum(one.bytes_received for one in live),
+            self.closed_bytes_sent + sum(one.bytes_sent for one in live),
+            now_us() - link.last_received_us if link else None,
             self.retry.failures,
-            self.reason,
+            self.close_reason,
         )
--- a/molereach/coordination/transport/stats.py
+++ b/molereach/coordination/transport/stats.py
@@ -8,25 +8,25 @@
     """How the way to one front door stands."""
 
     state: str  # "up", "dialling", "waiting" (to dial again) or "idle"
-    life: int | None
-    queued: int
+    instance_number: int | None
+    queued_messages: int
     queued_bytes: int
     dropped: int  # messages that were never sent; what later ones of their kind made void is not in it
-    bytes_in: int
-    bytes_out: int
-    heard_us_ago: int | None  # None where there is no link
-    failures: int  # in a row
-    reason: str  # of the last end
+    bytes_received: int
+    bytes_sent: int
+    silent_us: int | None  # None where there is no link
+    consecutive_failures: int  # in a row
+    close_reason: str  # of the last end
 
 
 @dataclass(frozen=True, slots=True)
-class LinksStats:
+class TransportStats:
     """How all links stand."""
 
     peers: dict[str, PeerStats]
     accepted: int  # links in use that others dialled
-    unproven: int
-    refused: int  # connections that were not taken, or not proven
-    unsaid: int  # messages to nobody of this council, to ourselves, or too long
-    failed: int  # messages over which `deliver` raised
-    turns: int
+    unauthenticated: int
+    rejected: int  # connections that were not taken, or not proven
+    undeliverable: int  # messages to nobody of this council, to ourselves, or too long
+    handler_failures: int  # messages over which `deliver` raised
+    scheduler_turns: int
--- a/sim/council.py
+++ b/sim/council.py
@@ -24,7 +24,7 @@
 from molereach.coordination.node.settings import CouncilSettings
 from molereach.coordination.node.wiring import Action, Begin, Council, Event, From, To
 from molereach.coordination.replicated_log.records import Recovered, recover
-from molereach.coordination.transport.words import Words
+from molereach.coordination.transport.messages import MessageCodec
 from rig.council.marks import BODY, NAME, Marks
 from sim.histories import BrokenError, History, Node, S
 
@@ -79,7 +79,7 @@
         self.settings = CouncilSettings(addresses, tuple(self.names[:seats]), terms=terms)
         self.panel = first_panel(KEY, self.names[:seats])
         self.disks = {number: Disk(first_identity(KEY, self.names[number]).hex()) for number in range(seats)}
-        self.words = Words(WORDS)
+        self.words = MessageCodec(WORDS)
         self.cored: dict[int, Council] = {}
         self.lives: dict[int, NodeInstance] = {}
         self.entries: dict[int, Entry] = {}  # what was decided at each position
@@ -172,7 +172,7 @@
     # --- the network ---
 
     def send(self, node: Node, part: str, say: SendMessage) -> None:
-        data = self.words.pack(part, say.message)
+        data = self.words.encode(part, say.message)
         self.bytes_out[node.number] = self.bytes_out.get(node.number, 0) + len(data)
         self.words_out[node.number, part] = self.words_out.get((node.number, part), 0) + 1
         if (peer := self.number.get(say.recipient)) is None:
@@ -182,7 +182,7 @@
         def hear() -> None:
             receiver = self.nodes[peer]
             if wanted is None or wanted == self.lives[peer].number:
-                self.step(receiver, From(part, MessageReceived(sender, self.words.read(data)[1])))
+                self.step(receiver, From(part, MessageReceived(sender, self.words.decode(data)[1])))
 
         if not self.mail.joined(node.number, peer):
             return
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -16,8 +16,8 @@
 from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
 from molereach.coordination.replicated_log import voters as log_panel
-from molereach.coordination.transport import hello as link_hello
-from molereach.coordination.transport import words as link_words
+from molereach.coordination.transport import handshake as link_hello
+from molereach.coordination.transport import messages as link_words
 from tests.compatibility import council_samples as samples
 
 RECORD_TYPES = (
@@ -28,7 +28,7 @@
     | log_records.StateAdopted
     | log_records.EntriesDecided
 )
-HANDSHAKE_TYPES = link_hello.Greeting | link_hello.Hello | link_hello.Welcome | link_hello.Refused
+HANDSHAKE_TYPES = link_hello.Greeting | link_hello.Hello | link_hello.Welcome | link_hello.Rejection
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,14 +53,14 @@
 
 def link_family(name: str, part: str, messages: Mapping[str, Any], types: Any) -> Family:  # noqa: ANN401
     """Messages of one part in the envelope in which a link sends them."""
-    words = link_words.Words(WORDS)
+    words = link_words.MessageCodec(WORDS)
 
     def decode(body: bytes) -> Any:  # noqa: ANN401
-        read_part, message = words.read(body)
+        read_part, message = words.decode(body)
         assert read_part == part
         return message
 
-    return Family(name, messages, get_args(types), lambda message: words.pack(part, message), decode)
+    return Family(name, messages, get_args(types), lambda message: words.encode(part, message), decode)
 
 
 def binary_family(name: str, messages: Mapping[str, Any], types: Any) -> Family:  # noqa: ANN401
@@ -109,7 +109,12 @@
     link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_types.Message),
     link_family("link_log", LOG, samples.log_messages(), log_words.Message),
     link_family("link_spread", SPREAD, samples.spread_messages(), dissemination_types.Message),
-    link_family("link_own", link_words.OWN, samples.link_own_messages(), link_words.Beat | link_words.Bye),
+    link_family(
+        "link_own",
+        link_words.CONTROL_PROTOCOL,
+        samples.link_own_messages(),
+        link_words.Heartbeat | link_words.Goodbye,
+    ),
     binary_family("handshake", samples.handshake_messages(), HANDSHAKE_TYPES),
     binary_family("log_records", samples.log_record_samples(), RECORD_TYPES),
     binary_family("log_bases", {"base": samples.log_base()}, log_records.Base),
@@ -121,4 +126,4 @@
 
 def part_numbers() -> str:
     """The parts' numbers on a link, which both sides must have alike."""
-    return json.dumps(link_words.Words(WORDS).numbers, indent=2) + "\n"
+    return json.dumps(link_words.MessageCodec(WORDS).protocol_numbers, indent=2) + "\n"
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -11,8 +11,8 @@
 from molereach.coordination.replicated_log import records as log_records
 from molereach.coordination.replicated_log import voters as log_panel
 from molereach.coordination.replicated_log.deduplication import AppliedProposal
-from molereach.coordination.transport import hello as link_hello
-from molereach.coordination.transport import words as link_words
+from molereach.coordination.transport import handshake as link_hello
+from molereach.coordination.transport import messages as link_words
 
 FIRST_DOOR = NodeInstance(name="door-a", number=1_900_000_000_001 << 20)
 SECOND_DOOR = NodeInstance(name="door-b", number=(1_900_000_000_002 << 20) + 7)
@@ -271,9 +271,9 @@
     }
 
 
-def link_own_messages() -> dict[str, link_words.Beat | link_words.Bye]:
+def link_own_messages() -> dict[str, link_words.Heartbeat | link_words.Goodbye]:
     """The links' own messages."""
-    return {"beat": link_words.Beat(heard=300), "bye": link_words.Bye(reason="room for another")}
+    return {"beat": link_words.Heartbeat(received=300), "bye": link_words.Goodbye(reason="room for another")}
 
 
 def handshake_messages() -> dict[str, object]:
@@ -282,12 +282,12 @@
         "greeting": link_hello.Greeting(version=link_hello.VERSION, nonce=bytes(range(16))),
         "hello": link_hello.Hello(
             version=link_hello.VERSION,
-            me=FIRST_DOOR,
-            to=SECOND_DOOR.name,
-            parts=("log", "membership", "spread"),
+            sender=FIRST_DOOR,
+            recipient=SECOND_DOOR.name,
+            protocols=("log", "membership", "spread"),
             nonce=bytes(range(16, 32)),
             proof=bytes(range(32)),
         ),
-        "welcome": link_hello.Welcome(me=SECOND_DOOR, proof=bytes(range(32, 64))),
-        "refused": link_hello.Refused(reason="closed"),
+        "welcome": link_hello.Welcome(sender=SECOND_DOOR, proof=bytes(range(32, 64))),
+        "refused": link_hello.Rejection(reason="closed"),
     }
--- a/tests/compatibility/council_session.py
+++ b/tests/compatibility/council_session.py
@@ -5,11 +5,16 @@
 from typing import Any
 
 from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
-from molereach.coordination.transport.frames import MOST_BODY_BYTES, TAG_BYTES, Cutter
-from molereach.coordination.transport.hello import Answering, Dialling, Session, refusal
-from molereach.coordination.transport.pulse import Pulse
-from molereach.coordination.transport.speech import Speech
-from molereach.coordination.transport.words import OWN, Words
+from molereach.coordination.transport.frames import MAX_BODY_BYTES, TAG_BYTES, FrameSplitter
+from molereach.coordination.transport.handshake import (
+    DiallerHandshake,
+    ListenerHandshake,
+    Session,
+    encode_rejection,
+)
+from molereach.coordination.transport.heartbeat import HeartbeatMonitor
+from molereach.coordination.transport.messages import CONTROL_PROTOCOL, MessageCodec
+from molereach.coordination.transport.session_channel import SessionChannel
 from tests.compatibility import council_samples as samples
 
 KEY = bytes(range(100, 132))
@@ -34,34 +39,34 @@
 
 def part_names() -> tuple[str, ...]:
     """The parts as a handshake names them."""
-    return Words(WORDS).names
+    return MessageCodec(WORDS).protocols
 
 
-def dialling() -> Dialling:
+def dialling() -> DiallerHandshake:
     """The dialler's side."""
     first, second = samples.FIRST_DOOR, samples.SECOND_DOOR
-    return Dialling(first, second.name, part_names(), KEY, DIALLER_NONCE)
+    return DiallerHandshake(first, second.name, part_names(), KEY, DIALLER_NONCE)
 
 
-def answering() -> Answering:
+def answering() -> ListenerHandshake:
     """The listener's side."""
     known = {samples.FIRST_DOOR.name, samples.SECOND_DOOR.name}
-    return Answering(samples.SECOND_DOOR, known, part_names(), KEY, LISTENER_NONCE)
+    return ListenerHandshake(samples.SECOND_DOOR, known, part_names(), KEY, LISTENER_NONCE)
 
 
 def shake_hands() -> Handshake:
     """Both sides of the handshake."""
     dialler, listener = dialling(), answering()
-    hello = dialler.greeted(listener.greeting)
-    peer = listener.hello(hello)
-    welcome, listener_session = listener.welcome(peer)
-    return Handshake(listener.greeting, hello, welcome, dialler.ended(welcome), listener_session)
+    hello = dialler.receive_greeting(listener.greeting)
+    peer = listener.receive_hello(hello)
+    welcome, listener_session = listener.accept(peer)
+    return Handshake(listener.greeting, hello, welcome, dialler.receive_reply(welcome), listener_session)
 
 
-def speech(session: Session, side: str) -> Speech:
+def speech(session: Session, side: str) -> SessionChannel:
     """One side's sealed conversation."""
-    pulse = Pulse(most_silent=8, most_stalled=8, most_idle=1000)
-    return Speech(KEY, session, side == DIALLER, Words(WORDS), pulse)
+    pulse = HeartbeatMonitor(most_silent=8, most_stalled=8, most_idle=1000)
+    return SessionChannel(KEY, session, side == DIALLER, MessageCodec(WORDS), pulse)
 
 
 def spoken(side: str) -> list[Spoken]:
@@ -69,8 +74,8 @@
     if side == LISTENER:
         beat, bye = samples.link_own_messages().values()
         return [(SPREAD, message) for message in samples.spread_messages().values()] + [
-            (OWN, beat),
-            (OWN, bye),
+            (CONTROL_PROTOCOL, beat),
+            (CONTROL_PROTOCOL, bye),
         ]
     membership = [(MEMBERSHIP, message) for message in samples.membership_messages().values()]
     return membership + [(LOG, message) for message in samples.log_messages().values()]
@@ -78,9 +83,11 @@
 
 def frames(session: Session, side: str) -> list[bytes]:
     """The sealed frames of what a side says."""
-    talk, words = speech(session, side), Words(WORDS)
+    talk, words = speech(session, side), MessageCodec(WORDS)
     return [
-        talk.own(message) if part == OWN else talk.say(words.pack(part, message))
+        talk.seal_control(message)
+        if part == CONTROL_PROTOCOL
+        else talk.seal_message(words.encode(part, message))
         for part, message in spoken(side)
     ]
 
@@ -88,14 +95,14 @@
 def heard(session: Session, side: str, data: Iterable[bytes]) -> list[Spoken]:
     """What the other side takes out of a side's frames."""
     other = LISTENER if side == DIALLER else DIALLER
-    talk, cutter = speech(session, other), Cutter(MOST_BODY_BYTES, TAG_BYTES)
+    talk, cutter = speech(session, other), FrameSplitter(MAX_BODY_BYTES, TAG_BYTES)
     for _ in range(1000):
-        talk.pulse.on_sent()  # so that any count of messages may be acknowledged
+        talk.heartbeat.on_sent()  # so that any count of messages may be acknowledged
     for part in data:
         cutter.feed(part)
     found = []
-    while (frame := cutter.next()) is not None:
-        found.append(talk.hear(frame))
+    while (frame := cutter.next_frame()) is not None:
+        found.append(talk.open_frame(frame))
     return found
 
 
@@ -103,7 +110,7 @@
     """All bytes of the link, by name."""
     done = shake_hands()
     values = {"greeting": done.greeting, "hello": done.hello, "welcome": done.welcome}
-    values |= {"session": done.dialler.id, "refusal": refusal(REFUSAL)}
+    values |= {"session": done.dialler.id, "refusal": encode_rejection(REFUSAL)}
     for side, session in ((DIALLER, done.dialler), (LISTENER, done.listener)):
         values |= {f"{side}-{at}": frame for at, frame in enumerate(frames(session, side))}
     return values
--- a/tests/compatibility/test_council_session.py
+++ b/tests/compatibility/test_council_session.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.transport.hello import HelloError, Session
+from molereach.coordination.transport.handshake import HandshakeError, Session
 from tests.compatibility import council_samples, council_session
 from tests.compatibility.council_files import recorded_values
 from tests.compatibility.council_session import DIALLER, FILE_NAME, LISTENER
@@ -25,22 +25,24 @@
 def test_a_listener_takes_the_recorded_hello() -> None:
     recorded, listener = recorded_session(), council_session.answering()
     assert listener.greeting == recorded["greeting"]
-    peer = listener.hello(recorded["hello"])
+    peer = listener.receive_hello(recorded["hello"])
     assert peer == council_samples.FIRST_DOOR
-    assert listener.welcome(peer) == (recorded["welcome"], Session(recorded["session"], peer))
+    assert listener.accept(peer) == (recorded["welcome"], Session(recorded["session"], peer))
 
 
 def test_a_dialler_takes_the_recorded_greeting_and_welcome() -> None:
     recorded, dialler = recorded_session(), council_session.dialling()
-    assert dialler.greeted(recorded["greeting"]) == recorded["hello"]
-    assert dialler.ended(recorded["welcome"]) == Session(recorded["session"], council_samples.SECOND_DOOR)
+    assert dialler.receive_greeting(recorded["greeting"]) == recorded["hello"]
+    assert dialler.receive_reply(recorded["welcome"]) == Session(
+        recorded["session"], council_samples.SECOND_DOOR
+    )
 
 
 def test_a_dialler_understands_the_recorded_refusal() -> None:
     dialler = council_session.dialling()
-    dialler.greeted(recorded_session()["greeting"])
-    with pytest.raises(HelloError, match=f"^refused: {council_session.REFUSAL}$"):
-        dialler.ended(recorded_session()["refusal"])
+    dialler.receive_greeting(recorded_session()["greeting"])
+    with pytest.raises(HandshakeError, match=f"^refused: {council_session.REFUSAL}$"):
+        dialler.receive_reply(recorded_session()["refusal"])
 
 
 @pytest.mark.parametrize("side", [DIALLER, LISTENER])
--- a/tests/coordination/transport/doors.py
+++ b/tests/coordination/transport/nodes.py
@@ -7,26 +7,26 @@
 
 from molereach.coordination.interface.core import MessageReceived, SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
-from molereach.coordination.transport.board import Address
+from molereach.coordination.transport.connection_registry import Address
 from molereach.coordination.transport.frames import (
     DIALLER,
     LISTENER,
-    MOST_BODY_BYTES,
+    MAX_BODY_BYTES,
     TAG_BYTES,
-    Cutter,
-    Opener,
-    Sealer,
-    head,
+    FrameOpener,
+    FrameSealer,
+    FrameSplitter,
+    length_prefix,
 )
-from molereach.coordination.transport.hello import MOST_HELLO_BYTES, NONCE_BYTES, Dialling
-from molereach.coordination.transport.queue import Rule
-from molereach.coordination.transport.service import Links
-from molereach.coordination.transport.settings import LinkSettings
-from molereach.coordination.transport.words import Words
+from molereach.coordination.transport.handshake import MAX_HANDSHAKE_BYTES, NONCE_BYTES, DiallerHandshake
+from molereach.coordination.transport.messages import MessageCodec
+from molereach.coordination.transport.send_queue import QueueLimits
+from molereach.coordination.transport.service import TransportService
+from molereach.coordination.transport.settings import TransportSettings
 
 KEY = b"k" * 32
 HOST = "127.0.0.1"
-BY_HAND = LinkSettings(beat_s=3600)  # beats are called
+BY_HAND = TransportSettings(heartbeat_interval_s=3600)  # beats are called
 
 
 class Word(WireStruct, frozen=True, tag_field="kind", tag="word"):
@@ -43,7 +43,7 @@
 
 
 PARTS = {"log": Word | State, "hint": Word}
-RULES = {"hint": Rule(100, 1 << 16), "log": Rule(latest=frozenset({State}))}
+RULES = {"hint": QueueLimits(100, 1 << 16), "log": QueueLimits(latest_only=frozenset({State}))}
 
 
 class Door:
@@ -56,7 +56,7 @@
         number: int = 1,
         key: bytes = KEY,
         parts: dict[str, Any] = PARTS,
-        settings: LinkSettings = BY_HAND,
+        settings: TransportSettings = BY_HAND,
     ) -> None:
         self.name, self.book = name, book
         self.heard: list[Any] = []  # messages
@@ -64,7 +64,7 @@
         self.events: list[str] = []
         self.changed = asyncio.Event()
         self.fail: set[int] = set()  # numbers of words over which it raises
-        self.links = Links(
+        self.transport = TransportService(
             NodeInstance(name, number),
             book,
             key,
@@ -78,7 +78,7 @@
         )
 
     async def start(self, *, listed: bool = True) -> Address:
-        address = await self.links.start((HOST, 0))
+        address = await self.transport.start((HOST, 0))
         if listed:
             self.book[self.name] = address
         return address
@@ -99,7 +99,7 @@
         self.changed.set()
 
     def say(self, to: str, number: int, text: str = "", part: str = "log", life: int | None = None) -> None:
-        self.links.say(part, SendMessage(to, Word(number, text), life))
+        self.transport.send(part, SendMessage(to, Word(number, text), life))
 
     @property
     def numbers(self) -> list[int]:
@@ -140,9 +140,9 @@
 
     def __init__(self, me: NodeInstance, to: str, key: bytes = KEY) -> None:
         self.me, self.key = me, key
-        self.words = Words(PARTS)
-        self.handshake = Dialling(me, to, self.words.names, key, secrets.token_bytes(NONCE_BYTES))
-        self.cutter = Cutter(MOST_HELLO_BYTES, 0)
+        self.words = MessageCodec(PARTS)
+        self.handshake = DiallerHandshake(me, to, self.words.protocols, key, secrets.token_bytes(NONCE_BYTES))
+        self.cutter = FrameSplitter(MAX_HANDSHAKE_BYTES, 0)
 
     async def connect(self, address: Address) -> "Raw":
         self.reader, self.writer = await asyncio.open_connection(*address)
@@ -150,7 +150,7 @@
 
     async def frame(self) -> bytes:
         """The next; b"" at the end."""
-        while (frame := self.cutter.next()) is None:
+        while (frame := self.cutter.next_frame()) is None:
             try:
                 data = await self.reader.read(1 << 16)
             except ConnectionError:
@@ -162,24 +162,24 @@
 
     async def hello(self) -> bytes:
         """What to say to the greeting, as a frame."""
-        hello = self.handshake.greeted(await self.frame())
-        return head(hello) + hello
+        hello = self.handshake.receive_greeting(await self.frame())
+        return length_prefix(hello) + hello
 
     async def dial(self, address: Address) -> "Raw":
         """A whole handshake; HelloError where it is refused."""
         await self.connect(address)
         self.writer.write(await self.hello())
-        session = self.handshake.ended(await self.frame())
-        self.sealer = Sealer(self.key, session.id, DIALLER)
-        self.opener = Opener(self.key, session.id, LISTENER)
-        self.cutter.most, self.cutter.tail = MOST_BODY_BYTES, TAG_BYTES
+        session = self.handshake.receive_reply(await self.frame())
+        self.sealer = FrameSealer(self.key, session.id, DIALLER)
+        self.opener = FrameOpener(self.key, session.id, LISTENER)
+        self.cutter.max_body_bytes, self.cutter.tag_bytes = MAX_BODY_BYTES, TAG_BYTES
         return self
 
     def sealed(self, number: int, text: str = "", part: str = "log") -> bytes:
-        return self.sealer.seal(self.words.pack(part, Word(number, text)))
+        return self.sealer.seal(self.words.encode(part, Word(number, text)))
 
     async def read(self) -> Any:  # noqa: ANN401
-        return self.words.read(self.opener.open(await self.frame()))[1]
+        return self.words.decode(self.opener.open(await self.frame()))[1]
 
     def drop(self) -> None:
         self.writer.transport.abort()
--- a/tests/coordination/transport/test_room.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -5,13 +5,13 @@
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.board import BEATS_AT_ONCE, DIALS_AT_ONCE
 from molereach.coordination.transport.budget import MAX_STEPS
-from molereach.coordination.transport.queue import DOWN_ROOM
-from molereach.coordination.transport.settings import LinkSettings
-from molereach.coordination.transport.words import Bye
+from molereach.coordination.transport.connection_registry import DIALS_PER_TURN, HEARTBEATS_PER_TURN
+from molereach.coordination.transport.messages import Goodbye
+from molereach.coordination.transport.send_queue import FAILED_PEER_CAPACITY
+from molereach.coordination.transport.settings import TransportSettings
 from rig.council.relay import Relay
-from tests.coordination.transport.doors import (
+from tests.coordination.transport.nodes import (
     BY_HAND,
     HOST,
     PARTS,
@@ -33,7 +33,7 @@
         await strange.start()
         a.say("b", 1)
         await b.until_heard(1)
-        strange.links.say("log", SendMessage("b", Other(1)))
+        strange.transport.send("log", SendMessage("b", Other(1)))
         await strange.until(lambda: strange.ups() == 2)
         strange.say("b", 2)
         a.say("b", 3)
@@ -53,11 +53,11 @@
             b.on_up(life)
             raise RuntimeError("as the test wants")
 
-        b.links.board.up = up
+        b.transport.registry.on_peer_connected = up
         for number in range(5):
             a.say("b", number)
         await b.until_heard(4)
-        assert b.numbers == [0, 1, 2, 3, 4] and b.links.stats().failed == 1 and not a.downs()
+        assert b.numbers == [0, 1, 2, 3, 4] and b.transport.stats().handler_failures == 1 and not a.downs()
 
     run(job())
 
@@ -72,7 +72,7 @@
 
         def probe() -> None:
             between.append(len(b.heard) - sum(between))
-            waiting.append(sum(len(link.cutter.buffer) for link in b.links.board.links))
+            waiting.append(sum(len(link.splitter.buffer) for link in b.transport.registry.connections))
             if len(b.heard) < 5000:
                 loop.call_soon(probe)
             else:
@@ -85,7 +85,7 @@
         await spin(lambda: sum(between) == 5000)
         assert b.numbers == list(range(5000))
         assert 0 < max(between) <= MAX_STEPS
-        assert max(waiting) <= BY_HAND.most_unhandled_bytes + (256 << 10)  # and what the loop reads at once
+        assert max(waiting) <= BY_HAND.max_read_buffer_bytes + (256 << 10)  # and what the loop reads at once
 
     run(job())
 
@@ -98,16 +98,16 @@
         b = Door("b", a.book)
         for number in range(10_000):
             a.say("b", number, "x" * 100, part="hint")
-            a.links.say("log", SendMessage("b", State(number)))
+            a.transport.send("log", SendMessage("b", State(number)))
             a.say("d", number, "x" * 100)
-            assert a.links.board.peers["b"].outbox.size <= 1 << 16
-            assert len(a.links.board.peers["d"].outbox) <= 256
+            assert a.transport.registry.peers["b"].send_queue.size <= 1 << 16
+            assert len(a.transport.registry.peers["d"].send_queue) <= 256
         a.say("c", 1)
         await c.until_heard(1)
-        stats = a.links.stats().peers["b"]
-        assert stats.queued == 101 and stats.dropped == 9_900
-        await spin(lambda: a.links.stats().peers["d"].failures)
-        assert a.links.stats().peers["d"].queued == DOWN_ROOM.messages
+        stats = a.transport.stats().peers["b"]
+        assert stats.queued_messages == 101 and stats.dropped == 9_900
+        await spin(lambda: a.transport.stats().peers["d"].consecutive_failures)
+        assert a.transport.stats().peers["d"].queued_messages == FAILED_PEER_CAPACITY.max_messages
         await b.start()
         await b.until_heard(9_999)
         await b.until(lambda: len(b.heard) == 101)
@@ -123,16 +123,16 @@
         with socket.create_server((HOST, 0)) as taken:
             a.book["b"] = taken.getsockname()[:2]
         a.say("b", 1, "x" * 900_000)
-        await spin(lambda: a.links.stats().peers["b"].failures)
-        assert a.links.stats().peers["b"].queued == 0
+        await spin(lambda: a.transport.stats().peers["b"].consecutive_failures)
+        assert a.transport.stats().peers["b"].queued_messages == 0
         relay = Relay(there)
         a.book["b"] = await relay.start()
         a.say("b", 2, "x" * 900_000)
         await a.until(a.ups)
         a.say("b", 3, "x" * 900_000)
         relay.stall("to")
-        link = a.links.board.peers["b"].link
-        while link and not link.paused:
+        link = a.transport.registry.peers["b"].connection
+        while link and not link.writing_paused:
             a.say("b", 0, "x" * 10_000, part="hint")
         for number in range(4, 24):
             a.say("b", number, "x" * 60_000)  # more than would wait for one that failed
@@ -146,19 +146,26 @@
 
 def test_a_link_with_nothing_to_say_closes_in_order_and_takes_what_was_said_meanwhile() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b", settings=LinkSettings(beat_s=3600, most_idle=3))
+        a, b = await doors(
+            "a", "b", settings=TransportSettings(heartbeat_interval_s=3600, max_idle_heartbeats=3)
+        )
         a.say("b", 1)
         await b.until_heard(1)
-        b.links.board.beat()  # acknowledges
-        await spin(lambda: a.links.board.peers["b"].link and a.links.board.peers["b"].link.pulse.acked)
+        b.transport.registry.send_heartbeats()  # acknowledges
+        await spin(
+            lambda: (
+                a.transport.registry.peers["b"].connection
+                and a.transport.registry.peers["b"].connection.heartbeat.acknowledged
+            )
+        )
         for _ in range(4):
-            a.links.board.beat()
+            a.transport.registry.send_heartbeats()
         assert a.events[-1] == "down b: nothing to say"
         b.say("a", 2)  # b has not heard of it
         await b.until(b.downs)
         assert b.events[-1] == "down a: left: nothing to say"
         await a.until_heard(2)
-        await spin(lambda: not a.links.board.links and not b.links.board.links)
+        await spin(lambda: not a.transport.registry.connections and not b.transport.registry.connections)
         a.say("b", 3)
         await b.until_heard(3)
         assert a.numbers == [2] and b.numbers == [1, 3]
@@ -168,14 +175,16 @@
 
 def test_unproven_connections_are_few_of_each_source_and_have_little_time() -> None:
     async def job() -> None:
-        settings = LinkSettings(beat_s=3600, hello_s=0.1, most_unproven_of_source=2)
+        settings = TransportSettings(
+            heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_unauthenticated_per_source=2
+        )
         a, b = await doors("a", "b", settings=settings)
         raws = [await Raw(NodeInstance("b", 1), "a").connect(a.book["a"]) for _ in range(3)]
         assert not await raws[2].frame()  # turned away at once
-        assert a.links.stats().unproven == 2
+        assert a.transport.stats().unauthenticated == 2
         for raw in raws[:2]:
             assert await raw.frame() and not await raw.frame()  # greeted, and ended by time
-        assert a.links.stats().unproven == 0
+        assert a.transport.stats().unauthenticated == 0
         b.say("a", 1)
         await a.until_heard(1)
 
@@ -184,35 +193,37 @@
 
 def test_of_links_that_others_dialled_the_one_least_used_gives_way() -> None:
     async def job() -> None:
-        (a,) = await doors("a", settings=LinkSettings(beat_s=3600, most_accepted=2))
+        (a,) = await doors("a", settings=TransportSettings(heartbeat_interval_s=3600, max_accepted=2))
         a.book.update({name: (HOST, 1) for name in "cde"})
         c, d = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in "cd"]
         await a.until(lambda: a.ups() == 2)
-        a.links.board.beat()
+        a.transport.registry.send_heartbeats()
         c.writer.write(c.sealed(1))
         await a.until_heard(1)
-        a.links.board.beat()
+        a.transport.registry.send_heartbeats()
         e = await Raw(NodeInstance("e", 1), "a").dial(a.book["a"])
-        assert await d.read() == Bye("room for another")
+        assert await d.read() == Goodbye("room for another")
         a.say("c", 2)
         a.say("e", 3)
-        assert await e.read() == Word(3) and a.links.stats().accepted == 2
+        assert await e.read() == Word(3) and a.transport.stats().accepted == 2
 
     run(job())
 
 
 def test_beats_and_dials_of_many_are_spread_over_turns_of_the_loop() -> None:
     async def job() -> None:
-        settings = LinkSettings(beat_s=3600, most_unproven=99, most_unproven_of_source=99)
+        settings = TransportSettings(
+            heartbeat_interval_s=3600, max_unauthenticated=99, max_unauthenticated_per_source=99
+        )
         (a,) = await doors("a", settings=settings)
-        names = [f"n{number}" for number in range(BEATS_AT_ONCE + 4)]
+        names = [f"n{number}" for number in range(HEARTBEATS_PER_TURN + 4)]
         a.book.update({name: (HOST, 1) for name in names})
         raws = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in names]
-        beaten = lambda: sum(link.pulse.idle > 0 for link in a.links.board.links)  # noqa: E731
+        beaten = lambda: sum(link.heartbeat.idle_heartbeats > 0 for link in a.transport.registry.connections)  # noqa: E731
         await a.until(lambda: a.ups() == len(names))
-        a.links.board.beat()
-        a.links.board.beat()
-        assert beaten() == BEATS_AT_ONCE
+        a.transport.registry.send_heartbeats()
+        a.transport.registry.send_heartbeats()
+        assert beaten() == HEARTBEATS_PER_TURN
         await spin(lambda: beaten() == len(names))
         for raw in raws:
             raw.drop()
@@ -220,17 +231,17 @@
         relay = Relay(a.book["a"])
         relay.hold()
         a.book.update(dict.fromkeys(names, await relay.start()))
-        peers = [a.links.board.peers[name] for name in names]
+        peers = [a.transport.registry.peers[name] for name in names]
         for peer in peers:
             peer.close()  # ends the wait for another dial
-            peer.retry.at_us = 0
+            peer.retry.earliest_us = 0
             a.say(peer.name, 1)
-        assert all(peer.dialling for peer in peers)
+        assert all(peer.pending_connection for peer in peers)
         await asyncio.sleep(0)
-        assert sum(peer.task is not None for peer in peers) == DIALS_AT_ONCE
+        assert sum(peer.dial_task is not None for peer in peers) == DIALS_PER_TURN
         await relay.until(lambda: len(relay.connections) == len(names))
-        a.links.close()
-        await spin(lambda: not a.links.board.links)
+        a.transport.close()
+        await spin(lambda: not a.transport.registry.connections)
         await relay.close()
 
     run(job())
@@ -240,11 +251,11 @@
     async def job() -> None:
         a, b = await doors("a", "b")
         a.say("b", 1)
-        link = a.links.board.peers["b"].dialling
+        link = a.transport.registry.peers["b"].pending_connection
         assert link
-        link.lose("given up")
+        link.abort("given up")
         transport, _ = await asyncio.get_running_loop().create_connection(lambda: link, *a.book["b"])
-        assert transport.is_closing() and not a.links.board.links
+        assert transport.is_closing() and not a.transport.registry.connections
         await b.until_heard(1)  # by another
 
     run(job())
@@ -252,23 +263,25 @@
 
 def test_who_does_not_close_or_read_when_a_link_ends_is_cut() -> None:
     async def job() -> None:
-        settings = LinkSettings(beat_s=3600, hello_s=0.1, most_idle=2)
+        settings = TransportSettings(
+            heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_idle_heartbeats=2
+        )
         (a,) = await doors("a", settings=settings)
         a.book["c"] = (HOST, 1)
         raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
         await a.until(a.ups)
         for _ in range(3):
-            a.links.board.beat()
-        assert await raw.read() == Bye("nothing to say") and a.links.board.links
+            a.transport.registry.send_heartbeats()
+        assert await raw.read() == Goodbye("nothing to say") and a.transport.registry.connections
         for _ in range(2):
-            a.links.board.beat()
+            a.transport.registry.send_heartbeats()
         assert not await raw.frame()
         raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
         await a.until(lambda: a.ups() == 2)
         for number in range(3000):
             a.say("c", number, "x" * 10_000)
-        a.links.close()
-        await spin(lambda: not a.links.board.links)
+        a.transport.close()
+        await spin(lambda: not a.transport.registry.connections)
 
     run(job())
 
@@ -278,10 +291,10 @@
         a, b = await doors("a", "b")
         a.say("b", 1)
         await b.until_heard(1)
-        a.links.forget("b")
+        a.transport.remove_peer("b")
         del a.book["b"]
         await b.until(b.downs)
         a.say("b", 2)
-        assert a.links.stats().unsaid == 1 and not a.links.stats().peers
+        assert a.transport.stats().undeliverable == 1 and not a.transport.stats().peers
 
     run(job())
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -4,11 +4,11 @@
 import pytest
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.hello import HelloError
-from molereach.coordination.transport.settings import LinkSettings
-from molereach.coordination.transport.words import OWN, Beat
+from molereach.coordination.transport.handshake import HandshakeError
+from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Heartbeat
+from molereach.coordination.transport.settings import TransportSettings
 from rig.council.relay import Relay
-from tests.coordination.transport.doors import HOST, Door, Raw, Word, doors, spin
+from tests.coordination.transport.nodes import HOST, Door, Raw, Word, doors, spin
 from tests.sockets import run
 
 GIANT = b"\xff\xff\xff\xff"
@@ -36,10 +36,10 @@
             raw.writer.write(hello)
             raw.writer.write_eof()
             while frame := await raw.frame():
-                with pytest.raises(HelloError):
-                    raw.handshake.ended(frame)
+                with pytest.raises(HandshakeError):
+                    raw.handshake.receive_reply(frame)
         assert not b.events
-        await spin(lambda: b.links.stats().unproven <= 1)  # the first
+        await spin(lambda: b.transport.stats().unauthenticated <= 1)  # the first
         await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         await b.until(b.ups)
 
@@ -85,8 +85,8 @@
         raw = await Raw(NodeInstance("a", 1), "b").connect(relay.target)
         raw.writer.write(recorded)
         assert await raw.frame()  # the greeting, with another nonce
-        with pytest.raises(HelloError, match="proof"):
-            raw.handshake.ended(await raw.frame())
+        with pytest.raises(HandshakeError, match="proof"):
+            raw.handshake.receive_reply(await raw.frame())
         assert b.numbers == [1] and b.events == ["up a 1"]
         await relay.close()
 
@@ -136,8 +136,8 @@
         raw = await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])
         raw.writer.write(GIANT)
         await raw.frame()
-        with pytest.raises(HelloError, match="4294967295 bytes"):
-            raw.handshake.ended(await raw.frame())
+        with pytest.raises(HandshakeError, match="4294967295 bytes"):
+            raw.handshake.receive_reply(await raw.frame())
         raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
         raw.writer.write(GIANT)
         assert not await raw.frame()
@@ -150,7 +150,7 @@
     async def job() -> None:
         b = await alone()
         raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
-        raw.writer.write(raw.sealer.seal(raw.words.pack(OWN, Beat(1))))
+        raw.writer.write(raw.sealer.seal(raw.words.encode(CONTROL_PROTOCOL, Heartbeat(1))))
         assert not await raw.frame()
         assert "1 messages acknowledged" in b.events[-1]
 
@@ -171,18 +171,18 @@
         relay.stall("back")
         for number in range(3000):
             a.say("c", number, "x" * 10_000)
-        link = a.links.board.peers["c"].link
-        assert link and link.paused and link.transport
-        assert link.transport.get_write_buffer_size() <= a.links.settings.most_unread_bytes + 20_000
-        assert a.links.stats().peers["c"].queued_bytes <= 2 << 20
+        link = a.transport.registry.peers["c"].connection
+        assert link and link.writing_paused and link.transport
+        assert link.transport.get_write_buffer_size() <= a.transport.settings.max_write_buffer_bytes + 20_000
+        assert a.transport.stats().peers["c"].queued_bytes <= 2 << 20
         for beat in range(2, 8):  # in the first some bytes have still left
             c.say("a", beat)
             await a.until_heard(beat)
             a.say("b", beat)
             await b.until_heard(beat)
             assert not a.downs()
-            b.links.board.beat()
-            a.links.board.beat()
+            b.transport.registry.send_heartbeats()
+            a.transport.registry.send_heartbeats()
         assert a.events[-1] == "down c: it does not read what it is sent" and not b.downs()
         await relay.close()
 
@@ -197,18 +197,23 @@
         a.say("b", 1)
         await b.until_heard(1)
         for _ in range(10):
-            b.links.board.beat()  # it is acknowledged: silence is no fault
-            await spin(lambda: a.links.board.peers["b"].link and a.links.board.peers["b"].link.pulse.acked)
-            a.links.board.beat()
+            b.transport.registry.send_heartbeats()  # it is acknowledged: silence is no fault
+            await spin(
+                lambda: (
+                    a.transport.registry.peers["b"].connection
+                    and a.transport.registry.peers["b"].connection.heartbeat.acknowledged
+                )
+            )
+            a.transport.registry.send_heartbeats()
         assert not a.downs()
         relay.stall()
         a.say("b", 2)
         for beat in range(4):
             a.say("c", beat)
             await c.until_heard(beat)
-            c.links.board.beat()
+            c.transport.registry.send_heartbeats()
             assert not a.downs()
-            a.links.board.beat()
+            a.transport.registry.send_heartbeats()
         assert a.events[-1] == "down b: nothing heard while something was unacknowledged"
         relay.pass_()
         await a.until(lambda: a.events.count("up b 1") == 2)
@@ -221,13 +226,15 @@
 
 def test_a_way_that_accepts_and_holds_is_given_up_and_tried_again_and_what_waits_is_kept() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b", settings=LinkSettings(beat_s=3600, hello_s=0.1))
+        a, b = await doors(
+            "a", "b", settings=TransportSettings(heartbeat_interval_s=3600, handshake_timeout_s=0.1)
+        )
         relay = Relay(a.book["b"])
         relay.hold()
         a.book["b"] = await relay.start()
         a.say("b", 1)
         await relay.until(lambda: len(relay.connections) == 2)
-        assert a.links.stats().peers["b"].reason == "not proven in time"
+        assert a.transport.stats().peers["b"].close_reason == "not proven in time"
         relay.pass_()
         await b.until_heard(1)
         await relay.close()
@@ -252,7 +259,7 @@
                 a.say("b", 2)
                 await spin(lambda: relay.connections[0].count["to"] > passed)
                 for _ in range(5):
-                    a.links.board.beat()
+                    a.transport.registry.send_heartbeats()
             case "cut_at":
                 relay.cut_at(relay.connections[0].count["to"] + 5)
                 a.say("b", 2)
@@ -279,8 +286,8 @@
         for number in range(10):
             a.say("b", number)
             await b.until_heard(number)
-            b.links.board.beat()
-            a.links.board.beat()
+            b.transport.registry.send_heartbeats()
+            a.transport.registry.send_heartbeats()
         assert not a.downs() and not b.downs()
         await relay.close()
 
--- a/tests/coordination/transport/test_frames.py
+++ b/tests/coordination/transport/test_frames.py
@@ -3,14 +3,21 @@
 import pytest
 
 from molereach.coordination.transport import frames
-from molereach.coordination.transport.frames import DIALLER, LISTENER, TAG_BYTES, Cutter, FrameError, Opener
+from molereach.coordination.transport.frames import (
+    DIALLER,
+    LISTENER,
+    TAG_BYTES,
+    FrameError,
+    FrameOpener,
+    FrameSplitter,
+)
 
 KEY, SESSION = b"k" * 32, b"s" * 32
 BODIES = [b"one", b"two" * 100, b"\0"]
 
 
 def sealed() -> bytes:
-    sealer = frames.Sealer(KEY, SESSION, DIALLER)
+    sealer = frames.FrameSealer(KEY, SESSION, DIALLER)
     return b"".join(map(sealer.seal, BODIES))
 
 
@@ -23,11 +30,11 @@
     direction: bytes = DIALLER,
 ) -> list[bytes]:
     """What opens of a stream that comes in pieces of `step` bytes."""
-    cutter, opener = Cutter(frames.MOST_BODY_BYTES, TAG_BYTES), Opener(key, session, direction)
+    cutter, opener = FrameSplitter(frames.MAX_BODY_BYTES, TAG_BYTES), FrameOpener(key, session, direction)
     found = []
     for start in range(0, len(data), step):
         cutter.feed(data[start : start + step])
-        while (frame := cutter.next()) is not None:
+        while (frame := cutter.next_frame()) is not None:
             found.append(opener.open(frame))
     return found
 
@@ -44,7 +51,7 @@
 
 
 def test_a_frame_doubled_left_out_or_overtaken_does_not_open() -> None:
-    sealer = frames.Sealer(KEY, SESSION, DIALLER)
+    sealer = frames.FrameSealer(KEY, SESSION, DIALLER)
     first, second = sealer.seal(b"first"), sealer.seal(b"second")
     for data in (first + first, second, second + first):
         with pytest.raises(FrameError, match="tag"):
@@ -52,7 +59,7 @@
 
 
 def test_a_flipped_bit_anywhere_is_never_taken_for_a_body() -> None:
-    whole = frames.Sealer(KEY, SESSION, DIALLER).seal(b"a body")
+    whole = frames.FrameSealer(KEY, SESSION, DIALLER).seal(b"a body")
     for place in range(len(whole)):
         data = bytearray(whole)
         data[place] ^= 1
@@ -60,18 +67,18 @@
             assert opened(bytes(data)) == []  # a longer length: the frame is not whole
         except FrameError:
             continue
-        assert place < frames.HEAD_BYTES
+        assert place < frames.LENGTH_BYTES
 
 
-@pytest.mark.parametrize("size", [0, frames.MOST_BODY_BYTES + 1, (1 << 32) - 1])
+@pytest.mark.parametrize("size", [0, frames.MAX_BODY_BYTES + 1, (1 << 32) - 1])
 def test_a_length_out_of_bounds_is_refused_by_its_four_bytes_alone(size: int) -> None:
-    cutter = Cutter(frames.MOST_BODY_BYTES, TAG_BYTES)
-    cutter.feed(size.to_bytes(frames.HEAD_BYTES, "big"))
+    cutter = FrameSplitter(frames.MAX_BODY_BYTES, TAG_BYTES)
+    cutter.feed(size.to_bytes(frames.LENGTH_BYTES, "big"))
     with pytest.raises(FrameError, match=f"{size} bytes"):
-        cutter.next()
+        cutter.next_frame()
 
 
-@pytest.mark.parametrize("size", [0, frames.MOST_BODY_BYTES + 1])
+@pytest.mark.parametrize("size", [0, frames.MAX_BODY_BYTES + 1])
 def test_a_body_that_would_not_be_taken_is_not_sealed(size: int) -> None:
     with pytest.raises(FrameError, match=f"{size} bytes"):
-        frames.Sealer(KEY, SESSION, DIALLER).seal(bytes(size))
+        frames.FrameSealer(KEY, SESSION, DIALLER).seal(bytes(size))
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -4,10 +4,10 @@
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.board import MOST_LINES
-from molereach.coordination.transport.hello import HelloError
+from molereach.coordination.transport.connection_registry import MAX_WARNINGS_PER_INTERVAL
+from molereach.coordination.transport.handshake import HandshakeError
 from rig.council.relay import Relay
-from tests.coordination.transport.doors import HOST, Door, Raw, Word, doors, spin
+from tests.coordination.transport.nodes import HOST, Door, Raw, Word, doors, spin
 from tests.sockets import run
 
 
@@ -22,14 +22,14 @@
         await a.until_heard(49)
         assert a.numbers == b.numbers == list(range(50))
         assert set(b.senders) == {NodeInstance("a", 1)} and a.events == ["up b 1"] and b.events == ["up a 1"]
-        assert (a.links.stats().accepted, b.links.stats().accepted) == (0, 1)
-        assert len(a.links.board.links) == len(b.links.board.links) == 1
-        ours, theirs = a.links.stats().peers["b"], b.links.stats().peers["a"]
-        assert (ours.bytes_in, ours.bytes_out) == (theirs.bytes_out, theirs.bytes_in)
-        b.links.close()
+        assert (a.transport.stats().accepted, b.transport.stats().accepted) == (0, 1)
+        assert len(a.transport.registry.connections) == len(b.transport.registry.connections) == 1
+        ours, theirs = a.transport.stats().peers["b"], b.transport.stats().peers["a"]
+        assert (ours.bytes_received, ours.bytes_sent) == (theirs.bytes_sent, theirs.bytes_received)
+        b.transport.close()
         await a.until(a.downs)
         assert a.events[-1] == "down b: left: closed"
-        await spin(lambda: not a.links.board.links and not b.links.board.links)
+        await spin(lambda: not a.transport.registry.connections and not b.transport.registry.connections)
 
     run(job())
 
@@ -40,10 +40,10 @@
         a.say("a", 1)
         a.say("x", 1)
         a.say("b", 1, "x" * (1 << 20))
-        assert a.links.stats().unsaid == 3 and set(a.links.stats().peers) <= {"b"}
+        assert a.transport.stats().undeliverable == 3 and set(a.transport.stats().peers) <= {"b"}
         with pytest.raises(KeyError):
-            a.links.say("cake", SendMessage("b", Word(1)))
-        a.links.say("log", SendMessage("b", object()))  # cannot be packed: logged
+            a.transport.send("cake", SendMessage("b", Word(1)))
+        a.transport.send("log", SendMessage("b", object()))  # cannot be packed: logged
         a.say("b", 2)
         await b.until_heard(2)
 
@@ -63,8 +63,10 @@
         both = {"a": a, "b": b}
         for name in names:
             both[name].say("b" if name == "a" else "a", 1)
-        dials = [a.links.board.peers["b"], b.links.board.peers["a"]]
-        await spin(lambda: all(peer.dialling and peer.dialling.said_hello for peer in dials))
+        dials = [a.transport.registry.peers["b"], b.transport.registry.peers["a"]]
+        await spin(
+            lambda: all(peer.pending_connection and peer.pending_connection.hello_sent for peer in dials)
+        )
         for name in names:  # whichever hello comes first
             relays["b" if name == "a" else "a"].pass_()
         await a.until_heard(1)
@@ -75,8 +77,10 @@
         await b.until_heard(2)
         assert a.numbers == b.numbers == [1, 2]
         assert a.events == ["up b 1"] and b.events == ["up a 1"]
-        assert (a.links.stats().accepted, b.links.stats().accepted) == (0, 1)
-        await spin(lambda: len(a.links.board.links) == len(b.links.board.links) == 1)
+        assert (a.transport.stats().accepted, b.transport.stats().accepted) == (0, 1)
+        await spin(
+            lambda: len(a.transport.registry.connections) == len(b.transport.registry.connections) == 1
+        )
         for relay in relays.values():
             await relay.close()
 
@@ -94,8 +98,11 @@
         b.say("a", 2)
         await b.until_heard(1)
         await a.until_heard(2)
-        assert a.links.stats().accepted == 1 and a.events == ["up b 1"]
-        assert not a.links.board.peers["b"].dialling and len(a.links.board.links) == 1
+        assert a.transport.stats().accepted == 1 and a.events == ["up b 1"]
+        assert (
+            not a.transport.registry.peers["b"].pending_connection
+            and len(a.transport.registry.connections) == 1
+        )
         await held.close()
 
     run(job())
@@ -128,10 +135,10 @@
         a.say("b", 3, life=1)
         a.say("b", 4, life=2)
         await newer.until_heard(4)
-        assert newer.numbers == [4] and b.numbers == [1] and a.links.stats().peers["b"].dropped == 1
-        with pytest.raises(HelloError, match="a newer life of b is connected"):
+        assert newer.numbers == [4] and b.numbers == [1] and a.transport.stats().peers["b"].dropped == 1
+        with pytest.raises(HandshakeError, match="a newer life of b is connected"):
             await Raw(NodeInstance("b", 1), "a").dial(a.book["a"])
-        b.links.close()
+        b.transport.close()
 
     run(job())
 
@@ -145,7 +152,7 @@
             a.say("b", number, life=life)
         a.book["b"] = address
         await b.until_heard(3)
-        assert b.numbers == [2, 3] and a.links.stats().peers["b"].dropped == 1
+        assert b.numbers == [2, 3] and a.transport.stats().peers["b"].dropped == 1
 
     run(job())
 
@@ -169,12 +176,12 @@
         (a,) = await doors("a")
         a.book["c"] = (HOST, 1)
         raw = Raw(me, to, key)
-        with pytest.raises(HelloError, match=reason):
+        with pytest.raises(HandshakeError, match=reason):
             await raw.dial(a.book["a"])
         assert not await raw.frame()
-        await spin(lambda: not a.links.board.links)
-        stats = a.links.stats()
-        assert (stats.refused, stats.unproven, a.events) == (1, 0, [])
+        await spin(lambda: not a.transport.registry.connections)
+        stats = a.transport.stats()
+        assert (stats.rejected, stats.unauthenticated, a.events) == (1, 0, [])
 
     run(job())
 
@@ -185,17 +192,17 @@
     async def job() -> None:
         (a,) = await doors("a")
         a.book["c"] = (HOST, 1)
-        for _ in range(MOST_LINES):
-            with pytest.raises(HelloError):
+        for _ in range(MAX_WARNINGS_PER_INTERVAL):
+            with pytest.raises(HandshakeError):
                 await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
             raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
             raw.writer.write(bytes(4))
             assert not await raw.frame()
-        assert a.downs() == MOST_LINES and len(caplog.records) == MOST_LINES
-        a.links.board.beat()
-        with pytest.raises(HelloError):
+        assert a.downs() == MAX_WARNINGS_PER_INTERVAL and len(caplog.records) == MAX_WARNINGS_PER_INTERVAL
+        a.transport.registry.send_heartbeats()
+        with pytest.raises(HandshakeError):
             await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
-        assert len(caplog.records) == MOST_LINES + 1
+        assert len(caplog.records) == MAX_WARNINGS_PER_INTERVAL + 1
 
     run(job())
 
