--- a/molereach/coordination/transport/__init__.py
+++ b/molereach/coordination/transport/__init__.py
@@ -1,10 +1,10 @@
-"""TCP between the front doors of a council: a shell with its cores.
+"""Authenticated TCP connections between the proxies of a cluster.
 
-Cores, in reading order: `frames` (bytes to bodies and back, each proven), `hello` (who the other side is),
-`words` (bodies to messages of the parts), `pulse` (whether a link lives), `speech` (all that is said on one),
-`queue` (what waits for a peer), `retry` (when to dial), `budget` (how much in one turn),
-`connection_slots` (how many
-unproven); `settings` and `stats` are figures. Shells: `owner` (what a link asks of it), `link` (one
-connection), `turns` (whose turn it is), `peer` (one front door and the way there), `board` (all of them),
-`service` (what the council uses).
+Sans-I/O, in reading order: `errors`, `settings` and `stats`; `frames` (authenticated frames), `handshake`
+(mutual authentication), `messages` (the bodies of frames), `heartbeat` (failure detection on a connection),
+`session_channel` (one session's frames and messages), `send_queue` (messages that wait for a peer),
+`retry_backoff` (when to dial again), `budget` (work per turn of the event loop) and `connection_slots` (limit
+of unauthenticated connections). With I/O: `connection_owner` (what a connection reports), `connection` (one
+socket), `fair_scheduler` (whose step is next), `peer` (one remote proxy), `warning_limiter`, `dialer`,
+`connection_registry` (all peers and connections) and `service` (the interface for the coordination node).
 """
--- a/molereach/coordination/transport/connection.py
+++ b/molereach/coordination/transport/connection.py
@@ -1,8 +1,8 @@
-"""One connection to a front door: handshake, then sealed messages both ways. A shell.
+"""One connection to a peer: the handshake, then authenticated messages in both directions.
 
-What is heard, and what is said next, is its owner's. Whatever is wrong with it ends it, and nothing else. One
-that ends in order says so (`Bye`) and takes what is still on its way; who hears that says no more and closes.
-So nothing is lost between two that live.
+The owner processes received messages and supplies the next one to send. A fault ends this connection and
+nothing else. A side that closes in order says so (`Goodbye`) and processes what is still on its way; the side
+that receives it sends no more and closes. So no message is lost between two proxies that are alive.
 """
 
 import asyncio
@@ -12,36 +12,39 @@
 from molereach.clock import now_us
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.connection_owner import ConnectionOwner, ConnectionPhase
+from molereach.coordination.transport.errors import FrameError, HandshakeError, TransportError
 from molereach.coordination.transport.frames import (
     MAX_BODY_BYTES,
     TAG_BYTES,
-    FrameError,
     FrameSplitter,
     length_prefix,
 )
 from molereach.coordination.transport.handshake import (
     MAX_HANDSHAKE_BYTES,
     DiallerHandshake,
-    HandshakeError,
     ListenerHandshake,
     Session,
     encode_rejection,
     printable_line,
 )
 from molereach.coordination.transport.heartbeat import ConnectionHealth, HeartbeatMonitor
-from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Goodbye, MessageError
+from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Goodbye
 from molereach.coordination.transport.session_channel import SessionChannel
 
 log = logging.getLogger(__name__)
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, dialled by us or accepted."""
+    """One connection, dialled or accepted; `handshake` has the matching role."""
 
     def __init__(
-        self, owner: "ConnectionOwner[PeerConnection]", handshake: DiallerHandshake | ListenerHandshake
+        self,
+        owner: "ConnectionOwner[PeerConnection]",
+        handshake: DiallerHandshake | ListenerHandshake,
     ) -> None:
-        self.owner, self.handshake, self.settings = owner, handshake, owner.settings
+        self.owner = owner
+        self.handshake = handshake
+        self.settings = owner.settings
         self.is_outgoing = isinstance(handshake, DiallerHandshake)
         self.loop = asyncio.get_running_loop()
         self.phase = ConnectionPhase.HANDSHAKE
@@ -51,34 +54,38 @@
             self.settings.max_stalled_heartbeats,
             self.settings.max_idle_heartbeats,
         )
-        self.channel: SessionChannel | None = None  # from the time that it is up
+        self.channel: SessionChannel | None = None  # once the handshake is complete
         self.transport: asyncio.Transport | None = None
         self.handshake_timer: asyncio.TimerHandle | None = None
-        self.source_address = ""  # the address that it came from, while it is unproven
+        self.source_address = ""  # while it has an unauthenticated slot
         self.hello_sent = False
-        self.is_scheduled = False  # a turn was asked for
-        self.writing_paused = False  # we write no more for now
-        self.reading_paused = False  # we read no more for now
-        self.draining_heartbeats = 0  # beats
-        self.bytes_received = self.bytes_sent = self.last_received_us = 0
+        self.is_scheduled = False  # set by the scheduler
+        self.writing_paused = False  # the write buffer is full
+        self.reading_paused = False  # too much is received and not processed
+        self.draining_heartbeats = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
+        self.last_received_us = 0
 
     @property
     def peer_instance(self) -> NodeInstance:
+        """The authenticated peer; only once the handshake is complete."""
         assert self.channel is not None
         return self.channel.peer
 
     @property
     def peer_name(self) -> str:
-        """Of the peer; "" while it is not known."""
+        """The peer's name; "" while it is not known."""
         if self.channel:
             return self.channel.peer.name
         return self.handshake.recipient if isinstance(self.handshake, DiallerHandshake) else ""
 
-    # --- the connection ---
+    # --- callbacks of asyncio ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket is open: begin the handshake if the owner admits the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.phase is ConnectionPhase.CLOSED:  # given up while it was dialled
+        if self.phase is ConnectionPhase.CLOSED:  # cancelled while it was dialled
             self.transport.abort()
             return
         self.transport.set_write_buffer_limits(high=self.settings.max_write_buffer_bytes)
@@ -89,11 +96,12 @@
             self.source_address = str((self.transport.get_extra_info("peername") or ("?",))[0])
         if not self.owner.admit(self):
             self.source_address = ""
-            self.abort("too many that are not proven", fault=False)
+            self.abort("too many that are not proven", failed=False)
         elif isinstance(self.handshake, ListenerHandshake):
-            self.write(length_prefix(self.handshake.greeting) + self.handshake.greeting)
+            self.write_unsealed(self.handshake.greeting)
 
     def data_received(self, data: bytes) -> None:
+        """Buffer data; handshakes are processed at once, messages in the scheduler's steps."""
         self.bytes_received += len(data)
         self.last_received_us = now_us()
         self.heartbeat.on_bytes()
@@ -107,80 +115,94 @@
                 self.transport.pause_reading()
 
     def pause_writing(self) -> None:
+        """The write buffer is full; messages wait in the peer's send queue."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
+        """The write buffer has drained."""
         self.writing_paused = False
         if self.phase is ConnectionPhase.OPEN:
             self.owner.schedule(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.phase is not ConnectionPhase.DRAINING:  # what was read of one that left is taken still
-            self.abort(
-                f"connection lost: {error.__class__.__name__}" if error else "closed by the other side"
-            )
+        """The socket is closed. While draining, received messages are still processed."""
+        if self.phase is not ConnectionPhase.DRAINING:
+            failure = f"connection lost: {error.__class__.__name__}" if error else ""
+            self.abort(failure or "closed by the other side")
         self.owner.on_socket_closed(self)
 
     def write(self, data: bytes) -> None:
+        """Send bytes, if there is a socket."""
         if self.transport is not None:
             self.bytes_sent += len(data)
             self.transport.write(data)
 
+    def write_unsealed(self, body: bytes) -> None:
+        """Send a message of the handshake, whose frame has no tag."""
+        self.write(length_prefix(body) + body)
+
     # --- the handshake ---
 
     def process_handshake(self) -> None:
+        """Process all complete messages of the handshake; any fault ends the connection."""
         try:
-            while (
-                self.phase is ConnectionPhase.HANDSHAKE and (word := self.splitter.next_frame()) is not None
-            ):
-                if isinstance(self.handshake, ListenerHandshake):
-                    self.on_hello(self.handshake, word)
-                elif not self.hello_sent:
-                    hello = self.handshake.receive_greeting(word)
-                    self.hello_sent = True
-                    self.write(length_prefix(hello) + hello)
-                else:
-                    self.begin_session(self.handshake.receive_reply(word))
+            while self.phase is ConnectionPhase.HANDSHAKE:
+                message = self.splitter.next_frame()
+                if message is None:
+                    return
+                self.on_handshake_message(message)
         except (HandshakeError, FrameError) as error:
             self.reject(str(error))
         except Exception:
             log.exception("a handshake failed")
             self.abort("internal error")
 
-    def on_hello(self, handshake: ListenerHandshake, word: bytes) -> None:
-        life = handshake.receive_hello(word)
-        if reason := self.owner.rejection_reason(life):
+    def on_handshake_message(self, message: bytes) -> None:
+        """Process one message of the handshake; HandshakeError if it is invalid."""
+        if isinstance(self.handshake, ListenerHandshake):
+            self.on_hello(self.handshake, message)
+        elif not self.hello_sent:
+            hello = self.handshake.receive_greeting(message)
+            self.hello_sent = True
+            self.write_unsealed(hello)
+        else:
+            self.begin_session(self.handshake.receive_reply(message))
+
+    def on_hello(self, handshake: ListenerHandshake, message: bytes) -> None:
+        """Accept the dialler, or raise HandshakeError with the reason."""
+        instance = handshake.receive_hello(message)
+        if reason := self.owner.rejection_reason(instance):
             raise HandshakeError(reason)
-        welcome, session = handshake.accept(life)
-        self.write(length_prefix(welcome) + welcome)
+        welcome, session = handshake.accept(instance)
+        self.write_unsealed(welcome)
         self.begin_session(session)
 
     def begin_session(self, session: Session) -> None:
-        self.channel = SessionChannel(
-            self.owner.key, session, self.is_outgoing, self.owner.codec, self.heartbeat
-        )
-        self.splitter.max_body_bytes, self.splitter.tag_bytes = MAX_BODY_BYTES, TAG_BYTES
+        """The handshake is complete: frames are sealed from now on."""
+        key = self.owner.key
+        self.channel = SessionChannel(key, session, self.is_outgoing, self.owner.codec, self.heartbeat)
+        self.splitter.max_body_bytes = MAX_BODY_BYTES
+        self.splitter.tag_bytes = TAG_BYTES
         self.phase = ConnectionPhase.OPEN
         self.cancel_handshake_timer()
         self.owner.on_opened(self)
 
     def reject(self, reason: str) -> None:
-        """Say why, if we are the one who was asked, and close."""
+        """Close during the handshake; the listener sends the reason first."""
         if self.phase is ConnectionPhase.HANDSHAKE and self.transport is not None:
             if not self.is_outgoing:
-                said = encode_rejection(reason)
-                self.write(length_prefix(said) + said)
-            self.finish(reason, fault=True)
+                self.write_unsealed(encode_rejection(reason))
+            self.finish(reason, failed=True)
             self.transport.close()
 
-    # --- turns ---
+    # --- steps of the scheduler ---
 
     def step(self) -> bool:
-        """Take in a message and say one; whether there may be more of either. Any fault ends the link."""
+        """Receive a message and send one; whether there may be more. Any fault ends the connection."""
         try:
-            took = self.receive_next()
-            return self.send_next() or took
-        except (FrameError, MessageError) as error:
+            has_received = self.receive_next()
+            return self.send_next() or has_received
+        except TransportError as error:
             self.abort(str(error))
         except Exception:
             log.exception("a turn of a link failed")
@@ -188,79 +210,96 @@
         return False
 
     def receive_next(self) -> bool:
+        """Process the next received message; False if none is complete."""
         if self.phase not in (ConnectionPhase.OPEN, ConnectionPhase.DRAINING) or self.channel is None:
             return False
         frame = self.splitter.next_frame()
         if frame is None:
-            if self.reading_paused and self.transport and not self.transport.is_closing():
-                self.reading_paused = False
-                self.transport.resume_reading()
+            self.resume_reading()
             return False
-        part, message = self.channel.open_frame(frame)
-        if part != CONTROL_PROTOCOL:
-            self.owner.on_message(self, part, message)
+        protocol, message = self.channel.open_frame(frame)
+        if protocol != CONTROL_PROTOCOL:
+            self.owner.on_message(self, protocol, message)
         elif isinstance(message, Goodbye):
             self.on_goodbye(message)
         return True
 
+    def resume_reading(self) -> None:
+        """Read again after a pause; the received messages are processed."""
+        if self.reading_paused and self.transport and not self.transport.is_closing():
+            self.reading_paused = False
+            self.transport.resume_reading()
+
     def send_next(self) -> bool:
+        """Send the next waiting message; False if there is none or none can be sent."""
         if self.phase is not ConnectionPhase.OPEN or self.writing_paused:
             return False
-        item = self.owner.next_message(self)
-        if item is not None:
-            self.send(item.body)
-        return item is not None
+        message = self.owner.next_message(self)
+        if message is not None:
+            self.send(message.body)
+        return message is not None
 
     def send(self, body: bytes) -> None:
-        """A message, at once; only while it is `UP`."""
+        """Send an encoded message at once; only while `OPEN`."""
         if self.channel is not None:
             self.write(self.channel.seal_message(body))
 
     def send_heartbeat(self) -> None:
-        """Tell what was taken, and end it if it does not live."""
+        """Acknowledge received messages; end a connection that is not alive, is idle or does not close."""
         if self.phase is ConnectionPhase.DRAINING:
             self.draining_heartbeats += 1
             if self.draining_heartbeats >= self.settings.max_draining_heartbeats:
                 self.abort("it did not close")
         if self.phase is not ConnectionPhase.OPEN or self.transport is None or self.channel is None:
             return
-        waiting = self.transport.get_write_buffer_size()
-        said, verdict = self.channel.check_heartbeat(self.bytes_sent - waiting, waiting)
-        if said:
-            self.write(said)
-        if verdict is ConnectionHealth.IDLE:
-            self.close_gracefully(verdict.value)
-        elif verdict is not ConnectionHealth.ALIVE:
-            self.abort(verdict.value)
-
-    # --- the end ---
+        waiting_bytes = self.transport.get_write_buffer_size()
+        drained_bytes = self.bytes_sent - waiting_bytes
+        frame, health = self.channel.check_heartbeat(drained_bytes, waiting_bytes)
+        if frame:
+            self.write(frame)
+        if health is ConnectionHealth.IDLE:
+            self.close_gracefully(health.value)
+        elif health is not ConnectionHealth.ALIVE:
+            self.abort(health.value)
+
+    # --- closing ---
 
     def close_gracefully(self, reason: str) -> None:
-        """End it in order: the other side closes when it has said all."""
+        """Close in order: the peer closes the socket when it has sent everything."""
         if self.phase is ConnectionPhase.OPEN and self.channel is not None:
             self.write(self.channel.seal_control(Goodbye(reason)))
-            self.finish(reason, fault=False, then=ConnectionPhase.DRAINING)
+            self.finish(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
 
-    def on_goodbye(self, bye: Goodbye) -> None:
+    def on_goodbye(self, goodbye: Goodbye) -> None:
+        """The peer closes in order: send no more, and close the socket when all is written."""
         if self.phase is ConnectionPhase.OPEN:
-            self.finish(f"left: {printable_line(bye.reason)}", fault=False, then=ConnectionPhase.DRAINING)
+            reason = f"left: {printable_line(goodbye.reason)}"
+            self.finish(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
         if self.transport:
             self.transport.close()
 
-    def abort(self, reason: str, fault: bool = True) -> None:
-        """End it at once."""
+    def abort(self, reason: str, failed: bool = True) -> None:
+        """End the connection at once; `failed` tells a fault from a decision of this side."""
         if self.phase is not ConnectionPhase.CLOSED:
-            self.finish(reason, fault)
+            self.finish(reason, failed)
         if self.transport:
             self.transport.abort()
 
-    def finish(self, reason: str, fault: bool, then: ConnectionPhase = ConnectionPhase.CLOSED) -> None:
-        was, self.phase = self.phase, then
+    def finish(
+        self,
+        reason: str,
+        failed: bool,
+        next_phase: ConnectionPhase = ConnectionPhase.CLOSED,
+    ) -> None:
+        """Leave the current phase; the owner learns once that the connection has ended."""
+        previous = self.phase
+        self.phase = next_phase
         self.cancel_handshake_timer()
-        if was is not ConnectionPhase.DRAINING:
-            self.owner.on_ended(self, was, reason, fault)
+        if previous is not ConnectionPhase.DRAINING:
+            self.owner.on_ended(self, previous, reason, failed)
 
     def cancel_handshake_timer(self) -> None:
+        """The handshake is complete or has failed."""
         if self.handshake_timer:
             self.handshake_timer.cancel()
             self.handshake_timer = None
--- a/molereach/coordination/transport/connection_registry.py
+++ b/molereach/coordination/transport/connection_registry.py
@@ -1,16 +1,15 @@
-"""All peers of one front door: which connections to take, which of two to keep, whom to dial. A shell.
+"""All peers and connections of one proxy: which connections to accept, and which of two to keep.
 
-Two that dial each other at once: the dial of the smaller name stays. It refuses the other's once it has said
-its own hello, and gives up its own before that; the larger gives up its own whenever the smaller's hello
-comes. Both know the same, so one stays. A peer that dials while a link of the same run is in use here has
-lost that one: the new one takes its place. What waits belongs to the peer and not to a link, so it is kept,
-and said once.
+If two proxies dial each other at once, the dial of the smaller name stays: it rejects the other's hello once
+its own hello is sent, and gives up its own dial before that; the larger name gives up its dial whenever
+the smaller's hello arrives. Both sides know the same, so exactly one stays. A peer that dials while a
+connection of its instance is in use has lost that one, so the new one replaces it. Messages wait in the send
+queue of the peer, not of a connection; a replacement neither loses nor repeats them.
 """
 
 import asyncio
 import logging
 import secrets
-from collections import deque
 from collections.abc import Callable, Mapping
 from typing import Any
 
@@ -20,217 +19,204 @@
 from molereach.coordination.transport.connection import PeerConnection
 from molereach.coordination.transport.connection_owner import ConnectionPhase
 from molereach.coordination.transport.connection_slots import ConnectionSlots
+from molereach.coordination.transport.dialer import Dialer
 from molereach.coordination.transport.fair_scheduler import FairScheduler
 from molereach.coordination.transport.handshake import NONCE_BYTES, DiallerHandshake, ListenerHandshake
 from molereach.coordination.transport.messages import MessageCodec
 from molereach.coordination.transport.peer import Peer
 from molereach.coordination.transport.retry_backoff import RetryBackoff
 from molereach.coordination.transport.send_queue import QueuedMessage, QueueLimits, SendQueue
-from molereach.coordination.transport.settings import TransportSettings
+from molereach.coordination.transport.settings import Address, TransportSettings
+from molereach.coordination.transport.warning_limiter import WarningLimiter
 
 log = logging.getLogger(__name__)
 
-Address = tuple[str, int]
 REPLACED_REASON = "replaced by a newer link"
-HEARTBEATS_PER_TURN = 16  # links in one turn of the loop
-DIALS_PER_TURN = 8
-MAX_WARNINGS_PER_INTERVAL = 8  # of the log, a beat, about those who are refused
+HEARTBEATS_PER_TURN = 16  # connections in one turn of the event loop
 
 
 class ConnectionRegistry:
-    """The owner of all links."""
+    """The owner of all connections, as `ConnectionOwner` describes it."""
 
     def __init__(
         self,
-        me: NodeInstance,
+        local_instance: NodeInstance,
         addresses: Mapping[str, Address],
         key: bytes,
-        words: MessageCodec,
-        rules: Mapping[str, QueueLimits],
-        draw: Callable[[], float],
+        codec: MessageCodec,
+        queue_limits: Mapping[str, QueueLimits],
+        random: Callable[[], float],
         settings: TransportSettings,
     ) -> None:
-        self.local_instance, self.addresses, self.key, self.codec = me, addresses, key, words
-        self.queue_limits, self.random, self.settings = rules, draw, settings
+        self.local_instance = local_instance
+        self.addresses = addresses
+        self.key = key
+        self.codec = codec
+        self.queue_limits = queue_limits
+        self.random = random
+        self.settings = settings
         self.loop = asyncio.get_running_loop()
         self.scheduler = FairScheduler(self.loop, now_us)
+        self.dialer = Dialer(addresses, settings.handshake_timeout_s)
+        self.warnings = WarningLimiter(log)
         self.unauthenticated_slots = ConnectionSlots(
             settings.max_unauthenticated, settings.max_unauthenticated_per_source
         )
         self.peers: dict[str, Peer] = {}
-        self.pending_dials: deque[tuple[Peer, PeerConnection]] = deque()  # to be begun
-        self.connections: dict[
-            PeerConnection, None
-        ] = {}  # all with a socket, in the order in which they came
-        self.deliver_message: Callable[[str, MessageReceived], None] = lambda part, heard: None
-        self.on_peer_connected: Callable[[NodeInstance], None] = lambda life: None
+        self.connections: dict[PeerConnection, None] = {}  # all with a socket, in the order of their opening
+        self.deliver_message: Callable[[str, MessageReceived], None] = lambda protocol, received: None
+        self.on_peer_connected: Callable[[NodeInstance], None] = lambda instance: None
         self.on_peer_disconnected: Callable[[str, str], None] = lambda name, reason: None
         self.closed = False
-        self.rejected = self.handler_failures = self.warnings = 0
+        self.rejected = 0
+        self.handler_failures = 0
 
     def peer(self, name: str) -> Peer | None:
-        """None for nobody of this council, and for ourselves."""
-        if (
-            name not in self.peers
-            and name in self.addresses
-            and name != self.local_instance.name
-            and not self.closed
-        ):
+        """The peer of that name; None for an unknown name, for this proxy itself, and after closing."""
+        is_remote = name in self.addresses and name != self.local_instance.name
+        if name not in self.peers and is_remote and not self.closed:
             self.peers[name] = Peer(name, SendQueue(self.queue_limits), RetryBackoff(self.random), self.dial)
         return self.peers.get(name)
 
-    # --- making connections ---
+    # --- opening connections ---
 
     def accept_connection(self) -> PeerConnection:
+        """The connection for a socket that a peer opened."""
         nonce = secrets.token_bytes(NONCE_BYTES)
-        return PeerConnection(
-            self,
-            ListenerHandshake(self.local_instance, self.addresses, self.codec.protocols, self.key, nonce),
-        )
+        protocols = self.codec.protocols
+        handshake = ListenerHandshake(self.local_instance, self.addresses, protocols, self.key, nonce)
+        return PeerConnection(self, handshake)
 
     def dial(self, peer: Peer) -> None:
+        """Begin a new connection to a peer."""
         nonce = secrets.token_bytes(NONCE_BYTES)
-        peer.pending_connection = PeerConnection(
-            self, DiallerHandshake(self.local_instance, peer.name, self.codec.protocols, self.key, nonce)
-        )
-        self.pending_dials.append((peer, peer.pending_connection))
-        if len(self.pending_dials) == 1:
-            self.loop.call_soon(self.start_dials)
-
-    def start_dials(self) -> None:
-        """A few, and the others after what else the loop has to do: words to all may want 200 at once."""
-        for peer, link in [
-            self.pending_dials.popleft() for _ in range(min(len(self.pending_dials), DIALS_PER_TURN))
-        ]:
-            if link.phase is not ConnectionPhase.CLOSED:
-                peer.dial_task = self.loop.create_task(self.connect(peer.name, link))
-        if self.pending_dials:
-            self.loop.call_soon(self.start_dials)
-
-    async def connect(self, name: str, link: PeerConnection) -> None:
-        try:
-            async with asyncio.timeout(self.settings.handshake_timeout_s):
-                host, port = self.addresses[name]
-                await self.loop.create_connection(lambda: link, host, port)
-        except TimeoutError:
-            link.abort("no answer")
-        except OSError as error:
-            link.abort(error.strerror or str(error))
-        except Exception as error:  # an address that makes no sense
-            link.abort(f"cannot dial: {error!r}")
-
-    # --- whom to take ---
-
-    def admit(self, link: PeerConnection) -> bool:
-        if self.closed or not (link.is_outgoing or self.unauthenticated_slots.acquire(link.source_address)):
+        protocols = self.codec.protocols
+        handshake = DiallerHandshake(self.local_instance, peer.name, protocols, self.key, nonce)
+        peer.pending_connection = PeerConnection(self, handshake)
+        self.dialer.request(peer, peer.pending_connection)
+
+    def admit(self, connection: PeerConnection) -> bool:
+        """Register a connection with a socket; False after closing or without an unauthenticated slot."""
+        if self.closed:
             return False
-        self.connections[link] = None
+        if not connection.is_outgoing and not self.unauthenticated_slots.acquire(connection.source_address):
+            return False
+        self.connections[connection] = None
         return True
 
-    def release_slot(self, link: PeerConnection) -> None:
-        """It takes no place of the unproven any more."""
-        if link.source_address:
-            self.unauthenticated_slots.release(link.source_address)
-            link.source_address = ""
+    def release_slot(self, connection: PeerConnection) -> None:
+        """Return the unauthenticated slot of a connection, if it has one."""
+        if connection.source_address:
+            self.unauthenticated_slots.release(connection.source_address)
+            connection.source_address = ""
 
-    def rejection_reason(self, life: NodeInstance) -> str:
-        peer = self.peer(life.name)
+    def rejection_reason(self, instance: NodeInstance) -> str:
+        """Why an authenticated dialler is rejected; "" if it is accepted."""
+        peer = self.peer(instance.name)
         if peer is None:
             return "closed"
-        if peer.connection and life.number < peer.connection.peer_instance.number:
-            return f"a newer life of {life.name} is connected"
-        if (
-            not peer.connection
-            and peer.pending_connection
-            and peer.pending_connection.hello_sent
-            and self.local_instance.name < life.name
-        ):
+        if peer.connection:
+            if instance.number < peer.connection.peer_instance.number:
+                return f"a newer life of {instance.name} is connected"
+            return ""
+        hello_sent = peer.pending_connection is not None and peer.pending_connection.hello_sent
+        if hello_sent and self.local_instance.name < instance.name:
             return "crossed: the dial of the smaller name stays"
         return ""
 
     def accepted_connections(self) -> list[PeerConnection]:
-        return [
-            peer.connection
-            for peer in self.peers.values()
-            if peer.connection and not peer.connection.is_outgoing
-        ]
-
-    def evict_least_used(self) -> None:
-        """The one that was not used for longest gives way; who has something to say to it dials again."""
+        """The open connections that peers dialled."""
+        connections = [peer.connection for peer in self.peers.values()]
+        return [connection for connection in connections if connection and not connection.is_outgoing]
+
+    def evict_idle_connection(self) -> None:
+        """At the limit, close the accepted connection that was idle for longest; its peer may dial again."""
         accepted = self.accepted_connections()
         if len(accepted) >= self.settings.max_accepted:
-            min(
-                accepted, key=lambda link: (-link.heartbeat.idle_heartbeats, link.last_received_us)
-            ).close_gracefully("room for another")
+            idlest = min(accepted, key=lambda one: (-one.heartbeat.idle_heartbeats, one.last_received_us))
+            idlest.close_gracefully("room for another")
 
-    # --- what becomes of them ---
+    # --- events of connections ---
 
-    def on_opened(self, link: PeerConnection) -> None:
-        self.release_slot(link)
-        life = link.peer_instance
-        peer = self.peer(life.name)
+    def on_opened(self, connection: PeerConnection) -> None:
+        """Take an authenticated connection into use, instead of the peer's previous one."""
+        self.release_slot(connection)
+        instance = connection.peer_instance
+        peer = self.peer(instance.name)
         if peer is None:
-            link.abort("closed", fault=False)
+            connection.abort("closed", failed=False)
             return
-        if not (link.is_outgoing or peer.connection):
-            self.evict_least_used()
-        if old := peer.on_opened(link):
-            old.abort(REPLACED_REASON, fault=False)
-            self.notify(self.on_peer_disconnected, life.name, REPLACED_REASON)
-        log.info("link to %s is up", life.name)
-        self.notify(self.on_peer_connected, life)
-        self.schedule(link)
-
-    def schedule(self, link: PeerConnection) -> None:
-        self.scheduler.schedule(link)
-
-    def on_message(self, link: PeerConnection, part: str, message: Any) -> None:  # noqa: ANN401
+        if not (connection.is_outgoing or peer.connection):
+            self.evict_idle_connection()
+        if previous := peer.on_opened(connection):
+            previous.abort(REPLACED_REASON, failed=False)
+            self.notify(self.on_peer_disconnected, instance.name, REPLACED_REASON)
+        log.info("link to %s is up", instance.name)
+        self.notify(self.on_peer_connected, instance)
+        self.schedule(connection)
+
+    def schedule(self, connection: PeerConnection) -> None:
+        """Queue a step of a connection."""
+        self.scheduler.schedule(connection)
+
+    def on_message(self, connection: PeerConnection, protocol: str, message: Any) -> None:  # noqa: ANN401
+        """Deliver a message; an exception of its handler is logged and counted."""
         try:
-            self.deliver_message(part, MessageReceived(link.peer_instance, message))
+            self.deliver_message(protocol, MessageReceived(connection.peer_instance, message))
         except Exception:
             self.handler_failures += 1
-            log.exception("a message of %s from %s failed", part, link.peer_instance.name)
-
-    def next_message(self, link: PeerConnection) -> QueuedMessage | None:
-        peer = self.peers.get(link.peer_instance.name)
-        return peer.send_queue.pop(link.peer_instance.number) if peer and peer.connection is link else None
-
-    def on_ended(self, link: PeerConnection, was: ConnectionPhase, reason: str, fault: bool) -> None:
-        self.release_slot(link)
-        name = link.peer_name
-        if was is ConnectionPhase.HANDSHAKE and fault:
-            self.rejected += not link.is_outgoing
-            self.warn("no link %s: %s", f"to {name}" if name else "for one that dialled", reason)
+            log.exception("a message of %s from %s failed", protocol, connection.peer_instance.name)
+
+    def next_message(self, connection: PeerConnection) -> QueuedMessage | None:
+        """The next message for the peer, if this is its connection in use."""
+        instance = connection.peer_instance
+        peer = self.peers.get(instance.name)
+        if peer is None or peer.connection is not connection:
+            return None
+        return peer.send_queue.pop(instance.number)
+
+    def on_ended(
+        self,
+        connection: PeerConnection,
+        previous: ConnectionPhase,
+        reason: str,
+        failed: bool,
+    ) -> None:
+        """Log and report the end of a connection; dial again if messages wait."""
+        self.release_slot(connection)
+        name = connection.peer_name
+        if previous is ConnectionPhase.HANDSHAKE and failed:
+            self.rejected += not connection.is_outgoing
+            self.warnings.warn("no link %s: %s", f"to {name}" if name else "for one that dialled", reason)
         peer = self.peers.get(name)
-        if peer and peer.on_ended(link, reason, fault):
-            tell = self.warn if fault else log.info
-            tell("link to %s is down: %s", name, reason)
+        if peer and peer.on_ended(connection, reason, failed):
+            write_log = self.warnings.warn if failed else log.info
+            write_log("link to %s is down: %s", name, reason)
             self.notify(self.on_peer_disconnected, name, reason)
         if peer and not self.closed:
             peer.dial_if_needed()
 
-    def on_socket_closed(self, link: PeerConnection) -> None:
-        self.connections.pop(link, None)
+    def on_socket_closed(self, connection: PeerConnection) -> None:
+        """Remove a connection whose socket is closed."""
+        self.connections.pop(connection, None)
 
-    def notify(self, event: Callable[..., None], *what: object) -> None:
+    def notify(self, callback: Callable[..., None], *values: object) -> None:
+        """Report an event; an exception of the callback is logged."""
         try:
-            event(*what)
+            callback(*values)
         except Exception:
             log.exception("what a link's owner was told failed")
 
-    def warn(self, text: str, *what: object) -> None:
-        """One of few lines a beat: who is refused a thousand times does not fill the log."""
-        self.warnings += 1
-        if self.warnings <= MAX_WARNINGS_PER_INTERVAL:
-            log.warning(text, *what)
+    # --- heartbeats ---
 
     def send_heartbeats(self) -> None:
-        self.warnings = 0
+        """Send the heartbeats of one interval on all connections."""
+        self.warnings.start_interval()
         self.send_heartbeat_batch(list(self.connections))
 
-    def send_heartbeat_batch(self, links: list[PeerConnection]) -> None:
-        """A few of them, and the others after what else the loop has to do."""
-        for link in links[:HEARTBEATS_PER_TURN]:
-            link.send_heartbeat()
-        if len(links) > HEARTBEATS_PER_TURN:
-            self.loop.call_soon(self.send_heartbeat_batch, links[HEARTBEATS_PER_TURN:])
+    def send_heartbeat_batch(self, connections: list[PeerConnection]) -> None:
+        """Send some heartbeats; the others follow after other callbacks of the loop."""
+        for connection in connections[:HEARTBEATS_PER_TURN]:
+            connection.send_heartbeat()
+        if len(connections) > HEARTBEATS_PER_TURN:
+            self.loop.call_soon(self.send_heartbeat_batch, connections[HEARTBEATS_PER_TURN:])
--- a/molereach/coordination/transport/fair_scheduler.py
+++ b/molereach/coordination/transport/fair_scheduler.py
@@ -1,4 +1,4 @@
-"""Turns of links: one step of each after another, and all together within a turn's budget. A shell."""
+"""Round-robin scheduling of connections: one step each in turn, within a budget per event loop turn."""
 
 import asyncio
 from collections import deque
@@ -9,33 +9,38 @@
 
 
 class FairScheduler:
-    """What is due over all links; the rest of it after what else the loop has to do."""
+    """Runs the steps of all connections; what exceeds the budget runs after other callbacks of the loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int]) -> None:
-        self.loop, self.clock = loop, clock
+        self.loop = loop
+        self.clock = clock
         self.ready_connections: deque[PeerConnection] = deque()
         self.turn_scheduled = False
-        self.completed_turns = 0  # turns
+        self.completed_turns = 0
 
-    def schedule(self, link: PeerConnection) -> None:
-        if not link.is_scheduled:
-            link.is_scheduled = True
-            self.ready_connections.append(link)
+    def schedule(self, connection: PeerConnection) -> None:
+        """Queue a connection for a step, unless it is queued already."""
+        if not connection.is_scheduled:
+            connection.is_scheduled = True
+            self.ready_connections.append(connection)
             self.schedule_turn()
 
     def schedule_turn(self) -> None:
+        """Have the event loop call `run_turn` once."""
         if not self.turn_scheduled:
             self.turn_scheduled = True
             self.loop.call_soon(self.run_turn)
 
     def run_turn(self) -> None:
-        self.turn_scheduled, self.completed_turns = False, self.completed_turns + 1
-        turn = EventLoopBudget(self.clock())
-        while self.ready_connections and turn.allows_step(self.clock()):
-            link = self.ready_connections.popleft()
-            if link.step():
-                self.ready_connections.append(link)
+        """Run steps until the budget is spent or no connection has work."""
+        self.turn_scheduled = False
+        self.completed_turns += 1
+        budget = EventLoopBudget(self.clock())
+        while self.ready_connections and budget.allows_step(self.clock()):
+            connection = self.ready_connections.popleft()
+            if connection.step():
+                self.ready_connections.append(connection)
             else:
-                link.is_scheduled = False
+                connection.is_scheduled = False
         if self.ready_connections:
             self.schedule_turn()
--- a/molereach/coordination/transport/frames.py
+++ b/molereach/coordination/transport/frames.py
@@ -1,47 +1,50 @@
-"""Frames between two front doors: cut from a stream of bytes, sealed and opened. A core.
+"""Authenticated frames between two proxies: split from a byte stream, sealed and opened. Sans-I/O.
 
-A frame is four bytes of length (big-endian), that many bytes of body, and a tag of 16 bytes: BLAKE2b
-(RFC 7693) under the shared key over the session, the direction, the number of the frame and the body. So a
-frame of another session, of the other side, doubled, left out or overtaken does not open. Nothing is hidden:
-who reads along reads the bodies. What is wrong costs the connection, as nothing after it can be trusted.
+A frame is four bytes of length (big-endian), a body of that length, and a tag of 16 bytes: BLAKE2b (RFC 7693)
+under the shared key over the session, the direction, the frame's number and the body. So a frame of another
+session or direction, or one that is repeated, omitted or reordered, does not open. Bodies are not encrypted.
+A `FrameError` ends the connection, as nothing after it can be trusted.
 """
 
 import hashlib
 import hmac
 
+from molereach.coordination.transport.errors import FrameError
+
 LENGTH_BYTES = 4
 TAG_BYTES = 16
 NUMBER_BYTES = 8
 MAX_BODY_BYTES = 1 << 20
 OVERHEAD_BYTES = LENGTH_BYTES + TAG_BYTES
-PURPOSE = b"molereach-frame"  # the key has other uses: no tag of one may pass for another's
-DIALLER, LISTENER = b"d", b"l"  # whose frames they are
-
-
-class FrameError(ValueError):
-    """What came is no frame of this session; one plain line."""
+PURPOSE = b"molereach-frame"  # separates these tags from other uses of the key
+DIALLER = b"d"  # the direction of frames that the dialler sends
+LISTENER = b"l"
 
 
 def length_prefix(body: bytes) -> bytes:
+    """The encoded length of a body."""
     return len(body).to_bytes(LENGTH_BYTES, "big")
 
 
 class FrameSplitter:
-    """Cuts a stream into frames, each given as its body and tail in one; the bound holds before room is made.
+    """Splits a byte stream into frames. A length is checked before its bytes are buffered.
 
-    `most` and `tail` are of the next frame: they change when the handshake is over.
+    `max_body_bytes` and `tag_bytes` hold for the next frame; they change when the handshake is complete.
     """
 
     __slots__ = ("buffer", "max_body_bytes", "tag_bytes")
 
-    def __init__(self, most: int, tail: int) -> None:
-        self.buffer, self.max_body_bytes, self.tag_bytes = bytearray(), most, tail
+    def __init__(self, max_body_bytes: int, tag_bytes: int) -> None:
+        self.buffer = bytearray()
+        self.max_body_bytes = max_body_bytes
+        self.tag_bytes = tag_bytes
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes."""
         self.buffer += data
 
     def next_frame(self) -> bytes | None:
-        """The next whole frame, without its length; None if there is none yet."""
+        """The next complete frame as body and tag, without its length; None if it is incomplete."""
         buffer = self.buffer
         if len(buffer) < LENGTH_BYTES:
             return None
@@ -57,7 +60,7 @@
 
 
 class _TagSequence:
-    """The tags of one direction, in order."""
+    """The tags of the frames of one direction, in order."""
 
     __slots__ = ("frame_number", "keyed_hash")
 
@@ -66,6 +69,7 @@
         self.frame_number = 0
 
     def next_tag(self, body: bytes) -> bytes:
+        """The tag of the next frame, which has this body."""
         tag = self.keyed_hash.copy()
         tag.update(self.frame_number.to_bytes(NUMBER_BYTES, "big"))
         tag.update(body)
@@ -74,25 +78,26 @@
 
 
 class FrameSealer(_TagSequence):
-    """Makes frames of bodies."""
+    """Makes the frames of one direction."""
 
     __slots__ = ()
 
     def seal(self, body: bytes) -> bytes:
-        """FrameError for a body that the other side would not take."""
+        """The frame of a body; FrameError for a size that the peer would reject."""
         if not 0 < len(body) <= MAX_BODY_BYTES:
             raise FrameError(f"a body of {len(body)} bytes; 1 to {MAX_BODY_BYTES} are sent")
         return b"".join((length_prefix(body), body, self.next_tag(body)))
 
 
 class FrameOpener(_TagSequence):
-    """Takes bodies out of frames."""
+    """Verifies the frames of one direction."""
 
     __slots__ = ()
 
     def open(self, frame: bytes) -> bytes:
-        """The body of what `Cutter` gave; FrameError where the tag is not the next one of the other side."""
-        body, tag = frame[:-TAG_BYTES], frame[-TAG_BYTES:]
+        """The body of a frame from `FrameSplitter`; FrameError if its tag is not the next one."""
+        body = frame[:-TAG_BYTES]
+        tag = frame[-TAG_BYTES:]
         if not hmac.compare_digest(tag, self.next_tag(body)):
             raise FrameError(f"frame {self.frame_number}: its tag is wrong")
         return body
--- a/molereach/coordination/transport/handshake.py
+++ b/molereach/coordination/transport/handshake.py
@@ -1,10 +1,11 @@
-"""Who is at the other end: both sides prove that they have the shared key, and never send it. A core.
-
-Three words, the listener's first: `Greeting` with its nonce; `Hello` with the dialler's nonce, life, whom it
-wants and its proof; `Welcome` with the listener's life and proof, or `Refused`. A proof is BLAKE2b (RFC 7693)
-under the key over the side's role and all words so far, so an old one is worth nothing against a new nonce,
-nor one side's to the other, and the listener proves nothing to who has not proven itself. The session is made
-of the same words. What was said before a proof was checked is believed in nothing but a line of the log.
+"""Mutual authentication of two proxies by a shared key, which is never sent. Sans-I/O.
+
+Three messages, the listener's first: `Greeting` with its nonce; `Hello` with the dialler's nonce, instance,
+intended recipient and proof; `Welcome` with the listener's instance and proof, or `Rejection`. A proof is
+BLAKE2b (RFC 7693) under the key over the side's role and all messages so far. So an old proof is worthless
+against a new nonce, one side's proof cannot be returned to it, and the listener proves nothing to a peer that
+has not proven itself. The session's identifier is derived from the same messages. What arrives before a proof
+is verified is used for nothing but a log line.
 """
 
 import hashlib
@@ -17,6 +18,7 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Name, NodeInstance, WireStruct
+from molereach.coordination.transport.errors import HandshakeError
 
 VERSION = 1
 NONCE_BYTES = 16
@@ -24,7 +26,11 @@
 MAX_HANDSHAKE_BYTES = 1024
 MAX_PROTOCOLS = 16
 MAX_REASON_CHARS = 200
-PURPOSE = b"molereach-hello"
+PURPOSE = b"molereach-hello"  # separates these digests from other uses of the key
+LENGTH_BYTES = 4  # of a message's length within a digest
+DIALLER_ROLE = b"dialler"
+LISTENER_ROLE = b"listener"
+SESSION_ROLE = b"session"
 
 Nonce = Annotated[bytes, Meta(min_length=NONCE_BYTES, max_length=NONCE_BYTES)]
 Proof = Annotated[bytes, Meta(max_length=PROOF_BYTES)]
@@ -33,45 +39,41 @@
 
 
 class Greeting(WireStruct, frozen=True, array_like=True, tag=1):
-    """The listener's first word; every version has it in this form."""
+    """The listener's first message; all versions have it in this form."""
 
     version: Version
     nonce: Nonce
 
 
 class Hello(WireStruct, frozen=True, array_like=True, tag=2):
-    """The dialler's word."""
+    """The dialler's message."""
 
     version: Version
     sender: NodeInstance
     recipient: Name
     protocols: Annotated[
         tuple[Name, ...], Meta(max_length=MAX_PROTOCOLS)
-    ]  # they number messages: all have the same
+    ]  # both sides must have the same: they number messages
     nonce: Nonce
     proof: Proof = b""
 
 
 class Welcome(WireStruct, frozen=True, array_like=True, tag=3):
-    """The listener's last word; the session has begun."""
+    """The listener accepts; the session has begun."""
 
     sender: NodeInstance
     proof: Proof = b""
 
 
 class Rejection(WireStruct, frozen=True, array_like=True, tag=4):
-    """The listener's last word; one line."""
+    """The listener rejects the dialler; the reason is one line."""
 
     reason: Reason
 
 
-class HandshakeError(ValueError):
-    """The other side is not taken; one plain line."""
-
-
 @dataclass(frozen=True, slots=True)
 class Session:
-    """A handshake that is over, both sides proven."""
+    """The result of a handshake in which both sides are authenticated."""
 
     id: bytes
     peer: NodeInstance
@@ -83,47 +85,62 @@
 _replies = msgspec.msgpack.Decoder(Welcome | Rejection)
 
 
-def handshake_digest(key: bytes, role: bytes, *words: bytes) -> bytes:
-    made = hashlib.blake2b(role, key=key, digest_size=PROOF_BYTES, person=PURPOSE)
-    for word in words:
-        made.update(len(word).to_bytes(4, "big") + word)
-    return made.digest()
+def handshake_digest(key: bytes, role: bytes, *messages: bytes) -> bytes:
+    """The keyed hash of a role and encoded messages; lengths keep different sequences apart."""
+    keyed_hash = hashlib.blake2b(role, key=key, digest_size=PROOF_BYTES, person=PURPOSE)
+    for message in messages:
+        keyed_hash.update(len(message).to_bytes(LENGTH_BYTES, "big") + message)
+    return keyed_hash.digest()
 
 
-def encode_without_proof(word: Hello | Welcome) -> bytes:
-    """A word without its proof: what the proof is made over."""
-    return _encoder.encode(msgspec.structs.replace(word, proof=b""))
+def encode_without_proof(message: Hello | Welcome) -> bytes:
+    """The part of a message that its proof covers."""
+    return _encoder.encode(msgspec.structs.replace(message, proof=b""))
 
 
-def check_proof(said: bytes, right: bytes) -> None:
-    if not hmac.compare_digest(said, right):
+def check_proof(received: bytes, expected: bytes) -> None:
+    """HandshakeError if the proofs differ; compares in constant time."""
+    if not hmac.compare_digest(received, expected):
         raise HandshakeError("the proof is wrong: another key, or an old handshake")
 
 
 def check_version(version: int) -> None:
+    """HandshakeError for another version than this one."""
     if version != VERSION:
         raise HandshakeError(f"version {version} is not spoken here; {VERSION} is")
 
 
 def printable_line(text: str) -> str:
-    """What another said, fit for one line of a log."""
+    """Untrusted text as one bounded line for a log."""
     return "".join(char if char.isprintable() else "?" for char in text[:MAX_REASON_CHARS])
 
 
 def encode_rejection(reason: str) -> bytes:
+    """The rejection to send to a dialler."""
     return _encoder.encode(Rejection(reason[:MAX_REASON_CHARS]))
 
 
 class DiallerHandshake:
-    """The dialler's side of one handshake; `nonce` is drawn for this one alone."""
+    """The dialler's side of one handshake; `nonce` is random and used only once."""
 
-    def __init__(self, me: NodeInstance, to: str, parts: tuple[str, ...], key: bytes, nonce: bytes) -> None:
-        self.local_instance, self.recipient, self.protocols, self.key, self.nonce = me, to, parts, key, nonce
-        self.hello = b""  # the hello
+    def __init__(
+        self,
+        local_instance: NodeInstance,
+        recipient: str,
+        protocols: tuple[str, ...],
+        key: bytes,
+        nonce: bytes,
+    ) -> None:
+        self.local_instance = local_instance
+        self.recipient = recipient
+        self.protocols = protocols
+        self.key = key
+        self.nonce = nonce
+        self.hello = b""
         self.greeting = b""
 
     def receive_greeting(self, data: bytes) -> bytes:
-        """The hello that answers a greeting."""
+        """The encoded hello that answers a greeting; HandshakeError for an invalid one."""
         try:
             greeting = _greetings.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -131,25 +148,27 @@
         check_version(greeting.version)
         hello = Hello(VERSION, self.local_instance, self.recipient, self.protocols, self.nonce)
         self.greeting = data
-        proof = handshake_digest(self.key, b"dialler", data, encode_without_proof(hello))
+        proof = handshake_digest(self.key, DIALLER_ROLE, data, encode_without_proof(hello))
         self.hello = _encoder.encode(msgspec.structs.replace(hello, proof=proof))
         return self.hello
 
     def receive_reply(self, data: bytes) -> Session:
-        """The session that a welcome begins; HelloError for a refusal, with its reason."""
+        """The session that a welcome begins; HandshakeError for a rejection, with its reason."""
         try:
-            word = _replies.decode(data)
+            reply = _replies.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise HandshakeError(f"no welcome: {printable_line(str(error))}") from error
-        if isinstance(word, Rejection):
-            raise HandshakeError(f"refused: {printable_line(word.reason)}")
+        if isinstance(reply, Rejection):
+            raise HandshakeError(f"refused: {printable_line(reply.reason)}")
         check_proof(
-            word.proof,
-            handshake_digest(self.key, b"listener", self.greeting, self.hello, encode_without_proof(word)),
+            reply.proof,
+            handshake_digest(self.key, LISTENER_ROLE, self.greeting, self.hello, encode_without_proof(reply)),
+        )
+        if reply.sender.name != self.recipient:
+            raise HandshakeError(f"{reply.sender.name} is there, not {self.recipient}")
+        return Session(
+            handshake_digest(self.key, SESSION_ROLE, self.greeting, self.hello, data), reply.sender
         )
-        if word.sender.name != self.recipient:
-            raise HandshakeError(f"{word.sender.name} is there, not {self.recipient}")
-        return Session(handshake_digest(self.key, b"session", self.greeting, self.hello, data), word.sender)
 
 
 class ListenerHandshake:
@@ -157,25 +176,28 @@
 
     def __init__(
         self,
-        me: NodeInstance,
-        known: Container[str],
-        parts: tuple[str, ...],
+        local_instance: NodeInstance,
+        known_names: Container[str],
+        protocols: tuple[str, ...],
         key: bytes,
         nonce: bytes,
     ) -> None:
-        self.local_instance, self.known_names, self.protocols, self.key = me, known, parts, key
+        self.local_instance = local_instance
+        self.known_names = known_names
+        self.protocols = protocols
+        self.key = key
         self.greeting = _encoder.encode(Greeting(VERSION, nonce))
-        self.hello = b""  # the hello
+        self.hello = b""
 
     def receive_hello(self, data: bytes) -> NodeInstance:
-        """Who dials, proven; whether it is welcome is then the owner's matter."""
+        """The authenticated dialler, which the owner may still reject; HandshakeError for any other."""
         try:
             hello = _hellos.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise HandshakeError(f"no hello: {printable_line(str(error))}") from error
         check_version(hello.version)
         check_proof(
-            hello.proof, handshake_digest(self.key, b"dialler", self.greeting, encode_without_proof(hello))
+            hello.proof, handshake_digest(self.key, DIALLER_ROLE, self.greeting, encode_without_proof(hello))
         )
         if hello.recipient != self.local_instance.name:
             raise HandshakeError(f"{self.local_instance.name} is here, not {hello.recipient}")
@@ -189,7 +211,10 @@
         return hello.sender
 
     def accept(self, peer: NodeInstance) -> tuple[bytes, Session]:
-        word = Welcome(self.local_instance)
-        proof = handshake_digest(self.key, b"listener", self.greeting, self.hello, encode_without_proof(word))
-        said = _encoder.encode(msgspec.structs.replace(word, proof=proof))
-        return said, Session(handshake_digest(self.key, b"session", self.greeting, self.hello, said), peer)
+        """The encoded welcome for an authenticated dialler, and the session."""
+        unproven = Welcome(self.local_instance)
+        proof_input = encode_without_proof(unproven)
+        proof = handshake_digest(self.key, LISTENER_ROLE, self.greeting, self.hello, proof_input)
+        welcome = _encoder.encode(msgspec.structs.replace(unproven, proof=proof))
+        session_id = handshake_digest(self.key, SESSION_ROLE, self.greeting, self.hello, welcome)
+        return welcome, Session(session_id, peer)
--- a/molereach/coordination/transport/heartbeat.py
+++ b/molereach/coordination/transport/heartbeat.py
@@ -1,17 +1,19 @@
-"""Whether a link lives, by beats that its owner counts. A core.
+"""Failure detection on one connection, by heartbeats. Sans-I/O.
 
-Each side says on a beat how many messages it has taken in, if that is news. So who has said something hears
-of it within two beats of a peer that reads. Nothing at all heard for some beats while something is
-unacknowledged: the peer is gone or the way is half open. Something heard, but nothing acknowledged and no
-byte of what waits in our buffer taken: it does not read. Beats are counted, not time: a process that was
-stopped for a minute has missed one beat, and hears first what came meanwhile.
+With each heartbeat a side acknowledges the messages that it has received since the last one. So a sender gets
+an acknowledgement within two heartbeats from a peer that reads. If nothing at all arrives for some heartbeats
+while messages are unacknowledged, the peer is gone or the connection is half open. If bytes arrive, but no
+acknowledgement, and the write buffer does not drain, the peer does not read. Heartbeats are counted instead
+of time: a process that was suspended for a minute missed one heartbeat, and first reads what arrived.
 """
 
 from enum import Enum
 
+from molereach.coordination.transport.errors import AcknowledgementError
+
 
 class ConnectionHealth(Enum):
-    """What a beat found; the text is the reason for which a link ends."""
+    """The result of a check; the value is the reason with which the connection ends."""
 
     ALIVE = "lives"
     SILENT = "nothing heard while something was unacknowledged"
@@ -20,7 +22,7 @@
 
 
 class HeartbeatMonitor:
-    """One link's. Figures are in beats."""
+    """The state of one connection; the limits are numbers of consecutive heartbeats."""
 
     __slots__ = (
         "acknowledged",
@@ -38,53 +40,76 @@
         "stalled_heartbeats",
     )
 
-    def __init__(self, most_silent: int, most_stalled: int, most_idle: int) -> None:
-        self.max_silent_heartbeats, self.max_stalled_heartbeats, self.max_idle_heartbeats = (
-            most_silent,
-            most_stalled,
-            most_idle,
-        )
-        self.sent = self.acknowledged = self.received = self.reported = 0  # messages
-        self.bytes_received = self.no_messages = (
-            True  # any bytes came since the last beat; no message went or came
-        )
-        self.silent_heartbeats = self.stalled_heartbeats = self.idle_heartbeats = 0  # for how many beats
-        self.drained_bytes = 0  # bytes that had left our buffer by the last beat
+    def __init__(
+        self,
+        max_silent_heartbeats: int,
+        max_stalled_heartbeats: int,
+        max_idle_heartbeats: int,
+    ) -> None:
+        self.max_silent_heartbeats = max_silent_heartbeats
+        self.max_stalled_heartbeats = max_stalled_heartbeats
+        self.max_idle_heartbeats = max_idle_heartbeats
+        # Messages since the connection opened: sent, acknowledged by the peer, received, acknowledged to it.
+        self.sent = 0
+        self.acknowledged = 0
+        self.received = 0
+        self.reported = 0
+        # Since the last heartbeat.
+        self.bytes_received = True
+        self.no_messages = True
+        self.silent_heartbeats = 0
+        self.stalled_heartbeats = 0
+        self.idle_heartbeats = 0
+        self.drained_bytes = 0  # bytes that had left the write buffer at the last heartbeat
 
     def on_bytes(self) -> None:
+        """Some bytes arrived."""
         self.bytes_received = True
 
     def on_sent(self) -> None:
-        self.sent, self.no_messages = self.sent + 1, False
+        """A message was sent."""
+        self.sent += 1
+        self.no_messages = False
 
     def on_received(self) -> None:
-        self.received, self.no_messages = self.received + 1, False
+        """A message was received."""
+        self.received += 1
+        self.no_messages = False
 
-    def on_acknowledgement(self, heard: int) -> None:
-        """ValueError for what was never sent, or was acknowledged before."""
-        if not self.acknowledged <= heard <= self.sent:
-            raise ValueError(f"{heard} messages acknowledged; {self.acknowledged} to {self.sent} can be")
-        if heard > self.acknowledged:
-            self.acknowledged, self.stalled_heartbeats = heard, 0
+    def on_acknowledgement(self, received: int) -> None:
+        """The peer has received so many messages; AcknowledgementError if that cannot be."""
+        if not self.acknowledged <= received <= self.sent:
+            raise AcknowledgementError(
+                f"{received} messages acknowledged; {self.acknowledged} to {self.sent} can be"
+            )
+        if received > self.acknowledged:
+            self.acknowledged = received
+            self.stalled_heartbeats = 0
 
     @property
     def acknowledgement_due(self) -> bool:
+        """Whether messages were received that are not acknowledged to the peer."""
         return self.received > self.reported
 
-    def check(self, drained: int, waiting: int) -> ConnectionHealth:
-        """`drained` bytes have left our buffer since the link began; `waiting` are in it."""
+    def check(self, drained_bytes: int, waiting_bytes: int) -> ConnectionHealth:
+        """Count a heartbeat. `drained_bytes` left the write buffer in all, `waiting_bytes` are in it."""
+        has_unacknowledged = self.sent > self.acknowledged
+        is_draining = waiting_bytes > 0 and drained_bytes > self.drained_bytes
+        is_silent = has_unacknowledged and not self.bytes_received
+        is_stalled = has_unacknowledged and not is_draining
         self.idle_heartbeats = self.idle_heartbeats + 1 if self.no_messages else 0
-        unacked = self.sent > self.acknowledged
-        moved = waiting > 0 and drained > self.drained_bytes
-        self.silent_heartbeats = self.silent_heartbeats + 1 if unacked and not self.bytes_received else 0
-        self.stalled_heartbeats = self.stalled_heartbeats + 1 if unacked and not moved else 0
-        self.bytes_received, self.no_messages, self.drained_bytes = False, True, drained
+        self.silent_heartbeats = self.silent_heartbeats + 1 if is_silent else 0
+        self.stalled_heartbeats = self.stalled_heartbeats + 1 if is_stalled else 0
+        self.bytes_received = False
+        self.no_messages = True
+        self.drained_bytes = drained_bytes
+        return self._health()
+
+    def _health(self) -> ConnectionHealth:
         if self.silent_heartbeats >= self.max_silent_heartbeats:
             return ConnectionHealth.SILENT
         if self.stalled_heartbeats >= self.max_stalled_heartbeats:
             return ConnectionHealth.STALLED
-        return (
-            ConnectionHealth.IDLE
-            if self.idle_heartbeats >= self.max_idle_heartbeats
-            else ConnectionHealth.ALIVE
-        )
+        if self.idle_heartbeats >= self.max_idle_heartbeats:
+            return ConnectionHealth.IDLE
+        return ConnectionHealth.ALIVE
--- a/molereach/coordination/transport/peer.py
+++ b/molereach/coordination/transport/peer.py
@@ -1,9 +1,10 @@
-"""One front door of the council: what waits for it, the link in use, when to dial. A shell."""
+"""One remote proxy: its send queue, its connection in use, and when to dial it."""
 
 import asyncio
 from collections.abc import Callable
 
 from molereach.clock import now_us
+from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.transport.connection import PeerConnection
 from molereach.coordination.transport.connection_owner import ConnectionPhase
 from molereach.coordination.transport.retry_backoff import RetryBackoff
@@ -17,91 +18,100 @@
 
 
 class Peer:
-    """Dials whenever something waits and there is neither link nor dial. `dial` sets `dialling`, and `task`
-    when it begins."""
+    """Dials whenever messages wait and there is neither a connection nor a dial.
+
+    `dial` starts one: it sets `pending_connection`, and `dial_task` once the dial has begun.
+    """
 
     def __init__(
         self,
         name: str,
-        outbox: SendQueue,
+        send_queue: SendQueue,
         retry: RetryBackoff,
         dial: "Callable[[Peer], None]",
     ) -> None:
-        self.name, self.send_queue, self.retry, self.dial = name, outbox, retry, dial
+        self.name = name
+        self.send_queue = send_queue
+        self.retry = retry
+        self.dial = dial
         self.connection: PeerConnection | None = None
         self.pending_connection: PeerConnection | None = None
-        self.dial_task: asyncio.Task[None] | None = None  # of the dial, once it has begun
+        self.dial_task: asyncio.Task[None] | None = None
         self.retry_timer: asyncio.TimerHandle | None = None
-        self.redial = False  # one dial, also with nothing that waits
-        self.closed_bytes_received = self.closed_bytes_sent = 0  # of links that are over
+        self.must_dial = False  # dial once even if no message waits
+        self.closed_bytes_received = 0  # of connections that have ended
+        self.closed_bytes_sent = 0
         self.close_reason = ""
 
-    def enqueue(self, item: QueuedMessage) -> None:
-        """Say it when there is a link. One that is too large to wait for a peer that fails is lost, but who
-        said it will say it again: to a link, if there is one by then."""
-        if not self.send_queue.put(item) and not self.connection:
-            self.redial = True
+    def enqueue(self, message: QueuedMessage) -> None:
+        """Queue a message until there is a connection.
+
+        One that is too large for the queue of a failed peer is dropped. Its sender repeats it, so dial anyway:
+        by then there may be a connection.
+        """
+        if not self.send_queue.put(message) and not self.connection:
+            self.must_dial = True
 
     def dial_if_needed(self) -> None:
-        """Dial, now or when it is time, if there is a reason to."""
-        if (
-            self.connection
-            or self.pending_connection
-            or self.retry_timer
-            or not (self.redial or len(self.send_queue))
-        ):
+        """Dial, at once or after the backoff, if there is a reason to."""
+        is_connecting = self.connection or self.pending_connection or self.retry_timer
+        if is_connecting or not (self.must_dial or len(self.send_queue)):
             return
-        if wait_us := self.retry.delay_us(now_us()):
-            self.retry_timer = asyncio.get_running_loop().call_later(wait_us / 1e6, self.on_retry_timer)
+        if delay_us := self.retry.delay_us(now_us()):
+            loop = asyncio.get_running_loop()
+            self.retry_timer = loop.call_later(delay_us / SECOND_US, self.on_retry_timer)
             return
-        self.redial = False
+        self.must_dial = False
         self.dial(self)
 
     def on_retry_timer(self) -> None:
+        """The backoff is over."""
         self.retry_timer = None
         self.dial_if_needed()
 
-    def on_opened(self, link: PeerConnection) -> PeerConnection | None:
-        """`link` is the one in use from now on; the one that was until now."""
-        old, self.connection, self.redial = self.connection, link, False
-        if self.pending_connection is link:
+    def on_opened(self, connection: PeerConnection) -> PeerConnection | None:
+        """Use this connection from now on; the previous one, if any."""
+        previous = self.connection
+        self.connection = connection
+        self.must_dial = False
+        if self.pending_connection is connection:
             self.pending_connection = None
         self.cancel_dial()
         self.send_queue.set_capacity(FULL_CAPACITY)
         self.retry.on_opened(now_us())
-        return old
+        return previous
 
-    def on_ended(self, link: PeerConnection, reason: str, fault: bool) -> bool:
-        """Whether it was the link in use."""
-        self.closed_bytes_received, self.closed_bytes_sent = (
-            self.closed_bytes_received + link.bytes_received,
-            self.closed_bytes_sent + link.bytes_sent,
-        )
-        if link is not self.connection and link is not self.pending_connection:
+    def on_ended(self, connection: PeerConnection, reason: str, failed: bool) -> bool:
+        """Account for a connection that ended; whether it was the one in use."""
+        self.closed_bytes_received += connection.bytes_received
+        self.closed_bytes_sent += connection.bytes_sent
+        if connection is not self.connection and connection is not self.pending_connection:
             return False
-        used = link is self.connection
         self.close_reason = reason
-        if fault:
+        if failed:
             self.retry.on_failed(now_us())
             self.send_queue.set_capacity(FAILED_PEER_CAPACITY)
         else:
             self.retry.on_closed(now_us())
-        if used:
-            self.connection, self.redial = None, fault
-        else:
+        if connection is not self.connection:
             self.pending_connection = None
-        return used
+            return False
+        self.connection = None
+        self.must_dial = failed
+        return True
 
     def cancel_dial(self) -> None:
-        """End the dial that is under way."""
-        link, self.pending_connection = self.pending_connection, None
-        if link:
-            link.abort("another link is in use", fault=False)
+        """Abort the dial in progress, if any."""
+        connection = self.pending_connection
+        self.pending_connection = None
+        if connection:
+            connection.abort("another link is in use", failed=False)
             if self.dial_task:
                 self.dial_task.cancel()
 
     def close(self) -> None:
-        self.redial = False
+        """Drop all messages and close the connection in order."""
+        self.must_dial = False
         self.send_queue.clear()
         self.cancel_dial()
         if self.retry_timer:
@@ -110,29 +120,28 @@
         if self.connection:
             self.connection.close_gracefully("closed")
 
+    def state(self) -> str:
+        """The state as `PeerStats` names it."""
+        if self.connection:
+            return "up"
+        if self.pending_connection:
+            return "dialling"
+        return "waiting" if self.retry_timer else "idle"
+
     def stats(self) -> PeerStats:
-        link = self.connection
-        state = (
-            "up"
-            if link
-            else "dialling"
-            if self.pending_connection
-            else "waiting"
-            if self.retry_timer
-            else "idle"
-        )
-        live = [
-            one for one in (link, self.pending_connection) if one and one.phase is not ConnectionPhase.CLOSED
-        ]
+        """The state of the peer and the totals of its connections."""
+        connection = self.connection
+        candidates = (connection, self.pending_connection)
+        live = [one for one in candidates if one and one.phase is not ConnectionPhase.CLOSED]
         return PeerStats(
-            state,
-            link.peer_instance.number if link else None,
-            len(self.send_queue),
-            self.send_queue.size,
-            self.send_queue.dropped,
-            self.closed_bytes_received + sum(one.bytes_received for one in live),
-            self.closed_bytes_sent + sum(one.bytes_sent for one in live),
-            now_us() - link.last_received_us if link else None,
-            self.retry.failures,
-            self.close_reason,
+            state=self.state(),
+            instance_number=connection.peer_instance.number if connection else None,
+            queued_messages=len(self.send_queue),
+            queued_bytes=self.send_queue.size,
+            dropped=self.send_queue.dropped,
+            bytes_received=self.closed_bytes_received + sum(one.bytes_received for one in live),
+            bytes_sent=self.closed_bytes_sent + sum(one.bytes_sent for one in live),
+            silent_us=now_us() - connection.last_received_us if connection else None,
+            consecutive_failures=self.retry.failures,
+            close_reason=self.close_reason,
         )
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -1,4 +1,4 @@
-"""All links of one front door, as the council uses them: say, hear, and know who can be heard. A shell."""
+"""The transport as the coordination node uses it: send and receive messages, and learn who is connected."""
 
 import asyncio
 import logging
@@ -8,115 +8,129 @@
 from molereach.coordination.interface.core import MessageReceived, SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.connection_owner import ConnectionPhase
-from molereach.coordination.transport.connection_registry import Address, ConnectionRegistry
+from molereach.coordination.transport.connection_registry import ConnectionRegistry
 from molereach.coordination.transport.frames import MAX_BODY_BYTES
 from molereach.coordination.transport.messages import MessageCodec
 from molereach.coordination.transport.peer import Peer
 from molereach.coordination.transport.send_queue import QueuedMessage, QueueLimits
-from molereach.coordination.transport.settings import TransportSettings
+from molereach.coordination.transport.settings import Address, TransportSettings
 from molereach.coordination.transport.stats import TransportStats
 from molereach.keyfile import LEAST_KEY_BYTES, MOST_KEY_BYTES
 
 log = logging.getLogger(__name__)
 
-LISTEN_BACKLOG = (
-    128  # all front doors dial one that is back; past it a dial waits for seconds and not for a refusal
-)
+# All peers dial a proxy that has returned. Beyond the backlog a dial is not refused but waits for seconds.
+LISTEN_BACKLOG = 128
 
 
 class TransportService:
-    """The messages of `parts` to and from the front doors at `addresses` (looked up at each dial).
+    """Sends and receives messages between this proxy and those at `addresses`, looked up at each dial.
 
-    `deliver` is called with the part and the message; `up` and `down` with a peer that can be heard from now
-    on, or not any more. What they raise is logged and costs nothing else. `rules` say how messages wait.
+    `message_types` has the messages of each protocol. `on_message` gets a protocol and a message;
+    `on_peer_connected` and `on_peer_disconnected` report who is connected. Their exceptions are logged
+    and have no other effect. `queue_limits` say per protocol how messages wait. `random` returns a number from
+    0 up to 1.
     """
 
     def __init__(
         self,
-        me: NodeInstance,
+        local_instance: NodeInstance,
         addresses: Mapping[str, Address],
         key: bytes,
-        parts: Mapping[str, Any],
-        deliver: Callable[[str, MessageReceived], None],
-        draw: Callable[[], float],
+        message_types: Mapping[str, Any],
+        on_message: Callable[[str, MessageReceived], None],
+        random: Callable[[], float],
         *,
-        up: Callable[[NodeInstance], None] = lambda life: None,
-        down: Callable[[str, str], None] = lambda name, reason: None,
-        rules: Mapping[str, QueueLimits] | None = None,
+        on_peer_connected: Callable[[NodeInstance], None] = lambda instance: None,
+        on_peer_disconnected: Callable[[str, str], None] = lambda name, reason: None,
+        queue_limits: Mapping[str, QueueLimits] | None = None,
         settings: TransportSettings = TransportSettings(),  # noqa: B008
     ) -> None:
-        """ValueError for a key of another size than BLAKE2b takes, or that is too short to be one."""
+        """ValueError for a key that is too short to be secure or too long for BLAKE2b."""
         if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
             raise ValueError(f"a key of {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes is needed")
-        self.settings, self.codec = settings, MessageCodec(parts)
-        all_rules = {name: (rules or {}).get(name, QueueLimits()) for name in parts}
-        self.registry = ConnectionRegistry(me, addresses, key, self.codec, all_rules, draw, settings)
-        self.registry.deliver_message, self.registry.on_peer_connected, self.registry.on_peer_disconnected = (
-            deliver,
-            up,
-            down,
+        self.settings = settings
+        self.codec = MessageCodec(message_types)
+        given_limits = queue_limits or {}
+        limits = {name: given_limits.get(name, QueueLimits()) for name in message_types}
+        self.registry = ConnectionRegistry(
+            local_instance, addresses, key, self.codec, limits, random, settings
         )
+        self.registry.deliver_message = on_message
+        self.registry.on_peer_connected = on_peer_connected
+        self.registry.on_peer_disconnected = on_peer_disconnected
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
         self.heartbeat_timer: asyncio.TimerHandle | None = None
         self.undeliverable = 0
 
     async def start(self, listen: Address) -> Address:
-        """Take links at this address, and dial; the address with its port. OSError where it cannot be had."""
+        """Listen at an address and dial; the address with its port. OSError if it is not available."""
         self.server = await self.loop.create_server(
             self.registry.accept_connection, *listen, backlog=LISTEN_BACKLOG
         )
-        self.heartbeat_timer = self.loop.call_later(
-            self.settings.heartbeat_interval_s, self.on_heartbeat_timer
-        )
+        self.start_heartbeat_timer()
         for peer in self.registry.peers.values():
             peer.dial_if_needed()
         address: Address = self.server.sockets[0].getsockname()[:2]
         return address
 
+    def start_heartbeat_timer(self) -> None:
+        """Schedule the next heartbeats."""
+        delay_s = self.settings.heartbeat_interval_s
+        self.heartbeat_timer = self.loop.call_later(delay_s, self.on_heartbeat_timer)
+
     def on_heartbeat_timer(self) -> None:
-        self.heartbeat_timer = self.loop.call_later(
-            self.settings.heartbeat_interval_s, self.on_heartbeat_timer
-        )
+        """Send the heartbeats of this interval."""
+        self.start_heartbeat_timer()
         self.registry.send_heartbeats()
 
-    def send(self, part: str, say: SendMessage) -> None:
-        """Send a message, now or when there is a link, or drop it; KeyError for a part that is not here."""
-        if part not in self.codec.protocol_numbers:
-            raise KeyError(part)
+    def send(self, protocol: str, action: SendMessage) -> None:
+        """Send a message now, queue it until there is a connection, or drop it.
+
+        KeyError for an unknown protocol; other faults are logged.
+        """
+        if protocol not in self.codec.protocol_numbers:
+            raise KeyError(protocol)
         try:
-            body = self.codec.encode(part, say.message)
-            peer = self.registry.peer(say.recipient)
-            if peer is None or len(body) > MAX_BODY_BYTES:
-                self.undeliverable += 1
-                self.registry.warn(
-                    "a message of %s to %s is dropped: %d bytes", part, say.recipient, len(body)
-                )
-                return
-            self.send_or_enqueue(peer, QueuedMessage(part, type(say.message), body, say.instance_number))
+            self.encode_and_send(protocol, action)
         except Exception:
-            log.exception("a message of %s to %s failed", part, say.recipient)
-
-    def send_or_enqueue(self, peer: Peer, item: QueuedMessage) -> None:
-        link = peer.connection
-        if link is None:
-            peer.enqueue(item)
+            log.exception("a message of %s to %s failed", protocol, action.recipient)
+
+    def encode_and_send(self, protocol: str, action: SendMessage) -> None:
+        """Send or queue a message; one that can never be delivered is counted and dropped."""
+        body = self.codec.encode(protocol, action.message)
+        peer = self.registry.peer(action.recipient)
+        if peer is None or len(body) > MAX_BODY_BYTES:
+            self.undeliverable += 1
+            self.registry.warnings.warn(
+                "a message of %s to %s is dropped: %d bytes", protocol, action.recipient, len(body)
+            )
+            return
+        message = QueuedMessage(protocol, type(action.message), body, action.instance_number)
+        self.send_or_enqueue(peer, message)
+
+    def send_or_enqueue(self, peer: Peer, message: QueuedMessage) -> None:
+        """Send a message on the open connection, unless others wait before it."""
+        connection = peer.connection
+        if connection is None:
+            peer.enqueue(message)
             if self.server:
                 peer.dial_if_needed()
-        elif item.instance_number is not None and item.instance_number != link.peer_instance.number:
+        elif message.instance_number not in (None, connection.peer_instance.number):
             peer.send_queue.dropped += 1
-        elif link.writing_paused or len(peer.send_queue):
-            peer.enqueue(item)  # its turn comes, or the link resumes
+        elif connection.writing_paused or len(peer.send_queue):
+            peer.enqueue(message)  # the scheduler sends it, or the connection resumes writing
         else:
-            link.send(item.body)
+            connection.send(message.body)
 
     def remove_peer(self, name: str) -> None:
-        """End the link to a front door and drop what waits for it."""
+        """Close the connection to a peer and drop its waiting messages."""
         if peer := self.registry.peers.pop(name, None):
             peer.close()
 
     def close(self) -> None:
-        """End all links; what was said and not sent is dropped."""
+        """Close all connections; waiting messages are dropped."""
         self.registry.closed = True
         if self.server:
             self.server.close()
@@ -124,25 +138,28 @@
             self.heartbeat_timer.cancel()
         for peer in self.registry.peers.values():
             peer.close()
-        for link in list(self.registry.connections):
-            if link.phase is ConnectionPhase.HANDSHAKE:
-                link.abort("closed", fault=False)
-            elif link.transport:
-                link.transport.close()  # when what was written has left
+        for connection in list(self.registry.connections):
+            if connection.phase is ConnectionPhase.HANDSHAKE:
+                connection.abort("closed", failed=False)
+            elif connection.transport:
+                connection.transport.close()  # after its write buffer has drained
         self.loop.call_later(self.settings.handshake_timeout_s, self.abort_connections)
 
     def abort_connections(self) -> None:
-        for link in list(self.registry.connections):
-            link.abort("closed", fault=False)
+        """Abort the connections whose peers do not read or close."""
+        for connection in list(self.registry.connections):
+            connection.abort("closed", failed=False)
 
     def stats(self) -> TransportStats:
-        board = self.registry
+        """The state of all peers and connections."""
+        registry = self.registry
+        slots = registry.unauthenticated_slots
         return TransportStats(
-            {name: peer.stats() for name, peer in board.peers.items()},
-            len(board.accepted_connections()),
-            board.unauthenticated_slots.used.total(),
-            board.rejected + board.unauthenticated_slots.rejected,
-            self.undeliverable,
-            board.handler_failures,
-            board.scheduler.completed_turns,
+            peers={name: peer.stats() for name, peer in registry.peers.items()},
+            accepted=len(registry.accepted_connections()),
+            unauthenticated=slots.used.total(),
+            rejected=registry.rejected + slots.rejected,
+            undeliverable=self.undeliverable,
+            handler_failures=registry.handler_failures,
+            scheduler_turns=registry.scheduler.completed_turns,
         )
--- a/molereach/coordination/transport/session_channel.py
+++ b/molereach/coordination/transport/session_channel.py
@@ -1,7 +1,6 @@
-"""What is said and heard on one link once both sides are proven: sealed bytes for bodies and back. A core.
+"""The frames of one authenticated session: messages to sealed bytes and back. Sans-I/O.
 
-It numbers and seals, opens and reads, counts what the other side has taken in, and says each beat what was
-taken here. What is wrong is a `FrameError` or a `WordError`, and the end of the link.
+It also counts messages for the heartbeat and acknowledges them. A `TransportError` ends the connection.
 """
 
 from typing import Any
@@ -9,51 +8,52 @@
 from molereach.coordination.transport.frames import DIALLER, LISTENER, FrameOpener, FrameSealer
 from molereach.coordination.transport.handshake import Session
 from molereach.coordination.transport.heartbeat import ConnectionHealth, HeartbeatMonitor
-from molereach.coordination.transport.messages import (
-    CONTROL_PROTOCOL,
-    Goodbye,
-    Heartbeat,
-    MessageCodec,
-    MessageError,
-)
+from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Goodbye, Heartbeat, MessageCodec
 
 
 class SessionChannel:
-    """One session's."""
+    """One session; `is_dialler` says which direction of frames is this side's."""
 
     __slots__ = ("codec", "heartbeat", "opener", "peer", "sealer")
 
     def __init__(
-        self, key: bytes, session: Session, dialled: bool, words: MessageCodec, pulse: HeartbeatMonitor
+        self,
+        key: bytes,
+        session: Session,
+        is_dialler: bool,
+        codec: MessageCodec,
+        heartbeat: HeartbeatMonitor,
     ) -> None:
-        ours, theirs = (DIALLER, LISTENER) if dialled else (LISTENER, DIALLER)
-        self.sealer, self.opener = FrameSealer(key, session.id, ours), FrameOpener(key, session.id, theirs)
-        self.codec, self.heartbeat, self.peer = words, pulse, session.peer
+        local_role = DIALLER if is_dialler else LISTENER
+        remote_role = LISTENER if is_dialler else DIALLER
+        self.sealer = FrameSealer(key, session.id, local_role)
+        self.opener = FrameOpener(key, session.id, remote_role)
+        self.codec = codec
+        self.heartbeat = heartbeat
+        self.peer = session.peer
 
     def seal_message(self, body: bytes) -> bytes:
-        """A message of a part, packed."""
+        """The frame of an encoded message, which is counted as sent."""
         self.heartbeat.on_sent()
         return self.sealer.seal(body)
 
-    def seal_control(self, word: Heartbeat | Goodbye) -> bytes:
-        return self.sealer.seal(self.codec.encode(CONTROL_PROTOCOL, word))
+    def seal_control(self, message: Heartbeat | Goodbye) -> bytes:
+        """The frame of a message of the transport itself."""
+        return self.sealer.seal(self.codec.encode(CONTROL_PROTOCOL, message))
 
     def open_frame(self, frame: bytes) -> tuple[str, Any]:
-        """A part and its message; of the links' own, what was acknowledged has been counted."""
-        part, message = self.codec.decode(self.opener.open(frame))
-        if part != CONTROL_PROTOCOL:
+        """The protocol and message of a frame; the acknowledgement in a heartbeat has been counted."""
+        protocol, message = self.codec.decode(self.opener.open(frame))
+        if protocol != CONTROL_PROTOCOL:
             self.heartbeat.on_received()
         elif isinstance(message, Heartbeat):
-            try:
-                self.heartbeat.on_acknowledgement(message.received)
-            except ValueError as error:
-                raise MessageError(str(error)) from error
-        return part, message
-
-    def check_heartbeat(self, drained: int, waiting: int) -> tuple[bytes, ConnectionHealth]:
-        """What to say on this beat, if anything, and whether the link lives; see `Pulse.beat`."""
-        said = b""
+            self.heartbeat.on_acknowledgement(message.received)
+        return protocol, message
+
+    def check_heartbeat(self, drained_bytes: int, waiting_bytes: int) -> tuple[bytes, ConnectionHealth]:
+        """The heartbeat's frame (b"" if nothing is to be acknowledged) and the health of the connection."""
+        frame = b""
         if self.heartbeat.acknowledgement_due:
             self.heartbeat.reported = self.heartbeat.received
-            said = self.seal_control(Heartbeat(self.heartbeat.received))
-        return said, self.heartbeat.check(drained, waiting)
+            frame = self.seal_control(Heartbeat(self.heartbeat.received))
+        return frame, self.heartbeat.check(drained_bytes, waiting_bytes)
--- a/molereach/coordination/transport/stats.py
+++ b/molereach/coordination/transport/stats.py
@@ -1,32 +1,32 @@
-"""How links stand, for counters and for the operator."""
+"""The state of the transport, for counters and for the operator."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStats:
-    """How the way to one front door stands."""
+    """The state of one peer and its connections."""
 
     state: str  # "up", "dialling", "waiting" (to dial again) or "idle"
     instance_number: int | None
     queued_messages: int
     queued_bytes: int
-    dropped: int  # messages that were never sent; what later ones of their kind made void is not in it
+    dropped: int  # messages that were never sent, without those that later ones superseded
     bytes_received: int
     bytes_sent: int
-    silent_us: int | None  # None where there is no link
-    consecutive_failures: int  # in a row
-    close_reason: str  # of the last end
+    silent_us: int | None  # since the last byte was received; None without a connection
+    consecutive_failures: int
+    close_reason: str  # of the last connection
 
 
 @dataclass(frozen=True, slots=True)
 class TransportStats:
-    """How all links stand."""
+    """The state of all connections."""
 
     peers: dict[str, PeerStats]
-    accepted: int  # links in use that others dialled
+    accepted: int  # open connections that peers dialled
     unauthenticated: int
-    rejected: int  # connections that were not taken, or not proven
-    undeliverable: int  # messages to nobody of this council, to ourselves, or too long
-    handler_failures: int  # messages over which `deliver` raised
+    rejected: int  # incoming connections that found no slot or failed to authenticate
+    undeliverable: int  # messages to an unknown name, to this proxy itself, or too long
+    handler_failures: int  # messages whose handler raised
     scheduler_turns: int
--- a/tests/compatibility/council_session.py
+++ b/tests/compatibility/council_session.py
@@ -65,7 +65,7 @@
 
 def speech(session: Session, side: str) -> SessionChannel:
     """One side's sealed conversation."""
-    pulse = HeartbeatMonitor(most_silent=8, most_stalled=8, most_idle=1000)
+    pulse = HeartbeatMonitor(max_silent_heartbeats=8, max_stalled_heartbeats=8, max_idle_heartbeats=1000)
     return SessionChannel(KEY, session, side == DIALLER, MessageCodec(WORDS), pulse)
 
 
--- a/tests/compatibility/test_council_session.py
+++ b/tests/compatibility/test_council_session.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from molereach.coordination.transport.handshake import HandshakeError, Session
+from molereach.coordination.transport.errors import HandshakeError
+from molereach.coordination.transport.handshake import Session
 from tests.compatibility import council_samples, council_session
 from tests.compatibility.council_files import recorded_values
 from tests.compatibility.council_session import DIALLER, FILE_NAME, LISTENER
--- a/tests/coordination/transport/nodes.py
+++ b/tests/coordination/transport/nodes.py
@@ -7,7 +7,6 @@
 
 from molereach.coordination.interface.core import MessageReceived, SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
-from molereach.coordination.transport.connection_registry import Address
 from molereach.coordination.transport.frames import (
     DIALLER,
     LISTENER,
@@ -22,7 +21,7 @@
 from molereach.coordination.transport.messages import MessageCodec
 from molereach.coordination.transport.send_queue import QueueLimits
 from molereach.coordination.transport.service import TransportService
-from molereach.coordination.transport.settings import TransportSettings
+from molereach.coordination.transport.settings import Address, TransportSettings
 
 KEY = b"k" * 32
 HOST = "127.0.0.1"
@@ -71,9 +70,9 @@
             parts,
             self.deliver,
             lambda: 0.999,
-            up=self.on_up,
-            down=self.on_down,
-            rules=RULES,
+            on_peer_connected=self.on_up,
+            on_peer_disconnected=self.on_down,
+            queue_limits=RULES,
             settings=settings,
         )
 
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -6,7 +6,8 @@
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.transport.budget import MAX_STEPS
-from molereach.coordination.transport.connection_registry import DIALS_PER_TURN, HEARTBEATS_PER_TURN
+from molereach.coordination.transport.connection_registry import HEARTBEATS_PER_TURN
+from molereach.coordination.transport.dialer import DIALS_PER_TURN
 from molereach.coordination.transport.messages import Goodbye
 from molereach.coordination.transport.send_queue import FAILED_PEER_CAPACITY
 from molereach.coordination.transport.settings import TransportSettings
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -4,7 +4,7 @@
 import pytest
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.handshake import HandshakeError
+from molereach.coordination.transport.errors import HandshakeError
 from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Heartbeat
 from molereach.coordination.transport.settings import TransportSettings
 from rig.council.relay import Relay
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -4,8 +4,8 @@
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.connection_registry import MAX_WARNINGS_PER_INTERVAL
-from molereach.coordination.transport.handshake import HandshakeError
+from molereach.coordination.transport.errors import HandshakeError
+from molereach.coordination.transport.warning_limiter import MAX_WARNINGS_PER_INTERVAL
 from rig.council.relay import Relay
 from tests.coordination.transport.nodes import HOST, Door, Raw, Word, doors, spin
 from tests.sockets import run
