--- a/molereach/coordination/transport/peer.py
+++ b/molereach/coordination/transport/peer.py
@@ -46,8 +46,8 @@
     def enqueue(self, message: QueuedMessage) -> None:
         """Queue a message until there is a connection.
 
-        One that is too large for the queue of a failed peer is dropped. Its sender repeats it, so dial anyway:
-        by then there may be a connection.
+        One that is too large for the queue of a failed peer is dropped. Its sender repeats it, so dial
+        anyway: by then there may be a connection.
         """
         if not self.send_queue.put(message) and not self.connection:
             self.must_dial = True
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -28,8 +28,8 @@
 
     `message_types` has the messages of each protocol. `on_message` gets a protocol and a message;
     `on_peer_connected` and `on_peer_disconnected` report who is connected. Their exceptions are logged
-    and have no other effect. `queue_limits` say per protocol how messages wait. `random` returns a number from
-    0 up to 1.
+    and have no other effect. `queue_limits` say per protocol how messages wait. `random` returns a number
+    from 0 up to 1.
     """
 
     def __init__(
