--- a/benchmarks/council.py
+++ b/benchmarks/council.py
@@ -182,7 +182,7 @@
             play.run(play.now + 10 * MS)
         replaced.append((play.now - at) / S)
         while any(
-            name in {life.name for life in play.cored[door].parts.membership.live_instances()}
+            name in {life.name for life in play.cored[door].components.membership.live_instances()}
             for door in play.living()
         ):
             play.run(play.now + 100 * MS)
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -1,13 +1,15 @@
-"""The council beside a running front door: settings of the operator file, checked before the start."""
+"""Starts coordination beside a proxy, from the operator file; settings are checked before the start."""
 
 import logging
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
 from molereach.coordination.interface.sessions import SessionTerms
-from molereach.coordination.node.service import CouncilService, open_folder
-from molereach.coordination.node.settings import MS, CouncilSettings
+from molereach.coordination.node.errors import AttachError
+from molereach.coordination.node.service import CoordinationService, open_folder
+from molereach.coordination.node.settings import MILLISECOND_US, CoordinationSettings
 from molereach.coordination.storage.errors import FolderError
+from molereach.coordination.storage.folder import OpenedFolder
 from molereach.endpoint_address import read_address
 from molereach.keyfile import read_key
 from molereach.operator_config import CouncilSection
@@ -16,52 +18,62 @@
 log = logging.getLogger(__name__)
 
 
-class CouncilError(OSError):
-    """The front door cannot take its part; the text is one plain line."""
-
-
-def read_settings(section: CouncilSection) -> CouncilSettings:
-    """ValueError with the key where the settings cannot be."""
+def read_settings(section: CouncilSection) -> CoordinationSettings:
+    """The settings of an operator file; ValueError names the key of an invalid one."""
     try:
-        doors = {name: read_address(address) for name, address in section.doors.items()}
-        terms = SessionTerms(section.session_ms * MS, section.drift)
-        return CouncilSettings(doors, section.panel, section.beat_ms * MS, terms)
+        addresses = {name: read_address(address) for name, address in section.doors.items()}
+        terms = SessionTerms(section.session_ms * MILLISECOND_US, section.drift)
+        heartbeat_interval_us = section.beat_ms * MILLISECOND_US
+        return CoordinationSettings(addresses, section.panel, heartbeat_interval_us, terms)
     except ValueError as error:
         raise ValueError(f"council.{error}") from error
 
 
 def attacher(section: CouncilSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
-    """What switches the council on for a front door that is about to start."""
-    settings, key = read_settings(section), read_key(Path(section.key_file), "council.key_file")
+    """The function that starts coordination for a proxy; ValueError for invalid settings or key file."""
+    settings = read_settings(section)
+    key = read_key(Path(section.key_file), "council.key_file")
 
-    async def attach(door: Proxy) -> Callable[[], None]:
-        service = await begin(section, settings, key, door.config.name)
-        door.counter_sources.append(service.counters)
-        door.on_stopped.append(service.leave)
+    async def attach(proxy: Proxy) -> Callable[[], None]:
+        service = await start_service(section, settings, key, proxy.config.name)
+        proxy.counter_sources.append(service.counters)
+        proxy.on_stopped.append(service.leave)
         return lambda: None
 
     return attach
 
 
-async def begin(section: CouncilSection, settings: CouncilSettings, key: bytes, name: str) -> CouncilService:
-    """Open the folder, take links and join; CouncilError where that cannot be."""
-    if name not in settings.doors:
-        raise CouncilError(f"council.doors: '{name}' is not among them")
-    if name in settings.panel and section.folder is None:
-        raise CouncilError(f"council.folder: '{name}' is on the panel and has none")
+def open_section_folder(
+    section: CouncilSection, settings: CoordinationSettings, key: bytes, name: str
+) -> OpenedFolder | None:
+    """Open the folder that the operator file names, if any; AttachError if it is missing or invalid."""
+    is_voter = name in settings.initial_voters
+    if section.folder is None:
+        if is_voter:
+            raise AttachError(f"council.folder: '{name}' is on the panel and has none")
+        return None
     try:
-        opened = None
-        if section.folder is not None:
-            seated = section.forming and name in settings.panel
-            opened = open_folder(Path(section.folder), name, key, seated)
+        return open_folder(Path(section.folder), name, key, section.forming and is_voter)
     except FolderError as error:
-        raise CouncilError(f"council.folder: {error}") from error
-    service = CouncilService(name, settings, key, opened, {})
-    host, port = settings.doors[name]
+        raise AttachError(f"council.folder: {error}") from error
+
+
+async def start_service(
+    section: CouncilSection,
+    settings: CoordinationSettings,
+    key: bytes,
+    name: str,
+) -> CoordinationService:
+    """Open the folder, listen and join; AttachError if that fails."""
+    if name not in settings.addresses:
+        raise AttachError(f"council.doors: '{name}' is not among them")
+    opened = open_section_folder(section, settings, key, name)
+    service = CoordinationService(name, settings, key, opened, {})
+    host, port = settings.addresses[name]
     try:
         await service.start((host, port))
     except OSError as error:
         await service.close()
-        raise CouncilError(f"council.doors.{name}: {host}:{port}: {error.strerror or error}") from error
+        raise AttachError(f"council.doors.{name}: {host}:{port}: {error.strerror or error}") from error
     log.info("council: %s takes part at %s:%d%s", name, host, port, "" if opened else ", without a folder")
     return service
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -1,7 +1,7 @@
-"""The shell of one front door's part: the links, the disk, the timer and the log's lines.
+"""The coordination of one proxy with its I/O: connections, disk and timer.
 
-All of the council runs in turns of the front door's loop between requests; the links hand over a bounded
-number of messages in a turn, and the disk has a thread of its own.
+Everything runs in turns of the proxy's event loop between requests: the transport delivers a bounded number
+of messages in a turn, and the disk has its own thread.
 """
 
 import asyncio
@@ -15,10 +15,9 @@
 from molereach.clock import now_us
 from molereach.coordination.interface.core import NEVER_US, MessageReceived, Tick
 from molereach.coordination.interface.disk import DiskFailed, Persist, Persisted
-from molereach.coordination.interface.identifiers import NodeInstance
+from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import (
     Applied,
-    LeaderChanged,
     ProposalFinished,
     ProposalStatus,
     Propose,
@@ -26,275 +25,291 @@
     StateMachine,
 )
 from molereach.coordination.leases.messages import LeaseAcquired, LeaseLost
-from molereach.coordination.membership.events import MemberStatusChanged
-from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
-from molereach.coordination.node.parts import WORDS
-from molereach.coordination.node.settings import Address, CouncilSettings
-from molereach.coordination.node.wiring import Action, Begin, Council, Ended, Event, From, Leave, Left, To
-from molereach.coordination.replicated_log.learner import MachineFailed
-from molereach.coordination.replicated_log.outbox import LogStopped
+from molereach.coordination.node.components import MESSAGE_TYPES
+from molereach.coordination.node.core import CoordinationCore
+from molereach.coordination.node.event_log import log_action
+from molereach.coordination.node.events import (
+    Action,
+    Ended,
+    Event,
+    Leave,
+    PeerMessage,
+    SendToPeer,
+    SessionClosed,
+    Start,
+)
+from molereach.coordination.node.initial_voters import NO_DISK, initial_disk_identity, initial_voters
+from molereach.coordination.node.settings import Address, CoordinationSettings
 from molereach.coordination.replicated_log.records import Recovered, recover
-from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.storage.folder import LogFolder, OpenedFolder, random_identity
 from molereach.coordination.storage.worker import WriterThread
 from molereach.coordination.transport.service import TransportService
 
 log = logging.getLogger(__name__)
 
-MOST_ASKED = 1024  # proposals of this front door that wait for their word
-DISK_LAST_S = 1.0  # for what waits for the disk at the end
-LEAVE_S = 1.0  # for the word that the session is closed
-LIFE_SHIFT = 20  # random bits below the milliseconds of a life
+MAX_PENDING_PROPOSALS = 1024  # of this proxy
+DISK_CLOSE_TIMEOUT_S = 1.0
+LEAVE_TIMEOUT_S = 1.0  # for the log to close the session
+INSTANCE_RANDOM_BITS = 20  # below the milliseconds of the start, so that two starts differ
+NS_PER_MS = 1_000_000
+NS_PER_US = 1_000
+US_PER_MS = 1_000
 
 
-def draw_life(name: str) -> NodeInstance:
-    return NodeInstance(name, (time.time_ns() // 1_000_000 << LIFE_SHIFT) | random.getrandbits(LIFE_SHIFT))
+def new_instance(name: str) -> NodeInstance:
+    """An instance of this proxy with a greater number than its earlier ones."""
+    start_ms = time.time_ns() // NS_PER_MS
+    return NodeInstance(name, (start_ms << INSTANCE_RANDOM_BITS) | random.getrandbits(INSTANCE_RANDOM_BITS))
 
 
-def open_folder(folder: Path, name: str, key: bytes, seated: bool) -> OpenedFolder:
-    """The folder of a seat; a new one takes the seat of the first panel where that is `seated` there."""
-    return LogFolder.open(folder, name, (lambda: first_identity(key, name)) if seated else random_identity)
+def open_folder(folder: Path, name: str, key: bytes, is_initial_voter: bool) -> OpenedFolder:
+    """Open a voter's folder; a new one gets the initial voter's identity or a random one."""
+    if is_initial_voter:
+        return LogFolder.open(folder, name, lambda: initial_disk_identity(key, name))
+    return LogFolder.open(folder, name, random_identity)
 
 
 @dataclass(slots=True)
-class Figures:
-    """Counted since the start."""
+class Counters:
+    """Totals since the start."""
 
     turns: int = 0
-    longest_us: int = 0  # of CPU, for one event and all that followed from it
+    longest_turn_us: int = 0  # CPU time of one event and all its actions
     applied: int = 0
-    sessions: int = 0  # held
-    lost: int = 0
+    sessions_acquired: int = 0
+    sessions_lost: int = 0
 
 
 @dataclass(slots=True)
-class Watchers:
-    """Whoever stands on the log beside its state machine, to act at this front door."""
+class Observers:
+    """Callbacks of those that act at this proxy on what the log decides."""
 
-    applied: list[Callable[[Applied], None]] = field(default_factory=list)
-    restored: list[Callable[[Restored], None]] = field(default_factory=list)
-    ticked: list[Callable[[int], None]] = field(default_factory=list)  # after each turn
+    on_applied: list[Callable[[Applied], None]] = field(default_factory=list)
+    on_restored: list[Callable[[Restored], None]] = field(default_factory=list)
+    after_turn: list[Callable[[int], None]] = field(default_factory=list)  # with the time in microseconds
 
 
-class CouncilService:
-    """Made within the running loop; `opened` is the folder of a seat, None for one that only learns."""
+class CoordinationService:
+    """To be made in the running event loop; `opened` is a voter's folder, None for any other proxy."""
 
     def __init__(
         self,
         name: str,
-        settings: CouncilSettings,
+        settings: CoordinationSettings,
         key: bytes,
         opened: OpenedFolder | None,
         machines: Mapping[str, StateMachine],
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
+        """`addresses` replaces those of the settings as the ones to dial."""
         self.loop = asyncio.get_running_loop()
-        self.settings, self.figures, self.watchers = settings, Figures(), Watchers()
-        self.me = draw_life(name)
-        kept = recover(opened.base, opened.records) if opened else Recovered()
-        wall_ms = time.time_ns() // 1_000_000 - now_us() // 1000
-        self.core = Council(
-            self.me,
+        self.settings = settings
+        self.turn_counters = Counters()
+        self.observers = Observers()
+        self.local_instance = new_instance(name)
+        recovered = recover(opened.base, opened.records) if opened else Recovered()
+        clock_offset_ms = time.time_ns() // NS_PER_MS - now_us() // US_PER_MS
+        self.core = CoordinationCore(
+            self.local_instance,
             settings,
             opened.identity if opened else NO_DISK,
-            kept,
-            first_panel(key, settings.panel),
+            recovered,
+            initial_voters(key, settings.initial_voters),
             machines,
             random.random,
-            lambda at_us: wall_ms + at_us // 1000,
+            lambda at_us: clock_offset_ms + at_us // US_PER_MS,
         )
-        # Its word comes in a turn of its own: that too much waits is said while an action is carried out.
-        self.worker = WriterThread(opened.folder, self.from_disk) if opened else None
+        # The writer's events get a turn of their own: it may report a full queue while an action is executed.
+        self.disk_writer = WriterThread(opened.folder, self.on_disk_event) if opened else None
         self.transport = TransportService(
-            self.me, addresses or settings.doors, key, WORDS, self.heard, random.random
+            self.local_instance,
+            addresses or settings.addresses,
+            key,
+            MESSAGE_TYPES,
+            self.on_peer_message,
+            random.random,
         )
         self.timer: asyncio.TimerHandle | None = None
         self.due_us = NEVER_US
-        self.asked: dict[str, asyncio.Future[ProposalFinished]] = {}
-        self.left = asyncio.Event()
+        self.pending_proposals: dict[str, asyncio.Future[ProposalFinished]] = {}
+        self.session_closed = asyncio.Event()
         self.closed = False
-        self.act: dict[type, Callable[..., None]] = {
-            To: self.on_to,
+        self.action_handlers: dict[type, Callable[..., None]] = {
+            SendToPeer: self.on_send_to_peer,
             Persist: self.on_persist,
-            ProposalFinished: self.on_over,
+            ProposalFinished: self.on_proposal_finished,
             Applied: self.on_applied,
             Restored: self.on_restored,
-            Left: lambda action: self.left.set(),
+            SessionClosed: self.on_session_closed,
             Ended: self.on_ended,
-            LeaderChanged: self.on_leads,
-            LeaseAcquired: self.on_held,
-            LeaseLost: self.on_lost,
-            MemberStatusChanged: self.on_changed,
-            LogStopped: lambda action: log.error("council: accepts nothing more: %s", action.reason),
-            DiskRollbackDetected: self.on_set_back,
-            MachineFailed: self.on_machine_failed,
+            LeaseAcquired: self.on_lease_acquired,
+            LeaseLost: self.on_lease_lost,
         }
 
     # --- start and end ---
 
     async def start(self, listen: Address) -> Address:
-        """Take links, and join; OSError where the address cannot be had."""
+        """Listen and join; the address with its port. OSError if it is not available."""
         address = await self.transport.start(listen)
-        self.take(Begin())
+        self.handle_event(Start())
         return address
 
     async def leave(self) -> None:
-        """Close the session in order, if there is somebody to tell; then `close`."""
-        self.take(Leave())
+        """Close the session in order if the log can do so in time, then `close`."""
+        self.handle_event(Leave())
         try:
-            await asyncio.wait_for(self.left.wait(), LEAVE_S)
+            await asyncio.wait_for(self.session_closed.wait(), LEAVE_TIMEOUT_S)
         except TimeoutError:
             log.info("council: nobody took the end of the session; it ends by time")
         await self.close()
 
     async def close(self) -> None:
+        """End at once; the outcome of pending proposals is unknown."""
         self.closed = True
         if self.timer:
             self.timer.cancel()
         self.transport.close()
-        for name in list(self.asked):
-            self.on_over(ProposalFinished(name, ProposalStatus.UNKNOWN))
-        if self.worker and not await self.worker.close(DISK_LAST_S):
+        self.abandon_proposals()
+        if self.disk_writer and not await self.disk_writer.close(DISK_CLOSE_TIMEOUT_S):
             log.warning("council: the disk did not take all in time")
 
-    # --- what those who stand on it ask ---
+    # --- requests ---
 
-    def holds(self) -> bool:
-        """Whether the session is held now; asked anew at each use."""
-        return self.core.holds(now_us())
+    def holds_session(self) -> bool:
+        """Whether the session is valid now; to be asked at each use."""
+        return self.core.holds_session(now_us())
 
     async def propose(self, machine: str, name: str, body: bytes, within_us: int) -> ProposalFinished:
-        """Have something settled; the one word on it."""
-        known = self.asked.get(name)
-        if known is None:
-            if len(self.asked) >= MOST_ASKED or self.closed or self.core.ended:
+        """Propose an entry for a state machine and wait for its outcome; `name` identifies the proposal."""
+        outcome = self.pending_proposals.get(name)
+        if outcome is None:
+            is_full = len(self.pending_proposals) >= MAX_PENDING_PROPOSALS
+            if is_full or self.closed or self.core.end_reason:
                 return ProposalFinished(name, ProposalStatus.REJECTED)
-            known = self.asked[name] = self.loop.create_future()
-            self.take(Propose(machine, name, body, within_us))
-        return await asyncio.shield(known)
+            outcome = self.loop.create_future()
+            self.pending_proposals[name] = outcome
+            self.handle_event(Propose(machine, name, body, within_us))
+        return await asyncio.shield(outcome)
+
+    def abandon_proposals(self) -> None:
+        """Finish all pending proposals with an unknown outcome."""
+        for name in list(self.pending_proposals):
+            self.on_proposal_finished(ProposalFinished(name, ProposalStatus.UNKNOWN))
 
     # --- events ---
 
-    def heard(self, part: str, heard: MessageReceived) -> None:
-        self.take(From(part, heard))
+    def on_peer_message(self, protocol: str, received: MessageReceived) -> None:
+        """A message arrived."""
+        self.handle_event(PeerMessage(protocol, received))
 
-    def from_disk(self, event: Persisted | DiskFailed) -> None:
-        self.loop.call_soon(self.take, event)
+    def on_disk_event(self, event: Persisted | DiskFailed) -> None:
+        """The disk writer finished or failed; handled in a new turn."""
+        self.loop.call_soon(self.handle_event, event)
 
-    def take(self, event: Event) -> None:
-        """One event of the cores, and all that follows from it. It is never called from within itself."""
+    def handle_event(self, event: Event) -> None:
+        """Handle one event and execute all actions. It is never called from within itself."""
         if self.closed:
             return
-        at_us, begin = now_us(), time.thread_time_ns()
+        at_us = now_us()
+        cpu_start_ns = time.thread_time_ns()
         for action in self.core.handle(at_us, event):
-            self.carry_out(action)
-        for tell in self.watchers.ticked:
-            tell(at_us)
-        self.figures.turns += 1
-        self.figures.longest_us = max(self.figures.longest_us, (time.thread_time_ns() - begin) // 1000)
+            self.execute_action(action)
+        for callback in self.observers.after_turn:
+            callback(at_us)
+        counters = self.turn_counters
+        counters.turns += 1
+        turn_us = (time.thread_time_ns() - cpu_start_ns) // NS_PER_US
+        counters.longest_turn_us = max(counters.longest_turn_us, turn_us)
         self.set_timer()
 
-    def carry_out(self, action: Action) -> None:
-        """An action that fails is logged and costs what it was for alone."""
+    def execute_action(self, action: Action) -> None:
+        """Execute an action; a failure is logged and affects this action only."""
         try:
-            if act := self.act.get(type(action)):
-                act(action)
+            log_action(action)
+            if handler := self.action_handlers.get(type(action)):
+                handler(action)
         except Exception:
             log.exception("council: cannot carry out %r", action)
 
     def set_timer(self) -> None:
-        """One timer, for the first thing that is due; an earlier one takes its place."""
+        """Set the only timer to the first due time; an earlier time replaces a later one."""
         due_us = self.core.wake_us
         if self.closed or (self.timer and self.due_us <= due_us):
             return
         if self.timer:
             self.timer.cancel()
         self.due_us = due_us
-        delay_s = max(0, due_us - now_us()) / 1e6
-        self.timer = None if due_us >= NEVER_US else self.loop.call_later(delay_s, self.on_time)
+        delay_s = max(0, due_us - now_us()) / SECOND_US
+        self.timer = None if due_us >= NEVER_US else self.loop.call_later(delay_s, self.on_timer)
 
-    def on_time(self) -> None:
-        self.timer, self.due_us = None, NEVER_US
+    def on_timer(self) -> None:
+        """Something is due, unless it was postponed meanwhile."""
+        self.timer = None
+        self.due_us = NEVER_US
         if self.core.wake_us <= now_us():
-            self.take(Tick())
+            self.handle_event(Tick())
         else:
             self.set_timer()
 
     # --- actions ---
 
-    def on_to(self, action: To) -> None:
-        self.transport.send(action.part, action.say)
+    def on_send_to_peer(self, action: SendToPeer) -> None:
+        """Send a message."""
+        self.transport.send(action.protocol, action.message)
 
     def on_persist(self, action: Persist) -> None:
-        if self.worker:
-            self.worker.append(action.token, action.records, action.base)
-        else:  # what only learns has nothing to keep: it learns it again
-            self.loop.call_soon(self.take, Persisted(action.token))
+        """Write to the disk; what depends on it waits for `Persisted`. A proxy without a disk learns anew."""
+        if self.disk_writer:
+            self.disk_writer.append(action.token, action.records, action.base)
+        else:
+            self.loop.call_soon(self.handle_event, Persisted(action.token))
 
-    def on_over(self, action: ProposalFinished) -> None:
-        waiting = self.asked.pop(action.id, None)
-        if waiting and not waiting.done():
-            waiting.set_result(action)
+    def on_proposal_finished(self, action: ProposalFinished) -> None:
+        """Report the outcome of a proposal of this proxy."""
+        outcome = self.pending_proposals.pop(action.id, None)
+        if outcome and not outcome.done():
+            outcome.set_result(action)
 
     def on_applied(self, action: Applied) -> None:
-        self.figures.applied += 1
-        for tell in self.watchers.applied:
-            tell(action)
+        """An entry was applied."""
+        self.turn_counters.applied += 1
+        for callback in self.observers.on_applied:
+            callback(action)
 
     def on_restored(self, action: Restored) -> None:
-        log.info("council: has the state up to position %d by a snapshot", action.position)
-        for tell in self.watchers.restored:
-            tell(action)
+        """The state machines were restored from a snapshot."""
+        for callback in self.observers.on_restored:
+            callback(action)
 
-    def on_ended(self, action: Ended) -> None:
-        log.error("council: has no part any more: %s", action.why)
-        for name in list(self.asked):
-            self.on_over(ProposalFinished(name, ProposalStatus.UNKNOWN))
+    def on_session_closed(self, action: SessionClosed) -> None:
+        """The session was closed in order."""
+        self.session_closed.set()
 
-    # --- the log ---
+    def on_ended(self, action: Ended) -> None:
+        """This instance takes no further part."""
+        self.abandon_proposals()
 
-    def on_leads(self, action: LeaderChanged) -> None:
-        if action.is_self:
-            log.info("council: leads, ballot %d", action.ballot)
-        else:
-            log.info("council: %s leads, ballot %d", action.leader or "nobody", action.ballot)
-
-    def on_held(self, action: LeaseAcquired) -> None:
-        self.figures.sessions += 1
-        log.info("council: session %d is held", action.fencing_token)
-
-    def on_lost(self, action: LeaseLost) -> None:
-        self.figures.lost += 1
-        log.warning("council: session %d is not held any more: %s", action.fencing_token, action.reason)
-
-    def on_changed(self, action: MemberStatusChanged) -> None:
-        if action.previous is not action.status:
-            log.info("council: %s is %s", action.instance.name, action.status.name.lower())
-
-    def on_set_back(self, action: DiskRollbackDetected) -> None:
-        log.error(
-            "council: the folder was set back (start %d, %d is known): it votes no more; give it "
-            "a new folder",
-            action.start_count,
-            action.known_start_count,
-        )
+    def on_lease_acquired(self, action: LeaseAcquired) -> None:
+        """A session was acquired."""
+        self.turn_counters.sessions_acquired += 1
 
-    def on_machine_failed(self, action: MachineFailed) -> None:
-        log.error("council: %s is stopped here: %s", action.machine, action.reason)
+    def on_lease_lost(self, action: LeaseLost) -> None:
+        """A session was lost."""
+        self.turn_counters.sessions_lost += 1
 
-    # --- for those who look ---
+    # --- counters ---
 
     def counters(self) -> dict[str, int]:
-        """How this front door's part stands, as numbers."""
-        stats, core = self.transport.stats(), self.core
-        session = core.parts.holder.fencing_token if self.holds() else 0
+        """The state of this proxy's coordination as numbers, by the operator's names."""
+        core = self.core
+        peers = self.transport.stats().peers.values()
         return {
             "council_position": core.position,
-            "council_session": session,
-            "council_leads": int(core.leader == self.me.name),
-            "council_alive": len(core.parts.membership.live_instances()),
-            "council_links": len([peer for peer in stats.peers.values() if peer.state == "up"]),
-            "council_turns": self.figures.turns,
-            "council_longest_turn_us": self.figures.longest_us,
-            "council_sessions_lost": self.figures.lost,
+            "council_session": core.components.lease_holder.fencing_token if self.holds_session() else 0,
+            "council_leads": int(core.leader == self.local_instance.name),
+            "council_alive": len(core.components.membership.live_instances()),
+            "council_links": len([peer for peer in peers if peer.state == "up"]),
+            "council_turns": self.turn_counters.turns,
+            "council_longest_turn_us": self.turn_counters.longest_turn_us,
+            "council_sessions_lost": self.turn_counters.sessions_lost,
         }
--- a/molereach/coordination/node/settings.py
+++ b/molereach/coordination/node/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets about the council, checked as a whole, and the figures that follow from it."""
+"""The settings of coordination, validated as a whole."""
 
 from dataclasses import dataclass, field
 
@@ -6,39 +6,50 @@
 from molereach.coordination.interface.log import VOTER_COUNTS
 from molereach.coordination.interface.sessions import SessionTerms
 
-MS = 1000  # microseconds in a millisecond
-LEAST_SESSION_BEATS = 4  # or one lost word ends a session
-Address = tuple[str, int]
+Address = tuple[str, int]  # host and port, as asyncio takes them
+
+MILLISECOND_US = 1000  # in microseconds
+MIN_HEARTBEATS_PER_SESSION = 4  # so that one lost message does not end a session
+MAX_CLOCK_DRIFT = 0.05  # the share by which a clock may run fast or slow
 
 
 @dataclass(frozen=True, slots=True)
-class CouncilSettings:
-    """The same at all front doors of a council. ValueError names the key that is wrong."""
+class CoordinationSettings:
+    """The same at all proxies of a cluster. ValueError names the key of the operator file that is wrong."""
 
-    doors: dict[str, Address]  # where each listens, by name
-    panel: tuple[str, ...]  # that accepted first; what the log says of it since goes before
-    beat_us: int = 500 * MS
-    terms: SessionTerms = field(default_factory=SessionTerms)
+    addresses: dict[str, Address]  # by proxy name
+    initial_voters: tuple[str, ...]  # names; the log knows the current voters
+    heartbeat_interval_us: int = 500 * MILLISECOND_US
+    session_terms: SessionTerms = field(default_factory=SessionTerms)
 
     def __post_init__(self) -> None:
-        if not 1 <= len(self.doors) <= MAX_MEMBERS:
-            raise ValueError(f"doors: {len(self.doors)} of them; 1 to {MAX_MEMBERS} can be")
-        if len(set(self.doors.values())) < len(self.doors):
+        self._check_addresses()
+        self._check_initial_voters()
+        self._check_session_terms()
+
+    def _check_addresses(self) -> None:
+        if not 1 <= len(self.addresses) <= MAX_MEMBERS:
+            raise ValueError(f"doors: {len(self.addresses)} of them; 1 to {MAX_MEMBERS} can be")
+        if len(set(self.addresses.values())) < len(self.addresses):
             raise ValueError("doors: two have one address")
-        if len(self.panel) not in VOTER_COUNTS:
+
+    def _check_initial_voters(self) -> None:
+        if len(self.initial_voters) not in VOTER_COUNTS:
             sizes = ", ".join(map(str, VOTER_COUNTS))
-            raise ValueError(f"panel: {len(self.panel)} front doors; {sizes} can be")
-        for name in self.panel:
-            if name not in self.doors:
+            raise ValueError(f"panel: {len(self.initial_voters)} front doors; {sizes} can be")
+        for name in self.initial_voters:
+            if name not in self.addresses:
                 raise ValueError(f"panel: '{name}' is not among the doors")
-            if self.panel.count(name) > 1:
+            if self.initial_voters.count(name) > 1:
                 raise ValueError(f"panel: '{name}' stands there twice")
-        if self.terms.duration_us < LEAST_SESSION_BEATS * self.beat_us:
-            raise ValueError(f"session_ms: less than {LEAST_SESSION_BEATS} beats")
-        if not 0 <= self.terms.drift <= 0.05:
+
+    def _check_session_terms(self) -> None:
+        if self.session_terms.duration_us < MIN_HEARTBEATS_PER_SESSION * self.heartbeat_interval_us:
+            raise ValueError(f"session_ms: less than {MIN_HEARTBEATS_PER_SESSION} beats")
+        if not 0 <= self.session_terms.drift <= MAX_CLOCK_DRIFT:
             raise ValueError("drift: not from 0 to 0.05")
 
     @property
-    def doubt_us(self) -> int:
-        """After so long without a word from any other front door, this one hears nobody."""
-        return max(2 * SECOND_US, 4 * self.beat_us)
+    def isolation_timeout_us(self) -> int:
+        """A proxy that receives nothing from any other for so long is isolated."""
+        return max(2 * SECOND_US, 4 * self.heartbeat_interval_us)
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -13,8 +13,8 @@
 import uvloop
 
 from molereach.coordination.interface.sessions import SessionTerms
-from molereach.coordination.node.service import CouncilService, open_folder
-from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.node.service import CoordinationService, open_folder
+from molereach.coordination.node.settings import CoordinationSettings
 from rig.council.marks import BODY, NAME, Marks
 
 
@@ -26,12 +26,12 @@
         key = bytes.fromhex(config["key"])
         doors = {name: (host, port) for name, (host, port) in config["doors"].items()}
         terms = SessionTerms(config["session_us"])
-        settings = CouncilSettings(doors, tuple(config["panel"]), config["beat_us"], terms)
+        settings = CoordinationSettings(doors, tuple(config["panel"]), config["beat_us"], terms)
         opened = None
         if folder := config.get("folder"):
-            opened = open_folder(Path(folder), config["name"], key, config["name"] in settings.panel)
+            opened = open_folder(Path(folder), config["name"], key, config["name"] in settings.initial_voters)
         ways = {name: (host, port) for name, (host, port) in config["ways"].items()}  # by relays
-        self.service = CouncilService(config["name"], settings, key, opened, {NAME: self.marks}, ways)
+        self.service = CoordinationService(config["name"], settings, key, opened, {NAME: self.marks}, ways)
 
     async def answer(self, ask: dict[str, Any]) -> dict[str, Any]:
         match ask["what"]:
@@ -39,21 +39,21 @@
                 over = await self.service.propose(NAME, ask["id"], BODY, ask["within_us"])
                 return {"over": over.status.value, "position": over.position}
             case "account":
-                proof = self.service.core.account(ask["position"], 0).proof()
+                proof = self.service.core.track_acknowledgements(ask["position"], 0).proof()
                 return {"proof": proof and [[each.instance.name, each.evidence.value] for each in proof]}
             case "leave":
                 await self.service.leave()
                 return {}
             case _:
                 core = self.service.core
-                alive = [life.name for life in core.parts.membership.live_instances()]
+                alive = [life.name for life in core.components.membership.live_instances()]
                 return {
                     **self.service.counters(),
                     "marks": self.marks.seen,
                     "alive": alive,
                     "leader": core.leader,
-                    "digest": core.parts.log.digest(),
-                    "ended": core.ended,
+                    "digest": core.components.log.digest(),
+                    "ended": core.end_reason,
                 }
 
 
--- a/sim/council.py
+++ b/sim/council.py
@@ -19,10 +19,11 @@
 from molereach.coordination.leases.bodies import MACHINE as SESSIONS
 from molereach.coordination.leases.bodies import EndSession as SessionEnded
 from molereach.coordination.leases.bodies import decode
-from molereach.coordination.node.first import NO_DISK, first_identity, first_panel
-from molereach.coordination.node.parts import WORDS
-from molereach.coordination.node.settings import CouncilSettings
-from molereach.coordination.node.wiring import Action, Begin, Council, Event, From, To
+from molereach.coordination.node.components import MESSAGE_TYPES
+from molereach.coordination.node.core import CoordinationCore
+from molereach.coordination.node.events import Action, Event, PeerMessage, SendToPeer, Start
+from molereach.coordination.node.initial_voters import NO_DISK, initial_disk_identity, initial_voters
+from molereach.coordination.node.settings import CoordinationSettings
 from molereach.coordination.replicated_log.records import Recovered, recover
 from molereach.coordination.transport.messages import MessageCodec
 from rig.council.marks import BODY, NAME, Marks
@@ -68,7 +69,7 @@
         seats: int,
         drift: float = 0.001,
         offset_us: int = 0,
-        cores: type[Council] = Council,
+        cores: type[CoordinationCore] = CoordinationCore,
     ) -> None:
         super().__init__(seed, doors, drift, offset_us)
         self.cores = cores
@@ -76,11 +77,13 @@
         self.number = {name: number for number, name in enumerate(self.names)}
         addresses = {name: ("127.0.0.1", 7000 + number) for name, number in self.number.items()}
         terms = SessionTerms(drift=max(0.001, drift))
-        self.settings = CouncilSettings(addresses, tuple(self.names[:seats]), terms=terms)
-        self.panel = first_panel(KEY, self.names[:seats])
-        self.disks = {number: Disk(first_identity(KEY, self.names[number]).hex()) for number in range(seats)}
-        self.words = MessageCodec(WORDS)
-        self.cored: dict[int, Council] = {}
+        self.settings = CoordinationSettings(addresses, tuple(self.names[:seats]), session_terms=terms)
+        self.panel = initial_voters(KEY, self.names[:seats])
+        self.disks = {
+            number: Disk(initial_disk_identity(KEY, self.names[number]).hex()) for number in range(seats)
+        }
+        self.words = MessageCodec(MESSAGE_TYPES)
+        self.cored: dict[int, CoordinationCore] = {}
         self.lives: dict[int, NodeInstance] = {}
         self.entries: dict[int, Entry] = {}  # what was decided at each position
         self.digests: dict[int, str] = {}
@@ -120,7 +123,7 @@
             lambda now_us: wall + now_us // 1000,
         )
         self.cored[node.number] = core
-        self.step(node, Begin())
+        self.step(node, Start())
         self.wake(node, node.life)
 
     def wake(self, node: Node, life: int) -> None:
@@ -143,9 +146,9 @@
             self.act(node, core, action)
         self.judge(node, core)
 
-    def act(self, node: Node, core: Council, action: Action) -> None:
+    def act(self, node: Node, core: CoordinationCore, action: Action) -> None:
         match action:
-            case To(part, say):
+            case SendToPeer(part, say):
                 self.send(node, part, say)
             case Persist():
                 life = node.life
@@ -182,7 +185,7 @@
         def hear() -> None:
             receiver = self.nodes[peer]
             if wanted is None or wanted == self.lives[peer].number:
-                self.step(receiver, From(part, MessageReceived(sender, self.words.decode(data)[1])))
+                self.step(receiver, PeerMessage(part, MessageReceived(sender, self.words.decode(data)[1])))
 
         if not self.mail.joined(node.number, peer):
             return
@@ -223,13 +226,14 @@
     def holding(self, door: int) -> bool:
         """Whether it would act under its session now, by its own clock."""
         node = self.nodes[door]
-        return door in self.cored and node.up and self.cored[door].holds(node.clock(self.now))
+        return door in self.cored and node.up and self.cored[door].holds_session(node.clock(self.now))
 
     def leaders(self) -> list[int]:
         return [
             door
             for door in self.living()
-            if self.cored[door].leader == self.names[door] and self.cored[door].parts.keeper.manages
+            if self.cored[door].leader == self.names[door]
+            and self.cored[door].components.lease_manager.manages
         ]
 
     # --- the judge ---
@@ -243,22 +247,26 @@
             if isinstance(body, SessionEnded):
                 self.over[body.instance.name] = max(self.over.get(body.instance.name, 0), body.fencing_token)
 
-    def judge(self, node: Node, core: Council) -> None:
-        if self.judged.get(node.number) != (core.me, core.position):
-            self.judged[node.number] = core.me, core.position
-            digest = core.parts.log.digest()
+    def judge(self, node: Node, core: CoordinationCore) -> None:
+        if self.judged.get(node.number) != (core.local_instance, core.position):
+            self.judged[node.number] = core.local_instance, core.position
+            digest = core.components.log.digest()
             if self.digests.setdefault(core.position, digest) != digest:
                 raise BrokenError(f"two hashes at position {core.position}")
-        if not core.ended and self.holding(node.number) and core.parts.holder.fencing_token:
+        if not core.end_reason and self.holding(node.number) and core.components.lease_holder.fencing_token:
             # An end counts only if the log took it: one that was void left the session open everywhere.
-            fence = core.parts.holder.fencing_token
-            if self.over.get(core.me.name, 0) >= fence and self.ended_by(core.me, fence):
-                raise BrokenError(f"{core.me.name} holds session {fence}, which is over for others")
+            fence = core.components.lease_holder.fencing_token
+            if self.over.get(core.local_instance.name, 0) >= fence and self.ended_by(
+                core.local_instance, fence
+            ):
+                raise BrokenError(
+                    f"{core.local_instance.name} holds session {fence}, which is over for others"
+                )
 
     def ended_by(self, life: NodeInstance, fence: int) -> bool:
         """Whether any front door has applied an end of this session."""
         for core in self.cored.values():
-            past = core.parts.sessions.last_ended_session(life.name)
+            past = core.components.sessions.last_ended_session(life.name)
             if past and past.instance == life and past.fencing_token >= fence:
                 return True
         return False
@@ -276,7 +284,7 @@
             if not told.everywhere_us and not any(door in lacking for door in self.living()):
                 told.everywhere_us = self.now
             for door in self.leaders():
-                if self.cored[door].account(told.position, 0).proof() is not None:
+                if self.cored[door].track_acknowledgements(told.position, 0).proof() is not None:
                     told.proof_us = told.proof_us or self.now
             if told.proof_us and (bad := [door for door in lacking if self.holding(door)]):
                 raise BrokenError(f"a proof at {told.position}, and {bad} hold sessions without it")
--- a/tests/compatibility/council_families.py
+++ b/tests/compatibility/council_families.py
@@ -12,7 +12,7 @@
 from molereach.coordination.interface.sessions import RenewalRequest as SessionAsk
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.membership import messages as membership_types
-from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.coordination.node.components import DISSEMINATION, LOG, MEMBERSHIP, MESSAGE_TYPES
 from molereach.coordination.replicated_log import messages as log_words
 from molereach.coordination.replicated_log import records as log_records
 from molereach.coordination.replicated_log import voters as log_panel
@@ -53,7 +53,7 @@
 
 def link_family(name: str, part: str, messages: Mapping[str, Any], types: Any) -> Family:  # noqa: ANN401
     """Messages of one part in the envelope in which a link sends them."""
-    words = link_words.MessageCodec(WORDS)
+    words = link_words.MessageCodec(MESSAGE_TYPES)
 
     def decode(body: bytes) -> Any:  # noqa: ANN401
         read_part, message = words.decode(body)
@@ -108,7 +108,7 @@
     lease_family(),
     link_family("link_membership", MEMBERSHIP, samples.membership_messages(), membership_types.Message),
     link_family("link_log", LOG, samples.log_messages(), log_words.Message),
-    link_family("link_spread", SPREAD, samples.spread_messages(), dissemination_types.Message),
+    link_family("link_spread", DISSEMINATION, samples.spread_messages(), dissemination_types.Message),
     link_family(
         "link_own",
         link_words.CONTROL_PROTOCOL,
@@ -126,4 +126,4 @@
 
 def part_numbers() -> str:
     """The parts' numbers on a link, which both sides must have alike."""
-    return json.dumps(link_words.MessageCodec(WORDS).protocol_numbers, indent=2) + "\n"
+    return json.dumps(link_words.MessageCodec(MESSAGE_TYPES).protocol_numbers, indent=2) + "\n"
--- a/tests/compatibility/council_recording.py
+++ b/tests/compatibility/council_recording.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from molereach.coordination.node.first import first_panel
+from molereach.coordination.node.initial_voters import initial_voters
 from tests.compatibility import council_families, council_folder, council_session
 from tests.compatibility.council_files import RECORDED, hex_text, write_once
 from tests.compatibility.machines_recording import record_machines
@@ -29,7 +29,7 @@
 
 def record_first_panel() -> None:
     """The disks of a first panel, which follow from the key and the names."""
-    seats = first_panel(council_session.KEY, ("door-a", "door-b", "door-c"))
+    seats = initial_voters(council_session.KEY, ("door-a", "door-b", "door-c"))
     disks = {seat.name: bytes.fromhex(seat.disk) for seat in seats}
     write_once("council_first_panel.hex", hex_text(disks).encode("ascii"))
 
--- a/tests/compatibility/council_session.py
+++ b/tests/compatibility/council_session.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from molereach.coordination.node.parts import LOG, MEMBERSHIP, SPREAD, WORDS
+from molereach.coordination.node.components import DISSEMINATION, LOG, MEMBERSHIP, MESSAGE_TYPES
 from molereach.coordination.transport.frames import MAX_BODY_BYTES, TAG_BYTES, FrameSplitter
 from molereach.coordination.transport.handshake import (
     DiallerHandshake,
@@ -39,7 +39,7 @@
 
 def part_names() -> tuple[str, ...]:
     """The parts as a handshake names them."""
-    return MessageCodec(WORDS).protocols
+    return MessageCodec(MESSAGE_TYPES).protocols
 
 
 def dialling() -> DiallerHandshake:
@@ -66,14 +66,14 @@
 def speech(session: Session, side: str) -> SessionChannel:
     """One side's sealed conversation."""
     pulse = HeartbeatMonitor(max_silent_heartbeats=8, max_stalled_heartbeats=8, max_idle_heartbeats=1000)
-    return SessionChannel(KEY, session, side == DIALLER, MessageCodec(WORDS), pulse)
+    return SessionChannel(KEY, session, side == DIALLER, MessageCodec(MESSAGE_TYPES), pulse)
 
 
 def spoken(side: str) -> list[Spoken]:
     """What a side says, in order: all messages of the dialler, the links' own of the listener."""
     if side == LISTENER:
         beat, bye = samples.link_own_messages().values()
-        return [(SPREAD, message) for message in samples.spread_messages().values()] + [
+        return [(DISSEMINATION, message) for message in samples.spread_messages().values()] + [
             (CONTROL_PROTOCOL, beat),
             (CONTROL_PROTOCOL, bye),
         ]
@@ -83,7 +83,7 @@
 
 def frames(session: Session, side: str) -> list[bytes]:
     """The sealed frames of what a side says."""
-    talk, words = speech(session, side), MessageCodec(WORDS)
+    talk, words = speech(session, side), MessageCodec(MESSAGE_TYPES)
     return [
         talk.seal_control(message)
         if part == CONTROL_PROTOCOL
--- a/tests/compatibility/test_council_messages.py
+++ b/tests/compatibility/test_council_messages.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from molereach.coordination.node.first import first_panel
+from molereach.coordination.node.initial_voters import initial_voters
 from molereach.coordination.replicated_log import records, voters
 from molereach.coordination.replicated_log.messages import Voter
 from tests.compatibility import council_families, council_samples, council_session
@@ -69,7 +69,7 @@
 
 
 def test_the_first_panel_has_the_recorded_disks() -> None:
-    seats = first_panel(council_session.KEY, ("door-c", "door-a", "door-b"))
+    seats = initial_voters(council_session.KEY, ("door-c", "door-a", "door-b"))
     assert {seat.name: bytes.fromhex(seat.disk) for seat in seats} == recorded_values(
         "council_first_panel.hex"
     )
--- a/tests/coordination/node/test_council.py
+++ b/tests/coordination/node/test_council.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from molereach.coordination.node.first import first_identity, first_panel
-from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.node.initial_voters import initial_disk_identity, initial_voters
+from molereach.coordination.node.settings import CoordinationSettings
 from sim.council import KEY, CouncilHistory
 from sim.histories import Mail, S
 from sim.troubles import calm, trouble
@@ -36,7 +36,7 @@
     until(play, mark, 3)
     told = play.marks[mark]
     assert told.over_us - told.asked_us <= 200 * MS  # settled at who asked, as the design note says
-    assert len({core.parts.log.digest() for core in play.cored.values()}) == 1
+    assert len({core.components.log.digest() for core in play.cored.values()}) == 1
 
 
 def test_a_leader_that_dies_is_replaced_and_its_session_ends_for_all() -> None:
@@ -49,15 +49,15 @@
     mark = play.mark((leader + 1) % 7)
     until(play, mark, 3)
     core = play.cored[play.leaders()[0]]
-    past = core.parts.sessions.last_ended_session(life.name)
+    past = core.components.sessions.last_ended_session(life.name)
     assert past is not None and past.instance == life
-    assert life.name not in {alive.name for alive in core.parts.membership.live_instances()}
+    assert life.name not in {alive.name for alive in core.components.membership.live_instances()}
 
 
 def test_a_front_door_that_stood_still_finds_its_session_over_before_it_acts() -> None:
     play = well()
     stopped = next(door for door in range(5, 7))
-    before = play.cored[stopped].parts.holder.fencing_token
+    before = play.cored[stopped].components.lease_holder.fencing_token
     play.stop(play.nodes[stopped])
     play.run(play.now + 12 * S)
     assert not play.holding(stopped)  # by its own clock, whatever it has read
@@ -65,7 +65,7 @@
     until(play, mark, 3)  # nobody waits for it
     play.resume(play.nodes[stopped])
     play.run(play.now + 4 * S)
-    assert play.holding(stopped) and play.cored[stopped].parts.holder.fencing_token > before
+    assert play.holding(stopped) and play.cored[stopped].components.lease_holder.fencing_token > before
     assert play.cored[stopped].position >= play.marks[mark].position
 
 
@@ -76,7 +76,7 @@
         play.mail = Mail(cut=frozenset(cut))
         for _ in range(30):
             play.run(play.now + S)
-            assert all(len(play.cored[door].parts.membership.live_instances()) == 7 for door in range(7))
+            assert all(len(play.cored[door].components.membership.live_instances()) == 7 for door in range(7))
         assert all(play.holding(door) for door in range(7))
         until(play, play.mark(5), 4)
 
@@ -92,14 +92,14 @@
 
 def test_a_clear_account_waits_for_what_is_under_way_there() -> None:
     play = well()
-    busy = play.cored[6].parts.holder
+    busy = play.cored[6].components.lease_holder
     busy.clear = lambda position: 3
     mark = play.mark(0)
     until(play, mark, 3)
     play.run(play.now + 2 * S)
     position, leader = play.marks[mark].position, play.cored[play.leaders()[0]]
-    assert leader.account(position, 0).proof() is not None
-    account = leader.account(position, 0, clear=True)
+    assert leader.track_acknowledgements(position, 0).proof() is not None
+    account = leader.track_acknowledgements(position, 0, clear=True)
     assert account.proof() is None
     assert [(each.instance.name, each.reason) for each in account.pending()] == [
         ("n006", "something is under way there still")
@@ -141,14 +141,18 @@
 def test_settings_that_cannot_be(panel: tuple[str, ...], doors: str, beat_us: int, reason: str) -> None:
     addresses = {name: ("127.0.0.1", 7000 + number) for number, name in enumerate(doors)}
     with pytest.raises(ValueError, match=reason):
-        CouncilSettings(addresses, panel, beat_us)
+        CoordinationSettings(addresses, panel, beat_us)
 
 
 def test_two_front_doors_at_one_address() -> None:
     with pytest.raises(ValueError, match="two have one address"):
-        CouncilSettings({"a": ("h", 1), "b": ("h", 1)}, ("a", "b", "c"))
+        CoordinationSettings({"a": ("h", 1), "b": ("h", 1)}, ("a", "b", "c"))
 
 
 def test_the_first_panel_is_the_same_for_all_who_have_the_key() -> None:
-    assert first_panel(KEY, ["b", "a", "c"]) == first_panel(KEY, ["c", "b", "a"])
-    assert first_identity(KEY, "a") != first_identity(KEY + b"x", "a") != first_identity(KEY, "b")
+    assert initial_voters(KEY, ["b", "a", "c"]) == initial_voters(KEY, ["c", "b", "a"])
+    assert (
+        initial_disk_identity(KEY, "a")
+        != initial_disk_identity(KEY + b"x", "a")
+        != initial_disk_identity(KEY, "b")
+    )
--- a/tests/coordination/node/test_service.py
+++ b/tests/coordination/node/test_service.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 
 from molereach.coordination.interface.disk import Persist
-from molereach.coordination.node.first import first_identity
-from molereach.coordination.node.service import CouncilService, open_folder
-from molereach.coordination.node.settings import CouncilSettings
+from molereach.coordination.node.initial_voters import initial_disk_identity
+from molereach.coordination.node.service import CoordinationService, open_folder
+from molereach.coordination.node.settings import CoordinationSettings
 from molereach.coordination.storage import worker
 from tests.sockets import HOST, run
 
@@ -18,8 +18,8 @@
     async def job() -> None:
         tmp_path.chmod(0o700)
         opened = open_folder(tmp_path, "n0", KEY, True)
-        assert opened.identity == first_identity(KEY, "n0").hex()
-        service = CouncilService("n0", CouncilSettings(DOORS, tuple(DOORS)), KEY, opened, {})
+        assert opened.identity == initial_disk_identity(KEY, "n0").hex()
+        service = CoordinationService("n0", CoordinationSettings(DOORS, tuple(DOORS)), KEY, opened, {})
         within: list[bool] = []
         busy = False
         whole = service.core.handle
@@ -30,11 +30,11 @@
 
         service.core.handle = handle  # type: ignore[method-assign,assignment]
         busy = True
-        service.carry_out(Persist(1, (b"x" * (worker.MAX_WAITING_BYTES + 1),)))
+        service.execute_action(Persist(1, (b"x" * (worker.MAX_WAITING_BYTES + 1),)))
         busy = False
         assert within == []
         await asyncio.sleep(0)
-        assert within == [False] and service.core.parts.log.outbox.failed
+        assert within == [False] and service.core.components.log.outbox.failed
         await service.close()
 
     run(job())
