--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -1,4 +1,4 @@
-"""All links of one front door, as the council uses them: say, hear, and know who can be heard. A shell."""
+"""The transport as the coordination node uses it: send and receive messages, and learn who is connected."""
 
 import asyncio
 import logging
@@ -7,128 +7,159 @@
 
 from molereach.coordination.interface.core import MessageReceived, SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.board import Address, Board
-from molereach.coordination.transport.frames import MOST_BODY_BYTES
-from molereach.coordination.transport.owner import Phase
+from molereach.coordination.transport.connection_owner import ConnectionPhase
+from molereach.coordination.transport.connection_registry import ConnectionRegistry
+from molereach.coordination.transport.frames import MAX_BODY_BYTES
+from molereach.coordination.transport.messages import MessageCodec
 from molereach.coordination.transport.peer import Peer
-from molereach.coordination.transport.queue import Item, Rule
-from molereach.coordination.transport.settings import LinkSettings
-from molereach.coordination.transport.stats import LinksStats
-from molereach.coordination.transport.words import Words
+from molereach.coordination.transport.send_queue import QueuedMessage, QueueLimits
+from molereach.coordination.transport.settings import Address, TransportSettings
+from molereach.coordination.transport.stats import TransportStats
 from molereach.keyfile import MAX_KEY_BYTES, MIN_KEY_BYTES
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 128  # all front doors dial one that is back; past it a dial waits for seconds and not for a refusal
+# All peers dial a proxy that has returned. Beyond the backlog a dial is not refused but waits for seconds.
+LISTEN_BACKLOG = 128
 
 
-class Links:
-    """The messages of `parts` to and from the front doors at `addresses` (looked up at each dial).
+class TransportService:
+    """Sends and receives messages between this proxy and those at `addresses`, looked up at each dial.
 
-    `deliver` is called with the part and the message; `up` and `down` with a peer that can be heard from now
-    on, or not any more. What they raise is logged and costs nothing else. `rules` say how messages wait.
+    `message_types` has the messages of each protocol. `on_message` gets a protocol and a message;
+    `on_peer_connected` and `on_peer_disconnected` report who is connected. Their exceptions are logged
+    and have no other effect. `queue_limits` say per protocol how messages wait. `random` returns a number
+    from 0 up to 1.
     """
 
     def __init__(
         self,
-        me: NodeInstance,
+        local_instance: NodeInstance,
         addresses: Mapping[str, Address],
         key: bytes,
-        parts: Mapping[str, Any],
-        deliver: Callable[[str, MessageReceived], None],
-        draw: Callable[[], float],
+        message_types: Mapping[str, Any],
+        on_message: Callable[[str, MessageReceived], None],
+        random: Callable[[], float],
         *,
-        up: Callable[[NodeInstance], None] = lambda life: None,
-        down: Callable[[str, str], None] = lambda name, reason: None,
-        rules: Mapping[str, Rule] | None = None,
-        settings: LinkSettings = LinkSettings(),  # noqa: B008
+        on_peer_connected: Callable[[NodeInstance], None] = lambda instance: None,
+        on_peer_disconnected: Callable[[str, str], None] = lambda name, reason: None,
+        queue_limits: Mapping[str, QueueLimits] | None = None,
+        settings: TransportSettings = TransportSettings(),  # noqa: B008
     ) -> None:
-        """ValueError for a key of another size than BLAKE2b takes, or that is too short to be one."""
+        """ValueError for a key that is too short to be secure or too long for BLAKE2b."""
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
             raise ValueError(f"a key of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes is needed")
-        self.settings, self.words = settings, Words(parts)
-        all_rules = {name: (rules or {}).get(name, Rule()) for name in parts}
-        self.board = Board(me, addresses, key, self.words, all_rules, draw, settings)
-        self.board.deliver, self.board.up, self.board.down = deliver, up, down
+        self.settings = settings
+        self.codec = MessageCodec(message_types)
+        given_limits = queue_limits or {}
+        limits = {name: given_limits.get(name, QueueLimits()) for name in message_types}
+        self.registry = ConnectionRegistry(
+            local_instance, addresses, key, self.codec, limits, random, settings
+        )
+        self.registry.deliver_message = on_message
+        self.registry.on_peer_connected = on_peer_connected
+        self.registry.on_peer_disconnected = on_peer_disconnected
         self.loop = asyncio.get_running_loop()
         self.server: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.unsaid = 0
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
+        self.undeliverable = 0
 
     async def start(self, listen: Address) -> Address:
-        """Take links at this address, and dial; the address with its port. OSError where it cannot be had."""
-        self.server = await self.loop.create_server(self.board.answer, *listen, backlog=BACKLOG)
-        self.timer = self.loop.call_later(self.settings.beat_s, self.on_time)
-        for peer in self.board.peers.values():
-            peer.want()
+        """Listen at an address and dial; the address with its port. OSError if it is not available."""
+        self.server = await self.loop.create_server(
+            self.registry.accept_connection, *listen, backlog=LISTEN_BACKLOG
+        )
+        self.start_heartbeat_timer()
+        for peer in self.registry.peers.values():
+            peer.dial_if_needed()
         address: Address = self.server.sockets[0].getsockname()[:2]
         return address
 
-    def on_time(self) -> None:
-        self.timer = self.loop.call_later(self.settings.beat_s, self.on_time)
-        self.board.beat()
+    def start_heartbeat_timer(self) -> None:
+        """Schedule the next heartbeats."""
+        delay_s = self.settings.heartbeat_interval_s
+        self.heartbeat_timer = self.loop.call_later(delay_s, self.on_heartbeat_timer)
+
+    def on_heartbeat_timer(self) -> None:
+        """Send the heartbeats of this interval."""
+        self.start_heartbeat_timer()
+        self.registry.send_heartbeats()
 
-    def say(self, part: str, say: SendMessage) -> None:
-        """Send a message, now or when there is a link, or drop it; KeyError for a part that is not here."""
-        if part not in self.words.numbers:
-            raise KeyError(part)
+    def send(self, protocol: str, action: SendMessage) -> None:
+        """Send a message now, queue it until there is a connection, or drop it.
+
+        KeyError for an unknown protocol; other faults are logged.
+        """
+        if protocol not in self.codec.protocol_numbers:
+            raise KeyError(protocol)
         try:
-            body = self.words.pack(part, say.message)
-            peer = self.board.peer(say.recipient)
-            if peer is None or len(body) > MOST_BODY_BYTES:
-                self.unsaid += 1
-                self.board.line("a message of %s to %s is dropped: %d bytes", part, say.recipient, len(body))
-                return
-            self.send(peer, Item(part, type(say.message), body, say.instance_number))
+            self.encode_and_send(protocol, action)
         except Exception:
-            log.exception("a message of %s to %s failed", part, say.recipient)
-
-    def send(self, peer: Peer, item: Item) -> None:
-        link = peer.link
-        if link is None:
-            peer.wait(item)
+            log.exception("a message of %s to %s failed", protocol, action.recipient)
+
+    def encode_and_send(self, protocol: str, action: SendMessage) -> None:
+        """Send or queue a message; one that can never be delivered is counted and dropped."""
+        body = self.codec.encode(protocol, action.message)
+        peer = self.registry.peer(action.recipient)
+        if peer is None or len(body) > MAX_BODY_BYTES:
+            self.undeliverable += 1
+            self.registry.warnings.warn(
+                "a message of %s to %s is dropped: %d bytes", protocol, action.recipient, len(body)
+            )
+            return
+        message = QueuedMessage(protocol, type(action.message), body, action.instance_number)
+        self.send_or_enqueue(peer, message)
+
+    def send_or_enqueue(self, peer: Peer, message: QueuedMessage) -> None:
+        """Send a message on the open connection, unless others wait before it."""
+        connection = peer.connection
+        if connection is None:
+            peer.enqueue(message)
             if self.server:
-                peer.want()
-        elif item.life is not None and item.life != link.life.number:
-            peer.outbox.dropped += 1
-        elif link.paused or len(peer.outbox):
-            peer.wait(item)  # its turn comes, or the link resumes
+                peer.dial_if_needed()
+        elif message.instance_number not in (None, connection.peer_instance.number):
+            peer.send_queue.dropped += 1
+        elif connection.writing_paused or len(peer.send_queue):
+            peer.enqueue(message)  # the scheduler sends it, or the connection resumes writing
         else:
-            link.say(item.body)
+            connection.send(message.body)
 
-    def forget(self, name: str) -> None:
-        """End the link to a front door and drop what waits for it."""
-        if peer := self.board.peers.pop(name, None):
+    def remove_peer(self, name: str) -> None:
+        """Close the connection to a peer and drop its waiting messages."""
+        if peer := self.registry.peers.pop(name, None):
             peer.close()
 
     def close(self) -> None:
-        """End all links; what was said and not sent is dropped."""
-        self.board.closed = True
+        """Close all connections; waiting messages are dropped."""
+        self.registry.closed = True
         if self.server:
             self.server.close()
-        if self.timer:
-            self.timer.cancel()
-        for peer in self.board.peers.values():
+        if self.heartbeat_timer:
+            self.heartbeat_timer.cancel()
+        for peer in self.registry.peers.values():
             peer.close()
-        for link in list(self.board.links):
-            if link.phase is Phase.HELLO:
-                link.lose("closed", fault=False)
-            elif link.transport:
-                link.transport.close()  # when what was written has left
-        self.loop.call_later(self.settings.hello_s, self.abort)
-
-    def abort(self) -> None:
-        for link in list(self.board.links):
-            link.lose("closed", fault=False)
-
-    def stats(self) -> LinksStats:
-        board = self.board
-        return LinksStats(
-            {name: peer.stats() for name, peer in board.peers.items()},
-            len(board.accepted()),
-            board.places.used.total(),
-            board.refused + board.places.rejected,
-            self.unsaid,
-            board.failed,
-            board.turns.taken,
+        for connection in list(self.registry.connections):
+            if connection.phase is ConnectionPhase.HANDSHAKE:
+                connection.abort("closed", failed=False)
+            elif connection.transport:
+                connection.transport.close()  # after its write buffer has drained
+        self.loop.call_later(self.settings.handshake_timeout_s, self.abort_connections)
+
+    def abort_connections(self) -> None:
+        """Abort the connections whose peers do not read or close."""
+        for connection in list(self.registry.connections):
+            connection.abort("closed", failed=False)
+
+    def stats(self) -> TransportStats:
+        """The state of all peers and connections."""
+        registry = self.registry
+        slots = registry.unauthenticated_slots
+        return TransportStats(
+            peers={name: peer.stats() for name, peer in registry.peers.items()},
+            accepted=len(registry.accepted_connections()),
+            unauthenticated=slots.used.total(),
+            rejected=registry.rejected + slots.rejected,
+            undeliverable=self.undeliverable,
+            handler_failures=registry.handler_failures,
+            scheduler_turns=registry.scheduler.completed_turns,
         )
