--- a/tests/coordination/node/test_council.py
+++ b/tests/coordination/node/test_core.py
@@ -29,7 +29,7 @@
     raise AssertionError(f"not {what} in {seconds} s")
 
 
-def test_a_council_forms_and_all_hold_sessions() -> None:
+def test_a_cluster_forms_and_all_proxies_hold_sessions() -> None:
     play = well()
     assert len(play.leaders()) == 1 and all(play.holding(door) for door in range(7))
     mark = play.mark(6)
@@ -39,7 +39,7 @@
     assert len({core.components.log.digest() for core in play.cored.values()}) == 1
 
 
-def test_a_leader_that_dies_is_replaced_and_its_session_ends_for_all() -> None:
+def test_a_dead_leader_is_replaced_and_its_session_expires_everywhere() -> None:
     play = well()
     (leader,) = play.leaders()
     life = play.lives[leader]
@@ -54,7 +54,7 @@
     assert life.name not in {alive.name for alive in core.components.membership.live_instances()}
 
 
-def test_a_front_door_that_stood_still_finds_its_session_over_before_it_acts() -> None:
+def test_a_suspended_proxy_finds_its_session_expired_before_it_acts() -> None:
     play = well()
     stopped = next(door for door in range(5, 7))
     before = play.cored[stopped].components.lease_holder.fencing_token
@@ -69,7 +69,7 @@
     assert play.cored[stopped].position >= play.marks[mark].position
 
 
-def test_one_bad_link_kills_nobody_and_stops_nothing() -> None:
+def test_one_bad_connection_makes_no_member_dead_and_stops_nothing() -> None:
     for one_way in (False, True):
         play = well(seed=3)
         cut = {(0, 5)} if one_way else {(0, 5), (5, 0)}
@@ -81,7 +81,7 @@
         until(play, play.mark(5), 4)
 
 
-def test_who_does_not_reach_the_leader_has_its_proposals_passed_on() -> None:
+def test_proposals_are_forwarded_for_a_proxy_that_does_not_reach_the_leader() -> None:
     play = well()
     (leader,) = play.leaders()
     other = (leader + 1) % 5
@@ -90,7 +90,7 @@
     assert play.leaders() == [leader]
 
 
-def test_a_clear_account_waits_for_what_is_under_way_there() -> None:
+def test_a_clear_acknowledgement_waits_for_work_in_progress() -> None:
     play = well()
     busy = play.cored[6].components.lease_holder
     busy.clear = lambda position: 3
@@ -109,7 +109,7 @@
     assert account.proof() is not None
 
 
-def test_a_side_without_a_majority_settles_nothing_and_loses_its_sessions() -> None:
+def test_a_minority_partition_decides_nothing_and_loses_its_sessions() -> None:
     play = well()
     small = frozenset({0, 1, 6})
     play.mail = Mail(groups=(small, frozenset(range(7)) - small))
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_troubles(seed: int) -> None:
+def test_random_faults(seed: int) -> None:
     play = CouncilHistory(seed, (5, 6, 7, 8)[seed % 4], (3, 5)[seed % 2], drift=0.01, offset_us=3600 * S)
     trouble(play, seed, 12)
     calm(play)
@@ -138,18 +138,18 @@
         (("a", "b", "c"), "abc", 2_000_000, "session_ms: less than 4 beats"),
     ],
 )
-def test_settings_that_cannot_be(panel: tuple[str, ...], doors: str, beat_us: int, reason: str) -> None:
+def test_invalid_settings_are_rejected(panel: tuple[str, ...], doors: str, beat_us: int, reason: str) -> None:
     addresses = {name: ("127.0.0.1", 7000 + number) for number, name in enumerate(doors)}
     with pytest.raises(ValueError, match=reason):
         CoordinationSettings(addresses, panel, beat_us)
 
 
-def test_two_front_doors_at_one_address() -> None:
+def test_two_proxies_with_one_address_are_rejected() -> None:
     with pytest.raises(ValueError, match="two have one address"):
         CoordinationSettings({"a": ("h", 1), "b": ("h", 1)}, ("a", "b", "c"))
 
 
-def test_the_first_panel_is_the_same_for_all_who_have_the_key() -> None:
+def test_the_initial_voters_are_the_same_for_all_with_the_key() -> None:
     assert initial_voters(KEY, ["b", "a", "c"]) == initial_voters(KEY, ["c", "b", "a"])
     assert (
         initial_disk_identity(KEY, "a")
--- a/tests/coordination/node/test_service.py
+++ b/tests/coordination/node/test_service.py
@@ -14,7 +14,7 @@
 DOORS = {name: (HOST, 7100 + number) for number, name in enumerate(("n0", "n1", "n2"))}
 
 
-def test_a_disk_that_takes_no_more_is_told_in_a_turn_of_its_own(tmp_path: Path) -> None:
+def test_a_full_disk_queue_is_reported_in_a_turn_of_its_own(tmp_path: Path) -> None:
     async def job() -> None:
         tmp_path.chmod(0o700)
         opened = open_folder(tmp_path, "n0", KEY, True)
--- a/tests/coordination/test_attach.py
+++ b/tests/coordination/test_attach.py
@@ -57,7 +57,7 @@
         ({"tea": 1}, "unknown field `tea`"),
     ],
 )
-def test_what_cannot_be_is_one_line(
+def test_an_invalid_setting_is_reported_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: dict[str, object], reason: str
 ) -> None:
     file = tmp_path / "operator.toml"
@@ -75,7 +75,7 @@
         ({"n0": f"{HOST}:7", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "council.doors: two have one address"),
     ],
 )
-def test_addresses_that_cannot_be(
+def test_invalid_addresses_are_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], doors: dict[str, str], reason: str
 ) -> None:
     file = tmp_path / "operator.toml"
@@ -84,7 +84,9 @@
     assert reason in capsys.readouterr().err
 
 
-def test_a_key_that_others_can_read_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_key_file_that_others_can_read_is_rejected(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(section(tmp_path, three()))
     key_file(tmp_path, 0o644)
@@ -156,7 +158,7 @@
         return answer.counters
 
 
-def test_three_front_doors_lose_one_and_serve_on(tmp_path: Path) -> None:
+def test_three_proxies_serve_on_after_the_loss_of_one(tmp_path: Path) -> None:
     doors: dict[str, Door] = {}
 
     async def job() -> None:
@@ -206,7 +208,9 @@
         ({"folder": "/proc/none"}, "council.folder: "),
     ],
 )
-def test_a_start_that_cannot_be_is_one_line(tmp_path: Path, change: dict[str, object], reason: str) -> None:
+def test_a_failed_start_is_reported_in_one_line(
+    tmp_path: Path, change: dict[str, object], reason: str
+) -> None:
     async def job() -> None:
         (tmp_path / "folder").mkdir(mode=0o700)
         more = {"folder": str(tmp_path / "folder"), "forming": True, **change}
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -27,7 +27,7 @@
 from tests.sockets import run
 
 
-def test_a_message_that_is_not_understood_costs_the_link_which_is_dialled_again() -> None:
+def test_an_unknown_message_ends_the_connection_which_is_dialled_again() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         strange = Door("c", a.book, parts={**PARTS, "log": Word | Other})
@@ -45,7 +45,7 @@
     run(job())
 
 
-def test_an_exception_over_a_message_or_an_event_costs_nothing_else() -> None:
+def test_an_exception_of_a_handler_has_no_other_effect() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         b.fail = {2}
@@ -63,7 +63,7 @@
     run(job())
 
 
-def test_a_flood_is_taken_in_pieces_with_other_work_between_and_read_no_faster() -> None:
+def test_a_flood_is_processed_in_bounded_turns_and_read_no_faster() -> None:
     async def job() -> None:
         (b,) = await doors("b")
         b.book["c"] = (HOST, 1)
@@ -91,7 +91,7 @@
     run(job())
 
 
-def test_10000_messages_for_a_dead_peer_stay_within_bounds_and_the_last_ones_reach_it_when_it_lives() -> None:
+def test_10000_messages_for_a_dead_peer_stay_within_limits_and_the_last_ones_arrive_later() -> None:
     async def job() -> None:
         a, c = await doors("a", "c")
         with socket.create_server((HOST, 0)) as taken:
@@ -117,7 +117,7 @@
     run(job())
 
 
-def test_a_peer_that_failed_has_less_room_until_it_is_up_and_is_dialled_for_what_is_too_large() -> None:
+def test_a_failed_peer_has_less_capacity_and_is_dialled_for_a_message_beyond_it() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         there = a.book["b"]
@@ -145,7 +145,7 @@
     run(job())
 
 
-def test_a_link_with_nothing_to_say_closes_in_order_and_takes_what_was_said_meanwhile() -> None:
+def test_an_idle_connection_closes_in_order_and_delivers_what_was_sent_meanwhile() -> None:
     async def job() -> None:
         a, b = await doors(
             "a", "b", settings=TransportSettings(heartbeat_interval_s=3600, max_idle_heartbeats=3)
@@ -174,7 +174,7 @@
     run(job())
 
 
-def test_unproven_connections_are_few_of_each_source_and_have_little_time() -> None:
+def test_unauthenticated_connections_are_limited_per_source_and_in_time() -> None:
     async def job() -> None:
         settings = TransportSettings(
             heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_unauthenticated_per_source=2
@@ -192,7 +192,7 @@
     run(job())
 
 
-def test_of_links_that_others_dialled_the_one_least_used_gives_way() -> None:
+def test_at_the_limit_the_accepted_connection_idle_for_longest_is_closed() -> None:
     async def job() -> None:
         (a,) = await doors("a", settings=TransportSettings(heartbeat_interval_s=3600, max_accepted=2))
         a.book.update({name: (HOST, 1) for name in "cde"})
@@ -211,7 +211,7 @@
     run(job())
 
 
-def test_beats_and_dials_of_many_are_spread_over_turns_of_the_loop() -> None:
+def test_heartbeats_and_dials_of_many_peers_take_several_turns_of_the_loop() -> None:
     async def job() -> None:
         settings = TransportSettings(
             heartbeat_interval_s=3600, max_unauthenticated=99, max_unauthenticated_per_source=99
@@ -248,7 +248,7 @@
     run(job())
 
 
-def test_a_dial_that_was_given_up_does_not_leave_its_connection() -> None:
+def test_a_cancelled_dial_leaves_no_connection() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         a.say("b", 1)
@@ -262,7 +262,7 @@
     run(job())
 
 
-def test_who_does_not_close_or_read_when_a_link_ends_is_cut() -> None:
+def test_a_peer_that_does_not_close_or_read_at_the_end_is_aborted() -> None:
     async def job() -> None:
         settings = TransportSettings(
             heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_idle_heartbeats=2
@@ -287,7 +287,7 @@
     run(job())
 
 
-def test_a_front_door_that_is_forgotten_has_no_link_and_nothing_waiting() -> None:
+def test_a_removed_peer_has_no_connection_and_no_queued_messages() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         a.say("b", 1)
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -21,7 +21,7 @@
     return door
 
 
-def test_a_hello_cut_at_each_byte_or_with_each_byte_flipped_takes_no_place_and_opens_nothing() -> None:
+def test_a_truncated_or_corrupted_hello_keeps_no_slot_and_opens_no_connection() -> None:
     async def job() -> None:
         b = await alone()
         size = len(await (await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])).hello())
@@ -46,7 +46,7 @@
     run(job())
 
 
-def test_a_frame_cut_at_each_byte_or_with_each_byte_flipped_is_not_heard_and_others_are() -> None:
+def test_a_truncated_or_corrupted_frame_is_not_delivered_and_other_messages_are() -> None:
     async def job() -> None:
         b = await alone()
         a = Door("a", b.book)
@@ -74,7 +74,7 @@
     run(job())
 
 
-def test_what_was_recorded_of_an_earlier_session_opens_nothing() -> None:
+def test_a_replayed_session_opens_no_connection() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         relay = Relay(a.book["b"])
@@ -102,7 +102,7 @@
         (msgspec.msgpack.encode((1, Word(1))) + b"!", "not understood"),
     ],
 )
-def test_a_body_that_says_nothing_costs_the_link(body: bytes, reason: str) -> None:
+def test_an_invalid_body_ends_the_connection(body: bytes, reason: str) -> None:
     async def job() -> None:
         b = await alone()
         raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("earlier", [False, True])
-def test_a_frame_that_is_said_again_is_not_heard_again(earlier: bool) -> None:
+def test_a_repeated_frame_is_not_delivered_again(earlier: bool) -> None:
     async def job() -> None:
         b = await alone()
         raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
@@ -130,7 +130,7 @@
     run(job())
 
 
-def test_a_giant_length_ends_the_connection_before_and_after_the_proof() -> None:
+def test_an_excessive_length_ends_the_connection_before_and_after_the_handshake() -> None:
     async def job() -> None:
         b = await alone()
         raw = await Raw(NodeInstance("c", 1), "b").connect(b.book["b"])
@@ -146,7 +146,7 @@
     run(job())
 
 
-def test_a_peer_that_acknowledges_what_was_never_said_loses_its_link() -> None:
+def test_an_acknowledgement_of_unsent_messages_ends_the_connection() -> None:
     async def job() -> None:
         b = await alone()
         raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
@@ -157,7 +157,7 @@
     run(job())
 
 
-def test_a_peer_that_speaks_and_never_reads_is_bounded_and_cut_while_others_are_served() -> None:
+def test_a_peer_that_sends_and_never_reads_is_bounded_and_disconnected() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         relay = Relay(a.book["a"])
@@ -189,7 +189,7 @@
     run(job())
 
 
-def test_a_half_open_way_is_found_and_dialled_anew_with_nothing_waiting_and_others_go_on() -> None:
+def test_a_half_open_connection_is_detected_and_dialled_again_with_an_empty_queue() -> None:
     async def job() -> None:
         a, b, c = await doors("a", "b", "c")
         relay = Relay(a.book["b"])
@@ -224,7 +224,7 @@
     run(job())
 
 
-def test_a_way_that_accepts_and_holds_is_given_up_and_tried_again_and_what_waits_is_kept() -> None:
+def test_a_handshake_without_answer_times_out_and_is_retried_with_the_queue_kept() -> None:
     async def job() -> None:
         a, b = await doors(
             "a", "b", settings=TransportSettings(heartbeat_interval_s=3600, handshake_timeout_s=0.1)
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("fault", ["drop", "lose", "cut_at", "flip_at"])
-def test_a_link_that_breaks_is_dialled_again_and_says_what_is_said_from_then_on(fault: str) -> None:
+def test_a_broken_connection_is_dialled_again_and_carries_later_messages(fault: str) -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         relay = Relay(a.book["b"])
@@ -277,7 +277,7 @@
     run(job())
 
 
-def test_a_slow_way_is_not_cut() -> None:
+def test_a_slow_connection_is_not_aborted() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         relay = Relay(a.book["b"])
--- a/tests/coordination/transport/test_frames.py
+++ b/tests/coordination/transport/test_frames.py
@@ -40,17 +40,17 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 1000])
-def test_bodies_come_whole_however_the_stream_is_cut(step: int) -> None:
+def test_bodies_are_complete_however_the_stream_is_split(step: int) -> None:
     assert opened(sealed(), step) == BODIES
 
 
 @pytest.mark.parametrize("other", [{"key": b"o" * 32}, {"session": b"o" * 32}, {"direction": LISTENER}])
-def test_frames_of_another_key_session_or_side_do_not_open(other: dict[str, bytes]) -> None:
+def test_frames_of_another_key_session_or_direction_do_not_open(other: dict[str, bytes]) -> None:
     with pytest.raises(FrameError, match="tag"):
         opened(sealed(), **other)
 
 
-def test_a_frame_doubled_left_out_or_overtaken_does_not_open() -> None:
+def test_a_repeated_omitted_or_reordered_frame_does_not_open() -> None:
     sealer = frames.FrameSealer(KEY, SESSION, DIALLER)
     first, second = sealer.seal(b"first"), sealer.seal(b"second")
     for data in (first + first, second, second + first):
@@ -58,7 +58,7 @@
             opened(data)
 
 
-def test_a_flipped_bit_anywhere_is_never_taken_for_a_body() -> None:
+def test_a_frame_with_any_flipped_bit_does_not_open() -> None:
     whole = frames.FrameSealer(KEY, SESSION, DIALLER).seal(b"a body")
     for place in range(len(whole)):
         data = bytearray(whole)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("size", [0, frames.MAX_BODY_BYTES + 1, (1 << 32) - 1])
-def test_a_length_out_of_bounds_is_refused_by_its_four_bytes_alone(size: int) -> None:
+def test_an_invalid_length_is_rejected_before_the_body_arrives(size: int) -> None:
     cutter = FrameSplitter(frames.MAX_BODY_BYTES, TAG_BYTES)
     cutter.feed(size.to_bytes(frames.LENGTH_BYTES, "big"))
     with pytest.raises(FrameError, match=f"{size} bytes"):
@@ -79,6 +79,6 @@
 
 
 @pytest.mark.parametrize("size", [0, frames.MAX_BODY_BYTES + 1])
-def test_a_body_that_would_not_be_taken_is_not_sealed(size: int) -> None:
+def test_a_body_of_invalid_size_is_not_sealed(size: int) -> None:
     with pytest.raises(FrameError, match=f"{size} bytes"):
         frames.FrameSealer(KEY, SESSION, DIALLER).seal(bytes(size))
--- a/tests/coordination/transport/test_handshake.py
+++ b/tests/coordination/transport/test_handshake.py
@@ -27,7 +27,7 @@
     return ListenerHandshake(B, {"a", "b", "c"}, PARTS, key, nonce)
 
 
-def test_both_sides_come_to_one_session_and_know_each_other() -> None:
+def test_both_sides_agree_on_one_session_and_authenticate_each_other() -> None:
     ours, theirs = dialling(), answering()
     assert theirs.receive_hello(ours.receive_greeting(theirs.greeting)) == A
     said, session = theirs.accept(A)
@@ -46,13 +46,13 @@
         (dialling(parts=("log",)), "other parts"),
     ],
 )
-def test_a_listener_refuses(ours: DiallerHandshake, reason: str) -> None:
+def test_a_listener_rejects(ours: DiallerHandshake, reason: str) -> None:
     theirs = answering()
     with pytest.raises(HandshakeError, match=reason):
         theirs.receive_hello(ours.receive_greeting(theirs.greeting))
 
 
-def test_another_version_is_refused_on_both_sides() -> None:
+def test_another_version_is_rejected_by_both_sides() -> None:
     with pytest.raises(HandshakeError, match="version 2"):
         dialling().receive_greeting(msgspec.msgpack.encode(Greeting(2, b"n" * 16)))
     theirs = answering()
@@ -61,7 +61,7 @@
         theirs.receive_hello(msgspec.msgpack.encode(msgspec.structs.replace(said, version=2)))
 
 
-def test_an_old_hello_is_refused_by_the_new_nonce() -> None:
+def test_a_replayed_hello_is_rejected_by_the_new_nonce() -> None:
     old = answering()
     said = dialling().receive_greeting(old.greeting)
     assert old.receive_hello(said) == A
@@ -69,7 +69,7 @@
         answering(nonce=b"m" * 16).receive_hello(said)
 
 
-def test_a_listener_without_the_key_or_with_an_old_welcome_or_another_name_is_refused() -> None:
+def test_a_listener_with_another_key_a_replayed_welcome_or_another_name_is_rejected() -> None:
     ours, theirs, wrong = dialling(), answering(), answering(key=b"o" * 32)
     theirs.receive_hello(ours.receive_greeting(theirs.greeting))
     old, _ = theirs.accept(A)
@@ -86,14 +86,14 @@
         other.receive_reply(theirs.accept(A)[0])
 
 
-def test_a_side_cannot_be_made_to_prove_itself_to_its_own_words() -> None:
+def test_a_proof_cannot_be_returned_to_its_sender() -> None:
     ours, theirs = dialling(), answering()
     said = msgspec.msgpack.decode(ours.receive_greeting(theirs.greeting), type=Hello)
     with pytest.raises(HandshakeError, match="proof"):
         ours.receive_reply(msgspec.msgpack.encode(handshake.Welcome(B, said.proof)))
 
 
-def test_a_flipped_bit_anywhere_in_a_word_ends_the_handshake() -> None:
+def test_any_flipped_bit_in_a_message_ends_the_handshake() -> None:
     theirs = answering()
     said = dialling().receive_greeting(theirs.greeting)
     for place in range(len(said)):
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -34,7 +34,7 @@
     run(job())
 
 
-def test_what_is_for_nobody_here_or_too_long_is_dropped_and_a_part_that_is_not_here_is_our_fault() -> None:
+def test_undeliverable_messages_are_dropped_and_an_unknown_protocol_raises() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         a.say("a", 1)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("names", [("a", "b"), ("b", "a")])
-def test_of_two_dials_that_cross_the_smaller_names_stays_and_nothing_is_lost_or_doubled(
+def test_of_two_crossing_dials_the_smaller_names_stays_without_loss_or_repetition(
     names: tuple[str, str],
 ) -> None:
     async def job() -> None:
@@ -87,7 +87,7 @@
     run(job())
 
 
-def test_a_dial_that_has_not_said_hello_gives_way_to_one_that_has() -> None:
+def test_a_dial_before_its_hello_yields_to_one_after_it() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         held = Relay(a.book["b"])
@@ -108,7 +108,7 @@
     run(job())
 
 
-def test_a_peer_that_dials_anew_has_lost_its_link_and_the_new_one_takes_its_place() -> None:
+def test_a_new_connection_of_the_same_instance_replaces_the_old_one() -> None:
     async def job() -> None:
         (a,) = await doors("a")
         a.book["c"] = (HOST, 1)
@@ -122,7 +122,7 @@
     run(job())
 
 
-def test_a_newer_run_takes_the_place_of_an_older_one_which_is_refused_from_then_on() -> None:
+def test_a_newer_instance_replaces_an_older_one_which_is_then_rejected() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         a.say("b", 1)
@@ -143,7 +143,7 @@
     run(job())
 
 
-def test_what_waited_for_an_earlier_run_is_not_said_to_the_next() -> None:
+def test_messages_queued_for_an_earlier_instance_are_not_sent_to_the_next() -> None:
     async def job() -> None:
         a, b = await doors("a", "b")
         address = a.book.pop("b")
@@ -166,7 +166,7 @@
         (NodeInstance("x", 1), "a", b"k" * 32, "not of this council"),
     ],
 )
-def test_a_stranger_is_told_why_in_one_line_and_takes_no_place(
+def test_an_unknown_dialler_gets_a_one_line_reason_and_keeps_no_slot(
     me: NodeInstance,
     to: str,
     key: bytes,
@@ -186,7 +186,7 @@
     run(job())
 
 
-def test_many_that_are_refused_or_break_their_links_write_few_lines_a_beat(
+def test_rejections_and_broken_connections_log_few_lines_per_interval(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def job() -> None:
@@ -207,7 +207,7 @@
     run(job())
 
 
-def test_a_key_that_is_none_is_refused() -> None:
+def test_a_key_of_invalid_size_is_rejected() -> None:
     async def job() -> None:
         for key in (b"", b"k" * 15, b"k" * 65):
             with pytest.raises(ValueError, match="key"):
