--- a/tests/coordination/transport/nodes.py
+++ b/tests/coordination/transport/nodes.py
@@ -1,4 +1,4 @@
-"""Front doors on loopback that have links alone, and what they heard."""
+"""Nodes on loopback that run only the transport, and what they received."""
 
 import asyncio
 import secrets
@@ -25,7 +25,7 @@
 
 KEY = b"k" * 32
 HOST = "127.0.0.1"
-BY_HAND = TransportSettings(heartbeat_interval_s=3600)  # beats are called
+MANUAL_HEARTBEATS = TransportSettings(heartbeat_interval_s=3600)  # the tests send the heartbeats
 
 
 class Word(WireStruct, frozen=True, tag_field="kind", tag="word"):
@@ -41,52 +41,52 @@
     number: int
 
 
-PARTS = {"log": Word | State, "hint": Word}
-RULES = {"hint": QueueLimits(100, 1 << 16), "log": QueueLimits(latest_only=frozenset({State}))}
+MESSAGE_TYPES = {"log": Word | State, "hint": Word}
+QUEUE_LIMITS = {"hint": QueueLimits(100, 1 << 16), "log": QueueLimits(latest_only=frozenset({State}))}
 
 
-class Door:
-    """One front door; `book` has the addresses, which each fills in when it starts."""
+class TransportNode:
+    """One proxy's transport; `addresses` is shared, and each node adds its own when it starts."""
 
     def __init__(
         self,
         name: str,
-        book: dict[str, Address],
+        addresses: dict[str, Address],
         number: int = 1,
         key: bytes = KEY,
-        parts: dict[str, Any] = PARTS,
-        settings: TransportSettings = BY_HAND,
+        parts: dict[str, Any] = MESSAGE_TYPES,
+        settings: TransportSettings = MANUAL_HEARTBEATS,
     ) -> None:
-        self.name, self.book = name, book
-        self.heard: list[Any] = []  # messages
+        self.name, self.addresses = name, addresses
+        self.received: list[Any] = []  # messages
         self.senders: list[NodeInstance] = []
         self.events: list[str] = []
         self.changed = asyncio.Event()
-        self.fail: set[int] = set()  # numbers of words over which it raises
+        self.fail: set[int] = set()  # numbers of messages whose handler raises
         self.transport = TransportService(
             NodeInstance(name, number),
-            book,
+            addresses,
             key,
             parts,
             self.deliver,
             lambda: 0.999,
             on_peer_connected=self.on_up,
             on_peer_disconnected=self.on_down,
-            queue_limits=RULES,
+            queue_limits=QUEUE_LIMITS,
             settings=settings,
         )
 
     async def start(self, *, listed: bool = True) -> Address:
         address = await self.transport.start((HOST, 0))
         if listed:
-            self.book[self.name] = address
+            self.addresses[self.name] = address
         return address
 
-    def deliver(self, part: str, heard: MessageReceived) -> None:
-        self.heard.append(heard.message)
-        self.senders.append(heard.sender)
+    def deliver(self, part: str, received: MessageReceived) -> None:
+        self.received.append(received.message)
+        self.senders.append(received.sender)
         self.changed.set()
-        if getattr(heard.message, "number", None) in self.fail:
+        if getattr(received.message, "number", None) in self.fail:
             raise RuntimeError("as the test wants")
 
     def on_up(self, life: NodeInstance) -> None:
@@ -102,7 +102,7 @@
 
     @property
     def numbers(self) -> list[int]:
-        return [message.number for message in self.heard]
+        return [message.number for message in self.received]
 
     async def until(self, true: Callable[[], object]) -> None:
         """Wait until something that was heard or told makes it so."""
@@ -110,7 +110,7 @@
             self.changed.clear()
             await self.changed.wait()
 
-    async def until_heard(self, *numbers: int) -> None:
+    async def until_received(self, *numbers: int) -> None:
         await self.until(lambda: set(numbers) <= set(self.numbers))
 
     def downs(self) -> int:
@@ -120,9 +120,9 @@
         return sum(event.startswith("up") for event in self.events)
 
 
-async def doors(*names: str, **more: Any) -> list[Door]:  # noqa: ANN401
-    book: dict[str, Address] = {}
-    found = [Door(name, book, **more) for name in names]
+async def start_nodes(*names: str, **more: Any) -> list[TransportNode]:  # noqa: ANN401
+    addresses: dict[str, Address] = {}
+    found = [TransportNode(name, addresses, **more) for name in names]
     for door in found:
         await door.start()
     return found
@@ -134,16 +134,16 @@
         await asyncio.sleep(0)
 
 
-class Raw:
+class RawPeer:
     """A peer that does as the test says, byte by byte."""
 
     def __init__(self, me: NodeInstance, to: str, key: bytes = KEY) -> None:
         self.me, self.key = me, key
-        self.words = MessageCodec(PARTS)
+        self.words = MessageCodec(MESSAGE_TYPES)
         self.handshake = DiallerHandshake(me, to, self.words.protocols, key, secrets.token_bytes(NONCE_BYTES))
         self.cutter = FrameSplitter(MAX_HANDSHAKE_BYTES, 0)
 
-    async def connect(self, address: Address) -> "Raw":
+    async def connect(self, address: Address) -> "RawPeer":
         self.reader, self.writer = await asyncio.open_connection(*address)
         return self
 
@@ -164,7 +164,7 @@
         hello = self.handshake.receive_greeting(await self.frame())
         return length_prefix(hello) + hello
 
-    async def dial(self, address: Address) -> "Raw":
+    async def dial(self, address: Address) -> "RawPeer":
         """A whole handshake; HelloError where it is refused."""
         await self.connect(address)
         self.writer.write(await self.hello())
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -13,32 +13,32 @@
 from molereach.coordination.transport.settings import TransportSettings
 from rig.council.relay import Relay
 from tests.coordination.transport.nodes import (
-    BY_HAND,
     HOST,
-    PARTS,
-    Door,
+    MANUAL_HEARTBEATS,
+    MESSAGE_TYPES,
     Other,
-    Raw,
+    RawPeer,
     State,
+    TransportNode,
     Word,
-    doors,
     spin,
+    start_nodes,
 )
 from tests.sockets import run
 
 
 def test_an_unknown_message_ends_the_connection_which_is_dialled_again() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
-        strange = Door("c", a.book, parts={**PARTS, "log": Word | Other})
+        a, b = await start_nodes("a", "b")
+        strange = TransportNode("c", a.addresses, parts={**MESSAGE_TYPES, "log": Word | Other})
         await strange.start()
         a.say("b", 1)
-        await b.until_heard(1)
+        await b.until_received(1)
         strange.transport.send("log", SendMessage("b", Other(1)))
         await strange.until(lambda: strange.ups() == 2)
         strange.say("b", 2)
         a.say("b", 3)
-        await b.until_heard(2, 3)
+        await b.until_received(2, 3)
         assert b.events[0] == "up a 1" and b.downs() == 1 and a.downs() == 0
         assert "not understood" in b.events[2]
 
@@ -47,7 +47,7 @@
 
 def test_an_exception_of_a_handler_has_no_other_effect() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         b.fail = {2}
 
         def up(life: NodeInstance) -> None:
@@ -57,7 +57,7 @@
         b.transport.registry.on_peer_connected = up
         for number in range(5):
             a.say("b", number)
-        await b.until_heard(4)
+        await b.until_received(4)
         assert b.numbers == [0, 1, 2, 3, 4] and b.transport.stats().handler_failures == 1 and not a.downs()
 
     run(job())
@@ -65,16 +65,16 @@
 
 def test_a_flood_is_processed_in_bounded_turns_and_read_no_faster() -> None:
     async def job() -> None:
-        (b,) = await doors("b")
-        b.book["c"] = (HOST, 1)
-        raw = await Raw(NodeInstance("c", 1), "b").dial(b.book["b"])
+        (b,) = await start_nodes("b")
+        b.addresses["c"] = (HOST, 1)
+        raw = await RawPeer(NodeInstance("c", 1), "b").dial(b.addresses["b"])
         await b.until(b.ups)
         between, waiting = [], []
 
         def probe() -> None:
-            between.append(len(b.heard) - sum(between))
+            between.append(len(b.received) - sum(between))
             waiting.append(sum(len(link.splitter.buffer) for link in b.transport.registry.connections))
-            if len(b.heard) < 5000:
+            if len(b.received) < 5000:
                 loop.call_soon(probe)
             else:
                 b.changed.set()
@@ -82,21 +82,23 @@
         loop = asyncio.get_running_loop()
         loop.call_soon(probe)
         raw.writer.write(b"".join(raw.sealed(number, "x" * 1000) for number in range(5000)))
-        await b.until(lambda: len(b.heard) == 5000)
+        await b.until(lambda: len(b.received) == 5000)
         await spin(lambda: sum(between) == 5000)
         assert b.numbers == list(range(5000))
         assert 0 < max(between) <= MAX_STEPS
-        assert max(waiting) <= BY_HAND.max_read_buffer_bytes + (256 << 10)  # and what the loop reads at once
+        assert max(waiting) <= MANUAL_HEARTBEATS.max_read_buffer_bytes + (
+            256 << 10
+        )  # and what the loop reads at once
 
     run(job())
 
 
 def test_10000_messages_for_a_dead_peer_stay_within_limits_and_the_last_ones_arrive_later() -> None:
     async def job() -> None:
-        a, c = await doors("a", "c")
+        a, c = await start_nodes("a", "c")
         with socket.create_server((HOST, 0)) as taken:
-            a.book["b"] = a.book["d"] = taken.getsockname()[:2]
-        b = Door("b", a.book)
+            a.addresses["b"] = a.addresses["d"] = taken.getsockname()[:2]
+        b = TransportNode("b", a.addresses)
         for number in range(10_000):
             a.say("b", number, "x" * 100, part="hint")
             a.transport.send("log", SendMessage("b", State(number)))
@@ -104,30 +106,30 @@
             assert a.transport.registry.peers["b"].send_queue.size <= 1 << 16
             assert len(a.transport.registry.peers["d"].send_queue) <= 256
         a.say("c", 1)
-        await c.until_heard(1)
+        await c.until_received(1)
         stats = a.transport.stats().peers["b"]
         assert stats.queued_messages == 101 and stats.dropped == 9_900
         await spin(lambda: a.transport.stats().peers["d"].consecutive_failures)
         assert a.transport.stats().peers["d"].queued_messages == FAILED_PEER_CAPACITY.max_messages
         await b.start()
-        await b.until_heard(9_999)
-        await b.until(lambda: len(b.heard) == 101)
-        assert b.numbers[:2] == [9_900, 9_901] and b.heard[-1] == State(9_999)
+        await b.until_received(9_999)
+        await b.until(lambda: len(b.received) == 101)
+        assert b.numbers[:2] == [9_900, 9_901] and b.received[-1] == State(9_999)
 
     run(job())
 
 
 def test_a_failed_peer_has_less_capacity_and_is_dialled_for_a_message_beyond_it() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
-        there = a.book["b"]
+        a, b = await start_nodes("a", "b")
+        there = a.addresses["b"]
         with socket.create_server((HOST, 0)) as taken:
-            a.book["b"] = taken.getsockname()[:2]
+            a.addresses["b"] = taken.getsockname()[:2]
         a.say("b", 1, "x" * 900_000)
         await spin(lambda: a.transport.stats().peers["b"].consecutive_failures)
         assert a.transport.stats().peers["b"].queued_messages == 0
         relay = Relay(there)
-        a.book["b"] = await relay.start()
+        a.addresses["b"] = await relay.start()
         a.say("b", 2, "x" * 900_000)
         await a.until(a.ups)
         a.say("b", 3, "x" * 900_000)
@@ -138,7 +140,7 @@
         for number in range(4, 24):
             a.say("b", number, "x" * 60_000)  # more than would wait for one that failed
         relay.pass_()
-        await b.until_heard(23)
+        await b.until_received(23)
         assert [number for number in b.numbers if number] == list(range(3, 24))
         await relay.close()
 
@@ -147,11 +149,11 @@
 
 def test_an_idle_connection_closes_in_order_and_delivers_what_was_sent_meanwhile() -> None:
     async def job() -> None:
-        a, b = await doors(
+        a, b = await start_nodes(
             "a", "b", settings=TransportSettings(heartbeat_interval_s=3600, max_idle_heartbeats=3)
         )
         a.say("b", 1)
-        await b.until_heard(1)
+        await b.until_received(1)
         b.transport.registry.send_heartbeats()  # acknowledges
         await spin(
             lambda: (
@@ -165,10 +167,10 @@
         b.say("a", 2)  # b has not heard of it
         await b.until(b.downs)
         assert b.events[-1] == "down a: left: nothing to say"
-        await a.until_heard(2)
+        await a.until_received(2)
         await spin(lambda: not a.transport.registry.connections and not b.transport.registry.connections)
         a.say("b", 3)
-        await b.until_heard(3)
+        await b.until_received(3)
         assert a.numbers == [2] and b.numbers == [1, 3]
 
     run(job())
@@ -179,30 +181,30 @@
         settings = TransportSettings(
             heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_unauthenticated_per_source=2
         )
-        a, b = await doors("a", "b", settings=settings)
-        raws = [await Raw(NodeInstance("b", 1), "a").connect(a.book["a"]) for _ in range(3)]
+        a, b = await start_nodes("a", "b", settings=settings)
+        raws = [await RawPeer(NodeInstance("b", 1), "a").connect(a.addresses["a"]) for _ in range(3)]
         assert not await raws[2].frame()  # turned away at once
         assert a.transport.stats().unauthenticated == 2
         for raw in raws[:2]:
             assert await raw.frame() and not await raw.frame()  # greeted, and ended by time
         assert a.transport.stats().unauthenticated == 0
         b.say("a", 1)
-        await a.until_heard(1)
+        await a.until_received(1)
 
     run(job())
 
 
 def test_at_the_limit_the_accepted_connection_idle_for_longest_is_closed() -> None:
     async def job() -> None:
-        (a,) = await doors("a", settings=TransportSettings(heartbeat_interval_s=3600, max_accepted=2))
-        a.book.update({name: (HOST, 1) for name in "cde"})
-        c, d = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in "cd"]
+        (a,) = await start_nodes("a", settings=TransportSettings(heartbeat_interval_s=3600, max_accepted=2))
+        a.addresses.update({name: (HOST, 1) for name in "cde"})
+        c, d = [await RawPeer(NodeInstance(name, 1), "a").dial(a.addresses["a"]) for name in "cd"]
         await a.until(lambda: a.ups() == 2)
         a.transport.registry.send_heartbeats()
         c.writer.write(c.sealed(1))
-        await a.until_heard(1)
+        await a.until_received(1)
         a.transport.registry.send_heartbeats()
-        e = await Raw(NodeInstance("e", 1), "a").dial(a.book["a"])
+        e = await RawPeer(NodeInstance("e", 1), "a").dial(a.addresses["a"])
         assert await d.read() == Goodbye("room for another")
         a.say("c", 2)
         a.say("e", 3)
@@ -216,10 +218,10 @@
         settings = TransportSettings(
             heartbeat_interval_s=3600, max_unauthenticated=99, max_unauthenticated_per_source=99
         )
-        (a,) = await doors("a", settings=settings)
+        (a,) = await start_nodes("a", settings=settings)
         names = [f"n{number}" for number in range(HEARTBEATS_PER_TURN + 4)]
-        a.book.update({name: (HOST, 1) for name in names})
-        raws = [await Raw(NodeInstance(name, 1), "a").dial(a.book["a"]) for name in names]
+        a.addresses.update({name: (HOST, 1) for name in names})
+        raws = [await RawPeer(NodeInstance(name, 1), "a").dial(a.addresses["a"]) for name in names]
         beaten = lambda: sum(link.heartbeat.idle_heartbeats > 0 for link in a.transport.registry.connections)  # noqa: E731
         await a.until(lambda: a.ups() == len(names))
         a.transport.registry.send_heartbeats()
@@ -229,9 +231,9 @@
         for raw in raws:
             raw.drop()
         await a.until(lambda: a.downs() == len(names))
-        relay = Relay(a.book["a"])
+        relay = Relay(a.addresses["a"])
         relay.hold()
-        a.book.update(dict.fromkeys(names, await relay.start()))
+        a.addresses.update(dict.fromkeys(names, await relay.start()))
         peers = [a.transport.registry.peers[name] for name in names]
         for peer in peers:
             peer.close()  # ends the wait for another dial
@@ -250,14 +252,14 @@
 
 def test_a_cancelled_dial_leaves_no_connection() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         a.say("b", 1)
         link = a.transport.registry.peers["b"].pending_connection
         assert link
         link.abort("given up")
-        transport, _ = await asyncio.get_running_loop().create_connection(lambda: link, *a.book["b"])
+        transport, _ = await asyncio.get_running_loop().create_connection(lambda: link, *a.addresses["b"])
         assert transport.is_closing() and not a.transport.registry.connections
-        await b.until_heard(1)  # by another
+        await b.until_received(1)  # by another
 
     run(job())
 
@@ -267,9 +269,9 @@
         settings = TransportSettings(
             heartbeat_interval_s=3600, handshake_timeout_s=0.1, max_idle_heartbeats=2
         )
-        (a,) = await doors("a", settings=settings)
-        a.book["c"] = (HOST, 1)
-        raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
+        (a,) = await start_nodes("a", settings=settings)
+        a.addresses["c"] = (HOST, 1)
+        raw = await RawPeer(NodeInstance("c", 1), "a").dial(a.addresses["a"])
         await a.until(a.ups)
         for _ in range(3):
             a.transport.registry.send_heartbeats()
@@ -277,7 +279,7 @@
         for _ in range(2):
             a.transport.registry.send_heartbeats()
         assert not await raw.frame()
-        raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
+        raw = await RawPeer(NodeInstance("c", 1), "a").dial(a.addresses["a"])
         await a.until(lambda: a.ups() == 2)
         for number in range(3000):
             a.say("c", number, "x" * 10_000)
@@ -289,11 +291,11 @@
 
 def test_a_removed_peer_has_no_connection_and_no_queued_messages() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         a.say("b", 1)
-        await b.until_heard(1)
+        await b.until_received(1)
         a.transport.remove_peer("b")
-        del a.book["b"]
+        del a.addresses["b"]
         await b.until(b.downs)
         a.say("b", 2)
         assert a.transport.stats().undeliverable == 1 and not a.transport.stats().peers
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -7,19 +7,19 @@
 from molereach.coordination.transport.errors import HandshakeError
 from molereach.coordination.transport.warning_limiter import MAX_WARNINGS_PER_INTERVAL
 from rig.council.relay import Relay
-from tests.coordination.transport.nodes import HOST, Door, Raw, Word, doors, spin
+from tests.coordination.transport.nodes import HOST, RawPeer, TransportNode, Word, spin, start_nodes
 from tests.sockets import run
 
 
 def test_messages_go_both_ways_in_order_over_one_connection() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         for number in range(50):
             a.say("b", number, part="log" if number % 2 else "hint")
-        await b.until_heard(49)
+        await b.until_received(49)
         for number in range(50):
             b.say("a", number)
-        await a.until_heard(49)
+        await a.until_received(49)
         assert a.numbers == b.numbers == list(range(50))
         assert set(b.senders) == {NodeInstance("a", 1)} and a.events == ["up b 1"] and b.events == ["up a 1"]
         assert (a.transport.stats().accepted, b.transport.stats().accepted) == (0, 1)
@@ -36,7 +36,7 @@
 
 def test_undeliverable_messages_are_dropped_and_an_unknown_protocol_raises() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         a.say("a", 1)
         a.say("x", 1)
         a.say("b", 1, "x" * (1 << 20))
@@ -45,7 +45,7 @@
             a.transport.send("cake", SendMessage("b", Word(1)))
         a.transport.send("log", SendMessage("b", object()))  # cannot be packed: logged
         a.say("b", 2)
-        await b.until_heard(2)
+        await b.until_received(2)
 
     run(job())
 
@@ -55,10 +55,10 @@
     names: tuple[str, str],
 ) -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
-        relays = {name: Relay(a.book[name]) for name in "ab"}
+        a, b = await start_nodes("a", "b")
+        relays = {name: Relay(a.addresses[name]) for name in "ab"}
         for name, relay in relays.items():
-            a.book[name] = await relay.start()
+            a.addresses[name] = await relay.start()
             relay.stall("to")
         both = {"a": a, "b": b}
         for name in names:
@@ -69,12 +69,12 @@
         )
         for name in names:  # whichever hello comes first
             relays["b" if name == "a" else "a"].pass_()
-        await a.until_heard(1)
-        await b.until_heard(1)
+        await a.until_received(1)
+        await b.until_received(1)
         a.say("b", 2)
         b.say("a", 2)
-        await a.until_heard(2)
-        await b.until_heard(2)
+        await a.until_received(2)
+        await b.until_received(2)
         assert a.numbers == b.numbers == [1, 2]
         assert a.events == ["up b 1"] and b.events == ["up a 1"]
         assert (a.transport.stats().accepted, b.transport.stats().accepted) == (0, 1)
@@ -89,15 +89,15 @@
 
 def test_a_dial_before_its_hello_yields_to_one_after_it() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
-        held = Relay(a.book["b"])
+        a, b = await start_nodes("a", "b")
+        held = Relay(a.addresses["b"])
         held.hold()
-        a.book["b"] = await held.start()
+        a.addresses["b"] = await held.start()
         a.say("b", 1)
         await held.until(lambda: held.connections)
         b.say("a", 2)
-        await b.until_heard(1)
-        await a.until_heard(2)
+        await b.until_received(1)
+        await a.until_received(2)
         assert a.transport.stats().accepted == 1 and a.events == ["up b 1"]
         assert (
             not a.transport.registry.peers["b"].pending_connection
@@ -110,10 +110,10 @@
 
 def test_a_new_connection_of_the_same_instance_replaces_the_old_one() -> None:
     async def job() -> None:
-        (a,) = await doors("a")
-        a.book["c"] = (HOST, 1)
-        first = await Raw(NodeInstance("c", 5), "a").dial(a.book["a"])
-        second = await Raw(NodeInstance("c", 5), "a").dial(a.book["a"])
+        (a,) = await start_nodes("a")
+        a.addresses["c"] = (HOST, 1)
+        first = await RawPeer(NodeInstance("c", 5), "a").dial(a.addresses["a"])
+        second = await RawPeer(NodeInstance("c", 5), "a").dial(a.addresses["a"])
         assert not await first.frame()
         a.say("c", 1)
         assert await second.read() == Word(1)
@@ -124,20 +124,20 @@
 
 def test_a_newer_instance_replaces_an_older_one_which_is_then_rejected() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
+        a, b = await start_nodes("a", "b")
         a.say("b", 1)
-        await b.until_heard(1)
-        newer = Door("b", a.book, 2)
+        await b.until_received(1)
+        newer = TransportNode("b", a.addresses, 2)
         await newer.start()
         newer.say("a", 2)
-        await a.until_heard(2)
+        await a.until_received(2)
         assert a.events == ["up b 1", "down b: replaced by a newer link", "up b 2"]
         a.say("b", 3, life=1)
         a.say("b", 4, life=2)
-        await newer.until_heard(4)
+        await newer.until_received(4)
         assert newer.numbers == [4] and b.numbers == [1] and a.transport.stats().peers["b"].dropped == 1
         with pytest.raises(HandshakeError, match="a newer life of b is connected"):
-            await Raw(NodeInstance("b", 1), "a").dial(a.book["a"])
+            await RawPeer(NodeInstance("b", 1), "a").dial(a.addresses["a"])
         b.transport.close()
 
     run(job())
@@ -145,13 +145,13 @@
 
 def test_messages_queued_for_an_earlier_instance_are_not_sent_to_the_next() -> None:
     async def job() -> None:
-        a, b = await doors("a", "b")
-        address = a.book.pop("b")
-        a.book["b"] = (HOST, 1)
+        a, b = await start_nodes("a", "b")
+        address = a.addresses.pop("b")
+        a.addresses["b"] = (HOST, 1)
         for number, life in ((1, 7), (2, None), (3, 1)):
             a.say("b", number, life=life)
-        a.book["b"] = address
-        await b.until_heard(3)
+        a.addresses["b"] = address
+        await b.until_received(3)
         assert b.numbers == [2, 3] and a.transport.stats().peers["b"].dropped == 1
 
     run(job())
@@ -173,11 +173,11 @@
     reason: str,
 ) -> None:
     async def job() -> None:
-        (a,) = await doors("a")
-        a.book["c"] = (HOST, 1)
-        raw = Raw(me, to, key)
+        (a,) = await start_nodes("a")
+        a.addresses["c"] = (HOST, 1)
+        raw = RawPeer(me, to, key)
         with pytest.raises(HandshakeError, match=reason):
-            await raw.dial(a.book["a"])
+            await raw.dial(a.addresses["a"])
         assert not await raw.frame()
         await spin(lambda: not a.transport.registry.connections)
         stats = a.transport.stats()
@@ -190,18 +190,18 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def job() -> None:
-        (a,) = await doors("a")
-        a.book["c"] = (HOST, 1)
+        (a,) = await start_nodes("a")
+        a.addresses["c"] = (HOST, 1)
         for _ in range(MAX_WARNINGS_PER_INTERVAL):
             with pytest.raises(HandshakeError):
-                await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
-            raw = await Raw(NodeInstance("c", 1), "a").dial(a.book["a"])
+                await RawPeer(NodeInstance("x", 1), "a").dial(a.addresses["a"])
+            raw = await RawPeer(NodeInstance("c", 1), "a").dial(a.addresses["a"])
             raw.writer.write(bytes(4))
             assert not await raw.frame()
         assert a.downs() == MAX_WARNINGS_PER_INTERVAL and len(caplog.records) == MAX_WARNINGS_PER_INTERVAL
         a.transport.registry.send_heartbeats()
         with pytest.raises(HandshakeError):
-            await Raw(NodeInstance("x", 1), "a").dial(a.book["a"])
+            await RawPeer(NodeInstance("x", 1), "a").dial(a.addresses["a"])
         assert len(caplog.records) == MAX_WARNINGS_PER_INTERVAL + 1
 
     run(job())
@@ -211,6 +211,6 @@
     async def job() -> None:
         for key in (b"", b"k" * 15, b"k" * 65):
             with pytest.raises(ValueError, match="key"):
-                Door("a", {}, key=key)
+                TransportNode("a", {}, key=key)
 
     run(job())
