--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -12,13 +12,13 @@
 from molereach.coordination.storage.folder import OpenedFolder
 from molereach.endpoint_address import read_address
 from molereach.keyfile import read_key
-from molereach.operator_config import CouncilSection
+from molereach.operator_config import CoordinationSection
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger(__name__)
 
 
-def read_settings(section: CouncilSection) -> CoordinationSettings:
+def read_settings(section: CoordinationSection) -> CoordinationSettings:
     """The settings of an operator file; ValueError names the key of an invalid one."""
     try:
         addresses = {name: read_address(address) for name, address in section.doors.items()}
@@ -29,7 +29,7 @@
         raise ValueError(f"council.{error}") from error
 
 
-def attacher(section: CouncilSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
+def attacher(section: CoordinationSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
     """The function that starts coordination for a proxy; ValueError for invalid settings or key file."""
     settings = read_settings(section)
     key = read_key(Path(section.key_file), "council.key_file")
@@ -44,7 +44,7 @@
 
 
 def open_section_folder(
-    section: CouncilSection, settings: CoordinationSettings, key: bytes, name: str
+    section: CoordinationSection, settings: CoordinationSettings, key: bytes, name: str
 ) -> OpenedFolder | None:
     """Open the folder that the operator file names, if any; AttachError if it is missing or invalid."""
     is_voter = name in settings.initial_voters
@@ -59,7 +59,7 @@
 
 
 async def start_service(
-    section: CouncilSection,
+    section: CoordinationSection,
     settings: CoordinationSettings,
     key: bytes,
     name: str,
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -15,7 +15,7 @@
 from molereach.coordination.transport.send_queue import QueuedMessage, QueueLimits
 from molereach.coordination.transport.settings import Address, TransportSettings
 from molereach.coordination.transport.stats import TransportStats
-from molereach.keyfile import LEAST_KEY_BYTES, MOST_KEY_BYTES
+from molereach.keyfile import MAX_KEY_BYTES, MIN_KEY_BYTES
 
 log = logging.getLogger(__name__)
 
@@ -47,8 +47,8 @@
         settings: TransportSettings = TransportSettings(),  # noqa: B008
     ) -> None:
         """ValueError for a key that is too short to be secure or too long for BLAKE2b."""
-        if not LEAST_KEY_BYTES <= len(key) <= MOST_KEY_BYTES:
-            raise ValueError(f"a key of {LEAST_KEY_BYTES} to {MOST_KEY_BYTES} bytes is needed")
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise ValueError(f"a key of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes is needed")
         self.settings = settings
         self.codec = MessageCodec(message_types)
         given_limits = queue_limits or {}
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,9 +1,11 @@
 """The fleet's file, an agent's, tokens and secrets: one line that names file, key and reason."""
 
 import json
+from collections.abc import Iterator
 from pathlib import Path
 
 import pytest
+import structlog
 from click.testing import CliRunner
 
 from molereach.fleet import settings
@@ -15,7 +17,7 @@
 
 AGENT = '[[agents]]\nname = "a{}"\nurl = "http://127.0.0.1:{}"\n'
 FLEET = 'token = "token"\n' + AGENT.format(0, 7000) + 'doors = ["n0"]\n' + AGENT.format(1, 7001)
-OWN = (
+AGENT_FILE = (
     'name = "a0"\nfleet = "fleet.toml"\nsockets = "sockets"\njournal = "j"\nlisten = "127.0.0.1:0"\n'
     'tokens = "tokens"\n'
 )
@@ -24,7 +26,7 @@
 def test_examples_can_be_used() -> None:
     deploy = Path(__file__).parents[2] / "deploy"
     found = load(deploy / "fleet.toml", FleetFile)
-    assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected()
+    assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected_proxies()
 
 
 @pytest.mark.parametrize(
@@ -52,6 +54,14 @@
     assert done.exit_code == 2 and reason in done.stderr and done.stderr.count("\n") == 1
 
 
+@pytest.fixture
+def restored_log() -> Iterator[None]:
+    """Undoes the agent's log set-up: later tests must not write to the stream that pytest has closed."""
+    yield
+    structlog.reset_defaults()
+
+
+@pytest.mark.usefixtures("restored_log")
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
@@ -81,7 +91,7 @@
         (tmp_path / name).chmod(0o644 if name == "open" else 0o600)
     (tmp_path / "fleet.toml").write_text(FLEET)
     file = tmp_path / "agent.toml"
-    file.write_text(OWN.replace(*change))
+    file.write_text(AGENT_FILE.replace(*change))
     assert agent_run.main(file) == 2
     line = capsys.readouterr().err
     assert line.startswith("molereach agent: ") and reason in line and line.count("\n") == 1
@@ -134,4 +144,4 @@
 
 def test_secret_that_is_no_file(tmp_path: Path) -> None:
     with pytest.raises(SettingsError):
-        settings.secret(tmp_path)
+        settings.read_secret(tmp_path)
