--- a/molereach/cache/__init__.py
+++ b/molereach/cache/__init__.py
@@ -1,6 +1,8 @@
-"""Readings answered again from memory for a short age, and a member's purge that reaches every front door.
+"""Cached readings, and purges that remove a member's readings from every front door.
 
-Read `readings` (what is kept, by member), `fills` (answers on their way), `purge` (what is settled, the
-receipts, what else is kept by member), `hit` and `door` (one front door's side), `driver` (the leader's), and
-`interface` (what the decision module may be handed).
+A reading is a server's answer to a request that is safe to repeat, kept in memory for a short age. Read
+`readings` (the bounded store, by member), `fills` (answers on their way from a server), `purge` (the
+replicated state machine of purges, their receipts, and the inventory of all state kept by member), `hit` and
+`door` (the cache of one front door), `purge_driver` (the leader completes purges), and `interface` (what the
+decision module receives).
 """
--- a/molereach/cache/fills/__init__.py
+++ b/molereach/cache/fills/__init__.py
@@ -1,1 +1,1 @@
-"""Answers on their way from a server that may be kept when they come. Read `ticket`, `fills`."""
+"""Answers on their way from a server that may be stored when they arrive. Read `ticket`, `admission`."""
--- a/molereach/cache/fills/ticket.py
+++ b/molereach/cache/fills/ticket.py
@@ -1,14 +1,14 @@
-"""What is written down of a request before it is sent, so that its answer can be judged when it comes."""
+"""A request's data from before it was sent, by which its answer is checked on arrival."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Held by the request; nothing else knows of it, so one that never ends costs nothing."""
+    """Held by the request alone, so one whose answer never arrives costs nothing."""
 
     member: str
     class_name: str
-    asked: bytes
+    request: bytes
     sent_us: int  # read before the request is sent
-    applied: int  # the log's position up to which purges were applied here by then
+    applied_position: int  # of the log here at `sent_us`, with all purges up to it
--- a/molereach/cache/hit.py
+++ b/molereach/cache/hit.py
@@ -1,7 +1,7 @@
-"""A reading on its way to a client: good only while a look right before it is written says so.
+"""A cache hit on its way to a client: usable only while a check right before the write allows it.
 
-Between that look and the write nothing may wait, and the write must take all of it (see `interface`): what is
-left in a buffer goes out later, looked at by nobody.
+Nothing may wait between that check and the write, and the write must take the whole value (see `interface`):
+what stays in a buffer would be sent later without a check.
 """
 
 from typing import Protocol
@@ -9,28 +9,31 @@
 from molereach.cache.readings.reading import Reading
 
 
-class Judge(Protocol):
-    """Who knows of the session and of purges."""
+class ReadingValidator(Protocol):
+    """Knows the session and the purges."""
 
-    def usable(self, now_us: int, reading: Reading) -> bool: ...
+    def is_usable(self, now_us: int, reading: Reading) -> bool:
+        """Whether the reading may be shown now."""
+        ...
 
 
 class Hit:
-    """Held by one request; `still` is asked with the time read after the hit was taken, each time anew."""
+    """Held by one request; each call of `is_usable` gets a time that was read after the hit was taken."""
 
-    __slots__ = ("_judge", "_reading")
+    __slots__ = ("_reading", "_validator")
 
-    def __init__(self, judge: Judge, reading: Reading) -> None:
-        self._judge, self._reading = judge, reading
+    def __init__(self, validator: ReadingValidator, reading: Reading) -> None:
+        self._validator, self._reading = validator, reading
 
     @property
     def value(self) -> bytes:
+        """The answer's bytes."""
         return self._reading.value
 
     def age_us(self, now_us: int) -> int:
-        """How long ago its request was sent: what a client may be told of its age."""
+        """The time since the reading's request was sent: the age that a client is told."""
         return now_us - self._reading.sent_us
 
-    def still(self, now_us: int) -> bool:
-        """Whether it may be written now. After a stop of this process it is asked with a time from after."""
-        return self._judge.usable(now_us, self._reading)
+    def is_usable(self, now_us: int) -> bool:
+        """Whether the reading may be written now. After a pause of the process, `now_us` is read after it."""
+        return self._validator.is_usable(now_us, self._reading)
--- a/molereach/cache/purge/__init__.py
+++ b/molereach/cache/purge/__init__.py
@@ -1,6 +1,8 @@
-"""A member's purge: settled by the log, done when every front door is accounted for, told with a receipt.
+"""Purges of a member's readings: requested in the log, completed by proof, confirmed with a receipt.
 
-Read `ids`, `bodies` (what is settled), `records` and `receipt` (what is known of a purge), `interned` (lists
-of front doors, kept once), `proof` (who is accounted for), `past` (what a front door that was away must hear
-of), `machine`, `answers` (what a customer is told), and `holdings` (all that is kept by member).
+A purge is complete when every front door whose session was open when it was requested has cleared it. Read
+`ids`, `bodies` (the entries), `records` and `receipt` (what is stored of a purge), `intern_table` (lists of
+sessions and front doors, stored once), `proof` (which front doors have cleared a purge), `past` (recent
+purges for a front door that restores a snapshot), `machine`, `status` (the answer to a customer's status
+query), and `member_state` (the inventory of all state kept by member).
 """
--- a/molereach/cache/purge/bodies.py
+++ b/molereach/cache/purge/bodies.py
@@ -1,76 +1,84 @@
-"""The bodies of the entries about purges, and their one decoder."""
+"""The bodies of the log entries about purges, with their one decoder, and the values of their outcomes."""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.cache.purge.ids import PurgeId
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, Position, WireStruct
 
 MACHINE = "purge"
-MOST_PURGE_BODY_BYTES = 8 << 10  # the longest takes 5,300: `Done` with 256 fences
-MOST_SHARDS = 2  # that a member's state is on: two while its shard is being split
+MAX_PURGE_BODY_BYTES = 8 << 10  # the longest takes 5,300: `CompletePurges` with 256 fencing tokens
+MAX_SHARDS = 2  # that hold a member's state: two while its shard is being split
 
 Member = Annotated[str, Meta(pattern=r"^[0-9a-f]{16}\Z")]
 ClassName = Annotated[str, Meta(max_length=64, pattern=r"^[A-Za-z0-9._-]*\Z")]  # "" for all
 
 
-class Ask(WireStruct, frozen=True, tag_field="kind", tag="ask"):
-    """Nothing older than this entry is to be shown of the member, or of one class of its requests.
+class RequestPurge(WireStruct, frozen=True, tag_field="kind", tag="ask"):
+    """Show no reading older than this entry, of a member or of one class of its requests.
 
-    `shards` are those that the member's state is on as known to who asks, both sides of a split under way.
+    `shards` are those that hold the member's state as far as the requester knows: both sides of a split in
+    progress.
     """
 
     id: PurgeId
     member: Member
     class_name: ClassName = ""
-    shards: Annotated[tuple[Name, ...], Meta(max_length=MOST_SHARDS)] = ()
+    shards: Annotated[tuple[Name, ...], Meta(max_length=MAX_SHARDS)] = ()
 
 
-class Done(WireStruct, frozen=True, tag_field="kind", tag="done"):
-    """These sessions, by their fences, have said `clear` of all up to there. What else the proof needs the
-    machine finds in the log; which purges are done by it, too."""
+class CompletePurges(WireStruct, frozen=True, tag_field="kind", tag="done"):
+    """The sessions with these fencing tokens have reported `clear` of all entries up to a position.
 
-    upto: Position
-    said: Annotated[tuple[Position, ...], Meta(max_length=MAX_MEMBERS)]
+    The machine finds the rest of the proof in the log, and decides by it which purges are complete.
+    """
+
+    up_to_position: Position = field(name="upto")
+    cleared_tokens: Annotated[tuple[Position, ...], Meta(max_length=MAX_MEMBERS)] = field(name="said")
 
 
-Body = Ask | Done
+Body = RequestPurge | CompletePurges
 
 _DECODER: msgspec.json.Decoder[Body] = msgspec.json.Decoder(Body)
 
 
 def encode(body: Body) -> bytes:
+    """The JSON of a body."""
     return msgspec.json.encode(body)
 
 
 def decode(data: bytes) -> Body:
-    """msgspec.DecodeError where it is none of them."""
-    if len(data) > MOST_PURGE_BODY_BYTES:
-        raise msgspec.DecodeError("too long")
+    """Decode a body; raises msgspec.DecodeError if it is none."""
+    if len(data) > MAX_PURGE_BODY_BYTES:
+        raise msgspec.DecodeError("body is too long")
     return _DECODER.decode(data)
 
 
-class Standing(WireStruct, frozen=True):
-    """What an `Ask` came to, in its outcome: where it was asked first, and where done, 0 for not yet."""
+class RequestResult(WireStruct, frozen=True):
+    """The outcome of `RequestPurge`: where the purge was first requested, and where completed (0: not)."""
 
     id: PurgeId
-    asked: Position
-    done: Position = 0
+    requested_position: Position = field(name="asked")
+    completed_position: Position = field(name="done", default=0)
 
 
-def standing(value: bytes) -> Standing:
-    return msgspec.json.decode(value, type=Standing)
+def decode_request_result(value: bytes) -> RequestResult:
+    """Decode the value of a `RequestPurge` outcome."""
+    return msgspec.json.decode(value, type=RequestResult)
 
 
-class Ended(WireStruct, frozen=True):
-    """What a `Done` came to, in its outcome: how many purges it ended, and the position of the last of them.
-    They end in the order in which they were asked for."""
+class CompletionResult(WireStruct, frozen=True):
+    """The outcome of `CompletePurges`: how many purges it completed, and the position of the last of them.
+
+    Purges complete in the order in which they were requested.
+    """
 
     count: int
-    last: Position
+    last_position: Position = field(name="last")
 
 
-def ended(value: bytes) -> Ended:
-    return msgspec.json.decode(value, type=Ended)
+def decode_completion_result(value: bytes) -> CompletionResult:
+    """Decode the value of a `CompletePurges` outcome."""
+    return msgspec.json.decode(value, type=CompletionResult)
--- a/molereach/cache/purge/ids.py
+++ b/molereach/cache/purge/ids.py
@@ -1,7 +1,7 @@
-"""Ids of purges: where the log stood when the id was drawn, and 64 random bits.
+"""IDs of purges: the log's position when the ID was drawn, and 64 random bits.
 
-The position is what makes forgetting safe: an unknown id from before the window may have been forgotten, and
-is told so; an unknown one from after it was never settled. No id is ever pending anew.
+The position makes it safe to forget old purges: an unknown ID from before the retained window may have been
+forgotten, and is answered so; an unknown ID from after it was never settled. No ID becomes pending twice.
 """
 
 import re
@@ -12,22 +12,25 @@
 
 PATTERN = r"^[0-9a-f]{1,16}-[0-9a-f]{16}\Z"
 PurgeId = Annotated[str, Meta(max_length=33, pattern=PATTERN)]
-HALF_BITS = 32  # of what one draw gives
+BITS_PER_DRAW = 32
 
 _ID = re.compile(PATTERN)
 
 
-def draw_id(applied: int, draw: Callable[[], float]) -> str:
-    """A new id; `applied` is the position up to which the log was applied where it is drawn, and `draw` gives
-    numbers from 0 up to 1."""
-    high, low = int(draw() * (1 << HALF_BITS)), int(draw() * (1 << HALF_BITS))
-    return f"{applied:x}-{high:08x}{low:08x}"
+def draw_id(applied_position: int, random: Callable[[], float]) -> str:
+    """A new ID.
 
+    `applied_position` is that of the log where the ID is drawn; `random` returns numbers from 0 to below 1.
+    """
+    high, low = int(random() * (1 << BITS_PER_DRAW)), int(random() * (1 << BITS_PER_DRAW))
+    return f"{applied_position:x}-{high:08x}{low:08x}"
 
-def is_id(text: str) -> bool:
+
+def is_purge_id(text: str) -> bool:
+    """Whether the text has the form of an ID."""
     return bool(_ID.fullmatch(text))
 
 
-def drawn_at(purge_id: str) -> int:
-    """The position in an id, which is one."""
+def drawn_position(purge_id: str) -> int:
+    """The log's position in a valid ID."""
     return int(purge_id.partition("-")[0], 16)
--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -1,8 +1,9 @@
-"""Which purges were asked for, which are done and by what proof: the state machine "purge".
+"""The state machine "purge": which purges were requested, which are complete, and by what proof.
 
-Asked -> Done, never back. The proof is made here, from the sessions as the log has them and from which of
-those still open have said `clear`; a proposer that is late, doubled or wrong about who is missing changes
-nothing. What is forgotten is forgotten with its position, so an unknown id is new, or from before the window.
+A purge goes from requested to completed and never back. The proof is made here, from the sessions in the log
+and from which of the open ones have reported `clear`; a proposer that is late, runs twice or is wrong about
+who is missing changes nothing. A forgotten purge leaves its position behind, so an unknown ID is either new
+or from before the retained window.
 """
 
 from collections import OrderedDict
@@ -12,215 +13,251 @@
 import msgspec
 from msgspec import Meta
 
-from molereach.cache.purge.bodies import MACHINE, Ask, Done, Ended, Standing, decode
-from molereach.cache.purge.ids import drawn_at
-from molereach.cache.purge.interned import Interned
-from molereach.cache.purge.past import Past, Purged
-from molereach.cache.purge.proof import SessionsView, cohort, roster
-from molereach.cache.purge.receipt import Receipt, receipt_of
-from molereach.cache.purge.records import Asked, Finished, Number
-from molereach.cache.readings.settings import MOST_AGE_US
+from molereach.cache.purge.bodies import (
+    MACHINE,
+    CompletePurges,
+    CompletionResult,
+    RequestPurge,
+    RequestResult,
+    decode,
+)
+from molereach.cache.purge.ids import drawn_position
+from molereach.cache.purge.intern_table import InternTable
+from molereach.cache.purge.past import PastPurge, Purged
+from molereach.cache.purge.proof import SessionReader, clearance_roster, open_cohort
+from molereach.cache.purge.receipt import Receipt, build_receipt
+from molereach.cache.purge.records import CompletedPurge, ListNumber, RequestedPurge
+from molereach.cache.readings.settings import MAX_AGE_US
 from molereach.coordination.interface.clearance import NodeClearance
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Position, WireStruct
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.sessions import ActiveSession
 
-CLOCKS_MS = 5_000  # by which the wall clocks of front doors may differ
-MOST_DONE_AT_ONCE = 128  # purges, by one entry
-MOST_ROWS_AT_ONCE = 4_096  # of lists that are looked through for it
+MAX_CLOCK_DIFFERENCE_MS = 5_000  # between the wall clocks of front doors
+MAX_COMPLETED_PER_ENTRY = 128  # purges
+MAX_ROWS_PER_ENTRY = 4_096  # of the session lists that are checked to complete purges
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The same at all front doors, as they decide what is kept: figures of this program, set by nobody."""
+    """The same at all front doors, as they determine the replicated state: constants, no settings."""
 
-    most_pending: int = 16_384
-    most_done: int = 16_384
-    most_rows: int = 16_384  # of lists of sessions, and as many of lists of front doors
-    most_past: int = 32_768
-    keep_ms: int = MOST_AGE_US // 1000 + CLOCKS_MS
+    max_pending: int = 16_384
+    max_completed: int = 16_384
+    max_rows: int = 16_384  # of session lists, and as many of lists of front doors
+    max_past: int = 32_768
+    retention_ms: int = MAX_AGE_US // 1000 + MAX_CLOCK_DIFFERENCE_MS
 
 
 class _State(WireStruct, frozen=True):
-    pending: tuple[Asked, ...]
-    done: tuple[Finished, ...]
+    """The content of a snapshot."""
+
+    pending: tuple[RequestedPurge, ...]
+    done: tuple[CompletedPurge, ...]
     forgotten: Position
-    cohorts: tuple[tuple[Number, Annotated[tuple[ActiveSession, ...], Meta(max_length=MAX_MEMBERS)]], ...]
-    next_cohort: Number
-    rosters: tuple[tuple[Number, Annotated[tuple[NodeClearance, ...], Meta(max_length=MAX_MEMBERS)]], ...]
-    next_roster: Number
+    cohorts: tuple[tuple[ListNumber, Annotated[tuple[ActiveSession, ...], Meta(max_length=MAX_MEMBERS)]], ...]
+    next_cohort: ListNumber
+    rosters: tuple[tuple[ListNumber, Annotated[tuple[NodeClearance, ...], Meta(max_length=MAX_MEMBERS)]], ...]
+    next_roster: ListNumber
     floor: Position
-    past: tuple[Past, ...]
+    past: tuple[PastPurge, ...]
 
 
 class Purges:
-    """A `StateMachine` that looks at another, the sessions."""
+    """A `StateMachine` that reads another one, the sessions.
+
+    A cohort is the list of sessions that were open when a purge was requested; a roster is the list of how
+    each front door of a cohort cleared it.
+    """
 
     name = MACHINE
 
-    def __init__(self, sessions: SessionsView, bounds: Bounds = Bounds()) -> None:
+    def __init__(self, sessions: SessionReader, bounds: Bounds = Bounds()) -> None:
         self.sessions, self.bounds = sessions, bounds
-        self.forgotten = 0  # the position of the newest purge of which nothing is known any more
-        self.past = Purged(bounds.keep_ms, bounds.most_past)
-        self.cohorts: Interned[ActiveSession] = Interned()
-        self.rosters: Interned[NodeClearance] = Interned()
-        self._pending: OrderedDict[str, Asked] = OrderedDict()  # in the order of the log, as the next
-        self._done: OrderedDict[str, Finished] = OrderedDict()
+        self.forgotten_position = 0  # of the newest purge that is no longer stored
+        self.past = Purged(bounds.retention_ms, bounds.max_past)
+        self.cohorts: InternTable[ActiveSession] = InternTable()
+        self.rosters: InternTable[NodeClearance] = InternTable()
+        self._pending: OrderedDict[str, RequestedPurge] = OrderedDict()  # by ID, in the order of the log
+        self._done: OrderedDict[str, CompletedPurge] = OrderedDict()  # by ID, in the order of the log
 
-    # --- what is asked of it ---
+    # --- queries ---
 
-    def find(self, purge_id: str) -> Asked | Finished | None:
+    def find(self, purge_id: str) -> RequestedPurge | CompletedPurge | None:
+        """The purge with an ID; None if it is not stored."""
         return self._pending.get(purge_id) or self._done.get(purge_id)
 
-    def forgot(self, purge_id: str) -> bool:
-        """Whether an id that is not known may have been."""
-        return drawn_at(purge_id) < self.forgotten
+    def may_be_forgotten(self, purge_id: str) -> bool:
+        """Whether an unknown ID may be that of a purge that was stored once."""
+        return drawn_position(purge_id) < self.forgotten_position
 
-    def receipt(self, done: Finished) -> Receipt:
-        return receipt_of(done, self.rosters[done.roster])
+    def receipt(self, purge: CompletedPurge) -> Receipt:
+        """The receipt of a completed purge."""
+        return build_receipt(purge, self.rosters[purge.roster])
 
-    def waiting(self, asked: Asked) -> tuple[ActiveSession, ...]:
-        """Whose session was open then and is still: their word is needed."""
+    def awaited_sessions(self, purge: RequestedPurge) -> tuple[ActiveSession, ...]:
+        """The sessions that were open at the request and still are: the proof needs their reports."""
         return tuple(
-            opened
-            for opened in self.cohorts[asked.cohort]
-            if self.sessions.active_session(opened.instance.name) == opened
+            session
+            for session in self.cohorts[purge.cohort]
+            if self.sessions.active_session(session.instance.name) == session
         )
 
-    def oldest(self, most: int) -> list[Asked]:
-        """Of those that are pending."""
-        found: list[Asked] = []
-        for asked in self._pending.values():
-            if len(found) >= most:
+    def oldest_pending(self, limit: int) -> list[RequestedPurge]:
+        """Up to `limit` pending purges, the oldest first."""
+        found: list[RequestedPurge] = []
+        for purge in self._pending.values():
+            if len(found) >= limit:
                 break
-            found.append(asked)
+            found.append(purge)
         return found
 
     @property
     def counts(self) -> dict[str, int]:
+        """How many purges of each kind are stored."""
         return {"pending": len(self._pending), "done": len(self._done), "past": len(self.past)}
 
     # --- entries ---
 
     def apply(self, entry: Entry) -> Outcome:
-        self.past.compact(entry.at_ms)
+        """Apply an entry of the log."""
+        self.past.drop_expired(entry.at_ms)
         try:
             body = decode(entry.body)
-        except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
+        except msgspec.DecodeError:  # its text is the library's and may differ between versions
             return Outcome("not understood")
-        return self._ask(entry, body) if isinstance(body, Ask) else self._finish(entry, body)
+        return self._request(entry, body) if isinstance(body, RequestPurge) else self._complete(entry, body)
 
-    def _ask(self, entry: Entry, body: Ask) -> Outcome:
+    def _request(self, entry: Entry, body: RequestPurge) -> Outcome:
         if known := self.find(body.id):
-            return self._again(known, body)
-        if refused := self._refused(entry, body):
-            return Outcome(refused)
-        opened = cohort(self.sessions)
-        if self.cohorts.rows + self.cohorts.costs(opened) > self.bounds.most_rows:
+            return self._repeat_request(known, body)
+        if error := self._request_error(entry, body):
+            return Outcome(error)
+        cohort = open_cohort(self.sessions)
+        if self.cohorts.row_count + self.cohorts.additional_rows(cohort) > self.bounds.max_rows:
             return Outcome("front doors changed too often while purges are pending: ask again later")
-        asked = Asked(
+        requested = RequestedPurge(
             body.id,
             body.member,
             body.class_name,
             body.shards,
             entry.position,
             entry.at_ms,
-            self.cohorts.use(opened),
+            self.cohorts.acquire(cohort),
         )
-        self._pending[body.id] = asked
-        self.past.add(Past(body.member, body.class_name, entry.position, entry.at_ms))
-        return Outcome(value=msgspec.json.encode(Standing(body.id, entry.position)))
+        self._pending[body.id] = requested
+        self.past.add(PastPurge(body.member, body.class_name, entry.position, entry.at_ms))
+        return Outcome(value=msgspec.json.encode(RequestResult(body.id, entry.position)))
 
     @staticmethod
-    def _again(known: Asked | Finished, body: Ask) -> Outcome:
-        """The same id for the same scope is the same purge, whatever was known of shards."""
-        asked = known if isinstance(known, Asked) else known.asked
-        if (asked.member, asked.class_name) != (body.member, body.class_name):
+    def _repeat_request(known: RequestedPurge | CompletedPurge, body: RequestPurge) -> Outcome:
+        """The same ID for the same scope is the same purge, whichever shards are named."""
+        requested = known if isinstance(known, RequestedPurge) else known.requested
+        if (requested.member, requested.class_name) != (body.member, body.class_name):
             return Outcome("this id is of another purge")
-        done = known.position if isinstance(known, Finished) else 0
-        return Outcome(value=msgspec.json.encode(Standing(body.id, asked.position, done)))
+        completed_position = known.position if isinstance(known, CompletedPurge) else 0
+        return Outcome(
+            value=msgspec.json.encode(RequestResult(body.id, requested.position, completed_position))
+        )
 
-    def _refused(self, entry: Entry, body: Ask) -> str:
-        if drawn_at(body.id) >= entry.position:
+    def _request_error(self, entry: Entry, body: RequestPurge) -> str:
+        if drawn_position(body.id) >= entry.position:
             return "this id was not drawn from this log"
-        if self.forgot(body.id):
+        if self.may_be_forgotten(body.id):
             return "too old to tell: ask anew, with a new id"
-        if len(self._pending) >= self.bounds.most_pending:
+        if len(self._pending) >= self.bounds.max_pending:
             return f"{len(self._pending)} purges are pending: ask again later"
         if list(body.shards) != sorted(set(body.shards)):
             return "shards are to be named once each, in order"
         return ""
 
-    def _finish(self, entry: Entry, body: Done) -> Outcome:
-        """End those that are proven, the oldest first. Whose session keeps one pending was open for each that
-        was asked for since, and is: so all after the first that is not proven are not, either."""
-        said = frozenset(body.said)
+    def _complete(self, entry: Entry, body: CompletePurges) -> Outcome:
+        """Complete the purges that are proven, the oldest first.
+
+        A session that keeps a purge pending was open at all later requests too and still is, so after the
+        first unproven purge none is proven.
+        """
+        cleared_tokens = frozenset(body.cleared_tokens)
         rosters: dict[int, int] = {}  # by cohort
-        why, count, last, rows = "nothing is pending up to there", 0, 0, 0
-        for asked in self.oldest(MOST_DONE_AT_ONCE):
-            if asked.position > body.upto or rows > MOST_ROWS_AT_ONCE:
+        error, count, last_position, row_count = "nothing is pending up to there", 0, 0, 0
+        for purge in self.oldest_pending(MAX_COMPLETED_PER_ENTRY):
+            if purge.position > body.up_to_position or row_count > MAX_ROWS_PER_ENTRY:
                 break
-            number = rosters.get(asked.cohort)
+            number = rosters.get(purge.cohort)
             if number is None:
-                opened = self.cohorts[asked.cohort]
-                rows += len(opened) + 1
-                found = roster(opened, asked.position, said, self.sessions, entry.position)
-                if isinstance(found, ActiveSession):
-                    why = f"front door {found.instance.name} is not accounted for"
+                cohort = self.cohorts[purge.cohort]
+                row_count += len(cohort) + 1
+                roster = clearance_roster(
+                    cohort, purge.position, cleared_tokens, self.sessions, entry.position
+                )
+                if isinstance(roster, ActiveSession):
+                    error = f"front door {roster.instance.name} is not accounted for"
                     break
-                rosters[asked.cohort] = self.rosters.use(found)
+                rosters[purge.cohort] = self.rosters.acquire(roster)
             else:
-                self.rosters.again(number)
-            self._done_with(entry, asked, rosters[asked.cohort])
-            count, last = count + 1, asked.position
-        self._trim()
-        return Outcome(value=msgspec.json.encode(Ended(count, last))) if count else Outcome(why)
-
-    def _done_with(self, entry: Entry, asked: Asked, number: int) -> None:
-        del self._pending[asked.id]
-        self.cohorts.release(asked.cohort)
-        self._done[asked.id] = Finished(asked, entry.position, entry.at_ms, number)
-
-    def _trim(self) -> None:
-        """Forget the oldest that are done, in the order of the log."""
-        while len(self._done) > self.bounds.most_done or self.rosters.rows > self.bounds.most_rows:
-            _, finished = self._done.popitem(last=False)
-            self.rosters.release(finished.roster)
-            self.forgotten = finished.asked.position
+                self.rosters.acquire_number(number)
+            self._complete_purge(entry, purge, rosters[purge.cohort])
+            count, last_position = count + 1, purge.position
+        self._forget_oldest()
+        return (
+            Outcome(value=msgspec.json.encode(CompletionResult(count, last_position)))
+            if count
+            else Outcome(error)
+        )
+
+    def _complete_purge(self, entry: Entry, purge: RequestedPurge, roster_number: int) -> None:
+        del self._pending[purge.id]
+        self.cohorts.release(purge.cohort)
+        self._done[purge.id] = CompletedPurge(purge, entry.position, entry.at_ms, roster_number)
+
+    def _forget_oldest(self) -> None:
+        """Remove the oldest completed purges that exceed the bounds, in the order of the log."""
+        while len(self._done) > self.bounds.max_completed or self.rosters.row_count > self.bounds.max_rows:
+            _, completed = self._done.popitem(last=False)
+            self.rosters.release(completed.roster)
+            self.forgotten_position = completed.requested.position
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
+        """The state as JSON."""
         return msgspec.json.encode(
             _State(
                 tuple(self._pending.values()),
                 tuple(self._done.values()),
-                self.forgotten,
-                self.cohorts.state(),
-                self.cohorts.next,
-                self.rosters.state(),
-                self.rosters.next,
+                self.forgotten_position,
+                self.cohorts.snapshot(),
+                self.cohorts.next_number,
+                self.rosters.snapshot(),
+                self.rosters.next_number,
                 self.past.floor,
-                self.past.all(),
+                self.past.entries(),
             )
         )
 
     def restore(self, data: bytes) -> None:
+        """Take over a snapshot's state; raises ValueError and changes nothing if it is invalid."""
         try:
             state = msgspec.json.decode(data, type=_State)
-            cohorts = Interned.of(state.cohorts, (asked.cohort for asked in state.pending), state.next_cohort)
-            rosters = Interned.of(state.rosters, (done.roster for done in state.done), state.next_roster)
+            cohorts = InternTable.from_snapshot(
+                state.cohorts, (purge.cohort for purge in state.pending), state.next_cohort
+            )
+            rosters = InternTable.from_snapshot(
+                state.rosters, (completed.roster for completed in state.done), state.next_roster
+            )
         except (msgspec.DecodeError, ValueError) as error:
             raise ValueError(f"not a snapshot of purges: {error}") from None
-        positions = [
-            [asked.position for asked in state.pending],
-            [done.position for done in state.done],
+        position_lists = [
+            [purge.position for purge in state.pending],
+            [completed.position for completed in state.done],
             [past.position for past in state.past],
         ]
-        ids = {each.id for each in state.pending} | {each.asked.id for each in state.done}
-        if any(each != sorted(each) for each in positions) or len(ids) < len(state.pending) + len(state.done):
-            raise ValueError("not a snapshot of purges: not as any log leaves it")
-        self.cohorts, self.rosters, self.forgotten = cohorts, rosters, state.forgotten
-        self._pending = OrderedDict((asked.id, asked) for asked in state.pending)
-        self._done = OrderedDict((done.asked.id, done) for done in state.done)
+        ids = {purge.id for purge in state.pending} | {completed.requested.id for completed in state.done}
+        if any(positions != sorted(positions) for positions in position_lists) or len(ids) < len(
+            state.pending
+        ) + len(state.done):
+            raise ValueError("not a snapshot of purges: positions out of order or duplicate ids")
+        self.cohorts, self.rosters, self.forgotten_position = cohorts, rosters, state.forgotten
+        self._pending = OrderedDict((purge.id, purge) for purge in state.pending)
+        self._done = OrderedDict((completed.requested.id, completed) for completed in state.done)
         self.past.restore(state.floor, state.past)
--- a/molereach/cache/purge/past.py
+++ b/molereach/cache/purge/past.py
@@ -1,8 +1,8 @@
-"""The newest purges, for a front door that was away and gets a snapshot in place of the entries.
+"""The newest purge of each scope, for a front door that restores a snapshot in place of the entries.
 
-A purge is kept here until whatever it forbids is dead by age, by the entries' own time with a bound for
-clocks that differ. That time may be wrong by more than the bound, so nothing rests on it: `floor` is the
-position of the newest purge that was let go of, and who had not applied it keeps nothing of what it has.
+A purge is kept until all that it invalidates has expired, by the entries' own time with a bound on how far
+clocks differ. Clocks may differ by more than that, so safety does not rest on it: `floor` is the position of
+the newest purge that was dropped, and a front door that had not applied that one discards all its readings.
 """
 
 from collections import OrderedDict
@@ -11,10 +11,10 @@
 from molereach.cache.purge.records import Millis
 from molereach.coordination.interface.identifiers import Position, WireStruct
 
-MOST_AT_ONCE = 64  # let go of by one entry
+MAX_DROPPED_PER_ENTRY = 64
 
 
-class Past(WireStruct, frozen=True, array_like=True):
+class PastPurge(WireStruct, frozen=True, array_like=True):
     """The newest purge of one scope."""
 
     member: Member
@@ -24,36 +24,40 @@
 
 
 class Purged:
-    """By scope, in the order of the log."""
+    """The past purges by scope, in the order of the log."""
 
-    def __init__(self, keep_ms: int, most: int) -> None:
-        self.keep_ms, self.most = keep_ms, most
+    def __init__(self, retention_ms: int, max_entries: int) -> None:
+        self.retention_ms, self.max_entries = retention_ms, max_entries
         self.floor = 0
-        self._newest: OrderedDict[tuple[str, str], Past] = OrderedDict()
+        self._newest: OrderedDict[tuple[str, str], PastPurge] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._newest)
 
-    def all(self) -> tuple[Past, ...]:
+    def entries(self) -> tuple[PastPurge, ...]:
+        """All that are kept, in the order of the log."""
         return tuple(self._newest.values())
 
-    def add(self, past: Past) -> None:
+    def add(self, past: PastPurge) -> None:
+        """Add a purge in place of the earlier one of its scope."""
         key = past.member, past.class_name
         self._newest[key] = past
         self._newest.move_to_end(key)
-        while len(self._newest) > self.most:
-            self._let_go()
+        while len(self._newest) > self.max_entries:
+            self._drop_oldest()
 
-    def compact(self, at_ms: int) -> None:
-        for _ in range(min(MOST_AT_ONCE, len(self._newest))):
-            if at_ms - next(iter(self._newest.values())).at_ms <= self.keep_ms:
+    def drop_expired(self, at_ms: int) -> None:
+        """Drop purges that are too old at this time, at most `MAX_DROPPED_PER_ENTRY`."""
+        for _ in range(min(MAX_DROPPED_PER_ENTRY, len(self._newest))):
+            if at_ms - next(iter(self._newest.values())).at_ms <= self.retention_ms:
                 return
-            self._let_go()
+            self._drop_oldest()
 
-    def _let_go(self) -> None:
+    def _drop_oldest(self) -> None:
         _, past = self._newest.popitem(last=False)
-        self.floor = past.position  # they go in the order of the log
+        self.floor = past.position  # increases, as they are dropped in the order of the log
 
-    def restore(self, floor: int, pasts: tuple[Past, ...]) -> None:
+    def restore(self, floor: int, entries: tuple[PastPurge, ...]) -> None:
+        """Take over the state of a snapshot."""
         self.floor = floor
-        self._newest = OrderedDict(((past.member, past.class_name), past) for past in pasts)
+        self._newest = OrderedDict(((past.member, past.class_name), past) for past in entries)
--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -1,8 +1,8 @@
-"""Whether each session that was open when a purge was asked for is accounted for, by the log and by what was
-said: at every front door alike.
+"""The proof that a purge is cleared by each session that was open when it was requested.
 
-A session that has ended needs no word of its holder: the entry that ended it says how that is known. Only of
-one that is still open its own word is needed. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
+It follows from the log and from what sessions reported, so all front doors come to the same proof. For a
+session that has ended no report of its holder is needed: the entry that ended it is the evidence. Only one
+that is still open must have reported itself. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
 2.7; molereach/coordination/leases/acknowledgements.py has the argument.
 """
 
@@ -13,38 +13,56 @@
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
-class SessionsView(Protocol):
-    """Of the machine "sessions", as it stands at the entry that is being applied. It raises where that
-    machine was stopped by a fault, so that this one stops too and comes to no other state than elsewhere."""
+class SessionReader(Protocol):
+    """Read access to the machine "sessions", in its state at the entry that is being applied.
 
-    def active_session(self, name: str) -> ActiveSession | None: ...
-    def active_sessions(self) -> list[ActiveSession]: ...
-    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]: ...
+    Raises where that machine was stopped by a fault, so that this one stops too and its state never differs
+    from that of other replicas.
+    """
 
+    def active_session(self, name: str) -> ActiveSession | None:
+        """The open session of a front door."""
+        ...
 
-def cohort(sessions: SessionsView) -> tuple[ActiveSession, ...]:
-    """Whose session is open now, by name."""
-    return tuple(sorted(sessions.active_sessions(), key=lambda opened: opened.instance))
+    def active_sessions(self) -> list[ActiveSession]:
+        """All open sessions."""
+        ...
 
+    def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
+        """The sessions that were open at a position, as far as they are remembered."""
+        ...
 
-def roster(
-    opened: tuple[ActiveSession, ...], asked: int, said: Container[int], sessions: SessionsView, position: int
+
+def open_cohort(sessions: SessionReader) -> tuple[ActiveSession, ...]:
+    """The sessions that are open now, by name."""
+    return tuple(sorted(sessions.active_sessions(), key=lambda session: session.instance))
+
+
+def clearance_roster(
+    cohort: tuple[ActiveSession, ...],
+    requested_position: int,
+    cleared_tokens: Container[int],
+    sessions: SessionReader,
+    position: int,
 ) -> tuple[NodeClearance, ...] | ActiveSession:
-    """How each of them is known, by name, or the first that is not. `asked` is a position at which they were
-    open, `position` that of the entry being applied. Who said it has position 0, for that of the purge."""
+    """How each session of the cohort cleared the purge, by name, or the first session that has not.
+
+    All of them were open at `requested_position`; `position` is that of the entry being applied. A clearance
+    by report has position 0, which stands for the purge's own.
+    """
     ends = {
-        each.fencing_token: each
-        for each in sessions.sessions_open_at(asked)
-        if isinstance(each, EndedSession)
+        session.fencing_token: session
+        for session in sessions.sessions_open_at(requested_position)
+        if isinstance(session, EndedSession)
     }
-    known: list[NodeClearance] = []
-    for session in opened:
+    clearances: list[NodeClearance] = []
+    for session in cohort:
         if sessions.active_session(session.instance.name) == session:
-            if session.fencing_token not in said:
+            if session.fencing_token not in cleared_tokens:
                 return session
-            known.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, 0))
+            clearances.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, 0))
         elif end := ends.get(session.fencing_token):
-            known.append(NodeClearance(session.instance, end.evidence, end.position))
-        else:  # it ended so long ago that how is forgotten
-            known.append(NodeClearance(session.instance, ClearanceEvidence.SESSION_EXPIRED, position))
-    return tuple(known)
+            clearances.append(NodeClearance(session.instance, end.evidence, end.position))
+        else:  # it ended so long ago that its end is no longer stored
+            clearances.append(NodeClearance(session.instance, ClearanceEvidence.SESSION_EXPIRED, position))
+    return tuple(clearances)
--- a/molereach/cache/purge/receipt.py
+++ b/molereach/cache/purge/receipt.py
@@ -1,19 +1,19 @@
-"""What a customer gets: the purge, each front door with how it is known, the log's positions, a hash over it.
+"""The receipt that a customer gets: the purge, how each front door cleared it, positions and a hash.
 
 The hash is BLAKE2b (RFC 7693, 32 bytes) of the canonical form: the receipt as JSON without spaces, fields in
-the order below, front doors by name and life, and the hash itself empty. All of it follows from the log, so
-whoever is asked, whenever, gives the same bytes.
+the order below, front doors by name and instance number, and the hash itself empty. All of it follows from
+the log, so every front door gives the same bytes at any time.
 """
 
 from hashlib import blake2b
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
-from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
+from molereach.cache.purge.bodies import MAX_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
-from molereach.cache.purge.records import Finished, Millis
+from molereach.cache.purge.records import CompletedPurge, Millis
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, Position, WireStruct
 
@@ -21,56 +21,57 @@
 
 
 class Receipt(WireStruct, frozen=True):
-    """All that was open when it was asked for is accounted for; who came later had the purge before."""
+    """Accounts for every front door with an open session at the request; later ones had applied the purge."""
 
     id: PurgeId
     member: Member
     class_name: ClassName
-    shards: Annotated[tuple[Name, ...], Meta(max_length=MOST_SHARDS)]
-    asked: Position
-    asked_ms: Millis
-    done: Position
-    done_ms: Millis
+    shards: Annotated[tuple[Name, ...], Meta(max_length=MAX_SHARDS)]
+    requested_position: Position = field(name="asked")
+    requested_ms: Millis = field(name="asked_ms")
+    completed_position: Position = field(name="done")
+    completed_ms: Millis = field(name="done_ms")
     doors: Annotated[tuple[NodeClearance, ...], Meta(max_length=MAX_MEMBERS)]
     hash: Annotated[str, Meta(max_length=2 * HASH_BYTES)] = ""
 
 
-def canonical(receipt: Receipt) -> bytes:
-    doors = tuple(sorted(receipt.doors, key=lambda each: each.instance))
+def canonical_bytes(receipt: Receipt) -> bytes:
+    """The form over which the hash is computed."""
+    doors = tuple(sorted(receipt.doors, key=lambda clearance: clearance.instance))
     return msgspec.json.encode(msgspec.structs.replace(receipt, doors=doors, hash=""))
 
 
-def sealed(receipt: Receipt) -> Receipt:
-    """With its front doors in order, and its hash."""
-    doors = tuple(sorted(receipt.doors, key=lambda each: each.instance))
-    data = blake2b(canonical(receipt), digest_size=HASH_BYTES).hexdigest()
-    return msgspec.structs.replace(receipt, doors=doors, hash=data)
+def seal(receipt: Receipt) -> Receipt:
+    """The receipt with its front doors in order, and its hash."""
+    doors = tuple(sorted(receipt.doors, key=lambda clearance: clearance.instance))
+    digest = blake2b(canonical_bytes(receipt), digest_size=HASH_BYTES).hexdigest()
+    return msgspec.structs.replace(receipt, doors=doors, hash=digest)
 
 
-def intact(receipt: Receipt) -> bool:
-    """Whether it is as it was given."""
-    return sealed(receipt) == receipt
+def is_intact(receipt: Receipt) -> bool:
+    """Whether the receipt is unchanged since it was sealed."""
+    return seal(receipt) == receipt
 
 
-def receipt_of(done: Finished, roster: tuple[NodeClearance, ...]) -> Receipt:
-    """The receipt of a purge that is done; those in the list that said so did so of this purge's position."""
-    asked = done.asked
+def build_receipt(purge: CompletedPurge, roster: tuple[NodeClearance, ...]) -> Receipt:
+    """The receipt of a completed purge; a clearance by report gets the purge's own position."""
+    requested = purge.requested
     doors = tuple(
-        NodeClearance(each.instance, each.evidence, asked.position)
-        if each.evidence is ClearanceEvidence.REPORTED
-        else each
-        for each in roster
+        NodeClearance(clearance.instance, clearance.evidence, requested.position)
+        if clearance.evidence is ClearanceEvidence.REPORTED
+        else clearance
+        for clearance in roster
     )
-    return sealed(
+    return seal(
         Receipt(
-            asked.id,
-            asked.member,
-            asked.class_name,
-            asked.shards,
-            asked.position,
-            asked.at_ms,
-            done.position,
-            done.at_ms,
+            requested.id,
+            requested.member,
+            requested.class_name,
+            requested.shards,
+            requested.position,
+            requested.at_ms,
+            purge.position,
+            purge.at_ms,
             doors,
         )
     )
--- a/molereach/cache/purge/records.py
+++ b/molereach/cache/purge/records.py
@@ -1,33 +1,33 @@
-"""What the log knows of one purge: asked, then done. A done one never changes."""
+"""The state that the log has of one purge: requested, then completed. A completed one never changes."""
 
 from typing import Annotated
 
-from msgspec import Meta
+from msgspec import Meta, field
 
-from molereach.cache.purge.bodies import MOST_SHARDS, ClassName, Member
+from molereach.cache.purge.bodies import MAX_SHARDS, ClassName, Member
 from molereach.cache.purge.ids import PurgeId
 from molereach.coordination.interface.identifiers import Name, Position, WireStruct
 
 Millis = Annotated[int, Meta(ge=0, le=1 << 53)]
-Number = Annotated[int, Meta(ge=1, le=1 << 62)]
+ListNumber = Annotated[int, Meta(ge=1, le=1 << 62)]
 
 
-class Asked(WireStruct, frozen=True):
-    """A purge that is not done: its scope, the entry that asked for it, and whose session was open then."""
+class RequestedPurge(WireStruct, frozen=True):
+    """A purge that was requested: its scope, and the position and time of the entry that requested it."""
 
     id: PurgeId
     member: Member
     class_name: ClassName
-    shards: Annotated[tuple[Name, ...], Meta(max_length=MOST_SHARDS)]
+    shards: Annotated[tuple[Name, ...], Meta(max_length=MAX_SHARDS)]
     position: Position
     at_ms: Millis
-    cohort: Number  # the list of sessions that were open at `position`
+    cohort: ListNumber  # the list of sessions that were open at `position`
 
 
-class Finished(WireStruct, frozen=True):
-    """A purge that is done: the entry that says so, and the list of how each front door is known."""
+class CompletedPurge(WireStruct, frozen=True):
+    """A purge that is complete, with the position and time of the entry that completed it."""
 
-    asked: Asked
+    requested: RequestedPurge = field(name="asked")
     position: Position
     at_ms: Millis
-    roster: Number
+    roster: ListNumber  # the list of how each front door cleared it
--- a/molereach/cache/readings/__init__.py
+++ b/molereach/cache/readings/__init__.py
@@ -1,4 +1,5 @@
-"""What a front door keeps of answers, by member: bounded in bytes in all and by member, and by age.
+"""The readings that a front door keeps, by member: bounded by age, by total size and by size per member.
 
-Read `settings`, `reading`, `marks` (the newest purges that were applied here), `store`, `sweeps`.
+Read `settings`, `reading`, `marks` (the newest purges that were applied here), `store` and `sweeps` (removal
+of what purges invalidate).
 """
--- a/molereach/cache/readings/sweeps.py
+++ b/molereach/cache/readings/sweeps.py
@@ -1,6 +1,7 @@
-"""Letting go of what purges forbid, in steps: a bounded piece of it in each turn of the loop.
+"""Removal of the readings that purges invalidate, in bounded steps, some in each turn of the loop.
 
-The marks forbid it already; this frees the memory, so that `clear` is said of what is truly gone.
+The marks already prevent their use; a sweep frees the memory, so that the clear position only covers purges
+whose readings have been removed.
 """
 
 from collections import deque
@@ -10,55 +11,57 @@
 from molereach.cache.readings.reading import Reading
 from molereach.cache.readings.store import Store
 
-LISTED_A_STEP = 8  # readings that are only looked at; a step lets go of one
+READINGS_SCANNED_PER_STEP = 8  # a step that removes handles one reading
 
 
 @dataclass(slots=True)
 class Sweep:
-    """What one purge forbids; `left` once it was listed."""
+    """The readings that one purge invalidates; `remaining` is None until they have been collected."""
 
     position: int
     member: str
     class_name: str
-    left: list[Reading] | None = None
+    remaining: list[Reading] | None = None
 
 
 class Sweeps:
-    """Purges whose readings are not all let go of yet, in the order of the log."""
+    """The purges whose readings have not all been removed yet, in the order of the log."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
         self._sweeps: deque[Sweep] = deque()
 
     @property
-    def first(self) -> int | None:
-        """The position of the oldest, None for none."""
+    def first_position(self) -> int | None:
+        """The position of the oldest purge; None if there is none."""
         return self._sweeps[0].position if self._sweeps else None
 
     def add(self, position: int, member: str, class_name: str) -> None:
-        if self.store.size_of(member):
+        """Begin a sweep, unless the member has no readings."""
+        if self.store.member_size(member):
             self._sweeps.append(Sweep(position, member, class_name))
 
     def run(self, steps: int) -> None:
-        """Go on for so many steps, and at most one list (`MOST_READINGS`) more."""
+        """Run this many steps, and at most one scan of `MAX_READINGS_PER_MEMBER` readings more."""
         while self._sweeps and steps > 0:
             sweep = self._sweeps[0]
-            if sweep.left is None:
-                steps -= self._list(sweep)
-            left = sweep.left or []
-            count = min(max(0, steps), len(left))
+            if sweep.remaining is None:
+                steps -= self._collect(sweep)
+            remaining = sweep.remaining or []
+            count = min(max(0, steps), len(remaining))
             for _ in range(count):
-                self.store.drop(left.pop())
-            if not left:
+                self.store.remove(remaining.pop())
+            if not remaining:
                 self._sweeps.popleft()
             steps -= 1 + count
 
-    def _list(self, sweep: Sweep) -> int:
-        """List it; the steps that this took. What was sent since the purge is not part of it."""
-        readings = self.store.of(sweep.member)
-        sweep.left = [
+    def _collect(self, sweep: Sweep) -> int:
+        """Collect the readings, without those requested after the purge; returns the steps taken."""
+        readings = self.store.readings_of(sweep.member)
+        sweep.remaining = [
             reading
             for reading in readings
-            if reading.applied < sweep.position and sweep.class_name in (ALL_CLASSES, reading.class_name)
+            if reading.applied_position < sweep.position
+            and sweep.class_name in (ALL_CLASSES, reading.class_name)
         ]
-        return len(readings) // LISTED_A_STEP
+        return len(readings) // READINGS_SCANNED_PER_STEP
--- a/tests/cache/mutants.py
+++ b/tests/cache/mutants.py
@@ -1,17 +1,17 @@
-"""Each core with one of its safeguards taken out."""
+"""Mutants for mutation testing: each lacks one of the cache's safeguards."""
 
 from collections.abc import Sequence
 from unittest.mock import patch
 
 from molereach.cache.door import Door
-from molereach.cache.fills.fills import Fate, Fills
+from molereach.cache.fills.admission import FillAdmission, FillResult
 from molereach.cache.fills.ticket import Ticket
 from molereach.cache.hit import Hit
 from molereach.cache.purge import machine
-from molereach.cache.purge.bodies import MACHINE, Ask, Done, decode
+from molereach.cache.purge.bodies import MACHINE, CompletePurges, RequestPurge, decode
 from molereach.cache.purge.machine import Bounds, Purges
 from molereach.cache.purge.past import Purged
-from molereach.cache.purge.proof import SessionsView
+from molereach.cache.purge.proof import SessionReader
 from molereach.cache.readings.marks import Marks
 from molereach.cache.readings.reading import Reading
 from molereach.cache.readings.settings import ReadingSettings
@@ -20,203 +20,209 @@
 from molereach.coordination.leases.sessions import ActiveSession
 
 
-class _LateFills(Fills):
-    def end(self, now_us: int, ticket: Ticket, value: bytes) -> Fate:
-        newest = self.marks.newest(ticket.member, ticket.class_name)
-        return super().end(
+class _LateFillAdmission(FillAdmission):
+    def finish(self, now_us: int, ticket: Ticket, value: bytes) -> FillResult:
+        newest_position = self.marks.newest_position(ticket.member, ticket.class_name)
+        return super().finish(
             now_us,
             Ticket(
-                ticket.member, ticket.class_name, ticket.asked, ticket.sent_us, max(newest, ticket.applied)
+                ticket.member,
+                ticket.class_name,
+                ticket.request,
+                ticket.sent_us,
+                max(newest_position, ticket.applied_position),
             ),
             value,
         )
 
 
-class LateFillKept(Door):
-    """An answer on its way while the purge passes is kept."""
+class LateAnswerStored(Door):
+    """Stores an answer that was on its way while a purge was applied."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self.fills = _LateFills(self.store, self.marks)
+        self.fills = _LateFillAdmission(self.store, self.marks)
 
 
-class _AnswerFills(Fills):
-    def end(self, now_us: int, ticket: Ticket, value: bytes) -> Fate:
-        return super().end(
-            now_us, Ticket(ticket.member, ticket.class_name, ticket.asked, now_us, ticket.applied), value
+class _AnswerTimeAdmission(FillAdmission):
+    def finish(self, now_us: int, ticket: Ticket, value: bytes) -> FillResult:
+        return super().finish(
+            now_us,
+            Ticket(ticket.member, ticket.class_name, ticket.request, now_us, ticket.applied_position),
+            value,
         )
 
 
-class FetchedWhenAnswered(Door):
-    """A reading's age counts from when its answer came."""
+class AgeCountedFromAnswer(Door):
+    """Counts a reading's age from when its answer arrived."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self.fills = _AnswerFills(self.store, self.marks)
+        self.fills = _AnswerTimeAdmission(self.store, self.marks)
 
 
-class _OnceHit(Hit):
-    def still(self, now_us: int) -> bool:
+class _UncheckedHit(Hit):
+    def is_usable(self, now_us: int) -> bool:
         return True
 
 
 class HitCheckedOnce(Door):
-    """A hit is looked at when it is taken, and not before it is written."""
+    """Checks a hit when it is taken, and not before it is written."""
 
-    def look(self, now_us: int, member: str, class_name: str, asked: bytes) -> Hit | None:
-        hit = super().look(now_us, member, class_name, asked)
-        return _OnceHit(self, hit._reading) if hit else None
+    def lookup(self, now_us: int, member: str, class_name: str, request: bytes) -> Hit | None:
+        hit = super().lookup(now_us, member, class_name, request)
+        return _UncheckedHit(self, hit._reading) if hit else None
 
 
-class LapseIgnored(Door):
-    """Whether the session is held is not asked."""
+class SessionExpiryIgnored(Door):
+    """Does not check whether the session is valid."""
 
-    def _may(self, now_us: int) -> bool:
-        return self.applied >= self.told and not self._news and not self._emptying
+    def _may_show(self, now_us: int) -> bool:
+        return self.applied_position >= self.announced_position and not self._news and not self._emptying
 
 
 class ClearTooEarly(Door):
-    """`clear` is said of what was applied, before it is let go of."""
+    """Reports `clear` of what was applied, before the readings are removed."""
 
-    def _now_clear(self) -> int:
-        return self.applied
+    def _current_clear_position(self) -> int:
+        return self.applied_position
 
 
-class _ShortMarks(Marks):
+class _ShortLivedMarks(Marks):
     def __init__(self, settings: ReadingSettings) -> None:
         super().__init__(settings)
-        self._kept_us //= 8
+        self._retention_us //= 8
 
 
-class MarkForgottenEarly(Door):
-    """A front door forgets a purge before what it forbids is dead."""
+class MarkRemovedEarly(Door):
+    """Removes a mark before all that it invalidates has expired."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self.marks = self.fills.marks = _ShortMarks(self.store.settings)
+        self.marks = self.fills.marks = _ShortLivedMarks(self.store.settings)
 
 
-class SnapshotUnread(Door):
-    """What a snapshot says of purges is passed over."""
+class SnapshotPurgesIgnored(Door):
+    """Ignores the purges in a snapshot."""
 
-    def _restored(self, position: int) -> None:
-        self.applied = position
+    def _on_restored(self, position: int) -> None:
+        self.applied_position = position
 
 
-class FloorPassedOver(Door):
-    """Who was away for longer than purges are kept goes on with what it has."""
+class FloorIgnored(Door):
+    """Keeps its readings after it was away for longer than past purges are kept."""
 
-    def _restored(self, position: int) -> None:
-        before, self.applied = self.applied, position
-        self._news.extend(past for past in self.purges.past.all() if past.position > before)
+    def _on_restored(self, position: int) -> None:
+        previous, self.applied_position = self.applied_position, position
+        self._news.extend(past for past in self.purges.past.entries() if past.position > previous)
 
 
-class EverythingDropped(Door):
-    """A purge lets go of what others have, too."""
+class OtherMembersPurged(Door):
+    """Removes other members' readings with a purge."""
 
-    def _purge(self, now_us: int, member: str, class_name: str, position: int) -> None:
-        super()._purge(now_us, member, class_name, position)
-        for reading in self.store.some(4):
-            self.store.drop(reading)
+    def _apply_purge(self, now_us: int, member: str, class_name: str, position: int) -> None:
+        super()._apply_purge(now_us, member, class_name, position)
+        for reading in self.store.oldest_readings(4):
+            self.store.remove(reading)
 
 
-class RepeatPurges(Door):
-    """The same id again purges again."""
+class RepeatedRequestPurges(Door):
+    """Purges once more when the same ID is requested a second time."""
 
-    def _applied(self, now_us: int, event: Applied) -> None:
-        super()._applied(now_us, event)
+    def _on_applied(self, now_us: int, event: Applied) -> None:
+        super()._on_applied(now_us, event)
         body = decode(event.entry.body) if event.entry.machine == MACHINE else None
-        if isinstance(body, Ask) and not event.outcome.error:
-            self._purge(now_us, body.member, body.class_name, event.entry.position)
+        if isinstance(body, RequestPurge) and not event.outcome.error:
+            self._apply_purge(now_us, body.member, body.class_name, event.entry.position)
 
 
-class DoorLeftOut(Purges):
-    """The last of those whose session was open is not waited for."""
+class SessionLeftOut(Purges):
+    """Does not wait for the last of the open sessions."""
 
-    def _ask(self, entry: Entry, body: Ask) -> Outcome:
-        whole = self.sessions
+    def _request(self, entry: Entry, body: RequestPurge) -> Outcome:
+        all_sessions = self.sessions
 
-        class Fewer:
+        class FewerSessions:
             def active_sessions(self) -> list[ActiveSession]:
-                return sorted(whole.active_sessions(), key=lambda each: each.instance)[:-1]
+                return sorted(all_sessions.active_sessions(), key=lambda session: session.instance)[:-1]
 
-        self.sessions = Fewer()  # type: ignore[assignment]
+        self.sessions = FewerSessions()  # type: ignore[assignment]
         try:
-            return super()._ask(entry, body)
+            return super()._request(entry, body)
         finally:
-            self.sessions = whole
+            self.sessions = all_sessions
 
 
-class UnsortedRoster(Purges):
-    """Front doors are listed as they come: in another order after a snapshot."""
+class UnsortedCohort(Purges):
+    """Lists front doors unsorted, so that their order differs after a snapshot."""
 
-    def _ask(self, entry: Entry, body: Ask) -> Outcome:
-        with patch.object(machine, "cohort", lambda sessions: tuple(sessions.active_sessions())):
-            return super()._ask(entry, body)
+    def _request(self, entry: Entry, body: RequestPurge) -> Outcome:
+        with patch.object(machine, "open_cohort", lambda sessions: tuple(sessions.active_sessions())):
+            return super()._request(entry, body)
 
 
-class _NoFloor(Purged):
-    def _let_go(self) -> None:
+class _PurgedWithoutFloor(Purged):
+    def _drop_oldest(self) -> None:
         self._newest.popitem(last=False)
 
 
-class PastForgottenEarly(Purges):
-    """A snapshot names a purge no more though what it forbids is not dead."""
+class PastPurgeDroppedEarly(Purges):
+    """Drops a past purge from snapshots before all that it invalidates has expired."""
 
-    def __init__(self, sessions: SessionsView, bounds: Bounds) -> None:
+    def __init__(self, sessions: SessionReader, bounds: Bounds) -> None:
         super().__init__(sessions, bounds)
-        self.past = _NoFloor(100, bounds.most_past)
+        self.past = _PurgedWithoutFloor(100, bounds.max_past)
 
 
-class ForgottenIsNew(Purges):
-    """An id of which nothing is known any more is asked for anew."""
+class ForgottenIdAccepted(Purges):
+    """Accepts a forgotten ID as a new purge."""
 
-    def forgot(self, purge_id: str) -> bool:
+    def may_be_forgotten(self, purge_id: str) -> bool:
         return False
 
 
-class WordOfNobody(Purges):
-    """A purge is done by whoever says so."""
+class ReportsNotRequired(Purges):
+    """Completes a purge without the reports of open sessions."""
 
-    def _finish(self, entry: Entry, body: object) -> Outcome:
-        everybody = tuple(opened.fencing_token for opened in self.sessions.active_sessions())
-        return super()._finish(entry, Done(body.upto, everybody))  # type: ignore[attr-defined]
+    def _complete(self, entry: Entry, body: object) -> Outcome:
+        all_tokens = tuple(session.fencing_token for session in self.sessions.active_sessions())
+        return super()._complete(entry, CompletePurges(body.up_to_position, all_tokens))  # type: ignore[attr-defined]
 
 
-class CrossingStore(Store):
-    """A member at its bound pushes out whatever was used longest ago, of whomever."""
+class CrossMemberStore(Store):
+    """A member at its bound evicts the least recently used reading of any member."""
 
-    def _make_room(self, reading: Reading) -> None:
-        while self.size_of(reading.member) + reading.size > self.settings.member_bytes:
-            self._push_out(next(iter(self._fresh or self._proven)))
-        super()._make_room(reading)
+    def _evict_for(self, reading: Reading) -> None:
+        while self.member_size(reading.member) + reading.size > self.settings.member_bytes:
+            self._evict(next(iter(self._fresh or self._proven)))
+        super()._evict_for(reading)
 
 
-class EvictionCrosses(Door):
-    """With a store in which members push one another out."""
+class CrossMemberEviction(Door):
+    """Has a store in which members evict one another's readings."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self.store = self.fills.store = self._sweeps.store = CrossingStore(self.store.settings)
+        self.store = self.fills.store = self._sweeps.store = CrossMemberStore(self.store.settings)
 
 
 DOORS: Sequence[type[Door]] = (
-    LateFillKept,
-    FetchedWhenAnswered,
+    LateAnswerStored,
+    AgeCountedFromAnswer,
     HitCheckedOnce,
-    LapseIgnored,
+    SessionExpiryIgnored,
     ClearTooEarly,
-    MarkForgottenEarly,
-    SnapshotUnread,
-    FloorPassedOver,
-    EverythingDropped,
-    RepeatPurges,
-    EvictionCrosses,
+    MarkRemovedEarly,
+    SnapshotPurgesIgnored,
+    FloorIgnored,
+    OtherMembersPurged,
+    RepeatedRequestPurges,
+    CrossMemberEviction,
 )
 MACHINES: Sequence[type[Purges]] = (
-    DoorLeftOut,
-    UnsortedRoster,
-    PastForgottenEarly,
-    ForgottenIsNew,
-    WordOfNobody,
+    SessionLeftOut,
+    UnsortedCohort,
+    PastPurgeDroppedEarly,
+    ForgottenIdAccepted,
+    ReportsNotRequired,
 )
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -75,13 +75,13 @@
 
 def purges() -> list[Command]:
     """Entries about purges that change nothing."""
-    ask, purge_id, member = purge_bodies.Ask, samples.purge_id, samples.MEMBER
+    ask, purge_id, member = purge_bodies.RequestPurge, samples.purge_id, samples.MEMBER
     bodies: dict[str, purge_bodies.Body] = {
         "ask-not-drawn": ask(id=purge_id(1 << 40, 4), member=member),
         "ask-used-id": ask(id=purge_id(20, 1), member=samples.OTHER_MEMBER),
         "ask-shards-in-disorder": ask(id=purge_id(21, 5), member=member, shards=("b", "a")),
-        "done-nothing": purge_bodies.Done(upto=1, said=()),
-        "done-unaccounted": purge_bodies.Done(upto=40, said=()),
+        "done-nothing": purge_bodies.CompletePurges(up_to_position=1, cleared_tokens=()),
+        "done-unaccounted": purge_bodies.CompletePurges(up_to_position=40, cleared_tokens=()),
     }
     return [Command(name, purge_bodies.MACHINE, body) for name, body in bodies.items()]
 
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from molereach.cache.purge.machine import Purges
-from molereach.cache.purge.records import Finished
+from molereach.cache.purge.records import CompletedPurge
 from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.settings import LogSettings
@@ -80,7 +80,7 @@
     def receipt(self) -> bytes:
         """Of the purge that is done."""
         finished = self.purges.find(samples.purge_id(20, 1))
-        assert isinstance(finished, Finished)
+        assert isinstance(finished, CompletedPurge)
         return msgspec.json.encode(self.purges.receipt(finished))
 
 
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -273,24 +273,30 @@
 
 def purges() -> list[Command]:
     """Two purges, of which the first is done."""
-    first = purge_bodies.Ask(
+    first = purge_bodies.RequestPurge(
         id=purge_id(20, 1), member=MEMBER, class_name="profile", shards=("shard-1", "shard-2")
     )
-    second = purge_bodies.Ask(id=purge_id(21, 2), member=OTHER_MEMBER)
-    done = purge_bodies.Done(upto=PURGED, said=(OPENED_FIRST, OPENED_SECOND, OPENED_THIRD))
+    second = purge_bodies.RequestPurge(id=purge_id(21, 2), member=OTHER_MEMBER)
+    done = purge_bodies.CompletePurges(
+        up_to_position=PURGED, cleared_tokens=(OPENED_FIRST, OPENED_SECOND, OPENED_THIRD)
+    )
     bodies = {"ask-class": first, "ask-all": second, "done": done}
     return [Command(name, purge_bodies.MACHINE, body) for name, body in bodies.items()]
 
 
 def later_purge() -> Command:
     """A purge that is asked for while one session is open."""
-    body = purge_bodies.Ask(id=purge_id(36, 3), member=MEMBER)
+    body = purge_bodies.RequestPurge(id=purge_id(36, 3), member=MEMBER)
     return Command("ask-later", purge_bodies.MACHINE, body, proposer=FIRST_ANEW)
 
 
 def purge_done_by_ends() -> Command:
     """The second purge is done by how the sessions have ended, without a word of any."""
-    return Command("done-by-ends", purge_bodies.MACHINE, purge_bodies.Done(upto=PURGED + 1, said=()))
+    return Command(
+        "done-by-ends",
+        purge_bodies.MACHINE,
+        purge_bodies.CompletePurges(up_to_position=PURGED + 1, cleared_tokens=()),
+    )
 
 
 # --- counts ---
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from molereach.cache.purge.bodies import Ended, Standing
-from molereach.cache.purge.receipt import Receipt, intact
+from molereach.cache.purge.bodies import CompletionResult, RequestResult
+from molereach.cache.purge.receipt import Receipt, is_intact
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.sessions import ActiveSession
 from molereach.coordination.replicated_log import records
@@ -68,8 +68,8 @@
     "01-sessions-open": ActiveSession,
     "09-shards-hand": SplitRecord,
     "22-upkeep-back": WorkRecord,
-    "27-purge-ask-class": Standing,
-    "29-purge-done": Ended,
+    "27-purge-ask-class": RequestResult,
+    "29-purge-done": CompletionResult,
 }
 
 
@@ -126,5 +126,5 @@
     recorded = recorded_bytes(machines_replica.RECEIPT_FILE)
     assert replica_of_recorded(MOMENTS["end"]).receipt() == recorded
     receipt = msgspec.json.decode(recorded, type=Receipt)
-    assert intact(receipt)
+    assert is_intact(receipt)
     assert msgspec.json.encode(receipt) == recorded
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from molereach.cache.purge.ids import drawn_at
+from molereach.cache.purge.ids import drawn_position
 from molereach.coordination.interface.clearance import NodeClearance
 from molereach.shards.counts import words as count_words
 from molereach.shards.map.delta import Delta, applied
@@ -52,7 +52,7 @@
 def test_ids_of_purges_are_drawn_as_recorded() -> None:
     recorded = recorded_bytes(machines_values.PURGE_IDS_FILE)
     assert machines_values.purge_ids().encode() == recorded
-    assert all(drawn_at(drawn) == int(position) for position, drawn in json.loads(recorded).items())
+    assert all(drawn_position(drawn) == int(position) for position, drawn in json.loads(recorded).items())
 
 
 def test_accounts_have_the_recorded_bytes() -> None:
