--- a/molereach/cache/purge/proof.py
+++ b/molereach/cache/purge/proof.py
@@ -1,8 +1,8 @@
-"""The proof that a purge is cleared by each session that was open when it was requested.
+"""The proof that each front door whose session was open when a purge was requested has cleared it.
 
-It follows from the log and from what sessions reported, so all front doors come to the same proof. For a
-session that has ended no report of its holder is needed: the entry that ended it is the evidence. Only one
-that is still open must have reported itself. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
+It follows from the log and from what sessions reported, so all front doors come to the same proof. A session
+that has ended needs no report of its holder: the entry that ended it is the evidence. Only one that is still
+open must have reported `clear`. Source: Burrows, "The Chubby lock service" (OSDI 2006), section
 2.7; molereach/coordination/leases/acknowledgements.py has the argument.
 """
 
--- a/molereach/cache/purge_driver.py
+++ b/molereach/cache/purge_driver.py
@@ -1,8 +1,8 @@
 """The leader's part of a purge: it proposes `CompletePurges` once the proof for a purge is complete.
 
-The driver may be wrong, late, run twice or stop at any step: the machine takes from it only which open
-sessions have reported a clear position, and such a report stays true. Another leader starts anew from the
-state machine and from what sessions report to it.
+The driver may be wrong, late, stop at any step or run at two front doors at once: the machine takes from it
+only which open sessions have reported a clear position, and such a report stays true. Another leader starts
+anew from the state machine and from what sessions report to it.
 """
 
 from collections.abc import Callable, Sequence
--- a/tests/cache/simulation.py
+++ b/tests/cache/simulation.py
@@ -43,7 +43,7 @@
 
 
 class Simulation:
-    """Deterministic for a seed."""
+    """Several front doors with their log, customers and server. Deterministic for a seed."""
 
     def __init__(self, seed: int, implementation: Implementation = REAL, proxy_count: int = 3) -> None:
         self.random, self.implementation = random.Random(seed), implementation
@@ -57,7 +57,7 @@
         self.requested_us: dict[str, int] = {}  # by purge ID: when its customer first requested it
         self.requests: list[RequestPurge] = []
         self.receipts: dict[str, Receipt] = {}
-        self.open_at: dict[int, tuple[NodeInstance, ...]] = {}
+        self.open_at: dict[int, tuple[NodeInstance, ...]] = {}  # front doors with a session, by position
         self.accepted_purges: list[tuple[int, RequestPurge, int]] = []  # position, body, when requested
         self.written_hits = self.refused_hits = 0
         self.proxies = [self.start(f"d{number}", 1) for number in range(proxy_count)]
@@ -366,7 +366,7 @@
             if position <= clear_position:
                 for reading in proxy.door.store.readings_of(request.member):
                     if reading.applied_position < position and request.class_name in ("", reading.class_name):
-                        raise InvariantError("a purged reading is stored below the clear position")
+                        raise InvariantError("a purged reading is stored up to the clear position")
 
     def check(self, proxy: SimulatedProxy) -> None:
         for request in self.requests:
--- a/tests/cache/simulation_parts.py
+++ b/tests/cache/simulation_parts.py
@@ -40,7 +40,7 @@
     )
 
 
-# Readings that expire sooner than a session and a long pause, or later.
+# Readings expire before a session and a long pause are over, or after.
 SHORT_AGES, LONG_AGES = (
     settings_with_ages(SECOND_US, 3 * SECOND_US // 4),
     settings_with_ages(9 * SECOND_US, 5 * SECOND_US),
@@ -112,16 +112,15 @@
     driver: PurgeDriver
     position: int = 0
     paused_until_us: int = 0
-    lagging_until_us: int = 0  # receives no entries
+    lagging_until_us: int = 0  # until then it receives no entries
     reports: dict[int, Report] = field(default_factory=dict)  # by fencing token, where it leads
-    fetches: list[tuple[Ticket, list[int]]] = field(
-        default_factory=list
-    )  # with when the server read the data
+    # Each with the time at which the server read the data, once it has.
+    fetches: list[tuple[Ticket, list[int]]] = field(default_factory=list)
     hits: list[tuple[Hit, str, str]] = field(default_factory=list)
     stored: list[tuple[Ticket, int]] = field(default_factory=list)  # with the member's stored count
     stored_counts: dict[str, int] = field(default_factory=dict)  # by member
     eviction_counts: dict[str, int] = field(default_factory=dict)  # by member: stored count at last eviction
-    discarded_at_position: int = 0  # of the snapshot that made it discard all readings
+    discarded_at_position: int = 0  # of the snapshot after which it discarded all readings
 
     def local_us(self, true_us: int) -> int:
         return self.clock_offset_us + int(true_us * self.clock_rate)
