--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -12,21 +12,21 @@
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import Applied, LeaderChanged, ProposalFinished, Propose, Restored
-from molereach.upkeep.order.plan import Plan
-from molereach.upkeep.permits.accounting import Accounting, Clears, Missed
-from molereach.upkeep.permits.beginning import due, lacking, replaced
+from molereach.upkeep.permits.background_planning import Planning
 from molereach.upkeep.permits.bodies import MACHINE, Back, Body, Move, Out, Stand
+from molereach.upkeep.permits.clearance_accounting import Accounting, Clears, Missed
 from molereach.upkeep.permits.entry_clock import EntryClock
-from molereach.upkeep.permits.machine import Upkeep
-from molereach.upkeep.permits.nexts import back_as, hurried, next_step, recalled
-from molereach.upkeep.permits.planning import Planning
+from molereach.upkeep.permits.fact_reporting import Measured, Telling
+from molereach.upkeep.permits.lifecycle import GONE, LEAVING, WAITING, State, Step
+from molereach.upkeep.permits.next_steps import back_as, hurried, next_step, recalled
 from molereach.upkeep.permits.proposals import Proposals
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.telling import Measured, Telling
-from molereach.upkeep.permits.way import GONE, LEAVING, WAITING, State, Step
-from molereach.upkeep.rules.panel import SEAT
+from molereach.upkeep.permits.starting import due, lacking, replaced
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.rules.fallback_servers import STANDING
 from molereach.upkeep.rules.scene import Stop
-from molereach.upkeep.rules.standing import STANDING
+from molereach.upkeep.rules.voters import SEAT
+from molereach.upkeep.scheduling.plan import Plan
 
 BEAT_US = SECOND_US // 2
 SLICE_US = SECOND_US // 200  # between two slices of a plan
--- a/molereach/upkeep/permits/planning.py
+++ b/molereach/upkeep/permits/background_planning.py
@@ -1,9 +1,9 @@
 """The plan as it is made beside all else: one slice at a time, and anew when something has changed."""
 
-from molereach.upkeep.order.plan import Plan, Planner
-from molereach.upkeep.permits.book import Book
+from molereach.upkeep.permits.lifecycle import WAITING, State
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import WAITING, State
+from molereach.upkeep.permits.registry import Book
+from molereach.upkeep.scheduling.plan import Plan, Planner
 
 
 class Planning:
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -8,9 +8,9 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Name, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
-from molereach.upkeep.permits.way import Step
-from molereach.upkeep.requests.work import MOST_MS, Work
-from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
+from molereach.upkeep.permits.lifecycle import Step
+from molereach.upkeep.requests.work_item import MOST_MS, Work
+from molereach.upkeep.rules.fleet_facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
 
 MACHINE = "upkeep"
 MOST_PARTS = 16  # of one set of facts
--- a/molereach/upkeep/permits/entry_clock.py
+++ b/molereach/upkeep/permits/entry_clock.py
@@ -1,8 +1,8 @@
 """What the time of an entry would be about now: that of the last one, taken on by this front door's own
 clock."""
 
-from molereach.upkeep.permits.accounting import MS_US
-from molereach.upkeep.permits.marks import Mark
+from molereach.upkeep.permits.clearance_accounting import MS_US
+from molereach.upkeep.permits.time_marks import Mark
 
 
 class EntryClock:
--- a/molereach/upkeep/permits/gathering.py
+++ b/molereach/upkeep/permits/fact_parts.py
@@ -9,7 +9,7 @@
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance, Position, WireStruct
 from molereach.upkeep.permits.bodies import MOST_PARTS, Seen, encode
-from molereach.upkeep.rules.facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Facts, unsound
+from molereach.upkeep.rules.fleet_facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Facts, unsound
 
 
 class Part(WireStruct, frozen=True):
--- a/molereach/upkeep/permits/telling.py
+++ b/molereach/upkeep/permits/fact_reporting.py
@@ -8,8 +8,8 @@
 from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.upkeep.permits.bodies import Seen
-from molereach.upkeep.permits.gathering import cut
-from molereach.upkeep.rules.facts import Facts
+from molereach.upkeep.permits.fact_parts import cut
+from molereach.upkeep.rules.fleet_facts import Facts
 
 EVERY_US = 10 * SECOND_US  # while works are open
 IDLE_US = 300 * SECOND_US
--- a/molereach/upkeep/permits/guards.py
+++ b/molereach/upkeep/permits/guards.py
@@ -5,10 +5,10 @@
 
 from collections.abc import Callable
 
-from molereach.upkeep.permits.book import Book
+from molereach.upkeep.permits.lifecycle import State, Step
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import State, Step
-from molereach.upkeep.rules.facts import Server
+from molereach.upkeep.permits.registry import Book
+from molereach.upkeep.rules.fleet_facts import Server
 
 WARMING_TIMES = 6  # of the time planned, after which one that is sent requests is done, however warm
 Guard = Callable[[Book, Record, int], str]
--- a/molereach/upkeep/permits/nexts.py
+++ b/molereach/upkeep/permits/next_steps.py
@@ -4,21 +4,21 @@
 A beginning is not among them: that is for the plan.
 """
 
-from molereach.upkeep.permits.book import Book
 from molereach.upkeep.permits.guards import GUARDS
+from molereach.upkeep.permits.lifecycle import LEAVING, State, Step
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import LEAVING, State, Step
-from molereach.upkeep.requests.work import Kind
-from molereach.upkeep.rules.facts import Server
-from molereach.upkeep.rules.floor import floor
-from molereach.upkeep.rules.judge import judge
-from molereach.upkeep.rules.left import short
-from molereach.upkeep.rules.orders import orders
-from molereach.upkeep.rules.panel import panel
-from molereach.upkeep.rules.room import room
+from molereach.upkeep.permits.registry import Book
+from molereach.upkeep.requests.work_item import Kind
+from molereach.upkeep.rules.capacity import room
+from molereach.upkeep.rules.evaluation import judge
+from molereach.upkeep.rules.fleet_facts import Server
+from molereach.upkeep.rules.minimum_servers import floor
+from molereach.upkeep.rules.open_orders import orders
+from molereach.upkeep.rules.proxy_sets import sets
+from molereach.upkeep.rules.remaining_capacity import short
 from molereach.upkeep.rules.scene import Scene
 from molereach.upkeep.rules.seasons import seasons
-from molereach.upkeep.rules.sets import sets
+from molereach.upkeep.rules.voters import panel
 from molereach.upkeep.rules.window import window
 
 BY_TIME: dict[State, tuple[Step, ...]] = {  # the first that may be
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -1,11 +1,11 @@
 """What is kept of one work."""
 
 from molereach.coordination.interface.identifiers import Name, NodeInstance, Position, WireStruct
-from molereach.upkeep.order.ageing import Waiting
-from molereach.upkeep.permits.way import UNSENDABLE, State
-from molereach.upkeep.requests.work import Ms, Work
-from molereach.upkeep.rules.facts import Address
+from molereach.upkeep.permits.lifecycle import UNSENDABLE, State
+from molereach.upkeep.requests.work_item import Ms, Work
+from molereach.upkeep.rules.fleet_facts import Address
 from molereach.upkeep.rules.scene import Off, Taken
+from molereach.upkeep.scheduling.ageing import Waiting
 
 
 class Record(WireStruct, frozen=True):
--- a/molereach/upkeep/permits/book.py
+++ b/molereach/upkeep/permits/registry.py
@@ -5,16 +5,16 @@
 
 import msgspec
 
-from molereach.upkeep.order.ageing import Pressing, Waiting, held_up, pressing
-from molereach.upkeep.permits.gathering import Part
-from molereach.upkeep.permits.marks import Mark
+from molereach.upkeep.permits.fact_parts import Part
+from molereach.upkeep.permits.lifecycle import FINAL, GONE, WAITING, State
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import FINAL, GONE, WAITING, State
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import Facts, Fleet
-from molereach.upkeep.rules.judge import RULES, judge
+from molereach.upkeep.permits.time_marks import Mark
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.evaluation import RULES, judge
+from molereach.upkeep.rules.fleet_facts import Facts, Fleet
 from molereach.upkeep.rules.scene import Rule, Scene, Stop, Taken
 from molereach.upkeep.rules.settings import UpkeepSettings
+from molereach.upkeep.scheduling.ageing import Pressing, Waiting, held_up, pressing
 
 MOST_PAST = 256  # works that are over and remembered, so that one asked for again is known
 MOST_UNSTOOD = 1024
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -6,13 +6,13 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Name, Position, WireStruct
-from molereach.upkeep.permits.book import MOST_PAST, MOST_UNSTOOD, Book
-from molereach.upkeep.permits.gathering import Part
-from molereach.upkeep.permits.marks import Marks
+from molereach.upkeep.permits.fact_parts import Part
+from molereach.upkeep.permits.lifecycle import FINAL
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import FINAL
-from molereach.upkeep.requests.checks import MOST_OPEN
-from molereach.upkeep.rules.facts import MOST_SERVERS, Facts, Fleet, unsound
+from molereach.upkeep.permits.registry import MOST_PAST, MOST_UNSTOOD, Book
+from molereach.upkeep.permits.time_marks import Marks
+from molereach.upkeep.requests.validation import MOST_OPEN
+from molereach.upkeep.rules.fleet_facts import MOST_SERVERS, Facts, Fleet, unsound
 
 
 class _State(WireStruct, frozen=True):
--- a/molereach/upkeep/permits/beginning.py
+++ b/molereach/upkeep/permits/starting.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterator
 
-from molereach.upkeep.order.plan import Plan
-from molereach.upkeep.order.stands import stands
-from molereach.upkeep.permits.book import Book
+from molereach.upkeep.permits.lifecycle import UNSENDABLE, State
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import UNSENDABLE, State
+from molereach.upkeep.permits.registry import Book
 from molereach.upkeep.rules.scene import Stop
+from molereach.upkeep.scheduling.fallback_selection import stands
+from molereach.upkeep.scheduling.plan import Plan
 
 
 def due(book: Book, plan: Plan, at_ms: int) -> Iterator[tuple[Record, Stop | None]]:
--- a/molereach/upkeep/permits/machine.py
+++ b/molereach/upkeep/permits/state_machine.py
@@ -12,16 +12,16 @@
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.upkeep.permits import snapshots
 from molereach.upkeep.permits.bodies import MACHINE, Ask, Back, Move, Out, Seen, Stand, Word, decode
-from molereach.upkeep.permits.book import MOST_UNSTOOD, Book
-from molereach.upkeep.permits.gathering import gather
+from molereach.upkeep.permits.fact_parts import gather
 from molereach.upkeep.permits.guards import GUARDS
-from molereach.upkeep.permits.marks import marked, waited
+from molereach.upkeep.permits.lifecycle import BOUND, TABLE, UNSENDABLE, State, Step
 from molereach.upkeep.permits.proof import SessionsAt, fault
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import BOUND, TABLE, UNSENDABLE, State, Step
-from molereach.upkeep.requests.checks import MOST_OPEN, wrong
-from molereach.upkeep.rules.facts import groups
-from molereach.upkeep.rules.judge import RULES
+from molereach.upkeep.permits.registry import MOST_UNSTOOD, Book
+from molereach.upkeep.permits.time_marks import marked, waited
+from molereach.upkeep.requests.validation import MOST_OPEN, wrong
+from molereach.upkeep.rules.evaluation import RULES
+from molereach.upkeep.rules.fleet_facts import groups
 from molereach.upkeep.rules.scene import Rule
 from molereach.upkeep.rules.settings import UpkeepSettings
 
--- a/molereach/upkeep/permits/marks.py
+++ b/molereach/upkeep/permits/time_marks.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Position, WireStruct
-from molereach.upkeep.requests.work import Ms
+from molereach.upkeep.requests.work_item import Ms
 
 MOST_MARKS = 32
 SPACES = 16  # into which the time that is waited for is cut
--- a/molereach/upkeep/requests/cycles.py
+++ b/molereach/upkeep/requests/cycles.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Iterable
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 
 
 def cycle(work: Work, others: Iterable[Work]) -> tuple[str, ...]:
--- a/molereach/upkeep/requests/checks.py
+++ b/molereach/upkeep/requests/validation.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Mapping
 
 from molereach.upkeep.requests.cycles import cycle
-from molereach.upkeep.requests.work import Kind, Work, Wrong, wrong_by_itself
+from molereach.upkeep.requests.work_item import Kind, Work, Wrong, wrong_by_itself
 
 MOST_OPEN = 256  # works that are not over, in all
 MOST_OPEN_EACH = 4  # of one machine
--- a/molereach/upkeep/door.py
+++ b/molereach/upkeep/routing.py
@@ -19,8 +19,8 @@
 from molereach.coordination.interface.log import Applied, Restored
 from molereach.coordination.interface.sessions import Session
 from molereach.upkeep.permits.bodies import MACHINE
-from molereach.upkeep.permits.machine import Upkeep
-from molereach.upkeep.permits.way import State
+from molereach.upkeep.permits.lifecycle import State
+from molereach.upkeep.permits.state_machine import Upkeep
 
 MS_US = 1000
 
--- a/molereach/upkeep/rules/room.py
+++ b/molereach/upkeep/rules/capacity.py
@@ -5,9 +5,9 @@
 just come back counts by its measured warmth, so the next waits until it is warm enough.
 """
 
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import WHOLE, groups
-from molereach.upkeep.rules.left import left
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.fleet_facts import WHOLE, groups
+from molereach.upkeep.rules.remaining_capacity import left
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/rules/limits.py
+++ b/molereach/upkeep/rules/concurrency_limits.py
@@ -1,8 +1,8 @@
 """At most so many machines on their way at once: in all, of one cell, of one zone. One work takes one place,
 also where its machine has come back under a second name, or is not listed while it is out."""
 
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import groups
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.fleet_facts import groups
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/rules/apart.py
+++ b/molereach/upkeep/rules/exclusions.py
@@ -1,7 +1,7 @@
 """One work on a machine at a time, and none beside a machine that may not be out with it, whichever said
 so."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Off, Scene, Stop
 
 
--- a/molereach/upkeep/rules/standing.py
+++ b/molereach/upkeep/rules/fallback_servers.py
@@ -1,6 +1,6 @@
 """A server that stands for front doors without a session is not taken out: another takes its place first."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 
 STANDING = "standing"
--- a/molereach/upkeep/rules/facts.py
+++ b/molereach/upkeep/rules/fleet_facts.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Name, WireStruct
-from molereach.upkeep.requests.work import Kind, Ms
+from molereach.upkeep.requests.work_item import Kind, Ms
 
 WHOLE = 1000
 MOST_SERVERS = 512
--- a/molereach/upkeep/rules/floor.py
+++ b/molereach/upkeep/rules/minimum_servers.py
@@ -3,9 +3,9 @@
 Those that drain count as gone: they will be, and nobody looks again between the two.
 """
 
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import groups
-from molereach.upkeep.rules.left import least, left
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.fleet_facts import groups
+from molereach.upkeep.rules.remaining_capacity import least, left
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/rules/orders.py
+++ b/molereach/upkeep/rules/open_orders.py
@@ -1,6 +1,6 @@
 """An order of discovery or of the tool goes before: a machine that is under one is left alone."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/rules/first.py
+++ b/molereach/upkeep/rules/prerequisites.py
@@ -1,6 +1,6 @@
 """Machines that must come first have no open work any more."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Off, Scene, Stop
 
 
--- a/molereach/upkeep/rules/sets.py
+++ b/molereach/upkeep/rules/proxy_sets.py
@@ -4,7 +4,7 @@
 any moment, so each run counts whether or not one is known that has it.
 """
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/rules/left.py
+++ b/molereach/upkeep/rules/remaining_capacity.py
@@ -3,7 +3,7 @@
 
 from dataclasses import dataclass
 
-from molereach.upkeep.rules.facts import Sum, groups
+from molereach.upkeep.rules.fleet_facts import Sum, groups
 from molereach.upkeep.rules.scene import Scene
 
 Group = tuple[str, str]
--- a/molereach/upkeep/rules/scene.py
+++ b/molereach/upkeep/rules/scene.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import Fleet
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.fleet_facts import Fleet
 from molereach.upkeep.rules.settings import UpkeepSettings
 
 
--- a/molereach/upkeep/rules/seasons.py
+++ b/molereach/upkeep/rules/seasons.py
@@ -2,7 +2,7 @@
 entry's time by whole numbers alone (Hinnant, "chrono-Compatible Low-Level Date Algorithms"): any time has
 one."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 from molereach.upkeep.rules.settings import MonthDay, Season
 
--- a/molereach/upkeep/rules/settings.py
+++ b/molereach/upkeep/rules/settings.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from molereach.upkeep.requests.work import MINUTE_MS
-from molereach.upkeep.rules.facts import WHOLE
+from molereach.upkeep.requests.work_item import MINUTE_MS
+from molereach.upkeep.rules.fleet_facts import WHOLE
 
 MonthDay = tuple[int, int]
 MOST_DAYS = (31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31)
--- a/molereach/upkeep/rules/panel.py
+++ b/molereach/upkeep/rules/voters.py
@@ -4,7 +4,7 @@
 "Consensus: Bridging Theory and Practice" (2014), section 4: members that leave are replaced first.
 """
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 
 SEAT = "seat"  # the rule that asks for a seat to be moved
--- a/molereach/upkeep/rules/window.py
+++ b/molereach/upkeep/rules/window.py
@@ -1,6 +1,6 @@
 """A machine is away within its work's window."""
 
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
 from molereach.upkeep.rules.scene import Scene, Stop
 
 
--- a/molereach/upkeep/order/ageing.py
+++ b/molereach/upkeep/scheduling/ageing.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import groups
-from molereach.upkeep.rules.judge import RULES, judge
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.evaluation import RULES, judge
+from molereach.upkeep.rules.fleet_facts import groups
 from molereach.upkeep.rules.scene import Off, Rule, Scene, Stop, Taken
 from molereach.upkeep.rules.settings import UpkeepSettings
 
--- a/molereach/upkeep/order/stands.py
+++ b/molereach/upkeep/scheduling/fallback_selection.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from molereach.upkeep.rules.facts import WHOLE, Fleet, Server
+from molereach.upkeep.rules.fleet_facts import WHOLE, Fleet, Server
 
 
 def stands(
--- a/molereach/upkeep/order/passing.py
+++ b/molereach/upkeep/scheduling/list_schedule.py
@@ -7,12 +7,12 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from molereach.upkeep.order.ageing import Pressing, Waiting, held_up, presses_from, pressing
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import groups
-from molereach.upkeep.rules.judge import judge
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.evaluation import judge
+from molereach.upkeep.rules.fleet_facts import groups
 from molereach.upkeep.rules.scene import Off, Rule, Scene, Stop, Taken
 from molereach.upkeep.rules.seasons import open_ms
+from molereach.upkeep.scheduling.ageing import Pressing, Waiting, held_up, presses_from, pressing
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/upkeep/order/plan.py
+++ b/molereach/upkeep/scheduling/plan.py
@@ -7,13 +7,13 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, replace
 
-from molereach.upkeep.order.ageing import Waiting
-from molereach.upkeep.order.passing import Pass, Planned
-from molereach.upkeep.order.priority import keys
-from molereach.upkeep.rules.facts import WHOLE, Door, Facts, Fleet, Server
-from molereach.upkeep.rules.judge import RULES
+from molereach.upkeep.rules.evaluation import RULES
+from molereach.upkeep.rules.fallback_servers import standing
+from molereach.upkeep.rules.fleet_facts import WHOLE, Door, Facts, Fleet, Server
 from molereach.upkeep.rules.scene import Off, Rule, Scene, Stop
-from molereach.upkeep.rules.standing import standing
+from molereach.upkeep.scheduling.ageing import Waiting
+from molereach.upkeep.scheduling.list_schedule import Pass, Planned
+from molereach.upkeep.scheduling.priority import keys
 
 SLICE_STEPS = 48
 # Another server stands in its place, and a seat is moved, when the time comes.
--- a/molereach/upkeep/order/priority.py
+++ b/molereach/upkeep/scheduling/priority.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable, Sequence
 
-from molereach.upkeep.order.ageing import Waiting
-from molereach.upkeep.requests.work import Work
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.scheduling.ageing import Waiting
 
 Key = Callable[[Waiting], tuple[int, ...]]
 
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -12,8 +12,8 @@
 from molereach.shards.map.pieces import Home
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
-from molereach.upkeep.permits.way import Step
-from molereach.upkeep.requests.work import Kind
+from molereach.upkeep.permits.lifecycle import Step
+from molereach.upkeep.requests.work_item import Kind
 from tests.compatibility import machines_samples as samples
 from tests.compatibility.machines_samples import Command
 
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -14,11 +14,11 @@
 from molereach.shards.counts.folds import Folds
 from molereach.shards.splits.machine import Shards, SplitSettings
 from molereach.shards.splits.rooms import NoUpkeep
-from molereach.upkeep.permits.machine import Upkeep
+from molereach.upkeep.permits.state_machine import Upkeep
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.compatibility import machines_log as sample_log
 from tests.compatibility import machines_samples as samples
-from tests.upkeep.logged import LoneSessions
+from tests.upkeep.state_machine_log import LoneSessions
 
 MOMENTS = {
     "early": 18,
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -20,9 +20,9 @@
 from molereach.shards.map.pieces import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
-from molereach.upkeep.permits.way import Step
-from molereach.upkeep.requests.work import Kind, Work
-from molereach.upkeep.rules.facts import Door, Server
+from molereach.upkeep.permits.lifecycle import Step
+from molereach.upkeep.requests.work_item import Kind, Work
+from molereach.upkeep.rules.fleet_facts import Door, Server
 
 START_MS = 1_796_731_200_000  # 2026-12-08 12:00 UTC
 ENTRY_MS = 250  # between two entries
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -16,8 +16,8 @@
 from molereach.shards.map.delta import Delta, between
 from molereach.shards.map.pieces import MEMBERS, ShardMap
 from molereach.shards.splits import way as split_way
-from molereach.upkeep.permits import way as upkeep_way
-from molereach.upkeep.requests.work import Kind
+from molereach.upkeep.permits import lifecycle as upkeep_lifecycle
+from molereach.upkeep.requests.work_item import Kind
 from tests.compatibility import machines_samples as samples
 from tests.compatibility.machines_replica import Replica
 
@@ -32,8 +32,8 @@
     "how a front door is known": ClearanceEvidence,
     "life of a front door": MemberStatus,
     "kind of a machine out for work": Kind,
-    "state of a work": upkeep_way.State,
-    "step of a work": upkeep_way.Step,
+    "state of a work": upkeep_lifecycle.State,
+    "step of a work": upkeep_lifecycle.Step,
     "state of a split": split_way.State,
     "step of a split": split_way.Step,
 }
--- a/tests/upkeep/made.py
+++ b/tests/upkeep/builders.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from molereach.upkeep.requests.work import MINUTE_MS, Kind, Work
-from molereach.upkeep.rules.facts import Door, Facts, Fleet, Server, groups
+from molereach.upkeep.requests.work_item import MINUTE_MS, Kind, Work
+from molereach.upkeep.rules.fleet_facts import Door, Facts, Fleet, Server, groups
 from molereach.upkeep.rules.scene import Off, Scene, Taken
 from molereach.upkeep.rules.settings import UpkeepSettings
 
--- a/tests/upkeep/stepped.py
+++ b/tests/upkeep/fleet_variants.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from molereach.upkeep.permits.way import Step
-from molereach.upkeep.rules.facts import Facts
-from tests.upkeep.logged import FLEET
+from molereach.upkeep.permits.lifecycle import Step
+from molereach.upkeep.rules.fleet_facts import Facts
+from tests.upkeep.state_machine_log import FLEET
 
 FREE = [step for step in Step if step not in (Step.OUT, Step.BACK)]
 
--- a/tests/upkeep/led.py
+++ b/tests/upkeep/leader_harness.py
@@ -17,12 +17,12 @@
 )
 from molereach.upkeep.driver import BEAT_US, Driver
 from molereach.upkeep.permits.bodies import Out, decode
-from molereach.upkeep.permits.telling import Measured
-from molereach.upkeep.permits.way import State
-from molereach.upkeep.requests.work import MINUTE_MS
+from molereach.upkeep.permits.fact_reporting import Measured
+from molereach.upkeep.permits.lifecycle import State
+from molereach.upkeep.requests.work_item import MINUTE_MS
 from molereach.upkeep.rules.settings import UpkeepSettings
-from tests.upkeep.logged import FLEET, A, Logged, logged
-from tests.upkeep.made import LOOSE
+from tests.upkeep.builders import LOOSE
+from tests.upkeep.state_machine_log import FLEET, A, Logged, logged
 
 QUICK = replace(LOOSE, standing=1, warming_ms=MINUTE_MS)
 
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -5,18 +5,18 @@
 from typing import Any
 
 from molereach.coordination.interface.clearance import ClearanceEvidence
-from molereach.upkeep.door import DoorSide
 from molereach.upkeep.permits.bodies import Word
-from molereach.upkeep.permits.machine import Upkeep
+from molereach.upkeep.permits.lifecycle import LEAVING, State, Step
 from molereach.upkeep.permits.proof import SessionsAt, fault
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import LEAVING, State, Step
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.panel import panel
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.routing import DoorSide
 from molereach.upkeep.rules.scene import Off, Scene, Stop, Taken
 from molereach.upkeep.rules.seasons import within
 from molereach.upkeep.rules.settings import MonthDay, Season, UpkeepSettings
-from tests.upkeep.players import Cores
+from molereach.upkeep.rules.voters import panel
+from tests.upkeep.world_parts import Cores
 
 
 class BeforeTheLastWord(Upkeep):
--- a/tests/upkeep/plays.py
+++ b/tests/upkeep/random_history.py
@@ -3,10 +3,10 @@
 import random
 
 from molereach.upkeep.permits.bodies import Ask, encode
-from molereach.upkeep.requests.work import Work
-from tests.upkeep.made import work
-from tests.upkeep.players import REAL, BrokenError, Cores
+from molereach.upkeep.requests.work_item import Work
+from tests.upkeep.builders import work
 from tests.upkeep.world import NAMES, SERVERS, World
+from tests.upkeep.world_parts import REAL, BrokenError, Cores
 
 
 def ask(world: World, asked: Work) -> None:
--- a/tests/upkeep/logged.py
+++ b/tests/upkeep/state_machine_log.py
@@ -11,14 +11,14 @@
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.upkeep.permits.bodies import Ask, Back, Body, Move, Out, Seen, Stand, Word, encode
-from molereach.upkeep.permits.machine import Upkeep
+from molereach.upkeep.permits.lifecycle import State, Step
 from molereach.upkeep.permits.proof import needed
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import State, Step
-from molereach.upkeep.requests.work import MINUTE_MS, Work
-from molereach.upkeep.rules.facts import Facts
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.requests.work_item import MINUTE_MS, Work
+from molereach.upkeep.rules.fleet_facts import Facts
 from molereach.upkeep.rules.settings import UpkeepSettings
-from tests.upkeep.made import LOOSE, NOON_MS, doors, servers
+from tests.upkeep.builders import LOOSE, NOON_MS, doors, servers
 
 A, B, C = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1)
 FLEET = Facts(servers=servers(6), doors=doors(9), panel=("d0", "d1", "d2", "d3", "d4"))
--- a/tests/upkeep/test_driver.py
+++ b/tests/upkeep/test_driver.py
@@ -8,11 +8,11 @@
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.upkeep.driver import SEAT_US, ReplaceSeat
 from molereach.upkeep.permits.bodies import Stand
-from molereach.upkeep.permits.way import State
-from molereach.upkeep.requests.work import MINUTE_MS
-from tests.upkeep.led import QUICK, led
-from tests.upkeep.logged import FLEET, B
-from tests.upkeep.made import server, work
+from molereach.upkeep.permits.lifecycle import State
+from molereach.upkeep.requests.work_item import MINUTE_MS
+from tests.upkeep.builders import server, work
+from tests.upkeep.leader_harness import QUICK, led
+from tests.upkeep.state_machine_log import FLEET, B
 
 
 def test_a_work_goes_its_way_to_the_end() -> None:
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -15,20 +15,20 @@
     Propose,
     Restored,
 )
-from molereach.upkeep.door import DoorSide, Permitted
 from molereach.upkeep.driver import Driver
 from molereach.upkeep.permits.bodies import Ask, Move, Out, Stand, decode, encode
-from molereach.upkeep.permits.machine import Upkeep
-from molereach.upkeep.permits.nexts import back_as, hurried, recalled
+from molereach.upkeep.permits.fact_reporting import EVERY_US, IDLE_US, Measured, Telling
+from molereach.upkeep.permits.lifecycle import State, Step
+from molereach.upkeep.permits.next_steps import back_as, hurried, recalled
 from molereach.upkeep.permits.proposals import MOST_OPEN, RETRY_US, Proposals
-from molereach.upkeep.permits.telling import EVERY_US, IDLE_US, Measured, Telling
-from molereach.upkeep.permits.way import State, Step
-from molereach.upkeep.requests.work import MINUTE_MS
-from molereach.upkeep.rules.facts import Facts
-from tests.upkeep.led import QUICK, Led, led
-from tests.upkeep.logged import FLEET, A, B, Logged, logged
-from tests.upkeep.made import DAY_MS, NOON_MS, doors, server, servers, work
-from tests.upkeep.test_door import Held
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.requests.work_item import MINUTE_MS
+from molereach.upkeep.routing import DoorSide, Permitted
+from molereach.upkeep.rules.fleet_facts import Facts
+from tests.upkeep.builders import DAY_MS, NOON_MS, doors, server, servers, work
+from tests.upkeep.leader_harness import QUICK, Led, led
+from tests.upkeep.state_machine_log import FLEET, A, B, Logged, logged
+from tests.upkeep.test_routing import Held
 
 
 def test_who_is_missed_for_a_proof_is_named() -> None:
--- a/tests/upkeep/test_histories.py
+++ b/tests/upkeep/test_histories.py
@@ -7,18 +7,18 @@
 
 import pytest
 
-from molereach.upkeep.permits.way import LEAVING
-from molereach.upkeep.requests.work import Work
-from molereach.upkeep.rules.facts import Facts
-from molereach.upkeep.rules.panel import panel
+from molereach.upkeep.permits.lifecycle import LEAVING
+from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.rules.fleet_facts import Facts
 from molereach.upkeep.rules.scene import Off, Scene, Stop
 from molereach.upkeep.rules.seasons import DAY_MS, month_day, within
 from molereach.upkeep.rules.settings import MonthDay, Season, UpkeepSettings
-from tests.upkeep.made import doors, scene, work
+from molereach.upkeep.rules.voters import panel
+from tests.upkeep.builders import doors, scene, work
 from tests.upkeep.mutants import MUTANTS, panel_without_those_that_drain, within_without_the_last_day
-from tests.upkeep.players import SETTINGS, BrokenError, Cores
-from tests.upkeep.plays import ask, history
+from tests.upkeep.random_history import ask, history
 from tests.upkeep.world import World
+from tests.upkeep.world_parts import SETTINGS, BrokenError, Cores
 
 AT_ONCE = 20
 MOST_HISTORIES = 150  # in which a mutant must be found
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -4,13 +4,13 @@
 
 from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.upkeep.permits.accounting import Accounting
 from molereach.upkeep.permits.bodies import MAX_ENTRY_BODY_BYTES, Move, Out, Stand, Word, encode
-from molereach.upkeep.permits.marks import MOST_MARKS, Mark, marked, waited
+from molereach.upkeep.permits.clearance_accounting import Accounting
+from molereach.upkeep.permits.lifecycle import State, Step
 from molereach.upkeep.permits.proof import needed
-from molereach.upkeep.permits.way import State, Step
-from tests.upkeep.logged import A, B, C, Logged, logged
-from tests.upkeep.made import LOOSE, work
+from molereach.upkeep.permits.time_marks import MOST_MARKS, Mark, marked, waited
+from tests.upkeep.builders import LOOSE, work
+from tests.upkeep.state_machine_log import A, B, C, Logged, logged
 
 A2 = NodeInstance("a", 2)
 
--- a/tests/upkeep/test_requests.py
+++ b/tests/upkeep/test_requests.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from molereach.upkeep.requests.checks import MOST_OPEN, MOST_OPEN_EACH, wrong
 from molereach.upkeep.requests.cycles import cycle
-from molereach.upkeep.requests.work import Kind, Work, wrong_by_itself
-from tests.upkeep.made import NOON_MS, work
+from molereach.upkeep.requests.validation import MOST_OPEN, MOST_OPEN_EACH, wrong
+from molereach.upkeep.requests.work_item import Kind, Work, wrong_by_itself
+from tests.upkeep.builders import NOON_MS, work
 
 MACHINES = {**{f"s{number}": Kind.SERVER for number in range(300)}, "d0": Kind.DOOR}
 
--- a/tests/upkeep/test_door.py
+++ b/tests/upkeep/test_routing.py
@@ -4,12 +4,12 @@
 
 from molereach.coordination.interface.core import Tick
 from molereach.coordination.interface.log import Applied, Entry, Outcome, Restored
-from molereach.upkeep.door import Began, DoorSide, Ended, Hurry, Permitted, Resume, Stop
 from molereach.upkeep.permits.bodies import Back, Body, Move, Stand, encode
-from molereach.upkeep.permits.machine import Upkeep
-from molereach.upkeep.permits.way import UNSENDABLE, State, Step
-from tests.upkeep.logged import Logged, logged
-from tests.upkeep.made import LOOSE, work
+from molereach.upkeep.permits.lifecycle import UNSENDABLE, State, Step
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.routing import Began, DoorSide, Ended, Hurry, Permitted, Resume, Stop
+from tests.upkeep.builders import LOOSE, work
+from tests.upkeep.state_machine_log import Logged, logged
 
 ALONE_US = LOOSE.alone_ms * 1000
 
--- a/tests/upkeep/test_rules.py
+++ b/tests/upkeep/test_rules.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from molereach.upkeep.requests.work import MINUTE_MS
-from molereach.upkeep.rules.facts import Facts, Server, unsound
-from molereach.upkeep.rules.judge import judge
-from molereach.upkeep.rules.limits import limits
+from molereach.upkeep.requests.work_item import MINUTE_MS
+from molereach.upkeep.rules.concurrency_limits import limits
+from molereach.upkeep.rules.evaluation import judge
+from molereach.upkeep.rules.fleet_facts import Facts, Server, unsound
 from molereach.upkeep.rules.scene import Off, Stop
 from molereach.upkeep.rules.seasons import DAY_MS, month_day, within
 from molereach.upkeep.rules.settings import Season, UpkeepSettings
-from tests.upkeep.made import LOOSE, NOON_MS, door, doors, scene, server, servers, work
+from tests.upkeep.builders import LOOSE, NOON_MS, door, doors, scene, server, servers, work
 
 TEN = Facts(servers=servers(10), doors=doors(9), panel=("d0", "d1", "d2", "d3", "d4"))
 
--- a/tests/upkeep/test_order.py
+++ b/tests/upkeep/test_scheduling.py
@@ -7,16 +7,16 @@
 import msgspec
 import pytest
 
-from molereach.upkeep.order.ageing import MOST_PRESSING, Waiting, held_up, pressing
-from molereach.upkeep.order.passing import Pass, Planned
-from molereach.upkeep.order.plan import PLAN_RULES, Plan, Planner, most_steps
-from molereach.upkeep.order.stands import stands
-from molereach.upkeep.requests.work import MINUTE_MS, Work
-from molereach.upkeep.rules.facts import Facts, Fleet, groups
-from molereach.upkeep.rules.judge import judge
+from molereach.upkeep.requests.work_item import MINUTE_MS, Work
+from molereach.upkeep.rules.evaluation import judge
+from molereach.upkeep.rules.fleet_facts import Facts, Fleet, groups
 from molereach.upkeep.rules.scene import Off, Scene, Taken
 from molereach.upkeep.rules.settings import Season, UpkeepSettings
-from tests.upkeep.made import DAY_MS, LOOSE, NOON_MS, scene, server, servers, work
+from molereach.upkeep.scheduling.ageing import MOST_PRESSING, Waiting, held_up, pressing
+from molereach.upkeep.scheduling.fallback_selection import stands
+from molereach.upkeep.scheduling.list_schedule import Pass, Planned
+from molereach.upkeep.scheduling.plan import PLAN_RULES, Plan, Planner, most_steps
+from tests.upkeep.builders import DAY_MS, LOOSE, NOON_MS, scene, server, servers, work
 
 TIGHT = replace(
     LOOSE,
--- a/tests/upkeep/test_machine.py
+++ b/tests/upkeep/test_state_machine.py
@@ -6,12 +6,12 @@
 import pytest
 
 from molereach.upkeep.permits.bodies import Ask, Back, Move, Out, Seen
-from molereach.upkeep.permits.gathering import cut
-from molereach.upkeep.permits.way import BOUND, TABLE, State, Step
-from molereach.upkeep.rules.facts import Facts
-from tests.upkeep.logged import FLEET, A, B, logged
-from tests.upkeep.made import DAY_MS, LOOSE, NOON_MS, servers, work
-from tests.upkeep.stepped import FREE, fleet
+from molereach.upkeep.permits.fact_parts import cut
+from molereach.upkeep.permits.lifecycle import BOUND, TABLE, State, Step
+from molereach.upkeep.rules.fleet_facts import Facts
+from tests.upkeep.builders import DAY_MS, LOOSE, NOON_MS, servers, work
+from tests.upkeep.fleet_variants import FREE, fleet
+from tests.upkeep.state_machine_log import FLEET, A, B, logged
 
 
 @pytest.mark.parametrize("state", State)
--- a/tests/upkeep/test_machine_ends.py
+++ b/tests/upkeep/test_state_machine_ends.py
@@ -7,15 +7,15 @@
 
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES, Entry
-from molereach.upkeep.permits import machine
+from molereach.upkeep.permits import state_machine
 from molereach.upkeep.permits.bodies import Ask, Back, Move, Seen, Stand, encode
+from molereach.upkeep.permits.lifecycle import State, Step
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.way import State, Step
-from molereach.upkeep.requests.checks import MOST_OPEN
-from molereach.upkeep.rules.facts import Facts
-from tests.upkeep.logged import FLEET, A, Logged, logged
-from tests.upkeep.made import LOOSE, NOON_MS, server, servers, work
-from tests.upkeep.stepped import fleet
+from molereach.upkeep.requests.validation import MOST_OPEN
+from molereach.upkeep.rules.fleet_facts import Facts
+from tests.upkeep.builders import LOOSE, NOON_MS, server, servers, work
+from tests.upkeep.fleet_variants import fleet
+from tests.upkeep.state_machine_log import FLEET, A, Logged, logged
 
 
 def test_one_that_comes_back_under_another_name() -> None:
@@ -245,7 +245,7 @@
 
 def test_servers_that_stood_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     log = logged()
-    monkeypatch.setattr(machine, "MOST_UNSTOOD", 1)
+    monkeypatch.setattr(state_machine, "MOST_UNSTOOD", 1)
     log.ok(Stand(("s0", "s1")))
     assert log.error(Stand(())) == "servers: too many have changed"
     log.ok(Stand(("s1",)))
--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -27,18 +27,18 @@
 from molereach.coordination.leases.bodies import OpenSession
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import EndedSession
-from molereach.upkeep.door import Began, Ended
 from molereach.upkeep.driver import Driver
-from molereach.upkeep.permits.accounting import Accounting
 from molereach.upkeep.permits.bodies import Move, Out, Word, decode, encode
+from molereach.upkeep.permits.clearance_accounting import Accounting
+from molereach.upkeep.permits.fact_reporting import Measured
+from molereach.upkeep.permits.lifecycle import GONE, LEAVING, UNSENDABLE, State, Step
 from molereach.upkeep.permits.proof import needed
 from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.telling import Measured
-from molereach.upkeep.permits.way import GONE, LEAVING, UNSENDABLE, State, Step
-from molereach.upkeep.rules.facts import Facts
-from tests.upkeep.logged import LoneSessions
-from tests.upkeep.made import NOON_MS, server
-from tests.upkeep.players import REAL, SETTINGS, STEP_US, BrokenError, Cores, Door, Held, Server
+from molereach.upkeep.routing import Began, Ended
+from molereach.upkeep.rules.fleet_facts import Facts
+from tests.upkeep.builders import NOON_MS, server
+from tests.upkeep.state_machine_log import LoneSessions
+from tests.upkeep.world_parts import REAL, SETTINGS, STEP_US, BrokenError, Cores, Door, Held, Server
 
 TURN_US = SECOND_US // 100
 TERMS = SessionTerms(15 * SECOND_US, 0.01)
--- a/tests/upkeep/players.py
+++ b/tests/upkeep/world_parts.py
@@ -4,11 +4,11 @@
 
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import ProposalFinished
-from molereach.upkeep.door import DoorSide
 from molereach.upkeep.driver import Driver
-from molereach.upkeep.permits.machine import Upkeep
+from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.routing import DoorSide
 from molereach.upkeep.rules.settings import UpkeepSettings
-from tests.upkeep.logged import LoneSessions
+from tests.upkeep.state_machine_log import LoneSessions
 
 STEP_US = 5 * SECOND_US
 SETTINGS = UpkeepSettings(
