--- a/molereach/upkeep/__init__.py
+++ b/molereach/upkeep/__init__.py
@@ -1,7 +1,7 @@
-"""Machines out for work, in an order that the front doors settle among themselves; off unless it is asked
-for.
+"""Coordinates machine maintenance among the proxies of a group, through a state machine on the replicated
+log. Off unless it is enabled.
 
-Read `requests` (what may be asked for), `rules` (what may be out together), `order` (which goes next),
-`permits` (a machine's way, and the state machine on the log), then `driver` (at the leader) and `door` (at
-each front door).
+Read `requests` (maintenance requests), `rules` (which machines may be unavailable together), `scheduling`
+(which work item starts next), `permits` (the lifecycle of a work item, and the state machine), then `driver`
+(what the leader proposes) and `routing` (which servers each proxy may send to).
 """
--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -1,9 +1,9 @@
-"""What the leader proposes, so that works go on: facts, steps, beginnings by the plan, permits with their
-proof.
+"""What the leader proposes so that work items make progress: facts, steps, starts by the plan, and permits
+with their proof.
 
-It may be wrong, late, doubled or dead at any step: the state machine asks for everything again, and another
-leader's driver goes on from what the machine says. Times of entries are taken on by its own clock from the
-last entry that was applied here. Nothing it keeps is needed by the next.
+It may be wrong, late, duplicated or dead at any step: the state machine checks everything, and the driver of
+another leader continues from its state. Entry times are estimated with the local clock from the last applied
+entry. The next leader needs nothing that is kept here.
 """
 
 from collections.abc import Sequence
@@ -12,202 +12,234 @@
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import Applied, LeaderChanged, ProposalFinished, Propose, Restored
-from molereach.upkeep.permits.background_planning import Planning
-from molereach.upkeep.permits.bodies import MACHINE, Back, Body, Move, Out, Stand
-from molereach.upkeep.permits.clearance_accounting import Accounting, Clears, Missed
+from molereach.upkeep.permits.background_planning import BackgroundPlanner
+from molereach.upkeep.permits.bodies import (
+    MACHINE,
+    Body,
+    GrantPermit,
+    ReportReturn,
+    SetFallbackServers,
+    TakeStep,
+)
+from molereach.upkeep.permits.clearance_accounting import (
+    ClearanceAccounting,
+    ClearPositions,
+    MissingClearance,
+)
 from molereach.upkeep.permits.entry_clock import EntryClock
-from molereach.upkeep.permits.fact_reporting import Measured, Telling
-from molereach.upkeep.permits.lifecycle import GONE, LEAVING, WAITING, State, Step
-from molereach.upkeep.permits.next_steps import back_as, hurried, next_step, recalled
-from molereach.upkeep.permits.proposals import Proposals
-from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.starting import due, lacking, replaced
-from molereach.upkeep.permits.state_machine import Upkeep
-from molereach.upkeep.rules.fallback_servers import STANDING
-from molereach.upkeep.rules.scene import Stop
-from molereach.upkeep.rules.voters import SEAT
+from molereach.upkeep.permits.fact_reporting import FactReporter, FactsMeasured
+from molereach.upkeep.permits.lifecycle import ABSENT_STATES, DRAINING_STATES, WAITING_STATES, State, Step
+from molereach.upkeep.permits.next_steps import items_to_expedite, items_to_recall, next_step, returned_name
+from molereach.upkeep.permits.proposals import OpenProposals
+from molereach.upkeep.permits.record import ItemRecord
+from molereach.upkeep.permits.starting import due_items, fallback_servers_without, missing_fallback_servers
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
+from molereach.upkeep.rules.fallback_servers import FALLBACK_RULE
+from molereach.upkeep.rules.scene import Blocker
+from molereach.upkeep.rules.voters import VOTER_RULE
 from molereach.upkeep.scheduling.plan import Plan
 
-BEAT_US = SECOND_US // 2
-SLICE_US = SECOND_US // 200  # between two slices of a plan
-SEEN = "seen"
-SEAT_US = 10 * SECOND_US  # before a seat is asked for again
+TICK_INTERVAL_US = SECOND_US // 2
+PLAN_SLICE_INTERVAL_US = SECOND_US // 200  # between two slices of a plan
+FACTS_PURPOSE = "seen"
+VOTER_REPLACEMENT_INTERVAL_US = 10 * SECOND_US  # before a replacement is requested again
 
 
 @dataclass(frozen=True, slots=True)
-class ReplaceSeat:
-    """Action: give this front door's seat of the panel to another, so that its machine may drain."""
+class ReplaceVoter:
+    """Action: let another front door take over this one's vote, so that its machine may drain."""
 
-    door: str
+    name: str
 
 
-Event = Tick | LeaderChanged | Applied | Restored | ProposalFinished | Measured
-Action = Propose | ReplaceSeat
+Event = Tick | LeaderChanged | Applied | Restored | ProposalFinished | FactsMeasured
+Action = Propose | ReplaceVoter
 
 
 class Driver:
-    """At every front door; it acts only while this one leads."""
-
-    def __init__(self, me: NodeInstance, machine: Upkeep, clears: Clears) -> None:
-        self._me, self._machine, self._book = me, machine, machine.book
-        self._accounting = Accounting(machine.sessions, clears, machine.settings.over_wait_ms)
-        self._telling = Telling()
-        self._planning = Planning(self._book)
+    """Runs at every front door; acts only while this one leads."""
+
+    def __init__(
+        self, me: NodeInstance, machine: UpkeepStateMachine, clear_positions: ClearPositions
+    ) -> None:
+        self._me, self._machine, self._registry = me, machine, machine.registry
+        self._accounting = ClearanceAccounting(
+            machine.sessions, clear_positions, machine.settings.expired_session_wait_ms
+        )
+        self._fact_reporter = FactReporter()
+        self._planner = BackgroundPlanner(self._registry)
         self._ballot: int | None = None
-        self._proposals = Proposals(me, 0)
+        self._proposals = OpenProposals(me, 0)
         self._clock = EntryClock()
         self._next_us = NEVER_US
-        self.stops: dict[str, Stop] = {}  # by work that waits: what stops it
-        self.missed: dict[str, tuple[Missed, ...]] = {}  # by work that drains: for whom it waits
+        self.blockers: dict[str, Blocker] = {}  # by waiting or draining item
+        self.missing_clearances: dict[str, tuple[MissingClearance, ...]] = {}  # by draining item
 
     @property
     def plan(self) -> Plan | None:
-        return self._planning.plan
+        """The last complete plan."""
+        return self._planner.plan
 
     @property
     def wake_us(self) -> int:
+        """When the next `Tick` is due."""
         return self._next_us
 
     def at_ms(self, now_us: int) -> int:
-        """What the time of an entry would be about now."""
+        """The estimated time of an entry proposed now."""
         return self._clock.at_ms(now_us)
 
-    def why(self, now_us: int, id: str) -> Stop | None:
-        """What stops a work that waits, with the machines; None where nothing does, or it waits for
-        nothing."""
-        record = self._book.records.get(id)
-        if record is None or record.state not in WAITING:
+    def blocker(self, now_us: int, id: str) -> Blocker | None:
+        """What blocks a waiting item; None if nothing does, or it is not waiting."""
+        record = self._registry.records.get(id)
+        if record is None or record.state not in WAITING_STATES:
             return None
-        return self._book.stop_begin(record, self.at_ms(now_us)) or self.stops.get(id)
+        return self._registry.start_blocker(record, self.at_ms(now_us)) or self.blockers.get(id)
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
+        """Handles an event, and returns the resulting actions."""
         match event:
             case LeaderChanged():
-                self._leads(now_us, event)
+                self._leader_changed(now_us, event)
             case Applied():
                 self._clock.applied(now_us, event.entry.at_ms)
-                self._accounting.look(now_us)
+                self._accounting.update(now_us)
                 if event.entry.machine == MACHINE and not event.outcome.error:
-                    self._planning.changed()
+                    self._planner.invalidate()
             case Restored():
-                self._clock.restored(now_us, self._book.marks)
-                self._accounting.look(now_us)
-                self._planning.changed()
+                self._clock.restored(now_us, self._registry.marks)
+                self._accounting.update(now_us)
+                self._planner.invalidate()
             case ProposalFinished():
-                self._over(now_us, event)
-            case Measured():
-                self._telling.measured(now_us, event.facts)
+                self._proposal_finished(now_us, event)
+            case FactsMeasured():
+                self._fact_reporter.update(now_us, event.facts)
             case Tick():
                 pass
-        return self._due(now_us) if now_us >= self._next_us else []
+        return self._act(now_us) if now_us >= self._next_us else []
 
-    def _leads(self, now_us: int, event: LeaderChanged) -> None:
+    def _leader_changed(self, now_us: int, event: LeaderChanged) -> None:
         ballot = event.ballot if event.is_self else None
         if ballot != self._ballot:
-            self._ballot, self._proposals = ballot, Proposals(self._me, event.ballot)
-            self._planning.forget()
-            self._telling.failed()
+            self._ballot, self._proposals = ballot, OpenProposals(self._me, event.ballot)
+            self._planner.reset()
+            self._fact_reporter.restart()
         self._next_us = NEVER_US if ballot is None else min(self._next_us, now_us)
 
-    def _over(self, now_us: int, event: ProposalFinished) -> None:
-        found = self._proposals.over(now_us, event)
-        if found is None or self._ballot is None:
+    def _proposal_finished(self, now_us: int, event: ProposalFinished) -> None:
+        finished = self._proposals.finish(now_us, event)
+        if finished is None or self._ballot is None:
             return
-        what, done = found
-        if what == SEEN:
-            self._telling.settled() if done else self._telling.failed()
-        self._next_us = min(self._next_us, now_us + SLICE_US)  # a few answers that come at once are one
+        purpose, done = finished
+        if purpose == FACTS_PURPOSE:
+            self._fact_reporter.part_applied() if done else self._fact_reporter.restart()
+        # Outcomes that arrive together are handled in one turn.
+        self._next_us = min(self._next_us, now_us + PLAN_SLICE_INTERVAL_US)
 
-    # --- what the time calls for ---
+    # --- actions that are due ---
 
-    def _due(self, now_us: int) -> list[Action]:
+    def _act(self, now_us: int) -> list[Action]:
         if self._ballot is None:
             self._next_us = NEVER_US
             return []
-        self._proposals.forget(now_us)
-        self._forget()
+        self._proposals.drop_expired_delays(now_us)
+        self._drop_outdated()
         at_ms = self.at_ms(now_us)
-        out = self._tell(now_us)
-        if self._book.records:
+        actions = self._report_facts(now_us)
+        if self._registry.records:
             for step, records in (
-                (Step.RECALL, recalled(self._book, at_ms)),
-                (Step.HURRY, hurried(self._book, at_ms)),
+                (Step.RECALL, items_to_recall(self._registry, at_ms)),
+                (Step.EXPEDITE, items_to_expedite(self._registry, at_ms)),
             ):
                 for record in records:
-                    out += self._move(now_us, record, step)
-            for record in list(self._book.records.values()):
-                if self._proposals.full:
+                    actions += self._propose_step(now_us, record, step)
+            for record in list(self._registry.records.values()):
+                if self._proposals.is_full:
                     break
-                out += self._go_on(now_us, at_ms, record)
-            out += self._begin(now_us, at_ms)
-        if (standing := lacking(self._book)) is not None:
-            out += self._make(now_us, "stand", Stand(standing))
-        self._next_us = now_us + (SLICE_US if self._planning.busy else BEAT_US)
-        return out
-
-    def _forget(self) -> None:
-        """What is said of works that have gone on."""
-        at = {id: record.state for id, record in self._book.records.items()}
-        self.missed = {id: each for id, each in self.missed.items() if at.get(id) in LEAVING}
-        self.stops = {id: stop for id, stop in self.stops.items() if at.get(id) in WAITING | LEAVING}
-
-    def _tell(self, now_us: int) -> list[Action]:
-        if self._proposals.open(SEEN):
+                actions += self._advance(now_us, at_ms, record)
+            actions += self._start_due_items(now_us, at_ms)
+        if (fallback_servers := missing_fallback_servers(self._registry)) is not None:
+            actions += self._propose(now_us, "stand", SetFallbackServers(fallback_servers))
+        self._next_us = now_us + (PLAN_SLICE_INTERVAL_US if self._planner.busy else TICK_INTERVAL_US)
+        return actions
+
+    def _drop_outdated(self) -> None:
+        """Drops what is known of items that are in another state now."""
+        states = {id: record.state for id, record in self._registry.records.items()}
+        self.missing_clearances = {
+            id: each for id, each in self.missing_clearances.items() if states.get(id) in DRAINING_STATES
+        }
+        self.blockers = {
+            id: blocker
+            for id, blocker in self.blockers.items()
+            if states.get(id) in WAITING_STATES | DRAINING_STATES
+        }
+
+    def _report_facts(self, now_us: int) -> list[Action]:
+        if self._proposals.is_open(FACTS_PURPOSE):
             return []
-        part = self._telling.part(now_us, bool(self._book.records))
-        return self._make(now_us, SEEN, part) if part else []
-
-    def _make(self, now_us: int, what: str, body: Body) -> list[Action]:
-        return [*self._proposals.make(now_us, what, body)]
-
-    def _move(self, now_us: int, record: Record, step: Step) -> list[Action]:
-        return self._make(now_us, f"work.{record.work.id}", Move(record.work.id, step, record.begun))
-
-    def _go_on(self, now_us: int, at_ms: int, record: Record) -> list[Action]:
-        if step := next_step(self._book, record, at_ms):
-            return self._move(now_us, record, step)
-        if record.state in LEAVING:
-            return self._clear_out(now_us, at_ms, record)
-        if record.state in GONE and (name := back_as(self._book, record, at_ms)):
-            return self._make(now_us, f"work.{record.work.id}", Back(record.work.id, record.permit, name))
+        part = self._fact_reporter.next_part(now_us, bool(self._registry.records))
+        return self._propose(now_us, FACTS_PURPOSE, part) if part else []
+
+    def _propose(self, now_us: int, purpose: str, body: Body) -> list[Action]:
+        return [*self._proposals.propose(now_us, purpose, body)]
+
+    def _propose_step(self, now_us: int, record: ItemRecord, step: Step) -> list[Action]:
+        return self._propose(now_us, f"work.{record.work.id}", TakeStep(record.work.id, step, record.begun))
+
+    def _advance(self, now_us: int, at_ms: int, record: ItemRecord) -> list[Action]:
+        if step := next_step(self._registry, record, at_ms):
+            return self._propose_step(now_us, record, step)
+        if record.state in DRAINING_STATES:
+            return self._advance_draining(now_us, at_ms, record)
+        if record.state in ABSENT_STATES and (name := returned_name(self._registry, record, at_ms)):
+            return self._propose(
+                now_us, f"work.{record.work.id}", ReportReturn(record.work.id, record.permit, name)
+            )
         return []
 
-    def _clear_out(self, now_us: int, at_ms: int, record: Record) -> list[Action]:
-        unstood = self._book.unstood.get(record.work.machine, -1)
-        words, missed = self._accounting.account(now_us, record.begun, unstood)
-        self.missed[record.work.id] = missed
-        if missed or self._machine.fault(record, words, at_ms):
+    def _advance_draining(self, now_us: int, at_ms: int, record: ItemRecord) -> list[Action]:
+        fallback_until = self._registry.former_fallback_servers.get(record.work.machine, -1)
+        clearances, missing = self._accounting.account(now_us, record.begun, fallback_until)
+        self.missing_clearances[record.work.id] = missing
+        if missing or self._machine.proof_gap(record, clearances, at_ms):
             return []
         if record.state is State.DRAINING:
-            return self._move(now_us, record, Step.EMPTY)
-        if stop := self._book.stop(record, at_ms):
-            self.stops[record.work.id] = stop
+            return self._propose_step(now_us, record, Step.CONFIRM_DRAINED)
+        if blocker := self._registry.permit_blocker(record, at_ms):
+            self.blockers[record.work.id] = blocker
             return []
-        return self._make(now_us, f"work.{record.work.id}", Out(record.work.id, record.begun, words))
+        return self._propose(
+            now_us, f"work.{record.work.id}", GrantPermit(record.work.id, record.begun, clearances)
+        )
 
-    # --- beginnings ---
+    # --- starts ---
 
-    def _begin(self, now_us: int, at_ms: int) -> list[Action]:
-        self._planning.go_on(at_ms)
-        plan = self._planning.plan
+    def _start_due_items(self, now_us: int, at_ms: int) -> list[Action]:
+        self._planner.run_slice(at_ms)
+        plan = self._planner.plan
         if plan is None:
             return []
-        self.stops.update(plan.stopped)
-        out: list[Action] = []
-        for record, stop in due(self._book, plan, at_ms):
-            if stop is None:
-                self.stops.pop(record.work.id, None)
-                out += self._move(now_us, record, Step.DRAIN)
+        self.blockers.update(plan.blocked)
+        actions: list[Action] = []
+        for record, blocker in due_items(self._registry, plan, at_ms):
+            if blocker is None:
+                self.blockers.pop(record.work.id, None)
+                actions += self._propose_step(now_us, record, Step.DRAIN)
             else:
-                self.stops[record.work.id] = stop
-                out += self._make_way(now_us, record, stop)
-        return out
+                self.blockers[record.work.id] = blocker
+                actions += self._resolve_blocker(now_us, record, blocker)
+        return actions
 
-    def _make_way(self, now_us: int, record: Record, stop: Stop) -> list[Action]:
-        """What another has to take over before it may begin."""
+    def _resolve_blocker(self, now_us: int, record: ItemRecord, blocker: Blocker) -> list[Action]:
+        """Proposes a replacement for what the machine must hand over before its item may start."""
         machine = record.work.machine
-        if stop.rule == STANDING and (others := replaced(self._book, machine)):
-            return self._make(now_us, "stand", Stand(others))
-        if stop.rule == SEAT and self._proposals.wait(now_us, f"seat.{machine}", SEAT_US):
-            return [ReplaceSeat(machine)]
+        if blocker.rule == FALLBACK_RULE and (
+            replacements := fallback_servers_without(self._registry, machine)
+        ):
+            return self._propose(now_us, "stand", SetFallbackServers(replacements))
+        if blocker.rule == VOTER_RULE and self._proposals.claim_interval(
+            now_us, f"seat.{machine}", VOTER_REPLACEMENT_INTERVAL_US
+        ):
+            return [ReplaceVoter(machine)]
         return []
--- a/molereach/upkeep/permits/__init__.py
+++ b/molereach/upkeep/permits/__init__.py
@@ -1,7 +1,8 @@
-"""The way of a machine that is out for work, and the state machine "upkeep" that walks it on the log.
+"""The lifecycle of a work item, and the state machine "upkeep" that holds it on the replicated log.
 
-Read `way` (the table), `bodies` and `record` (what is settled and kept), `proof` (that nobody sends there any
-more), `gathering` (facts in parts), `marks`, `book` (all that is kept), `guards` (what each step asks for),
-`snapshots` and `machine`; of the leader `accounting` (who is missed for a proof), `nexts` (which step may
-be), `planning`, `beginning`, `entry_clock`, `proposals` and `telling` (facts to the log).
+Read `lifecycle` (states and transitions), `bodies` and `record` (what is proposed and stored), `proof` (that
+no proxy sends to a machine any more), `fact_parts`, `time_marks`, `registry` (all state), `guards`
+(conditions of each step), `snapshots` and `state_machine`; for the leader `clearance_accounting` (which
+proxies a proof still lacks), `next_steps`, `background_planning`, `starting`, `entry_clock`, `proposals` and
+`fact_reporting`.
 """
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of the entries about works, and their one decoder."""
+"""The bodies of entries for the state machine "upkeep", and their decoder."""
 
 from typing import Annotated
 
@@ -9,88 +9,99 @@
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Name, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.upkeep.permits.lifecycle import Step
-from molereach.upkeep.requests.work_item import MOST_MS, Work
-from molereach.upkeep.rules.fleet_facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Door, Server
+from molereach.upkeep.requests.work_item import MAX_TIMESTAMP_MS, WorkItem
+from molereach.upkeep.rules.fleet_facts import (
+    MAX_ORDERED_MACHINES,
+    MAX_SERVERS,
+    MAX_VOTERS,
+    ProxyFacts,
+    ServerFacts,
+)
 
 MACHINE = "upkeep"
-MOST_PARTS = 16  # of one set of facts
-MOST_WORDS = 2 * MAX_MEMBERS  # in a proof: of a name two sessions may count
-_FIRST = b'{"kind":"'  # so that nothing is skipped, however deep, before it is known what it is
+MAX_PARTS = 16  # parts of one set of facts
+MAX_CLEARANCES = 2 * MAX_MEMBERS  # in a proof: up to two sessions of each name count
+_BODY_PREFIX = (
+    b'{"kind":"'  # the tag comes first, so that the decoder never skips over nested data to find it
+)
 
 
-class Ask(WireStruct, frozen=True, tag_field="kind", tag="ask"):
-    """Take this machine out. The same again is answered with what became of it."""
+class RequestMaintenance(WireStruct, frozen=True, tag_field="kind", tag="ask"):
+    """Requests maintenance. A repeated request is answered with the current record of the item."""
 
-    work: Work
+    work: WorkItem
 
 
-class Seen(WireStruct, frozen=True, tag_field="kind", tag="seen"):
-    """A part of what was measured. Parts come in order, from one proposer; a first part begins anew."""
+class ReportFacts(WireStruct, frozen=True, tag_field="kind", tag="seen"):
+    """One part of a set of facts. The parts come in order from one proposer; a first part starts a new
+    set."""
 
     number: Position
-    part: Annotated[int, Meta(ge=0, lt=MOST_PARTS)]
-    parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
-    age_ms: Annotated[int, Meta(ge=0, le=MOST_MS)]  # of the oldest of it, as it was proposed
-    servers: Annotated[tuple[Server, ...], Meta(max_length=MOST_SERVERS)] = ()
-    doors: Annotated[tuple[Door, ...], Meta(max_length=MAX_MEMBERS)] = ()
-    panel: Annotated[tuple[Name, ...], Meta(max_length=MOST_SEATS)] = ()
+    part: Annotated[int, Meta(ge=0, lt=MAX_PARTS)]
+    parts: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+    age_ms: Annotated[int, Meta(ge=0, le=MAX_TIMESTAMP_MS)]  # age of the oldest measurement when proposed
+    servers: Annotated[tuple[ServerFacts, ...], Meta(max_length=MAX_SERVERS)] = ()
+    doors: Annotated[tuple[ProxyFacts, ...], Meta(max_length=MAX_MEMBERS)] = ()
+    panel: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()
     spares: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)] = 0
-    ordered: Annotated[tuple[Name, ...], Meta(max_length=MOST_ORDERED)] = ()
+    ordered: Annotated[tuple[Name, ...], Meta(max_length=MAX_ORDERED_MACHINES)] = ()
 
 
-class Stand(WireStruct, frozen=True, tag_field="kind", tag="stand"):
-    """These servers, and no others, stand for front doors that are long without a session."""
+class SetFallbackServers(WireStruct, frozen=True, tag_field="kind", tag="stand"):
+    """Replaces the fallback servers, which proxies may use for long without a session."""
 
-    servers: Annotated[tuple[Name, ...], Meta(max_length=MOST_SERVERS)]
+    servers: Annotated[tuple[Name, ...], Meta(max_length=MAX_SERVERS)]
 
 
-class Move(WireStruct, frozen=True, tag_field="kind", tag="move"):
-    """A step of a work. `begun` is the position of the entry by which it drains, 0 where it does not."""
+class TakeStep(WireStruct, frozen=True, tag_field="kind", tag="move"):
+    """Takes a step of a work item. `begun` is the position of the entry that started its draining, 0 if none
+    did."""
 
     id: Id
     step: Step
     begun: Position = 0
 
 
-class Word(WireStruct, frozen=True, array_like=True):
-    """Of one session, by its fence: what `Accounted` says, in the fewest bytes, as 256 must fit in an
-    entry."""
+class SessionClearance(WireStruct, frozen=True, array_like=True):
+    """The clearance of one session, by its fencing token: a `NodeClearance` in few bytes, as 256 must fit in
+    an entry."""
 
     fence: Position
     known: ClearanceEvidence
     position: Position
 
 
-class Out(WireStruct, frozen=True, tag_field="kind", tag="out"):
-    """The permit, with the proof for the draining that began at `begun`."""
+class GrantPermit(WireStruct, frozen=True, tag_field="kind", tag="out"):
+    """Grants the permit, with the proof for the draining that started at `begun`."""
 
     id: Id
     begun: Position
-    proof: Annotated[tuple[Word, ...], Meta(max_length=MOST_WORDS)]
+    proof: Annotated[tuple[SessionClearance, ...], Meta(max_length=MAX_CLEARANCES)]
 
 
-class Back(WireStruct, frozen=True, tag_field="kind", tag="back"):
-    """The machine that was out by this permit is there again, under this name."""
+class ReportReturn(WireStruct, frozen=True, tag_field="kind", tag="back"):
+    """Reports that the machine with this permit has returned, under this name."""
 
     id: Id
-    permit: Annotated[int, Meta(ge=1, le=MOST_MS)]
+    permit: Annotated[int, Meta(ge=1, le=MAX_TIMESTAMP_MS)]
     name: Name
 
 
-Body = Ask | Seen | Stand | Move | Out | Back
+Body = RequestMaintenance | ReportFacts | SetFallbackServers | TakeStep | GrantPermit | ReportReturn
 
 _DECODER: msgspec.json.Decoder[Body] = msgspec.json.Decoder(Body)
 
 
 def encode(body: Body) -> bytes:
+    """Encodes a body for the log."""
     return msgspec.json.encode(body)
 
 
 def decode(data: bytes) -> Body:
-    """ValueError where it is none of them."""
-    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
+    """Decodes a body. Raises ValueError if it is none of them."""
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_BODY_PREFIX):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
-    except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
+    except msgspec.DecodeError:  # not its message, which may differ between versions of the library
         raise ValueError("not understood") from None
--- a/molereach/upkeep/permits/clearance_accounting.py
+++ b/molereach/upkeep/permits/clearance_accounting.py
@@ -1,7 +1,7 @@
-"""The leader's side of a proof: who is accounted for, and who is missed, and why.
+"""The leader's side of a proof: the clearances it can state, and which proxies are missing and why.
 
-It counts how long a front door is without a session by its own clock, from when it first saw so: the times of
-entries may jump where clocks differ, and the state machine has only those.
+It measures by its own clock how long a front door has been without a session, from when it first observed
+that. The state machine has only the times of entries, which may jump where the clocks of leaders differ.
 """
 
 from dataclasses import dataclass
@@ -10,60 +10,77 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
-from molereach.upkeep.permits.bodies import Word
-from molereach.upkeep.permits.proof import SessionsAt, alone, needed, pack
+from molereach.upkeep.permits.bodies import SessionClearance
+from molereach.upkeep.permits.proof import (
+    SessionHistory,
+    may_serve_without_session,
+    sessions_to_clear,
+    to_clearances,
+)
 
 MS_US = 1000
 
 
-class Clears(Protocol):
-    """What open sessions have said."""
+class ClearPositions(Protocol):
+    """The clear positions that open sessions have reported."""
 
-    def clear(self, name: str, fence: int) -> int:
-        """The position up to which all that entries forbid is no more under way there; 0 for nothing said."""
+    def clear_position(self, name: str, fencing_token: int) -> int:
+        """The position up to which a proxy no longer does what entries forbid; 0 if it has reported none."""
 
 
 @dataclass(frozen=True, slots=True)
-class Missed:
-    """A front door that still could send to a machine, as far as is known."""
+class MissingClearance:
+    """A front door that may still send to a machine, as far as is known."""
 
-    door: NodeInstance
-    why: str
+    instance: NodeInstance
+    reason: str
 
 
-class Accounting:
-    """For all works; `look` is to be called whenever the log was applied."""
+class ClearanceAccounting:
+    """Collects clearances for all work items. Call `update` whenever the log was applied."""
 
-    def __init__(self, sessions: SessionsAt, clears: Clears, wait_ms: int) -> None:
-        self._sessions, self._clears, self._wait_us = sessions, clears, wait_ms * MS_US
-        self._lone: dict[int, int] = {}  # since when it is seen, by fence
+    def __init__(self, sessions: SessionHistory, clear_positions: ClearPositions, wait_ms: int) -> None:
+        self._sessions, self._clear_positions, self._wait_us = sessions, clear_positions, wait_ms * MS_US
+        self._expired_since_us: dict[int, int] = {}  # by fencing token: when it was first seen
 
-    def look(self, now_us: int) -> None:
-        self._lone = {
-            past.fencing_token: self._lone.get(past.fencing_token, now_us) for past in self._sessions.lone()
+    def update(self, now_us: int) -> None:
+        """Notes which sessions have expired."""
+        self._expired_since_us = {
+            ended.fencing_token: self._expired_since_us.get(ended.fencing_token, now_us)
+            for ended in self._sessions.expired_sessions()
         }
 
-    def account(self, now_us: int, begun: int, unstood: int) -> tuple[tuple[Word, ...], tuple[Missed, ...]]:
-        """Words for a proof, and who is missed for one."""
-        found: list[tuple[ActiveSession | EndedSession, NodeClearance]] = []
-        missed: list[Missed] = []
-        for session in needed(self._sessions, begun):
-            if why := self._why(now_us, session, begun, unstood):
-                missed.append(Missed(session.instance, why))
+    def account(
+        self, now_us: int, begun: int, fallback_until: int
+    ) -> tuple[tuple[SessionClearance, ...], tuple[MissingClearance, ...]]:
+        """The clearances for a proof, and those that are missing."""
+        cleared: list[tuple[ActiveSession | EndedSession, NodeClearance]] = []
+        missing: list[MissingClearance] = []
+        for session in sessions_to_clear(self._sessions, begun):
+            if reason := self._missing_reason(now_us, session, begun, fallback_until):
+                missing.append(MissingClearance(session.instance, reason))
             elif isinstance(session, ActiveSession):
-                clear = self._clears.clear(session.instance.name, session.fencing_token)
-                found.append((session, NodeClearance(session.instance, ClearanceEvidence.REPORTED, clear)))
+                clear_position = self._clear_positions.clear_position(
+                    session.instance.name, session.fencing_token
+                )
+                cleared.append(
+                    (session, NodeClearance(session.instance, ClearanceEvidence.REPORTED, clear_position))
+                )
             else:
-                found.append((session, NodeClearance(session.instance, session.evidence, session.position)))
-        return pack(found), tuple(missed)
+                cleared.append((session, NodeClearance(session.instance, session.evidence, session.position)))
+        return to_clearances(cleared), tuple(missing)
 
-    def _why(self, now_us: int, session: ActiveSession | EndedSession, begun: int, unstood: int) -> str:
+    def _missing_reason(
+        self, now_us: int, session: ActiveSession | EndedSession, begun: int, fallback_until: int
+    ) -> str:
         if isinstance(session, ActiveSession):
-            clear = self._clears.clear(session.instance.name, session.fencing_token)
-            return "" if clear >= begun else f"has said {clear} of {begun}"
-        if not alone(self._sessions, session):
+            clear_position = self._clear_positions.clear_position(
+                session.instance.name, session.fencing_token
+            )
+            return "" if clear_position >= begun else f"has said {clear_position} of {begun}"
+        if not may_serve_without_session(self._sessions, session):
             return ""
-        if unstood >= session.fencing_token:
+        if fallback_until >= session.fencing_token:
             return "is without a session, and may count on it: start it anew, or let it leave"
-        since_us = self._lone.get(session.fencing_token, now_us)
+        since_us = self._expired_since_us.get(session.fencing_token, now_us)
         return "" if now_us - since_us >= self._wait_us else "is without a session for too short a time"
--- a/molereach/upkeep/permits/fact_parts.py
+++ b/molereach/upkeep/permits/fact_parts.py
@@ -1,6 +1,6 @@
-"""A set of facts, of parts that come one after the other: whole, or not taken.
+"""Assembles a set of facts from parts that come in order. A set is used only if it is complete.
 
-A set is as old as its oldest part, by the time of the entries and what each part says of its age.
+A set is as old as its oldest part, by the time of the entries and the age that each part states.
 """
 
 from typing import Annotated
@@ -8,59 +8,73 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance, Position, WireStruct
-from molereach.upkeep.permits.bodies import MOST_PARTS, Seen, encode
-from molereach.upkeep.rules.fleet_facts import MOST_ORDERED, MOST_SEATS, MOST_SERVERS, Facts, unsound
+from molereach.upkeep.permits.bodies import MAX_PARTS, ReportFacts, encode
+from molereach.upkeep.rules.fleet_facts import (
+    MAX_ORDERED_MACHINES,
+    MAX_SERVERS,
+    MAX_VOTERS,
+    FleetFacts,
+    find_inconsistency,
+)
 
 
-class Part(WireStruct, frozen=True):
-    """What has come of a set that is not whole."""
+class PartialFacts(WireStruct, frozen=True):
+    """The parts of an incomplete set that have come so far."""
 
     number: Position
-    by: NodeInstance
-    next: Annotated[int, Meta(ge=0, le=MOST_PARTS)]
-    parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
-    facts: Facts
+    by: NodeInstance  # the proposer
+    next: Annotated[int, Meta(ge=0, le=MAX_PARTS)]
+    parts: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
+    facts: FleetFacts
 
 
-def gather(part: Part | None, seen: Seen, by: NodeInstance, at_ms: int) -> Part:
-    """With the next part; ValueError, in one line, where it is not the next or they cannot be."""
-    measured_ms = at_ms - seen.age_ms
+def add_part(
+    partial: PartialFacts | None, reported: ReportFacts, proposer: NodeInstance, at_ms: int
+) -> PartialFacts:
+    """Adds the next part. Raises ValueError, in one line, if it is not the next or the facts are invalid."""
+    measured_ms = at_ms - reported.age_ms
     if measured_ms < 0:
         raise ValueError("age_ms: older than time")
-    if seen.part == 0:
-        before = Facts(at_ms=measured_ms)
-    elif part and (seen.number, by, seen.part, seen.parts) == (part.number, part.by, part.next, part.parts):
-        before = part.facts
+    if reported.part == 0:
+        before = FleetFacts(at_ms=measured_ms)
+    elif partial and (reported.number, proposer, reported.part, reported.parts) == (
+        partial.number,
+        partial.by,
+        partial.next,
+        partial.parts,
+    ):
+        before = partial.facts
     else:
         raise ValueError("part: not the next")
-    facts = Facts(
+    facts = FleetFacts(
         min(before.at_ms, measured_ms),
-        (*before.servers, *seen.servers),
-        (*before.doors, *seen.doors),
-        (*before.panel, *seen.panel),
-        max(before.spares, seen.spares),
-        (*before.ordered, *seen.ordered),
+        (*before.servers, *reported.servers),
+        (*before.doors, *reported.doors),
+        (*before.panel, *reported.panel),
+        max(before.spares, reported.spares),
+        (*before.ordered, *reported.ordered),
     )
-    for field, found, most in (
-        ("servers", facts.servers, MOST_SERVERS),
+    for field, values, limit in (
+        ("servers", facts.servers, MAX_SERVERS),
         ("doors", facts.doors, MAX_MEMBERS),
-        ("panel", facts.panel, MOST_SEATS),
-        ("ordered", facts.ordered, MOST_ORDERED),
+        ("panel", facts.panel, MAX_VOTERS),
+        ("ordered", facts.ordered, MAX_ORDERED_MACHINES),
     ):
-        if len(found) > most:
-            raise ValueError(f"{field}: more than {most}")
-    if said := unsound(facts):
-        raise ValueError(said)
-    return Part(seen.number, by, seen.part + 1, seen.parts, facts)
+        if len(values) > limit:
+            raise ValueError(f"{field}: more than {limit}")
+    if inconsistency := find_inconsistency(facts):
+        raise ValueError(inconsistency)
+    return PartialFacts(reported.number, proposer, reported.part + 1, reported.parts, facts)
 
 
-def cut(facts: Facts, number: int, age_ms: int, most_bytes: int) -> tuple[Seen, ...]:
-    """In as few equal parts as fit in bodies of `most_bytes`; ValueError where none do."""
-    for parts in range(1, MOST_PARTS + 1):
+def split_facts(facts: FleetFacts, number: int, age_ms: int, max_bytes: int) -> tuple[ReportFacts, ...]:
+    """Splits facts into as few equal parts as fit in bodies of `max_bytes`. Raises ValueError if they don't
+    fit."""
+    for parts in range(1, MAX_PARTS + 1):
         servers, doors = -(-len(facts.servers) // parts), -(-len(facts.doors) // parts)
         orders = -(-len(facts.ordered) // parts)
-        found = tuple(
-            Seen(
+        reports = tuple(
+            ReportFacts(
                 number,
                 part,
                 parts,
@@ -73,6 +87,6 @@
             )
             for part in range(parts)
         )
-        if all(len(encode(each)) <= most_bytes for each in found):
-            return found
-    raise ValueError(f"facts: more than {MOST_PARTS} parts")
+        if all(len(encode(each)) <= max_bytes for each in reports):
+            return reports
+    raise ValueError(f"facts: more than {MAX_PARTS} parts")
--- a/molereach/upkeep/permits/fact_reporting.py
+++ b/molereach/upkeep/permits/fact_reporting.py
@@ -1,5 +1,8 @@
-"""What was measured at the leader, told to the log: in parts, one after the other, and not more often than is
-needed. What is ready no more, or again, is told at once."""
+"""Reports the facts measured at the leader to the log: in parts, one after another, and no more often than
+needed.
+
+A machine that becomes ready, or is no longer, is reported at once.
+"""
 
 from dataclasses import dataclass
 
@@ -7,61 +10,68 @@
 
 from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
-from molereach.upkeep.permits.bodies import Seen
-from molereach.upkeep.permits.fact_parts import cut
-from molereach.upkeep.rules.fleet_facts import Facts
+from molereach.upkeep.permits.bodies import ReportFacts
+from molereach.upkeep.permits.fact_parts import split_facts
+from molereach.upkeep.rules.fleet_facts import FleetFacts
 
-EVERY_US = 10 * SECOND_US  # while works are open
-IDLE_US = 300 * SECOND_US
-MOST_PART_BYTES = MAX_ENTRY_BODY_BYTES - 1024
+ACTIVE_INTERVAL_US = 10 * SECOND_US  # while work items are open
+IDLE_INTERVAL_US = 300 * SECOND_US
+MAX_PART_BYTES = MAX_ENTRY_BODY_BYTES - 1024
 MS_US = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """Event: what this front door knows of the fleet now; `at_ms` of it is not read."""
+class FactsMeasured:
+    """Event: what this front door knows of the fleet now. `at_ms` of the facts is ignored."""
 
-    facts: Facts
+    facts: FleetFacts
 
 
-class Telling:
-    """`part` is the one to be proposed; `settled` or `failed` says what became of it."""
+class FactReporter:
+    """`next_part` is the one to propose; `part_applied` or `restart` reports its outcome."""
 
     def __init__(self) -> None:
-        self._measured: tuple[int, Facts] | None = None  # the newest, and when it came
-        self._told_us: int | None = None  # when the last set began
-        self._told: Facts | None = None
-        self._parts: list[Seen] = []
-        self._of_us = 0  # when what these are of was measured
+        self._latest: tuple[int, FleetFacts] | None = None  # when it came, and the newest facts
+        self._reported_at_us: int | None = None  # when the last set was started
+        self._reported: FleetFacts | None = None
+        self._parts: list[ReportFacts] = []
+        self._measured_at_us = 0  # when the facts in `_parts` were measured
         self._number = 0
 
-    def measured(self, now_us: int, facts: Facts) -> None:
-        self._measured = now_us, facts
+    def update(self, now_us: int, facts: FleetFacts) -> None:
+        """Takes a new measurement."""
+        self._latest = now_us, facts
 
-    def part(self, now_us: int, busy: bool) -> Seen | None:
-        if not self._parts and self._measured and self._due(now_us, busy, self._measured[1]):
-            self._of_us, self._told = self._measured
-            self._told_us, self._number = now_us, self._number + 1
-            self._parts = list(cut(self._told, self._number, 0, MOST_PART_BYTES))
+    def next_part(self, now_us: int, active: bool) -> ReportFacts | None:
+        """The next part to propose; None if no report is due. `active` says whether work items are open."""
+        if not self._parts and self._latest and self._is_due(now_us, active, self._latest[1]):
+            self._measured_at_us, self._reported = self._latest
+            self._reported_at_us, self._number = now_us, self._number + 1
+            self._parts = list(split_facts(self._reported, self._number, 0, MAX_PART_BYTES))
         if not self._parts:
             return None
-        return msgspec.structs.replace(self._parts[0], age_ms=-(-(now_us - self._of_us) // MS_US))
+        return msgspec.structs.replace(self._parts[0], age_ms=-(-(now_us - self._measured_at_us) // MS_US))
 
-    def settled(self) -> None:
+    def part_applied(self) -> None:
+        """The part was applied; the next one follows."""
         self._parts = self._parts[1:]
 
-    def failed(self) -> None:
-        """Some other leader told its own between: begin anew."""
-        self._parts, self._told = [], None
+    def restart(self) -> None:
+        """The part was rejected, as another leader reported in between: starts a new set."""
+        self._parts, self._reported = [], None
 
-    def _due(self, now_us: int, busy: bool, facts: Facts) -> bool:
-        if self._told_us is None or self._told is None or _ready(facts) != _ready(self._told):
+    def _is_due(self, now_us: int, active: bool, facts: FleetFacts) -> bool:
+        if (
+            self._reported_at_us is None
+            or self._reported is None
+            or _urgent_state(facts) != _urgent_state(self._reported)
+        ):
             return True
-        return now_us - self._told_us >= (EVERY_US if busy else IDLE_US)
+        return now_us - self._reported_at_us >= (ACTIVE_INTERVAL_US if active else IDLE_INTERVAL_US)
 
 
-def _ready(facts: Facts) -> tuple[frozenset[str], tuple[str, ...], tuple[str, ...]]:
-    """What is not to wait: who is ready, who has a seat, what is ordered."""
+def _urgent_state(facts: FleetFacts) -> tuple[frozenset[str], tuple[str, ...], tuple[str, ...]]:
+    """The state whose change is reported at once: who is ready, who is a voter, what has an order."""
     servers = [each.name for each in facts.servers if each.ready]
     doors = [each.name for each in facts.doors if each.ready]
     return frozenset(servers + doors), facts.panel, facts.ordered
--- a/molereach/upkeep/permits/next_steps.py
+++ b/molereach/upkeep/permits/next_steps.py
@@ -1,90 +1,102 @@
-"""Which step a work is ready for at a time, by the same guards that the state machine asks: what a leader
+"""Which step of a work item is possible at a time, by the guards of the state machine: what a leader
 proposes.
 
-A beginning is not among them: that is for the plan.
+The start of an item is not among them, because it follows the plan.
 """
 
 from molereach.upkeep.permits.guards import GUARDS
-from molereach.upkeep.permits.lifecycle import LEAVING, State, Step
-from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.registry import Book
-from molereach.upkeep.requests.work_item import Kind
-from molereach.upkeep.rules.capacity import room
-from molereach.upkeep.rules.evaluation import judge
-from molereach.upkeep.rules.fleet_facts import Server
-from molereach.upkeep.rules.minimum_servers import floor
-from molereach.upkeep.rules.open_orders import orders
-from molereach.upkeep.rules.proxy_sets import sets
-from molereach.upkeep.rules.remaining_capacity import short
+from molereach.upkeep.permits.lifecycle import DRAINING_STATES, State, Step
+from molereach.upkeep.permits.record import ItemRecord
+from molereach.upkeep.permits.registry import WorkRegistry
+from molereach.upkeep.requests.work_item import MachineKind
+from molereach.upkeep.rules.capacity import check_capacity
+from molereach.upkeep.rules.evaluation import find_blocker
+from molereach.upkeep.rules.fleet_facts import ServerFacts
+from molereach.upkeep.rules.minimum_servers import check_minimum_servers
+from molereach.upkeep.rules.open_orders import check_orders
+from molereach.upkeep.rules.proxy_sets import check_proxy_sets
+from molereach.upkeep.rules.remaining_capacity import short_groups
 from molereach.upkeep.rules.scene import Scene
-from molereach.upkeep.rules.seasons import seasons
-from molereach.upkeep.rules.voters import panel
-from molereach.upkeep.rules.window import window
+from molereach.upkeep.rules.seasons import check_seasons
+from molereach.upkeep.rules.voters import check_voters
+from molereach.upkeep.rules.window import check_window
 
-BY_TIME: dict[State, tuple[Step, ...]] = {  # the first that may be
-    State.ASKED: (Step.LAPSE, Step.QUEUE),
-    State.QUEUED: (Step.LAPSE,),
-    State.OUT: (Step.OVERDUE,),
-    State.BACK: (Step.WARM, Step.OVERDUE),
-    State.WARM: (Step.DONE,),
-    State.OVERDUE: (Step.LOST,),
+TIMED_STEPS: dict[State, tuple[Step, ...]] = {  # the first possible one is taken
+    State.REQUESTED: (Step.EXPIRE, Step.QUEUE),
+    State.QUEUED: (Step.EXPIRE,),
+    State.PERMITTED: (Step.MARK_OVERDUE,),
+    State.RETURNED: (Step.RESUME_TRAFFIC, Step.MARK_OVERDUE),
+    State.WARMING: (Step.COMPLETE,),
+    State.OVERDUE: (Step.MARK_LOST,),
 }
-NEEDED = (window, seasons, orders, floor, room, sets, panel)  # that call back one that drains
+RECALL_RULES = (
+    check_window,
+    check_seasons,
+    check_orders,
+    check_minimum_servers,
+    check_capacity,
+    check_proxy_sets,
+    check_voters,
+)  # a draining machine that one of these blocks is recalled
 
 
-def next_step(book: Book, record: Record, at_ms: int) -> Step | None:
-    for step in BY_TIME.get(record.state, ()):
-        if not GUARDS[step](book, record, at_ms):
+def next_step(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> Step | None:
+    """The next step that is possible for an item; None if there is none."""
+    for step in TIMED_STEPS.get(record.state, ()):
+        if not GUARDS[step](registry, record, at_ms):
             return step
     return None
 
 
-def recalled(book: Book, at_ms: int) -> tuple[Record, ...]:
-    """Those that drain and are needed after all, the last that began first; none by old facts."""
-    if book.fresh(at_ms):
+def items_to_recall(registry: WorkRegistry, at_ms: int) -> tuple[ItemRecord, ...]:
+    """The draining machines that are needed after all, the last started first; none while facts are stale."""
+    if registry.stale_facts_blocker(at_ms):
         return ()
-    scene, found = book.scene(at_ms), []
-    leaving = [each for each in book.records.values() if each.state in LEAVING]
-    for each in sorted(leaving, key=lambda one: -one.begun):
+    scene, recalled = registry.scene(at_ms), []
+    draining = [each for each in registry.records.values() if each.state in DRAINING_STATES]
+    for each in sorted(draining, key=lambda one: -one.begun):
         without = scene.without(each.work)
-        if judge(without, each.work, NEEDED):
-            found.append(each)
+        if find_blocker(without, each.work, RECALL_RULES):
+            recalled.append(each)
             scene = without
-    return tuple(found)
+    return tuple(recalled)
 
 
-def hurried(book: Book, at_ms: int) -> tuple[Record, ...]:
-    """Those that are out where something is short now, and have not been hurried."""
-    if book.fresh(at_ms):
+def items_to_expedite(registry: WorkRegistry, at_ms: int) -> tuple[ItemRecord, ...]:
+    """The machines with a permit that are needed because of a shortage, and whose return is not urgent
+    yet."""
+    if registry.stale_facts_blocker(at_ms):
         return ()
-    scene = book.scene(at_ms)
-    lacking = set(short(scene))
-    out = [
+    scene = registry.scene(at_ms)
+    short = set(short_groups(scene))
+    candidates = [
         each
-        for each in book.records.values()
-        if each.state in (State.OUT, State.OVERDUE) and not each.hurried
+        for each in registry.records.values()
+        if each.state in (State.PERMITTED, State.OVERDUE) and not each.hurried
     ]
-    return tuple(each for each in out if _lacks(scene, each, lacking))
+    return tuple(each for each in candidates if _affected_by_shortage(scene, each, short))
 
 
-def _lacks(scene: Scene, record: Record, lacking: set[tuple[str, str]]) -> bool:
-    if record.work.kind is Kind.SERVER:
-        return bool({("cell", record.cell), ("zone", record.zone)} & lacking)
-    return judge(scene.without(record.work), record.work, (sets, panel)) is not None
+def _affected_by_shortage(scene: Scene, record: ItemRecord, short: set[tuple[str, str]]) -> bool:
+    if record.work.kind is MachineKind.SERVER:
+        return bool({("cell", record.cell), ("zone", record.zone)} & short)
+    return find_blocker(scene.without(record.work), record.work, (check_proxy_sets, check_voters)) is not None
 
 
-def back_as(book: Book, record: Record, at_ms: int) -> str | None:
-    """The name under which a machine is ready again: one that was seen away since its permit, or whose
-    permit has ended, as it may have been away where nothing was measured. Before that it may not have gone
-    yet."""
-    ended = record.state is not State.OUT and book.fleet.facts.at_ms >= record.since_ms
-    if book.fresh(at_ms) or not (record.gone or ended):
+def returned_name(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str | None:
+    """The name under which a machine is ready again; None if it has not returned.
+
+    It counts as returned only if it was observed as not ready since its permit, or its permit has ended, as
+    its absence may have been missed. Before that it may not have been shut down yet.
+    """
+    permit_ended = record.state is not State.PERMITTED and registry.fleet.facts.at_ms >= record.since_ms
+    if registry.stale_facts_blocker(at_ms) or not (record.gone or permit_ended):
         return None
-    # One that was back already and did not warm is not back again until it has: else it would keep its place.
-    least = book.settings.warm if record.name else 0
-    for name in book.successors(record):
-        machine = book.fleet.get(name)
-        cold = isinstance(machine, Server) and machine.warmth < least
-        if machine is not None and machine.ready and not cold:
+    # After a return without warming up, it must be warm to count as returned, or it would keep its slot.
+    min_warmth = registry.settings.warm if record.name else 0
+    for name in registry.return_names(record):
+        machine = registry.fleet.get(name)
+        too_cold = isinstance(machine, ServerFacts) and machine.warmth < min_warmth
+        if machine is not None and machine.ready and not too_cold:
             return name
     return None
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -1,13 +1,16 @@
-"""The proof that nobody sends to a machine any more: whom it must name, and what is wrong with one.
+"""The proof that no proxy sends to a machine any more: which sessions it must cover, and what it lacks.
 
-An entry at `begun` forbids to send to the machine. It holds everywhere, and nothing is under way there, once
+The entry at position `begun` forbids sending to the machine. It holds everywhere, and no request is in flight
+there, once
 
-- each session that was open at `begun`, and is open, has said `clear` of `begun` or beyond; - each that has
-ended since did say so before, or was replaced by a new life or closed in order: then its process sends no
-more; - each front door that is without a session, since before or after, is over for so long that it keeps
-by itself to the servers that stood when it had one, and this machine has not stood since then (`door.py`
-keeps to that); - each that was without a session and has one again, in the same life, has said `clear`
-under the new one: what it sent meanwhile may be under way.
+- each session that was open at `begun` and still is has reported a clear position of `begun` or later;
+- each session that has ended since did so before its end, or its proxy restarted or left in order, so that
+  the process sends no more;
+- each front door without a session, no matter since when, has been without it for so long that it uses only
+  the servers that were fallback servers while it had one (`routing.py` ensures this), and the machine has not
+  been one since then;
+- each front door that has a session again, in the same instance, has reported its clear position under the
+  new one, as requests that it sent in between may be in flight.
 
 Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7; Gray and Cheriton, "Leases" (SOSP 1989).
 """
@@ -17,38 +20,44 @@
 
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
-from molereach.upkeep.permits.bodies import Word
+from molereach.upkeep.permits.bodies import SessionClearance
 
 
-class SessionsAt(Protocol):
-    """Of the state machine "sessions", as the log has it at the same position."""
+class SessionHistory(Protocol):
+    """The state machine "sessions", at the same position of the log."""
 
-    def active_session(self, name: str) -> ActiveSession | None: ...
+    def active_session(self, name: str) -> ActiveSession | None:
+        """The open session of a name."""
+        ...
 
     def last_ended_session(self, name: str) -> EndedSession | None:
-        """What ended last of a name."""
+        """The session of a name that ended last."""
 
-    def active_sessions(self) -> list[ActiveSession]: ...
+    def active_sessions(self) -> list[ActiveSession]:
+        """All open sessions."""
+        ...
 
-    def lone(self) -> list[EndedSession]:
-        """Of each name without an open session, the last, if that is over: it may serve on by itself."""
+    def expired_sessions(self) -> list[EndedSession]:
+        """The last session of each name without an open one, if it expired: its proxy may still serve."""
 
     def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
-        """Those that were open when this position was applied, as they stand now."""
+        """The sessions that were open when this position was applied, in their present state."""
 
 
-def needed(sessions: SessionsAt, begun: int) -> tuple[ActiveSession | EndedSession, ...]:
-    """The sessions that a proof must speak of, by fence."""
-    found = {each.fencing_token: each for each in (*sessions.sessions_open_at(begun), *sessions.lone())}
-    for opened in sessions.active_sessions():
-        past = sessions.last_ended_session(opened.instance.name)
-        if past is not None and past.instance == opened.instance:  # again in the same life
-            found[opened.fencing_token] = opened
-    return tuple(found[fence] for fence in sorted(found))
+def sessions_to_clear(sessions: SessionHistory, begun: int) -> tuple[ActiveSession | EndedSession, ...]:
+    """The sessions that a proof must cover, by fencing token."""
+    sessions_by_token = {
+        each.fencing_token: each for each in (*sessions.sessions_open_at(begun), *sessions.expired_sessions())
+    }
+    for active in sessions.active_sessions():
+        ended = sessions.last_ended_session(active.instance.name)
+        if ended is not None and ended.instance == active.instance:  # a new session of the same instance
+            sessions_by_token[active.fencing_token] = active
+    return tuple(sessions_by_token[token] for token in sorted(sessions_by_token))
 
 
-def alone(sessions: SessionsAt, session: EndedSession) -> bool:
-    """Whether the front door that had this session may serve on without any."""
+def may_serve_without_session(sessions: SessionHistory, session: EndedSession) -> bool:
+    """Whether the front door that had this session may still serve without one."""
     last = sessions.last_ended_session(session.instance.name)
     return (
         session.evidence is ClearanceEvidence.SESSION_EXPIRED
@@ -58,35 +67,46 @@
     )
 
 
-def fault(
-    words: Sequence[Word], sessions: SessionsAt, begun: int, unstood: int, waited: Callable[[int], bool]
+def proof_gap(
+    clearances: Sequence[SessionClearance],
+    sessions: SessionHistory,
+    begun: int,
+    fallback_until: int,
+    wait_elapsed: Callable[[int], bool],
 ) -> str:
-    """What is missing, in one line; empty for a full proof. `unstood` is where the machine ceased to stand,
-    -1 for never; `waited` says whether what was over at a position is so for long enough."""
-    by_fence = {word.fence: word for word in words}
-    for session in needed(sessions, begun):
-        word = by_fence.get(session.fencing_token)
+    """What the proof lacks, in one line; empty if it is complete.
+
+    `fallback_until` is the position at which the machine ceased to be a fallback server, -1 if it never was
+    one. `wait_elapsed` says whether a session that expired at a position has been expired for long enough.
+    """
+    by_token = {clearance.fence: clearance for clearance in clearances}
+    for session in sessions_to_clear(sessions, begun):
+        clearance = by_token.get(session.fencing_token)
         name = session.instance.name
-        if word is None:
+        if clearance is None:
             return f"no word of {name}"
-        if word.known is ClearanceEvidence.REPORTED:
-            if word.position < begun:
-                return f"{name} has said {word.position} of {begun}"
+        if clearance.known is ClearanceEvidence.REPORTED:
+            if clearance.position < begun:
+                return f"{name} has said {clearance.position} of {begun}"
             if isinstance(session, EndedSession) and session.position < begun:
                 return f"{name} had no session any more"
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.evidence, session.position):
+        if (clearance.known, clearance.position) != (session.evidence, session.position):
             return f"{name} is {session.evidence.value} by {session.position}"
-        if alone(sessions, session):
-            if unstood >= session.fencing_token:
+        if may_serve_without_session(sessions, session):
+            if fallback_until >= session.fencing_token:
                 return f"{name} may still count on it"
-            if not waited(session.position):
+            if not wait_elapsed(session.position):
                 return f"{name} is not over for long enough"
     return ""
 
 
-def pack(accounted: Iterable[tuple[ActiveSession | EndedSession, NodeClearance]]) -> tuple[Word, ...]:
-    """As it goes into an entry."""
-    return tuple(Word(session.fencing_token, each.evidence, each.position) for session, each in accounted)
+def to_clearances(
+    accounted: Iterable[tuple[ActiveSession | EndedSession, NodeClearance]],
+) -> tuple[SessionClearance, ...]:
+    """Encodes clearances as they go into an entry."""
+    return tuple(
+        SessionClearance(session.fencing_token, each.evidence, each.position) for session, each in accounted
+    )
--- a/molereach/upkeep/permits/proposals.py
+++ b/molereach/upkeep/permits/proposals.py
@@ -1,62 +1,65 @@
-"""A leader's proposals that have no answer yet, one at a time for each thing, and what is not tried again
-at once.
+"""The open proposals of a leader, one for each purpose, and the delay before a rejected one is repeated.
 
-Each try has an id of its own: one that was refused and is told again under its id would only be refused
-again.
+Each attempt has its own id, because the log answers a repeated id with the earlier rejection.
 """
 
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import ProposalFinished, ProposalStatus, Propose
 from molereach.upkeep.permits.bodies import MACHINE, Body, encode
 
-WITHIN_US = 2 * SECOND_US  # after which the log says UNKNOWN
-RETRY_US = SECOND_US  # after a refusal
-MOST_OPEN = 16
+PROPOSAL_TIMEOUT_US = 2 * SECOND_US  # after which the log reports UNKNOWN
+RETRY_DELAY_US = SECOND_US  # after a rejection
+MAX_OPEN_PROPOSALS = 16
 
 
-class Proposals:
-    """Of one leader's time."""
+class OpenProposals:
+    """The open proposals of one ballot."""
 
     def __init__(self, me: NodeInstance, ballot: int) -> None:
         self._prefix = f"up.{me.number:x}.{ballot:x}."
         self._count = 0
-        self._open: dict[str, str] = {}  # what it is for, by id
-        self._again_us: dict[str, int] = {}  # not before, by what it is for
+        self._open: dict[str, str] = {}  # purposes by proposal id
+        self._not_before_us: dict[str, int] = {}  # by purpose: no proposal before this time
 
     @property
-    def full(self) -> bool:
-        return len(self._open) >= MOST_OPEN
+    def is_full(self) -> bool:
+        """Whether the limit of open proposals is reached."""
+        return len(self._open) >= MAX_OPEN_PROPOSALS
 
-    def open(self, what: str) -> bool:
-        return what in self._open.values()
+    def is_open(self, purpose: str) -> bool:
+        """Whether there is an open proposal for this purpose."""
+        return purpose in self._open.values()
 
-    def wait(self, now_us: int, what: str, for_us: int) -> bool:
-        """Whether it may be done now; if so not again for a time."""
-        if now_us < self._again_us.get(what, 0):
+    def claim_interval(self, now_us: int, purpose: str, interval_us: int) -> bool:
+        """Whether an action is allowed now; if so, it is not allowed again for `interval_us`."""
+        if now_us < self._not_before_us.get(purpose, 0):
             return False
-        self._again_us[what] = now_us + for_us
+        self._not_before_us[purpose] = now_us + interval_us
         return True
 
-    def make(self, now_us: int, what: str, body: Body) -> list[Propose]:
-        if self.open(what) or now_us < self._again_us.get(what, 0) or self.full:
+    def propose(self, now_us: int, purpose: str, body: Body) -> list[Propose]:
+        """Proposes an entry, unless one for this purpose is open or delayed, or the limit is reached."""
+        if self.is_open(purpose) or now_us < self._not_before_us.get(purpose, 0) or self.is_full:
             return []
         self._count += 1
         id = f"{self._prefix}{self._count:x}"
-        self._open[id] = what
-        return [Propose(MACHINE, id, encode(body), WITHIN_US)]
+        self._open[id] = purpose
+        return [Propose(MACHINE, id, encode(body), PROPOSAL_TIMEOUT_US)]
 
-    def over(self, now_us: int, event: ProposalFinished) -> tuple[str, bool] | None:
-        """What it was for and whether it was done; None for another's."""
-        what = self._open.pop(event.id, None)
-        if what is None:
+    def finish(self, now_us: int, event: ProposalFinished) -> tuple[str, bool] | None:
+        """The purpose of a finished proposal and whether it succeeded; None if it is not one of these."""
+        purpose = self._open.pop(event.id, None)
+        if purpose is None:
             return None
         done = (
             event.status is ProposalStatus.APPLIED and event.outcome is not None and not event.outcome.error
         )
         if not done:
-            self._again_us[what] = now_us + RETRY_US
-        return what, done
+            self._not_before_us[purpose] = now_us + RETRY_DELAY_US
+        return purpose, done
 
-    def forget(self, now_us: int) -> None:
-        """What need not be waited for any more."""
-        self._again_us = {what: at_us for what, at_us in self._again_us.items() if at_us > now_us}
+    def drop_expired_delays(self, now_us: int) -> None:
+        """Forgets delays that have passed."""
+        self._not_before_us = {
+            purpose: at_us for purpose, at_us in self._not_before_us.items() if at_us > now_us
+        }
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -1,61 +1,65 @@
-"""What is kept of one work."""
+"""The stored record of one work item."""
 
 from molereach.coordination.interface.identifiers import Name, NodeInstance, Position, WireStruct
-from molereach.upkeep.permits.lifecycle import UNSENDABLE, State
-from molereach.upkeep.requests.work_item import Ms, Work
+from molereach.upkeep.permits.lifecycle import UNROUTABLE_STATES, State
+from molereach.upkeep.requests.work_item import TimestampMs, WorkItem
 from molereach.upkeep.rules.fleet_facts import Address
-from molereach.upkeep.rules.scene import Off, Taken
-from molereach.upkeep.scheduling.ageing import Waiting
+from molereach.upkeep.rules.scene import Absence, MachineInMaintenance
+from molereach.upkeep.scheduling.ageing import WaitingItem
 
 
-class Record(WireStruct, frozen=True):
-    """A work, and where it stands."""
+class ItemRecord(WireStruct, frozen=True):
+    """A work item and its progress."""
 
-    work: Work
-    by: NodeInstance  # whose entry it was
-    asked: Position
+    work: WorkItem
+    by: NodeInstance  # the instance that proposed the request
+    asked: Position  # of the request
     state: State
-    since_ms: Ms  # of this state
-    passed: Position = 0  # how often later works began while it was queued
-    passed_ms: Ms = 0  # since when that is too often
-    begun: Position = 0  # the entry by which it drains
-    begun_ms: Ms = 0
-    cell: Name | None = None  # as it began: it may not be listed while it is out
+    since_ms: TimestampMs  # when the item entered its state
+    passed: Position = 0  # how many later items started while it was queued
+    passed_ms: TimestampMs = 0  # since when that is too often; 0 if it is not
+    begun: Position = 0  # position of the entry that started its draining
+    begun_ms: TimestampMs = 0
+    cell: Name | None = None  # cell, zone and address at its start: it may not be listed meanwhile
     zone: Name | None = None
     address: Address = ""
-    permit: Position = 0
-    until_ms: Ms = 0  # by when it is to be back
-    gone: bool = False  # it was seen not to be ready since its permit
-    hurried: bool = False
-    name: Name | None = None  # under which it is back
-    why: str = ""  # it ended so
+    permit: Position = 0  # number of its permit
+    until_ms: TimestampMs = 0  # when it is due to return
+    gone: bool = False  # it has been observed as not ready since its permit
+    hurried: bool = False  # its return is urgent
+    name: Name | None = None  # the name under which it returned
+    why: str = ""  # how it ended
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Those under which it may be sent to."""
+        """All names under which requests may be sent to it."""
         return tuple(dict.fromkeys((self.work.machine, self.name or self.work.machine)))
 
     @property
-    def now(self) -> str:
-        """The name that it goes by."""
+    def current_name(self) -> str:
+        """The name that it has now."""
         return self.name or self.work.machine
 
     @property
-    def waiting(self) -> Waiting:
-        return Waiting(self.work, self.asked, self.passed_ms)
+    def waiting_item(self) -> WaitingItem:
+        """The item as the scheduler sees it."""
+        return WaitingItem(self.work, self.asked, self.passed_ms)
 
-    def taken(self) -> dict[str, Taken]:
-        """How it counts, by name; what it left behind under its old one is gone once the new one is warm."""
+    def in_maintenance(self) -> dict[str, MachineInMaintenance]:
+        """How its machine counts, by name. Once it is warm under a new name, the old name counts as lost."""
         groups = (("cell", self.cell), ("zone", self.zone)) if self.cell and self.zone else ()
-        off = Off.LOST if self.state is State.LOST else Off.AWAY
-        if self.state is State.WARM:
-            off = Off.WARMING
-        old = Off.LOST if off is Off.WARMING else off
+        absence = Absence.LOST if self.state is State.LOST else Absence.AWAY
+        if self.state is State.WARMING:
+            absence = Absence.WARMING
+        old_name_absence = Absence.LOST if absence is Absence.WARMING else absence
         return {
-            name: Taken(self.work, off if name == self.now else old, groups, self.begun_ms)
+            name: MachineInMaintenance(
+                self.work, absence if name == self.current_name else old_name_absence, groups, self.begun_ms
+            )
             for name in self.names
         }
 
     @property
-    def unsendable(self) -> tuple[str, ...]:
-        return self.names if self.state in UNSENDABLE else ()
+    def unroutable(self) -> tuple[str, ...]:
+        """The names to which no new requests may be sent."""
+        return self.names if self.state in UNROUTABLE_STATES else ()
--- a/molereach/upkeep/permits/time_marks.py
+++ b/molereach/upkeep/permits/time_marks.py
@@ -1,7 +1,7 @@
-"""When a position had been applied, at the latest, by the times of entries: some marks, thinned out.
+"""Bounds the time at which a log position was applied, by a sparse list of positions and entry times.
 
-An entry's time is never lower than that of one before. So what was settled before a mark was settled by its
-time.
+The time of entries never decreases. A position before a mark was therefore applied at the time of the mark or
+earlier.
 """
 
 from typing import Annotated
@@ -9,30 +9,31 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Position, WireStruct
-from molereach.upkeep.requests.work_item import Ms
+from molereach.upkeep.requests.work_item import TimestampMs
 
-MOST_MARKS = 32
-SPACES = 16  # into which the time that is waited for is cut
+MAX_MARKS = 32
+MARKS_PER_WAIT = 16  # how many marks cover the wait
 
 
-class Mark(WireStruct, frozen=True, array_like=True):
-    """An entry of this machine."""
+class TimeMark(WireStruct, frozen=True, array_like=True):
+    """The position and time of an entry of this state machine."""
 
     position: Position
-    at_ms: Ms
+    at_ms: TimestampMs
 
 
-Marks = Annotated[tuple[Mark, ...], Meta(max_length=MOST_MARKS)]
+TimeMarks = Annotated[tuple[TimeMark, ...], Meta(max_length=MAX_MARKS)]
 
 
-def marked(marks: tuple[Mark, ...], position: int, at_ms: int, wait_ms: int) -> tuple[Mark, ...]:
-    if marks and at_ms < marks[-1].at_ms + max(1, wait_ms // SPACES):
+def add_mark(marks: tuple[TimeMark, ...], position: int, at_ms: int, wait_ms: int) -> tuple[TimeMark, ...]:
+    """Appends a mark, unless the last one is too recent."""
+    if marks and at_ms < marks[-1].at_ms + max(1, wait_ms // MARKS_PER_WAIT):
         return marks
-    return (*marks, Mark(position, at_ms))[-MOST_MARKS:]
+    return (*marks, TimeMark(position, at_ms))[-MAX_MARKS:]
 
 
-def waited(marks: tuple[Mark, ...], position: int, at_ms: int, wait_ms: int) -> bool:
-    """Whether what was settled at `position` is surely `wait_ms` old; also where the marks do not go that
-    far back."""
+def wait_elapsed(marks: tuple[TimeMark, ...], position: int, at_ms: int, wait_ms: int) -> bool:
+    """Whether the entry at `position` is certainly `wait_ms` old. Holds also for positions before the first
+    mark."""
     first = next((mark for mark in marks if mark.position > position), None)
     return first is not None and at_ms - first.at_ms >= wait_ms
--- a/molereach/upkeep/requests/__init__.py
+++ b/molereach/upkeep/requests/__init__.py
@@ -1,5 +1,5 @@
-"""What may be asked for, and what is wrong with what may not: one field, one reason.
+"""Maintenance requests and their validation.
 
-Read `work` (the types, and what one work says of itself), `cycles`, then `checks` (against what is known
-and open).
+Read `work_item` (the types, and checks that need no other knowledge), `cycles`, then `validation` (checks
+against the known machines and the open work items).
 """
--- a/molereach/upkeep/requests/cycles.py
+++ b/molereach/upkeep/requests/cycles.py
@@ -1,34 +1,35 @@
-"""Whether works would wait for one another without end.
+"""Detects work items that would wait for one another forever.
 
-A work that names a machine in `after` waits for all open works of that machine, and works of one machine go
-one after another. So machines are what is walked, not works.
+An item that names a machine in `after` waits for all open items of that machine, and the items of one machine
+run one after another. The search therefore walks machines, not items.
 """
 
 from collections.abc import Iterable
 
-from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.requests.work_item import WorkItem
 
 
-def cycle(work: Work, others: Iterable[Work]) -> tuple[str, ...]:
-    """The machines of a cycle that `work` would close, from its own on; empty where there is none."""
-    before: dict[str, set[str]] = {}
+def find_cycle(work: WorkItem, others: Iterable[WorkItem]) -> tuple[str, ...]:
+    """The machines of a cycle that `work` would close, starting with its successor; empty if there is
+    none."""
+    predecessors: dict[str, set[str]] = {}
     for each in (*others, work):
-        before.setdefault(each.machine, set()).update(each.after)
+        predecessors.setdefault(each.machine, set()).update(each.after)
     came_from: dict[str, str] = {}
-    waiting = sorted(work.after)
-    came_from.update((name, work.machine) for name in waiting)
-    while waiting:
-        name = waiting.pop()
+    stack = sorted(work.after)
+    came_from.update((name, work.machine) for name in stack)
+    while stack:
+        name = stack.pop()
         if name == work.machine:
-            return _path(came_from, name)
-        for earlier in sorted(before.get(name, ())):
+            return _cycle_path(came_from, name)
+        for earlier in sorted(predecessors.get(name, ())):
             if earlier not in came_from:
                 came_from[earlier] = name
-                waiting.append(earlier)
+                stack.append(earlier)
     return ()
 
 
-def _path(came_from: dict[str, str], last: str) -> tuple[str, ...]:
+def _cycle_path(came_from: dict[str, str], last: str) -> tuple[str, ...]:
     path, name = [last], came_from[last]
     while name != last:
         path.append(name)
--- a/molereach/upkeep/requests/work_item.py
+++ b/molereach/upkeep/requests/work_item.py
@@ -1,7 +1,8 @@
-"""A work on one machine, as it is asked for, and what can be wrong with it by itself.
+"""A work item: a request to take one machine out of service for maintenance. Also its checks that need no
+other knowledge.
 
-Times are Unix milliseconds. A work's window is that in which the machine may be away: it is back by
-`not_after_ms`.
+Times are Unix milliseconds. The machine may be unavailable only within the item's window: it is to be back in
+service by `not_after_ms`.
 """
 
 from dataclasses import dataclass
@@ -13,49 +14,53 @@
 from molereach.coordination.interface.identifiers import Id, Name, WireStruct
 
 MINUTE_MS = 60_000
-MOST_MINUTES = 7 * 24 * 60
-MOST_REASON_CHARS = 200
-MOST_NAMED = 8  # machines that one work may name beside its own
-MOST_MS = 1 << 53
+MAX_MINUTES = 7 * 24 * 60
+MAX_REASON_CHARS = 200
+MAX_NAMED_MACHINES = 8  # per field, beside the item's own machine
+MAX_TIMESTAMP_MS = 1 << 53
 
-Ms = Annotated[int, Meta(ge=0, le=MOST_MS)]
-Named = Annotated[tuple[Name, ...], Meta(max_length=MOST_NAMED)]
+TimestampMs = Annotated[int, Meta(ge=0, le=MAX_TIMESTAMP_MS)]
+MachineNames = Annotated[tuple[Name, ...], Meta(max_length=MAX_NAMED_MACHINES)]
 
 
-class Kind(Enum):
-    """What is taken out."""
+class MachineKind(Enum):
+    """What kind of machine is to be maintained: a backend server or a front door."""
 
     SERVER = "server"
     DOOR = "door"
 
 
-class Work(WireStruct, frozen=True):
-    """What an asker wants; the same id with the same content is the same work, wherever it is asked."""
+class WorkItem(WireStruct, frozen=True):
+    """A request for maintenance of one machine.
+
+    The same id with the same content is the same item, whichever proxy receives it.
+    """
 
     id: Id
     machine: Name
-    kind: Kind
-    minutes: Annotated[int, Meta(ge=1, le=MOST_MINUTES)]
-    not_before_ms: Ms
-    not_after_ms: Ms
-    reason: Annotated[str, Meta(min_length=1, max_length=MOST_REASON_CHARS)]
-    not_with: Named = ()  # may not be out while this one is
-    after: Named = ()  # whose open works come first
-    successor: Name | None = None  # the name under which it may come back
+    kind: MachineKind
+    minutes: Annotated[int, Meta(ge=1, le=MAX_MINUTES)]
+    not_before_ms: TimestampMs
+    not_after_ms: TimestampMs
+    reason: Annotated[str, Meta(min_length=1, max_length=MAX_REASON_CHARS)]
+    not_with: MachineNames = ()  # machines that may not be unavailable at the same time
+    after: MachineNames = ()  # machines whose open work items are to end first
+    successor: Name | None = None  # another name under which the machine may return
 
     @property
-    def took_ms(self) -> int:
+    def duration_ms(self) -> int:
+        """How long the maintenance itself takes."""
         return self.minutes * MINUTE_MS
 
     @property
-    def latest_ms(self) -> int:
-        """From when on it cannot begin any more."""
-        return self.not_after_ms - self.took_ms
+    def latest_start_ms(self) -> int:
+        """The last time at which the item may start and still end within its window."""
+        return self.not_after_ms - self.duration_ms
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
-    """What is wrong with a work that is asked for."""
+class InvalidField:
+    """The field for which a request is rejected, and the reason."""
 
     field: str
     reason: str
@@ -64,20 +69,20 @@
         return f"{self.field}: {self.reason}"
 
 
-def wrong_by_itself(work: Work) -> Wrong | None:
-    """What no knowledge of the fleet is needed for. Lengths and ranges were checked as it was decoded."""
+def check_fields(work: WorkItem) -> InvalidField | None:
+    """Checks a work item by itself. Lengths and ranges were already checked when it was decoded."""
     for field, text in (("id", work.id), ("reason", work.reason)):
         if not text.isprintable():
-            return Wrong(field, "not printable text")
+            return InvalidField(field, "not printable text")
     if work.not_after_ms <= work.not_before_ms:
-        return Wrong("not_after_ms", "the window ends before it begins")
-    if work.latest_ms < work.not_before_ms:
-        return Wrong("not_after_ms", f"the window is shorter than {work.minutes} min")
+        return InvalidField("not_after_ms", "the window ends before it begins")
+    if work.latest_start_ms < work.not_before_ms:
+        return InvalidField("not_after_ms", f"the window is shorter than {work.minutes} min")
     for field, names in (("after", work.after), ("not_with", work.not_with)):
         if work.machine in names:
-            return Wrong(field, f"{work.machine} itself is among them")
+            return InvalidField(field, f"{work.machine} itself is among them")
         if len(set(names)) != len(names):
-            return Wrong(field, "a machine is named twice")
+            return InvalidField(field, "a machine is named twice")
     if work.successor == work.machine:
-        return Wrong("successor", "the machine's own name")
+        return InvalidField("successor", "the machine's own name")
     return None
--- a/molereach/upkeep/routing.py
+++ b/molereach/upkeep/routing.py
@@ -1,12 +1,14 @@
-"""A front door's own side: to whom it sends nothing new, what it may use by itself, and up to where it is
-clear.
-
-- With its session it sends to all but those on their way, by the entries applied here. - Once the session
-is over it keeps to the same for `alone_ms` by its own clock, counted from when it last knew the session to
-be held, and then to the servers that stood, as it last heard. The others count from later and wait for
-longer (`over_wait_ms`), and take out no server that stood then. So it sends to a machine that drains later
-no more by itself, though it never hears of it. - A run that has not yet had a session uses none of the
-members' servers: its name may have been accounted for.
+"""The part of a proxy in maintenance: to which machines it sends no new requests, what it may use without a
+session, and its clear position.
+
+- With a session it sends to all machines but those in maintenance, by the entries applied here.
+- After the session has ended it does the same for `alone_ms` by its own clock, counted from when it last knew
+  that it held the session. After that it uses only the fallback servers that it last knew. The other proxies
+  count from later, wait for longer (`expired_session_wait_ms`), and take no server out of service that was a
+  fallback server then. So by itself it stops sending to a machine that is drained later, even if it never
+  learns of it.
+- A new instance that has not had a session yet uses none of the members' servers, because its name may have
+  been cleared already.
 
 Source: Gray and Cheriton, "Leases" (SOSP 1989), section 2.
 """
@@ -20,42 +22,44 @@
 from molereach.coordination.interface.sessions import Session
 from molereach.upkeep.permits.bodies import MACHINE
 from molereach.upkeep.permits.lifecycle import State
-from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
 
 MS_US = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Began:
-    """Event: a request is about to go to a machine; before its first byte, and right after `may_send`."""
+class RequestStarted:
+    """Event: a request is about to be sent to a machine. Comes before its first byte, right after
+    `may_send`."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """Event: nothing of one request is under way there any more."""
+class RequestFinished:
+    """Event: nothing of a request is in flight to the machine any more."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """Action: send nothing new to it."""
+class StopRouting:
+    """Action: send no new requests to the machine."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Resume:
-    """Action: it may be sent to again."""
+class ResumeRouting:
+    """Action: requests may be sent to the machine again."""
 
     machine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Permitted:
-    """Action: whoever asked may take it out; every front door says so, whichever proposed the permit."""
+class PermitGranted:
+    """Action: tell the requester that the machine may be shut down. Every front door does, whichever proposed
+    the permit."""
 
     id: str
     machine: str
@@ -64,100 +68,113 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hurry:
-    """Action: whoever has it is to bring it back now."""
+class ExpediteReturn:
+    """Action: tell the requester to bring the machine back now."""
 
     id: str
     machine: str
     permit: int
 
 
-Event = Applied | Restored | Began | Ended | Tick
-Action = Stop | Resume | Permitted | Hurry
+Event = Applied | Restored | RequestStarted | RequestFinished | Tick
+Action = StopRouting | ResumeRouting | PermitGranted | ExpediteReturn
 
 
-class DoorSide:
-    """`Applied` and `Restored` are handed in before the holder of the session may say so."""
+class MaintenanceRouting:
+    """Decides to which machines a proxy sends. `Applied` and `Restored` must be handled before the session's
+    holder reports the position as applied."""
 
-    def __init__(self, machine: Upkeep, session: Session) -> None:
-        self._book, self._session = machine, session
-        self._alone_us = machine.settings.alone_ms * MS_US
-        self._position = 0  # of the log, applied here
-        self._held_us: int | None = None  # when the session was last known to be held
-        self._unsendable: dict[str, int] = {}  # and by which entry
-        self._flying: Counter[str] = Counter()
-        self._told: dict[str, tuple[int, bool]] = {}  # by work: its permit, and whether it is hurried
+    def __init__(self, machine: UpkeepStateMachine, session: Session) -> None:
+        self._machine, self._session = machine, session
+        self._max_without_session_us = machine.settings.alone_ms * MS_US
+        self._position = 0  # of the last entry applied here
+        self._last_held_us: int | None = None  # when the session was last known to be held
+        self._unroutable: dict[str, int] = {}  # by name: the position of the entry that forbids it
+        self._in_flight: Counter[str] = Counter()
+        self._announced: dict[
+            str, tuple[int, bool]
+        ] = {}  # by item: its permit, and whether its return is urgent
 
-    # --- what is asked of it ---
+    # --- queries ---
 
     @property
     def wake_us(self) -> int:
+        """It needs no `Tick`."""
         return NEVER_US
 
     @property
-    def clear(self) -> int:
-        """Up to there, all that entries forbid is also no more under way here."""
-        held_back = [begun - 1 for name, begun in self._unsendable.items() if self._flying[name]]
-        return min([self._position, *held_back])
+    def clear_position(self) -> int:
+        """The position up to which nothing that entries forbid is in flight here."""
+        blocked_positions = [
+            position - 1 for name, position in self._unroutable.items() if self._in_flight[name]
+        ]
+        return min([self._position, *blocked_positions])
 
     @property
-    def unsendable(self) -> frozenset[str]:
-        return frozenset(self._unsendable)
+    def unroutable(self) -> frozenset[str]:
+        """The machines to which no new requests are sent."""
+        return frozenset(self._unroutable)
 
-    def only(self, now_us: int) -> frozenset[str] | None:
-        """The members' servers that it keeps to; None for all but the `unsendable`."""
-        if self._holds(now_us):
+    def allowed_servers(self, now_us: int) -> frozenset[str] | None:
+        """The members' servers to which it is limited; None for all but the `unroutable` ones."""
+        if self._holds_session(now_us):
             return None
-        if self._held_us is None:
+        if self._last_held_us is None:
             return frozenset()
-        if now_us - self._held_us <= self._alone_us:
+        if now_us - self._last_held_us <= self._max_without_session_us:
             return None
-        return self._book.book.standing - self._unsendable.keys()
+        return self._machine.registry.fallback_servers - self._unroutable.keys()
 
     def may_send(self, now_us: int, machine: str) -> bool:
-        """To be asked for each request, with a time read after anything that may have taken long."""
-        only = self.only(now_us)
-        return machine not in self._unsendable and (only is None or machine in only)
+        """Whether a request may be sent. Call it for each request, with a time read after anything that may
+        take long."""
+        allowed_servers = self.allowed_servers(now_us)
+        return machine not in self._unroutable and (allowed_servers is None or machine in allowed_servers)
 
     # --- events ---
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
-        self._holds(now_us)
+        """Handles an event, and returns the resulting actions."""
+        self._holds_session(now_us)
         match event:
             case Applied():
                 self._position = event.entry.position
-                return self._follow() if event.entry.machine == MACHINE and not event.outcome.error else []
+                return (
+                    self._apply_state() if event.entry.machine == MACHINE and not event.outcome.error else []
+                )
             case Restored():
                 self._position = event.position
-                return self._follow()
-            case Began():
-                self._flying[event.machine] += 1
-            case Ended():
-                self._flying[event.machine] -= 1
-                if self._flying[event.machine] <= 0:
-                    del self._flying[event.machine]
+                return self._apply_state()
+            case RequestStarted():
+                self._in_flight[event.machine] += 1
+            case RequestFinished():
+                self._in_flight[event.machine] -= 1
+                if self._in_flight[event.machine] <= 0:
+                    del self._in_flight[event.machine]
         return []
 
-    def _holds(self, now_us: int) -> bool:
+    def _holds_session(self, now_us: int) -> bool:
         holds = self._session.holds(now_us)
         if holds:
-            self._held_us = now_us
+            self._last_held_us = now_us
         return holds
 
-    def _follow(self) -> list[Action]:
-        """What the state machine says now, against what was said here."""
-        before, self._unsendable = self._unsendable, self._book.book.unsendable()
-        actions: list[Action] = [Stop(name) for name in sorted(self._unsendable.keys() - before.keys())]
-        actions += [Resume(name) for name in sorted(before.keys() - self._unsendable.keys())]
-        told: dict[str, tuple[int, bool]] = {}
-        for record in self._book.book.records.values():
-            if record.state not in (State.OUT, State.OVERDUE, State.LOST):
+    def _apply_state(self) -> list[Action]:
+        """Compares the state machine with what was announced, and returns the difference as actions."""
+        before, self._unroutable = self._unroutable, self._machine.registry.unroutable()
+        actions: list[Action] = [
+            StopRouting(name) for name in sorted(self._unroutable.keys() - before.keys())
+        ]
+        actions += [ResumeRouting(name) for name in sorted(before.keys() - self._unroutable.keys())]
+        announced: dict[str, tuple[int, bool]] = {}
+        for record in self._machine.registry.records.values():
+            if record.state not in (State.PERMITTED, State.OVERDUE, State.LOST):
                 continue
             id, machine = record.work.id, record.work.machine
-            told[id] = record.permit, record.hurried
-            if id not in self._told:
-                actions.append(Permitted(id, machine, record.permit, record.until_ms))
-            if record.hurried and self._told.get(id) != told[id]:
-                actions.append(Hurry(id, machine, record.permit))
-        self._told = told
+            announced[id] = record.permit, record.hurried
+            if id not in self._announced:
+                actions.append(PermitGranted(id, machine, record.permit, record.until_ms))
+            if record.hurried and self._announced.get(id) != announced[id]:
+                actions.append(ExpediteReturn(id, machine, record.permit))
+        self._announced = announced
         return actions
--- a/molereach/upkeep/rules/__init__.py
+++ b/molereach/upkeep/rules/__init__.py
@@ -1,7 +1,8 @@
-"""What may be out together: each rule a pure function of a scene and one work, that says yes or names what
-stops it.
+"""The rules for which machines may be unavailable together.
 
-Read `facts`, `settings` and `scene` (what is judged by), then the rules: `window`, `seasons`, `orders`,
-`first`, `apart`, `limits`, `left` with `floor` and `room`, `sets`, `panel`, `standing`; last `judge`, which
-asks them in one order.
+Each rule is a pure function of a scene and a work item; it returns None or what blocks the item. Read
+`fleet_facts`, `settings` and `scene` (the input of the rules), then the rules in the order in which they are
+evaluated: `window`, `seasons`, `open_orders`, `prerequisites`, `exclusions`, `concurrency_limits`,
+`minimum_servers` and `capacity` (with `remaining_capacity`), `proxy_sets`, `voters`, `fallback_servers`; last
+`evaluation`.
 """
--- a/molereach/upkeep/rules/concurrency_limits.py
+++ b/molereach/upkeep/rules/concurrency_limits.py
@@ -1,20 +1,25 @@
-"""At most so many machines on their way at once: in all, of one cell, of one zone. One work takes one place,
-also where its machine has come back under a second name, or is not listed while it is out."""
+"""Rule: the number of machines in maintenance at once is limited in total, by cell and by zone.
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.fleet_facts import groups
-from molereach.upkeep.rules.scene import Scene, Stop
+An item occupies one slot, even if its machine has returned under a second name or is not listed meanwhile.
+"""
 
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.fleet_facts import groups_of
+from molereach.upkeep.rules.scene import Blocker, Scene
 
-def limits(scene: Scene, work: Work) -> Stop | None:
-    settings, places = scene.settings, scene.places()
-    if len(places) >= settings.most_out:
-        return Stop("limits", tuple(sorted(places)), f"{settings.most_out} at once")
+
+def check_concurrency(scene: Scene, work: WorkItem) -> Blocker | None:
+    """Blocks an item while a limit is reached."""
+    settings, slots = scene.settings, scene.occupied_slots()
+    if len(slots) >= settings.most_out:
+        return Blocker("limits", tuple(sorted(slots)), f"{settings.most_out} at once")
     machine = scene.fleet.get(work.machine)
     if machine is None:
-        return Stop("limits", (work.machine,), "it is not listed any more")
-    for group, most in zip(groups(machine), (settings.most_out_cell, settings.most_out_zone), strict=True):
-        beside = [name for name, each in places.items() if group in each.groups]
-        if len(beside) >= most:
-            return Stop("limits", tuple(sorted(beside)), f"{most} at once in {group[0]} {group[1]}")
+        return Blocker("limits", (work.machine,), "it is not listed any more")
+    for group, limit in zip(
+        groups_of(machine), (settings.most_out_cell, settings.most_out_zone), strict=True
+    ):
+        occupying = [name for name, each in slots.items() if group in each.groups]
+        if len(occupying) >= limit:
+            return Blocker("limits", tuple(sorted(occupying)), f"{limit} at once in {group[0]} {group[1]}")
     return None
--- a/molereach/upkeep/rules/exclusions.py
+++ b/molereach/upkeep/rules/exclusions.py
@@ -1,22 +1,23 @@
-"""One work on a machine at a time, and none beside a machine that may not be out with it, whichever said
-so."""
+"""Rule: a machine has one maintenance at a time, and none beside a machine that its own or the other's item
+excludes."""
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.scene import Off, Scene, Stop
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.scene import Absence, Blocker, Scene
 
 
-def apart(scene: Scene, work: Work) -> Stop | None:
-    taken = scene.taken.get(work.machine)
-    if taken is not None:
-        return Stop("apart", (work.machine,), f"it is taken for {taken.work.id}")
-    beside = {
+def check_exclusions(scene: Scene, work: WorkItem) -> Blocker | None:
+    """Blocks an item whose machine is in maintenance already, or is excluded by one that is."""
+    current = scene.in_maintenance.get(work.machine)
+    if current is not None:
+        return Blocker("apart", (work.machine,), f"it is taken for {current.work.id}")
+    conflicting = {
         each.work.machine
-        for each in scene.taken.values()
-        if each.off is not Off.LOST
+        for each in scene.in_maintenance.values()
+        if each.absence is not Absence.LOST
         and (
             each.work.machine in work.not_with
             or work.machine in each.work.not_with
             or each.work.machine == work.machine
         )
     }
-    return Stop("apart", tuple(sorted(beside)), "may not be out with it") if beside else None
+    return Blocker("apart", tuple(sorted(conflicting)), "may not be out with it") if conflicting else None
--- a/molereach/upkeep/rules/fallback_servers.py
+++ b/molereach/upkeep/rules/fallback_servers.py
@@ -1,12 +1,16 @@
-"""A server that stands for front doors without a session is not taken out: another takes its place first."""
+"""Rule: a fallback server is replaced by another before its own maintenance starts.
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.scene import Scene, Stop
+Fallback servers are those that proxies may use for long without a session.
+"""
 
-STANDING = "standing"
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.scene import Blocker, Scene
 
+FALLBACK_RULE = "standing"
 
-def standing(scene: Scene, work: Work) -> Stop | None:
-    if work.machine in scene.standing:
-        return Stop(STANDING, (work.machine,), "another takes its place first")
+
+def check_fallback_servers(scene: Scene, work: WorkItem) -> Blocker | None:
+    """Blocks an item while its machine is a fallback server."""
+    if work.machine in scene.fallback_servers:
+        return Blocker(FALLBACK_RULE, (work.machine,), "another takes its place first")
     return None
--- a/molereach/upkeep/rules/minimum_servers.py
+++ b/molereach/upkeep/rules/minimum_servers.py
@@ -1,20 +1,23 @@
-"""Each cell and zone keeps so many servers that are ready and not on their way.
+"""Rule: each cell and zone keeps a number of servers that are ready and not in maintenance.
 
-Those that drain count as gone: they will be, and nobody looks again between the two.
+Draining servers count as unavailable: the rules are not evaluated again between draining and shutdown.
 """
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.fleet_facts import groups
-from molereach.upkeep.rules.remaining_capacity import least, left
-from molereach.upkeep.rules.scene import Scene, Stop
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.fleet_facts import groups_of
+from molereach.upkeep.rules.remaining_capacity import remaining_capacity, required_servers
+from molereach.upkeep.rules.scene import Blocker, Scene
 
 
-def floor(scene: Scene, work: Work) -> Stop | None:
+def check_minimum_servers(scene: Scene, work: WorkItem) -> Blocker | None:
+    """Blocks a server whose cell or zone would keep too few ready servers."""
     server = scene.fleet.servers.get(work.machine)
     if server is None or not server.ready:
         return None
-    for group in groups(server):
-        then, most = left(scene, group, server.name), least(scene, group)
-        if then.ready < most:
-            return Stop("floor", then.away, f"{then.ready} of {most} servers in {group[0]} {group[1]}")
+    for group in groups_of(server):
+        remaining, required = remaining_capacity(scene, group, server.name), required_servers(scene, group)
+        if remaining.ready < required:
+            return Blocker(
+                "floor", remaining.away, f"{remaining.ready} of {required} servers in {group[0]} {group[1]}"
+            )
     return None
--- a/molereach/upkeep/rules/scene.py
+++ b/molereach/upkeep/rules/scene.py
@@ -1,68 +1,78 @@
-"""What a work is judged by: the facts, the time, and what else is away or about to be."""
+"""The scene: the input by which the rules judge a work item."""
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from molereach.upkeep.requests.work_item import Work
+from molereach.upkeep.requests.work_item import WorkItem
 from molereach.upkeep.rules.fleet_facts import Fleet
 from molereach.upkeep.rules.settings import UpkeepSettings
 
 
-class Off(Enum):
-    """How a machine counts that is on its way."""
+class Absence(Enum):
+    """How a machine in maintenance counts against capacity and concurrency limits."""
 
-    AWAY = "away"  # draining, empty, out, back and cold, overdue: it bears nothing, and takes a place
-    WARMING = "warming"  # it is sent requests again, bears what its warmth allows, and takes a place
-    LOST = "lost"  # it bears nothing, and its place is free
+    AWAY = "away"  # draining to overdue: it serves nothing and occupies a slot
+    WARMING = "warming"  # it serves what its warmth allows and occupies a slot
+    LOST = "lost"  # it serves nothing and its slot is free
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A machine that is on its way, and the work for which it is."""
+class MachineInMaintenance:
+    """A machine whose maintenance has started, and the work item."""
 
-    work: Work
-    off: Off
-    groups: tuple[tuple[str, str], ...] = ()  # its cell and zone when it began: it may not be listed any more
+    work: WorkItem
+    absence: Absence
+    groups: tuple[tuple[str, str], ...] = ()  # cell and zone at its start: it may no longer be listed
     begun_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """One moment, true or planned. `taken` is by the names that machines have by now, and may have two for
-    one work; `waiting` are machines with open works that are not on their way."""
+    """The state of the fleet and of maintenance at one moment, real or simulated.
+
+    `in_maintenance` is by current machine name; an item whose machine returned under another name has two
+    entries. `waiting` names the machines with open items that have not started; `fallback_servers` are those
+    that proxies without a session may still use.
+    """
 
     fleet: Fleet
     settings: UpkeepSettings
     at_ms: int
-    taken: Mapping[str, Taken]
+    in_maintenance: Mapping[str, MachineInMaintenance]
     waiting: Collection[str] = ()
-    standing: Collection[str] = ()
+    fallback_servers: Collection[str] = ()
 
-    def bears_nothing(self, name: str) -> bool:
-        taken = self.taken.get(name)
-        return taken is not None and taken.off is not Off.WARMING
+    def bears_no_load(self, name: str) -> bool:
+        """Whether a machine serves nothing because of maintenance."""
+        machine = self.in_maintenance.get(name)
+        return machine is not None and machine.absence is not Absence.WARMING
 
-    def places(self) -> dict[str, Taken]:
-        """Who takes a place, once for each work, by the machine that the work was asked for."""
-        return {each.work.machine: each for each in self.taken.values() if each.off is not Off.LOST}
+    def occupied_slots(self) -> dict[str, MachineInMaintenance]:
+        """The machines that count against the concurrency limits: one for each item, by the name it was
+        requested for."""
+        return {
+            each.work.machine: each
+            for each in self.in_maintenance.values()
+            if each.absence is not Absence.LOST
+        }
 
-    def without(self, work: Work) -> "Scene":
-        """The same, as if this work had not begun."""
-        others = {name: each for name, each in self.taken.items() if each.work.id != work.id}
-        return replace(self, taken=others)
+    def without(self, work: WorkItem) -> "Scene":
+        """The same scene as if this work item had not started."""
+        others = {name: each for name, each in self.in_maintenance.items() if each.work.id != work.id}
+        return replace(self, in_maintenance=others)
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """Why a work cannot go now: the rule, the machines that stop it, and one plain line."""
+class Blocker:
+    """Why a work item can't start now: the rule, the machines that prevent it, and a reason in one line."""
 
     rule: str
     machines: tuple[str, ...]
-    why: str
+    reason: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.why}" + (f" ({', '.join(self.machines)})" if self.machines else "")
+        return f"{self.rule}: {self.reason}" + (f" ({', '.join(self.machines)})" if self.machines else "")
 
 
-Rule = Callable[[Scene, Work], Stop | None]
+Rule = Callable[[Scene, WorkItem], Blocker | None]
--- a/molereach/upkeep/rules/voters.py
+++ b/molereach/upkeep/rules/voters.py
@@ -1,28 +1,34 @@
-"""The council's panel keeps a majority beside one more loss, and a seat is moved before its machine drains.
+"""Rule: the voters of the replicated log keep a majority even after one more loss. A voter is replaced before
+its machine is drained.
 
-A seat stays only where no front door could take it; those that drain count as lost. Source: Ongaro,
+A front door keeps its vote only if no other could take it; voters that drain count as lost. Source: Ongaro,
 "Consensus: Bridging Theory and Practice" (2014), section 4: members that leave are replaced first.
 """
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.scene import Scene, Stop
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.scene import Blocker, Scene
 
-SEAT = "seat"  # the rule that asks for a seat to be moved
+VOTER_RULE = "seat"  # blocks until the voter is replaced
 
 
-def panel(scene: Scene, work: Work) -> Stop | None:
+def check_voters(scene: Scene, work: WorkItem) -> Blocker | None:
+    """Blocks a voter that can be replaced, or without which one more loss would leave no majority."""
     fleet = scene.fleet
-    if work.machine not in fleet.panel:
+    if work.machine not in fleet.voters:
         return None
     if fleet.facts.spares:
-        return Stop(SEAT, (work.machine,), "its seat of the panel is moved first")
-    gone = sorted(name for name in fleet.panel if name != work.machine and _gone(scene, name))
-    left = len(fleet.panel) - 1 - len(gone)
-    if left - 1 < len(fleet.panel) // 2 + 1:
-        return Stop("panel", tuple(gone), f"{left} seats of {len(fleet.panel)} bear no further loss")
+        return Blocker(VOTER_RULE, (work.machine,), "its seat of the panel is moved first")
+    unavailable = sorted(
+        name for name in fleet.voters if name != work.machine and _is_unavailable(scene, name)
+    )
+    remaining = len(fleet.voters) - 1 - len(unavailable)
+    if remaining - 1 < len(fleet.voters) // 2 + 1:
+        return Blocker(
+            "panel", tuple(unavailable), f"{remaining} seats of {len(fleet.voters)} bear no further loss"
+        )
     return None
 
 
-def _gone(scene: Scene, name: str) -> bool:
-    door = scene.fleet.doors.get(name)
-    return door is None or not door.ready or scene.bears_nothing(name)
+def _is_unavailable(scene: Scene, name: str) -> bool:
+    proxy = scene.fleet.proxies.get(name)
+    return proxy is None or not proxy.ready or scene.bears_no_load(name)
--- a/molereach/upkeep/scheduling/__init__.py
+++ b/molereach/upkeep/scheduling/__init__.py
@@ -1,6 +1,6 @@
-"""Which work goes next.
+"""Decides in which order work items start.
 
-Read `ageing` (who may not be passed any more), `priority` (by what the rest is ordered), `passing` (one
-pass over time), `plan` (the best of some, in slices), and `stands` (which servers stand for front doors
-without a session).
+Read `ageing` (which items may not be overtaken any more), `priority` (the orders that are tried for the
+rest), `list_schedule` (a simulated schedule for one order), `plan` (the best of several schedules, computed
+in slices), and `fallback_selection` (which servers are fallback servers).
 """
--- a/molereach/upkeep/scheduling/ageing.py
+++ b/molereach/upkeep/scheduling/ageing.py
@@ -1,95 +1,106 @@
-"""Nothing waits for ever behind later work.
-
-A work presses from when later ones have gone before it so often, or its window is about to close. Another
-that would hold it up then waits: one beside which, and beside what has begun since, the pressing one could
-not go. What had begun before ends by its own time. A work that stops for a reason of its own, such as a
-season, holds up nobody. What a pressing work waits for presses with it, as in priority inheritance (Sha,
-Rajkumar and Lehoczky, "Priority Inheritance Protocols", IEEE Transactions on Computers 39, 1990).
+"""Prevents starvation: no work item waits forever behind later ones.
+
+An item becomes urgent once later ones have started before it too often, or its window is about to close. From
+then on an item that would delay it may not start: one with which, together with everything that has started
+since, the urgent item would be blocked. Maintenance that had started before ends by itself. An item that is
+blocked for another reason, such as a season, delays nobody. The items that an urgent one waits for inherit
+its urgency, as in priority inheritance (Sha, Rajkumar and Lehoczky, "Priority Inheritance Protocols", IEEE
+Transactions on Computers 39, 1990).
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.rules.evaluation import RULES, judge
-from molereach.upkeep.rules.fleet_facts import groups
-from molereach.upkeep.rules.scene import Off, Rule, Scene, Stop, Taken
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.rules.evaluation import RULES, find_blocker
+from molereach.upkeep.rules.fleet_facts import groups_of
+from molereach.upkeep.rules.scene import Absence, Blocker, MachineInMaintenance, Rule, Scene
 from molereach.upkeep.rules.settings import UpkeepSettings
 
-MOST_PRESSING = 8  # looked at, those first in rank: the others press once these have gone
-AGEING = "ageing"
+MAX_URGENT_ITEMS = 8  # considered at once; the others follow when these have started
+AGEING_RULE = "ageing"
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
-    """A work that has not begun."""
+class WaitingItem:
+    """A work item that has not started."""
 
-    work: Work
-    asked: int  # the position at which it was settled
-    passed_ms: int = 0  # since when it has been passed too often; 0 for not
+    work: WorkItem
+    requested_position: int  # log position of its request
+    passed_since_ms: int = 0  # since when it has been overtaken too often; 0 if it has not
 
 
 @dataclass(frozen=True, slots=True)
-class Pressing:
-    """A work that may not be passed, since when, and its rank."""
+class UrgentItem:
+    """A work item that may not be overtaken, since when, and its rank; a lower rank goes first."""
 
-    waiting: Waiting
+    waiting: WaitingItem
     since_ms: int
     rank: tuple[int, int]
 
 
-def presses_from(each: Waiting, settings: UpkeepSettings) -> int:
-    closing_ms = each.work.latest_ms - settings.closing_ms
-    return min(closing_ms, each.passed_ms) if each.passed_ms else closing_ms
+def urgent_from_ms(item: WaitingItem, settings: UpkeepSettings) -> int:
+    """The time at which an item becomes urgent."""
+    closing_ms = item.work.latest_start_ms - settings.closing_ms
+    return min(closing_ms, item.passed_since_ms) if item.passed_since_ms else closing_ms
 
 
-def pressing(waiting: Sequence[Waiting], at_ms: int, settings: UpkeepSettings) -> tuple[Pressing, ...]:
-    """Those that press now, the first in rank first."""
+def urgent_items(
+    waiting: Sequence[WaitingItem], at_ms: int, settings: UpkeepSettings
+) -> tuple[UrgentItem, ...]:
+    """The first urgent items by rank, `MAX_URGENT_ITEMS` at most."""
     since: dict[str, tuple[int, tuple[int, int]]] = {}
     for each in waiting:
-        since_ms = presses_from(each, settings)
+        since_ms = urgent_from_ms(each, settings)
         if since_ms <= at_ms:
-            since[each.work.id] = since_ms, (each.work.latest_ms, each.asked)
+            since[each.work.id] = since_ms, (each.work.latest_start_ms, each.requested_position)
     if not since:
         return ()
-    _inherit(waiting, since)
-    found = [Pressing(each, *since[each.work.id]) for each in waiting if each.work.id in since]
-    return tuple(sorted(found, key=lambda one: (one.rank, one.waiting.asked))[:MOST_PRESSING])
-
-
-def _inherit(waiting: Sequence[Waiting], since: dict[str, tuple[int, tuple[int, int]]]) -> None:
-    """What a pressing work waits for takes over its time and rank; a chain ends, as there are no cycles."""
-    todo = [each for each in waiting if each.work.id in since]
-    while todo:
-        later = todo.pop()
-        time, rank = since[later.work.id]
+    _inherit_urgency(waiting, since)
+    items = [UrgentItem(each, *since[each.work.id]) for each in waiting if each.work.id in since]
+    return tuple(
+        sorted(items, key=lambda urgent: (urgent.rank, urgent.waiting.requested_position))[:MAX_URGENT_ITEMS]
+    )
+
+
+def _inherit_urgency(waiting: Sequence[WaitingItem], since: dict[str, tuple[int, tuple[int, int]]]) -> None:
+    """Passes time and rank on to the items that an urgent one waits for. Ends because the items have no
+    cycles."""
+    pending = [each for each in waiting if each.work.id in since]
+    while pending:
+        item = pending.pop()
+        time, rank = since[item.work.id]
         for each in waiting:
-            own = since.get(each.work.id)
-            if _waits_for(later, each) and (own is None or (time, rank) < own):
+            current = since.get(each.work.id)
+            if _waits_for(item, each) and (current is None or (time, rank) < current):
                 since[each.work.id] = time, rank
-                todo.append(each)
-
-
-def _waits_for(later: Waiting, each: Waiting) -> bool:
-    if each.work.machine == later.work.machine:
-        return each.asked < later.asked
-    return each.work.machine in later.work.after
-
-
-def held_up(
-    scene: Scene, work: Work, first: Iterable[Pressing], rules: tuple[Rule, ...] = RULES
-) -> Stop | None:
-    """Whom this work would hold up if it began now; None for nobody."""
-    for one in first:
-        if one.waiting.work.id == work.id:
-            return None  # those after it are lower in rank
-        lost = {name: each for name, each in scene.taken.items() if each.off is Off.LOST}
-        if judge(replace(scene, taken=lost), one.waiting.work, rules) is not None:
-            continue  # for a reason of its own
-        since = {name: each for name, each in scene.taken.items() if each.begun_ms >= one.since_ms}
+                pending.append(each)
+
+
+def _waits_for(item: WaitingItem, other: WaitingItem) -> bool:
+    if other.work.machine == item.work.machine:
+        return other.requested_position < item.requested_position
+    return other.work.machine in item.work.after
+
+
+def find_delayed_item(
+    scene: Scene, work: WorkItem, candidates: Iterable[UrgentItem], rules: tuple[Rule, ...] = RULES
+) -> Blocker | None:
+    """Which urgent item would be delayed if this item started now; None if none would be."""
+    for urgent in candidates:
+        if urgent.waiting.work.id == work.id:
+            return None  # the remaining ones rank lower
+        lost = {name: each for name, each in scene.in_maintenance.items() if each.absence is Absence.LOST}
+        if find_blocker(replace(scene, in_maintenance=lost), urgent.waiting.work, rules) is not None:
+            continue  # it is blocked anyway
+        since = {
+            name: each for name, each in scene.in_maintenance.items() if each.begun_ms >= urgent.since_ms
+        }
         machine = scene.fleet.get(work.machine)
-        mine = Taken(work, Off.AWAY, groups(machine) if machine else ())
-        then = replace(scene, taken={**lost, **since, work.machine: mine})
-        if judge(then, one.waiting.work, rules) is not None:
-            return Stop(AGEING, (one.waiting.work.machine,), f"would hold up {one.waiting.work.id}")
+        maintained = MachineInMaintenance(work, Absence.AWAY, groups_of(machine) if machine else ())
+        simulated = replace(scene, in_maintenance={**lost, **since, work.machine: maintained})
+        if find_blocker(simulated, urgent.waiting.work, rules) is not None:
+            return Blocker(
+                AGEING_RULE, (urgent.waiting.work.machine,), f"would hold up {urgent.waiting.work.id}"
+            )
     return None
--- a/molereach/upkeep/scheduling/fallback_selection.py
+++ b/molereach/upkeep/scheduling/fallback_selection.py
@@ -1,43 +1,46 @@
-"""Which servers stand for front doors that are long without a session: of each cell a part, and as few
-changes as can be, since one that stood is let go only once no front door without a session may still count
-on it."""
+"""Selects the fallback servers, which proxies may use for long without a session: a share of the servers of
+each cell.
+
+Changes are few, because a former fallback server can be taken out only once no proxy without a session may
+still rely on it.
+"""
 
 from collections.abc import Collection
 
-from molereach.upkeep.rules.fleet_facts import WHOLE, Fleet, Server
+from molereach.upkeep.rules.fleet_facts import PERMILLE, Fleet, ServerFacts
 
 
-def stands(
+def select_fallback_servers(
     fleet: Fleet,
-    share: int,
-    now: Collection[str],
-    busy: Collection[str],
-    away: Collection[str],
-    besides: str = "",
+    share_permille: int,
+    current: Collection[str],
+    with_open_items: Collection[str],
+    unroutable: Collection[str],
+    avoided: str = "",
 ) -> tuple[str, ...]:
-    """`busy` have open works, `away` are on their way; `besides` is to go next, and stands only if it
-    must."""
-    cells: dict[str, list[Server]] = {}
+    """The fallback servers, by preference those in `current`. `avoided`, whose maintenance is next, is
+    selected only if it must be."""
+    cells: dict[str, list[ServerFacts]] = {}
     for server in fleet.facts.servers:
         cells.setdefault(server.cell, []).append(server)
-    found: list[str] = []
+    selected: list[str] = []
     for cell in cells.values():
-        most = min(-(-len(cell) * share // WHOLE), len(cell) - 1)
-        able = [
+        count = min(-(-len(cell) * share_permille // PERMILLE), len(cell) - 1)
+        eligible = [
             server
             for server in cell
-            if server.name not in away
+            if server.name not in unroutable
             and server.name not in fleet.ordered
-            and (server.ready or server.name in now)
+            and (server.ready or server.name in current)
         ]
-        able.sort(
+        eligible.sort(
             key=lambda server: (
-                server.name == besides,
+                server.name == avoided,
                 not server.ready,
-                server.name in busy,
-                server.name not in now,
+                server.name in with_open_items,
+                server.name not in current,
                 server.name,
             )
         )
-        found += [server.name for server in able[:most]]
-    return tuple(sorted(found))
+        selected += [server.name for server in eligible[:count]]
+    return tuple(sorted(selected))
--- a/molereach/upkeep/scheduling/priority.py
+++ b/molereach/upkeep/scheduling/priority.py
@@ -1,63 +1,69 @@
-"""By what works are ordered that do not press: some lists, of which a plan takes the best.
+"""The orders that are tried for work items that are not urgent; the plan takes the best.
 
-Source: Graham, "Bounds on Multiprocessing Timing Anomalies" (SIAM 17, 1969): a list by the longest first is
-close to the best, and no list is far from it; Hu (1961) for chains: by the longest way that hangs on a
-work.
+Source: Graham, "Bounds on Multiprocessing Timing Anomalies" (SIAM 17, 1969): scheduling the longest first is
+close to the optimum, and no list is far from it; Hu (1961): for chains, by the longest path that starts at
+the item.
 """
 
 from collections.abc import Callable, Sequence
 
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.scheduling.ageing import Waiting
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.scheduling.ageing import WaitingItem
 
-Key = Callable[[Waiting], tuple[int, ...]]
+SortKey = Callable[[WaitingItem], tuple[int, ...]]
 
 
-def tails(waiting: Sequence[Waiting]) -> dict[str, int]:
-    """By id: minutes of the longest chain of works that begins with this one."""
-    by_machine: dict[str, list[Waiting]] = {}
-    behind: dict[str, list[Waiting]] = {}
+def chain_minutes(waiting: Sequence[WaitingItem]) -> dict[str, int]:
+    """The minutes of the longest chain of items that starts with each item, by id."""
+    by_machine: dict[str, list[WaitingItem]] = {}
+    dependents: dict[str, list[WaitingItem]] = {}
     for each in waiting:
         by_machine.setdefault(each.work.machine, []).append(each)
         for name in each.work.after:
-            behind.setdefault(name, []).append(each)
-    found: dict[str, int] = {}
+            dependents.setdefault(name, []).append(each)
+    minutes_by_id: dict[str, int] = {}
 
-    def tail(each: Waiting, depth: int) -> int:
-        if each.work.id not in found:
-            later = [other for other in by_machine[each.work.machine] if other.asked > each.asked]
-            rest = [*later, *behind.get(each.work.machine, ())] if depth else []
-            found[each.work.id] = each.work.minutes + max((tail(one, depth - 1) for one in rest), default=0)
-        return found[each.work.id]
+    def longest_chain(each: WaitingItem, depth: int) -> int:
+        if each.work.id not in minutes_by_id:
+            later_items = [
+                other
+                for other in by_machine[each.work.machine]
+                if other.requested_position > each.requested_position
+            ]
+            successors = [*later_items, *dependents.get(each.work.machine, ())] if depth else []
+            minutes_by_id[each.work.id] = each.work.minutes + max(
+                (longest_chain(one, depth - 1) for one in successors), default=0
+            )
+        return minutes_by_id[each.work.id]
 
-    for each in sorted(waiting, key=lambda one: -one.asked):
-        tail(each, MOST_CHAIN)
-    return found
+    for each in sorted(waiting, key=lambda one: -one.requested_position):
+        longest_chain(each, MAX_CHAIN_LENGTH)
+    return minutes_by_id
 
 
-MOST_CHAIN = 64  # works in a chain that are looked at
+MAX_CHAIN_LENGTH = 64  # items of a chain that are considered
 
 
-def clashes(works: Sequence[Work]) -> dict[str, int]:
-    """By id: minutes of the works that may not be out beside this one."""
+def conflict_minutes(works: Sequence[WorkItem]) -> dict[str, int]:
+    """The minutes of the items that may not run beside each item, by id."""
     by_machine: dict[str, int] = {}
-    against: dict[str, int] = {}
+    conflicts: dict[str, int] = {}
     for work in works:
         by_machine[work.machine] = by_machine.get(work.machine, 0) + work.minutes
         for name in work.not_with:
-            against[name] = against.get(name, 0) + work.minutes
+            conflicts[name] = conflicts.get(name, 0) + work.minutes
     return {
-        work.id: against.get(work.machine, 0) + sum(by_machine.get(name, 0) for name in work.not_with)
+        work.id: conflicts.get(work.machine, 0) + sum(by_machine.get(name, 0) for name in work.not_with)
         for work in works
     }
 
 
-def keys(waiting: Sequence[Waiting]) -> tuple[Key, ...]:
-    """The lists to be tried, the most promising first."""
-    tail, clash = tails(waiting), clashes([each.work for each in waiting])
+def sort_keys(waiting: Sequence[WaitingItem]) -> tuple[SortKey, ...]:
+    """The sort keys of the orders to be tried, the most promising first."""
+    chains, conflicts = chain_minutes(waiting), conflict_minutes([each.work for each in waiting])
     return (
-        lambda one: (-tail[one.work.id], -clash[one.work.id], one.asked),
-        lambda one: (-tail[one.work.id] - clash[one.work.id], one.asked),
-        lambda one: (one.work.latest_ms, -tail[one.work.id], one.asked),
-        lambda one: (one.asked,),
+        lambda one: (-chains[one.work.id], -conflicts[one.work.id], one.requested_position),
+        lambda one: (-chains[one.work.id] - conflicts[one.work.id], one.requested_position),
+        lambda one: (one.work.latest_start_ms, -chains[one.work.id], one.requested_position),
+        lambda one: (one.requested_position,),
     )
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -13,7 +13,7 @@
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.lifecycle import Step
-from molereach.upkeep.requests.work_item import Kind
+from molereach.upkeep.requests.work_item import MachineKind
 from tests.compatibility import machines_samples as samples
 from tests.compatibility.machines_samples import Command
 
@@ -55,19 +55,19 @@
 
 def upkeep() -> list[Command]:
     """Entries about works that change nothing."""
-    ask, move, begun = upkeep_bodies.Ask, upkeep_bodies.Move, samples.DRAINED
+    ask, move, begun = upkeep_bodies.RequestMaintenance, upkeep_bodies.TakeStep, samples.DRAINED
     bodies: dict[str, upkeep_bodies.Body] = {
-        "ask-unknown-machine": ask(work=samples.work("work-9", "s9", Kind.SERVER)),
-        "ask-other-kind": ask(work=samples.work("work-9", "s1", Kind.DOOR)),
-        "ask-used-id": ask(work=samples.work("work-1", "s1", Kind.SERVER)),
+        "ask-unknown-machine": ask(work=samples.work("work-9", "s9", MachineKind.SERVER)),
+        "ask-other-kind": ask(work=samples.work("work-9", "s1", MachineKind.DOOR)),
+        "ask-used-id": ask(work=samples.work("work-1", "s1", MachineKind.SERVER)),
         "move-unknown": move(id="work-9", step=Step.QUEUE),
-        "move-out": move(id="work-1", step=Step.OUT, begun=begun),
+        "move-out": move(id="work-1", step=Step.GRANT_PERMIT, begun=begun),
         "move-not-next": move(id="work-1", step=Step.QUEUE),
-        "out-again": upkeep_bodies.Out(id="work-1", begun=begun, proof=()),
-        "back-other-permit": upkeep_bodies.Back(id="work-1", permit=7, name="s0"),
-        "back-other-name": upkeep_bodies.Back(id="work-1", permit=samples.PERMIT, name="s4"),
-        "warm-old-facts": move(id="work-1", step=Step.WARM, begun=begun),
-        "stand-unknown": upkeep_bodies.Stand(servers=("s9",)),
+        "out-again": upkeep_bodies.GrantPermit(id="work-1", begun=begun, proof=()),
+        "back-other-permit": upkeep_bodies.ReportReturn(id="work-1", permit=7, name="s0"),
+        "back-other-name": upkeep_bodies.ReportReturn(id="work-1", permit=samples.PERMIT, name="s4"),
+        "warm-old-facts": move(id="work-1", step=Step.RESUME_TRAFFIC, begun=begun),
+        "stand-unknown": upkeep_bodies.SetFallbackServers(servers=("s9",)),
         "seen-out-of-order": samples.later_facts(number=4, part=1, parts=2),
     }
     return [Command(name, upkeep_bodies.MACHINE, body) for name, body in bodies.items()]
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -14,11 +14,11 @@
 from molereach.shards.counts.folds import Folds
 from molereach.shards.splits.machine import Shards, SplitSettings
 from molereach.shards.splits.rooms import NoUpkeep
-from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.compatibility import machines_log as sample_log
 from tests.compatibility import machines_samples as samples
-from tests.upkeep.state_machine_log import LoneSessions
+from tests.upkeep.state_machine_log import ProofSessions
 
 MOMENTS = {
     "early": 18,
@@ -42,9 +42,9 @@
     """All state machines on one log."""
 
     def __init__(self) -> None:
-        self.sessions = LoneSessions()
+        self.sessions = ProofSessions()
         self.shards = Shards(SplitSettings(window_ms=samples.WINDOW_MS), self.sessions, NoUpkeep())
-        self.upkeep = Upkeep(upkeep_settings(), self.sessions)
+        self.upkeep = UpkeepStateMachine(upkeep_settings(), self.sessions)
         self.purges = Purges(self.sessions)
         self.folds = Folds(self.sessions, self.shards)
         machines: tuple[StateMachine, ...] = (
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -21,8 +21,8 @@
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.lifecycle import Step
-from molereach.upkeep.requests.work_item import Kind, Work
-from molereach.upkeep.rules.fleet_facts import Door, Server
+from molereach.upkeep.requests.work_item import MachineKind, WorkItem
+from molereach.upkeep.rules.fleet_facts import ProxyFacts, ServerFacts
 
 START_MS = 1_796_731_200_000  # 2026-12-08 12:00 UTC
 ENTRY_MS = 250  # between two entries
@@ -154,10 +154,10 @@
 # --- upkeep ---
 
 
-def servers(*away: str) -> tuple[Server, ...]:
+def servers(*away: str) -> tuple[ServerFacts, ...]:
     """Six servers, of which some are not ready."""
     return tuple(
-        Server(
+        ServerFacts(
             name=f"s{number}",
             address=f"10.0.0.{number}:80",
             cell=f"c{number % 2}",
@@ -170,10 +170,10 @@
     )
 
 
-def doors() -> tuple[Door, ...]:
+def doors() -> tuple[ProxyFacts, ...]:
     """Five front doors."""
     return tuple(
-        Door(
+        ProxyFacts(
             name=f"d{number}",
             address=f"10.1.0.{number}:80",
             cell="c0",
@@ -185,10 +185,10 @@
     )
 
 
-def first_facts() -> list[upkeep_bodies.Seen]:
+def first_facts() -> list[upkeep_bodies.ReportFacts]:
     """A set of facts in two parts."""
-    first = upkeep_bodies.Seen(number=1, part=0, parts=2, age_ms=40, servers=servers())
-    second = upkeep_bodies.Seen(
+    first = upkeep_bodies.ReportFacts(number=1, part=0, parts=2, age_ms=40, servers=servers())
+    second = upkeep_bodies.ReportFacts(
         number=1,
         part=1,
         parts=2,
@@ -201,9 +201,9 @@
     return [first, second]
 
 
-def later_facts(number: int, part: int, parts: int) -> upkeep_bodies.Seen:
+def later_facts(number: int, part: int, parts: int) -> upkeep_bodies.ReportFacts:
     """Facts in which the first server is away."""
-    return upkeep_bodies.Seen(
+    return upkeep_bodies.ReportFacts(
         number=number,
         part=part,
         parts=parts,
@@ -215,9 +215,9 @@
     )
 
 
-def work(id: str, machine: str, kind: Kind, **more: Any) -> Work:  # noqa: ANN401
+def work(id: str, machine: str, kind: MachineKind, **more: Any) -> WorkItem:  # noqa: ANN401
     """A work of half an hour."""
-    return Work(
+    return WorkItem(
         id=id,
         machine=machine,
         kind=kind,
@@ -231,16 +231,18 @@
 
 def upkeep_beginnings() -> list[Command]:
     """Facts, works that are asked for, and one that drains."""
-    door_work = work("work-2", "d0", Kind.DOOR, not_with=("d1", "s1"), after=("s0",), successor="d0-anew")
+    door_work = work(
+        "work-2", "d0", MachineKind.DOOR, not_with=("d1", "s1"), after=("s0",), successor="d0-anew"
+    )
     bodies: dict[str, upkeep_bodies.Body] = {
         "seen-first": first_facts()[0],
         "seen-second": first_facts()[1],
-        "ask": upkeep_bodies.Ask(work=work("work-1", "s0", Kind.SERVER)),
-        "ask-door": upkeep_bodies.Ask(work=door_work),
-        "stand": upkeep_bodies.Stand(servers=("s1", "s2")),
-        "queue": upkeep_bodies.Move(id="work-1", step=Step.QUEUE),
-        "drain": upkeep_bodies.Move(id="work-1", step=Step.DRAIN),
-        "empty": upkeep_bodies.Move(id="work-1", step=Step.EMPTY, begun=DRAINED),
+        "ask": upkeep_bodies.RequestMaintenance(work=work("work-1", "s0", MachineKind.SERVER)),
+        "ask-door": upkeep_bodies.RequestMaintenance(work=door_work),
+        "stand": upkeep_bodies.SetFallbackServers(servers=("s1", "s2")),
+        "queue": upkeep_bodies.TakeStep(id="work-1", step=Step.QUEUE),
+        "drain": upkeep_bodies.TakeStep(id="work-1", step=Step.DRAIN),
+        "empty": upkeep_bodies.TakeStep(id="work-1", step=Step.CONFIRM_DRAINED, begun=DRAINED),
     }
     return [Command(name, upkeep_bodies.MACHINE, body) for name, body in bodies.items()]
 
@@ -248,16 +250,16 @@
 def upkeep_ends() -> list[Command]:
     """A permit and its end, a work that is withdrawn, and facts of which a part is missing."""
     proof = tuple(
-        upkeep_bodies.Word(fence=fence, known=ClearanceEvidence.REPORTED, position=DRAINED)
+        upkeep_bodies.SessionClearance(fence=fence, known=ClearanceEvidence.REPORTED, position=DRAINED)
         for fence in (OPENED_FIRST, OPENED_SECOND, OPENED_THIRD)
     )
     bodies: dict[str, upkeep_bodies.Body] = {
-        "out": upkeep_bodies.Out(id="work-1", begun=DRAINED, proof=proof),
+        "out": upkeep_bodies.GrantPermit(id="work-1", begun=DRAINED, proof=proof),
         "seen-away": later_facts(number=2, part=0, parts=1),
-        "back": upkeep_bodies.Back(id="work-1", permit=PERMIT, name="s0"),
-        "ask-third": upkeep_bodies.Ask(work=work("work-3", "s3", Kind.SERVER)),
-        "withdraw": upkeep_bodies.Move(id="work-3", step=Step.WITHDRAW),
-        "stand-again": upkeep_bodies.Stand(servers=("s2",)),
+        "back": upkeep_bodies.ReportReturn(id="work-1", permit=PERMIT, name="s0"),
+        "ask-third": upkeep_bodies.RequestMaintenance(work=work("work-3", "s3", MachineKind.SERVER)),
+        "withdraw": upkeep_bodies.TakeStep(id="work-3", step=Step.WITHDRAW),
+        "stand-again": upkeep_bodies.SetFallbackServers(servers=("s2",)),
         "seen-part": later_facts(number=3, part=0, parts=2),
     }
     return [Command(name, upkeep_bodies.MACHINE, body) for name, body in bodies.items()]
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -17,7 +17,7 @@
 from molereach.shards.map.pieces import MEMBERS, ShardMap
 from molereach.shards.splits import way as split_way
 from molereach.upkeep.permits import lifecycle as upkeep_lifecycle
-from molereach.upkeep.requests.work_item import Kind
+from molereach.upkeep.requests.work_item import MachineKind
 from tests.compatibility import machines_samples as samples
 from tests.compatibility.machines_replica import Replica
 
@@ -31,7 +31,7 @@
 ENUMS: dict[str, type[Enum]] = {
     "how a front door is known": ClearanceEvidence,
     "life of a front door": MemberStatus,
-    "kind of a machine out for work": Kind,
+    "kind of a machine out for work": MachineKind,
     "state of a work": upkeep_lifecycle.State,
     "step of a work": upkeep_lifecycle.Step,
     "state of a split": split_way.State,
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -9,7 +9,7 @@
 from molereach.coordination.leases.sessions import ActiveSession
 from molereach.coordination.replicated_log import records
 from molereach.shards.splits.record import Record as SplitRecord
-from molereach.upkeep.permits.record import Record as WorkRecord
+from molereach.upkeep.permits.record import ItemRecord
 from tests.compatibility import machines_log, machines_replica
 from tests.compatibility.council_files import recorded_bytes, recorded_values
 from tests.compatibility.machines_replica import MACHINES, MOMENTS, Replica
@@ -67,7 +67,7 @@
 VALUE_TYPES = {
     "01-sessions-open": ActiveSession,
     "09-shards-hand": SplitRecord,
-    "22-upkeep-back": WorkRecord,
+    "22-upkeep-back": ItemRecord,
     "27-purge-ask-class": Standing,
     "29-purge-done": Ended,
 }
--- a/tests/upkeep/mutants.py
+++ b/tests/upkeep/mutants.py
@@ -1,175 +1,181 @@
-"""Each core with one of its safeguards taken out, and what it is taken for."""
+"""Components with one safeguard removed, and season and voter rules with an error."""
 
 from collections.abc import Sequence
 from dataclasses import replace
 from typing import Any
 
 from molereach.coordination.interface.clearance import ClearanceEvidence
-from molereach.upkeep.permits.bodies import Word
-from molereach.upkeep.permits.lifecycle import LEAVING, State, Step
-from molereach.upkeep.permits.proof import SessionsAt, fault
-from molereach.upkeep.permits.record import Record
-from molereach.upkeep.permits.state_machine import Upkeep
-from molereach.upkeep.requests.work_item import Work
-from molereach.upkeep.routing import DoorSide
-from molereach.upkeep.rules.scene import Off, Scene, Stop, Taken
-from molereach.upkeep.rules.seasons import within
+from molereach.upkeep.permits.bodies import SessionClearance
+from molereach.upkeep.permits.lifecycle import DRAINING_STATES, State, Step
+from molereach.upkeep.permits.proof import SessionHistory, proof_gap
+from molereach.upkeep.permits.record import ItemRecord
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
+from molereach.upkeep.requests.work_item import WorkItem
+from molereach.upkeep.routing import MaintenanceRouting
+from molereach.upkeep.rules.scene import Absence, Blocker, MachineInMaintenance, Scene
+from molereach.upkeep.rules.seasons import is_in_season
 from molereach.upkeep.rules.settings import MonthDay, Season, UpkeepSettings
-from molereach.upkeep.rules.voters import panel
-from tests.upkeep.world_parts import Cores
+from molereach.upkeep.rules.voters import check_voters
+from tests.upkeep.world_parts import Components
 
 
-class BeforeTheLastWord(Upkeep):
-    """A word is enough, whatever it says."""
+class IgnoresReportedPosition(UpkeepStateMachine):
+    """A reported clearance counts, whatever its position."""
 
-    def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
-        taken = [
-            Word(word.fence, word.known, record.begun) if word.known is ClearanceEvidence.REPORTED else word
-            for word in words
+    def proof_gap(self, record: ItemRecord, clearances: Sequence[SessionClearance], at_ms: int) -> str:
+        patched = [
+            SessionClearance(clearance.fence, clearance.known, record.begun)
+            if clearance.known is ClearanceEvidence.REPORTED
+            else clearance
+            for clearance in clearances
         ]
-        return super().fault(record, taken, at_ms)
+        return super().proof_gap(record, patched, at_ms)
 
 
-class OldFactsTaken(Upkeep):
-    """Facts of any age decide."""
+class AcceptsStaleFacts(UpkeepStateMachine):
+    """Facts of any age are used."""
 
-    def __init__(self, settings: UpkeepSettings, sessions: SessionsAt) -> None:
+    def __init__(self, settings: UpkeepSettings, sessions: SessionHistory) -> None:
         super().__init__(settings, sessions)
-        self.book.fresh = lambda at_ms: None  # type: ignore[method-assign]
+        self.registry.stale_facts_blocker = lambda at_ms: None  # type: ignore[method-assign]
 
 
-class FloorWithoutThoseThatDrain(Upkeep):
-    """One that drains counts as there, as long as it is."""
+class CountsDrainingServersAsAvailable(UpkeepStateMachine):
+    """A draining server counts as available."""
 
-    def __init__(self, settings: UpkeepSettings, sessions: SessionsAt) -> None:
+    def __init__(self, settings: UpkeepSettings, sessions: SessionHistory) -> None:
         super().__init__(settings, sessions)
-        self.book.taken = self._taken  # type: ignore[method-assign]
-
-    def _taken(self) -> dict[str, Taken]:
-        book = self.book
-        found = {
-            name: taken
-            for each in book.records.values()
-            for name, taken in each.taken().items()
-            if each.state not in (State.ASKED, State.QUEUED)
+        self.registry.in_maintenance = self._in_maintenance  # type: ignore[method-assign]
+
+    def _in_maintenance(self) -> dict[str, MachineInMaintenance]:
+        registry = self.registry
+        machines = {
+            name: machine
+            for each in registry.records.values()
+            for name, machine in each.in_maintenance().items()
+            if each.state not in (State.REQUESTED, State.QUEUED)
         }
         return {
-            name: replace(each, off=Off.WARMING) if book.records[each.work.id].state in LEAVING else each
-            for name, each in found.items()
+            name: replace(each, absence=Absence.WARMING)
+            if registry.records[each.work.id].state in DRAINING_STATES
+            else each
+            for name, each in machines.items()
         }
 
 
-class DoubledNumber(Upkeep):
-    """The number of a permit is that of those that are out."""
+class ReusesPermitNumbers(UpkeepStateMachine):
+    """The permit number is the number of machines with a permit."""
 
-    def number(self) -> int:
-        return 1 + sum(each.state is State.OUT for each in self.book.records.values())
+    def next_permit(self) -> int:
+        return 1 + sum(each.state is State.PERMITTED for each in self.registry.records.values())
 
 
-class LetOutAllTheSame(Upkeep):
-    """One that was called back may go."""
+class GrantsPermitAfterRecall(UpkeepStateMachine):
+    """A recalled item gets a permit."""
 
-    def next_state(self, record: Record, step: Step) -> State | None:
+    def next_state(self, record: ItemRecord, step: Step) -> State | None:
         return super().next_state(record, step) or (
-            State.OUT if record.state is State.QUEUED and step is Step.OUT else None
+            State.PERMITTED if record.state is State.QUEUED and step is Step.GRANT_PERMIT else None
         )
 
 
-class NotWaitedFor(Upkeep):
-    """A session that is over is enough."""
+class SkipsExpiryWait(UpkeepStateMachine):
+    """An expired session is clear at once."""
 
-    def waited(self, position: int, at_ms: int) -> bool:
+    def wait_elapsed(self, position: int, at_ms: int) -> bool:
         return True
 
 
-class StoodNever(Upkeep):
-    """What stood is let go like any other."""
+class IgnoresFormerFallbackServers(UpkeepStateMachine):
+    """A former fallback server is treated like any other."""
 
-    def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
-        return fault(words, self.sessions, record.begun, -1, lambda position: self.waited(position, at_ms))
+    def proof_gap(self, record: ItemRecord, clearances: Sequence[SessionClearance], at_ms: int) -> str:
+        return proof_gap(
+            clearances, self.sessions, record.begun, -1, lambda position: self.wait_elapsed(position, at_ms)
+        )
 
 
-class GoneBefore(Upkeep):
-    """Those that had no session when the draining began are not asked for."""
+class IgnoresEarlierExpiredSessions(UpkeepStateMachine):
+    """Sessions that had expired before the draining started are not covered."""
 
-    def fault(self, record: Record, words: Sequence[Word], at_ms: int) -> str:
-        return fault(
-            words,
-            _Without(self.sessions),
+    def proof_gap(self, record: ItemRecord, clearances: Sequence[SessionClearance], at_ms: int) -> str:
+        return proof_gap(
+            clearances,
+            _WithoutExpiredSessions(self.sessions),
             record.begun,
             -1,  # type: ignore[arg-type]
-            lambda position: self.waited(position, at_ms),
+            lambda position: self.wait_elapsed(position, at_ms),
         )
 
 
-class _Without:
-    def __init__(self, sessions: SessionsAt) -> None:
+class _WithoutExpiredSessions:
+    def __init__(self, sessions: SessionHistory) -> None:
         self._sessions = sessions
 
-    def lone(self) -> list[Any]:
+    def expired_sessions(self) -> list[Any]:
         return []
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401
         return getattr(self._sessions, name)
 
 
-class AloneWithAll(DoorSide):
-    """Without a session it goes on as it was."""
+class KeepsAllServersWithoutSession(MaintenanceRouting):
+    """Without a session it keeps using all servers."""
 
-    def only(self, now_us: int) -> frozenset[str] | None:
-        only = super().only(now_us)
-        return None if self._held_us is not None else only
+    def allowed_servers(self, now_us: int) -> frozenset[str] | None:
+        allowed_servers = super().allowed_servers(now_us)
+        return None if self._last_held_us is not None else allowed_servers
 
 
-class AloneFromWaking(DoorSide):
-    """The time without a session is counted from when that is noticed."""
+class CountsFromWakeup(MaintenanceRouting):
+    """The time without a session counts from when that is noticed."""
 
-    _noticed: int | None = None
+    _noticed_us: int | None = None
 
-    def only(self, now_us: int) -> frozenset[str] | None:
+    def allowed_servers(self, now_us: int) -> frozenset[str] | None:
         if self._session.holds(now_us):
-            self._noticed = None
-        elif self._noticed is None and self._held_us is not None:
-            self._noticed = now_us
-        if self._noticed is not None:
-            self._held_us = self._noticed
-        return super().only(now_us)
+            self._noticed_us = None
+        elif self._noticed_us is None and self._last_held_us is not None:
+            self._noticed_us = now_us
+        if self._noticed_us is not None:
+            self._last_held_us = self._noticed_us
+        return super().allowed_servers(now_us)
 
 
-class ClearAsApplied(DoorSide):
-    """What is under way is not waited for."""
+class ReportsAppliedAsClear(MaintenanceRouting):
+    """Requests in flight are ignored."""
 
     @property
-    def clear(self) -> int:
+    def clear_position(self) -> int:
         return self._position
 
 
-class UsedBeforeItsSession(DoorSide):
-    """A new run serves before it knows anything."""
+class ServesBeforeFirstSession(MaintenanceRouting):
+    """A new instance sends requests before it has a session."""
 
-    def only(self, now_us: int) -> frozenset[str] | None:
-        return super().only(now_us) if self._held_us is not None else None
+    def allowed_servers(self, now_us: int) -> frozenset[str] | None:
+        return super().allowed_servers(now_us) if self._last_held_us is not None else None
 
 
-def panel_without_those_that_drain(scene: Scene, work: Work) -> Stop | None:
-    return panel(replace(scene, taken={}), work)
+def check_voters_without_draining(scene: Scene, work: WorkItem) -> Blocker | None:
+    return check_voters(replace(scene, in_maintenance={}), work)
 
 
-def within_without_the_last_day(day: MonthDay, season: Season) -> bool:
-    return within(day, season) and day != season.last
+def is_in_season_without_last_day(day: MonthDay, season: Season) -> bool:
+    return is_in_season(day, season) and day != season.last
 
 
-MUTANTS: dict[str, Cores] = {
-    "permit before the last word": Cores(BeforeTheLastWord),
-    "old facts taken": Cores(OldFactsTaken),
-    "floor counted without those that drain": Cores(FloorWithoutThoseThatDrain),
-    "a number given twice": Cores(DoubledNumber),
-    "one that was called back is let out": Cores(LetOutAllTheSame),
-    "over is enough": Cores(NotWaitedFor),
-    "what stood is let go": Cores(StoodNever),
-    "those gone before are not asked for": Cores(GoneBefore),
-    "alone with all servers": Cores(door=AloneWithAll),
-    "alone from waking": Cores(door=AloneFromWaking),
-    "clear as applied": Cores(door=ClearAsApplied),
-    "used before its session": Cores(door=UsedBeforeItsSession),
+MUTANTS: dict[str, Components] = {
+    "reported position ignored": Components(IgnoresReportedPosition),
+    "stale facts accepted": Components(AcceptsStaleFacts),
+    "draining servers counted as available": Components(CountsDrainingServersAsAvailable),
+    "permit numbers reused": Components(ReusesPermitNumbers),
+    "permit after recall": Components(GrantsPermitAfterRecall),
+    "no wait after expiry": Components(SkipsExpiryWait),
+    "former fallback servers ignored": Components(IgnoresFormerFallbackServers),
+    "earlier expired sessions ignored": Components(IgnoresEarlierExpiredSessions),
+    "all servers kept without session": Components(routing=KeepsAllServersWithoutSession),
+    "time without session counted from wakeup": Components(routing=CountsFromWakeup),
+    "requests in flight ignored": Components(routing=ReportsAppliedAsClear),
+    "requests before first session": Components(routing=ServesBeforeFirstSession),
 }
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -1,4 +1,4 @@
-"""The driver at the leader: deaths, windows, facts that grow old, and what is said of proposals."""
+"""The driver at the leader: failed leaders, windows, stale facts, and the outcomes of proposals."""
 
 from dataclasses import replace
 
@@ -16,120 +16,146 @@
     Restored,
 )
 from molereach.upkeep.driver import Driver
-from molereach.upkeep.permits.bodies import Ask, Move, Out, Stand, decode, encode
-from molereach.upkeep.permits.fact_reporting import EVERY_US, IDLE_US, Measured, Telling
+from molereach.upkeep.permits.bodies import (
+    GrantPermit,
+    RequestMaintenance,
+    SetFallbackServers,
+    TakeStep,
+    decode,
+    encode,
+)
+from molereach.upkeep.permits.fact_reporting import (
+    ACTIVE_INTERVAL_US,
+    IDLE_INTERVAL_US,
+    FactReporter,
+    FactsMeasured,
+)
 from molereach.upkeep.permits.lifecycle import State, Step
-from molereach.upkeep.permits.next_steps import back_as, hurried, recalled
-from molereach.upkeep.permits.proposals import MOST_OPEN, RETRY_US, Proposals
-from molereach.upkeep.permits.state_machine import Upkeep
+from molereach.upkeep.permits.next_steps import items_to_expedite, items_to_recall, returned_name
+from molereach.upkeep.permits.proposals import MAX_OPEN_PROPOSALS, RETRY_DELAY_US, OpenProposals
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
 from molereach.upkeep.requests.work_item import MINUTE_MS
-from molereach.upkeep.routing import DoorSide, Permitted
-from molereach.upkeep.rules.fleet_facts import Facts
-from tests.upkeep.builders import DAY_MS, NOON_MS, doors, server, servers, work
-from tests.upkeep.leader_harness import QUICK, Led, led
-from tests.upkeep.state_machine_log import FLEET, A, B, Logged, logged
-from tests.upkeep.test_routing import Held
-
-
-def test_who_is_missed_for_a_proof_is_named() -> None:
-    one = led(work("w"))
-    one.silent = {"b"}
-    one.run(5)
-    assert [(each.door, each.why) for each in one.driver.missed["w"]] == [
-        (B, f"has said 0 of {one.log.record().begun}")
+from molereach.upkeep.routing import MaintenanceRouting, PermitGranted
+from molereach.upkeep.rules.fleet_facts import FleetFacts
+from tests.upkeep.builders import DAY_MS, NOON_MS, proxies, server, servers, work_item
+from tests.upkeep.leader_harness import FAST_SETTINGS, LeaderHarness, start_leader
+from tests.upkeep.state_machine_log import FLEET_FACTS, A, B, StateMachineLog, state_machine_log
+from tests.upkeep.test_routing import FakeSession
+
+
+def test_missing_clearance_is_reported() -> None:
+    leader = start_leader(work_item("w"))
+    leader.unresponsive = {"b"}
+    leader.run(5)
+    assert [(each.instance, each.reason) for each in leader.driver.missing_clearances["w"]] == [
+        (B, f"has said 0 of {leader.log.record().begun}")
     ]
-    one.silent = set()
-    one.run(2)
-    assert one.state() is State.OUT
-
-
-def test_two_works_that_block_each_other_go_one_after_the_other() -> None:
-    one = led(work("w", minutes=1, not_with=("s1",)), work("x", "s1", minutes=1, not_with=("s0",))).run(5)
-    assert sorted(one.state(id).value for id in "wx") == ["out", "queued"]
-    first, second = ("w", "x") if one.state("w") is State.OUT else ("x", "w")
-    assert one.why(second) == ("apart", (one.log.record(first).work.machine,))
-    name = one.log.record(first).work.machine
-    one.change(name, ready=False)
-    one.run(15)
-    one.change(name, ready=True)
-    one.run(60)
-    assert one.state(first) is State.DONE and one.state(second) is State.OUT
-    assert one.errors == [], "it asks for nothing that is refused"
-
-
-def test_a_leader_that_dies_with_the_permit_unheard_leaves_it_to_all_others() -> None:
-    one = led(work("w"))
-    one.mute = True
-    one.run(5)
-    assert one.state() is State.EMPTY
-    proposed = [each for each in one.actions if isinstance(each, Propose)]
-    [propose] = [each for each in proposed if isinstance(decode(each.body), Out)]
-    entry = one.log.entry("upkeep", propose.body)
-    assert not one.log.machine.apply(entry).error
-    # Another front door has it by the log alone, leads, and gives no second one.
-    machine = Upkeep(QUICK, one.log.sessions)
-    machine.restore(one.log.machine.snapshot())
-    side = DoorSide(machine, Held())
-    assert Permitted("w", "s0", 1, one.log.record().until_ms) in side.handle(0, Restored(one.log.position))
-    after = Led(one.log, B, ballot=2).run(10)
-    assert after.state() is State.OUT and one.log.book.permits == 1
-    after.change("s0", ready=False)
-    after.run(15)
-    after.change("s0", ready=True)
-    after.run(60)
-    assert after.state() is State.DONE, "while the one that gave the permit is stopped"
-    # The one that was stopped wakes, and what it proposes late does nothing.
-    assert one.log.machine.apply(one.log.entry("upkeep", propose.body)).error == "step: w is done"
-
-
-def test_a_work_whose_window_closes_while_it_waits_is_withdrawn() -> None:
-    late = work("w", not_after_ms=NOON_MS + 31 * MINUTE_MS)
-    one = led(late)
-    one.facts = msgspec.structs.replace(FLEET, ordered=("s0",))
-    one.run(70)
-    assert one.state() is State.WITHDRAWN and one.log.record().why == "its window closed"
-
-
-def test_a_work_waits_for_its_window_and_for_those_before_it() -> None:
-    one = led(work("w", not_before_ms=NOON_MS + 5000), work("x", "s1", after=("s0",)), work("y", "s0")).run(3)
-    assert [one.state(id) for id in "wxy"] == [State.ASKED, State.QUEUED, State.ASKED]
-    one.run(6)
-    assert [one.state(id) for id in "wxy"] == [State.OUT, State.QUEUED, State.ASKED]
-    assert one.why("x") == ("first", ("s0",))
-
-
-def test_a_jump_of_the_entries_time_does_not_shorten_the_wait_for_those_without_a_session() -> None:
-    one = led(work("w", not_after_ms=NOON_MS + 9 * DAY_MS), settings=replace(QUICK, fresh_ms=1 << 40))
-    one.silent = {"b"}
-    one.run(5)
-    one.log.over(B)
-    one.driver.handle(one.now_us, Restored(one.log.position))
-    one.run(5)
+    leader.unresponsive = set()
+    leader.run(2)
+    assert leader.state() is State.PERMITTED
+
+
+def test_mutually_exclusive_items_run_one_after_the_other() -> None:
+    leader = start_leader(
+        work_item("w", minutes=1, not_with=("s1",)), work_item("x", "s1", minutes=1, not_with=("s0",))
+    ).run(5)
+    assert sorted(leader.state(id).value for id in "wx") == ["out", "queued"]
+    first, second = ("w", "x") if leader.state("w") is State.PERMITTED else ("x", "w")
+    assert leader.blocker(second) == ("apart", (leader.log.record(first).work.machine,))
+    name = leader.log.record(first).work.machine
+    leader.change_servers(name, ready=False)
+    leader.run(15)
+    leader.change_servers(name, ready=True)
+    leader.run(60)
+    assert leader.state(first) is State.DONE and leader.state(second) is State.PERMITTED
+    assert leader.errors == [], "no proposal is rejected"
+
+
+def test_permit_of_a_dead_leader_is_known_to_all_others() -> None:
+    leader = start_leader(work_item("w"))
+    leader.hold_permits = True
+    leader.run(5)
+    assert leader.state() is State.DRAINED
+    proposed = [each for each in leader.actions if isinstance(each, Propose)]
+    [propose] = [each for each in proposed if isinstance(decode(each.body), GrantPermit)]
+    entry = leader.log.entry("upkeep", propose.body)
+    assert not leader.log.machine.apply(entry).error
+    # Another front door knows the permit by the log alone, leads, and grants no second one.
+    machine = UpkeepStateMachine(FAST_SETTINGS, leader.log.sessions)
+    machine.restore(leader.log.machine.snapshot())
+    routing = MaintenanceRouting(machine, FakeSession())
+    assert PermitGranted("w", "s0", 1, leader.log.record().until_ms) in routing.handle(
+        0, Restored(leader.log.position)
+    )
+    successor = LeaderHarness(leader.log, B, ballot=2).run(10)
+    assert successor.state() is State.PERMITTED and leader.log.registry.last_permit == 1
+    successor.change_servers("s0", ready=False)
+    successor.run(15)
+    successor.change_servers("s0", ready=True)
+    successor.run(60)
+    assert successor.state() is State.DONE, "without the leader that proposed the permit"
+    # The late proposal of the first leader has no effect.
+    assert leader.log.machine.apply(leader.log.entry("upkeep", propose.body)).error == "step: w is done"
+
+
+def test_item_whose_window_closes_while_waiting_is_withdrawn() -> None:
+    item = work_item("w", not_after_ms=NOON_MS + 31 * MINUTE_MS)
+    leader = start_leader(item)
+    leader.facts = msgspec.structs.replace(FLEET_FACTS, ordered=("s0",))
+    leader.run(70)
+    assert leader.state() is State.WITHDRAWN and leader.log.record().why == "its window closed"
+
+
+def test_item_waits_for_its_window_and_its_prerequisites() -> None:
+    leader = start_leader(
+        work_item("w", not_before_ms=NOON_MS + 5000),
+        work_item("x", "s1", after=("s0",)),
+        work_item("y", "s0"),
+    ).run(3)
+    assert [leader.state(id) for id in "wxy"] == [State.REQUESTED, State.QUEUED, State.REQUESTED]
+    leader.run(6)
+    assert [leader.state(id) for id in "wxy"] == [State.PERMITTED, State.QUEUED, State.REQUESTED]
+    assert leader.blocker("x") == ("first", ("s0",))
+
+
+def test_jump_of_entry_time_does_not_shorten_the_wait_for_expired_sessions() -> None:
+    leader = start_leader(
+        work_item("w", not_after_ms=NOON_MS + 9 * DAY_MS), settings=replace(FAST_SETTINGS, fresh_ms=1 << 40)
+    )
+    leader.unresponsive = {"b"}
+    leader.run(5)
+    leader.log.expire_session(B)
+    leader.driver.handle(leader.now_us, Restored(leader.log.position))
+    leader.run(5)
     for _ in range(3):  # leaders whose clocks are ahead
-        one.begins_ms += 3600_000
-        one.run(5)
-    assert one.state() is State.DRAINING
-    assert [each.why for each in one.driver.missed["w"]] == ["is without a session for too short a time"]
-    one.run(QUICK.over_wait_ms / 1000)
-    assert one.state() is State.OUT
-
-
-def test_no_permit_is_asked_for_by_facts_that_are_too_old() -> None:
-    one = led(work("w"))
-    one.mute = True
-    one.run(5)
-    assert one.state() is State.EMPTY
-    late_us = one.now_us + QUICK.fresh_ms * 1000 + 60 * SECOND_US
-    for propose in [each for each in one.actions if isinstance(each, Propose)]:
-        one.driver.handle(late_us, ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
-    late = one.driver.handle(late_us + 2 * SECOND_US, Tick())
-    assert not [each for each in late if isinstance(each, Propose) and isinstance(decode(each.body), Out)]
-    assert one.driver.stops["w"].rule == "facts"
-
-
-def test_it_takes_the_entries_time_on_by_its_own_clock_also_after_a_snapshot() -> None:
-    log = logged(work("w"))
-    driver = Driver(A, log.machine, Led(log))
+        leader.start_ms += 3600_000
+        leader.run(5)
+    assert leader.state() is State.DRAINING
+    assert [each.reason for each in leader.driver.missing_clearances["w"]] == [
+        "is without a session for too short a time"
+    ]
+    leader.run(FAST_SETTINGS.expired_session_wait_ms / 1000)
+    assert leader.state() is State.PERMITTED
+
+
+def test_no_permit_is_proposed_by_stale_facts() -> None:
+    leader = start_leader(work_item("w"))
+    leader.hold_permits = True
+    leader.run(5)
+    assert leader.state() is State.DRAINED
+    late_us = leader.now_us + FAST_SETTINGS.fresh_ms * 1000 + 60 * SECOND_US
+    for propose in [each for each in leader.actions if isinstance(each, Propose)]:
+        leader.driver.handle(late_us, ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
+    actions = leader.driver.handle(late_us + 2 * SECOND_US, Tick())
+    assert not [
+        each for each in actions if isinstance(each, Propose) and isinstance(decode(each.body), GrantPermit)
+    ]
+    assert leader.driver.blockers["w"].rule == "facts"
+
+
+def test_entry_time_advances_with_the_local_clock_also_after_a_snapshot() -> None:
+    log = state_machine_log(work_item("w"))
+    driver = Driver(A, log.machine, LeaderHarness(log))
     driver.handle(7 * SECOND_US, Restored(log.position))
     assert driver.at_ms(9 * SECOND_US) == NOON_MS + 2000
     entry = log.entry("other", b"")
@@ -139,108 +165,121 @@
     assert driver.at_ms(12 * SECOND_US) == NOON_MS + 62_000, "it does not go back"
 
 
-def test_without_a_fleet_nothing_stands() -> None:
-    one = Led(Logged(QUICK))
-    one.facts = Facts()
-    one.run(3)
-    assert not any(isinstance(body, Stand) for body in one.bodies())
+def test_no_fallback_servers_without_a_fleet() -> None:
+    leader = LeaderHarness(StateMachineLog(FAST_SETTINGS))
+    leader.facts = FleetFacts()
+    leader.run(3)
+    assert not any(isinstance(body, SetFallbackServers) for body in leader.proposed_bodies())
 
 
-def test_who_does_not_lead_proposes_nothing() -> None:
-    one = led(work("w"))
-    one.driver.handle(0, LeaderChanged("b", 2, False))
-    one.first = []
-    one.run(30)
-    assert one.actions == [] and one.state() is State.ASKED
+def test_follower_proposes_nothing() -> None:
+    leader = start_leader(work_item("w"))
+    leader.driver.handle(0, LeaderChanged("b", 2, False))
+    leader.initial_actions = []
+    leader.run(30)
+    assert leader.actions == [] and leader.state() is State.REQUESTED
 
 
-def test_no_step_rests_on_facts_that_grew_old_at_the_leader() -> None:
-    one = led(work("w"))
-    one.driver.handle(0, Measured(FLEET))
+def test_no_step_is_proposed_by_facts_that_became_stale_at_the_leader() -> None:
+    leader = start_leader(work_item("w"))
+    leader.driver.handle(0, FactsMeasured(FLEET_FACTS))
     for seconds in range(1, 100):
-        one.now_us = seconds * SECOND_US
-        one.log.at_ms = one.begins_ms + seconds * 1000
-        for action in one.driver.handle(one.now_us, Tick()):
-            if isinstance(action, Propose) and not isinstance(decode(action.body), Ask):
+        leader.now_us = seconds * SECOND_US
+        leader.log.at_ms = leader.start_ms + seconds * 1000
+        for action in leader.driver.handle(leader.now_us, Tick()):
+            if isinstance(action, Propose) and not isinstance(decode(action.body), RequestMaintenance):
                 body = decode(action.body)
-                assert seconds <= 32 or not (isinstance(body, Move) and body.step is Step.DRAIN)
-
-
-def test_old_facts_call_nobody_back_hurry_nobody_and_bring_nobody_back() -> None:
-    log = logged(work("w"), work("x", "s1"), settings=replace(QUICK, least_ready_cell=4))
-    log.to(State.OUT)
-    log.to(State.DRAINING, "x")
-    log.seen(msgspec.structs.replace(FLEET, servers=FLEET.servers[1:4]))
-    old_ms = log.at_ms + QUICK.fresh_ms + 1
-    assert [each.work.id for each in recalled(log.book, log.at_ms)] == ["x"]
-    assert recalled(log.book, old_ms) == () == hurried(log.book, old_ms)
-    assert [each.work.id for each in hurried(log.book, log.at_ms)] == ["w"]
-    log.ok(Move("w", Step.HURRY, log.record().begun))
-    assert hurried(log.book, log.at_ms) == ()
-    log.seen()
-    assert back_as(log.book, log.record(), log.at_ms) == "s0"
-    assert back_as(log.book, log.record(), old_ms) is None
-    never_away = msgspec.structs.replace(log.record(), gone=False)
-    assert back_as(log.book, never_away, log.at_ms) is None
-    overdue = msgspec.structs.replace(never_away, state=State.OVERDUE, since_ms=log.at_ms + 1)
-    assert back_as(log.book, overdue, log.at_ms) is None, "nothing was measured since"
-    assert back_as(log.book, msgspec.structs.replace(overdue, since_ms=log.at_ms), log.at_ms) == "s0"
-
-
-def test_a_front_door_that_is_out_is_hurried_where_a_set_has_lost_another() -> None:
-    log = logged(work("w", "d1"), settings=replace(QUICK, least_in_set=2, spread=3))
-    log.to(State.OUT)
-    assert hurried(log.book, log.at_ms) == ()
-    log.seen(msgspec.structs.replace(FLEET, doors=doors(9, down=(2,))))
-    assert [each.work.id for each in hurried(log.book, log.at_ms)] == ["w"]
-
-
-def test_what_is_said_of_other_proposals_and_of_works_that_do_not_wait_is_nothing() -> None:
-    one = led(work("w"))
-    assert one.driver.handle(0, ProposalFinished("other", ProposalStatus.REJECTED)) == []
-    one.run(5)
-    assert one.state() is State.OUT and one.driver.why(one.now_us, "w") is None
-    assert one.driver.why(one.now_us, "none") is None
-
-
-def test_a_refused_proposal_is_tried_again_later_under_another_id_and_few_are_open() -> None:
-    proposals = Proposals(A, 3)
-    [first] = proposals.make(0, "w", Ask(work("w")))
-    assert proposals.make(0, "w", Ask(work("w"))) == [], "one is open"
-    assert proposals.over(5, ProposalFinished("other", ProposalStatus.UNKNOWN)) is None
-    assert proposals.over(5, ProposalFinished(first.id, ProposalStatus.UNKNOWN)) == ("w", False)
-    assert proposals.make(4 + RETRY_US, "w", Ask(work("w"))) == []
-    [second] = proposals.make(5 + RETRY_US, "w", Ask(work("w")))
+                assert seconds <= 32 or not (isinstance(body, TakeStep) and body.step is Step.DRAIN)
+
+
+def test_stale_facts_cause_no_recall_expedite_or_return() -> None:
+    log = state_machine_log(
+        work_item("w"), work_item("x", "s1"), settings=replace(FAST_SETTINGS, least_ready_cell=4)
+    )
+    log.advance_to(State.PERMITTED)
+    log.advance_to(State.DRAINING, "x")
+    log.report_facts(msgspec.structs.replace(FLEET_FACTS, servers=FLEET_FACTS.servers[1:4]))
+    old_ms = log.at_ms + FAST_SETTINGS.fresh_ms + 1
+    assert [each.work.id for each in items_to_recall(log.registry, log.at_ms)] == ["x"]
+    assert items_to_recall(log.registry, old_ms) == () == items_to_expedite(log.registry, old_ms)
+    assert [each.work.id for each in items_to_expedite(log.registry, log.at_ms)] == ["w"]
+    log.accept(TakeStep("w", Step.EXPEDITE, log.record().begun))
+    assert items_to_expedite(log.registry, log.at_ms) == ()
+    log.report_facts()
+    assert returned_name(log.registry, log.record(), log.at_ms) == "s0"
+    assert returned_name(log.registry, log.record(), old_ms) is None
+    not_left = msgspec.structs.replace(log.record(), gone=False)
+    assert returned_name(log.registry, not_left, log.at_ms) is None
+    overdue = msgspec.structs.replace(not_left, state=State.OVERDUE, since_ms=log.at_ms + 1)
+    assert returned_name(log.registry, overdue, log.at_ms) is None, "nothing was measured since"
+    assert (
+        returned_name(log.registry, msgspec.structs.replace(overdue, since_ms=log.at_ms), log.at_ms) == "s0"
+    )
+
+
+def test_permitted_proxy_is_expedited_when_its_set_loses_another() -> None:
+    log = state_machine_log(work_item("w", "d1"), settings=replace(FAST_SETTINGS, least_in_set=2, spread=3))
+    log.advance_to(State.PERMITTED)
+    assert items_to_expedite(log.registry, log.at_ms) == ()
+    log.report_facts(msgspec.structs.replace(FLEET_FACTS, doors=proxies(9, not_ready=(2,))))
+    assert [each.work.id for each in items_to_expedite(log.registry, log.at_ms)] == ["w"]
+
+
+def test_foreign_proposals_and_items_that_do_not_wait_are_ignored() -> None:
+    leader = start_leader(work_item("w"))
+    assert leader.driver.handle(0, ProposalFinished("other", ProposalStatus.REJECTED)) == []
+    leader.run(5)
+    assert leader.state() is State.PERMITTED and leader.driver.blocker(leader.now_us, "w") is None
+    assert leader.driver.blocker(leader.now_us, "none") is None
+
+
+def test_rejected_proposal_is_retried_later_with_a_new_id_and_open_ones_are_limited() -> None:
+    proposals = OpenProposals(A, 3)
+    [first] = proposals.propose(0, "w", RequestMaintenance(work_item("w")))
+    assert proposals.propose(0, "w", RequestMaintenance(work_item("w"))) == [], "one is open"
+    assert proposals.finish(5, ProposalFinished("other", ProposalStatus.UNKNOWN)) is None
+    assert proposals.finish(5, ProposalFinished(first.id, ProposalStatus.UNKNOWN)) == ("w", False)
+    assert proposals.propose(4 + RETRY_DELAY_US, "w", RequestMaintenance(work_item("w"))) == []
+    [second] = proposals.propose(5 + RETRY_DELAY_US, "w", RequestMaintenance(work_item("w")))
     assert second.id != first.id
-    proposals.forget(5 + RETRY_US)
-    assert not proposals.wait(0, "seat", 10) or not proposals.wait(5, "seat", 10)
-    proposals.forget(9)
-    assert not proposals.wait(9, "seat", 10) and proposals.wait(10, "seat", 10)
-    made = [each for number in range(40) for each in proposals.make(9, f"x{number}", Ask(work("w")))]
-    assert len(made) == MOST_OPEN - 1
-    assert Proposals(A, 4).make(0, "w", Ask(work("w")))[0].id != first.id
-
-
-def test_facts_are_told_in_parts_when_they_change_and_not_too_often() -> None:
-    many = Facts(servers=servers(400), doors=doors(9), panel=("d0",), spares=1, ordered=("s3",))
-    telling, log = Telling(), Logged()
-    assert telling.part(0, True) is None
-    telling.measured(0, many)
+    proposals.drop_expired_delays(5 + RETRY_DELAY_US)
+    assert not proposals.claim_interval(0, "seat", 10) or not proposals.claim_interval(5, "seat", 10)
+    proposals.drop_expired_delays(9)
+    assert not proposals.claim_interval(9, "seat", 10) and proposals.claim_interval(10, "seat", 10)
+    made = [
+        each
+        for number in range(40)
+        for each in proposals.propose(9, f"x{number}", RequestMaintenance(work_item("w")))
+    ]
+    assert len(made) == MAX_OPEN_PROPOSALS - 1
+    assert OpenProposals(A, 4).propose(0, "w", RequestMaintenance(work_item("w")))[0].id != first.id
+
+
+def test_facts_are_reported_in_parts_on_change_and_not_too_often() -> None:
+    facts = FleetFacts(servers=servers(400), doors=proxies(9), panel=("d0",), spares=1, ordered=("s3",))
+    reporter, log = FactReporter(), StateMachineLog()
+    assert reporter.next_part(0, True) is None
+    reporter.update(0, facts)
     number = 0
-    while part := telling.part(2500, True):
+    while part := reporter.next_part(2500, True):
         number += 1
         assert part.age_ms == 3 and len(encode(part)) < 16 << 10
-        log.ok(part)
-        telling.settled()
-    assert number > 1 and log.book.fleet.facts == msgspec.structs.replace(many, at_ms=log.at_ms - 3)
-    telling.measured(EVERY_US, many)
-    assert telling.part(EVERY_US, True) is None and telling.part(2500 + EVERY_US, False) is None
-    assert telling.part(2500 + EVERY_US, True) is not None
-    telling.failed()
-    again = telling.part(2500 + EVERY_US, True)
-    assert again is not None and again.part == 0, "a set that was cut off is told anew"
-    while telling.part(2500 + EVERY_US, True):
-        telling.settled()
-    telling.measured(2501 + EVERY_US, Facts(servers=(server("s0", ready=False), *servers(400)[1:])))
-    assert telling.part(2501 + EVERY_US, False) is not None, "one is ready no more"
-    assert IDLE_US > EVERY_US
+        log.accept(part)
+        reporter.part_applied()
+    assert number > 1 and log.registry.fleet.facts == msgspec.structs.replace(facts, at_ms=log.at_ms - 3)
+    reporter.update(ACTIVE_INTERVAL_US, facts)
+    assert (
+        reporter.next_part(ACTIVE_INTERVAL_US, True) is None
+        and reporter.next_part(2500 + ACTIVE_INTERVAL_US, False) is None
+    )
+    assert reporter.next_part(2500 + ACTIVE_INTERVAL_US, True) is not None
+    reporter.restart()
+    again = reporter.next_part(2500 + ACTIVE_INTERVAL_US, True)
+    assert again is not None and again.part == 0, "an interrupted set starts again"
+    while reporter.next_part(2500 + ACTIVE_INTERVAL_US, True):
+        reporter.part_applied()
+    reporter.update(
+        2501 + ACTIVE_INTERVAL_US, FleetFacts(servers=(server("s0", ready=False), *servers(400)[1:]))
+    )
+    assert reporter.next_part(2501 + ACTIVE_INTERVAL_US, False) is not None, "one server is no longer ready"
+    assert IDLE_INTERVAL_US > ACTIVE_INTERVAL_US
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -1,225 +1,238 @@
-"""No permit without a full proof: each front door that could still send there, and how that is known."""
+"""No permit without a complete proof: which front doors could still send, and how it is known that they
+don't."""
 
 import pytest
 
 from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.upkeep.permits.bodies import MAX_ENTRY_BODY_BYTES, Move, Out, Stand, Word, encode
-from molereach.upkeep.permits.clearance_accounting import Accounting
+from molereach.upkeep.permits.bodies import (
+    MAX_ENTRY_BODY_BYTES,
+    GrantPermit,
+    SessionClearance,
+    SetFallbackServers,
+    TakeStep,
+    encode,
+)
+from molereach.upkeep.permits.clearance_accounting import ClearanceAccounting
 from molereach.upkeep.permits.lifecycle import State, Step
-from molereach.upkeep.permits.proof import needed
-from molereach.upkeep.permits.time_marks import MOST_MARKS, Mark, marked, waited
-from tests.upkeep.builders import LOOSE, work
-from tests.upkeep.state_machine_log import A, B, C, Logged, logged
+from molereach.upkeep.permits.proof import sessions_to_clear
+from molereach.upkeep.permits.time_marks import MAX_MARKS, TimeMark, add_mark, wait_elapsed
+from tests.upkeep.builders import PERMISSIVE, work_item
+from tests.upkeep.state_machine_log import A, B, C, StateMachineLog, state_machine_log
 
 A2 = NodeInstance("a", 2)
 
 
-def emptied(*, stand: tuple[str, ...] = ()) -> Logged:
-    log = logged(work("w"))
-    if stand:
-        log.ok(Stand(stand))
-        log.ok(Stand(()))
-    log.to(State.EMPTY)
+def drained_log(*, fallback_servers: tuple[str, ...] = ()) -> StateMachineLog:
+    log = state_machine_log(work_item("w"))
+    if fallback_servers:
+        log.accept(SetFallbackServers(fallback_servers))
+        log.accept(SetFallbackServers(()))
+    log.advance_to(State.DRAINED)
     return log
 
 
-def later(log: Logged, ms: int = LOOSE.over_wait_ms) -> None:
+def wait(log: StateMachineLog, ms: int = PERMISSIVE.expired_session_wait_ms) -> None:
     log.at_ms += ms
-    log.seen()
+    log.report_facts()
 
 
 @pytest.mark.parametrize("missing", range(3))
-def test_a_proof_speaks_of_each_that_was_open(missing: int) -> None:
-    log = emptied()
+def test_proof_covers_each_open_session(missing: int) -> None:
+    log = drained_log()
     proof = log.proof()
-    short = tuple(word for number, word in enumerate(proof) if number != missing)
-    assert log.out(proof=short).error == f"proof: no word of {'abc'[missing]}"
-    late = tuple(
-        Word(word.fence, word.known, log.record().begun - 1) if number == missing else word
-        for number, word in enumerate(proof)
-    )
-    assert "has said" in log.out(proof=late).error
-    assert log.out(proof=(*proof, Word(77, ClearanceEvidence.REPORTED, 5))).error == "", (
-        "more than is needed does no harm"
+    incomplete = tuple(clearance for number, clearance in enumerate(proof) if number != missing)
+    assert log.grant_permit(proof=incomplete).error == f"proof: no word of {'abc'[missing]}"
+    too_early = tuple(
+        SessionClearance(clearance.fence, clearance.known, log.record().begun - 1)
+        if number == missing
+        else clearance
+        for number, clearance in enumerate(proof)
     )
+    assert "has said" in log.grant_permit(proof=too_early).error
+    assert (
+        log.grant_permit(proof=(*proof, SessionClearance(77, ClearanceEvidence.REPORTED, 5))).error == ""
+    ), "a superfluous clearance does no harm"
 
 
-def test_what_is_said_of_an_end_is_what_the_sessions_say() -> None:
-    log = emptied()
-    log.close(C)
+def test_clearance_of_an_ended_session_must_match_the_session_registry() -> None:
+    log = drained_log()
+    log.close_session(C)
     proof = log.proof()
     assert proof[2].known is ClearanceEvidence.LEFT
     for known, position in (
         (ClearanceEvidence.SESSION_EXPIRED, proof[2].position),
         (ClearanceEvidence.LEFT, proof[2].position + 1),
     ):
-        wrong = (*proof[:2], Word(proof[2].fence, known, position))
-        assert "c is left by" in log.out(proof=wrong).error
-    wrong = (Word(proof[0].fence, ClearanceEvidence.SESSION_EXPIRED, 3), *proof[1:])
-    assert log.out(proof=wrong).error == "proof: a has a session and has not said so"
-    assert log.out(proof=proof).error == ""
-
-
-def test_a_new_life_accounts_for_the_one_before() -> None:
-    log = emptied()
-    log.open(A2)
-    assert log.out().error == ""
-
-
-def test_one_that_had_said_so_before_its_session_was_over_counts() -> None:
-    log = emptied()
-    said = log.proof()
-    log.over(A)
-    assert log.out().error == "proof: a is not over for long enough"
-    assert log.out(proof=said).error == ""
-
-
-def test_one_without_a_session_is_waited_for_so_long() -> None:
-    log = emptied()
-    log.over(A)
-    later(log, LOOSE.over_wait_ms // 16)  # the first mark after it
-    later(log, LOOSE.over_wait_ms - 1)
-    assert log.out().error == "proof: a is not over for long enough"
-    later(log, 1)
-    assert log.out().error == ""
-
-
-def test_one_that_was_without_a_session_already_when_the_draining_began_counts_too() -> None:
-    log = logged(work("w"))
-    log.over(A)
-    log.to(State.EMPTY)
-    assert [session.instance for session in needed(log.sessions, log.record().begun)] == [A, B, C]
+        invalid = (*proof[:2], SessionClearance(proof[2].fence, known, position))
+        assert "c is left by" in log.grant_permit(proof=invalid).error
+    invalid = (SessionClearance(proof[0].fence, ClearanceEvidence.SESSION_EXPIRED, 3), *proof[1:])
+    assert log.grant_permit(proof=invalid).error == "proof: a has a session and has not said so"
+    assert log.grant_permit(proof=proof).error == ""
+
+
+def test_new_instance_clears_the_previous_one() -> None:
+    log = drained_log()
+    log.open_sessions(A2)
+    assert log.grant_permit().error == ""
+
+
+def test_clearance_reported_before_expiry_counts() -> None:
+    log = drained_log()
+    reported = log.proof()
+    log.expire_session(A)
+    assert log.grant_permit().error == "proof: a is not over for long enough"
+    assert log.grant_permit(proof=reported).error == ""
+
+
+def test_expired_session_is_cleared_after_the_wait() -> None:
+    log = drained_log()
+    log.expire_session(A)
+    wait(log, PERMISSIVE.expired_session_wait_ms // 16)  # the first mark after it
+    wait(log, PERMISSIVE.expired_session_wait_ms - 1)
+    assert log.grant_permit().error == "proof: a is not over for long enough"
+    wait(log, 1)
+    assert log.grant_permit().error == ""
+
+
+def test_session_expired_before_draining_must_be_covered() -> None:
+    log = state_machine_log(work_item("w"))
+    log.expire_session(A)
+    log.advance_to(State.DRAINED)
+    assert [session.instance for session in sessions_to_clear(log.sessions, log.record().begun)] == [A, B, C]
     claimed = (
-        Word(needed(log.sessions, 0)[0].fencing_token, ClearanceEvidence.REPORTED, 99),
+        SessionClearance(sessions_to_clear(log.sessions, 0)[0].fencing_token, ClearanceEvidence.REPORTED, 99),
         *log.proof()[1:],
     )
-    assert log.out(proof=claimed).error == "proof: a had no session any more"
-    assert log.out().error == "proof: a is not over for long enough"
-    later(log)
-    later(log)
-    assert log.out().error == ""
+    assert log.grant_permit(proof=claimed).error == "proof: a had no session any more"
+    assert log.grant_permit().error == "proof: a is not over for long enough"
+    wait(log)
+    wait(log)
+    assert log.grant_permit().error == ""
 
 
-def test_one_that_has_a_session_again_says_so_again() -> None:
-    log = logged(work("w"))
-    log.over(A)
-    log.to(State.EMPTY)
+def test_instance_with_a_new_session_must_report_again() -> None:
+    log = state_machine_log(work_item("w"))
+    log.expire_session(A)
+    log.advance_to(State.DRAINED)
     proof = log.proof()
-    later(log)
-    log.open(A)  # the same life: what it sent meanwhile may be under way
-    assert log.out(proof=proof).error == "proof: no word of a"
-    assert log.out().error == ""
-
-
-def test_one_without_a_session_that_may_count_on_a_server_keeps_it() -> None:
-    log = emptied(stand=("s0",))
-    log.over(A)
-    later(log)
-    later(log)
-    assert log.out().error == "proof: a may still count on it"
-    log.open(A2)
-    assert log.out().error == ""
-
-
-def test_one_whose_session_began_after_the_server_stood_does_not_count_on_it() -> None:
-    log = logged(work("w"))
-    log.ok(Stand(("s0",)))
-    log.ok(Stand(()))
-    log.open(A2)
-    log.to(State.EMPTY)
-    log.over(A2)
-    later(log)
-    later(log)
-    assert log.out().error == ""
-
-
-def test_what_left_or_was_replaced_before_is_not_alone_though_a_later_life_is() -> None:
-    log = logged(work("w"))
-    log.to(State.EMPTY)
-    log.close(A)
-    log.book.unstood["s0"] = log.fence(B)  # it stood while the first of a's lives had its session
-    log.open(A2)
-    log.over(A2)
-    later(log)
-    later(log)
-    assert log.out().error == ""
-
-
-def test_one_that_was_over_and_has_left_since_is_not_alone() -> None:
-    log = logged(work("w"))
-    log.to(State.EMPTY)
-    log.over(A)
-    log.open(A2)
-    log.close(A2)
-    assert log.out().error == ""
-
-
-def test_what_nobody_can_count_on_any_more_is_forgotten() -> None:
-    log = logged()
-    log.ok(Stand(("s0",)))
-    log.ok(Stand(("s1",)))
-    assert log.book.unstood.keys() == {"s0"}
-    log.open(A2, NodeInstance("b", 2), NodeInstance("c", 2))
-    log.ok(Stand(("s2",)))
-    assert log.book.unstood.keys() == {"s1"}
-    log.over(A2)
-    log.open(NodeInstance("b", 3), NodeInstance("c", 3))
-    log.ok(Stand(("s3",)))
-    assert log.book.unstood.keys() == {"s1", "s2"}, "one without a session may count on it"
-
-
-def test_marks_say_when_a_position_was_there_at_the_latest() -> None:
-    marks: tuple[Mark, ...] = ()
+    wait(log)
+    log.open_sessions(A)  # the same instance: its requests from the time in between may be in flight
+    assert log.grant_permit(proof=proof).error == "proof: no word of a"
+    assert log.grant_permit().error == ""
+
+
+def test_former_fallback_server_is_kept_while_a_proxy_without_session_may_use_it() -> None:
+    log = drained_log(fallback_servers=("s0",))
+    log.expire_session(A)
+    wait(log)
+    wait(log)
+    assert log.grant_permit().error == "proof: a may still count on it"
+    log.open_sessions(A2)
+    assert log.grant_permit().error == ""
+
+
+def test_session_opened_after_the_fallback_change_does_not_rely_on_the_server() -> None:
+    log = state_machine_log(work_item("w"))
+    log.accept(SetFallbackServers(("s0",)))
+    log.accept(SetFallbackServers(()))
+    log.open_sessions(A2)
+    log.advance_to(State.DRAINED)
+    log.expire_session(A2)
+    wait(log)
+    wait(log)
+    assert log.grant_permit().error == ""
+
+
+def test_closed_session_is_clear_though_a_later_instance_expired() -> None:
+    log = state_machine_log(work_item("w"))
+    log.advance_to(State.DRAINED)
+    log.close_session(A)
+    # A fallback server while the first instance of a had its session.
+    log.registry.former_fallback_servers["s0"] = log.fencing_token(B)
+    log.open_sessions(A2)
+    log.expire_session(A2)
+    wait(log)
+    wait(log)
+    assert log.grant_permit().error == ""
+
+
+def test_instance_that_left_after_an_expiry_is_clear() -> None:
+    log = state_machine_log(work_item("w"))
+    log.advance_to(State.DRAINED)
+    log.expire_session(A)
+    log.open_sessions(A2)
+    log.close_session(A2)
+    assert log.grant_permit().error == ""
+
+
+def test_former_fallback_servers_are_forgotten_once_no_proxy_relies_on_them() -> None:
+    log = state_machine_log()
+    log.accept(SetFallbackServers(("s0",)))
+    log.accept(SetFallbackServers(("s1",)))
+    assert log.registry.former_fallback_servers.keys() == {"s0"}
+    log.open_sessions(A2, NodeInstance("b", 2), NodeInstance("c", 2))
+    log.accept(SetFallbackServers(("s2",)))
+    assert log.registry.former_fallback_servers.keys() == {"s1"}
+    log.expire_session(A2)
+    log.open_sessions(NodeInstance("b", 3), NodeInstance("c", 3))
+    log.accept(SetFallbackServers(("s3",)))
+    assert log.registry.former_fallback_servers.keys() == {"s1", "s2"}, (
+        "a proxy without a session may rely on it"
+    )
+
+
+def test_marks_bound_the_time_of_a_position() -> None:
+    marks: tuple[TimeMark, ...] = ()
     for number in range(100):
-        marks = marked(marks, number, number * 10, 1600)
-    assert len(marks) == 10 and marks[1] == Mark(10, 100)
-    assert not waited(marks, 5, 1699, 1600) and waited(marks, 5, 1700, 1600)
-    assert not waited(marks, 10, 1700, 1600), "the mark at the position itself is not after it"
-    assert not waited(marks, 99, 1 << 50, 1600), "nothing was settled since"
+        marks = add_mark(marks, number, number * 10, 1600)
+    assert len(marks) == 10 and marks[1] == TimeMark(10, 100)
+    assert not wait_elapsed(marks, 5, 1699, 1600) and wait_elapsed(marks, 5, 1700, 1600)
+    assert not wait_elapsed(marks, 10, 1700, 1600), "the mark at the position itself is not after it"
+    assert not wait_elapsed(marks, 99, 1 << 50, 1600), "there is no mark after it"
     for number in range(100, 10_000):
-        marks = marked(marks, number, number * 10, 1600)
-    assert len(marks) == MOST_MARKS and waited(marks, 0, 99_990, 1600)
+        marks = add_mark(marks, number, number * 10, 1600)
+    assert len(marks) == MAX_MARKS and wait_elapsed(marks, 0, 99_990, 1600)
 
 
-def test_the_longest_proof_fits_in_an_entry() -> None:
-    longest = tuple(Word(1 << 62, ClearanceEvidence.REPORTED, 1 << 62) for _ in range(256))
-    assert len(encode(Out("w" * 64, 1 << 62, longest))) <= MAX_ENTRY_BODY_BYTES
+def test_longest_proof_fits_in_an_entry() -> None:
+    longest = tuple(SessionClearance(1 << 62, ClearanceEvidence.REPORTED, 1 << 62) for _ in range(256))
+    assert len(encode(GrantPermit("w" * 64, 1 << 62, longest))) <= MAX_ENTRY_BODY_BYTES
 
 
-class Said:
-    """What is said of each session, by its fence."""
+class ReportedPositions:
+    """The clear position that each name has reported."""
 
-    def __init__(self, **clear: int) -> None:
-        self.said = clear
+    def __init__(self, **clear_position: int) -> None:
+        self.positions = clear_position
 
-    def clear(self, name: str, fence: int) -> int:
-        return self.said.get(name, 0)
+    def clear_position(self, name: str, fencing_token: int) -> int:
+        return self.positions.get(name, 0)
 
 
-def test_a_leader_names_whom_it_misses_and_why() -> None:
-    log = logged(work("w"))
-    log.over(C)
-    log.to(State.DRAINING)
+def test_leader_reports_missing_clearances_with_reasons() -> None:
+    log = state_machine_log(work_item("w"))
+    log.expire_session(C)
+    log.advance_to(State.DRAINING)
     begun = log.record().begun
-    said = Said(a=begun, b=begun - 1)
-    accounting = Accounting(log.sessions, said, LOOSE.over_wait_ms)
-    accounting.look(5)
-    words, missed = accounting.account(5, begun, -1)
-    assert [(each.door, each.why) for each in missed] == [
+    reported = ReportedPositions(a=begun, b=begun - 1)
+    accounting = ClearanceAccounting(log.sessions, reported, PERMISSIVE.expired_session_wait_ms)
+    accounting.update(5)
+    clearances, missing = accounting.account(5, begun, -1)
+    assert [(each.instance, each.reason) for each in missing] == [
         (B, f"has said {begun - 1} of {begun}"),
         (C, "is without a session for too short a time"),
     ]
-    said.said["b"] = begun
-    wait_us = LOOSE.over_wait_ms * 1000
+    reported.positions["b"] = begun
+    wait_us = PERMISSIVE.expired_session_wait_ms * 1000
     assert len(accounting.account(5 + wait_us - 1, begun, -1)[1]) == 1
-    words, missed = accounting.account(5 + wait_us, begun, -1)
-    assert not missed and words == log.proof(said=begun)
-    assert "may count on it" in accounting.account(5 + wait_us, begun, begun)[1][0].why
-    # One that is back and gone again counts anew.
-    log.open(C)
-    accounting.look(6 + wait_us)
-    log.over(C)
-    accounting.look(7 + wait_us)
-    assert accounting.account(8 + wait_us, begun, -1)[1][-1].door == C
-    log.ok(Move("w", Step.RECALL, begun))
+    clearances, missing = accounting.account(5 + wait_us, begun, -1)
+    assert not missing and clearances == log.proof(reported=begun)
+    assert "may count on it" in accounting.account(5 + wait_us, begun, begun)[1][0].reason
+    # A session that opens and expires again counts from the start.
+    log.open_sessions(C)
+    accounting.update(6 + wait_us)
+    log.expire_session(C)
+    accounting.update(7 + wait_us)
+    assert accounting.account(8 + wait_us, begun, -1)[1][-1].instance == C
+    log.accept(TakeStep("w", Step.RECALL, begun))
