--- a/tests/upkeep/world.py
+++ b/tests/upkeep/world.py
@@ -1,9 +1,9 @@
-"""A virtual world: one true log, front doors that lag, die and are stopped, servers with journals of their
-own.
+"""A simulated world: one reference log, front doors that lag, fail and pause, and servers that record
+requests.
 
-Time goes in steps. Sessions are given and ended as `leases` promises and no sooner: a front door's own end
-comes first. All chance is of the seed; a broken invariant raises `BrokenError` at the step in which it
-broke.
+Time advances in steps. Sessions are granted and expire as `leases` promises: a holder's own end comes before
+the expiry. All randomness depends on the seed. A violated invariant raises `InvariantViolatedError` in the
+step in which it is violated.
 """
 
 import random
@@ -28,372 +28,433 @@
 from molereach.coordination.leases.bodies import encode as encode_session
 from molereach.coordination.leases.sessions import EndedSession
 from molereach.upkeep.driver import Driver
-from molereach.upkeep.permits.bodies import Move, Out, Word, decode, encode
-from molereach.upkeep.permits.clearance_accounting import Accounting
-from molereach.upkeep.permits.fact_reporting import Measured
-from molereach.upkeep.permits.lifecycle import GONE, LEAVING, UNSENDABLE, State, Step
-from molereach.upkeep.permits.proof import needed
-from molereach.upkeep.permits.record import Record
-from molereach.upkeep.routing import Began, Ended
-from molereach.upkeep.rules.fleet_facts import Facts
+from molereach.upkeep.permits.bodies import GrantPermit, SessionClearance, TakeStep, decode, encode
+from molereach.upkeep.permits.clearance_accounting import ClearanceAccounting
+from molereach.upkeep.permits.fact_reporting import FactsMeasured
+from molereach.upkeep.permits.lifecycle import ABSENT_STATES, DRAINING_STATES, UNROUTABLE_STATES, State, Step
+from molereach.upkeep.permits.proof import sessions_to_clear
+from molereach.upkeep.permits.record import ItemRecord
+from molereach.upkeep.routing import RequestFinished, RequestStarted
+from molereach.upkeep.rules.fleet_facts import FleetFacts
 from tests.upkeep.builders import NOON_MS, server
-from tests.upkeep.state_machine_log import LoneSessions
-from tests.upkeep.world_parts import REAL, SETTINGS, STEP_US, BrokenError, Cores, Door, Held, Server
+from tests.upkeep.state_machine_log import ProofSessions
+from tests.upkeep.world_parts import (
+    REAL_COMPONENTS,
+    SETTINGS,
+    STEP_US,
+    Components,
+    InvariantViolatedError,
+    SimulatedProxy,
+    SimulatedServer,
+    SimulatedSession,
+)
 
 TURN_US = SECOND_US // 100
 TERMS = SessionTerms(15 * SECOND_US, 0.01)
-NAMES = ("a", "b", "c")
-SERVERS = tuple(f"s{number}" for number in range(5))
+PROXY_NAMES = ("a", "b", "c")
+SERVER_NAMES = tuple(f"s{number}" for number in range(5))
 
 
 class World:
-    """Moved on by `step`; `calm` ends all trouble."""
+    """Advances by `step`; `stop_faults` ends all faults."""
 
-    def __init__(self, seed: int, cores: Cores = REAL) -> None:
-        self.chance, self.cores = random.Random(seed), cores
-        self.now = 1
-        self.order: list[Entry] = []
+    def __init__(self, seed: int, components: Components = REAL_COMPONENTS) -> None:
+        self.rng, self.components = random.Random(seed), components
+        self.current_step = 1
+        self.entries: list[Entry] = []
         self.outcomes: list[Outcome] = []
-        self.ids: dict[str, int] = {}
-        self.sessions = LoneSessions()
-        self.truth = cores.machine(cores.settings, self.sessions)
-        self.servers = {name: Server() for name in SERVERS}
-        self.doors: dict[str, Door] = {}
-        self.said: dict[int, int] = {}
-        self.leader: Door | None = None
-        self.mail: list[tuple[int, Callable[[], None]]] = []
+        self.positions_by_id: dict[str, int] = {}
+        self.sessions = ProofSessions()
+        self.reference = components.machine(components.settings, self.sessions)
+        self.servers = {name: SimulatedServer() for name in SERVER_NAMES}
+        self.proxies: dict[str, SimulatedProxy] = {}
+        self.reported_positions: dict[int, int] = {}
+        self.leader: SimulatedProxy | None = None
+        self.deliveries: list[tuple[int, Callable[[], None]]] = []
         self.ballot = 0
-        self.eager = seed % 2 == 0  # drivers that do not wait for front doors without a session
+        self.skip_expiry_wait = seed % 2 == 0  # drivers that don't wait for expired sessions
         self.permits: dict[int, str] = {}
-        self.never = False  # one machine at most never comes back
-        self.sent = self.drained = self.recalled = 0
-        for name in NAMES:
+        self.machine_never_returned = False  # at most one machine never returns
+        self.requests_sent = self.drains_started = self.recalls = 0
+        for name in PROXY_NAMES:
             self.start(name)
-        self.elect(self.doors["a"])
+        self.elect(self.proxies["a"])
 
     # --- front doors ---
 
     def start(self, name: str) -> None:
-        """A new run; the one before is dead, and its requests with it."""
-        before = self.doors.get(name)
-        number = before.life.number + 1 if before else 1
-        sessions = LoneSessions()
-        machine, held = self.cores.machine(self.cores.settings, sessions), Held()
-        rate = self.chance.choice((0.996, 1.0, 1.004))
-        door = Door(
+        """Starts a new instance. The previous one is dead, and so are its requests."""
+        previous = self.proxies.get(name)
+        number = previous.instance.number + 1 if previous else 1
+        sessions = ProofSessions()
+        machine, session = self.components.machine(self.components.settings, sessions), SimulatedSession()
+        clock_rate = self.rng.choice((0.996, 1.0, 1.004))
+        proxy = SimulatedProxy(
             NodeInstance(name, number),
-            rate,
+            clock_rate,
             sessions,
             machine,
-            held,
-            self.cores.door(machine, held),
+            session,
+            self.components.routing(machine, session),
             Driver(NodeInstance(name, number), machine, self),
         )
-        if self.eager:
-            door.driver._accounting = Accounting(sessions, self, 0)
+        if self.skip_expiry_wait:
+            proxy.driver._accounting = ClearanceAccounting(sessions, self, 0)
         for each in self.servers.values():
-            each.flying = [(until, by) for until, by in each.flying if by is not before]
-        self.doors[name] = door
-
-    def clear(self, name: str, fence: int) -> int:
-        """What the driver asks; all that leads hears the same here."""
-        return self.said.get(fence, 0)
-
-    def elect(self, door: Door) -> None:
-        self.leader, self.ballot = door, self.ballot + 1
-        for each in self.doors.values():
-            if each is door or self.chance.random() < 0.6:  # some believe still that they lead
-                self.act(
+            each.in_flight = [
+                (until, proposer) for until, proposer in each.in_flight if proposer is not previous
+            ]
+        self.proxies[name] = proxy
+
+    def clear_position(self, name: str, fencing_token: int) -> int:
+        """The clear position that the driver reads; every leader knows the same ones."""
+        return self.reported_positions.get(fencing_token, 0)
+
+    def elect(self, proxy: SimulatedProxy) -> None:
+        self.leader, self.ballot = proxy, self.ballot + 1
+        for each in self.proxies.values():
+            if each is proxy or self.rng.random() < 0.6:  # others still believe that they lead
+                self.perform(
                     each,
                     each.driver.handle(
-                        each.now_us(self.now), LeaderChanged(door.life.name, self.ballot, each is door)
+                        each.now_us(self.current_step),
+                        LeaderChanged(proxy.instance.name, self.ballot, each is proxy),
                     ),
                 )
 
-    def act(self, door: Door, actions: object) -> None:
+    def perform(self, proxy: SimulatedProxy, actions: object) -> None:
         assert isinstance(actions, list | tuple)
         for action in actions:
             if isinstance(action, Propose):
-                self.propose(door, action)
+                self.propose(proxy, action)
 
-    def propose(self, door: Door, propose: Propose) -> None:
-        chance = self.chance.random()
-        if chance < 0.85 and self.now >= door.cut:
-            settled = self.now + self.chance.choice((0, 0, 0, 1, 4))
-            self.mail.append((settled, lambda: self.settle(door, propose)))
+    def propose(self, proxy: SimulatedProxy, propose: Propose) -> None:
+        draw = self.rng.random()
+        if draw < 0.85 and self.current_step >= proxy.disconnected_until:
+            check_entry = self.current_step + self.rng.choice((0, 0, 0, 1, 4))
+            self.deliveries.append((check_entry, lambda: self.apply_proposal(proxy, propose)))
         else:
             unknown = ProposalFinished(propose.id, ProposalStatus.UNKNOWN)
-            self.mail.append((self.now + 1, lambda: door.waiting.append(unknown)))
+            self.deliveries.append((self.current_step + 1, lambda: proxy.pending_outcomes.append(unknown)))
 
-    def settle(self, door: Door, propose: Propose) -> None:
-        if propose.id not in self.ids:
-            self.ids[propose.id] = self.append(propose.machine, propose.body, door.life, propose.id)
-        position = self.ids[propose.id]
-        door.waiting.append(
+    def apply_proposal(self, proxy: SimulatedProxy, propose: Propose) -> None:
+        if propose.id not in self.positions_by_id:
+            self.positions_by_id[propose.id] = self.append(
+                propose.machine, propose.body, proxy.instance, propose.id
+            )
+        position = self.positions_by_id[propose.id]
+        proxy.pending_outcomes.append(
             ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
         )
 
     # --- the log ---
 
-    def append(self, machine: str, body: bytes, by: NodeInstance, id: str = "") -> int:
-        position = len(self.order) + 1
-        entry = Entry(position, machine, id or f"w{position}", by, NOON_MS + self.now * STEP_US // 1000, body)
-        before = {name: each.state for name, each in self.truth.book.records.items()}
-        outcome = (self.sessions if machine == "sessions" else self.truth).apply(entry)
-        self.order.append(entry)
+    def append(self, machine: str, body: bytes, proposer: NodeInstance, id: str = "") -> int:
+        position = len(self.entries) + 1
+        entry = Entry(
+            position,
+            machine,
+            id or f"w{position}",
+            proposer,
+            NOON_MS + self.current_step * STEP_US // 1000,
+            body,
+        )
+        previous = {name: each.state for name, each in self.reference.registry.records.items()}
+        outcome = (self.sessions if machine == "sessions" else self.reference).apply(entry)
+        self.entries.append(entry)
         self.outcomes.append(outcome)
         if machine == "upkeep" and not outcome.error:
-            self.settled(entry, before)
+            self.check_entry(entry, previous)
         return position
 
-    def settled(self, entry: Entry, before: dict[str, State]) -> None:
+    def check_entry(self, entry: Entry, previous: dict[str, State]) -> None:
         body = decode(entry.body)
-        if not isinstance(body, Move | Out):
+        if not isinstance(body, TakeStep | GrantPermit):
             return
-        record = self.truth.book.get(body.id)
+        record = self.reference.registry.get(body.id)
         assert record is not None
-        if isinstance(body, Out):
-            self.let_out(entry, record)
+        if isinstance(body, GrantPermit):
+            self.check_permit(entry, record)
         elif body.step is Step.DRAIN:
-            self.drained += 1
-            self.rules_hold(entry, record)
-        self.recalled += isinstance(body, Move) and body.step is Step.RECALL
+            self.drains_started += 1
+            self.check_rules(entry, record)
+        self.recalls += isinstance(body, TakeStep) and body.step is Step.RECALL
 
-    def let_out(self, entry: Entry, record: Record) -> None:
+    def check_permit(self, entry: Entry, record: ItemRecord) -> None:
         if record.permit in self.permits:
-            raise BrokenError(f"permit {record.permit} is given twice")
+            raise InvariantViolatedError(f"permit {record.permit} is granted twice")
         self.permits[record.permit] = record.work.id
-        self.rules_hold(entry, record)
+        self.check_rules(entry, record)
         machine = self.servers[record.work.machine]
-        if any(until > self.now for until, _ in machine.flying):
-            raise BrokenError(f"{record.work.machine} is let out while in use, at {entry.position}")
+        if any(until > self.current_step for until, _ in machine.in_flight):
+            raise InvariantViolatedError(
+                f"{record.work.machine} gets a permit at {entry.position} with requests in flight"
+            )
         machine.ready = False
-        chance = self.chance.random()
-        never = chance < 0.1 and self.now < self.until and not self.never
-        self.never |= never
-        machine.back_at = 0 if never else self.now + self.chance.randrange(2, 20)
-
-    def rules_hold(self, entry: Entry, record: Record) -> None:
-        """By counts of its own, from what is kept."""
-        book, settings = self.truth.book, self.cores.settings
-        if entry.at_ms - book.fleet.facts.at_ms > SETTINGS.fresh_ms:
-            raise BrokenError(f"facts of {entry.at_ms - book.fleet.facts.at_ms} ms decided {entry.position}")
-        away = [each for each in book.records.values() if each.state in UNSENDABLE - {State.LOST}]
-        taken = away + [each for each in book.records.values() if each.state is State.WARM]
-        if len(taken) > settings.most_out:
-            raise BrokenError(f"{len(taken)} are taken at {entry.position}")
-        names = {each.work.machine for each in book.records.values() if each.state in UNSENDABLE}
-        left = [each for each in book.fleet.facts.servers if each.ready and each.name not in names]
-        was_ready = any(each.ready and each.name == record.work.machine for each in book.fleet.facts.servers)
-        if was_ready and len(left) < settings.least_ready_cell:
-            raise BrokenError(f"{len(left)} servers are left at {entry.position}")
+        draw = self.rng.random()
+        never_returns = (
+            draw < 0.1 and self.current_step < self.faults_until and not self.machine_never_returned
+        )
+        self.machine_never_returned |= never_returns
+        machine.ready_at = 0 if never_returns else self.current_step + self.rng.randrange(2, 20)
+
+    def check_rules(self, entry: Entry, record: ItemRecord) -> None:
+        """Checks the rules by separate counts over the stored state."""
+        registry, settings = self.reference.registry, self.components.settings
+        if entry.at_ms - registry.fleet.facts.at_ms > SETTINGS.fresh_ms:
+            raise InvariantViolatedError(
+                f"facts of {entry.at_ms - registry.fleet.facts.at_ms} ms were used at {entry.position}"
+            )
+        away = [each for each in registry.records.values() if each.state in UNROUTABLE_STATES - {State.LOST}]
+        occupied = away + [each for each in registry.records.values() if each.state is State.WARMING]
+        if len(occupied) > settings.most_out:
+            raise InvariantViolatedError(f"{len(occupied)} machines are in maintenance at {entry.position}")
+        unroutable = {
+            each.work.machine for each in registry.records.values() if each.state in UNROUTABLE_STATES
+        }
+        remaining = [
+            each for each in registry.fleet.facts.servers if each.ready and each.name not in unroutable
+        ]
+        was_ready = any(
+            each.ready and each.name == record.work.machine for each in registry.fleet.facts.servers
+        )
+        if was_ready and len(remaining) < settings.least_ready_cell:
+            raise InvariantViolatedError(f"{len(remaining)} servers remain at {entry.position}")
         for each in away:
             if set(each.work.not_with) & {other.work.machine for other in away}:
-                raise BrokenError(f"{each.work.machine} is away beside what it may not, at {entry.position}")
+                raise InvariantViolatedError(
+                    f"{each.work.machine} is unavailable beside an excluded machine at {entry.position}"
+                )
 
-    # --- a step ---
+    # --- steps ---
 
     def step(self) -> None:
-        self.now += 1
-        due = [act for at, act in self.mail if at <= self.now]
-        self.mail = [(at, act) for at, act in self.mail if at > self.now]
-        for act in due:
-            act()
-        self.serve_servers()
-        for name in self.chance.sample(NAMES, len(NAMES)):
-            door = self.doors[name]
-            if self.now >= door.stopped:
-                self.turn(door)
-        self.end_sessions()
-        away = [door for door in self.doors.values() if self.now < max(door.stopped, door.cut)]
-        if self.leader in away and len(away) < len(NAMES) and self.chance.random() < 0.4:
-            self.elect(next(door for door in self.doors.values() if door not in away))
-
-    def turn(self, door: Door) -> None:
-        """One front door's turn, in one of the orders in which things may come after it was stopped."""
-        parts = [self.send, self.learn, self.renew, self.lead]
-        if self.chance.random() < 0.5:
-            parts = [self.learn, self.send, self.lead, self.renew]
+        self.current_step += 1
+        due = [deliver for at, deliver in self.deliveries if at <= self.current_step]
+        self.deliveries = [(at, deliver) for at, deliver in self.deliveries if at > self.current_step]
+        for deliver in due:
+            deliver()
+        self.advance_servers()
+        for name in self.rng.sample(PROXY_NAMES, len(PROXY_NAMES)):
+            proxy = self.proxies[name]
+            if self.current_step >= proxy.paused_until:
+                self.run_turn(proxy)
+        self.expire_sessions()
+        away = [
+            proxy
+            for proxy in self.proxies.values()
+            if self.current_step < max(proxy.paused_until, proxy.disconnected_until)
+        ]
+        if self.leader in away and len(away) < len(PROXY_NAMES) and self.rng.random() < 0.4:
+            self.elect(next(proxy for proxy in self.proxies.values() if proxy not in away))
+
+    def run_turn(self, proxy: SimulatedProxy) -> None:
+        """One turn of a front door, in one of the orders that are possible after a pause."""
+        parts = [self.send, self.apply_entries, self.renew_session, self.run_driver]
+        if self.rng.random() < 0.5:
+            parts = [self.apply_entries, self.send, self.run_driver, self.renew_session]
         for part in parts:
-            part(door)
+            part(proxy)
 
-    def send(self, door: Door) -> None:
-        now_us = door.now_us(self.now)
-        for name in self.chance.sample(SERVERS, 3):
-            if door.side.may_send(now_us, name):
-                self.journal(door, name)
+    def send(self, proxy: SimulatedProxy) -> None:
+        now_us = proxy.now_us(self.current_step)
+        for name in self.rng.sample(SERVER_NAMES, 3):
+            if proxy.routing.may_send(now_us, name):
+                self.receive_request(proxy, name)
 
-    def journal(self, door: Door, name: str) -> None:
+    def receive_request(self, proxy: SimulatedProxy, name: str) -> None:
         machine = self.servers[name]
-        holder = next(
+        permitted = next(
             (
                 each
-                for each in self.truth.book.records.values()
-                if each.work.machine == name and each.state in GONE
+                for each in self.reference.registry.records.values()
+                if each.work.machine == name and each.state in ABSENT_STATES
             ),
             None,
         )
-        if holder is not None:
-            raise BrokenError(f"{door.life} sent to {name}, out by {holder.permit}, at step {self.now}")
-        self.sent += 1
-        door.side.handle(door.now_us(self.now), Began(name))
-        machine.flying.append((self.now + self.chance.choice((0, 1, 2, 3)), door))
-
-    def learn(self, door: Door) -> None:
-        if self.now < door.cut:
+        if permitted is not None:
+            raise InvariantViolatedError(
+                f"{proxy.instance} sent to {name}, permit {permitted.permit}, at step {self.current_step}"
+            )
+        self.requests_sent += 1
+        proxy.routing.handle(proxy.now_us(self.current_step), RequestStarted(name))
+        machine.in_flight.append((self.current_step + self.rng.choice((0, 1, 2, 3)), proxy))
+
+    def apply_entries(self, proxy: SimulatedProxy) -> None:
+        if self.current_step < proxy.disconnected_until:
             return
-        lag = self.chance.choice((0, 0, 0, 1, 6)) if self.now < self.until else 0
-        last, now_us = max(door.learnt, len(self.order) - lag), door.now_us(self.now)
-        if last - door.learnt > 20 and last == len(self.order):
-            door.sessions.restore(self.sessions.snapshot())
-            door.machine.restore(self.truth.snapshot())
-            door.learnt = last
-            door.side.handle(now_us, Restored(last))
-            self.act(door, door.driver.handle(now_us, Restored(last)))
+        lag = self.rng.choice((0, 0, 0, 1, 6)) if self.current_step < self.faults_until else 0
+        last, now_us = max(proxy.learned_position, len(self.entries) - lag), proxy.now_us(self.current_step)
+        if last - proxy.learned_position > 20 and last == len(self.entries):
+            proxy.sessions.restore(self.sessions.snapshot())
+            proxy.machine.restore(self.reference.snapshot())
+            proxy.learned_position = last
+            proxy.routing.handle(now_us, Restored(last))
+            self.perform(proxy, proxy.driver.handle(now_us, Restored(last)))
         for entry, outcome in zip(
-            self.order[door.learnt : last], self.outcomes[door.learnt : last], strict=True
+            self.entries[proxy.learned_position : last],
+            self.outcomes[proxy.learned_position : last],
+            strict=True,
         ):
-            found = (door.sessions if entry.machine == "sessions" else door.machine).apply(entry)
+            found = (proxy.sessions if entry.machine == "sessions" else proxy.machine).apply(entry)
             if found != outcome:
-                raise BrokenError(f"another outcome at {entry.position}: {found} for {outcome}")
-            door.learnt = entry.position
-            door.side.handle(now_us, Applied(entry, outcome))
-            self.act(door, door.driver.handle(now_us, Applied(entry, outcome)))
-
-    def renew(self, door: Door) -> None:
-        """Open a session, or renew it and say how far it is clear; what is said is heard."""
-        if self.now < door.cut:
+                raise InvariantViolatedError(f"outcome at {entry.position} is {found} instead of {outcome}")
+            proxy.learned_position = entry.position
+            proxy.routing.handle(now_us, Applied(entry, outcome))
+            self.perform(proxy, proxy.driver.handle(now_us, Applied(entry, outcome)))
+
+    def renew_session(self, proxy: SimulatedProxy) -> None:
+        """Opens a session, or renews it and reports the clear position."""
+        if self.current_step < proxy.disconnected_until:
             return
-        true, mine = (
-            self.sessions.active_session(door.life.name),
-            door.sessions.active_session(door.life.name),
+        actual, applied = (
+            self.sessions.active_session(proxy.instance.name),
+            proxy.sessions.active_session(proxy.instance.name),
         )
-        if true is None or true.instance != door.life:
-            if self.chance.random() < 0.5:
-                self.append("sessions", encode_session(OpenSession(door.life)), door.life)
-                door.given_us = self.now * STEP_US
-        elif mine == true:
-            clear = door.side.clear
-            before = self.said.get(true.fencing_token, 0)
-            if clear < before:
-                raise BrokenError(f"{door.life} is clear only of {clear}, after {before}")
-            self.said[true.fencing_token], door.given_us = clear, self.now * STEP_US
-            door.held.fencing_token = true.fencing_token
-            door.held.until_us = door.now_us(self.now) + int(TERMS.holder_duration_us * 0.99)
-
-    def end_sessions(self) -> None:
-        for name, door in self.doors.items():
-            opened = self.sessions.active_session(name)
-            given_us = door.given_us if opened and opened.instance == door.life else 0
-            if opened and self.now * STEP_US - given_us > int(TERMS.expiry_us * 1.02):
-                ended = SessionEnded(opened.instance, opened.fencing_token, 0)
-                self.append("sessions", encode_session(ended), door.life)
-
-    def lead(self, door: Door) -> None:
-        now_us = door.now_us(self.now)
-        waiting, door.waiting = door.waiting, []
-        for over in waiting:
-            if over.position <= door.learnt:
-                self.act(door, door.driver.handle(now_us, over))
+        if actual is None or actual.instance != proxy.instance:
+            if self.rng.random() < 0.5:
+                self.append("sessions", encode_session(OpenSession(proxy.instance)), proxy.instance)
+                proxy.renewed_at_us = self.current_step * STEP_US
+        elif applied == actual:
+            clear_position = proxy.routing.clear_position
+            previous = self.reported_positions.get(actual.fencing_token, 0)
+            if clear_position < previous:
+                raise InvariantViolatedError(
+                    f"{proxy.instance} reports clear position {clear_position} after {previous}"
+                )
+            self.reported_positions[actual.fencing_token], proxy.renewed_at_us = (
+                clear_position,
+                self.current_step * STEP_US,
+            )
+            proxy.session.fencing_token = actual.fencing_token
+            proxy.session.until_us = proxy.now_us(self.current_step) + int(TERMS.holder_duration_us * 0.99)
+
+    def expire_sessions(self) -> None:
+        for name, proxy in self.proxies.items():
+            active = self.sessions.active_session(name)
+            renewed_at_us = proxy.renewed_at_us if active and active.instance == proxy.instance else 0
+            if active and self.current_step * STEP_US - renewed_at_us > int(TERMS.expiry_us * 1.02):
+                end = SessionEnded(active.instance, active.fencing_token, 0)
+                self.append("sessions", encode_session(end), proxy.instance)
+
+    def run_driver(self, proxy: SimulatedProxy) -> None:
+        now_us = proxy.now_us(self.current_step)
+        finished_proposals, proxy.pending_outcomes = proxy.pending_outcomes, []
+        for finished in finished_proposals:
+            if finished.position <= proxy.learned_position:
+                self.perform(proxy, proxy.driver.handle(now_us, finished))
             else:
-                door.waiting.append(over)
-        # At times it knows only what it measured before.
-        if self.chance.random() < 0.8 or self.now >= self.until:
-            self.act(door, door.driver.handle(now_us, Measured(self.facts())))
-        for number in range(4):  # it may have several turns within a step, as for a plan
-            if now_us + number * TURN_US >= door.driver.wake_us:
-                self.act(door, door.driver.handle(now_us + number * TURN_US, Tick()))
+                proxy.pending_outcomes.append(finished)
+        # Sometimes it has only an earlier measurement.
+        if self.rng.random() < 0.8 or self.current_step >= self.faults_until:
+            self.perform(proxy, proxy.driver.handle(now_us, FactsMeasured(self.facts())))
+        for number in range(4):  # a plan takes several turns within a step
+            if now_us + number * TURN_US >= proxy.driver.wake_us:
+                self.perform(proxy, proxy.driver.handle(now_us + number * TURN_US, Tick()))
 
     # --- servers ---
 
-    until = 1 << 30  # the step at which trouble ends
+    faults_until = 1 << 30  # the step at which faults end
 
-    def facts(self) -> Facts:
-        return Facts(
+    def facts(self) -> FleetFacts:
+        return FleetFacts(
             servers=tuple(
                 server(name, ready=each.ready, warmth=each.warmth, load=100)
                 for name, each in self.servers.items()
             )
         )
 
-    def serve_servers(self) -> None:
+    def advance_servers(self) -> None:
         for name, each in self.servers.items():
-            for until, door in list(each.flying):
-                # A front door that is stopped hears of the end when it wakes; the server is done with it.
-                if until <= self.now and self.now >= door.stopped:
-                    each.flying.remove((until, door))
-                    door.side.handle(door.now_us(self.now), Ended(name))
-            if each.back_at and each.back_at <= self.now:
-                each.ready, each.warmth, each.back_at = True, 0, 0
+            for until, proxy in list(each.in_flight):
+                # A paused front door learns of the end only when it resumes; the server has finished before.
+                if until <= self.current_step and self.current_step >= proxy.paused_until:
+                    each.in_flight.remove((until, proxy))
+                    proxy.routing.handle(proxy.now_us(self.current_step), RequestFinished(name))
+            if each.ready_at and each.ready_at <= self.current_step:
+                each.ready, each.warmth, each.ready_at = True, 0, 0
             each.warmth = min(1000, each.warmth + 100) if each.ready else 0
 
-    # --- trouble ---
+    # --- faults ---
 
-    def trouble(self) -> None:
-        door = self.doors[self.chance.choice(NAMES)]
-        match self.chance.randrange(24):
+    def inject_fault(self) -> None:
+        proxy = self.proxies[self.rng.choice(PROXY_NAMES)]
+        match self.rng.randrange(24):
             case 0:
-                self.elect(door)
+                self.elect(proxy)
             case 1 | 2:
-                door.stopped = self.now + self.chance.randrange(1, 30)
-                door.cut = door.stopped + self.chance.choice((0, 0, 10))
+                proxy.paused_until = self.current_step + self.rng.randrange(1, 30)
+                proxy.disconnected_until = proxy.paused_until + self.rng.choice((0, 0, 10))
             case 3 | 4:
-                door.cut = self.now + self.chance.randrange(1, 40)
+                proxy.disconnected_until = self.current_step + self.rng.randrange(1, 40)
             case 5:
-                self.start(door.life.name)
+                self.start(proxy.instance.name)
             case 6:
-                self.lose(1)
-            case 7 | 8 if any(each.state in LEAVING for each in self.truth.book.records.values()):
-                self.lose(3)
+                self.lose_servers(1)
+            case 7 | 8 if any(
+                each.state in DRAINING_STATES for each in self.reference.registry.records.values()
+            ):
+                self.lose_servers(3)
             case 10 | 11 | 12 | 13 | 14:
-                self.rogue(door)
+                self.propose_invalid(proxy)
             case 9:
-                ids = [id for id in self.truth.book.records]
+                ids = [id for id in self.reference.registry.records]
                 if ids:
-                    self.append("upkeep", encode(Move(self.chance.choice(ids), Step.WITHDRAW)), door.life)
-
-    def rogue(self, door: Door) -> None:
-        """A driver that is wrong: some step, or a permit by a proof that is true and not full."""
-        records = list(self.truth.book.records.values())
+                    self.append(
+                        "upkeep", encode(TakeStep(self.rng.choice(ids), Step.WITHDRAW)), proxy.instance
+                    )
+
+    def propose_invalid(self, proxy: SimulatedProxy) -> None:
+        """Proposes as a faulty driver: any step, or a permit with a proof that is true but may be
+        incomplete."""
+        records = list(self.reference.registry.records.values())
         if not records:
             return
-        record = self.chance.choice(records)
-        if self.chance.random() < 0.3:
-            step = self.chance.choice([step for step in Step if step not in (Step.OUT, Step.BACK)])
-            self.append("upkeep", encode(Move(record.work.id, step, record.begun)), door.life)
+        record = self.rng.choice(records)
+        if self.rng.random() < 0.3:
+            step = self.rng.choice([step for step in Step if step not in (Step.GRANT_PERMIT, Step.RETURN)])
+            self.append("upkeep", encode(TakeStep(record.work.id, step, record.begun)), proxy.instance)
         else:
-            words = tuple(
-                Word(each.fencing_token, each.evidence, each.position)
+            clearances = tuple(
+                SessionClearance(each.fencing_token, each.evidence, each.position)
                 if isinstance(each, EndedSession)
-                else Word(
-                    each.fencing_token, ClearanceEvidence.REPORTED, self.said.get(each.fencing_token, 0)
+                else SessionClearance(
+                    each.fencing_token,
+                    ClearanceEvidence.REPORTED,
+                    self.reported_positions.get(each.fencing_token, 0),
                 )
-                for each in needed(self.sessions, record.begun)
+                for each in sessions_to_clear(self.sessions, record.begun)
             )
             if record.state is State.DRAINING:
-                self.append("upkeep", encode(Move(record.work.id, Step.EMPTY, record.begun)), door.life)
-            self.append("upkeep", encode(Out(record.work.id, record.begun, words)), door.life)
+                self.append(
+                    "upkeep",
+                    encode(TakeStep(record.work.id, Step.CONFIRM_DRAINED, record.begun)),
+                    proxy.instance,
+                )
+            self.append(
+                "upkeep", encode(GrantPermit(record.work.id, record.begun, clearances)), proxy.instance
+            )
 
-    def lose(self, count: int) -> None:
-        """Servers that nobody planned to lose."""
-        for name in self.chance.sample(SERVERS, count):
+    def lose_servers(self, count: int) -> None:
+        """Servers fail without maintenance."""
+        for name in self.rng.sample(SERVER_NAMES, count):
             each = self.servers[name]
             if each.ready:
-                each.ready, each.back_at = False, self.now + self.chance.randrange(3, 30)
+                each.ready, each.ready_at = False, self.current_step + self.rng.randrange(3, 30)
 
-    def calm(self) -> None:
-        self.until = self.now
-        for door in self.doors.values():
-            door.stopped = door.cut = 0
+    def stop_faults(self) -> None:
+        self.faults_until = self.current_step
+        for proxy in self.proxies.values():
+            proxy.paused_until = proxy.disconnected_until = 0
         for each in self.servers.values():
             if not each.ready:
-                each.back_at = each.back_at or self.now + 1
-        self.elect(self.doors["b"])
+                each.ready_at = each.ready_at or self.current_step + 1
+        self.elect(self.proxies["b"])
 
     @property
     def finished(self) -> bool:
-        """Whether all is over, but for what was lost and never came."""
+        """Whether all items are finished, except those whose machines are lost and never returned."""
         return all(
             each.state is State.LOST and not self.servers[each.work.machine].ready
-            for each in self.truth.book.records.values()
+            for each in self.reference.registry.records.values()
         )
--- a/tests/upkeep/world_parts.py
+++ b/tests/upkeep/world_parts.py
@@ -1,14 +1,14 @@
-"""Who plays in the histories of machines out for work: cores, servers, sessions and front doors."""
+"""The parts of the simulated world: components under test, servers, sessions and front doors."""
 
 from dataclasses import dataclass, field
 
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import ProposalFinished
 from molereach.upkeep.driver import Driver
-from molereach.upkeep.permits.state_machine import Upkeep
-from molereach.upkeep.routing import DoorSide
+from molereach.upkeep.permits.state_machine import UpkeepStateMachine
+from molereach.upkeep.routing import MaintenanceRouting
 from molereach.upkeep.rules.settings import UpkeepSettings
-from tests.upkeep.state_machine_log import LoneSessions
+from tests.upkeep.state_machine_log import ProofSessions
 
 STEP_US = 5 * SECOND_US
 SETTINGS = UpkeepSettings(
@@ -31,31 +31,33 @@
 )
 
 
-class BrokenError(AssertionError):
-    """What must never be, was."""
+class InvariantViolatedError(AssertionError):
+    """An invariant of the simulated world is violated."""
 
 
 @dataclass(frozen=True)
-class Cores:
-    """What a world is made of; a mutation changes one."""
+class Components:
+    """The components of a world; a mutant replaces one."""
 
-    machine: type[Upkeep] = Upkeep
-    door: type[DoorSide] = DoorSide
+    machine: type[UpkeepStateMachine] = UpkeepStateMachine
+    routing: type[MaintenanceRouting] = MaintenanceRouting
     settings: UpkeepSettings = SETTINGS
 
 
 @dataclass(eq=False)
-class Server:
-    """One member's server, and what its journal says."""
+class SimulatedServer:
+    """A backend server and its requests in flight."""
 
     ready: bool = True
     warmth: int = 1000
-    back_at: int = 0  # the step at which it is there again; 0 for there or never
-    flying: list[tuple[int, "Door"]] = field(default_factory=list)  # until which step, from whom
+    ready_at: int = 0  # the step at which it is ready again; 0 if it is ready or never returns
+    in_flight: list[tuple[int, "SimulatedProxy"]] = field(
+        default_factory=list
+    )  # the step at which each ends, and its sender
 
 
-class Held:
-    """A front door's session, by its own clock."""
+class SimulatedSession:
+    """The session of a front door, by its own clock."""
 
     def __init__(self) -> None:
         self.until_us, self.fencing_token, self.applied_position = 0, 0, 0
@@ -65,24 +67,24 @@
 
 
 @dataclass(eq=False)
-class Door:
-    """One run of one front door."""
-
-    life: NodeInstance
-    rate: float
-    sessions: LoneSessions
-    machine: Upkeep
-    held: Held
-    side: DoorSide
+class SimulatedProxy:
+    """One instance of a front door."""
+
+    instance: NodeInstance
+    clock_rate: float
+    sessions: ProofSessions
+    machine: UpkeepStateMachine
+    session: SimulatedSession
+    routing: MaintenanceRouting
     driver: Driver
-    learnt: int = 0
-    stopped: int = 0  # until this step
-    cut: int = 0
-    waiting: list[ProposalFinished] = field(default_factory=list)
-    given_us: int = 0  # when its session was renewed, in true time
+    learned_position: int = 0
+    paused_until: int = 0  # it does nothing before this step
+    disconnected_until: int = 0
+    pending_outcomes: list[ProposalFinished] = field(default_factory=list)
+    renewed_at_us: int = 0  # when its session was renewed, in simulated time
 
     def now_us(self, step: int) -> int:
-        return int(step * STEP_US * self.rate)
+        return int(step * STEP_US * self.clock_rate)
 
 
-REAL = Cores()
+REAL_COMPONENTS = Components()
