--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -1,9 +1,9 @@
 """What the leader proposes so that work items make progress: facts, steps, starts by the plan, and permits
 with their proof.
 
-It may be wrong, late, duplicated or dead at any step: the state machine checks everything, and the driver of
-another leader continues from its state. Entry times are estimated with the local clock from the last applied
-entry. The next leader needs nothing that is kept here.
+The driver may be wrong, late, duplicated or dead at any step: the state machine checks everything, and the
+driver of another leader continues from its state. Entry times are estimated with the local clock from the
+last applied entry. The next leader needs nothing that is kept here.
 """
 
 from collections.abc import Sequence
--- a/molereach/upkeep/permits/bodies.py
+++ b/molereach/upkeep/permits/bodies.py
@@ -42,7 +42,7 @@
     age_ms: Annotated[int, Meta(ge=0, le=MAX_TIMESTAMP_MS)]  # age of the oldest measurement when proposed
     servers: Annotated[tuple[ServerFacts, ...], Meta(max_length=MAX_SERVERS)] = ()
     doors: Annotated[tuple[ProxyFacts, ...], Meta(max_length=MAX_MEMBERS)] = ()
-    panel: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()
+    panel: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()  # the voters of the log
     spares: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)] = 0
     ordered: Annotated[tuple[Name, ...], Meta(max_length=MAX_ORDERED_MACHINES)] = ()
 
@@ -66,9 +66,9 @@
     """The clearance of one session, by its fencing token: a `NodeClearance` in few bytes, as 256 must fit in
     an entry."""
 
-    fence: Position
+    fence: Position  # fencing token
     known: ClearanceEvidence
-    position: Position
+    position: Position  # the clear position, or that of the entry that ended the session
 
 
 class GrantPermit(WireStruct, frozen=True, tag_field="kind", tag="out"):
--- a/molereach/upkeep/permits/clearance_accounting.py
+++ b/molereach/upkeep/permits/clearance_accounting.py
@@ -53,7 +53,7 @@
     def account(
         self, now_us: int, begun: int, fallback_until: int
     ) -> tuple[tuple[SessionClearance, ...], tuple[MissingClearance, ...]]:
-        """The clearances for a proof, and those that are missing."""
+        """The clearances for a proof, and those that are missing. The arguments are those of `proof_gap`."""
         cleared: list[tuple[ActiveSession | EndedSession, NodeClearance]] = []
         missing: list[MissingClearance] = []
         for session in sessions_to_clear(self._sessions, begun):
@@ -77,10 +77,12 @@
             clear_position = self._clear_positions.clear_position(
                 session.instance.name, session.fencing_token
             )
-            return "" if clear_position >= begun else f"has said {clear_position} of {begun}"
+            return (
+                "" if clear_position >= begun else f"has reported clear position {clear_position} of {begun}"
+            )
         if not may_serve_without_session(self._sessions, session):
             return ""
         if fallback_until >= session.fencing_token:
-            return "is without a session, and may count on it: start it anew, or let it leave"
+            return "has no session but may rely on the machine: restart it, or let it leave"
         since_us = self._expired_since_us.get(session.fencing_token, now_us)
-        return "" if now_us - since_us >= self._wait_us else "is without a session for too short a time"
+        return "" if now_us - since_us >= self._wait_us else "has not been without a session for long enough"
--- a/molereach/upkeep/permits/fact_parts.py
+++ b/molereach/upkeep/permits/fact_parts.py
@@ -21,9 +21,9 @@
 class PartialFacts(WireStruct, frozen=True):
     """The parts of an incomplete set that have come so far."""
 
-    number: Position
+    number: Position  # of the set
     by: NodeInstance  # the proposer
-    next: Annotated[int, Meta(ge=0, le=MAX_PARTS)]
+    next: Annotated[int, Meta(ge=0, le=MAX_PARTS)]  # the next part
     parts: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
     facts: FleetFacts
 
--- a/molereach/upkeep/permits/fact_reporting.py
+++ b/molereach/upkeep/permits/fact_reporting.py
@@ -73,5 +73,5 @@
 def _urgent_state(facts: FleetFacts) -> tuple[frozenset[str], tuple[str, ...], tuple[str, ...]]:
     """The state whose change is reported at once: who is ready, who is a voter, what has an order."""
     servers = [each.name for each in facts.servers if each.ready]
-    doors = [each.name for each in facts.doors if each.ready]
-    return frozenset(servers + doors), facts.panel, facts.ordered
+    proxies = [each.name for each in facts.doors if each.ready]
+    return frozenset(servers + proxies), facts.panel, facts.ordered
--- a/molereach/upkeep/permits/guards.py
+++ b/molereach/upkeep/permits/guards.py
@@ -16,46 +16,46 @@
 
 
 def check_queue(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """Its window has begun, and no earlier item of its machine is open."""
+    """Requires that the item's window has begun, and that no earlier item of its machine is open."""
     if at_ms < record.work.not_before_ms:
         return f"its window begins at {record.work.not_before_ms}"
     return "an earlier work of its machine goes first" if registry.has_earlier_item(record) else ""
 
 
 def check_drain(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """Nothing blocks its start."""
+    """Requires that nothing blocks the start of the item."""
     return str(registry.start_blocker(record, at_ms) or "")
 
 
 def check_permit(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """The machine may be unavailable now."""
+    """Requires that the machine may be unavailable now."""
     return str(registry.permit_blocker(record, at_ms) or "")
 
 
 def check_expire(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """Its window has closed."""
+    """Requires that the item can no longer end within its window."""
     return "" if at_ms > record.work.latest_start_ms else "its window is open"
 
 
 def check_overdue(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """The machine has not returned, or not warmed up, in time."""
+    """Requires that the machine has not returned, or not warmed up, in time."""
     settings = registry.settings
     due_ms = record.until_ms if record.state is State.PERMITTED else record.since_ms + settings.warming_ms
     return "" if at_ms > due_ms + settings.slack_ms else "it is in time"
 
 
 def check_lost(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """The machine has been overdue for `lost_ms`."""
+    """Requires that the machine has been overdue for `lost_ms`."""
     return "" if at_ms > record.since_ms + registry.settings.lost_ms else "it may yet come"
 
 
 def check_resume_traffic(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """The machine is warm enough to be sent requests."""
+    """Requires that the machine is warm enough to be sent requests."""
     return _check_warmth(registry, record, at_ms, registry.settings.warm)
 
 
 def check_complete(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> str:
-    """The machine is fully warm, or has had time enough."""
+    """Requires that the machine is fully warm, or has had time enough to warm up."""
     if at_ms > record.since_ms + MAX_WARMING_PERIODS * registry.settings.warming_ms:
         return ""
     return _check_warmth(registry, record, at_ms, registry.settings.done)
--- a/molereach/upkeep/permits/lifecycle.py
+++ b/molereach/upkeep/permits/lifecycle.py
@@ -36,7 +36,7 @@
     RESUME_TRAFFIC = "warm"
     COMPLETE = "done"
     WITHDRAW = "withdraw"
-    EXPIRE = "lapse"  # its window has closed before it started
+    EXPIRE = "lapse"  # too late to start: it can no longer end within its window
     MARK_OVERDUE = "overdue"
     MARK_LOST = "lost"
 
--- a/molereach/upkeep/permits/proof.py
+++ b/molereach/upkeep/permits/proof.py
@@ -4,13 +4,13 @@
 there, once
 
 - each session that was open at `begun` and still is has reported a clear position of `begun` or later;
-- each session that has ended since did so before its end, or its proxy restarted or left in order, so that
-  the process sends no more;
-- each front door without a session, no matter since when, has been without it for so long that it uses only
-  the servers that were fallback servers while it had one (`routing.py` ensures this), and the machine has not
-  been one since then;
-- each front door that has a session again, in the same instance, has reported its clear position under the
-  new one, as requests that it sent in between may be in flight.
+- each session that was open at `begun` and has ended did so before its end, or its proxy restarted or left in
+  order, so that the process sends no more;
+- each front door without a session, whether it ended before or after `begun`, has been without it for so long
+  that it uses only the servers that were fallback servers while it had one (`routing.py` ensures this), and
+  the machine has not been one since then;
+- each front door of which the same instance has a new session has reported its clear position under that one,
+  as requests that it sent in between may be in flight.
 
 Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7; Gray and Cheriton, "Leases" (SOSP 1989).
 """
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -32,7 +32,7 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """All names under which requests may be sent to it."""
+        """All names by which proxies may send to it."""
         return tuple(dict.fromkeys((self.work.machine, self.name or self.work.machine)))
 
     @property
--- a/molereach/upkeep/permits/registry.py
+++ b/molereach/upkeep/permits/registry.py
@@ -80,7 +80,8 @@
         )
 
     def count_passed(self, started: ItemRecord, at_ms: int) -> None:
-        """Counts a start for the items that were requested earlier and are still queued."""
+        """Counts this start for the items that were requested earlier and are still queued, as it overtook
+        them."""
         for each in list(self.records.values()):
             if each.state is State.QUEUED and each.asked < started.asked:
                 passed = each.passed + 1
@@ -131,7 +132,7 @@
         return Scene(self.fleet, self.settings, at_ms, self.in_maintenance(), waiting, self.fallback_servers)
 
     def permit_blocker(self, record: ItemRecord, at_ms: int) -> Blocker | None:
-        """What forbids that the machine of a started item is unavailable now."""
+        """What forbids taking the machine of a started item out of service now."""
         return self.stale_facts_blocker(at_ms) or find_blocker(
             self.scene(at_ms).without(record.work), record.work, self.rules
         )
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -22,10 +22,11 @@
     records: Annotated[
         tuple[ItemRecord, ...], Meta(max_length=MAX_OPEN_ITEMS)
     ]  # in the order of their requests
-    past: Annotated[tuple[ItemRecord, ...], Meta(max_length=MAX_FINISHED_ITEMS)]
-    permits: Position
+    past: Annotated[tuple[ItemRecord, ...], Meta(max_length=MAX_FINISHED_ITEMS)]  # in order of their end
+    permits: Position  # number of the last permit
     facts: FleetFacts
     part: PartialFacts | None
+    # Fallback servers, and by former one the position at which it ceased to be one.
     standing: Annotated[tuple[Name, ...], Meta(max_length=MAX_SERVERS)]
     unstood: Annotated[dict[Name, Position], Meta(max_length=MAX_FORMER_FALLBACK_SERVERS)]
     marks: TimeMarks
--- a/molereach/upkeep/permits/state_machine.py
+++ b/molereach/upkeep/permits/state_machine.py
@@ -39,7 +39,7 @@
 
 
 class EntryRejectedError(ValueError):
-    """An entry is rejected and changes nothing; the text is one line."""
+    """Rejects an entry, which then changes nothing; the message is one line."""
 
 
 class UpkeepStateMachine:
--- a/molereach/upkeep/permits/time_marks.py
+++ b/molereach/upkeep/permits/time_marks.py
@@ -33,7 +33,6 @@
 
 
 def wait_elapsed(marks: tuple[TimeMark, ...], position: int, at_ms: int, wait_ms: int) -> bool:
-    """Whether the entry at `position` is certainly `wait_ms` old. Holds also for positions before the first
-    mark."""
+    """Whether the entry at `position` is certainly `wait_ms` old, even if it precedes the first mark."""
     first = next((mark for mark in marks if mark.position > position), None)
     return first is not None and at_ms - first.at_ms >= wait_ms
--- a/molereach/upkeep/routing.py
+++ b/molereach/upkeep/routing.py
@@ -1,5 +1,5 @@
-"""The part of a proxy in maintenance: to which machines it sends no new requests, what it may use without a
-session, and its clear position.
+"""Which machines a proxy may send to: none in maintenance, and limited ones without a session. Also its clear
+position.
 
 - With a session it sends to all machines but those in maintenance, by the entries applied here.
 - After the session has ended it does the same for `alone_ms` by its own clock, counted from when it last knew
@@ -29,8 +29,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestStarted:
-    """Event: a request is about to be sent to a machine. Comes before its first byte, right after
-    `may_send`."""
+    """Event: a request is about to be sent. Comes right after `may_send`, before the first byte of the
+    request."""
 
     machine: str
 
@@ -91,9 +91,8 @@
         self._last_held_us: int | None = None  # when the session was last known to be held
         self._unroutable: dict[str, int] = {}  # by name: the position of the entry that forbids it
         self._in_flight: Counter[str] = Counter()
-        self._announced: dict[
-            str, tuple[int, bool]
-        ] = {}  # by item: its permit, and whether its return is urgent
+        # By item: its permit, and whether its return is urgent.
+        self._announced: dict[str, tuple[int, bool]] = {}
 
     # --- queries ---
 
--- a/molereach/upkeep/rules/fleet_facts.py
+++ b/molereach/upkeep/rules/fleet_facts.py
@@ -52,8 +52,8 @@
 
     at_ms: TimestampMs = 0
     servers: Annotated[tuple[ServerFacts, ...], Meta(max_length=MAX_SERVERS)] = ()
-    doors: Annotated[tuple[ProxyFacts, ...], Meta(max_length=MAX_MEMBERS)] = ()
-    panel: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()
+    doors: Annotated[tuple[ProxyFacts, ...], Meta(max_length=MAX_MEMBERS)] = ()  # front doors
+    panel: Annotated[tuple[Name, ...], Meta(max_length=MAX_VOTERS)] = ()  # the voters of the log
     spares: Annotated[int, Meta(ge=0, le=MAX_MEMBERS)] = 0  # front doors that could become voters
     ordered: Annotated[
         tuple[Name, ...], Meta(max_length=MAX_ORDERED_MACHINES)
--- a/molereach/upkeep/rules/scene.py
+++ b/molereach/upkeep/rules/scene.py
@@ -12,9 +12,9 @@
 class Absence(Enum):
     """How a machine in maintenance counts against capacity and concurrency limits."""
 
-    AWAY = "away"  # draining to overdue: it serves nothing and occupies a slot
-    WARMING = "warming"  # it serves what its warmth allows and occupies a slot
-    LOST = "lost"  # it serves nothing and its slot is free
+    AWAY = "away"  # draining, drained, permitted, cold or overdue: no load, but a slot
+    WARMING = "warming"  # sent requests again: load as its warmth allows, and a slot
+    LOST = "lost"  # no load, and no slot
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
 class Scene:
     """The state of the fleet and of maintenance at one moment, real or simulated.
 
-    `in_maintenance` is by current machine name; an item whose machine returned under another name has two
-    entries. `waiting` names the machines with open items that have not started; `fallback_servers` are those
-    that proxies without a session may still use.
+    `in_maintenance` is by the names that machines have now; an item whose machine returned under another name
+    has two entries. `waiting` names the machines with open items that have not started; `fallback_servers`
+    are those that proxies without a session may still use.
     """
 
     fleet: Fleet
@@ -65,7 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Blocker:
-    """Why a work item can't start now: the rule, the machines that prevent it, and a reason in one line."""
+    """Why a work item can't start now: the rule, the machines that prevent it, and a reason in one line.
+
+    Its text becomes the outcome of a rejected entry.
+    """
 
     rule: str
     machines: tuple[str, ...]
--- a/molereach/upkeep/scheduling/plan.py
+++ b/molereach/upkeep/scheduling/plan.py
@@ -82,14 +82,14 @@
     servers = tuple(
         _returned(each) if each.name in away and not each.ready else each for each in facts.servers
     )
-    doors = tuple(
+    proxies = tuple(
         ProxyFacts(each.name, each.address, each.cell, each.zone, True, each.number)
         if each.name in away
         else each
         for each in facts.doors
     )
     voters = () if facts.spares else facts.panel
-    return replace(scene, fleet=Fleet(FleetFacts(facts.at_ms, servers, doors, voters, 0, facts.ordered)))
+    return replace(scene, fleet=Fleet(FleetFacts(facts.at_ms, servers, proxies, voters, 0, facts.ordered)))
 
 
 def _returned(server: ServerFacts) -> ServerFacts:
--- a/molereach/upkeep/scheduling/priority.py
+++ b/molereach/upkeep/scheduling/priority.py
@@ -44,17 +44,17 @@
 MAX_CHAIN_LENGTH = 64  # items of a chain that are considered
 
 
-def conflict_minutes(works: Sequence[WorkItem]) -> dict[str, int]:
+def conflict_minutes(items: Sequence[WorkItem]) -> dict[str, int]:
     """The minutes of the items that may not run beside each item, by id."""
     by_machine: dict[str, int] = {}
     conflicts: dict[str, int] = {}
-    for work in works:
-        by_machine[work.machine] = by_machine.get(work.machine, 0) + work.minutes
-        for name in work.not_with:
-            conflicts[name] = conflicts.get(name, 0) + work.minutes
+    for item in items:
+        by_machine[item.machine] = by_machine.get(item.machine, 0) + item.minutes
+        for name in item.not_with:
+            conflicts[name] = conflicts.get(name, 0) + item.minutes
     return {
-        work.id: conflicts.get(work.machine, 0) + sum(by_machine.get(name, 0) for name in work.not_with)
-        for work in works
+        item.id: conflicts.get(item.machine, 0) + sum(by_machine.get(name, 0) for name in item.not_with)
+        for item in items
     }
 
 
--- a/tests/upkeep/test_driver.py
+++ b/tests/upkeep/test_driver.py
@@ -152,7 +152,7 @@
     leader.run(2 * FAST_SETTINGS.expired_session_wait_ms / 1000)
     assert (
         leader.state() is State.DRAINING
-        and "may count on it" in leader.driver.missing_clearances["w"][0].reason
+        and "may rely on the machine" in leader.driver.missing_clearances["w"][0].reason
     )
     leader.log.open_sessions(NodeInstance("b", 2))
     leader.run(5)
--- a/tests/upkeep/test_driver_facts.py
+++ b/tests/upkeep/test_driver_facts.py
@@ -48,7 +48,7 @@
     leader.unresponsive = {"b"}
     leader.run(5)
     assert [(each.instance, each.reason) for each in leader.driver.missing_clearances["w"]] == [
-        (B, f"has said 0 of {leader.log.record().begun}")
+        (B, f"has reported clear position 0 of {leader.log.record().begun}")
     ]
     leader.unresponsive = set()
     leader.run(2)
@@ -132,7 +132,7 @@
         leader.run(5)
     assert leader.state() is State.DRAINING
     assert [each.reason for each in leader.driver.missing_clearances["w"]] == [
-        "is without a session for too short a time"
+        "has not been without a session for long enough"
     ]
     leader.run(FAST_SETTINGS.expired_session_wait_ms / 1000)
     assert leader.state() is State.PERMITTED
--- a/tests/upkeep/test_proof.py
+++ b/tests/upkeep/test_proof.py
@@ -220,15 +220,15 @@
     accounting.update(5)
     clearances, missing = accounting.account(5, begun, -1)
     assert [(each.instance, each.reason) for each in missing] == [
-        (B, f"has said {begun - 1} of {begun}"),
-        (C, "is without a session for too short a time"),
+        (B, f"has reported clear position {begun - 1} of {begun}"),
+        (C, "has not been without a session for long enough"),
     ]
     reported.positions["b"] = begun
     wait_us = PERMISSIVE.expired_session_wait_ms * 1000
     assert len(accounting.account(5 + wait_us - 1, begun, -1)[1]) == 1
     clearances, missing = accounting.account(5 + wait_us, begun, -1)
     assert not missing and clearances == log.proof(reported=begun)
-    assert "may count on it" in accounting.account(5 + wait_us, begun, begun)[1][0].reason
+    assert "may rely on the machine" in accounting.account(5 + wait_us, begun, begun)[1][0].reason
     # A session that opens and expires again counts from the start.
     log.open_sessions(C)
     accounting.update(6 + wait_us)
