--- a/molereach/upkeep/permits/next_steps.py
+++ b/molereach/upkeep/permits/next_steps.py
@@ -21,7 +21,7 @@
 from molereach.upkeep.rules.voters import check_voters
 from molereach.upkeep.rules.window import check_window
 
-TIMED_STEPS: dict[State, tuple[Step, ...]] = {  # the first possible one is taken
+TIMED_STEPS: dict[State, tuple[Step, ...]] = {  # the first possible one is proposed
     State.REQUESTED: (Step.EXPIRE, Step.QUEUE),
     State.QUEUED: (Step.EXPIRE,),
     State.PERMITTED: (Step.MARK_OVERDUE,),
@@ -29,6 +29,7 @@
     State.WARMING: (Step.COMPLETE,),
     State.OVERDUE: (Step.MARK_LOST,),
 }
+# A draining machine that one of these rules blocks is recalled.
 RECALL_RULES = (
     check_window,
     check_seasons,
@@ -37,7 +38,7 @@
     check_capacity,
     check_proxy_sets,
     check_voters,
-)  # a draining machine that one of these blocks is recalled
+)
 
 
 def next_step(registry: WorkRegistry, record: ItemRecord, at_ms: int) -> Step | None:
--- a/tests/upkeep/world_parts.py
+++ b/tests/upkeep/world_parts.py
@@ -51,9 +51,8 @@
     ready: bool = True
     warmth: int = 1000
     ready_at: int = 0  # the step at which it is ready again; 0 if it is ready or never returns
-    in_flight: list[tuple[int, "SimulatedProxy"]] = field(
-        default_factory=list
-    )  # the step at which each ends, and its sender
+    # For each request in flight: the step at which it ends, and its sender.
+    in_flight: list[tuple[int, "SimulatedProxy"]] = field(default_factory=list)
 
 
 class SimulatedSession:
