--- a/molereach/shards/counts/bodies.py
+++ b/molereach/shards/counts/bodies.py
@@ -7,7 +7,7 @@
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
-from molereach.shards.counts.words import Rows
+from molereach.shards.counts.messages import Rows
 from molereach.shards.proof import Word
 
 MACHINE = "counts"
--- a/molereach/shards/counts/counter.py
+++ b/molereach/shards/counts/counter.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from molereach.shards.counts.words import MOST_BYTES, MOST_ROWS, Row
+from molereach.shards.counts.messages import MOST_BYTES, MOST_ROWS, Row
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/shards/counts/folds.py
+++ b/molereach/shards/counts/machine.py
@@ -22,7 +22,7 @@
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.shards.counts.bodies import MACHINE, Fold, Forget, decode
 from molereach.shards.counts.counter import NONE, Count, rows
-from molereach.shards.counts.words import MOST_ROWS, Row
+from molereach.shards.counts.messages import MOST_ROWS, Row
 from molereach.shards.proof import SessionsAt, fault
 
 MOST_KEPT_ROWS = 16_384  # of lives that are kept apart
--- a/molereach/shards/counts/merged.py
+++ b/molereach/shards/counts/merged_counts.py
@@ -10,7 +10,7 @@
 
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.shards.counts.counter import NONE, Count, rows
-from molereach.shards.counts.words import MOST_ROWS, Row
+from molereach.shards.counts.messages import MOST_ROWS, Row
 
 MOST_LIVES = 1024  # of which something is kept here
 
--- a/molereach/shards/counts/words.py
+++ b/molereach/shards/counts/messages.py
@@ -6,7 +6,7 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
-from molereach.shards.map.pieces import MEMBERS, MOST_SHARDS, ShardNumber
+from molereach.shards.map.shard_map import MEMBERS, MOST_SHARDS, ShardNumber
 
 MOST_BYTES = 1 << 62  # of one row
 MOST_ROWS = 2 * MOST_SHARDS  # of one life
--- a/molereach/shards/counts/digest.py
+++ b/molereach/shards/counts/qdigest.py
@@ -6,8 +6,8 @@
 up. A heavy id stays a leaf of its own.
 """
 
-from molereach.shards.counts.words import MOST_BYTES, MOST_NODES, Node
-from molereach.shards.map.pieces import MEMBERS
+from molereach.shards.counts.messages import MOST_BYTES, MOST_NODES, Node
+from molereach.shards.map.shard_map import MEMBERS
 
 LEVELS = 33  # below the root; the leaf of an id is `MEMBERS` + id
 FACTOR = 256
--- a/molereach/shards/counts/door.py
+++ b/molereach/shards/counts/recorder.py
@@ -11,9 +11,9 @@
 from molereach.coordination.interface.log import Applied, Propose, Restored
 from molereach.shards.counts.bodies import MACHINE, Fold, decode, encode
 from molereach.shards.counts.counter import Counter
-from molereach.shards.counts.folds import Folds
-from molereach.shards.counts.merged import Merged
-from molereach.shards.counts.words import MOST_ROWS_TOLD, Told, told
+from molereach.shards.counts.machine import Folds
+from molereach.shards.counts.merged_counts import Merged
+from molereach.shards.counts.messages import MOST_ROWS_TOLD, Told, told
 
 BEAT_US = 5 * SECOND_US  # between words of what was counted
 AGAIN_US = 10 * SECOND_US  # until a fold without an outcome is proposed anew
--- a/molereach/shards/counts/cut.py
+++ b/molereach/shards/counts/split_point.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from molereach.shards.counts.digest import Digest
+from molereach.shards.counts.qdigest import Digest
 
 MOST_OF_ONE = 0.5  # of a shard's writes; no cut helps where one member has more
 
--- a/molereach/shards/counts/sketches.py
+++ b/molereach/shards/counts/watched_digests.py
@@ -4,8 +4,8 @@
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.shards.counts.digest import Digest
-from molereach.shards.counts.words import Node, Sketch
+from molereach.shards.counts.messages import Node, Sketch
+from molereach.shards.counts.qdigest import Digest
 
 MOST_WATCHED = 8
 MOST_SKETCHES = 2048  # of all lives and watched shards
--- a/molereach/shards/forecast/outlook.py
+++ b/molereach/shards/forecast/size_forecast.py
@@ -4,10 +4,10 @@
 
 import numpy as np
 
-from molereach.shards.forecast.changes import found_changes
 from molereach.shards.forecast.effects import columns, in_khareef, khareef_column, khareef_seen
 from molereach.shards.forecast.growth import Floats, Growth, growth
 from molereach.shards.forecast.model import PATHS, Fit, paths
+from molereach.shards.forecast.step_changes import found_changes
 
 QUANTILES = (0.05, 0.5, 0.95)
 MOST_HORIZON_DAYS = 366
--- a/molereach/shards/map/delta.py
+++ b/molereach/shards/map/delta.py
@@ -1,7 +1,7 @@
 """What changed from one version of a map to a later one: shards are cut, so pieces are only added."""
 
 from molereach.coordination.interface.identifiers import WireStruct
-from molereach.shards.map.pieces import MOST_SHARDS, Pieces, ShardMap, ShardNumber, Version, unsound
+from molereach.shards.map.shard_map import MOST_SHARDS, Pieces, ShardMap, ShardNumber, Version, unsound
 
 
 class Delta(WireStruct, frozen=True):
--- a/molereach/shards/map/history.py
+++ b/molereach/shards/map/history.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from molereach.shards.map.delta import Delta, between
-from molereach.shards.map.pieces import ShardMap, unsound
+from molereach.shards.map.shard_map import ShardMap, unsound
 
 MOST_DELTAS = 64  # that are kept; who is further behind is given the whole map
 
--- a/molereach/shards/map/cutting.py
+++ b/molereach/shards/map/range_split.py
@@ -3,7 +3,7 @@
 The lower part keeps the number, and what was counted for it less what moved; the upper has a new one.
 """
 
-from molereach.shards.map.pieces import MOST_SHARDS, Home, Piece, ShardMap
+from molereach.shards.map.shard_map import MOST_SHARDS, Home, Piece, ShardMap
 
 
 def wrong(found: ShardMap, shard: int, cut: int, to: Home) -> str:
--- a/molereach/shards/map/lookup.py
+++ b/molereach/shards/map/shard_lookup.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_right
 
-from molereach.shards.map.pieces import MEMBERS, Piece, ShardMap, unsound
+from molereach.shards.map.shard_map import MEMBERS, Piece, ShardMap, unsound
 
 
 class Lookup:
--- a/molereach/shards/schedule/calendar.py
+++ b/molereach/shards/schedule/planner.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from itertools import groupby
 
-from molereach.shards.map.pieces import Home
-from molereach.shards.schedule.open_times import Rooms, first_room, last_room
+from molereach.shards.map.shard_map import Home
+from molereach.shards.schedule.free_windows import Rooms, first_room, last_room
 
 MOST_WANTED = 512
 AHEAD_DAYS = 1.0  # what begins before the next look begins now
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -7,8 +7,8 @@
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
-from molereach.shards.counts.words import Total
-from molereach.shards.map.pieces import Home, Member, Piece, ShardNumber
+from molereach.shards.counts.messages import Total
+from molereach.shards.map.shard_map import Home, Member, Piece, ShardNumber
 from molereach.shards.proof import Word
 
 MACHINE = "shards"
--- a/molereach/shards/splits/orders.py
+++ b/molereach/shards/splits/commands.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.shards.map.pieces import Home
+from molereach.shards.map.shard_map import Home
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import State
+from molereach.shards.splits.states import State
 
 
 class Order(Enum):
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -13,10 +13,10 @@
 from molereach.coordination.interface.log import Propose
 from molereach.shards.proof import SessionsAt, pack
 from molereach.shards.splits.bodies import MACHINE, Body, Clear, Close, Copy, GiveUp, Hand, Plan, encode
+from molereach.shards.splits.commands import Done, Order, Tell, owed
 from molereach.shards.splits.machine import Shards
-from molereach.shards.splits.orders import Done, Order, Tell, owed
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import BEFORE, State
+from molereach.shards.splits.states import BEFORE, State
 
 BEAT_US = SECOND_US // 4
 AGAIN_US = 2 * SECOND_US  # until an order that was not answered, or a step that was not taken, is tried anew
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from molereach.coordination.interface.log import Entry, Outcome
-from molereach.shards.counts.words import MOST_BYTES
-from molereach.shards.map.cutting import after, wrong
+from molereach.shards.counts.messages import MOST_BYTES
 from molereach.shards.map.history import History
-from molereach.shards.map.pieces import Home, ShardMap, unsound
+from molereach.shards.map.range_split import after, wrong
+from molereach.shards.map.shard_map import Home, ShardMap, unsound
 from molereach.shards.proof import SessionsAt, fault
 from molereach.shards.splits.bodies import (
     MACHINE,
@@ -29,10 +29,10 @@
     Proof,
     decode,
 )
-from molereach.shards.splits.book import MOST_OPEN, Book
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.rooms import Rooms
-from molereach.shards.splits.way import TABLE, State, Step
+from molereach.shards.splits.registry import MOST_OPEN, Book
+from molereach.shards.splits.states import TABLE, State, Step
+from molereach.shards.splits.upkeep_view import Rooms
 
 replace = msgspec.structs.replace
 
--- a/molereach/shards/splits/record.py
+++ b/molereach/shards/splits/record.py
@@ -5,8 +5,8 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Id, Position, WireStruct
-from molereach.shards.map.pieces import MEMBERS, Home, Member, ShardNumber, Version
-from molereach.shards.splits.way import State
+from molereach.shards.map.shard_map import MEMBERS, Home, Member, ShardNumber, Version
+from molereach.shards.splits.states import State
 
 
 class Record(WireStruct, frozen=True):
--- a/molereach/shards/splits/book.py
+++ b/molereach/shards/splits/registry.py
@@ -6,11 +6,11 @@
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import WireStruct
-from molereach.shards.counts.words import MOST_BYTES
+from molereach.shards.counts.messages import MOST_BYTES
 from molereach.shards.map.history import History
-from molereach.shards.map.pieces import MOST_SHARDS, Home, ShardMap, unsound
+from molereach.shards.map.shard_map import MOST_SHARDS, Home, ShardMap, unsound
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import AT_WORK, FINAL
+from molereach.shards.splits.states import AT_WORK, FINAL
 
 MOST_OPEN = 64
 MOST_PAST = 128  # remembered, so that one proposed again is known, and servers are told again
--- a/molereach/shards/splits/door.py
+++ b/molereach/shards/splits/router.py
@@ -12,12 +12,12 @@
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.interface.log import Applied, Restored
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.lookup import Lookup
-from molereach.shards.map.pieces import Piece
-from molereach.shards.splits.consulted import Place
+from molereach.shards.map.shard_lookup import Lookup
+from molereach.shards.map.shard_map import Piece
 from molereach.shards.splits.machine import Shards
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import State
+from molereach.shards.splits.routing_interface import Place
+from molereach.shards.splits.states import State
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/shards/splits/rooms.py
+++ b/molereach/shards/splits/upkeep_view.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from molereach.shards.map.pieces import Home
+from molereach.shards.map.shard_map import Home
 
 
 class Rooms(Protocol):
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -9,7 +9,7 @@
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards.counts import bodies as count_bodies
-from molereach.shards.map.pieces import Home
+from molereach.shards.map.shard_map import Home
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.way import Step
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -11,9 +11,9 @@
 from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.settings import LogSettings
-from molereach.shards.counts.folds import Folds
+from molereach.shards.counts.machine import Folds
 from molereach.shards.splits.machine import Shards, SplitSettings
-from molereach.shards.splits.rooms import NoUpkeep
+from molereach.shards.splits.upkeep_view import NoUpkeep
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.compatibility import machines_log as sample_log
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -16,8 +16,8 @@
 from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards import proof as shard_proof
 from molereach.shards.counts import bodies as count_bodies
-from molereach.shards.counts import words as count_words
-from molereach.shards.map.pieces import MEMBERS, Home, Piece
+from molereach.shards.counts import messages as count_words
+from molereach.shards.map.shard_map import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.way import Step
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -10,12 +10,12 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, SessionReport
 from molereach.coordination.membership.messages import MemberStatus
-from molereach.shards.counts import words as count_words
-from molereach.shards.counts.digest import Digest
-from molereach.shards.map.cutting import after
+from molereach.shards.counts import messages as count_words
+from molereach.shards.counts.qdigest import Digest
 from molereach.shards.map.delta import Delta, between
-from molereach.shards.map.pieces import MEMBERS, ShardMap
-from molereach.shards.splits import way as split_way
+from molereach.shards.map.range_split import after
+from molereach.shards.map.shard_map import MEMBERS, ShardMap
+from molereach.shards.splits import states as split_way
 from molereach.upkeep.permits import way as upkeep_way
 from molereach.upkeep.requests.work import Kind
 from tests.compatibility import machines_samples as samples
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -8,9 +8,9 @@
 
 from molereach.cache.purge.ids import drawn_at
 from molereach.coordination.interface.clearance import NodeClearance
-from molereach.shards.counts import words as count_words
+from molereach.shards.counts import messages as count_words
 from molereach.shards.map.delta import Delta, applied
-from molereach.shards.map.pieces import ShardMap
+from molereach.shards.map.shard_map import ShardMap
 from tests.compatibility import machines_replica, machines_values
 from tests.compatibility.council_files import recorded_bytes, recorded_values
 
--- a/tests/shards/counts/world.py
+++ b/tests/shards/counts/simulation.py
@@ -10,8 +10,8 @@
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.shards.counts import bodies
 from molereach.shards.counts.bodies import Forget
-from molereach.shards.counts.door import BEAT_US, Confirmed, DoorCounts, Leader
-from molereach.shards.counts.folds import Folds
+from molereach.shards.counts.machine import Folds
+from molereach.shards.counts.recorder import BEAT_US, Confirmed, DoorCounts, Leader
 from molereach.shards.proof import Word
 
 
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -12,13 +12,13 @@
 from molereach.coordination.leases import bodies as leases
 from molereach.shards.counts.bodies import MACHINE, Fold, encode
 from molereach.shards.counts.counter import Count, Counter
-from molereach.shards.counts.door import BEAT_US, DoorCounts, StartAnew
-from molereach.shards.counts.folds import Folds
-from molereach.shards.counts.merged import Merged
-from molereach.shards.counts.words import MOST_BYTES, MOST_ROWS, Row, Told, decode, told
+from molereach.shards.counts.machine import Folds
+from molereach.shards.counts.merged_counts import Merged
+from molereach.shards.counts.messages import MOST_BYTES, MOST_ROWS, Row, Told, decode, told
+from molereach.shards.counts.recorder import BEAT_US, DoorCounts, StartAnew
 from molereach.shards.proof import Word, fault, pack
-from tests.shards.counts.world import AllCounted, Reader, World
-from tests.shards.made import drawn_by
+from tests.shards.counts.simulation import AllCounted, Reader, World
+from tests.shards.generated import drawn_by
 
 A, B, C, B2 = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1), NodeInstance("b", 2)
 
--- a/tests/shards/counts/test_cut.py
+++ b/tests/shards/counts/test_split_point.py
@@ -3,12 +3,12 @@
 import pytest
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.shards.counts.cut import Cut, NoCut, OneMember, place
-from molereach.shards.counts.digest import FACTOR, LEVELS, MOST_HELD, Digest
-from molereach.shards.counts.sketches import MOST_WATCHED, Sketches
-from molereach.shards.counts.words import MOST_NODES, Sketch
-from molereach.shards.map.pieces import MEMBERS
-from tests.shards.made import drawn_by
+from molereach.shards.counts.messages import MOST_NODES, Sketch
+from molereach.shards.counts.qdigest import FACTOR, LEVELS, MOST_HELD, Digest
+from molereach.shards.counts.split_point import Cut, NoCut, OneMember, place
+from molereach.shards.counts.watched_digests import MOST_WATCHED, Sketches
+from molereach.shards.map.shard_map import MEMBERS
+from tests.shards.generated import drawn_by
 
 
 def drawn_members(seed: int, writes: int, skew: int) -> list[tuple[int, int]]:
--- a/tests/shards/forecast/drawn.py
+++ b/tests/shards/forecast/generated_series.py
@@ -3,7 +3,7 @@
 import numpy as np
 
 from molereach.shards.forecast.effects import in_khareef
-from molereach.shards.forecast.outlook import Past
+from molereach.shards.forecast.size_forecast import Past
 
 FIRST_DAY = 738_000
 
--- a/tests/shards/forecast/test_forecast.py
+++ b/tests/shards/forecast/test_forecast.py
@@ -7,11 +7,11 @@
 np = pytest.importorskip("numpy")
 pytest.importorskip("statsmodels")
 
-from molereach.shards.forecast.changes import found_changes  # noqa: E402
 from molereach.shards.forecast.effects import in_khareef  # noqa: E402
 from molereach.shards.forecast.growth import MOST_DAYS, growth  # noqa: E402
-from molereach.shards.forecast.outlook import Past, outlook  # noqa: E402
-from tests.shards.forecast.drawn import FIRST_DAY, drawn_days, past_of  # noqa: E402
+from molereach.shards.forecast.size_forecast import Past, outlook  # noqa: E402
+from molereach.shards.forecast.step_changes import found_changes  # noqa: E402
+from tests.shards.forecast.generated_series import FIRST_DAY, drawn_days, past_of  # noqa: E402
 
 HORIZON = 60
 
--- a/tests/shards/made.py
+++ b/tests/shards/generated.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from molereach.shards.map.pieces import MEMBERS, Home, Piece, ShardMap
+from molereach.shards.map.shard_map import MEMBERS, Home, Piece, ShardMap
 
 HOMES = tuple(Home(f"b{number // 4}", f"c{number}") for number in range(16))
 
--- a/tests/shards/map/test_map.py
+++ b/tests/shards/map/test_map.py
@@ -3,12 +3,12 @@
 import msgspec
 import pytest
 
-from molereach.shards.map.cutting import after, wrong
 from molereach.shards.map.delta import Delta, applied, between
 from molereach.shards.map.history import MOST_DELTAS, History
-from molereach.shards.map.lookup import Lookup
-from molereach.shards.map.pieces import MEMBERS, MOST_SHARDS, Home, Piece, ShardMap, unsound
-from tests.shards.made import HOMES, drawn_by, even_map
+from molereach.shards.map.range_split import after, wrong
+from molereach.shards.map.shard_lookup import Lookup
+from molereach.shards.map.shard_map import MEMBERS, MOST_SHARDS, Home, Piece, ShardMap, unsound
+from tests.shards.generated import HOMES, drawn_by, even_map
 
 
 def test_each_member_is_in_one_shard_at_each_version_of_drawn_cuts() -> None:
--- a/tests/shards/schedule/years.py
+++ b/tests/shards/schedule/simulated_years.py
@@ -5,12 +5,12 @@
 import numpy as np
 
 from molereach.shards.forecast.model import Fit
-from molereach.shards.forecast.outlook import outlook
-from molereach.shards.map.pieces import Home
-from molereach.shards.schedule.calendar import Wanted, calendar
-from molereach.shards.schedule.full import full
-from molereach.shards.schedule.takes import PRIOR_BYTES_A_DAY, PRIOR_SPREAD, takes_days
-from tests.shards.forecast.drawn import FIRST_DAY, drawn_days, past_of
+from molereach.shards.forecast.size_forecast import outlook
+from molereach.shards.map.shard_map import Home
+from molereach.shards.schedule.deadline import full
+from molereach.shards.schedule.duration import PRIOR_BYTES_A_DAY, PRIOR_SPREAD, takes_days
+from molereach.shards.schedule.planner import Wanted, calendar
+from tests.shards.forecast.generated_series import FIRST_DAY, drawn_days, past_of
 
 HISTORY, YEAR, HORIZON = 400, 320, 75
 MARK = 0.8
--- a/tests/shards/schedule/test_calendar.py
+++ b/tests/shards/schedule/test_planner.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from molereach.shards.map.pieces import Home
-from molereach.shards.schedule.calendar import MOST_WANTED, Calendar, Late, Wanted, calendar
-from molereach.shards.schedule.full import SPARE_DAYS, Full, full
-from molereach.shards.schedule.open_times import AlwaysFree, first_room, last_room
-from molereach.shards.schedule.takes import Took, takes_days
-from tests.shards.made import drawn_by
+from molereach.shards.map.shard_map import Home
+from molereach.shards.schedule.deadline import SPARE_DAYS, Full, full
+from molereach.shards.schedule.duration import Took, takes_days
+from molereach.shards.schedule.free_windows import AlwaysFree, first_room, last_room
+from molereach.shards.schedule.planner import MOST_WANTED, Calendar, Late, Wanted, calendar
+from tests.shards.generated import drawn_by
 
 A, B, C, D = (Home("b1", f"c{number}") for number in range(4))
 ELSEWHERE, THERE = Home("b2", "e1"), Home("b2", "e2")
--- a/tests/shards/schedule/test_years.py
+++ b/tests/shards/schedule/test_simulated_years.py
@@ -4,7 +4,7 @@
 
 pytest.importorskip("statsmodels")
 
-from tests.shards.schedule.years import by_forecast, by_mark
+from tests.shards.schedule.simulated_years import by_forecast, by_mark
 
 SEEDS = (0, 23)  # by the middle of the forecast, some of them are too late
 
--- a/tests/shards/splits/servers.py
+++ b/tests/shards/splits/simulated_cells.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.pieces import Home, ShardMap
-from molereach.shards.splits.orders import Done, Order
+from molereach.shards.map.shard_map import Home, ShardMap
+from molereach.shards.splits.commands import Done, Order
 from molereach.shards.splits.record import Record
 
 
--- a/tests/shards/splits/world.py
+++ b/tests/shards/splits/simulation.py
@@ -13,19 +13,19 @@
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.pieces import Home, ShardMap, unsound
+from molereach.shards.map.shard_map import Home, ShardMap, unsound
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
 from molereach.shards.splits.bodies import Clear, Close, Found, GiveUp, Hand, Plan
-from molereach.shards.splits.consulted import Place
-from molereach.shards.splits.door import DoorShards
+from molereach.shards.splits.commands import Done, Tell
 from molereach.shards.splits.driver import Begin, Driver, Unneeded
 from molereach.shards.splits.machine import Shards, SplitSettings
-from molereach.shards.splits.orders import Done, Tell
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import State
-from tests.shards.made import HOMES, even_map
-from tests.shards.splits.servers import Answer, Attempt, Cell, cells_of
+from molereach.shards.splits.router import DoorShards
+from molereach.shards.splits.routing_interface import Place
+from molereach.shards.splits.states import State
+from tests.shards.generated import HOMES, even_map
+from tests.shards.splits.simulated_cells import Answer, Attempt, Cell, cells_of
 
 WINDOW_MS = 8_000
 STEP_US = 60_000
--- a/tests/shards/splits/test_histories.py
+++ b/tests/shards/splits/test_random_histories.py
@@ -13,18 +13,18 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as leases
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.pieces import MEMBERS, Home, Piece
+from molereach.shards.map.shard_map import MEMBERS, Home, Piece
 from molereach.shards.splits import bodies
 from molereach.shards.splits.bodies import Plan, Proof
-from molereach.shards.splits.consulted import Place
-from molereach.shards.splits.door import DoorShards
 from molereach.shards.splits.driver import Begin, Unneeded
 from molereach.shards.splits.machine import Shards
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import State
-from tests.shards.made import HOMES, drawn_by
-from tests.shards.splits.servers import Answer, Attempt, Cell
-from tests.shards.splits.world import STEP_US, UPKEEP, Kinds, Reader, World, plan
+from molereach.shards.splits.router import DoorShards
+from molereach.shards.splits.routing_interface import Place
+from molereach.shards.splits.states import State
+from tests.shards.generated import HOMES, drawn_by
+from tests.shards.splits.simulated_cells import Answer, Attempt, Cell
+from tests.shards.splits.simulation import STEP_US, UPKEEP, Kinds, Reader, World, plan
 
 EVENTS = 1500
 
--- a/tests/shards/splits/test_steps.py
+++ b/tests/shards/splits/test_split_steps.py
@@ -7,19 +7,19 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Restored
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.pieces import MEMBERS, Home
+from molereach.shards.map.shard_map import MEMBERS, Home
 from molereach.shards.proof import Word
 from molereach.shards.splits import bodies
 from molereach.shards.splits.bodies import Clear, Close, Copy, Found, GiveUp, Hand, Plan
-from molereach.shards.splits.book import MOST_OPEN
-from molereach.shards.splits.door import DoorShards, Learn
+from molereach.shards.splits.commands import Done, Order
 from molereach.shards.splits.driver import Begin, Unneeded
-from molereach.shards.splits.orders import Done, Order
 from molereach.shards.splits.record import Record
-from molereach.shards.splits.way import State
-from tests.shards.made import HOMES, drawn_by, even_map
-from tests.shards.splits.servers import Cell
-from tests.shards.splits.world import WINDOW_MS, Kinds, World, plan
+from molereach.shards.splits.registry import MOST_OPEN
+from molereach.shards.splits.router import DoorShards, Learn
+from molereach.shards.splits.states import State
+from tests.shards.generated import HOMES, drawn_by, even_map
+from tests.shards.splits.simulated_cells import Cell
+from tests.shards.splits.simulation import WINDOW_MS, Kinds, World, plan
 
 A = NodeInstance("a", 1)
 MOVED = MEMBERS // 2 - 1  # of the first shard, in the upper half
