--- a/molereach/shards/__init__.py
+++ b/molereach/shards/__init__.py
@@ -1,6 +1,6 @@
-"""Stores of settlement members that grow: how full each shard gets, and its split before it is full.
+"""Sharding of member data: writes are counted, growth is forecast, and shards are split before they are full.
 
-Read `map` (which cell keeps which members), `counts` (what was written, by shard), `forecast` (how large each
-will be), `schedule` (when its split begins) and `splits` (the split as a state machine on the log).
-`forecast` is for a process of its own: nothing on a front door's request path imports it.
+Read `map` (which cell keeps which member IDs), `counts` (writes counted by shard), `forecast` (how large each
+shard will be), `schedule` (when its split starts) and `splits` (the split as a state machine on the log).
+`forecast` runs in a process of its own: nothing on a front door's request path imports it.
 """
--- a/molereach/shards/counts/__init__.py
+++ b/molereach/shards/counts/__init__.py
@@ -1,6 +1,7 @@
-"""What was written, by shard, as front doors count it together.
+"""Writes and bytes by shard, counted by all front doors together.
 
-Read `counter` (this front door's own), `words` (what is told), `merged` (all lives, by maximum), `bodies`,
-`proof` and `folds` (the state machine "counts": lives that are over), `door` (a front door's part), `digest`
-(which members wrote) and `cut` (where that cuts a shard).
+Read `counter` (the counts of one instance of a front door), `messages` (its reports), `merged_counts` (those
+of all instances, by maximum), `bodies` and `machine` (the state machine "counts": instances that ended),
+`recorder` (a front door's side), `qdigest` (which members wrote), `watched_digests` (digests of the shards to
+be split next) and `split_point` (where to split).
 """
--- a/molereach/shards/counts/bodies.py
+++ b/molereach/shards/counts/bodies.py
@@ -1,47 +1,51 @@
-"""The bodies of the entries about lives that are over, and their one decoder."""
+"""The bodies of the log entries about instances that ended, and their one decoder."""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
-from molereach.shards.counts.messages import Rows
-from molereach.shards.proof import Word
+from molereach.shards.counts.messages import CountRows
+from molereach.shards.proof import SessionClearance
 
 MACHINE = "counts"
-_FIRST = b'{"kind":"'
+_BODY_PREFIX = b'{"kind":"'
 
 
 class Fold(WireStruct, frozen=True, tag_field="kind", tag="fold"):
-    """A life is over, and this is what was heard of it: the higher of this and what is kept holds."""
+    """Merge the last known counts of an instance that ended into the log's, by maximum."""
 
-    life: NodeInstance
-    rows: Rows
+    instance: NodeInstance = field(name="life")
+    rows: CountRows
 
 
-class Forget(WireStruct, frozen=True, tag_field="kind", tag="forget"):
-    """All front doors have given what they had heard of a life that was first folded at `begun`."""
+class Retire(WireStruct, frozen=True, tag_field="kind", tag="forget"):
+    """Add an instance to the base. The proof: all front doors have folded what they knew of it.
 
-    life: NodeInstance
-    begun: Position
-    proof: Annotated[tuple[Word, ...], Meta(max_length=2 * MAX_MEMBERS)]
+    `folded_at` is the position of the instance's first fold.
+    """
 
+    instance: NodeInstance = field(name="life")
+    folded_at: Position = field(name="begun")
+    proof: Annotated[tuple[SessionClearance, ...], Meta(max_length=2 * MAX_MEMBERS)]
 
-Body = Fold | Forget
+
+Body = Fold | Retire
 _DECODER: msgspec.json.Decoder[Body] = msgspec.json.Decoder(Body)
 
 
 def encode(body: Body) -> bytes:
+    """An entry's body as JSON."""
     return msgspec.json.encode(body)
 
 
 def decode(data: bytes) -> Body:
-    """ValueError where it is none of them."""
-    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
+    """The body of an entry; ValueError for anything else."""
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_BODY_PREFIX):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
-    except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
+    except msgspec.DecodeError:  # the library's message may differ between its versions
         raise ValueError("not understood") from None
--- a/molereach/shards/counts/machine.py
+++ b/molereach/shards/counts/machine.py
@@ -1,15 +1,16 @@
-"""The state machine "counts": what was counted by lives that are over.
+"""The state machine "counts": the counts of front-door instances that ended.
 
-A life is folded once its session is not open. It is kept apart by itself as long as it may come back, or a
-front door may hold a later word of it; then it goes into the base, and no word of it counts. Where there is
-no room, the one that was folded first of those that are dead, or whose name the sessions have dropped, goes
-into the base without proof, and is counted in `hurried`; if its process comes back it must start anew.
+An instance is folded once its session is not open. Its counts are kept apart as long as the instance may
+return, or a front door may still hold a later report of it; then it is retired: its counts are added to the
+base, and reports of it are ignored. If there is no room, instances are retired without proof, earliest fold
+first, if they never return or if the sessions have dropped their names; `unproven_retirements` counts these.
+A process whose instance was retired that way must restart.
 """
 
 from typing import Annotated, Protocol
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.clearance import ClearanceEvidence
 from molereach.coordination.interface.identifiers import (
@@ -20,176 +21,195 @@
     WireStruct,
 )
 from molereach.coordination.interface.log import Entry, Outcome
-from molereach.shards.counts.bodies import MACHINE, Fold, Forget, decode
-from molereach.shards.counts.counter import NONE, Count, rows
-from molereach.shards.counts.messages import MOST_ROWS, Row
-from molereach.shards.proof import SessionsAt, fault
+from molereach.shards.counts.bodies import MACHINE, Fold, Retire, decode
+from molereach.shards.counts.counter import ZERO, Count, count_rows
+from molereach.shards.counts.messages import MAX_ROWS, CountRow
+from molereach.shards.proof import SessionsAt, proof_error
 
-MOST_KEPT_ROWS = 16_384  # of lives that are kept apart
-MOST_NAMES = 4096  # of front doors, ever, of which a life was forgotten
+MAX_FOLDED_ROWS = 16_384  # of all instances that are not retired
+MAX_NAMES = 4096  # of front doors with a retired instance, ever
 
 
-class Shards(Protocol):
-    """Of the state machine "shards", as the log has it at the same position."""
+class ShardSet(Protocol):
+    """The state machine "shards" as of the same position of the log."""
 
-    def counted(self, shard: int) -> bool:
-        """Whether it is one of the map."""
+    def has_shard(self, shard: int) -> bool:
+        """Whether the map has this shard."""
 
 
-class _Kept(WireStruct, frozen=True):
-    life: NodeInstance
-    begun: Position  # at which it was first folded
-    rows: Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS)]
+class _FoldedInstance(WireStruct, frozen=True):
+    """The counts of one instance that ended."""
+
+    instance: NodeInstance = field(name="life")
+    folded_at: Position = field(name="begun")  # of its first fold
+    rows: Annotated[tuple[CountRow, ...], Meta(max_length=MAX_ROWS)]
 
 
 class _State(WireStruct, frozen=True):
-    base: Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS)]
-    kept: Annotated[tuple[_Kept, ...], Meta(max_length=MOST_KEPT_ROWS)]
-    horizon: Annotated[dict[Name, InstanceNumber], Meta(max_length=MOST_NAMES)]
-    hurried: Annotated[int, Meta(ge=0, le=1 << 53)]
+    """The snapshot."""
+
+    base: Annotated[tuple[CountRow, ...], Meta(max_length=MAX_ROWS)]
+    folded: Annotated[tuple[_FoldedInstance, ...], Meta(max_length=MAX_FOLDED_ROWS)] = field(name="kept")
+    retired: Annotated[dict[Name, InstanceNumber], Meta(max_length=MAX_NAMES)] = field(name="horizon")
+    unproven_retirements: Annotated[int, Meta(ge=0, le=1 << 53)] = field(name="hurried")
 
 
-class Folds:
-    """A `StateMachine`, and `Folded` for those who count."""
+class CountsMachine:
+    """The `StateMachine` of counts; `LoggedCounts` for those who merge reports."""
 
     name = MACHINE
 
-    def __init__(self, sessions: SessionsAt, shards: Shards, most_rows: int = MOST_KEPT_ROWS) -> None:
-        self._sessions, self._shards, self._most_rows = sessions, shards, most_rows
+    def __init__(self, sessions: SessionsAt, shards: ShardSet, max_rows: int = MAX_FOLDED_ROWS) -> None:
+        self._sessions, self._shards, self._max_rows = sessions, shards, max_rows
         self._base: dict[int, Count] = {}
-        self._kept: dict[NodeInstance, dict[int, Count]] = {}
-        self._begun: dict[NodeInstance, int] = {}
-        self._horizon: dict[str, int] = {}
-        self.hurried = 0
+        self._folded: dict[NodeInstance, dict[int, Count]] = {}
+        self._folded_at: dict[NodeInstance, int] = {}
+        self._retired: dict[str, int] = {}  # the highest retired instance number of each name
+        self.unproven_retirements = 0
 
-    # --- what is asked of it ---
+    # --- queries ---
 
     def base(self) -> dict[int, Count]:
+        """Totals by shard of retired instances."""
         return self._base
 
-    def kept(self) -> dict[NodeInstance, dict[int, Count]]:
-        return self._kept
+    def folded(self) -> dict[NodeInstance, dict[int, Count]]:
+        """Counts by shard of instances that ended and are not retired."""
+        return self._folded
 
-    def begun(self, life: NodeInstance) -> int | None:
-        return self._begun.get(life)
+    def folded_at(self, instance: NodeInstance) -> int | None:
+        """The position of the instance's first fold; None if it is not folded, or is retired."""
+        return self._folded_at.get(instance)
 
-    def forgotten(self, life: NodeInstance) -> bool:
-        return life.number <= self._horizon.get(life.name, -1)
+    def is_retired(self, instance: NodeInstance) -> bool:
+        """Whether this instance, or a later one of its name, is in the base."""
+        return instance.number <= self._retired.get(instance.name, -1)
 
-    def counted(self, shard: int) -> bool:
-        return self._shards.counted(shard)
+    def has_shard(self, shard: int) -> bool:
+        """Whether the map has this shard."""
+        return self._shards.has_shard(shard)
 
-    def dead(self, life: NodeInstance) -> bool:
-        """Whether it never comes back: it left, or a later life of its name has had a session."""
-        last = self._sessions.latest_instance(life.name)
-        if last is None:
-            return False  # the name made room for others, and its process may yet come back
-        if last > life:
+    def never_returns(self, instance: NodeInstance) -> bool:
+        """Whether the instance left the group, or a later one of its name has had a session."""
+        latest = self._sessions.latest_instance(instance.name)
+        if latest is None:
+            return False  # the sessions dropped the name to make room, and the process may still return
+        if latest > instance:
             return True
-        past = self._sessions.last_ended_session(life.name)
+        ended = self._sessions.last_ended_session(instance.name)
         return (
-            last == life
-            and past is not None
-            and past.instance == life
-            and past.evidence is ClearanceEvidence.LEFT
+            latest == instance
+            and ended is not None
+            and ended.instance == instance
+            and ended.evidence is ClearanceEvidence.LEFT
         )
 
-    def over(self, life: NodeInstance) -> bool:
-        """Whether it has no session, and it or a later one had."""
-        opened, last = self._sessions.active_session(life.name), self._sessions.latest_instance(life.name)
-        return (opened is None or opened.instance != life) and last is not None and last >= life
+    def has_ended(self, instance: NodeInstance) -> bool:
+        """Whether the instance has no open session, and it or a later one of its name has had one."""
+        active, latest = (
+            self._sessions.active_session(instance.name),
+            self._sessions.latest_instance(instance.name),
+        )
+        return (active is None or active.instance != instance) and latest is not None and latest >= instance
 
     # --- entries ---
 
     def apply(self, entry: Entry) -> Outcome:
+        """Apply a fold or a retirement."""
         try:
             body = decode(entry.body)
         except ValueError as error:
             return Outcome(str(error))
-        return self._fold(entry, body) if isinstance(body, Fold) else self._forget(body)
+        return self._fold(entry, body) if isinstance(body, Fold) else self._retire(body)
 
     def _fold(self, entry: Entry, body: Fold) -> Outcome:
-        life = body.life
-        if self.forgotten(life):
+        instance = body.instance
+        if self.is_retired(instance):
             return Outcome("this life is in the base")
-        if not self.over(life):
+        if not self.has_ended(instance):
             return Outcome("this life has a session")
-        found = dict(self._kept.get(life, {}))
+        counts = dict(self._folded.get(instance, {}))
         for row in body.rows:
-            if self.counted(row.shard):
-                found[row.shard] = found.get(row.shard, NONE).max(Count(row.writes, row.bytes))
-        if len(found) > MOST_ROWS:
-            return Outcome(f"more than {MOST_ROWS} shards of one life")
-        if not self._make_room(life, len(found)):
-            return Outcome(f"more than {self._most_rows} rows of lives that may come back")
-        self._kept[life] = found
-        self._begun.setdefault(life, entry.position)
+            if self.has_shard(row.shard):
+                counts[row.shard] = counts.get(row.shard, ZERO).max(Count(row.writes, row.bytes))
+        if len(counts) > MAX_ROWS:
+            return Outcome(f"more than {MAX_ROWS} shards of one life")
+        if not self._retire_until_fits(instance, len(counts)):
+            return Outcome(f"more than {self._max_rows} rows of lives that may come back")
+        self._folded[instance] = counts
+        self._folded_at.setdefault(instance, entry.position)
         return Outcome()
 
-    def _forget(self, body: Forget) -> Outcome:
-        life = body.life
-        if self._begun.get(life) != body.begun:
+    def _retire(self, body: Retire) -> Outcome:
+        instance = body.instance
+        if self._folded_at.get(instance) != body.folded_at:
             return Outcome("this life was not folded there")
-        if not self.dead(life):
+        if not self.never_returns(instance):
             return Outcome("this life may come back")
-        if any(each.name == life.name and each < life for each in self._kept):
+        if any(each.name == instance.name and each < instance for each in self._folded):
             return Outcome("an earlier life of this name is kept")
-        if said := fault(body.proof, self._sessions, body.begun, may_be_over=False):
-            return Outcome(f"proof: {said}")
-        if life.name not in self._horizon and len(self._horizon) >= MOST_NAMES:
-            return Outcome(f"more than {MOST_NAMES} names")
-        self._into_base(life)
+        if error := proof_error(body.proof, self._sessions, body.folded_at, may_be_expired=False):
+            return Outcome(f"proof: {error}")
+        if instance.name not in self._retired and len(self._retired) >= MAX_NAMES:
+            return Outcome(f"more than {MAX_NAMES} names")
+        self._add_to_base(instance)
         return Outcome()
 
-    def _into_base(self, life: NodeInstance) -> None:
-        for shard, count in self._kept.pop(life).items():
-            self._base[shard] = self._base.get(shard, NONE).plus(count)
-        del self._begun[life]
-        self._base = {shard: count for shard, count in self._base.items() if self.counted(shard)}
-        self._horizon[life.name] = max(life.number, self._horizon.get(life.name, -1))
+    def _add_to_base(self, instance: NodeInstance) -> None:
+        for shard, count in self._folded.pop(instance).items():
+            self._base[shard] = self._base.get(shard, ZERO).plus(count)
+        del self._folded_at[instance]
+        self._base = {shard: count for shard, count in self._base.items() if self.has_shard(shard)}
+        self._retired[instance.name] = max(instance.number, self._retired.get(instance.name, -1))
 
-    def _make_room(self, life: NodeInstance, wanted: int) -> bool:
-        """Also a life without rows takes a place."""
+    def _retire_until_fits(self, instance: NodeInstance, row_count: int) -> bool:
+        """Retire instances until these rows fit. An instance without rows counts as one row."""
         while (
-            sum(max(1, len(found)) for each, found in self._kept.items() if each != life) + max(1, wanted)
-            > self._most_rows
+            sum(max(1, len(counts)) for each, counts in self._folded.items() if each != instance)
+            + max(1, row_count)
+            > self._max_rows
         ):
-            dead = [
+            retirable = [
                 each
-                for each in self._kept
-                if each.name != life.name
-                and (self.dead(each) or self._sessions.latest_instance(each.name) is None)
+                for each in self._folded
+                if each.name != instance.name
+                and (self.never_returns(each) or self._sessions.latest_instance(each.name) is None)
             ]
-            if not dead or len(self._horizon) >= MOST_NAMES:
+            if not retirable or len(self._retired) >= MAX_NAMES:
                 return False
-            first = min(dead, key=lambda each: self._begun[each])
-            for each in sorted(each for each in dead if each.name == first.name and each <= first):
-                self._into_base(each)
-                self.hurried += 1
+            earliest = min(retirable, key=lambda each: self._folded_at[each])
+            for each in sorted(each for each in retirable if each.name == earliest.name and each <= earliest):
+                self._add_to_base(each)
+                self.unproven_retirements += 1
         return True
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        kept = tuple(_Kept(life, self._begun[life], rows(self._kept[life])) for life in sorted(self._kept))
-        horizon = {name: self._horizon[name] for name in sorted(self._horizon)}
-        return msgspec.json.encode(_State(rows(self._base), kept, horizon, self.hurried))
+        """The whole state as JSON, the same bytes wherever the same entries were applied."""
+        folded = tuple(
+            _FoldedInstance(instance, self._folded_at[instance], count_rows(self._folded[instance]))
+            for instance in sorted(self._folded)
+        )
+        retired = {name: self._retired[name] for name in sorted(self._retired)}
+        return msgspec.json.encode(_State(count_rows(self._base), folded, retired, self.unproven_retirements))
 
     def restore(self, data: bytes) -> None:
+        """Replace the state by a snapshot; ValueError, and no change, if it is malformed."""
         try:
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
             raise ValueError(f"not a snapshot of counts: {error}") from None
-        lives = [each.life for each in state.kept]
-        if lives != sorted(set(lives)) or any(
-            life.number <= state.horizon.get(life.name, -1) for life in lives
+        instances = [each.instance for each in state.folded]
+        if instances != sorted(set(instances)) or any(
+            instance.number <= state.retired.get(instance.name, -1) for instance in instances
         ):
-            raise ValueError("not a snapshot of counts: not as any log leaves it")
-        self._base = _counts(state.base)
-        self._kept = {each.life: _counts(each.rows) for each in state.kept}
-        self._begun = {each.life: each.begun for each in state.kept}
-        self._horizon, self.hurried = dict(state.horizon), state.hurried
+            raise ValueError("not a snapshot of counts: no log leads to this state")
+        self._base = _counts_by_shard(state.base)
+        self._folded = {each.instance: _counts_by_shard(each.rows) for each in state.folded}
+        self._folded_at = {each.instance: each.folded_at for each in state.folded}
+        self._retired, self.unproven_retirements = dict(state.retired), state.unproven_retirements
 
 
-def _counts(told: tuple[Row, ...]) -> dict[int, Count]:
-    return {row.shard: Count(row.writes, row.bytes) for row in told}
+def _counts_by_shard(rows: tuple[CountRow, ...]) -> dict[int, Count]:
+    return {row.shard: Count(row.writes, row.bytes) for row in rows}
--- a/molereach/shards/counts/merged_counts.py
+++ b/molereach/shards/counts/merged_counts.py
@@ -1,102 +1,106 @@
-"""Counts of all lives, merged by the maximum: in any order, any number of times, by any way round.
+"""Counts of all instances, merged by the maximum: in any order, any number of times, by any path.
 
-Source: Shapiro et al., "Conflict-free Replicated Data Types" (SSS 2011), the grow-only counter. Lives that
-are over are kept by the log (`folds`): the count of a life is the higher of what the log and what a word says
-of it, so one that comes back after it was folded is neither lost nor counted twice.
+Source: Shapiro et al., "Conflict-free Replicated Data Types" (SSS 2011), the grow-only counter. Counts of
+instances that ended are kept in the log (`machine`). An instance's count is the maximum of the log's and of
+all reports, so an instance that returns after it was folded is neither lost nor counted twice.
 """
 
 from collections.abc import Iterable, Mapping
 from typing import Protocol
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.shards.counts.counter import NONE, Count, rows
-from molereach.shards.counts.messages import MOST_ROWS, Row
+from molereach.shards.counts.counter import ZERO, Count, count_rows
+from molereach.shards.counts.messages import MAX_ROWS, CountRow
 
-MOST_LIVES = 1024  # of which something is kept here
+MAX_INSTANCES = 1024  # with counts in memory
 
 
-class Folded(Protocol):
-    """Of the state machine "counts", as it was applied here."""
+class LoggedCounts(Protocol):
+    """The state machine "counts", as applied here."""
 
     def base(self) -> Mapping[int, Count]:
-        """Of lives that are kept apart no more."""
+        """Totals by shard of retired instances, which are not kept one by one any more."""
 
-    def kept(self) -> Mapping[NodeInstance, Mapping[int, Count]]:
-        """Of lives that are over."""
+    def folded(self) -> Mapping[NodeInstance, Mapping[int, Count]]:
+        """Counts by shard of instances that ended and are not retired."""
 
-    def forgotten(self, life: NodeInstance) -> bool:
-        """Whether it is in the base, so that no word of it counts."""
+    def is_retired(self, instance: NodeInstance) -> bool:
+        """Whether an instance is in the base, so that reports of it are ignored."""
 
-    def counted(self, shard: int) -> bool:
-        """Whether a shard is one of the map. One that is not may be new, and not yet known here."""
+    def has_shard(self, shard: int) -> bool:
+        """Whether the map has this shard. The map here may lag and not have a new shard yet."""
 
 
-class Merged:
-    """What was heard, this front door's own included. `refused` counts rows for which there was no room."""
+class MergedCounts:
+    """Counts from all reports, this front door's own included. `rejected` counts rows for lack of room."""
 
-    def __init__(self, folded: Folded) -> None:
-        self._folded = folded
-        self._lives: dict[NodeInstance, dict[int, Count]] = {}
-        self.refused = 0
+    def __init__(self, logged: LoggedCounts) -> None:
+        self._logged = logged
+        self._instances: dict[NodeInstance, dict[int, Count]] = {}
+        self.rejected = 0
 
-    def merge(self, life: NodeInstance, told: Iterable[Row]) -> bool:
-        """Whether anything is new."""
-        if self._folded.forgotten(life):
+    def merge(self, instance: NodeInstance, reported: Iterable[CountRow]) -> bool:
+        """Merge a report; whether it contained anything new."""
+        if self._logged.is_retired(instance):
             return False
-        if life not in self._lives and len(self._lives) >= MOST_LIVES:
-            self.settle()
-            if len(self._lives) >= MOST_LIVES:
-                self.refused += 1
+        if instance not in self._instances and len(self._instances) >= MAX_INSTANCES:
+            self.discard_logged()
+            if len(self._instances) >= MAX_INSTANCES:
+                self.rejected += 1
                 return False
-        mine, new = self._lives.setdefault(life, {}), False
-        for row in told:
-            before = mine.get(row.shard, NONE)
-            now = self._joined(before, Count(row.writes, row.bytes))
-            if now == before:
+        counts, changed = self._instances.setdefault(instance, {}), False
+        for row in reported:
+            before = counts.get(row.shard, ZERO)
+            after = self._combine(before, Count(row.writes, row.bytes))
+            if after == before:
                 continue
-            if row.shard not in mine and len(mine) >= MOST_ROWS:
-                self.refused += 1
+            if row.shard not in counts and len(counts) >= MAX_ROWS:
+                self.rejected += 1
                 continue
-            mine[row.shard], new = now, True
-        return new
+            counts[row.shard], changed = after, True
+        return changed
 
     @staticmethod
-    def _joined(before: Count, now: Count) -> Count:
-        return before.max(now)
-
-    def lives(self) -> list[NodeInstance]:
-        return sorted(self._lives)
-
-    def of(self, life: NodeInstance) -> tuple[Row, ...]:
-        return rows(self._lives.get(life, {}))
-
-    def unfolded(self, life: NodeInstance) -> tuple[Row, ...]:
-        """What the log lacks of a life."""
-        kept = self._folded.kept().get(life, {})
-        mine = self._lives.get(life, {})
-        return rows(
+    def _combine(before: Count, reported: Count) -> Count:
+        return before.max(reported)
+
+    def instances(self) -> list[NodeInstance]:
+        """The instances with counts in memory, in order."""
+        return sorted(self._instances)
+
+    def rows_of(self, instance: NodeInstance) -> tuple[CountRow, ...]:
+        """What is in memory of an instance."""
+        return count_rows(self._instances.get(instance, {}))
+
+    def unfolded_rows(self, instance: NodeInstance) -> tuple[CountRow, ...]:
+        """The rows of an instance that are higher in memory than in the log."""
+        folded = self._logged.folded().get(instance, {})
+        counts = self._instances.get(instance, {})
+        return count_rows(
             {
                 shard: count
-                for shard, count in mine.items()
-                if count.max(kept.get(shard, NONE)) != kept.get(shard, NONE)
+                for shard, count in counts.items()
+                if count.max(folded.get(shard, ZERO)) != folded.get(shard, ZERO)
             }
         )
 
     def totals(self) -> dict[int, Count]:
-        """By shard, over all lives."""
-        found = dict(self._folded.base())
-        kept = self._folded.kept()
-        for life in {*self._lives, *kept}:
-            if self._folded.forgotten(life):
+        """The counts by shard over all instances, for the shards of the map."""
+        totals = dict(self._logged.base())
+        folded = self._logged.folded()
+        for instance in {*self._instances, *folded}:
+            if self._logged.is_retired(instance):
                 continue
-            mine, theirs = self._lives.get(life, {}), kept.get(life, {})
-            for shard in {*mine, *theirs}:
-                count = mine.get(shard, NONE).max(theirs.get(shard, NONE))
-                found[shard] = found.get(shard, NONE).plus(count)
-        return {shard: count for shard, count in found.items() if self._folded.counted(shard)}
-
-    def settle(self) -> None:
-        """Drop what the log has."""
-        for life in list(self._lives):
-            if self._folded.forgotten(life) or (life in self._folded.kept() and not self.unfolded(life)):
-                del self._lives[life]
+            reported, logged = self._instances.get(instance, {}), folded.get(instance, {})
+            for shard in {*reported, *logged}:
+                count = reported.get(shard, ZERO).max(logged.get(shard, ZERO))
+                totals[shard] = totals.get(shard, ZERO).plus(count)
+        return {shard: count for shard, count in totals.items() if self._logged.has_shard(shard)}
+
+    def discard_logged(self) -> None:
+        """Drop instances whose counts are all in the log."""
+        for instance in list(self._instances):
+            if self._logged.is_retired(instance) or (
+                instance in self._logged.folded() and not self.unfolded_rows(instance)
+            ):
+                del self._instances[instance]
--- a/molereach/shards/counts/messages.py
+++ b/molereach/shards/counts/messages.py
@@ -1,69 +1,72 @@
-"""What front doors tell one another of their counts: cumulative, so one that is lost costs nothing."""
+"""Messages in which front doors report their counts. All are cumulative, so a lost one does no harm."""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
-from molereach.shards.map.shard_map import MEMBERS, MOST_SHARDS, ShardNumber
+from molereach.shards.map.shard_map import MAX_SHARDS, MEMBER_ID_LIMIT, ShardNumber
 
-MOST_BYTES = 1 << 62  # of one row
-MOST_ROWS = 2 * MOST_SHARDS  # of one life
-MOST_ROWS_TOLD = 256  # in one word
-MOST_NODES = 1024  # of one digest
-MOST_WORD_BYTES = 64 << 10
+MAX_BYTES = 1 << 62  # of one row
+MAX_ROWS = 2 * MAX_SHARDS  # of one instance
+MAX_ROWS_PER_MESSAGE = 256
+MAX_DIGEST_NODES = 1024  # of one digest
+MAX_MESSAGE_BYTES = 64 << 10
 
-Total = Annotated[int, Meta(ge=0, le=MOST_BYTES)]
+Total = Annotated[int, Meta(ge=0, le=MAX_BYTES)]
 
 
-class Row(WireStruct, frozen=True, array_like=True):
-    """Of one shard, since the life began."""
+class CountRow(WireStruct, frozen=True, array_like=True):
+    """The counts of one shard since the instance started."""
 
     shard: ShardNumber
     writes: Total
     bytes: Total
 
 
-Rows = Annotated[tuple[Row, ...], Meta(max_length=MOST_ROWS_TOLD)]
+CountRows = Annotated[tuple[CountRow, ...], Meta(max_length=MAX_ROWS_PER_MESSAGE)]
 
 
-class Told(WireStruct, frozen=True, tag_field="kind", tag="told"):
-    """Counts of one life; also by another front door, that has heard them."""
+class CountReport(WireStruct, frozen=True, tag_field="kind", tag="told"):
+    """Counts of one instance; a front door may also pass on those of another."""
 
-    life: NodeInstance
-    rows: Rows
+    instance: NodeInstance = field(name="life")
+    rows: CountRows
 
 
-class Node(WireStruct, frozen=True, array_like=True):
-    """Of a digest: a range of ids as the dyadic tree numbers it, and what was written in it."""
+class DigestNode(WireStruct, frozen=True, array_like=True):
+    """A node of a digest: a range of IDs by its number in the binary tree, and the bytes written in it."""
 
-    number: Annotated[int, Meta(ge=1, lt=2 * MEMBERS)]
+    number: Annotated[int, Meta(ge=1, lt=2 * MEMBER_ID_LIMIT)]
     weight: Total
 
 
-class Sketch(WireStruct, frozen=True, tag_field="kind", tag="sketch"):
-    """Which members of a shard wrote, as one life saw it, all of it so far."""
+class DigestReport(WireStruct, frozen=True, tag_field="kind", tag="sketch"):
+    """Which members of a shard wrote, as one instance has counted them since its start."""
 
-    life: NodeInstance
+    instance: NodeInstance = field(name="life")
     shard: ShardNumber
-    nodes: Annotated[tuple[Node, ...], Meta(max_length=MOST_NODES)]
+    nodes: Annotated[tuple[DigestNode, ...], Meta(max_length=MAX_DIGEST_NODES)]
 
 
-Word = Told | Sketch
-_DECODER: msgspec.json.Decoder[Word] = msgspec.json.Decoder(Word)
+Message = CountReport | DigestReport
+_DECODER: msgspec.json.Decoder[Message] = msgspec.json.Decoder(Message)
 
 
-def decode(data: bytes) -> Word:
-    """ValueError where it is none."""
-    if len(data) > MOST_WORD_BYTES:
-        raise ValueError("too large for a word")
+def decode(data: bytes) -> Message:
+    """The message in these bytes; ValueError for anything else."""
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError("message exceeds the size limit")
     try:
         return _DECODER.decode(data)
     except msgspec.DecodeError as error:
-        raise ValueError(f"not a word: {error}") from None
+        raise ValueError(f"not a message about counts: {error}") from None
 
 
-def told(life: NodeInstance, rows: tuple[Row, ...]) -> tuple[Told, ...]:
-    """In words that are as large as may be."""
-    return tuple(Told(life, rows[at : at + MOST_ROWS_TOLD]) for at in range(0, len(rows), MOST_ROWS_TOLD))
+def count_reports(instance: NodeInstance, rows: tuple[CountRow, ...]) -> tuple[CountReport, ...]:
+    """Rows in as few reports as possible."""
+    return tuple(
+        CountReport(instance, rows[start : start + MAX_ROWS_PER_MESSAGE])
+        for start in range(0, len(rows), MAX_ROWS_PER_MESSAGE)
+    )
--- a/molereach/shards/counts/recorder.py
+++ b/molereach/shards/counts/recorder.py
@@ -1,7 +1,7 @@
-"""A front door's part: it counts, tells what it counted, and gives the log what it has of lives now over.
+"""A front door's side of counting: it counts writes, reports its counts, and folds instances that ended.
 
-It says `clear` of a fold only once the log has all that is held here of that life and earlier ones of its
-name; so what only this front door has heard is not lost when the life goes into the base.
+A fold is cleared here only once the log has all that this front door knows of the instance and of earlier
+ones of its name. So a report that reached only this front door is not lost when the instance is retired.
 """
 
 from dataclasses import dataclass
@@ -10,118 +10,153 @@
 from molereach.coordination.interface.identifiers import SECOND_US, NodeInstance
 from molereach.coordination.interface.log import Applied, Propose, Restored
 from molereach.shards.counts.bodies import MACHINE, Fold, decode, encode
-from molereach.shards.counts.counter import Counter
-from molereach.shards.counts.machine import Folds
-from molereach.shards.counts.merged_counts import Merged
-from molereach.shards.counts.messages import MOST_ROWS_TOLD, Told, told
+from molereach.shards.counts.counter import WriteCounter
+from molereach.shards.counts.machine import CountsMachine
+from molereach.shards.counts.merged_counts import MergedCounts
+from molereach.shards.counts.messages import MAX_ROWS_PER_MESSAGE, CountReport, count_reports
 
-BEAT_US = 5 * SECOND_US  # between words of what was counted
-AGAIN_US = 10 * SECOND_US  # until a fold without an outcome is proposed anew
-MOST_FOLDS_A_BEAT = 4
+REPORT_INTERVAL_US = 5 * SECOND_US
+RETRY_INTERVAL_US = 10 * SECOND_US  # before a fold without an outcome is proposed again
+MAX_FOLDS_PER_INTERVAL = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
-    """A server of this shard has confirmed a write of so many bytes."""
+class WriteConfirmed:
+    """Event: a backend that keeps this shard has confirmed a write of this size."""
 
     shard: int
     size_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
-class Leader:
-    """Who leads, as far as is known; None for nobody."""
+class LeaderChanged:
+    """Event: the leader as far as it is known; None for no leader."""
 
     name: str | None
 
 
 @dataclass(frozen=True, slots=True)
-class StartAnew:
-    """Action: this life is in the base of the log, and what it counts is not counted any more."""
+class RestartRequired:
+    """Action: the log has retired this instance, so what it counts is ignored; start a new one."""
 
 
-Action = SendMessage | Propose | StartAnew
-Event = Confirmed | Leader | MessageReceived | Applied | Restored | Tick
+Action = SendMessage | Propose | RestartRequired
+Event = WriteConfirmed | LeaderChanged | MessageReceived | Applied | Restored | Tick
 
 
-class DoorCounts:
-    """A core. `clear` is up to where its part of the log's folds is done; `applied` may be beyond."""
+class CountRecorder:
+    """A core that counts this front door's writes, and shares in the counts of all."""
 
-    def __init__(self, me: NodeInstance, folds: Folds, now_us: int) -> None:
-        self.me, self._folds = me, folds
-        self.own, self.merged = Counter(), Merged(folds)
+    def __init__(self, instance: NodeInstance, machine: CountsMachine, now_us: int) -> None:
+        self.instance, self._machine = instance, machine
+        self.counter, self.merged = WriteCounter(), MergedCounts(machine)
         self.leader: str | None = None
-        self.wake_us = now_us + BEAT_US
+        self.wake_us = now_us + REPORT_INTERVAL_US
         self._applied = 0
-        self._owed: dict[
+        self._incomplete: dict[
             NodeInstance, int
-        ] = {}  # folded lives of which the log may lack something: since when
-        self._proposed: dict[NodeInstance, int] = {}
-        self._number = 0
+        ] = {}  # folded instances of which the log may lack something, by the position of the fold
+        self._proposed_us: dict[NodeInstance, int] = {}
+        self._proposals = 0
 
     @property
-    def clear(self) -> int:
-        """The position up to which nothing is owed."""
-        return min([self._applied, *(position - 1 for position in self._owed.values())])
+    def clear_position(self) -> int:
+        """The position up to which the log has what this front door knows of all folded instances."""
+        return min([self._applied, *(position - 1 for position in self._incomplete.values())])
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
+        """Apply one event; the actions to carry out."""
         match event:
-            case Confirmed():
-                self.own.add(event.shard, event.size_bytes)
-            case Leader():
+            case WriteConfirmed():
+                self.counter.add(event.shard, event.size_bytes)
+            case LeaderChanged():
                 self.leader = event.name
             case MessageReceived():
-                if isinstance(event.message, Told):
-                    self.merged.merge(event.message.life, event.message.rows)
+                if isinstance(event.message, CountReport):
+                    self.merged.merge(event.message.instance, event.message.rows)
             case Restored():
                 self._applied = max(self._applied, event.position)
-                self._owed.update({life: event.position for life in self._folds.kept() if self._owes(life)})
+                self._incomplete.update(
+                    {
+                        instance: event.position
+                        for instance in self._machine.folded()
+                        if self._is_incomplete(instance)
+                    }
+                )
             case Applied():
                 self._applied = max(self._applied, event.entry.position)
                 self._on_applied(event)
             case Tick():
-                return self._beat(now_us) if now_us >= self.wake_us else []
+                return self._on_interval(now_us) if now_us >= self.wake_us else []
         return []
 
     def _on_applied(self, event: Applied) -> None:
         if event.entry.machine != MACHINE or event.outcome.error:
             return
         body = decode(event.entry.body)
-        if isinstance(body, Fold) and self._owes(body.life):
-            self._owed.setdefault(body.life, event.entry.position)
-        self._owed = {life: position for life, position in self._owed.items() if self._owes(life)}
-
-    def _owes(self, life: NodeInstance) -> bool:
-        """Whether the log lacks something held here of a folded life, or of an earlier one of its name."""
-        earlier = [each for each in self.merged.lives() if each.name == life.name and each <= life]
-        return any(self.merged.unfolded(each) and not self._folds.forgotten(each) for each in earlier)
-
-    def _beat(self, now_us: int) -> list[Action]:
-        self.wake_us = now_us + BEAT_US
-        self.merged.merge(self.me, self.own.rows())
-        self.merged.settle()
-        self._owed = {life: position for life, position in self._owed.items() if self._owes(life)}
-        said: list[Action] = [StartAnew()] if self._folds.forgotten(self.me) else []
-        if self.leader and self.leader != self.me.name:
-            said += [SendMessage(self.leader, word) for word in told(self.me, self.own.rows())]
-        return said + self._folds_due(now_us)
+        if isinstance(body, Fold) and self._is_incomplete(body.instance):
+            self._incomplete.setdefault(body.instance, event.entry.position)
+        self._incomplete = {
+            instance: position
+            for instance, position in self._incomplete.items()
+            if self._is_incomplete(instance)
+        }
+
+    def _is_incomplete(self, instance: NodeInstance) -> bool:
+        """Whether the log lacks counts known here of a folded instance, or of an earlier one of its name."""
+        earlier = [
+            each for each in self.merged.instances() if each.name == instance.name and each <= instance
+        ]
+        return any(self.merged.unfolded_rows(each) and not self._machine.is_retired(each) for each in earlier)
+
+    def _on_interval(self, now_us: int) -> list[Action]:
+        self.wake_us = now_us + REPORT_INTERVAL_US
+        self.merged.merge(self.instance, self.counter.rows())
+        self.merged.discard_logged()
+        self._incomplete = {
+            instance: position
+            for instance, position in self._incomplete.items()
+            if self._is_incomplete(instance)
+        }
+        actions: list[Action] = [RestartRequired()] if self._machine.is_retired(self.instance) else []
+        if self.leader and self.leader != self.instance.name:
+            actions += [
+                SendMessage(self.leader, report)
+                for report in count_reports(self.instance, self.counter.rows())
+            ]
+        return actions + self._folds_due(now_us)
 
     def _folds_due(self, now_us: int) -> list[Action]:
-        """The leader folds lives that are over; others only what the log lacks of those it has folded."""
-        leads = self.leader == self.me.name
-        found: list[Action] = []
-        for life in self.merged.lives():
-            if len(found) >= MOST_FOLDS_A_BEAT:
+        """Proposals of folds: by the leader for all instances that ended, by others for incomplete folds."""
+        is_leader = self.leader == self.instance.name
+        proposals: list[Action] = []
+        for instance in self.merged.instances():
+            if len(proposals) >= MAX_FOLDS_PER_INTERVAL:
                 break
-            lacking = self.merged.unfolded(life)
-            known = leads or any(each.name == life.name and life <= each for each in self._owed)
-            if life == self.me or not known or not self._folds.over(life) or not lacking:
+            missing = self.merged.unfolded_rows(instance)
+            is_responsible = is_leader or any(
+                each.name == instance.name and instance <= each for each in self._incomplete
+            )
+            if (
+                instance == self.instance
+                or not is_responsible
+                or not self._machine.has_ended(instance)
+                or not missing
+            ):
                 continue
-            if now_us < self._proposed.get(life, -NEVER_US) + AGAIN_US:
+            if now_us < self._proposed_us.get(instance, -NEVER_US) + RETRY_INTERVAL_US:
                 continue
-            self._proposed[life] = now_us
-            self._number += 1
-            id = f"fold-{self.me.name[:20]}-{self.me.number}-{self._number}"
-            found.append(Propose(MACHINE, id, encode(Fold(life, lacking[:MOST_ROWS_TOLD])), AGAIN_US))
-        self._proposed = {life: at for life, at in self._proposed.items() if life in self.merged.lives()}
-        return found
+            self._proposed_us[instance] = now_us
+            self._proposals += 1
+            id = f"fold-{self.instance.name[:20]}-{self.instance.number}-{self._proposals}"
+            proposals.append(
+                Propose(
+                    MACHINE, id, encode(Fold(instance, missing[:MAX_ROWS_PER_MESSAGE])), RETRY_INTERVAL_US
+                )
+            )
+        self._proposed_us = {
+            instance: at_us
+            for instance, at_us in self._proposed_us.items()
+            if instance in self.merged.instances()
+        }
+        return proposals
--- a/molereach/shards/counts/split_point.py
+++ b/molereach/shards/counts/split_point.py
@@ -1,67 +1,69 @@
-"""Where a shard is cut: such that the members' own writes fall to both sides alike.
+"""Where to split a shard, so that half of the bytes that members write fall on each side.
 
-The middle of the range says nothing of them: ids are given out in order, and the newest write most.
+The middle of the ID range would not do: IDs are given out in order, and the newest members write most.
 """
 
 from dataclasses import dataclass
 
 from molereach.shards.counts.qdigest import Digest
 
-MOST_OF_ONE = 0.5  # of a shard's writes; no cut helps where one member has more
+MAX_MEMBER_FRACTION = 0.5  # of a shard's written bytes; no split helps if one member has more
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """At this member, the first of the upper side; `below` is the part of the writes below it."""
+class SplitPoint:
+    """Split at `member`, the first of the upper part; `fraction_below` of the bytes are below it."""
 
     member: int
-    below: float
+    fraction_below: float
 
 
 @dataclass(frozen=True, slots=True)
-class OneMember:
-    """Not cut: one member has this part of all writes."""
+class DominantMember:
+    """No split: one member has written this fraction of all bytes."""
 
     member: int
-    part: float
+    fraction: float
 
 
 @dataclass(frozen=True, slots=True)
-class NoCut:
-    """Not cut, and why."""
+class NoSplitPoint:
+    """No split, for this reason."""
 
-    why: str
+    reason: str
 
 
-def place(digest: Digest, first: int, end: int) -> Cut | OneMember | NoCut:
-    """The cut of a shard that has the members from `first` up to `end`."""
+def find_split_point(digest: Digest, first: int, end: int) -> SplitPoint | DominantMember | NoSplitPoint:
+    """Where to split the shard that has the members from `first` up to `end`."""
     inside = [span for span in digest.spans() if first <= span[0] and span[1] < end]
     total = sum(weight for _, _, weight in inside)
     if not total:
-        return NoCut("no writes are known")
+        return NoSplitPoint("no writes are known")
     low, high, heaviest = max(inside, key=lambda span: span[2])
-    if low == high and heaviest > MOST_OF_ONE * total:
-        return OneMember(low, heaviest / total)
-    member, below = nearest(inside, total, first)
-    return Cut(member, below) if 0 < below < 1 else NoCut("all writes that are known lie together")
+    if low == high and heaviest > MAX_MEMBER_FRACTION * total:
+        return DominantMember(low, heaviest / total)
+    member, below = nearest_to_half(inside, total, first)
+    return SplitPoint(member, below) if 0 < below < 1 else NoSplitPoint("all known writes are in one node")
 
 
-def nearest(inside: list[tuple[int, int, int]], total: int, first: int) -> tuple[int, float]:
-    """The cut between two nodes that comes nearest to half; what spans it counts half to each side."""
-    marks = sorted({cut for low, high, _ in inside for cut in (low, high + 1) if cut > first})
+def nearest_to_half(spans: list[tuple[int, int, int]], total: int, first: int) -> tuple[int, float]:
+    """The node boundary nearest to half of the weight; half of a node across it counts for each side."""
+    boundaries = sorted(
+        {boundary for low, high, _ in spans for boundary in (low, high + 1) if boundary > first}
+    )
     starts, ends = (
-        sorted((low, weight) for low, _, weight in inside),
-        sorted((high + 1, weight) for _, high, weight in inside),
+        sorted((low, weight) for low, _, weight in spans),
+        sorted((high + 1, weight) for _, high, weight in spans),
     )
-    best, begun, ended, at_start, at_end = (first, 0.0), 0, 0, 0, 0
-    for cut in marks:
-        while at_start < len(starts) and starts[at_start][0] < cut:
-            begun += starts[at_start][1]
-            at_start += 1
-        while at_end < len(ends) and ends[at_end][0] <= cut:
-            ended += ends[at_end][1]
-            at_end += 1
-        below = (begun + ended) / (2 * total)
+    best, started, ended, start_index, end_index = (first, 0.0), 0, 0, 0, 0
+    for boundary in boundaries:
+        while start_index < len(starts) and starts[start_index][0] < boundary:
+            started += starts[start_index][1]
+            start_index += 1
+        while end_index < len(ends) and ends[end_index][0] <= boundary:
+            ended += ends[end_index][1]
+            end_index += 1
+        below = (started + ended) / (2 * total)
         if abs(below - 0.5) < abs(best[1] - 0.5):
-            best = (cut, below)
+            best = (boundary, below)
     return best
--- a/molereach/shards/counts/watched_digests.py
+++ b/molereach/shards/counts/watched_digests.py
@@ -1,55 +1,63 @@
-"""Digests of the shards that are watched, by life: the largest of a life holds, as a life's only grows.
+"""Digests of the watched shards, by instance. They only grow, so an instance's heaviest report is kept.
 
-They are kept for few shards: for those that are likely to be cut next.
+Only a few shards are watched: those that are likely to be split next.
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.shards.counts.messages import Node, Sketch
+from molereach.shards.counts.messages import DigestNode, DigestReport
 from molereach.shards.counts.qdigest import Digest
 
-MOST_WATCHED = 8
-MOST_SKETCHES = 2048  # of all lives and watched shards
+MAX_WATCHED_SHARDS = 8
+MAX_REPORTED_DIGESTS = 2048  # over all instances and watched shards
 
 
-class Sketches:
-    """One front door's own, and those it has heard."""
+class WatchedDigests:
+    """This front door's digests, and those that others reported."""
 
-    def __init__(self, me: NodeInstance) -> None:
-        self._me = me
-        self._own: dict[int, Digest] = {}
-        self._heard: dict[int, dict[NodeInstance, tuple[Node, ...]]] = {}
+    def __init__(self, instance: NodeInstance) -> None:
+        self._instance = instance
+        self._local: dict[int, Digest] = {}
+        self._reported: dict[int, dict[NodeInstance, tuple[DigestNode, ...]]] = {}
 
     def watch(self, shards: tuple[int, ...]) -> None:
-        """These, the first `MOST_WATCHED`; what is kept of others goes."""
-        wanted = shards[:MOST_WATCHED]
-        self._own = {shard: self._own.get(shard) or Digest() for shard in wanted}
-        self._heard = {shard: self._heard.get(shard, {}) for shard in wanted}
+        """Watch the first `MAX_WATCHED_SHARDS` of these, and drop the digests of all others."""
+        watched = shards[:MAX_WATCHED_SHARDS]
+        self._local = {shard: self._local.get(shard) or Digest() for shard in watched}
+        self._reported = {shard: self._reported.get(shard, {}) for shard in watched}
 
     def add(self, shard: int, member: int, size_bytes: int) -> None:
-        if shard in self._own:
-            self._own[shard].add(member, size_bytes)
-
-    def heard(self, sketch: Sketch) -> None:
-        lives = self._heard.get(sketch.shard)
-        if lives is None or sketch.life == self._me:
+        """Add a write; ignored unless the shard is watched."""
+        if shard in self._local:
+            self._local[shard].add(member, size_bytes)
+
+    def merge(self, report: DigestReport) -> None:
+        """Keep another instance's report if it is heavier than the last one."""
+        by_instance = self._reported.get(report.shard)
+        if by_instance is None or report.instance == self._instance:
             return
-        before = lives.get(sketch.life, ())
-        held = sum(len(each) for each in self._heard.values())
-        if (sketch.life in lives or held < MOST_SKETCHES) and _weight(sketch.nodes) > _weight(before):
-            lives[sketch.life] = sketch.nodes
-
-    def told(self) -> tuple[Sketch, ...]:
-        return tuple(Sketch(self._me, shard, digest.told()) for shard, digest in self._own.items())
-
-    def of(self, shard: int) -> Digest:
-        """All that is known of a shard."""
-        found = Digest()
-        if shard in self._own:
-            found.join(self._own[shard].told())
-        for life in sorted(self._heard.get(shard, {})):
-            found.join(self._heard[shard][life])
-        return found
-
-
-def _weight(nodes: tuple[Node, ...]) -> int:
+        before = by_instance.get(report.instance, ())
+        total = sum(len(each) for each in self._reported.values())
+        if (report.instance in by_instance or total < MAX_REPORTED_DIGESTS) and _total_weight(
+            report.nodes
+        ) > _total_weight(before):
+            by_instance[report.instance] = report.nodes
+
+    def reports(self) -> tuple[DigestReport, ...]:
+        """This front door's digests, to be sent to others."""
+        return tuple(
+            DigestReport(self._instance, shard, digest.nodes_to_report())
+            for shard, digest in self._local.items()
+        )
+
+    def merged(self, shard: int) -> Digest:
+        """All that is known of a shard, as one digest."""
+        digest = Digest()
+        if shard in self._local:
+            digest.merge(self._local[shard].nodes_to_report())
+        for instance in sorted(self._reported.get(shard, {})):
+            digest.merge(self._reported[shard][instance])
+        return digest
+
+
+def _total_weight(nodes: tuple[DigestNode, ...]) -> int:
     return sum(node.weight for node in nodes)
--- a/molereach/shards/forecast/__init__.py
+++ b/molereach/shards/forecast/__init__.py
@@ -1,6 +1,6 @@
-"""How large each shard will be, with an interval: for a process of its own, never for a front door's.
+"""Forecast of each shard's size, with an interval. It runs in a process of its own, never in a front door's.
 
-Read `growth` (bytes a day from what was counted), `effects` (week, khareef, tariffs), `changes` (where a
-tariff's change is found), `model` (the structural model and its paths) and `outlook` (quantiles, and why they
-are wide).
+Read `growth` (bytes per day from the counts), `effects` (weekday, khareef, tariffs), `step_changes`
+(detection of tariff changes), `model` (the structural time series and its simulated paths) and
+`size_forecast` (quantiles, and the reasons for a wide interval).
 """
--- a/molereach/shards/forecast/effects.py
+++ b/molereach/shards/forecast/effects.py
@@ -1,5 +1,5 @@
-"""What a day is: its weekday, whether it is in the khareef (21 June to 21 September), and after which changes
-of a tariff. Each is a column, whose weight is learned with its own uncertainty."""
+"""Regressors of the growth model: the weekday, the khareef (the monsoon season, 21 June to 21 September) and
+tariff changes. Each is a column, whose coefficient is estimated with its own uncertainty."""
 
 from collections.abc import Sequence
 from datetime import date
@@ -9,38 +9,41 @@
 from molereach.shards.forecast.growth import Floats
 
 KHAREEF = ((6, 21), (9, 21))  # first and last month and day
-LEAST_SEEN_DAYS = 21  # of the khareef, and outside of it, before its weight is learned
+MIN_KNOWN_DAYS = 21  # inside the khareef and outside of it, before its coefficient is estimated
 
 
 def in_khareef(day: int) -> bool:
-    when = date.fromordinal(day)
-    return KHAREEF[0] <= (when.month, when.day) <= KHAREEF[1]
+    """Whether a day, as `date.toordinal` counts it, is in the khareef."""
+    calendar_date = date.fromordinal(day)
+    return KHAREEF[0] <= (calendar_date.month, calendar_date.day) <= KHAREEF[1]
 
 
 def khareef_column(days: Sequence[int]) -> Floats:
+    """1 for each day in the khareef, else 0."""
     return np.array([1.0 if in_khareef(day) else 0.0 for day in days])
 
 
 def week_columns(days: Sequence[int]) -> Floats:
-    """Six that sum to nothing over a week."""
-    found = np.zeros((len(days), 6))
-    for at, day in enumerate(days):
+    """Six columns for the weekdays, each with the sum 0 over a week."""
+    columns = np.zeros((len(days), 6))
+    for row, day in enumerate(days):
         if day % 7 == 6:
-            found[at] = -1.0
+            columns[row] = -1.0
         else:
-            found[at, day % 7] = 1.0
-    return found
+            columns[row, day % 7] = 1.0
+    return columns
 
 
-def columns(days: Sequence[int], khareef: bool, changes: Sequence[int]) -> Floats:
-    parts = [week_columns(days)]
+def effect_columns(days: Sequence[int], khareef: bool, changes: Sequence[int]) -> Floats:
+    """All regressors: the week, the khareef if it is asked for, and a step from the day of each change on."""
+    columns = [week_columns(days)]
     if khareef:
-        parts.append(khareef_column(days)[:, None])
-    parts += [np.array([1.0 if day >= change else 0.0 for day in days])[:, None] for change in changes]
-    return np.hstack(parts)
+        columns.append(khareef_column(days)[:, None])
+    columns += [np.array([1.0 if day >= change else 0.0 for day in days])[:, None] for change in changes]
+    return np.hstack(columns)
 
 
-def khareef_seen(days: Sequence[int], known: Floats) -> bool:
-    """Whether enough of both was seen to learn how they differ."""
+def khareef_observed(days: Sequence[int], known: Floats) -> bool:
+    """Whether enough days inside and outside the khareef are known to estimate its effect."""
     inside = khareef_column(days)[known.astype(bool)]
-    return bool(min(inside.sum(), len(inside) - inside.sum()) >= LEAST_SEEN_DAYS)
+    return bool(min(inside.sum(), len(inside) - inside.sum()) >= MIN_KNOWN_DAYS)
--- a/molereach/shards/forecast/growth.py
+++ b/molereach/shards/forecast/growth.py
@@ -1,5 +1,7 @@
-"""Bytes written on each day, from counts read once a day: gaps, and counters that started anew, are unknown
-days and not days without growth."""
+"""Bytes written per day, from counts that are read once a day.
+
+Days without a reading and days on which a counter restarted are unknown, not days without growth.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,36 +9,36 @@
 import numpy as np
 from numpy.typing import NDArray
 
-MOST_DAYS = 800  # of history that is looked at
-LEAST_BYTES = 1.0  # of a day, so that it has a logarithm
+MAX_HISTORY_DAYS = 800  # older readings are ignored
+MIN_DAILY_BYTES = 1.0  # so that each day has a logarithm
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True, slots=True)
-class Growth:
-    """`log` is of the bytes of each day, NaN where they are not known."""
+class DailyGrowth:
+    """The natural logarithm of each day's bytes, NaN for an unknown day."""
 
     first_day: int  # as `date.toordinal`
-    log: Floats
+    log_bytes: Floats
     gaps: int
     restarts: int
 
 
-def growth(first_day: int, counts: Sequence[int | None]) -> Growth:
-    """Of cumulative counts, one a day, None where there was none.
+def daily_growth(first_day: int, counts: Sequence[int | None]) -> DailyGrowth:
+    """The growth by cumulative counts, one a day, None for a day without a reading.
 
-    A count below the one before is of a counter that started anew: how much that day wrote is not known.
+    A count below the one before comes from a counter that restarted: the bytes of that day are unknown.
     """
-    counts, first_day = counts[-MOST_DAYS:], first_day + max(0, len(counts) - MOST_DAYS)
-    found = np.full(max(0, len(counts) - 1), np.nan)
+    counts, first_day = counts[-MAX_HISTORY_DAYS:], first_day + max(0, len(counts) - MAX_HISTORY_DAYS)
+    log_bytes = np.full(max(0, len(counts) - 1), np.nan)
     gaps = restarts = 0
     for day in range(1, len(counts)):
-        before, now = counts[day - 1], counts[day]
-        if before is None or now is None:
+        previous, current = counts[day - 1], counts[day]
+        if previous is None or current is None:
             gaps += 1
-        elif now < before:
+        elif current < previous:
             restarts += 1
         else:
-            found[day - 1] = np.log(max(LEAST_BYTES, now - before))
-    return Growth(first_day + 1, found, gaps, restarts)
+            log_bytes[day - 1] = np.log(max(MIN_DAILY_BYTES, current - previous))
+    return DailyGrowth(first_day + 1, log_bytes, gaps, restarts)
--- a/molereach/shards/map/__init__.py
+++ b/molereach/shards/map/__init__.py
@@ -1,5 +1,5 @@
-"""Which cell keeps which members, by version.
+"""The versioned map from member IDs to shards and from shards to cells.
 
-Read `pieces` (a map and its soundness), `lookup` (where a member is), `cutting` (the next version),
-`delta` (what changed) and `history` (news for who has an older version).
+Read `shard_map` (the map and its validity), `shard_lookup` (the shard of a member), `range_split` (the next
+version), `delta` (the difference between versions) and `history` (updates for readers of an older version).
 """
--- a/molereach/shards/map/history.py
+++ b/molereach/shards/map/history.py
@@ -1,34 +1,34 @@
-"""The map as it is now, and the last changes to it: for who has an older version."""
+"""The current map and its latest changes, from which readers of an older version are updated."""
 
 from collections import deque
 
-from molereach.shards.map.delta import Delta, between
-from molereach.shards.map.shard_map import ShardMap, unsound
+from molereach.shards.map.delta import Delta, delta_between
+from molereach.shards.map.shard_map import ShardMap, map_error
 
-MOST_DELTAS = 64  # that are kept; who is further behind is given the whole map
+MAX_DELTAS = 64  # a reader that is further behind gets the complete map
 
 
-class History:
-    """Versions only grow."""
+class MapHistory:
+    """The current map, with the deltas that led to it. Versions only grow."""
 
-    def __init__(self, found: ShardMap) -> None:
-        if said := unsound(found):
-            raise ValueError(said)
-        self.map = found
-        self._deltas: deque[Delta] = deque(maxlen=MOST_DELTAS)
+    def __init__(self, initial: ShardMap) -> None:
+        if error := map_error(initial):
+            raise ValueError(error)
+        self.map = initial
+        self._deltas: deque[Delta] = deque(maxlen=MAX_DELTAS)
 
-    def put(self, found: ShardMap) -> None:
-        """Take a later version; ValueError where it is not sound or not later."""
-        if said := unsound(found):
-            raise ValueError(said)
-        self._deltas.append(between(self.map, found))
-        self.map = found
+    def append(self, later: ShardMap) -> None:
+        """Make a later version current; ValueError if it is not valid or not later."""
+        if error := map_error(later):
+            raise ValueError(error)
+        self._deltas.append(delta_between(self.map, later))
+        self.map = later
 
-    def news(self, version: int) -> tuple[Delta, ...] | ShardMap:
-        """What leads from `version` to the map as it is: deltas in order, or the whole map."""
+    def changes_since(self, version: int) -> tuple[Delta, ...] | ShardMap:
+        """What updates `version` to the current map: deltas in order, or the complete map."""
         if version == self.map.version:
             return ()
-        found = tuple(delta for delta in self._deltas if delta.since >= version)
-        if not found or found[0].since != version:
+        deltas = tuple(delta for delta in self._deltas if delta.since >= version)
+        if not deltas or deltas[0].since != version:
             return self.map
-        return found
+        return deltas
--- a/molereach/shards/map/range_split.py
+++ b/molereach/shards/map/range_split.py
@@ -1,35 +1,39 @@
-"""The next version of a map: one shard cut in two, the upper part to another cell of its building.
+"""The next version of a map: one shard is split, and its upper part goes to another cell of its building.
 
-The lower part keeps the number, and what was counted for it less what moved; the upper has a new one.
+The lower part keeps the shard's number, and its counted size less the bytes that moved; the upper part gets a
+new number.
 """
 
-from molereach.shards.map.shard_map import MOST_SHARDS, Home, Piece, ShardMap
+from molereach.shards.map.shard_map import MAX_SHARDS, CellId, ShardMap, ShardRange
 
 
-def wrong(found: ShardMap, shard: int, cut: int, to: Home) -> str:
-    """Why this cut cannot be, in one line; empty where it can."""
-    index = found.find(shard)
+def split_error(shard_map: ShardMap, shard: int, split_point: int, target: CellId) -> str:
+    """Why a shard can't be split at this member, in one line; empty if it can.
+
+    The text becomes the outcome of a log entry, so it names fields as they are encoded.
+    """
+    index = shard_map.index_of(shard)
     if index is None:
         return f"shard: no shard {shard}"
-    piece = found.pieces[index]
-    if not piece.first < cut < found.end(index):
-        return f"cut: {cut} leaves a part of {shard} empty"
-    if len(found.pieces) >= MOST_SHARDS:
-        return f"pieces: more than {MOST_SHARDS}"
-    if to.building != piece.home.building:
-        return f"to: not in {piece.home.building}"
-    if to == piece.home:
-        return f"to: {to.cell} has the shard already"
+    current = shard_map.ranges[index]
+    if not current.first < split_point < shard_map.range_end(index):
+        return f"cut: {split_point} leaves a part of {shard} empty"
+    if len(shard_map.ranges) >= MAX_SHARDS:
+        return f"pieces: more than {MAX_SHARDS}"
+    if target.building != current.cell.building:
+        return f"to: not in {current.cell.building}"
+    if target == current.cell:
+        return f"to: {target.name} has the shard already"
     return ""
 
 
-def after(found: ShardMap, shard: int, cut: int, to: Home) -> ShardMap:
-    """The version after the cut; ValueError where it cannot be."""
-    if said := wrong(found, shard, cut, to):
-        raise ValueError(said)
-    index = found.find(shard)
+def split_map(shard_map: ShardMap, shard: int, split_point: int, target: CellId) -> ShardMap:
+    """The version after the split; ValueError if the shard can't be split there."""
+    if error := split_error(shard_map, shard, split_point, target):
+        raise ValueError(error)
+    index = shard_map.index_of(shard)
     assert index is not None
-    piece, last = found.pieces[index], found.last_shard
-    halves = (piece, Piece(cut, last + 1, to))
-    pieces = (*found.pieces[:index], *halves, *found.pieces[index + 1 :])
-    return ShardMap(found.version + 1, pieces, last + 1)
+    current, last = shard_map.ranges[index], shard_map.last_shard
+    halves = (current, ShardRange(split_point, last + 1, target))
+    ranges = (*shard_map.ranges[:index], *halves, *shard_map.ranges[index + 1 :])
+    return ShardMap(shard_map.version + 1, ranges, last + 1)
--- a/molereach/shards/map/shard_map.py
+++ b/molereach/shards/map/shard_map.py
@@ -1,68 +1,71 @@
-"""A map of members to shards: ranges of ids, each kept by one cell.
+"""The map from member IDs to shards: contiguous ID ranges, each kept by one cell.
 
-A map is sound when each member is in exactly one shard: the first range begins at 0, each ends where the next
-begins, the last at `MEMBERS`. The number of a shard is never given to another.
+A map is valid when each member is in exactly one shard: the first range starts at 0, each ends where the next
+starts, and the last ends at `MEMBER_ID_LIMIT`. A shard's number is never reused for another shard.
 """
 
 from typing import Annotated
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.identifiers import Name, WireStruct
 
-MEMBERS = 1 << 33  # ids are below
-MOST_SHARDS = 512  # of one map
-MOST_NUMBER = 1 << 40  # of a shard, and of a version
+MEMBER_ID_LIMIT = 1 << 33  # exclusive
+MAX_SHARDS = 512  # of one map
+NUMBER_LIMIT = 1 << 40  # exclusive, for shard numbers and for map versions
 
-Member = Annotated[int, Meta(ge=0, lt=MEMBERS)]
-ShardNumber = Annotated[int, Meta(ge=1, lt=MOST_NUMBER)]
-Version = Annotated[int, Meta(ge=0, lt=MOST_NUMBER)]
+MemberId = Annotated[int, Meta(ge=0, lt=MEMBER_ID_LIMIT)]
+ShardNumber = Annotated[int, Meta(ge=1, lt=NUMBER_LIMIT)]
+MapVersion = Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
 
 
-class Home(WireStruct, frozen=True, order=True, array_like=True):
-    """The cell whose servers keep a shard, and the building that it is in."""
+class CellId(WireStruct, frozen=True, order=True, array_like=True):
+    """A cell, whose servers may keep shards, and the building that it is in."""
 
     building: Name
-    cell: Name
+    name: Name
 
 
-class Piece(WireStruct, frozen=True, array_like=True):
-    """A shard: the members from `first` up to where the next piece begins."""
+class ShardRange(WireStruct, frozen=True, array_like=True):
+    """The members of one shard: from `first` up to the start of the next range."""
 
-    first: Member
+    first: MemberId
     shard: ShardNumber
-    home: Home
+    cell: CellId
 
 
-Pieces = Annotated[tuple[Piece, ...], Meta(max_length=MOST_SHARDS)]
+ShardRanges = Annotated[tuple[ShardRange, ...], Meta(max_length=MAX_SHARDS)]
 
 
 class ShardMap(WireStruct, frozen=True):
-    """All pieces at one version, by their first member."""
+    """All ranges of one version, in the order of their first members."""
 
-    version: Version
-    pieces: Pieces
+    version: MapVersion
+    ranges: ShardRanges = field(name="pieces")
     last_shard: ShardNumber  # the highest number that any version up to this one has used
 
-    def end(self, index: int) -> int:
-        """The first member that is not in the piece any more."""
-        return self.pieces[index + 1].first if index + 1 < len(self.pieces) else MEMBERS
+    def range_end(self, index: int) -> int:
+        """The end of the range at an index, exclusive."""
+        return self.ranges[index + 1].first if index + 1 < len(self.ranges) else MEMBER_ID_LIMIT
 
-    def find(self, shard: int) -> int | None:
-        """The index of a shard's piece."""
-        return next((index for index, piece in enumerate(self.pieces) if piece.shard == shard), None)
+    def index_of(self, shard: int) -> int | None:
+        """The index of a shard's range; None if the map has no such shard."""
+        return next((index for index, each in enumerate(self.ranges) if each.shard == shard), None)
 
 
-def unsound(found: ShardMap) -> str:
-    """Why not each member is in exactly one shard, in one line; empty where each is."""
-    firsts = [piece.first for piece in found.pieces]
+def map_error(shard_map: ShardMap) -> str:
+    """Why a map is not valid, in one line; empty for a valid map.
+
+    The text becomes the outcome of a log entry, so it names fields as they are encoded.
+    """
+    firsts = [each.first for each in shard_map.ranges]
     if not firsts or firsts[0] != 0:
         return "pieces: the first must begin at 0"
     if firsts != sorted(set(firsts)):
         return "pieces: not in order"
-    shards = {piece.shard for piece in found.pieces}
+    shards = {each.shard for each in shard_map.ranges}
     if len(shards) != len(firsts):
         return "pieces: a shard is there twice"
-    if max(shards) > found.last_shard:
+    if max(shards) > shard_map.last_shard:
         return "last_shard: below a shard's number"
     return ""
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -1,7 +1,8 @@
-"""The proof that each front door has an entry: whom it must name, and what is wrong with one.
+"""The proof that an entry holds at every front door: what it must contain, and how it is checked.
 
 Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7: a change goes ahead once each cache has
-acknowledged it or its lease is over. A proof is words by the fences of sessions, the fewest bytes.
+acknowledged it or its lease has expired. A proof names sessions by their fencing tokens, which takes the
+fewest bytes.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,63 +13,73 @@
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession
 
 
-class Word(WireStruct, frozen=True, array_like=True):
-    """Of one session: what `Accounted` says."""
+class SessionClearance(WireStruct, frozen=True, array_like=True):
+    """The clearance of one session, as `NodeClearance` describes that of a front door."""
 
-    fence: Position
-    known: ClearanceEvidence
+    fencing_token: Position
+    evidence: ClearanceEvidence
     position: Position
 
 
 class SessionsAt(Protocol):
-    """Of the state machine "sessions", as the log has it at the same position."""
+    """The state machine "sessions" as of the same position of the log."""
 
-    def active_session(self, name: str) -> ActiveSession | None: ...
+    def active_session(self, name: str) -> ActiveSession | None:
+        """The open session of a name."""
 
     def last_ended_session(self, name: str) -> EndedSession | None:
-        """What ended last of a name."""
+        """The session of a name that ended last."""
 
     def latest_instance(self, name: str) -> NodeInstance | None:
-        """The highest life of a name that had a session."""
+        """The highest instance of a name that has had a session."""
 
-    def all_open(self) -> list[ActiveSession]: ...
+    def active_sessions(self) -> list[ActiveSession]:
+        """All open sessions."""
 
     def sessions_open_at(self, position: int) -> Iterable[ActiveSession | EndedSession]:
-        """Those that were open when this position was applied, as they stand now."""
+        """The sessions that were open when this position was applied, in their state of now."""
 
 
-def fault(words: Sequence[Word], sessions: SessionsAt, begun: int, may_be_over: bool = True) -> str:
-    """What is missing, in one line; empty for a full proof that the entry at `begun` is known everywhere.
+def proof_error(
+    proof: Sequence[SessionClearance],
+    sessions: SessionsAt,
+    entry_position: int,
+    may_be_expired: bool = True,
+) -> str:
+    """What a proof for the entry at a position lacks, in one line; empty for a complete proof.
 
-    A front door whose session is over takes no part, and is turned away by the servers; with `may_be_over`
-    false it must be accounted for by itself, or by a new life.
+    The text becomes the outcome of a log entry. A front door whose session has expired serves nothing, and
+    backends reject its requests; with `may_be_expired` false that is not enough: it must have reported, left,
+    or run as a newer instance.
     """
-    by_fence = {word.fence: word for word in words}
-    for session in sessions.sessions_open_at(begun):
-        word, name = by_fence.get(session.fencing_token), session.instance.name
-        if word is None:
+    by_token = {clearance.fencing_token: clearance for clearance in proof}
+    for session in sessions.sessions_open_at(entry_position):
+        clearance, name = by_token.get(session.fencing_token), session.instance.name
+        if clearance is None:
             return f"no word of {name}"
-        if word.known is ClearanceEvidence.REPORTED:
-            if word.position < begun:
-                return f"{name} has said {word.position} of {begun}"
+        if clearance.evidence is ClearanceEvidence.REPORTED:
+            if clearance.position < entry_position:
+                return f"{name} has said {clearance.position} of {entry_position}"
             continue
         if isinstance(session, ActiveSession):
             return f"{name} has a session and has not said so"
-        if (word.known, word.position) != (session.evidence, session.position):
+        if (clearance.evidence, clearance.position) != (session.evidence, session.position):
             return f"{name} is {session.evidence.value} by {session.position}"
-        if session.evidence is ClearanceEvidence.SESSION_EXPIRED and not may_be_over:
-            later = sessions.latest_instance(name)
-            if later is None or later == session.instance:
+        if session.evidence is ClearanceEvidence.SESSION_EXPIRED and not may_be_expired:
+            latest = sessions.latest_instance(name)
+            if latest is None or latest == session.instance:
                 return f"{name} may come back"
     return ""
 
 
-def pack(sessions: SessionsAt, begun: int, accounted: Iterable[NodeClearance]) -> tuple[Word, ...]:
-    """As it goes into an entry: the words of an account, with the fences of the sessions that they are of."""
-    by_life = {each.instance: each for each in accounted}
-    found = []
-    for session in sessions.sessions_open_at(begun):
-        one = by_life.get(session.instance)
-        if one is not None:
-            found.append(Word(session.fencing_token, one.evidence, one.position))
-    return tuple(found)
+def build_proof(
+    sessions: SessionsAt, entry_position: int, clearances: Iterable[NodeClearance]
+) -> tuple[SessionClearance, ...]:
+    """The clearances of front doors as a proof for an entry, by the fencing tokens of their sessions."""
+    by_instance = {each.instance: each for each in clearances}
+    proof = []
+    for session in sessions.sessions_open_at(entry_position):
+        clearance = by_instance.get(session.instance)
+        if clearance is not None:
+            proof.append(SessionClearance(session.fencing_token, clearance.evidence, clearance.position))
+    return tuple(proof)
--- a/molereach/shards/schedule/__init__.py
+++ b/molereach/shards/schedule/__init__.py
@@ -1,5 +1,6 @@
-"""When the split of a shard begins, so that it is over before the shard is full.
+"""When the split of a shard starts, so that it ends before the shard is full.
 
-Read `full` (from a forecast to dates), `takes` (how long a split takes, and its error), `open_times` (what
-upkeep leaves) and `calendar` (which begin, in which order, and what is said at once).
+Read `deadline` (from a forecast to dates), `duration` (how long a split takes, with a margin), `free_windows`
+(the times at which upkeep leaves both cells free) and `planner` (which splits start, in which order, and
+which will be late).
 """
--- a/molereach/shards/schedule/deadline.py
+++ b/molereach/shards/schedule/deadline.py
@@ -1,55 +1,56 @@
-"""When a shard is full, by a forecast's upper bound: by its middle, half of all would be full sooner."""
+"""When a shard is full, by its forecast's upper bound: half of all shards are full before the median says."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from typing import Protocol
 
-SPARE_DAYS = 4  # the day itself, one look a day, and the one in twenty in which the bound fails by days
+MARGIN_DAYS = 4  # the day itself, planning once a day, and the 1 in 20 in which the bound is days too late
 
 
-class Sizes(Protocol):
-    """Of a forecast: what this needs."""
+class ForecastSizes(Protocol):
+    """The part of a forecast that is needed here."""
 
     @property
     def first_day(self) -> int:
-        """As `date.toordinal`."""
+        """The first day, as `date.toordinal`."""
 
     @property
-    def middle(self) -> Sequence[float]:
+    def median(self) -> Sequence[float]:
         """Bytes at the end of each day: the median."""
 
     @property
     def high(self) -> Sequence[float]:
-        """The upper bound: the quantile at 0.95."""
+        """Bytes at the end of each day: the quantile at 0.95."""
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """The first day at whose end the shard may be full, and the one at which it is as likely as not.
+class FullDates:
+    """The first day at whose end the shard may be full, by the upper bound, and the same by the median.
 
-    None where that is not within the forecast.
+    None for a day beyond the forecast.
     """
 
-    may_be: int | None
+    possible: int | None
     likely: int | None
 
     @property
     def deadline_day(self) -> float | None:
-        """When its split is to be over at the latest."""
-        return None if self.may_be is None else float(self.may_be - SPARE_DAYS)
+        """When the split must have ended."""
+        return None if self.possible is None else float(self.possible - MARGIN_DAYS)
 
 
-def bound(sizes: Sizes) -> Sequence[float]:
-    """What the schedule goes by."""
+def upper_bound(sizes: ForecastSizes) -> Sequence[float]:
+    """The sizes by which splits are scheduled."""
     return sizes.high
 
 
-def full(sizes: Sizes, capacity_bytes: float) -> Full:
-    return Full(
-        _first(sizes.first_day, bound(sizes), capacity_bytes),
-        _first(sizes.first_day, sizes.middle, capacity_bytes),
+def full_dates(sizes: ForecastSizes, capacity_bytes: float) -> FullDates:
+    """The days on which the shard reaches its capacity."""
+    return FullDates(
+        _first_full_day(sizes.first_day, upper_bound(sizes), capacity_bytes),
+        _first_full_day(sizes.first_day, sizes.median, capacity_bytes),
     )
 
 
-def _first(first_day: int, sizes: Sequence[float], capacity_bytes: float) -> int | None:
-    return next((first_day + at for at, size in enumerate(sizes) if size >= capacity_bytes), None)
+def _first_full_day(first_day: int, sizes: Sequence[float], capacity_bytes: float) -> int | None:
+    return next((first_day + index for index, size in enumerate(sizes) if size >= capacity_bytes), None)
--- a/molereach/shards/schedule/free_windows.py
+++ b/molereach/shards/schedule/free_windows.py
@@ -1,54 +1,59 @@
-"""When both cells of a split are free of upkeep: the rooms that are left."""
+"""Time windows in which both cells of a split are free of upkeep."""
 
 from typing import Protocol
 
-from molereach.shards.map.shard_map import Home
+from molereach.shards.map.shard_map import CellId
 
 
-class Rooms(Protocol):
-    """Of upkeep's plan: when it has a cell, as far as it is planned."""
+class CellAvailability(Protocol):
+    """The plan of upkeep, as far as it goes: when it leaves a cell free."""
 
-    def next_free(self, home: Home, from_day: float) -> tuple[float, float]:
-        """The first time from `from_day` on at which the cell is free, and until when. A time that has no end
-        goes to infinity."""
+    def next_free(self, cell: CellId, from_day: float) -> tuple[float, float]:
+        """The first time from `from_day` on at which the cell is free, and the end of that window.
+
+        The end is infinity if nothing is planned after it.
+        """
 
 
 class AlwaysFree:
-    """Where there is no upkeep."""
+    """The plan of a site without upkeep."""
 
-    def next_free(self, home: Home, from_day: float) -> tuple[float, float]:
+    def next_free(self, cell: CellId, from_day: float) -> tuple[float, float]:
+        """Free from now on, without an end."""
         return from_day, float("inf")
 
 
-MOST_LOOKS = 256  # into the plan of upkeep, for one room
+MAX_LOOKUPS = 256  # in the plan of upkeep, for one window
 
 
-def first_room(rooms: Rooms, homes: tuple[Home, ...], from_day: float, days: float) -> float | None:
-    """The first time from then on at which all cells are free for so long; None where none is found."""
-    at = from_day
-    for _ in range(MOST_LOOKS):
-        spans = [rooms.next_free(home, at) for home in homes]
-        start, end = max(span[0] for span in spans), min(span[1] for span in spans)
+def first_window(
+    availability: CellAvailability, cells: tuple[CellId, ...], from_day: float, days: float
+) -> float | None:
+    """The first start, from `from_day` on, from which all cells are free for `days`; None if not found."""
+    day = from_day
+    for _ in range(MAX_LOOKUPS):
+        windows = [availability.next_free(cell, day) for cell in cells]
+        start, end = max(window[0] for window in windows), min(window[1] for window in windows)
         if start + days <= end:
             return start
-        if max(start, end) <= at:  # a plan that says neither when it is free nor when it is not
+        if max(start, end) <= day:  # an inconsistent plan: the window ends where it starts
             return None
-        at = max(start, end)
+        day = max(start, end)
     return None
 
 
-def last_room(
-    rooms: Rooms, homes: tuple[Home, ...], from_day: float, until_day: float, days: float
+def last_window(
+    availability: CellAvailability, cells: tuple[CellId, ...], from_day: float, until_day: float, days: float
 ) -> float | None:
-    """The last time at which all cells are free for so long, and it is over by `until_day`."""
-    best, at = None, from_day
-    for _ in range(MOST_LOOKS):
-        start = first_room(rooms, homes, at, days)
+    """The latest start from which all cells are free for `days`, ending by `until_day`; None if not found."""
+    latest, day = None, from_day
+    for _ in range(MAX_LOOKUPS):
+        start = first_window(availability, cells, day, days)
         if start is None or start + days > until_day:
-            return best
-        ends = min(rooms.next_free(home, start)[1] for home in homes)
-        best = min(ends, until_day) - days
-        if ends >= until_day:
-            return best
-        at = ends
-    return best
+            return latest
+        end = min(availability.next_free(cell, start)[1] for cell in cells)
+        latest = min(end, until_day) - days
+        if end >= until_day:
+            return latest
+        day = end
+    return latest
--- a/molereach/shards/schedule/planner.py
+++ b/molereach/shards/schedule/planner.py
@@ -1,106 +1,117 @@
-"""Which splits begin now, in which order, and which come too late: one at a time in each building.
+"""Which splits start now, in which order, and which will be late; one at a time in each building.
 
-Backward scheduling: from the one that is full last to the first, each is put into the last room that is over
-before its date and before the next one begins; so a building's splits go in the order of their dates, each as
-late as it may, as a forecast nearer by is better and a split that was not needed is not begun. Source:
-Jackson (1955), earliest due date first, which is late only where every order is.
+Backward scheduling: from the latest deadline to the earliest, each split gets the last free window that ends
+before its deadline and before the next split starts. So the splits of a building run in the order of their
+deadlines, each as late as possible: a nearer forecast is more accurate, and a split that turns out to be
+needless is not started. Source: Jackson (1955), earliest due date first, which is late only if every order
+is.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from itertools import groupby
 
-from molereach.shards.map.shard_map import Home
-from molereach.shards.schedule.free_windows import Rooms, first_room, last_room
+from molereach.shards.map.shard_map import CellId
+from molereach.shards.schedule.free_windows import CellAvailability, first_window, last_window
 
-MOST_WANTED = 512
-AHEAD_DAYS = 1.0  # what begins before the next look begins now
+MAX_REQUESTS = 512
+LOOKAHEAD_DAYS = 1.0  # what would start before the next daily planning starts now
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """A shard to be split: when it may be full, by the upper bound, and how long the split takes at most."""
+class SplitRequest:
+    """A shard to be split: its cells, its deadline, and how long the split takes at most."""
 
     shard: int
-    home: Home
-    to: Home
-    full_day: float
+    source: CellId
+    target: CellId
+    deadline_day: float
     days: float
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
-    """When a split begins at the latest."""
+class ScheduledSplit:
+    """A split and the latest day on which it may start."""
 
-    wanted: Wanted
-    begin_day: float
+    request: SplitRequest
+    start_day: float
 
 
 @dataclass(frozen=True, slots=True)
-class Late:
-    """Said at once: the shard may be full on this day, and its split is over on that one at the soonest."""
+class LateSplit:
+    """A split that misses its deadline, and the earliest day on which it can end."""
 
-    wanted: Wanted
-    over_day: float | None  # None where no room is found
+    request: SplitRequest
+    end_day: float | None  # None if there is no free window
 
 
 @dataclass(frozen=True, slots=True)
-class Calendar:
-    """By building, in order of the dates; `late` ones are among the slots as well, where there is room."""
-
-    slots: tuple[Slot, ...]
-    late: tuple[Late, ...]
-
-    def due(self, now_day: float, busy: frozenset[Home]) -> tuple[Wanted, ...]:
-        """Those that begin now: of each building the first, where no split of it is under way."""
-        taken = {home.building for home in busy}
-        found = []
-        for slot in self.slots:
-            building = slot.wanted.home.building
-            if building not in taken and slot.begin_day <= now_day + AHEAD_DAYS:
-                found.append(slot.wanted)
-            taken.add(building)
-        return tuple(found)
-
-
-def order(wanted: Wanted) -> tuple[float, int]:
-    """The same at every front door."""
-    return wanted.full_day, wanted.shard
-
-
-def calendar(wanted: Sequence[Wanted], now_day: float, rooms: Rooms) -> Calendar:
-    """ValueError for more than can be."""
-    if len(wanted) > MOST_WANTED:
-        raise ValueError(f"wanted: more than {MOST_WANTED}")
-    slots: list[Slot] = []
-    late: list[Late] = []
-    ordered = sorted(wanted, key=lambda each: (each.home.building, *order(each)))
-    for _, group in groupby(ordered, key=lambda each: each.home.building):
-        found, behind = _building(list(group), now_day, rooms)
-        slots += found
-        late += behind
-    return Calendar(tuple(slots), tuple(late))
-
-
-def _building(wanted: list[Wanted], now_day: float, rooms: Rooms) -> tuple[list[Slot], list[Late]]:
-    latest: list[float | None] = [None] * len(wanted)
+class SplitSchedule:
+    """By building, in the order of the deadlines; late splits are scheduled as well if there is a window."""
+
+    scheduled: tuple[ScheduledSplit, ...]
+    late: tuple[LateSplit, ...]
+
+    def due(self, now_day: float, busy: frozenset[CellId]) -> tuple[SplitRequest, ...]:
+        """The splits that start now: the first of each building that has no cell in `busy`."""
+        busy_buildings = {cell.building for cell in busy}
+        starting = []
+        for each in self.scheduled:
+            building = each.request.source.building
+            if building not in busy_buildings and each.start_day <= now_day + LOOKAHEAD_DAYS:
+                starting.append(each.request)
+            busy_buildings.add(building)
+        return tuple(starting)
+
+
+def deadline_order(request: SplitRequest) -> tuple[float, int]:
+    """The sort key of the splits of a building, the same at every front door."""
+    return request.deadline_day, request.shard
+
+
+def plan_splits(
+    requests: Sequence[SplitRequest], now_day: float, availability: CellAvailability
+) -> SplitSchedule:
+    """The schedule of all buildings; ValueError for more than `MAX_REQUESTS`."""
+    if len(requests) > MAX_REQUESTS:
+        raise ValueError(f"requests: more than {MAX_REQUESTS}")
+    scheduled: list[ScheduledSplit] = []
+    late: list[LateSplit] = []
+    ordered = sorted(requests, key=lambda each: (each.source.building, *deadline_order(each)))
+    for _, group in groupby(ordered, key=lambda each: each.source.building):
+        group_scheduled, group_late = _plan_building(list(group), now_day, availability)
+        scheduled += group_scheduled
+        late += group_late
+    return SplitSchedule(tuple(scheduled), tuple(late))
+
+
+def _plan_building(
+    requests: list[SplitRequest], now_day: float, availability: CellAvailability
+) -> tuple[list[ScheduledSplit], list[LateSplit]]:
+    latest_starts: list[float | None] = [None] * len(requests)
     until = float("inf")
-    for at in range(len(wanted) - 1, -1, -1):
-        each = wanted[at]
-        latest[at] = last_room(rooms, (each.home, each.to), now_day, min(until, each.full_day), each.days)
-        if latest[at] is None:
-            break  # this and those before it go as soon as may be
-        until = latest[at] or 0.0
-    slots: list[Slot] = []
-    late: list[Late] = []
-    at_day = now_day
-    for each, last in zip(wanted, latest, strict=True):
-        soonest = first_room(rooms, (each.home, each.to), at_day, each.days)
-        if soonest is None:
-            late.append(Late(each, None))
+    for index in range(len(requests) - 1, -1, -1):
+        request = requests[index]
+        latest_starts[index] = last_window(
+            availability,
+            (request.source, request.target),
+            now_day,
+            min(until, request.deadline_day),
+            request.days,
+        )
+        if latest_starts[index] is None:
+            break  # this one and all before it start as soon as possible
+        until = latest_starts[index] or 0.0
+    scheduled: list[ScheduledSplit] = []
+    late: list[LateSplit] = []
+    free_from = now_day
+    for request, latest in zip(requests, latest_starts, strict=True):
+        earliest = first_window(availability, (request.source, request.target), free_from, request.days)
+        if earliest is None:
+            late.append(LateSplit(request, None))
             continue
-        if soonest + each.days > each.full_day:
-            late.append(Late(each, soonest + each.days))
-        slots.append(Slot(each, soonest if last is None else max(soonest, last)))
-        at_day = soonest + each.days
-    return slots, late
+        if earliest + request.days > request.deadline_day:
+            late.append(LateSplit(request, earliest + request.days))
+        scheduled.append(ScheduledSplit(request, earliest if latest is None else max(earliest, latest)))
+        free_from = earliest + request.days
+    return scheduled, late
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -1,88 +1,95 @@
-"""The bodies of the entries about splits, and their one decoder."""
+"""The bodies of the log entries about splits, and their one decoder.
+
+In a step of a split, `expected_position` is the position of the entry that brought the split to the state
+from which the step starts. A step for any other position is rejected.
+"""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, Id, Position, WireStruct
 from molereach.coordination.interface.log import MAX_ENTRY_BODY_BYTES
 from molereach.shards.counts.messages import Total
-from molereach.shards.map.shard_map import Home, Member, Piece, ShardNumber
-from molereach.shards.proof import Word
+from molereach.shards.map.shard_map import CellId, MemberId, ShardNumber, ShardRange
+from molereach.shards.proof import SessionClearance
 
 MACHINE = "shards"
-MOST_PIECES_FOUND = 128  # of the first map, in one entry
-_FIRST = b'{"kind":"'
+MAX_INITIAL_RANGES = 128  # of the first map, which is one entry
+_BODY_PREFIX = b'{"kind":"'
 
-Proof = Annotated[tuple[Word, ...], Meta(max_length=2 * MAX_MEMBERS)]
+Proof = Annotated[tuple[SessionClearance, ...], Meta(max_length=2 * MAX_MEMBERS)]
 
 
-class Found(WireStruct, frozen=True, tag_field="kind", tag="found"):
-    """The first map, and what each shard has already, in its order."""
+class CreateMap(WireStruct, frozen=True, tag_field="kind", tag="found"):
+    """Create the first map, with the bytes that each of its shards already has, in the same order."""
 
-    pieces: Annotated[tuple[Piece, ...], Meta(max_length=MOST_PIECES_FOUND)]
-    bytes: Annotated[tuple[Total, ...], Meta(max_length=MOST_PIECES_FOUND)]
+    ranges: Annotated[tuple[ShardRange, ...], Meta(max_length=MAX_INITIAL_RANGES)] = field(name="pieces")
+    shard_bytes: Annotated[tuple[Total, ...], Meta(max_length=MAX_INITIAL_RANGES)] = field(name="bytes")
 
 
-class Plan(WireStruct, frozen=True, tag_field="kind", tag="plan"):
-    """Split this shard: the members from `cut` go to another cell of its building."""
+class PlanSplit(WireStruct, frozen=True, tag_field="kind", tag="plan"):
+    """Plan a split: the shard's members from `split_point` on go to another cell of its building."""
 
     id: Id
     shard: ShardNumber
-    cut: Member
-    to: Home
+    split_point: MemberId = field(name="cut")
+    target: CellId = field(name="to")
+
 
+class StartCopy(WireStruct, frozen=True, tag_field="kind", tag="copy"):
+    """Start to copy the range to the target cell."""
 
-class Copy(WireStruct, frozen=True, tag_field="kind", tag="copy"):
     id: Id
 
 
-class Close(WireStruct, frozen=True, tag_field="kind", tag="close"):
-    """`begun` is the position at which copying began; the proof is that each front door knows of it."""
+class CloseRange(WireStruct, frozen=True, tag_field="kind", tag="close"):
+    """Let the source cell reject the range's requests. The proof: each front door has applied `StartCopy`."""
 
     id: Id
-    begun: Position
+    expected_position: Position = field(name="begun")
     proof: Proof
 
 
-class Hand(WireStruct, frozen=True, tag_field="kind", tag="hand"):
-    """`begun` is the position of the closing, after which the old cell said that all was copied."""
+class HandOver(WireStruct, frozen=True, tag_field="kind", tag="hand"):
+    """Give the range to the target cell; valid once the source cell has reported that all is copied."""
 
     id: Id
-    begun: Position
-    moved: Total  # bytes of the range
+    expected_position: Position = field(name="begun")
+    range_bytes: Total = field(name="moved")
 
 
-class Clear(WireStruct, frozen=True, tag_field="kind", tag="clear"):
-    """`begun` is the position of the hand-over; the proof is that no front door sends to the old cell."""
+class ClearRange(WireStruct, frozen=True, tag_field="kind", tag="clear"):
+    """Let the source cell delete the range. The proof: no front door sends the range's requests there."""
 
     id: Id
-    begun: Position
+    expected_position: Position = field(name="begun")
     proof: Proof
 
 
-class GiveUp(WireStruct, frozen=True, tag_field="kind", tag="give up"):
-    """`begun` is the position of the last step that its proposer knew of."""
+class AbandonSplit(WireStruct, frozen=True, tag_field="kind", tag="give up"):
+    """Abandon the split, if it has taken no step that the proposer did not know of."""
 
     id: Id
-    begun: Position
-    why: Annotated[str, Meta(max_length=128)]
+    expected_position: Position = field(name="begun")
+    reason: Annotated[str, Meta(max_length=128)] = field(name="why")
 
 
-Body = Found | Plan | Copy | Close | Hand | Clear | GiveUp
+Body = CreateMap | PlanSplit | StartCopy | CloseRange | HandOver | ClearRange | AbandonSplit
 _DECODER: msgspec.json.Decoder[Body] = msgspec.json.Decoder(Body)
 
 
 def encode(body: Body) -> bytes:
+    """An entry's body as JSON."""
     return msgspec.json.encode(body)
 
 
 def decode(data: bytes) -> Body:
-    """ValueError where it is none of them."""
-    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_FIRST):
+    """The body of an entry; ValueError for anything else."""
+    if len(data) > MAX_ENTRY_BODY_BYTES or not data.startswith(_BODY_PREFIX):
         raise ValueError("not understood")
     try:
         return _DECODER.decode(data)
-    except msgspec.DecodeError:  # its words are the library's, and may differ between its versions
+    except msgspec.DecodeError:  # the library's message may differ between its versions
         raise ValueError("not understood") from None
--- a/molereach/shards/splits/commands.py
+++ b/molereach/shards/splits/commands.py
@@ -1,71 +1,75 @@
-"""What the servers of a cell are told of a split, and what they say.
-
-Each order carries the position of the entry that it rests on. A server takes an order of a split only with a
-higher position than the last it took, so an order of a leader that was stopped, or is none any more, changes
-nothing when it comes late; the same again is answered again. Each holds for the earlier ones of its split
-that were missed. What a server owes under each:
-
-- COPY, to the old cell: copies the range to the new one, and what is written meanwhile; says COPIED once it
-  is no more than a moment behind.
-- CLOSE, to the old cell: turns all requests of the range away (`-BUSY`, they never ran); says CLOSED, with
-  the bytes of the range, once all that ran before is at the new cell.
-- OPEN, to the new cell: takes requests of the range, which it turned away before, and no more copies of it.
-- HANDED, to the old cell: a keyed request of the range that was tried before is answered from memory if it
-  ran here, and else passed to the new cell, which drops it if it ran there. All others are turned away.
-- DROP, to the old cell: forgets the range, and turns all away.
-- UNDO, to both: the old cell has the range as before; the new one forgets it.
+"""The commands to the backends of a cell about a split, and their answers.
+
+Each command carries the position of the entry that it rests on. A backend carries out a command of a split
+only if its position is higher than that of the last one, so a late command of a former leader changes
+nothing; a repeated one is answered again. Each command also implies the earlier ones of its split that the
+backend missed. What a backend does on each:
+
+- COPY, to the source cell: copy the range to the target cell, and what is written meanwhile; answer once the
+  copy is only a moment behind.
+- CLOSE, to the source cell: reject all requests of the range (`-BUSY`, they were not executed); answer, with
+  the bytes of the range, once all that was executed before is at the target cell.
+- OPEN, to the target cell: accept requests of the range, rejected so far, and accept no more copies of it.
+- HANDED_OVER, to the source cell: answer a repeated keyed request of the range from memory if it was executed
+  here, else pass it on to the target cell, which drops it if it was executed there. Reject all others.
+- DROP, to the source cell: delete the range, and reject all its requests.
+- UNDO, to both: the source cell has the range as before; the target cell deletes its copy.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-from molereach.shards.map.shard_map import Home
-from molereach.shards.splits.record import Record
+from molereach.shards.map.shard_map import CellId
+from molereach.shards.splits.record import SplitRecord
 from molereach.shards.splits.states import State
 
 
-class Order(Enum):
+class CellCommand(Enum):
+    """What the backends of a cell are to do."""
+
     COPY = "copy"
     CLOSE = "close"
     OPEN = "open"
-    HANDED = "handed"
+    HANDED_OVER = "handed"
     DROP = "drop"
     UNDO = "undo"
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Action: say this to the servers of a cell, until they have answered it."""
+class SendCommand:
+    """Action: send this to the backends of a cell, until they have answered it."""
 
-    home: Home
-    order: Order
-    split: Record
+    cell: CellId
+    command: CellCommand
+    split: SplitRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """Event: the servers of a cell have done what they were told by the entry at `position`; `moved` is of
-    CLOSE, the bytes of the range."""
+class CommandDone:
+    """Event: the backends of a cell have carried out the command that rests on the entry at `position`.
+
+    `range_bytes` is set for CLOSE: the bytes of the range.
+    """
 
-    home: Home
-    order: Order
+    cell: CellId
+    command: CellCommand
     id: str
     position: int
-    moved: int = 0
+    range_bytes: int = 0
 
 
-def owed(split: Record) -> tuple[tuple[Home, Order], ...]:
-    """Which orders a split in this state rests on."""
+def required_commands(split: SplitRecord) -> tuple[tuple[CellId, CellCommand], ...]:
+    """The commands that must be carried out in the state of a split, with their cells."""
     match split.state:
         case State.PLANNED:
             return ()
         case State.COPYING:
-            return ((split.home, Order.COPY),)
+            return ((split.source, CellCommand.COPY),)
         case State.CLOSING:
-            return ((split.home, Order.CLOSE),)
-        case State.HANDED:
-            return ((split.to, Order.OPEN), (split.home, Order.HANDED))
+            return ((split.source, CellCommand.CLOSE),)
+        case State.HANDED_OVER:
+            return ((split.target, CellCommand.OPEN), (split.source, CellCommand.HANDED_OVER))
         case State.CLEARED:
-            return ((split.to, Order.OPEN), (split.home, Order.DROP))
-        case State.UNDONE:
-            return ((split.home, Order.UNDO), (split.to, Order.UNDO))
+            return ((split.target, CellCommand.OPEN), (split.source, CellCommand.DROP))
+        case State.ABANDONED:
+            return ((split.source, CellCommand.UNDO), (split.target, CellCommand.UNDO))
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -1,8 +1,9 @@
 """The state machine "shards": the map, and the splits that change it.
 
-It decides by entries alone, and by what the sessions and upkeep are at the same position. Whoever proposes
-may be wrong, late, doubled or dead: the table, the position that a step names and its proof are asked each
-time.
+It decides by entries alone, and by the sessions and upkeep as of the same position. A proposer may be wrong,
+late, dead, or propose twice: each step is checked against the table of transitions, the position that it
+names, and its proof. Texts of rejected entries are part of the replicated state, so they name fields as they
+are encoded.
 """
 
 from collections.abc import Callable
@@ -12,202 +13,218 @@
 import msgspec
 
 from molereach.coordination.interface.log import Entry, Outcome
-from molereach.shards.counts.messages import MOST_BYTES
-from molereach.shards.map.history import History
-from molereach.shards.map.range_split import after, wrong
-from molereach.shards.map.shard_map import Home, ShardMap, unsound
-from molereach.shards.proof import SessionsAt, fault
+from molereach.shards.counts.messages import MAX_BYTES
+from molereach.shards.map.history import MapHistory
+from molereach.shards.map.range_split import split_error, split_map
+from molereach.shards.map.shard_map import CellId, ShardMap, map_error
+from molereach.shards.proof import SessionsAt, proof_error
 from molereach.shards.splits.bodies import (
     MACHINE,
-    Clear,
-    Close,
-    Copy,
-    Found,
-    GiveUp,
-    Hand,
-    Plan,
+    AbandonSplit,
+    ClearRange,
+    CloseRange,
+    CreateMap,
+    HandOver,
+    PlanSplit,
     Proof,
+    StartCopy,
     decode,
 )
-from molereach.shards.splits.record import Record
-from molereach.shards.splits.registry import MOST_OPEN, Book
-from molereach.shards.splits.states import TABLE, State, Step
-from molereach.shards.splits.upkeep_view import Rooms
+from molereach.shards.splits.record import SplitRecord
+from molereach.shards.splits.registry import MAX_OPEN, SplitRegistry
+from molereach.shards.splits.states import TRANSITIONS, State, Step
+from molereach.shards.splits.upkeep_view import UpkeepView
 
 replace = msgspec.structs.replace
 
 
 @dataclass(frozen=True, slots=True)
 class SplitSettings:
-    """The same at every front door: of the operator file."""
+    """Settings from the operator file, the same at every front door."""
 
-    window_ms: int = 600_000  # the longest in which servers drop repeats of a keyed request
+    window_ms: int = 600_000  # the longest time for which backends recognize repeats of a keyed request
 
 
-class RefusedError(ValueError):
-    """An entry changes nothing; the text is one plain line."""
+class RejectedEntryError(ValueError):
+    """An entry that changes nothing, with the reason in one line."""
 
 
-class Shards:
-    """A `StateMachine`. `sessions` and `rooms` are of the same log, applied to the same position."""
+class ShardsMachine:
+    """The `StateMachine` of shards. `sessions` and `upkeep` follow the same log to the same position."""
 
     name = MACHINE
 
-    def __init__(self, settings: SplitSettings, sessions: SessionsAt, rooms: Rooms) -> None:
-        self.settings, self._sessions, self._rooms = settings, sessions, rooms
-        self.book = Book()
+    def __init__(self, settings: SplitSettings, sessions: SessionsAt, upkeep: UpkeepView) -> None:
+        self.settings, self._sessions, self._upkeep = settings, sessions, upkeep
+        self.registry = SplitRegistry()
 
-    # --- what is asked of it ---
+    # --- queries ---
 
     @property
     def map(self) -> ShardMap | None:
-        return self.book.history.map if self.book.history else None
+        """The current map; None before the first one is created."""
+        return self.registry.history.map if self.registry.history else None
 
-    def counted(self, shard: int) -> bool:
-        """Whether it is one of the map."""
-        return shard in self.book.base
+    def has_shard(self, shard: int) -> bool:
+        """Whether the map has this shard."""
+        return shard in self.registry.base_bytes
 
-    def base(self, shard: int) -> int:
-        """Bytes to add to what was counted for a shard, for its size; below 0 where more was moved away."""
-        return self.book.base.get(shard, 0)
+    def base_bytes(self, shard: int) -> int:
+        """Bytes to add to a shard's counted bytes for its size; negative if splits moved more away."""
+        return self.registry.base_bytes.get(shard, 0)
 
-    def at_work(self, home: Home) -> str:
-        """For upkeep: the split that has this cell, if one has."""
-        return self.book.at_work(home)
+    def split_in_progress(self, cell: CellId) -> str:
+        """For upkeep: the ID of the split that occupies this cell; empty if there is none."""
+        return self.registry.split_in_progress(cell)
 
     # --- entries ---
 
     def apply(self, entry: Entry) -> Outcome:
+        """Apply an entry; the outcome's value is the record of the split, if the entry is about one."""
         try:
             body = decode(entry.body)
-            record = _TAKES[type(body)](self, entry, body)
+            record = _HANDLERS[type(body)](self, entry, body)
         except ValueError as error:
             return Outcome(str(error))
         return Outcome(value=msgspec.json.encode(record) if record else b"")
 
-    def _found(self, entry: Entry, body: Found) -> None:
-        if self.book.history:
-            raise RefusedError("there is a map")
-        if len(body.bytes) != len(body.pieces):
-            raise RefusedError("bytes: not one for each piece")
-        first = ShardMap(1, body.pieces, max((piece.shard for piece in body.pieces), default=1))
-        if said := unsound(first):
-            raise RefusedError(said)
-        self.book.history = History(first)
-        self.book.base = {piece.shard: size for piece, size in zip(body.pieces, body.bytes, strict=True)}
-
-    def _plan(self, entry: Entry, body: Plan) -> Record:
-        if (there := self.book.get(body.id)) is not None:
-            return there
-        found = self.map
-        if found is None:
-            raise RefusedError("there is no map")
-        if said := wrong(found, body.shard, body.cut, body.to):
-            raise RefusedError(said)
-        if len(self.book.open) >= MOST_OPEN:
-            raise RefusedError(f"id: more than {MOST_OPEN} splits are open")
-        index = found.find(body.shard)
-        assert index is not None  # as the map was asked
-        home = found.pieces[index].home
-        for each in (home, body.to):
-            if said := self.in_the_way(each):
-                raise RefusedError(said)
-        return self.book.put(
-            Record(
+    def _create_map(self, entry: Entry, body: CreateMap) -> None:
+        if self.registry.history:
+            raise RejectedEntryError("there is a map")
+        if len(body.shard_bytes) != len(body.ranges):
+            raise RejectedEntryError("bytes: not one for each piece")
+        initial = ShardMap(1, body.ranges, max((each.shard for each in body.ranges), default=1))
+        if error := map_error(initial):
+            raise RejectedEntryError(error)
+        self.registry.history = MapHistory(initial)
+        self.registry.base_bytes = {
+            each.shard: size for each, size in zip(body.ranges, body.shard_bytes, strict=True)
+        }
+
+    def _plan(self, entry: Entry, body: PlanSplit) -> SplitRecord:
+        if (existing := self.registry.get(body.id)) is not None:
+            return existing
+        shard_map = self.map
+        if shard_map is None:
+            raise RejectedEntryError("there is no map")
+        if error := split_error(shard_map, body.shard, body.split_point, body.target):
+            raise RejectedEntryError(error)
+        if len(self.registry.open) >= MAX_OPEN:
+            raise RejectedEntryError(f"id: more than {MAX_OPEN} splits are open")
+        index = shard_map.index_of(body.shard)
+        assert index is not None  # checked by `split_error`
+        source = shard_map.ranges[index].cell
+        for cell in (source, body.target):
+            if conflict := self.split_conflict(cell):
+                raise RejectedEntryError(conflict)
+        return self.registry.put(
+            SplitRecord(
                 body.id,
                 body.shard,
-                body.cut,
-                found.end(index),
-                home,
-                body.to,
+                body.split_point,
+                shard_map.range_end(index),
+                source,
+                body.target,
                 State.PLANNED,
                 entry.position,
                 entry.at_ms,
             )
         )
 
-    def in_the_way(self, home: Home) -> str:
-        """The split of a cell that is open; there is one at most."""
-        return self.book.split_of(home)
+    def split_conflict(self, cell: CellId) -> str:
+        """The open split that has this cell, as a line of text; a cell can be in only one."""
+        return self.registry.open_split(cell)
 
-    def _copy(self, entry: Entry, body: Copy) -> Record:
-        record = self._stepped(entry, body.id, Step.COPY)
-        if said := self.no_room(record, entry.at_ms):
-            raise RefusedError(said)
-        return self.book.put(record)
+    def _start_copy(self, entry: Entry, body: StartCopy) -> SplitRecord:
+        record = self._next_record(entry, body.id, Step.COPY)
+        if conflict := self.upkeep_conflict(record, entry.at_ms):
+            raise RejectedEntryError(conflict)
+        return self.registry.put(record)
 
-    def no_room(self, record: Record, at_ms: int) -> str:
-        """The upkeep that has one of the cells."""
+    def upkeep_conflict(self, record: SplitRecord, at_ms: int) -> str:
+        """The upkeep that occupies one of the split's cells, as a line of text; empty if both are free."""
         return next(
-            (f"{home.cell}: {said}" for home in record.homes if (said := self._rooms.taken(home, at_ms))), ""
+            (
+                f"{cell.name}: {occupied}"
+                for cell in record.cells
+                if (occupied := self._upkeep.occupied(cell, at_ms))
+            ),
+            "",
         )
 
-    def _close(self, entry: Entry, body: Close) -> Record:
-        record = self._stepped(entry, body.id, Step.CLOSE, body.begun)
-        if said := self.fault(body.proof, body.begun):
-            raise RefusedError(f"proof: {said}")
-        return self.book.put(record)
+    def _close(self, entry: Entry, body: CloseRange) -> SplitRecord:
+        record = self._next_record(entry, body.id, Step.CLOSE, body.expected_position)
+        if error := self.proof_error(body.proof, body.expected_position):
+            raise RejectedEntryError(f"proof: {error}")
+        return self.registry.put(record)
 
-    def _hand(self, entry: Entry, body: Hand) -> Record:
-        record = self._stepped(entry, body.id, Step.HAND, body.begun)
-        history, base = self.book.history, self.book.base
-        assert history is not None  # as there is a split
+    def _hand_over(self, entry: Entry, body: HandOver) -> SplitRecord:
+        record = self._next_record(entry, body.id, Step.HAND_OVER, body.expected_position)
+        history, base_bytes = self.registry.history, self.registry.base_bytes
+        assert history is not None  # a split exists only with a map
         try:
-            now = after(history.map, record.shard, record.cut, record.to)
+            shard_map = split_map(history.map, record.shard, record.split_point, record.target)
         except ValueError as error:
-            raise RefusedError(str(error)) from None
-        if base[record.shard] - body.moved < -MOST_BYTES:
-            raise RefusedError("moved: more than there can be")
-        history.put(now)
-        base[record.shard] -= body.moved
-        base[now.last_shard] = body.moved
-        return self.book.put(replace(record, new=now.last_shard, version=now.version))
-
-    def _clear(self, entry: Entry, body: Clear) -> Record:
-        record = self._stepped(entry, body.id, Step.CLEAR, body.begun)
-        handed_ms = self.book.open[body.id].since_ms
-        if entry.at_ms - handed_ms < self.settings.window_ms:
-            raise RefusedError(f"window: {entry.at_ms - handed_ms} ms since the hand-over")
-        if said := self.fault(body.proof, body.begun):
-            raise RefusedError(f"proof: {said}")
-        return self.book.put(record)
-
-    def _give_up(self, entry: Entry, body: GiveUp) -> Record:
-        record = self._stepped(entry, body.id, Step.GIVE_UP, body.begun)
-        return self.book.put(replace(record, why=body.why))
-
-    # --- what each step asks for ---
-
-    def _stepped(self, entry: Entry, id: str, step: Step, begun: int | None = None) -> Record:
-        """The record after the step, not yet put."""
-        record = self.book.get(id)
+            raise RejectedEntryError(str(error)) from None
+        if base_bytes[record.shard] - body.range_bytes < -MAX_BYTES:
+            raise RejectedEntryError("moved: more than there can be")
+        history.append(shard_map)
+        base_bytes[record.shard] -= body.range_bytes
+        base_bytes[shard_map.last_shard] = body.range_bytes
+        return self.registry.put(
+            replace(record, new_shard=shard_map.last_shard, map_version=shard_map.version)
+        )
+
+    def _clear(self, entry: Entry, body: ClearRange) -> SplitRecord:
+        record = self._next_record(entry, body.id, Step.CLEAR, body.expected_position)
+        handed_over_ms = self.registry.open[body.id].since_ms
+        if entry.at_ms - handed_over_ms < self.settings.window_ms:
+            raise RejectedEntryError(f"window: {entry.at_ms - handed_over_ms} ms since the hand-over")
+        if error := self.proof_error(body.proof, body.expected_position):
+            raise RejectedEntryError(f"proof: {error}")
+        return self.registry.put(record)
+
+    def _abandon(self, entry: Entry, body: AbandonSplit) -> SplitRecord:
+        record = self._next_record(entry, body.id, Step.ABANDON, body.expected_position)
+        return self.registry.put(replace(record, reason=body.reason))
+
+    # --- checks of a step ---
+
+    def _next_record(
+        self, entry: Entry, id: str, step: Step, expected_position: int | None = None
+    ) -> SplitRecord:
+        """The record after a step, not yet stored; the step itself may still be rejected."""
+        record = self.registry.get(id)
         if record is None:
-            raise RefusedError(f"id: no split {id}")
-        state = TABLE.get((record.state, step))
+            raise RejectedEntryError(f"id: no split {id}")
+        state = TRANSITIONS.get((record.state, step))
         if state is None:
-            raise RefusedError(f"step: {id} is {record.state.value}")
-        if begun is not None and begun != record.position:
-            raise RefusedError(f"begun: {id} is {record.state.value} by {record.position}")
+            raise RejectedEntryError(f"step: {id} is {record.state.value}")
+        if expected_position is not None and expected_position != record.position:
+            raise RejectedEntryError(f"begun: {id} is {record.state.value} by {record.position}")
         return replace(record, state=state, position=entry.position, since_ms=entry.at_ms)
 
-    def fault(self, proof: Proof, begun: int) -> str:
-        return fault(proof, self._sessions, begun)
+    def proof_error(self, proof: Proof, entry_position: int) -> str:
+        """What a proof lacks, in one line; empty for a complete one."""
+        return proof_error(proof, self._sessions, entry_position)
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        return self.book.snapshot()
+        """The whole state as JSON, the same bytes wherever the same entries were applied."""
+        return self.registry.snapshot()
 
     def restore(self, data: bytes) -> None:
-        self.book = Book.restored(data)
-
-
-_TAKES: dict[type, Callable[[Shards, Entry, Any], Record | None]] = {
-    Found: Shards._found,
-    Plan: Shards._plan,
-    Copy: Shards._copy,
-    Close: Shards._close,
-    Hand: Shards._hand,
-    Clear: Shards._clear,
-    GiveUp: Shards._give_up,
+        """Replace the state by a snapshot; ValueError, and no change, if it is malformed."""
+        self.registry = SplitRegistry.restored(data)
+
+
+_HANDLERS: dict[type, Callable[[ShardsMachine, Entry, Any], SplitRecord | None]] = {
+    CreateMap: ShardsMachine._create_map,
+    PlanSplit: ShardsMachine._plan,
+    StartCopy: ShardsMachine._start_copy,
+    CloseRange: ShardsMachine._close,
+    HandOver: ShardsMachine._hand_over,
+    ClearRange: ShardsMachine._clear,
+    AbandonSplit: ShardsMachine._abandon,
 }
--- a/molereach/shards/splits/registry.py
+++ b/molereach/shards/splits/registry.py
@@ -1,98 +1,107 @@
-"""All that the state machine keeps: the map with its last changes, and the splits, open and past."""
+"""The whole state of the state machine: the map with its latest changes, and the splits, open and ended."""
 
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 from molereach.coordination.interface.identifiers import WireStruct
-from molereach.shards.counts.messages import MOST_BYTES
-from molereach.shards.map.history import History
-from molereach.shards.map.shard_map import MOST_SHARDS, Home, ShardMap, unsound
-from molereach.shards.splits.record import Record
-from molereach.shards.splits.states import AT_WORK, FINAL
+from molereach.shards.counts.messages import MAX_BYTES
+from molereach.shards.map.history import MapHistory
+from molereach.shards.map.shard_map import MAX_SHARDS, CellId, ShardMap, map_error
+from molereach.shards.splits.record import SplitRecord
+from molereach.shards.splits.states import FINAL, IN_PROGRESS
 
-MOST_OPEN = 64
-MOST_PAST = 128  # remembered, so that one proposed again is known, and servers are told again
+MAX_OPEN = 64
+MAX_ENDED = 128  # remembered, so that a repeated plan is recognized and backends still get their commands
 
-Bytes = Annotated[int, Meta(ge=-MOST_BYTES, le=MOST_BYTES)]
+ByteOffset = Annotated[int, Meta(ge=-MAX_BYTES, le=MAX_BYTES)]
 
 
 class _State(WireStruct, frozen=True):
+    """The snapshot."""
+
     map: ShardMap | None
-    base: Annotated[tuple[Bytes, ...], Meta(max_length=MOST_SHARDS)]  # in the order of the map
-    open: Annotated[tuple[Record, ...], Meta(max_length=MOST_OPEN)]
-    past: Annotated[tuple[Record, ...], Meta(max_length=MOST_PAST)]  # as they ended
+    base_bytes: Annotated[tuple[ByteOffset, ...], Meta(max_length=MAX_SHARDS)] = field(
+        name="base"
+    )  # in the order of the map
+    open: Annotated[tuple[SplitRecord, ...], Meta(max_length=MAX_OPEN)]
+    ended: Annotated[tuple[SplitRecord, ...], Meta(max_length=MAX_ENDED)] = field(
+        name="past"
+    )  # in the order in which they ended
 
 
-class Book:
-    """Plain state; `put` is the way in which splits change."""
+class SplitRegistry:
+    """The state without any rules; splits change only by `put`."""
 
     def __init__(self) -> None:
-        self.history: History | None = None
-        self.base: dict[int, int] = {}  # by shard
-        self.open: dict[str, Record] = {}  # by id
-        self.past: dict[str, Record] = {}
+        self.history: MapHistory | None = None
+        self.base_bytes: dict[int, int] = {}  # by shard: to be added to what was counted for it
+        self.open: dict[str, SplitRecord] = {}  # by ID
+        self.ended: dict[str, SplitRecord] = {}
 
-    def get(self, id: str) -> Record | None:
-        return self.open.get(id) or self.past.get(id)
+    def get(self, id: str) -> SplitRecord | None:
+        """An open split, or one that ended and is still remembered."""
+        return self.open.get(id) or self.ended.get(id)
 
-    def put(self, record: Record) -> Record:
+    def put(self, record: SplitRecord) -> SplitRecord:
+        """Add or replace a split; beyond `MAX_ENDED` the one that ended first is forgotten."""
         if record.state not in FINAL:
             self.open[record.id] = record
             return record
         self.open.pop(record.id, None)
-        self.past[record.id] = record
-        if len(self.past) > MOST_PAST:
-            del self.past[next(iter(self.past))]
+        self.ended[record.id] = record
+        if len(self.ended) > MAX_ENDED:
+            del self.ended[next(iter(self.ended))]
         return record
 
-    def split_of(self, home: Home) -> str:
-        """What to say where a split of this cell is open; empty where none is."""
+    def open_split(self, cell: CellId) -> str:
+        """The open split of a cell, as a line of text; empty if there is none."""
         return next(
             (
-                f"{home.cell}: split {each.id} is {each.state.value}"
+                f"{cell.name}: split {each.id} is {each.state.value}"
                 for each in self.open.values()
-                if home in each.homes
+                if cell in each.cells
             ),
             "",
         )
 
-    def at_work(self, home: Home) -> str:
+    def split_in_progress(self, cell: CellId) -> str:
+        """The ID of the split that occupies a cell; empty if there is none. A planned one does not yet."""
         return next(
-            (each.id for each in self.open.values() if home in each.homes and each.state in AT_WORK), ""
+            (each.id for each in self.open.values() if cell in each.cells and each.state in IN_PROGRESS), ""
         )
 
     def snapshot(self) -> bytes:
-        """The history's deltas are not in it: who is further behind is given the whole map."""
-        found = self.history.map if self.history else None
-        base = tuple(self.base[piece.shard] for piece in found.pieces) if found else ()
-        opened = tuple(self.open[id] for id in sorted(self.open))
-        return msgspec.json.encode(_State(found, base, opened, tuple(self.past.values())))
+        """The state as JSON, without the map's deltas: readers of older versions get the complete map."""
+        shard_map = self.history.map if self.history else None
+        base_bytes = tuple(self.base_bytes[each.shard] for each in shard_map.ranges) if shard_map else ()
+        open_splits = tuple(self.open[id] for id in sorted(self.open))
+        return msgspec.json.encode(_State(shard_map, base_bytes, open_splits, tuple(self.ended.values())))
 
     @classmethod
-    def restored(cls, data: bytes) -> "Book":
-        """ValueError where it makes no sense."""
+    def restored(cls, data: bytes) -> "SplitRegistry":
+        """The state of a snapshot; ValueError if it is malformed."""
         try:
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
             raise ValueError(f"not a snapshot of shards: {error}") from None
-        pieces = state.map.pieces if state.map else ()
-        if (state.map and unsound(state.map)) or len(state.base) != len(pieces) or not _sound(state):
-            raise ValueError("not a snapshot of shards: not as any log leaves it")
-        book = cls()
-        book.history = History(state.map) if state.map else None
-        book.base = {piece.shard: size for piece, size in zip(pieces, state.base, strict=True)}
-        book.open = {record.id: record for record in state.open}
-        book.past = {record.id: record for record in state.past}
-        return book
-
-
-def _sound(state: _State) -> bool:
-    """Whether each split is there once, and where it belongs."""
-    opened, past = [each.id for each in state.open], [each.id for each in state.past]
-    if opened != sorted(set(opened)) or len({*opened, *past}) != len(opened) + len(past):
+        ranges = state.map.ranges if state.map else ()
+        if (state.map and map_error(state.map)) or len(state.base_bytes) != len(ranges) or not _valid(state):
+            raise ValueError("not a snapshot of shards: no log leads to this state")
+        registry = cls()
+        registry.history = MapHistory(state.map) if state.map else None
+        registry.base_bytes = {each.shard: size for each, size in zip(ranges, state.base_bytes, strict=True)}
+        registry.open = {record.id: record for record in state.open}
+        registry.ended = {record.id: record for record in state.ended}
+        return registry
+
+
+def _valid(state: _State) -> bool:
+    """Whether each split is listed once, among the open or the ended ones, and each cell has at most one."""
+    open_ids, ended_ids = [each.id for each in state.open], [each.id for each in state.ended]
+    if open_ids != sorted(set(open_ids)) or len({*open_ids, *ended_ids}) != len(open_ids) + len(ended_ids):
         return False
-    homes = [home for each in state.open for home in each.homes]
-    ended = [each.state in FINAL for each in state.past]
-    return len(set(homes)) == len(homes) and all(ended) and not any(e.state in FINAL for e in state.open)
+    cells = [cell for each in state.open for cell in each.cells]
+    is_final = [each.state in FINAL for each in state.ended]
+    return len(set(cells)) == len(cells) and all(is_final) and not any(e.state in FINAL for e in state.open)
--- a/molereach/shards/splits/router.py
+++ b/molereach/shards/splits/router.py
@@ -1,9 +1,9 @@
-"""A front door's part in splits: where each attempt may go, and when nothing of it goes to the old side.
+"""A front door's side of splits: where each attempt may go, and when none go to a source cell any more.
 
-It goes by the map as the log has it here. An old one does no harm: the old cell turns the range away from its
-closing on, before any front door may know the new map. For the window of keyed requests after a hand-over was
-applied here, repeats go to the old side: what ran there ran before the closing, so before this window began.
-`clear` of the hand-over is said when the window is over.
+It goes by the map as applied here. An old map does no harm: the source cell rejects the range from its
+closing on, before any front door can know the new map. For the window of keyed requests after a hand-over was
+applied here, repeats go to the source cell: what was executed there was executed before the closing, so
+before this window began. The hand-over is cleared once the window is over.
 """
 
 from collections import deque
@@ -12,132 +12,165 @@
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.interface.log import Applied, Restored
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.shard_lookup import Lookup
-from molereach.shards.map.shard_map import Piece
-from molereach.shards.splits.machine import Shards
-from molereach.shards.splits.record import Record
-from molereach.shards.splits.routing_interface import Place
+from molereach.shards.map.shard_lookup import ShardLookup
+from molereach.shards.map.shard_map import ShardRange
+from molereach.shards.splits.machine import ShardsMachine
+from molereach.shards.splits.record import SplitRecord
+from molereach.shards.splits.routing_interface import Placement
 from molereach.shards.splits.states import State
 
 
 @dataclass(frozen=True, slots=True)
-class Learn:
-    """Action: a server knows a later map than this front door: ask the council for what was settled."""
+class FetchMap:
+    """Action: a backend knows a later map than this front door; fetch the entries that are missing here."""
 
-    version: int
+    map_version: int
 
 
 @dataclass(slots=True)
-class _Pin:
-    """A range that was handed over: repeats of keyed requests go to its old side until `until_us`."""
+class _RepeatWindow:
+    """A range that was handed over: repeats of keyed requests go to the source cell until `until_us`."""
 
-    split: Record
-    until_us: int
+    split: SplitRecord
+    until_us: int  # 0 once it has passed
 
 
 Event = Applied | Restored | Tick
 
 
-class DoorShards:
-    """A core; `consulted.Shards` for the decisions. ValueError, from `place`, for what is no member."""
+class ShardRouter:
+    """A core; the `ShardRouting` that request policy asks."""
 
-    def __init__(self, shards: Shards) -> None:
-        self._shards = shards
-        self._lookup: Lookup | None = None
-        self._pins: dict[str, _Pin] = {}
+    def __init__(self, machine: ShardsMachine) -> None:
+        self._machine = machine
+        self._lookup: ShardLookup | None = None
+        self._repeat_windows: dict[str, _RepeatWindow] = {}  # by the ID of the split
         self._applied = 0
-        self._learn: deque[Learn] = deque(maxlen=1)
-        self._follow(0)
+        self._fetches: deque[FetchMap] = deque(maxlen=1)
+        self._follow_machine(0)
 
     # --- events ---
 
-    def handle(self, now_us: int, event: Event) -> list[Learn]:
+    def handle(self, now_us: int, event: Event) -> list[FetchMap]:
+        """Apply one event; the actions to carry out."""
         match event:
             case Applied():
                 self._applied = max(self._applied, event.entry.position)
-                if event.entry.machine == self._shards.name:
-                    self._follow(now_us)
+                if event.entry.machine == self._machine.name:
+                    self._follow_machine(now_us)
             case Restored():
                 self._applied = max(self._applied, event.position)
-                self._follow(now_us)
-        self._lapse(now_us)
-        said = list(self._learn)
-        self._learn.clear()
-        return said
-
-    def _follow(self, now_us: int) -> None:
-        found = self._shards.map
-        if found and (self._lookup is None or self._lookup.version != found.version):
-            self._lookup = Lookup(found)
-        opened = self._shards.book.open
-        for split in opened.values():
-            if split.state is State.HANDED and split.id not in self._pins:
-                self._pins[split.id] = _Pin(split, now_us + self._shards.settings.window_ms * 1000)
-        self._pins = {id: pin for id, pin in self._pins.items() if id in opened}  # what is cleared is over
-
-    def _lapse(self, now_us: int) -> None:
-        for pin in self._pins.values():
-            if now_us >= pin.until_us:
-                pin.until_us = 0
+                self._follow_machine(now_us)
+        self._end_repeat_windows(now_us)
+        actions = list(self._fetches)
+        self._fetches.clear()
+        return actions
+
+    def _follow_machine(self, now_us: int) -> None:
+        """Take over the current map, and start and drop repeat windows by the open splits."""
+        shard_map = self._machine.map
+        if shard_map and (self._lookup is None or self._lookup.version != shard_map.version):
+            self._lookup = ShardLookup(shard_map)
+        open_splits = self._machine.registry.open
+        for split in open_splits.values():
+            if split.state is State.HANDED_OVER and split.id not in self._repeat_windows:
+                self._repeat_windows[split.id] = _RepeatWindow(
+                    split, now_us + self._machine.settings.window_ms * 1000
+                )
+        self._repeat_windows = {
+            id: window for id, window in self._repeat_windows.items() if id in open_splits
+        }  # a cleared split needs none
+
+    def _end_repeat_windows(self, now_us: int) -> None:
+        for window in self._repeat_windows.values():
+            if now_us >= window.until_us:
+                window.until_us = 0
 
     @property
-    def clear(self) -> int:
-        """Up to where nothing is under way here that the log forbids; never above what is applied."""
-        return min([self._applied, *(pin.split.position - 1 for pin in self._pins.values() if pin.until_us)])
+    def clear_position(self) -> int:
+        """The applied position up to which nothing that the log forbids is in flight here."""
+        return min(
+            [
+                self._applied,
+                *(window.split.position - 1 for window in self._repeat_windows.values() if window.until_us),
+            ]
+        )
 
     @property
     def wake_us(self) -> int:
-        return min((pin.until_us for pin in self._pins.values() if pin.until_us), default=NEVER_US)
+        """When the next repeat window ends; `NEVER_US` if there is none."""
+        return min(
+            (window.until_us for window in self._repeat_windows.values() if window.until_us),
+            default=NEVER_US,
+        )
 
-    # --- what the decisions ask ---
+    # --- what request policy asks ---
 
     def place(
         self,
         now_us: int,
         member: int,
-        effect: Idempotency,
+        idempotency: Idempotency,
         is_repeat: bool = False,
-        tried: Place | None = None,
-    ) -> Place | None:
+        previous: Placement | None = None,
+    ) -> Placement | None:
+        """Where this attempt may go, as `ShardRouting` defines it; None also without a map."""
         if self._lookup is None:
             return None
-        piece = self._lookup.at(member)
-        pin = self._pin(now_us, member)
-        match effect:
+        shard_range = self._lookup.range_of(member)
+        handed_over = self._handed_over(now_us, member)
+        match idempotency:
             case Idempotency.IDEMPOTENT:
-                return self._at(piece)
+                return self._by_map(shard_range)
             case Idempotency.NON_IDEMPOTENT:
-                return self.unsafe(piece, tried)
+                return self.place_non_idempotent(shard_range, previous)
             case Idempotency.IDEMPOTENT_WITH_KEY:
-                return self.keyed(piece, pin, is_repeat, tried)
-
-    def unsafe(self, piece: Piece, tried: Place | None) -> Place | None:
-        here = self._at(piece)
-        return here if tried is None or self._same(here, tried) else None
-
-    def keyed(self, piece: Piece, pin: Record | None, is_repeat: bool, tried: Place | None) -> Place | None:
-        here = self._at(piece)
-        if tried is not None:
-            return here if self._same(here, tried) else tried
-        if is_repeat and pin is not None:
-            return Place(pin.home.building, pin.home.cell, pin.shard, here.version)
-        return here
-
-    def _pin(self, now_us: int, member: int) -> Record | None:
-        """The hand-over of the member's range that is in its window: one at most, as its cells are taken."""
+                return self.place_keyed(shard_range, handed_over, is_repeat, previous)
+
+    def place_non_idempotent(self, shard_range: ShardRange, previous: Placement | None) -> Placement | None:
+        """The cell by the map, unless an earlier attempt went to another one."""
+        by_map = self._by_map(shard_range)
+        return by_map if previous is None or self._same_cell(by_map, previous) else None
+
+    def place_keyed(
+        self,
+        shard_range: ShardRange,
+        handed_over: SplitRecord | None,
+        is_repeat: bool,
+        previous: Placement | None,
+    ) -> Placement | None:
+        """The cell of an earlier attempt; for a repeat, the source cell of a recent split; else the map's."""
+        by_map = self._by_map(shard_range)
+        if previous is not None:
+            return by_map if self._same_cell(by_map, previous) else previous
+        if is_repeat and handed_over is not None:
+            return Placement(
+                handed_over.source.building, handed_over.source.name, handed_over.shard, by_map.map_version
+            )
+        return by_map
+
+    def _handed_over(self, now_us: int, member: int) -> SplitRecord | None:
+        """The split of the member's range in its repeat window; at most one, as it occupies its cells."""
         return next(
-            (pin.split for pin in self._pins.values() if pin.split.moves(member) and now_us < pin.until_us),
+            (
+                window.split
+                for window in self._repeat_windows.values()
+                if window.split.in_range(member) and now_us < window.until_us
+            ),
             None,
         )
 
-    def _at(self, piece: Piece) -> Place:
-        assert self._lookup is not None  # as `place` has asked
-        return Place(piece.home.building, piece.home.cell, piece.shard, self._lookup.version)
+    def _by_map(self, shard_range: ShardRange) -> Placement:
+        assert self._lookup is not None  # checked by `place`
+        return Placement(
+            shard_range.cell.building, shard_range.cell.name, shard_range.shard, self._lookup.version
+        )
 
     @staticmethod
-    def _same(here: Place, tried: Place) -> bool:
-        return (here.building, here.cell) == (tried.building, tried.cell)
+    def _same_cell(one: Placement, other: Placement) -> bool:
+        return (one.building, one.cell) == (other.building, other.cell)
 
-    def turned_away(self, now_us: int, place: Place, version: int) -> None:
-        if self._lookup is None or version > self._lookup.version:
-            self._learn.append(Learn(version))
+    def on_rejected(self, now_us: int, placement: Placement, map_version: int) -> None:
+        """A backend of `placement` rejected an attempt and knows the map at `map_version`."""
+        if self._lookup is None or map_version > self._lookup.version:
+            self._fetches.append(FetchMap(map_version))
--- a/molereach/shards/splits/routing_interface.py
+++ b/molereach/shards/splits/routing_interface.py
@@ -1,4 +1,4 @@
-"""What the decisions ask of shards: the text for `policy/interface`, and the types that it takes."""
+"""What request policy asks of shards: a proposal for `policy/interface`, with the types that it takes."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -7,43 +7,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """Where a request's shard is: the cell that may be sent to, the shard, and the version of the map.
 
-    The version goes with the request, so that a server that turns it away can say whether a later one is
+    The version goes with the request, so that a backend that rejects it can tell whether a later one is
     known.
     """
 
     building: str
     cell: str
     shard: int
-    version: int
+    map_version: int
 
 
-class Shards(Protocol):
-    """Which cell a request of a member may be sent to, also while its shard is split; a core without I/O.
+class ShardRouting(Protocol):
+    """Which cell may get an attempt for a member, also while its shard is split; a core without I/O.
 
-    Asked before each attempt, never kept. Without one, any server of the request's group will do.
+    It is asked before each attempt, and answers are not kept. Without it, any backend of the request's group
+    may get the attempt.
 
-    - A safe request goes where the map says at the moment.
-    - An unsafe one goes to one side only, ever: with `tried`, the place of its first attempt, it is that
-      place or None. None also after a server turned it away there, once the map has changed: answer busy.
-    - A keyed one that was tried stays on the side where it was tried for its window. One that the client says
-      is a repeat (`Request.is_repeat`) may have been tried by another gateway before the map changed: until
-      the window since then is over it goes to the old side, which answers it if it ran there and else passes
-      it on. A first attempt goes where the map says.
+    - An idempotent request goes to the cell by the current map.
+    - A non-idempotent one goes to one side of a split only: with `previous`, the placement of its first
+      attempt, the answer is that one or None. It is also None after a backend there rejected the attempt and
+      the map changed: the client gets a busy error.
+    - A keyed request that was tried stays on the side of its first attempt for its window. One that the
+      client declares as a repeat (`Request.is_repeat`) may have been tried by another gateway before the map
+      changed: until the window since that change is over it goes to the source cell, which answers it if it
+      was executed there, and else passes it on. A first attempt goes by the map.
     """
 
     def place(
         self,
         now_us: int,
         member: int,
-        effect: Idempotency,
+        idempotency: Idempotency,
         is_repeat: bool = False,
-        tried: Place | None = None,
-    ) -> Place | None:
-        """Where this attempt may go; None for nowhere: answer that the service is busy. ValueError if
-        `member` is no id."""
+        previous: Placement | None = None,
+    ) -> Placement | None:
+        """Where this attempt may go; None for nowhere, so that the client gets a busy error.
 
-    def turned_away(self, now_us: int, place: Place, version: int) -> None:
-        """A server of `place` turned an attempt away (it never ran), and knows the map at `version`."""
+        ValueError if the member ID is out of range.
+        """
+
+    def on_rejected(self, now_us: int, placement: Placement, map_version: int) -> None:
+        """A backend of `placement` rejected an attempt, not executed, and knows the map at `map_version`."""
--- a/molereach/shards/splits/states.py
+++ b/molereach/shards/splits/states.py
@@ -1,40 +1,44 @@
-"""The way of a split, as a table. What is not in it is refused.
+"""The states of a split and the allowed transitions; all others are rejected.
 
-Up to the hand-over it can be given up; the map has not changed, and the old cell has all that was written.
-After it there is no way back, only on: the old cell keeps the range's memory of keyed requests until no
-front door sends any there. The closing is short: the old cell turns the range's requests away, and the last
-of its writes are copied, before any front door may send to the new cell.
+Until the hand-over a split can be abandoned: the map has not changed, and the source cell has all writes.
+After it the split can only go on, and the source cell remembers the range's keyed requests until no front
+door sends any there. Between closing and hand-over the source cell rejects the range's requests while its
+last writes are copied, before any front door may send to the target cell; this lasts only briefly.
 """
 
 from enum import Enum
 
 
 class State(Enum):
+    """The state of a split."""
+
     PLANNED = "planned"
-    COPYING = "copying"  # the coming map is known; all goes to the old cell, and what it writes is copied
-    CLOSING = "closing"  # the old cell takes nothing of the range any more
-    HANDED = "handed"  # the new cell has the range, by the map's next version
-    CLEARED = "cleared"  # the old cell has forgotten the range
-    UNDONE = "undone"  # given up before the hand-over
+    COPYING = "copying"  # the source cell serves all requests, and copies the range and new writes in it
+    CLOSING = "closing"  # the source cell rejects the range's requests
+    HANDED_OVER = "handed"  # the target cell has the range, by the next version of the map
+    CLEARED = "cleared"  # the source cell has deleted the range
+    ABANDONED = "undone"  # before the hand-over
 
 
 class Step(Enum):
+    """A step that leads from one state to another."""
+
     COPY = "copy"
     CLOSE = "close"
-    HAND = "hand"
+    HAND_OVER = "hand"
     CLEAR = "clear"
-    GIVE_UP = "give up"
+    ABANDON = "give up"
 
 
-TABLE: dict[tuple[State, Step], State] = {
+TRANSITIONS: dict[tuple[State, Step], State] = {
     (State.PLANNED, Step.COPY): State.COPYING,
     (State.COPYING, Step.CLOSE): State.CLOSING,
-    (State.CLOSING, Step.HAND): State.HANDED,
-    (State.HANDED, Step.CLEAR): State.CLEARED,
-    (State.PLANNED, Step.GIVE_UP): State.UNDONE,
-    (State.COPYING, Step.GIVE_UP): State.UNDONE,
-    (State.CLOSING, Step.GIVE_UP): State.UNDONE,
+    (State.CLOSING, Step.HAND_OVER): State.HANDED_OVER,
+    (State.HANDED_OVER, Step.CLEAR): State.CLEARED,
+    (State.PLANNED, Step.ABANDON): State.ABANDONED,
+    (State.COPYING, Step.ABANDON): State.ABANDONED,
+    (State.CLOSING, Step.ABANDON): State.ABANDONED,
 }
-FINAL = frozenset({State.CLEARED, State.UNDONE})
-AT_WORK = frozenset({State.COPYING, State.CLOSING, State.HANDED})  # upkeep leaves both cells alone
-BEFORE = frozenset({State.PLANNED, State.COPYING, State.CLOSING})  # the hand-over
+FINAL = frozenset({State.CLEARED, State.ABANDONED})
+IN_PROGRESS = frozenset({State.COPYING, State.CLOSING, State.HANDED_OVER})  # upkeep leaves both cells alone
+BEFORE_HAND_OVER = frozenset({State.PLANNED, State.COPYING, State.CLOSING})
--- a/molereach/shards/splits/upkeep_view.py
+++ b/molereach/shards/splits/upkeep_view.py
@@ -1,23 +1,25 @@
-"""What splits and upkeep ask of each other, so that they never take one cell at once."""
+"""What splits and upkeep ask each other, so that they never use the same cell at once."""
 
 from typing import Protocol
 
-from molereach.shards.map.shard_map import Home
+from molereach.shards.map.shard_map import CellId
 
 
-class Rooms(Protocol):
-    """Of upkeep, on the same log: asked inside `apply`, so it must go by entries alone, up to this one.
+class UpkeepView(Protocol):
+    """The state of upkeep on the same log; asked inside `apply`, so it must depend on log entries alone.
 
-    `Shards.at_work` is what upkeep asks in turn before it takes a machine of a cell out. Both are asked at
-    the entry that begins, and entries are in one order: whichever begins first has the cell.
+    Upkeep in turn asks `ShardsMachine.split_in_progress` before it takes a machine of a cell out of service.
+    Each asks at the entry that starts its own work, and entries are totally ordered: whichever starts first
+    has the cell.
     """
 
-    def taken(self, home: Home, at_ms: int) -> str:
-        """Why the cell is not free now, in one line: work that is out or draining there. Empty if it is."""
+    def occupied(self, cell: CellId, at_ms: int) -> str:
+        """Why the cell is not free now, in one line: upkeep or draining there. Empty if it is free."""
 
 
 class NoUpkeep:
-    """Where there is none."""
+    """The view at a site without upkeep."""
 
-    def taken(self, home: Home, at_ms: int) -> str:
+    def occupied(self, cell: CellId, at_ms: int) -> str:
+        """No cell is ever occupied."""
         return ""
--- a/tests/compatibility/machines_refused.py
+++ b/tests/compatibility/machines_refused.py
@@ -9,7 +9,7 @@
 from molereach.coordination.leases import bodies as lease_bodies
 from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards.counts import bodies as count_bodies
-from molereach.shards.map.shard_map import Home
+from molereach.shards.map.shard_map import CellId
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.way import Step
@@ -38,17 +38,21 @@
 
 def splits() -> list[Command]:
     """Entries about splits that change nothing."""
-    plan, homes = split_bodies.Plan, samples.HOMES
+    plan, cells = split_bodies.PlanSplit, samples.CELLS
     bodies: dict[str, split_bodies.Body] = {
         "found-twice": samples.found_map(),
-        "plan-unknown-shard": plan(id="split-4", shard=9, cut=5, to=homes[2]),
-        "plan-empty-part": plan(id="split-4", shard=1, cut=0, to=homes[3]),
-        "plan-other-building": plan(id="split-4", shard=1, cut=5, to=Home(building="b1", cell="c9")),
-        "plan-same-cell": plan(id="split-4", shard=1, cut=5, to=homes[0]),
-        "plan-busy-cell": plan(id="split-4", shard=1, cut=5, to=homes[3]),
-        "copy-unknown": split_bodies.Copy(id="split-9"),
-        "copy-again": split_bodies.Copy(id="split-1"),
-        "give-up-late": split_bodies.GiveUp(id="split-3", begun=1, why="growth has turned"),
+        "plan-unknown-shard": plan(id="split-4", shard=9, split_point=5, target=cells[2]),
+        "plan-empty-part": plan(id="split-4", shard=1, split_point=0, target=cells[3]),
+        "plan-other-building": plan(
+            id="split-4", shard=1, split_point=5, target=CellId(building="b1", name="c9")
+        ),
+        "plan-same-cell": plan(id="split-4", shard=1, split_point=5, target=cells[0]),
+        "plan-busy-cell": plan(id="split-4", shard=1, split_point=5, target=cells[3]),
+        "copy-unknown": split_bodies.StartCopy(id="split-9"),
+        "copy-again": split_bodies.StartCopy(id="split-1"),
+        "give-up-late": split_bodies.AbandonSplit(
+            id="split-3", expected_position=1, reason="growth has turned"
+        ),
     }
     return [Command(name, split_bodies.MACHINE, body) for name, body in bodies.items()]
 
@@ -88,12 +92,14 @@
 
 def counts() -> list[Command]:
     """Entries about counts that change nothing."""
-    fold, forget, rows = count_bodies.Fold, count_bodies.Forget, samples.rows(1)
+    fold, retire, rows = count_bodies.Fold, count_bodies.Retire, samples.rows(1)
     bodies: dict[str, count_bodies.Body] = {
-        "fold-with-session": fold(life=samples.FIRST_ANEW, rows=rows),
-        "fold-forgotten": fold(life=samples.THIRD, rows=rows),
-        "forget-not-folded": forget(life=samples.FIRST, begun=3, proof=()),
-        "forget-that-may-come-back": forget(life=samples.SECOND, begun=samples.FOLDED_SECOND, proof=()),
+        "fold-with-session": fold(instance=samples.FIRST_ANEW, rows=rows),
+        "fold-forgotten": fold(instance=samples.THIRD, rows=rows),
+        "forget-not-folded": retire(instance=samples.FIRST, folded_at=3, proof=()),
+        "forget-that-may-come-back": retire(
+            instance=samples.SECOND, folded_at=samples.FOLDED_SECOND, proof=()
+        ),
     }
     return [Command(name, count_bodies.MACHINE, body) for name, body in bodies.items()]
 
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -11,8 +11,8 @@
 from molereach.coordination.interface.log import Applied, Entry, Outcome, StateMachine
 from molereach.coordination.replicated_log.learner import Learner
 from molereach.coordination.replicated_log.settings import LogSettings
-from molereach.shards.counts.machine import Folds
-from molereach.shards.splits.machine import Shards, SplitSettings
+from molereach.shards.counts.machine import CountsMachine
+from molereach.shards.splits.machine import ShardsMachine, SplitSettings
 from molereach.shards.splits.upkeep_view import NoUpkeep
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.rules.settings import UpkeepSettings
@@ -43,10 +43,10 @@
 
     def __init__(self) -> None:
         self.sessions = LoneSessions()
-        self.shards = Shards(SplitSettings(window_ms=samples.WINDOW_MS), self.sessions, NoUpkeep())
+        self.shards = ShardsMachine(SplitSettings(window_ms=samples.WINDOW_MS), self.sessions, NoUpkeep())
         self.upkeep = Upkeep(upkeep_settings(), self.sessions)
         self.purges = Purges(self.sessions)
-        self.folds = Folds(self.sessions, self.shards)
+        self.folds = CountsMachine(self.sessions, self.shards)
         machines: tuple[StateMachine, ...] = (
             self.sessions,
             self.shards,
--- a/tests/compatibility/machines_samples.py
+++ b/tests/compatibility/machines_samples.py
@@ -16,8 +16,8 @@
 from molereach.coordination.replicated_log.learner import LOG_MACHINE
 from molereach.shards import proof as shard_proof
 from molereach.shards.counts import bodies as count_bodies
-from molereach.shards.counts import messages as count_words
-from molereach.shards.map.shard_map import MEMBERS, Home, Piece
+from molereach.shards.counts import messages as shard_messages
+from molereach.shards.map.shard_map import MEMBER_ID_LIMIT, CellId, ShardRange
 from molereach.shards.splits import bodies as split_bodies
 from molereach.upkeep.permits import bodies as upkeep_bodies
 from molereach.upkeep.permits.way import Step
@@ -44,7 +44,7 @@
 PERMIT = 1
 
 MEMBER, OTHER_MEMBER = "00000000000000aa", "00000000000000bb"
-HOMES = tuple(Home(building="b0", cell=f"c{number}") for number in range(4))
+CELLS = tuple(CellId(building="b0", name=f"c{number}") for number in range(4))
 DISKS = tuple(f"{number:032x}" for number in range(1, 5))
 
 
@@ -100,38 +100,42 @@
 
 def shard_word(
     fence: int, position: int, known: ClearanceEvidence = ClearanceEvidence.REPORTED
-) -> shard_proof.Word:
+) -> shard_proof.SessionClearance:
     """What a proof about shards says of one session."""
-    return shard_proof.Word(fence=fence, known=known, position=position)
+    return shard_proof.SessionClearance(fencing_token=fence, evidence=known, position=position)
 
 
-def all_said(position: int) -> tuple[shard_proof.Word, ...]:
+def all_said(position: int) -> tuple[shard_proof.SessionClearance, ...]:
     """Each of the first three sessions has said this position."""
     return tuple(shard_word(fence, position) for fence in (OPENED_FIRST, OPENED_SECOND, OPENED_THIRD))
 
 
-def found_map() -> split_bodies.Found:
+def found_map() -> split_bodies.CreateMap:
     """The first map: two shards."""
-    pieces = (
-        Piece(first=0, shard=1, home=HOMES[0]),
-        Piece(first=MEMBERS // 2, shard=2, home=HOMES[1]),
+    ranges = (
+        ShardRange(first=0, shard=1, cell=CELLS[0]),
+        ShardRange(first=MEMBER_ID_LIMIT // 2, shard=2, cell=CELLS[1]),
     )
-    return split_bodies.Found(pieces=pieces, bytes=(1_000, 2_000))
+    return split_bodies.CreateMap(ranges=ranges, shard_bytes=(1_000, 2_000))
 
 
 def splits() -> list[Command]:
     """A map, a split up to its hand-over, and one that is given up."""
-    plan = split_bodies.Plan(id="split-1", shard=1, cut=MEMBERS // 4, to=HOMES[2])
-    close = split_bodies.Close(id="split-1", begun=COPIED, proof=all_said(COPIED))
-    again = split_bodies.Plan(id="split-2", shard=2, cut=3 * (MEMBERS // 4), to=HOMES[3])
+    plan = split_bodies.PlanSplit(id="split-1", shard=1, split_point=MEMBER_ID_LIMIT // 4, target=CELLS[2])
+    close = split_bodies.CloseRange(id="split-1", expected_position=COPIED, proof=all_said(COPIED))
+    again = split_bodies.PlanSplit(
+        id="split-2", shard=2, split_point=3 * (MEMBER_ID_LIMIT // 4), target=CELLS[3]
+    )
     bodies = {
         "found": found_map(),
         "plan": plan,
-        "copy": split_bodies.Copy(id="split-1"),
+        "copy": split_bodies.StartCopy(id="split-1"),
         "close": close,
-        "hand": split_bodies.Hand(id="split-1", begun=CLOSED, moved=400),
+        "hand": split_bodies.HandOver(id="split-1", expected_position=CLOSED, range_bytes=400),
         "plan-again": again,
-        "give-up": split_bodies.GiveUp(id="split-2", begun=PLANNED_AGAIN, why="growth has turned"),
+        "give-up": split_bodies.AbandonSplit(
+            id="split-2", expected_position=PLANNED_AGAIN, reason="growth has turned"
+        ),
     }
     return [Command(name, split_bodies.MACHINE, body) for name, body in bodies.items()]
 
@@ -143,8 +147,10 @@
         shard_word(OPENED_SECOND, ENDED_SECOND, ClearanceEvidence.SESSION_EXPIRED),
         shard_word(OPENED_THIRD, CLOSED_THIRD, ClearanceEvidence.LEFT),
     )
-    clear = split_bodies.Clear(id="split-1", begun=HANDED, proof=proof)
-    plan = split_bodies.Plan(id="split-3", shard=2, cut=3 * (MEMBERS // 4), to=HOMES[3])
+    clear = split_bodies.ClearRange(id="split-1", expected_position=HANDED, proof=proof)
+    plan = split_bodies.PlanSplit(
+        id="split-3", shard=2, split_point=3 * (MEMBER_ID_LIMIT // 4), target=CELLS[3]
+    )
     return [
         Command("clear", split_bodies.MACHINE, clear, later_ms=WINDOW_MS),
         Command("plan-third", split_bodies.MACHINE, plan),
@@ -296,21 +302,21 @@
 # --- counts ---
 
 
-def rows(writes: int) -> tuple[count_words.Row, ...]:
+def rows(writes: int) -> tuple[shard_messages.CountRow, ...]:
     """What one life has written."""
     return (
-        count_words.Row(shard=1, writes=writes, bytes=100 * writes),
-        count_words.Row(shard=2, writes=1, bytes=7),
+        shard_messages.CountRow(shard=1, writes=writes, bytes=100 * writes),
+        shard_messages.CountRow(shard=2, writes=1, bytes=7),
     )
 
 
 def counts() -> list[Command]:
     """Two lives that are over, of which one is forgotten."""
     proof = (shard_word(OPENED_ANEW, FOLDED_THIRD),)
-    forget = count_bodies.Forget(life=THIRD, begun=FOLDED_THIRD, proof=proof)
+    forget = count_bodies.Retire(instance=THIRD, folded_at=FOLDED_THIRD, proof=proof)
     bodies = {
-        "fold": count_bodies.Fold(life=SECOND, rows=rows(5)),
-        "fold-left": count_bodies.Fold(life=THIRD, rows=rows(9)),
+        "fold": count_bodies.Fold(instance=SECOND, rows=rows(5)),
+        "fold-left": count_bodies.Fold(instance=THIRD, rows=rows(9)),
         "forget": forget,
     }
     return [Command(name, count_bodies.MACHINE, body, proposer=FIRST_ANEW) for name, body in bodies.items()]
--- a/tests/compatibility/machines_values.py
+++ b/tests/compatibility/machines_values.py
@@ -10,12 +10,12 @@
 from molereach.coordination.interface.clearance import ClearanceEvidence, NodeClearance
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker, SessionReport
 from molereach.coordination.membership.messages import MemberStatus
-from molereach.shards.counts import messages as count_words
+from molereach.shards.counts import messages as shard_messages
 from molereach.shards.counts.qdigest import Digest
-from molereach.shards.map.delta import Delta, between
-from molereach.shards.map.range_split import after
-from molereach.shards.map.shard_map import MEMBERS, ShardMap
-from molereach.shards.splits import states as split_way
+from molereach.shards.map.delta import Delta, delta_between
+from molereach.shards.map.range_split import split_map
+from molereach.shards.map.shard_map import MEMBER_ID_LIMIT, ShardMap
+from molereach.shards.splits import states as split_states
 from molereach.upkeep.permits import way as upkeep_way
 from molereach.upkeep.requests.work import Kind
 from tests.compatibility import machines_samples as samples
@@ -34,8 +34,8 @@
     "kind of a machine out for work": Kind,
     "state of a work": upkeep_way.State,
     "step of a work": upkeep_way.Step,
-    "state of a split": split_way.State,
-    "step of a split": split_way.Step,
+    "state of a split": split_states.State,
+    "step of a split": split_states.Step,
 }
 
 
@@ -43,38 +43,40 @@
     """Writes of many members, spread over all ids, and one heavy one."""
     found = Digest()
     for number in range(WRITES):
-        found.add(number * 2_654_435_761 % MEMBERS, 1 + number % 7)
+        found.add(number * 2_654_435_761 % MEMBER_ID_LIMIT, 1 + number % 7)
     found.add(12_345, 5_000)
     return found
 
 
-def told() -> count_words.Told:
+def told() -> shard_messages.CountReport:
     """Counts of one life."""
-    return count_words.Told(life=samples.FIRST, rows=samples.rows(5))
+    return shard_messages.CountReport(instance=samples.FIRST, rows=samples.rows(5))
 
 
-def sketch() -> count_words.Sketch:
+def sketch() -> shard_messages.DigestReport:
     """Which members of a shard wrote."""
     nodes = (
-        count_words.Node(number=MEMBERS + 12_345, weight=5_000),
-        count_words.Node(number=1, weight=9),
+        shard_messages.DigestNode(number=MEMBER_ID_LIMIT + 12_345, weight=5_000),
+        shard_messages.DigestNode(number=1, weight=9),
     )
-    return count_words.Sketch(life=samples.FIRST, shard=1, nodes=nodes)
+    return shard_messages.DigestReport(instance=samples.FIRST, shard=1, nodes=nodes)
 
 
-def digest_sketch() -> count_words.Sketch:
+def digest_sketch() -> shard_messages.DigestReport:
     """The sample digest as it is told."""
-    return count_words.Sketch(life=samples.FIRST, shard=2, nodes=digest().told())
+    return shard_messages.DigestReport(instance=samples.FIRST, shard=2, nodes=digest().nodes_to_report())
 
 
-def joined_sketch(heard: count_words.Sketch) -> count_words.Sketch:
+def joined_sketch(heard: shard_messages.DigestReport) -> shard_messages.DigestReport:
     """What a front door tells of a shard when it has joined another's nodes to none of its own."""
     joined = Digest()
-    joined.join(heard.nodes)
-    return count_words.Sketch(life=samples.SECOND, shard=heard.shard, nodes=joined.told())
+    joined.merge(heard.nodes)
+    return shard_messages.DigestReport(
+        instance=samples.SECOND, shard=heard.shard, nodes=joined.nodes_to_report()
+    )
 
 
-def count_messages() -> dict[str, count_words.Word]:
+def count_messages() -> dict[str, shard_messages.Message]:
     """Each kind of word about counts."""
     heard = digest_sketch()
     return {"told": told(), "sketch": sketch(), "digest": heard, "joined": joined_sketch(heard)}
@@ -118,9 +120,9 @@
 
 def map_values() -> dict[str, ShardMap | Delta]:
     """A map, the one after a cut, and what has changed between the two."""
-    first = ShardMap(version=1, pieces=samples.found_map().pieces, last_shard=2)
-    second = after(first, shard=1, cut=MEMBERS // 4, to=samples.HOMES[2])
-    return {"first": first, "second": second, "delta": between(first, second)}
+    first = ShardMap(version=1, ranges=samples.found_map().ranges, last_shard=2)
+    second = split_map(first, shard=1, split_point=MEMBER_ID_LIMIT // 4, target=samples.CELLS[2])
+    return {"first": first, "second": second, "delta": delta_between(first, second)}
 
 
 def encoded_maps() -> dict[str, bytes]:
--- a/tests/compatibility/test_machines_log.py
+++ b/tests/compatibility/test_machines_log.py
@@ -8,7 +8,7 @@
 from molereach.coordination.interface.log import Entry, Outcome
 from molereach.coordination.leases.sessions import ActiveSession
 from molereach.coordination.replicated_log import records
-from molereach.shards.splits.record import Record as SplitRecord
+from molereach.shards.splits.record import SplitRecord
 from molereach.upkeep.permits.record import Record as WorkRecord
 from tests.compatibility import machines_log, machines_replica
 from tests.compatibility.council_files import recorded_bytes, recorded_values
--- a/tests/compatibility/test_machines_values.py
+++ b/tests/compatibility/test_machines_values.py
@@ -8,8 +8,8 @@
 
 from molereach.cache.purge.ids import drawn_at
 from molereach.coordination.interface.clearance import NodeClearance
-from molereach.shards.counts import messages as count_words
-from molereach.shards.map.delta import Delta, applied
+from molereach.shards.counts import messages as shard_messages
+from molereach.shards.map.delta import Delta, apply_delta
 from molereach.shards.map.shard_map import ShardMap
 from tests.compatibility import machines_replica, machines_values
 from tests.compatibility.council_files import recorded_bytes, recorded_values
@@ -19,20 +19,20 @@
 
 def test_words_about_counts_are_encoded_to_the_recorded_bytes() -> None:
     assert machines_values.encoded_counts() == recorded_values(machines_values.COUNTS_FILE)
-    assert {type(message) for message in MESSAGES.values()} == set(get_args(count_words.Word))
+    assert {type(message) for message in MESSAGES.values()} == set(get_args(shard_messages.Message))
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_a_recorded_word_about_counts_is_decoded_to_the_same_value(name: str) -> None:
-    decoded = count_words.decode(recorded_values(machines_values.COUNTS_FILE)[name])
+    decoded = shard_messages.decode(recorded_values(machines_values.COUNTS_FILE)[name])
     assert type(decoded) is type(MESSAGES[name])
     assert decoded == MESSAGES[name]
 
 
 def test_a_digest_of_the_recorded_nodes_is_the_recorded_one() -> None:
     recorded = recorded_values(machines_values.COUNTS_FILE)
-    heard, joined = (count_words.decode(recorded[name]) for name in ("digest", "joined"))
-    assert isinstance(heard, count_words.Sketch)
+    heard, joined = (shard_messages.decode(recorded[name]) for name in ("digest", "joined"))
+    assert isinstance(heard, shard_messages.DigestReport)
     assert machines_values.joined_sketch(heard) == joined
     assert sum(node.weight for node in heard.nodes) == machines_values.digest().total
 
@@ -46,7 +46,7 @@
     first, second = (msgspec.json.decode(recorded[name], type=ShardMap) for name in ("first", "second"))
     delta = msgspec.json.decode(recorded["delta"], type=Delta)
     assert {"first": first, "second": second, "delta": delta} == values
-    assert applied(first, delta) == second
+    assert apply_delta(first, delta) == second
 
 
 def test_ids_of_purges_are_drawn_as_recorded() -> None:
--- a/tests/shards/counts/simulation.py
+++ b/tests/shards/counts/simulation.py
@@ -1,4 +1,4 @@
-"""Front doors that count, on a toy log with the real sessions, with words lost, doubled and late."""
+"""Front doors that count on a simulated log with real sessions; messages may be lost, duplicated or late."""
 
 from collections.abc import Callable
 
@@ -9,121 +9,151 @@
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.shards.counts import bodies
-from molereach.shards.counts.bodies import Forget
-from molereach.shards.counts.machine import Folds
-from molereach.shards.counts.recorder import BEAT_US, Confirmed, DoorCounts, Leader
-from molereach.shards.proof import Word
+from molereach.shards.counts.bodies import Retire
+from molereach.shards.counts.machine import CountsMachine
+from molereach.shards.counts.recorder import (
+    REPORT_INTERVAL_US,
+    CountRecorder,
+    LeaderChanged,
+    WriteConfirmed,
+)
+from molereach.shards.proof import SessionClearance
 
 
-class AllCounted:
-    def counted(self, shard: int) -> bool:
+class ShardsBelow100:
+    """A map with the shards below 100."""
+
+    def has_shard(self, shard: int) -> bool:
         return shard < 100
 
 
-class Reader:
-    """A front door with its own copy of the machines, which may lag."""
+class FrontDoor:
+    """An instance of a front door with its own copy of the state machines, which may lag."""
 
-    def __init__(self, me: NodeInstance, folds: type[Folds] = Folds) -> None:
-        self.me, self.sessions = me, SessionRegistry()
-        self.folds = folds(self.sessions, AllCounted())
-        self.door = DoorCounts(me, self.folds, 0)
+    def __init__(self, instance: NodeInstance, machine: type[CountsMachine] = CountsMachine) -> None:
+        self.instance, self.sessions = instance, SessionRegistry()
+        self.counts = machine(self.sessions, ShardsBelow100())
+        self.recorder = CountRecorder(instance, self.counts, 0)
         self.applied, self.alive, self.written = 0, True, 0
 
-    def take(self, now_us: int, entry: Entry) -> Outcome:
-        machine = self.sessions if entry.machine == leases.MACHINE else self.folds
+    def apply(self, now_us: int, entry: Entry) -> Outcome:
+        machine = self.sessions if entry.machine == leases.MACHINE else self.counts
         outcome = machine.apply(entry)
         self.applied = entry.position
-        self.door.handle(now_us, Applied(entry, outcome))
+        self.recorder.handle(now_us, Applied(entry, outcome))
         return outcome
 
 
-class World:
-    def __init__(self, draw: Callable[[], float], folds: type[Folds] = Folds) -> None:
-        self.draw, self.folds, self.now_us = draw, folds, 0
+class Simulation:
+    """The log, its front doors and the messages between them."""
+
+    def __init__(self, draw: Callable[[], float], machine: type[CountsMachine] = CountsMachine) -> None:
+        self.draw, self.machine, self.now_us = draw, machine, 0
         self.entries: list[Entry] = []
-        self.readers: dict[NodeInstance, Reader] = {}
-        self.truth = Reader(NodeInstance("truth", 0), folds)  # applies each entry at once
+        self.front_doors: dict[NodeInstance, FrontDoor] = {}
+        self.reference = FrontDoor(NodeInstance("truth", 0), machine)  # applies each entry at once
         self.outcomes: list[Outcome] = []
-        self.confirmed: dict[int, int] = {}  # bytes by shard, as the servers have them
-        self.told: list[tuple[str, object]] = []
+        self.confirmed: dict[int, int] = {}  # bytes by shard, as the backends have them
+        self.messages: list[tuple[str, object]] = []  # in flight, with their recipients
 
-    def add(self, machine: str, body: bytes, proposer: NodeInstance) -> Outcome:
+    def append(self, machine: str, body: bytes, proposer: NodeInstance) -> Outcome:
+        """Append an entry to the log."""
         entry = Entry(len(self.entries) + 1, machine, f"id{len(self.entries)}", proposer, 1000, body)
         self.entries.append(entry)
-        self.outcomes.append(self.truth.take(self.now_us, entry))
+        self.outcomes.append(self.reference.apply(self.now_us, entry))
         return self.outcomes[-1]
 
-    def start(self, life: NodeInstance) -> Reader:
-        self.readers[life] = Reader(life, self.folds)
-        self.add(leases.MACHINE, leases.encode(leases.OpenSession(life)), life)
-        self.catch_up(life)
-        self.lead(self.leader)
-        return self.readers[life]
+    def start(self, instance: NodeInstance) -> FrontDoor:
+        """Start a front door with a session and all entries."""
+        self.front_doors[instance] = FrontDoor(instance, self.machine)
+        self.append(leases.MACHINE, leases.encode(leases.OpenSession(instance)), instance)
+        self.catch_up(instance)
+        self.elect(self.leader)
+        return self.front_doors[instance]
 
     leader = "a"
 
-    def lead(self, name: str) -> None:
+    def elect(self, name: str) -> None:
+        """Make a front door the leader; all know it at once."""
         self.leader = name
-        for reader in self.readers.values():
-            reader.door.handle(self.now_us, Leader(name))
-
-    def over(self, life: NodeInstance) -> None:
-        opened = self.truth.sessions.active_session(life.name)
-        assert opened
-        ended = leases.EndSession(life, opened.fencing_token, 0)
-        assert not self.add(leases.MACHINE, leases.encode(ended), life).error
-
-    def catch_up(self, life: NodeInstance, most: int = 1 << 30) -> None:
-        reader = self.readers[life]
-        for entry in self.entries[reader.applied : reader.applied + most]:
-            reader.take(self.now_us, entry)
-
-    def write(self, life: NodeInstance, shard: int, size: int) -> None:
+        for front_door in self.front_doors.values():
+            front_door.recorder.handle(self.now_us, LeaderChanged(name))
+
+    def expire_session(self, instance: NodeInstance) -> None:
+        """End the instance's open session."""
+        active = self.reference.sessions.active_session(instance.name)
+        assert active
+        end = leases.EndSession(instance, active.fencing_token, 0)
+        assert not self.append(leases.MACHINE, leases.encode(end), instance).error
+
+    def catch_up(self, instance: NodeInstance, max_entries: int = 1 << 30) -> None:
+        """Apply the next entries at a front door."""
+        front_door = self.front_doors[instance]
+        for entry in self.entries[front_door.applied : front_door.applied + max_entries]:
+            front_door.apply(self.now_us, entry)
+
+    def write(self, instance: NodeInstance, shard: int, size: int) -> None:
+        """A write that a backend confirms to a front door."""
         self.confirmed[shard] = self.confirmed.get(shard, 0) + size
-        self.readers[life].door.handle(self.now_us, Confirmed(shard, size))
+        self.front_doors[instance].recorder.handle(self.now_us, WriteConfirmed(shard, size))
 
-    def beat(self, life: NodeInstance, lose: float = 0.0) -> None:
-        reader = self.readers[life]
-        self.now_us += 2 * BEAT_US + 1
-        for action in reader.door.handle(self.now_us, Tick()):
+    def tick(self, instance: NodeInstance, loss: float = 0.0) -> None:
+        """An interval passes; proposals are lost with this probability."""
+        front_door = self.front_doors[instance]
+        self.now_us += 2 * REPORT_INTERVAL_US + 1
+        for action in front_door.recorder.handle(self.now_us, Tick()):
             if isinstance(action, SendMessage):
-                self.told.append((action.recipient, action.message))
-            elif isinstance(action, Propose) and self.draw() >= lose:
-                self.add(action.machine, action.body, life)
-
-    def deliver(self, index: int, keep: bool) -> None:
-        to, message = self.told[index] if keep else self.told.pop(index)
-        for life, reader in self.readers.items():
-            if life.name == to and reader.alive:
-                reader.door.handle(self.now_us, MessageReceived(life, message))
-
-    def forget(self, life: NodeInstance) -> Outcome:
-        """With the fullest proof there is: of who is open, the `clear` that it says."""
-        begun = self.truth.folds.begun(life)
-        if begun is None:
+                self.messages.append((action.recipient, action.message))
+            elif isinstance(action, Propose) and self.draw() >= loss:
+                self.append(action.machine, action.body, instance)
+
+    def deliver(self, index: int, duplicate: bool) -> None:
+        """Deliver a message; a duplicated one stays in flight."""
+        recipient, message = self.messages[index] if duplicate else self.messages.pop(index)
+        for instance, front_door in self.front_doors.items():
+            if instance.name == recipient and front_door.alive:
+                front_door.recorder.handle(self.now_us, MessageReceived(instance, message))
+
+    def retire(self, instance: NodeInstance) -> Outcome:
+        """Propose to retire an instance, with the most complete proof that exists."""
+        folded_at = self.reference.counts.folded_at(instance)
+        if folded_at is None:
             return Outcome("not folded")
-        words = []
-        for session in self.truth.sessions.sessions_open_at(begun):
-            reader = self.readers.get(session.instance)
+        proof = []
+        for session in self.reference.sessions.sessions_open_at(folded_at):
+            front_door = self.front_doors.get(session.instance)
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.evidence, session.position))
-            elif reader and reader.door.clear >= begun:
-                words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, reader.door.clear))
-        return self.add(bodies.MACHINE, bodies.encode(Forget(life, begun, tuple(words))), life)
-
-    def bearable(self, life: NodeInstance) -> bool:
-        """Whether others have all that this front door knows; what a life told nobody dies with it."""
-        gone = self.readers[life]
-        gone.door.merged.merge(life, gone.door.own.rows())
-        others = [reader.door.merged for each, reader in self.readers.items() if each != life]
-        for each in gone.door.merged.lives():
-            if self.truth.folds.forgotten(each):
+                proof.append(SessionClearance(session.fencing_token, session.evidence, session.position))
+            elif front_door and front_door.recorder.clear_position >= folded_at:
+                proof.append(
+                    SessionClearance(
+                        session.fencing_token,
+                        ClearanceEvidence.REPORTED,
+                        front_door.recorder.clear_position,
+                    )
+                )
+        return self.append(bodies.MACHINE, bodies.encode(Retire(instance, folded_at, tuple(proof))), instance)
+
+    def can_be_lost(self, instance: NodeInstance) -> bool:
+        """Whether others have all counts that this front door knows; unreported counts are lost with it."""
+        lost = self.front_doors[instance]
+        lost.recorder.merged.merge(instance, lost.recorder.counter.rows())
+        others = [
+            front_door.recorder.merged for each, front_door in self.front_doors.items() if each != instance
+        ]
+        for each in lost.recorder.merged.instances():
+            if self.reference.counts.is_retired(each):
                 continue
-            lacking = set(gone.door.merged.of(each)) - {row for other in others for row in other.of(each)}
-            kept = self.truth.folds.kept().get(each, {})
-            if any(kept.get(row.shard) is None or kept[row.shard].bytes < row.bytes for row in lacking):
+            missing = set(lost.recorder.merged.rows_of(each)) - {
+                row for other in others for row in other.rows_of(each)
+            }
+            folded = self.reference.counts.folded().get(each, {})
+            if any(folded.get(row.shard) is None or folded[row.shard].bytes < row.bytes for row in missing):
                 return False
         return True
 
-    def counted(self, life: NodeInstance) -> dict[int, int]:
-        return {shard: count.bytes for shard, count in self.readers[life].door.merged.totals().items()}
+    def counted(self, instance: NodeInstance) -> dict[int, int]:
+        """Bytes by shard, as a front door counts them."""
+        return {
+            shard: count.bytes for shard, count in self.front_doors[instance].recorder.merged.totals().items()
+        }
--- a/tests/shards/generated.py
+++ b/tests/shards/generated.py
@@ -1,14 +1,14 @@
-"""Maps for tests."""
+"""Deterministic random numbers, cells and maps for tests."""
 
 from collections.abc import Callable
 
-from molereach.shards.map.shard_map import MEMBERS, Home, Piece, ShardMap
+from molereach.shards.map.shard_map import MEMBER_ID_LIMIT, CellId, ShardMap, ShardRange
 
-HOMES = tuple(Home(f"b{number // 4}", f"c{number}") for number in range(16))
+CELLS = tuple(CellId(f"b{number // 4}", f"c{number}") for number in range(16))
 
 
-def drawn_by(seed: int) -> Callable[[], float]:
-    """Draws below 1, the same on any machine: the generator of Knuth's MMIX."""
+def random_source(seed: int) -> Callable[[], float]:
+    """Random numbers below 1, the same on any machine: the generator of Knuth's MMIX."""
     state = seed
 
     def draw() -> float:
@@ -19,7 +19,10 @@
     return draw
 
 
-def even_map(shards: int, version: int = 1, homes: tuple[Home, ...] = HOMES) -> ShardMap:
-    """Equal ranges, given to the homes in turn."""
-    pieces = tuple(Piece(MEMBERS * at // shards, at + 1, homes[at % len(homes)]) for at in range(shards))
-    return ShardMap(version, pieces, shards)
+def even_map(shards: int, version: int = 1, cells: tuple[CellId, ...] = CELLS) -> ShardMap:
+    """Ranges of equal size, given to the cells in turn."""
+    ranges = tuple(
+        ShardRange(MEMBER_ID_LIMIT * index // shards, index + 1, cells[index % len(cells)])
+        for index in range(shards)
+    )
+    return ShardMap(version, ranges, shards)
--- a/tests/shards/map/test_map.py
+++ b/tests/shards/map/test_map.py
@@ -1,137 +1,151 @@
-"""Each member is in exactly one shard at each version; news leads from any version to the last."""
+"""Each member is in exactly one shard at each version; deltas lead from any version to the current one."""
 
 import msgspec
 import pytest
 
-from molereach.shards.map.delta import Delta, applied, between
-from molereach.shards.map.history import MOST_DELTAS, History
-from molereach.shards.map.range_split import after, wrong
-from molereach.shards.map.shard_lookup import Lookup
-from molereach.shards.map.shard_map import MEMBERS, MOST_SHARDS, Home, Piece, ShardMap, unsound
-from tests.shards.generated import HOMES, drawn_by, even_map
+from molereach.shards.map.delta import Delta, apply_delta, delta_between
+from molereach.shards.map.history import MAX_DELTAS, MapHistory
+from molereach.shards.map.range_split import split_error, split_map
+from molereach.shards.map.shard_lookup import ShardLookup
+from molereach.shards.map.shard_map import (
+    MAX_SHARDS,
+    MEMBER_ID_LIMIT,
+    CellId,
+    ShardMap,
+    ShardRange,
+    map_error,
+)
+from tests.shards.generated import CELLS, even_map, random_source
 
 
-def test_each_member_is_in_one_shard_at_each_version_of_drawn_cuts() -> None:
-    draw, found = drawn_by(1), even_map(1)
+def test_each_member_is_in_one_shard_at_each_version_of_random_splits() -> None:
+    draw, shard_map = random_source(1), even_map(1)
     for _ in range(300):
-        index = int(draw() * len(found.pieces))
-        piece, end = found.pieces[index], found.end(index)
-        cut = piece.first + int(draw() * (end - piece.first))
-        to = next(home for home in HOMES if home.building == piece.home.building and home != piece.home)
-        if wrong(found, piece.shard, cut, to):
+        index = int(draw() * len(shard_map.ranges))
+        current, end = shard_map.ranges[index], shard_map.range_end(index)
+        split_point = current.first + int(draw() * (end - current.first))
+        target = next(
+            cell for cell in CELLS if cell.building == current.cell.building and cell != current.cell
+        )
+        if split_error(shard_map, current.shard, split_point, target):
             continue
-        found = after(found, piece.shard, cut, to)
-        look = Lookup(found)
-        for member in (0, cut - 1, cut, MEMBERS - 1, int(draw() * MEMBERS)):
+        shard_map = split_map(shard_map, current.shard, split_point, target)
+        lookup = ShardLookup(shard_map)
+        for member in (0, split_point - 1, split_point, MEMBER_ID_LIMIT - 1, int(draw() * MEMBER_ID_LIMIT)):
             inside = [
-                each.shard for at, each in enumerate(found.pieces) if each.first <= member < found.end(at)
+                each.shard
+                for index, each in enumerate(shard_map.ranges)
+                if each.first <= member < shard_map.range_end(index)
             ]
-            assert inside == [look.at(member).shard]
-        assert look.at(cut).home == to and look.at(cut - 1).home == piece.home
-    assert found.version > 200
+            assert inside == [lookup.range_of(member).shard]
+        assert (
+            lookup.range_of(split_point).cell == target
+            and lookup.range_of(split_point - 1).cell == current.cell
+        )
+    assert shard_map.version > 200
 
 
 @pytest.mark.parametrize(
-    "pieces",
+    "ranges",
     [
         (),
-        (Piece(5, 1, HOMES[0]),),
-        (Piece(0, 1, HOMES[0]), Piece(0, 2, HOMES[0])),
-        (Piece(0, 1, HOMES[0]), Piece(9, 2, HOMES[0]), Piece(7, 3, HOMES[0])),
-        (Piece(0, 1, HOMES[0]), Piece(9, 1, HOMES[0])),
-        (Piece(0, 9, HOMES[0]),),
+        (ShardRange(5, 1, CELLS[0]),),
+        (ShardRange(0, 1, CELLS[0]), ShardRange(0, 2, CELLS[0])),
+        (ShardRange(0, 1, CELLS[0]), ShardRange(9, 2, CELLS[0]), ShardRange(7, 3, CELLS[0])),
+        (ShardRange(0, 1, CELLS[0]), ShardRange(9, 1, CELLS[0])),
+        (ShardRange(0, 9, CELLS[0]),),
     ],
 )
-def test_a_map_that_leaves_out_or_doubles_a_member_is_refused(pieces: tuple[Piece, ...]) -> None:
-    found = ShardMap(1, pieces, 3)
-    assert unsound(found)
+def test_a_map_without_a_member_or_with_one_twice_is_rejected(ranges: tuple[ShardRange, ...]) -> None:
+    shard_map = ShardMap(1, ranges, 3)
+    assert map_error(shard_map)
     with pytest.raises(ValueError):
-        Lookup(found)
+        ShardLookup(shard_map)
     with pytest.raises(ValueError):
-        History(found)
+        MapHistory(shard_map)
 
 
 @pytest.mark.parametrize(
-    ("shard", "cut", "to", "said"),
+    ("shard", "split_point", "target", "prefix"),
     [
-        (9, 5, HOMES[1], "shard"),
-        (1, 0, HOMES[1], "cut"),
-        (1, MEMBERS // 2, HOMES[1], "cut"),
-        (1, 5, HOMES[0], "to"),
-        (1, 5, Home("b9", "c1"), "to"),
+        (9, 5, CELLS[1], "shard"),
+        (1, 0, CELLS[1], "cut"),
+        (1, MEMBER_ID_LIMIT // 2, CELLS[1], "cut"),
+        (1, 5, CELLS[0], "to"),
+        (1, 5, CellId("b9", "c1"), "to"),
     ],
 )
-def test_cuts_that_cannot_be(shard: int, cut: int, to: Home, said: str) -> None:
-    assert wrong(even_map(2), shard, cut, to).startswith(said)
+def test_an_impossible_split_is_rejected(shard: int, split_point: int, target: CellId, prefix: str) -> None:
+    assert split_error(even_map(2), shard, split_point, target).startswith(prefix)
     with pytest.raises(ValueError):
-        after(even_map(2), shard, cut, to)
+        split_map(even_map(2), shard, split_point, target)
 
 
-def test_a_full_map_is_not_cut() -> None:
-    assert wrong(even_map(MOST_SHARDS), 1, 5, HOMES[1]).startswith("pieces")
+def test_a_full_map_is_not_split() -> None:
+    assert split_error(even_map(MAX_SHARDS), 1, 5, CELLS[1]).startswith("pieces")
 
 
-def test_a_shards_number_is_never_used_again() -> None:
-    found = after(even_map(1), 1, 100, HOMES[1])
-    assert [piece.shard for piece in found.pieces] == [1, 2]
-    assert [piece.shard for piece in after(found, 1, 50, HOMES[2]).pieces] == [1, 3, 2]
+def test_a_shard_number_is_never_reused() -> None:
+    shard_map = split_map(even_map(1), 1, 100, CELLS[1])
+    assert [each.shard for each in shard_map.ranges] == [1, 2]
+    assert [each.shard for each in split_map(shard_map, 1, 50, CELLS[2]).ranges] == [1, 3, 2]
 
 
-def test_look_up_takes_the_same_steps_in_any_map() -> None:
-    seen: list[int] = []
+def test_lookup_takes_a_bounded_number_of_comparisons_in_any_map() -> None:
+    comparisons: list[int] = []
 
-    class Counted(int):
+    class CountingInt(int):
         def __lt__(self, other: int) -> bool:
-            seen.append(1)
+            comparisons.append(1)
             return int(self) < int(other)
 
         def __ge__(self, other: int) -> bool:
-            seen.append(1)
+            comparisons.append(1)
             return int(self) >= int(other)
 
-    for shards in (1, MOST_SHARDS):
-        seen.clear()
-        assert Lookup(even_map(shards)).at(Counted(MEMBERS - 1)).shard == shards
-        assert 1 <= len(seen) <= 12
+    for shards in (1, MAX_SHARDS):
+        comparisons.clear()
+        assert ShardLookup(even_map(shards)).range_of(CountingInt(MEMBER_ID_LIMIT - 1)).shard == shards
+        assert 1 <= len(comparisons) <= 12
 
 
-def test_news_lead_from_any_version_to_the_last_and_are_bounded() -> None:
-    found = even_map(1)
-    history, versions = History(found), [found]
-    for number in range(MOST_DELTAS + 20):
-        shard = found.pieces[0]
-        found = after(found, shard.shard, (1 << 32) - 1000 * number, HOMES[1 + number % 3])
-        history.put(found)
-        versions.append(found)
+def test_changes_lead_from_any_version_to_the_current_one_and_are_bounded() -> None:
+    shard_map = even_map(1)
+    history, versions = MapHistory(shard_map), [shard_map]
+    for number in range(MAX_DELTAS + 20):
+        first = shard_map.ranges[0]
+        shard_map = split_map(shard_map, first.shard, (1 << 32) - 1000 * number, CELLS[1 + number % 3])
+        history.append(shard_map)
+        versions.append(shard_map)
     for old in versions:
-        news = history.news(old.version)
-        if isinstance(news, ShardMap):
-            assert news == found and old.version < found.version - MOST_DELTAS
+        changes = history.changes_since(old.version)
+        if isinstance(changes, ShardMap):
+            assert changes == shard_map and old.version < shard_map.version - MAX_DELTAS
             continue
-        for delta in news:
-            old = applied(old, delta)
-        assert old == found
-    assert history.news(found.version + 5) == found  # who says what never was is told all
+        for delta in changes:
+            old = apply_delta(old, delta)
+        assert old == shard_map
+    assert history.changes_since(shard_map.version + 5) == shard_map  # an unknown version: the complete map
 
 
-def test_a_delta_for_another_version_is_refused() -> None:
+def test_a_delta_that_does_not_fit_the_map_is_rejected() -> None:
     one = even_map(1)
-    two = after(one, 1, 100, HOMES[1])
-    three = after(two, 2, 200, HOMES[0])
-    assert applied(one, between(one, three)) == three
-    change = between(one, two)
+    two = split_map(one, 1, 100, CELLS[1])
+    three = split_map(two, 2, 200, CELLS[0])
+    assert apply_delta(one, delta_between(one, three)) == three
+    delta = delta_between(one, two)
     for broken in (
-        between(two, three),
+        delta_between(two, three),
         Delta(1, 1, (), 3),
-        msgspec.structs.replace(change, last_shard=1),
-        msgspec.structs.replace(change, new=(Piece(0, 2, HOMES[1]),)),
-        msgspec.structs.replace(change, new=(Piece(7, 1, HOMES[1]),)),
+        msgspec.structs.replace(delta, last_shard=1),
+        msgspec.structs.replace(delta, added=(ShardRange(0, 2, CELLS[1]),)),
+        msgspec.structs.replace(delta, added=(ShardRange(7, 1, CELLS[1]),)),
     ):
         with pytest.raises(ValueError):
-            applied(one, broken)
+            apply_delta(one, broken)
     for later in (two, even_map(2, version=9)):
         with pytest.raises(ValueError):
-            between(two, later)
-    full = even_map(MOST_SHARDS)
+            delta_between(two, later)
+    full = even_map(MAX_SHARDS)
     with pytest.raises(ValueError):
-        applied(full, Delta(1, 2, (Piece(7, MOST_SHARDS + 1, HOMES[1]),), MOST_SHARDS + 1))
+        apply_delta(full, Delta(1, 2, (ShardRange(7, MAX_SHARDS + 1, CELLS[1]),), MAX_SHARDS + 1))
