--- a/tests/shards/splits/simulation.py
+++ b/tests/shards/splits/simulation.py
@@ -1,5 +1,8 @@
-"""Front doors and cells around a toy log: one true order, readers that lag, stop, die, start from snapshots,
-words and attempts that are lost, late and doubled, and more than one that believes it leads."""
+"""Front doors and cells on a simulated log, with faults.
+
+The log has one order. Front doors lag, stop, fail and start from snapshots; messages and attempts are lost,
+late or duplicated; several front doors may believe that they lead.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -13,358 +16,417 @@
 from molereach.coordination.leases import bodies as leases
 from molereach.coordination.leases.sessions import EndedSession, SessionRegistry
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.shard_map import Home, ShardMap, unsound
-from molereach.shards.proof import Word
+from molereach.shards.map.shard_map import CellId, ShardMap, map_error
+from molereach.shards.proof import SessionClearance
 from molereach.shards.splits import bodies
-from molereach.shards.splits.bodies import Clear, Close, Found, GiveUp, Hand, Plan
-from molereach.shards.splits.commands import Done, Tell
-from molereach.shards.splits.driver import Begin, Driver, Unneeded
-from molereach.shards.splits.machine import Shards, SplitSettings
-from molereach.shards.splits.record import Record
-from molereach.shards.splits.router import DoorShards
-from molereach.shards.splits.routing_interface import Place
+from molereach.shards.splits.bodies import (
+    AbandonSplit,
+    ClearRange,
+    CloseRange,
+    CreateMap,
+    HandOver,
+    PlanSplit,
+)
+from molereach.shards.splits.commands import CommandDone, SendCommand
+from molereach.shards.splits.driver import SplitDriver, SplitUnneeded, SplitWanted
+from molereach.shards.splits.machine import ShardsMachine, SplitSettings
+from molereach.shards.splits.record import SplitRecord
+from molereach.shards.splits.router import ShardRouter
+from molereach.shards.splits.routing_interface import Placement
 from molereach.shards.splits.states import State
-from tests.shards.generated import HOMES, even_map
-from tests.shards.splits.simulated_cells import Answer, Attempt, Cell, cells_of
+from tests.shards.generated import CELLS, even_map
+from tests.shards.splits.simulated_cells import Answer, Attempt, SimulatedCell, cells_of
 
 WINDOW_MS = 8_000
 STEP_US = 60_000
 UPKEEP = "upkeep"
 
 
-class ToyUpkeep:
-    """Takes one cell out at a time, by entries; it asks the splits as they ask it."""
+class SimulatedUpkeep:
+    """Takes cells out of service and back by log entries; it asks the splits, and they ask it."""
 
     def __init__(self) -> None:
-        self.out: set[str] = set()
-        self.shards: Shards | None = None
+        self.out_of_service: set[str] = set()
+        self.shards: ShardsMachine | None = None
 
-    def taken(self, home: Home, at_ms: int) -> str:
-        return "work" if home.cell in self.out else ""
+    def occupied(self, cell: CellId, at_ms: int) -> str:
+        return "work" if cell.name in self.out_of_service else ""
 
     def apply(self, entry: Entry) -> Outcome:
+        """Put a cell back into service, or take it out unless a split occupies it."""
         assert self.shards
-        home = msgspec.json.decode(entry.body, type=Home)
-        if home.cell in self.out:
-            self.out.discard(home.cell)
-        elif not self.shards.at_work(home):
-            self.out.add(home.cell)
+        cell = msgspec.json.decode(entry.body, type=CellId)
+        if cell.name in self.out_of_service:
+            self.out_of_service.discard(cell.name)
+        elif not self.shards.split_in_progress(cell):
+            self.out_of_service.add(cell.name)
         return Outcome()
 
 
 @dataclass(frozen=True)
-class Kinds:
-    """What is run; a mutation takes the place of one."""
+class Implementations:
+    """The classes under test; a mutation replaces one of them."""
 
-    shards: type[Shards] = Shards
-    door: type[DoorShards] = DoorShards
-    cell: type[Cell] = Cell
+    shards: type[ShardsMachine] = ShardsMachine
+    router: type[ShardRouter] = ShardRouter
+    cell: type[SimulatedCell] = SimulatedCell
 
 
-class Reader:
-    """One life of one front door."""
+class FrontDoor:
+    """One instance of one front door."""
 
-    def __init__(self, me: NodeInstance, kinds: Kinds) -> None:
-        self.me, self.sessions, self.upkeep = me, SessionRegistry(), ToyUpkeep()
-        self.shards = kinds.shards(SplitSettings(WINDOW_MS), self.sessions, self.upkeep)
+    def __init__(self, instance: NodeInstance, implementations: Implementations) -> None:
+        self.instance, self.sessions, self.upkeep = instance, SessionRegistry(), SimulatedUpkeep()
+        self.shards = implementations.shards(SplitSettings(WINDOW_MS), self.sessions, self.upkeep)
         self.upkeep.shards = self.shards
-        self.door = kinds.door(self.shards)
+        self.router = implementations.router(self.shards)
         self.applied, self.stopped = 0, False
-        self.driver: Driver | None = None
+        self.driver: SplitDriver | None = None
 
-    def take(self, now_us: int, entry: Entry) -> Outcome:
+    def apply(self, now_us: int, entry: Entry) -> Outcome:
         machines = {leases.MACHINE: self.sessions, bodies.MACHINE: self.shards, UPKEEP: self.upkeep}
         outcome: Outcome = machines[entry.machine].apply(entry)  # type: ignore[attr-defined]
         self.applied = entry.position
-        self.door.handle(now_us, Applied(entry, outcome))
+        self.router.handle(now_us, Applied(entry, outcome))
         return outcome
 
-    def restore(self, now_us: int, other: "Reader") -> None:
+    def restore(self, now_us: int, other: "FrontDoor") -> None:
+        """Start from the snapshots of another front door."""
         self.sessions.restore(other.sessions.snapshot())
         self.shards.restore(other.shards.snapshot())
         assert self.shards.snapshot() == other.shards.snapshot()
-        self.upkeep.out, self.applied = set(other.upkeep.out), other.applied
-        self.door.handle(now_us, Restored(other.applied))
+        self.upkeep.out_of_service, self.applied = set(other.upkeep.out_of_service), other.applied
+        self.router.handle(now_us, Restored(other.applied))
 
 
 @dataclass
-class Call:
+class Request:
     """A client's request at one front door."""
 
     attempt: Attempt
     name: str
-    tried: Place | None = None
-    left: int = 3
+    previous: Placement | None = None
+    retries_left: int = 3
+
 
+class Simulation:
+    """The log, its front doors, the cells, and what is in flight between them."""
 
-class World:
-    def __init__(self, draw: Callable[[], float], kinds: Kinds = Kinds(), shards: int = 2) -> None:
-        self.draw, self.kinds, self.now_us = draw, kinds, 0
+    def __init__(
+        self,
+        draw: Callable[[], float],
+        implementations: Implementations = Implementations(),
+        shards: int = 2,
+    ) -> None:
+        self.draw, self.implementations, self.now_us = draw, implementations, 0
         self.entries: list[Entry] = []
         self.ids: set[str] = set()
-        first = even_map(shards)
-        self.cells = cells_of(first, kinds.cell)
-        for home in HOMES[:8]:
-            self.cells.setdefault(home.cell, kinds.cell(home, self.cells))
-        self.truth = Reader(NodeInstance("truth", 0), kinds)
-        self.readers: dict[str, Reader] = {}
-        self.said: dict[int, tuple[int, int]] = {}  # by fence: applied and clear
-        self.pool: list[Callable[[], None]] = []  # under way; each may be lost and late
-        self.once: set[Callable[[], None]] = set()  # of those, attempts and answers; others may be doubled
-        self.sides: dict[str, set[str]] = {}  # of unsafe requests
-        self.tries: dict[tuple[str, str], set[str]] = {}  # of keyed requests, by front door's life
+        initial = even_map(shards)
+        self.cells = cells_of(initial, implementations.cell)
+        for cell in CELLS[:8]:
+            self.cells.setdefault(cell.name, implementations.cell(cell, self.cells))
+        self.reference = FrontDoor(NodeInstance("truth", 0), implementations)  # applies each entry at once
+        self.front_doors: dict[str, FrontDoor] = {}
+        self.reported: dict[int, tuple[int, int]] = {}  # applied and clear position, by fencing token
+        self.in_flight: list[Callable[[], None]] = []  # each may be lost or late
+        self.not_duplicated: set[Callable[[], None]] = set()  # attempts and answers; others may be duplicated
+        self.non_idempotent_cells: dict[str, set[str]] = {}  # the cells that a request was sent to, by its ID
+        self.tries: dict[tuple[str, str], set[str]] = {}  # of keyed requests, by front-door instance
         self.sent_us: dict[str, int] = {}
         self.keyed: list[Attempt] = []
-        self.copied: dict[str, int] = {}
-        self.handed: dict[str, int] = {}
-        self.number = 0
+        self.copy_positions: dict[str, int] = {}
+        self.hand_over_positions: dict[str, int] = {}
+        self.requests = 0
         self.answers: list[Answer] = []
         for name in "abc":
             self.start(NodeInstance(name, 1))
-        self.add(bodies.MACHINE, bodies.encode(Found(first.pieces, (0,) * shards)), NodeInstance("a", 1))
+        self.append(
+            bodies.MACHINE, bodies.encode(CreateMap(initial.ranges, (0,) * shards)), NodeInstance("a", 1)
+        )
 
     # --- the log ---
 
-    def add(self, machine: str, body: bytes, proposer: NodeInstance, id: str = "") -> Outcome:
+    def append(self, machine: str, body: bytes, proposer: NodeInstance, id: str = "") -> Outcome:
+        """Append an entry to the log, and check the invariants."""
         id = id or f"own{len(self.entries)}"
         if id in self.ids:
             return Outcome("told again")
         self.ids.add(id)
         entry = Entry(len(self.entries) + 1, machine, id, proposer, self.now_us // 1000, body)
         self.entries.append(entry)
-        outcome = self.truth.take(self.now_us, entry)
+        outcome = self.reference.apply(self.now_us, entry)
         if not outcome.error and machine == bodies.MACHINE:
-            self.judge(bodies.decode(body), entry)
-        self.sound()
+            self.check_step(bodies.decode(body), entry)
+        self.check_state()
         return outcome
 
-    def judge(self, body: bodies.Body, entry: Entry) -> None:
-        """What must hold of a step that was taken."""
+    def check_step(self, body: bodies.Body, entry: Entry) -> None:
+        """What must hold when a step is taken."""
         match body:
-            case bodies.Copy():
-                self.copied[body.id] = entry.position
-            case Hand():
-                self.handed[body.id] = entry.position
-                self.all_have(self.copied[body.id], lambda reader: reader.applied)
-            case Clear():
-                self.all_have(self.handed[body.id], lambda reader: reader.applied)
-                for reader in self.readers.values():
-                    pin = reader.door._pins.get(body.id)
-                    opened = self.truth.sessions.active_session(reader.me.name)
+            case bodies.StartCopy():
+                self.copy_positions[body.id] = entry.position
+            case HandOver():
+                self.hand_over_positions[body.id] = entry.position
+                self.check_all_at_least(self.copy_positions[body.id], lambda front_door: front_door.applied)
+            case ClearRange():
+                self.check_all_at_least(
+                    self.hand_over_positions[body.id], lambda front_door: front_door.applied
+                )
+                for front_door in self.front_doors.values():
+                    window = front_door.router._repeat_windows.get(body.id)
+                    active = self.reference.sessions.active_session(front_door.instance.name)
                     if (
-                        pin
-                        and opened
-                        and opened.instance == reader.me
-                        and opened.fencing_token < self.handed[body.id]
+                        window
+                        and active
+                        and active.instance == front_door.instance
+                        and active.fencing_token < self.hand_over_positions[body.id]
                     ):
-                        assert pin.until_us <= self.now_us, "a front door still sends repeats to the old side"
-
-    def all_have(self, position: int, has: Callable[[Reader], int]) -> None:
-        for session in self.truth.sessions.active_sessions():
-            reader = self.readers.get(session.instance.name)
-            if session.fencing_token < position and reader and reader.me == session.instance:
-                assert has(reader) >= position, f"{session.instance.name} does not have {position}"
-
-    def sound(self) -> None:
-        book, found = self.truth.shards.book, self.truth.shards.map
-        assert not (found and unsound(found))
-        homes = [home for split in book.open.values() for home in split.homes]
-        assert len(set(homes)) == len(homes), "two splits of one cell"
-        for home in homes:
-            assert not (home.cell in self.truth.upkeep.out and self.truth.shards.at_work(home)), "upkeep too"
-
-    def start(self, life: NodeInstance) -> Reader:
-        reader = Reader(life, self.kinds)
-        reader.restore(self.now_us, self.truth)
-        self.readers[life.name] = reader
-        self.open(reader)
-        return reader
-
-    def open(self, reader: Reader) -> None:
-        self.add(leases.MACHINE, leases.encode(leases.OpenSession(reader.me)), reader.me)
-
-    def over(self, name: str) -> None:
-        opened = self.truth.sessions.active_session(name)
-        if opened:
-            ended = leases.EndSession(opened.instance, opened.fencing_token, 0)
-            self.add(leases.MACHINE, leases.encode(ended), opened.instance)
-
-    def catch_up(self, reader: Reader, most: int = 1 << 30) -> None:
-        for entry in self.entries[reader.applied : reader.applied + most]:
-            reader.take(self.now_us, entry)
-
-    def say(self, reader: Reader) -> None:
-        """With its session, as the keeper hears it."""
-        opened = reader.sessions.active_session(reader.me.name)
-        if opened and opened.instance == reader.me:
-            reader.door.handle(self.now_us, Tick())
-            self.said[opened.fencing_token] = (reader.applied, reader.door.clear)
-
-    # --- accounts, for the driver at a reader ---
-
-    def account(self, reader: Reader, position: int, which: int) -> tuple[NodeClearance, ...] | None:
-        found = []
-        if reader.applied < position:
+                        assert window.until_us <= self.now_us, "repeats still go to the source cell"
+
+    def check_all_at_least(self, position: int, reached: Callable[[FrontDoor], int]) -> None:
+        """Each front door whose session was open at a position has reached it."""
+        for session in self.reference.sessions.active_sessions():
+            front_door = self.front_doors.get(session.instance.name)
+            if session.fencing_token < position and front_door and front_door.instance == session.instance:
+                assert reached(front_door) >= position, f"{session.instance.name} is before {position}"
+
+    def check_state(self) -> None:
+        """The map is valid, and no cell is in two splits or in a split and in upkeep."""
+        registry, shard_map = self.reference.shards.registry, self.reference.shards.map
+        assert not (shard_map and map_error(shard_map))
+        cells = [cell for split in registry.open.values() for cell in split.cells]
+        assert len(set(cells)) == len(cells), "two splits of one cell"
+        for cell in cells:
+            assert not (
+                cell.name in self.reference.upkeep.out_of_service
+                and self.reference.shards.split_in_progress(cell)
+            ), "a split of a cell in upkeep"
+
+    def start(self, instance: NodeInstance) -> FrontDoor:
+        """Start a front door from a snapshot, with a session."""
+        front_door = FrontDoor(instance, self.implementations)
+        front_door.restore(self.now_us, self.reference)
+        self.front_doors[instance.name] = front_door
+        self.open_session(front_door)
+        return front_door
+
+    def open_session(self, front_door: FrontDoor) -> None:
+        self.append(
+            leases.MACHINE, leases.encode(leases.OpenSession(front_door.instance)), front_door.instance
+        )
+
+    def expire_session(self, name: str) -> None:
+        active = self.reference.sessions.active_session(name)
+        if active:
+            end = leases.EndSession(active.instance, active.fencing_token, 0)
+            self.append(leases.MACHINE, leases.encode(end), active.instance)
+
+    def catch_up(self, front_door: FrontDoor, max_entries: int = 1 << 30) -> None:
+        """Apply the next entries at a front door."""
+        for entry in self.entries[front_door.applied : front_door.applied + max_entries]:
+            front_door.apply(self.now_us, entry)
+
+    def report(self, front_door: FrontDoor) -> None:
+        """A front door reports its positions under its session."""
+        active = front_door.sessions.active_session(front_door.instance.name)
+        if active and active.instance == front_door.instance:
+            front_door.router.handle(self.now_us, Tick())
+            self.reported[active.fencing_token] = (front_door.applied, front_door.router.clear_position)
+
+    # --- proofs for the driver at a front door ---
+
+    def clearances(
+        self, front_door: FrontDoor, position: int, which: int
+    ) -> tuple[NodeClearance, ...] | None:
+        """A proof by the reported positions: 0 for the applied, 1 for the clear ones."""
+        clearances = []
+        if front_door.applied < position:
             return None
-        for session in reader.sessions.sessions_open_at(position):
+        for session in front_door.sessions.sessions_open_at(position):
             if isinstance(session, EndedSession):
-                found.append(NodeClearance(session.instance, session.evidence, session.position))
-            elif self.said.get(session.fencing_token, (0, 0))[which] >= position:
-                found.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, position))
+                clearances.append(NodeClearance(session.instance, session.evidence, session.position))
+            elif self.reported.get(session.fencing_token, (0, 0))[which] >= position:
+                clearances.append(NodeClearance(session.instance, ClearanceEvidence.REPORTED, position))
             else:
                 return None
-        return tuple(found)
+        return tuple(clearances)
 
-    def lead(self, name: str, ballot: int) -> None:
-        world, reader = self, self.readers[name]
+    def elect(self, name: str, ballot: int) -> None:
+        """A front door becomes leader; others may still believe that they lead."""
+        simulation, front_door = self, self.front_doors[name]
 
-        class Accounts:
+        class Tracker:
             def applied(self, position: int) -> tuple[NodeClearance, ...] | None:
-                return world.account(reader, position, 0)
+                return simulation.clearances(front_door, position, 0)
 
             def clear(self, position: int) -> tuple[NodeClearance, ...] | None:
-                return world.account(reader, position, 1)
+                return simulation.clearances(front_door, position, 1)
 
-        reader.driver = Driver(reader.shards, reader.sessions, Accounts(), ballot)
+        front_door.driver = SplitDriver(front_door.shards, front_door.sessions, Tracker(), ballot)
 
-    def drive(self, reader: Reader, event: Begin | Unneeded | Done | Tick) -> None:
-        if reader.driver is None or reader.stopped:
+    def drive(self, front_door: FrontDoor, event: SplitWanted | SplitUnneeded | CommandDone | Tick) -> None:
+        """An event for the driver at a front door; its actions go in flight."""
+        if front_door.driver is None or front_door.stopped:
             return
-        for action in reader.driver.handle(self.now_us, event):
+        for action in front_door.driver.handle(self.now_us, event):
             if isinstance(action, Propose):
-                self.pool.append(lambda action=action: self.propose(reader, action))  # type: ignore[misc]
-            elif isinstance(action, Tell):
-                self.pool.append(lambda action=action: self.tell(reader, action))  # type: ignore[misc]
+                self.in_flight.append(lambda action=action: self.propose(front_door, action))  # type: ignore[misc]
+            elif isinstance(action, SendCommand):
+                self.in_flight.append(lambda action=action: self.command(front_door, action))  # type: ignore[misc]
 
-    def propose(self, reader: Reader, action: Propose) -> None:
-        self.add(action.machine, action.body, reader.me, action.id)
+    def propose(self, front_door: FrontDoor, action: Propose) -> None:
+        self.append(action.machine, action.body, front_door.instance, action.id)
 
-    def tell(self, reader: Reader, action: Tell) -> None:
-        done = self.cells[action.home.cell].tell(action.order, action.split)
+    def command(self, front_door: FrontDoor, action: SendCommand) -> None:
+        done = self.cells[action.cell.name].execute(action.command, action.split)
         if done is not None:
-            self.pool.append(lambda: self.drive(reader, done))
+            self.in_flight.append(lambda: self.drive(front_door, done))
 
-    def wild(self, split: Record) -> None:
-        """A step that is proposed by one who does not look: with whatever proof there is."""
-        words = []
-        for session in self.truth.sessions.sessions_open_at(split.position):
+    def propose_blindly(self, split: SplitRecord) -> None:
+        """A step from a proposer that checks nothing, with whatever proof there is."""
+        proof = []
+        for session in self.reference.sessions.sessions_open_at(split.position):
             if isinstance(session, EndedSession):
-                words.append(Word(session.fencing_token, session.evidence, session.position))
-            elif self.said.get(session.fencing_token, (0, 0))[split.state is State.HANDED] >= split.position:
-                words.append(Word(session.fencing_token, ClearanceEvidence.REPORTED, split.position))
-        body: bodies.Body = Close(split.id, split.position, tuple(words))
-        if split.state is State.HANDED:
-            body = Clear(split.id, split.position, tuple(words))
+                proof.append(SessionClearance(session.fencing_token, session.evidence, session.position))
+            elif (
+                self.reported.get(session.fencing_token, (0, 0))[split.state is State.HANDED_OVER]
+                >= split.position
+            ):
+                proof.append(
+                    SessionClearance(session.fencing_token, ClearanceEvidence.REPORTED, split.position)
+                )
+        body: bodies.Body = CloseRange(split.id, split.position, tuple(proof))
+        if split.state is State.HANDED_OVER:
+            body = ClearRange(split.id, split.position, tuple(proof))
         elif self.draw() < 0.04:
-            body = GiveUp(split.id, split.position, "no reason")
-        self.add(bodies.MACHINE, bodies.encode(body), NodeInstance("a", 1))
+            body = AbandonSplit(split.id, split.position, "no reason")
+        self.append(bodies.MACHINE, bodies.encode(body), NodeInstance("a", 1))
 
     # --- requests ---
 
-    def ask(self, name: str, effect: Idempotency, member: int, size: int = 1) -> None:
-        self.number += 1
-        attempt = Attempt(f"r{self.number}", member, effect, False, size)
+    def request(self, name: str, idempotency: Idempotency, member: int, size: int = 1) -> None:
+        """A client sends a request to a front door."""
+        self.requests += 1
+        attempt = Attempt(f"r{self.requests}", member, idempotency, False, size)
         self.sent_us[attempt.id] = self.now_us
-        if effect is Idempotency.IDEMPOTENT_WITH_KEY:
+        if idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
             self.keyed.append(attempt)
-        self.send(Call(attempt, name))
+        self.send(Request(attempt, name))
 
     def repeat(self, name: str, attempt: Attempt) -> None:
-        """The client asks again, at any front door, within its window."""
+        """The client repeats a request within its window, at any front door."""
         if self.now_us - self.sent_us[attempt.id] < WINDOW_MS * 1000:
-            self.send(Call(replace(attempt, again=True), name))
+            self.send(Request(replace(attempt, is_repeat=True), name))
 
-    def send(self, call: Call) -> None:
-        reader, attempt = self.readers[call.name], call.attempt
-        if reader.stopped or self.now_us - self.sent_us[attempt.id] >= WINDOW_MS * 1000:
+    def send(self, request: Request) -> None:
+        """A front door sends an attempt where its router says, if anywhere."""
+        front_door, attempt = self.front_doors[request.name], request.attempt
+        if front_door.stopped or self.now_us - self.sent_us[attempt.id] >= WINDOW_MS * 1000:
             return
-        place = reader.door.place(self.now_us, attempt.member, attempt.effect, attempt.again, call.tried)
-        if place is None:
+        placement = front_door.router.place(
+            self.now_us, attempt.member, attempt.idempotency, attempt.is_repeat, request.previous
+        )
+        if placement is None:
             return
-        again = attempt.again or call.tried is not None
-        sent = replace(attempt, again=again)
-        if attempt.effect is Idempotency.NON_IDEMPOTENT:
-            self.sides.setdefault(attempt.id, set()).add(place.cell)
-            assert len(self.sides[attempt.id]) == 1, "an unsafe request to both sides"
-        if attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY and call.tried:
-            assert place.cell == call.tried.cell, "a keyed request was moved"
-        call.tried = place
+        is_repeat = attempt.is_repeat or request.previous is not None
+        sent = replace(attempt, is_repeat=is_repeat)
+        if attempt.idempotency is Idempotency.NON_IDEMPOTENT:
+            self.non_idempotent_cells.setdefault(attempt.id, set()).add(placement.cell)
+            assert len(self.non_idempotent_cells[attempt.id]) == 1, "non-idempotent request to two cells"
+        if attempt.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and request.previous:
+            assert placement.cell == request.previous.cell, "a keyed request went to another cell"
+        request.previous = placement
 
         def arrive() -> None:
-            answer = self.cells[place.cell].handle(sent)
+            answer = self.cells[placement.cell].handle(sent)
             self.answers.append(answer)
-            if answer.ran:
-                ran = [each for cell in self.cells.values() for each in cell.ran if each.id == sent.id]
-                assert sent.effect is Idempotency.IDEMPOTENT or len(ran) == 1, f"{sent.effect} ran twice"
-            self.post(lambda: self.answered(call, place, answer))
+            if answer.executed:
+                executions = [
+                    each for cell in self.cells.values() for each in cell.executed if each.id == sent.id
+                ]
+                assert sent.idempotency is Idempotency.IDEMPOTENT or len(executions) == 1, (
+                    f"{sent.idempotency} executed twice"
+                )
+            self.post(lambda: self.on_answer(request, placement, answer))
 
         self.post(arrive)
 
-    def post(self, one: Callable[[], None]) -> None:
-        self.pool.append(one)
-        self.once.add(one)
-
-    def answered(self, call: Call, place: Place, answer: Answer) -> None:
-        reader, found = self.readers[call.name], self.truth.shards.map
-        if answer.busy and call.left and found and not reader.stopped:
-            call.left -= 1
-            reader.door.turned_away(self.now_us, place, found.version)
-            if any(reader.door.handle(self.now_us, Tick())):
-                self.catch_up(reader)  # it learns
-            self.send(call)
+    def post(self, delivery: Callable[[], None]) -> None:
+        """Put an attempt or an answer in flight."""
+        self.in_flight.append(delivery)
+        self.not_duplicated.add(delivery)
+
+    def on_answer(self, request: Request, placement: Placement, answer: Answer) -> None:
+        """A front door retries a rejected attempt, with the map that it fetched if the backend's is later."""
+        front_door, shard_map = self.front_doors[request.name], self.reference.shards.map
+        if answer.busy and request.retries_left and shard_map and not front_door.stopped:
+            request.retries_left -= 1
+            front_door.router.on_rejected(self.now_us, placement, shard_map.version)
+            if any(front_door.router.handle(self.now_us, Tick())):
+                self.catch_up(front_door)
+            self.send(request)
 
     # --- running it ---
 
     def step_time(self) -> None:
+        """Advance by a random time."""
         self.now_us += int(self.draw() * 2 * STEP_US)
 
     def wait(self, us: int) -> None:
         self.now_us += us
 
-    def fair(self, rounds: int, before: Callable[[int], None] = lambda round: None) -> None:
-        """All that lives goes on, and all arrives once."""
+    def run_without_faults(self, rounds: int, before: Callable[[int], None] = lambda round: None) -> None:
+        """Rounds in which all running front doors catch up, and all that is in flight arrives once."""
         for round in range(rounds):
             self.now_us += STEP_US
             before(round)
-            for reader in self.readers.values():
-                if not reader.stopped:
-                    self.catch_up(reader)
-                    self.say(reader)
-                    self.drive(reader, Tick())
-            under_way, self.pool = self.pool, []
-            for one in under_way:
-                one()
+            for front_door in self.front_doors.values():
+                if not front_door.stopped:
+                    self.catch_up(front_door)
+                    self.report(front_door)
+                    self.drive(front_door, Tick())
+            deliveries, self.in_flight = self.in_flight, []
+            for delivery in deliveries:
+                delivery()
 
     def state(self, id: str) -> State | None:
-        split = self.truth.shards.book.get(id)
+        """The state of a split."""
+        split = self.reference.shards.registry.get(id)
         return split.state if split else None
 
-    def check_stores(self) -> None:
-        """Each member's bytes are where the map says, and only there; sizes are the servers' own."""
-        found = self.truth.shards.map
-        assert found
+    def check_stored(self) -> None:
+        """Each member's bytes are stored where the map says, and only there; shard sizes are those stored."""
+        shard_map = self.reference.shards.map
+        assert shard_map
         written: dict[int, int] = {}
         for cell in self.cells.values():
-            for attempt in cell.ran:
+            for attempt in cell.executed:
                 written[attempt.member] = written.get(attempt.member, 0) + attempt.size
-        for index, piece in enumerate(found.pieces):
-            inside = {
-                member: size for member, size in written.items() if piece.first <= member < found.end(index)
+        for index, each in enumerate(shard_map.ranges):
+            expected = {
+                member: size
+                for member, size in written.items()
+                if each.first <= member < shard_map.range_end(index)
             }
             for name, cell in self.cells.items():
                 stored = {
                     member: size
                     for member, size in cell.stored.items()
-                    if piece.first <= member < found.end(index)
+                    if each.first <= member < shard_map.range_end(index)
                 }
-                assert stored == (inside if name == piece.home.cell else {}), f"{name} has {piece.shard}"
-            counted = sum(cell.by_shard.get(piece.shard, 0) for cell in self.cells.values())
-            assert self.truth.shards.base(piece.shard) + counted == sum(inside.values())
-
-
-def plan(found: ShardMap, id: str, index: int = 0, part: float = 0.5) -> Plan:
-    """Of a map's shard, to the next cell of its building."""
-    piece = found.pieces[index]
-    cut = piece.first + int((found.end(index) - piece.first) * part)
-    same = [home for home in HOMES[:8] if home.building == piece.home.building]
-    return Plan(id, piece.shard, cut, same[(same.index(piece.home) + 2) % len(same)])
+                assert stored == (expected if name == each.cell.name else {}), f"{name} has {each.shard}"
+            counted = sum(cell.by_shard.get(each.shard, 0) for cell in self.cells.values())
+            assert self.reference.shards.base_bytes(each.shard) + counted == sum(expected.values())
+
+
+def plan_split(shard_map: ShardMap, id: str, index: int = 0, fraction: float = 0.5) -> PlanSplit:
+    """A plan to split the shard of a range, with another cell of its building as the target."""
+    source = shard_map.ranges[index]
+    split_point = source.first + int((shard_map.range_end(index) - source.first) * fraction)
+    same_building = [cell for cell in CELLS[:8] if cell.building == source.cell.building]
+    return PlanSplit(
+        id,
+        source.shard,
+        split_point,
+        same_building[(same_building.index(source.cell) + 2) % len(same_building)],
+    )
--- a/tests/shards/splits/test_random_histories.py
+++ b/tests/shards/splits/test_random_histories.py
@@ -1,7 +1,8 @@
-"""Drawn histories: requests go on through splits while front doors lag, stop, die, and more than one leads.
+"""Random histories: requests go on through splits while front doors lag, stop and fail, and several lead.
 
-An unsafe request is never sent to both sides, a keyed one runs once, each write is where the map says, no
-cell is in two splits or in a split and in upkeep, and what each step needs is there when it is taken.
+A non-idempotent request is never sent to two cells, a keyed one is executed once, each write is stored where
+the map says, no cell is in two splits or in a split and in upkeep, and each step is taken only when its
+conditions hold.
 """
 
 from collections.abc import Sequence
@@ -13,246 +14,294 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.leases import bodies as leases
 from molereach.policy.interface.settings import Idempotency
-from molereach.shards.map.shard_map import MEMBERS, Home, Piece
+from molereach.shards.map.shard_map import MEMBER_ID_LIMIT, CellId, ShardRange
 from molereach.shards.splits import bodies
-from molereach.shards.splits.bodies import Plan, Proof
-from molereach.shards.splits.driver import Begin, Unneeded
-from molereach.shards.splits.machine import Shards
-from molereach.shards.splits.record import Record
-from molereach.shards.splits.router import DoorShards
-from molereach.shards.splits.routing_interface import Place
+from molereach.shards.splits.bodies import PlanSplit, Proof
+from molereach.shards.splits.driver import SplitUnneeded, SplitWanted
+from molereach.shards.splits.machine import ShardsMachine
+from molereach.shards.splits.record import SplitRecord
+from molereach.shards.splits.router import ShardRouter
+from molereach.shards.splits.routing_interface import Placement
 from molereach.shards.splits.states import State
-from tests.shards.generated import HOMES, drawn_by
-from tests.shards.splits.simulated_cells import Answer, Attempt, Cell
-from tests.shards.splits.simulation import STEP_US, UPKEEP, Kinds, Reader, World, plan
+from tests.shards.generated import CELLS, random_source
+from tests.shards.splits.simulated_cells import Answer, Attempt, SimulatedCell
+from tests.shards.splits.simulation import (
+    STEP_US,
+    UPKEEP,
+    FrontDoor,
+    Implementations,
+    Simulation,
+    plan_split,
+)
 
 EVENTS = 1500
 
 
-def drawn_step(world: World, ballots: list[int]) -> None:
-    draw = world.draw
+def random_event(simulation: Simulation, ballots: list[int]) -> None:
+    """One random event: a request, a delivery, progress, a fault, upkeep, or a step without any checks."""
+    draw = simulation.draw
     name = "abc"[int(draw() * 3)]
-    reader, chance = world.readers[name], draw()
-    world.step_time()
-    if chance < 0.15:
-        member = int(draw() * MEMBERS) if draw() < 0.3 else int(draw() * 64) * (MEMBERS // 64)
-        world.ask(name, list(Idempotency)[int(draw() * 3)], member, 1 + int(draw() * 9))
-    elif chance < 0.22 and world.keyed:
-        world.repeat(name, world.keyed[-1 - int(draw() * min(30, len(world.keyed)))])
-    elif chance < 0.58 and world.pool:
-        one = world.pool[int(draw() * len(world.pool))]
+    front_door, choice = simulation.front_doors[name], draw()
+    simulation.step_time()
+    if choice < 0.15:
+        member = int(draw() * MEMBER_ID_LIMIT) if draw() < 0.3 else int(draw() * 64) * (MEMBER_ID_LIMIT // 64)
+        simulation.request(name, list(Idempotency)[int(draw() * 3)], member, 1 + int(draw() * 9))
+    elif choice < 0.22 and simulation.keyed:
+        simulation.repeat(name, simulation.keyed[-1 - int(draw() * min(30, len(simulation.keyed)))])
+    elif choice < 0.58 and simulation.in_flight:
+        delivery = simulation.in_flight[int(draw() * len(simulation.in_flight))]
         fate = draw()
-        if fate < 0.75 or one in world.once:
-            world.pool.remove(one)
+        if fate < 0.75 or delivery in simulation.not_duplicated:
+            simulation.in_flight.remove(delivery)
         if fate > 0.04:
-            one()
-    elif chance < 0.72 and not reader.stopped:
-        world.catch_up(reader, 1 + int(draw() * 6))
-        world.say(reader)
-    elif chance < 0.86:
-        world.drive(reader, Tick())
-    elif chance < 0.88:
-        trouble(world, reader, ballots)
-    elif chance < 0.89:
-        home = HOMES[int(draw() * 4)]
-        if draw() < (0.3 if home.cell in world.truth.upkeep.out else 0.6):
-            world.add(UPKEEP, msgspec.json.encode(home), reader.me)
-    elif chance < 0.96 and world.truth.shards.book.open:
-        opened = list(world.truth.shards.book.open.values())
-        world.wild(opened[int(draw() * len(opened))])
+            delivery()
+    elif choice < 0.72 and not front_door.stopped:
+        simulation.catch_up(front_door, 1 + int(draw() * 6))
+        simulation.report(front_door)
+    elif choice < 0.86:
+        simulation.drive(front_door, Tick())
+    elif choice < 0.88:
+        random_fault(simulation, front_door, ballots)
+    elif choice < 0.89:
+        cell = CELLS[int(draw() * 4)]
+        if draw() < (0.3 if cell.name in simulation.reference.upkeep.out_of_service else 0.6):
+            simulation.append(UPKEEP, msgspec.json.encode(cell), front_door.instance)
+    elif choice < 0.96 and simulation.reference.shards.registry.open:
+        open_splits = list(simulation.reference.shards.registry.open.values())
+        simulation.propose_blindly(open_splits[int(draw() * len(open_splits))])
     else:
-        want(world, reader)
+        random_split(simulation, front_door)
 
 
-def trouble(world: World, reader: Reader, ballots: list[int]) -> None:
-    draw, name = world.draw, reader.me.name
+def random_fault(simulation: Simulation, front_door: FrontDoor, ballots: list[int]) -> None:
+    """A front door stops, resumes, loses its session or restarts, or another leader is elected."""
+    draw, name = simulation.draw, front_door.instance.name
     match int(draw() * 6):
         case 0:
-            reader.stopped = True  # and its session is over, now or later
+            front_door.stopped = True  # its session expires now or later
         case 1:
-            reader.stopped = False
-            opened = world.truth.sessions.active_session(name)
-            if not opened or opened.instance != reader.me:
-                world.open(reader)
+            front_door.stopped = False
+            active = simulation.reference.sessions.active_session(name)
+            if not active or active.instance != front_door.instance:
+                simulation.open_session(front_door)
         case 2:
-            world.over(name)
-        case 3:  # dies, and starts anew
-            life = NodeInstance(name, reader.me.number + 1)
-            world.readers[name].stopped = True
-            world.start(life)
-        case _:  # another is elected; the one before may not know
+            simulation.expire_session(name)
+        case 3:  # it restarts
+            instance = NodeInstance(name, front_door.instance.number + 1)
+            simulation.front_doors[name].stopped = True
+            simulation.start(instance)
+        case _:  # a new leader; the last one may not know
             ballots.append(len(ballots))
-            world.lead(name, len(ballots))
-
-
-def want(world: World, reader: Reader) -> None:
-    found, draw = world.truth.shards.map, world.draw
-    assert found
-    if draw() < 0.12 and world.truth.shards.book.open:
-        id = next(iter(world.truth.shards.book.open))
-        world.drive(reader, Unneeded(id, "growth turned"))
-    elif len(found.pieces) < 12:
-        wanted = plan(found, f"s{len(world.entries)}", int(draw() * len(found.pieces)), 0.2 + 0.6 * draw())
+            simulation.elect(name, len(ballots))
+
+
+def random_split(simulation: Simulation, front_door: FrontDoor) -> None:
+    """A split is wanted, or is no longer needed."""
+    shard_map, draw = simulation.reference.shards.map, simulation.draw
+    assert shard_map
+    if draw() < 0.12 and simulation.reference.shards.registry.open:
+        id = next(iter(simulation.reference.shards.registry.open))
+        simulation.drive(front_door, SplitUnneeded(id, "growth turned"))
+    elif len(shard_map.ranges) < 12:
+        plan = plan_split(
+            shard_map,
+            f"s{len(simulation.entries)}",
+            int(draw() * len(shard_map.ranges)),
+            0.2 + 0.6 * draw(),
+        )
         if draw() < 0.5:
-            world.add(bodies.MACHINE, bodies.encode(wanted), reader.me)
+            simulation.append(bodies.MACHINE, bodies.encode(plan), front_door.instance)
         else:
-            world.drive(reader, Begin(wanted))
+            simulation.drive(front_door, SplitWanted(plan))
 
 
-def history(seed: int, kinds: Kinds = Kinds()) -> World:  # noqa: B008
-    world, ballots = World(drawn_by(seed), kinds), [0]
-    world.lead("a", 1)
+def run_history(seed: int, implementations: Implementations = Implementations()) -> Simulation:  # noqa: B008
+    """Random events, then no faults until all splits have ended; the invariants hold throughout."""
+    simulation, ballots = Simulation(random_source(seed), implementations), [0]
+    simulation.elect("a", 1)
     for _ in range(EVENTS):
-        drawn_step(world, ballots)
-    for name in "abc":  # the trouble ends, and what is open comes to its end
-        reader = world.readers[name]
-        reader.stopped, reader.driver = False, None
-        world.catch_up(reader)
-        opened = world.truth.sessions.active_session(name)
-        if not opened or opened.instance != reader.me:
-            world.open(reader)
-    for cell in list(world.truth.upkeep.out):
-        home = next(home for home in HOMES if home.cell == cell)
-        world.add(UPKEEP, msgspec.json.encode(home), NodeInstance("a", 1))
-    world.lead("b", len(ballots) + 1)
-    world.fair(250, lambda _: world.wait(2 * STEP_US))
-    book = world.truth.shards.book
-    assert not book.open, "a split never ends"
-    world.check_stores()
-    before = len(world.answers)
+        random_event(simulation, ballots)
+    for name in "abc":  # the faults end
+        front_door = simulation.front_doors[name]
+        front_door.stopped, front_door.driver = False, None
+        simulation.catch_up(front_door)
+        active = simulation.reference.sessions.active_session(name)
+        if not active or active.instance != front_door.instance:
+            simulation.open_session(front_door)
+    for cell_name in list(simulation.reference.upkeep.out_of_service):
+        cell = next(cell for cell in CELLS if cell.name == cell_name)
+        simulation.append(UPKEEP, msgspec.json.encode(cell), NodeInstance("a", 1))
+    simulation.elect("b", len(ballots) + 1)
+    simulation.run_without_faults(250, lambda _: simulation.wait(2 * STEP_US))
+    registry = simulation.reference.shards.registry
+    assert not registry.open, "a split never ends"
+    simulation.check_stored()
+    before = len(simulation.answers)
     for name in "abc":
-        for member in range(0, MEMBERS, MEMBERS // 16):
-            world.ask(name, Idempotency.NON_IDEMPOTENT, member)
-    world.fair(3)
-    assert not any(answer.busy for answer in world.answers[before:]), "requests are turned away for ever"
-    world.check_stores()
-    for reader in world.readers.values():
-        assert reader.shards.snapshot() == world.truth.shards.snapshot()
-    return world
+        for member in range(0, MEMBER_ID_LIMIT, MEMBER_ID_LIMIT // 16):
+            simulation.request(name, Idempotency.NON_IDEMPOTENT, member)
+    simulation.run_without_faults(3)
+    assert not any(answer.busy for answer in simulation.answers[before:]), "requests are rejected forever"
+    simulation.check_stored()
+    for front_door in simulation.front_doors.values():
+        assert front_door.shards.snapshot() == simulation.reference.shards.snapshot()
+    return simulation
 
 
 @pytest.mark.parametrize("seed", range(18))
-def test_drawn_histories(seed: int) -> None:
-    history(seed)
+def test_the_invariants_hold_in_random_histories(seed: int) -> None:
+    run_history(seed)
 
 
-def test_the_histories_come_through_all_states() -> None:
-    past = [split for seed in range(2) for split in history(seed).truth.shards.book.past.values()]
-    assert sum(split.state is State.CLEARED for split in past) >= 4
-    assert sum(split.state is State.UNDONE for split in past) >= 2
+def test_the_histories_reach_both_final_states() -> None:
+    ended = [
+        split for seed in range(2) for split in run_history(seed).reference.shards.registry.ended.values()
+    ]
+    assert sum(split.state is State.CLEARED for split in ended) >= 4
+    assert sum(split.state is State.ABANDONED for split in ended) >= 2
 
 
-class AnyProof(Shards):
-    def fault(self, proof: Proof, begun: int) -> str:
+class AcceptsAnyProof(ShardsMachine):
+    """Mutation: a proof is not checked."""
+
+    def proof_error(self, proof: Proof, entry_position: int) -> str:
         return ""
 
 
-class TwoOfOneCell(Shards):
-    def in_the_way(self, home: Home) -> str:
+class AllowsTwoSplitsOfOneCell(ShardsMachine):
+    """Mutation: other splits of a cell are ignored."""
+
+    def split_conflict(self, cell: CellId) -> str:
         return ""
 
 
-class NoRooms(Shards):
-    def no_room(self, record: Record, at_ms: int) -> str:
+class IgnoresUpkeep(ShardsMachine):
+    """Mutation: upkeep of a cell is ignored."""
+
+    def upkeep_conflict(self, record: SplitRecord, at_ms: int) -> str:
         return ""
 
 
-class UnsafeAnywhere(DoorShards):
-    def unsafe(self, piece: Piece, tried: Place | None) -> Place | None:
-        return self._at(piece)
+class NonIdempotentByMap(ShardRouter):
+    """Mutation: the previous attempt of a non-idempotent request is ignored."""
+
+    def place_non_idempotent(self, shard_range: ShardRange, previous: Placement | None) -> Placement | None:
+        return self._by_map(shard_range)
+
 
+class KeyedByMap(ShardRouter):
+    """Mutation: all keyed requests go by the map."""
 
-class KeyedByTheMap(DoorShards):
-    def keyed(self, piece: Piece, pin: Record | None, is_repeat: bool, tried: Place | None) -> Place | None:
-        return self._at(piece)
+    def place_keyed(
+        self,
+        shard_range: ShardRange,
+        handed_over: SplitRecord | None,
+        is_repeat: bool,
+        previous: Placement | None,
+    ) -> Placement | None:
+        return self._by_map(shard_range)
 
 
-class RepeatsByTheMap(DoorShards):
-    def keyed(self, piece: Piece, pin: Record | None, is_repeat: bool, tried: Place | None) -> Place | None:
-        return super().keyed(piece, None, is_repeat, tried)
+class RepeatsByMap(ShardRouter):
+    """Mutation: repeats of keyed requests go by the map."""
 
+    def place_keyed(
+        self,
+        shard_range: ShardRange,
+        handed_over: SplitRecord | None,
+        is_repeat: bool,
+        previous: Placement | None,
+    ) -> Placement | None:
+        return super().place_keyed(shard_range, None, is_repeat, previous)
 
-class OldMap(DoorShards):
-    """A map is used after its version."""
 
-    def _follow(self, now_us: int) -> None:
+class KeepsFirstMap(ShardRouter):
+    """Mutation: the router never takes over a later map."""
+
+    def _follow_machine(self, now_us: int) -> None:
         if self._lookup is None:
-            super()._follow(now_us)
+            super()._follow_machine(now_us)
+
 
+class ClearsAtOnce(ShardRouter):
+    """Mutation: a hand-over is cleared before its window is over."""
 
-class ClearAtOnce(DoorShards):
     @property
-    def clear(self) -> int:
+    def clear_position(self) -> int:
         return self._applied
 
 
-class AnyOrder(Cell):
-    """Takes orders of those who lead no more."""
+class AcceptsOldCommands(SimulatedCell):
+    """Mutation: commands of former leaders are carried out."""
 
-    def newer(self, split: Record) -> bool:
+    def is_newer(self, split: SplitRecord) -> bool:
         return True
 
 
-class KeepsOpen(Cell):
-    """Takes requests of the range after it said that it closed."""
+class StaysOpen(SimulatedCell):
+    """Mutation: requests of a closed range are executed."""
 
-    def moved_away(self, member: int) -> bool:
+    def is_closed(self, member: int) -> bool:
         return False
 
 
-class RunsRepeats(Cell):
-    """Runs what it is asked again and does not remember, where it ought to pass it on."""
+class ExecutesRepeats(SimulatedCell):
+    """Mutation: unknown repeats of a range that was handed over are executed instead of passed on."""
 
-    def pass_on(self, split: Record, attempt: Attempt) -> Answer:
+    def pass_on(self, split: SplitRecord, attempt: Attempt) -> Answer:
         if (
-            attempt.effect is Idempotency.IDEMPOTENT_WITH_KEY
-            and attempt.again
+            attempt.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and attempt.is_repeat
             and attempt.id not in self.memory
         ):
-            self.ran.append(attempt)
+            self.executed.append(attempt)
             return Answer(True, False, split.shard)
         return super().pass_on(split, attempt)
 
 
-def seeds_that_find(kinds: Kinds, seeds: Sequence[int]) -> bool:
+def is_detected(implementations: Implementations, seeds: Sequence[int]) -> bool:
+    """Whether a history fails at one of the seeds."""
     for seed in seeds:
         try:
-            history(seed, kinds)
+            run_history(seed, implementations)
         except (AssertionError, ValueError, KeyError):
             return True
     return False
 
 
 @pytest.mark.parametrize(
-    "kinds",
+    "implementations",
     [
-        Kinds(shards=AnyProof),
-        Kinds(shards=TwoOfOneCell),
-        Kinds(shards=NoRooms),
-        Kinds(door=UnsafeAnywhere),
-        Kinds(door=KeyedByTheMap),
-        Kinds(door=RepeatsByTheMap),
-        Kinds(door=OldMap),
-        Kinds(cell=AnyOrder),
-        Kinds(cell=KeepsOpen),
-        Kinds(cell=RunsRepeats),
-        Kinds(door=ClearAtOnce),
+        Implementations(shards=AcceptsAnyProof),
+        Implementations(shards=AllowsTwoSplitsOfOneCell),
+        Implementations(shards=IgnoresUpkeep),
+        Implementations(router=NonIdempotentByMap),
+        Implementations(router=KeyedByMap),
+        Implementations(router=RepeatsByMap),
+        Implementations(router=KeepsFirstMap),
+        Implementations(cell=AcceptsOldCommands),
+        Implementations(cell=StaysOpen),
+        Implementations(cell=ExecutesRepeats),
+        Implementations(router=ClearsAtOnce),
     ],
-    ids=lambda kinds: next(
+    ids=lambda implementations: next(
         kind.__name__
-        for kind in (kinds.shards, kinds.door, kinds.cell)
-        if kind not in (Shards, DoorShards, Cell)
+        for kind in (implementations.shards, implementations.router, implementations.cell)
+        if kind not in (ShardsMachine, ShardRouter, SimulatedCell)
     ),
 )
-def test_a_broken_rule_is_found(kinds: Kinds) -> None:
-    assert seeds_that_find(kinds, range(30))
-
-
-def test_the_order_that_a_plan_and_a_reader_see_is_one() -> None:
-    world = history(3)
-    again = Reader(NodeInstance("z", 9), world.kinds)
-    for entry in world.entries:
-        again.take(0, entry)
-    assert again.shards.snapshot() == world.truth.shards.snapshot()
-    assert any(entry.machine == leases.MACHINE for entry in world.entries)
-    assert isinstance(bodies.decode(bodies.encode(plan(world.truth.shards.map, "x"))), Plan)  # type: ignore
+def test_a_mutation_is_detected(implementations: Implementations) -> None:
+    assert is_detected(implementations, range(30))
+
+
+def test_a_front_door_that_replays_the_log_reaches_the_same_state() -> None:
+    simulation = run_history(3)
+    replayed = FrontDoor(NodeInstance("z", 9), simulation.implementations)
+    for entry in simulation.entries:
+        replayed.apply(0, entry)
+    assert replayed.shards.snapshot() == simulation.reference.shards.snapshot()
+    assert any(entry.machine == leases.MACHINE for entry in simulation.entries)
+    assert isinstance(
+        bodies.decode(bodies.encode(plan_split(simulation.reference.shards.map, "x"))),  # type: ignore
+        PlanSplit,
+    )
