--- a/molereach/shards/counts/recorder.py
+++ b/molereach/shards/counts/recorder.py
@@ -45,7 +45,7 @@
 
 
 class CountRecorder:
-    """A core that counts this front door's writes, and shares in the counts of all."""
+    """A core that counts this front door's writes and merges the counts of all front doors."""
 
     def __init__(self, instance: NodeInstance, machine: CountsMachine, now_us: int) -> None:
         self.instance, self._machine = instance, machine
--- a/molereach/shards/forecast/size_forecast.py
+++ b/molereach/shards/forecast/size_forecast.py
@@ -12,7 +12,7 @@
 QUANTILES = (0.05, 0.5, 0.95)
 MAX_HORIZON_DAYS = 366
 MIN_MODEL_DAYS = 28  # known days; a shard with fewer is forecast from the growth of other shards
-NEW_SHARD_DEVIATION = 1.0  # of the logarithm of a new shard's daily bytes, about that between other shards
+NEW_SHARD_DEVIATION = 1.0  # of the logarithm of a new shard's daily bytes, about as among other shards
 KHAREEF_EFFECT, KHAREEF_DEVIATION = 0.4, 0.4  # of the logarithm, for a first khareef
 TARIFF_DEVIATION = 0.3  # of the logarithm, for a tariff change that is announced and not yet in effect
 DEFAULT_DAILY_BYTES = 1 << 30  # if nothing is known of the shard or of others
--- a/molereach/shards/schedule/deadline.py
+++ b/molereach/shards/schedule/deadline.py
@@ -1,4 +1,4 @@
-"""When a shard is full, by its forecast's upper bound: half of all shards are full before the median says."""
+"""When a shard is full, by the forecast's upper bound; by the median, half of all shards would be late."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/molereach/shards/schedule/free_windows.py
+++ b/molereach/shards/schedule/free_windows.py
@@ -29,7 +29,7 @@
 def first_window(
     availability: CellAvailability, cells: tuple[CellId, ...], from_day: float, days: float
 ) -> float | None:
-    """The first start, from `from_day` on, from which all cells are free for `days`; None if not found."""
+    """The earliest start, not before `from_day`, with all cells free for `days`; None if none is found."""
     day = from_day
     for _ in range(MAX_LOOKUPS):
         windows = [availability.next_free(cell, day) for cell in cells]
@@ -45,7 +45,7 @@
 def last_window(
     availability: CellAvailability, cells: tuple[CellId, ...], from_day: float, until_day: float, days: float
 ) -> float | None:
-    """The latest start from which all cells are free for `days`, ending by `until_day`; None if not found."""
+    """The latest start with all cells free for `days` that end by `until_day`; None if none is found."""
     latest, day = None, from_day
     for _ in range(MAX_LOOKUPS):
         start = first_window(availability, cells, day, days)
--- a/molereach/shards/schedule/planner.py
+++ b/molereach/shards/schedule/planner.py
@@ -14,12 +14,12 @@
 from molereach.shards.map.shard_map import CellId
 from molereach.shards.schedule.free_windows import CellAvailability, first_window, last_window
 
-MAX_REQUESTS = 512
+MAX_PENDING_SPLITS = 512
 LOOKAHEAD_DAYS = 1.0  # what would start before the next daily planning starts now
 
 
 @dataclass(frozen=True, slots=True)
-class SplitRequest:
+class PendingSplit:
     """A shard to be split: its cells, its deadline, and how long the split takes at most."""
 
     shard: int
@@ -33,7 +33,7 @@
 class ScheduledSplit:
     """A split and the latest day on which it may start."""
 
-    request: SplitRequest
+    split: PendingSplit
     start_day: float
 
 
@@ -41,7 +41,7 @@
 class LateSplit:
     """A split that misses its deadline, and the earliest day on which it can end."""
 
-    request: SplitRequest
+    split: PendingSplit
     end_day: float | None  # None if there is no free window
 
 
@@ -52,32 +52,32 @@
     scheduled: tuple[ScheduledSplit, ...]
     late: tuple[LateSplit, ...]
 
-    def due(self, now_day: float, busy: frozenset[CellId]) -> tuple[SplitRequest, ...]:
+    def due(self, now_day: float, busy: frozenset[CellId]) -> tuple[PendingSplit, ...]:
         """The splits that start now: the first of each building that has no cell in `busy`."""
         busy_buildings = {cell.building for cell in busy}
         starting = []
         for each in self.scheduled:
-            building = each.request.source.building
+            building = each.split.source.building
             if building not in busy_buildings and each.start_day <= now_day + LOOKAHEAD_DAYS:
-                starting.append(each.request)
+                starting.append(each.split)
             busy_buildings.add(building)
         return tuple(starting)
 
 
-def deadline_order(request: SplitRequest) -> tuple[float, int]:
+def deadline_order(split: PendingSplit) -> tuple[float, int]:
     """The sort key of the splits of a building, the same at every front door."""
-    return request.deadline_day, request.shard
+    return split.deadline_day, split.shard
 
 
 def plan_splits(
-    requests: Sequence[SplitRequest], now_day: float, availability: CellAvailability
+    splits: Sequence[PendingSplit], now_day: float, availability: CellAvailability
 ) -> SplitSchedule:
-    """The schedule of all buildings; ValueError for more than `MAX_REQUESTS`."""
-    if len(requests) > MAX_REQUESTS:
-        raise ValueError(f"requests: more than {MAX_REQUESTS}")
+    """The schedule of all buildings; ValueError for more than `MAX_PENDING_SPLITS`."""
+    if len(splits) > MAX_PENDING_SPLITS:
+        raise ValueError(f"splits: more than {MAX_PENDING_SPLITS}")
     scheduled: list[ScheduledSplit] = []
     late: list[LateSplit] = []
-    ordered = sorted(requests, key=lambda each: (each.source.building, *deadline_order(each)))
+    ordered = sorted(splits, key=lambda each: (each.source.building, *deadline_order(each)))
     for _, group in groupby(ordered, key=lambda each: each.source.building):
         group_scheduled, group_late = _plan_building(list(group), now_day, availability)
         scheduled += group_scheduled
@@ -86,18 +86,18 @@
 
 
 def _plan_building(
-    requests: list[SplitRequest], now_day: float, availability: CellAvailability
+    splits: list[PendingSplit], now_day: float, availability: CellAvailability
 ) -> tuple[list[ScheduledSplit], list[LateSplit]]:
-    latest_starts: list[float | None] = [None] * len(requests)
+    latest_starts: list[float | None] = [None] * len(splits)
     until = float("inf")
-    for index in range(len(requests) - 1, -1, -1):
-        request = requests[index]
+    for index in range(len(splits) - 1, -1, -1):
+        split = splits[index]
         latest_starts[index] = last_window(
             availability,
-            (request.source, request.target),
+            (split.source, split.target),
             now_day,
-            min(until, request.deadline_day),
-            request.days,
+            min(until, split.deadline_day),
+            split.days,
         )
         if latest_starts[index] is None:
             break  # this one and all before it start as soon as possible
@@ -105,13 +105,13 @@
     scheduled: list[ScheduledSplit] = []
     late: list[LateSplit] = []
     free_from = now_day
-    for request, latest in zip(requests, latest_starts, strict=True):
-        earliest = first_window(availability, (request.source, request.target), free_from, request.days)
+    for split, latest in zip(splits, latest_starts, strict=True):
+        earliest = first_window(availability, (split.source, split.target), free_from, split.days)
         if earliest is None:
-            late.append(LateSplit(request, None))
+            late.append(LateSplit(split, None))
             continue
-        if earliest + request.days > request.deadline_day:
-            late.append(LateSplit(request, earliest + request.days))
-        scheduled.append(ScheduledSplit(request, earliest if latest is None else max(earliest, latest)))
-        free_from = earliest + request.days
+        if earliest + split.days > split.deadline_day:
+            late.append(LateSplit(split, earliest + split.days))
+        scheduled.append(ScheduledSplit(split, earliest if latest is None else max(earliest, latest)))
+        free_from = earliest + split.days
     return scheduled, late
--- a/molereach/shards/splits/bodies.py
+++ b/molereach/shards/splits/bodies.py
@@ -53,7 +53,7 @@
 
 
 class HandOver(WireStruct, frozen=True, tag_field="kind", tag="hand"):
-    """Give the range to the target cell; valid once the source cell has reported that all is copied."""
+    """Give the range to the target cell; proposed once the source cell has reported that all is copied."""
 
     id: Id
     expected_position: Position = field(name="begun")
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -33,7 +33,7 @@
 from molereach.shards.splits.record import SplitRecord
 from molereach.shards.splits.registry import MAX_OPEN, SplitRegistry
 from molereach.shards.splits.states import TRANSITIONS, State, Step
-from molereach.shards.splits.upkeep_view import UpkeepView
+from molereach.shards.splits.upkeep_status import UpkeepStatus
 
 replace = msgspec.structs.replace
 
@@ -54,7 +54,7 @@
 
     name = MACHINE
 
-    def __init__(self, settings: SplitSettings, sessions: SessionsAt, upkeep: UpkeepView) -> None:
+    def __init__(self, settings: SplitSettings, sessions: SessionsAt, upkeep: UpkeepStatus) -> None:
         self.settings, self._sessions, self._upkeep = settings, sessions, upkeep
         self.registry = SplitRegistry()
 
--- a/molereach/shards/splits/states.py
+++ b/molereach/shards/splits/states.py
@@ -13,7 +13,7 @@
     """The state of a split."""
 
     PLANNED = "planned"
-    COPYING = "copying"  # the source cell serves all requests, and copies the range and new writes in it
+    COPYING = "copying"  # the coming map is known; the source cell still serves all, and copies the range
     CLOSING = "closing"  # the source cell rejects the range's requests
     HANDED_OVER = "handed"  # the target cell has the range, by the next version of the map
     CLEARED = "cleared"  # the source cell has deleted the range
--- a/molereach/shards/splits/upkeep_view.py
+++ b/molereach/shards/splits/upkeep_status.py
@@ -5,7 +5,7 @@
 from molereach.shards.map.shard_map import CellId
 
 
-class UpkeepView(Protocol):
+class UpkeepStatus(Protocol):
     """The state of upkeep on the same log; asked inside `apply`, so it must depend on log entries alone.
 
     Upkeep in turn asks `ShardsMachine.split_in_progress` before it takes a machine of a cell out of service.
@@ -18,7 +18,7 @@
 
 
 class NoUpkeep:
-    """The view at a site without upkeep."""
+    """The status at a site without upkeep."""
 
     def occupied(self, cell: CellId, at_ms: int) -> str:
         """No cell is ever occupied."""
--- a/tests/compatibility/machines_replica.py
+++ b/tests/compatibility/machines_replica.py
@@ -13,7 +13,7 @@
 from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.shards.counts.machine import CountsMachine
 from molereach.shards.splits.machine import ShardsMachine, SplitSettings
-from molereach.shards.splits.upkeep_view import NoUpkeep
+from molereach.shards.splits.upkeep_status import NoUpkeep
 from molereach.upkeep.permits.machine import Upkeep
 from molereach.upkeep.rules.settings import UpkeepSettings
 from tests.compatibility import machines_log as sample_log
--- a/tests/shards/counts/simulation.py
+++ b/tests/shards/counts/simulation.py
@@ -27,7 +27,7 @@
         return shard < 100
 
 
-class FrontDoor:
+class Proxy:
     """An instance of a front door with its own copy of the state machines, which may lag."""
 
     def __init__(self, instance: NodeInstance, machine: type[CountsMachine] = CountsMachine) -> None:
@@ -50,8 +50,8 @@
     def __init__(self, draw: Callable[[], float], machine: type[CountsMachine] = CountsMachine) -> None:
         self.draw, self.machine, self.now_us = draw, machine, 0
         self.entries: list[Entry] = []
-        self.front_doors: dict[NodeInstance, FrontDoor] = {}
-        self.reference = FrontDoor(NodeInstance("truth", 0), machine)  # applies each entry at once
+        self.proxies: dict[NodeInstance, Proxy] = {}
+        self.reference = Proxy(NodeInstance("truth", 0), machine)  # applies each entry at once
         self.outcomes: list[Outcome] = []
         self.confirmed: dict[int, int] = {}  # bytes by shard, as the backends have them
         self.messages: list[tuple[str, object]] = []  # in flight, with their recipients
@@ -63,21 +63,21 @@
         self.outcomes.append(self.reference.apply(self.now_us, entry))
         return self.outcomes[-1]
 
-    def start(self, instance: NodeInstance) -> FrontDoor:
+    def start(self, instance: NodeInstance) -> Proxy:
         """Start a front door with a session and all entries."""
-        self.front_doors[instance] = FrontDoor(instance, self.machine)
+        self.proxies[instance] = Proxy(instance, self.machine)
         self.append(leases.MACHINE, leases.encode(leases.OpenSession(instance)), instance)
         self.catch_up(instance)
         self.elect(self.leader)
-        return self.front_doors[instance]
+        return self.proxies[instance]
 
     leader = "a"
 
     def elect(self, name: str) -> None:
         """Make a front door the leader; all know it at once."""
         self.leader = name
-        for front_door in self.front_doors.values():
-            front_door.recorder.handle(self.now_us, LeaderChanged(name))
+        for proxy in self.proxies.values():
+            proxy.recorder.handle(self.now_us, LeaderChanged(name))
 
     def expire_session(self, instance: NodeInstance) -> None:
         """End the instance's open session."""
@@ -88,20 +88,20 @@
 
     def catch_up(self, instance: NodeInstance, max_entries: int = 1 << 30) -> None:
         """Apply the next entries at a front door."""
-        front_door = self.front_doors[instance]
-        for entry in self.entries[front_door.applied : front_door.applied + max_entries]:
-            front_door.apply(self.now_us, entry)
+        proxy = self.proxies[instance]
+        for entry in self.entries[proxy.applied : proxy.applied + max_entries]:
+            proxy.apply(self.now_us, entry)
 
     def write(self, instance: NodeInstance, shard: int, size: int) -> None:
         """A write that a backend confirms to a front door."""
         self.confirmed[shard] = self.confirmed.get(shard, 0) + size
-        self.front_doors[instance].recorder.handle(self.now_us, WriteConfirmed(shard, size))
+        self.proxies[instance].recorder.handle(self.now_us, WriteConfirmed(shard, size))
 
     def tick(self, instance: NodeInstance, loss: float = 0.0) -> None:
         """An interval passes; proposals are lost with this probability."""
-        front_door = self.front_doors[instance]
+        proxy = self.proxies[instance]
         self.now_us += 2 * REPORT_INTERVAL_US + 1
-        for action in front_door.recorder.handle(self.now_us, Tick()):
+        for action in proxy.recorder.handle(self.now_us, Tick()):
             if isinstance(action, SendMessage):
                 self.messages.append((action.recipient, action.message))
             elif isinstance(action, Propose) and self.draw() >= loss:
@@ -110,9 +110,9 @@
     def deliver(self, index: int, duplicate: bool) -> None:
         """Deliver a message; a duplicated one stays in flight."""
         recipient, message = self.messages[index] if duplicate else self.messages.pop(index)
-        for instance, front_door in self.front_doors.items():
-            if instance.name == recipient and front_door.alive:
-                front_door.recorder.handle(self.now_us, MessageReceived(instance, message))
+        for instance, proxy in self.proxies.items():
+            if instance.name == recipient and proxy.alive:
+                proxy.recorder.handle(self.now_us, MessageReceived(instance, message))
 
     def retire(self, instance: NodeInstance) -> Outcome:
         """Propose to retire an instance, with the most complete proof that exists."""
@@ -121,26 +121,24 @@
             return Outcome("not folded")
         proof = []
         for session in self.reference.sessions.sessions_open_at(folded_at):
-            front_door = self.front_doors.get(session.instance)
+            proxy = self.proxies.get(session.instance)
             if isinstance(session, EndedSession):
                 proof.append(SessionClearance(session.fencing_token, session.evidence, session.position))
-            elif front_door and front_door.recorder.clear_position >= folded_at:
+            elif proxy and proxy.recorder.clear_position >= folded_at:
                 proof.append(
                     SessionClearance(
                         session.fencing_token,
                         ClearanceEvidence.REPORTED,
-                        front_door.recorder.clear_position,
+                        proxy.recorder.clear_position,
                     )
                 )
         return self.append(bodies.MACHINE, bodies.encode(Retire(instance, folded_at, tuple(proof))), instance)
 
     def can_be_lost(self, instance: NodeInstance) -> bool:
         """Whether others have all counts that this front door knows; unreported counts are lost with it."""
-        lost = self.front_doors[instance]
+        lost = self.proxies[instance]
         lost.recorder.merged.merge(instance, lost.recorder.counter.rows())
-        others = [
-            front_door.recorder.merged for each, front_door in self.front_doors.items() if each != instance
-        ]
+        others = [proxy.recorder.merged for each, proxy in self.proxies.items() if each != instance]
         for each in lost.recorder.merged.instances():
             if self.reference.counts.is_retired(each):
                 continue
@@ -155,5 +153,5 @@
     def counted(self, instance: NodeInstance) -> dict[int, int]:
         """Bytes by shard, as a front door counts them."""
         return {
-            shard: count.bytes for shard, count in self.front_doors[instance].recorder.merged.totals().items()
+            shard: count.bytes for shard, count in self.proxies[instance].recorder.merged.totals().items()
         }
--- a/tests/shards/counts/test_counts.py
+++ b/tests/shards/counts/test_counts.py
@@ -24,7 +24,7 @@
 )
 from molereach.shards.counts.recorder import REPORT_INTERVAL_US, CountRecorder, RestartRequired
 from molereach.shards.proof import SessionClearance, build_proof, proof_error
-from tests.shards.counts.simulation import FrontDoor, ShardsBelow100, Simulation
+from tests.shards.counts.simulation import Proxy, ShardsBelow100, Simulation
 from tests.shards.generated import random_source
 
 A, B, C, B2 = NodeInstance("a", 1), NodeInstance("b", 1), NodeInstance("c", 1), NodeInstance("b", 2)
@@ -41,13 +41,13 @@
 def settle(simulation: Simulation) -> None:
     """All messages arrive, all proposals are chosen, and all front doors catch up."""
     for _ in range(3):
-        for instance, front_door in simulation.front_doors.items():
-            if front_door.alive:
+        for instance, proxy in simulation.proxies.items():
+            if proxy.alive:
                 simulation.catch_up(instance)
                 simulation.tick(instance)
         while simulation.messages:
             simulation.deliver(0, duplicate=False)
-    for instance in simulation.front_doors:
+    for instance in simulation.proxies:
         simulation.catch_up(instance)
 
 
@@ -79,7 +79,7 @@
     ]
     results = set()
     for order in itertools.permutations([*reports, reports[1]]):
-        merged = kind(FrontDoor(C).counts)
+        merged = kind(Proxy(C).counts)
         for instance, rows in order:
             merged.merge(instance, rows)
         results.add(tuple(sorted((shard, count.bytes) for shard, count in merged.totals().items())))
@@ -94,7 +94,7 @@
 def counts_a_returning_instance_once(kind: type[MergedCounts]) -> bool:
     """Whether the counts are right if an instance is folded, returns and writes again."""
     simulation = simulate(A, B)
-    simulation.front_doors[A].recorder.merged = kind(simulation.front_doors[A].counts)
+    simulation.proxies[A].recorder.merged = kind(simulation.proxies[A].counts)
     simulation.write(B, 7, 60)
     settle(simulation)
     simulation.expire_session(B)
@@ -113,23 +113,23 @@
     assert not counts_a_returning_instance_once(AddsFolds)
 
 
-def test_reports_that_reached_only_a_partitioned_front_door_are_counted() -> None:
+def test_reports_that_reached_only_a_partitioned_proxy_are_counted() -> None:
     simulation = simulate(A, B, C)
     simulation.write(C, 1, 100)
-    rows = simulation.front_doors[C].recorder.counter.rows()
-    simulation.front_doors[A].recorder.handle(0, MessageReceived(C, CountReport(C, rows)))
+    rows = simulation.proxies[C].recorder.counter.rows()
+    simulation.proxies[A].recorder.handle(0, MessageReceived(C, CountReport(C, rows)))
     simulation.write(C, 1, 11)
-    later_rows = simulation.front_doors[C].recorder.counter.rows()
-    simulation.front_doors[B].recorder.handle(
+    later_rows = simulation.proxies[C].recorder.counter.rows()
+    simulation.proxies[B].recorder.handle(
         0, MessageReceived(C, CountReport(C, later_rows))
     )  # only B gets the last report, then C stops
-    simulation.front_doors[C].alive = False
+    simulation.proxies[C].alive = False
     simulation.expire_session(C)
     simulation.catch_up(A)
     simulation.tick(A)  # the leader folds what it knows
     assert simulation.reference.counts.folded()[C] == {1: Count(1, 100)}
     simulation.catch_up(B)
-    assert simulation.front_doors[B].recorder.clear_position < simulation.front_doors[B].recorder._applied
+    assert simulation.proxies[B].recorder.clear_position < simulation.proxies[B].recorder._applied
     assert simulation.retire(C).error == "this life may come back"
     simulation.start(NodeInstance("c", 2))
     simulation.catch_up(A)
@@ -139,7 +139,7 @@
     assert simulation.counted(A) == simulation.counted(B) == {1: 111}
     assert not simulation.retire(C).error
     settle(simulation)
-    simulation.front_doors[A].recorder.handle(0, MessageReceived(C, CountReport(C, later_rows)))
+    simulation.proxies[A].recorder.handle(0, MessageReceived(C, CountReport(C, later_rows)))
     assert simulation.counted(A) == simulation.counted(B) == {1: 111}
 
 
@@ -170,7 +170,7 @@
     assert simulation.append(MACHINE, b'{"kind":"other"}', A).error == "not understood"
 
 
-def test_an_expired_front_door_that_may_return_blocks_a_retirement() -> None:
+def test_an_expired_proxy_that_may_return_blocks_a_retirement() -> None:
     simulation = simulate(A, B, C)
     simulation.write(C, 1, 5)
     settle(simulation)
@@ -211,7 +211,7 @@
     settle(simulation)
     simulation.start(B2)
     simulation.catch_up(A)
-    recorder = simulation.front_doors[A].recorder
+    recorder = simulation.proxies[A].recorder
     recorder.merged.merge(B, [CountRow(1, 1, 5)])  # a late report, which the log has completely
     assert not simulation.retire(B).error
     simulation.catch_up(A)
@@ -223,7 +223,7 @@
 
 def test_an_earlier_instance_that_is_not_folded_blocks_the_retirement_of_a_later_one() -> None:
     simulation = simulate(A, B, C)
-    simulation.front_doors[C].recorder.merged.merge(B, [CountRow(1, 1, 5)])  # only C has its report
+    simulation.proxies[C].recorder.merged.merge(B, [CountRow(1, 1, 5)])  # only C has its report
     simulation.start(B2)
     simulation.expire_session(B2)
     assert not simulation.append(MACHINE, encode(Fold(B2, (CountRow(1, 1, 7),))), A).error
@@ -288,7 +288,7 @@
     reports = count_reports(A, counter.rows())
     assert sum(len(report.rows) for report in reports) == MAX_ROWS
     assert all(decode(msgspec.json.encode(report)) == report for report in reports)
-    merged = MergedCounts(FrontDoor(A).counts)
+    merged = MergedCounts(Proxy(A).counts)
     merged.merge(B, [CountRow(1, 1, 1), CountRow(100, 1, 1)])
     assert list(merged.totals()) == [1]  # the map does not have the other shard, or not yet
     assert len(merged.rows_of(B)) == 2
@@ -323,11 +323,11 @@
                 leases.MACHINE, leases.encode(leases.OpenSession(instance)), instance
             )  # a suspended process resumes
         elif choice < 0.97 and simulation.can_be_lost(instance):  # it restarts from a snapshot
-            del simulation.front_doors[instance]
+            del simulation.proxies[instance]
             instances[name] = NodeInstance(name, instance.number + 1)
             simulation.start(instances[name])
             snapshot = simulation.reference.counts.snapshot()
-            restarted = simulation.front_doors[instances[name]]
+            restarted = simulation.proxies[instances[name]]
             restarted.counts.restore(snapshot)
             restarted.recorder.handle(simulation.now_us, Restored(len(simulation.entries)))
             assert restarted.counts.snapshot() == snapshot
@@ -345,11 +345,11 @@
         settle(simulation)
         settle(simulation)
         assert simulation.counted(instances[leader]) == simulation.confirmed
-    assert simulation.reference.counts.snapshot() == simulation.front_doors[instances["a"]].counts.snapshot()
+    assert simulation.reference.counts.snapshot() == simulation.proxies[instances["a"]].counts.snapshot()
 
 
 def test_snapshots_to_which_no_log_leads_are_rejected() -> None:
-    counts = CountsMachine(FrontDoor(A).sessions, ShardsBelow100())
+    counts = CountsMachine(Proxy(A).sessions, ShardsBelow100())
     before = counts.snapshot()
     folded = '{"life":{"name":"a","number":1},"begun":3,"rows":[[1,1,5]]}'
     for broken in (
--- a/tests/shards/schedule/simulated_years.py
+++ b/tests/shards/schedule/simulated_years.py
@@ -9,7 +9,7 @@
 from molereach.shards.map.shard_map import CellId
 from molereach.shards.schedule.deadline import full_dates
 from molereach.shards.schedule.duration import PRIOR_BYTES_PER_DAY, PRIOR_DEVIATION, duration_bound_days
-from molereach.shards.schedule.planner import SplitRequest, plan_splits
+from molereach.shards.schedule.planner import PendingSplit, plan_splits
 from tests.shards.forecast.generated_series import FIRST_DAY, generate_daily_bytes, history_until
 
 HISTORY, YEAR, HORIZON = 400, 320, 75
@@ -73,8 +73,8 @@
             day += 14
             continue
         max_days = min(7.5, duration_bound_days(capacity / 2, []))
-        request = SplitRequest(1, SOURCE, TARGET, deadline - FIRST_DAY, max_days)
-        scheduled = plan_splits([request], day, TwoInTen()).scheduled
+        split = PendingSplit(1, SOURCE, TARGET, deadline - FIRST_DAY, max_days)
+        scheduled = plan_splits([split], day, TwoInTen()).scheduled
         start = scheduled[0].start_day
         if start <= day + 1:
             return after_split(year, max(day, int(np.ceil(start))), days, sizes, capacity)
--- a/tests/shards/splits/simulation.py
+++ b/tests/shards/splits/simulation.py
@@ -72,7 +72,7 @@
     cell: type[SimulatedCell] = SimulatedCell
 
 
-class FrontDoor:
+class Proxy:
     """One instance of one front door."""
 
     def __init__(self, instance: NodeInstance, implementations: Implementations) -> None:
@@ -90,7 +90,7 @@
         self.router.handle(now_us, Applied(entry, outcome))
         return outcome
 
-    def restore(self, now_us: int, other: "FrontDoor") -> None:
+    def restore(self, now_us: int, other: "Proxy") -> None:
         """Start from the snapshots of another front door."""
         self.sessions.restore(other.sessions.snapshot())
         self.shards.restore(other.shards.snapshot())
@@ -125,8 +125,8 @@
         self.cells = cells_of(initial, implementations.cell)
         for cell in CELLS[:8]:
             self.cells.setdefault(cell.name, implementations.cell(cell, self.cells))
-        self.reference = FrontDoor(NodeInstance("truth", 0), implementations)  # applies each entry at once
-        self.front_doors: dict[str, FrontDoor] = {}
+        self.reference = Proxy(NodeInstance("truth", 0), implementations)  # applies each entry at once
+        self.proxies: dict[str, Proxy] = {}
         self.reported: dict[int, tuple[int, int]] = {}  # applied and clear position, by fencing token
         self.in_flight: list[Callable[[], None]] = []  # each may be lost or late
         self.not_duplicated: set[Callable[[], None]] = set()  # attempts and answers; others may be duplicated
@@ -167,28 +167,26 @@
                 self.copy_positions[body.id] = entry.position
             case HandOver():
                 self.hand_over_positions[body.id] = entry.position
-                self.check_all_at_least(self.copy_positions[body.id], lambda front_door: front_door.applied)
+                self.check_all_at_least(self.copy_positions[body.id], lambda proxy: proxy.applied)
             case ClearRange():
-                self.check_all_at_least(
-                    self.hand_over_positions[body.id], lambda front_door: front_door.applied
-                )
-                for front_door in self.front_doors.values():
-                    window = front_door.router._repeat_windows.get(body.id)
-                    active = self.reference.sessions.active_session(front_door.instance.name)
+                self.check_all_at_least(self.hand_over_positions[body.id], lambda proxy: proxy.applied)
+                for proxy in self.proxies.values():
+                    window = proxy.router._repeat_windows.get(body.id)
+                    active = self.reference.sessions.active_session(proxy.instance.name)
                     if (
                         window
                         and active
-                        and active.instance == front_door.instance
+                        and active.instance == proxy.instance
                         and active.fencing_token < self.hand_over_positions[body.id]
                     ):
                         assert window.until_us <= self.now_us, "repeats still go to the source cell"
 
-    def check_all_at_least(self, position: int, reached: Callable[[FrontDoor], int]) -> None:
+    def check_all_at_least(self, position: int, reached: Callable[[Proxy], int]) -> None:
         """Each front door whose session was open at a position has reached it."""
         for session in self.reference.sessions.active_sessions():
-            front_door = self.front_doors.get(session.instance.name)
-            if session.fencing_token < position and front_door and front_door.instance == session.instance:
-                assert reached(front_door) >= position, f"{session.instance.name} is before {position}"
+            proxy = self.proxies.get(session.instance.name)
+            if session.fencing_token < position and proxy and proxy.instance == session.instance:
+                assert reached(proxy) >= position, f"{session.instance.name} is before {position}"
 
     def check_state(self) -> None:
         """The map is valid, and no cell is in two splits or in a split and in upkeep."""
@@ -202,18 +200,16 @@
                 and self.reference.shards.split_in_progress(cell)
             ), "a split of a cell in upkeep"
 
-    def start(self, instance: NodeInstance) -> FrontDoor:
+    def start(self, instance: NodeInstance) -> Proxy:
         """Start a front door from a snapshot, with a session."""
-        front_door = FrontDoor(instance, self.implementations)
-        front_door.restore(self.now_us, self.reference)
-        self.front_doors[instance.name] = front_door
-        self.open_session(front_door)
-        return front_door
+        proxy = Proxy(instance, self.implementations)
+        proxy.restore(self.now_us, self.reference)
+        self.proxies[instance.name] = proxy
+        self.open_session(proxy)
+        return proxy
 
-    def open_session(self, front_door: FrontDoor) -> None:
-        self.append(
-            leases.MACHINE, leases.encode(leases.OpenSession(front_door.instance)), front_door.instance
-        )
+    def open_session(self, proxy: Proxy) -> None:
+        self.append(leases.MACHINE, leases.encode(leases.OpenSession(proxy.instance)), proxy.instance)
 
     def expire_session(self, name: str) -> None:
         active = self.reference.sessions.active_session(name)
@@ -221,28 +217,26 @@
             end = leases.EndSession(active.instance, active.fencing_token, 0)
             self.append(leases.MACHINE, leases.encode(end), active.instance)
 
-    def catch_up(self, front_door: FrontDoor, max_entries: int = 1 << 30) -> None:
+    def catch_up(self, proxy: Proxy, max_entries: int = 1 << 30) -> None:
         """Apply the next entries at a front door."""
-        for entry in self.entries[front_door.applied : front_door.applied + max_entries]:
-            front_door.apply(self.now_us, entry)
+        for entry in self.entries[proxy.applied : proxy.applied + max_entries]:
+            proxy.apply(self.now_us, entry)
 
-    def report(self, front_door: FrontDoor) -> None:
+    def report(self, proxy: Proxy) -> None:
         """A front door reports its positions under its session."""
-        active = front_door.sessions.active_session(front_door.instance.name)
-        if active and active.instance == front_door.instance:
-            front_door.router.handle(self.now_us, Tick())
-            self.reported[active.fencing_token] = (front_door.applied, front_door.router.clear_position)
+        active = proxy.sessions.active_session(proxy.instance.name)
+        if active and active.instance == proxy.instance:
+            proxy.router.handle(self.now_us, Tick())
+            self.reported[active.fencing_token] = (proxy.applied, proxy.router.clear_position)
 
     # --- proofs for the driver at a front door ---
 
-    def clearances(
-        self, front_door: FrontDoor, position: int, which: int
-    ) -> tuple[NodeClearance, ...] | None:
+    def clearances(self, proxy: Proxy, position: int, which: int) -> tuple[NodeClearance, ...] | None:
         """A proof by the reported positions: 0 for the applied, 1 for the clear ones."""
         clearances = []
-        if front_door.applied < position:
+        if proxy.applied < position:
             return None
-        for session in front_door.sessions.sessions_open_at(position):
+        for session in proxy.sessions.sessions_open_at(position):
             if isinstance(session, EndedSession):
                 clearances.append(NodeClearance(session.instance, session.evidence, session.position))
             elif self.reported.get(session.fencing_token, (0, 0))[which] >= position:
@@ -253,34 +247,34 @@
 
     def elect(self, name: str, ballot: int) -> None:
         """A front door becomes leader; others may still believe that they lead."""
-        simulation, front_door = self, self.front_doors[name]
+        simulation, proxy = self, self.proxies[name]
 
         class Tracker:
             def applied(self, position: int) -> tuple[NodeClearance, ...] | None:
-                return simulation.clearances(front_door, position, 0)
+                return simulation.clearances(proxy, position, 0)
 
             def clear(self, position: int) -> tuple[NodeClearance, ...] | None:
-                return simulation.clearances(front_door, position, 1)
+                return simulation.clearances(proxy, position, 1)
 
-        front_door.driver = SplitDriver(front_door.shards, front_door.sessions, Tracker(), ballot)
+        proxy.driver = SplitDriver(proxy.shards, proxy.sessions, Tracker(), ballot)
 
-    def drive(self, front_door: FrontDoor, event: SplitWanted | SplitUnneeded | CommandDone | Tick) -> None:
+    def drive(self, proxy: Proxy, event: SplitWanted | SplitUnneeded | CommandDone | Tick) -> None:
         """An event for the driver at a front door; its actions go in flight."""
-        if front_door.driver is None or front_door.stopped:
+        if proxy.driver is None or proxy.stopped:
             return
-        for action in front_door.driver.handle(self.now_us, event):
+        for action in proxy.driver.handle(self.now_us, event):
             if isinstance(action, Propose):
-                self.in_flight.append(lambda action=action: self.propose(front_door, action))  # type: ignore[misc]
+                self.in_flight.append(lambda action=action: self.propose(proxy, action))  # type: ignore[misc]
             elif isinstance(action, SendCommand):
-                self.in_flight.append(lambda action=action: self.command(front_door, action))  # type: ignore[misc]
+                self.in_flight.append(lambda action=action: self.command(proxy, action))  # type: ignore[misc]
 
-    def propose(self, front_door: FrontDoor, action: Propose) -> None:
-        self.append(action.machine, action.body, front_door.instance, action.id)
+    def propose(self, proxy: Proxy, action: Propose) -> None:
+        self.append(action.machine, action.body, proxy.instance, action.id)
 
-    def command(self, front_door: FrontDoor, action: SendCommand) -> None:
+    def command(self, proxy: Proxy, action: SendCommand) -> None:
         done = self.cells[action.cell.name].execute(action.command, action.split)
         if done is not None:
-            self.in_flight.append(lambda: self.drive(front_door, done))
+            self.in_flight.append(lambda: self.drive(proxy, done))
 
     def propose_blindly(self, split: SplitRecord) -> None:
         """A step from a proposer that checks nothing, with whatever proof there is."""
@@ -320,10 +314,10 @@
 
     def send(self, request: Request) -> None:
         """A front door sends an attempt where its router says, if anywhere."""
-        front_door, attempt = self.front_doors[request.name], request.attempt
-        if front_door.stopped or self.now_us - self.sent_us[attempt.id] >= WINDOW_MS * 1000:
+        proxy, attempt = self.proxies[request.name], request.attempt
+        if proxy.stopped or self.now_us - self.sent_us[attempt.id] >= WINDOW_MS * 1000:
             return
-        placement = front_door.router.place(
+        placement = proxy.router.place(
             self.now_us, attempt.member, attempt.idempotency, attempt.is_repeat, request.previous
         )
         if placement is None:
@@ -358,12 +352,12 @@
 
     def on_answer(self, request: Request, placement: Placement, answer: Answer) -> None:
         """A front door retries a rejected attempt, with the map that it fetched if the backend's is later."""
-        front_door, shard_map = self.front_doors[request.name], self.reference.shards.map
-        if answer.busy and request.retries_left and shard_map and not front_door.stopped:
+        proxy, shard_map = self.proxies[request.name], self.reference.shards.map
+        if answer.busy and request.retries_left and shard_map and not proxy.stopped:
             request.retries_left -= 1
-            front_door.router.on_rejected(self.now_us, placement, shard_map.version)
-            if any(front_door.router.handle(self.now_us, Tick())):
-                self.catch_up(front_door)
+            proxy.router.on_rejected(self.now_us, placement, shard_map.version)
+            if any(proxy.router.handle(self.now_us, Tick())):
+                self.catch_up(proxy)
             self.send(request)
 
     # --- running it ---
@@ -380,11 +374,11 @@
         for round in range(rounds):
             self.now_us += STEP_US
             before(round)
-            for front_door in self.front_doors.values():
-                if not front_door.stopped:
-                    self.catch_up(front_door)
-                    self.report(front_door)
-                    self.drive(front_door, Tick())
+            for proxy in self.proxies.values():
+                if not proxy.stopped:
+                    self.catch_up(proxy)
+                    self.report(proxy)
+                    self.drive(proxy, Tick())
             deliveries, self.in_flight = self.in_flight, []
             for delivery in deliveries:
                 delivery()
--- a/tests/shards/splits/test_random_histories.py
+++ b/tests/shards/splits/test_random_histories.py
@@ -28,8 +28,8 @@
 from tests.shards.splits.simulation import (
     STEP_US,
     UPKEEP,
-    FrontDoor,
     Implementations,
+    Proxy,
     Simulation,
     plan_split,
 )
@@ -41,7 +41,7 @@
     """One random event: a request, a delivery, progress, a fault, upkeep, or a step without any checks."""
     draw = simulation.draw
     name = "abc"[int(draw() * 3)]
-    front_door, choice = simulation.front_doors[name], draw()
+    proxy, choice = simulation.proxies[name], draw()
     simulation.step_time()
     if choice < 0.15:
         member = int(draw() * MEMBER_ID_LIMIT) if draw() < 0.3 else int(draw() * 64) * (MEMBER_ID_LIMIT // 64)
@@ -55,53 +55,53 @@
             simulation.in_flight.remove(delivery)
         if fate > 0.04:
             delivery()
-    elif choice < 0.72 and not front_door.stopped:
-        simulation.catch_up(front_door, 1 + int(draw() * 6))
-        simulation.report(front_door)
+    elif choice < 0.72 and not proxy.stopped:
+        simulation.catch_up(proxy, 1 + int(draw() * 6))
+        simulation.report(proxy)
     elif choice < 0.86:
-        simulation.drive(front_door, Tick())
+        simulation.drive(proxy, Tick())
     elif choice < 0.88:
-        random_fault(simulation, front_door, ballots)
+        random_fault(simulation, proxy, ballots)
     elif choice < 0.89:
         cell = CELLS[int(draw() * 4)]
         if draw() < (0.3 if cell.name in simulation.reference.upkeep.out_of_service else 0.6):
-            simulation.append(UPKEEP, msgspec.json.encode(cell), front_door.instance)
+            simulation.append(UPKEEP, msgspec.json.encode(cell), proxy.instance)
     elif choice < 0.96 and simulation.reference.shards.registry.open:
         open_splits = list(simulation.reference.shards.registry.open.values())
         simulation.propose_blindly(open_splits[int(draw() * len(open_splits))])
     else:
-        random_split(simulation, front_door)
+        random_split(simulation, proxy)
 
 
-def random_fault(simulation: Simulation, front_door: FrontDoor, ballots: list[int]) -> None:
+def random_fault(simulation: Simulation, proxy: Proxy, ballots: list[int]) -> None:
     """A front door stops, resumes, loses its session or restarts, or another leader is elected."""
-    draw, name = simulation.draw, front_door.instance.name
+    draw, name = simulation.draw, proxy.instance.name
     match int(draw() * 6):
         case 0:
-            front_door.stopped = True  # its session expires now or later
+            proxy.stopped = True  # its session expires now or later
         case 1:
-            front_door.stopped = False
+            proxy.stopped = False
             active = simulation.reference.sessions.active_session(name)
-            if not active or active.instance != front_door.instance:
-                simulation.open_session(front_door)
+            if not active or active.instance != proxy.instance:
+                simulation.open_session(proxy)
         case 2:
             simulation.expire_session(name)
         case 3:  # it restarts
-            instance = NodeInstance(name, front_door.instance.number + 1)
-            simulation.front_doors[name].stopped = True
+            instance = NodeInstance(name, proxy.instance.number + 1)
+            simulation.proxies[name].stopped = True
             simulation.start(instance)
         case _:  # a new leader; the last one may not know
             ballots.append(len(ballots))
             simulation.elect(name, len(ballots))
 
 
-def random_split(simulation: Simulation, front_door: FrontDoor) -> None:
+def random_split(simulation: Simulation, proxy: Proxy) -> None:
     """A split is wanted, or is no longer needed."""
     shard_map, draw = simulation.reference.shards.map, simulation.draw
     assert shard_map
     if draw() < 0.12 and simulation.reference.shards.registry.open:
         id = next(iter(simulation.reference.shards.registry.open))
-        simulation.drive(front_door, SplitUnneeded(id, "growth turned"))
+        simulation.drive(proxy, SplitUnneeded(id, "growth turned"))
     elif len(shard_map.ranges) < 12:
         plan = plan_split(
             shard_map,
@@ -110,9 +110,9 @@
             0.2 + 0.6 * draw(),
         )
         if draw() < 0.5:
-            simulation.append(bodies.MACHINE, bodies.encode(plan), front_door.instance)
+            simulation.append(bodies.MACHINE, bodies.encode(plan), proxy.instance)
         else:
-            simulation.drive(front_door, SplitWanted(plan))
+            simulation.drive(proxy, SplitWanted(plan))
 
 
 def run_history(seed: int, implementations: Implementations = Implementations()) -> Simulation:  # noqa: B008
@@ -122,12 +122,12 @@
     for _ in range(EVENTS):
         random_event(simulation, ballots)
     for name in "abc":  # the faults end
-        front_door = simulation.front_doors[name]
-        front_door.stopped, front_door.driver = False, None
-        simulation.catch_up(front_door)
+        proxy = simulation.proxies[name]
+        proxy.stopped, proxy.driver = False, None
+        simulation.catch_up(proxy)
         active = simulation.reference.sessions.active_session(name)
-        if not active or active.instance != front_door.instance:
-            simulation.open_session(front_door)
+        if not active or active.instance != proxy.instance:
+            simulation.open_session(proxy)
     for cell_name in list(simulation.reference.upkeep.out_of_service):
         cell = next(cell for cell in CELLS if cell.name == cell_name)
         simulation.append(UPKEEP, msgspec.json.encode(cell), NodeInstance("a", 1))
@@ -143,8 +143,8 @@
     simulation.run_without_faults(3)
     assert not any(answer.busy for answer in simulation.answers[before:]), "requests are rejected forever"
     simulation.check_stored()
-    for front_door in simulation.front_doors.values():
-        assert front_door.shards.snapshot() == simulation.reference.shards.snapshot()
+    for proxy in simulation.proxies.values():
+        assert proxy.shards.snapshot() == simulation.reference.shards.snapshot()
     return simulation
 
 
@@ -294,9 +294,9 @@
     assert is_detected(implementations, range(30))
 
 
-def test_a_front_door_that_replays_the_log_reaches_the_same_state() -> None:
+def test_a_proxy_that_replays_the_log_reaches_the_same_state() -> None:
     simulation = run_history(3)
-    replayed = FrontDoor(NodeInstance("z", 9), simulation.implementations)
+    replayed = Proxy(NodeInstance("z", 9), simulation.implementations)
     for entry in simulation.entries:
         replayed.apply(0, entry)
     assert replayed.shards.snapshot() == simulation.reference.shards.snapshot()
--- a/tests/shards/splits/test_split_steps.py
+++ b/tests/shards/splits/test_split_steps.py
@@ -71,19 +71,19 @@
 def test_the_next_leader_completes_a_split_whichever_step_the_last_one_failed_at(step: int) -> None:
     simulation, plan = simulate()
     simulation.elect("a", 1)
-    for front_door in simulation.front_doors.values():
-        simulation.catch_up(front_door)
-    simulation.drive(simulation.front_doors["a"], SplitWanted(plan))
+    for proxy in simulation.proxies.values():
+        simulation.catch_up(proxy)
+    simulation.drive(simulation.proxies["a"], SplitWanted(plan))
 
     def fail_leader(round: int) -> None:
         if round < 60:
             send_requests(simulation)
         if round == step:
-            simulation.front_doors["a"].stopped = True
+            simulation.proxies["a"].stopped = True
             simulation.expire_session("a")
             simulation.elect("b", 2)
             if simulation.reference.shards.registry.get("s") is None:
-                simulation.drive(simulation.front_doors["b"], SplitWanted(plan))
+                simulation.drive(simulation.proxies["b"], SplitWanted(plan))
 
     simulation.run_without_faults(300, fail_leader)
     assert simulation.state("s") is State.CLEARED
@@ -91,12 +91,12 @@
     simulation.check_stored()
 
 
-def test_a_partitioned_front_door_blocks_no_split_and_sends_nothing_to_a_wrong_cell() -> None:
+def test_a_partitioned_proxy_blocks_no_split_and_sends_nothing_to_a_wrong_cell() -> None:
     simulation, plan = simulate()
     simulation.elect("a", 1)
-    partitioned = simulation.front_doors["c"]
+    partitioned = simulation.proxies["c"]
     simulation.catch_up(partitioned)
-    simulation.drive(simulation.front_doors["a"], SplitWanted(plan))
+    simulation.drive(simulation.proxies["a"], SplitWanted(plan))
     partitioned.stopped = True
     simulation.run_without_faults(40)
     assert simulation.state("s") is State.COPYING  # its report is missing
@@ -123,10 +123,10 @@
 def test_an_unneeded_split_is_abandoned_before_the_hand_over_and_changes_nothing(rounds: int) -> None:
     simulation, plan = simulate()
     simulation.elect("a", 1)
-    simulation.drive(simulation.front_doors["a"], SplitWanted(plan))
+    simulation.drive(simulation.proxies["a"], SplitWanted(plan))
     simulation.run_without_faults(rounds, lambda _: send_requests(simulation))
     state = simulation.state("s")
-    simulation.drive(simulation.front_doors["a"], SplitUnneeded("s", "growth turned"))
+    simulation.drive(simulation.proxies["a"], SplitUnneeded("s", "growth turned"))
     simulation.run_without_faults(300, lambda round: send_requests(simulation) if round < 40 else None)
     simulation.run_without_faults(3)
     shard_map = simulation.reference.shards.map
@@ -158,7 +158,7 @@
     shard_map = simulation.reference.shards.map
     assert shard_map
     simulation.elect("a", 1)
-    simulation.drive(simulation.front_doors["a"], SplitWanted(plan_split(shard_map, "s")))
+    simulation.drive(simulation.proxies["a"], SplitWanted(plan_split(shard_map, "s")))
     simulation.run_without_faults(300, lambda round: send_requests(simulation) if round < 60 else None)
     assert simulation.state("s") is final
     simulation.run_without_faults(3)
@@ -194,8 +194,8 @@
         and apply(simulation, StartCopy("s")) == ""
     )
     assert simulation.reference.shards.split_in_progress(CELLS[2]) == "s"
-    for front_door in simulation.front_doors.values():
-        simulation.catch_up(front_door)
+    for proxy in simulation.proxies.values():
+        simulation.catch_up(proxy)
     copying = split_position(simulation)
     assert apply(simulation, CloseRange("s", copying, ())) == "proof: no word of a"
     assert apply(simulation, CloseRange("s", copying, proof_at(simulation, copying - 1))).startswith(
@@ -221,9 +221,9 @@
         ClearRange("s", split_position(simulation), proof_at(simulation, split_position(simulation))),
     ).startswith("window")
     simulation.now_us += 1000
-    for front_door in simulation.front_doors.values():
-        simulation.catch_up(front_door)
-        simulation.report(front_door)
+    for proxy in simulation.proxies.values():
+        simulation.catch_up(proxy)
+        simulation.report(proxy)
     assert apply(simulation, ClearRange("s", split_position(simulation), ())).startswith("proof")
     assert apply(simulation, StartCopy("s")) == "step: s is handed" and apply(simulation, plan) == ""
     assert simulation.append(bodies.MACHINE, b'{"kind":"copy"}', A).error == "not understood"
@@ -271,12 +271,12 @@
         )
         == ""
     )
-    for front_door in simulation.front_doors.values():
-        simulation.catch_up(front_door)
-    return simulation, simulation.front_doors["a"].router
+    for proxy in simulation.proxies.values():
+        simulation.catch_up(proxy)
+    return simulation, simulation.proxies["a"].router
 
 
-def test_where_a_front_door_sends_each_kind_of_request() -> None:
+def test_where_a_proxy_sends_each_kind_of_request() -> None:
     simulation, router = closing()
     old = router.place(0, MEMBER_IN_RANGE, Idempotency.NON_IDEMPOTENT)
     assert old and (old.cell, old.shard, old.map_version) == ("c0", 1, 1)
@@ -285,7 +285,7 @@
     router.on_rejected(0, old, 2)
     assert router.handle(0, Tick()) == [FetchMap(2)] and router.handle(0, Tick()) == []
     simulation.now_us = 1_000_000
-    simulation.catch_up(simulation.front_doors["a"])
+    simulation.catch_up(simulation.proxies["a"])
     new = router.place(simulation.now_us, MEMBER_IN_RANGE, Idempotency.IDEMPOTENT)
     assert new and (new.cell, new.shard, new.map_version) == ("c2", 3, 2)
     router.on_rejected(0, new, 2)
@@ -312,7 +312,7 @@
     simulation, router = closing()
     assert apply(simulation, HandOver("s", split_position(simulation), 0)) == ""
     position = split_position(simulation)
-    simulation.catch_up(simulation.front_doors["a"])
+    simulation.catch_up(simulation.proxies["a"])
     restored = simulation.start(NodeInstance("z", 1)).router
     for each in (router, restored):
         assert each.clear_position == position - 1 and each.wake_us == simulation.now_us + WINDOW_MS * 1000
