--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -1,6 +1,6 @@
-"""The limits that the policy consults, `LimitPolicy` in molereach/policy/interface. A core, over two others.
+"""Implementation of `LimitPolicy` (molereach/policy/interface) that combines ceilings and quotas. No I/O.
 
-`Escrow` has the ceilings, `PartitionQuota` the quotas. Messages of both go out within a budget a peer.
+`Escrow` manages the ceilings and `PartitionQuota` the quotas; their messages share a budget per peer.
 """
 
 from molereach.limits.borrowing import NEVER_DUE_US, RETRY_US
@@ -23,14 +23,14 @@
 from molereach.policy.interface.protocols import CustomerLimits, PeerMessage, ReachableQuota
 from molereach.policy.interface.settings import Settings
 
-INCARNATIONS = 1 << 16  # as gossip has 16 bits for their numbers
-MAX_TOTALS_PER_POLL = 2  # 100 a second, to all owners together
+INCARNATIONS = 1 << 16  # gossip carries incarnations in 16 bits
+MAX_TOTALS_PER_POLL = 2  # 100 per second over all owners
 POLL_INTERVAL_US = 20_000
 EVICTION_INTERVAL_US = SECOND_US
 
 
 class Limits:
-    """The limits of one proxy."""
+    """Ceilings and quotas of one proxy."""
 
     def __init__(self, settings: Settings, limit_settings: LimitSettings) -> None:
         self.proxy_index = settings.proxy_index
@@ -54,7 +54,7 @@
         self.pending_replies: list[PeerMessage[LimitMessage]] = []
 
     def start(self, now_us: int) -> None:
-        """The proxy starts; called once, before all other methods."""
+        """Start the proxy; must be called once, before any other method."""
         self.start_us = now_us
         self.next_join_us = now_us
         self.next_poll_us = now_us
@@ -65,51 +65,51 @@
     # Ceilings
 
     def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """A request came that will take so many units of its customer's ceiling."""
+        """Register a request that will consume `units` of its customer's ceiling."""
         self.escrow.request_capacity(now_us, key, units)
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
-        """Whether so many units may be forwarded under the customer's ceiling now."""
+        """Whether the customer's ceiling permits forwarding `units` now."""
         return self.escrow.available_units(now_us, key, units) >= units
 
     def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """So many units are forwarded."""
+        """Deduct the units of a forwarded request from the ceiling."""
         self.escrow.consume(now_us, key, units)
 
     # Quotas
 
     def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
-        """The customer's owner as seen from here, and what of the quota may be spent on this side."""
+        """The quota's owner as seen from here, and the part that may be spent on this side of a partition."""
         return self.partition_quota.reachable_quota(now_us, key)
 
     def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
-        """So much of the quota was spent here, or given back where it is negative."""
+        """Record units of the quota that were spent here, or refunded if negative."""
         self.partition_quota.record_spending(now_us, key, units, remaining_units)
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        """Units that a peer's total takes from the customer's tokens at its owner."""
+        """Return the units to deduct from the customer's tokens at its owner for a peer's total."""
         return self.partition_quota.apply_spending_total(now_us, sender, total)
 
     def sends_totals(self, sender: int) -> bool:
-        """Whether a peer sends totals, so that the spending in its other messages does not count."""
+        """Whether a peer sends totals; if so, the spending in its other messages is ignored."""
         return sender in self.partition_quota.contacts.incarnations
 
     # Messages
 
     def receive(self, now_us: int, message: GossipReceived) -> None:
-        """Apply a peer's message, except for the spending totals in it."""
+        """Apply a peer's message, except for its spending totals."""
         self.now_us = now_us
         sender = message.sender
         incarnation = message.incarnation
         self.partition_quota.record_message(now_us, sender, incarnation, message.is_receiving)
         if incarnation is None:
             return
-        for each in message.messages:
-            match each:
+        for limit_message in message.messages:
+            match limit_message:
                 case LoanRequest():
-                    self.escrow.handle_request(now_us, sender, incarnation, each)
+                    self.escrow.handle_request(now_us, sender, incarnation, limit_message)
                 case LoanGrant():
-                    self.escrow.apply_grant(now_us, sender, each)
+                    self.escrow.apply_grant(now_us, sender, limit_message)
                 case Join():
                     self._acknowledge_join(now_us, sender, incarnation)
                 case Leave():
@@ -119,22 +119,22 @@
                         self._record_acknowledgement(now_us, sender, total_count)
 
     def leave_messages(self) -> list[PeerMessage[LimitMessage]]:
-        """The last messages, to all peers: nothing is spent here from now on."""
+        """Final messages to all peers, after which this proxy spends nothing."""
         return [PeerMessage(peer, Leave()) for peer in range(self.proxy_count) if peer != self.proxy_index]
 
     def receives_from(self, peer: int) -> bool:
-        """Whether messages of the peer have come of late, as of the last event."""
+        """Whether messages from the peer have arrived recently, as of the last event."""
         return self.partition_quota.contacts.receives_from(self.now_us, peer)
 
     def mark_sent(self, now_us: int, peer: int) -> None:
-        """A datagram has just been sent to a peer."""
+        """Record that a datagram has just been sent to a peer."""
         self.now_us = now_us
         self.partition_quota.contacts.sent_us[peer] = now_us
 
     def due_messages(self, now_us: int) -> list[PeerMessage[LimitMessage | None]]:
-        """Messages to peers by now; one that is None is a heartbeat."""
-        is_waiting = self.pending_replies or self.escrow.outbox
-        if not is_waiting and now_us < min(self.next_poll_us, self.escrow.next_due_us):
+        """Messages to peers that are due; None stands for a heartbeat."""
+        has_pending = self.pending_replies or self.escrow.outbox
+        if not has_pending and now_us < min(self.next_poll_us, self.escrow.next_due_us):
             return []
         due: list[PeerMessage[LimitMessage | None]] = [*self.pending_replies]
         self.pending_replies = []
@@ -148,12 +148,16 @@
             self.next_eviction_us = now_us + EVICTION_INTERVAL_US
             self.escrow.evict_idle(now_us)
             self.partition_quota.evict_idle(now_us)
-        # What is beyond the budget is left out: requests and joins are sent again, totals grow.
-        return [each for each in due if each.message is None or self.message_budget.take(now_us, each.peer)]
+        # Messages beyond the budget are dropped: requests and joins are resent, and totals are cumulative.
+        return [
+            peer_message
+            for peer_message in due
+            if peer_message.message is None or self.message_budget.take(now_us, peer_message.peer)
+        ]
 
     @property
     def next_due_us(self) -> int:
-        """When `due_messages` has something to do without an event."""
+        """When `due_messages` must be called next if no event occurs."""
         if self.proxy_count == 1:
             return NEVER_DUE_US
         next_poll_us = self.next_poll_us
@@ -162,7 +166,7 @@
         return min(self.escrow.next_due_us, next_poll_us)
 
     def snapshot(self, customer_checksum: int, now_us: int) -> list[CustomerLimits]:
-        """What is known of a customer, by the checksum of its name; it only reads."""
+        """The limits of a customer, given the checksum of its name; changes nothing."""
         return customer_snapshots(self.escrow, self.partition_quota, customer_checksum, now_us)
 
     def _acknowledge_join(self, now_us: int, peer: int, incarnation: int) -> None:
--- a/molereach/limits/errors.py
+++ b/molereach/limits/errors.py
@@ -1,9 +1,9 @@
-"""The errors of limits."""
+"""Exceptions raised by the limits package."""
 
 
 class LimitsError(Exception):
-    """Base class of the errors of this package."""
+    """Base class of this package's exceptions."""
 
 
 class MalformedRecordError(LimitsError):
-    """A datagram holds a record of an unknown kind, cut off, or with a value out of its range."""
+    """A datagram contains a record that is truncated, of an unknown kind or has a field out of range."""
--- a/molereach/limits/gossip_codec.py
+++ b/molereach/limits/gossip_codec.py
@@ -1,10 +1,10 @@
-"""Gossip on limits in datagrams of at most 256 bytes, beside those of front doors without limits. A core.
+"""Encodes gossip on limits in datagrams of at most 256 bytes, alongside those without limits. No I/O.
 
 Layout, in network byte order: magic (1 byte), version (1), the sender's incarnation (2), whether the sender
-has received from the receiver of late (1), records, and with a key an authentication tag of 8 bytes
-(BLAKE2b, RFC 7693, keyed; over the sender's number and all that stands before the tag). A datagram of
-front doors without limits is a multiple of its record's length. One of this layout never is, so that those
-front doors drop it and the two are told apart by their length.
+has recently received from the receiver (1), records, and with a key an authentication tag of 8 bytes
+(BLAKE2b, RFC 7693, keyed; over the sender's index and everything before the tag). The length of a datagram
+of front doors without limits is a multiple of its record size. The length of this layout never is, so those
+front doors drop such a datagram, and receivers distinguish the two layouts by length.
 """
 
 import hashlib
@@ -26,7 +26,7 @@
 
 
 class LimitGossipCodec:
-    """Packs the messages of one proxy and unpacks those of its peers."""
+    """Encodes the messages of one proxy and decodes those of its peers."""
 
     def __init__(
         self,
@@ -36,12 +36,12 @@
         key: bytes = b"",
         receives_from: Callable[[int], bool] = lambda peer: True,
     ) -> None:
-        """The codec of a proxy's incarnation.
+        """Create the codec of one incarnation of a proxy.
 
-        `understands` says whether a peer is known to read this layout; until then, messages on quotas go
-        in that of front doors without limits. `receives_from` says whether messages of a peer have come of
-        late, of which the peer is notified: links may work one way. With a `key`, what does not carry its
-        tag is dropped.
+        `understands` tells whether a peer is known to read this layout; until then, quota messages are
+        sent in the layout of front doors without limits. `receives_from` tells whether messages from a peer
+        have arrived recently. The peer is notified of it, as a link may work in one direction only. With a
+        `key`, datagrams without a valid tag are dropped.
         """
         self.proxy_index = proxy_index
         self.incarnation = incarnation
@@ -49,10 +49,10 @@
         self.key = key
         self.receives_from = receives_from
         self.tag_bytes = TAG_BYTES if key else 0
-        self.max_body_bytes = MAX_DATAGRAM_BYTES - HEADER.size - self.tag_bytes - 1  # the last: for a pad
+        self.max_body_bytes = MAX_DATAGRAM_BYTES - HEADER.size - self.tag_bytes - 1  # 1: for padding
 
     def pack(self, peer: int, messages: Sequence[Message]) -> list[bytes]:
-        """Datagrams with the messages, and one, a heartbeat, where there are none."""
+        """Return datagrams with the messages, or one heartbeat datagram if there are none."""
         quota_messages: list[GossipMessage] = []
         if not self.key and not self.understands(peer):
             quota_messages = [message for message in messages if isinstance(message, GossipMessage)]
@@ -70,14 +70,14 @@
         return datagrams
 
     def seal(self, peer: int, body: bytes) -> bytes:
-        """The datagram to a peer around packed records."""
+        """Return the datagram to a peer that contains the packed records in `body`."""
         data = HEADER.pack(MAGIC, VERSION, self.incarnation, self.receives_from(peer)) + body
         if (len(data) + self.tag_bytes) % RECORD.size == 0:
             data += bytes([PAD])
         return data + self.authentication_tag(self.proxy_index, data) if self.key else data
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
-        """The messages of a datagram; None where it is malformed, of another version or without the key."""
+        """Decode a datagram; None if it is malformed, of another version or not authenticated by the key."""
         if len(data) % RECORD.size == 0:
             quota_messages = () if self.key else unpack_messages(data)
             return GossipReceived(sender, quota_messages) if quota_messages else None
@@ -88,16 +88,16 @@
                 return None
         if len(data) < HEADER.size:
             return None
-        magic, version, incarnation, is_received = HEADER.unpack_from(data)
-        if (magic, version) != (MAGIC, VERSION) or is_received > 1:
+        magic, version, incarnation, is_receiving = HEADER.unpack_from(data)
+        if (magic, version) != (MAGIC, VERSION) or is_receiving > 1:
             return None
         try:
             messages = unpack_records(data, HEADER.size)
         except MalformedRecordError:
             return None
-        return GossipReceived(sender, messages, incarnation, bool(is_received))
+        return GossipReceived(sender, messages, incarnation, bool(is_receiving))
 
     def authentication_tag(self, sender: int, data: bytes) -> bytes:
-        """The tag of a sender's datagram under the key."""
-        signed = sender.to_bytes(PROXY_INDEX_BYTES, "big") + data
-        return hashlib.blake2b(signed, digest_size=TAG_BYTES, key=self.key).digest()
+        """Return the tag that the key gives a sender's datagram."""
+        authenticated = sender.to_bytes(PROXY_INDEX_BYTES, "big") + data
+        return hashlib.blake2b(authenticated, digest_size=TAG_BYTES, key=self.key).digest()
--- a/molereach/limits/gossip_records.py
+++ b/molereach/limits/gossip_records.py
@@ -1,6 +1,6 @@
-"""Records of gossip on limits: the layout of each message, in network byte order.
+"""Binary records of gossip on limits, in network byte order.
 
-A record is its kind (1 byte) and its fields. Amounts of units are in steps of 1 / `STEPS_PER_UNIT`.
+A record consists of its kind (1 byte) and its fields. Units are encoded in steps of 1 / `STEPS_PER_UNIT`.
 """
 
 import struct
@@ -25,7 +25,7 @@
 
 Message = GossipMessage | LimitMessage
 
-PAD = 0  # in place of a record's kind: nothing follows
+PAD = 0  # in place of a record's kind: ends the datagram
 MAX_UNITS = 0x7FFFFFFF / STEPS_PER_UNIT
 MAX_TOTAL_COUNT = 0xFFFF
 
@@ -42,17 +42,17 @@
     LEAVE = 7
 
 
-_KEY = "IBHH"  # checksum of the customer's name, plan, first proxy of its set, size of the set
+_KEY_FORMAT = "IBHH"  # checksum of the customer's name, plan, first proxy of its set, size of the set
 QUOTA_RECORD = struct.Struct("!B" + RECORD.format.lstrip("!"))
-LOAN_REQUEST_RECORD = struct.Struct(f"!B{_KEY}IIHHI")
-LOAN_GRANT_RECORD = struct.Struct(f"!B{_KEY}IHI")
+LOAN_REQUEST_RECORD = struct.Struct(f"!B{_KEY_FORMAT}IIHHI")
+LOAN_GRANT_RECORD = struct.Struct(f"!B{_KEY_FORMAT}IHI")
 EMPTY_RECORD = struct.Struct("!B")
 JOIN_ACKNOWLEDGED_RECORD = struct.Struct("!BHH")
-SPENDING_TOTAL_RECORD = struct.Struct(f"!B{_KEY}II")
+SPENDING_TOTAL_RECORD = struct.Struct(f"!B{_KEY_FORMAT}II")
 
 
 def pack_record(message: Message) -> bytes:
-    """The record of a message; amounts and counts are limited to what it can hold."""
+    """Encode a message; units and counts beyond the range of their field are clamped."""
     match message:
         case GossipMessage():
             return _pack_quota(message)
@@ -88,26 +88,26 @@
 
 
 def unpack_records(data: bytes, start: int) -> tuple[Message, ...]:
-    """The messages of the records from `start` on, before a pad; raises MalformedRecordError."""
+    """Decode the records from `start` up to the padding; raises MalformedRecordError."""
     messages: list[Message] = []
     position = start
     while position < len(data) and data[position] != PAD:
         layout = RECORD_LAYOUTS.get(data[position])
         if layout is None:
-            raise MalformedRecordError(f"a record of kind {data[position]}")
+            raise MalformedRecordError(f"unknown record kind {data[position]}")
         try:
             _kind, *fields = layout.structure.unpack_from(data, position)
         except struct.error as error:
-            raise MalformedRecordError("a record is cut off") from error
+            raise MalformedRecordError("truncated record") from error
         messages.append(layout.parse(fields))
         position += layout.structure.size
     if any(data[position:]) or len(data) - position > 1:
-        raise MalformedRecordError("bytes after the pad")
+        raise MalformedRecordError("data after the padding byte")
     return tuple(messages)
 
 
 def _unsigned_steps(units: float) -> int:
-    # Rounded down, as no more may be given than there is, but for the error of a binary fraction.
+    # Rounded down so that no more is given than there is. The inner rounding absorbs floating-point error.
     return int(round(max(0.0, min(MAX_UNITS, units)) * STEPS_PER_UNIT, 6))
 
 
@@ -172,13 +172,13 @@
 
 def _checked_share(share: int) -> int:
     if share > FULL_SHARE:
-        raise MalformedRecordError("a share above the full one")
+        raise MalformedRecordError("share exceeds the full ceiling")
     return share
 
 
 @dataclass(frozen=True, slots=True)
 class RecordLayout:
-    """How the records of one kind are laid out, kind included, and parsed from the fields after it."""
+    """Layout of the records of one kind, including the kind byte, and the parser of their other fields."""
 
     structure: struct.Struct
     parse: Callable[[list[int]], Message]
--- a/molereach/limits/partition_quota.py
+++ b/molereach/limits/partition_quota.py
@@ -1,8 +1,9 @@
-"""What fraction of a quota may be spent here while proxies are cut off from each other. A core.
+"""The fraction of a quota that may be spent on this side of a network partition. No I/O.
 
-A customer's quota is kept by the owner in its set. When the set falls apart, the quota is split: the owner
-goes on with k/n of burst and rate for the k members that it reaches, each of the others with 1/n, its local
-quota. While all reach each other, it changes nothing. docs/design/limits.md states the error.
+One member of a customer's set of n proxies owns its quota. During a partition the quota is split: the owner
+keeps k/n of burst and rate for the k members that it reaches, and each of the others has 1/n, its local
+quota. While all members reach each other, the owner has the whole quota. docs/design/limits.md states the
+error bound.
 """
 
 from collections.abc import Sequence
@@ -14,20 +15,22 @@
 from molereach.policy.interface.protocols import PeerMessage, ReachableQuota
 from molereach.policy.interface.settings import Plan
 
-# A peer that is back and has sent no total of a customer within it spent nothing of its quota.
+# A reconnected peer that sends no total of a customer within this time has spent nothing of its quota.
 JOIN_DELAY_US = TOTAL_TRANSMISSIONS * TOTAL_REPEAT_US
-MIN_RETENTION_US = 10 * SECOND_US  # of what is known of a customer that sends no requests
-MAX_OWNER_STATES = 200_000  # that messages of others may open
+MIN_RETENTION_US = 10 * SECOND_US  # of the state of a customer that sends no requests
+MAX_OWNER_STATES = 200_000  # beyond which peers' messages open none
 UNKNOWN_INCARNATION = -1  # of a peer that has sent no total
 
 
 class OwnerState:
-    """What the owner of a customer's quota knows of the other members of the set."""
+    """State of the other members of a customer's set, as known to the owner of its quota."""
 
     __slots__ = ("last_totals", "separated_since_us", "used_us")
 
     def __init__(self, separated_since_us: dict[int, int], now_us: int) -> None:
-        self.separated_since_us = separated_since_us  # members whose local quotas are not in its tokens
+        self.separated_since_us = (
+            separated_since_us  # members whose local quotas are excluded from its tokens
+        )
         self.used_us = now_us
         self.last_totals: dict[int, tuple[int, float]] = {}  # by member: incarnation and spent units
 
@@ -43,29 +46,31 @@
         settings: LimitSettings,
         max_received_per_s: float,
     ) -> None:
-        """`max_received_per_s` bounds the heartbeats of all peers together."""
+        """Create the quotas of a proxy; `max_received_per_s` limits the heartbeats that it receives."""
         self.proxy_index = proxy_index
         self.proxy_count = proxy_count
         self.plans = plans
         self.start_us = 0
         self.contacts = PeerContacts(proxy_index, proxy_count, settings, max_received_per_s)
         self.totals = SpendingTotals(plans)
-        self.owner_states: dict[CustomerKey, OwnerState] = {}  # the most recently used one last
-        fill_s = [plan.quota_burst / plan.quota_rate for plan in plans if plan.quota_rate]
-        self.retention_us = max([MIN_RETENTION_US, *(round(2 * SECOND_US * seconds) for seconds in fill_s)])
+        self.owner_states: dict[CustomerKey, OwnerState] = {}  # least recently used first
+        fill_times_s = [plan.quota_burst / plan.quota_rate for plan in plans if plan.quota_rate]
+        self.retention_us = max(
+            [MIN_RETENTION_US, *(round(2 * SECOND_US * seconds) for seconds in fill_times_s)]
+        )
 
     # Peers
 
     def record_message(self, now_us: int, peer: int, incarnation: int | None, is_mutual: bool = True) -> None:
-        """Record a message of a peer; one that was silent is sent all that its customers spent here.
+        """Record a message from a peer; one that was silent is sent the totals of the customers it owns.
 
-        Where it is not `is_mutual`, the peer does not receive from here.
+        If `is_mutual` is False, the peer does not receive from here.
         """
         if self.contacts.record_message(now_us, peer, incarnation, is_mutual):
             self.resend_totals(peer)
 
     def resend_totals(self, peer: int) -> int:
-        """Send a peer, from now on, all that the customers that it owns spent here; of how many."""
+        """Schedule the totals of all customers that a peer owns, and return their number."""
         keys = [key for key in self.totals.entries if self.owner(key) == peer]
         self.totals.resend(keys)
         return len(keys)
@@ -73,12 +78,12 @@
     # Owners
 
     def owner(self, key: CustomerKey) -> int:
-        """The owner of a customer's quota while all reach each other."""
+        """The owner of a customer's quota while all members reach each other."""
         checksum, _, set_first, set_size = key
         return (set_first + checksum % set_size) % self.proxy_count
 
     def acting_owner(self, now_us: int, key: CustomerKey) -> int:
-        """The owner as seen from here: the first member that is present, from the owner on."""
+        """The owner as seen from here: the first present member, starting from the regular owner."""
         checksum, _, set_first, set_size = key
         start = checksum % set_size
         for number in range(start, start + set_size):
@@ -88,7 +93,7 @@
         return self.proxy_index
 
     def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
-        """The acting owner, the fraction of the quota on this side of a partition, and units that joined."""
+        """The acting owner, the quota's fraction on this side of a partition, and the units that joined."""
         _, plan_index, _, set_size = key
         plan = self.plans[plan_index]
         if set_size == 1 or not plan.quota_rate:
@@ -102,7 +107,7 @@
         return ReachableQuota(owner, fraction, joined_units)
 
     def _update_members(self, now_us: int, key: CustomerKey, state: OwnerState) -> float:
-        """Separate the silent members and join the others; the units of local quotas that joined."""
+        """Separate silent members, join the others again and return the units of the joined local quotas."""
         _, plan_index, _, set_size = key
         local_burst = self.plans[plan_index].quota_burst / set_size
         separated = state.separated_since_us
@@ -114,7 +119,7 @@
             elif self.contacts.is_silent(now_us, peer):
                 separated.setdefault(peer, self.contacts.mutual_contact_us.get(peer, self.start_us))
             elif peer in separated and now_us - self.contacts.reconnected_us[peer] > JOIN_DELAY_US:
-                # It had time to send a total of what it spent here, and had none to send.
+                # The peer had time to send a total of this customer and sent none.
                 del separated[peer]
                 joined_units += local_burst
         return joined_units
@@ -128,12 +133,12 @@
         ]
 
     def _owner_state(self, now_us: int, key: CustomerKey) -> OwnerState:
-        """The state of a customer that this proxy owns, marked as the most recently used one."""
+        """Return the state of a customer that this proxy owns, and mark it as most recently used."""
         state = self.owner_states.pop(key, None)
         if state is None:
             state = OwnerState({}, now_us)
             if now_us - self.start_us <= JOIN_DELAY_US + self.contacts.failure_timeout_us:
-                # Soon after a start, nothing is known of what the others have spent.
+                # Shortly after a start, the spending of the other members is unknown.
                 state.separated_since_us = dict.fromkeys(self._other_members(key), self.start_us)
         self.owner_states[key] = state
         state.used_us = now_us
@@ -142,22 +147,22 @@
     # Spending
 
     def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
-        """Record what was spent here of a quota that another proxy owns; the rest is of the local quota."""
+        """Record units spent here of a quota that another proxy owns, and what remains of the local quota."""
         if self.acting_owner(now_us, key) != self.proxy_index:
             self.totals.record(now_us, key, units, remaining_units)
 
     def due_totals(self, now_us: int, max_totals: int) -> list[PeerMessage[SpendingTotal]]:
-        """Totals to be sent to the owners now, at most so many."""
+        """Return the totals to send to their owners now, at most `max_totals`."""
         return [
             PeerMessage(self.acting_owner(now_us, total.key), total)
             for total in self.totals.due(now_us, max_totals)
         ]
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        """Units that a member's total takes from the customer's tokens; negative where its local quota joins.
+        """Return the units that a member's total deducts from the customer's tokens; negative adds tokens.
 
-        A local quota joins with what is left of it, less what was spent beyond it. A total that is older
-        than the last one adds nothing.
+        When a separated member joins, the remainder of its local quota is added and its excess spending is
+        deducted. A total that is older than the last one has no effect.
         """
         plan = self.plans[total.key[1]]
         if not self._accepts_total(now_us, total.key):
@@ -184,17 +189,18 @@
             return max(0.0, new_units + remaining_units - entitled_units) - remaining_units
         if is_same_incarnation or last_incarnation != UNKNOWN_INCARNATION:
             return new_units
-        # Of a customer that was forgotten here, the total may be old: what its local quota lacks counts.
+        # The state of this customer was evicted, so the total may include spending that was deducted before.
+        # Only what its local quota lacks is deducted.
         return local_burst - remaining_units
 
     def _accepts_total(self, now_us: int, key: CustomerKey) -> bool:
-        """Whether this proxy is the acting owner, and has or may open a state of the customer."""
+        """Whether this proxy is the acting owner and holds, or may create, a state of the customer."""
         if self.acting_owner(now_us, key) != self.proxy_index or not self.plans[key[1]].quota_rate:
             return False
         return key in self.owner_states or len(self.owner_states) < MAX_OWNER_STATES
 
     def evict_idle(self, now_us: int) -> None:
-        """Forget customers that have sent no request for so long that their quota is full again."""
+        """Remove customers that have been idle long enough for their quota to be full again."""
         self.totals.evict_idle(now_us, self.retention_us)
         while self.owner_states:
             key, oldest = next(iter(self.owner_states.items()))
--- a/molereach/limits/peer_contacts.py
+++ b/molereach/limits/peer_contacts.py
@@ -1,23 +1,23 @@
-"""Which peers can be reached: contacts, heartbeats and incarnations, as one proxy sees them.
+"""Failure detector of one proxy: contacts, heartbeats and incarnations of its peers.
 
-A peer counts as silent after `MISSED_HEARTBEATS` heartbeats without a message that shows it receives from
-here as well: a link that works one way is a partition.
+A peer counts as silent after `MISSED_HEARTBEATS` heartbeat intervals without a message that confirms that it
+also receives from here: a link that works in one direction only is a partition.
 """
 
 from molereach.limits.settings import SECOND_US, LimitSettings
 
 MISSED_HEARTBEATS = 4  # after which a peer counts as silent
-HEARTBEAT_FRACTION = 0.3  # of the messages that a proxy takes in, at most, are heartbeats
+HEARTBEAT_FRACTION = 0.3  # maximum fraction of received messages that are heartbeats
 LONG_AGO_US = -1 << 60
 
 
 class PeerContacts:
-    """When each peer was in contact, and which incarnations of peers live or have left."""
+    """Times of the last contact with each peer, and which incarnations are present or have left."""
 
     def __init__(
         self, proxy_index: int, proxy_count: int, settings: LimitSettings, max_received_per_s: float
     ) -> None:
-        """Heartbeats are spaced so that a peer may receive `max_received_per_s` messages, 0 for no bound."""
+        """Space heartbeats so that a peer receives at most `max_received_per_s` messages, 0 for no limit."""
         self.proxy_index = proxy_index
         self.proxy_count = proxy_count
         min_spacing_us = 0.0
@@ -26,30 +26,30 @@
         self.heartbeat_us = max(settings.heartbeat_us, round(min_spacing_us))
         self.failure_timeout_us = MISSED_HEARTBEATS * self.heartbeat_us
         self.received_us: dict[int, int] = {}  # the last message of any kind
-        self.mutual_contact_us: dict[int, int] = {}  # the last message that showed that it receives from here
-        self.reconnected_us: dict[int, int] = {}  # since when a peer has not been silent
+        self.mutual_contact_us: dict[int, int] = {}  # the last one to confirm receipt from here
+        self.reconnected_us: dict[int, int] = {}  # when a peer last stopped being silent
         self.sent_us: dict[int, int] = {}
-        self.incarnations: dict[int, int] = {}  # of the peers that send totals
-        self.departed_incarnations: dict[int, int] = {}  # of the peers that have left: they spend nothing
+        self.incarnations: dict[int, int] = {}  # of peers that send totals
+        self.departed_incarnations: dict[int, int] = {}  # of peers that have left and spend nothing
 
     def is_silent(self, now_us: int, peer: int) -> bool:
-        """Whether the peer may spend without this proxy learning of it."""
+        """Whether the peer may spend units without this proxy being informed."""
         return now_us - self.mutual_contact_us.get(peer, LONG_AGO_US) > self.failure_timeout_us
 
     def is_present(self, now_us: int, peer: int) -> bool:
-        """Whether the peer is neither silent nor has left."""
+        """Whether the peer is not silent and has not left."""
         if peer in self.departed_incarnations:
             return False
         return now_us - self.mutual_contact_us.get(peer, LONG_AGO_US) <= self.failure_timeout_us
 
     def receives_from(self, now_us: int, peer: int) -> bool:
-        """Whether messages of the peer have come of late, of which it is to be notified."""
+        """Whether messages from the peer have arrived recently, which it must be notified of."""
         return now_us - self.received_us.get(peer, LONG_AGO_US) <= self.failure_timeout_us
 
     def record_message(self, now_us: int, peer: int, incarnation: int | None, is_mutual: bool) -> bool:
-        """Record a message of a peer; whether the peer was silent and is so no more.
+        """Record a message from a peer, and return whether the peer stops being silent.
 
-        Where it is not `is_mutual`, the peer does not receive from here.
+        If `is_mutual` is False, the peer does not receive from here.
         """
         self.received_us[peer] = now_us
         if not is_mutual:
@@ -65,16 +65,16 @@
         return was_silent
 
     def record_leave(self, peer: int, incarnation: int) -> None:
-        """The incarnation of a peer spends nothing any more, whatever message of it arrives late."""
+        """Record that a peer's incarnation spends nothing from now on, even if a late message arrives."""
         self.departed_incarnations[peer] = incarnation
         self.mutual_contact_us[peer] = LONG_AGO_US
 
     def record_no_spending(self, peer: int) -> None:
-        """The peer has spent of no customer here: its local quotas join at once."""
+        """Record that the peer spent no quota owned here, so its local quotas join without delay."""
         self.reconnected_us[peer] = LONG_AGO_US
 
     def due_heartbeats(self, now_us: int) -> list[int]:
-        """Peers to which nothing was sent for the time between heartbeats."""
+        """Peers to which nothing was sent for a heartbeat interval."""
         return [
             peer
             for peer in range(self.proxy_count)
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -1,4 +1,4 @@
-"""Limits of a running front door, made from the section of the operator file and its key file."""
+"""Enables limits on a proxy, from the `[limits]` section of the operator file and its key file."""
 
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -14,9 +14,9 @@
 
 
 def attacher(section: LimitsSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
-    """What switches limits on for a front door that has not had an event yet.
+    """Return a coroutine function that enables limits on a proxy that has not processed an event yet.
 
-    Raises KeyFileError where the key file cannot be used.
+    Raises KeyFileError if the key file cannot be used.
     """
     key = read_key(Path(section.key_file), "limits.key_file") if section.key_file else b""
     limit_settings = LimitSettings(
@@ -26,8 +26,8 @@
         reserved_fraction=section.floor,
     )
 
-    async def attach(door: Proxy) -> Callable[[], None]:
-        limits = Limits(door.settings, limit_settings)
+    async def attach(proxy: Proxy) -> Callable[[], None]:
+        limits = Limits(proxy.settings, limit_settings)
         codec = LimitGossipCodec(
             limits.proxy_index,
             limits.incarnation,
@@ -35,7 +35,7 @@
             key=key,
             receives_from=limits.receives_from,
         )
-        door.use_limits(limits, codec)
+        proxy.use_limits(limits, codec)
         return lambda: None
 
     return attach
--- a/molereach/limits/settings.py
+++ b/molereach/limits/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the limits' cores; docs/design/limits.md uses them in its bounds."""
+"""Settings of ceilings and quotas; docs/design/limits.md derives its error bounds from them."""
 
 from dataclasses import dataclass
 
@@ -7,27 +7,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Leases, clocks and heartbeats; times in microseconds, fractions from 0 to 1."""
+    """Lease duration, clock drift and heartbeat interval; times in microseconds, fractions from 0 to 1."""
 
-    lease_us: int = 2 * SECOND_US  # how long a loan of a share lasts
-    drift: float = 0.001  # by how much the rate of a clock may be wrong, either way
-    heartbeat_us: int = SECOND_US // 4  # a message to every peer at least so often, in small tiers
+    lease_us: int = 2 * SECOND_US  # duration of a loan
+    drift: float = 0.001  # maximum relative error of a clock's rate, in either direction
+    heartbeat_us: int = SECOND_US // 4  # maximum interval between messages to a peer, in small tiers
     reserved_fraction: float = 0.05  # of its own share that a proxy never lends
 
     @property
     def borrower_lease_us(self) -> int:
-        """How long a borrower uses a loan, by its own clock, from its request on."""
+        """How long a borrower may use a loan, by its own clock and counted from its request."""
         return int(self.lease_us * (1 - self.drift))
 
     @property
     def lender_lease_us(self) -> int:
-        """How long a lender goes without a loan, by its own clock, from its grant on."""
+        """How long a lender treats a loan as outstanding, by its own clock and counted from its grant."""
         return int(self.lease_us * (1 + self.drift)) + 1
 
     @property
     def startup_wait_us(self) -> int:
-        """How long a proxy that starts holds nothing, unless all others report that they hold nothing of it.
+        """How long a starting proxy leaves its own share unused.
 
-        Its own clock may be fast where theirs are slow, so that the drift counts twice.
+        The wait ends early once all peers confirm that they hold no loan of it. The drift counts twice
+        because the local clock may run fast while the clocks of the peers run slow.
         """
         return int(self.lease_us * (1 + self.drift) / (1 - self.drift)) + 1
--- a/molereach/limits/snapshots.py
+++ b/molereach/limits/snapshots.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of a customer's limits, for operators; it only reads."""
+"""Read-only snapshots of a customer's limits at one proxy, for operators."""
 
 from molereach.limits.escrow import Escrow
 from molereach.limits.loans import FULL_SHARE
@@ -11,9 +11,9 @@
 def customer_snapshots(
     escrow: Escrow, partition_quota: PartitionQuota, customer_checksum: int, now_us: int
 ) -> list[CustomerLimits]:
-    """One snapshot for each plan and set under which the customer is known."""
-    known_keys = (escrow.accounts, partition_quota.totals.entries, partition_quota.owner_states)
-    keys = {key: None for known in known_keys for key in known if key[0] == customer_checksum}
+    """Return one snapshot for each plan and set under which the customer is known."""
+    tables = (escrow.accounts, partition_quota.totals.entries, partition_quota.owner_states)
+    keys = {key: None for table in tables for key in table if key[0] == customer_checksum}
     return [_snapshot(escrow, partition_quota, key, now_us) for key in keys]
 
 
@@ -27,15 +27,17 @@
     separated = sorted(owner_state.separated_since_us) if owner_state else []
     if account is None:
         return CustomerLimits(key[1], 0.0, 0.0, {}, {}, 0.0, 0.0, spent_units, separated)
-    lent = {peer: loan.lent_share(now_us) / FULL_SHARE for peer, loan in account.loans.items()}
-    usable = {peer: borrowed for peer, borrowed in account.borrowed.items() if borrowed.usable_share(now_us)}
-    ages_us = [now_us - borrowed.requested_us for borrowed in usable.values()]
+    lent_by_peer = {peer: loan.lent_share(now_us) / FULL_SHARE for peer, loan in account.loans.items()}
+    usable_loans = {
+        peer: borrowed for peer, borrowed in account.borrowed.items() if borrowed.usable_share(now_us)
+    }
+    ages_us = [now_us - borrowed.requested_us for borrowed in usable_loans.values()]
     return CustomerLimits(
         plan=key[1],
         share=account.usable_share(now_us) / FULL_SHARE,
         store=account.tokens,
-        lent={peer: share for peer, share in lent.items() if share},
-        borrowed={peer: borrowed.granted_share / FULL_SHARE for peer, borrowed in usable.items()},
+        lent={peer: share for peer, share in lent_by_peer.items() if share},
+        borrowed={peer: borrowed.granted_share / FULL_SHARE for peer, borrowed in usable_loans.items()},
         oldest_s=round(max(ages_us, default=0) / SECOND_US, 3),
         taken=account.consumed_units,
         spent=spent_units,
--- a/molereach/limits/spending_totals.py
+++ b/molereach/limits/spending_totals.py
@@ -1,6 +1,6 @@
-"""What this proxy has spent of quotas whose owner is another, and when the owner is notified.
+"""Units that this proxy has spent of quotas owned by other proxies, and the schedule for reporting them.
 
-A total that only grows, one for each incarnation of a proxy, makes good what was lost on the way: Shapiro
+Each incarnation reports a total that only increases, so a later message compensates for lost ones: Shapiro
 et al., "A Comprehensive Study of Convergent and Commutative Replicated Data Types" (2011), 3.1.
 """
 
@@ -10,12 +10,12 @@
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
 from molereach.policy.interface.settings import Plan
 
-TOTAL_REPEAT_US = 300_000  # between two transmissions of a total
-TOTAL_TRANSMISSIONS = 2  # as messages may be lost
+TOTAL_REPEAT_US = 300_000  # between transmissions of the same total
+TOTAL_TRANSMISSIONS = 2  # of each total, as messages may be lost
 
 
 class LocalSpending:
-    """What was spent here of one customer's quota, and how often its owner was notified of it."""
+    """Units of one customer's quota that were spent here, and how often that total was sent to the owner."""
 
     __slots__ = ("remaining_units", "spent_units", "transmissions", "updated_us")
 
@@ -27,16 +27,16 @@
 
 
 class SpendingTotals:
-    """The spending of one proxy by customer, and which totals are still to be sent."""
+    """Spending at one proxy by customer, and the totals that remain to be sent."""
 
     def __init__(self, plans: Sequence[Plan]) -> None:
         self.plans = plans
-        self.entries: dict[CustomerKey, LocalSpending] = {}  # the most recently used one last
-        self.unsent: dict[CustomerKey, None] = {}  # spending of which the owner has not been notified
-        self.repeat_at_us: dict[CustomerKey, int] = {}  # when a total is sent once more
+        self.entries: dict[CustomerKey, LocalSpending] = {}  # least recently used first
+        self.unsent: dict[CustomerKey, None] = {}  # totals to be sent to their owners
+        self.repeat_at_us: dict[CustomerKey, int] = {}  # when to send a total again
 
     def record(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
-        """Add what was spent; `remaining_units` are left of the local quota."""
+        """Add spent units; `remaining_units` are left of the local quota."""
         entry = self.entries.pop(key, None) or LocalSpending()
         self.entries[key] = entry
         entry.updated_us = now_us
@@ -47,13 +47,13 @@
         self.unsent[key] = None
 
     def resend(self, keys: Iterable[CustomerKey]) -> None:
-        """Send the totals of these customers anew, as often as new ones."""
+        """Schedule the totals of these customers as if they were new."""
         for key in keys:
             self.entries[key].transmissions = 0
             self.unsent[key] = None
 
     def due(self, now_us: int, max_totals: int) -> list[SpendingTotal]:
-        """Totals to be sent now, at most so many."""
+        """Return the totals to send now, at most `max_totals`."""
         totals: list[SpendingTotal] = []
         while self.repeat_at_us and len(totals) < max_totals:
             key, repeat_us = next(iter(self.repeat_at_us.items()))
@@ -74,11 +74,11 @@
         return totals
 
     def has_pending(self) -> bool:
-        """Whether a total is to be sent, now or once more."""
+        """Whether a total remains to be sent for the first time or again."""
         return bool(self.unsent or self.repeat_at_us)
 
     def evict_idle(self, now_us: int, retention_us: int) -> None:
-        """Forget customers of which nothing was spent for so long."""
+        """Remove customers whose quota was not spent here for `retention_us`."""
         while self.entries and now_us - next(iter(self.entries.values())).updated_us > retention_us:
             del self.entries[next(iter(self.entries))]
 
--- a/tests/limits/test_escrow.py
+++ b/tests/limits/test_escrow.py
@@ -1,4 +1,4 @@
-"""Shares of a ceiling: random histories with loss, partitions, kills, stops; each safeguard removed."""
+"""Shares of a ceiling: random histories with loss, partitions, kills and stops; removal of each safeguard."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,8 +20,8 @@
 LIMIT_SETTINGS = LimitSettings(reserved_fraction=0.1)
 
 
-def broken_by(seeds: range) -> int:
-    """How many histories go until a sum does not hold; -1 where it holds in all."""
+def first_violating_seed(seeds: range) -> int:
+    """The first seed whose history violates an invariant, or -1."""
     for seed in seeds:
         try:
             ShareHistory(seed).play()
@@ -32,75 +32,75 @@
 
 def test_ceiling_holds_in_random_histories() -> None:
     histories = [ShareHistory(seed).play() for seed in range(12)]
-    assert max(history.most_share for history in histories) > 0.99  # close to what may be, and not beyond it
+    assert max(history.most_share for history in histories) > 0.99  # close to the ceiling, but not above it
     assert sum(history.granted for history in histories) > 900
     assert min(history.store.lowest for history in histories) >= -1e-6
 
 
 @pytest.mark.parametrize("seed", [417, 785])
-def test_units_returned_after_their_loan_has_ended_do_not_count(seed: int) -> None:
-    """A lender that was stopped receives units of a share that it has back already, by time."""
+def test_units_returned_after_their_loan_has_expired_are_ignored(seed: int) -> None:
+    """A lender that was stopped receives units of a share that it has already regained by expiry."""
     ShareHistory(seed).play()
 
 
-def end_loans_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A loan is taken back when half of its time is over."""
+def expire_loans_early(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The lender reclaims a loan after half of its lease."""
     monkeypatch.setattr(LimitSettings, "lender_lease_us", property(lambda self: self.lease_us // 2))
 
 
 def skip_startup_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A proxy that starts takes its share as if it had lent none."""
+    """A starting proxy uses its share as if it had lent none of it."""
     monkeypatch.setattr(LimitSettings, "startup_wait_us", property(lambda self: 0))
 
 
 def keep_loans_of_restarted_lender(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A join is acknowledged, and the loan stays."""
+    """A join is acknowledged but the loan is kept."""
     monkeypatch.setattr(Escrow, "drop_borrowed_from", lambda *args: None)
 
 
 def accept_any_grant(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A grant is accepted whatever request it answers."""
+    """A grant is accepted regardless of the request that it answers."""
     apply_grant = Escrow.apply_grant
 
-    def careless(self: Escrow, now_us: int, lender: int, grant: LoanGrant) -> None:
+    def apply_renumbered_grant(self: Escrow, now_us: int, lender: int, grant: LoanGrant) -> None:
         account = self.accounts.get(grant.key)
         if account and lender in account.borrowed:
             grant = replace(grant, number=account.borrowed[lender].request_number)
         apply_grant(self, now_us, lender, grant)
 
-    monkeypatch.setattr(Escrow, "apply_grant", careless)
+    monkeypatch.setattr(Escrow, "apply_grant", apply_renumbered_grant)
 
 
 def count_lease_from_arrival(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A borrower counts a loan's time from when its grant arrives."""
+    """A borrower counts the lease from the arrival of the grant."""
     apply_grant = Escrow.apply_grant
 
-    def late(self: Escrow, now_us: int, lender: int, grant: LoanGrant) -> None:
+    def apply_with_later_lease(self: Escrow, now_us: int, lender: int, grant: LoanGrant) -> None:
         account = self.accounts.get(grant.key)
         if account and (borrowed := account.borrowed.get(lender)):
             borrowed.requested_us = now_us
         apply_grant(self, now_us, lender, grant)
 
-    monkeypatch.setattr(Escrow, "apply_grant", late)
+    monkeypatch.setattr(Escrow, "apply_grant", apply_with_later_lease)
 
 
 def keep_granted_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The tokens that go with a grant stay with its lender as well."""
+    """The lender keeps the tokens that it grants."""
     lend = Lending.lend
 
-    def generous(self: Lending, now_us: int, account: CeilingAccount, *more: object) -> None:
+    def lend_without_deduction(self: Lending, now_us: int, account: CeilingAccount, *more: object) -> None:
         tokens = account.tokens
         lend(self, now_us, account, *more)  # type: ignore[arg-type]
         account.tokens = tokens
 
-    monkeypatch.setattr(Lending, "lend", generous)
+    monkeypatch.setattr(Lending, "lend", lend_without_deduction)
 
 
 def reclaim_accepted_tokens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Tokens of a grant come back to their lender though it was accepted."""
+    """The lender reclaims the tokens of a grant that was accepted."""
     lend = Lending.lend
 
-    def forgetful(
+    def lend_ignoring_acceptance(
         self: Lending,
         now_us: int,
         account: CeilingAccount,
@@ -110,13 +110,13 @@
     ) -> None:
         lend(self, now_us, account, loan, borrower_incarnation, replace(request, accepted=-1))
 
-    monkeypatch.setattr(Lending, "lend", forgetful)
+    monkeypatch.setattr(Lending, "lend", lend_ignoring_acceptance)
 
 
 @pytest.mark.parametrize(
     ("remove_safeguard", "seed"),
     [
-        (end_loans_early, 0),
+        (expire_loans_early, 0),
         (skip_startup_wait, 112),
         (keep_loans_of_restarted_lender, 9),
         (accept_any_grant, 59),
@@ -125,34 +125,34 @@
         (reclaim_accepted_tokens, 179),
     ],
 )
-def test_ceiling_does_not_hold_without_each_safeguard(
+def test_ceiling_is_exceeded_without_each_safeguard(
     remove_safeguard: Callable[[pytest.MonkeyPatch], None], seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first seed that finds it is known, to save CI's time."""
-    assert broken_by(range(seed, seed + 1)) == -1
+    """The search starts at the first seed that detects the missing safeguard, to save time."""
+    assert first_violating_seed(range(seed, seed + 1)) == -1
     remove_safeguard(monkeypatch)
-    assert broken_by(range(seed, seed + 100)) >= 0
+    assert first_violating_seed(range(seed, seed + 100)) >= 0
 
 
 class Tier:
-    """Proxies 0, 1 and 2 of one set, up for a minute, whose messages the test carries."""
+    """Proxies 0, 1 and 2 of one set, started a minute ago, with messages delivered by the test."""
 
     def __init__(self) -> None:
         self.now_us = 0
-        self.escrows = [Escrow(number, 3, (PLAN,), LIMIT_SETTINGS) for number in range(3)]
-        for each in self.escrows:
-            each.start(0)
+        self.escrows = [Escrow(index, 3, (PLAN,), LIMIT_SETTINGS) for index in range(3)]
+        for escrow in self.escrows:
+            escrow.start(0)
         self.advance(60 * SECOND_US, deliver=False)
 
-    def advance(self, time_us: int, deliver: bool = True) -> None:
-        """Let time pass in steps of 20 ms; messages arrive with the next step."""
-        end_us = self.now_us + time_us
+    def advance(self, duration_us: int, deliver: bool = True) -> None:
+        """Advance the time in steps of 20 ms; messages arrive at the next step."""
+        end_us = self.now_us + duration_us
         while self.now_us < end_us:
             sent = []
             if deliver:
-                for each in self.escrows:
-                    sent += [(each.proxy_index, due) for due in each.due_messages(self.now_us)]
-            self.now_us += 20 * MILLISECOND_US if deliver else time_us
+                for escrow in self.escrows:
+                    sent += [(escrow.proxy_index, due) for due in escrow.due_messages(self.now_us)]
+            self.now_us += 20 * MILLISECOND_US if deliver else duration_us
             for sender, due in sent:
                 self.receive(sender, due.peer, due.message)
 
@@ -162,59 +162,59 @@
         else:
             self.escrows[peer].apply_grant(self.now_us, sender, message)
 
-    def available_units(self, number: int, units: float = 0.0) -> float:
-        return self.escrows[number].available_units(self.now_us, KEY, units)
+    def available_units(self, index: int, units: float = 0.0) -> float:
+        return self.escrows[index].available_units(self.now_us, KEY, units)
 
-    def fraction(self, number: int) -> float:
-        """The share of the ceiling at a proxy, from 0 to 1."""
-        account = self.escrows[number].account(self.now_us, KEY)
+    def fraction(self, index: int) -> float:
+        """The fraction of the ceiling that is usable at a proxy."""
+        account = self.escrows[index].account(self.now_us, KEY)
         assert account
         return account.usable_share(self.now_us) / FULL_SHARE
 
     def fractions(self) -> list[float]:
-        return [self.fraction(number) for number in range(3)]
+        return [self.fraction(index) for index in range(3)]
 
-    def overload(self, number: int, time_us: int) -> None:
-        """A proxy requests more than there is, for some time."""
-        end_us = self.now_us + time_us
+    def overload(self, index: int, duration_us: int) -> None:
+        """Request more units than exist at a proxy for `duration_us`."""
+        end_us = self.now_us + duration_us
         while self.now_us < end_us:
-            self.available_units(number, 1e6)
+            self.available_units(index, 1e6)
             self.advance(20 * MILLISECOND_US)
 
 
-def test_ceiling_follows_its_traffic_and_returns_by_itself() -> None:
+def test_ceiling_shares_follow_the_traffic_and_return_when_it_ends() -> None:
     tier = Tier()
     assert tier.fraction(0) == pytest.approx(1 / 3, abs=1e-4)
     assert tier.available_units(0) == pytest.approx(20.0, abs=0.01)
     tier.overload(0, 100 * MILLISECOND_US)  # one round trip
     assert tier.fraction(0) == pytest.approx(1 - 0.1 * 2 / 3, abs=1e-3)
-    assert tier.available_units(0) > 0.9 * 60  # the tokens of the others came with it
-    tier.overload(1, 800 * MILLISECOND_US)  # the traffic goes to another proxy
+    assert tier.available_units(0) > 0.9 * 60  # includes the tokens of the lenders
+    tier.overload(1, 800 * MILLISECOND_US)  # the traffic shifts to another proxy
     assert tier.fraction(1) == pytest.approx(1 - 0.1 * 2 / 3, abs=1e-2)
     tier.advance(5 * SECOND_US)
     assert tier.fractions() == pytest.approx([1 / 3] * 3, abs=1e-3)
 
 
-def test_proxies_that_are_cut_off_have_their_base_shares_within_a_lease() -> None:
+def test_isolated_proxies_regain_their_base_shares_within_a_lease() -> None:
     tier = Tier()
     tier.overload(0, 200 * MILLISECOND_US)
     tier.advance(LIMIT_SETTINGS.lender_lease_us, deliver=False)
     assert tier.fractions() == pytest.approx([1 / 3] * 3, abs=1e-3)
 
 
-def test_lender_with_demand_keeps_and_recalls_its_base_share() -> None:
+def test_lender_with_demand_reclaims_and_keeps_its_base_share() -> None:
     tier = Tier()
     tier.overload(0, 200 * MILLISECOND_US)
-    # Both want all of it: each has its base share, and the third's goes to one of them.
+    # Both request the entire ceiling: each gets its base share, and one of them gets the third's.
     for _ in range(40):
-        for number in (0, 1):
-            tier.available_units(number, 1e6)
+        for index in (0, 1):
+            tier.available_units(index, 1e6)
         tier.advance(20 * MILLISECOND_US)
     assert tier.fraction(1) >= 1 / 3 - 1e-3
     assert tier.fraction(0) >= 1 / 3 - 1e-3
 
 
-def test_grant_is_accepted_once_and_within_what_was_requested() -> None:
+def test_grant_is_accepted_once_and_limited_to_the_request() -> None:
     tier = Tier()
     escrow = tier.escrows[0]
     tier.available_units(0, 1e6)
@@ -228,11 +228,11 @@
     assert tier.fraction(0) == pytest.approx(2 / 3, abs=1e-3)
     assert tokens <= 60 * tier.fraction(0) + 1e-6
     escrow.consume(tier.now_us, KEY, 10.0)
-    tier.receive(lender, 0, grant)  # the same message twice
+    tier.receive(lender, 0, grant)  # a duplicate
     assert tier.available_units(0) == pytest.approx(tokens - 10)
 
 
-def test_grant_that_comes_after_the_lease_is_not_accepted() -> None:
+def test_grant_that_arrives_after_the_lease_is_ignored() -> None:
     tier = Tier()
     tier.available_units(0, 1e6)
     lender, request = tier.escrows[0].due_messages(tier.now_us)[0]
@@ -244,17 +244,17 @@
     assert tier.available_units(0) == tokens
 
 
-def test_request_whose_grant_is_lost_is_repeated_and_its_tokens_return() -> None:
+def test_request_whose_grant_is_lost_is_resent_and_its_tokens_are_returned() -> None:
     tier = Tier()
     tier.available_units(0, 1e6)
     lender, request = tier.escrows[0].due_messages(tier.now_us)[0]
     assert isinstance(request, LoanRequest)
     tokens_before = tier.available_units(lender)
     tier.receive(0, lender, request)
-    granted = tier.escrows[lender].due_messages(tier.now_us)
+    grants = tier.escrows[lender].due_messages(tier.now_us)
     tier.receive(0, lender, request)
-    # The same request has the same grant, and costs once.
-    assert tier.escrows[lender].due_messages(tier.now_us) == granted
+    # The repeated request gets the same grant, and its tokens are deducted once.
+    assert tier.escrows[lender].due_messages(tier.now_us) == grants
     assert tier.available_units(lender) < tokens_before / 2
     second = replace(request, number=request.number + 1, wanted_share=0)
     tier.receive(0, lender, second)
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("all_acknowledge", [True, False])
-def test_proxy_that_starts_waits_for_all_others_or_for_the_lease(all_acknowledge: bool) -> None:
+def test_starting_proxy_waits_for_all_acknowledgements_or_for_the_lease(all_acknowledge: bool) -> None:
     escrow = Escrow(0, 3, (PLAN,), LIMIT_SETTINGS)
     escrow.start(0)
     escrow.request_capacity(0, KEY, 1.0)
@@ -279,7 +279,7 @@
     assert (escrow.available_units(SECOND_US + 1, other_key) != 0.0) == all_acknowledge
 
 
-def test_requests_of_two_incarnations_that_overtake_each_other_free_nothing() -> None:
+def test_reordered_requests_of_two_incarnations_release_no_share() -> None:
     now_us = 60 * SECOND_US
     escrow = Escrow(0, 3, (PLAN,), LIMIT_SETTINGS)
     escrow.start(0)
@@ -287,20 +287,22 @@
     loan = escrow.accounts[KEY].loans[1]
     lent_share = loan.lent_share(now_us)
     assert lent_share > 2000
-    # Incarnation 1 has ended, and its clock was ahead.
+    # Incarnation 1 has ended; its clock was ahead, so its request numbers are higher.
     for incarnation, number in ((1, 90), (2, 51), (1, 91)):
         escrow.handle_request(now_us + 1, 1, incarnation, LoanRequest(KEY, number, 0, 0, 0))
         assert escrow.accounts[KEY].loans[1].lent_share(now_us + 1) == lent_share
     assert escrow.accounts[KEY].loans[1].lent_share(now_us + 2 * LIMIT_SETTINGS.lender_lease_us) == 0
 
 
-def test_claims_of_a_request_are_checked_and_accounts_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_fields_are_validated_and_the_number_of_accounts_is_bounded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("molereach.limits.escrow.MAX_ACCOUNTS", 3)
     now_us = 60 * SECOND_US
     escrow = Escrow(0, 3, (PLAN, replace(PLAN, ceiling_rate=0.0)), LIMIT_SETTINGS)
     escrow.start(0)
     request = LoanRequest(KEY, 1, 0, FULL_SHARE, FULL_SHARE, 1e9)
-    # No such plan, no ceiling, no such set, a set too large, and one that this proxy is not of.
+    # Unknown plan, plan without a ceiling, set out of range, set too large, set without this proxy.
     for key in ((1, 7, 0, 3), (1, 1, 0, 3), (1, 0, 9, 3), (1, 0, 0, 4), (1, 0, 1, 2)):
         escrow.handle_request(now_us, 1, 1, replace(request, key=key))
     assert not escrow.due_messages(now_us)
@@ -308,10 +310,9 @@
     escrow.handle_request(now_us, 1, 1, request)
     account = escrow.accounts[KEY]
     assert account.tokens <= 20.0
-    assert account.loans[1].lent_share(now_us) <= FULL_SHARE // 3  # not what it claims to hold
-    escrow.handle_request(
-        now_us, 1, 1, replace(request, number=2)
-    )  # it holds nothing yet, whatever it claims
+    assert account.loans[1].lent_share(now_us) <= FULL_SHARE // 3  # the claimed share is not credited
+    # The borrower holds nothing yet, regardless of its claim.
+    escrow.handle_request(now_us, 1, 1, replace(request, number=2))
     assert account.loans[1].lent_share(now_us) <= FULL_SHARE // 3
     for checksum in range(100, 200):
         escrow.handle_request(now_us, 1, 1, replace(request, key=(checksum, 0, 0, 3)))
--- a/tests/limits/test_gossip_codec.py
+++ b/tests/limits/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""Gossip on limits: what is packed is read again; strangers and versions; within 256 bytes."""
+"""Gossip on limits: round trips, datagrams within 256 bytes, authentication, layouts and malformed input."""
 
 import pytest
 from hypothesis import given
@@ -34,7 +34,7 @@
 
 
 @given(st.lists(MESSAGES, max_size=60), st.sampled_from([b"", KEY]))
-def test_messages_are_read_as_they_were_packed(
+def test_packed_messages_are_unpacked_unchanged(
     messages: list[GossipMessage | LimitMessage], key: bytes
 ) -> None:
     sender = LimitGossipCodec(2, 77, key=key)
@@ -43,32 +43,32 @@
     assert datagrams
     assert all(len(data) <= 256 for data in datagrams)
     received = [receiver.unpack(2, data) for data in datagrams]
-    assert [message for each in received if each for message in each.messages] == messages
-    assert all(each and each.incarnation == 77 for each in received)
+    assert [message for event in received if event for message in event.messages] == messages
+    assert all(event and event.incarnation == 77 for event in received)
     assert all(not unpack_messages(data) for data in datagrams)  # a front door without limits drops them
 
 
 @given(st.binary(max_size=256))
-def test_random_bytes_are_no_message_and_no_error(data: bytes) -> None:
+def test_random_bytes_raise_no_error_and_are_not_authenticated(data: bytes) -> None:
     LimitGossipCodec(1, 5).unpack(2, data)
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data) is None
     LimitGossipCodec(1, 5).unpack(2, LimitGossipCodec(2, 77).seal(1, b"") + data)
 
 
-def test_both_layouts_are_understood() -> None:
+def test_layouts_with_and_without_limits_are_supported() -> None:
     message = GossipMessage(9, 1, 2, 3, True, 1.5)
     without_limits = pack_messages([message] * 3)[0]
     assert LimitGossipCodec(1, 5).unpack(2, without_limits) == GossipReceived(2, (message,) * 3)
-    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, without_limits) is None  # it does not carry the tag
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, without_limits) is None  # not authenticated
     codec = LimitGossipCodec(1, 5, understands=lambda peer: False)
-    first, second = codec.pack(2, [message, Join()])
-    assert unpack_messages(first) == (message,)
-    assert unpack_messages(second) == ()
+    without_limits, with_limits = codec.pack(2, [message, Join()])
+    assert unpack_messages(without_limits) == (message,)
+    assert unpack_messages(with_limits) == ()
     assert len(LimitGossipCodec(1, 5).pack(2, [])[0]) < RECORD.size  # a heartbeat
 
 
 @pytest.mark.parametrize(
-    "change",
+    "modify",
     [
         lambda data: data[:-1] + bytes([data[-1] ^ 1]),
         lambda data: data[:5] + b"\x06" + data[6:],
@@ -77,13 +77,13 @@
         lambda data: data[:8],
     ],
 )
-def test_changed_datagram_does_not_carry_the_tag(change: "type") -> None:
+def test_modified_datagram_fails_authentication(modify: "type") -> None:
     codec = LimitGossipCodec(2, 77, key=KEY)
     data = codec.pack(1, [JoinAcknowledged(4)])[0]
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, data)
-    assert LimitGossipCodec(1, 5, key=KEY).unpack(0, data) is None  # of another sender
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(0, data) is None  # another sender
     assert LimitGossipCodec(1, 5, key=b"x" * 32).unpack(2, data) is None
-    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, change(data)) is None
+    assert LimitGossipCodec(1, 5, key=KEY).unpack(2, modify(data)) is None
 
 
 @pytest.mark.parametrize(
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -1,4 +1,4 @@
-"""Quotas while proxies are cut off from each other: owners, local quotas that join again, whole gateways."""
+"""Quotas during partitions: acting owners, joining local quotas, and simulated gateways."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -18,7 +18,7 @@
 
 
 def connected_quota(proxy_index: int) -> PartitionQuota:
-    """The quotas of a proxy of three, up for long, that has just received from the others."""
+    """The quotas of one of three proxies, started long ago, that has just received from the others."""
     quota = PartitionQuota(proxy_index, 3, (QUOTA,), LimitSettings(), 60.0)
     quota.start_us = -100 * SECOND_US
     for peer in {0, 1, 2} - {proxy_index}:
@@ -27,32 +27,32 @@
     return quota
 
 
-def silence_us(quota: PartitionQuota) -> int:
-    """The first time at which a peer that was last heard of at time 0 counts as silent."""
+def first_silent_us(quota: PartitionQuota) -> int:
+    """The first time at which a peer counts as silent whose last message arrived at time 0."""
     return quota.contacts.failure_timeout_us + 1
 
 
-def test_local_quotas_of_a_partition_sum_to_one_and_join_after_it() -> None:
+def test_quota_fractions_in_a_partition_sum_to_one_and_join_after_it() -> None:
     owner = connected_quota(0)
     second = connected_quota(1)
     third = connected_quota(2)
     assert owner.reachable_quota(0, KEY) == second.reachable_quota(0, KEY) == (0, 1.0, 0.0)
-    late_us = silence_us(owner)
-    for quota in (owner, second, third):  # all are cut off: each is the acting owner
+    late_us = first_silent_us(owner)
+    for quota in (owner, second, third):  # all are isolated: each is the acting owner
         reachable = quota.reachable_quota(late_us, KEY)
         assert reachable == (quota.proxy_index, pytest.approx(1 / 3), 0.0)
-    third.record_message(late_us, 1, INCARNATION)  # two reach each other: one of them acts as the owner
+    third.record_message(late_us, 1, INCARNATION)  # two reconnect: one becomes the acting owner
     second.record_message(late_us, 2, INCARNATION)
     assert third.reachable_quota(late_us, KEY) == (1, 1.0, 0.0)
-    # It waits for the total of what was spent there.
+    # The acting owner waits for the total of the other member.
     assert second.reachable_quota(late_us, KEY)[:2] == (1, pytest.approx(1 / 3))
     joined = second.reachable_quota(late_us + JOIN_DELAY_US + 1, KEY)
-    assert joined == (1, pytest.approx(2 / 3), 8.0)  # there was none to send
+    assert joined == (1, pytest.approx(2 / 3), 8.0)  # the other member sent no total
 
 
-def test_link_in_one_direction_is_a_partition() -> None:
+def test_one_way_link_counts_as_a_partition() -> None:
     owner = connected_quota(0)
-    late_us = silence_us(owner)
+    late_us = first_silent_us(owner)
     owner.record_message(late_us, 1, INCARNATION)
     owner.record_message(late_us, 2, INCARNATION, is_mutual=False)
     assert owner.reachable_quota(late_us, KEY).fraction == pytest.approx(2 / 3)
@@ -68,64 +68,64 @@
     assert max(excess_units) <= 2 * (24 + 12 * 1.5)
 
 
-def test_local_quota_of_a_proxy_that_has_left_goes_to_the_others() -> None:
+def test_local_quota_of_a_departed_proxy_goes_to_the_others() -> None:
     owner = connected_quota(0)
     owner.contacts.record_leave(1, INCARNATION)
-    late_us = silence_us(owner)
+    late_us = first_silent_us(owner)
     owner.record_message(late_us, 2, INCARNATION)
     assert owner.reachable_quota(late_us, KEY) == (0, 1.0, 0.0)
-    owner.record_message(late_us, 1, INCARNATION)  # a message of that incarnation, overtaken by its last one
+    owner.record_message(late_us, 1, INCARNATION)  # a late message of that incarnation
     assert owner.reachable_quota(late_us, KEY).fraction == 1.0
     second = connected_quota(1)
     second.contacts.record_leave(0, INCARNATION)
-    second.record_message(MILLISECOND_US, 0, INCARNATION)  # the same of an owner: it is not the acting one
+    second.record_message(MILLISECOND_US, 0, INCARNATION)  # a departed owner is not the acting one
     assert second.reachable_quota(MILLISECOND_US, KEY).owner == 1
     owner.record_message(late_us, 1, INCARNATION + 1)
-    later_us = late_us + silence_us(owner)
-    # The next incarnation is silent.
+    later_us = late_us + first_silent_us(owner)
+    # The next incarnation has become silent.
     assert owner.reachable_quota(later_us, KEY).fraction == pytest.approx(1 / 3)
 
 
 @pytest.mark.parametrize(
     ("spent", "remaining", "joined"),
     [
-        (0.0, 8.0, 8.0),  # nothing was spent
-        (30.0, 2.0, 2.0),  # its local quota, and what that was refilled by: 8 + 4 * 10
+        (0.0, 8.0, 8.0),  # no spending
+        (30.0, 2.0, 2.0),  # within the local quota and its refill: 8 + 4 * 10
         (48.0, 0.0, 0.0),
-        (60.0, 0.0, -12.0),  # what is beyond its local quota is charged, once
+        (60.0, 0.0, -12.0),  # spending beyond the local quota is deducted once
     ],
 )
-def test_local_quota_joins_with_its_rest_less_what_was_spent_beyond_it(
+def test_local_quota_joins_with_its_remainder_less_excess_spending(
     spent: float, remaining: float, joined: float
 ) -> None:
     owner = connected_quota(0)
     assert owner.apply_spending_total(0, 1, SpendingTotal(KEY, 100.0, 8.0)) == 0.0
-    owner.reachable_quota(silence_us(owner), KEY)
+    owner.reachable_quota(first_silent_us(owner), KEY)
     now_us = 10 * SECOND_US
     owner.record_message(now_us, 1, INCARNATION)
     total = SpendingTotal(KEY, 100.0 + spent, remaining)
     assert owner.apply_spending_total(now_us, 1, total) == pytest.approx(-joined)
-    assert owner.apply_spending_total(now_us, 1, total) == 0.0  # the same message twice
+    assert owner.apply_spending_total(now_us, 1, total) == 0.0  # a duplicate
     next_total = SpendingTotal(KEY, 101.0 + spent, remaining)
     assert owner.apply_spending_total(now_us, 1, next_total) == pytest.approx(1.0)
-    older_total = SpendingTotal(KEY, 90.0, 8.0)  # overtaken
+    older_total = SpendingTotal(KEY, 90.0, 8.0)  # arrives late
     assert owner.apply_spending_total(now_us, 1, older_total) == 0.0
 
 
-def test_totals_make_good_lost_messages_and_end_with_an_incarnation() -> None:
+def test_totals_compensate_for_lost_messages_and_restart_with_each_incarnation() -> None:
     owner = connected_quota(0)
     owner.apply_spending_total(0, 1, SpendingTotal(KEY, 5.0, 3.0))
-    # Two messages between them were lost.
+    # The messages in between were lost.
     assert owner.apply_spending_total(MILLISECOND_US, 1, SpendingTotal(KEY, 9.0, 1.0)) == 4.0
     owner.record_message(2 * MILLISECOND_US, 1, INCARNATION + 1)
-    # A new incarnation counts from nothing.
+    # A new incarnation counts from zero.
     assert owner.apply_spending_total(2 * MILLISECOND_US, 1, SpendingTotal(KEY, 2.0, 6.0)) == 2.0
     other_key: CustomerKey = (6, 0, 0, 3)
-    # Of a customer that was forgotten here, what the local quota lacks counts.
+    # For a customer without owner state, only what the local quota lacks is deducted.
     assert owner.apply_spending_total(3 * MILLISECOND_US, 1, SpendingTotal(other_key, 500.0, 5.0)) == 3.0
 
 
-def test_owner_that_starts_waits_for_the_totals_of_the_others() -> None:
+def test_starting_owner_waits_for_the_totals_of_the_other_members() -> None:
     owner = PartitionQuota(0, 3, (QUOTA,), LimitSettings(), 60.0)
     owner.start_us = SECOND_US
     for peer in (1, 2):
@@ -138,7 +138,7 @@
     assert owner.reachable_quota(SECOND_US + 4 * MILLISECOND_US, KEY).fraction == 1.0
 
 
-def test_totals_are_sent_twice_and_all_of_them_to_a_peer_that_reconnects() -> None:
+def test_totals_are_sent_twice_and_resent_to_a_reconnecting_peer() -> None:
     member = connected_quota(1)
     member.record_spending(0, KEY, 1.0, 7.0)
     sent = [
@@ -148,21 +148,21 @@
     ]
     assert [now_us for now_us, _ in sent] == [0, 300 * MILLISECOND_US]
     last_total = sent[-1][1]
-    assert last_total.spent_units == 1.0 and last_total.remaining_units == 8.0  # refilled since
+    assert last_total.spent_units == 1.0 and last_total.remaining_units == 8.0  # refilled in the meantime
     member.record_message(5 * SECOND_US, 0, INCARNATION + 2)
     assert [due.message.spent_units for due in member.due_totals(5 * SECOND_US, 8)] == [1.0]
     member.evict_idle(member.retention_us + 1)
     assert not member.totals.entries
     owner = connected_quota(0)
     owner.record_spending(0, KEY, 1.0, 7.0)
-    assert not owner.due_totals(0, 8)  # there is nobody to notify
+    assert not owner.due_totals(0, 8)  # the owner sends no totals to itself
 
 
-# Whole gateways
+# Simulated gateways
 
 
 def history_with_shifted_traffic(seed: int, with_limits: bool, loss: float = 0.0) -> QuotaHistory:
-    """A customer's traffic is all at one proxy, then at once all at another."""
+    """A customer's traffic shifts abruptly from one proxy to another."""
     history = QuotaHistory(seed, 3, with_limits)
     history.mail.loss = loss
     history.load(3 * SECOND_US, 6 * SECOND_US, 60.0, [1.0, 0.0, 0.0])
@@ -173,15 +173,15 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_quota_follows_shifted_traffic(loss: float) -> None:
-    granted = [
+    granted_fractions = [
         history_with_shifted_traffic(seed, True, loss).sent_between(6 * SECOND_US, 11 * SECOND_US) / (12 * 5)
         for seed in range(4)
     ]
-    assert sum(granted) / len(granted) >= (0.95 if not loss else 0.85)
+    assert sum(granted_fractions) / len(granted_fractions) >= (0.95 if not loss else 0.85)
 
 
-def test_excess_of_a_partition_is_bounded_however_long_it_lasts() -> None:
-    """The bound of docs/design/limits.md: 2 (b + q (T + D)), for any length."""
+def test_excess_in_a_partition_is_bounded_for_any_duration() -> None:
+    """Checks the bound 2 (b + q (T + D)) of docs/design/limits.md, which does not depend on the duration."""
     excess_units: dict[bool, list[float]] = {True: [], False: []}
     for with_limits in excess_units:
         for seed in range(2):
@@ -195,8 +195,8 @@
 
 
 @pytest.mark.parametrize("is_partitioned", [False, True])
-def test_ceiling_holds_for_gateways_and_is_granted(is_partitioned: bool) -> None:
-    """Traffic at one proxy and then at another, with a third of all messages lost."""
+def test_gateways_keep_within_the_ceiling_and_use_most_of_it(is_partitioned: bool) -> None:
+    """Traffic shifts between proxies while 0.3 of all messages are lost."""
     plan = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
     for seed in range(2):
         history = QuotaHistory(seed, 3, True, plan)
@@ -217,12 +217,12 @@
         lambda history: history.stop(history.nodes[1]),
     ],
 )
-def test_every_request_has_its_answer_when_a_proxy_fails(fault: Callable[[QuotaHistory], None]) -> None:
+def test_every_request_is_answered_when_a_proxy_fails(fault: Callable[[QuotaHistory], None]) -> None:
     history = QuotaHistory(4, 3, True, PLAN)
     history.load(2 * SECOND_US, 8 * SECOND_US, 30.0, [1.0, 1.0, 1.0])
     history.at(4 * SECOND_US, lambda: fault(history))
     history.at(5 * SECOND_US, lambda: history.resume(history.nodes[1]))
     history.run(12 * SECOND_US)
     answered = len(history.first) + history.refused
-    assert history.asked - 15 <= answered <= history.asked  # but for those in flight at the kill
+    assert history.asked - 15 <= answered <= history.asked  # except those in flight at the kill
     assert history.ceiling.lowest >= 0.0
--- a/tests/limits/test_replacement.py
+++ b/tests/limits/test_replacement.py
@@ -1,6 +1,6 @@
-"""A tier that is replaced one by one, from front doors without [limits] to such with it and back.
+"""Rolling replacement of front doors without `[limits]` by ones with it, and the reverse.
 
-Both kinds share customers meanwhile, in virtual time and as processes.
+Both versions serve the same customers during the replacement, in virtual time and as processes.
 """
 
 import asyncio
@@ -23,10 +23,10 @@
 from sim.loop import NODE
 from sim.world import DOORS, play, serve_with_limits
 
-HANG_S = 60
-# A ceiling below the quota, so that it is the ceiling that binds.
-BULK = workload.PlanSpec("bulk-tariff", 48.0, 48.0, 1.8, 24.0, 36.0, 4.0)
-DAY = sc.Scenario(
+RUN_TIMEOUT_S = 60
+# The ceiling is below the quota, so the ceiling is the effective limit.
+BULK_PLAN = workload.PlanSpec("bulk-tariff", 48.0, 48.0, 1.8, 24.0, 36.0, 4.0)
+SCENARIO = sc.Scenario(
     "replaced",
     "a tier replaced one by one",
     9.0,
@@ -42,53 +42,53 @@
 
 
 @pytest.fixture(autouse=True)
-def plans(monkeypatch: pytest.MonkeyPatch) -> None:
+def bulk_plan(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (workload, settings):
-        monkeypatch.setattr(module, "PLANS", (*workload.PLANS[:2], BULK))
+        monkeypatch.setattr(module, "PLANS", (*workload.PLANS[:2], BULK_PLAN))
 
 
-def check(ledger: Ledger, doors: int = DAY.doors) -> None:
-    """No rule is broken, and what goes beyond a quota is within what a split set may: (n-1) (b + q T)."""
-    assert ledger.ok, [broken.line() for broken in ledger.broken]
-    assert ledger.units_over <= BULK.ceiling_slack + 0.15 * BULK.ceiling_rate
-    assert ledger.quota_over <= (doors - 1) * (BULK.burst + BULK.rate * 1.5)
+def assert_limits_kept(ledger: Ledger, doors: int = SCENARIO.doors) -> None:
+    """No rule is broken, and the excess over a quota is within the bound of a split set: (n-1) (b + q T)."""
+    assert ledger.ok, [violation.line() for violation in ledger.broken]
+    assert ledger.units_over <= BULK_PLAN.ceiling_slack + 0.15 * BULK_PLAN.ceiling_rate
+    assert ledger.quota_over <= (doors - 1) * (BULK_PLAN.burst + BULK_PLAN.rate * 1.5)
     assert ledger.quota_granted > 0.45  # the ceiling is half of the quota
 
 
 @pytest.mark.parametrize("begins_with_limits", [False, True])
 @pytest.mark.parametrize("seed", [1])
-def test_tier_of_both_kinds_keeps_its_limits(seed: int, begins_with_limits: bool) -> None:
-    with_limits: list[tuple[str, int, bool]] = []
+def test_tier_of_mixed_versions_keeps_its_limits(seed: int, begins_with_limits: bool) -> None:
+    starts: list[tuple[str, int, bool]] = []
 
-    async def either(config: Config) -> None:
+    async def serve_either(config: Config) -> None:
         node = NODE.get()
         assert node is not None
-        limits = (DOORS[node].starts > 1) != begins_with_limits
-        with_limits.append((config.name, DOORS[node].starts, limits))
-        await (serve_with_limits(config) if limits else serve(config))
+        has_limits = (DOORS[node].starts > 1) != begins_with_limits
+        starts.append((config.name, DOORS[node].starts, has_limits))
+        await (serve_with_limits(config) if has_limits else serve(config))
 
-    played = play(DAY, seed, serve_with=either)
-    check(played.report.ledger)
-    assert not played.tracebacks and not played.troubles
-    for limits in (False, True):  # both kinds were there, each in all front doors in its turn
-        assert {name for name, _, kind in with_limits if kind is limits} == set(DAY.door_names())
+    result = play(SCENARIO, seed, serve_with=serve_either)
+    assert_limits_kept(result.report.ledger)
+    assert not result.tracebacks and not result.troubles
+    for has_limits in (False, True):  # every front door ran both versions
+        assert {name for name, _, started in starts if started is has_limits} == set(SCENARIO.door_names())
 
 
-def test_tier_of_both_kinds_as_processes(tmp_path: Path) -> None:
-    file = tmp_path / "operator.toml"
-    file.write_text("[limits]\n")
+def test_tier_of_mixed_versions_keeps_its_limits_as_processes(tmp_path: Path) -> None:
+    operator_file = tmp_path / "operator.toml"
+    operator_file.write_text("[limits]\n")
     commands: list[Sequence[str]] = []
 
-    class Replaced(Door):
+    class ReplacedDoor(Door):
         def start(self) -> None:
-            self.command = (*FRONT_DOOR, "--operator", str(file)) if self.starts else FRONT_DOOR
+            self.command = (*FRONT_DOOR, "--operator", str(operator_file)) if self.starts else FRONT_DOOR
             commands.append(self.command)
             super().start()
 
-    async def day() -> Any:  # noqa: ANN401
-        one = World(
+    async def run_scenario() -> Any:  # noqa: ANN401
+        world = World(
             replace(
-                DAY,
+                SCENARIO,
                 doors=3,
                 fault=(
                     sc.Mail(at=0.1, lasts=9.0, loss=0.3),
@@ -96,13 +96,15 @@
                 ),
             ),
             4,
-            door_type=Replaced,
+            door_type=ReplacedDoor,
+        )
+        return await asyncio.wait_for(world.run(), RUN_TIMEOUT_S), sum(
+            door.tracebacks for door in world.doors
         )
-        return await asyncio.wait_for(one.run(), HANG_S), sum(door.tracebacks for door in one.doors)
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        report, tracebacks = runner.run(day())
-    assert len(commands) == 6 and commands[-1][-1] == str(file)
+        report, tracebacks = runner.run(run_scenario())
+    assert len(commands) == 6 and commands[-1][-1] == str(operator_file)
     assert not tracebacks and not report.trouble
     assert not report.ledger.unaccounted and not report.ledger.rules_broken()
-    assert report.ledger.units_over <= BULK.ceiling_slack + 0.15 * BULK.ceiling_rate
+    assert report.ledger.units_over <= BULK_PLAN.ceiling_slack + 0.15 * BULK_PLAN.ceiling_rate
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -1,4 +1,4 @@
-"""Limits in the running program: the operator file, the key, scenarios in virtual time."""
+"""Limits in a running front door: operator file, key file, and scenarios in virtual time."""
 
 import asyncio
 import json
@@ -28,54 +28,56 @@
 from tests.test_program import config
 
 
-def test_key_file_is_private_and_of_a_bounded_length(tmp_path: Path) -> None:
-    file = tmp_path / "key"
+def test_key_file_must_be_private_and_of_valid_length(tmp_path: Path) -> None:
+    key_file = tmp_path / "key"
     for data, mode, reason in (
         (b"k" * 32 + b"\n", 0o640, "others may read it"),
         (b"k" * 15, 0o600, "16 to 64"),
         (b"k" * 65, 0o600, "16 to 64"),
     ):
-        file.write_bytes(data)
-        file.chmod(mode)
+        key_file.write_bytes(data)
+        key_file.chmod(mode)
         with pytest.raises(KeyFileError, match=reason):
-            read_key(file, "limits.key_file")
-    file.write_bytes(b"k" * 32 + b"\n")
-    assert read_key(file, "limits.key_file") == b"k" * 32
+            read_key(key_file, "limits.key_file")
+    key_file.write_bytes(b"k" * 32 + b"\n")
+    assert read_key(key_file, "limits.key_file") == b"k" * 32
 
 
-def test_section_switches_limits_on_before_the_first_event(tmp_path: Path) -> None:
+def test_section_enables_limits_before_the_first_event(tmp_path: Path) -> None:
     section = operator_config.decode("[limits]\nlease_ms = 500\n").limits
     assert section
     attach = attacher(section)
 
-    async def started() -> Proxy:
-        door = Proxy(parse(json.loads(json.dumps(config())), {}))
-        (await attach(door))()
-        return door
+    async def started_proxy() -> Proxy:
+        proxy = Proxy(parse(json.loads(json.dumps(config())), {}))
+        (await attach(proxy))()
+        return proxy
 
-    door = asyncio.run(started())
-    assert isinstance(door.gateway.limits, Limits) and isinstance(door.gossip.codec, LimitGossipCodec)
-    assert door.gateway.limits.settings.lease_us == 500_000
-    assert door.gateway.limits.incarnation == int("8c1f30d27a5be964", 16) % (1 << 16)
+    proxy = asyncio.run(started_proxy())
+    assert isinstance(proxy.gateway.limits, Limits) and isinstance(proxy.gossip.codec, LimitGossipCodec)
+    assert proxy.gateway.limits.settings.lease_us == 500_000
+    assert proxy.gateway.limits.incarnation == int("8c1f30d27a5be964", 16) % (1 << 16)
 
 
-def test_scenario_with_a_partition_is_in_order_with_limits() -> None:
+def test_partition_scenario_keeps_all_rules_with_limits() -> None:
     partition = replace(scenario_files.load("move-in-split"), seconds=10.0)
-    with_limits, before = (play(partition, 2, limits=limits).report.ledger for limits in (True, False))
-    assert with_limits.ok and before.ok
-    assert with_limits.units_over <= 4.0 + 24 * 0.15  # the ceiling's slack, on sockets
+    with_limits, without_limits = (
+        play(partition, 2, limits=limits).report.ledger for limits in (True, False)
+    )
+    assert with_limits.ok and without_limits.ok
+    assert with_limits.units_over <= 4.0 + 24 * 0.15  # the slack of the ceiling, plus 0.15 s at its rate
     assert with_limits.quota_over <= 2 * (24 + 12 * 1.5)  # of the largest plan
     assert with_limits.quota_granted > 0.8
 
 
 @pytest.mark.parametrize("seed", [3, 8])
-def test_random_scenarios_are_in_order_with_limits(seed: int) -> None:
+def test_random_scenarios_keep_all_rules_with_limits(seed: int) -> None:
     options = Options(seconds=15.0, limits=True, skew_ms=500, drift=0.0005)
     verdict = judge(options, swarm.draw(seed, 15.0), seed)
     assert verdict.ok, verdict
 
 
-def test_quota_use_is_counted_against_one_token_bucket() -> None:
+def test_quota_use_is_measured_against_one_token_bucket() -> None:
     requests = [
         Asked(at * SECOND_US, f"r{at}", "n0", "c", Effect.SAFE, "all", 0, "p", 2.0, 0) for at in range(4)
     ]
@@ -85,7 +87,7 @@
     assert (use.granted, use.over) == (0.0, 0.0)
 
 
-def test_simulator_host_has_limits_only_where_they_are_switched_on() -> None:
+def test_simulator_host_has_limits_only_if_enabled() -> None:
     start = (
         "NEW_INSTANCE 5 me=0 balancers=3 categories.count=0 plans.count=1 plans.0.units-per-s=3 "
         "plans.0.burst=6 plans.0.never-over-rate=9 plans.0.hard-burst=18 extra.mail-per-s=60 "
