--- a/molereach/limits/gossip_codec.py
+++ b/molereach/limits/gossip_codec.py
@@ -32,20 +32,20 @@
         self,
         proxy_index: int,
         incarnation: int,
-        understands: Callable[[int], bool] = lambda peer: True,
+        supports_limits: Callable[[int], bool] = lambda peer: True,
         key: bytes = b"",
         receives_from: Callable[[int], bool] = lambda peer: True,
     ) -> None:
         """Create the codec of one incarnation of a proxy.
 
-        `understands` tells whether a peer is known to read this layout; until then, quota messages are
+        `supports_limits` tells whether a peer is known to read this layout; until then, quota messages are
         sent in the layout of front doors without limits. `receives_from` tells whether messages from a peer
         have arrived recently. The peer is notified of it, as a link may work in one direction only. With a
         `key`, datagrams without a valid tag are dropped.
         """
         self.proxy_index = proxy_index
         self.incarnation = incarnation
-        self.understands = understands
+        self.supports_limits = supports_limits
         self.key = key
         self.receives_from = receives_from
         self.tag_bytes = TAG_BYTES if key else 0
@@ -54,7 +54,7 @@
     def pack(self, peer: int, messages: Sequence[Message]) -> list[bytes]:
         """Return datagrams with the messages, or one heartbeat datagram if there are none."""
         quota_messages: list[GossipMessage] = []
-        if not self.key and not self.understands(peer):
+        if not self.key and not self.supports_limits(peer):
             quota_messages = [message for message in messages if isinstance(message, GossipMessage)]
             messages = [message for message in messages if not isinstance(message, GossipMessage)]
         datagrams = pack_messages(quota_messages)
--- a/molereach/limits/service.py
+++ b/molereach/limits/service.py
@@ -31,7 +31,7 @@
         codec = LimitGossipCodec(
             limits.proxy_index,
             limits.incarnation,
-            understands=limits.sends_totals,
+            supports_limits=limits.sends_totals,
             key=key,
             receives_from=limits.receives_from,
         )
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -104,7 +104,7 @@
     return LimitGossipCodec(
         SENDER,
         GENERATION,
-        understands=lambda peer: speaks,
+        supports_limits=lambda peer: speaks,
         key=KEY if keyed else b"",
         receives_from=lambda peer: hears,
     )
--- a/tests/limits/test_gossip_codec.py
+++ b/tests/limits/test_gossip_codec.py
@@ -60,7 +60,7 @@
     without_limits = pack_messages([message] * 3)[0]
     assert LimitGossipCodec(1, 5).unpack(2, without_limits) == GossipReceived(2, (message,) * 3)
     assert LimitGossipCodec(1, 5, key=KEY).unpack(2, without_limits) is None  # not authenticated
-    codec = LimitGossipCodec(1, 5, understands=lambda peer: False)
+    codec = LimitGossipCodec(1, 5, supports_limits=lambda peer: False)
     without_limits, with_limits = codec.pack(2, [message, Join()])
     assert unpack_messages(without_limits) == (message,)
     assert unpack_messages(with_limits) == ()
