--- a/molereach/clients/connection_state.py
+++ b/molereach/clients/connection_state.py
@@ -24,22 +24,22 @@
     """What a connection is waiting for; each state has a timeout."""
 
     NEW = "no valid command yet"
-    GREETED = "nothing but PING yet"
+    PING_ONLY = "nothing but PING yet"
     IDLE = "between requests"
     PARTIAL = "within a command"
     BUSY = "requests are open"
-    CLOGGED = "replies are not read"
+    WRITE_BLOCKED = "replies are not read"
     CLOSING = "closing"
     CHANGED = "a command was accepted; the state must be recomputed"
 
 
 TIMEOUTS_US = {
     State.NEW: FIRST_COMMAND_TIMEOUT_US,
-    State.GREETED: IDLE_TIMEOUT_US,
+    State.PING_ONLY: IDLE_TIMEOUT_US,
     State.IDLE: IDLE_TIMEOUT_US,
     State.PARTIAL: COMMAND_TIMEOUT_US,
     State.BUSY: NEVER_US,
-    State.CLOGGED: WRITE_TIMEOUT_US,
+    State.WRITE_BLOCKED: WRITE_TIMEOUT_US,
     State.CLOSING: LINGER_TIMEOUT_US,
 }
 
@@ -50,9 +50,9 @@
 EVICTION_ORDER = (
     (State.NEW, 0),
     (State.PARTIAL, 0),
-    (State.GREETED, MIN_IDLE_US),
+    (State.PING_ONLY, MIN_IDLE_US),
     (State.IDLE, MIN_IDLE_US),
-    (State.GREETED, 0),
+    (State.PING_ONLY, 0),
 )
 
 
--- a/molereach/clients/listener.py
+++ b/molereach/clients/listener.py
@@ -22,7 +22,7 @@
 MAX_CLOSING_RESERVE = 16
 ACCEPT_RETRY_S = 0.05  # after an error in accept
 BACKLOG = 1024
-IDLE_STATES = (State.IDLE, State.GREETED)
+IDLE_STATES = (State.IDLE, State.PING_ONLY)
 
 
 class ClientListener:
--- a/molereach/clients/resp.py
+++ b/molereach/clients/resp.py
@@ -85,7 +85,7 @@
         Data already written is still sent, within a timeout.
         """
         self.on_disconnected()
-        self.enter_state(State.CLOGGED)
+        self.enter_state(State.WRITE_BLOCKED)
 
     def pause_writing(self) -> None:
         """Handle a full write buffer, as the client does not read its replies."""
@@ -253,28 +253,28 @@
         """Determine the current state."""
         if self.is_closing and not self.replies:
             # The linger timeout starts once the last reply has been sent.
-            return State.CLOGGED if self.transport.get_write_buffer_size() else State.CLOSING
+            return State.WRITE_BLOCKED if self.transport.get_write_buffer_size() else State.CLOSING
         if self.is_write_blocked:
-            return State.CLOGGED
+            return State.WRITE_BLOCKED
         if self.replies:
             return State.BUSY
         if not self.sent_valid_command:
             return State.NEW
         if self.reader.buffer:
             return State.PARTIAL
-        return State.IDLE if self.sent_request else State.GREETED
+        return State.IDLE if self.sent_request else State.PING_ONLY
 
     def on_timeout(self) -> None:
         """End the connection, or recompute its state if data has just arrived or been sent."""
-        if self.state is State.CLOGGED and not self.transport.get_write_buffer_size():
+        if self.state is State.WRITE_BLOCKED and not self.transport.get_write_buffer_size():
             self.update()
-        elif self.state in (State.CLOGGED, State.CLOSING):
+        elif self.state in (State.WRITE_BLOCKED, State.CLOSING):
             self.abort()
         elif self.transport.is_closing():
             return
         elif self.state is State.NEW and not self.reader.buffer and has_unread(self.transport):
             return  # its first command is just arriving
-        elif self.state in (State.IDLE, State.GREETED):
+        elif self.state in (State.IDLE, State.PING_ONLY):
             self.close()
         else:
             self.send_last_reply(b"-ERR timed out\r\n")
@@ -329,7 +329,7 @@
 
     def evict(self) -> None:
         """Close to make room for another connection."""
-        if self.state in (State.IDLE, State.GREETED):
+        if self.state in (State.IDLE, State.PING_ONLY):
             self.close()
         else:
             self.send_last_reply(TOO_MANY_CLIENTS)  # also answers a concurrent request
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -196,13 +196,13 @@
     monkeypatch.setattr(listener, "SWEEP_S", 0.01)
     monkeypatch.setattr(connection_state, name, SHORT_TIMEOUT_US)
     monkeypatch.setitem(
-        connection_state.TIMEOUTS_US, connection_state.State.GREETED, connection_state.IDLE_TIMEOUT_US
+        connection_state.TIMEOUTS_US, connection_state.State.PING_ONLY, connection_state.IDLE_TIMEOUT_US
     )
     states = {
         "FIRST_COMMAND_TIMEOUT_US": connection_state.State.NEW,
         "IDLE_TIMEOUT_US": connection_state.State.IDLE,
         "COMMAND_TIMEOUT_US": connection_state.State.PARTIAL,
-        "WRITE_TIMEOUT_US": connection_state.State.CLOGGED,
+        "WRITE_TIMEOUT_US": connection_state.State.WRITE_BLOCKED,
         "LINGER_TIMEOUT_US": connection_state.State.CLOSING,
     }
     if name in states:
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -184,7 +184,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The connection is closing, and its answers were not read for a while: then they are, and it goes on."""
-    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOGGED, 0)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.WRITE_BLOCKED, 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
@@ -214,7 +214,7 @@
     monkeypatch: pytest.MonkeyPatch, short: None
 ) -> None:
     """A transport that closes waits without end for what the kernel does not take."""
-    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOGGED, LINGER_US)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.WRITE_BLOCKED, LINGER_US)
 
     async def job() -> None:
         async with front_door(Backend()) as (door, address):
@@ -225,7 +225,7 @@
                 while not connection.transport.get_write_buffer_size():
                     connection.transport.write(b"x" * 10_000)
                 connection.close()
-                assert connection.state is State.CLOGGED
+                assert connection.state is State.WRITE_BLOCKED
                 assert await door.clients.wait_closed(10)
                 assert door.clients.sockets == 0
 
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -163,7 +163,7 @@
 def test_half_close_with_answers_unread_is_noticed_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The transport would wait for the last byte to be read before it says that the connection is lost."""
     monkeypatch.setattr("molereach.clients.listener.SWEEP_S", 0.01)
-    monkeypatch.setitem(clients.TIMEOUTS_US, clients.State.CLOGGED, 50_000)
+    monkeypatch.setitem(clients.TIMEOUTS_US, clients.State.WRITE_BLOCKED, 50_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_ends.py
@@ -207,7 +207,7 @@
 ) -> None:
     """It can tell that what it gets of the last value is not whole."""
     monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
-    monkeypatch.setitem(TIMEOUTS_US, State.CLOGGED, NEVER_US)  # not by the time that it has to read
+    monkeypatch.setitem(TIMEOUTS_US, State.WRITE_BLOCKED, NEVER_US)  # not by the time that it has to read
 
     async def job() -> None:
         async with front_door(Backend(lambda words: LARGE)) as (door, address):
