--- a/molereach/backends/__init__.py
+++ b/molereach/backends/__init__.py
@@ -1,5 +1,6 @@
-"""Backends: a pool of connections for each, and the attempts on them.
+"""Backend connections: one connection pool per backend, and the attempts that run on its connections.
 
-In reading order: `attempt`, `answers`, `idle_reuse`, `connection`, `pool`, `pools`. Imports run that way: an
-attempt and a connection know the pool by a protocol, and the pools' owner alone knows the policy's endpoints.
+In reading order: `attempt`, `answers`, `idle_reuse`, `connection`, `pool`, `pools`. Modules import only
+earlier ones: attempts and connections depend on the pool through protocols, and only `pools` depends on the
+policy's endpoints.
 """
--- a/molereach/backends/answers.py
+++ b/molereach/backends/answers.py
@@ -1,4 +1,4 @@
-"""What a backend's answer means for an attempt."""
+"""Maps a backend's answer to the result of an attempt."""
 
 import logging
 
@@ -13,7 +13,7 @@
 
 
 def outcome_of(answer: Answer) -> tuple[AttemptResult, bytes | None, LoadReport | None]:
-    """The result, the value and the load report of an answer."""
+    """Return the result, value and load report of an answer."""
     report = parse_report(answer.report)
     if answer.error is None:
         return AttemptResult.OK, answer.value, report
@@ -24,7 +24,7 @@
 
 
 def parse_report(text: bytes | None) -> LoadReport | None:
-    """The load report `name=value,...`; None for one that is absent or malformed."""
+    """Parse the load report `name=value,...`; None if it is absent or malformed."""
     if not text or b"=" not in text:
         return None
     try:
--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -1,7 +1,7 @@
-"""One command for one backend, and its exactly one outcome.
+"""One command sent to one backend, with exactly one outcome.
 
-Whether an attempt may have run is decided here, and only by whether its last byte was handed to the kernel:
-before that it never ran, after that it may have.
+This module decides whether an attempt may have been executed. The only criterion is whether its last byte was
+passed to the kernel: before that it was not executed, after that it may have been.
 """
 
 import asyncio
@@ -15,24 +15,24 @@
 
 
 class AttemptConnection(Protocol):
-    """The connection on which an attempt was written."""
+    """The connection to which an attempt was written."""
 
     def abandon(self, attempt: "Attempt") -> None:
-        """Serve the attempt no more, if it is still the one on the connection."""
+        """Stop serving the attempt if it is still in flight on the connection."""
 
 
 class AttemptPool(Protocol):
-    """The pool that an attempt was given to."""
+    """The pool that an attempt was assigned to."""
 
     def remove_waiting(self, attempt: "Attempt") -> None:
-        """Let the attempt wait for a connection no more."""
+        """Remove the attempt from the queue for a connection."""
 
-    def suspect_silence(self, since_us: int) -> None:
-        """An attempt sent at `since_us` timed out without an answer."""
+    def on_attempt_timeout(self, sent_us: int) -> None:
+        """Handle the timeout of an attempt that was sent at `sent_us` and not answered."""
 
 
 class Attempt:
-    """One command for one backend; `on_finished` is called once, with its result, value and load report."""
+    """One command for one backend; `on_finished` is called once with the result, value and load report."""
 
     __slots__ = (
         "connection",
@@ -58,7 +58,7 @@
         on_finished: OnFinished,
         write_deadline_us: int = 0,
     ) -> None:
-        """The last byte is written before `write_deadline_us`, or never; 0 is no such bound."""
+        """The last byte is written before `write_deadline_us` or never; 0 means no deadline."""
         self.request_id = request_id
         self.number = number
         self.server = server
@@ -73,21 +73,21 @@
         self.timers: list[asyncio.TimerHandle] = []
 
     def start_timers(self, timeout_us: int) -> None:
-        """Start its timeout, and that of its write deadline."""
+        """Start the timers of the attempt's timeout and of its write deadline."""
         call_later = asyncio.get_running_loop().call_later
         self.timers.append(call_later(timeout_us / 1e6, self.on_timeout))
         if self.write_deadline_us:
-            left_us = max(0, self.write_deadline_us - now_us())
-            self.timers.append(call_later(left_us / 1e6, self.withdraw, AttemptResult.NOT_SENT))
+            remaining_us = max(0, self.write_deadline_us - now_us())
+            self.timers.append(call_later(remaining_us / 1e6, self.withdraw, AttemptResult.NOT_SENT))
 
     def is_past_write_deadline(self) -> bool:
-        """Whether nothing of it may be written any more; its timer may fire later than this becomes true."""
+        """Whether the write deadline has passed; its timer may fire later than that."""
         return 0 < self.write_deadline_us <= now_us()
 
     def finish(
         self, result: AttemptResult, value: bytes | None = None, report: LoadReport | None = None
     ) -> None:
-        """Report the outcome; any further one is ignored."""
+        """Report the outcome; any later call is ignored."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -100,20 +100,20 @@
         self.give_up(AttemptResult.CANCELLED)
 
     def on_timeout(self) -> None:
-        """Its time is over."""
+        """End the attempt at its timeout."""
         if self.is_written and self.pool:
-            self.pool.suspect_silence(self.sent_us)
+            self.pool.on_attempt_timeout(self.sent_us)
         self.give_up(AttemptResult.TIMEOUT if self.is_written else AttemptResult.CONNECT_FAILED)
 
     def withdraw(self, result: AttemptResult) -> None:
-        """Take it back where its last byte is not written: it never runs, whatever connects later."""
+        """End the attempt with `result` unless its last byte has been written; it is then never executed."""
         if not self.is_written:
             self.give_up(result)
 
     def give_up(self, result: AttemptResult) -> None:
-        """End it from this side; its connection, if any, is not used again."""
+        """End the attempt without waiting for an answer; its connection, if any, is not reused."""
         if self.pool:
-            self.pool.remove_waiting(self)  # the connection that was dialled for it serves another one
+            self.pool.remove_waiting(self)  # a connection being opened for it serves another attempt
         connection = self.connection
         self.connection = None
         if connection:
--- a/molereach/backends/connection.py
+++ b/molereach/backends/connection.py
@@ -1,4 +1,4 @@
-"""A connection to a backend: one command at a time is written to it, and one answer read."""
+"""A connection to a backend, which writes one command at a time and reads its answer."""
 
 import asyncio
 import logging
@@ -16,27 +16,27 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to; a pool."""
+    """The pool that a connection reports to."""
 
     name: str
-    reuse: IdleReuse
+    idle_reuse: IdleReuse
     last_received_us: int
 
     def keep_idle(self, connection: "BackendConnection") -> None:
-        """An answer was read whole; the connection is free."""
+        """Keep a connection for reuse after a complete answer."""
 
     def remove_idle(self, connection: "BackendConnection") -> None:
-        """The connection must not be used again."""
+        """Exclude a connection from reuse."""
 
     def on_connection_lost(self, connection: "BackendConnection") -> None:
-        """The connection's socket is closed."""
+        """Handle the closed socket of a connection."""
 
-    def close_silent(self, since_us: int) -> None:
-        """The connection ended under an attempt sent at `since_us`."""
+    def on_attempt_reset(self, sent_us: int) -> None:
+        """Handle the loss of a connection during an attempt that was sent at `sent_us`."""
 
 
 def shut_down_socket(transport: asyncio.Transport) -> None:
-    """Make the kernel take nothing more on a connection; it delivers what it has."""
+    """Make the kernel accept no more data on a connection; data already accepted is still delivered."""
     loop_socket = transport.get_extra_info("socket")
     handle = socket.socket(loop_socket.family, loop_socket.type, loop_socket.proto, loop_socket.fileno())
     try:
@@ -44,7 +44,7 @@
     except OSError:
         pass  # the peer has reset it
     finally:
-        handle.detach()  # the descriptor belongs to the loop
+        handle.detach()  # the descriptor belongs to the event loop
 
 
 class BackendConnection(asyncio.Protocol):
@@ -53,18 +53,19 @@
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
         self.last_received_us = 0
-        self.is_new = True  # it has had no request
+        self.is_new = True  # has not carried a request yet
         self.idle_since_us = 0
-        self.age_class = 0  # of its idle time before the attempt in flight
+        self.age_class = 0  # of the idle time before the attempt in flight
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
         self.reader = AnswerReader()
         self.is_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport over."""
+        """Store the transport and disable its write buffering."""
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, `pause_writing` means that bytes are left to write, its end that none are.
+        # With a limit of 0, `pause_writing` means that unwritten bytes remain, and `resume_writing` that none
+        # do.
         self.transport.set_write_buffer_limits(0)
 
     def send(self, attempt: Attempt) -> None:
@@ -75,15 +76,15 @@
         idle_us = None if self.is_new else now_us() - self.idle_since_us
         self.age_class = IdleReuse.age_class(idle_us)
         self.transport.write(attempt.payload)
-        # A write that fails closes the transport, and took nothing.
+        # A failed write closes the transport without passing anything to the kernel.
         attempt.is_written = not self.is_paused and self.is_usable()
 
     def pause_writing(self) -> None:
-        """Bytes of the command are left to write."""
+        """Record that bytes of the command remain to be written."""
         self.is_paused = True
 
     def resume_writing(self) -> None:
-        """All bytes are handed to the kernel."""
+        """Record that all bytes of the command have been passed to the kernel."""
         self.is_paused = False
         if self.attempt and self.is_usable():
             self.attempt.is_written = True
@@ -95,13 +96,11 @@
         self.owner.last_received_us = received_us
         attempt = self.attempt
         if attempt and not self.reader.buffer:
-            self.owner.reuse.record(self.age_class, reset=False)
+            self.owner.idle_reuse.record(self.age_class, reset=False)
         if attempt is None:
-            self.abort()  # nothing was asked: the bytes follow an answer, and belong to no attempt
+            self.abort()  # surplus bytes after an answer, which belong to no attempt
             return
-        if (
-            not attempt.is_written
-        ):  # answered before the command was complete: it must not become complete now
+        if not attempt.is_written:  # answered early: the rest of the command must not be sent any more
             attempt.give_up(AttemptResult.CONNECT_FAILED)
             return
         self.reader.feed(data)
@@ -120,20 +119,20 @@
         attempt.finish(*outcome_of(answer))
 
     def detach(self, attempt: Attempt) -> None:
-        """Part the attempt in flight from the connection."""
+        """Separate the attempt in flight from the connection."""
         self.attempt = None
         attempt.connection = None
 
     def abandon(self, attempt: Attempt) -> None:
-        """Serve an attempt no more. An answer is still due for it, so the connection is not used again."""
+        """Stop serving an attempt; its answer may still arrive, so the connection is not reused."""
         if self.attempt is attempt:
             self.attempt = None
             self.abort()
 
     def on_malformed_answer(self, attempt: Attempt, error: ProtocolError) -> None:
-        """End an attempt whose answer cannot be read: it has run, and the rest of the stream is useless.
+        """End an attempt with a malformed answer: it was executed, and the rest of the stream is unusable.
 
-        It says nothing of the machine, so other connections to it stay.
+        The error does not indicate a failure of the machine, so other connections to it are kept.
         """
         log.warning("malformed answer from %s: %s", self.owner.name, error)
         self.detach(attempt)
@@ -141,20 +140,20 @@
         attempt.finish(AttemptResult.MALFORMED)
 
     def eof_received(self) -> None:
-        """No answer can come any more. Without the abort the loop would wait until all is written."""
+        """Abort, as no answer can arrive; otherwise the event loop would wait until all data is written."""
         self.abort_transport()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The socket is closed; an attempt in flight ends with it."""
+        """Handle the closed socket and end the attempt in flight."""
         self.transport = None
         self.owner.on_connection_lost(self)
         attempt = self.attempt
         self.attempt = None
         if attempt:
             attempt.connection = None
-            if not self.reader.buffer:  # a reset within an answer has nothing to do with the idle time
-                self.owner.reuse.record(self.age_class, reset=True)
-            self.owner.close_silent(attempt.sent_us)
+            if not self.reader.buffer:  # a reset within an answer is unrelated to the idle time
+                self.owner.idle_reuse.record(self.age_class, reset=True)
+            self.owner.on_attempt_reset(attempt.sent_us)
             attempt.finish(AttemptResult.RESET if attempt.is_written else AttemptResult.CONNECT_FAILED)
 
     def is_usable(self) -> bool:
@@ -162,20 +161,20 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def close(self) -> None:
-        """Close it once all is written."""
+        """Close the connection once all data is written."""
         if self.transport:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close it at once: `close` would first send what is buffered, and so let the attempt run."""
+        """Close immediately; `close` would first send buffered data and thus let the attempt be executed."""
         self.owner.remove_idle(self)
         self.abort_transport()
 
     def abort_transport(self) -> None:
-        """Abort the transport, and keep the kernel from taking more.
+        """Abort the transport and prevent the kernel from accepting more data.
 
-        The loop carries out an abort in its next turn, and may write in this one: the rest of a command would
-        make it complete after it was given up as one that never ran.
+        The event loop performs an abort in its next iteration and may still write in this one. The rest of a
+        command would complete it after it was reported as never executed.
         """
         if self.transport:
             if self.is_paused:
--- a/molereach/backends/idle_reuse.py
+++ b/molereach/backends/idle_reuse.py
@@ -1,18 +1,18 @@
-"""For how long an idle connection may be used again, as observed.
+"""Estimates from observed resets how long an idle connection may be reused.
 
-A backend, or a middlebox on the way, may drop idle connections long before the time in the settings, and
-reset the next request, which a non-idempotent class cannot retry. Uses and resets are counted by age class:
-how often a connection of that idle time was used, and how often it was reset at once.
+A backend or middlebox may drop idle connections long before the configured timeout and reset the next
+request, which cannot be retried in a non-idempotent class. Uses and immediate resets are therefore counted
+per age class, which is a range of idle times.
 """
 
-AGE_CLASSES = 24  # by the doubling of idle milliseconds; the first is that of new connections
-RESET_RATE_MARGIN = 0.1  # how much more often than new ones idle connections may be reset and still be used
-MIN_USES = 5.0  # of an age class, before its rate counts
-HALF_LIFE_S = 5.0  # of what was observed
+AGE_CLASSES = 24  # each doubles the idle milliseconds of the previous one; the first is for new connections
+RESET_RATE_MARGIN = 0.1  # by which the reset rate of reused idle connections may exceed that of new ones
+MIN_USES = 5.0  # of an age class, before its reset rate is considered
+HALF_LIFE_S = 5.0  # of the observations
 
 
 class IdleReuse:
-    """The reset rate by age class; classes from `max_age_class` on are not used."""
+    """Reset rates by age class; connections are not reused from `max_age_class` on."""
 
     def __init__(self) -> None:
         self.uses = [0.0] * AGE_CLASSES
@@ -21,33 +21,33 @@
 
     @staticmethod
     def age_class(idle_us: int | None) -> int:
-        """The class of a connection that was idle for so long; None stands for a new one."""
+        """Return the age class for an idle time, or for a new connection if it is None."""
         return 0 if idle_us is None else min(AGE_CLASSES - 1, 1 + (idle_us // 1000).bit_length())
 
     def is_reusable(self, idle_us: int) -> bool:
-        """Whether a connection that was idle for so long may be used."""
+        """Whether a connection with this idle time may be reused."""
         return self.age_class(idle_us) < self.max_age_class
 
     def record(self, age_class: int, reset: bool) -> None:
-        """Count a use, and whether it ended in a reset before any answer."""
+        """Count a use, and a reset if it ended in one before any answer."""
         self.uses[age_class] += 1
         self.resets[age_class] += reset
         if reset:
             self.update_max_age()
 
     def update_max_age(self) -> None:
-        """Find the first class that is reset more often than new connections, by the margin."""
-        rate_of_new = self.resets[0] / max(MIN_USES, self.uses[0])
-        unreliable = (
+        """Find the first class whose reset rate exceeds that of new connections by the margin."""
+        new_connection_rate = self.resets[0] / max(MIN_USES, self.uses[0])
+        unreliable_classes = (
             age_class
             for age_class in range(1, AGE_CLASSES)
             if self.uses[age_class] >= MIN_USES
-            and self.resets[age_class] / self.uses[age_class] > rate_of_new + RESET_RATE_MARGIN
+            and self.resets[age_class] / self.uses[age_class] > new_connection_rate + RESET_RATE_MARGIN
         )
-        self.max_age_class = min(unreliable, default=AGE_CLASSES)
+        self.max_age_class = min(unreliable_classes, default=AGE_CLASSES)
 
     def decay(self) -> None:
-        """Halve the counts, so that a class that is not used is tried again."""
+        """Halve the counts, so that excluded classes are eventually tried again."""
         self.uses = [count / 2 for count in self.uses]
         self.resets = [count / 2 for count in self.resets]
         self.update_max_age()
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend, and the attempts that wait for one."""
+"""The connection pool of one backend, and the attempts that wait for a connection."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,74 +12,74 @@
 from molereach.policy.interface.events import AttemptResult
 from molereach.resp import has_unread
 
-MIN_IDLE_US = 5_000  # before a connection is used again: bytes behind an answer have arrived by then
+MIN_IDLE_US = 5_000  # before reuse, so that surplus bytes after an answer have arrived
 
 
 class PoolOwner(Protocol):
-    """What the pools share: the bound on connections, and what is known of idle ones."""
+    """State shared by all pools: the connection limit and the reset rates of idle connections."""
 
-    reuse: IdleReuse
+    idle_reuse: IdleReuse
     connect_timeout_s: float
     open_connections: int
 
     def may_open(self) -> bool:
-        """Whether there is a socket for one more connection."""
+        """Whether the limit permits one more connection."""
 
     def spawn(self, coroutine: Coroutine[None, None, None]) -> None:
-        """Run a task that the owner ends at the latest when it closes."""
+        """Run a coroutine as a task, which the owner cancels when it closes."""
 
 
 class BackendPool:
-    """The connections to one backend."""
+    """Connection pool of one backend."""
 
     def __init__(self, owner: PoolOwner, name: str, address: EndpointAddress, started_us: int = 0) -> None:
         self.owner = owner
         self.name = name
         self.address = address
         self.started_us = started_us
-        self.reuse = owner.reuse
-        self.connections: dict[BackendConnection, None] = {}  # all that hold a socket, until it is closed
-        self.idle: list[BackendConnection] = []  # the one used last at the end, so that spare ones grow old
-        self.waiting: dict[Attempt, None] = {}  # for a connection, the longest first
+        self.idle_reuse = owner.idle_reuse
+        self.connections: dict[BackendConnection, None] = {}  # until their sockets are closed
+        self.idle: list[BackendConnection] = []  # most recently used last, so that surplus ones expire
+        self.waiting: dict[Attempt, None] = {}  # attempts without a connection, longest waiting first
         self.dial_count = 0
         self.last_received_us = 0
         self.accepts_attempts = True
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, or once a new one is up."""
+        """Send an attempt on an idle connection, or on a new one once it is established."""
         attempt.pool = self
-        if not self.accepts_attempts:  # it was decided before the endpoint's change was known
+        if not self.accepts_attempts:  # chosen before the endpoint's change was known
             attempt.finish(AttemptResult.CONNECT_FAILED)
             return
         if connection := self.take_idle():
             connection.send(attempt)
             return
         if not self.owner.may_open():
-            attempt.finish(AttemptResult.NOT_SENT)  # a shortage here, which is no fault of the backend
+            attempt.finish(AttemptResult.NOT_SENT)  # a local shortage, not the backend's fault
             return
         self.waiting[attempt] = None
         self.dial_count += 1
         connection = BackendConnection(self)
-        self.connections[connection] = None  # at once: the bound counts connections that are being dialled
+        self.connections[connection] = None  # now, as the limit includes connections being opened
         self.owner.open_connections += 1
         self.owner.spawn(self.connect(connection))
 
     def remove_waiting(self, attempt: Attempt) -> None:
-        """Let an attempt wait no more."""
+        """Remove an attempt from the queue for a connection."""
         self.waiting.pop(attempt, None)
 
     def take_idle(self) -> BackendConnection | None:
-        """The connection used last that was idle for a moment, is not too old, and has no unread bytes.
+        """Take the most recently used connection that is reusable and was idle for at least `MIN_IDLE_US`.
 
-        Bytes that follow an answer, read after the connection was given to the next request, would pass for
-        that request's answer.
+        Connections with unread bytes are discarded: surplus bytes after an answer would be taken for the
+        answer to the next request.
         """
         current_us = now_us()
         for connection in reversed(self.idle[:]):
             idle_us = current_us - connection.idle_since_us
             if idle_us < MIN_IDLE_US:
                 continue
-            is_reusable = connection.is_usable() and self.reuse.is_reusable(idle_us)
+            is_reusable = connection.is_usable() and self.idle_reuse.is_reusable(idle_us)
             if is_reusable and connection.transport and not has_unread(connection.transport):
                 self.idle.remove(connection)
                 return connection
@@ -87,26 +87,27 @@
         return None
 
     async def dial(self, connection: BackendConnection) -> bool:
-        """Connect within the timeout, as an unreachable machine says nothing; whether it came up."""
+        """Connect within a timeout, as an unreachable machine sends no error; return whether it succeeded."""
         try:
             async with asyncio.timeout(self.owner.connect_timeout_s):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            # One that came up in the very turn of its timeout has reported so, and the loop has closed its
-            # socket all the same, without a report: it would stay idle for good, and fail its next attempt.
+            # If the connection is established in the loop iteration of its timeout, the event loop calls
+            # `connection_made` and then closes the socket without calling `connection_lost`. The connection
+            # would stay idle forever and fail its next attempt.
             connection.abort()
             connection.transport = None
-            self.forget(connection)
+            self.remove_connection(connection)
             return False
         finally:
             self.dial_count -= 1
         return connection.is_usable()
 
     async def connect(self, connection: BackendConnection) -> None:
-        """Open a connection for the attempt that waits longest."""
+        """Open a connection for the longest waiting attempt."""
         is_connected = await self.dial(connection)
         if is_connected and connection.transport and has_unread(connection.transport):
-            connection.abort()  # a backend that is full accepts a connection and ends it at once
+            connection.abort()  # a backend at its limit accepts a connection and closes it immediately
             is_connected = False
         attempt = self.next_waiting()
         if is_connected and attempt:
@@ -120,7 +121,7 @@
             attempt.give_up(AttemptResult.CONNECT_FAILED)
 
     def next_waiting(self) -> Attempt | None:
-        """The attempt that waits longest; those past their write deadline are withdrawn."""
+        """Return the longest waiting attempt and cancel those past their write deadline."""
         while attempt := next(iter(self.waiting), None):
             if not attempt.is_past_write_deadline():
                 break
@@ -128,7 +129,7 @@
         return attempt
 
     def keep_idle(self, connection: BackendConnection) -> None:
-        """Keep a connection that has nothing to do."""
+        """Keep a connection for reuse, or close it if the pool accepts no attempts."""
         if self.accepts_attempts and connection.is_usable():
             connection.is_new = False
             connection.idle_since_us = now_us()
@@ -137,44 +138,44 @@
             connection.close()
 
     def remove_idle(self, connection: BackendConnection) -> None:
-        """Do not use a connection again."""
+        """Exclude a connection from reuse."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def on_connection_lost(self, connection: BackendConnection) -> None:
-        """A connection's socket is closed."""
+        """Handle the closed socket of a connection."""
         self.remove_idle(connection)
-        self.forget(connection)
+        self.remove_connection(connection)
 
-    def forget(self, connection: BackendConnection) -> None:
-        """Count a connection no more."""
+    def remove_connection(self, connection: BackendConnection) -> None:
+        """Remove a connection from the pool and from the connection count."""
         if connection in self.connections:
             del self.connections[connection]
             self.owner.open_connections -= 1
 
-    def suspect_silence(self, since_us: int) -> None:
-        """Close idle connections where nothing was received since: the machine may have vanished.
+    def on_attempt_timeout(self, sent_us: int) -> None:
+        """Close all idle connections if nothing was received since `sent_us`: the machine may have vanished.
 
-        Connections to it stay open and silent, and are reset when it is back; the next request on one would
-        end as a reset, which a non-idempotent class cannot retry.
+        Connections to a vanished machine stay open and are reset once it returns. A request sent on one would
+        be reset, which cannot be retried in a non-idempotent class.
         """
-        if self.last_received_us < since_us:
+        if self.last_received_us < sent_us:
             self.close_idle()
 
-    def close_silent(self, since_us: int) -> None:
-        """Close idle connections that were silent since: after a reset the machine may be another one."""
-        silent = [connection for connection in self.idle if connection.last_received_us < since_us]
-        for connection in silent:
+    def on_attempt_reset(self, sent_us: int) -> None:
+        """Close idle connections that received nothing since `sent_us`; the machine may be a new one."""
+        silent_connections = [connection for connection in self.idle if connection.last_received_us < sent_us]
+        for connection in silent_connections:
             self.idle.remove(connection)
             connection.close()
 
     def close_idle(self, before_us: int | None = None) -> None:
-        """Close idle connections, or only those idle since before a time."""
+        """Close all idle connections, or those idle since before `before_us`."""
         while self.idle and (before_us is None or self.idle[0].idle_since_us < before_us):
             self.idle.pop(0).close()
 
     def stop(self) -> None:
-        """Start nothing new; attempts that wait for a connection end at once, and go elsewhere."""
+        """Accept no more attempts; waiting ones fail immediately so that they are retried elsewhere."""
         self.accepts_attempts = False
         self.close_idle()
         for attempt in list(self.waiting):
--- a/tests/backends/sender.py
+++ b/tests/backends/sender.py
@@ -1,4 +1,4 @@
-"""What the tests of pools share: attempts that are sent, and a listener that never answers a dial."""
+"""Fixtures of the pool tests: a sender of attempts, and a backend that never reads."""
 
 import asyncio
 import contextlib
@@ -15,25 +15,25 @@
 
 
 class Sender:
-    """Sends attempts through a pool and keeps how they ended."""
+    """Sends attempts through a pool and queues their outcomes."""
 
-    def __init__(self, address: EndpointAddress, idle_us: int = 30 * S, most: int = 50) -> None:
-        self.backends = Backends(idle_us, 200_000, most)
+    def __init__(self, address: EndpointAddress, idle_us: int = 30 * S, max_connections: int = 50) -> None:
+        self.backends = Backends(idle_us, 200_000, max_connections)
         self.backends.update({"s": EndpointState.UP}, {"s": address}, is_full_list=True)
-        self.ended: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
+        self.outcomes: asyncio.Queue[tuple[AttemptResult, bytes | None, LoadReport | None]] = asyncio.Queue()
 
     def send(self, payload: bytes = resp("PING"), timeout_us: int = 5 * S) -> Attempt:
-        attempt = Attempt("a", 0, "s", payload, lambda _, *how: self.ended.put_nowait(how))
+        attempt = Attempt("a", 0, "s", payload, lambda _, *outcome: self.outcomes.put_nowait(outcome))
         self.backends.send(attempt, timeout_us)
         return attempt
 
     async def result(self) -> AttemptResult:
-        return (await self.ended.get())[0]
+        return (await self.outcomes.get())[0]
 
 
 @contextlib.asynccontextmanager
-async def deaf() -> AsyncIterator[tuple[EndpointAddress, socket.socket]]:
-    """A machine that takes connections and reads nothing."""
+async def unresponsive_backend() -> AsyncIterator[tuple[EndpointAddress, socket.socket]]:
+    """A listening socket that neither accepts nor reads connections, with its address."""
     with socket.socket() as listener:
         listener.bind((HOST, 0))
         listener.listen()
--- a/tests/backends/test_counts.py
+++ b/tests/backends/test_counts.py
@@ -1,30 +1,32 @@
-"""How many connections to backends there are: kept as a number, and that of the sockets."""
+"""The counter of open backend connections, compared with the connections of all pools."""
 
 import asyncio
 
 from molereach.policy.interface.events import EndpointState
-from tests.backends.sender import Sender, deaf
+from tests.backends.sender import Sender, unresponsive_backend
 from tests.sockets import Backend, refusing_address, run, value
 
 
-def test_number_of_connections_is_that_of_all_pools_after_all_kinds_of_ends() -> None:
-    """It is kept as a number, as each dial asks for it: one that is off would hold the door open or shut."""
+def test_connection_counter_matches_all_pools_for_every_outcome() -> None:
+    """A wrong counter would block new connections or exceed the limit."""
 
-    async def job() -> None:
+    async def scenario() -> None:
         answers = [value(b"x"), b"", b"?", None, b"-BUSY\r\n"]
-        backend = Backend(lambda words: answers[len(backend.commands) % len(answers)])
-        at = await backend.start()
-        sender = Sender(at, most=8)
-        backends, seen = sender.backends, set()
-        async with deaf() as (silent, _):
+        backend = Backend(lambda arguments: answers[len(backend.commands) % len(answers)])
+        backend_address = await backend.start()
+        sender = Sender(backend_address, max_connections=8)
+        backends, observed_counts = sender.backends, set()
+        async with unresponsive_backend() as (silent_address, _):
             for number in range(60):
-                address = (at, at, refusing_address(), silent)[number % 4]
-                if number % 3 == 0:  # moves: what is out stays out on the old pool
+                address = (backend_address, backend_address, refusing_address(), silent_address)[number % 4]
+                if number % 3 == 0:  # the backend moves; attempts in flight stay on the old pool
                     backends.update({"s": EndpointState.UP}, {"s": address}, True, {"s": number})
                 sender.send(timeout_us=20_000)
-                walked = sum(len(pool.connections) for pool in (*backends.pools.values(), *backends.retired))
-                assert backends.open_connections == walked
-                seen.add(walked)
+                pool_connections = sum(
+                    len(pool.connections) for pool in (*backends.pools.values(), *backends.retired)
+                )
+                assert backends.open_connections == pool_connections
+                observed_counts.add(pool_connections)
                 if number % 4 == 0:
                     await asyncio.sleep(0.005)
             for _ in range(60):
@@ -33,25 +35,25 @@
             async with asyncio.timeout(5):
                 while any(pool.connections for pool in backends.retired):
                     await asyncio.sleep(0.005)
-            assert backends.open_connections == 0 and len(seen) > 3
+            assert backends.open_connections == 0 and len(observed_counts) > 3
             backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_that_is_let_go_of_twice_counts_once() -> None:
-    """A dial that failed may still be told of its connection's end."""
+def test_connection_lost_twice_is_counted_once() -> None:
+    """A failed dial may still be notified of its lost connection."""
 
-    async def job() -> None:
-        async with deaf() as (silent, _):
-            sender = Sender(silent)
+    async def scenario() -> None:
+        async with unresponsive_backend() as (silent_address, _):
+            sender = Sender(silent_address)
             sender.send()
             sender.send()
-            each = sender.backends.pools["s"]
-            gone = next(iter(each.connections))
-            each.on_connection_lost(gone)
-            each.on_connection_lost(gone)
-            assert sender.backends.open_connections == len(each.connections) == 1
+            pool = sender.backends.pools["s"]
+            lost = next(iter(pool.connections))
+            pool.on_connection_lost(lost)
+            pool.on_connection_lost(lost)
+            assert sender.backends.open_connections == len(pool.connections) == 1
             sender.backends.close()
 
-    run(job())
+    run(scenario())
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -1,4 +1,4 @@
-"""Connections to backends: reuse, bounds, and whether an attempt may have run."""
+"""Connections to backends: reuse, limits, and whether an attempt may have been executed."""
 
 import asyncio
 import contextlib
@@ -9,15 +9,15 @@
 
 from molereach.backends import idle_reuse, pool
 from molereach.policy.interface.events import AttemptResult, EndpointState
-from tests.backends.sender import S, Sender, deaf
+from tests.backends.sender import S, Sender, unresponsive_backend
 from tests.sockets import HOST, Backend, refusing_address, run, value
 
 
 def test_connection_is_reused_and_carries_one_command_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
@@ -28,96 +28,96 @@
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-        backend.answer = lambda words: value(b"y")
+        backend.answer = lambda arguments: value(b"y")
         for _ in range(5):
             sender.send()
             assert await sender.result() is AttemptResult.OK
         assert backend.opened == 2
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_given_up_attempt_closes_its_connection() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_cancelled_attempt_closes_its_connection() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.left.wait()  # an answer that is still due must not meet the next command
-        backend.answer = lambda words: value(b"fresh")
+        await backend.left.wait()  # a late answer must not reach the next command
+        backend.answer = lambda arguments: value(b"fresh")
         sender.send()
-        assert (await sender.ended.get())[1] == b"fresh"
-        assert sender.ended.empty()
+        assert (await sender.outcomes.get())[1] == b"fresh"
+        assert sender.outcomes.empty()
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_broken_after_the_last_byte_may_have_run() -> None:
-    async def job() -> None:
-        sender = Sender(await Backend(lambda words: b"").start())
+def test_reset_after_the_last_byte_may_have_been_executed() -> None:
+    async def scenario() -> None:
+        sender = Sender(await Backend(lambda arguments: b"").start())
         sender.send()
         assert await sender.result() is AttemptResult.RESET
 
-    run(job())
+    run(scenario())
 
 
-def test_silent_after_the_last_byte_timed_out() -> None:
-    async def job() -> None:
-        async with deaf() as (address, _):
+def test_no_answer_after_the_last_byte_is_a_timeout() -> None:
+    async def scenario() -> None:
+        async with unresponsive_backend() as (address, _):
             sender = Sender(address)
             sender.send(timeout_us=50_000)
             assert await sender.result() is AttemptResult.TIMEOUT
 
-    run(job())
+    run(scenario())
 
 
-def test_refused_or_out_of_time_before_the_last_byte_never_ran() -> None:
-    async def job() -> None:
+def test_failure_before_the_last_byte_was_not_executed() -> None:
+    async def scenario() -> None:
         sender = Sender(refusing_address())
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
-        async with deaf() as (address, _):
+        async with unresponsive_backend() as (address, _):
             sender = Sender(address)
-            sender.send(b"x" * (64 << 20), timeout_us=300_000)  # more than the kernel takes in
+            sender.send(b"x" * (64 << 20), timeout_us=300_000)  # more than the kernel buffers
             assert await sender.result() is AttemptResult.CONNECT_FAILED
-        async with deaf() as (address, listener):
+        async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20))
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
-            accepted.close()  # with bytes unread: a reset
+            accepted.close()  # a reset, as bytes are unread
             assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-def test_connection_that_ends_as_soon_as_it_is_up_never_ran() -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_connection_closed_immediately_after_connecting_fails_its_attempt() -> None:
+    async def scenario() -> None:
+        async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
             sender.send(timeout_us=20 * S)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
-            accepted.close()  # before the loop comes to know that the connection is up
+            accepted.close()  # before the event loop reports that the connection is established
             assert await asyncio.wait_for(sender.result(), 5) in (
                 AttemptResult.CONNECT_FAILED,
                 AttemptResult.RESET,
             )
 
-    run(job())
+    run(scenario())
 
 
-def test_machine_that_never_answers_a_connect_is_given_up_soon() -> None:
-    async def job() -> None:
+def test_connect_to_an_unreachable_machine_times_out_early() -> None:
+    async def scenario() -> None:
         with contextlib.ExitStack() as stack:
             listener = stack.enter_context(socket.socket())
             listener.bind((HOST, 0))
             listener.listen(0)
-            for _ in range(3):  # its backlog is full: the kernel drops further attempts to connect
+            for _ in range(3):  # fill the backlog, so that the kernel drops further connects
                 filler = stack.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
@@ -125,11 +125,11 @@
             sender.send(timeout_us=20 * S)
             assert await asyncio.wait_for(sender.result(), 5) is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-def test_idle_connection_is_closed_by_us_first() -> None:
-    async def job() -> None:
+def test_idle_connection_is_closed_before_the_backend_closes_it() -> None:
+    async def scenario() -> None:
         backend = Backend()
         sender = Sender(await backend.start(), idle_us=200_000)
         sender.backends.sweep()
@@ -138,15 +138,15 @@
         await backend.left.wait()
         assert sender.backends.open_connections == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_silence_or_a_reset_puts_idle_connections_in_doubt() -> None:
-    """A machine that vanished resets them when it is back: an unsafe request would be lost on one."""
+def test_timeout_or_reset_closes_idle_connections() -> None:
+    """A vanished machine resets them once it returns, which would lose a non-idempotent request."""
 
-    async def job() -> None:
-        for broken in (None, b""):
-            backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        for failure in (None, b""):
+            backend = Backend(lambda arguments: None)
             sender = Sender(await backend.start())
             sender.send()
             sender.send()
@@ -157,36 +157,34 @@
                 writer.write(value(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
             assert len(sender.backends.pools["s"].idle) == 2
-            backend.answer = lambda words, broken=broken: broken
+            backend.answer = lambda arguments, failure=failure: failure
             sender.send(timeout_us=100_000)
             assert await sender.result() in (AttemptResult.TIMEOUT, AttemptResult.RESET)
             assert sender.backends.pools["s"].idle == []
 
-    run(job())
+    run(scenario())
 
 
-def test_connections_are_bounded_over_all_backends() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
-        sender = Sender(await backend.start(), most=2)
+def test_connections_of_all_backends_are_bounded() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
+        sender = Sender(await backend.start(), max_connections=2)
         first = sender.send()
         sender.send()
         sender.send()
-        assert (
-            await sender.result() is AttemptResult.NOT_SENT
-        )  # a shortage of ours is no fault of the backend
+        assert await sender.result() is AttemptResult.NOT_SENT  # a local shortage, not the backend's fault
         assert sender.backends.open_connections == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
         await backend.came.wait()
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_gone_backend_keeps_its_attempt_and_loses_idle_connections() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_removed_backend_completes_its_attempt_and_closes_idle_connections() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         await backend.came.wait()
@@ -197,10 +195,10 @@
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-SPOILT = [
+MALFORMED_ANSWERS = [
     b"*1000000000\r\n",
     b"*3\r\n$3000000000\r\n",
     b"*3\r\n$-7\r\n",
@@ -221,15 +219,15 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT)
-def test_spoilt_answer_fails_at_its_head_and_leaves_other_connections(
+@pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
+def test_malformed_answer_fails_immediately_and_keeps_other_connections(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The backend leaves the connection open: whoever waits for the rest waits for good."""
+    """The backend keeps the connection open, so waiting for the rest of the answer would never end."""
     monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         sender.send()
@@ -239,50 +237,50 @@
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
-        backend.answer = lambda words: answer
+        backend.answer = lambda arguments: answer
         sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
         await backend.left.wait()
         assert len(sender.backends.pools["s"].idle) == 1
-        backend.answer = lambda words: value(b"good")
+        backend.answer = lambda arguments: value(b"good")
         sender.send()
-        assert await sender.ended.get() == (AttemptResult.OK, b"good", None)
+        assert await sender.outcomes.get() == (AttemptResult.OK, b"good", None)
         assert backend.opened == 2
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_what_comes_behind_an_answer_never_answers_the_next_request() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_surplus_bytes_after_an_answer_never_answer_the_next_request() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
         await backend.came.wait()
         backend.writers[0].write(value(b"first"))
-        assert (await sender.ended.get())[1] == b"first"
-        backend.answer = lambda words: value(b"second")
-        sender.send()  # at once: the connection has not rested
-        assert (await sender.ended.get())[1] == b"second"
+        assert (await sender.outcomes.get())[1] == b"first"
+        backend.answer = lambda arguments: value(b"second")
+        sender.send()  # before the connection has been idle for the minimum time
+        assert (await sender.outcomes.get())[1] == b"second"
         assert backend.opened == 2
         for connection in sender.backends.pools["s"].idle:
             connection.idle_since_us = 0
-        # Rested, and unread bytes on both: seen before they are used, as the loop has not run in between.
+        # Both have been idle long enough and have unread bytes, detected before the event loop runs again.
         for writer in backend.writers:
             writer.transport.get_extra_info("socket")  # still open
             socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())).send(value(b"copy"))
-        backend.answer = lambda words: value(b"third")
+        backend.answer = lambda arguments: value(b"third")
         sender.send()
-        assert (await sender.ended.get())[1] == b"third"
+        assert (await sender.outcomes.get())[1] == b"third"
         assert backend.opened == 3
         sender.backends.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_answer_before_the_whole_request_is_not_its_value() -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_answer_before_the_complete_request_is_not_accepted() -> None:
+    async def scenario() -> None:
+        async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
             sender.send(b"x" * (64 << 20), timeout_us=20 * S)
             listener.setblocking(False)
@@ -291,33 +289,35 @@
                 accepted.send(value(b"of another"))
                 assert await sender.result() is AttemptResult.CONNECT_FAILED
 
-    run(job())
+    run(scenario())
 
 
-def test_nothing_is_written_to_an_address_that_was_retired_while_connecting() -> None:
-    async def job() -> None:
-        async with deaf() as (address, listener):
+def test_nothing_is_written_to_a_backend_removed_while_connecting() -> None:
+    async def scenario() -> None:
+        async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
             sender.send()
             sender.backends.update({"s": EndpointState.REMOVED}, {}, is_full_list=False)
-            assert await sender.result() is AttemptResult.CONNECT_FAILED  # never ran: it may go elsewhere
+            assert (
+                await sender.result() is AttemptResult.CONNECT_FAILED
+            )  # not executed, so it may be retried elsewhere
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.setblocking(False)
             assert await asyncio.get_running_loop().sock_recv(accepted, 100) == b""
             accepted.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_counts_are_those_of_the_sockets() -> None:
-    async def job() -> None:
-        backend = Backend(lambda words: None)
+def test_connection_count_includes_sockets_until_they_are_closed() -> None:
+    async def scenario() -> None:
+        backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
         await backend.came.wait()
         attempt.cancel()
-        assert sender.backends.open_connections == 1  # closed only when the loop has come to it
+        assert sender.backends.open_connections == 1  # until the event loop closes the socket
         await backend.left.wait()
         assert sender.backends.open_connections == 0
         sender.backends.update({"s": EndpointState.UP}, {"s": refusing_address()}, is_full_list=True)
@@ -326,16 +326,16 @@
         assert await sender.result() is AttemptResult.CONNECT_FAILED
         assert sender.backends.open_connections == 0 and sender.backends.pools["s"].dial_count == 0
 
-    run(job())
+    run(scenario())
 
 
-def test_kept_connections_that_are_reset_are_not_kept_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever lets go of them: the next request on one ends as a reset, and an unsafe one is lost."""
+def test_idle_time_is_limited_after_resets_of_reused_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Otherwise, requests on dropped connections would be reset and non-idempotent ones lost."""
     monkeypatch.setattr(pool, "MIN_IDLE_US", 0)
 
-    async def job() -> None:
+    async def scenario() -> None:
         backend = Backend()
-        backend.answer = lambda words: (
+        backend.answer = lambda arguments: (
             b"" if backend.writers.index(backend.writers[-1]) < len(backend.writers) - 1 else value(b"ok")
         )  # the second command on a connection
         sender = Sender(await backend.start())
@@ -347,10 +347,9 @@
         assert results.count(AttemptResult.RESET) <= idle_reuse.MIN_USES
         assert results[-20:] == [AttemptResult.OK] * 20
         for _ in range(9):
-            sender.backends.reuse.decay()
-        assert (
-            sender.backends.reuse.max_age_class == idle_reuse.AGE_CLASSES
-        )  # it is tried again after a while
+            sender.backends.idle_reuse.decay()
+        # The age class is tried again after the observations have decayed.
+        assert sender.backends.idle_reuse.max_age_class == idle_reuse.AGE_CLASSES
         sender.backends.close()
 
-    run(job())
+    run(scenario())
