--- a/molereach/backends/attempt.py
+++ b/molereach/backends/attempt.py
@@ -78,7 +78,9 @@
         self.timers.append(call_later(timeout_us / 1e6, self.on_timeout))
         if self.write_deadline_us:
             remaining_us = max(0, self.write_deadline_us - now_us())
-            self.timers.append(call_later(remaining_us / 1e6, self.withdraw, AttemptResult.NOT_SENT))
+            self.timers.append(
+                call_later(remaining_us / 1e6, self.cancel_if_unwritten, AttemptResult.NOT_SENT)
+            )
 
     def is_past_write_deadline(self) -> bool:
         """Whether the write deadline has passed; its timer may fire later than that."""
@@ -105,7 +107,7 @@
             self.pool.on_attempt_timeout(self.sent_us)
         self.give_up(AttemptResult.TIMEOUT if self.is_written else AttemptResult.CONNECT_FAILED)
 
-    def withdraw(self, result: AttemptResult) -> None:
+    def cancel_if_unwritten(self, result: AttemptResult) -> None:
         """End the attempt with `result` unless its last byte has been written; it is then never executed."""
         if not self.is_written:
             self.give_up(result)
--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -125,7 +125,7 @@
         while attempt := next(iter(self.waiting), None):
             if not attempt.is_past_write_deadline():
                 break
-            attempt.withdraw(AttemptResult.NOT_SENT)
+            attempt.cancel_if_unwritten(AttemptResult.NOT_SENT)
         return attempt
 
     def keep_idle(self, connection: BackendConnection) -> None:
--- a/molereach/proxy/request_registry.py
+++ b/molereach/proxy/request_registry.py
@@ -62,7 +62,7 @@
         if request.in_flight:
             self.answered[request_id] = request
         for attempt in list(request.in_flight.values()):
-            attempt.withdraw(
+            attempt.cancel_if_unwritten(
                 AttemptResult.CANCELLED
             )  # one that was not sent needs no setting to be cancelled
         return request
--- a/tests/races/test_attempts_part.py
+++ b/tests/races/test_attempts_part.py
@@ -67,7 +67,7 @@
     [
         ("cancel", AttemptResult.CANCELLED),
         ("on_timeout", AttemptResult.CONNECT_FAILED),
-        ("withdraw", AttemptResult.NOT_SENT),
+        ("cancel_if_unwritten", AttemptResult.NOT_SENT),
     ],
 )
 def test_what_is_given_up_in_part_is_never_whole(
@@ -76,7 +76,7 @@
     async def job() -> None:
         async with in_part(monkeypatch) as (sender, attempt, peer):
             heard = await nearly_whole(attempt, peer)
-            getattr(attempt, how)(*[result] if how == "withdraw" else [])
+            getattr(attempt, how)(*[result] if how == "cancel_if_unwritten" else [])
             assert not (heard + await whole(peer)).endswith(b"LAST")
             assert sender.ended == [result]
 
