--- a/molereach/backends/pools.py
+++ b/molereach/backends/pools.py
@@ -11,9 +11,9 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import AttemptResult, EndpointState
 
-IDLE_FRACTION = (
-    0.5  # of the backend's idle timeout, as a request sent while the backend closes would be reset
-)
+# Fraction of the backends' idle timeout after which connections are closed here: a request sent while the
+# backend closes its connection would be reset.
+IDLE_FRACTION = 0.5
 MAX_SWEEP_INTERVAL_S = 1.0
 SWEEPS_PER_IDLE_TIMEOUT = 4
 
--- a/molereach/clients/disconnect_watch.py
+++ b/molereach/clients/disconnect_watch.py
@@ -1,7 +1,7 @@
 """Detects clients that disconnect while reading is paused, when the event loop reports neither EOF nor reset.
 
-Otherwise, the disconnect of a client that sent more than is read at once would be detected only after the
-last of its requests had been forwarded in vain.
+Without it, if a client sent more than is read at once, its disconnect would be detected only after the last
+of its requests had been forwarded in vain.
 """
 
 import asyncio
@@ -9,9 +9,8 @@
 from molereach.clients.connection_state import Connection
 from molereach.resp import have_disconnected
 
-POLL_INTERVAL_S = (
-    0.05  # attempts must not begin over 0.1 s after a disconnect: an interval plus a loop iteration
-)
+# An attempt must not begin over 0.1 s after its client's disconnect: one interval plus one loop iteration.
+POLL_INTERVAL_S = 0.05
 
 
 class DisconnectWatch:
@@ -37,9 +36,7 @@
         """Check for disconnects and schedule the next check."""
         self.is_scheduled = bool(self.watched)
         if self.is_scheduled:
-            self.loop.call_later(
-                POLL_INTERVAL_S, self.poll
-            )  # first, so that an exception below does not end the polling
+            self.loop.call_later(POLL_INTERVAL_S, self.poll)  # first: an error below must not end the polling
         watched = [connection for connection in self.watched if not connection.transport.is_closing()]
         disconnected = have_disconnected(connection.transport for connection in watched)
         for connection, is_disconnected in zip(watched, disconnected, strict=True):
--- a/molereach/clients/requests.py
+++ b/molereach/clients/requests.py
@@ -83,7 +83,7 @@
         )
 
     def parse_customer(self, text: bytes) -> str:
-        """Parse a customer, normalized to lower case."""
+        """Validate a customer and convert it to lower case."""
         is_hex = len(text) == CUSTOMER_DIGITS and HEX_DIGITS.issuperset(text)
         if not is_hex or int(text, 16) >= CUSTOMER_LIMIT:
             raise CommandError("invalid customer")
--- a/molereach/limits/core.py
+++ b/molereach/limits/core.py
@@ -23,7 +23,7 @@
 from molereach.policy.interface.protocols import CustomerLimits, PeerMessage, ReachableQuota
 from molereach.policy.interface.settings import Settings
 
-INCARNATIONS = 1 << 16  # gossip carries incarnations in 16 bits
+INCARNATION_COUNT = 1 << 16  # gossip carries incarnations in 16 bits
 MAX_TOTALS_PER_POLL = 2  # 100 per second over all owners
 POLL_INTERVAL_US = 20_000
 EVICTION_INTERVAL_US = SECOND_US
@@ -35,7 +35,7 @@
     def __init__(self, settings: Settings, limit_settings: LimitSettings) -> None:
         self.proxy_index = settings.proxy_index
         self.proxy_count = settings.proxy_count
-        self.incarnation = settings.seed % INCARNATIONS
+        self.incarnation = settings.seed % INCARNATION_COUNT
         self.settings = limit_settings
         self.escrow = Escrow(settings.proxy_index, settings.proxy_count, settings.plans, limit_settings)
         self.partition_quota = PartitionQuota(
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -20,7 +20,7 @@
 
 MIN_RETENTION_US = 10 * SECOND_US  # of an idle account
 RETENTION_LEASES = 3  # for which an idle account is kept beyond the time it takes to fill up
-MAX_ACCOUNTS = 200_000  # beyond which peers' requests open none; those of local requests expire
+MAX_ACCOUNTS = 200_000  # limit for accounts created by peers' requests; those of local requests expire
 
 
 class Escrow:
@@ -88,7 +88,10 @@
     # Restarts
 
     def record_acknowledgement(self, now_us: int, peer: int) -> None:
-        """Record that a peer holds no loan of this proxy; accounts stop waiting once their whole set has."""
+        """Record that a peer holds no loan of this proxy.
+
+        An account stops waiting for old loans once all other members of its set have confirmed this.
+        """
         self.acknowledged_us.setdefault(peer, now_us)
         for account in self.accounts.values():
             if account.base_usable_from_us > now_us:
--- a/molereach/limits/partition_quota.py
+++ b/molereach/limits/partition_quota.py
@@ -18,7 +18,7 @@
 # A reconnected peer that sends no total of a customer within this time has spent nothing of its quota.
 JOIN_DELAY_US = TOTAL_TRANSMISSIONS * TOTAL_REPEAT_US
 MIN_RETENTION_US = 10 * SECOND_US  # of the state of a customer that sends no requests
-MAX_OWNER_STATES = 200_000  # beyond which peers' messages open none
+MAX_OWNER_STATES = 200_000  # limit for states created by peers' messages
 UNKNOWN_INCARNATION = -1  # of a peer that has sent no total
 
 
@@ -28,9 +28,7 @@
     __slots__ = ("last_totals", "separated_since_us", "used_us")
 
     def __init__(self, separated_since_us: dict[int, int], now_us: int) -> None:
-        self.separated_since_us = (
-            separated_since_us  # members whose local quotas are excluded from its tokens
-        )
+        self.separated_since_us = separated_since_us  # members whose local quotas are not in its tokens
         self.used_us = now_us
         self.last_totals: dict[int, tuple[int, float]] = {}  # by member: incarnation and spent units
 
--- a/molereach/limits/peer_contacts.py
+++ b/molereach/limits/peer_contacts.py
@@ -17,7 +17,7 @@
     def __init__(
         self, proxy_index: int, proxy_count: int, settings: LimitSettings, max_received_per_s: float
     ) -> None:
-        """Space heartbeats so that a peer receives at most `max_received_per_s` messages, 0 for no limit."""
+        """`max_received_per_s` limits the messages to each proxy, and so the heartbeats; 0 means no limit."""
         self.proxy_index = proxy_index
         self.proxy_count = proxy_count
         min_spacing_us = 0.0
@@ -26,7 +26,7 @@
         self.heartbeat_us = max(settings.heartbeat_us, round(min_spacing_us))
         self.failure_timeout_us = MISSED_HEARTBEATS * self.heartbeat_us
         self.received_us: dict[int, int] = {}  # the last message of any kind
-        self.mutual_contact_us: dict[int, int] = {}  # the last one to confirm receipt from here
+        self.mutual_contact_us: dict[int, int] = {}  # the last message that confirms receipt from here
         self.reconnected_us: dict[int, int] = {}  # when a peer last stopped being silent
         self.sent_us: dict[int, int] = {}
         self.incarnations: dict[int, int] = {}  # of peers that send totals
--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -298,9 +298,8 @@
             sender = Sender(address)
             sender.send()
             sender.backends.update({"s": EndpointState.REMOVED}, {}, is_full_list=False)
-            assert (
-                await sender.result() is AttemptResult.CONNECT_FAILED
-            )  # not executed, so it may be retried elsewhere
+            # Not executed, so it may be retried elsewhere.
+            assert await sender.result() is AttemptResult.CONNECT_FAILED
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.setblocking(False)
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -309,7 +309,9 @@
 def test_open_requests_are_bounded_by_memory() -> None:
     async def scenario() -> None:
         async with front_door(Backend(lambda arguments: None), memory_mb=1) as (door, address):
-            open_clients = [await Client.open(address) for _ in range(4)]  # a reference keeps each connected
+            open_clients = [
+                await Client.open(address) for _ in range(4)
+            ]  # kept referenced, to stay connected
             for number, client in enumerate(open_clients):
                 client.send(b"".join(query(f"a{number}x{other}") for other in range(16)))
             last = await Client.open(address)
