--- a/molereach/clients/connection_state.py
+++ b/molereach/clients/connection_state.py
@@ -60,7 +60,7 @@
     """Interface between the listener and a connection of any protocol."""
 
     state: State
-    since_us: int  # when the connection entered its state
+    state_entered_us: int  # when the connection entered its state
     timeout_at_us: int  # when the state's timeout expires
     transport: asyncio.Transport  # set once the connection is attached
     is_attached = False
--- a/molereach/clients/eviction.py
+++ b/molereach/clients/eviction.py
@@ -42,7 +42,7 @@
         current_us = now_us()
         for state, min_age_us in EVICTION_ORDER:
             for connection in list(islice(self.by_state[state], MAX_CANDIDATES)):
-                if current_us - connection.since_us < min_age_us or connection.has_data_in_flight():
+                if current_us - connection.state_entered_us < min_age_us or connection.has_data_in_flight():
                     continue
                 if not may_linger:
                     del self.by_state[state][connection]
--- a/molereach/clients/listener.py
+++ b/molereach/clients/listener.py
@@ -42,9 +42,9 @@
         self.spawn = spawn
         self.loop = asyncio.get_running_loop()
         self.read_buffer = memoryview(bytearray(READ_BYTES))  # shared, as each read is copied immediately
-        self.sockets = 0  # accepted and not yet closed
+        self.socket_count = 0  # accepted and not yet closed
         self.connections: dict[Connection, None] = {}  # in order of acceptance
-        self.evictable = EvictionQueues()
+        self.eviction_queues = EvictionQueues()
         self.listener: socket.socket | None = None
         self.address: EndpointAddress | None = None
         self.is_paused = False  # accepts no connections, by an operator's order
@@ -112,15 +112,15 @@
         If another connection must be closed for it, the limit is exceeded by one until the event loop has
         closed that socket, so the next connection is accepted later.
         """
-        has_no_socket = self.sockets >= self.max_sockets
+        has_no_socket = self.socket_count >= self.max_sockets
         is_full = self.is_full()
-        may_linger = not has_no_socket or self.evictable.abort_one_closing()
-        is_over_limit = is_full and not self.evictable.evict_one(may_linger)
+        may_linger = not has_no_socket or self.eviction_queues.abort_one_closing()
+        is_over_limit = is_full and not self.eviction_queues.evict_one(may_linger)
         if not may_linger and (is_over_limit or not is_full):
             reject_with_reset(accepted)
             return False
         accepted.setblocking(False)
-        self.sockets += 1
+        self.socket_count += 1
         self.spawn(self.reject(accepted) if is_over_limit else self.attach(accepted))
         return not (has_no_socket or is_full)
 
@@ -153,33 +153,33 @@
     def is_full(self) -> bool:
         """Whether a new connection requires closing another; closing ones use the reserved sockets."""
         reserve = min(MAX_CLOSING_RESERVE, self.max_sockets // CLOSING_RESERVE_DIVISOR)
-        return self.sockets - self.evictable.closing_count() >= self.max_sockets - reserve
+        return self.socket_count - self.eviction_queues.closing_count() >= self.max_sockets - reserve
 
     # --- connection callbacks ---
 
     def on_opened(self, connection: Connection) -> None:
         """Register a connection that was attached to its socket."""
         self.connections[connection] = None
-        self.evictable.add(connection)
+        self.eviction_queues.add(connection)
 
     def on_state_changed(self, connection: Connection) -> None:
         """Requeue a connection that has entered another state."""
-        self.evictable.remove(connection)
+        self.eviction_queues.remove(connection)
         if self.is_draining and connection.state in IDLE_STATES:
             connection.close()  # may change its state
-        self.evictable.add(connection)
+        self.eviction_queues.add(connection)
 
     def on_socket_closed(self) -> None:
         """Count a closed socket, whether or not a connection was attached to it."""
-        self.sockets -= 1
-        if not self.sockets:
+        self.socket_count -= 1
+        if not self.socket_count:
             self.all_closed.set()
 
     def on_closed(self, connection: Connection) -> None:
         """Remove a closed connection."""
         self.connections.pop(connection, None)
         self.disconnect_watch.unwatch(connection)
-        self.evictable.remove(connection)
+        self.eviction_queues.remove(connection)
         self.on_socket_closed()
 
     # --- timeouts and limits ---
@@ -215,7 +215,7 @@
     def close_idle(self) -> None:
         """Close idle connections, except new ones, whose first command is about to arrive."""
         for state in IDLE_STATES:
-            for connection in self.evictable.in_state(state):
+            for connection in self.eviction_queues.in_state(state):
                 connection.close()
 
     def drain(self) -> None:
@@ -225,11 +225,11 @@
 
     async def wait_closed(self, within_s: float) -> bool:
         """Wait until all sockets are closed, attached or not; False if that takes longer than `within_s`."""
-        if self.sockets:
+        if self.socket_count:
             self.all_closed.clear()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.all_closed.wait(), within_s)
-        return not self.sockets
+        return not self.socket_count
 
     def stop_listening(self) -> None:
         """Accept waiting connections, then stop accepting permanently."""
@@ -253,12 +253,12 @@
                 continue
             except OSError:  # none waiting, or out of descriptors
                 break
-            if self.sockets >= self.max_sockets:
+            if self.socket_count >= self.max_sockets:
                 reject_with_reset(accepted)
                 continue
             accepted.setblocking(False)
             is_full = self.is_full()
-            self.sockets += 1
+            self.socket_count += 1
             self.spawn(self.reject(accepted) if is_full else self.attach(accepted))
         listener.close()
 
--- a/molereach/clients/resp.py
+++ b/molereach/clients/resp.py
@@ -47,8 +47,8 @@
         self.has_commands_left = False  # complete commands may be waiting in the reader
         self.is_processing_scheduled = False
         self.state = State.NEW
-        self.since_us = now_us()
-        self.timeout_at_us = self.since_us + TIMEOUTS_US[State.NEW]
+        self.state_entered_us = now_us()
+        self.timeout_at_us = self.state_entered_us + TIMEOUTS_US[State.NEW]
 
     # --- transport callbacks ---
 
@@ -245,8 +245,8 @@
         """Enter a state and start its timeout; that of `NEW` started with the connection."""
         self.state = state
         if state is not State.NEW:
-            self.since_us = now_us()
-            self.timeout_at_us = self.since_us + TIMEOUTS_US[state]
+            self.state_entered_us = now_us()
+            self.timeout_at_us = self.state_entered_us + TIMEOUTS_US[state]
         self.listener.on_state_changed(self)
 
     def current_state(self) -> State:
--- a/molereach/proxy/connection_draining.py
+++ b/molereach/proxy/connection_draining.py
@@ -33,7 +33,7 @@
             break
     clients.shut_down()
     if not await clients.wait_closed(bounded_wait_s(FINAL_WRITE_TIMEOUT_S, shutdown.closes_at_us)):
-        log.warning("%d clients stay to the end", clients.sockets)
+        log.warning("%d clients stay to the end", clients.socket_count)
 
 
 def bounded_wait_s(limit_s: float, until_us: int) -> float:
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -145,8 +145,8 @@
             rejected = await Client.open(address)  # the others have not been idle for the minimum time
             assert await rejected.answer() == "-ERR max number of clients reached"
             assert await rejected.ended()
-            for connection in door.clients.evictable.by_state[connection_state.State.IDLE]:
-                connection.since_us -= connection_state.MIN_IDLE_US
+            for connection in door.clients.eviction_queues.by_state[connection_state.State.IDLE]:
+                connection.state_entered_us -= connection_state.MIN_IDLE_US
             fourth = await Client.open(address)
             assert await fourth.ask(resp("PING")) == b"PONG"
             assert await first.ended()
@@ -172,7 +172,7 @@
 
             def attach_and_count(accepted: socket.socket) -> object:
                 nonlocal max_count
-                max_count = max(max_count, door.clients.sockets)
+                max_count = max(max_count, door.clients.socket_count)
                 return attach(accepted)
 
             door.clients.attach = attach_and_count
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -381,6 +381,6 @@
             while door.backends.open_connections > sum(len(pool.idle) for pool in pools):
                 await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
             assert not any(pool.dial_count or pool.waiting for pool in pools)
-            assert door.clients.sockets == len(door.clients.connections) == 15
+            assert door.clients.socket_count == len(door.clients.connections) == 15
 
     run(job())
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -64,7 +64,7 @@
             assert len(backend.commands) == 1 and has_unread(connection.transport)
             peer.close()
             assert await door.clients.wait_closed(10)
-            assert len(backend.commands) == 1 and door.clients.sockets == 0
+            assert len(backend.commands) == 1 and door.clients.socket_count == 0
 
     run(job())
 
@@ -85,7 +85,7 @@
                 if sends:
                     peer.say(query("a2"))
                 assert await door.clients.wait_closed(10)
-            assert len(backend.commands) == 2 and door.clients.sockets == 0
+            assert len(backend.commands) == 2 and door.clients.socket_count == 0
 
     run(job())
 
@@ -227,7 +227,7 @@
                 connection.close()
                 assert connection.state is State.WRITE_BLOCKED
                 assert await door.clients.wait_closed(10)
-                assert door.clients.sockets == 0
+                assert door.clients.socket_count == 0
 
     run(job())
 
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_gone.py
@@ -181,7 +181,7 @@
             peer.finish()
             await until(lambda: gone(told) == ["a1"])
             assert await door.clients.wait_closed(10)
-            assert door.clients.sockets == 0
+            assert door.clients.socket_count == 0
 
     run(job())
 
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_places.py
@@ -28,8 +28,8 @@
         peer.say(query(f"r{number}"))
         assert await peer.hear_until(OK) == OK
         peers.append(peer)
-    for connection in door.clients.evictable.by_state[State.IDLE]:
-        connection.since_us -= connection_state.MIN_IDLE_US
+    for connection in door.clients.eviction_queues.by_state[State.IDLE]:
+        connection.state_entered_us -= connection_state.MIN_IDLE_US
     return peers
 
 
@@ -87,7 +87,7 @@
         async with front_door(Backend()) as (door, address):
             door.clients.max_sockets = 2
             peers = await rested(door, address, 2)
-            first = next(iter(door.clients.evictable.by_state[State.IDLE]))
+            first = next(iter(door.clients.eviction_queues.by_state[State.IDLE]))
             peers[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             kernel = first.transport.get_extra_info("socket")
             kernel.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -122,7 +122,7 @@
             assert await late.hear_all() == TOO_MANY_CLIENTS and resets([late]) == [0]
             late.close()
             await until(lambda: len(door.clients.connections) == 14)
-            assert len(door.requests.open) == door.clients.sockets == len(peers)
+            assert len(door.requests.open) == door.clients.socket_count == len(peers)
 
     run(job())
 
@@ -153,7 +153,7 @@
             late.say(query("a2"))
             assert await late.hear_until(OK) == OK
             assert [words[2] for words in backend.commands].count(b"a1") == 0
-            assert door.clients.sockets == 15
+            assert door.clients.socket_count == 15
 
     run(job())
 
@@ -188,9 +188,9 @@
                 late.say(query(f"f{number}"))
                 flood.append(late)
             while len(door.clients.connections) > 16 or any(not late.pending() for late in flood[-1:]):
-                seen = max(seen, door.clients.sockets)
+                seen = max(seen, door.clients.socket_count)
                 await asyncio.sleep(0)
-            assert 16 <= max(seen, door.clients.sockets) <= 17
+            assert 16 <= max(seen, door.clients.socket_count) <= 17
             assert len(door.requests.open) == 14
             for number, peer in enumerate(peers):
                 door.actions.answer(f"b{number}", OK)
@@ -225,7 +225,7 @@
             assert await peers[0].hear_until(OK) == OK
             assert await late.hear_until(OK) == OK
             peers[1].close()
-            await until(lambda: door.clients.sockets == 14)
-            assert len(door.clients.evictable.by_state[State.IDLE]) == 14
+            await until(lambda: door.clients.socket_count == 14)
+            assert len(door.clients.eviction_queues.by_state[State.IDLE]) == 14
 
     run(job())
--- a/tests/races/test_sigterm_listener.py
+++ b/tests/races/test_sigterm_listener.py
@@ -44,7 +44,7 @@
         async with front_door(Backend()) as (door, address):
             door.clients.max_sockets = 4
             before(door.clients, "stop_listening", lambda: came.extend(Peer.dial(address) for _ in range(10)))
-            before(door.clients, "shut_down", lambda: held.append(door.clients.sockets))
+            before(door.clients, "shut_down", lambda: held.append(door.clients.socket_count))
             await drained(door)
             heard = [await client.hear_all() for client in came]
             assert heard == [ENDS] * 4 + [listener.TOO_MANY_CLIENTS] * 6 and held == [4]
@@ -97,7 +97,7 @@
             monkeypatch.setattr(door.clients.loop, "connect_accepted_socket", gone)
             Peer.dial(address)
             door.clients.accept()
-            assert door.clients.sockets == 1 and await door.clients.wait_closed(60)
+            assert door.clients.socket_count == 1 and await door.clients.wait_closed(60)
 
     run(job())
 
