--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -9,7 +9,7 @@
 
 from molereach.backends import idle_reuse, pool
 from molereach.policy.interface.events import AttemptResult, EndpointState
-from tests.backends.sender import S, Sender, unresponsive_backend
+from tests.backends.sender import SECOND_US, Sender, unresponsive_backend
 from tests.sockets import HOST, Backend, refusing_address, run, value
 
 
@@ -99,7 +99,7 @@
     async def scenario() -> None:
         async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
-            sender.send(timeout_us=20 * S)
+            sender.send(timeout_us=20 * SECOND_US)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             accepted.close()  # before the event loop reports that the connection is established
@@ -122,7 +122,7 @@
                 filler.setblocking(False)
                 filler.connect_ex(listener.getsockname())
             sender = Sender(listener.getsockname())
-            sender.send(timeout_us=20 * S)
+            sender.send(timeout_us=20 * SECOND_US)
             assert await asyncio.wait_for(sender.result(), 5) is AttemptResult.CONNECT_FAILED
 
     run(scenario())
@@ -238,7 +238,7 @@
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda arguments: answer
-        sender.send(timeout_us=20 * S)
+        sender.send(timeout_us=20 * SECOND_US)
         assert await sender.result() is AttemptResult.MALFORMED
         await backend.left.wait()
         assert len(sender.backends.pools["s"].idle) == 1
@@ -282,7 +282,7 @@
     async def scenario() -> None:
         async with unresponsive_backend() as (address, listener):
             sender = Sender(address)
-            sender.send(b"x" * (64 << 20), timeout_us=20 * S)
+            sender.send(b"x" * (64 << 20), timeout_us=20 * SECOND_US)
             listener.setblocking(False)
             accepted, _ = await asyncio.get_running_loop().sock_accept(listener)
             with accepted:
