--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -8,7 +8,12 @@
 
 from molereach.policy.customers import Customers
 from molereach.policy.interface.actions import SendGossip
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage, LimitMessage
+from molereach.policy.interface.messages import (
+    SPLIT_CEILING_PLAN_INDEX,
+    CustomerKey,
+    GossipMessage,
+    LimitMessage,
+)
 from molereach.policy.interface.settings import Settings
 from molereach.policy.peer_liveness import PeerLiveness
 from molereach.policy.quota import REPLY_FRESH_US, CustomerAccount
@@ -143,4 +148,4 @@
             return
         if now_us - self.split_marked_at_us.get(peer, -SPLIT_MARK_INTERVAL_US) >= SPLIT_MARK_INTERVAL_US:
             self.split_marked_at_us[peer] = now_us
-            self.waiting[peer].append(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
+            self.waiting[peer].append(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
--- a/molereach/policy/gossip_receiver.py
+++ b/molereach/policy/gossip_receiver.py
@@ -9,7 +9,7 @@
 from molereach.policy.admission import Admission
 from molereach.policy.interface.events import GossipReceived
 from molereach.policy.interface.messages import (
-    SPLIT_CEILING_MARK,
+    SPLIT_CEILING_PLAN_INDEX,
     CustomerKey,
     GossipMessage,
     SpendingTotal,
@@ -46,7 +46,7 @@
 
     def receive_message(self, now_us: int, sender: int, message: GossipMessage) -> None:
         """Apply one message about a customer, or the mark that the sender splits ceilings."""
-        if message.plan_index == SPLIT_CEILING_MARK:
+        if message.plan_index == SPLIT_CEILING_PLAN_INDEX:
             self.peers.record_split_mark(now_us, sender)
         key = CustomerKey(message.customer_checksum, message.plan_index, message.set_first, message.set_size)
         if not self.is_in_set(key):
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -37,7 +37,7 @@
     is_within_quota: bool | None = None  # the owner's draw; in a request, True: the sender drew so
 
 
-SPLIT_CEILING_MARK = 255  # in place of a plan: the sender keeps to the split fraction of ceilings
+SPLIT_CEILING_PLAN_INDEX = 255  # in place of a plan: the sender keeps to the split fraction of ceilings
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -20,7 +20,7 @@
 from molereach.discovery.watch_stream import Steps
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived, EndpointState
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, GossipMessage
+from molereach.policy.interface.messages import SPLIT_CEILING_PLAN_INDEX, GossipMessage
 from molereach.protocol.gossip_codec import pack_messages, unpack_messages
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
@@ -179,7 +179,7 @@
             seen = {
                 (word.set_first, word.set_size)
                 for word in [await words.get() for _ in range(20)]
-                if word.plan_index != SPLIT_CEILING_MARK
+                if word.plan_index != SPLIT_CEILING_PLAN_INDEX
             }
             assert seen and all(size == 3 and (0 - first) % 8 < 3 for first, size in seen)
         finally:
--- a/tests/compatibility/gossip_samples.py
+++ b/tests/compatibility/gossip_samples.py
@@ -9,7 +9,7 @@
 
 from molereach.limits.gossip_codec import LimitGossipCodec
 from molereach.policy.interface.messages import (
-    SPLIT_CEILING_MARK,
+    SPLIT_CEILING_PLAN_INDEX,
     CustomerKey,
     GossipMessage,
     Join,
@@ -75,7 +75,7 @@
         returned_units=3.14,
     ),
     "loan-ask-split": LoanRequest(
-        key=(1, SPLIT_CEILING_MARK, 0, 2), number=1, accepted=0, borrower_share=0, wanted_share=1
+        key=(1, SPLIT_CEILING_PLAN_INDEX, 0, 2), number=1, accepted=0, borrower_share=0, wanted_share=1
     ),
     "loan-grant": LoanGrant(
         key=CUSTOMER_KEY, number=0x10203040, granted_share=10_000, granted_units=42_949_672.94
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,7 +8,7 @@
 from molereach.policy.customers import Customers
 from molereach.policy.gossip_receiver import GossipReceiver
 from molereach.policy.interface.events import GossipReceived, RequestReceived
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
+from molereach.policy.interface.messages import SPLIT_CEILING_PLAN_INDEX, CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PEER_SILENCE_US
 from molereach.policy.pending_request import PendingRequest
@@ -166,5 +166,5 @@
     table = Table()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
         table.receive(GossipMessage(*key, tokens=1.0))
-    table.receive(GossipMessage(0, SPLIT_CEILING_MARK, 0, 0))
+    table.receive(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
     assert not table.customers.accounts and table.admission.peers.splits_ceilings(1)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -6,7 +6,7 @@
 
 from molereach.policy.customers import Customers
 from molereach.policy.gossip import MAX_DEFERRAL_US, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US, GossipOutbox
-from molereach.policy.interface.messages import SPLIT_CEILING_MARK, CustomerKey, GossipMessage
+from molereach.policy.interface.messages import SPLIT_CEILING_PLAN_INDEX, CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PeerLiveness
 from molereach.policy.quota import DEFER_MAX_UNREPORTED, CustomerAccount
@@ -16,7 +16,7 @@
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
 HERE = CustomerKey(0, 0, 0, 2)  # its owner is the first of the set
 THERE = CustomerKey(1, 0, 0, 2)
-MARK = GossipMessage(0, SPLIT_CEILING_MARK, 0, 0)
+MARK = GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0)
 
 
 def outbox_of(plan: Plan = PLAN, **changes: object) -> GossipOutbox:
