--- a/molereach/policy/interface/__init__.py
+++ b/molereach/policy/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The interface of the policy: what a gateway is told and what it may do.
+"""The interface of the policy: its inputs, its outputs and the services that it consults.
 
-In reading order: `settings`, given once, at the start; `messages` between gateways; `events`, each handed to
-`Gateway.handle`, which returns the `actions` to carry out, in order; `protocols`, what the policy consults.
-All times are whole microseconds on the clock of the events.
+Modules in reading order: `settings`, passed once at start; `messages` exchanged between gateways; `events`,
+each passed to `Gateway.handle`, which returns the `actions` to carry out in order; `protocols`, the services
+that the caller may supply. All times are whole microseconds on the clock of the events.
 """
--- a/molereach/policy/interface/actions.py
+++ b/molereach/policy/interface/actions.py
@@ -1,4 +1,4 @@
-"""What a gateway may do: the answer to an event, to be carried out in order. Times are whole microseconds."""
+"""Actions that a gateway returns for an event, to be carried out in order. Times are whole microseconds."""
 
 from dataclasses import dataclass
 
@@ -9,15 +9,15 @@
 class ForwardAttempt:
     """Start an attempt.
 
-    The last byte of the request is sent before `write_deadline_us` or never: the attempt may wait for a
-    connection, and be read slowly.
+    The request must be written completely before `write_deadline_us`, or else not at all: the attempt may
+    wait for a connection, and the backend may read slowly.
     """
 
     request_id: str
     endpoint: str
-    timeout_us: int = 0  # 0: none, until the client disconnects
-    write_deadline_us: int = 0  # on the clock of the events; 0: none
-    attempt: int = 0  # its number among the request's
+    timeout_us: int = 0  # 0: no timeout, the attempt lasts until the client disconnects
+    write_deadline_us: int = 0  # on the clock of the events; 0: no deadline
+    attempt: int = 0  # index among the attempts of the request
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, and a retry is harmless."""
+    """Final answer: the request is rejected and may safely be retried."""
 
     request_id: str
     retry_after_us: int = 0
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about effects."""
+    """Final answer: the request failed and may or may not have taken effect."""
 
     request_id: str
 
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number of the shared counter."""
+    """Add an amount to one entry of the shared counter."""
 
     name: int
     amount: float
@@ -84,14 +84,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscribeToEndpoints:
-    """Subscribe to changes of the endpoint list, or end the subscription."""
+    """Start or end the subscription to changes of the endpoint list."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetch the complete endpoint list once."""
+    """Fetch the full endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/interface/events.py
+++ b/molereach/policy/interface/events.py
@@ -1,4 +1,4 @@
-"""What a gateway is told: each event is handed to `Gateway.handle(now_us, event)`.
+"""Events that a gateway receives: each is passed to `Gateway.handle(now_us, event)`.
 
 All times are whole microseconds.
 """
@@ -10,17 +10,18 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt, a health check or a call of the shared counter ended, and whether it was executed."""
+    """How an attempt, a health check or a call to the shared counter ended."""
 
-    OK = "ok"
+    # The comments say whether the request was executed.
+    OK = "ok"  # executed
     ERROR = "error"  # executed
     REJECTED = "full"  # not executed: the backend has no capacity
     TIMEOUT = "timeout"  # maybe executed
-    CONNECT_FAILED = "connect_failed"  # not executed: not written completely, for whatever reason
+    CONNECT_FAILED = "connect_failed"  # not executed: the request was not written completely, for any reason
     RESET = "reset"  # maybe executed: the connection ended after the command was written
-    MALFORMED = "spoilt"  # executed: the answer cannot be parsed
+    MALFORMED = "spoilt"  # executed, but the answer cannot be parsed
     CANCELLED = "cancelled"  # maybe executed
-    NOT_SENT = "moot"  # not executed: withdrawn here, or no socket was free
+    NOT_SENT = "moot"  # not executed: cancelled before it was sent, or no socket was free
 
 
 class EndpointState(Enum):
@@ -32,7 +33,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list event holds."""
+    """What an `EndpointListReceived` event contains."""
 
     FULL = "full"
     SAVED = "saved"
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A backend's report on itself; None where a value is missing."""
+    """The load that a backend reports about itself; None where a value is missing."""
 
     in_flight: float | None = None
     queue_length: float | None = None
@@ -67,9 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """The complete endpoint list, changes to it, or a failure to get it.
+    """The full endpoint list, changes to it, or a failure to obtain it.
 
-    `sharing_proxies` is how many gateways share each of the backends; 0: all do.
+    `sharing_proxies` is the number of gateways that share each backend; 0 means all of them.
     """
 
     kind: EndpointListKind
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request; the gateway now owes one final answer."""
+    """A client's request; the gateway must give it exactly one final answer."""
 
     request_id: str
     class_index: int
@@ -96,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStreamStarted:
-    """A streamed answer has begun: nothing more is owed but the rest of the stream."""
+    """A streamed answer has begun: the client needs no other answer than the rest of the stream."""
 
     request_id: str
     attempt: int
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; there is one for each `ForwardAttempt`."""
+    """An attempt has ended; there is exactly one such event for each `ForwardAttempt`."""
 
     request_id: str
     is_request_closed: bool
@@ -121,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has disconnected; nothing is owed any more."""
+    """The client has disconnected and needs no answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer that the gateway set has expired."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
@@ -145,12 +146,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """Messages of another gateway."""
+    """Messages from another gateway."""
 
     sender: int
     messages: tuple[GossipMessage | LimitMessage, ...]
-    incarnation: int | None = None  # new with each start of a sender that sends spending totals
-    is_receiving: bool = True  # whether the sender has received messages of this gateway recently
+    incarnation: int | None = None  # changes with each start of a sender that sends spending totals
+    is_receiving: bool = True  # whether the sender has recently received messages from this gateway
 
 
 @dataclass(frozen=True, slots=True)
--- a/molereach/policy/interface/messages.py
+++ b/molereach/policy/interface/messages.py
@@ -1,7 +1,7 @@
-"""Messages between gateways: on customers' quotas, to and from their owners, and of the `LimitPolicy`.
+"""Messages between gateways: quota reports and replies, and the messages of the `LimitPolicy`.
 
-Amounts are in units. Names of fields are not on the wire: `molereach.protocol.gossip_codec` and
-`molereach.limits.gossip_codec` pack the values.
+Amounts are in units. Field names do not appear on the wire: `molereach.protocol.gossip_codec` and
+`molereach.limits.gossip_codec` encode the values by position.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class CustomerKey(NamedTuple):
-    """A customer under one plan, and the gateways of its set: consecutive ones from `set_first` on."""
+    """A customer under one plan, and its set: `set_size` consecutive gateways starting at `set_first`."""
 
     customer_checksum: int  # CRC-32 of the customer's name
     plan_index: int
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipMessage:
-    """A report or request to a customer's owner, or the owner's reply.
+    """A report or request to the gateway that owns a customer's quota, or the owner's reply.
 
-    The first four fields are the `CustomerKey`.
+    The first four fields are those of the `CustomerKey`.
     """
 
     customer_checksum: int
@@ -29,58 +29,58 @@
     set_first: int
     set_size: int
     is_reply: bool = False
-    demand: float = 0.0  # not reported before; in a reply, of the whole set
-    spent_units: float = 0.0  # not reported before
-    requested_units: float = 0.0  # above 0 in a request, which the owner answers, and in the reply to it
-    tokens: float = 0.0  # what the set has left, below 0 what it owes
-    is_ceiling_granted: bool = False  # the reply brings the requested units of the ceiling's reserve
-    is_within_quota: bool | None = None  # the owner's draw; in a request, True: the sender drew so
+    demand: float = 0.0  # demand not reported before; in a reply, the demand of the whole set
+    spent_units: float = 0.0  # spending not reported before
+    requested_units: float = 0.0  # above 0 in a request, which the owner answers, and in that answer
+    tokens: float = 0.0  # units that the set has left; a debt when negative
+    is_ceiling_granted: bool = False  # the reply grants the requested units from the ceiling's reserve
+    is_within_quota: bool | None = None  # the owner's random draw; True in a request: the sender's draw
 
 
-SPLIT_CEILING_PLAN_INDEX = 255  # in place of a plan: the sender keeps to the split fraction of ceilings
+SPLIT_CEILING_PLAN_INDEX = 255  # reserved index: the sender uses only the split fraction of its ceilings
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """A borrower's loan from one lender of a ceiling, and the loan that it needs.
+    """What a borrower holds of one lender's share of a ceiling, and what it needs.
 
-    A higher number revokes all grants to lower ones.
+    A request revokes all grants that answered requests with lower numbers.
     """
 
     key: CustomerKey
     number: int
-    accepted: int  # the last request whose grant took effect
+    accepted: int  # number of the last request whose grant took effect
     borrower_share: int  # of the ceiling, in 1/10,000
     wanted_share: int
-    returned_units: float = 0.0  # of the part that is given up
+    returned_units: float = 0.0  # tokens that belong to the share that is returned
 
 
 @dataclass(frozen=True, slots=True)
 class LoanGrant:
-    """A lender's reply to the request of that number."""
+    """A lender's reply to the request with the same number."""
 
     key: CustomerKey
     number: int
-    granted_share: int  # of the ceiling, in 1/10,000: the complete loan
-    granted_units: float = 0.0  # that come with it once
+    granted_share: int  # of the ceiling, in 1/10,000: the total loan, not an increment
+    granted_units: float = 0.0  # tokens that are transferred once with this grant
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """A gateway has started: what it lent in an earlier incarnation must not be used from now on."""
+    """A gateway has started: loans that it granted in an earlier incarnation are no longer valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class JoinAcknowledged:
-    """The reply to a `Join`: the sender holds no loan of that gateway any more."""
+    """The reply to a `Join`: the sender no longer uses any loan from that gateway."""
 
-    incarnation: int  # that joined
-    total_count: int = 0  # customers owned by that gateway whose spending totals follow
+    incarnation: int  # of the gateway that joined
+    total_count: int = 0  # number of spending totals that follow, of customers which that gateway owns
 
 
 @dataclass(frozen=True, slots=True)
 class SpendingTotal:
-    """What a gateway has spent of a customer's quota since its start, and what is left in its bucket."""
+    """What a gateway has spent of a customer's quota since it started, and what its local bucket holds."""
 
     key: CustomerKey
     spent_units: float
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """A gateway has shut down gracefully: it spends nothing any more."""
+    """A gateway has shut down gracefully and spends nothing from now on."""
 
 
 LimitMessage = LoanRequest | LoanGrant | Join | JoinAcknowledged | SpendingTotal | Leave
--- a/molereach/policy/interface/protocols.py
+++ b/molereach/policy/interface/protocols.py
@@ -1,4 +1,4 @@
-"""What the policy consults where it is given: cores without I/O."""
+"""Services that the policy consults if the caller supplies them; they do no I/O."""
 
 from dataclasses import dataclass
 from typing import Generic, NamedTuple, Protocol, TypeVar
@@ -13,7 +13,7 @@
 class CustomerLimits:
     """What one front door knows of a customer's limits; shares from 0 to 1, units, seconds."""
 
-    # This docstring and the field names are part of the fleet's published control API.
+    # This docstring and the field names appear in the fleet's published control API.
 
     plan: int
     share: float  # of the ceiling, usable here now
@@ -27,69 +27,70 @@
 
 
 class ReachableQuota(NamedTuple):
-    """A customer's quota as seen from one proxy."""
+    """The owner of a customer's quota, and what may be spent of the quota, as seen from one proxy."""
 
-    owner: int  # the proxy that keeps it
-    fraction: float  # at the owner: of the quota, from 0 to 1, that this side of a partition may spend
-    joined_units: float  # at the owner: that have joined its tokens since the last call
+    owner: int  # index of the proxy that counts the quota
+    fraction: float  # at the owner: part of the quota, from 0 to 1, that this side of a partition may spend
+    joined_units: float  # at the owner: units added to its tokens since the last call
 
 
 class PeerMessage(NamedTuple, Generic[Message]):
-    """A message to a peer; None is a heartbeat, for which any message does."""
+    """A message to a peer; None stands for a heartbeat, which any other message replaces."""
 
     peer: int
     message: Message
 
 
 class LimitPolicy(Protocol):
-    """Shares of ceilings that move, and how much of a quota may be spent here; a core without I/O.
+    """Moves shares of ceilings between gateways and decides how much of a quota may be spent here.
 
-    Without one, a gateway has its fixed share of each ceiling and takes the owner's last message on a quota
-    as it is. Times are microseconds.
+    Without a limit policy, a gateway has a fixed share of each ceiling and uses the owner's last reply about
+    a quota unchanged. Implementations do no I/O. Times are microseconds.
     """
 
     def start(self, now_us: int) -> None:
-        """The proxy starts; called once, before all other methods."""
+        """Start at that time; called once, before any other method."""
 
     def request_capacity(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """A request came that will take so many units of its customer's ceiling."""
+        """Announce a request that will need `units` of its customer's ceiling."""
 
     def has_capacity(self, now_us: int, key: CustomerKey, units: float) -> bool:
-        """Whether so many units may be forwarded under the customer's ceiling now."""
+        """Whether `units` may be forwarded under the customer's ceiling now."""
 
     def consume(self, now_us: int, key: CustomerKey, units: float) -> None:
-        """So many units are forwarded."""
+        """Count `units` as forwarded under the customer's ceiling."""
 
     def reachable_quota(self, now_us: int, key: CustomerKey) -> ReachableQuota:
-        """The customer's owner as seen from here, and what of the quota may be spent on this side."""
+        """The owner of the customer's quota, and what may be spent on this side of a partition."""
 
     def record_spending(self, now_us: int, key: CustomerKey, units: float, remaining_units: float) -> None:
-        """So much of the quota was spent here, or given back where it is negative.
+        """Record units of the quota that were spent here; negative units were returned.
 
-        `remaining_units` are left of the local quota, that of this proxy while it is cut off.
+        `remaining_units` is what the local bucket still holds: all that this proxy may spend while it is cut
+        off from its peers.
         """
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> float:
-        """Units that a peer's total takes from the customer's tokens at its owner; negative to add some."""
+        """Units by which a peer's total reduces the customer's tokens at its owner; negative to add."""
 
     def sends_totals(self, sender: int) -> bool:
-        """Whether a peer sends totals, so that the spending in its other messages does not count."""
+        """Whether a peer sends spending totals, so that spending in its other messages is ignored."""
 
     def receive(self, now_us: int, message: GossipReceived) -> None:
-        """Apply a peer's message, except for the spending totals in it, before the policy does."""
+        """Apply a peer's messages except its spending totals; called before the policy applies them."""
 
     def leave_messages(self) -> list[PeerMessage[LimitMessage]]:
-        """The last messages, to all peers."""
+        """The messages that announce the shutdown to all peers."""
 
     def mark_sent(self, now_us: int, peer: int) -> None:
-        """A datagram has just been sent to a peer."""
+        """Record that a datagram was sent to a peer."""
 
     def due_messages(self, now_us: int) -> list[PeerMessage[LimitMessage | None]]:
-        """Messages to peers by now."""
+        """The messages to peers that are due by now."""
 
     @property
     def next_due_us(self) -> int:
-        """When `due_messages` has something to do without an event."""
+        """The time by which `due_messages` must be called even if no event occurs."""
 
     def snapshot(self, customer_checksum: int, now_us: int) -> list[CustomerLimits]:
-        """What is known of a customer, by the checksum of its name; it only reads."""
+        """What is known about a customer, by the checksum of its name; changes nothing."""
