--- a/molereach/policy/client_timeouts.py
+++ b/molereach/policy/client_timeouts.py
@@ -1,16 +1,17 @@
-"""How long clients wait, by class: what is left of a retry's latency objective.
+"""Estimates of the clients' timeouts, from which the age of a client's retry is derived.
 
-An answer after the objective of the client's first attempt is worth nothing and would take quota.
+The latency objective of a retry counts from the client's first attempt: a later answer has no value to the
+client but would still use quota.
 """
 
 from molereach.policy.interface.events import RequestReceived
 from molereach.policy.interface.settings import Settings
 
-GROWTH_STEPS = 200  # first attempts after which the estimate may have doubled
+GROWTH_DIVISOR = 200  # each first attempt raises the estimate by at most 1/200
 
 
 class ClientTimeouts:
-    """The estimated timeout of clients by request class, in microseconds; 0 before the first request."""
+    """The estimated client timeout of each request class, in microseconds; 0 before the first request."""
 
     __slots__ = ("settings", "timeout_us")
 
@@ -19,16 +20,16 @@
         self.timeout_us = [0] * len(settings.classes)
 
     def elapsed_us(self, request: RequestReceived) -> int:
-        """How long ago the client sent its first attempt, at least.
+        """A lower bound of the time since the client sent its first attempt.
 
-        The estimate is the smallest remaining time of recent first attempts, as clients may differ; it grows
-        slowly should they wait for longer. Classes whose late answers have a value have no elapsed time.
+        The estimate is the shortest timeout among recent first attempts, as clients may differ; it grows
+        slowly in case they become more patient. The result is 0 for classes whose late answers have a value.
         """
-        known_us = self.timeout_us[request.class_index]
+        estimate_us = self.timeout_us[request.class_index]
         if self.settings.classes[request.class_index].late_priority_weight:
             return 0
         if request.is_client_retry:
-            return max(0, known_us - request.remaining_us)
-        longer_us = known_us + known_us // GROWTH_STEPS + 1 if known_us else request.remaining_us
-        self.timeout_us[request.class_index] = min(request.remaining_us, longer_us)
+            return max(0, estimate_us - request.remaining_us)
+        raised_us = estimate_us + estimate_us // GROWTH_DIVISOR + 1 if estimate_us else request.remaining_us
+        self.timeout_us[request.class_index] = min(request.remaining_us, raised_us)
         return 0
--- a/molereach/policy/idempotency.py
+++ b/molereach/policy/idempotency.py
@@ -1,8 +1,8 @@
-"""Idempotency scope: whether, where and until when a request may be executed more than once.
+"""Idempotency: whether, where and until when a request may be executed more than once.
 
-A request whose class is idempotent may be repeated anywhere. One that is idempotent with a key may be
-repeated on the backends that drop its duplicates (`RequestClass.deduplication_scope`) and within the time
-for which they remember the key. Any other request is repeated only if it was not executed for certain.
+An idempotent request may be repeated anywhere. A request that is idempotent with a key may be repeated on the
+backends that drop its duplicates (`RequestClass.deduplication_scope`) while they remember the key. Any other
+request may be repeated only if it certainly was not executed.
 """
 
 from molereach.policy.backend_state import BackendState
@@ -11,10 +11,10 @@
 
 
 def write_deadline_us(pending: PendingRequest) -> int:
-    """Until when a further attempt may begin to execute; 0 where there is no such bound.
+    """The time by which a further attempt must be written; 0 if there is no such deadline.
 
-    The deduplication window counts from the earliest moment at which the first attempt may have executed:
-    when it was forwarded.
+    The deduplication window counts from the earliest time at which the first attempt may have been executed,
+    which is when it was forwarded.
     """
     if (
         pending.maybe_executed_on is not None
@@ -25,7 +25,7 @@
 
 
 def may_reject(pending: PendingRequest, retry_at_us: int) -> bool:
-    """Whether a client may be told that a retry at that time is harmless."""
+    """Whether a client may be told that a retry at that time is safe."""
     if pending.maybe_executed_on is None:
         return True
     request_class = pending.request_class
@@ -39,7 +39,7 @@
 
 
 def may_run_on(pending: PendingRequest, now_us: int, backend: BackendState) -> bool:
-    """Whether a further attempt may be forwarded to that backend now."""
+    """Whether a further attempt may be forwarded to the backend now."""
     request_class = pending.request_class
     first = pending.first_endpoint
     if (
--- a/molereach/policy/quota.py
+++ b/molereach/policy/quota.py
@@ -1,8 +1,8 @@
 """A customer's quota at one gateway: token buckets, and the probability that a request is admitted.
 
-The quota is one token bucket, counted at the customer's owner, one gateway of the customer's set. The others
-go by the owner's last reply and by their local bucket, an equal part of the quota. Where more is requested
-than there is, each request is admitted with the probability quota / demand. `admission` applies the rule.
+The quota is one token bucket, kept by the customer's owner, which is one gateway of the customer's set. The
+other gateways use the owner's last reply and a local bucket, which is an equal part of the quota. If demand
+exceeds the quota, each request is admitted with the probability quota / demand. `admission` applies the rule.
 """
 
 import math
@@ -12,16 +12,17 @@
 from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-DEMAND_DECAY_US = 0.1 * SECOND_US  # short, as the tokens carry the longer memory
-SMALL_BUCKET_DEBT_US = 0.5 * SECOND_US  # of its rate, that a bucket which holds no complete request may owe
-REPLY_FRESH_US = SECOND_US  # how long a reply of the owner holds
-# The owner need not be told at once where the local bucket is so full, and so little of it is unreported.
+DEMAND_DECAY_US = 0.1 * SECOND_US  # time constant; short, because the tokens cover longer periods
+SMALL_BUCKET_DEBT_US = 0.5 * SECOND_US  # debt limit, at its rate, of a bucket smaller than one request
+REPLY_FRESH_US = SECOND_US  # how long a reply of the owner is used
+# A report to the owner may be deferred if the local bucket is at least so full and at most so much of it is
+# unreported, as fractions of its size.
 DEFER_MIN_FILL = 1 / 2
 DEFER_MAX_UNREPORTED = 1 / 4
 
 
 class CustomerAccount:
-    """A customer's buckets here and what is known of its set; at its owner, that is all. Amounts in units."""
+    """A customer's buckets at this gateway and what it knows of the whole set; amounts are in units."""
 
     __slots__ = (
         "ceiling",
@@ -52,34 +53,35 @@
         started_at_us: int,
         has_ceiling_reserve: bool = False,
     ) -> None:
-        """`started_at_us` is the gateway's start."""
+        """`started_at_us` is when the gateway started."""
         self.plan = plan
         self.key = key
         self.set_size = key.set_size
         self.refilled_at_us = now_us
         if settings.may_gossip:
             self.owner = (key.set_first + key.customer_checksum % key.set_size) % settings.proxy_count
-            self.reachable_fraction = 1.0  # of the quota: what this side of a network partition may spend
+            self.reachable_fraction = 1.0  # fraction of the quota that this side of a partition may spend
         else:
             self.owner = settings.proxy_index
-            self.reachable_fraction = 1 / key.set_size  # without messages each gateway is a partition
+            self.reachable_fraction = 1 / key.set_size  # without gossip, each gateway is its own partition
         self.local_tokens = plan.quota_burst / key.set_size
-        self.tokens = plan.quota_burst * self.reachable_fraction  # of the whole set
-        self.local_demand = 0.0  # decayed sum of what was requested here
-        self.remote_demand = 0.0  # and at the others of the set
+        self.tokens = plan.quota_burst * self.reachable_fraction  # of the whole set, as far as is known
+        self.local_demand = 0.0  # decayed sum of the units requested here
+        self.remote_demand = 0.0  # the same at the other gateways of the set
         self.ceiling = CeilingBucket(plan, key.set_size, now_us - started_at_us, has_ceiling_reserve)
-        self.in_flight = 0  # attempts
-        self.replied_at_us = -NEVER_US  # the owner's last reply
-        self.unanswered_since_us = NEVER_US  # the first request that the owner has not answered
-        self.has_member_report = False  # at the owner: whether others of the set have said what they know
-        self.unreported_demand = 0.0  # what the owner has not been told of
+        self.in_flight = 0  # attempts in flight from this gateway
+        self.replied_at_us = -NEVER_US  # time of the owner's last reply
+        self.unanswered_since_us = NEVER_US  # time of the first request that the owner has not answered
+        self.has_member_report = False  # at the owner: whether a peer has reported since it started
+        self.unreported_demand = 0.0  # not yet reported to the owner
         self.unreported_units = 0.0
 
     def refill(self, now_us: int) -> "CustomerAccount":
-        """Refill the buckets.
+        """Refill the buckets and decay the demand up to that time.
 
-        The others' demand and the set's tokens stay as reported while the reply is fresh, as the others go on
-        requesting. After that, as when the owner has failed, they are what may be by now.
+        While the owner's last reply is fresh, the remote demand and the set's tokens stay as it reported
+        them, because the other gateways keep receiving requests. Once it is stale, for example because the
+        owner has failed, they are extrapolated.
         """
         plan = self.plan
         elapsed_s = (now_us - self.refilled_at_us) / SECOND_US
@@ -104,26 +106,26 @@
 
     @property
     def demand(self) -> float:
-        """The recent demand of the whole set, as far as it is known."""
+        """Recent demand of the whole set, as far as is known."""
         return self.local_demand + self.remote_demand
 
     def may_defer_report(self) -> bool:
-        """Whether the owner need not be told at once of what is spent here.
+        """Whether the report of what was spent here may be deferred.
 
-        The owner's bucket is wrong by a quarter of the local buckets at most then. Of small local buckets it
-        is told of each unit.
+        The unreported spending makes the owner's bucket wrong by at most a quarter of the local buckets.
+        With small local buckets, each unit is reported at once.
         """
-        full = self.plan.quota_burst / self.set_size
+        full_bucket = self.plan.quota_burst / self.set_size
         return (
-            self.local_tokens >= full * DEFER_MIN_FILL
-            and self.unreported_units <= full * DEFER_MAX_UNREPORTED
+            self.local_tokens >= full_bucket * DEFER_MIN_FILL
+            and self.unreported_units <= full_bucket * DEFER_MAX_UNREPORTED
         )
 
     def admission_probability(self, units: float) -> float:
-        """The probability, from 0 to 1, that a request of so many units is within quota: quota / demand.
+        """The probability, from 0 to 1, that a request of `units` is within quota: quota / demand.
 
-        A bucket that does not hold all units of a request serves none of it, as they would be forwarded
-        beyond the quota. One that never holds them, by its size, may owe some.
+        A bucket that holds fewer units than the request admits nothing, since the missing units would exceed
+        the quota. A bucket whose size is less than one request may go into debt instead.
         """
         plan = self.plan
         if plan.max_in_flight and self.in_flight >= max(1, plan.max_in_flight // self.set_size):
@@ -138,15 +140,15 @@
         return max(0.0, min(1.0, available / max(units, self.demand)))
 
     def spend(self, units: float) -> None:
-        """Take units from the set's bucket, which may owe some; below 0: return them."""
-        small = self.plan.quota_burst * self.reachable_fraction < 1
-        debt_us = SMALL_BUCKET_DEBT_US if small else DEMAND_DECAY_US
+        """Take units from the set's bucket, which may go into a limited debt; negative units are returned."""
+        is_below_one_unit = self.plan.quota_burst * self.reachable_fraction < 1
+        debt_us = SMALL_BUCKET_DEBT_US if is_below_one_unit else DEMAND_DECAY_US
         min_tokens = -self.plan.quota_rate * self.reachable_fraction * debt_us / SECOND_US
         self.tokens = max(self.tokens - units, min_tokens)
 
 
 def full_refill_us(plan: Plan) -> int:
-    """How long the buckets of a customer take at most to be full, from what they may owe."""
+    """The longest time that a customer's buckets need to fill up, starting from the largest debt."""
     quota_s = 0.0
     if plan.quota_rate:
         quota_s = plan.quota_burst / plan.quota_rate + SMALL_BUCKET_DEBT_US / SECOND_US
--- a/molereach/policy/retry_policy.py
+++ b/molereach/policy/retry_policy.py
@@ -1,7 +1,7 @@
-"""Retries: whether a failed attempt may be followed by another one, and the retry budget.
+"""Retry policy: whether a failed attempt may be retried, and the retry budget.
 
-Retries live on a small fraction of first attempts, so that they cannot feed an overload. A retry after a
-connection failure is free, as nothing reached a backend.
+The budget limits retries to a small fraction of first attempts, so that retries cannot amplify an overload.
+A retry after a connection failure costs nothing, because no backend executed the request.
 """
 
 from molereach.policy.interface.events import AttemptResult
@@ -12,7 +12,7 @@
 
 
 class RetryPolicy:
-    """The retry budget of one gateway; a retry costs one token."""
+    """The retry budget of one gateway, as a token bucket; a retry costs one token."""
 
     __slots__ = ("max_attempts", "tokens")
 
@@ -21,16 +21,16 @@
         self.tokens = MAX_RETRY_TOKENS / 2
 
     def record_first_attempt(self) -> None:
-        """Earn a part of a token."""
+        """Add the fraction of a token that a first attempt earns."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRY_TOKENS_PER_REQUEST)
 
     def may_retry(
         self, now_us: int, pending: PendingRequest, result: AttemptResult, mean_latency_us: float
     ) -> bool:
-        """Whether a retry may follow an attempt that ended so.
+        """Whether a retry may follow an attempt with that result.
 
-        It may not when the deadline is nearer than half the mean latency of the request's class, after
-        `max_attempts` attempts, or without a token.
+        It may not if less than half the mean latency of the request's class remains until the deadline, after
+        `max_attempts` attempts, or if the budget has no token.
         """
         if result is AttemptResult.NOT_SENT or now_us + mean_latency_us / 2 >= pending.deadline_us:
             return False
@@ -39,6 +39,6 @@
         return result is AttemptResult.CONNECT_FAILED or self.tokens >= 1
 
     def spend(self, result: AttemptResult) -> None:
-        """A retry is forwarded after an attempt that ended so."""
+        """Charge a retry that is forwarded after an attempt with that result."""
         if result is not AttemptResult.CONNECT_FAILED:
             self.tokens -= 1
