--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -132,7 +132,9 @@
     attempts.begin(NOW, pending, backend)
     pending.is_within_quota, level = True, pending.account.tokens
     attempts.end(NOW, outcome(AttemptResult.OK, took=5 * SECOND_US, actual_units=3.0))
-    assert backend.slowness == pytest.approx(1.3) and attempts.mean_latency_us == [950.0 * MILLISECOND_US]
+    assert backend.latency_ratio == pytest.approx(1.3) and attempts.mean_latency_us == [
+        950.0 * MILLISECOND_US
+    ]
     assert backend.succeeded_at_us == NOW and pending.account.tokens == level - 2.0
     attempts.begin(NOW, pending, backend)
     attempts.end(NOW, outcome(AttemptResult.ERROR, 1, took=5 * SECOND_US))
--- a/tests/policy/test_backend_state.py
+++ b/tests/policy/test_backend_state.py
@@ -18,15 +18,15 @@
 def test_ejections_grow_until_a_trial_succeeds() -> None:
     backend, now_us, spans = backend_of(), NOW, []
     backend.record_result(now_us, False, WARM_US)
-    assert not backend.on_trial
+    assert not backend.is_on_trial
     for _ in range(6):
         backend.record_result(now_us, False, WARM_US)
-        assert backend.on_trial
+        assert backend.is_on_trial
         spans.append(backend.avoid_until_us - now_us)
         now_us = backend.avoid_until_us
     assert spans[0] == MIN_EJECTION_US and spans[1] == 2 * MIN_EJECTION_US and spans[-1] == MAX_EJECTION_US
     backend.record_result(now_us, True, WARM_US)
-    assert not backend.on_trial and not backend.failure_score and not backend.ejection_us
+    assert not backend.is_on_trial and not backend.failure_score and not backend.ejection_us
     assert (
         backend.slow_start_from_us == now_us - WARM_US // 2
         and capacity_fraction(now_us, backend, SETTINGS) < 1
@@ -38,10 +38,10 @@
     for _ in range(40):
         backend.record_broken_connection(NOW, WARM_US)
         backend.record_result(NOW, True, WARM_US)
-    assert not backend.on_trial and not backend.avoid_until_us
+    assert not backend.is_on_trial and not backend.avoid_until_us
     for _ in range(4):
         backend.record_broken_connection(NOW, WARM_US)
-    assert backend.on_trial  # one that does nothing else is suspect
+    assert backend.is_on_trial  # one that does nothing else is suspect
 
 
 def test_rejection_avoids_a_backend_and_a_timeout_beside_successes_is_no_failure() -> None:
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -79,7 +79,7 @@
     driver.advance(10 * MILLISECOND_US)
     for n in range(4):
         driver.end_attempt(f"r{n}", AttemptResult.TIMEOUT)
-    assert driver.gateway.load_balancer.backends["s0"].on_trial is False
+    assert driver.gateway.load_balancer.backends["s0"].is_on_trial is False
 
 
 def test_retries_are_few() -> None:
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -13,7 +13,7 @@
 )
 from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
-from molereach.policy.load_balancing import CHOICES, IDLE_CONNECTION_CHOICES, LoadBalancer
+from molereach.policy.load_balancing import CANDIDATE_COUNT, IDLE_CONNECTION_CANDIDATE_COUNT, LoadBalancer
 from molereach.policy.pending_request import PendingRequest
 from molereach.policy.quota import CustomerAccount
 from tests.helpers import IDEMPOTENT, PLAN, SECOND_US, SETTINGS, endpoints
@@ -89,7 +89,7 @@
 def test_shortest_expected_wait_is_chosen_among_usable_backends() -> None:
     balancer, asked = balancer_of(endpoints(4)), pending_request()
     busy, slow, fast, full = balancer.ready
-    busy.in_flight[("x", 0)], slow.slowness, full.avoid_until_us = NOW, 1.5, NOW + 1
+    busy.in_flight[("x", 0)], slow.latency_ratio, full.avoid_until_us = NOW, 1.5, NOW + 1
     assert balancer.choose(NOW, asked) is fast
     asked.backends.append(fast)
     assert balancer.choose(NOW, asked) is slow
@@ -124,13 +124,16 @@
     for backend in balancer.ready[:20]:
         backend.idle_connections, backend.idle_since_us = 1, NOW
     few = balancer.candidates(NOW, balancer.ready)
-    assert len(few) == CHOICES and sum(backend.idle_connections for backend in few) == IDLE_CONNECTION_CHOICES
+    assert (
+        len(few) == CANDIDATE_COUNT
+        and sum(backend.idle_connections for backend in few) == IDLE_CONNECTION_CANDIDATE_COUNT
+    )
 
 
 def test_slowness_decays_and_the_rate_follows_offered_requests() -> None:
     balancer = balancer_of(endpoints(1))
-    balancer.ready[0].slowness = 2.0
+    balancer.ready[0].latency_ratio = 2.0
     balancer.end_period(NOW, 50, 2 * SECOND_US)
-    assert balancer.ready[0].slowness == 1.9 and balancer.forward_rate == 25
+    assert balancer.ready[0].latency_ratio == 1.9 and balancer.forward_rate == 25
     balancer.end_period(NOW, 0, SECOND_US)
     assert balancer.forward_rate == 17.5
