--- a/molereach/policy/admission.py
+++ b/molereach/policy/admission.py
@@ -1,9 +1,10 @@
-"""Admission by quota: whether a request is within its customer's quota.
+"""Admission control by quota: decides whether a request is within its customer's quota.
 
-A request is within quota while the local bucket lasts. Else it is drawn with the probability quota / demand
-(`quota`), at the customer's owner where the others' demand is known: a gateway elsewhere sends the owner a
-request and lets the client's request wait for the reply. Messages may be lost, so the request is repeated;
-after a few, or where the owner is silent, this gateway draws by what it knows.
+A request is within quota while the local bucket covers it. Otherwise a random draw admits it with the
+probability quota / demand (see `quota`). The draw is made at the customer's owner, which knows the demand at
+all gateways: another gateway sends the owner a request and holds the client's request until the reply. As
+messages may be lost, the request is repeated; after a few of them, or if the owner is silent, this gateway
+draws with what it knows itself.
 """
 
 from collections.abc import Callable
@@ -18,26 +19,28 @@
 from molereach.policy.quota import DEMAND_DECAY_US, REPLY_FRESH_US, CustomerAccount
 from molereach.policy.time_units import SECOND_US, TICK_US
 
-OWNER_REPLY_TIMEOUT_US = 160_000
-OBJECTIVE_DIVISOR = 3  # one reply is awaited for a third of the latency objective at most
+OWNER_REPLY_TIMEOUT_US = 160_000  # upper bound of the wait for one reply
+REPLY_TIMEOUT_OBJECTIVE_DIVISOR = 3  # the wait is also at most a third of the latency objective
 MAX_OWNER_REQUESTS = 3
-OWNER_REQUEST_FRACTION = 0.5  # of the messages that a gateway can receive: requests for one customer
+OWNER_REQUEST_FRACTION = 0.5  # of the messages that a gateway can receive, for requests of one customer
 
 
 def reply_timeout_us(pending: PendingRequest) -> int:
-    """How long one reply of the owner is awaited."""
-    return min(OWNER_REPLY_TIMEOUT_US, pending.request_class.latency_objective_us // OBJECTIVE_DIVISOR)
+    """How long to wait for one reply of the owner."""
+    return min(
+        OWNER_REPLY_TIMEOUT_US, pending.request_class.latency_objective_us // REPLY_TIMEOUT_OBJECTIVE_DIVISOR
+    )
 
 
-def last_decision_us(pending: PendingRequest) -> int:
-    """Until when a request may wait for the owner, so that it can still be rejected in time."""
+def decision_deadline_us(pending: PendingRequest) -> int:
+    """The latest time for a decision, so that the request can still be rejected in time."""
     return min(pending.deadline_us - 4 * TICK_US, pending.reject_by_us - 2 * TICK_US)
 
 
 class Admission:
-    """Requests that wait for their owners' replies.
+    """Admits requests, some after a reply of the owner; `awaiting_owner` holds those that wait for it.
 
-    `decide` is called for each request in turn, with the probability that it is within quota.
+    `decide` is called once for each request, with the probability that it is within quota.
     """
 
     __slots__ = (
@@ -46,7 +49,7 @@
         "decide",
         "max_request_demand",
         "outbox",
-        "peers",
+        "peer_liveness",
         "random",
         "settings",
     )
@@ -62,22 +65,22 @@
         self.random = random
         self.customers = customers
         self.decide = decide
-        self.peers = PeerLiveness()
-        self.outbox = GossipOutbox(settings, customers, self.peers)
+        self.peer_liveness = PeerLiveness()
+        self.outbox = GossipOutbox(settings, customers, self.peer_liveness)
         self.awaiting_owner: list[PendingRequest] = []
-        # Units of a customer's recent demand past which only some requests are sent to the owner.
+        # Recent demand of a customer, in units, above which only a part of its requests go to the owner.
         self.max_request_demand = (
             OWNER_REQUEST_FRACTION * settings.gossip_messages_per_s * DEMAND_DECAY_US / SECOND_US
         )
 
     def admit(self, now_us: int, pending: PendingRequest) -> None:
-        """Decide by the local bucket while it lasts; else draw here, or send the owner a request."""
+        """Decide by the local bucket if it covers the request; else draw here or send the owner a request."""
         account = pending.account
         units = pending.request.units
         account.local_demand += units
         account.unreported_demand += units
         has_fresh_reply = now_us - account.replied_at_us < REPLY_FRESH_US
-        goes_by_reply = has_fresh_reply and self.random.random() * account.demand > self.max_request_demand
+        relies_on_reply = has_fresh_reply and self.random.random() * account.demand > self.max_request_demand
         if (
             not account.plan.max_in_flight
             and account.local_tokens >= units
@@ -86,19 +89,20 @@
             self.decide(pending, 1.0)
             self.outbox.report_spending(now_us, account)
         elif (
-            goes_by_reply
+            relies_on_reply
             or account.owner == self.settings.proxy_index
             or not account.plan.quota_rate
-            or self.peers.is_silent(now_us, account.owner)
+            or self.peer_liveness.is_silent(now_us, account.owner)
         ):
-            self.decide_here(now_us, pending)
+            self.decide_locally(now_us, pending)
         else:
             self.request_from_owner(now_us, pending)
 
-    def decide_here(self, now_us: int, pending: PendingRequest) -> None:
-        """Decide by what is known here; where the ceiling's bucket is short, units of its reserve are needed.
+    def decide_locally(self, now_us: int, pending: PendingRequest) -> None:
+        """Decide with what is known here.
 
-        Only requests that this gateway's draw admits are sent to the owner for these.
+        If the ceiling's bucket holds too little, units of its reserve are needed as well. The owner is sent a
+        request for these only if this gateway's draw admits the client's request.
         """
         account = pending.account
         units = pending.request.units
@@ -108,37 +112,37 @@
             if self.outbox.grant_ceiling(account, units):
                 account.ceiling.add_grant(now_us, now_us + GRANT_TTL_US, units)
             self.decide(pending, account.admission_probability(units))
-        elif self.peers.is_silent(now_us, account.owner):
+        elif self.peer_liveness.is_silent(now_us, account.owner):
             self.decide(pending, account.admission_probability(units))
         else:
-            pending.is_drawn_here = self.random.random() < account.admission_probability(units)
-            if pending.is_drawn_here:
+            pending.is_drawn_locally = self.random.random() < account.admission_probability(units)
+            if pending.is_drawn_locally:
                 self.request_from_owner(now_us, pending)
             else:
                 self.decide(pending, 0.0)
 
     def request_from_owner(self, now_us: int, pending: PendingRequest) -> None:
-        """Send the customer's owner a request, and let the client's request wait for the reply."""
+        """Send a request to the customer's owner and hold the client's request until the reply."""
         account = pending.account
         pending.owner_requested_at_us = now_us
         pending.owner_request_count += 1
-        pending.decide_by_us = min(now_us + reply_timeout_us(pending), last_decision_us(pending))
-        self.peers.record_request(now_us, account.owner)
+        pending.decide_by_us = min(now_us + reply_timeout_us(pending), decision_deadline_us(pending))
+        self.peer_liveness.record_request(now_us, account.owner)
         account.unanswered_since_us = min(account.unanswered_since_us, now_us)
         self.awaiting_owner.append(pending)
-        self.outbox.enqueue(account.owner, account, pending.request.units, pending.is_drawn_here or None)
+        self.outbox.enqueue(account.owner, account, pending.request.units, pending.is_drawn_locally or None)
 
     def resolve_reply(
         self, now_us: int, account: CustomerAccount, is_ceiling_granted: bool, is_within_quota: bool | None
     ) -> None:
-        """The owner has answered a request for that customer: decide on the one that waits longest.
+        """Decide on the longest waiting request of the customer after a reply of the owner.
 
-        `is_within_quota` is the owner's draw, None where it did not draw. Requests whose time to wait is over
-        are decided along with it.
+        `is_within_quota` is the owner's draw, or None if it did not draw. Requests of any customer whose wait
+        has expired are decided as well.
         """
-        answered = [each for each in self.awaiting_owner if each.account is account][:1]
+        answered = [pending for pending in self.awaiting_owner if pending.account is account][:1]
         ready = answered + self.take_expired(now_us, answered)
-        for pending in [each for each in ready if not each.is_closed]:
+        for pending in [entry for entry in ready if not entry.is_closed]:
             if pending.account is not account:
                 self.decide_unanswered(pending)
                 continue
@@ -151,41 +155,43 @@
                 self.decide_as_drawn(pending, is_within_quota)
 
     def resolve_expired(self, now_us: int) -> None:
-        """Requests whose reply is late: send another request while there is time, else decide here."""
+        """Repeat the request to the owner for each expired wait if there is time left, else decide here."""
         ready = self.take_expired(now_us, [])
-        for pending in [each for each in ready if not each.is_closed]:
-            may_wait = now_us + reply_timeout_us(pending) < last_decision_us(pending)
+        for pending in [entry for entry in ready if not entry.is_closed]:
+            may_wait = now_us + reply_timeout_us(pending) < decision_deadline_us(pending)
             if pending.owner_request_count < MAX_OWNER_REQUESTS and may_wait:
                 self.request_from_owner(now_us, pending)
             else:
                 self.decide_unanswered(pending)
 
     def take_expired(self, now_us: int, answered: list[PendingRequest]) -> list[PendingRequest]:
-        """Remove the answered requests and those whose time to wait is over; return the latter."""
-        others = [each for each in self.awaiting_owner if each not in answered]
-        self.awaiting_owner = [each for each in others if each.decide_by_us > now_us]
-        return [each for each in others if each.decide_by_us <= now_us]
+        """Remove the answered requests and those whose wait has expired; return the latter."""
+        others = [pending for pending in self.awaiting_owner if pending not in answered]
+        self.awaiting_owner = [pending for pending in others if pending.decide_by_us > now_us]
+        return [pending for pending in others if pending.decide_by_us <= now_us]
 
     def decide_unanswered(self, pending: PendingRequest) -> None:
-        """Decide by what is known here, or as this gateway drew before it sent the request."""
+        """Decide with what is known here, or by the draw made here before the owner was sent a request."""
         probability = 1.0
-        if not pending.is_drawn_here:
+        if not pending.is_drawn_locally:
             probability = pending.account.admission_probability(pending.request.units)
-        self.discount(pending, probability * pending.owner_request_count)
+        self.subtract_counted_units(pending, probability * pending.owner_request_count)
         self.decide(pending, probability)
 
     def decide_as_drawn(self, pending: PendingRequest, is_within_quota: bool) -> None:
-        """Decide as the owner drew for the last request; earlier ones may have been lost."""
+        """Decide by the owner's draw for the last request; earlier requests may have been lost."""
         probability = 1.0
-        if not pending.is_drawn_here:
+        if not pending.is_drawn_locally:
             probability = pending.account.admission_probability(pending.request.units)
-        self.discount(pending, is_within_quota + probability * (pending.owner_request_count - 1))
+        self.subtract_counted_units(
+            pending, is_within_quota + probability * (pending.owner_request_count - 1)
+        )
         self.decide(pending, float(is_within_quota))
 
-    def discount(self, pending: PendingRequest, counted_requests: float) -> None:
-        """Report less: the owner has counted the units already with so many requests.
+    def subtract_counted_units(self, pending: PendingRequest, counted_requests: float) -> None:
+        """Subtract from the next report what the owner has already counted, `counted_requests` times.
 
-        Not with a `LimitPolicy`: the owner counts spending totals then.
+        Not with a `LimitPolicy`, since the owner then counts spending totals instead.
         """
         if not self.customers.limits:
             pending.account.unreported_units -= pending.request.units * counted_requests
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -1,13 +1,13 @@
-"""The customers known here, each with its account, and spending under their quotas and ceilings.
+"""The accounts of the customers known at this gateway, and spending under their quotas and ceilings.
 
-Where a `LimitPolicy` is in use it says who a customer's owner is, how much of its quota may be spent here and
-what its ceiling allows; else each gateway goes by its own buckets.
+A `LimitPolicy`, if there is one, decides who a customer's owner is, how much of its quota may be spent here
+and what its ceiling allows; otherwise each gateway uses its own buckets.
 """
 
 import zlib
 from typing import NamedTuple
 
-from molereach.policy.ceiling import SMALL_CEILING_TOKENS
+from molereach.policy.ceiling import SMALL_CEILING_UNITS_PER_GATEWAY
 from molereach.policy.interface.events import RequestReceived
 from molereach.policy.interface.messages import CustomerKey, SpendingTotal
 from molereach.policy.interface.protocols import CustomerLimits, LimitPolicy
@@ -16,7 +16,7 @@
 from molereach.policy.quota import CustomerAccount, full_refill_us
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-MIN_IDLE_TTL_US = 10 * SECOND_US  # for which an idle customer is kept in any case
+MIN_IDLE_TTL_US = 10 * SECOND_US  # an idle customer is kept at least this long
 
 
 class QuotaStatus(NamedTuple):
@@ -26,12 +26,12 @@
     tokens: float  # of the customer's set
     local_tokens: float
     ceiling_tokens: float
-    demand: float  # recent, of the set
-    reply_age_s: float | None  # of the owner's last reply; None: there was none
+    demand: float  # recent demand of the set
+    reply_age_s: float | None  # age of the owner's last reply; None: there was none
 
 
 class Customers:
-    """Accounts by customer, the one used last at the end."""
+    """Accounts by customer, in order of their last use."""
 
     __slots__ = (
         "accounts",
@@ -47,26 +47,26 @@
         self.settings = settings
         self.limits = limits
         self.accounts: dict[CustomerKey, CustomerAccount] = {}
-        self.first_keys: dict[tuple[int, int], CustomerKey] = {}  # by checksum and plan
+        self.first_keys: dict[tuple[int, int], CustomerKey] = {}  # first key seen, by checksum and plan
         self.started_at_us = 0
         self.idle_ttl_us = max(MIN_IDLE_TTL_US, *map(full_refill_us, settings.plans))
         self.has_ceilings = any(plan.ceiling_rate for plan in settings.plans)
 
     def splits_ceilings(self) -> bool:
-        """Whether ceilings may have a reserve at their owners; not where a `LimitPolicy` divides them."""
+        """Whether ceilings may have a reserve at their owners; not if a `LimitPolicy` divides them."""
         return self.has_ceilings and self.settings.may_gossip and not self.limits
 
-    def account_of(self, now_us: int, request: RequestReceived) -> CustomerAccount:
-        """The account of a request's customer, refilled."""
+    def account_for_request(self, now_us: int, request: RequestReceived) -> CustomerAccount:
+        """The refilled account of a request's customer."""
         checksum = zlib.crc32(request.customer.encode())
         key = CustomerKey(checksum, request.plan_index, request.set_first, request.set_size)
         return self.refreshed_account(now_us, key)
 
     def refreshed_account(self, now_us: int, key: CustomerKey) -> CustomerAccount:
-        """The customer's account, refilled; a new one where it is not known."""
+        """The customer's account, refilled and with its current owner; created if it is unknown."""
         account = self.accounts.pop(key, None)
         if account is None:
-            account = self.new_account(now_us, key)
+            account = self.create_account(now_us, key)
         self.accounts[key] = account
         if self.limits:
             quota = self.limits.reachable_quota(now_us, key)
@@ -75,17 +75,21 @@
             if quota.owner != account.owner:
                 account.owner = quota.owner
                 account.unanswered_since_us = NEVER_US
-            if now_us - account.unanswered_since_us > PEER_SILENCE_US:  # nobody says what the others spend
+            if (
+                now_us - account.unanswered_since_us > PEER_SILENCE_US
+            ):  # the spending of the other gateways is unknown
                 account.reachable_fraction = 1 / account.set_size
         return account.refill(now_us)
 
-    def new_account(self, now_us: int, key: CustomerKey) -> CustomerAccount:
-        """An account with full quota buckets; empty where the customer is known under another set.
+    def create_account(self, now_us: int, key: CustomerKey) -> CustomerAccount:
+        """A new account with full quota buckets; with empty ones if the customer is known under another set.
 
-        A changed set must not open a fresh burst.
+        A changed set must not give the customer a second burst.
         """
         plan = self.settings.plans[key.plan_index]
-        has_reserve = self.splits_ceilings() and plan.ceiling_burst < SMALL_CEILING_TOKENS * key.set_size
+        has_reserve = (
+            self.splits_ceilings() and plan.ceiling_burst < SMALL_CEILING_UNITS_PER_GATEWAY * key.set_size
+        )
         account = CustomerAccount(plan, key, self.settings, now_us, self.started_at_us, has_reserve)
         if self.first_keys.setdefault(key[:2], key) != key:
             account.local_tokens = 0.0
@@ -95,7 +99,7 @@
         return account
 
     def evict_idle(self, now_us: int) -> None:
-        """Remove the accounts whose buckets are full again: they are as good as new."""
+        """Remove idle accounts whose buckets are full again: a new account would be the same."""
         while self.accounts:
             key, oldest = next(iter(self.accounts.items()))
             if oldest.in_flight or now_us - oldest.refilled_at_us <= self.idle_ttl_us:
@@ -105,20 +109,20 @@
                 del self.first_keys[key[:2]]
 
     def spend(self, now_us: int, account: CustomerAccount, units: float) -> None:
-        """Units of the quota are spent here, or returned where they are below 0."""
+        """Spend units of the quota at this gateway; negative units are returned."""
         account.spend(units)
         account.local_tokens = max(0.0, account.local_tokens - units)
         account.unreported_units += units
         if self.limits:
             self.limits.record_spending(now_us, account.key, units, account.local_tokens)
 
-    def request_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> None:
-        """A request was admitted that will need so many units of the ceiling."""
+    def request_ceiling_capacity(self, now_us: int, account: CustomerAccount, units: float) -> None:
+        """Announce to the `LimitPolicy` that an admitted request will need units of the ceiling."""
         if self.limits and account.plan.ceiling_rate:
             self.limits.request_capacity(now_us, account.key, units)
 
     def is_below_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> bool:
-        """Whether so many units may be forwarded now."""
+        """Whether `units` may be forwarded now."""
         if not account.plan.ceiling_rate:
             return True
         if self.limits:
@@ -128,13 +132,13 @@
         return account.refill(now_us).ceiling.tokens >= units
 
     def spend_ceiling(self, now_us: int, account: CustomerAccount, units: float) -> None:
-        """So many units are forwarded."""
+        """Spend units of the ceiling for a request that is forwarded."""
         account.ceiling.spend(now_us, units)
         if self.limits and account.plan.ceiling_rate:
             self.limits.consume(now_us, account.key, units)
 
     def apply_spending_total(self, now_us: int, sender: int, total: SpendingTotal) -> None:
-        """Count at the owner what a peer spent since its last message; units that join a set are added."""
+        """At the owner: subtract what a peer has spent since its last total, or add units that joined."""
         assert self.limits
         account = self.refreshed_account(now_us, total.key)
         units = self.limits.apply_spending_total(now_us, sender, total)
@@ -146,8 +150,8 @@
         account.tokens = min(max_tokens, account.tokens - units)
 
     def quota_statuses(self, customer: str, now_us: int) -> list[QuotaStatus]:
-        """What is known here of a customer, by plan; it only reads."""
-        found = []
+        """What is known here about a customer, by plan; changes nothing."""
+        statuses = []
         for plan_index in range(len(self.settings.plans)):
             key = self.first_keys.get((zlib.crc32(customer.encode()), plan_index))
             account = self.accounts.get(key) if key else None
@@ -156,7 +160,7 @@
             reply_age_s = None
             if account.replied_at_us >= 0:
                 reply_age_s = round((now_us - account.replied_at_us) / SECOND_US, 3)
-            found.append(
+            statuses.append(
                 QuotaStatus(
                     plan_index,
                     account.tokens,
@@ -166,8 +170,8 @@
                     reply_age_s,
                 )
             )
-        return found
+        return statuses
 
     def customer_limits(self, customer: str, now_us: int) -> list[CustomerLimits]:
-        """A customer's limits by plan, where a `LimitPolicy` is in use."""
+        """A customer's limits by plan; empty without a `LimitPolicy`."""
         return self.limits.snapshot(zlib.crc32(customer.encode()), now_us) if self.limits else []
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -1,7 +1,7 @@
-"""The order of steps: what a gateway does at each event, by the rules of the other modules.
+"""The gateway: handles each event by applying the other modules in order.
 
-A request is admitted by its customer's quota, waits until overload control, its ceiling and a backend allow
-it, is forwarded, and perhaps retried; each gets one final answer.
+A request is admitted by its customer's quota, waits until overload control, the customer's ceiling and a
+usable backend allow it, is forwarded and possibly retried. Each request gets exactly one final answer.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 
 class Gateway:
-    """One gateway; `handle` is given each event in turn, and answers with the actions to carry out."""
+    """The policy of one gateway: `handle` takes each event in order and returns the actions to carry out."""
 
     def __init__(self, settings: Settings, limits: LimitPolicy | None = None) -> None:
         self.settings = settings
@@ -60,7 +60,7 @@
         self.now_us = 0
         self.timer_at_us = NEVER_US
         self.ended = {reason.value: 0 for reason in EndReason}  # requests given up, by reason
-        self.actions: list[Action] = []  # of the present event
+        self.actions: list[Action] = []  # of the current event
         self.handlers: dict[type, Callable[..., object]] = {
             RequestReceived: self.on_request_received,
             AttemptEnded: self.on_attempt_ended,
@@ -72,7 +72,7 @@
         }
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Apply an event at that time; the result is the actions to carry out, in order."""
+        """Apply an event that occurs at `now_us`; return the actions to carry out, in order."""
         self.now_us = now_us
         self.actions = []
         if self.overload_control.period_started_at_us < 0:
@@ -84,14 +84,14 @@
         return self.actions
 
     def start(self) -> None:
-        """The first event: periods and uptime count from now on."""
+        """Start the control periods and the uptime at the first event."""
         self.overload_control.period_started_at_us = self.now_us
         self.customers.started_at_us = self.now_us
         if self.limits:
             self.limits.start(self.now_us)
 
     def set_timer(self) -> None:
-        """Set the next timer; an idle gateway wakes up only to end its periods and for deferred reports."""
+        """Set the next timer; an idle gateway wakes up only for the end of a period or for due messages."""
         next_tick_us = self.now_us + TICK_US
         due_us = next_tick_us
         if not (self.queue.entries or self.outbox.waiting or self.attempts.pending):
@@ -104,7 +104,7 @@
 
     @property
     def limits(self) -> LimitPolicy | None:
-        """What is consulted on limits; it may be set after the construction, before the first event."""
+        """The limit policy, if any; it may be set after construction, before the first event."""
         return self.customers.limits
 
     @limits.setter
@@ -112,7 +112,7 @@
         self.customers.limits = limits
 
     def on_timer_expired(self, _: TimerExpired) -> None:
-        """End the periods that are over, and look at all that waits."""
+        """End the periods that are over, and check all waiting requests."""
         if self.now_us < self.timer_at_us:
             return
         self.timer_at_us = NEVER_US
@@ -121,13 +121,13 @@
         self.admission.resolve_expired(self.now_us)
         entries = self.queue.entries
         self.queue.entries = [
-            each for each in entries if not self.give_up_if_late(each.pending, is_waiting=True)
+            entry for entry in entries if not self.give_up_if_late(entry.pending, is_waiting=True)
         ]
         self.forward_waiting()
 
     def on_request_received(self, request: RequestReceived) -> None:
-        """Admit a request, but for one that comes too late: it takes no quota."""
-        account = self.customers.account_of(self.now_us, request)
+        """Admit a request; one that comes too late is given up without using quota."""
+        account = self.customers.account_for_request(self.now_us, request)
         request_class = self.settings.classes[request.class_index]
         elapsed_us = self.client_timeouts.elapsed_us(request)
         pending = PendingRequest(request, request_class, account, self.now_us, elapsed_us)
@@ -136,7 +136,7 @@
             self.admission.admit(self.now_us, pending)
 
     def on_endpoint_list_received(self, event: EndpointListReceived) -> None:
-        """Apply a list of the backends; after a saved one or a failure, subscribe to its changes."""
+        """Apply an endpoint list; subscribe to changes after a saved list or a failure, if required."""
         if self.settings.must_poll_endpoints and event.kind in STALE_LIST_KINDS:
             self.actions.append(SubscribeToEndpoints(True))
         self.load_balancer.apply_endpoint_list(self.now_us, event)
@@ -147,7 +147,7 @@
         self.gossip_receiver.receive(self.now_us, event)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Count how an attempt ended, and retry or give up its request."""
+        """Record the end of an attempt, and retry or give up its request."""
         pending = self.attempts.end(self.now_us, event)
         if pending is None:
             return
@@ -161,22 +161,22 @@
             self.give_up(pending, EndReason.ATTEMPTS)
 
     def on_request_closed(self, event: ClientDisconnected | ResponseStreamStarted) -> None:
-        """Nothing more is owed to the client."""
+        """Close a request that needs no further answer."""
         if pending := self.attempts.pending.get(event.request_id):
             self.close(pending)
 
     def end_period(self) -> None:
-        """A control period is over."""
+        """End a control period."""
         control = self.overload_control
         balancer = self.load_balancer
-        balancer.end_period(self.now_us, control.offered(), control.control_period_us)
+        balancer.end_period(self.now_us, control.offered_count(), control.control_period_us)
         self.customers.evict_idle(self.now_us)
         control.end_period(
             balancer.forward_rate, len(balancer.ready), lambda: self.attempts.overdue_ages(self.now_us)
         )
 
     def decide(self, pending: PendingRequest, probability: float) -> None:
-        """Draw whether a request is within its quota; if so, or if it is worth it, it may be forwarded."""
+        """Draw whether a request is within quota; forward it if so, or if its value exceeds its cost."""
         pending.is_within_quota = self.random.random() < probability
         plan = pending.account.plan
         if pending.is_within_quota:
@@ -184,17 +184,17 @@
         elif plan.over_quota_value <= plan.over_quota_cost or self.overload_control.n_past is not None:
             self.give_up(pending, EndReason.QUOTA)
             return
-        self.overload_control.admitted += 1
-        self.customers.request_ceiling(self.now_us, pending.account, pending.request.units)
+        self.overload_control.admitted_count += 1
+        self.customers.request_ceiling_capacity(self.now_us, pending.account, pending.request.units)
         self.queue.add(pending)
         self.forward_waiting()
 
     def forward_waiting(self) -> None:
-        """Forward the waiting requests that the rules allow."""
+        """Forward the waiting requests that may be forwarded now."""
         self.actions += self.queue.forward_allowed(self.now_us)
 
     def retry(self, pending: PendingRequest, result: AttemptResult) -> bool:
-        """Forward a retry, or let the request wait for one if it was not executed; whether it goes on."""
+        """Forward a retry, or queue the request if it was not executed; whether either was done."""
         retry_policy = self.attempts.retry_policy
         mean_us = self.attempts.mean_latency_us[pending.request.class_index]
         if not retry_policy.may_retry(self.now_us, pending, result, mean_us):
@@ -209,13 +209,13 @@
         return False
 
     def may_reject(self, pending: PendingRequest) -> bool:
-        """Whether a retry is harmless at the time at which the client is told to send it."""
+        """Whether a retry by the client is safe at the latest time at which it is told to send one."""
         return idempotency.may_reject(pending, self.now_us + self.settings.max_retry_after_us)
 
     def give_up_if_late(self, pending: PendingRequest, is_waiting: bool) -> bool:
-        """Give up a new or a waiting request that would be answered too late; whether it is closed."""
+        """Give up a request that would be answered too late; return whether it is closed."""
         latency_us = self.attempts.mean_latency_us[pending.request.class_index]
-        latency_us *= giving_up.required_latencies(is_waiting)
+        latency_us *= giving_up.required_latency_factor(is_waiting)
         if not pending.is_closed and giving_up.is_too_late(
             self.now_us, pending, latency_us, self.may_reject(pending)
         ):
@@ -226,7 +226,7 @@
         return pending.is_closed
 
     def give_up(self, pending: PendingRequest, reason: EndReason) -> None:
-        """Give the final answer: rejected where a retry is harmless, else failed."""
+        """Give the final answer: rejected if a retry is safe, otherwise failed."""
         self.ended[reason.value] += 1
         request_id = pending.request.request_id
         if self.may_reject(pending):
@@ -236,7 +236,7 @@
         self.close(pending)
 
     def close(self, pending: PendingRequest) -> None:
-        """The request is answered or abandoned: return its quota if unused, and cancel its attempts."""
+        """Close a request: return its quota if no attempt was made, and cancel its attempts in flight."""
         request_id = pending.request.request_id
         if not pending.is_closed:
             pending.is_closed = True
--- a/molereach/policy/giving_up.py
+++ b/molereach/policy/giving_up.py
@@ -1,7 +1,8 @@
-"""Giving up: when a waiting request is ended, and the reason that is counted.
+"""Rules for giving up a request, and the reason that is counted for it.
 
-A request is rejected when its latency objective is out of reach, where that is harmless; before half of its
-time is over while nothing of it has been sent; and shortly before its deadline in any case.
+A request is given up shortly before its deadline. It is given up earlier if its latency objective is out of
+reach and the client may safely retry, or if half of the client's timeout is nearly over and no attempt has
+been sent.
 """
 
 from enum import Enum
@@ -9,14 +10,14 @@
 from molereach.policy.pending_request import PendingRequest
 from molereach.policy.time_units import TICK_US
 
-# Mean latencies that must remain until the objective. With the first for all, those that have waited would
-# all be forwarded just too late.
-NEW_REQUEST_LATENCIES = 0.5
-WAITING_REQUEST_LATENCIES = 2.0
+# Multiples of the mean latency that must remain until the objective. With the smaller factor for all,
+# requests that have waited would be forwarded just too late to meet it.
+NEW_REQUEST_LATENCY_FACTOR = 0.5
+WAITING_REQUEST_LATENCY_FACTOR = 2.0
 
 
 class EndReason(Enum):
-    """Why a request was given up; the values are the keys of `Gateway.ended`."""
+    """Why a request was given up. The values are the keys of `Gateway.ended`."""
 
     QUOTA = "quota"
     CEILING = "ceiling"
@@ -26,16 +27,16 @@
     ATTEMPTS = "attempts"
 
 
-def required_latencies(is_waiting: bool) -> float:
-    """How many mean latencies must remain, for a request that has waited and for a new one."""
-    return WAITING_REQUEST_LATENCIES if is_waiting else NEW_REQUEST_LATENCIES
+def required_latency_factor(is_waiting: bool) -> float:
+    """The multiple of the mean latency that must remain until the objective of a request."""
+    return WAITING_REQUEST_LATENCY_FACTOR if is_waiting else NEW_REQUEST_LATENCY_FACTOR
 
 
 def is_too_late(now_us: int, pending: PendingRequest, latency_us: float, may_reject: bool) -> bool:
-    """Whether the request must be ended now.
+    """Whether the request must be given up now.
 
-    `latency_us` is what an attempt is expected to take; half the objective counts at most. `may_reject` says
-    whether the client may be told that a retry is harmless.
+    `latency_us` is the time that must remain until the objective, capped at half the objective.
+    `may_reject` says whether the client may be told that a retry is safe.
     """
     if now_us + 2 * TICK_US >= pending.deadline_us:
         return True
--- a/molereach/policy/gossip.py
+++ b/molereach/policy/gossip.py
@@ -1,7 +1,7 @@
-"""The outbox of gossip messages: reports and requests to the owners of customers, and the owners' replies.
+"""Outbox of gossip messages: reports and requests to the owners of customers, and the owners' replies.
 
-Messages leave at once, but spaced where the set is small. A report that leaves the owner wrong by little is
-deferred, so that all of a customer's spending meanwhile is one message.
+Messages are sent at once, except that those to one peer are spaced. A report without which the owner's bucket
+is only slightly wrong is deferred, so that all spending of a customer in the meantime becomes one message.
 """
 
 from collections.abc import Sequence
@@ -19,36 +19,35 @@
 from molereach.policy.quota import REPLY_FRESH_US, CustomerAccount
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-SPLIT_MARK_INTERVAL_US = 3 * SECOND_US  # how often a peer is told that ceilings are split here
+SPLIT_ADVERTISEMENT_INTERVAL_US = 3 * SECOND_US  # between advertisements to one peer
 MAX_SPACING_US = 80_000  # between messages to one peer
-MAX_DEFERRAL_US = REPLY_FRESH_US // 2  # of a report: the owner's own replies hold for twice as long
+MAX_DEFERRAL_US = REPLY_FRESH_US // 2  # of a report; the owner's replies are used for twice as long
 
 
 class GossipOutbox:
-    """The messages that wait to be sent, by peer."""
+    """Messages to be sent, by peer, and deferred reports, by owner."""
 
     __slots__ = (
         "customers",
         "deferred",
         "deferred_since_us",
-        "peers",
+        "peer_liveness",
         "sent_at_us",
         "settings",
-        "split_marked_at_us",
+        "split_advertised_at_us",
         "waiting",
     )
 
-    def __init__(self, settings: Settings, customers: Customers, peers: PeerLiveness) -> None:
+    def __init__(self, settings: Settings, customers: Customers, peer_liveness: PeerLiveness) -> None:
         self.settings = settings
         self.customers = customers
-        self.peers = peers
+        self.peer_liveness = peer_liveness
         self.waiting: dict[int, list[GossipMessage | LimitMessage]] = {}
-        self.deferred: dict[
-            int, dict[CustomerKey, CustomerAccount]
-        ] = {}  # with unreported spending, by owner
+        # Accounts with unreported spending, by owner
+        self.deferred: dict[int, dict[CustomerKey, CustomerAccount]] = {}
         self.deferred_since_us: dict[int, int] = {}  # by owner, the oldest first
-        self.sent_at_us: dict[int, int] = {}  # the last messages to each peer
-        self.split_marked_at_us: dict[int, int] = {}  # when each peer was told that ceilings are split here
+        self.sent_at_us: dict[int, int] = {}  # last time that messages were sent, by peer
+        self.split_advertised_at_us: dict[int, int] = {}  # last advertisement, by peer
 
     def enqueue(
         self,
@@ -57,9 +56,9 @@
         requested_units: float,
         is_within_quota: bool | None = None,
     ) -> None:
-        """A report or request to the owner, or the owner's reply with what it knows.
+        """Enqueue a report or request to the owner, or the owner's reply.
 
-        A reply grants units of the ceiling's reserve where the request is within quota and they are there.
+        A reply grants units of the ceiling's reserve if it holds them and the request is within quota.
         """
         is_reply = account.owner == self.settings.proxy_index
         needs_grant = is_reply and requested_units > 0 and is_within_quota is not False
@@ -82,7 +81,7 @@
         account.unreported_units = 0.0
 
     def report_spending(self, now_us: int, account: CustomerAccount) -> None:
-        """Local tokens were spent: report them now, or deferred where the owner can do without."""
+        """Report spent local tokens to the owner, now or deferred."""
         owner = account.owner
         if owner == self.settings.proxy_index or not account.may_defer_report():
             self.enqueue(owner, account, 0.0)
@@ -92,11 +91,11 @@
 
     @property
     def due_us(self) -> int:
-        """When deferred reports are due."""
+        """The time at which the next deferred reports are due."""
         return next(iter(self.deferred_since_us.values()), NEVER_US) + MAX_DEFERRAL_US
 
     def enqueue_deferred(self, now_us: int) -> None:
-        """Enqueue the deferred reports that are due, less what the owner has been told of since."""
+        """Enqueue the deferred reports that are due, without what has been reported since."""
         while now_us >= self.due_us:
             owner = next(iter(self.deferred_since_us))
             del self.deferred_since_us[owner]
@@ -107,21 +106,22 @@
                     self.enqueue(account.owner, account, 0.0)
 
     def grant_ceiling(self, account: CustomerAccount, units: float) -> bool:
-        """At the owner: take units of the ceiling's reserve. Those that are not used are lost."""
+        """At the owner: take units from the ceiling's reserve. Granted units that are not used are lost."""
         ceiling = account.ceiling
         first = account.key.set_first
         size = account.key.set_size
         members = ((first + offset) % self.settings.proxy_count for offset in range(size))
-        ceiling.limit_reserve(sum(map(self.peers.splits_ceilings, members)))
-        if ceiling.reserve_tokens < units or account.tokens < units:  # what the quota rejects would be lost
+        ceiling.limit_reserve(sum(map(self.peer_liveness.splits_ceilings, members)))
+        if ceiling.reserve_tokens < units or account.tokens < units:  # a grant beyond the quota would be lost
             return False
         ceiling.reserve_tokens -= units
         return True
 
     def take_due(self, now_us: int) -> Sequence[SendGossip]:
-        """The messages to be sent now.
+        """Remove and return the messages to be sent now.
 
-        They are spaced in a small set, so that all peers together take half of what a gateway receives.
+        Messages to one peer are spaced so that all peers together use at most half of what a gateway can
+        receive. In a large cluster, where that would delay them too much, the spacing is `MAX_SPACING_US`.
         """
         limits = self.customers.limits
         waiting = self.waiting
@@ -136,16 +136,19 @@
         sent = []
         for peer in due:
             self.sent_at_us[peer] = now_us
-            self.add_split_mark(now_us, peer)
+            self.add_split_advertisement(now_us, peer)
             sent.append(SendGossip(peer, tuple(waiting.pop(peer))))
             if limits:
                 limits.mark_sent(now_us, peer)
         return sent
 
-    def add_split_mark(self, now_us: int, peer: int) -> None:
-        """Tell the peer now and then that ceilings are split here; older versions do not."""
+    def add_split_advertisement(self, now_us: int, peer: int) -> None:
+        """Advertise periodically to the peer that ceilings are split here; older versions do not."""
         if not self.customers.splits_ceilings():
             return
-        if now_us - self.split_marked_at_us.get(peer, -SPLIT_MARK_INTERVAL_US) >= SPLIT_MARK_INTERVAL_US:
-            self.split_marked_at_us[peer] = now_us
+        if (
+            now_us - self.split_advertised_at_us.get(peer, -SPLIT_ADVERTISEMENT_INTERVAL_US)
+            >= SPLIT_ADVERTISEMENT_INTERVAL_US
+        ):
+            self.split_advertised_at_us[peer] = now_us
             self.waiting[peer].append(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
--- a/molereach/policy/gossip_receiver.py
+++ b/molereach/policy/gossip_receiver.py
@@ -1,7 +1,7 @@
-"""Gossip messages of other gateways: reports and requests at a customer's owner, and the owner's replies.
+"""Handling of gossip messages: reports and requests that an owner receives, and replies of owners.
 
-The owner adds up what the gateways of the set request and spend. It draws for a request itself: were the
-expected value counted and the sender's draw reported later, its bucket would be wrong until then.
+The owner adds up what the gateways of the set request and spend. It draws for each request itself: if the
+sender drew and reported the result later, the owner would have to count the expected value until then.
 """
 
 from random import Random
@@ -20,9 +20,9 @@
 
 
 class GossipReceiver:
-    """Applies messages to the accounts of customers whose set this gateway is in."""
+    """Applies gossip messages to the accounts of customers whose set includes this gateway."""
 
-    __slots__ = ("admission", "customers", "outbox", "peers", "random", "settings")
+    __slots__ = ("admission", "customers", "outbox", "peer_liveness", "random", "settings")
 
     def __init__(self, settings: Settings, random: Random, admission: Admission) -> None:
         self.settings = settings
@@ -30,24 +30,24 @@
         self.admission = admission
         self.customers = admission.customers
         self.outbox = admission.outbox
-        self.peers = admission.peers
+        self.peer_liveness = admission.peer_liveness
 
     def receive(self, now_us: int, event: GossipReceived) -> None:
         """Apply the messages of one peer, in order."""
-        self.peers.record_message(now_us, event.sender)
+        self.peer_liveness.record_message(now_us, event.sender)
         limits = self.customers.limits
         if limits:
             limits.receive(now_us, event)
         for message in event.messages:
             if isinstance(message, GossipMessage):
-                self.receive_message(now_us, event.sender, message)
+                self.apply_message(now_us, event.sender, message)
             elif limits and isinstance(message, SpendingTotal) and self.is_in_set(message.key):
                 self.customers.apply_spending_total(now_us, event.sender, message)
 
-    def receive_message(self, now_us: int, sender: int, message: GossipMessage) -> None:
-        """Apply one message about a customer, or the mark that the sender splits ceilings."""
+    def apply_message(self, now_us: int, sender: int, message: GossipMessage) -> None:
+        """Apply one message about a customer, or a split advertisement."""
         if message.plan_index == SPLIT_CEILING_PLAN_INDEX:
-            self.peers.record_split_mark(now_us, sender)
+            self.peer_liveness.record_split_advertisement(now_us, sender)
         key = CustomerKey(message.customer_checksum, message.plan_index, message.set_first, message.set_size)
         if not self.is_in_set(key):
             return
@@ -58,7 +58,7 @@
             self.apply_report(sender, account, message)
 
     def apply_reply(self, now_us: int, account: CustomerAccount, message: GossipMessage) -> None:
-        """The owner's reply: what it knows of the set, and its decision on a request."""
+        """Apply an owner's reply: the state of the whole set, and its decision on a request."""
         account.replied_at_us = now_us
         account.unanswered_since_us = NEVER_US
         account.tokens = message.tokens
@@ -70,8 +70,8 @@
             self.admission.resolve_expired(now_us)
 
     def apply_report(self, sender: int, account: CustomerAccount, message: GossipMessage) -> None:
-        """At the owner: count what a peer requested and spent, decide on its request, and reply."""
-        if not account.has_member_report:  # an owner that has just started is full; the set need not be
+        """At the owner: count a peer's demand and spending, decide on its request, and reply."""
+        if not account.has_member_report:  # this owner may have just started with full buckets
             account.has_member_report = True
             account.tokens = min(account.tokens, message.tokens)
         account.remote_demand += message.demand
@@ -79,7 +79,7 @@
         sends_totals = limits is not None and limits.sends_totals(sender)
         account.spend(0.0 if sends_totals else message.spent_units)
         is_within_quota = message.is_within_quota
-        if message.requested_units and not is_within_quota:  # else the sender drew itself
+        if message.requested_units and not is_within_quota:  # otherwise the sender has drawn
             probability = account.admission_probability(message.requested_units)
             is_within_quota = self.random.random() < probability
         if message.requested_units or account.tokens < account.plan.quota_burst / 2:
@@ -87,7 +87,7 @@
         account.spend(0.0 if sends_totals or not is_within_quota else message.requested_units)
 
     def is_in_set(self, key: CustomerKey) -> bool:
-        """Whether the key is valid and this gateway is one of the customer's set."""
+        """Whether the key is valid and the customer's set includes this gateway."""
         proxy_count = self.settings.proxy_count
         is_valid = (
             key.plan_index < len(self.settings.plans)
--- a/molereach/policy/waiting_queue.py
+++ b/molereach/policy/waiting_queue.py
@@ -1,8 +1,8 @@
-"""Admitted requests that wait to be forwarded, and what each waits for.
+"""Queue of admitted requests that wait to be forwarded, and what each of them waits for.
 
-A first attempt needs overload control, the customer's ceiling and a usable backend. A retry after attempts
-that were not executed waits here too, for a backend and for overload control; the retry budget is not charged
-for it.
+A first attempt needs the permission of overload control, capacity below the customer's ceiling and a usable
+backend. A request whose attempts were not executed also waits here for its retry, which needs overload
+control and a backend; the retry budget is not charged for it.
 """
 
 import itertools
@@ -20,7 +20,7 @@
 
 
 class WaitingEntry(NamedTuple):
-    """A place in the queue; entries are compared by the first two fields."""
+    """An entry of the queue; the first two fields determine its position."""
 
     negated_priority: float
     arrival_number: int
@@ -28,7 +28,7 @@
 
 
 class WaitingQueue:
-    """Waiting requests, those of the highest priority first, then by arrival."""
+    """Waiting requests, ordered by descending priority, then by arrival."""
 
     __slots__ = ("arrival_numbers", "attempts", "customers", "entries", "load_balancer", "overload_control")
 
@@ -47,15 +47,15 @@
         self.arrival_numbers = itertools.count()
 
     def add(self, pending: PendingRequest) -> None:
-        """The request waits from now on."""
+        """Add a request to the queue."""
         insort(self.entries, WaitingEntry(-pending.priority, next(self.arrival_numbers), pending))
 
     def forward_allowed(self, now_us: int) -> list[ForwardAttempt]:
-        """Forward those that the rules allow, and remove the closed ones.
+        """Forward the requests that may be forwarded now, and remove the closed ones.
 
-        Where no backend is usable for one request there is none for those after it.
+        If no backend is usable for one request, later requests that have had no attempt are not tried either.
         """
-        if not self.entries or not self.overload_allows(now_us):
+        if not self.entries or not self.overload_control_allows(now_us):
             return []
         entries = self.entries
         self.entries = []
@@ -71,26 +71,26 @@
                 forwarded.append(self.forward(now_us, pending, backend))
             elif not pending.is_closed:
                 self.entries.append(entry)
-            is_blocked = is_blocked or not self.overload_allows(now_us) or not (must_wait or backend)
+            is_blocked = is_blocked or not self.overload_control_allows(now_us) or not (must_wait or backend)
         return forwarded
 
     def forward(self, now_us: int, pending: PendingRequest, backend: BackendState) -> ForwardAttempt:
-        """Forward an attempt; the first one takes units of the ceiling."""
+        """Forward an attempt; the first one spends units of the ceiling."""
         if not pending.backends:
-            self.overload_control.accepted += 1
+            self.overload_control.forwarded_count += 1
             self.customers.spend_ceiling(now_us, pending.account, pending.request.units)
         return self.attempts.begin(now_us, pending, backend)
 
-    def overload_allows(self, now_us: int) -> bool:
+    def overload_control_allows(self, now_us: int) -> bool:
         """Whether overload control allows one more first attempt."""
         return self.overload_control.allows(now_us, self.attempts.in_flight, len(self.load_balancer.ready))
 
     def is_below_ceiling(self, now_us: int, pending: PendingRequest) -> bool:
-        """Whether the customer's ceiling allows the request now."""
+        """Whether the customer's ceiling has capacity for the request now."""
         return self.customers.is_below_ceiling(now_us, pending.account, pending.request.units)
 
     def waiting_reason(self, now_us: int, pending: PendingRequest) -> EndReason:
-        """What a request that was never forwarded waited for."""
+        """What a request that was never forwarded is waiting for."""
         if not self.is_below_ceiling(now_us, pending):
             return EndReason.CEILING
-        return EndReason.NO_BACKEND if self.overload_allows(now_us) else EndReason.OVERLOAD
+        return EndReason.NO_BACKEND if self.overload_control_allows(now_us) else EndReason.OVERLOAD
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -103,7 +103,7 @@
         assert pending.owner_request_count == number + 1 and table.decided == []
     table.admission.resolve_expired(NOW + MAX_OWNER_REQUESTS * OWNER_REPLY_TIMEOUT_US)
     assert table.decided == [("a", 1.0)] and pending.account.unreported_units == -MAX_OWNER_REQUESTS
-    table.admission.peers.record_message(NOW, 1)
+    table.admission.peer_liveness.record_message(NOW, 1)
     gone = table.admit("gone", THERE)
     gone.is_closed = True
     table.admission.resolve_expired(NOW + SECOND_US)
@@ -167,4 +167,4 @@
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
         table.receive(GossipMessage(*key, tokens=1.0))
     table.receive(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
-    assert not table.customers.accounts and table.admission.peers.splits_ceilings(1)
+    assert not table.customers.accounts and table.admission.peer_liveness.splits_ceilings(1)
--- a/tests/policy/test_customers.py
+++ b/tests/policy/test_customers.py
@@ -104,7 +104,7 @@
     assert not customers.is_below_ceiling(NOW, account, 1.0)
     limits.has_room = True
     assert customers.is_below_ceiling(NOW, account, 1.0)
-    customers.request_ceiling(NOW, account, 1.0)
+    customers.request_ceiling_capacity(NOW, account, 1.0)
     customers.spend_ceiling(NOW, account, 1.0)
     customers.spend(NOW, account, 4.0)
     assert limits.log == [
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -5,7 +5,12 @@
 import pytest
 
 from molereach.policy.customers import Customers
-from molereach.policy.gossip import MAX_DEFERRAL_US, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US, GossipOutbox
+from molereach.policy.gossip import (
+    MAX_DEFERRAL_US,
+    MAX_SPACING_US,
+    SPLIT_ADVERTISEMENT_INTERVAL_US,
+    GossipOutbox,
+)
 from molereach.policy.interface.messages import SPLIT_CEILING_PLAN_INDEX, CustomerKey, GossipMessage
 from molereach.policy.interface.settings import Plan
 from molereach.policy.peer_liveness import PeerLiveness
@@ -60,7 +65,7 @@
     outbox = outbox_of(gossip_messages_per_s=1.0)
     account = outbox.customers.refreshed_account(NOW, THERE)
     marks = []
-    for at in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_MARK_INTERVAL_US):
+    for at in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_ADVERTISEMENT_INTERVAL_US):
         outbox.enqueue(1, account, 0.0)
         marks.append([MARK in sent.messages for sent in outbox.take_due(NOW + at)])
     assert marks == [[True], [], [False], [True]]
@@ -78,7 +83,7 @@
         and outbox.grant_ceiling(account, 1.0)
         and not outbox.grant_ceiling(account, 1.0)
     )
-    outbox.peers.record_message(NOW, 1)  # an older one
+    outbox.peer_liveness.record_message(NOW, 1)  # an older one
     account.ceiling.reserve_tokens = 2.0
     assert outbox.grant_ceiling(account, 1.0) and account.ceiling.reserve_fraction == 0.25
     assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 4 - 1.0)
@@ -101,7 +106,7 @@
 def test_spending_of_a_full_local_bucket_is_one_deferred_report() -> None:
     """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
     outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    assert outbox.due_us > NOW + SPLIT_MARK_INTERVAL_US  # nothing wakes the gateway up for nothing
+    assert outbox.due_us > NOW + SPLIT_ADVERTISEMENT_INTERVAL_US  # nothing wakes the gateway up for nothing
     for number in range(4):
         spend(outbox, THERE, NOW + number * MILLISECOND_US)
         assert not outbox.take_due(NOW + number * MILLISECOND_US)
--- a/tests/policy/test_overload_control.py
+++ b/tests/policy/test_overload_control.py
@@ -75,9 +75,9 @@
 
 def test_n_is_distributed_over_the_period_and_attempts_in_flight_are_bounded() -> None:
     control = control_of(0.9)
-    control.accepted = 8
+    control.forwarded_count = 8
     assert not control.allows(SECOND_US // 4, 0, 4) and control.allows(SECOND_US // 2, 0, 4)
-    control.accepted = 16
+    control.forwarded_count = 16
     assert not control.allows(SECOND_US - TICK_US, 0, 4)
     lifted = control_of()
     assert lifted.allows(0, 15, 4) and not lifted.allows(0, 16, 4)
@@ -86,14 +86,14 @@
 
 def test_period_is_long_at_low_rates_and_n_scales_with_it() -> None:
     control = control_of(0.9)
-    control.accepted, control.admitted = 3, 40
-    assert control.offered() == 16  # no more than the cap
+    control.forwarded_count, control.admitted_count = 3, 40
+    assert control.offered_count() == 16  # no more than the cap
     control.end_period(5.0, 4, list)
     assert (control.control_period_us, control.n_past, control.period_started_at_us) == (
         2 * SECOND_US,
         32,
         SECOND_US,
-    ) and control.offered() == 0
+    ) and control.offered_count() == 0
     control.end_period(50.0, 4, list)
     assert (control.control_period_us, control.n_past, control.period_started_at_us) == (
         SECOND_US,
--- a/tests/policy/test_peer_liveness.py
+++ b/tests/policy/test_peer_liveness.py
@@ -3,7 +3,7 @@
 from molereach.policy.peer_liveness import (
     PEER_SILENCE_US,
     SILENT_PEER_RETRY_US,
-    SPLIT_MARK_TTL_US,
+    SPLIT_ADVERTISEMENT_TTL_US,
     PeerLiveness,
 )
 from tests.helpers import SECOND_US
@@ -29,7 +29,7 @@
     assert peers.splits_ceilings(1)  # it has spent nothing that it had to tell
     peers.record_message(NOW, 1)
     assert not peers.splits_ceilings(1)
-    peers.record_split_mark(NOW, 1)
+    peers.record_split_advertisement(NOW, 1)
     assert peers.splits_ceilings(1)
-    peers.record_message(NOW + SPLIT_MARK_TTL_US, 1)
+    peers.record_message(NOW + SPLIT_ADVERTISEMENT_TTL_US, 1)
     assert not peers.splits_ceilings(1)  # an older version has taken its place
