--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota without a gateway: local tokens, replies of the owner, expired waits."""
+"""Admission by quota: local tokens, replies of the owner, and waits that expire."""
 
 from dataclasses import replace
 from random import Random
@@ -16,155 +16,161 @@
 
 NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0)
-CEILED = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE = CustomerKey(0, 0, 0, 2)  # its owner is the first of the set
-THERE = CustomerKey(1, 0, 0, 2)
+PLAN_WITH_CEILING = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
+OWNED_HERE = CustomerKey(0, 0, 0, 2)  # owned by the first gateway of the set, which is the one under test
+OWNED_BY_PEER = CustomerKey(1, 0, 0, 2)
 
 
-class Table:
-    """Requests, and what was decided on them."""
+class AdmissionFixture:
+    """The admission of one gateway, with a log of its decisions."""
 
     def __init__(self, plan: Plan = PLAN) -> None:
         settings = replace(SETTINGS, plans=(plan,), proxy_count=3)
-        self.decided: list[tuple[str, float]] = []
+        self.decisions: list[tuple[str, float]] = []
         self.customers = Customers(settings, None)
         random = Random(1)
         self.admission = Admission(settings, random, self.customers, self.decide)
         self.receiver = GossipReceiver(settings, random, self.admission)
 
-    def decide(self, pending: PendingRequest, chance: float) -> None:
-        self.decided.append((pending.request.request_id, chance))
+    def decide(self, pending: PendingRequest, probability: float) -> None:
+        self.decisions.append((pending.request.request_id, probability))
 
-    def admit(self, name: str, key: CustomerKey, now: int = NOW, part: float = 0.0) -> PendingRequest:
-        customer = self.customers.refreshed_account(now, key)
-        customer.local_tokens = part
-        pending = PendingRequest(RequestReceived(name, 0, 0, "", 6 * SECOND_US), IDEMPOTENT, customer, now, 0)
-        self.admission.admit(now, pending)
+    def admit(
+        self, request_id: str, key: CustomerKey, now_us: int = NOW, local_tokens: float = 0.0
+    ) -> PendingRequest:
+        account = self.customers.refreshed_account(now_us, key)
+        account.local_tokens = local_tokens
+        pending = PendingRequest(
+            RequestReceived(request_id, 0, 0, "", 6 * SECOND_US), IDEMPOTENT, account, now_us, 0
+        )
+        self.admission.admit(now_us, pending)
         return pending
 
-    def sent_messages(self, now: int = NOW) -> tuple[object, ...]:
-        return tuple(word for tell in self.admission.outbox.take_due(now) for word in tell.messages)
+    def sent_messages(self, now_us: int = NOW) -> tuple[object, ...]:
+        return tuple(message for sent in self.admission.outbox.take_due(now_us) for message in sent.messages)
 
-    def receive(self, *words: GossipMessage, now: int = NOW) -> None:
-        self.receiver.receive(now, GossipReceived(1, words))
+    def receive(self, *messages: GossipMessage, now_us: int = NOW) -> None:
+        self.receiver.receive(now_us, GossipReceived(1, messages))
 
 
 def test_local_tokens_admit_and_the_owner_is_notified_afterwards() -> None:
-    table = Table()
-    table.admit("a", THERE, part=1.0)
-    assert table.decided == [("a", 1.0)] and not table.admission.awaiting_owner
-    assert table.sent_messages() == (GossipMessage(*THERE, demand=1.0, tokens=20.0),)
+    fixture = AdmissionFixture()
+    fixture.admit("a", OWNED_BY_PEER, local_tokens=1.0)
+    assert fixture.decisions == [("a", 1.0)] and not fixture.admission.awaiting_owner
+    assert fixture.sent_messages() == (GossipMessage(*OWNED_BY_PEER, demand=1.0, tokens=20.0),)
 
 
 def test_owner_draws_at_once() -> None:
-    table = Table()
-    customer = table.customers.refreshed_account(NOW, HERE)
-    customer.tokens, customer.remote_demand = 2.0, 3.0
-    table.admit("a", HERE)
-    assert table.decided == [("a", 0.5)]
-
-
-def test_reply_of_the_owner_decides_waiting_requests_in_turn() -> None:
-    table = Table()
-    first, second = table.admit("a", THERE), table.admit("b", THERE)
-    assert table.decided == [] and table.admission.awaiting_owner == [first, second]
-    assert [word.requested_units for word in table.sent_messages()] == [1.0, 1.0]
-    table.receive(
+    fixture = AdmissionFixture()
+    account = fixture.customers.refreshed_account(NOW, OWNED_HERE)
+    account.tokens, account.remote_demand = 2.0, 3.0
+    fixture.admit("a", OWNED_HERE)
+    assert fixture.decisions == [("a", 0.5)]
+
+
+def test_replies_of_the_owner_decide_waiting_requests_in_order() -> None:
+    fixture = AdmissionFixture()
+    first, second = fixture.admit("a", OWNED_BY_PEER), fixture.admit("b", OWNED_BY_PEER)
+    assert fixture.decisions == [] and fixture.admission.awaiting_owner == [first, second]
+    assert [message.requested_units for message in fixture.sent_messages()] == [1.0, 1.0]
+    fixture.receive(
         GossipMessage(
-            *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=False
+            *OWNED_BY_PEER, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=False
         )
     )
-    assert table.decided == [("a", 0.0)] and table.admission.awaiting_owner == [second]
+    assert fixture.decisions == [("a", 0.0)] and fixture.admission.awaiting_owner == [second]
     assert first.account.tokens == 4.0 and first.account.remote_demand == 6.0
-    table.receive(
+    fixture.receive(
         GossipMessage(
-            *THERE, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=True
+            *OWNED_BY_PEER, is_reply=True, demand=8.0, requested_units=1.0, tokens=4.0, is_within_quota=True
         )
     )
-    assert table.decided[1:] == [("b", 1.0)] and not table.admission.awaiting_owner
-    assert first.account.unreported_units == -1.0  # the home has counted it already
+    assert fixture.decisions[1:] == [("b", 1.0)] and not fixture.admission.awaiting_owner
+    assert first.account.unreported_units == -1.0  # the owner has already counted it
 
 
-def test_owner_that_has_totals_has_counted_nothing_of_a_request() -> None:
-    table = Table()
-    pending = table.admit("a", THERE)
-    table.customers.limits = object()  # type: ignore[assignment]
-    table.admission.resolve_reply(NOW, pending.account, is_ceiling_granted=False, is_within_quota=True)
-    assert table.decided == [("a", 1.0)] and pending.account.unreported_units == 0
+def test_owner_that_counts_spending_totals_has_not_counted_the_request() -> None:
+    fixture = AdmissionFixture()
+    pending = fixture.admit("a", OWNED_BY_PEER)
+    fixture.customers.limits = object()  # type: ignore[assignment]
+    fixture.admission.resolve_reply(NOW, pending.account, is_ceiling_granted=False, is_within_quota=True)
+    assert fixture.decisions == [("a", 1.0)] and pending.account.unreported_units == 0
 
 
-def test_lost_requests_are_repeated_and_then_the_gateway_decides_itself() -> None:
-    table = Table()
-    pending = table.admit("a", THERE)
+def test_lost_requests_are_repeated_and_then_decided_locally() -> None:
+    fixture = AdmissionFixture()
+    pending = fixture.admit("a", OWNED_BY_PEER)
     for number in range(1, MAX_OWNER_REQUESTS):
-        table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US - 1)
+        fixture.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US - 1)
         assert pending.owner_request_count == number
-        table.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US)
-        assert pending.owner_request_count == number + 1 and table.decided == []
-    table.admission.resolve_expired(NOW + MAX_OWNER_REQUESTS * OWNER_REPLY_TIMEOUT_US)
-    assert table.decided == [("a", 1.0)] and pending.account.unreported_units == -MAX_OWNER_REQUESTS
-    table.admission.peer_liveness.record_message(NOW, 1)
-    gone = table.admit("gone", THERE)
-    gone.is_closed = True
-    table.admission.resolve_expired(NOW + SECOND_US)
-    assert len(table.decided) == 1 and not table.admission.awaiting_owner
+        fixture.admission.resolve_expired(NOW + number * OWNER_REPLY_TIMEOUT_US)
+        assert pending.owner_request_count == number + 1 and fixture.decisions == []
+    fixture.admission.resolve_expired(NOW + MAX_OWNER_REQUESTS * OWNER_REPLY_TIMEOUT_US)
+    assert fixture.decisions == [("a", 1.0)] and pending.account.unreported_units == -MAX_OWNER_REQUESTS
+    fixture.admission.peer_liveness.record_message(NOW, 1)
+    closed = fixture.admit("closed", OWNED_BY_PEER)
+    closed.is_closed = True
+    fixture.admission.resolve_expired(NOW + SECOND_US)
+    assert len(fixture.decisions) == 1 and not fixture.admission.awaiting_owner
 
 
 def test_silent_owner_is_not_waited_for() -> None:
-    table = Table()
-    table.admit("a", THERE)
-    table.admission.request_from_owner(NOW + PEER_SILENCE_US, table.admit("b", THERE, NOW + PEER_SILENCE_US))
-    table.admit("c", THERE, NOW + PEER_SILENCE_US + 1)
-    assert [name for name, _ in table.decided] == ["c"]
+    fixture = AdmissionFixture()
+    fixture.admit("a", OWNED_BY_PEER)
+    fixture.admission.request_from_owner(
+        NOW + PEER_SILENCE_US, fixture.admit("b", OWNED_BY_PEER, NOW + PEER_SILENCE_US)
+    )
+    fixture.admit("c", OWNED_BY_PEER, NOW + PEER_SILENCE_US + 1)
+    assert [request_id for request_id, _ in fixture.decisions] == ["c"]
 
 
-def test_owner_counts_draws_and_replies() -> None:
-    table = Table()
-    customer = table.customers.refreshed_account(NOW, HERE)
-    table.receive(GossipMessage(*HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
+def test_owner_counts_reports_draws_and_replies() -> None:
+    fixture = AdmissionFixture()
+    account = fixture.customers.refreshed_account(NOW, OWNED_HERE)
+    fixture.receive(GossipMessage(*OWNED_HERE, demand=2.0, spent_units=3.0, requested_units=1.0, tokens=20.0))
+    # The quota covers the whole demand, so the request is admitted.
+    assert account.remote_demand == 2.0 and account.tokens == 20.0 - 3.0 - 1.0
+    (reply,) = fixture.sent_messages()
     assert (
-        customer.remote_demand == 2.0 and customer.tokens == 20.0 - 3.0 - 1.0
-    )  # of all its demand it has enough
-    (answer,) = table.sent_messages()
-    assert (
-        isinstance(answer, GossipMessage)
-        and answer.is_reply
-        and answer.is_within_quota
-        and answer.tokens == 17.0
+        isinstance(reply, GossipMessage) and reply.is_reply and reply.is_within_quota and reply.tokens == 17.0
     )
-    table.receive(GossipMessage(*HERE, demand=1.0, spent_units=1.0))
-    assert not table.admission.outbox.waiting  # nobody waits, and there is plenty
-    customer.tokens = 0.5
-    table.receive(GossipMessage(*HERE, demand=1.0, requested_units=1.0))
-    assert customer.tokens == 0.5  # it drew no
-
-
-def test_owner_that_restarted_takes_over_the_first_reported_tokens() -> None:
-    table = Table()
-    table.receive(GossipMessage(*HERE, tokens=6.0))
-    table.receive(GossipMessage(*HERE, tokens=2.0))
-    assert table.customers.accounts[HERE].tokens == 6.0
-
-
-def test_granted_units_come_with_the_reply_and_expire() -> None:
-    table = Table(CEILED)
-    pending = table.admit("a", THERE)
-    word = GossipMessage(
-        *THERE, is_reply=True, requested_units=1.0, tokens=4.0, is_ceiling_granted=True, is_within_quota=True
+    fixture.receive(GossipMessage(*OWNED_HERE, demand=1.0, spent_units=1.0))
+    assert not fixture.admission.outbox.waiting  # it is no request, and the bucket is more than half full
+    account.tokens = 0.5
+    fixture.receive(GossipMessage(*OWNED_HERE, demand=1.0, requested_units=1.0))
+    assert account.tokens == 0.5  # the owner's draw rejected the request
+
+
+def test_restarted_owner_adopts_the_first_reported_tokens() -> None:
+    fixture = AdmissionFixture()
+    fixture.receive(GossipMessage(*OWNED_HERE, tokens=6.0))
+    fixture.receive(GossipMessage(*OWNED_HERE, tokens=2.0))
+    assert fixture.customers.accounts[OWNED_HERE].tokens == 6.0
+
+
+def test_reply_grants_units_that_expire() -> None:
+    fixture = AdmissionFixture(PLAN_WITH_CEILING)
+    pending = fixture.admit("a", OWNED_BY_PEER)
+    reply = GossipMessage(
+        *OWNED_BY_PEER,
+        is_reply=True,
+        requested_units=1.0,
+        tokens=4.0,
+        is_ceiling_granted=True,
+        is_within_quota=True,
     )
-    table.receive(word, now=NOW + SECOND_US // 10)
+    fixture.receive(reply, now_us=NOW + SECOND_US // 10)
     assert pending.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
-    owner = Table(CEILED)
-    owner.customers.refreshed_account(NOW, HERE).ceiling.tokens = 0.0
-    here = owner.admit("a", HERE, part=5.0)
-    assert here.account.ceiling.grants == [
-        (NOW + GRANT_TTL_US, 1.0)
-    ]  # its own share is short: it gives itself some
+    owner = AdmissionFixture(PLAN_WITH_CEILING)
+    owner.customers.refreshed_account(NOW, OWNED_HERE).ceiling.tokens = 0.0
+    pending_at_owner = owner.admit("a", OWNED_HERE, local_tokens=5.0)
+    # Its own bucket is empty, so it grants itself a unit.
+    assert pending_at_owner.account.ceiling.grants == [(NOW + GRANT_TTL_US, 1.0)]
 
 
 def test_messages_of_sets_without_this_gateway_are_ignored() -> None:
-    table = Table()
+    fixture = AdmissionFixture()
     for key in ((1, 9, 0, 2), (1, 0, 9, 2), (1, 0, 1, 2), (1, 0, 0, 0), (1, 0, 0, 9)):
-        table.receive(GossipMessage(*key, tokens=1.0))
-    table.receive(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
-    assert not table.customers.accounts and table.admission.peer_liveness.splits_ceilings(1)
+        fixture.receive(GossipMessage(*key, tokens=1.0))
+    fixture.receive(GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0))
+    assert not fixture.customers.accounts and fixture.admission.peer_liveness.splits_ceilings(1)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -1,4 +1,4 @@
-"""The gossip outbox without a gateway: contents of messages, when they are sent, ceiling grants."""
+"""The gossip outbox: contents of messages, when they are sent, and ceiling grants."""
 
 from dataclasses import replace
 
@@ -19,80 +19,82 @@
 
 NOW = 100 * SECOND_US
 PLAN = Plan(quota_rate=10.0, quota_burst=20.0, ceiling_rate=4.0, ceiling_burst=7.0)
-HERE = CustomerKey(0, 0, 0, 2)  # its owner is the first of the set
-THERE = CustomerKey(1, 0, 0, 2)
-MARK = GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0)
+OWNED_HERE = CustomerKey(0, 0, 0, 2)  # owned by the first gateway of the set, which is the one under test
+OWNED_BY_PEER = CustomerKey(1, 0, 0, 2)
+SPLIT_ADVERTISEMENT = GossipMessage(0, SPLIT_CEILING_PLAN_INDEX, 0, 0)
 
 
-def outbox_of(plan: Plan = PLAN, **changes: object) -> GossipOutbox:
+def make_outbox(plan: Plan = PLAN, **changes: object) -> GossipOutbox:
     settings = replace(SETTINGS, plans=(plan,), proxy_count=2, **changes)
     return GossipOutbox(settings, Customers(settings, None), PeerLiveness())
 
 
-def test_report_holds_what_is_new_once() -> None:
-    outbox = outbox_of()
-    account = outbox.customers.refreshed_account(NOW, THERE)
+def test_report_contains_new_demand_and_spending_once() -> None:
+    outbox = make_outbox()
+    account = outbox.customers.refreshed_account(NOW, OWNED_BY_PEER)
     account.unreported_demand, account.unreported_units = 3.0, 2.0
     outbox.enqueue(1, account, 1.0)
     outbox.enqueue(1, account, 0.0)
     (sent,) = outbox.take_due(NOW)
     assert sent.peer == 1
     assert sent.messages == (
-        GossipMessage(*THERE, demand=3.0, spent_units=2.0, requested_units=1.0, tokens=20.0),
-        GossipMessage(*THERE, tokens=20.0),
-        MARK,
+        GossipMessage(*OWNED_BY_PEER, demand=3.0, spent_units=2.0, requested_units=1.0, tokens=20.0),
+        GossipMessage(*OWNED_BY_PEER, tokens=20.0),
+        SPLIT_ADVERTISEMENT,
     )
     assert not outbox.waiting and not outbox.take_due(NOW)
 
 
-def test_reply_holds_tokens_and_grants_units_unless_the_draw_rejected() -> None:
-    outbox = outbox_of()
-    account = outbox.customers.refreshed_account(NOW, HERE)
+def test_reply_contains_tokens_and_grants_units_unless_the_draw_rejected() -> None:
+    outbox = make_outbox()
+    account = outbox.customers.refreshed_account(NOW, OWNED_HERE)
     account.local_demand, account.remote_demand, reserve_tokens = 1.0, 2.0, account.ceiling.reserve_tokens
     outbox.enqueue(1, account, 1.0, True)
     outbox.enqueue(1, account, 1.0, False)
-    outbox.enqueue(0, account, 0.0)  # none to itself
+    outbox.enqueue(0, account, 0.0)  # sends nothing to itself
     (sent,) = outbox.take_due(NOW)
     assert sent.messages == (
-        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
-        GossipMessage(*HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
-        MARK,
+        GossipMessage(*OWNED_HERE, True, 3.0, 0.0, 1.0, 20.0, True, True),
+        GossipMessage(*OWNED_HERE, True, 3.0, 0.0, 1.0, 20.0, False, False),
+        SPLIT_ADVERTISEMENT,
     )
     assert account.ceiling.reserve_tokens == reserve_tokens - 1.0
 
 
-def test_messages_to_a_peer_are_spaced_and_the_mark_is_periodic() -> None:
-    outbox = outbox_of(gossip_messages_per_s=1.0)
-    account = outbox.customers.refreshed_account(NOW, THERE)
-    marks = []
-    for at in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_ADVERTISEMENT_INTERVAL_US):
+def test_messages_to_a_peer_are_spaced_and_split_advertisements_are_periodic() -> None:
+    outbox = make_outbox(gossip_messages_per_s=1.0)
+    account = outbox.customers.refreshed_account(NOW, OWNED_BY_PEER)
+    advertised = []
+    for offset_us in (0, MAX_SPACING_US - 1, MAX_SPACING_US, SPLIT_ADVERTISEMENT_INTERVAL_US):
         outbox.enqueue(1, account, 0.0)
-        marks.append([MARK in sent.messages for sent in outbox.take_due(NOW + at)])
-    assert marks == [[True], [], [False], [True]]
-    unsplit = outbox_of(Plan(quota_rate=10.0, quota_burst=20.0))
-    unsplit.enqueue(1, unsplit.customers.refreshed_account(NOW, THERE), 0.0)
-    assert MARK not in unsplit.take_due(NOW)[0].messages
+        advertised.append([SPLIT_ADVERTISEMENT in sent.messages for sent in outbox.take_due(NOW + offset_us)])
+    assert advertised == [[True], [], [False], [True]]
+    outbox_without_ceiling = make_outbox(Plan(quota_rate=10.0, quota_burst=20.0))
+    outbox_without_ceiling.enqueue(
+        1, outbox_without_ceiling.customers.refreshed_account(NOW, OWNED_BY_PEER), 0.0
+    )
+    assert SPLIT_ADVERTISEMENT not in outbox_without_ceiling.take_due(NOW)[0].messages
 
 
-def test_owner_grants_its_reserve_and_no_more() -> None:
-    outbox = outbox_of()
-    account = outbox.customers.refreshed_account(NOW, HERE)
+def test_owner_grants_no_more_than_its_reserve() -> None:
+    outbox = make_outbox()
+    account = outbox.customers.refreshed_account(NOW, OWNED_HERE)
     assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 2)
     assert (
         outbox.grant_ceiling(account, 1.0)
         and outbox.grant_ceiling(account, 1.0)
         and not outbox.grant_ceiling(account, 1.0)
     )
-    outbox.peer_liveness.record_message(NOW, 1)  # an older one
+    outbox.peer_liveness.record_message(NOW, 1)  # without a split advertisement: an older version
     account.ceiling.reserve_tokens = 2.0
     assert outbox.grant_ceiling(account, 1.0) and account.ceiling.reserve_fraction == 0.25
     assert account.ceiling.reserve_tokens == pytest.approx((7.0 - 1.2) / 4 - 1.0)
     account.ceiling.reserve_tokens, account.tokens = 1.0, 0.5
-    assert not outbox.grant_ceiling(account, 1.0)  # what the quota refuses would be lost
+    assert not outbox.grant_ceiling(account, 1.0)  # a grant beyond the quota would be lost
 
 
 def spend(outbox: GossipOutbox, key: CustomerKey, now_us: int, units: float = 1.0) -> CustomerAccount:
-    """A request is let in by the part here."""
+    """A request is admitted by the local bucket."""
     account = outbox.customers.refreshed_account(now_us, key)
     account.local_demand, account.unreported_demand = (
         account.local_demand + units,
@@ -104,11 +106,12 @@
 
 
 def test_spending_of_a_full_local_bucket_is_one_deferred_report() -> None:
-    """All of half a second is one word, however many requests there were; its demand has aged meanwhile."""
-    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    assert outbox.due_us > NOW + SPLIT_ADVERTISEMENT_INTERVAL_US  # nothing wakes the gateway up for nothing
+    """All spending within the deferral is one message; the reported demand has decayed in the meantime."""
+    outbox = make_outbox(Plan(quota_rate=10.0, quota_burst=40.0))
+    # Without a deferred report, no wake-up is due.
+    assert outbox.due_us > NOW + SPLIT_ADVERTISEMENT_INTERVAL_US
     for number in range(4):
-        spend(outbox, THERE, NOW + number * MILLISECOND_US)
+        spend(outbox, OWNED_BY_PEER, NOW + number * MILLISECOND_US)
         assert not outbox.take_due(NOW + number * MILLISECOND_US)
     assert outbox.due_us == NOW + MAX_DEFERRAL_US and not outbox.waiting
     assert not outbox.take_due(NOW + MAX_DEFERRAL_US - 1)
@@ -128,30 +131,30 @@
 
 
 def test_request_includes_deferred_reports() -> None:
-    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    account = spend(outbox, THERE, NOW)
+    outbox = make_outbox(Plan(quota_rate=10.0, quota_burst=40.0))
+    account = spend(outbox, OWNED_BY_PEER, NOW)
     outbox.enqueue(1, account, 1.0)
     assert [message.spent_units for sent in outbox.take_due(NOW + 1) for message in sent.messages] == [1.0]
     assert not outbox.take_due(NOW + MAX_DEFERRAL_US) and not outbox.deferred
 
 
-@pytest.mark.parametrize(("part", "spent"), [(9.9, 0.0), (20.0, 5.0)])
+@pytest.mark.parametrize(("local_tokens", "spent_units"), [(9.9, 0.0), (20.0, 5.0)])
 def test_low_local_tokens_and_large_unreported_spending_are_reported_at_once(
-    part: float, spent: float
+    local_tokens: float, spent_units: float
 ) -> None:
-    """The home lets in what is asked by its store: that may be off by a quarter of the parts and no more."""
-    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    account = outbox.customers.refreshed_account(NOW, THERE)
-    account.local_tokens, account.unreported_units = part, spent
-    spend(outbox, THERE, NOW)
+    """The owner's bucket, by which it draws, may be wrong by at most a quarter of the local buckets."""
+    outbox = make_outbox(Plan(quota_rate=10.0, quota_burst=40.0))
+    account = outbox.customers.refreshed_account(NOW, OWNED_BY_PEER)
+    account.local_tokens, account.unreported_units = local_tokens, spent_units
+    spend(outbox, OWNED_BY_PEER, NOW)
     assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [
-        spent + 1.0
+        spent_units + 1.0
     ]
 
 
 def test_small_local_bucket_reports_each_unit_at_once() -> None:
-    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=2 * (1 / DEFER_MAX_UNREPORTED - 0.1)))
-    spend(outbox, THERE, NOW)
+    outbox = make_outbox(Plan(quota_rate=10.0, quota_burst=2 * (1 / DEFER_MAX_UNREPORTED - 0.1)))
+    spend(outbox, OWNED_BY_PEER, NOW)
     assert [message.spent_units for sent in outbox.take_due(NOW) for message in sent.messages] == [1.0]
 
 
@@ -167,10 +170,11 @@
     assert [sent.peer for sent in outbox.take_due(NOW + MILLISECOND_US + MAX_DEFERRAL_US)] == [1]
 
 
-def test_deferred_report_goes_to_the_present_owner() -> None:
-    """Where shares move a customer may have another home by the time it is told of, or be at home here."""
-    outbox = outbox_of(Plan(quota_rate=10.0, quota_burst=40.0))
-    spend(outbox, THERE, NOW).owner = 0
+def test_deferred_report_goes_to_the_current_owner() -> None:
+    """With a limit policy, the owner may change before the report is sent, also to this gateway itself."""
+    outbox = make_outbox(Plan(quota_rate=10.0, quota_burst=40.0))
+    spend(outbox, OWNED_BY_PEER, NOW).owner = 0
     assert (
-        not outbox.take_due(NOW + MAX_DEFERRAL_US) and outbox.customers.accounts[THERE].unreported_units == 0
+        not outbox.take_due(NOW + MAX_DEFERRAL_US)
+        and outbox.customers.accounts[OWNED_BY_PEER].unreported_units == 0
     )
--- a/tests/policy/test_imports.py
+++ b/tests/policy/test_imports.py
@@ -1,4 +1,4 @@
-"""The policy imports nothing else of the program, whatever packages are added."""
+"""The policy imports no other package of the program, whatever packages are added."""
 
 import ast
 from pathlib import Path
@@ -8,7 +8,7 @@
 POLICY = Path(__file__).parents[2] / "molereach" / "policy"
 
 
-def test_policy_imports_nothing_else_of_the_program() -> None:
+def test_policy_imports_no_other_package_of_the_program() -> None:
     for path in sorted(POLICY.rglob("*.py")):
         imported = {
             name for name in imported_modules(ast.parse(path.read_text())) if name.startswith("molereach")
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Known backends and the choice of one, without a gateway."""
+"""The known backends, and the choice of one for an attempt."""
 
 from dataclasses import replace
 from random import Random
@@ -19,7 +19,7 @@
 from tests.helpers import IDEMPOTENT, PLAN, SECOND_US, SETTINGS, endpoints
 
 NOW = 100 * SECOND_US
-KEYED = RequestClass(
+IDEMPOTENT_WITH_KEY = RequestClass(
     2 * SECOND_US,
     6 * SECOND_US,
     idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -28,20 +28,20 @@
 )
 
 
-def balancer_of(entries: tuple[Endpoint, ...], settings: Settings = SETTINGS) -> LoadBalancer:
+def make_balancer(listed: tuple[Endpoint, ...], settings: Settings = SETTINGS) -> LoadBalancer:
     balancer = LoadBalancer(settings, Random(1))
-    balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FULL, 1, entries))
+    balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FULL, 1, listed))
     return balancer
 
 
-def pending_request(rule: RequestClass = IDEMPOTENT) -> PendingRequest:
-    customer = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), SETTINGS, NOW, 0)
-    return PendingRequest(RequestReceived("a", 0, 0, "c", 6 * SECOND_US), rule, customer, NOW, 0)
+def pending_request(request_class: RequestClass = IDEMPOTENT) -> PendingRequest:
+    account = CustomerAccount(PLAN, CustomerKey(1, 0, 0, 1), SETTINGS, NOW, 0)
+    return PendingRequest(RequestReceived("a", 0, 0, "c", 6 * SECOND_US), request_class, account, NOW, 0)
 
 
-def test_endpoint_list_is_applied_by_its_kind() -> None:
+def test_endpoint_list_is_applied_according_to_its_kind() -> None:
     first, second, third = endpoints(3)
-    balancer = balancer_of((first, second))
+    balancer = make_balancer((first, second))
     backend = balancer.backends["s0"]
     balancer.apply_endpoint_list(
         NOW,
@@ -51,7 +51,7 @@
     )
     assert set(balancer.backends) == {"s0", "s2"} and balancer.backends["s0"] is backend
     balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
-    assert set(balancer.backends) == {"s0", "s2"}  # the old list holds
+    assert set(balancer.backends) == {"s0", "s2"}  # the old list is kept
     balancer.apply_endpoint_list(
         NOW, EndpointListReceived(EndpointListKind.FULL, 3, (replace(first, state=EndpointState.DRAINING),))
     )
@@ -59,24 +59,28 @@
 
 
 def test_slow_start_rate_follows_the_number_of_sharing_proxies() -> None:
-    """What is told of a view says how many gateways share it; a failed call says nothing. The least that a
-    cold server is sent is one gateway's part among those."""
-    many = replace(SETTINGS, proxy_count=7500, slow_start_window_us=100 * SECOND_US)
-    starting = endpoints(4, started_us=NOW)
-    due = {}
-    for seen_by in (0, 21):
-        balancer = LoadBalancer(many, Random(1))
-        balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FULL, 2, starting, seen_by))
+    """An endpoint list says how many proxies share the backends; a failure does not change that number.
+
+    The minimum rate to a backend in slow start is this proxy's part among those.
+    """
+    settings_of_many = replace(SETTINGS, proxy_count=7500, slow_start_window_us=100 * SECOND_US)
+    starting_backends = endpoints(4, started_us=NOW)
+    due_counts = {}
+    for sharing_proxies in (0, 21):
+        balancer = LoadBalancer(settings_of_many, Random(1))
+        balancer.apply_endpoint_list(
+            NOW, EndpointListReceived(EndpointListKind.FULL, 2, starting_backends, sharing_proxies)
+        )
         balancer.apply_endpoint_list(NOW, EndpointListReceived(EndpointListKind.FAILED, 0))
-        assert balancer.sharing_proxies == (seen_by or 7500)
+        assert balancer.sharing_proxies == (sharing_proxies or 7500)
         for backend in balancer.ready:
             backend.slow_start_credit = 0.0
-        due[seen_by] = len(balancer.candidates(NOW + 80 * SECOND_US, balancer.ready))
-    assert due == {0: 0, 21: 4}
+        due_counts[sharing_proxies] = len(balancer.candidates(NOW + 80 * SECOND_US, balancer.ready))
+    assert due_counts == {0: 0, 21: 4}
 
 
 def test_restarted_backend_begins_slow_start_at_a_random_time() -> None:
-    balancer = balancer_of(endpoints(2))
+    balancer = make_balancer(endpoints(2))
     balancer.backends["s0"].failure_score = 1.0
     balancer.apply_endpoint_list(
         NOW, EndpointListReceived(EndpointListKind.CHANGES, 2, (endpoints(1, started_us=NOW)[0],))
@@ -87,51 +91,56 @@
 
 
 def test_shortest_expected_wait_is_chosen_among_usable_backends() -> None:
-    balancer, asked = balancer_of(endpoints(4)), pending_request()
+    balancer, pending = make_balancer(endpoints(4)), pending_request()
     busy, slow, fast, full = balancer.ready
     busy.in_flight[("x", 0)], slow.latency_ratio, full.avoid_until_us = NOW, 1.5, NOW + 1
-    assert balancer.choose(NOW, asked) is fast
-    asked.backends.append(fast)
-    assert balancer.choose(NOW, asked) is slow
+    assert balancer.choose(NOW, pending) is fast
+    pending.backends.append(fast)
+    assert balancer.choose(NOW, pending) is slow
     balancer.record_load_report(NOW, slow, LoadReport(cpu_utilization=0.9))
     balancer.record_load_report(NOW, busy, LoadReport(cpu_utilization=0.01))
-    assert balancer.choose(NOW, asked) is busy
-    assert balancer.choose(NOW + 2 * SECOND_US, asked) is full  # no more avoided
-    assert (
-        balancer.expected_wait(NOW, slow) > 1.5 == balancer.expected_wait(NOW + 2 * SECOND_US, slow)
-    )  # reports that old say nothing
+    assert balancer.choose(NOW, pending) is busy
+    assert balancer.choose(NOW + 2 * SECOND_US, pending) is full  # the pause has ended
+    # Older reports are ignored.
+    assert balancer.expected_wait(NOW, slow) > 1.5 == balancer.expected_wait(NOW + 2 * SECOND_US, slow)
     balancer.ready.clear()
-    assert balancer.choose(NOW, asked) is None
+    assert balancer.choose(NOW, pending) is None
 
 
 def test_executed_request_stays_in_its_deduplication_scope() -> None:
-    balancer, keyed = balancer_of(endpoints(4)), pending_request(KEYED)
+    balancer, keyed_request = make_balancer(endpoints(4)), pending_request(IDEMPOTENT_WITH_KEY)
     first = balancer.backends["s1"]
-    keyed.maybe_executed_on, keyed.first_endpoint, keyed.first_forwarded_at_us = first, first.endpoint, NOW
-    chosen = {balancer.choose(NOW, keyed) for _ in range(40)}
+    keyed_request.maybe_executed_on, keyed_request.first_endpoint, keyed_request.first_forwarded_at_us = (
+        first,
+        first.endpoint,
+        NOW,
+    )
+    chosen = {balancer.choose(NOW, keyed_request) for _ in range(40)}
     assert chosen <= {balancer.backends["s1"], balancer.backends["s3"]}
-    assert balancer.choose(NOW + 3 * SECOND_US, keyed) is None
+    assert balancer.choose(NOW + 3 * SECOND_US, keyed_request) is None
     assert (
-        balancer.choose(NOW, pending_request(replace(KEYED, idempotency=Idempotency.NON_IDEMPOTENT)))
+        balancer.choose(
+            NOW, pending_request(replace(IDEMPOTENT_WITH_KEY, idempotency=Idempotency.NON_IDEMPOTENT))
+        )
         is not None
     )
 
 
-def test_few_backends_are_examined_and_most_have_an_idle_connection() -> None:
-    balancer = balancer_of(
+def test_few_candidates_are_compared_and_most_have_an_idle_connection() -> None:
+    balancer = make_balancer(
         endpoints(100), replace(SETTINGS, handshake_price=0.1, idle_connection_ttl_us=5 * SECOND_US)
     )
     for backend in balancer.ready[:20]:
         backend.idle_connections, backend.idle_since_us = 1, NOW
-    few = balancer.candidates(NOW, balancer.ready)
+    chosen = balancer.candidates(NOW, balancer.ready)
     assert (
-        len(few) == CANDIDATE_COUNT
-        and sum(backend.idle_connections for backend in few) == IDLE_CONNECTION_CANDIDATE_COUNT
+        len(chosen) == CANDIDATE_COUNT
+        and sum(backend.idle_connections for backend in chosen) == IDLE_CONNECTION_CANDIDATE_COUNT
     )
 
 
-def test_slowness_decays_and_the_rate_follows_offered_requests() -> None:
-    balancer = balancer_of(endpoints(1))
+def test_latency_ratio_decays_and_the_rate_follows_offered_attempts() -> None:
+    balancer = make_balancer(endpoints(1))
     balancer.ready[0].latency_ratio = 2.0
     balancer.end_period(NOW, 50, 2 * SECOND_US)
     assert balancer.ready[0].latency_ratio == 1.9 and balancer.forward_rate == 25
