--- a/tests/policy/replay.py
+++ b/tests/policy/replay.py
@@ -1,13 +1,14 @@
-"""Events of days in virtual time, played to the gateway of this checkout and to that of another.
+"""Replays recorded events in virtual time to the gateway of this checkout and to that of another one.
 
     python -m tests.policy.replay record FILE [SEED]
     python -m tests.policy.replay compare FILE POLICY
     python -m tests.policy.replay time FILE POLICY [ROUNDS]
 
-POLICY is the folder `molereach/policy` of another checkout.
-`record` plays days of the rig and histories of quotas, with limits and without. `compare` asks that both
-take the same actions in the same order at every event and leave their chance alike. `time` reads the CPU of
-both in turns; which of them begins changes with each round.
+POLICY is the folder `molereach/policy` of the other checkout.
+`record` runs scenarios of the rig and quota histories, with and without limits, and stores the events of each
+gateway. `compare` checks that both gateways return the same actions in the same order for every event and end
+with the same state of their random number generators. `time` measures the CPU time of both alternately; each
+round changes which of them goes first.
 """
 
 import gc
@@ -31,42 +32,46 @@
 from sim.histories import MS, QuotaHistory, S
 from sim.world import play
 
-SHORT = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
+SHORT_SCENARIO = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
 POLICY = "molereach.policy"
-INTERFACE = "molereach.policy.interface"  # both sides share its types: actions are compared
+INTERFACE = "molereach.policy.interface"  # shared by both sides, so that actions compare equal
 Stream = tuple[Settings, LimitSettings | None, list[tuple[int, Event]]]
 STREAMS: list[Stream] = []
 
 
-class Recorded(Gateway):
-    """A gateway whose events are kept."""
+class RecordingGateway(Gateway):
+    """A gateway that records its events."""
 
     def __init__(self, settings: Settings, limits: Any = None) -> None:  # noqa: ANN401
         super().__init__(settings, limits)
-        self.settings_given, self.heard = settings, []
+        self.given_settings, self.events = settings, []
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        if not self.heard:  # limits may be handed in between the start and the first event
-            figures = self.limits.settings if self.limits else None
-            STREAMS.append((self.settings_given, figures, self.heard))
-        self.heard.append((now_us, event))
+        if not self.events:  # limits may be set after construction
+            limit_settings = self.limits.settings if self.limits else None
+            STREAMS.append((self.given_settings, limit_settings, self.events))
+        self.events.append((now_us, event))
         return super().handle(now_us, event)
 
 
 def record(file: str, seed: int) -> None:
-    """Days of the rig and histories of quotas, by that seed."""
-    molereach.proxy.proxy.Gateway = sim.histories.Gateway = Recorded  # type: ignore[misc]
+    """Record scenarios of the rig and quota histories with that seed."""
+    molereach.proxy.proxy.Gateway = sim.histories.Gateway = RecordingGateway  # type: ignore[misc]
     for limits in (False, True):
         record_history(seed, limits, 30)
         for name in (*scenario_files.LARGE, "crowd", "cold-deploy", "garbled-servers", "vanish"):
-            large = name in scenario_files.LARGE
-            play(scenario_files.load(name, SHORT if large else None, not large), seed, limits=limits)
+            is_large = name in scenario_files.LARGE
+            play(
+                scenario_files.load(name, SHORT_SCENARIO if is_large else None, not is_large),
+                seed,
+                limits=limits,
+            )
     Path(file).write_bytes(pickle.dumps(STREAMS))
     print(f"{len(STREAMS)} gateways, {sum(len(events) for *_, events in STREAMS)} events")
 
 
 def record_history(seed: int, limits: bool, seconds: int) -> None:
-    """Five gateways of one set over a network that loses and doubles words, of which one is killed."""
+    """Record five gateways of one set; the network loses and duplicates messages, one gateway is killed."""
     history = QuotaHistory(seed, 5, limits)
     history.mail.loss, history.mail.double, history.mail.old = 0.05, 0.05, 0.01
     history.load(0, seconds * S, 60.0, [3, 2, 1, 1, 1])
@@ -74,8 +79,8 @@
     history.run((seconds + 2) * S)
 
 
-def decision_modules() -> list[str]:
-    """The loaded modules of the decisions, without the interface."""
+def policy_modules() -> list[str]:
+    """The loaded modules of the policy, except for its interface."""
     return [
         name
         for name in sys.modules
@@ -83,83 +88,88 @@
     ]
 
 
-def other(place: str) -> Any:  # noqa: ANN401
-    """The gateway's class of another checkout, beside that of this one."""
-    ours = {name: sys.modules.pop(name) for name in decision_modules()}
-    try:  # its modules import each other by the name of the package: it must be theirs meanwhile
+def load_other_gateway(policy_folder: str) -> Any:  # noqa: ANN401
+    """The `Gateway` class of another checkout, loaded beside that of this one."""
+    local_modules = {name: sys.modules.pop(name) for name in policy_modules()}
+    try:  # its modules import each other by the package name, which must refer to them while they load
         spec = importlib.util.spec_from_file_location(
-            POLICY, Path(place) / "__init__.py", submodule_search_locations=[place]
+            POLICY, Path(policy_folder) / "__init__.py", submodule_search_locations=[policy_folder]
         )
         assert spec and spec.loader
         module = sys.modules[POLICY] = importlib.util.module_from_spec(spec)
         spec.loader.exec_module(module)
         return importlib.import_module(f"{POLICY}.gateway").Gateway
     finally:
-        for name in decision_modules():
+        for name in policy_modules():
             del sys.modules[name]
-        sys.modules.update(ours)
+        sys.modules.update(local_modules)
 
 
-def made(kind: Any, stream: Stream) -> Any:  # noqa: ANN401
-    settings, figures, _ = stream
-    return kind(settings, Limits(settings, figures) if figures else None)
+def build_gateway(gateway_class: Any, stream: Stream) -> Any:  # noqa: ANN401
+    settings, limit_settings, _ = stream
+    return gateway_class(settings, Limits(settings, limit_settings) if limit_settings else None)
 
 
-def difference(old: Any, new: Any, stream: Stream) -> str:  # noqa: ANN401
-    """Where two gateways differ first on a stream; nothing if they do not."""
-    for number, (now, event) in enumerate(stream[2]):
-        wanted, got = old.handle(now, event), new.handle(now, event)
-        if wanted != got:
-            return f"event {number}, {event}:\n{wanted}\n{got}"
-    same = old.random.getstate() == new.random.getstate() and old.ended == new.ended
-    return "" if same else "other draws, or other ends"
+def first_difference(old: Any, new: Any, stream: Stream) -> str:  # noqa: ANN401
+    """The first difference between two gateways on a stream; empty if there is none."""
+    for number, (now_us, event) in enumerate(stream[2]):
+        expected, actual = old.handle(now_us, event), new.handle(now_us, event)
+        if expected != actual:
+            return f"event {number}, {event}:\n{expected}\n{actual}"
+    is_equal = old.random.getstate() == new.random.getstate() and old.ended == new.ended
+    return "" if is_equal else "different random draws, or different counts of requests given up"
 
 
-def compare(file: str, place: str) -> None:
-    kind, counts = other(place), {False: [0, 0], True: [0, 0]}
+def compare(file: str, policy_folder: str) -> None:
+    gateway_class, counts = load_other_gateway(policy_folder), {False: [0, 0], True: [0, 0]}
     for stream in pickle.loads(Path(file).read_bytes()):
-        if told := difference(made(kind, stream), made(Gateway, stream), stream):
-            sys.exit(told)
+        if difference := first_difference(
+            build_gateway(gateway_class, stream), build_gateway(Gateway, stream), stream
+        ):
+            sys.exit(difference)
         count = counts[stream[1] is not None]
         count[0], count[1] = count[0] + 1, count[1] + len(stream[2])
     for limits, (gateways, events) in counts.items():
-        print(f"limits {limits}: {gateways} gateways, {events} events: the same actions, draws and ends")
+        print(f"limits {limits}: {gateways} gateways, {events} events: same actions, draws and end counts")
 
 
-def cpu_s(kind: Any, streams: list[Stream]) -> float:  # noqa: ANN401
-    gateways = [(made(kind, stream).handle, stream[2]) for stream in streams]
+def cpu_s(gateway_class: Any, streams: list[Stream]) -> float:  # noqa: ANN401
+    gateways = [(build_gateway(gateway_class, stream).handle, stream[2]) for stream in streams]
     gc.collect()
     start = time.process_time()
     for handle, events in gateways:
-        for now, event in events:
-            handle(now, event)
+        for now_us, event in events:
+            handle(now_us, event)
     return time.process_time() - start
 
 
-def compare_times(file: str, place: str, rounds: int) -> None:
-    kinds, streams = (other(place), Gateway), pickle.loads(Path(file).read_bytes())
-    ratios, least = [], [1e9, 1e9]
+def compare_times(file: str, policy_folder: str, rounds: int) -> None:
+    gateway_classes, streams = (
+        (load_other_gateway(policy_folder), Gateway),
+        pickle.loads(Path(file).read_bytes()),
+    )
+    ratios, min_cpu_s = [], [1e9, 1e9]
     gc.disable()
     for number in range(rounds):
-        took = [0.0, 0.0]
-        for side in (0, 1) if number % 2 else (1, 0):
-            took[side] = cpu_s(kinds[side], streams)
-            least[side] = min(least[side], took[side])
-        ratios.append(took[1] / took[0])
+        round_cpu_s = [0.0, 0.0]
+        for index in (0, 1) if number % 2 else (1, 0):
+            round_cpu_s[index] = cpu_s(gateway_classes[index], streams)
+            min_cpu_s[index] = min(min_cpu_s[index], round_cpu_s[index])
+        ratios.append(round_cpu_s[1] / round_cpu_s[0])
     print(
         f"this over other: mean {statistics.mean(ratios):.4f}, median {statistics.median(ratios):.4f}, "
-        f"least CPU {least[1] / least[0]:.4f} of {least[1]:.3f} s"
+        f"minimum CPU {min_cpu_s[1] / min_cpu_s[0]:.4f} of {min_cpu_s[1]:.3f} s"
     )
 
 
 def main() -> None:
-    command, file, *more = sys.argv[1:]
+    command, file, *options = sys.argv[1:]
     if command == "record":
-        record(file, int(more[0]) if more else 0)
+        record(file, int(options[0]) if options else 0)
     elif command == "compare":
-        compare(file, more[0])
+        compare(file, options[0])
     else:
-        compare_times(file, more[0], int(more[1]) if len(more) > 1 else 12)
+        compare_times(file, options[0], int(options[1]) if len(options) > 1 else 12)
 
 
 if __name__ == "__main__":
