--- a/tests/policy/request_classes.py
+++ b/tests/policy/request_classes.py
@@ -1,4 +1,4 @@
-"""What the tests of a gateway share: classes, and settings with one of them."""
+"""A request class, and settings with a single request class, for the tests of a gateway."""
 
 from dataclasses import replace
 
@@ -8,5 +8,5 @@
 NON_IDEMPOTENT = RequestClass(2 * SECOND_US, 6 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT)
 
 
-def with_class(rule: RequestClass, **changes: object) -> Settings:
-    return replace(SETTINGS, classes=(rule,), **changes)
+def settings_with_class(request_class: RequestClass, **changes: object) -> Settings:
+    return replace(SETTINGS, classes=(request_class,), **changes)
