--- a/molereach/policy/backend_state.py
+++ b/molereach/policy/backend_state.py
@@ -48,9 +48,8 @@
         self.failure_score = 0.0  # recent failures, halved by each success
         self.is_on_trial = False  # after an ejection, until an attempt succeeds
         self.slow_start_credit = 1.0  # fraction of an attempt, as of `forwarded_at_us`
-        self.slow_start_from_us = (
-            endpoint.started_us
-        )  # start or return from an ejection; 0: not in slow start
+        # When it started or returned from an ejection; 0: not in slow start
+        self.slow_start_from_us = endpoint.started_us
         self.latency_ratio = 1.0  # mean ratio of its latencies to the mean latency of the request's class
         self.idle_connections = 0
         self.idle_since_us = 0  # when the last connection became idle
--- a/molereach/policy/ceiling.py
+++ b/molereach/policy/ceiling.py
@@ -9,7 +9,7 @@
 from molereach.policy.interface.settings import Plan
 from molereach.policy.time_units import SECOND_US
 
-SMALL_CEILING_UNITS_PER_GATEWAY = 4  # a ceiling whose burst is smaller has a reserve
+SMALL_CEILING_UNITS_PER_GATEWAY = 4  # a ceiling with a smaller burst has a reserve
 SPLIT_FRACTION = 0.5  # fraction of a ceiling with a reserve that is split over the set
 GRANT_TTL_US = 300_000  # how long after the request a grant may be used
 
@@ -54,7 +54,7 @@
         return max(0.0, self.plan.ceiling_burst - outstanding) * self.reserve_fraction
 
     def limit_reserve(self, splitting_members: int) -> None:
-        """Limit the reserve to what the members of the set leave that use only the split fraction."""
+        """Limit the reserve to what those members leave that use only the split fraction of the ceiling."""
         self.reserve_fraction = (1 - self.split_fraction) * splitting_members / self.set_size
         self.reserve_tokens = min(self.reserve_tokens, self.max_reserve_tokens)
 
--- a/molereach/policy/client_timeouts.py
+++ b/molereach/policy/client_timeouts.py
@@ -7,7 +7,7 @@
 from molereach.policy.interface.events import RequestReceived
 from molereach.policy.interface.settings import Settings
 
-GROWTH_DIVISOR = 200  # each first attempt raises the estimate by at most 1/200
+GROWTH_DIVISOR = 200  # each first attempt may raise the estimate by 1/200 of it
 
 
 class ClientTimeouts:
--- a/molereach/policy/customers.py
+++ b/molereach/policy/customers.py
@@ -75,9 +75,8 @@
             if quota.owner != account.owner:
                 account.owner = quota.owner
                 account.unanswered_since_us = NEVER_US
-            if (
-                now_us - account.unanswered_since_us > PEER_SILENCE_US
-            ):  # the spending of the other gateways is unknown
+            if now_us - account.unanswered_since_us > PEER_SILENCE_US:
+                # The spending of the other gateways is unknown.
                 account.reachable_fraction = 1 / account.set_size
         return account.refill(now_us)
 
--- a/molereach/policy/gateway.py
+++ b/molereach/policy/gateway.py
@@ -176,7 +176,7 @@
         )
 
     def decide(self, pending: PendingRequest, probability: float) -> None:
-        """Draw whether a request is within quota; forward it if so, or if its value exceeds its cost."""
+        """Draw whether a request is within quota; queue it if so, or if its value exceeds its cost."""
         pending.is_within_quota = self.random.random() < probability
         plan = pending.account.plan
         if pending.is_within_quota:
--- a/molereach/policy/gossip_receiver.py
+++ b/molereach/policy/gossip_receiver.py
@@ -71,7 +71,7 @@
 
     def apply_report(self, sender: int, account: CustomerAccount, message: GossipMessage) -> None:
         """At the owner: count a peer's demand and spending, decide on its request, and reply."""
-        if not account.has_member_report:  # this owner may have just started with full buckets
+        if not account.has_member_report:  # an owner that has just started has a full bucket
             account.has_member_report = True
             account.tokens = min(account.tokens, message.tokens)
         account.remote_demand += message.demand
--- a/molereach/policy/interface/settings.py
+++ b/molereach/policy/interface/settings.py
@@ -66,9 +66,7 @@
     may_cancel: bool = False
     may_gossip: bool = False
     may_count: bool = False  # not used by this policy
-    must_poll_endpoints: bool = (
-        False  # `registry-mode` is `subscribe`: list changes come only after a subscription
-    )
+    must_poll_endpoints: bool = False  # `registry-mode` is `subscribe`: changes need a subscription
     costs_are_corrected: bool = False  # quotas are charged the units that answers report
     gossip_messages_per_s: float = 0.0  # receive capacity of one gateway
     cross_zone_price: float = 0.0  # of an attempt in another zone
--- a/molereach/policy/overload_control.py
+++ b/molereach/policy/overload_control.py
@@ -5,9 +5,9 @@
 The paper's N is the maximum number of first attempts per period; there is no maximum while the backends have
 spare capacity. A request that waits for it may be given up with the reason `cap` (see `giving_up`).
 
-Symbols of the paper: `occup` is the occupancy, `max_occup` its target, `occ_too_high` the threshold above
-which N is reduced by an additional step, `min_occup` the threshold below which N may be lifted; `n_past` is N
-in the past period, `na_past` the number of calls accepted in it.
+Symbols of the paper: `occup` is the occupancy, `max_occup` its target, `occ_too_high` the threshold from
+which N is reduced by an additional step, `min_occup` the threshold below which N may be lifted, `overhead`
+the occupancy without calls; `n_past` is N in the past period, `na_past` the number of calls accepted in it.
 """
 
 import math
@@ -74,7 +74,7 @@
         self.period_started_at_us = -1  # set at the first event
         self.control_period_us = self.time_unit_us
         self.n_past: int | None = None  # None: the control is not engaged
-        self.overhead = 1.0  # lowest occupancy seen when the control was lifted or not engaged
+        self.overhead = 1.0  # estimate: lowest occupancy measured when N was lifted or not set
         self.forwarded_count = 0  # first attempts forwarded
         self.admitted_count = 0  # requests admitted by quota
         self.utilization_samples: list[float] = []
--- a/molereach/policy/peer_liveness.py
+++ b/molereach/policy/peer_liveness.py
@@ -45,8 +45,8 @@
         received_at_us = self.received_at_us.get(peer)
         if received_at_us is None:
             return True
-        marked_at_us = self.split_advertised_at_us.get(peer)
-        return marked_at_us is not None and received_at_us - marked_at_us < SPLIT_ADVERTISEMENT_TTL_US
+        advertised_at_us = self.split_advertised_at_us.get(peer)
+        return advertised_at_us is not None and received_at_us - advertised_at_us < SPLIT_ADVERTISEMENT_TTL_US
 
     def is_silent(self, now_us: int, peer: int) -> bool:
         """Whether the peer has been silent for too long to be sent a request now."""
--- a/molereach/policy/pending_request.py
+++ b/molereach/policy/pending_request.py
@@ -64,6 +64,5 @@
         self.decide_by_us = NEVER_US
         self.owner_request_count = 0
         self.owner_requested_at_us = 0  # time of the last one
-        self.is_drawn_locally = (
-            False  # admitted by this gateway's draw: the owner is asked for ceiling units only
-        )
+        # Admitted by this gateway's draw: the owner is sent a request only for units of the ceiling.
+        self.is_drawn_locally = False
