--- a/tests/races/test_peers_home.py
+++ b/tests/races/test_peers_home.py
@@ -142,7 +142,7 @@
 
 def test_silent_home_is_known_again_by_its_first_word() -> None:
     world = GatewayDriver(PAIR)
-    name, peers = customer_of(world, home=1), world.gateway.admission.peers
+    name, peers = customer_of(world, home=1), world.gateway.admission.peer_liveness
     for number in range(11):
         world.send_request(f"a{number}", customer=name, set_size=2)
     world.advance(600 * MILLISECOND_US)
