--- a/molereach/protocol/__init__.py
+++ b/molereach/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""The edge to the platform: settings, load reports and gossip, from its field names to the policy's types.
+"""Translates the platform's settings, load reports and gossip datagrams into the policy's types.
 
 In reading order: `settings_reader`, `settings`, `load_reports`, `gossip_codec`.
 """
--- a/molereach/protocol/gossip_codec.py
+++ b/molereach/protocol/gossip_codec.py
@@ -1,7 +1,7 @@
-"""Gossip on customers' quotas, as records of fixed length in datagrams.
+"""Encodes gossip about customers' quotas as datagrams of fixed-length records.
 
-A datagram holds whole records and nothing else, in network byte order. Amounts of units are signed
-16-bit integers, in steps of 1 / `STEPS_PER_UNIT`.
+A datagram consists of complete records in network byte order. Amounts of units are signed 16-bit
+fixed-point numbers, in steps of 1 / `STEPS_PER_UNIT`.
 """
 
 import struct
@@ -17,47 +17,48 @@
 MIN_STEPS = -0x8000
 MAX_STEPS = 0x7FFF
 
-# Flags of a record. Versions that know only the first take any flag for a reply.
+# Flags of a record. Older versions, which know only the first, treat a record with any flag as a reply.
 REPLY = 1
 CEILING_GRANTED = 2
 WITHIN_QUOTA = 4
 BEYOND_QUOTA = 8
-FLAG_OF_VERDICT = {None: 0, True: WITHIN_QUOTA, False: BEYOND_QUOTA}
-VERDICT_OF_FLAG = {WITHIN_QUOTA: True, BEYOND_QUOTA: False}
+# The verdict is `GossipMessage.is_within_quota`, which is None where nothing was decided.
+FLAG_BY_VERDICT = {None: 0, True: WITHIN_QUOTA, False: BEYOND_QUOTA}
+VERDICT_BY_FLAG = {WITHIN_QUOTA: True, BEYOND_QUOTA: False}
 
 
 class GossipCodec(Protocol):
-    """How gossip messages are laid out in datagrams."""
+    """Encodes gossip messages as datagrams and decodes them."""
 
     def pack(self, peer: int, messages: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
-        """The datagrams that bring the messages to a peer."""
+        """Encode messages to a peer as datagrams."""
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
-        """The messages of a datagram from a peer; None for one that is malformed."""
+        """Decode a datagram from a peer; None if it is malformed."""
 
 
 class QuotaGossipCodec:
-    """Messages on quotas alone, as front doors without `[limits]` exchange them."""
+    """The codec of front doors without `[limits]`, which exchange messages about quotas only."""
 
     def pack(self, peer: int, messages: tuple[GossipMessage | LimitMessage, ...]) -> list[bytes]:
-        """The datagrams that bring the messages to a peer; messages on limits are left out."""
+        """Encode the messages about quotas as datagrams; messages about limits are left out."""
         return pack_messages(message for message in messages if isinstance(message, GossipMessage))
 
     def unpack(self, sender: int, data: bytes) -> GossipReceived | None:
-        """The messages of a datagram from a peer; None for one that is malformed."""
+        """Decode a datagram from a peer; None if it is malformed or empty."""
         messages = unpack_messages(data)
         return GossipReceived(sender, messages) if messages else None
 
 
 def pack_messages(messages: Iterable[GossipMessage]) -> list[bytes]:
-    """Datagrams with the messages, each as long as the wire allows."""
+    """Encode messages as datagrams, with as many messages in each as `MAX_DATAGRAM_BYTES` allows."""
     records = [_pack_record(message) for message in messages]
     max_records = MAX_DATAGRAM_BYTES // RECORD.size
-    return [b"".join(records[n : n + max_records]) for n in range(0, len(records), max_records)]
+    return [b"".join(records[first : first + max_records]) for first in range(0, len(records), max_records)]
 
 
 def unpack_messages(data: bytes) -> tuple[GossipMessage, ...]:
-    """The messages of a datagram; none where its length is not that of whole records."""
+    """Decode the messages of a datagram; none if its length is not a multiple of the record length."""
     if len(data) % RECORD.size:
         return ()
     return tuple(
@@ -72,7 +73,7 @@
             requested / STEPS_PER_UNIT,
             tokens / STEPS_PER_UNIT,
             bool(flags & CEILING_GRANTED),
-            VERDICT_OF_FLAG.get(flags & (WITHIN_QUOTA | BEYOND_QUOTA)),
+            VERDICT_BY_FLAG.get(flags & (WITHIN_QUOTA | BEYOND_QUOTA)),
         )
         for (
             customer_checksum,
@@ -89,7 +90,7 @@
 
 
 def signed_steps(units: float) -> int:
-    """An amount of units in whole steps, limited to what a record can hold."""
+    """Round an amount of units to whole steps, limited to the range that a record can hold."""
     return max(MIN_STEPS, min(MAX_STEPS, round(units * STEPS_PER_UNIT)))
 
 
@@ -97,7 +98,7 @@
     flags = (
         message.is_reply * REPLY
         | message.is_ceiling_granted * CEILING_GRANTED
-        | FLAG_OF_VERDICT[message.is_within_quota]
+        | FLAG_BY_VERDICT[message.is_within_quota]
     )
     return RECORD.pack(
         message.customer_checksum,
--- a/molereach/protocol/load_reports.py
+++ b/molereach/protocol/load_reports.py
@@ -1,7 +1,7 @@
-"""Load reports of endpoints, read from the names that the platform uses.
+"""Parses the load reports of endpoints, whose fields have the platform's names.
 
-An endpoint is not trusted with what it reports: a value is a plain non-negative number, and one that no
-endpoint can mean is treated as absent.
+Reports are not trusted: a value must be a plain non-negative number, and one that is implausibly large is
+treated as absent.
 """
 
 import re
@@ -9,7 +9,8 @@
 
 from molereach.policy.interface.events import LoadReport
 
-# The fields of a load report: as the simulator's wire names them, then as endpoints do.
+# The field of `LoadReport` for each reported name: first the names of the simulator's protocol, then those
+# that endpoints use.
 FIELD_BY_REPORTED_NAME = {
     "busy_reqs": "in_flight",
     "pending": "queue_length",
@@ -26,14 +27,15 @@
 }
 
 REPORTED_NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?(e[-+]?[0-9]{1,2})?", re.ASCII)
-MAX_VALUE_BY_FIELD = {"cpu_utilization": 2.0}  # busy cores over all cores; a report may be noisy
-MAX_REPORTED_VALUE = 1e9  # of the other fields
+# CPU utilization is the ratio of busy cores to all cores; noisy reports may exceed 1.
+MAX_VALUE_BY_FIELD = {"cpu_utilization": 2.0}
+MAX_REPORTED_VALUE = 1e9  # for all other fields
 
 
 def parse_load_report(values: Iterable[tuple[str, str]]) -> LoadReport:
-    """A load report from pairs of name and text; unknown names and absent values are skipped.
+    """Build a load report from pairs of reported name and text; unknown names and absent values are skipped.
 
-    Raises ValueError where a known field holds no number.
+    Raises ValueError if the value of a known field is not a number.
     """
     return LoadReport(
         **{
@@ -45,9 +47,9 @@
 
 
 def parse_reported_value(field: str, text: str) -> float | None:
-    """The value of one field of a load report; None where it is out of its range.
+    """Parse the value of one field of a load report; None if it is out of range.
 
-    Raises ValueError where the text is no number.
+    Raises ValueError if the text is not a number.
     """
     if not REPORTED_NUMBER.fullmatch(text):
         raise ValueError(f"a load report says {field}={text:.20}")
--- a/molereach/protocol/settings.py
+++ b/molereach/protocol/settings.py
@@ -1,4 +1,6 @@
-"""The settings of a proxy, from the paths that the simulator's wire and the configuration file share."""
+"""Reads the settings of a proxy, whose paths are the same in the simulator's protocol and in the
+configuration file.
+"""
 
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from molereach.protocol.settings_reader import SettingsReader
@@ -9,13 +11,13 @@
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 DEDUPLICATION_SCOPE_BY_NAME = {scope.value: scope for scope in DeduplicationScope}
-MAX_PROXIES = 0xFFFF  # gossip holds a proxy's number in 16 bits
+MAX_PROXIES = 0xFFFF  # gossip records hold the index of a proxy in 16 bits
 
 
-def read_class(reader: SettingsReader, path: str) -> RequestClass:
-    """The class of requests at a path, such as `categories.0`; raises SettingsError.
+def read_request_class(reader: SettingsReader, path: str) -> RequestClass:
+    """Read the request class at a path such as `categories.0`; raises SettingsError.
 
-    Its idempotency has no default: one that is not known must not pass for idempotent.
+    Idempotency has no default: a class for which it is not set must not be treated as idempotent.
     """
     return RequestClass(
         latency_objective_us=reader.integer(f"{path}.on-time-us", None, 1),
@@ -32,7 +34,7 @@
 
 
 def read_plan(reader: SettingsReader, path: str) -> Plan:
-    """The plan at a path, such as `plans.0`; raises SettingsError."""
+    """Read the plan at a path such as `plans.0`; raises SettingsError."""
     return Plan(
         quota_rate=reader.number(f"{path}.units-per-s"),
         quota_burst=reader.number(f"{path}.burst"),
@@ -47,19 +49,19 @@
 
 
 def read_settings(seed: int, reader: SettingsReader) -> Settings:
-    """The settings of one proxy, with its random seed; raises SettingsError for the first that is wrong.
+    """Read the settings of one proxy, which gets the random seed `seed`; raises SettingsError.
 
-    Settings are read in a fixed order, which decides the error that is shown where several are wrong.
+    Settings are read in a fixed order: if several are invalid, the error is about the first of them.
     """
-    classes = range(reader.integer("categories.count"))
-    plans = range(reader.integer("plans.count"))
-    proxies = reader.integer("balancers", None, 1, MAX_PROXIES)
+    class_indexes = range(reader.integer("categories.count"))
+    plan_indexes = range(reader.integer("plans.count"))
+    proxy_count = reader.integer("balancers", None, 1, MAX_PROXIES)
     return Settings(
         seed=seed,
-        proxy_index=reader.integer("me", None, 0, proxies - 1),
-        proxy_count=proxies,
-        classes=tuple(read_class(reader, f"categories.{n}") for n in classes),
-        plans=tuple(read_plan(reader, f"plans.{n}") for n in plans),
+        proxy_index=reader.integer("me", None, 0, proxy_count - 1),
+        proxy_count=proxy_count,
+        classes=tuple(read_request_class(reader, f"categories.{index}") for index in class_indexes),
+        plans=tuple(read_plan(reader, f"plans.{index}") for index in plan_indexes),
         zone=reader.integer("zone"),
         max_attempts=reader.integer("ceilings.max-attempts", 1, 1),
         max_retry_after_us=(
--- a/molereach/protocol/settings_reader.py
+++ b/molereach/protocol/settings_reader.py
@@ -1,7 +1,7 @@
-"""Typed access to settings by their paths; each error names the path of the setting that is wrong.
+"""Typed access to settings by path; each error names the path of the invalid setting.
 
-A value that is given is checked for type and range. One that is absent takes its default; a setting
-without a default is an error.
+The type and range of each value are checked. An absent setting has its default; if it has none, that is an
+error.
 """
 
 import contextlib
@@ -12,45 +12,45 @@
 Value = TypeVar("Value")
 
 BOOLEAN_BY_TEXT = {"true": True, "1": True, "false": False, "0": False}
-MAX_VALUE = 1e15  # past it, sums of times in floating point are no longer whole microseconds
+MAX_VALUE = 1e15  # above it, sums of times in floating point are no longer exact to the microsecond
 
 
 class SettingsError(ValueError):
-    """A setting is missing, of the wrong type or out of its range; the text names its path first."""
+    """A setting is missing, has the wrong type or is out of range; the message starts with its path."""
 
 
 class SettingsReader:
-    """Settings by their paths, such as `plans.0.burst`; paths that nobody reads are ignored."""
+    """Settings by path, such as `plans.0.burst`; paths that are never read are ignored."""
 
     def __init__(
         self, values: Mapping[str, object], values_are_texts: bool = True, path_prefix: str = ""
     ) -> None:
-        """Read `values`, whose paths stand behind `path_prefix` in errors.
+        """Read from `values`; errors show `path_prefix` before each path.
 
-        Where `values_are_texts`, as on the simulator's wire, all values are texts and are converted;
-        elsewhere a number in quotes is no number.
+        If `values_are_texts`, as in the simulator's protocol, all values are strings and are converted.
+        Otherwise numbers and booleans have their JSON types, and a number in quotes is an error.
         """
         self.values = values
         self.values_are_texts = values_are_texts
         self.path_prefix = path_prefix
 
     def error(self, path: str, value: object, reason: str) -> SettingsError:
-        """The error that says why the value of a path is not accepted."""
+        """Create the error that says why the value at a path is not accepted."""
         return SettingsError(f"{self.path_prefix}{path}: is {abbreviated(value)}, {reason}")
 
     def default(self, path: str, default: Value | None) -> Value:
-        """The default of an absent setting; raises SettingsError where it has none."""
+        """Return the default of an absent setting; raises SettingsError if it has none."""
         if default is None:
             raise SettingsError(f"{self.path_prefix}{path}: is missing")
         return default
 
     def value_at(self, path: str) -> object:
-        """The value as it was given, or None where it is absent."""
+        """Return the unchecked value at a path, or None if it is absent; `-` also stands for absent."""
         value = self.values.get(path)
         return None if value == "-" else value
 
     def text(self, path: str, default: str | None = "") -> str:
-        """A text; raises SettingsError for another type."""
+        """Read a string; raises SettingsError for another type."""
         value = self.value_at(path)
         if value is None:
             value = self.default(path, default)
@@ -61,7 +61,7 @@
     def number(
         self, path: str, default: float | None = 0.0, minimum: float = 0.0, maximum: float = MAX_VALUE
     ) -> float:
-        """A number from `minimum` to `maximum`; raises SettingsError for any other value."""
+        """Read a number from `minimum` to `maximum`; raises SettingsError for any other value."""
         value = self.value_at(path)
         if value is None:
             return self.default(path, default)
@@ -78,11 +78,11 @@
     def integer(
         self, path: str, default: int | None = 0, minimum: int = 0, maximum: float = MAX_VALUE
     ) -> int:
-        """A number of microseconds or of things; its fraction is cut off."""
+        """Read a number of microseconds or a count; a fraction is truncated."""
         return int(self.number(path, default, minimum, maximum))
 
     def flag(self, path: str) -> bool:
-        """True or false, false where it is absent; raises SettingsError for any other value."""
+        """Read a boolean, False if it is absent; raises SettingsError for any other value."""
         value = self.value_at(path)
         flag = BOOLEAN_BY_TEXT.get(value) if self.values_are_texts and isinstance(value, str) else value
         if value is not None and not isinstance(flag, bool):
@@ -90,7 +90,7 @@
         return bool(flag)
 
     def choice(self, path: str, values: Mapping[str, Value], default: str | None = None) -> Value:
-        """What `values` has for the text at a path; raises SettingsError for a text it does not have."""
+        """Map the string at a path through `values`; raises SettingsError if it is not one of its keys."""
         text = self.text(path, default)
         if text not in values:
             raise self.error(path, text, f"not one of {', '.join(values)}")
@@ -98,5 +98,5 @@
 
 
 def abbreviated(value: object) -> str:
-    """A value as it may stand in an error of one line."""
+    """The representation of a value, shortened to fit into a one-line error message."""
     return f"{value!r:.40}"
--- a/tests/protocol/test_gossip_codec.py
+++ b/tests/protocol/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""Gossip on quotas: messages that are packed are read again, by older versions too."""
+"""Gossip about quotas: packed messages are unpacked unchanged, and older versions can read them."""
 
 from dataclasses import replace
 
@@ -8,8 +8,10 @@
 from tests.helpers import SETTINGS, GatewayDriver
 
 
-def test_messages_are_read_as_they_were_packed() -> None:
-    messages = tuple(GossipMessage(n, 1, 300, 200, n % 2 == 1, 2.5, 0.5, 1.0, -0.5) for n in range(30))
+def test_packed_messages_are_unpacked_unchanged() -> None:
+    messages = tuple(
+        GossipMessage(checksum, 1, 300, 200, checksum % 2 == 1, 2.5, 0.5, 1.0, -0.5) for checksum in range(30)
+    )
     datagrams = pack_messages(messages)
     assert len(datagrams) > 1 and max(map(len, datagrams)) <= 256
     assert sum((unpack_messages(data) for data in datagrams), ()) == messages
@@ -17,7 +19,7 @@
     assert unpack_messages(pack_messages([GossipMessage(1, 0, 0, 2, tokens=1e9)])[0])[0].tokens == 32767 / 50
 
 
-def test_messages_keep_their_flags_and_older_versions_ignore_the_ceiling_mark() -> None:
+def test_messages_keep_their_flags_and_older_versions_ignore_the_split_advertisement() -> None:
     messages = (
         GossipMessage(7, 1, 2, 3, True, 1.0, 2.0, 1.0, -3.0, is_ceiling_granted=True, is_within_quota=False),
         GossipMessage(7, 1, 2, 3, True, is_within_quota=True),
@@ -26,7 +28,7 @@
     (data,) = pack_messages(messages)
     assert unpack_messages(data) == messages
     assert len(data) == 3 * RECORD.size
-    assert data[8] != 0  # an older version takes any flag for a reply, as which it is meant
-    world = GatewayDriver(replace(SETTINGS, proxy_count=2))
-    world.handle(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_PLAN_INDEX, 0, 2, requested_units=1.0),)))
-    assert not world.gateway.customers.accounts
+    assert data[8] != 0  # an older version treats any flag as a reply, and this message is one
+    driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
+    driver.handle(GossipReceived(1, (GossipMessage(7, SPLIT_CEILING_PLAN_INDEX, 0, 2, requested_units=1.0),)))
+    assert not driver.gateway.customers.accounts
--- a/tests/protocol/test_load_reports.py
+++ b/tests/protocol/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: values that no endpoint can mean."""
+"""Load reports: values out of range."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from molereach.protocol.load_reports import parse_load_report
 
 
-def test_value_beyond_its_range_is_absent() -> None:
-    """Not an error: the wire may carry what no endpoint can mean."""
+def test_value_out_of_range_is_treated_as_absent() -> None:
+    """An implausible value is not an error, as reports are not trusted; one that is not a number is."""
     assert parse_load_report([("util", "7"), ("queue", "3")]) == LoadReport(queue_length=3.0)
     with pytest.raises(ValueError, match="nan"):
         parse_load_report([("util", "nan")])
