--- a/molereach/simulator/action_writer.py
+++ b/molereach/simulator/action_writer.py
@@ -1,4 +1,4 @@
-"""The policy's actions as lines of the simulator's wire."""
+"""Writes the policy's actions as lines of the simulator's protocol."""
 
 from molereach.policy.interface.actions import (
     Action,
@@ -21,9 +21,9 @@
 
 
 def write_action(action: Action, codec: GossipCodec = QUOTA_GOSSIP_CODEC) -> str:
-    """The line of an action; gossip that takes several datagrams has a line for each.
+    """Write an action as one line, or gossip that needs several datagrams as one line for each.
 
-    Raises TypeError for what is no action.
+    Raises TypeError if `action` is not an action.
     """
     match action:
         case SendGossip(peer, messages):
@@ -54,5 +54,5 @@
 
 
 def one_line(text: str) -> str:
-    """A text with each run of white space, line ends included, as one space."""
+    """Collapse each run of white space in a text, line ends included, to one space."""
     return " ".join(text.split())
--- a/molereach/simulator/adapter.py
+++ b/molereach/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""The simulator's wire on standard input and output: batches of events in, batches of actions out.
+"""Reads batches of events from standard input and writes batches of actions to standard output.
 
-Malformed input ends the process with one line on standard error and exit code 2; an exception in the
-policy is reported on the wire.
+Malformed input ends the process with one line on standard error and exit code 2. An exception in the policy
+is reported in the reply.
 """
 
 import sys
@@ -16,14 +16,14 @@
 
 
 def run_batch(host: Host, lines: Iterator[str]) -> list[str] | None:
-    """The reply to the next batch, or None at the end of the input.
+    """Read and handle the next batch; return the lines of the reply, or None at the end of the input.
 
-    Raises WireError, ValueError, KeyError or StopIteration where the input is malformed.
+    Raises WireError, ValueError, KeyError or StopIteration if the input is malformed.
     """
-    first = next(lines, None)
-    if first is None:
+    first_line = next(lines, None)
+    if first_line is None:
         return None
-    name, *fields = first.split(" ")
+    name, *fields = first_line.split(" ")
     if name != "MARK":
         raise WireError("a batch starts with MARK")
     host.start_batch(FieldReader(fields).integer())
@@ -39,13 +39,13 @@
     raise WireError("the input ends within a batch")
 
 
-def serve(source: TextIO, sink: TextIO, with_limits: bool = False) -> int:
-    """Answer batches until the input ends; the exit code."""
+def serve(input_stream: TextIO, output_stream: TextIO, with_limits: bool = False) -> int:
+    """Reply to batches until the input ends; return the exit code."""
     line_number = 0
 
     def counted_lines() -> Iterator[str]:
         nonlocal line_number
-        for line in source:
+        for line in input_stream:
             line_number += 1
             yield line.rstrip("\n")
 
@@ -53,8 +53,8 @@
     lines = counted_lines()
     try:
         while (reply := run_batch(host, lines)) is not None:
-            sink.write("\n".join(reply) + "\n")
-            sink.flush()
+            output_stream.write("\n".join(reply) + "\n")
+            output_stream.flush()
     except (WireError, ValueError, KeyError, StopIteration) as error:
         print(f"molereach: line {line_number}: {_description(error)}", file=sys.stderr)
         return EXIT_MALFORMED_INPUT
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Serve standard input, with limits where the only argument is `--limits`; the exit code."""
+    """Serve standard input, with limits if the only argument is `--limits`; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     return serve(sys.stdin, sys.stdout, with_limits=sys.argv[1:] == ["--limits"])
--- a/molereach/simulator/event_parser.py
+++ b/molereach/simulator/event_parser.py
@@ -1,6 +1,6 @@
-"""Lines of the simulator's wire, parsed into the policy's settings, endpoints and events.
+"""Parses lines of the simulator's protocol into the policy's settings, endpoints and events.
 
-The functions raise WireError, ValueError or, for a keyword that is not known, KeyError.
+The functions raise WireError, ValueError or, for an unknown keyword, KeyError.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 from molereach.protocol.settings_reader import SettingsReader
 from molereach.simulator.fields import FieldReader, WireError
 
-ATTEMPT_RESULTS = {
+ATTEMPT_RESULT_BY_NAME = {
     "served": AttemptResult.OK,
     "server_error": AttemptResult.ERROR,
     "turned_away": AttemptResult.REJECTED,
@@ -34,21 +34,21 @@
     "called_off": AttemptResult.CANCELLED,
     "not_sent": AttemptResult.NOT_SENT,
 }
-ENDPOINT_STATES = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.REMOVED}
-ENDPOINT_LIST_KINDS = {
+ENDPOINT_STATE_BY_CODE = {"U": EndpointState.UP, "L": EndpointState.DRAINING, "D": EndpointState.REMOVED}
+ENDPOINT_LIST_KIND_BY_NAME = {
     "snapshot": EndpointListKind.FULL,
     "disk": EndpointListKind.SAVED,
     "diff": EndpointListKind.CHANGES,
     "error": EndpointListKind.FAILED,
 }
 
-# Bits in the last field of NEW_REQUEST.
-RETRY_MARK = 2
-WRITE_MARK = 4
+# Bits of the last field of NEW_REQUEST.
+CLIENT_RETRY_FLAG = 2
+WRITE_FLAG = 4
 
 
-def parse_pairs(fields: Iterable[str]) -> SettingsReader:
-    """The settings of an instance, from fields such as `plans.0.burst=3.0`."""
+def parse_settings(fields: Iterable[str]) -> SettingsReader:
+    """Parse the settings of an instance from fields such as `plans.0.burst=3.0`."""
     values: dict[str, str] = {}
     for field in fields:
         path, separator, value = field.partition("=")
@@ -59,7 +59,7 @@
 
 
 def parse_endpoint(line: str) -> Endpoint:
-    """One entry of an endpoint list."""
+    """Parse one entry of an endpoint list."""
     name, *fields = line.split(" ")
     if name != "M":
         raise WireError("a list entry is missing")
@@ -69,16 +69,16 @@
         zone=reader.integer(),
         kind=reader.integer(),
         cell=reader.integer(),
-        state=ENDPOINT_STATES[reader.text()],
+        state=ENDPOINT_STATE_BY_CODE[reader.text()],
         size=reader.number(1.0),
         started_us=reader.integer(0),
     )
 
 
 def parse_event(name: str, reader: FieldReader, load_report_names: list[str]) -> Event:
-    """One event that concerns neither the start or end of an instance, nor endpoint lists, nor gossip.
+    """Parse an event; `Host` handles those about instances, endpoint lists and gossip.
 
-    `load_report_names` are the names of the values in load reports, in their order.
+    `load_report_names` are the names of the values in a load report, in order.
     """
     match name:
         case "NEW_REQUEST":
@@ -94,14 +94,14 @@
         case "CHECK_RESULT":
             return HealthCheckEnded(
                 endpoint=reader.text(),
-                result=ATTEMPT_RESULTS[reader.text()],
+                result=ATTEMPT_RESULT_BY_NAME[reader.text()],
                 latency_us=reader.integer(0),
-                load_report=_parse_load(reader, load_report_names),
+                load_report=_parse_load_report(reader, load_report_names),
             )
         case "TOTAL":
             return CounterUpdated(
                 name=reader.integer(),
-                result=ATTEMPT_RESULTS[reader.text()],
+                result=ATTEMPT_RESULT_BY_NAME[reader.text()],
                 total=reader.number(0.0),
                 latency_us=reader.integer(0),
             )
@@ -117,7 +117,7 @@
     units = reader.number(1.0)
     set_size = int(reader.number(1.0))
     set_first = int(reader.number(0.0))
-    marks = reader.integer(0)
+    flags = reader.integer(0)
     return RequestReceived(
         request_id=request_id,
         class_index=class_index,
@@ -127,8 +127,8 @@
         units=units,
         set_size=max(1, set_size),
         set_first=set_first,
-        is_client_retry=bool(marks & RETRY_MARK),
-        is_write=bool(marks & WRITE_MARK),
+        is_client_retry=bool(flags & CLIENT_RETRY_FLAG),
+        is_write=bool(flags & WRITE_FLAG),
     )
 
 
@@ -138,15 +138,15 @@
         is_request_closed=reader.flag(),
         attempt=reader.integer(),
         endpoint=reader.text(),
-        result=ATTEMPT_RESULTS[reader.text()],
+        result=ATTEMPT_RESULT_BY_NAME[reader.text()],
         latency_us=reader.integer(0),
         used_percent=reader.integer(0),
         actual_units=reader.number(0.0),
-        load_report=_parse_load(reader, load_report_names),
+        load_report=_parse_load_report(reader, load_report_names),
     )
 
 
-def _parse_load(reader: FieldReader, names: list[str]) -> LoadReport | None:
+def _parse_load_report(reader: FieldReader, names: list[str]) -> LoadReport | None:
     if not reader.is_present():
         return None
     values = reader.text().split(",")
--- a/molereach/simulator/host.py
+++ b/molereach/simulator/host.py
@@ -1,4 +1,4 @@
-"""The policy instances of one adapter process, and the endpoint lists that they share."""
+"""Hosts the policy instances of one adapter process and the endpoint lists that they share."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -15,17 +15,22 @@
 from molereach.protocol.gossip_codec import GossipCodec, QuotaGossipCodec
 from molereach.protocol.settings import read_settings
 from molereach.simulator.action_writer import write_action
-from molereach.simulator.event_parser import ENDPOINT_LIST_KINDS, parse_endpoint, parse_event, parse_pairs
+from molereach.simulator.event_parser import (
+    ENDPOINT_LIST_KIND_BY_NAME,
+    parse_endpoint,
+    parse_event,
+    parse_settings,
+)
 from molereach.simulator.fields import FieldReader, SimulatorError, WireError
 
 
 class PolicyError(SimulatorError):
-    """The policy raised an exception; the text names it."""
+    """The policy raised an exception, which the message names."""
 
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One proxy of the simulation: its policy and how its messages are laid out."""
+    """One simulated proxy: its policy, its gossip codec and the names of the values in load reports."""
 
     gateway: Gateway
     gossip_codec: GossipCodec
@@ -33,27 +38,27 @@
 
 
 class Host:
-    """The instances of this process, and the numbered endpoint lists that events refer to."""
+    """The instances of this process by number, and the numbered endpoint lists that events refer to."""
 
     def __init__(self, with_limits: bool = False) -> None:
         self.with_limits = with_limits
         self.instances: dict[int, Instance] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
-        self.target: int | None = None  # the instance that the next events of the batch are for
-        self.reply_context: int | None = None  # the instance that the reply's next lines are of
+        self.target: int | None = None  # the instance that receives the next events of the batch
+        self.reply_context: int | None = None  # the instance of the last actions in the reply
         self.now_us = 0
 
     def start_batch(self, now_us: int) -> None:
-        """Begin a batch of events that happen at one time; no instance is named yet."""
+        """Begin a batch of simultaneous events, without a target instance."""
         self.now_us = now_us
         self.target = None
         self.reply_context = None
 
     def handle(self, name: str, fields: list[str], lines: Iterator[str]) -> list[str]:
-        """Apply one message, which may go on in the next lines; the reply's lines for it.
+        """Handle one message, which may continue in the next lines; return its lines of the reply.
 
-        Raises WireError, ValueError, KeyError or StopIteration where the input is malformed, and
-        PolicyError where the policy raised an exception.
+        Raises WireError, ValueError, KeyError or StopIteration if the input is malformed, and PolicyError
+        if the policy raised an exception.
         """
         reader = FieldReader(fields)
         if name == "TARGET_INSTANCE":
@@ -72,23 +77,23 @@
         if name == "KILLED":
             del self.instances[self.target]
             return []
-        return self._decide(self.target, self._parse_event(name, reader, self.instances[self.target]))
+        return self._handle_event(self.target, self._parse_event(name, reader, self.instances[self.target]))
 
     def _read_endpoint_list(self, reader: FieldReader, lines: Iterator[str]) -> None:
-        number = reader.integer()
+        list_number = reader.integer()
         size = reader.integer()
-        # A list first: StopIteration inside a generator would become RuntimeError.
+        # Not a generator, which would turn StopIteration into RuntimeError.
         endpoints = [parse_endpoint(next(lines)) for _ in range(size)]
-        self.endpoint_lists[number] = tuple(endpoints)
+        self.endpoint_lists[list_number] = tuple(endpoints)
 
     def _create_instance(self, reader: FieldReader, fields: list[str]) -> Instance:
-        settings_reader = parse_pairs(field for field in fields[1:] if field)
+        settings_reader = parse_settings(field for field in fields[1:] if field)
         names = settings_reader.text("stats.names")
         load_report_names = names.split(",") if names else []
         seed = reader.integer()
         settings = read_settings(seed, settings_reader)
         if self.with_limits:
-            return _instance_with_limits(settings, load_report_names)
+            return _create_instance_with_limits(settings, load_report_names)
         return Instance(Gateway(settings), QuotaGossipCodec(), load_report_names)
 
     def _parse_event(self, name: str, reader: FieldReader, instance: Instance) -> Event:
@@ -96,21 +101,21 @@
             return self._parse_endpoint_list_event(reader)
         if name == "FROM_PEER":
             sender = reader.integer()
-            data = reader.octets()
+            data = reader.hex_bytes()
             return instance.gossip_codec.unpack(sender, data) or GossipReceived(sender, ())
         return parse_event(name, reader, instance.load_report_names)
 
     def _parse_endpoint_list_event(self, reader: FieldReader) -> EndpointListReceived:
-        kind = ENDPOINT_LIST_KINDS[reader.text()]
+        kind = ENDPOINT_LIST_KIND_BY_NAME[reader.text()]
         version = reader.integer(0)
-        number = reader.integer(0)
+        list_number = reader.integer(0)
         if kind is EndpointListKind.FAILED:
             return EndpointListReceived(kind, version)
-        if number not in self.endpoint_lists:
-            raise WireError(f"there is no list {number}")
-        return EndpointListReceived(kind, version, self.endpoint_lists[number])
+        if list_number not in self.endpoint_lists:
+            raise WireError(f"there is no list {list_number}")
+        return EndpointListReceived(kind, version, self.endpoint_lists[list_number])
 
-    def _decide(self, target: int, event: Event) -> list[str]:
+    def _handle_event(self, target: int, event: Event) -> list[str]:
         instance = self.instances[target]
         try:
             actions = instance.gateway.handle(self.now_us, event)
@@ -123,8 +128,8 @@
         return lines
 
 
-def _instance_with_limits(settings: Settings, load_report_names: list[str]) -> Instance:
-    # Imported here: without limits the process loads none of their modules.
+def _create_instance_with_limits(settings: Settings, load_report_names: list[str]) -> Instance:
+    # Imported here so that a process without limits does not load these modules.
     from molereach.limits.core import Limits
     from molereach.limits.gossip_codec import LimitGossipCodec
     from molereach.limits.settings import LimitSettings
--- a/tests/simulator/test_action_writer.py
+++ b/tests/simulator/test_action_writer.py
@@ -1,4 +1,4 @@
-"""Each action of the policy has its line on the simulator's wire."""
+"""Each action of the policy is written as a line of the simulator's protocol."""
 
 from molereach.policy.interface.actions import (
     Action,
@@ -18,7 +18,7 @@
 from molereach.simulator.action_writer import write_action
 
 
-def test_every_action_has_its_line() -> None:
+def test_every_action_is_written_as_its_line() -> None:
     actions: list[tuple[Action, str]] = [
         (CancelAttempt("a", 1), "CANCEL a 1"),
         (Reject("a", 5), "TURN_AWAY a 5"),
