--- a/molereach/__main__.py
+++ b/molereach/__main__.py
@@ -12,7 +12,7 @@
 
 from molereach.clock import now_us
 from molereach.proxy.config import Config, ConfigError
-from molereach.proxy.config_file import is_long, load, reload, reload_in_steps
+from molereach.proxy.config_file import is_large, load, reload, reload_in_steps
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach")
@@ -52,7 +52,7 @@
     if door.config_reload:
         door.config_reload.cancel()
         door.config_reload = None
-    if is_long(os.environ):
+    if is_large(os.environ):
         door.config_reload = asyncio.get_running_loop().create_task(reload_in_background(door))
         return
     try:
--- a/molereach/proxy/action_execution.py
+++ b/molereach/proxy/action_execution.py
@@ -1,4 +1,4 @@
-"""Carries out the policy's actions on requests: attempts to backends, answers to clients."""
+"""Executes the policy's actions on requests: sends attempts to backends and answers to clients."""
 
 import logging
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class ActionExecutor:
-    """Attempts and answers of the requests in a registry; `post` hands their results to the policy."""
+    """Sends attempts and answers for the requests in a registry; `post` passes the results to the policy."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.post = post
 
     def forward(self, action: ForwardAttempt) -> None:
-        """Send an attempt; one that may not be sent any more ends with NOT_SENT in a later batch."""
+        """Send an attempt; one that may no longer be sent is reported as NOT_SENT in a later batch."""
         request = self.requests.open.get(action.request_id)
         if request is None or request.attempts_sent >= self.settings.max_attempts:
             is_answered = request is None
@@ -64,57 +64,65 @@
             self.on_attempt_result,
             action.write_deadline_us,
         )
-        # In flight before it is sent: it may fail at once, and its result must find it.
+        # Registered before it is sent: it may fail at once, and the handler of its result must find it.
         request.in_flight[attempt.number] = attempt
         self.backends.send(attempt, timeout_us)
 
     def on_attempt_result(
         self, attempt: Attempt, result: AttemptResult, value: bytes | None, report: LoadReport | None
     ) -> None:
-        """An attempt's one result; the first value goes to the client at once and closes the request."""
+        """Handle the only result of an attempt; the first value answers the client and closes the request."""
         request_id = attempt.request_id
-        # The answer first: the event then says that the request has been answered.
+        # Answered before the event is posted, which states whether the request has been answered.
         if result is AttemptResult.OK and value is not None and request_id in self.requests.open:
             self.answer(request_id, b"$%d\r\n%b\r\n" % (len(value), value))
         is_answered = self.requests.finish_attempt(request_id, attempt.number)
-        took_us = now_us() - attempt.sent_us
+        latency_us = now_us() - attempt.sent_us
         self.post(
             AttemptEnded(
-                request_id, is_answered, attempt.number, attempt.server, result, took_us, load_report=report
+                request_id,
+                is_answered,
+                attempt.number,
+                attempt.server,
+                result,
+                latency_us,
+                load_report=report,
             )
         )
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt that is in flight."""
+        """Cancel an attempt if it is in flight."""
         attempt = self.requests.attempt_in_flight(action.request_id, action.attempt)
         if attempt:
             attempt.cancel()
 
     def reject(self, action: Reject) -> None:
-        """Answer that the client may come again, after a time where there is one."""
-        wait_ms = action.retry_after_us // 1000
-        self.answer(action.request_id, b"-BUSY %d\r\n" % wait_ms if wait_ms > 0 else b"-BUSY\r\n")
+        """Answer that the proxy is busy, with the time after which the client may retry, if there is one."""
+        retry_after_ms = action.retry_after_us // 1000
+        self.answer(
+            action.request_id, b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
+        )
 
     def fail(self, action: FailRequest) -> None:
-        """Answer that the request failed."""
+        """Answer that the request has failed."""
         self.answer(action.request_id, REQUEST_FAILED)
 
     def answer(self, request_id: str, data: bytes) -> None:
-        """Answer a request, unless it has been answered."""
-        if request := self.requests.settle(request_id):
+        """Send the answer to a request that has not been answered yet."""
+        if request := self.requests.close_request(request_id):
             request.reply.send(data)
 
-    def fail_and_forget(self, request_id: str) -> None:
-        """Fail a request over a programming error, and have the policy forget it."""
+    def abort_request(self, request_id: str) -> None:
+        """Answer a request with an error, without the policy's decision, and have the policy drop it."""
         if request_id in self.requests.open:
             self.answer(request_id, REQUEST_FAILED)
             self.post(ClientDisconnected(request_id))
 
-    def on_backstop(self, request_id: str) -> None:
-        """Fail a request that the policy has left without an answer, though it owes one in time."""
+    def on_backstop_timeout(self, request_id: str) -> None:
+        """Abort a request that the policy should have had answered by its deadline but did not."""
         if request_id in self.requests.open:
             log.error("request %s was left without an answer", request_id)
-            self.fail_and_forget(request_id)
+            self.abort_request(request_id)
 
     def close_idle(self, action: CloseIdleConnections) -> None:
         """Close the idle connections to a backend."""
@@ -122,5 +130,5 @@
 
     @staticmethod
     def write_log(action: WriteLog) -> None:
-        """Write the policy's log line."""
+        """Write a log line for the policy."""
         log.info("%s", action.text)
--- a/molereach/proxy/config.py
+++ b/molereach/proxy/config.py
@@ -1,4 +1,4 @@
-"""A proxy's configuration: the values of its JSON file and the environment, checked and typed."""
+"""The configuration of a proxy: values of its JSON file and environment variables, checked and typed."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -13,19 +13,19 @@
 
 Section = TypeVar("Section", dict[str, Any], list[Any])
 
-MIN_SOCKETS = 48  # with fewer, those that a proxy needs for itself would pass the limit
+MIN_SOCKETS = 48  # with fewer, the sockets that the proxy itself needs would exceed the limit
 SEED = re.compile(r"[0-9a-fA-F]{1,64}")
 
 
 class ConfigError(ProxyError):
-    """The environment or the configuration is not usable; the text is one plain line."""
+    """The environment or the configuration is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The proxy's addresses, whom it talks to, its limits and the policy's settings.
+    """The addresses of the proxy and of its peers, its resource limits and the policy's settings.
 
-    The names of its fields are shown to operators where a new value needs a restart.
+    When a changed value takes effect only after a restart, operators are shown the name of its field.
     """
 
     name: str
@@ -41,17 +41,21 @@
     max_open: int
     sockets: int
     memory_mb: int
-    known: Mapping[str, Any]  # without the entries that are in the lists below
+    known: Mapping[str, Any]  # the saved endpoint list, without the entries in `known_entry_lists`
     peer_listen: EndpointAddress | None = None
     peers: tuple[EndpointAddress, ...] = ()
-    # Entries of a long `known`, as JSON lists; the start empties it, as they need not be in memory twice.
+    # Entries of a long `known`, as texts of JSON lists. The start empties this list as it reads them, so that
+    # they are not held in memory twice.
     known_entry_lists: list[bytes] = field(default_factory=list, compare=False)
 
 
 def configured_address(
     values: Mapping[str, Any], key: str, env: Mapping[str, str] | None = None
 ) -> EndpointAddress:
-    """An address of the environment, where it is set there, or of the file; ConfigError for none."""
+    """Read an address from the environment if it is set there, otherwise from the file.
+
+    ConfigError if it is missing or malformed.
+    """
     variable = f"PROXY_{key.upper()}"
     text = env.get(variable) if env else None
     if not text and values.get(key) is None:
@@ -63,64 +67,68 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, object]]:
-    """Nested JSON by the paths of the simulator's wire, with the objects and lists themselves: where a
-    setting is expected, these are reported as wrong values.
+    """Yield the values in nested JSON with their paths, which are those of the simulator's protocol.
+
+    Objects and lists are yielded too, so that one in place of a setting is reported as a wrong value.
     """
     if path:
         yield path, value
     if isinstance(value, dict):
-        for name, inner in value.items():
-            yield from flatten(inner, f"{path}.{name}" if path else name)
+        for name, member in value.items():
+            yield from flatten(member, f"{path}.{name}" if path else name)
     elif isinstance(value, list) and all(isinstance(item, dict) for item in value):
         yield f"{path}.count", len(value)
-        for number, item in enumerate(value):
-            yield from flatten(item, f"{path}.{number}")
+        for index, item in enumerate(value):
+            yield from flatten(item, f"{path}.{index}")
 
 
-def section(values: Mapping[str, Any], key: str, kind: type[Section], at: str = "") -> Section:
-    """An object or a list of `values`, empty where it is absent; ConfigError for anything else."""
+def read_section(
+    values: Mapping[str, Any], key: str, section_type: type[Section], path_prefix: str = ""
+) -> Section:
+    """Return an object or a list in `values`, empty if it is absent; ConfigError for another type."""
     value = values.get(key)
     if value is None:
-        return kind()
-    if not isinstance(value, kind):
+        return section_type()
+    if not isinstance(value, section_type):
         raise ConfigError(
-            f"{at}{key}: is {abbreviated(value)}, not {'a list' if kind is list else 'an object'}"
+            f"{path_prefix}{key}: is {abbreviated(value)}, "
+            f"not {'a list' if section_type is list else 'an object'}"
         )
     return value
 
 
-def numbers(settings: Mapping[str, Any], key: str, named: bool) -> dict[str, int]:
-    """The index of each name in a list of the settings: of objects with one, or of plain names.
+def index_by_name(settings: Mapping[str, Any], key: str, must_be_objects: bool) -> dict[str, int]:
+    """Return the index of each name in a list of objects with names, or of plain names.
 
-    `named`: only objects are allowed, and there must be one. ConfigError otherwise.
+    `must_be_objects`: plain names and an empty list are errors. Raises ConfigError.
     """
-    found: dict[str, int] = {}
-    for number, value in enumerate(section(settings, key, list, "settings.")):
+    indexes: dict[str, int] = {}
+    for index, value in enumerate(read_section(settings, key, list, "settings.")):
         name = value.get("name") if isinstance(value, dict) else value
-        if not isinstance(name, str) or (named and not isinstance(value, dict)):
-            raise ConfigError(f"settings.{key}.{number}: is {abbreviated(value)}, which has no name")
-        if found.setdefault(name, number) != number:
-            raise ConfigError(f"settings.{key}.{number}: the name {abbreviated(name)} is there twice")
-    if named and not found:
+        if not isinstance(name, str) or (must_be_objects and not isinstance(value, dict)):
+            raise ConfigError(f"settings.{key}.{index}: is {abbreviated(value)}, which has no name")
+        if indexes.setdefault(name, index) != index:
+            raise ConfigError(f"settings.{key}.{index}: the name {abbreviated(name)} is there twice")
+    if must_be_objects and not indexes:
         raise ConfigError(f"settings.{key}: is missing or empty")
-    return found
+    return indexes
 
 
 def parse(values: object, env: Mapping[str, str]) -> Config:
-    """The configuration from the file's values, where the environment goes before them.
+    """Build the configuration from the values of the file; environment variables take precedence.
 
-    ConfigError or SettingsError for what is missing or wrong.
+    ConfigError or SettingsError if a value is missing or invalid.
     """
     if not isinstance(values, dict):
         raise ConfigError(f"the file holds {abbreviated(values)}, not an object")
-    settings = section(values, "settings", dict)
+    settings = read_section(values, "settings", dict)
     for key in ("ceilings", "extra", "obligations", "prices"):
-        section(settings, key, dict, "settings.")
+        read_section(settings, key, dict, "settings.")
     settings_reader = SettingsReader(dict(flatten(settings)), False, "settings.")
     file_reader = SettingsReader(values, False)
-    limits = SettingsReader(section(values, "limits", dict), False, "limits.")
+    limits_reader = SettingsReader(read_section(values, "limits", dict), False, "limits.")
     seed = file_reader.text("seed", None)
-    peers = section(values, "peers", list)
+    peers = read_section(values, "peers", list)
     if not SEED.fullmatch(seed):
         raise ConfigError(f"seed: is {abbreviated(seed)}, which is no hexadecimal number")
     has_peer_listen = values.get("peer_listen") not in (None, "")
@@ -128,25 +136,27 @@
         name=env.get("PROXY_NAME") or file_reader.text("name", None),
         listen=configured_address(values, "listen", env),
         discovery=configured_address(values, "discovery", env),
-        class_numbers=numbers(settings, "categories", named=True),
-        plan_numbers=numbers(settings, "plans", named=True),
-        zone_numbers=numbers(settings, "zones", named=False),
-        kind_numbers=numbers(settings, "kinds", named=False),
+        class_numbers=index_by_name(settings, "categories", must_be_objects=True),
+        plan_numbers=index_by_name(settings, "plans", must_be_objects=True),
+        zone_numbers=index_by_name(settings, "zones", must_be_objects=False),
+        kind_numbers=index_by_name(settings, "kinds", must_be_objects=False),
         settings=read_settings(int(seed, 16), settings_reader),
         conn_idle_us=settings_reader.integer("ceilings.conn-idle-us", 30_000_000, 1),
         connect_timeout_us=settings_reader.integer("ceilings.connect-timeout-us", 250_000, 1),
         max_open=settings_reader.integer("ceilings.max-open", 20_000, 1),
-        sockets=limits.integer("sockets", 1024, MIN_SOCKETS),
-        memory_mb=limits.integer("memory_mb", 64, 1),
-        known=values.get("known") or {},  # what is wrong there must not keep it from a start
+        sockets=limits_reader.integer("sockets", 1024, MIN_SOCKETS),
+        memory_mb=limits_reader.integer("memory_mb", 64, 1),
+        known=values.get("known") or {},  # not checked here: a malformed saved list must not prevent a start
         peer_listen=configured_address(values, "peer_listen") if has_peer_listen else None,
-        peers=tuple(configured_address({f"peers.{n}": text}, f"peers.{n}") for n, text in enumerate(peers)),
+        peers=tuple(
+            configured_address({f"peers.{index}": text}, f"peers.{index}") for index, text in enumerate(peers)
+        ),
     )
-    return consistent(config)
+    return with_consistent_settings(config)
 
 
-def consistent(config: Config) -> Config:
-    """The configuration, without gossip where nobody can receive it; ConfigError for an unknown zone."""
+def with_consistent_settings(config: Config) -> Config:
+    """Turn off gossip if there is no address for it or no peer; ConfigError for an unknown zone."""
     if not (config.peers and config.peer_listen):
         config = replace(config, settings=replace(config.settings, may_gossip=False))
     if config.zone_numbers and config.settings.zone >= len(config.zone_numbers):
--- a/molereach/proxy/config_file.py
+++ b/molereach/proxy/config_file.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file: a short one at once, a long one in steps with requests between them."""
+"""Reads the configuration file: a small one at once, a large one in steps, with requests served between."""
 
 import json
 import os
@@ -12,23 +12,23 @@
 from molereach.protocol.settings_reader import SettingsError
 from molereach.proxy.config import Config, ConfigError, parse
 
-STREAMED_FILE_BYTES = 1 << 18  # a file of no more than this is read and parsed at once
-READ_CHUNK_BYTES = 1 << 15  # of a long one
+MAX_UNSTREAMED_FILE_BYTES = 1 << 18  # larger files are read in steps
+READ_CHUNK_BYTES = 1 << 15  # read in one step
 MAX_FILE_BYTES = 1 << 26
-SAVED_ENTRIES_PATH = ("known", "instances")  # the keys that lead to the entries of the saved list
+SAVED_ENTRIES_PATH = ("known", "instances")  # keys under which the entries of the saved endpoint list are
 
 Result = TypeVar("Result")
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The configuration that the environment points to; ConfigError where it cannot be used."""
+    """Load the configuration file that the environment names; ConfigError if it is invalid."""
     return run_to_end(load_in_steps(env))
 
 
-def load_in_steps(env: Mapping[str, str], start: bool = True) -> Generator[None, None, Config]:
-    """`load`, with a step for each chunk of a long file.
+def load_in_steps(env: Mapping[str, str], needs_saved_entries: bool = True) -> Generator[None, None, Config]:
+    """The steps of `load`, one for each chunk of a large file.
 
-    `start`: whether the entries of the saved list are needed.
+    `needs_saved_entries`: whether the entries of a large saved list are kept; only the start needs them.
     """
     path = env.get("PROXY_CONFIG")
     if not path:
@@ -36,10 +36,10 @@
     entry_lists: list[bytes] = []
     try:
         with Path(path).open("rb") as file:
-            if os.fstat(file.fileno()).st_size <= STREAMED_FILE_BYTES:
+            if os.fstat(file.fileno()).st_size <= MAX_UNSTREAMED_FILE_BYTES:
                 values = json.loads(file.read())
             else:
-                values = yield from read_long_file(file, entry_lists if start else None)
+                values = yield from read_large_file(file, entry_lists if needs_saved_entries else None)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: cannot read the configuration: {' '.join(str(error).split())}") from error
     try:
@@ -50,10 +50,11 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def read_long_file(file: BinaryIO, entry_lists: list[bytes] | None) -> Generator[None, None, object]:
-    """The object in a long file without entries of the saved list: these go to `entry_lists`, or nowhere.
+def read_large_file(file: BinaryIO, entry_lists: list[bytes] | None) -> Generator[None, None, object]:
+    """Read the object in a large file, without most entries of the saved list.
 
-    JsonStreamError where the file is not one object.
+    The text of those entries is appended to `entry_lists`, or discarded if that is None. JsonStreamError if
+    the file does not consist of one object.
     """
     json_stream = JsonStream(MAX_FILE_BYTES, SAVED_ENTRIES_PATH)
     objects: list[bytes] = []
@@ -75,33 +76,33 @@
 
 
 def reload(env: Mapping[str, str]) -> Config:
-    """The configuration anew, for a proxy that serves; ConfigError where it cannot be used.
+    """Load the configuration again while the proxy is serving; ConfigError if it is invalid.
 
-    The environment is as old as the process: in a file that was replaced since, the address of discovery is
-    the newer one.
+    The discovery address is taken from the file even if the environment has one: the environment dates from
+    the start of the process, while the file may have been replaced since.
     """
     return run_to_end(reload_in_steps(env))
 
 
 def reload_in_steps(env: Mapping[str, str]) -> Generator[None, None, Config]:
-    """`reload`, in the steps of `load_in_steps`."""
-    file_first = {name: value for name, value in env.items() if name != "PROXY_DISCOVERY"}
-    return load_in_steps(file_first, start=False)
+    """The steps of `reload`, as of `load_in_steps`."""
+    env_without_discovery = {name: value for name, value in env.items() if name != "PROXY_DISCOVERY"}
+    return load_in_steps(env_without_discovery, needs_saved_entries=False)
 
 
-def is_long(env: Mapping[str, str]) -> bool:
-    """Whether the file is one that should be read in steps."""
+def is_large(env: Mapping[str, str]) -> bool:
+    """Whether the configuration file is so large that it is read in steps."""
     try:
-        return Path(env.get("PROXY_CONFIG", "")).stat().st_size > STREAMED_FILE_BYTES
+        return Path(env.get("PROXY_CONFIG", "")).stat().st_size > MAX_UNSTREAMED_FILE_BYTES
     except (OSError, ValueError):
-        return False  # whoever reads it reports what is wrong
+        return False  # the error is reported when the file is read
 
 
 def run_to_end(steps: Generator[None, None, Result]) -> Result:
-    """All steps at once, for when nothing is served yet or there are few; the result of the last."""
+    """Run all steps at once and return their result; used if there are few or before requests are served."""
     while True:
         try:
             next(steps)
-        except StopIteration as end:
-            result: Result = end.value
+        except StopIteration as stop:
+            result: Result = stop.value
             return result
--- a/molereach/proxy/connection_draining.py
+++ b/molereach/proxy/connection_draining.py
@@ -1,4 +1,4 @@
-"""The steps of a graceful shutdown: what is still taken, and whom it waits for."""
+"""Drains client connections in the steps of a graceful shutdown."""
 
 import asyncio
 import logging
@@ -10,23 +10,23 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL_S = 0.05  # between two checks whether it is time for the next step
-FINAL_WRITE_TIMEOUT_S = 1.0  # how long clients may take to read their last answers, or to send a last request
+CHECK_INTERVAL_S = 0.05  # between checks whether the next step is due
+FINAL_WRITE_TIMEOUT_S = 1.0  # for clients to read their last answers or to send a last request
 
 
 async def drain(shutdown: GracefulShutdown, clients: ClientListener, requests: Sized) -> None:
-    """Take what comes while there is time for it, then close what is idle, then all.
+    """Serve requests while there is time for them, then close idle connections, then all connections.
 
-    Returns when no client is left or the kill is near. `requests` are those that are open.
+    Returns when no client is connected or the process is about to be killed. `requests` are the open ones.
     """
     while not shutdown.closes_idle(now_us()):
         await asyncio.sleep(CHECK_INTERVAL_S)
     clients.drain()
     while not await clients.wait_closed(bounded_wait_s(FINAL_WRITE_TIMEOUT_S, shutdown.responses_due_at_us)):
         if not requests or now_us() >= shutdown.responses_due_at_us:
-            break  # one may still come on a connection that has had none
-    # Clients that have connected by now may have sent a request already: it is read and answered before their
-    # connections end.
+            break  # a first request may still arrive on a new connection, which the next step reads
+    # Clients that are already connected may have sent a request: it is read and answered before their
+    # connections are closed.
     clients.stop_listening()
     while not await clients.wait_closed(bounded_wait_s(CHECK_INTERVAL_S, shutdown.reads_until_us)):
         if not requests or now_us() >= shutdown.reads_until_us:
@@ -36,6 +36,6 @@
         log.warning("%d clients stay to the end", clients.sockets)
 
 
-def bounded_wait_s(limit_s: float, until_us: int) -> float:
-    """How long to wait until then, in seconds: not below 0, and `limit_s` at most."""
-    return max(0.0, min(limit_s, (until_us - now_us()) / 1e6))
+def bounded_wait_s(max_s: float, until_us: int) -> float:
+    """The seconds left until `until_us`, from 0 to `max_s`."""
+    return max(0.0, min(max_s, (until_us - now_us()) / 1e6))
--- a/molereach/proxy/endpoint_updates.py
+++ b/molereach/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint updates: the full list, the subset of it that the policy gets, and its backends."""
+"""Applies endpoint updates to the full list, to the policy's subset of it and to the backend connections."""
 
 import logging
 from collections.abc import Callable, Generator, Mapping
@@ -17,7 +17,7 @@
 
 
 class EndpointUpdates:
-    """The endpoint list of one proxy, from discovery and from the list that was saved for its start."""
+    """The endpoint list of one proxy, from the list saved for its start and from discovery."""
 
     def __init__(
         self,
@@ -30,14 +30,17 @@
         self.mapping = mapping
         self.backends = backends
         self.post = post
-        self.saved_list: EndpointUpdate | None = None  # the list that it started with, as it was published
-        # What operators' orders change in an update on its way to the policy.
+        self.saved_list: EndpointUpdate | None = (
+            None  # the subset of the saved list, as published at the start
+        )
+        # Applies operators' orders to each update before the policy receives it.
         self.overlay: Callable[[EndpointListReceived], EndpointListReceived] = lambda event: event
 
     def load_saved_list(self, saved: Mapping[str, Any], entry_lists: list[bytes]) -> int:
-        """Apply the saved list; its version, or 0 where there is none or it is malformed.
+        """Apply the saved list; return its version, or 0 if there is none or it is malformed.
 
-        Its entries may stand in `entry_lists`, which is emptied: each is freed once it has been read.
+        `entry_lists` has the entries of a large list; it is emptied, so that each text is freed once it has
+        been read.
         """
         if not saved:
             return 0
@@ -60,7 +63,7 @@
         return version
 
     def stage_saved_list(self, saved: Mapping[str, Any], entry_lists: list[bytes]) -> StagedEndpointUpdate:
-        """Stage the entries of a long list, freeing each text as it is read."""
+        """Stage the entries of a large list, freeing each text as it is read."""
         staged = self.endpoint_list.stage()
         entry_lists.reverse()
         while entry_lists:
@@ -68,9 +71,9 @@
         return self.mapping.read_staged_update(saved, staged, EndpointListKind.SAVED)
 
     def on_update(self, update: Update) -> Steps | None:
-        """Apply an update of discovery; the steps to do so where it was staged.
+        """Apply an update from discovery; a staged one is applied by running the steps that are returned.
 
-        EndpointListError where it cannot be held: the list before it stays in use.
+        EndpointListError if it exceeds the memory limit; the previous list then stays in use.
         """
         if isinstance(update, StagedEndpointUpdate):
             return self.apply_staged_in_steps(update)
@@ -78,29 +81,30 @@
         return None
 
     def apply_complete(self, update: EndpointUpdate) -> SubsetUpdate | None:
-        """Apply an update that came in one object; what of it concerns the subset."""
+        """Apply an update that came in one object; return the change of the subset."""
         return self.publish_subset(self.endpoint_list.apply(update.event, update.addresses))
 
     def apply_staged(self, update: StagedEndpointUpdate) -> Generator[None, None, SubsetUpdate | None]:
-        """Apply an update that was staged, in steps; what of it concerns the subset."""
+        """Apply a staged update in steps; return the change of the subset."""
         subset_update = yield from self.endpoint_list.take_over(update.staged, update.kind, update.version)
         return self.publish_subset(subset_update)
 
     def apply_staged_in_steps(self, update: StagedEndpointUpdate) -> Steps:
-        """`apply_staged` for whoever needs no result."""
+        """The steps of `apply_staged`, without its result."""
         yield from self.apply_staged(update)
 
     def publish_subset(self, update: SubsetUpdate | None) -> SubsetUpdate | None:
-        """Publish what an update changes in the subset, under the overlay; None changes nothing."""
+        """Publish a change of the subset, modified by the overlay; None is no change."""
         if update:
             self.publish(self.overlay(update.event), update.addresses)
         return update
 
     def publish(self, event: EndpointListReceived, addresses: dict[str, EndpointAddress]) -> None:
-        """Hand an update to the policy and the backends; `addresses`: those that are new with it."""
+        """Pass an update to the policy and the backends; `addresses` has those of its new endpoints."""
         is_full = event.kind is not EndpointListKind.CHANGES
         states = {endpoint.name: endpoint.state for endpoint in event.endpoints}
         started_us = {endpoint.name: endpoint.started_us for endpoint in event.endpoints}
-        # Posted first: attempts that the backends end because of it are then decided on with the new list.
+        # Posted first, so that when the backends end attempts because of the update, the policy handles their
+        # results with the new list.
         self.post(event)
         self.backends.update(states, addresses, is_full, started_us)
--- a/molereach/proxy/errors.py
+++ b/molereach/proxy/errors.py
@@ -1,5 +1,5 @@
-"""The base of a proxy's errors."""
+"""The base class of a proxy's errors."""
 
 
 class ProxyError(Exception):
-    """A proxy cannot start or go on as asked; the message is one plain line."""
+    """A proxy cannot start or continue as requested; the message is one line."""
--- a/molereach/proxy/gossip.py
+++ b/molereach/proxy/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between the proxies of a tier, in datagrams."""
+"""Exchanges gossip with the other proxies of a tier in datagrams."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """Sends and receives gossip; datagrams that are malformed or not from a peer are dropped."""
+    """Sends and receives gossip; drops datagrams that are malformed or do not come from a peer."""
 
     def __init__(
         self,
@@ -19,7 +19,7 @@
         proxy_index: int,
         on_message: Callable[[GossipReceived], None],
     ) -> None:
-        """`addresses`: those of all proxies of the tier; `proxy_index`: which of them is this one."""
+        """`addresses` are those of all proxies of the tier; `proxy_index` is the index of this one."""
         self.addresses = addresses
         self.proxy_index = proxy_index
         self.on_message = on_message
@@ -28,11 +28,11 @@
         self.codec: GossipCodec = QuotaGossipCodec()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is bound."""
+        """Store the transport of the bound socket."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: EndpointAddress) -> None:
-        """Hand on a peer's message."""
+        """Decode a peer's datagram and pass on its messages."""
         sender = self.senders.get(address)
         if sender is None or len(data) > MAX_DATAGRAM_BYTES:
             return
@@ -40,7 +40,7 @@
             self.on_message(message)
 
     def error_received(self, error: Exception) -> None:
-        """A peer that is down may show as an error here; datagrams may be lost in any case."""
+        """Ignore the error, such as that of a peer which is down: gossip tolerates lost datagrams."""
 
     def send(self, action: SendGossip) -> None:
         """Send the messages of an action to its peer."""
@@ -49,6 +49,6 @@
                 self.transport.sendto(data, self.addresses[action.peer])
 
     def close(self) -> None:
-        """Close the socket, if it was bound."""
+        """Close the socket if it was bound."""
         if self.transport:
             self.transport.close()
--- a/molereach/proxy/graceful_shutdown.py
+++ b/molereach/proxy/graceful_shutdown.py
@@ -1,45 +1,46 @@
-"""When a proxy stops: until when it takes requests, and by when all have answers.
+"""The times of a graceful shutdown: until when requests are accepted, and by when all must be answered.
 
-Its clients go on using the connections that they have, and whoever directs them here notices the shutdown
-only after seconds: what it does not take until then is refused by a dead address. So it serves for as long as
-an answer can be in progress before it is killed, which by the platform's protocol is no sooner than the
-longest deadline and 0.7 s more. All its moments follow from that one, however short the deadlines are.
+Clients keep using their connections, and whatever directs them to this proxy notices the shutdown only after
+seconds; requests that the proxy does not accept until then fail, as nothing listens at its address. It
+therefore accepts requests for as long as they can still be answered before it is killed. By the platform's
+protocol the kill comes no sooner than the longest deadline plus 0.7 s after the notification. All other times
+are derived from that of the kill, however short the deadlines are.
 """
 
 from collections.abc import Iterable
 
 SECOND_US = 1_000_000
-MAX_DEADLINE_US = 3 * SECOND_US  # no deadline counts for more
+MAX_DEADLINE_US = 3 * SECOND_US  # longer deadlines count as this
 KILL_GRACE_US = 700_000  # from the longest deadline to the kill
-RESPONSE_MARGIN_US = 200_000  # before the kill all answers are to be sent
-MIN_SERVICE_TIME_US = 700_000  # what is taken last has so long, or the longest deadline if that is shorter
-DISCONNECT_SETTLE_US = 600_000  # new connections go on coming for up to 0.4 s
-QUIET_PERIOD_US = 500_000  # without a request for so long, there is nothing to wait for
-LAST_READ_FRACTION = 0.25  # of the margin: to read from connections accepted last
-EXIT_FRACTION = 0.25  # of the margin: for the end of the process itself
+RESPONSE_MARGIN_US = 200_000  # from the time by which all answers are sent to the kill
+MIN_SERVICE_TIME_US = 700_000  # for the last request that is accepted, or the longest deadline if shorter
+DISCONNECT_SETTLE_US = 600_000  # new connections keep arriving for up to 0.4 s after the notification
+QUIET_PERIOD_US = 500_000  # after this time without a request, no more are expected
+LAST_READ_FRACTION = 0.25  # of RESPONSE_MARGIN_US, to read from the connections that were accepted last
+EXIT_FRACTION = 0.25  # of RESPONSE_MARGIN_US, for the process to exit
 
 
 class GracefulShutdown:
-    """The times of one shutdown, all in microseconds of one clock."""
+    """The times of one shutdown, in microseconds of the monotonic clock."""
 
     def __init__(self, notified_at_us: int, deadlines_us: Iterable[int]) -> None:
-        """`notified_at_us`: when the process was notified to end; `deadlines_us`: those of the classes."""
+        """`notified_at_us` is when the process was told to end, `deadlines_us` are those of the classes."""
         longest_us = min(MAX_DEADLINE_US, max(deadlines_us, default=0))
         kill_at_us = notified_at_us + longest_us + KILL_GRACE_US
-        self.responses_due_at_us = kill_at_us - RESPONSE_MARGIN_US  # then the listener closes
+        self.responses_due_at_us = kill_at_us - RESPONSE_MARGIN_US  # when the listening socket is closed
         self.accepts_until_us = self.responses_due_at_us - min(MIN_SERVICE_TIME_US, longest_us)
         self.settled_at_us = min(notified_at_us + DISCONNECT_SETTLE_US, self.accepts_until_us)
         self.last_request_at_us = self.settled_at_us
         self.reads_until_us = self.responses_due_at_us + round(RESPONSE_MARGIN_US * LAST_READ_FRACTION)
         closing_us = round(RESPONSE_MARGIN_US * (1 - EXIT_FRACTION))
-        self.closes_at_us = self.responses_due_at_us + closing_us  # all sockets are closed
+        self.closes_at_us = self.responses_due_at_us + closing_us  # when all sockets are closed
 
     def admit(self, now_us: int, remaining_us: int) -> int:
-        """A request has come whose client waits for `remaining_us`; how long it may take here."""
+        """Record that a request arrived whose client waits for `remaining_us`; return its time limit here."""
         self.last_request_at_us = max(self.last_request_at_us, now_us)
         return min(remaining_us, max(1, self.responses_due_at_us - now_us))
 
     def closes_idle(self, now_us: int) -> bool:
-        """Whether connections are to be closed as they become idle."""
+        """Whether connections are to be closed when they become idle."""
         is_quiet = now_us - self.last_request_at_us >= QUIET_PERIOD_US
         return now_us >= self.accepts_until_us or (now_us >= self.settled_at_us and is_quiet)
--- a/molereach/proxy/policy_driver.py
+++ b/molereach/proxy/policy_driver.py
@@ -1,9 +1,10 @@
-"""Hands events to the policy in batches, and its actions to whoever carries them out.
+"""Passes events to the policy in batches and executes its actions.
 
-As on the simulator's wire, what has come in by one moment is a batch: each of its events is handed to the
-policy with the same time, in order of arrival, and its actions are carried out in order, before the next
-event is handed over. What an action itself brings about (an attempt that could not start) comes with a later
-batch: so the policy never gets an event while it decides, and no event overtakes an earlier one.
+As in the simulator's protocol, the events that have arrived by the same time form a batch. The policy handles
+them in order of arrival, all with the same time, and its actions for one event are executed in order before
+it gets the next. Events that an action causes, such as an attempt that could not be started, belong to a
+later batch. The policy therefore never receives an event while it handles another, and events are not
+reordered.
 """
 
 import asyncio
@@ -17,26 +18,26 @@
 
 log = logging.getLogger(__name__)
 
-TIMER_RETRY_US = 20_000  # how soon a timer expires again on which the policy failed
-MIN_TIMER_US = 1000  # the loop's timers go by milliseconds
+TIMER_RETRY_US = 20_000  # delay before a timer event whose handling failed is repeated
+MIN_TIMER_US = 1000  # the event loop's timers have a resolution of 1 ms
 
 Handlers = dict[type, Callable[..., None]]
 
 
 class PolicyDriver:
-    """The policy of one proxy, with its inbox and its timers."""
+    """Drives the policy of one proxy: queues its events, executes its actions and runs its timers."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.loop = asyncio.get_running_loop()
         self.inbox: list[Event] = []
         self.handlers: Handlers = {}
-        self.fail_request: Callable[[str], None] = lambda request_id: None
+        self.abort_request: Callable[[str], None] = lambda request_id: None
 
-    def connect(self, handlers: Handlers, fail_request: Callable[[str], None]) -> None:
-        """Set what carries out each type of action, and what fails a request over a programming error."""
+    def set_handlers(self, handlers: Handlers, abort_request: Callable[[str], None]) -> None:
+        """Set the handler of each type of action, and what aborts a request after a programming error."""
         self.handlers = handlers
-        self.fail_request = fail_request
+        self.abort_request = abort_request
 
     def post(self, event: Event) -> None:
         """Add an event to the next batch."""
@@ -45,43 +46,43 @@
         self.inbox.append(event)
 
     def run_batch(self) -> None:
-        """Hand over the events that have come, all at one time."""
+        """Have the policy handle the queued events, all with the current time."""
         batch_at_us = now_us()
         events = self.inbox
-        # Emptied first: what actions post from here on is another batch.
+        # Replaced first: events that the actions post belong to the next batch.
         self.inbox = []
         for event in events:
             for action in self.decide(batch_at_us, event):
                 self.execute(action)
 
     def decide(self, at_us: int, event: Event) -> list[Action]:
-        """The policy's actions; none where it fails, which costs the request of the event alone."""
+        """Return the policy's actions for an event; an exception aborts only the request of the event."""
         try:
             return self.gateway.handle(at_us, event)
         except Exception:
             log.exception("policy failed on %r", event)
-            self.fail_request(getattr(event, "request_id", ""))
-            if isinstance(event, TimerExpired):  # the policy depends on it: it comes again
+            self.abort_request(getattr(event, "request_id", ""))
+            if isinstance(event, TimerExpired):  # repeated, since the policy depends on it
                 self.set_timer(SetTimer(TIMER_RETRY_US, event.token))
             return []
 
     def execute(self, action: Action) -> None:
-        """Carry out an action; a failure costs its request."""
+        """Execute an action; an exception aborts only the request of the action."""
         try:
             self.handlers[type(action)](action)
         except Exception:
             log.exception("cannot carry out %r", action)
-            self.fail_request(getattr(action, "request_id", ""))
+            self.abort_request(getattr(action, "request_id", ""))
 
     def set_timer(self, action: SetTimer) -> None:
-        """Post an event after the action's delay."""
+        """Post the event of a timer after its delay."""
         self.expire_timer(now_us() + action.delay_us, action.token)
 
     def expire_timer(self, due_us: int, token: int) -> None:
-        """Post a timer's event if it is due, else wait for the rest.
+        """Post the event of a timer if it is due, otherwise wait for the remaining time.
 
-        The loop's timers go by milliseconds and may be early; the policy would ignore such an event and, as
-        it takes the timer for still set, never set another.
+        The event loop rounds times to milliseconds and may call early. The policy would ignore an early event
+        and never set the timer again, because it would assume that it is still running.
         """
         remaining_us = due_us - now_us()
         if remaining_us > 0:
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -1,7 +1,7 @@
-"""One front door: its parts, its start and its graceful shutdown.
+"""Assembles a front door from its components; starts it and shuts it down gracefully.
 
-Clients hand over commands, `policy_driver` gives them to the policy as events, and `action_execution` carries
-out what it decides; `endpoint_updates` has the endpoint list.
+Client connections pass commands to `Proxy`, `policy_driver` passes them to the policy as events, and
+`action_execution` executes its actions. `endpoint_updates` maintains the endpoint list.
 """
 
 import asyncio
@@ -48,26 +48,26 @@
 
 log = logging.getLogger(__name__)
 
-# Taken off the time that a client waits: for its request on its way here and the answer on its way back.
+# Subtracted from the time that a client waits, for the network delay of the request and of its answer.
 ANSWER_MARGIN_US = 25_000
-BACKSTOP_US = 15_000  # how much later than the policy a request is ended here, should it not do so
-FIRST_LIST_TIMEOUT_S = 0.3  # how long the start waits for a list that is newer than the saved one
-BACKOFF_SEED = 0x5CA11  # the random source of the backoff is not that of the policy
-LEAVE_REPEATS = 2  # leave messages to each peer, as datagrams may be lost
+BACKSTOP_DELAY_US = 15_000  # after the deadline by which the policy must have had a request answered
+FIRST_LIST_TIMEOUT_S = 0.3  # how long the start waits for a newer endpoint list than the saved one
+BACKOFF_SEED = 0x5CA11  # combined with the policy's seed, so that backoff draws other random numbers
+LEAVE_MESSAGE_COUNT = 2  # copies of each leave message that are sent, as datagrams may be lost
 
 
 class Proxy:
-    """One front door, from its configuration; it needs a running loop."""
+    """One front door, made from its configuration while an event loop is running."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
         self.settings = config.settings
         self.loop = asyncio.get_running_loop()
         self.address = config.listen
-        self.counter_sources: list[Callable[[], dict[str, int]]] = []  # of subsystems that were attached
-        self.on_stopped: list[Callable[[], Awaitable[None]]] = []  # what ends after all clients
-        self.shutdown: GracefulShutdown | None = None  # once it has been notified to end
-        self.config_reload: asyncio.Task[None] | None = None  # of a long configuration file
+        self.counter_sources: list[Callable[[], dict[str, int]]] = []  # of attached subsystems
+        self.on_stopped: list[Callable[[], Awaitable[None]]] = []  # called once all clients are served
+        self.shutdown: GracefulShutdown | None = None  # set when the shutdown begins
+        self.config_reload: asyncio.Task[None] | None = None  # the reload of a large file
         budget = ResourceBudget.from_config(config)
         self.gateway = Gateway(config.settings)
         self.driver = PolicyDriver(self.gateway)
@@ -88,13 +88,13 @@
             self.driver.post,
         )
         self.gossip = GossipTransport(config.peers, config.settings.proxy_index, self.driver.post)
-        self.driver.connect(self.action_handlers(), self.actions.fail_and_forget)
-        # Before discovery is made: it asks for what comes after the saved list's version.
+        self.driver.set_handlers(self.action_handlers(), self.actions.abort_request)
+        # Discovery requests the changes since the version of the saved list, which is therefore loaded first.
         saved_version = self.endpoints.load_saved_list(config.known, config.known_entry_lists)
-        self.discovery = self.make_discovery(saved_version)
+        self.discovery = self.create_discovery(saved_version)
 
     def action_handlers(self) -> Handlers:
-        """What carries out each type of action."""
+        """Return the function that executes each type of action."""
         return {
             ForwardAttempt: self.actions.forward,
             CancelAttempt: self.actions.cancel,
@@ -108,8 +108,8 @@
             FetchEndpoints: ignore_watch_change,
         }
 
-    def make_discovery(self, saved_version: int) -> EndpointDiscovery:
-        """Discovery of endpoints from the saved list on."""
+    def create_discovery(self, saved_version: int) -> EndpointDiscovery:
+        """Create endpoint discovery, which continues from the version of the saved list."""
         return EndpointDiscovery(
             self.config.discovery,
             self.endpoints.mapping,
@@ -121,15 +121,15 @@
             self.endpoints.endpoint_list.stage,
         )
 
-    # --- start and end ---
+    # --- Start and shutdown ---
 
     def use_limits(self, limits: LimitPolicy, codec: GossipCodec) -> None:
-        """Have limits consulted, and their messages sent; before the first event."""
+        """Have the policy apply limits, and send their messages; to be called before the first event."""
         self.gateway.limits = limits
         self.gossip.codec = codec
 
     async def start(self) -> None:
-        """Serve; returns once clients are answered. OSError where an address cannot be bound."""
+        """Start to serve and return when clients can connect. OSError if an address cannot be bound."""
         self.backends.sweep()
         if self.settings.may_gossip and self.config.peer_listen:
             await self.loop.create_datagram_endpoint(lambda: self.gossip, local_addr=self.config.peer_listen)
@@ -141,7 +141,7 @@
         self.address = self.clients.listen(self.config.listen)
 
     def reconfigure(self, config: Config) -> None:
-        """Apply what can change while it serves: the address of discovery."""
+        """Apply the settings that can change without a restart: the address of discovery."""
         comparable = replace(
             config,
             discovery=self.config.discovery,
@@ -160,18 +160,18 @@
         self.discovery.change_address(config.discovery)
 
     async def drain(self, notified_at_us: int | None = None) -> None:
-        """Shut down gracefully: answer what comes while there is time, then close what is idle, then all.
+        """Shut down gracefully: serve while there is time, then close idle connections, then all.
 
-        The kill counts from when the process was notified to end, which may have been while it started.
+        The time to the kill is counted from the notification to end, which may have come during the start.
         """
         deadlines_us = (request_class.deadline_us for request_class in self.settings.classes)
-        begin_us = now_us() if notified_at_us is None else notified_at_us
-        self.shutdown = GracefulShutdown(begin_us, deadlines_us)
+        shutdown_from_us = now_us() if notified_at_us is None else notified_at_us
+        self.shutdown = GracefulShutdown(shutdown_from_us, deadlines_us)
         self.shorten_deadlines(self.shutdown.responses_due_at_us)
         await drain(self.shutdown, self.clients, self.requests.open)
-        # After the last answer, as a peer that has this message expects nothing more from here.
+        # After the last answer, as peers expect no further messages from this proxy once they have this one.
         leave_messages = self.gateway.limits.leave_messages() if self.gateway.limits else ()
-        for _ in range(LEAVE_REPEATS):
+        for _ in range(LEAVE_MESSAGE_COUNT):
             for peer, message in leave_messages:
                 self.gossip.send(SendGossip(peer, (message,)))
         for stop in self.on_stopped:
@@ -179,7 +179,7 @@
         self.close()
 
     def shorten_deadlines(self, by_us: int) -> None:
-        """Have open requests answered by then, however much longer their clients would wait."""
+        """Abort the open requests that are not answered by then, even if their clients would wait longer."""
         for request_id, request in self.requests.open.items():
             if request.deadline_us <= by_us:
                 continue
@@ -187,7 +187,7 @@
             if request.timer:
                 request.timer.cancel()
             delay_s = (by_us - now_us()) / 1e6
-            request.timer = self.loop.call_later(delay_s, self.actions.fail_and_forget, request_id)
+            request.timer = self.loop.call_later(delay_s, self.actions.abort_request, request_id)
 
     def close(self) -> None:
         """Close all sockets."""
@@ -197,27 +197,29 @@
         self.clients.close()
         self.backends.close()
 
-    # --- what clients' connections call ---
+    # --- Called by client connections ---
 
     def handle_command(self, arguments: list[bytes], reply: Reply) -> None:
-        """Take a client's command; CommandError for one that is wrong or too many."""
+        """Handle a client's command; CommandError if it is malformed or cannot be admitted."""
         command = self.parser.parse(arguments, ANSWER_MARGIN_US)
         request = command.request
         self.requests.check_admission(request.request_id)
         if self.shutdown:
             request = replace(request, remaining_us=self.shutdown.admit(now_us(), request.remaining_us))
         open_request = OpenRequest(command, reply, now_us() + request.remaining_us)
-        backstop_s = (request.remaining_us + BACKSTOP_US) / 1e6
-        open_request.timer = self.loop.call_later(backstop_s, self.actions.on_backstop, request.request_id)
+        backstop_s = (request.remaining_us + BACKSTOP_DELAY_US) / 1e6
+        open_request.timer = self.loop.call_later(
+            backstop_s, self.actions.on_backstop_timeout, request.request_id
+        )
         reply.request_id = request.request_id
         self.requests.add(request.request_id, open_request)
         self.driver.post(request)
 
     def on_client_disconnected(self, reply: Reply) -> None:
-        """A client has disconnected before its answer: the policy is notified if one was owed."""
-        if reply.request_id is not None and self.requests.settle(reply.request_id):
+        """Close the request of a client that has disconnected, and notify the policy if it was open."""
+        if reply.request_id is not None and self.requests.close_request(reply.request_id):
             self.driver.post(ClientDisconnected(reply.request_id))
 
 
 def ignore_watch_change(action: SubscribeToEndpoints | FetchEndpoints) -> None:
-    """Do nothing: the watch on the endpoints is always open."""
+    """Ignore the action, since this proxy always watches the endpoints."""
--- a/molereach/proxy/request_registry.py
+++ b/molereach/proxy/request_registry.py
@@ -1,4 +1,4 @@
-"""The requests that a proxy has taken: open ones, and those answered while attempts are in flight."""
+"""Tracks the requests of a proxy that are open, or that were answered while attempts are still in flight."""
 
 import asyncio
 
@@ -8,11 +8,11 @@
 from molereach.clients.requests import CommandError, OverloadedError
 from molereach.policy.interface.events import AttemptResult
 
-OPEN_REQUEST_BYTES = 4096  # that an open request takes besides its command
+OPEN_REQUEST_BYTES = 4096  # memory of an open request, besides its command
 
 
 class OpenRequest:
-    """A request from its arrival until its answer, with its attempts in flight by their numbers."""
+    """A request that has arrived, with its attempts in flight by number."""
 
     __slots__ = ("attempts_sent", "command", "deadline_us", "in_flight", "reply", "timer")
 
@@ -26,32 +26,32 @@
 
 
 class RequestRegistry:
-    """Requests by their ids, bounded in number and in bytes."""
+    """Requests by id; the open ones are limited in number and in bytes."""
 
     def __init__(self, max_open: int, max_open_bytes: int) -> None:
         self.max_open = max_open
         self.max_open_bytes = max_open_bytes
-        self.open: dict[str, OpenRequest] = {}  # that are owed an answer
-        self.answered: dict[str, OpenRequest] = {}  # with attempts in flight
+        self.open: dict[str, OpenRequest] = {}  # not answered yet
+        self.answered: dict[str, OpenRequest] = {}  # answered, with attempts in flight
         self.open_bytes = 0
 
     def check_admission(self, request_id: str) -> None:
-        """CommandError for an id in use, OverloadedError where a bound is reached."""
+        """Raise CommandError if the id is in use, or OverloadedError if a limit is reached."""
         if request_id in self.open or request_id in self.answered:
             raise CommandError("this id is in use")
         if len(self.open) >= self.max_open or self.open_bytes > self.max_open_bytes:
             raise OverloadedError("too many requests are open")
 
     def add(self, request_id: str, request: OpenRequest) -> None:
-        """Count a request as open."""
+        """Add an open request."""
         self.open[request_id] = request
         self.open_bytes += request.command.size + OPEN_REQUEST_BYTES
 
-    def settle(self, request_id: str) -> OpenRequest | None:
-        """The request is owed nothing more; None if that is so already.
+    def close_request(self, request_id: str) -> OpenRequest | None:
+        """Close a request and withdraw its unsent attempts; return it, or None if it is not open.
 
-        It counts as answered before its attempts are withdrawn, as a withdrawn attempt reports its result at
-        once and must find it there.
+        It is moved to `answered` before its attempts are withdrawn, because a withdrawn attempt reports its
+        result immediately and must find the request there.
         """
         request = self.open.pop(request_id, None)
         if request is None:
@@ -62,13 +62,12 @@
         if request.in_flight:
             self.answered[request_id] = request
         for attempt in list(request.in_flight.values()):
-            attempt.withdraw(
-                AttemptResult.CANCELLED
-            )  # one that was not sent needs no setting to be cancelled
+            # This affects only unsent attempts, for which the settings need not permit cancellation.
+            attempt.withdraw(AttemptResult.CANCELLED)
         return request
 
     def finish_attempt(self, request_id: str, number: int) -> bool:
-        """An attempt is no longer in flight; whether its request has been answered."""
+        """Remove an attempt that is no longer in flight; return whether its request has been answered."""
         is_answered = request_id not in self.open
         request = self.answered.get(request_id) if is_answered else self.open[request_id]
         if request:
@@ -78,6 +77,6 @@
         return is_answered
 
     def attempt_in_flight(self, request_id: str, number: int) -> Attempt | None:
-        """The attempt of that number, also of a request that has been answered."""
+        """Return an attempt in flight of a request that is open or answered, or None."""
         request = self.open.get(request_id) or self.answered.get(request_id)
         return request.in_flight.get(number) if request else None
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_gone.py
@@ -107,7 +107,7 @@
                 with Dials() as dials:
                     client = await asked(door)
                     await dials.came.wait()
-                    door.actions.on_backstop("a1")
+                    door.actions.on_backstop_timeout("a1")
                     assert await client.hear_until(b"-ERR failed\r\n")
                     await turns()
                     assert not door.requests.answered
