--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""The front door over loopback sockets: a request from client to backend and back."""
+"""The front door over loopback sockets: requests from clients to backends and their answers."""
 
 import asyncio
 import logging
@@ -36,9 +36,9 @@
 )
 
 
-def test_value_goes_through_byte_for_byte() -> None:
+def test_value_is_forwarded_unchanged_in_both_directions() -> None:
     async def job() -> None:
-        body = bytes(range(256)) * 256  # 64 KiB, with line ends and nulls in it
+        body = bytes(range(256)) * 256  # 64 KiB, with line ends and null bytes
         backend = Backend(lambda words: value(body))
         async with front_door(backend) as (_, address):
             client = await Client.open(address)
@@ -48,38 +48,38 @@
     run(job())
 
 
-def test_only_the_time_is_rewritten() -> None:
+def test_only_the_remaining_time_of_a_command_is_rewritten() -> None:
     async def job() -> None:
         backend = Backend()
         async with front_door(backend) as (_, address):
             client = await Client.open(address)
             fields = "c=settle,r=1,kd=7,d=3000,t=team,k=5c0f,new=1,units=2,spread=2,first=1"
             assert await client.ask(resp("SVC.SUBMIT", CUSTOMER, "a1", fields, "B")) == b"ok"
-            name, customer, request_id, sent, body = backend.commands[0]
+            name, customer, request_id, sent_fields, body = backend.commands[0]
             assert (name, customer, request_id, body) == (b"SVC.SUBMIT", CUSTOMER.encode(), b"a1", b"B")
             head, _, tail = fields.partition("d=3000")
-            assert sent.startswith(head.encode()) and sent.endswith(tail.encode())
-            assert 2000 < int(sent.decode().removeprefix(head).removesuffix(tail)[2:]) < 3000
+            assert sent_fields.startswith(head.encode()) and sent_fields.endswith(tail.encode())
+            assert 2000 < int(sent_fields.decode().removeprefix(head).removesuffix(tail)[2:]) < 3000
 
     run(job())
 
 
-def test_backends_refusal_never_passes_through() -> None:
+def test_rejection_by_a_backend_is_not_forwarded_to_the_client() -> None:
     async def job() -> None:
         backend = Backend(lambda words: b"-BUSY 123456\r\n")
         async with front_door(backend) as (_, address):
             client = await Client.open(address)
             assert await client.ask(submit("a1")) == "-BUSY 750"
-            assert len(backend.commands) == SETTINGS.max_attempts  # it is known that none of them ran
+            assert len(backend.commands) == SETTINGS.max_attempts  # rejected attempts were not executed
 
     run(job())
 
 
-ODD_ANSWERS = [b"-ERR failed util=0.5\r\n", b"-ODD\r\n", b"", b"$-1\r\n", b"+OK\r\n", b"?"]
+ANSWERS_WITHOUT_VALUE = [b"-ERR failed util=0.5\r\n", b"-ODD\r\n", b"", b"$-1\r\n", b"+OK\r\n", b"?"]
 
 
-@pytest.mark.parametrize("answer", ODD_ANSWERS)
-def test_unsafe_request_that_may_have_run_is_sent_once(answer: bytes) -> None:
+@pytest.mark.parametrize("answer", ANSWERS_WITHOUT_VALUE)
+def test_non_idempotent_request_that_may_have_been_executed_is_sent_once(answer: bytes) -> None:
     async def job() -> None:
         backend = Backend(lambda words: answer)
         async with front_door(backend) as (_, address):
@@ -90,85 +90,88 @@
     run(job())
 
 
-def test_unsafe_request_goes_on_where_nobody_listens() -> None:
+def test_non_idempotent_request_is_retried_when_connections_are_refused() -> None:
     async def job() -> None:
         backend = Backend()
-        dead = [refusing_address() for _ in range(6)]
-        async with front_door(backend, addresses=dead, settings=replace(SETTINGS, max_attempts=9)) as (_, at):
-            client = await Client.open(at)
+        refusing = [refusing_address() for _ in range(6)]
+        async with front_door(backend, addresses=refusing, settings=replace(SETTINGS, max_attempts=9)) as (
+            _,
+            address,
+        ):
+            client = await Client.open(address)
             assert await client.ask(submit("a1")) == b"ok"
 
     run(job())
 
 
-def test_answer_comes_before_the_clients_time_and_only_once() -> None:
+def test_client_is_answered_before_its_deadline_and_only_once() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with front_door(backend) as (proxy, address):
             client = await Client.open(address)
             started = time.monotonic()
             client.send(submit("a1", wait_ms=300))
             assert await client.answer() == "-ERR failed"
             assert time.monotonic() - started < 0.3
-            await backend.left.wait()  # the attempt was given up by closing its connection
-            assert await client.ask(resp("PING")) == b"PONG"  # nothing else came in between
-            assert not door.requests.open and not door.requests.answered and door.requests.open_bytes == 0
+            await backend.left.wait()  # the attempt was cancelled by closing its connection
+            assert await client.ask(resp("PING")) == b"PONG"  # no second answer came first
+            assert not proxy.requests.open and not proxy.requests.answered and proxy.requests.open_bytes == 0
 
     run(job())
 
 
-def test_client_that_leaves_ends_its_attempt() -> None:
+def test_attempt_of_a_client_that_disconnects_is_cancelled() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
+        async with front_door(backend) as (proxy, address):
             client = await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
             client.writer.close()
             await backend.left.wait()
-            assert not door.requests.open and not door.gateway.attempts.pending
+            assert not proxy.requests.open and not proxy.gateway.attempts.pending
 
     run(job())
 
 
-def test_same_id_twice_is_an_error_and_the_first_goes_on() -> None:
+def test_request_with_an_id_in_use_is_an_error_and_does_not_affect_the_first() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None)
         async with front_door(backend) as (_, address):
-            client, other = await Client.open(address), await Client.open(address)
+            client, other_client = await Client.open(address), await Client.open(address)
             client.send(query("a1"))
             await backend.came.wait()
-            assert await other.ask(query("a1")) == "-ERR this id is in use"
+            assert await other_client.ask(query("a1")) == "-ERR this id is in use"
             backend.writers[0].write(value(b"late"))
             assert await client.answer() == b"late"
 
     run(job())
 
 
-def test_exception_of_the_module_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_policy_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            handle = door.gateway.handle
+        async with front_door(Backend()) as (proxy, address):
+            handle = proxy.gateway.handle
 
-            def broken(now: int, event: Event) -> list[Action]:
+            def handle_or_raise(now_us: int, event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.request_id == "bad":
-                    raise RuntimeError("a fault of the module")
-                return handle(now, event)
+                    raise RuntimeError("an error in the policy")
+                return handle(now_us, event)
 
-            door.gateway.handle = broken
+            proxy.gateway.handle = handle_or_raise
             client = await Client.open(address)
             assert await client.ask(query("bad")) == "-ERR failed"
             assert await client.ask(query("good")) == b"ok"
 
     with caplog.at_level(logging.ERROR):
         run(job())
-    assert "a fault of the module" in caplog.text and "Traceback" in caplog.text
+    assert "an error in the policy" in caplog.text and "Traceback" in caplog.text
 
 
-def test_request_that_the_module_forgets_fails_in_time(caplog: pytest.LogCaptureFixture) -> None:
+def test_request_that_the_policy_leaves_unanswered_fails_in_time(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            door.gateway.handle = lambda now, event: []
+        async with front_door(Backend()) as (proxy, address):
+            proxy.gateway.handle = lambda now_us, event: []
             client = await Client.open(address)
             assert await client.ask(query("a1", wait_ms=200)) == "-ERR failed"
 
@@ -176,18 +179,18 @@
     assert "left without an answer" in caplog.text
 
 
-def test_attempt_for_a_request_that_is_over_is_moot() -> None:
+def test_attempt_for_a_closed_request_is_not_sent() -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
+        async with front_door(backend) as (proxy, address):
             client = await Client.open(address)
             assert await client.ask(query("a1")) == b"ok"
-            seen: list[Event] = []
-            door.gateway.handle = lambda now, event: seen.append(event) or []
-            door.actions.forward(ForwardAttempt("a1", "s0"))
+            events: list[Event] = []
+            proxy.gateway.handle = lambda now_us, event: events.append(event) or []
+            proxy.actions.forward(ForwardAttempt("a1", "s0"))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            assert [event.result for event in seen if isinstance(event, AttemptEnded)] == [
+            assert [event.result for event in events if isinstance(event, AttemptEnded)] == [
                 AttemptResult.NOT_SENT
             ]
             assert len(backend.commands) == 1
@@ -195,91 +198,93 @@
     run(job())
 
 
-def test_timers_are_never_early_and_events_of_a_moment_share_one_time() -> None:
-    """uvloop rounds to milliseconds; an early tick is passed over by the module, which then sets no other."""
+def test_timers_are_never_early_and_events_of_a_batch_have_the_same_time() -> None:
+    """uvloop rounds to milliseconds. The policy ignores an early timer event and then sets no other timer."""
 
     async def job() -> None:
-        door = Proxy(CONFIG)
-        rung: dict[int, int] = {}
-        done = asyncio.Event()
+        proxy = Proxy(CONFIG)
+        expired_at_us: dict[int, int] = {}
+        all_expired = asyncio.Event()
 
-        def handle(now: int, event: Event) -> list[Action]:
+        def handle(now_us: int, event: Event) -> list[Action]:
             if isinstance(event, TimerExpired):
-                rung[event.token] = now
-                if len(rung) == len(due):
-                    done.set()
+                expired_at_us[event.token] = now_us
+                if len(expired_at_us) == len(due_at_us):
+                    all_expired.set()
             else:
-                moments.append(now)
+                batch_times_us.append(now_us)
             return []
 
-        moments: list[int] = []
-        door.gateway.handle = handle
-        due = {}
+        batch_times_us: list[int] = []
+        proxy.gateway.handle = handle
+        due_at_us = {}
         for token in range(40):
-            delay = 5_000 + 37 * token
-            due[token] = time.monotonic_ns() // 1000 + delay
-            door.driver.set_timer(SetTimer(delay, token))
+            delay_us = 5_000 + 37 * token
+            due_at_us[token] = time.monotonic_ns() // 1000 + delay_us
+            proxy.driver.set_timer(SetTimer(delay_us, token))
         for number in range(5):
-            door.driver.post(ClientDisconnected(str(number)))
-        await done.wait()
-        assert all(rung[token] >= due[token] for token in due)
-        assert len(moments) == 5 and len(set(moments)) == 1
+            proxy.driver.post(ClientDisconnected(str(number)))
+        await all_expired.wait()
+        assert all(expired_at_us[token] >= due_at_us[token] for token in due_at_us)
+        assert len(batch_times_us) == 5 and len(set(batch_times_us)) == 1
 
     run(job())
 
 
-def test_drain_serves_what_still_comes_and_answers_all() -> None:
+def test_drain_serves_new_requests_and_answers_all_open_ones() -> None:
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
-        async with front_door(backend) as (door, address):
-            idle, busy = await Client.open(address), await Client.open(address)
-            assert await idle.ask(resp("PING")) == b"PONG"
-            busy.send(query("slow"))
+        async with front_door(backend) as (proxy, address):
+            idle_client, waiting_client = await Client.open(address), await Client.open(address)
+            assert await idle_client.ask(resp("PING")) == b"PONG"
+            waiting_client.send(query("slow"))
             await backend.came.wait()
-            draining = asyncio.create_task(door.drain())
+            draining = asyncio.create_task(proxy.drain())
             await asyncio.sleep(0)
-            late = await Client.open(address)
-            assert await late.ask(query("new")) == b"ok"
-            assert await idle.ask(query("kept")) == b"ok"
+            late_client = await Client.open(address)
+            assert await late_client.ask(query("new")) == b"ok"
+            assert await idle_client.ask(query("kept")) == b"ok"
             backend.writers[0].write(value(b"at last"))
-            assert await busy.answer() == b"at last"
-            assert await idle.ended() and await late.ended() and await busy.ended()  # between requests
+            assert await waiting_client.answer() == b"at last"
+            # Connections are closed only between requests.
+            assert await idle_client.ended() and await late_client.ended() and await waiting_client.ended()
             await draining
 
     run(job())
 
 
-def test_drain_serves_clients_that_go_on_asking_while_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Until an answer might come too late: then connections are closed, and what hangs is answered before."""
+def test_drain_serves_clients_that_keep_sending_while_there_is_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections are closed once an answer might come too late; open requests are answered before that."""
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_US", 1_000_000)
 
     async def job() -> None:
         backend = Backend(lambda words: None if words[2] == b"slow" else value(b"ok"))
-        async with front_door(backend) as (door, address):
-            asking, hanging = await Client.open(address), await Client.open(address)
-            draining = asyncio.create_task(door.drain())
+        async with front_door(backend) as (proxy, address):
+            sending_client, waiting_client = await Client.open(address), await Client.open(address)
+            draining = asyncio.create_task(proxy.drain())
             await asyncio.sleep(0)
-            hanging.send(query("slow"))
-            served = 0
-            while not door.clients.is_draining:
-                served += await asking.ask(query(f"r{served}")) == b"ok"
+            waiting_client.send(query("slow"))
+            served_count = 0
+            while not proxy.clients.is_draining:
+                served_count += await sending_client.ask(query(f"r{served_count}")) == b"ok"
             assert (
-                door.shutdown and now_us() >= door.shutdown.accepts_until_us > door.shutdown.settled_at_us - 1
+                proxy.shutdown
+                and now_us() >= proxy.shutdown.accepts_until_us > proxy.shutdown.settled_at_us - 1
             )
-            assert served > 10 and await asking.ended()
-            assert await hanging.answer() not in (b"ok", None)
-            assert now_us() <= door.shutdown.responses_due_at_us + 50_000
+            assert served_count > 10 and await sending_client.ended()
+            assert await waiting_client.answer() not in (b"ok", None)
+            assert now_us() <= proxy.shutdown.responses_due_at_us + 50_000
             await draining
 
     run(job())
 
 
 @pytest.mark.parametrize(
-    ("at_us", "asked_us", "left_us", "over"),
+    ("at_us", "requests_at_us", "allowed_us", "closes_idle"),
     [
         (0, (), 2_000_000, False),
         (599_999, (), 2_000_000, False),
-        (1_100_000, (), 2_000_000, True),  # nobody asks
+        (1_100_000, (), 2_000_000, True),  # no requests
         (1_100_000, (1_000_000,), 2_000_000, False),
         (1_550_000, (1_000_000,), 1_950_000, True),
         (2_799_999, (2_700_000,), 700_001, False),
@@ -287,60 +292,59 @@
         (9_000_000, (), 1, True),
     ],
 )
-def test_ending_takes_requests_only_for_as_long_as_they_can_be_answered(
-    at_us: int, asked_us: tuple[int, ...], left_us: int, over: bool
+def test_shutdown_accepts_requests_only_as_long_as_they_can_be_answered(
+    at_us: int, requests_at_us: tuple[int, ...], allowed_us: int, closes_idle: bool
 ) -> None:
-    told = 7_000_000
-    end = graceful_shutdown.GracefulShutdown(
-        told, (2_000_000, 5_000_000)
-    )  # the longer counts for 3 s: killed at 3.7 s
-    for each in asked_us:
-        end.admit(told + each, 1)
-    assert end.closes_idle(told + at_us) is over
-    assert end.admit(told + at_us, 2_000_000) == left_us
+    notified_at_us = 7_000_000
+    # The longer deadline counts as 3 s, so the kill is expected after 3.7 s.
+    shutdown = graceful_shutdown.GracefulShutdown(notified_at_us, (2_000_000, 5_000_000))
+    for request_at_us in requests_at_us:
+        shutdown.admit(notified_at_us + request_at_us, 1)
+    assert shutdown.closes_idle(notified_at_us + at_us) is closes_idle
+    assert shutdown.admit(notified_at_us + at_us, 2_000_000) == allowed_us
 
 
-def test_drain_waits_for_a_request_that_comes_at_last(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_waits_for_a_request_that_arrives_last(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "DISCONNECT_SETTLE_US", 0)
     monkeypatch.setattr(graceful_shutdown, "QUIET_PERIOD_US", 0)
     monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 0.1)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
-            busy = await Client.open(address)
-            busy.send(submit("a1"))
+        async with front_door(backend) as (proxy, address):
+            first_client = await Client.open(address)
+            first_client.send(submit("a1"))
             await backend.came.wait()
-            draining = asyncio.create_task(door.drain())
-            while not door.clients.is_draining:
+            draining = asyncio.create_task(proxy.drain())
+            while not proxy.clients.is_draining:
                 await asyncio.sleep(0)
-            client = await Client.open(address)
+            last_client = await Client.open(address)
             backend.came.clear()
-            client.send(submit("a2"))
+            last_client.send(submit("a2"))
             await backend.came.wait()
             backend.writers[0].write(value(b"first"))
-            assert await busy.answer() == b"first"
-            await asyncio.sleep(0.3)  # what is open is waited for, however long the rest may take
+            assert await first_client.answer() == b"first"
+            await asyncio.sleep(0.3)  # longer than FINAL_WRITE_TIMEOUT_S: open requests are waited for
             assert not draining.done()
             backend.writers[1].write(value(b"at last"))
-            assert await client.answer() == b"at last"
+            assert await last_client.answer() == b"at last"
             await draining
 
     run(job())
 
 
-def test_action_that_cannot_be_carried_out_fails_its_request_only(caplog: pytest.LogCaptureFixture) -> None:
+def test_action_that_cannot_be_executed_fails_only_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            handle = door.gateway.handle
+        async with front_door(Backend()) as (proxy, address):
+            handle = proxy.gateway.handle
 
-            def odd(now: int, event: Event) -> list[Action]:
-                actions = handle(now, event)
+            def handle_with_invalid_action(now_us: int, event: Event) -> list[Action]:
+                actions = handle(now_us, event)
                 if isinstance(event, RequestReceived) and event.request_id == "bad":
                     return [ForwardAttempt("bad", "s0", timeout_us="soon"), *actions]
                 return actions
 
-            door.gateway.handle = odd
+            proxy.gateway.handle = handle_with_invalid_action
             client = await Client.open(address)
             assert await client.ask(query("bad")) == "-ERR failed"
             assert await client.ask(query("good")) == b"ok"
@@ -349,38 +353,40 @@
     assert "cannot carry out" in caplog.text
 
 
-def test_own_view_is_that_of_the_sockets_after_all_kinds_of_ends() -> None:
-    """Counts in flight, open requests, sockets: what is left behind would be held against a backend."""
+def test_counters_match_the_sockets_after_attempts_have_ended_in_all_ways() -> None:
+    """Attempts in flight, open requests, sockets: leftover counts would make a backend seem loaded."""
 
     async def job() -> None:
-        chance = random.Random(5)
-        good, odd = value(b"ok"), b"*9\r\n"
-        answers = [good, good, b"-BUSY\r\n", b"-ERR failed\r\n", b"", odd, good * 2, None]
-        fleet = [Backend(lambda words: chance.choice(answers)) for _ in range(3)]
-        async with front_door(*fleet, addresses=[refusing_address()]) as (door, address):
+        rng = random.Random(5)
+        valid, malformed = value(b"ok"), b"*9\r\n"
+        answers = [valid, valid, b"-BUSY\r\n", b"-ERR failed\r\n", b"", malformed, valid * 2, None]
+        backends = [Backend(lambda words: rng.choice(answers)) for _ in range(3)]
+        async with front_door(*backends, addresses=[refusing_address()]) as (proxy, address):
             clients = [await Client.open(address) for _ in range(20)]
             for number in range(200):
-                ask = query if number % 3 else submit
-                clients[number % 20].send(ask(f"a{number}", wait_ms=400))
+                command = query if number % 3 else submit
+                clients[number % 20].send(command(f"a{number}", wait_ms=400))
             for client in clients[:5]:
                 client.writer.close()  # with requests open
             for client in clients[5:]:
                 for _ in range(10):
                     assert await client.answer() is not None
-            view = door.gateway
-            while door.requests.open or door.requests.answered or view.attempts.pending:
+            gateway = proxy.gateway
+            while proxy.requests.open or proxy.requests.answered or gateway.attempts.pending:
                 await asyncio.sleep(0.01)
-            assert view.attempts.in_flight == 0 and not any(
-                server.in_flight for server in view.load_balancer.backends.values()
+            assert gateway.attempts.in_flight == 0 and not any(
+                backend.in_flight for backend in gateway.load_balancer.backends.values()
             )
             assert (
-                not view.queue.entries and not view.admission.awaiting_owner and door.requests.open_bytes == 0
+                not gateway.queue.entries
+                and not gateway.admission.awaiting_owner
+                and proxy.requests.open_bytes == 0
             )
-            assert all(customer.in_flight == 0 for customer in view.customers.accounts.values())
-            pools = door.backends.pools.values()
-            while door.backends.open_connections > sum(len(pool.idle) for pool in pools):
-                await asyncio.sleep(0.01)  # those that were aborted are let go of by the loop
+            assert all(account.in_flight == 0 for account in gateway.customers.accounts.values())
+            pools = proxy.backends.pools.values()
+            while proxy.backends.open_connections > sum(len(pool.idle) for pool in pools):
+                await asyncio.sleep(0.01)  # until the loop has closed the aborted connections
             assert not any(pool.dial_count or pool.waiting for pool in pools)
-            assert door.clients.sockets == len(door.clients.connections) == 15
+            assert proxy.clients.sockets == len(proxy.clients.connections) == 15
 
     run(job())
