--- a/molereach/clock.py
+++ b/molereach/clock.py
@@ -1,8 +1,8 @@
-"""The one clock of a proxy."""
+"""The clock that all components of a proxy use."""
 
 import time
 
 
 def now_us() -> int:
-    """Microseconds of the monotonic clock."""
+    """Return the time of the monotonic clock in microseconds."""
     return time.monotonic_ns() // 1000
--- a/molereach/command.py
+++ b/molereach/command.py
@@ -1,7 +1,7 @@
-"""The `molereach` command line: the proxy with an operator file, and the tools beside it.
+"""The `molereach` command line: the proxy with an operator file, and the tools.
 
-Exit codes: 0 done, 1 failed in service, 2 invalid input or usage; `molereach fleet` has more. The tools'
-packages are imported only by the commands that need them.
+Exit codes: 0 for success, 1 for a failure while serving, 2 for invalid input or usage; `molereach fleet` has
+more. The packages that a tool needs are imported only by its command.
 """
 
 import importlib.util
@@ -22,7 +22,7 @@
 EXIT_INVALID_INPUT = 2
 DEFAULT_LOG_LEVEL = "INFO"
 OPERATOR_OPTION = "--operator"
-PACKAGE_COMMANDS = {"demo": "rig", "simulate": "sim"}  # commands that run another package, and its name
+PACKAGE_COMMANDS = {"demo": "rig", "simulate": "sim"}  # commands that run another package, with its name
 FLEET_PACKAGES = ("httpx", "hypercorn", "rich", "starlette", "structlog")
 EPILOG = """\b
 With no command the front door itself starts, as the environment tells it
@@ -34,17 +34,17 @@
 
 
 def report_invalid_input(text: str) -> int:
-    """Print one line to standard error; return the exit code."""
+    """Print one line to standard error; return the exit code for invalid input."""
     print(f"molereach: {text}", file=sys.stderr)
     return EXIT_INVALID_INPUT
 
 
 def check_config(path: Path, as_json: bool) -> int:
-    """Print whether an operator file is usable, as text or JSON; return the exit code."""
+    """Print whether an operator file is valid, as text or JSON; return the exit code."""
     try:
         settings = operator_config.load(path)
-        limits_of(path, settings)
-        coordination_of(path, settings)
+        limits_attacher(path, settings)
+        coordination_attacher(path, settings)
         sections = settings.sections_on()
     except operator_config.OperatorError as error:
         if as_json:
@@ -58,15 +58,15 @@
     return 0
 
 
-def installed(*packages: str) -> bool:
+def are_installed(*packages: str) -> bool:
     """Return whether all packages can be imported."""
     return all(importlib.util.find_spec(name) is not None for name in packages)
 
 
-def run_package(name: str, arguments: Sequence[str]) -> int:
-    """Replace this process by the rig or the simulation, which the proxy never imports."""
+def exec_package(name: str, arguments: Sequence[str]) -> int:
+    """Replace this process by the rig or the simulation, which the proxy must not import."""
     package = PACKAGE_COMMANDS[name]
-    if not installed(package, "hiredis"):
+    if not are_installed(package, "hiredis"):
         return report_invalid_input(
             f"{name}: is not installed; install the package with its extra, molereach[rig]"
         )
@@ -74,8 +74,8 @@
     os.execv(sys.executable, [sys.executable, "-m", package, *arguments])
 
 
-def limits_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
-    """Return what starts `[limits]`, None if it is off; raise OperatorError for an unusable key."""
+def limits_attacher(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
+    """Return the function that starts `[limits]`, None if it is off; OperatorError for an invalid key."""
     if settings.limits is None:
         return None
     from molereach import keyfile
@@ -87,8 +87,8 @@
         raise operator_config.OperatorError(f"{path}: {error}") from error
 
 
-def coordination_of(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
-    """Return what starts `[council]`, None if it is off; raise OperatorError for unusable settings."""
+def coordination_attacher(path: Path, settings: operator_config.OperatorFile) -> Attach | None:
+    """Return the function that starts `[council]`, None if it is off; OperatorError for invalid settings."""
     if settings.council is None:
         return None
     from molereach import keyfile
@@ -100,11 +100,15 @@
         raise operator_config.OperatorError(f"{path}: {error}") from error
 
 
-def start(path: Path, serve: Serve) -> int:
+def start_proxy(path: Path, serve: Serve) -> int:
     """Run the proxy with an operator file; return its exit code."""
     try:
         settings = operator_config.load(path)
-        attachers = [each for each in (limits_of(path, settings), coordination_of(path, settings)) if each]
+        attachers = [
+            attacher
+            for attacher in (limits_attacher(path, settings), coordination_attacher(path, settings))
+            if attacher
+        ]
     except operator_config.OperatorError as error:
         return report_invalid_input(str(error))
     log_level = (settings.log or operator_config.LogSection()).level.name
@@ -116,7 +120,10 @@
 
 
 async def attach_all(proxy: "Proxy", attachers: Sequence[Attach]) -> Callable[[], None]:
-    """Start subsystems in sequence; return what stops them in reverse, as later ones may use earlier ones."""
+    """Start subsystems in order; return a function that stops them in reverse order.
+
+    A subsystem may use those that were started before it.
+    """
     stops = [await attach(proxy) for attach in attachers]
 
     def detach() -> None:
@@ -126,11 +133,11 @@
     return detach
 
 
-def fleet_commands(top: "click.Group") -> None:
-    """Add `fleet` and `agent`; without their packages, commands that say how to install them."""
+def add_fleet_commands(top: "click.Group") -> None:
+    """Add `fleet` and `agent`, or commands that say how to install their packages if these are missing."""
     import click
 
-    if not installed(*FLEET_PACKAGES):
+    if not are_installed(*FLEET_PACKAGES):
         for name in ("fleet", "agent"):
 
             @top.command(name, context_settings={"ignore_unknown_options": True})
@@ -160,8 +167,8 @@
         raise SystemExit(agent_run.main(file))
 
 
-def group(serve: Serve) -> "click.Group":
-    """Return the whole command line."""
+def build_command_line(serve: Serve) -> "click.Group":
+    """Build the command line with all its commands."""
     import click
 
     @click.group("molereach", invoke_without_command=True, epilog=EPILOG)
@@ -176,7 +183,7 @@
     def top(context: click.Context, path: Path | None) -> None:
         """A front door that keeps customers' quotas, and what goes with it."""
         if context.invoked_subcommand is None:
-            raise SystemExit(start(path, serve) if path else serve(DEFAULT_LOG_LEVEL))
+            raise SystemExit(start_proxy(path, serve) if path else serve(DEFAULT_LOG_LEVEL))
 
     for name, text in (
         ("demo", "Front doors, servers, discovery and clients on loopback, with an audit at the end."),
@@ -185,7 +192,7 @@
         all_arguments = click.argument("arguments", nargs=-1, type=click.UNPROCESSED)
         context_settings = {"ignore_unknown_options": True}
         top.command(name, add_help_option=False, help=text, context_settings=context_settings)(
-            all_arguments(lambda arguments, name=name: sys.exit(run_package(name, arguments)))
+            all_arguments(lambda arguments, name=name: sys.exit(exec_package(name, arguments)))
         )
 
     @top.group()
@@ -199,22 +206,22 @@
         """Check an operator file: exit 0 if it can be used, 2 if not."""
         raise SystemExit(check_config(file, as_json))
 
-    fleet_commands(top)
+    add_fleet_commands(top)
     return top
 
 
 def run(arguments: Sequence[str], env: Mapping[str, str], serve: Serve) -> int:
     """Run a command line; `serve` runs the proxy and returns its exit code, which is returned."""
     if arguments and arguments[0] in PACKAGE_COMMANDS:  # the package parses its own options
-        return run_package(arguments[0], arguments[1:])
-    # The two ways to start the proxy do not import click, which would stay in its memory.
+        return exec_package(arguments[0], arguments[1:])
+    # Click is not imported in order to start the proxy, as it would stay in the proxy's memory.
     if len(arguments) == 2 and arguments[0] == OPERATOR_OPTION:
-        return start(Path(arguments[1]), serve)
+        return start_proxy(Path(arguments[1]), serve)
     if not arguments:
-        path = env.get(operator_config.ENVIRONMENT)
-        return start(Path(path), serve) if path else serve(DEFAULT_LOG_LEVEL)
+        path = env.get(operator_config.ENVIRONMENT_VARIABLE)
+        return start_proxy(Path(path), serve) if path else serve(DEFAULT_LOG_LEVEL)
     try:
-        group(serve).main(list(arguments), prog_name="molereach")
-    except SystemExit as end:
-        return end.code if isinstance(end.code, int) else 1
+        build_command_line(serve).main(list(arguments), prog_name="molereach")
+    except SystemExit as system_exit:
+        return system_exit.code if isinstance(system_exit.code, int) else 1
     return 0
--- a/molereach/keyfile.py
+++ b/molereach/keyfile.py
@@ -1,4 +1,4 @@
-"""Reads the file with the secret key that all proxies of a tier share; other users must not be able to."""
+"""Reads the file with the secret key that all proxies of a tier share; other users must not have access."""
 
 import stat
 from pathlib import Path
@@ -8,13 +8,13 @@
 
 
 class KeyFileError(Exception):
-    """The key is not usable; the text is one line that names setting, file and reason."""
+    """The key is invalid or cannot be read; the message is one line with setting, file and reason."""
 
 
 def read_key(path: Path, setting: str) -> bytes:
-    """Return the key in the file at `path`, which the operator file names as `setting`.
+    """Read the key in the file at `path`, which is the value of `setting` in the operator file.
 
-    KeyFileError if it cannot be read, others can read it, or its length is wrong.
+    KeyFileError if it cannot be read, if other users have access to it, or if its length is invalid.
     """
     try:
         with path.open("rb") as file:
--- a/molereach/operator_config.py
+++ b/molereach/operator_config.py
@@ -1,7 +1,7 @@
-"""The operator file: one TOML table for each subsystem, typed and checked; without its table one is off.
+"""Reads the operator file, which has one TOML table for each subsystem; a subsystem without one is off.
 
-A section is a frozen struct in `OperatorFile`, and field names are the keys. A file that is not usable is an
-`OperatorError`, one line that names the file, the key and the reason; nothing of such a file is applied.
+Each table is a frozen struct in `OperatorFile` whose field names are the keys. An invalid file is an
+`OperatorError`, a line with the file, the key and the reason, and nothing of the file is applied.
 """
 
 import tomllib
@@ -12,24 +12,24 @@
 import msgspec
 
 MAX_FILE_BYTES = 1 << 20
-MAX_SOCKET_PATH_BYTES = 100  # the kernel's limit is 107
-ENVIRONMENT = "MOLEREACH_OPERATOR"  # names the file where `--operator` does not
+MAX_SOCKET_PATH_BYTES = 100  # the limit of the kernel is 107
+ENVIRONMENT_VARIABLE = "MOLEREACH_OPERATOR"  # the operator file, if `--operator` does not name it
 
 
 class OperatorError(Exception):
-    """The operator file is not usable; the text is one line."""
+    """The operator file is invalid or cannot be read; the message is one line."""
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A table of the operator file.
 
-    `__post_init__` raises ValueError for what the fields' types cannot express, such as two settings that
-    exclude each other.
+    `__post_init__` raises ValueError for errors that the types of the fields cannot express, such as two
+    settings that exclude each other.
     """
 
 
 class LogLevel(Enum):
-    """The least severe lines of the log that are written."""
+    """The lowest severity of the log lines that are written."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -38,53 +38,51 @@
 
 
 class LogSection(Section, frozen=True):
-    """`[log]`: the proxy's log on standard error."""
+    """`[log]`: the log of the proxy on standard error."""
 
     level: LogLevel = LogLevel.INFO
 
 
 class ControlSection(Section, frozen=True):
-    """`[control]`: a private Unix-domain socket through which an agent operates this proxy."""
+    """`[control]`: a private Unix domain socket through which an agent operates this proxy."""
 
-    socket: str  # its path, in a folder that other users cannot write to
-    wait_for_orders_s: Annotated[float, msgspec.Meta(ge=0.0, le=30.0)] = 0.0  # at the start
+    socket: str  # its path, in a directory that other users cannot write to
+    # How long the start waits for the agent's orders, in seconds.
+    wait_for_orders_s: Annotated[float, msgspec.Meta(ge=0.0, le=30.0)] = 0.0
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a path that is not usable."""
+        """Raise ValueError for an invalid path."""
         if not self.socket.startswith("/") or len(self.socket.encode()) > MAX_SOCKET_PATH_BYTES:
             raise ValueError(f"socket: not an absolute path of at most {MAX_SOCKET_PATH_BYTES} bytes")
 
 
 class LimitsSection(Section, frozen=True):
-    """`[limits]`: ceilings whose unused parts proxies lend to each other, and quotas during a partition."""
+    """`[limits]`: proxies lend each other unused parts of ceilings, and keep quotas during a partition."""
 
     lease_ms: Annotated[int, msgspec.Meta(ge=200, le=30_000)] = 2000  # duration of a loan
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.05)] = (
-        0.001  # greatest error of a clock's rate, in either direction
-    )
-    beat_ms: Annotated[int, msgspec.Meta(ge=50, le=5000)] = 250  # interval of heartbeats to every peer
-    floor: Annotated[float, msgspec.Meta(ge=0.0, le=0.9)] = (
-        0.05  # fraction of its share that a proxy never lends
-    )
-    key_file: str | None = None  # the key of the tier, if the network is not trusted
+    # Maximum error of a clock's rate, as a fraction, in either direction.
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.05)] = 0.001
+    beat_ms: Annotated[int, msgspec.Meta(ge=50, le=5000)] = 250  # interval of heartbeats to each peer
+    # Fraction of its own share of a ceiling that a proxy never lends.
+    floor: Annotated[float, msgspec.Meta(ge=0.0, le=0.9)] = 0.05
+    key_file: str | None = None  # the key of the tier, needed if the network is not trusted
 
 
 class CoordinationSection(Section, frozen=True):
-    """`[council]`: coordination among proxies. The same at all of them, except for the folder."""
+    """`[council]`: coordination among proxies. All keys but `folder` have the same values at all proxies."""
 
-    doors: dict[str, str]  # HOST:PORT at which each proxy listens for the others, by its name
-    panel: tuple[str, ...]  # the first three, five or seven acceptors
+    doors: dict[str, str]  # HOST:PORT at which each proxy listens for the others, by proxy name
+    panel: tuple[str, ...]  # names of the three, five or seven initial acceptors
     key_file: str  # the key that all members share
-    folder: str | None = None  # durable, mode 0700; acceptors need one
-    forming: bool = False  # allows a new folder for one of the first acceptors
-    beat_ms: Annotated[int, msgspec.Meta(ge=50, le=10_000)] = 500
-    session_ms: Annotated[int, msgspec.Meta(ge=200, le=120_000)] = 5000
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.05)] = (
-        0.001  # greatest error of a clock's rate, in either direction
-    )
+    folder: str | None = None  # directory on durable storage, mode 0700, which acceptors need
+    forming: bool = False  # whether an initial acceptor may start with a new directory
+    beat_ms: Annotated[int, msgspec.Meta(ge=50, le=10_000)] = 500  # interval of heartbeats
+    session_ms: Annotated[int, msgspec.Meta(ge=200, le=120_000)] = 5000  # duration of a session
+    # Maximum error of a clock's rate, as a fraction, in either direction.
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.05)] = 0.001
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a wrong address, or `forming` without a folder."""
+        """Raise ValueError for a malformed address, or `forming` without `folder`."""
         for name, address in self.doors.items():
             host, _, port = address.rpartition(":")
             if not host or not port.isdecimal() or not 0 < int(port) < 65536:
@@ -94,7 +92,7 @@
 
 
 class OperatorFile(Section, frozen=True):
-    """The whole file; a subsystem whose section is None is off."""
+    """The settings of the operator file; a subsystem whose section is None is off."""
 
     log: LogSection | None = None
     control: ControlSection | None = None
@@ -102,23 +100,23 @@
     council: CoordinationSection | None = None
 
     def sections_on(self) -> list[str]:
-        """Return the names of the sections that the file has, in the order of their definition."""
+        """Return the names of the sections in the file, in the order of the fields above."""
         return [name for name in self.__struct_fields__ if getattr(self, name) is not None]
 
 
 def one_line(error: object) -> str:
-    """Return an error's text as one line."""
+    """Return the message of an error as one line."""
     return " ".join(str(error).split())
 
 
 def decode(text: str) -> OperatorFile:
-    """Return the settings in `text`; raise ValueError or msgspec.ValidationError, which name the key."""
+    """Parse the text of an operator file; ValueError or msgspec.ValidationError, which names the key."""
     values: dict[str, Any] = tomllib.loads(text)
     return msgspec.convert(values, OperatorFile)
 
 
 def load(path: Path) -> OperatorFile:
-    """Return the operator file at `path`; raise OperatorError if it cannot be read or is not usable."""
+    """Load the operator file at `path`; OperatorError if it cannot be read or is invalid."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
--- a/molereach/resp.py
+++ b/molereach/resp.py
@@ -1,7 +1,7 @@
-"""RESP2 as the protocol uses it, read within bounds: commands of clients and answers of backends.
+"""Reads clients' commands and backends' answers in RESP2, within size limits.
 
-The peer is not trusted: a length is checked before anything is awaited or stored, so that input that cannot
-be read fails at its length, however much it announces.
+The peer is not trusted: each length is checked as soon as it arrives, before the data that it announces is
+awaited or stored.
 """
 
 import select
@@ -9,37 +9,37 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-MAX_VALUE_BYTES = 64 * 1024  # the largest value of the protocol
-MAX_ARGUMENTS = 16  # in a command; the protocol's have five at most
+MAX_VALUE_BYTES = 64 * 1024  # maximum value size of the platform's protocol
+MAX_ARGUMENTS = 16  # of a command; those of the platform's protocol have at most five
 MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4096  # a value and the arguments before it
-MAX_REPORT_BYTES = 4096  # of a load report, or of the usage figures
-MAX_LINE_BYTES = 512  # an error line with a load report in it
-MAX_LENGTH_DIGITS = 12  # with the type mark before them
+MAX_REPORT_BYTES = 4096  # of a load report or a usage report
+MAX_LINE_BYTES = 512  # of an error line, which may contain a load report
+MAX_LENGTH_BYTES = 12  # the type byte and the digits of a length
 LINE_END = b"\r\n"
-ANSWER_LENGTH = 3
+ANSWER_ELEMENT_COUNT = 3
 
 
 class ProtocolError(Exception):
-    """Input that is not of the protocol's form; the connection cannot go on."""
+    """The input violates the protocol, so that the connection cannot be used any longer."""
 
 
 def encode_command(arguments: list[bytes]) -> bytes:
-    """A command: an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     strings = [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     return b"*%d\r\n" % len(arguments) + b"".join(strings)
 
 
 def has_unread(transport: BaseTransport) -> bool:
-    """Whether the kernel holds bytes of the peer, or its end, that the event loop has not read yet."""
+    """Whether the socket has bytes from the peer, or an end of stream, that have not been read yet."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
 def have_disconnected(transports: Iterable[BaseTransport]) -> Iterator[bool]:
-    """For each, whether its peer has closed or reset it, also behind bytes that nobody has read."""
+    """Yield for each transport whether its peer has closed or reset it, even if unread bytes precede that."""
     poll = select.poll()
-    descriptors = [each.get_extra_info("socket").fileno() for each in transports]
+    descriptors = [transport.get_extra_info("socket").fileno() for transport in transports]
     for descriptor in descriptors:
         poll.register(descriptor, select.POLLRDHUP)
     disconnected = {descriptor for descriptor, events in poll.poll(0) if events & select.POLLRDHUP}
@@ -47,36 +47,35 @@
 
 
 class Reader:
-    """A stream of bytes, cut into RESP values."""
+    """Buffers a stream of bytes and reads RESP values from it."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Append bytes that have arrived."""
+        """Append received bytes."""
         self.buffer += data
 
     def discard(self, end: int) -> None:
-        """Drop what has been read."""
+        """Remove the bytes before `end`."""
         del self.buffer[:end]
 
-    def read_length(self, at: int, mark: bytes, maximum: int) -> tuple[int, int] | None:
-        """The number in a line such as `*3`, and where the next line begins; None if it is incomplete.
+    def read_length(self, start: int, type_byte: bytes, maximum: int) -> tuple[int, int] | None:
+        """Read a line such as `*3`; return its number and the offset of the next line, None if incomplete.
 
-        The only number below 0 is the -1 of a null. Raises ProtocolError for any other form or number.
+        The only negative number is the -1 of a null. Raises ProtocolError if the line is malformed or the
+        number exceeds `maximum`.
         """
         buffer = self.buffer
-        if len(buffer) <= at:
+        if len(buffer) <= start:
             return None
-        if buffer[at : at + 1] != mark:
-            raise ProtocolError(f"expected '{mark.decode()}'")
-        end = buffer.find(LINE_END, at, at + MAX_LENGTH_DIGITS + 2)
-        digits = bytes(buffer[at + 1 : end if end >= 0 else at + MAX_LENGTH_DIGITS + 2])
+        if buffer[start : start + 1] != type_byte:
+            raise ProtocolError(f"expected '{type_byte.decode()}'")
+        end = buffer.find(LINE_END, start, start + MAX_LENGTH_BYTES + 2)
+        digits = bytes(buffer[start + 1 : end if end >= 0 else start + MAX_LENGTH_BYTES + 2])
         if end < 0:
             digits = digits.removesuffix(b"\r")
-            if len(digits) >= MAX_LENGTH_DIGITS or (
-                digits not in (b"", b"-", b"-1") and not digits.isdigit()
-            ):
+            if len(digits) >= MAX_LENGTH_BYTES or (digits not in (b"", b"-", b"-1") and not digits.isdigit()):
                 raise ProtocolError("invalid length")
             return None
         if digits == b"-1":
@@ -87,46 +86,48 @@
             raise ProtocolError("too long")
         return int(digits), end + 2
 
-    def read_bulk_string(self, at: int, maximum: int) -> tuple[bytes | None, int] | None:
-        """A bulk string or a null, and where the next value begins; None if it is incomplete."""
-        header = self.read_length(at, b"$", maximum)
+    def read_bulk_string(self, start: int, maximum: int) -> tuple[bytes | None, int] | None:
+        """Read a bulk string or a null; return it and the offset of the next value, None if incomplete."""
+        header = self.read_length(start, b"$", maximum)
         if header is None or header[0] < 0:
             return header and (None, header[1])
-        size, start = header
-        end = start + size
+        size, string_start = header
+        end = string_start + size
         line_end = self.buffer[end : end + 2]
         if not LINE_END.startswith(line_end):
             raise ProtocolError("a bulk string is longer than it says")
-        return (bytes(self.buffer[start:end]), end + 2) if len(line_end) == 2 else None
+        return (bytes(self.buffer[string_start:end]), end + 2) if len(line_end) == 2 else None
 
 
 class CommandReader(Reader):
-    """Cuts what a client sends into commands: arrays of bulk strings."""
+    """Reads clients' commands, which are arrays of bulk strings."""
 
     def next(self) -> list[bytes] | None:
-        """The arguments of the next command; None if it is incomplete."""
+        """Read the next command and return its arguments; None if it is incomplete."""
         header = self.read_length(0, b"*", MAX_ARGUMENTS)
         if header is None:
             return None
-        count, at = header
+        count, offset = header
         if count < 1:
-            raise ProtocolError("an empty command")  # a flood of them would never be answered
+            raise ProtocolError(
+                "an empty command"
+            )  # it has no answer, so nothing would limit a flood of them
         arguments = []
         for _ in range(count):
-            bulk_string = self.read_bulk_string(at, max(0, MAX_COMMAND_BYTES - at))
+            bulk_string = self.read_bulk_string(offset, max(0, MAX_COMMAND_BYTES - offset))
             if bulk_string is None:
                 return None
-            argument, at = bulk_string
+            argument, offset = bulk_string
             if argument is None:
                 raise ProtocolError("a null in a command")
             arguments.append(argument)
-        self.discard(at)
+        self.discard(offset)
         return arguments
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A backend's answer: the value, or the error line without its type mark; and the load report, if any."""
+    """A backend's answer: the value, or the error line without its type byte; and the load report, if any."""
 
     value: bytes | None
     error: bytes | None = None
@@ -134,31 +135,31 @@
 
 
 class AnswerReader(Reader):
-    """Cuts what a backend sends into answers: `[value, usage figures, load report]` or an error line."""
+    """Reads backends' answers, each of which is `[value, usage report, load report]` or an error line."""
 
     def next(self) -> Answer | None:
-        """The next answer; None if it is incomplete."""
+        """Read the next answer; None if it is incomplete."""
         if self.buffer.startswith(b"-"):
-            return self.error()
-        header = self.read_length(0, b"*", ANSWER_LENGTH)
+            return self.read_error()
+        header = self.read_length(0, b"*", ANSWER_ELEMENT_COUNT)
         if header is None:
             return None
-        if header[0] != ANSWER_LENGTH:
+        if header[0] != ANSWER_ELEMENT_COUNT:
             raise ProtocolError("an answer has three parts")
         value = self.read_bulk_string(header[1], MAX_VALUE_BYTES)
         if value is None:
             return None
         if value[0] is None:
             raise ProtocolError("an answer without a value")
-        figures = self.read_bulk_string(value[1], MAX_REPORT_BYTES)
-        report = figures and self.read_bulk_string(figures[1], MAX_REPORT_BYTES)
+        usage_report = self.read_bulk_string(value[1], MAX_REPORT_BYTES)
+        report = usage_report and self.read_bulk_string(usage_report[1], MAX_REPORT_BYTES)
         if report is None:
             return None
         self.discard(report[1])
         return Answer(value[0], report=report[0])
 
-    def error(self) -> Answer | None:
-        """An error line, whose last word may be a load report; None if it is incomplete."""
+    def read_error(self) -> Answer | None:
+        """Read an error line, whose last word may be a load report; None if it is incomplete."""
         end = self.buffer.find(LINE_END, 0, MAX_LINE_BYTES)
         if end < 0:
             if len(self.buffer) >= MAX_LINE_BYTES:
--- a/tests/docs/files.py
+++ b/tests/docs/files.py
@@ -12,7 +12,7 @@
 
 def operator_file(path: Path) -> None:
     """What `molereach config check` does."""
-    command.limits_of(path, operator_config.load(path))
+    command.limits_attacher(path, operator_config.load(path))
 
 
 def scenario(path: Path) -> None:
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_bounds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from molereach.__main__ import RateLimit
+from molereach.__main__ import LogRateLimiter
 from molereach.clients import listener
 from molereach.clients import resp as clients
 from molereach.clients.connection_state import State
@@ -47,7 +47,7 @@
             assert await good.hear_until(OK) == OK
             await until(lambda: len(door.clients.connections) == 1)
 
-    caplog.handler.addFilter(limit := RateLimit())
+    caplog.handler.addFilter(limit := LogRateLimiter())
     try:
         with caplog.at_level(logging.WARNING, "molereach.clients"):
             run(job())
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -48,7 +48,7 @@
         line = capsys.readouterr().err
         assert line.startswith("molereach: ") and line.count("\n") == 1
         assert str(file) in line and reason in line
-    assert command.run([], {operator_config.ENVIRONMENT: str(file)}, serve) == 2
+    assert command.run([], {operator_config.ENVIRONMENT_VARIABLE: str(file)}, serve) == 2
     assert not started  # nothing starts with a file that cannot be used
 
 
@@ -93,7 +93,7 @@
 def test_off_means_not_imported() -> None:
     """What `run` imports with no operator file is the front door and nothing that stands beside it."""
     code = "import sys, molereach.__main__; print(*sorted(sys.modules))"
-    env = {name: text for name, text in os.environ.items() if name != operator_config.ENVIRONMENT}
+    env = {name: text for name, text in os.environ.items() if name != operator_config.ENVIRONMENT_VARIABLE}
     done = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from molereach.__main__ import MAX_LINES_PER_SPAN, SPAN_S, RateLimit
+from molereach.__main__ import MAX_LINES_PER_WINDOW, RATE_LIMIT_WINDOW_S, LogRateLimiter
 from molereach.proxy.config_file import load
 from tests.sockets import (
     CUSTOMER,
@@ -213,7 +213,7 @@
 
 
 def test_lines_that_peers_cause_are_bounded() -> None:
-    limit = RateLimit()
+    limit = LogRateLimiter()
 
     def line(at_s: float, number: int = 7) -> logging.LogRecord:
         record = logging.LogRecord("x", logging.INFO, "x.py", number, "odd %s", ("one",), None)
@@ -221,8 +221,8 @@
         return record
 
     passed = [limit.filter(line(100.0 + at / 100)) for at in range(500)]
-    assert sum(passed) == MAX_LINES_PER_SPAN
+    assert sum(passed) == MAX_LINES_PER_WINDOW
     assert limit.filter(line(100.0, number=8))  # another place has lines of its own
-    later = line(100.0 + SPAN_S)
+    later = line(100.0 + RATE_LIMIT_WINDOW_S)
     assert limit.filter(later)
-    assert later.getMessage() == f"odd one ({500 - MAX_LINES_PER_SPAN} like it were left out)"
+    assert later.getMessage() == f"odd one ({500 - MAX_LINES_PER_WINDOW} like it were left out)"
