--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -22,8 +22,8 @@
         sender.send()
         sender.send()
         while len(backend.commands) < 2:
-            backend.came.clear()
-            await backend.came.wait()
+            backend.command_received.clear()
+            await backend.command_received.wait()
         assert backend.opened == 2
         for writer in backend.writers:
             writer.write(value(b"x"))
@@ -43,10 +43,10 @@
         backend = Backend(lambda words: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.left.wait()  # an answer that is still due must not meet the next command
+        await backend.disconnected.wait()  # an answer that is still due must not meet the next command
         backend.answer = lambda words: value(b"fresh")
         sender.send()
         assert (await sender.ended.get())[1] == b"fresh"
@@ -135,7 +135,7 @@
         sender.backends.sweep()
         sender.send()
         assert await sender.result() is AttemptResult.OK
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert sender.backends.open_connections == 0
 
     run(job())
@@ -151,8 +151,8 @@
             sender.send()
             sender.send()
             while len(backend.commands) < 2:
-                backend.came.clear()
-                await backend.came.wait()
+                backend.command_received.clear()
+                await backend.command_received.wait()
             for writer in backend.writers:
                 writer.write(value(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
@@ -178,7 +178,7 @@
         assert sender.backends.open_connections == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.close()
 
     run(job())
@@ -189,11 +189,11 @@
         backend = Backend(lambda words: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.update({}, {}, is_full_list=True)
         backend.writers[0].write(value(b"x"))
         assert await sender.result() is AttemptResult.OK
-        await backend.left.wait()
+        await backend.disconnected.wait()
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
@@ -234,15 +234,15 @@
         sender.send()
         sender.send()
         while len(backend.commands) < 2:
-            backend.came.clear()
-            await backend.came.wait()
+            backend.command_received.clear()
+            await backend.command_received.wait()
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda words: answer
         sender.send(timeout_us=20 * S)
         assert await sender.result() is AttemptResult.MALFORMED
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert len(sender.backends.pools["s"].idle) == 1
         backend.answer = lambda words: value(b"good")
         sender.send()
@@ -258,7 +258,7 @@
         backend = Backend(lambda words: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         backend.writers[0].write(value(b"first"))
         assert (await sender.ended.get())[1] == b"first"
         backend.answer = lambda words: value(b"second")
@@ -315,10 +315,10 @@
         backend = Backend(lambda words: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert sender.backends.open_connections == 1  # closed only when the loop has come to it
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert sender.backends.open_connections == 0
         sender.backends.update({"s": EndpointState.UP}, {"s": refusing_address()}, is_full_list=True)
         sender.send()
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -26,8 +26,8 @@
             client = await Client.open(address)
             client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
             while len(backend.commands) < 2:
-                backend.came.clear()
-                await backend.came.wait()
+                backend.command_received.clear()
+                await backend.command_received.wait()
             slow = next(n for n, words in enumerate(backend.commands) if words[2] == b"a1")
             backend.writers[slow].write(value(b"a1"))
             answers = [await client.answer() for _ in range(4)]
@@ -364,7 +364,7 @@
         async with front_door(backend) as (door, address):
             client = await Client.open(address)
             client.send(query("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
 
             def broken(words: list[bytes], reply: object) -> None:
                 raise RuntimeError("a fault of ours")
--- a/tests/discovery/made.py
+++ b/tests/discovery/made.py
@@ -10,7 +10,7 @@
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
-from tests.sockets import CONFIG, HOST, Watch, entry
+from tests.sockets import CONFIG, HOST, DiscoveryServer, entry
 
 SIZE = 93_000  # backends of the fleet that is coming
 
@@ -91,9 +91,9 @@
 
 
 @contextlib.asynccontextmanager
-async def door_before(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[Proxy, Watch]]:
+async def door_before(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[Proxy, DiscoveryServer]]:
     """A front door with a known list, that calls on these."""
-    watch = Watch(*scripts)  # type: ignore[arg-type]
+    watch = DiscoveryServer(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
     settings = replace(CONFIG.settings, must_poll_endpoints=False)
     door = Proxy(
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -17,12 +17,12 @@
 from molereach.protocol.gossip_codec import pack_messages
 from molereach.proxy.gossip import GossipTransport
 from molereach.proxy.proxy import Proxy
-from tests.sockets import CONFIG, HEAD, HOST, Watch, catalog, chunk, entry, refusing_address, run
+from tests.sockets import CONFIG, HEAD, HOST, DiscoveryServer, catalog, chunk, entry, refusing_address, run
 
 AT = (HOST, 6379)
 
 
-async def news_of(watch: Watch, count: int, version: int = 0) -> list[EndpointUpdate]:
+async def news_of(watch: DiscoveryServer, count: int, version: int = 0) -> list[EndpointUpdate]:
     """The first news that a watch brings."""
     heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
     tasks = []
@@ -59,7 +59,7 @@
         stream = HEAD + chunk(b"\n") + chunk(line[:30])
         stream += chunk(line[30:] + b"\n" + gone[:9]) + chunk(gone[9:])
         pieces = [stream[n : n + 50] for n in range(0, len(stream), 50)]
-        first, second = await news_of(Watch(script(*pieces)), 2)
+        first, second = await news_of(DiscoveryServer(script(*pieces)), 2)
         states = {server.name: server.state for server in first.event.endpoints}
         assert (first.event.kind, first.event.version) == (EndpointListKind.FULL, 5)
         draining = EndpointState.DRAINING
@@ -72,7 +72,7 @@
 
 def test_watch_that_ends_is_reopened_after_what_was_heard() -> None:
     async def job() -> None:
-        watch = Watch(
+        watch = DiscoveryServer(
             script(HEAD + chunk(catalog(5, [])), stay=False),
             script(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stay=False),
             script(HEAD + chunk(catalog(6, [])[:20]), stay=False),  # breaks within a line: not heard
@@ -93,7 +93,7 @@
     monkeypatch.setattr(watch_supervisor, "POLLED_SILENCE_TIMEOUT_S", 0.2)
 
     async def job() -> None:
-        watch = Watch(script(HEAD), script(HEAD + chunk(catalog(4, []))))
+        watch = DiscoveryServer(script(HEAD), script(HEAD + chunk(catalog(4, []))))
         assert (await news_of(watch, 1))[0].event.version == 4
         assert len(watch.targets) == 2
 
@@ -122,7 +122,7 @@
 def test_known_list_serves_while_discovery_is_silent() -> None:
     async def job() -> None:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", AT)]}
-        door = Proxy(replace(CONFIG, known=known, discovery=await Watch(script()).start()))
+        door = Proxy(replace(CONFIG, known=known, discovery=await DiscoveryServer(script()).start()))
         heard: list[Event] = []
         door.gateway.handle = lambda now, event: heard.append(event) or []
         await door.start()
@@ -195,8 +195,8 @@
             writer.write(chunk(catalog(10, [entry("s9", AT)])))  # must not undo what the new one has told
             await writer.drain()
 
-        old = Watch(old_watch)
-        new = Watch(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
+        old = DiscoveryServer(old_watch)
+        new = DiscoveryServer(listing("s2", version=2), script(HEAD + chunk(catalog(3, [], reset=False))))
         moved = Moved(await old.start())
         assert await moved.names() == (EndpointListKind.FULL, ["s1"])
         moved.discovery.change_address(await new.start())
@@ -225,9 +225,9 @@
             await speak.wait()
             await listing("s3")(writer)
 
-        never = Watch(script())
-        last = Watch(slow, script(HEAD))
-        moved = Moved(await Watch(old_watch).start())
+        never = DiscoveryServer(script())
+        last = DiscoveryServer(slow, script(HEAD))
+        moved = Moved(await DiscoveryServer(old_watch).start())
         assert (await moved.names())[1] == ["s1"]
         moved.discovery.change_address(await never.start())
         moved.discovery.change_address(await last.start())  # twice, as reloads may come in a row
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -17,7 +17,7 @@
 from molereach.subsetting.staging import EntrySlice, Staging
 from tests.discovery.made import entries_text, list_text, says
 from tests.races.wire import until
-from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
+from tests.sockets import CONFIG, HEAD, DiscoveryServer, chunk, entry, run
 
 MOST = 3_276  # entries of one list at 4 MB
 ROOM = 2 * MOST + 1_000  # with two steps of changes
@@ -68,9 +68,9 @@
 
 
 @contextlib.asynccontextmanager
-async def long_door(*scripts: object) -> AsyncIterator[tuple[Proxy, Watch]]:
+async def long_door(*scripts: object) -> AsyncIterator[tuple[Proxy, DiscoveryServer]]:
     """A front door that knows a long list, and calls on these."""
-    watch = Watch(*scripts)  # type: ignore[arg-type]
+    watch = DiscoveryServer(*scripts)  # type: ignore[arg-type]
     known = {"generation": 3, "reset": True, "instances": [entry(f"k{number}", AT) for number in range(LONG)]}
     settings = replace(CONFIG.settings, must_poll_endpoints=False)
     door = Proxy(replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4))
@@ -100,7 +100,7 @@
     async def job() -> None:
         async with long_door(says(HEAD + chunk(text_of(4)[:-9])), says(HEAD)) as (door, watch):
             await until(lambda: staged(door, old=True) > LONG - 100)
-            new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: door.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
@@ -141,7 +141,7 @@
             await asyncio.Event().wait()
 
         async with long_door(old, says(HEAD)) as (door, watch):
-            new = Watch(whole, says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(whole, says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: bool(new.targets))
             source, take = door.discovery.current, door.discovery.apply_update
@@ -191,7 +191,7 @@
 
         short = says(HEAD + chunk(list_text(5, entries_text(1), reset=False)))
         async with long_door(old, short) as (door, watch):
-            new = Watch(first, says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(first, says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: staged(door, old=False) > LONG - 100)
             gate.set()
@@ -231,7 +231,7 @@
 
         async with long_door(old) as (door, _):
             await until(lambda: door.discovery.version == 4)
-            new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(
                 lambda: door.discovery.successor is not None and bool(door.discovery.successor.watches)
@@ -276,7 +276,7 @@
 
         async with long_door(half, half) as (door, watch):
             await until(lambda: staged(door, old=True) > LONG - 100)
-            new = Watch(broken, whole, says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(broken, whole, says(HEAD))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: staged(door, old=False) > LONG - 100)
             gave_way = len(said(caplog, "dropped for"))
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -18,7 +18,7 @@
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
-from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
+from tests.sockets import CONFIG, HEAD, Client, DiscoveryServer, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
 
 AGENT = PollBackoff(1, must_poll=False)
@@ -38,7 +38,7 @@
     """Discovery with lists that are seen whole, and what came of it."""
 
     def __init__(self, *scripts: object, version: int = 3) -> None:
-        self.watch, self.version = Watch(*scripts), version  # type: ignore[arg-type]
+        self.watch, self.version = DiscoveryServer(*scripts), version  # type: ignore[arg-type]
         self.lists = AllSeen()
         self.seen: asyncio.Queue[EndpointListReceived] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
@@ -128,7 +128,7 @@
             await asyncio.Event().wait()
 
         known = {"generation": 3, "reset": True, "instances": [entry("s0", at)]}
-        door = Proxy(replace(CONFIG, known=known, discovery=await Watch(slow).start()))
+        door = Proxy(replace(CONFIG, known=known, discovery=await DiscoveryServer(slow).start()))
         start = door.discovery.start
         door.discovery.start = lambda: (door.discovery.first_update.set(), start())  # type: ignore[assignment]
         await door.start()
@@ -163,7 +163,7 @@
 
         async with Heard(old) as door:
             assert (await door.seen.get()).version == 4
-            new = Watch(says(answer(list_text(5, entries_text(1000)))), says(HEAD))  # type: ignore[arg-type]
+            new = DiscoveryServer(says(answer(list_text(5, entries_text(1000)))), says(HEAD))  # type: ignore[arg-type]
             take = door.take
 
             def stepped(news: StagedEndpointUpdate) -> Steps:
@@ -280,7 +280,7 @@
         first = says(HEAD + chunk(list_text(4, entries_text(1))))
         async with door_before(first) as (door, watch):
             await until(lambda: door.discovery.version == 4)
-            new = Watch(says(answer(BAD["a name twice in a short list"][0]), stay=False))  # type: ignore[arg-type]
+            new = DiscoveryServer(says(answer(BAD["a name twice in a short list"][0]), stay=False))  # type: ignore[arg-type]
             door.discovery.change_address(await new.start())
             await until(lambda: len(new.targets) == 2)
             assert door.discovery.current.address == watch.server.sockets[0].getsockname()
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -18,7 +18,7 @@
     PollBackoff,
 )
 from molereach.proxy.proxy import Proxy
-from tests.sockets import CONFIG, HEAD, Watch, catalog, chunk, run
+from tests.sockets import CONFIG, HEAD, DiscoveryServer, catalog, chunk, run
 
 DOORS = 40
 # A call that waits so long is given up; the line takes in so many time-outs of work.
@@ -80,7 +80,7 @@
             writer.write(HEAD + chunk(catalog(5, [])))
             await asyncio.Event().wait()
 
-        watch = Watch(play)
+        watch = DiscoveryServer(play)
         heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         tasks = []
         doors, draw = UNSPREAD_POLLS + 5, 0.1
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -226,7 +226,7 @@
         async with controlled(tmp_path / "s", backend) as (_, address, agent, _):
             client = await Client.open(address)
             client.send(query("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             state = (await agent.ask("state")).state
             assert state and (state.name, state.open_requests, state.clients) == ("n0", 1, 1)
             assert state.pid == os.getpid() and not state.on_hold and state.revision == 0
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -25,7 +25,7 @@
     HOST,
     Backend,
     Client,
-    Watch,
+    DiscoveryServer,
     chunk,
     entry,
     front_door,
@@ -284,7 +284,7 @@
             list_sent.set()
             await asyncio.Event().wait()
 
-        address = await Watch(discovery).start()
+        address = await DiscoveryServer(discovery).start()
         listen = refusing_address()
         text = config_text(
             serving_entry + b"," + draining_entries,
--- a/tests/proxy/test_proxy.py
+++ b/tests/proxy/test_proxy.py
@@ -113,7 +113,7 @@
             client.send(submit("a1", wait_ms=300))
             assert await client.answer() == "-ERR failed"
             assert time.monotonic() - started < 0.3
-            await backend.left.wait()  # the attempt was cancelled by closing its connection
+            await backend.disconnected.wait()  # the attempt was cancelled by closing its connection
             assert await client.ask(resp("PING")) == b"PONG"  # no second answer came first
             assert not proxy.requests.open and not proxy.requests.answered and proxy.requests.open_bytes == 0
 
@@ -126,9 +126,9 @@
         async with front_door(backend) as (proxy, address):
             client = await Client.open(address)
             client.send(query("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             client.writer.close()
-            await backend.left.wait()
+            await backend.disconnected.wait()
             assert not proxy.requests.open and not proxy.gateway.attempts.pending
 
     run(job())
@@ -140,7 +140,7 @@
         async with front_door(backend) as (_, address):
             client, other_client = await Client.open(address), await Client.open(address)
             client.send(query("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             assert await other_client.ask(query("a1")) == "-ERR this id is in use"
             backend.writers[0].write(value(b"late"))
             assert await client.answer() == b"late"
@@ -238,7 +238,7 @@
             idle_client, waiting_client = await Client.open(address), await Client.open(address)
             assert await idle_client.ask(resp("PING")) == b"PONG"
             waiting_client.send(query("slow"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             draining = asyncio.create_task(proxy.drain())
             await asyncio.sleep(0)
             late_client = await Client.open(address)
@@ -314,14 +314,14 @@
         async with front_door(backend) as (proxy, address):
             first_client = await Client.open(address)
             first_client.send(submit("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             draining = asyncio.create_task(proxy.drain())
             while not proxy.clients.is_draining:
                 await asyncio.sleep(0)
             last_client = await Client.open(address)
-            backend.came.clear()
+            backend.command_received.clear()
             last_client.send(submit("a2"))
-            await backend.came.wait()
+            await backend.command_received.wait()
             backend.writers[0].write(value(b"first"))
             assert await first_client.answer() == b"first"
             await asyncio.sleep(0.3)  # longer than FINAL_WRITE_TIMEOUT_S: open requests are waited for
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -191,7 +191,7 @@
         async with front_door(backend) as (door, address):
             peer = Peer.dial(address)
             peer.say(query("a1") + b"?")
-            await backend.came.wait()
+            await backend.command_received.wait()
             (connection,) = door.clients.connections
             connection.pause_writing()
             connection.resume_writing()
--- a/tests/races/test_restarts_ready.py
+++ b/tests/races/test_restarts_ready.py
@@ -14,7 +14,7 @@
     HOST,
     Backend,
     Client,
-    Watch,
+    DiscoveryServer,
     catalog,
     chunk,
     entry,
@@ -52,7 +52,7 @@
             writer.write(HEAD + chunk(listed))
             await asyncio.Event().wait()
 
-        answers, refuses = await Watch(script).start(), refusing_address()
+        answers, refuses = await DiscoveryServer(script).start(), refusing_address()
         full = socket.create_server((HOST, 0), backlog=0)
         fillers = [socket.socket() for _ in range(4)]  # no dial comes up behind them
         for filler in fillers:
--- a/tests/races/test_sigterm_process.py
+++ b/tests/races/test_sigterm_process.py
@@ -193,7 +193,7 @@
         client, rests = Peer.dial((host, int(port))), Peer.dial((host, int(port)))
         rests.say(resp("PING"))
         client.say(resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=4000"))
-        await backend.came.wait()
+        await backend.command_received.wait()
         process.send_signal(signal.SIGTERM)
         await said(process, b"drains")
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -98,7 +98,8 @@
     def __init__(self, answer: Answer = lambda words: value(b"ok")) -> None:
         self.answer, self.commands, self.opened = answer, [], 0
         self.commands: list[list[bytes]]
-        self.came, self.left = asyncio.Event(), asyncio.Event()  # a command came; a connection ended
+        # Set when a command has arrived, and when a connection has ended.
+        self.command_received, self.disconnected = asyncio.Event(), asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []  # of each command in turn
 
     async def start(self) -> EndpointAddress:
@@ -114,17 +115,17 @@
                 while (words := parser.gets()) is not False:
                     self.commands.append(words)
                     self.writers.append(writer)
-                    self.came.set()
+                    self.command_received.set()
                     answer = self.answer(words)
                     if answer == b"":
                         writer.transport.abort()
                     elif answer:
                         writer.write(answer)
-        self.left.set()
+        self.disconnected.set()
         writer.close()
 
 
-class Watch:
+class DiscoveryServer:
     """Discovery: a script for each watch in turn, the last one for all that follow."""
 
     def __init__(self, *scripts: Callable[[asyncio.StreamWriter], Awaitable[None]]) -> None:
@@ -214,7 +215,7 @@
         writer.write(HEAD + chunk(listed))
         await asyncio.Event().wait()
 
-    door = Proxy(replace(CONFIG, discovery=await Watch(script).start(), **changes))
+    door = Proxy(replace(CONFIG, discovery=await DiscoveryServer(script).start(), **changes))
     await door.start()
     try:
         yield door, door.address
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,7 @@
     HOST,
     Backend,
     Client,
-    Watch,
+    DiscoveryServer,
     catalog,
     entry,
     refusing_address,
@@ -157,7 +157,7 @@
             await asyncio.Event().wait()
 
         watched = asyncio.Event()
-        discovery = await Watch(whole, silent).start()
+        discovery = await DiscoveryServer(whole, silent).start()
         file.write_text(json.dumps({**good, "discovery": f"{HOST}:{discovery[1]}"}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
