--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""The same verdict every time: hypothesis draws the same examples, and no time decides.
+"""Settings for reproducible test runs: hypothesis draws the same examples each time and sets no deadlines.
 
-Open faults are named in KNOWN-RED.txt.
+Tests that fail because of known faults are listed in KNOWN-RED.txt.
 """
 
 from hypothesis import settings
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Drivers for gateways: settings, an endpoint list, a clock and the attempts in flight."""
+"""Drives gateways in tests: settings, an endpoint list, a clock and the attempts in flight."""
 
 import random
 from collections.abc import Iterable
@@ -45,26 +45,29 @@
 
 
 def endpoints(count: int, **changes: object) -> tuple[Endpoint, ...]:
-    """Backends that are up, in two zones and in cells of two."""
+    """Create endpoints of backends that are up, in two zones and in cells of two."""
     return tuple(
-        replace(Endpoint(f"s{n}", n % 2, 0, n // 2, EndpointState.UP), **changes) for n in range(count)
+        replace(Endpoint(f"s{index}", index % 2, 0, index // 2, EndpointState.UP), **changes)
+        for index in range(count)
     )
 
 
 class GatewayDriver:
-    """One gateway with its clock, its timers and its attempts in flight."""
+    """One gateway, with a simulated clock, its timers and its attempts in flight."""
 
-    def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = endpoints(4)) -> None:
+    def __init__(
+        self, settings: Settings = SETTINGS, initial_endpoints: Iterable[Endpoint] = endpoints(4)
+    ) -> None:
         self.now_us = 100 * SECOND_US
         self.gateway = Gateway(settings)
         self.timers: list[tuple[int, int]] = []
         self.log: list[tuple[int, Action]] = []
         self.in_flight: dict[tuple[str, int], tuple[str, int, int]] = {}
         self.attempt_counts: dict[str, int] = {}
-        self.handle(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(fleet)))
+        self.handle(EndpointListReceived(EndpointListKind.SAVED, 1, tuple(initial_endpoints)))
 
     def handle(self, event: Event) -> list[Action]:
-        """Give the gateway an event; the actions that it returns."""
+        """Have the gateway handle an event; record and return its actions."""
         actions = self.gateway.handle(self.now_us, event)
         for action in actions:
             self.log.append((self.now_us, action))
@@ -81,58 +84,63 @@
         return actions
 
     def advance(self, time_us: int) -> list[Action]:
-        """Let time pass; the actions that expired timers brought."""
+        """Advance the clock; return the actions of the timers that expired."""
         end_us = self.now_us + time_us
         start = len(self.log)
         while self.timers and min(self.timers)[0] <= end_us:
-            due = min(self.timers)
-            self.timers.remove(due)
-            self.now_us = due[0]
-            self.handle(TimerExpired(due[1]))
+            timer = min(self.timers)
+            self.timers.remove(timer)
+            self.now_us = timer[0]
+            self.handle(TimerExpired(timer[1]))
         self.now_us = end_us
         return [action for _, action in self.log[start:]]
 
-    def send_request(self, name: str, left_us: int = 6 * SECOND_US, **values: object) -> list[Action]:
-        """A request of that id arrives; `values` are other fields of the event."""
-        request = RequestReceived(name, 0, 0, "c", left_us)
-        return self.handle(replace(request, **values))
+    def send_request(
+        self, request_id: str, remaining_us: int = 6 * SECOND_US, **changes: object
+    ) -> list[Action]:
+        """Have the gateway receive a request; `changes` are other fields of the event."""
+        request = RequestReceived(request_id, 0, 0, "c", remaining_us)
+        return self.handle(replace(request, **changes))
 
     def end_attempt(
         self,
-        name: str,
+        request_id: str,
         result: AttemptResult = AttemptResult.OK,
         attempt: int = 0,
         report: LoadReport | None = None,
     ) -> list[Action]:
-        """An attempt in flight ends; a successful one closes its request."""
-        endpoint, forwarded_at_us, _ = self.in_flight.pop((name, attempt))
+        """End an attempt in flight; a successful one closes its request."""
+        endpoint, forwarded_at_us, _ = self.in_flight.pop((request_id, attempt))
         is_closed = result is AttemptResult.OK
         latency_us = self.now_us - forwarded_at_us
-        event = AttemptEnded(name, is_closed, attempt, endpoint, result, latency_us, load_report=report)
+        event = AttemptEnded(request_id, is_closed, attempt, endpoint, result, latency_us, load_report=report)
         return self.handle(event)
 
 
-def of_type(kind: type, actions: Iterable[Action]) -> list[Action]:
-    """The actions of one type."""
-    return [action for action in actions if isinstance(action, kind)]
+def of_type(action_type: type, actions: Iterable[Action]) -> list[Action]:
+    """Return the actions of one type."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 class GatewayCluster:
-    """Several gateways that receive a customer's requests, with the messages between them.
+    """Several gateways that receive the requests of a customer and exchange gossip.
 
-    `loss` is the probability that a message is lost, `down` a gateway that no message reaches, or -1.
+    `loss` is the probability that a message is lost; `down` is the index of a gateway that is unreachable for
+    all others, or -1.
     """
 
     def __init__(
         self,
         count: int,
         settings: Settings = SETTINGS,
-        fleet: Iterable[Endpoint] = endpoints(4),
+        initial_endpoints: Iterable[Endpoint] = endpoints(4),
         loss: float = 0.0,
     ) -> None:
         self.drivers = [
-            GatewayDriver(replace(settings, proxy_index=n, proxy_count=count, seed=n), fleet)
-            for n in range(count)
+            GatewayDriver(
+                replace(settings, proxy_index=index, proxy_count=count, seed=index), initial_endpoints
+            )
+            for index in range(count)
         ]
         self.messages: list[tuple[int, int, tuple[GossipMessage, ...]]] = []
         self.random = random.Random(3)
@@ -140,25 +148,28 @@
         self.down = -1
 
     def collect_messages(self, sender: int, actions: Iterable[Action]) -> None:
-        """Take the messages among a gateway's actions."""
+        """Collect the messages among the actions of a gateway, to be delivered when the clock advances."""
         self.messages += [(sender, action.peer, action.messages) for action in of_type(SendGossip, actions)]
 
-    def send_request(self, me: int, name: str, **values: object) -> None:
-        self.collect_messages(me, self.drivers[me].send_request(name, set_size=len(self.drivers), **values))
+    def send_request(self, index: int, request_id: str, **changes: object) -> None:
+        """Have a gateway receive a request of the customer."""
+        self.collect_messages(
+            index, self.drivers[index].send_request(request_id, set_size=len(self.drivers), **changes)
+        )
 
     def advance(self, time_us: int) -> None:
-        """Let time pass in steps of 10 ms: messages arrive, attempts in flight succeed."""
+        """Advance the clocks in steps of 10 ms: messages arrive, and attempts in flight succeed."""
         for _ in range(time_us // (10 * MILLISECOND_US)):
             sent = self.messages
             self.messages = []
             for sender, peer, messages in sent:
                 if self.random.random() >= self.loss and self.down not in (sender, peer):
                     self.collect_messages(peer, self.drivers[peer].handle(GossipReceived(sender, messages)))
-            for me, driver in enumerate(self.drivers):
-                self.collect_messages(me, driver.advance(10 * MILLISECOND_US))
-                for name, attempt in list(driver.in_flight):
-                    driver.end_attempt(name, attempt=attempt)
+            for index, driver in enumerate(self.drivers):
+                self.collect_messages(index, driver.advance(10 * MILLISECOND_US))
+                for request_id, attempt in list(driver.in_flight):
+                    driver.end_attempt(request_id, attempt=attempt)
 
     def forwarded_count(self) -> int:
-        """The attempts forwarded so far by all."""
+        """Return the number of attempts that all gateways have forwarded so far."""
         return sum(isinstance(action, ForwardAttempt) for driver in self.drivers for _, action in driver.log)
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -18,8 +18,8 @@
 
 
 def test_no_time_left_is_answered_at_once() -> None:
-    driver = GatewayDriver(fleet=())
-    assert of_type(Reject, driver.send_request("a", left_us=0))
+    driver = GatewayDriver(initial_endpoints=())
+    assert of_type(Reject, driver.send_request("a", remaining_us=0))
 
 
 def test_deadline_of_a_non_idempotent_request_fails_it() -> None:
@@ -105,12 +105,12 @@
 
 def test_request_of_which_nothing_was_sent_is_refused_before_half_of_its_time() -> None:
     for fleet in ((), endpoints(1)):
-        driver = GatewayDriver(fleet=fleet)
+        driver = GatewayDriver(initial_endpoints=fleet)
         driver.gateway.attempts.mean_latency_us = [
             50.0 * MILLISECOND_US
         ]  # so that the aim alone would let it wait for longer
         start = driver.now_us
-        driver.send_request("a", left_us=SECOND_US)
+        driver.send_request("a", remaining_us=SECOND_US)
         if fleet:  # a failed connect has sent nothing
             driver.gateway.load_balancer.ready.clear()
             driver.end_attempt("a", AttemptResult.CONNECT_FAILED)
@@ -122,26 +122,32 @@
 
 def test_request_that_was_sent_whole_may_wait_for_longer() -> None:
     driver = GatewayDriver()
-    driver.send_request("a", left_us=SECOND_US)
+    driver.send_request("a", remaining_us=SECOND_US)
     driver.advance(900 * MILLISECOND_US)
     assert of_type(Reject, driver.advance(0)) == [] and driver.in_flight
 
 
 def test_retry_that_comes_after_the_aim_of_its_first_try_is_refused_at_once() -> None:
     driver = GatewayDriver()
-    driver.send_request("first", left_us=6 * SECOND_US)
-    assert of_type(ForwardAttempt, driver.send_request("soon", left_us=5 * SECOND_US, is_client_retry=True))
+    driver.send_request("first", remaining_us=6 * SECOND_US)
+    assert of_type(
+        ForwardAttempt, driver.send_request("soon", remaining_us=5 * SECOND_US, is_client_retry=True)
+    )
     late = driver.send_request(
-        "late", left_us=4 * SECOND_US, is_client_retry=True
+        "late", remaining_us=4 * SECOND_US, is_client_retry=True
     )  # asked first 2 s ago, as long as the aim is
     assert of_type(Reject, late) and not of_type(ForwardAttempt, late)
     worth = GatewayDriver(replace(SETTINGS, classes=(replace(IDEMPOTENT, late_priority_weight=0.5),)))
-    worth.send_request("first", left_us=6 * SECOND_US)
-    assert of_type(ForwardAttempt, worth.send_request("late", left_us=4 * SECOND_US, is_client_retry=True))
+    worth.send_request("first", remaining_us=6 * SECOND_US)
+    assert of_type(
+        ForwardAttempt, worth.send_request("late", remaining_us=4 * SECOND_US, is_client_retry=True)
+    )
 
 
 def test_clients_that_wait_for_different_times_are_no_reason_to_refuse_retries() -> None:
     driver = GatewayDriver()
     for number, left in enumerate([6 * SECOND_US, 3 * SECOND_US, 6 * SECOND_US, 3 * SECOND_US]):
-        driver.send_request(f"first{number}", left_us=left)
-    assert of_type(ForwardAttempt, driver.send_request("retry", left_us=2 * SECOND_US, is_client_retry=True))
+        driver.send_request(f"first{number}", remaining_us=left)
+    assert of_type(
+        ForwardAttempt, driver.send_request("retry", remaining_us=2 * SECOND_US, is_client_retry=True)
+    )
--- a/tests/policy/test_gateway_backends.py
+++ b/tests/policy/test_gateway_backends.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_nothing_new_to_a_draining_server(state: EndpointState) -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     driver.handle(EndpointListReceived(EndpointListKind.CHANGES, 2, endpoints(1, state=state)))
     for n in range(8):
         driver.send_request(f"r{n}")
@@ -72,7 +72,7 @@
 
 
 def test_server_missing_from_a_full_list_is_gone() -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     driver.handle(EndpointListReceived(EndpointListKind.FULL, 2, endpoints(1)))
     for n in range(8):
         driver.send_request(f"r{n}")
@@ -232,7 +232,7 @@
 
 
 def test_servers_that_are_gone_and_customers_that_are_full_again_are_forgotten() -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     for number in range(200):
         gone = Endpoint(f"x{number}", 0, 0, 0, EndpointState.UP)
         driver.handle(EndpointListReceived(EndpointListKind.CHANGES, number, (gone,)))
@@ -260,7 +260,7 @@
         server.slow_start_from_us = driver.now_us  # as after a suspicion
     driver.gateway.load_balancer.forward_rate = 1.0
     for number in range(400):
-        driver.send_request(f"a{number}", left_us=6 * SECOND_US)
+        driver.send_request(f"a{number}", remaining_us=6 * SECOND_US)
         driver.advance(20 * MILLISECOND_US)
         for name, attempt in list(driver.in_flight):
             driver.end_attempt(name, attempt=attempt)
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -82,7 +82,7 @@
     cluster.advance(5 * SECOND_US)
     before = cluster.forwarded_count()
     for n in range(400):
-        cluster.send_request(7, f"r{n}", customer=name, left_us=SECOND_US)
+        cluster.send_request(7, f"r{n}", customer=name, remaining_us=SECOND_US)
         cluster.advance(10 * MILLISECOND_US)
     cluster.advance(2 * SECOND_US)
     assert (
@@ -151,7 +151,7 @@
     """What was given out while the home's store went on filling must not be added up beside it."""
     small = replace(CEILED, ceiling_burst=6.0)
     cluster = GatewayCluster(
-        2, replace(SETTINGS, plans=(small,)), fleet=()
+        2, replace(SETTINGS, plans=(small,)), initial_endpoints=()
     )  # with no server everything is held
     name = ceiling_customer(cluster, 1)
     driver = cluster.drivers[0]
--- a/tests/policy/test_gateway_overload_control.py
+++ b/tests/policy/test_gateway_overload_control.py
@@ -92,7 +92,7 @@
 
 
 def test_request_waiting_past_its_objective_is_rejected_in_time() -> None:
-    driver = GatewayDriver(fleet=())
+    driver = GatewayDriver(initial_endpoints=())
     driver.send_request("a")
     started = driver.now_us
     driver.advance(3 * SECOND_US)
--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -183,7 +183,7 @@
 def test_no_time_left_costs_no_quota() -> None:
     driver = GatewayDriver()
     for n in range(30):
-        driver.send_request(f"r{n}", left_us=100 * MILLISECOND_US)
+        driver.send_request(f"r{n}", remaining_us=100 * MILLISECOND_US)
     assert next(iter(driver.gateway.customers.accounts.values())).tokens == 20
 
 
@@ -221,7 +221,7 @@
         cluster.down = me
         driver.handle(EndpointListReceived(EndpointListKind.FULL, 2, ()))
         driver.gateway.attempts.mean_latency_us = [20 * MILLISECOND_US]
-        driver.send_request("a", left_us=left * MILLISECOND_US, set_size=20)
+        driver.send_request("a", remaining_us=left * MILLISECOND_US, set_size=20)
         start = driver.now_us
         driver.advance(SECOND_US)
         ends = [at - start for at, action in driver.log if isinstance(action, Reject | FailRequest)]
@@ -349,7 +349,8 @@
     for number in range(10):
         driver.send_request(f"a{number}", customer=name, set_size=2)
     assert not of_type(
-        ForwardAttempt, driver.send_request("last", customer=name, set_size=2, left_us=200 * MILLISECOND_US)
+        ForwardAttempt,
+        driver.send_request("last", customer=name, set_size=2, remaining_us=200 * MILLISECOND_US),
     )
     driver.advance(100 * MILLISECOND_US)
     assert driver.attempt_counts.get("last") == 1
@@ -363,7 +364,7 @@
     driver.handle(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, tokens=-5.0),)))
     customer = driver.gateway.customers.accounts[key]
     for number in range(30):
-        driver.send_request(f"a{number}", customer=name, set_size=2, left_us=SECOND_US)
+        driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=SECOND_US)
         driver.advance(100 * MILLISECOND_US)
     assert customer.refill(driver.now_us).demand < 10  # 5 come in the time in which demand ages
     sent = [
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -151,7 +151,7 @@
         if kind <= 4:
             driver.send_request(
                 f"q{count}",
-                left_us=number * 100,
+                remaining_us=number * 100,
                 class_index=kind,
                 plan_index=number % 3,
                 customer=f"c{number % 3}",
--- a/tests/races/test_peers_home.py
+++ b/tests/races/test_peers_home.py
@@ -83,7 +83,7 @@
     world = GatewayDriver(PAIR)
     name = customer_of(world, home=1)
     for number in range(11):  # the eleventh is past this one's part of the burst
-        world.send_request(f"a{number}", customer=name, set_size=2, left_us=2 * SECOND_US)
+        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
     assert not answers_to(world, "a10")
     world.advance(SECOND_US - 40 * MILLISECOND_US)  # a refusal after half of the time would come too late
     assert len(answers_to(world, "a10")) == 1
@@ -97,7 +97,7 @@
     world = GatewayDriver(PAIR)
     name = customer_of(world, home=1)
     for number in range(11):
-        world.send_request(f"a{number}", customer=name, set_size=2, left_us=2 * SECOND_US)
+        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
     world.advance(SECOND_US)
     said = answers_to(world, "a10")
     key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
@@ -116,7 +116,7 @@
     world = GatewayDriver(PAIR)
     name = customer_of(world, home=1)
     for number in range(11):
-        world.send_request(f"a{number}", customer=name, set_size=2, left_us=2 * SECOND_US)
+        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
     world.handle(ClientDisconnected("a10"))
     answer = GossipMessage(
         zlib.crc32(name.encode()), 0, 0, 2, True, requested_units=1.0, tokens=5.0, is_within_quota=True
--- a/tests/races/test_settings_short.py
+++ b/tests/races/test_settings_short.py
@@ -36,7 +36,7 @@
     world = GatewayDriver(PAIR)
     name = other_home(world)
     for number in range(11):  # the eleventh is past this one's part of the burst
-        world.send_request(f"a{number}", customer=name, set_size=2, left_us=LEFT_US)
+        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=LEFT_US)
     world.advance(LEFT_US // 2)
     assert len(asks(world)) == 3
     assert [
@@ -65,7 +65,10 @@
     for number in range(40):
         came[f"a{number}"] = world.now_us
         world.send_request(
-            f"a{number}", customer=other_home(world), set_size=2, left_us=deadline_us - 25 * MILLISECOND_US
+            f"a{number}",
+            customer=other_home(world),
+            set_size=2,
+            remaining_us=deadline_us - 25 * MILLISECOND_US,
         )
         for _ in range(2):
             world.advance(10 * MILLISECOND_US)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt, by runs of pytest on a tree of two tests: one that fails, one that passes."""
+"""KNOWN-RED.txt, tested by running pytest in a directory with a failing and a passing test."""
 
 import os
 import subprocess
@@ -11,25 +11,26 @@
 
 ROOT = Path(__file__).parent.parent
 TESTS = "def test_bad():\n    assert False\n\n\ndef test_good():\n    assert True\n"
-BAD, GOOD = "test_tree.py::test_bad", "test_tree.py::test_good"
+FAILING, PASSING = "test_tree.py::test_bad", "test_tree.py::test_good"
 
 
-def play(tree: Path, red: str | None, *args: str) -> tuple[int, str]:
-    (tree / "pytest.ini").write_text("[pytest]\n")
-    (tree / "test_tree.py").write_text(TESTS)
-    if red is not None:
-        (tree / "KNOWN-RED.txt").write_text(red)
+def run_pytest(root: Path, known_red: str | None, *args: str) -> tuple[int, str]:
+    """Run the two tests with that KNOWN-RED.txt, or without the file; return the exit code and the output."""
+    (root / "pytest.ini").write_text("[pytest]\n")
+    (root / "test_tree.py").write_text(TESTS)
+    if known_red is not None:
+        (root / "KNOWN-RED.txt").write_text(known_red)
     env = {**os.environ, "PYTHONPATH": str(ROOT), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "pytest", "-p", "tests.known_red", "-p", "no:cacheprovider", *args],
-        cwd=tree,
+        cwd=root,
         env=env,
         capture_output=True,
         text=True,
         check=False,
         timeout=60,
     )
-    return done.returncode, done.stdout + done.stderr
+    return process.returncode, process.stdout + process.stderr
 
 
 def line(test: str, rate: str = "always", issue: int = 34) -> str:
@@ -37,52 +38,54 @@
 
 
 @pytest.mark.parametrize("rate", ["always", "sometimes"])
-def test_what_is_named_is_expected_to_fail_and_printed(tmp_path: Path, rate: str) -> None:
-    code, text = play(tmp_path, line(BAD, rate) + "\n")
-    assert code == 0 and "1 passed, 1 xfailed" in text
-    assert f"known red: {line(BAD, rate).strip()}" in text
+def test_listed_test_may_fail_and_is_printed(tmp_path: Path, rate: str) -> None:
+    exit_code, output = run_pytest(tmp_path, line(FAILING, rate) + "\n")
+    assert exit_code == 0 and "1 passed, 1 xfailed" in output
+    assert f"known red: {line(FAILING, rate).strip()}" in output
 
 
-def test_without_the_file_or_a_line_a_failure_is_one(tmp_path: Path) -> None:
-    assert play(tmp_path, None)[0] == 1
-    assert play(tmp_path, "")[0] == 1
+def test_failure_of_a_test_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
+    assert run_pytest(tmp_path, None)[0] == 1
+    assert run_pytest(tmp_path, "")[0] == 1
 
 
-def test_one_that_always_fails_and_passes_fails_the_run(tmp_path: Path) -> None:
-    code, text = play(tmp_path, line(BAD) + line(GOOD))
-    assert code == 1 and f"FAILED {GOOD}" in text
+def test_passing_test_that_is_listed_as_always_failing_fails_the_run(tmp_path: Path) -> None:
+    exit_code, output = run_pytest(tmp_path, line(FAILING) + line(PASSING))
+    assert exit_code == 1 and f"FAILED {PASSING}" in output
 
 
-def test_one_that_sometimes_fails_may_pass(tmp_path: Path) -> None:
-    code, text = play(tmp_path, line(BAD) + line(GOOD, "sometimes"))
-    assert code == 0 and "1 xfailed, 1 xpassed" in text
+def test_passing_test_that_is_listed_as_sometimes_failing_is_accepted(tmp_path: Path) -> None:
+    exit_code, output = run_pytest(tmp_path, line(FAILING) + line(PASSING, "sometimes"))
+    assert exit_code == 0 and "1 xfailed, 1 xpassed" in output
 
 
 @pytest.mark.parametrize("name", ["test_tree.py::test_gone", "test_gone.py::test_bad", "test_tree.py"])
 def test_line_that_names_no_test_fails_the_run(tmp_path: Path, name: str) -> None:
-    code, text = play(tmp_path, line(name))
-    assert code != 0 and f"there is no test {name}" in text
+    exit_code, output = run_pytest(tmp_path, line(name))
+    assert exit_code != 0 and f"there is no test {name}" in output
 
 
 def test_too_many_lines_fail_the_run(tmp_path: Path) -> None:
-    code, text = play(tmp_path, "".join(line(BAD, issue=number) for number in range(MAX_LINES + 1)))
-    assert code != 0 and f"{MAX_LINES + 1} lines, {MAX_LINES} at most" in text
+    exit_code, output = run_pytest(
+        tmp_path, "".join(line(FAILING, issue=number) for number in range(MAX_LINES + 1))
+    )
+    assert exit_code != 0 and f"{MAX_LINES + 1} lines, {MAX_LINES} at most" in output
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "malformed",
     [
-        f"{BAD} low #34",
-        f"{BAD} | low | #34",
-        f"{BAD} | pytest | often: low | #34",
-        f"{BAD} | always: low | #34",
+        f"{FAILING} low #34",
+        f"{FAILING} | low | #34",
+        f"{FAILING} | pytest | often: low | #34",
+        f"{FAILING} | always: low | #34",
     ],
 )
-def test_line_of_another_form_fails_the_run(tmp_path: Path, wrong: str) -> None:
-    code, text = play(tmp_path, f"{wrong}\n")
-    assert code != 0 and FORM in text
+def test_malformed_line_fails_the_run(tmp_path: Path, malformed: str) -> None:
+    exit_code, output = run_pytest(tmp_path, f"{malformed}\n")
+    assert exit_code != 0 and FORM in output
 
 
-def test_run_of_one_test_asks_nothing_of_the_others(tmp_path: Path) -> None:
-    assert play(tmp_path, line(BAD), GOOD)[0] == 0
-    assert play(tmp_path, line(BAD), "-k", "good")[0] == 0
+def test_run_of_one_test_does_not_check_the_lines_of_others(tmp_path: Path) -> None:
+    assert run_pytest(tmp_path, line(FAILING), PASSING)[0] == 0
+    assert run_pytest(tmp_path, line(FAILING), "-k", "good")[0] == 0
