--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_window.py
@@ -35,7 +35,7 @@
 
 async def broken_after_the_last_byte(client: Client, held: Machine, **more: object) -> None:
     """The first attempt comes whole to the machine, and may have run there."""
-    client.send(submit("a1", kind="book", **more))
+    client.send(submit("a1", class_name="book", **more))
     peer = await held.accept()
     await peer.hear_until(b"BODY")
     peer.reset()
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback for the front door's tests: clients, backends and discovery, by script."""
+"""Scripted clients, backends and discovery servers on loopback sockets, for tests of the front door."""
 
 import asyncio
 import contextlib
@@ -60,32 +60,37 @@
 
 
 def run(job: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program uses, within a time that only a hang takes."""
+    """Run a test on the event loop of the program; the time limit is reached only by a test that hangs."""
 
-    async def bounded() -> None:
+    async def job_with_time_limit() -> None:
         async with asyncio.timeout(30):
             await job
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(bounded())
+        runner.run(job_with_time_limit())
 
 
-def resp(*words: bytes | str) -> bytes:
-    parts = [word.encode() if isinstance(word, str) else word for word in words]
-    return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
+def resp(*arguments: bytes | str) -> bytes:
+    """Encode a command in RESP."""
+    strings = [argument.encode() if isinstance(argument, str) else argument for argument in arguments]
+    return b"*%d\r\n" % len(strings) + b"".join(
+        b"$%d\r\n%b\r\n" % (len(string), string) for string in strings
+    )
 
 
-def query(name: str, wait_ms: int = 3000, **more: str) -> bytes:
-    extra = "".join(f",{key}={value}" for key, value in more.items())
-    return resp("SVC.QUERY", CUSTOMER, name, f"c=read,t=team,d={wait_ms}{extra}")
+def query(request_id: str, wait_ms: int = 3000, **fields: str) -> bytes:
+    """Encode a query, which is idempotent."""
+    more_fields = "".join(f",{key}={value}" for key, value in fields.items())
+    return resp("SVC.QUERY", CUSTOMER, request_id, f"c=read,t=team,d={wait_ms}{more_fields}")
 
 
-def submit(name: str, kind: str = "settle", wait_ms: int = 3000, body: bytes = b"BODY") -> bytes:
-    return resp("SVC.SUBMIT", CUSTOMER, name, f"c={kind},t=team,d={wait_ms},k=5c0f", body)
+def submit(request_id: str, class_name: str = "settle", wait_ms: int = 3000, body: bytes = b"BODY") -> bytes:
+    """Encode a request with a body, by default of a class that is not idempotent."""
+    return resp("SVC.SUBMIT", CUSTOMER, request_id, f"c={class_name},t=team,d={wait_ms},k=5c0f", body)
 
 
 def value(data: bytes, report: bytes = b"$-1\r\n") -> bytes:
-    """A backend's answer with a value."""
+    """Encode a backend's answer with a value."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n%b" % (len(data), data, report)
 
 
@@ -93,14 +98,14 @@
 
 
 class Backend:
-    """A backend: answers each command by a script; None keeps silent, b'' closes the connection."""
+    """A backend that answers each command by a function; None sends no answer, b'' aborts the connection."""
 
-    def __init__(self, answer: Answer = lambda words: value(b"ok")) -> None:
+    def __init__(self, answer: Answer = lambda command: value(b"ok")) -> None:
         self.answer, self.commands, self.opened = answer, [], 0
         self.commands: list[list[bytes]]
         # Set when a command has arrived, and when a connection has ended.
         self.command_received, self.disconnected = asyncio.Event(), asyncio.Event()
-        self.writers: list[asyncio.StreamWriter] = []  # of each command in turn
+        self.writers: list[asyncio.StreamWriter] = []  # of the connection of each command, in order
 
     async def start(self) -> EndpointAddress:
         self.server = await asyncio.start_server(self.serve, HOST, 0)
@@ -112,11 +117,11 @@
         with contextlib.suppress(OSError):
             while data := await reader.read(1 << 16):
                 parser.feed(data)
-                while (words := parser.gets()) is not False:
-                    self.commands.append(words)
+                while (command := parser.gets()) is not False:
+                    self.commands.append(command)
                     self.writers.append(writer)
                     self.command_received.set()
-                    answer = self.answer(words)
+                    answer = self.answer(command)
                     if answer == b"":
                         writer.transport.abort()
                     elif answer:
@@ -126,7 +131,7 @@
 
 
 class DiscoveryServer:
-    """Discovery: a script for each watch in turn, the last one for all that follow."""
+    """A discovery server: each watch is answered by the next script, later ones by the last script."""
 
     def __init__(self, *scripts: Callable[[asyncio.StreamWriter], Awaitable[None]]) -> None:
         self.scripts, self.targets = list(scripts), []
@@ -148,12 +153,14 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """Encode a chunk of an HTTP response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 def entry(
     name: str, address: EndpointAddress, lifecycle: str = "SERVING", started_ms: int = 0
 ) -> dict[str, Any]:
+    """Create an entry of the endpoint list as discovery sends it."""
     return {
         "instanceId": name,
         "hostPort": f"{address[0]}:{address[1]}",
@@ -167,11 +174,12 @@
 
 
 def catalog(version: int, entries: Iterable[dict[str, Any]], reset: bool = True) -> bytes:
+    """Encode an endpoint list as discovery sends it."""
     return json.dumps({"generation": version, "reset": reset, "instances": list(entries)}).encode() + b"\n"
 
 
 class Client:
-    """A client's connection."""
+    """The connection of a client."""
 
     @classmethod
     async def open(cls, address: EndpointAddress) -> "Client":
@@ -184,7 +192,7 @@
         self.writer.write(data)
 
     async def answer(self) -> object:
-        """The next answer; EOFError at the end of the connection."""
+        """Receive the next answer; EOFError at the end of the connection."""
         while (reply := self.parser.gets()) is Client:
             data = await self.reader.read(1 << 16)
             if not data:
@@ -193,10 +201,12 @@
         return f"-{reply}" if isinstance(reply, hiredis.ReplyError) else reply
 
     async def ask(self, data: bytes) -> object:
+        """Send a command and receive its answer."""
         self.send(data)
         return await self.answer()
 
     async def ended(self) -> bool:
+        """Whether the connection ends without another answer."""
         try:
             return not await self.reader.read()
         except ConnectionResetError:
@@ -207,24 +217,24 @@
 async def front_door(
     *backends: Backend, addresses: Iterable[EndpointAddress] = (), **changes: object
 ) -> AsyncIterator[tuple[Proxy, EndpointAddress]]:
-    """A front door that serves, before the given backends, and its address."""
-    everyone = [*addresses, *[await backend.start() for backend in backends]]
-    listed = catalog(7, [entry(f"s{number}", address) for number, address in enumerate(everyone)])
+    """Run a front door for the given backends and addresses; yields it and the address that it serves at."""
+    all_addresses = [*addresses, *[await backend.start() for backend in backends]]
+    body = catalog(7, [entry(f"s{index}", address) for index, address in enumerate(all_addresses)])
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(listed))
+        writer.write(HEAD + chunk(body))
         await asyncio.Event().wait()
 
-    door = Proxy(replace(CONFIG, discovery=await DiscoveryServer(script).start(), **changes))
-    await door.start()
+    proxy = Proxy(replace(CONFIG, discovery=await DiscoveryServer(script).start(), **changes))
+    await proxy.start()
     try:
-        yield door, door.address
+        yield proxy, proxy.address
     finally:
-        door.close()
+        proxy.close()
 
 
 def refusing_address() -> EndpointAddress:
-    """An address at which nobody listens."""
-    with socket.socket() as free:
-        free.bind((HOST, 0))
-        return free.getsockname()
+    """Return an address at which connections are refused."""
+    with socket.socket() as unused_socket:
+        unused_socket.bind((HOST, 0))
+        return unused_socket.getsockname()
--- a/tests/test_operator_config.py
+++ b/tests/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator file: typed, checked, one line for what is wrong; off means not imported."""
+"""The operator file: types, checks and one-line errors; subsystems that are off are not imported."""
 
 import json
 import os
@@ -13,10 +13,10 @@
 ROOT = Path(__file__).parents[1]
 
 
-def test_example_can_be_used() -> None:
-    found = operator_config.load(ROOT / "deploy" / "operator.toml")
-    assert found.log and found.log.level is operator_config.LogLevel.INFO
-    assert found.sections_on() == ["log"] and operator_config.decode("").sections_on() == []
+def test_example_file_is_valid() -> None:
+    settings = operator_config.load(ROOT / "deploy" / "operator.toml")
+    assert settings.log and settings.log.level is operator_config.LogLevel.INFO
+    assert settings.sections_on() == ["log"] and operator_config.decode("").sections_on() == []
 
 
 @pytest.mark.parametrize(
@@ -32,15 +32,15 @@
         ("[limits]\nkey_file = 'none/such'\n", "limits.key_file: none/such: No such file"),
     ],
 )
-def test_what_is_wrong_is_one_line_with_file_key_and_reason(
+def test_error_is_one_line_with_file_key_and_reason(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, reason: str
 ) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(text)
-    started: list[str] = []
+    served_levels: list[str] = []
 
     def serve(level: str) -> int:
-        started.append(level)
+        served_levels.append(level)
         return 0
 
     for arguments in (["config", "check", str(file)], ["--operator", str(file)]):
@@ -49,20 +49,20 @@
         assert line.startswith("molereach: ") and line.count("\n") == 1
         assert str(file) in line and reason in line
     assert command.run([], {operator_config.ENVIRONMENT_VARIABLE: str(file)}, serve) == 2
-    assert not started  # nothing starts with a file that cannot be used
+    assert not served_levels  # no proxy starts with an invalid file
 
 
-def test_file_that_is_not_there_too_large_or_no_text(tmp_path: Path) -> None:
-    large, odd = tmp_path / "large", tmp_path / "odd"
+def test_file_that_is_missing_too_large_or_not_text_is_an_error(tmp_path: Path) -> None:
+    large, not_text = tmp_path / "large", tmp_path / "odd"
     large.write_bytes(b"#" * (operator_config.MAX_FILE_BYTES + 1))
-    odd.write_bytes(b"\xff\xfe")
-    for path, reason in ((tmp_path / "none", "No such file"), (large, "larger than"), (odd, "utf-8")):
+    not_text.write_bytes(b"\xff\xfe")
+    for path, reason in ((tmp_path / "none", "No such file"), (large, "larger than"), (not_text, "utf-8")):
         with pytest.raises(operator_config.OperatorError, match=reason) as caught:
             operator_config.load(path)
         assert str(path) in str(caught.value)
 
 
-def test_check_says_what_is_on(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_prints_which_sections_are_on(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "operator.toml"
     file.write_text('[log]\nlevel = "error"\n')
 
@@ -79,23 +79,23 @@
 
 def test_help_and_usage_have_their_exit_codes() -> None:
     cases = ((["--help"], 0), (["config", "check", "--help"], 0), (["fly"], 2), (["config"], 2))
-    for arguments, code in cases:
-        done = subprocess.run(
+    for arguments, exit_code in cases:
+        process = subprocess.run(
             [sys.executable, "-m", "molereach", *arguments],
             cwd=ROOT,
             check=False,
             capture_output=True,
             timeout=60,
         )
-        assert done.returncode == code, done.stderr
+        assert process.returncode == exit_code, process.stderr
 
 
-def test_off_means_not_imported() -> None:
-    """What `run` imports with no operator file is the front door and nothing that stands beside it."""
-    code = "import sys, molereach.__main__; print(*sorted(sys.modules))"
+def test_subsystem_that_is_off_is_not_imported() -> None:
+    """Without an operator file, only the modules of the front door are imported."""
+    program = "import sys, molereach.__main__; print(*sorted(sys.modules))"
     env = {name: text for name, text in os.environ.items() if name != operator_config.ENVIRONMENT_VARIABLE}
-    done = subprocess.run(
-        [sys.executable, "-c", code],
+    process = subprocess.run(
+        [sys.executable, "-c", program],
         cwd=ROOT,
         env=env,
         check=True,
@@ -103,9 +103,9 @@
         text=True,
         timeout=60,
     )
-    loaded = set(done.stdout.split())
-    assert "molereach.proxy.proxy" in loaded
-    off = (
+    imported = set(process.stdout.split())
+    assert "molereach.proxy.proxy" in imported
+    modules_that_are_off = (
         "msgspec",
         "argparse",
         "tomllib",
@@ -117,4 +117,4 @@
         "molereach.coordination",
         "molereach.keyfile",
     )
-    assert not loaded.intersection(off)
+    assert not imported.intersection(modules_that_are_off)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: what it is told, its signals, its exit code."""
+"""The program as a process: its configuration, its handling of signals and its exit code."""
 
 import asyncio
 import json
@@ -50,6 +50,7 @@
 
 
 def config(**changes: object) -> dict[str, object]:
+    """The values of a configuration file; a change to None removes a value."""
     known = json.loads(catalog(4, []))
     values = {
         "name": "n0",
@@ -64,21 +65,23 @@
 
 
 def write(path: Path, values: object) -> dict[str, str]:
+    """Write a configuration file; return the environment that names it."""
     file = path / "config.json"
     file.write_text(values if isinstance(values, str) else json.dumps(values))
     return {"PROXY_CONFIG": str(file)}
 
 
-def test_configuration_is_read(tmp_path: Path) -> None:
-    found = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
-    assert (found.name, found.listen, found.discovery) == ("n9", (HOST, 6379), (HOST, 8))
-    assert found.settings.seed == 0x8C1F30D27A5BE964 and found.settings.proxy_count == 2
-    assert found.class_numbers == {"read": 0, "settle": 1} and found.zone_numbers == {"a": 0, "b": 1}
+def test_configuration_has_the_values_of_file_and_environment(tmp_path: Path) -> None:
+    loaded = load({**write(tmp_path, config()), "PROXY_LISTEN": f"{HOST}:6379", "PROXY_NAME": "n9"})
+    assert (loaded.name, loaded.listen, loaded.discovery) == ("n9", (HOST, 6379), (HOST, 8))
+    assert loaded.settings.seed == 0x8C1F30D27A5BE964 and loaded.settings.proxy_count == 2
+    assert loaded.class_numbers == {"read": 0, "settle": 1} and loaded.zone_numbers == {"a": 0, "b": 1}
     assert (
-        found.settings.classes[1].idempotency.value == "unsafe" and found.settings.plans[0].quota_rate == 9.0
+        loaded.settings.classes[1].idempotency.value == "unsafe"
+        and loaded.settings.plans[0].quota_rate == 9.0
     )
-    assert found.settings.max_retry_after_us == 500_000 and found.sockets == 512
-    assert found.conn_idle_us == 7_000_000 and found.connect_timeout_us == 250_000
+    assert loaded.settings.max_retry_after_us == 500_000 and loaded.sockets == 512
+    assert loaded.conn_idle_us == 7_000_000 and loaded.connect_timeout_us == 250_000
 
 
 @pytest.mark.parametrize(
@@ -98,10 +101,10 @@
         None,
     ],
 )
-def test_unusable_configuration_is_one_plain_line(tmp_path: Path, values: object) -> None:
+def test_invalid_configuration_is_reported_in_one_line(tmp_path: Path, values: object) -> None:
     env = {key: text for key, text in os.environ.items() if not key.startswith("PROXY_")}
     env |= write(tmp_path, values) if values is not None else {}
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "molereach"],
         cwd=ROOT,
         env=env,
@@ -110,16 +113,17 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode == 2
-    assert done.stderr.startswith("molereach: ") and done.stderr.count("\n") == 1
+    assert process.returncode == 2
+    assert process.stderr.startswith("molereach: ") and process.stderr.count("\n") == 1
 
 
 async def start(
     tmp_path: Path, backend: Backend, **env: str
 ) -> tuple[asyncio.subprocess.Process, tuple[str, int]]:
-    listen, silent = refusing_address(), refusing_address()
+    """Start a front door without discovery, whose saved list has one backend; return it once it serves."""
+    listen, discovery = refusing_address(), refusing_address()
     known = json.loads(catalog(4, [entry("s1", await backend.start())]))
-    values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{silent[1]}", known=known)
+    values = config(listen=f"{HOST}:{listen[1]}", discovery=f"{HOST}:{discovery[1]}", known=known)
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -133,70 +137,70 @@
     return process, listen
 
 
-def test_reload_takes_the_address_of_discovery_from_the_file(tmp_path: Path) -> None:
-    """PROXY_DISCOVERY is as old as the process, and a file that cannot be used changes nothing."""
+def test_reload_uses_the_discovery_address_of_the_file(tmp_path: Path) -> None:
+    """PROXY_DISCOVERY dates from the start of the process. An invalid file changes nothing."""
 
     async def job() -> None:
         process, address = await start(tmp_path, Backend(), PROXY_DISCOVERY=f"{HOST}:9")
         file = tmp_path / "config.json"
-        good = json.loads(file.read_text())
+        valid_values = json.loads(file.read_text())
         file.write_text("{ not json")
         process.send_signal(signal.SIGHUP)
         while b"stays as it was" not in (line := await process.stderr.readline()):
             assert line
         backend = Backend(lambda words: value(b"new"))
-        listed = json.loads(catalog(1, [entry("s2", await backend.start())]))
-        body = json.dumps(listed).encode()
+        values = json.loads(catalog(1, [entry("s2", await backend.start())]))
+        body = json.dumps(values).encode()
 
-        async def whole(writer: asyncio.StreamWriter) -> None:
+        async def send_list(writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-        async def silent(writer: asyncio.StreamWriter) -> None:
+        async def send_no_changes(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD)
-            watched.set()
+            watch_opened.set()
             await asyncio.Event().wait()
 
-        watched = asyncio.Event()
-        discovery = await DiscoveryServer(whole, silent).start()
-        file.write_text(json.dumps({**good, "discovery": f"{HOST}:{discovery[1]}"}))
+        watch_opened = asyncio.Event()
+        discovery = await DiscoveryServer(send_list, send_no_changes).start()
+        file.write_text(json.dumps({**valid_values, "discovery": f"{HOST}:{discovery[1]}"}))
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
-        await watched.wait()
+        await watch_opened.wait()
         client = await Client.open(address)
         request = resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
         assert await client.ask(request) == b"new"
         process.send_signal(signal.SIGTERM)
         while b"drains" not in await process.stderr.readline():
             pass
-        process.send_signal(signal.SIGHUP)  # also while it drains
+        process.send_signal(signal.SIGHUP)  # must not kill the draining process
         assert await process.wait() == 0
 
     run(job())
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_signal_drains_and_ends_with_0(tmp_path: Path, number: int) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGINT])
+def test_termination_signal_drains_the_process_which_exits_with_0(tmp_path: Path, signal_number: int) -> None:
     async def job() -> None:
         backend = Backend()
         process, address = await start(tmp_path, backend)
         client = await Client.open(address)
         request = resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
         assert await client.ask(request) == b"ok"
-        process.send_signal(number)
+        process.send_signal(signal_number)
         while b"drains" not in await process.stderr.readline():
             pass
-        late = await Client.open(address)
-        assert await late.ask(request.replace(b"a1", b"a2")) == b"ok"
+        late_client = await Client.open(address)
+        assert await late_client.ask(request.replace(b"a1", b"a2")) == b"ok"
         assert await client.ended()
         assert await process.wait() == 0
 
     run(job())
 
 
-def test_address_in_use_is_one_plain_line(tmp_path: Path) -> None:
+def test_address_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     async def job() -> None:
-        taken = await Backend().start()
-        values = config(listen=f"{HOST}:{taken[1]}")
+        address_in_use = await Backend().start()
+        values = config(listen=f"{HOST}:{address_in_use[1]}")
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -212,17 +216,17 @@
     run(job())
 
 
-def test_lines_that_peers_cause_are_bounded() -> None:
-    limit = LogRateLimiter()
+def test_log_lines_from_one_place_are_limited() -> None:
+    limiter = LogRateLimiter()
 
-    def line(at_s: float, number: int = 7) -> logging.LogRecord:
-        record = logging.LogRecord("x", logging.INFO, "x.py", number, "odd %s", ("one",), None)
-        record.created = at_s
+    def log_record(created_s: float, line_number: int = 7) -> logging.LogRecord:
+        record = logging.LogRecord("x", logging.INFO, "x.py", line_number, "odd %s", ("one",), None)
+        record.created = created_s
         return record
 
-    passed = [limit.filter(line(100.0 + at / 100)) for at in range(500)]
-    assert sum(passed) == MAX_LINES_PER_WINDOW
-    assert limit.filter(line(100.0, number=8))  # another place has lines of its own
-    later = line(100.0 + RATE_LIMIT_WINDOW_S)
-    assert limit.filter(later)
-    assert later.getMessage() == f"odd one ({500 - MAX_LINES_PER_WINDOW} like it were left out)"
+    are_written = [limiter.filter(log_record(100.0 + index / 100)) for index in range(500)]
+    assert sum(are_written) == MAX_LINES_PER_WINDOW
+    assert limiter.filter(log_record(100.0, line_number=8))  # each place has its own limit
+    later_record = log_record(100.0 + RATE_LIMIT_WINDOW_S)
+    assert limiter.filter(later_record)
+    assert later_record.getMessage() == f"odd one ({500 - MAX_LINES_PER_WINDOW} like it were left out)"
