--- a/tests/backends/test_pools.py
+++ b/tests/backends/test_pools.py
@@ -22,8 +22,8 @@
         sender.send()
         sender.send()
         while len(backend.commands) < 2:
-            backend.came.clear()
-            await backend.came.wait()
+            backend.command_received.clear()
+            await backend.command_received.wait()
         assert backend.opened == 2
         for writer in backend.writers:
             writer.write(value(b"x"))
@@ -43,10 +43,10 @@
         backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.left.wait()  # a late answer must not reach the next command
+        await backend.disconnected.wait()  # a late answer must not reach the next command
         backend.answer = lambda arguments: value(b"fresh")
         sender.send()
         assert (await sender.outcomes.get())[1] == b"fresh"
@@ -135,7 +135,7 @@
         sender.backends.sweep()
         sender.send()
         assert await sender.result() is AttemptResult.OK
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert sender.backends.open_connections == 0
 
     run(scenario())
@@ -151,8 +151,8 @@
             sender.send()
             sender.send()
             while len(backend.commands) < 2:
-                backend.came.clear()
-                await backend.came.wait()
+                backend.command_received.clear()
+                await backend.command_received.wait()
             for writer in backend.writers:
                 writer.write(value(b"x"))
             assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
@@ -176,7 +176,7 @@
         assert sender.backends.open_connections == 2
         first.cancel()
         assert await sender.result() is AttemptResult.CANCELLED
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.close()
 
     run(scenario())
@@ -187,11 +187,11 @@
         backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         sender.backends.update({}, {}, is_full_list=True)
         backend.writers[0].write(value(b"x"))
         assert await sender.result() is AttemptResult.OK
-        await backend.left.wait()
+        await backend.disconnected.wait()
         sender.send()
         assert await sender.result() is AttemptResult.CONNECT_FAILED
 
@@ -232,15 +232,15 @@
         sender.send()
         sender.send()
         while len(backend.commands) < 2:
-            backend.came.clear()
-            await backend.came.wait()
+            backend.command_received.clear()
+            await backend.command_received.wait()
         for writer in backend.writers:
             writer.write(value(b"x"))
         assert [await sender.result(), await sender.result()] == [AttemptResult.OK] * 2
         backend.answer = lambda arguments: answer
         sender.send(timeout_us=20 * SECOND_US)
         assert await sender.result() is AttemptResult.MALFORMED
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert len(sender.backends.pools["s"].idle) == 1
         backend.answer = lambda arguments: value(b"good")
         sender.send()
@@ -256,7 +256,7 @@
         backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         backend.writers[0].write(value(b"first"))
         assert (await sender.outcomes.get())[1] == b"first"
         backend.answer = lambda arguments: value(b"second")
@@ -314,10 +314,10 @@
         backend = Backend(lambda arguments: None)
         sender = Sender(await backend.start())
         attempt = sender.send()
-        await backend.came.wait()
+        await backend.command_received.wait()
         attempt.cancel()
         assert sender.backends.open_connections == 1  # until the event loop closes the socket
-        await backend.left.wait()
+        await backend.disconnected.wait()
         assert sender.backends.open_connections == 0
         sender.backends.update({"s": EndpointState.UP}, {"s": refusing_address()}, is_full_list=True)
         sender.send()
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -26,8 +26,8 @@
             client = await Client.open(address)
             client.send(query("a1") + resp("PING") + query("a2") + resp("WHAT"))
             while len(backend.commands) < 2:
-                backend.came.clear()
-                await backend.came.wait()
+                backend.command_received.clear()
+                await backend.command_received.wait()
             delayed = next(n for n, arguments in enumerate(backend.commands) if arguments[2] == b"a1")
             backend.writers[delayed].write(value(b"a1"))
             answers = [await client.answer() for _ in range(4)]
@@ -369,7 +369,7 @@
         async with front_door(backend) as (door, address):
             client = await Client.open(address)
             client.send(query("a1"))
-            await backend.came.wait()
+            await backend.command_received.wait()
 
             def fail(arguments: list[bytes], reply: object) -> None:
                 raise RuntimeError("an error of the test")
--- a/tests/policy/test_gateway_attempts.py
+++ b/tests/policy/test_gateway_attempts.py
@@ -18,8 +18,8 @@
 
 
 def test_request_with_no_time_left_is_rejected_at_once() -> None:
-    driver = GatewayDriver(fleet=())
-    assert of_type(Reject, driver.send_request("a", left_us=0))
+    driver = GatewayDriver(initial_endpoints=())
+    assert of_type(Reject, driver.send_request("a", remaining_us=0))
 
 
 def test_deadline_of_a_non_idempotent_request_fails_it() -> None:
@@ -105,11 +105,11 @@
 
 def test_unsent_request_is_rejected_before_half_of_its_time() -> None:
     for fleet in ((), endpoints(1)):
-        driver = GatewayDriver(fleet=fleet)
+        driver = GatewayDriver(initial_endpoints=fleet)
         # So low that the objective would allow a longer wait
         driver.gateway.attempts.mean_latency_us = [50.0 * MILLISECOND_US]
         start_us = driver.now_us
-        driver.send_request("a", left_us=SECOND_US)
+        driver.send_request("a", remaining_us=SECOND_US)
         if fleet:  # a failed connection attempt has sent nothing
             driver.gateway.load_balancer.ready.clear()
             driver.end_attempt("a", AttemptResult.CONNECT_FAILED)
@@ -121,30 +121,34 @@
 
 def test_request_that_was_sent_may_wait_for_longer() -> None:
     driver = GatewayDriver()
-    driver.send_request("a", left_us=SECOND_US)
+    driver.send_request("a", remaining_us=SECOND_US)
     driver.advance(900 * MILLISECOND_US)
     assert of_type(Reject, driver.advance(0)) == [] and driver.in_flight
 
 
 def test_client_retry_after_the_objective_is_rejected_at_once() -> None:
     driver = GatewayDriver()
-    driver.send_request("first", left_us=6 * SECOND_US)
-    assert of_type(ForwardAttempt, driver.send_request("soon", left_us=5 * SECOND_US, is_client_retry=True))
+    driver.send_request("first", remaining_us=6 * SECOND_US)
+    assert of_type(
+        ForwardAttempt, driver.send_request("soon", remaining_us=5 * SECOND_US, is_client_retry=True)
+    )
     # First sent 2 s ago, which is the objective
-    late = driver.send_request("late", left_us=4 * SECOND_US, is_client_retry=True)
+    late = driver.send_request("late", remaining_us=4 * SECOND_US, is_client_retry=True)
     assert of_type(Reject, late) and not of_type(ForwardAttempt, late)
     driver_with_late_value = GatewayDriver(
         replace(SETTINGS, classes=(replace(IDEMPOTENT, late_priority_weight=0.5),))
     )
-    driver_with_late_value.send_request("first", left_us=6 * SECOND_US)
+    driver_with_late_value.send_request("first", remaining_us=6 * SECOND_US)
     assert of_type(
         ForwardAttempt,
-        driver_with_late_value.send_request("late", left_us=4 * SECOND_US, is_client_retry=True),
+        driver_with_late_value.send_request("late", remaining_us=4 * SECOND_US, is_client_retry=True),
     )
 
 
 def test_different_client_timeouts_do_not_reject_retries() -> None:
     driver = GatewayDriver()
     for number, remaining_us in enumerate([6 * SECOND_US, 3 * SECOND_US, 6 * SECOND_US, 3 * SECOND_US]):
-        driver.send_request(f"first{number}", left_us=remaining_us)
-    assert of_type(ForwardAttempt, driver.send_request("retry", left_us=2 * SECOND_US, is_client_retry=True))
+        driver.send_request(f"first{number}", remaining_us=remaining_us)
+    assert of_type(
+        ForwardAttempt, driver.send_request("retry", remaining_us=2 * SECOND_US, is_client_retry=True)
+    )
--- a/tests/policy/test_gateway_backends.py
+++ b/tests/policy/test_gateway_backends.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
 def test_draining_or_removed_backend_gets_no_new_attempts(state: EndpointState) -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     driver.handle(EndpointListReceived(EndpointListKind.CHANGES, 2, endpoints(1, state=state)))
     for n in range(8):
         driver.send_request(f"r{n}")
@@ -72,7 +72,7 @@
 
 
 def test_backend_missing_from_a_full_list_is_removed() -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     driver.handle(EndpointListReceived(EndpointListKind.FULL, 2, endpoints(1)))
     for n in range(8):
         driver.send_request(f"r{n}")
@@ -233,7 +233,7 @@
 
 
 def test_removed_backends_and_customers_with_full_buckets_are_evicted() -> None:
-    driver = GatewayDriver(fleet=endpoints(2))
+    driver = GatewayDriver(initial_endpoints=endpoints(2))
     for number in range(200):
         endpoint = Endpoint(f"x{number}", 0, 0, 0, EndpointState.UP)
         driver.handle(EndpointListReceived(EndpointListKind.CHANGES, number, (endpoint,)))
@@ -261,7 +261,7 @@
         backend.slow_start_from_us = driver.now_us  # as after an ejection
     driver.gateway.load_balancer.forward_rate = 1.0
     for number in range(400):
-        driver.send_request(f"a{number}", left_us=6 * SECOND_US)
+        driver.send_request(f"a{number}", remaining_us=6 * SECOND_US)
         driver.advance(20 * MILLISECOND_US)
         for name, attempt in list(driver.in_flight):
             driver.end_attempt(name, attempt=attempt)
--- a/tests/policy/test_gateway_ceilings.py
+++ b/tests/policy/test_gateway_ceilings.py
@@ -84,7 +84,7 @@
     cluster.advance(5 * SECOND_US)
     count_before = cluster.forwarded_count()
     for n in range(400):
-        cluster.send_request(7, f"r{n}", customer=name, left_us=SECOND_US)
+        cluster.send_request(7, f"r{n}", customer=name, remaining_us=SECOND_US)
         cluster.advance(10 * MILLISECOND_US)
     cluster.advance(2 * SECOND_US)
     # Of the 16 + 4 * 8 units of its quota; 31 if requests waited for the ceiling in vain.
@@ -154,7 +154,7 @@
     """Granted units must not accumulate, because the owner's reserve keeps filling."""
     small_plan = replace(PLAN_WITH_CEILING, ceiling_burst=6.0)
     # Without backends, all requests wait.
-    cluster = GatewayCluster(2, replace(SETTINGS, plans=(small_plan,)), fleet=())
+    cluster = GatewayCluster(2, replace(SETTINGS, plans=(small_plan,)), initial_endpoints=())
     name = ceiling_customer(cluster, 1)
     driver = cluster.drivers[0]
     for n in range(4):
