--- a/molereach/proxy/endpoint_updates.py
+++ b/molereach/proxy/endpoint_updates.py
@@ -30,9 +30,8 @@
         self.mapping = mapping
         self.backends = backends
         self.post = post
-        self.saved_list: EndpointUpdate | None = (
-            None  # the subset of the saved list, as published at the start
-        )
+        # The subset of the saved list, as published at the start.
+        self.saved_list: EndpointUpdate | None = None
         # Applies operators' orders to each update before the policy receives it.
         self.overlay: Callable[[EndpointListReceived], EndpointListReceived] = lambda event: event
 
--- a/molereach/proxy/graceful_shutdown.py
+++ b/molereach/proxy/graceful_shutdown.py
@@ -12,7 +12,7 @@
 SECOND_US = 1_000_000
 MAX_DEADLINE_US = 3 * SECOND_US  # longer deadlines count as this
 KILL_GRACE_US = 700_000  # from the longest deadline to the kill
-RESPONSE_MARGIN_US = 200_000  # from the time by which all answers are sent to the kill
+RESPONSE_MARGIN_US = 200_000  # how long before the kill all answers must be sent
 MIN_SERVICE_TIME_US = 700_000  # for the last request that is accepted, or the longest deadline if shorter
 DISCONNECT_SETTLE_US = 600_000  # new connections keep arriving for up to 0.4 s after the notification
 QUIET_PERIOD_US = 500_000  # after this time without a request, no more are expected
--- a/molereach/proxy/proxy.py
+++ b/molereach/proxy/proxy.py
@@ -50,7 +50,7 @@
 
 # Subtracted from the time that a client waits, for the network delay of the request and of its answer.
 ANSWER_MARGIN_US = 25_000
-BACKSTOP_DELAY_US = 15_000  # after the deadline by which the policy must have had a request answered
+BACKSTOP_DELAY_US = 15_000  # after its deadline, a request that the policy left open is aborted
 FIRST_LIST_TIMEOUT_S = 0.3  # how long the start waits for a newer endpoint list than the saved one
 BACKOFF_SEED = 0x5CA11  # combined with the policy's seed, so that backoff draws other random numbers
 LEAVE_MESSAGE_COUNT = 2  # copies of each leave message that are sent, as datagrams may be lost
@@ -124,7 +124,7 @@
     # --- Start and shutdown ---
 
     def use_limits(self, limits: LimitPolicy, codec: GossipCodec) -> None:
-        """Have the policy apply limits, and send their messages; to be called before the first event."""
+        """Make the policy apply limits and exchange their messages; must be called before the first event."""
         self.gateway.limits = limits
         self.gossip.codec = codec
 
@@ -179,7 +179,7 @@
         self.close()
 
     def shorten_deadlines(self, by_us: int) -> None:
-        """Abort the open requests that are not answered by then, even if their clients would wait longer."""
+        """Abort the requests that are still open at `by_us`, even if their clients would wait longer."""
         for request_id, request in self.requests.open.items():
             if request.deadline_us <= by_us:
                 continue
--- a/molereach/resp.py
+++ b/molereach/resp.py
@@ -109,9 +109,8 @@
             return None
         count, offset = header
         if count < 1:
-            raise ProtocolError(
-                "an empty command"
-            )  # it has no answer, so nothing would limit a flood of them
+            # It would have no answer, so that nothing would limit a flood of empty commands.
+            raise ProtocolError("an empty command")
         arguments = []
         for _ in range(count):
             bulk_string = self.read_bulk_string(offset, max(0, MAX_COMMAND_BYTES - offset))
