--- a/molereach/coordination/leases/__init__.py
+++ b/molereach/coordination/leases/__init__.py
@@ -1,6 +1,7 @@
-"""Each proxy's session: a lease under which it does what the others must be able to count on.
+"""Sessions: the lease that a proxy must hold for every activity whose end other nodes rely on.
 
-Read `messages` (renewals along the dissemination tree), `bodies` and `sessions` (the replicated state),
-`renewals`, `proposal` and `holder` (a proxy's own side), `rounds` and `manager` (the leader's side),
-`permits` (what needs a session) and `acknowledgements` (the proof that an entry is in effect everywhere).
+Reading order: `messages` (renewals along the dissemination tree), `bodies` and `sessions` (the replicated
+state), `renewals`, `proposal` and `holder` (the proxy's side), `rounds` and `manager` (the leader's side),
+`permits` (which activities need a session) and `acknowledgements` (the proof that an entry is in effect at
+every node).
 """
--- a/molereach/coordination/leases/acknowledgements.py
+++ b/molereach/coordination/leases/acknowledgements.py
@@ -1,15 +1,15 @@
-"""The proof that an entry which forbids something is in effect everywhere.
-
-Whatever needs a session is done under it alone. So an entry at position P is in effect once each session that
-was open at P is acknowledged: its node reported that it applied P, or an entry after P says that the session
-was replaced by a new instance, has expired, or was closed. A node that opened its session after P had applied
-P before. An acknowledgement follows from the log (`SessionRegistry`) and from what open sessions reported, so
-another leader comes to the same one. Of a node that reopened more often since P than the registry remembers,
-a later instance stands in the proof.
-
-It is assumed that a name runs once at a time: an earlier process of the same name is dead when a new instance
-opens its session. Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7: a change goes ahead
-once each cache has acknowledged it or its lease has expired.
+"""The proof that an entry which forbids something is in effect at every node.
+
+An activity that needs a session stops when the session does. An entry at position P is therefore in effect
+once every session that was open at P is acknowledged: its node reported that it applied P, or a later entry
+shows that the session was replaced by a new instance, has expired, or was closed. A node that opened its
+session after P had already applied P. Acknowledgements follow from the log (`SessionRegistry`) and from the
+reports of open sessions, so every leader arrives at the same ones. If a node has reopened its session since P
+more often than the registry remembers, the proof names a later instance of it.
+
+A name is assumed to run once at a time: when a new instance opens its session, the earlier process of the
+name is dead. Source: Burrows, "The Chubby lock service" (OSDI 2006), section 2.7: a change proceeds once each
+cache has acknowledged it or its lease has expired.
 """
 
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 
 
 class SessionReport(Protocol):
-    """What an open session last reported; the time is in microseconds of the leader's clock."""
+    """The last report of an open session; the time is in microseconds of the leader's clock."""
 
     applied_position: int
     clear_position: int
@@ -29,17 +29,17 @@
 
 
 class SessionReports(Protocol):
-    """What an acknowledgement needs of the leader's lease manager."""
+    """The part of the leader's lease manager that acknowledgements are read from."""
 
-    position: int  # of the log, applied here
+    position: int  # up to which the log was applied here
 
     def report(self, name: str, fencing_token: int) -> SessionReport | None:
-        """The last report of an open session; None if nothing is known of it."""
+        """The last report of an open session, or None for an unknown session."""
 
 
 @dataclass(frozen=True, slots=True)
 class MissingAcknowledgement:
-    """A node that has not acknowledged the entry yet, since when, and why."""
+    """A node that has not acknowledged the entry yet, with the reason."""
 
     instance: NodeInstance
     since_us: int
@@ -49,10 +49,10 @@
 
 
 class AcknowledgementTracker:
-    """Tracks who has acknowledged the entry at `position`.
+    """Tracks which nodes have acknowledged the entry at `position`.
 
-    `since_us` is when the entry was applied here, or when this node began to lead. With `clear` a report
-    counts only when what the entry forbids is not in flight there any more, either.
+    `since_us` is when the entry was applied here, or when this node began to lead. With `clear`, a report
+    counts only once nothing that the entry forbids is in flight at the node any more.
     """
 
     def __init__(
@@ -71,22 +71,22 @@
 
     @property
     def is_applied_here(self) -> bool:
-        """Whether the log was applied here up to the entry; before that nothing is acknowledged."""
+        """Whether the entry was applied here; before that, nothing counts as acknowledged."""
         return self._reports.position >= self.position
 
     def pending(self) -> tuple[MissingAcknowledgement, ...]:
-        """The nodes that are missing, by name."""
+        """The nodes that have not acknowledged the entry, sorted by name."""
         missing = [
             self._missing_acknowledgement(session)
             for session in self._sessions.sessions_open_at(self.position)
             if self._acknowledgement(session) is None
         ]
-        return tuple(sorted(missing, key=lambda each: each.instance))
+        return tuple(sorted(missing, key=lambda acknowledgement: acknowledgement.instance))
 
     def proof(self) -> tuple[NodeClearance, ...] | None:
-        """The acknowledgements of all sessions that were open, by name; None while one is missing.
+        """The acknowledgements of all sessions open at the entry, by name; None while one is missing.
 
-        At one position of the log, whoever can give the proof gives the same.
+        Nodes that have applied the log up to the same position return the same proof.
         """
         if not self.is_applied_here:
             return None
@@ -96,7 +96,7 @@
             if clearance is None:
                 return None
             clearances.append(clearance)
-        return tuple(sorted(clearances, key=lambda each: each.instance))
+        return tuple(sorted(clearances, key=lambda clearance: clearance.instance))
 
     def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
         if isinstance(session, EndedSession):
@@ -107,7 +107,7 @@
         acknowledged_position = report.clear_position if self.clear else report.applied_position
         if acknowledged_position < self.position:
             return None
-        # Not the reported position, which depends on when the node was asked.
+        # The reported position would depend on when the node sent its last request.
         return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
 
     def _missing_acknowledgement(self, session: ActiveSession | EndedSession) -> MissingAcknowledgement:
--- a/molereach/coordination/leases/errors.py
+++ b/molereach/coordination/leases/errors.py
@@ -1,14 +1,14 @@
-"""The errors of leases."""
+"""Exceptions raised by the leases package."""
 
 from molereach.coordination.errors import CoordinationError
 
 
 class LeaseError(CoordinationError):
-    """Base class of the errors of leases."""
+    """Base class of the exceptions of this package."""
 
 
 class InvalidSnapshotError(LeaseError, ValueError):
-    """A snapshot of sessions that no log can have produced; a `ValueError`, as `StateMachine` asks for."""
+    """A snapshot of sessions that no log can produce; a `ValueError`, as `StateMachine.restore` requires."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"not a snapshot of sessions: {reason}")
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -1,9 +1,9 @@
-"""A proxy's own session: opened, renewed regularly, and found expired before others take it for expired.
+"""A proxy's own session: opens and renews it, and treats it as expired before any other node does.
 
-The holder counts from when it sent its request, by its own clock, for less than the duration: whoever ends
-the session counts from later and for longer. A session that has lapsed here but is not ended in the log may
-be renewed under the same fencing token; one that was ended is opened anew once its end was applied here, so
-what was chosen meanwhile is known first.
+The holder counts from when it sent its request, by its own clock, for less than the duration; the lease
+manager counts from later and for longer. A session that has lapsed here but has not ended in the log can be
+renewed under the same fencing token. After a session has ended in the log, a new one is opened only once that
+end was applied here, so that all earlier entries are applied first.
 
 Sources: Gray and Cheriton, "Leases" (SOSP 1989), section 2; Burrows, "The Chubby lock service" (OSDI 2006),
 section 2.8.
@@ -35,17 +35,17 @@
 from molereach.coordination.leases.renewals import PendingRenewals
 from molereach.coordination.leases.sessions import SessionRegistry
 
-MAX_BACKOFF_INTERVALS = 10  # renewal intervals
-PROPOSAL_ID_BITS = 53  # random bits in a proposal's id, as many as a random float has
+MAX_BACKOFF_INTERVALS = 10  # in renewal intervals
+PROPOSAL_ID_BITS = 53  # random bits in a proposal's id, as many as a float's significand has
 
 Event = Tick | Applied | Restored | ProposalFinished | GrantsReceived | LeaderChanged | ReleaseLease
 Action = Propose | RenewalRequest | LeaseAcquired | LeaseLost
 
 
 class LeaseHolder:
-    """Implements `Session`. `Applied` is handed in after every state machine on the log has acted on it.
+    """Implements `Session`. It handles `Applied` after every state machine on the log has applied the entry.
 
-    Times are microseconds of this node's monotonic clock; `random_fraction` draws from [0, 1).
+    Times are in microseconds of this node's monotonic clock; `random_fraction` draws from [0, 1).
     """
 
     def __init__(
@@ -62,47 +62,49 @@
         self.random_fraction = random_fraction
         self.renewal_interval_us = renewal_interval_us
         self.phase = LeasePhase.ABSENT
-        self.position = 0  # of the log, applied here
-        self._fencing_token = 0  # of the session that is open, whether it holds or has lapsed
-        self._expires_at_us = 0  # up to then it holds
-        self._reported_token = 0  # of the session that holds, by the last action; 0 for none
+        self.position = 0  # up to which the log was applied here
+        self._fencing_token = 0  # of the session that is open in the log, valid or lapsed
+        self._expires_at_us = 0  # the session is valid before this time
+        self._reported_token = (
+            0  # of the valid session by the last `LeaseAcquired` or `LeaseLost`; 0 for none
+        )
         self._loss_reason = ""
         self._reported_position = 0
         self._renewals = PendingRenewals(instance)
-        self._failed_attempts = 0  # without an answer, while no session holds
-        self._next_action_us = 0  # when it sends a request or a proposal next
-        # Up to where nothing that entries forbid is in flight here; the state machines' drivers set it.
-        self.clear: Callable[[int], int] = lambda position: position
+        self._failed_attempts = 0  # requests and proposals without an answer while no session is valid
+        self._next_action_us = 0  # when the next request or proposal is due
+        # The position up to which nothing that entries forbid is in flight here, given the applied position.
+        self.clear_position_for: Callable[[int], int] = lambda position: position
         self._opening: RetriedProposal | None = None
         self._closing: RetriedProposal | None = None
 
     # --- Session ---
 
     def holds(self, now_us: int) -> bool:
-        """Whether the session holds at `now_us`."""
+        """Whether the session is valid at `now_us`."""
         return now_us < self._expires_at_us  # 0 in every phase but OPEN
 
     @property
     def fencing_token(self) -> int:
-        """The session's fencing token as of the last event: `holds` is to be checked first."""
+        """The fencing token of the session that was valid at the last event; check `holds` first."""
         return self._reported_token
 
     @property
     def applied_position(self) -> int:
-        """The position in the last request that was granted."""
+        """The applied position in the last granted request."""
         return self._reported_position
 
     # --- Core ---
 
     @property
     def wake_us(self) -> int:
-        """When it wants a `Tick`; `NEVER_US` for never."""
+        """When the next `Tick` is due; `NEVER_US` for never."""
         if self._reported_token:
             return min(self._next_action_us, self._expires_at_us)
         return self._next_action_us
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
-        """Apply one event at `now_us`; the actions to carry out, in order."""
+        """Apply one event at `now_us`; returns the actions to carry out, in order."""
         match event:
             case GrantsReceived() if self.phase is LeasePhase.OPEN:
                 self._apply_grants(now_us, event)
@@ -125,13 +127,13 @@
         return changes + self._next_actions(now_us) if now_us >= self._next_action_us else changes
 
     def _handle_new_leader(self, now_us: int) -> None:
-        """Send soon, as this leader may answer; jitter keeps the holders from sending all at once."""
+        """Retry soon, as the new leader may answer; jitter spreads the requests of the holders."""
         self._failed_attempts = 0
         jitter_us = int(self.random_fraction() * self.renewal_interval_us)
         self._next_action_us = min(self._next_action_us, now_us + jitter_us)
 
     def _report_changes(self, now_us: int) -> list[Action]:
-        """Report when the session begins or ceases to hold."""
+        """Return `LeaseAcquired` and `LeaseLost` for a change since the last event."""
         current = self._fencing_token if self.holds(now_us) else 0
         previous = self._reported_token
         self._reported_token = current
@@ -146,10 +148,10 @@
             changes.append(LeaseAcquired(current))
         return changes
 
-    # --- what the log says ---
+    # --- session state in the log ---
 
     def _follow_log(self, now_us: int, opening_position: int) -> None:
-        """Follow what was applied here; `opening_position` is where the own proposal was chosen, or 0."""
+        """Follow the applied log; `opening_position` is the entry that the current proposal made, or 0."""
         opened = self.sessions.active_session(self.instance.name)
         latest = self.sessions.latest_instance(self.instance.name)
         if latest is not None and latest > self.instance:
@@ -163,10 +165,10 @@
             self._next_action_us = now_us
 
     def _start_session(self, now_us: int, fencing_token: int, opening_position: int) -> None:
-        # Where another proposal than the current one opened it, only a grant says from when it counts.
+        # If a proposal other than the current one opened it, its start is unknown until a grant arrives.
         opened_by_proposal = self._opening is not None and fencing_token == opening_position
         proposed_us = self._opening.first_proposed_us if self._opening and opened_by_proposal else None
-        # An opening that was chosen late, after a release, is closed again.
+        # A session whose opening is chosen only after the release is closed again.
         is_leaving = self.phase in (LeasePhase.LEAVING, LeasePhase.LEFT)
         self._end_session("ended in the log", LeasePhase.LEAVING if is_leaving else LeasePhase.OPEN)
         if proposed_us is not None and not is_leaving:
@@ -190,14 +192,14 @@
         if self._opening is None or event.id != self._opening.id:
             return
         self._next_action_us = max(now_us, self._opening.last_proposed_us + self._backoff_us())
-        # Chosen and applied here without opening a session: rejected by a rule, or ended already.
+        # Applied here, but no session is open: the state machine rejected it, or the session has ended since.
         is_applied = event.status is ProposalStatus.APPLIED and self.position >= event.position
         if is_applied or event.status is ProposalStatus.REJECTED:
             self._opening = None
         if self.phase is LeasePhase.LEAVING:
-            self.phase = LeasePhase.LEFT  # if it is chosen yet, nobody holds it
+            self.phase = LeasePhase.LEFT  # a session that is still opened by it is closed again
 
-    # --- renewals, and the release ---
+    # --- renewal and release ---
 
     def _apply_grants(self, now_us: int, event: GrantsReceived) -> None:
         for grant in event.grants:
@@ -217,14 +219,14 @@
         elif self.phase is LeasePhase.ABSENT:
             self.phase = LeasePhase.LEFT
 
-    # --- time ---
+    # --- due actions ---
 
     def _backoff_us(self) -> int:
         exponent = min(self._failed_attempts, MAX_BACKOFF_INTERVALS)
         return self.renewal_interval_us * min(MAX_BACKOFF_INTERVALS, 1 << exponent)
 
     def _next_actions(self, now_us: int) -> list[Action]:
-        """The request or proposal that is due; plans the next one."""
+        """Return the request or proposal that is due, and schedule the next one."""
         match self.phase:
             case LeasePhase.OPEN:
                 return [self._renew(now_us)]
@@ -249,13 +251,15 @@
         else:
             self._next_action_us = now_us + self._backoff_us()
             self._failed_attempts += 1
-        return self._renewals.create(now_us, self._fencing_token, self.position, self.clear(self.position))
+        return self._renewals.create(
+            now_us, self._fencing_token, self.position, self.clear_position_for(self.position)
+        )
 
     def _new_proposal(self, now_us: int, kind: str, body: Body) -> RetriedProposal:
         random_number = int(self.random_fraction() * (1 << PROPOSAL_ID_BITS))
         return RetriedProposal(f"{kind}.{self.instance.number:x}.{random_number:x}", body, now_us)
 
     def _propose(self, now_us: int, proposal: RetriedProposal) -> Propose:
-        # The log's result on it comes before the next try, unless it is lost.
+        # The log reports a result before the next attempt is due, unless the result is lost.
         self._next_action_us = now_us + (PROPOSAL_TIMEOUT_INTERVALS + 1) * self.renewal_interval_us
         return proposal.propose(now_us, self.renewal_interval_us)
--- a/molereach/coordination/leases/manager.py
+++ b/molereach/coordination/leases/manager.py
@@ -1,11 +1,14 @@
-"""The leader's side of sessions: grants renewals and proposes ends. Runs at every node; acts while it leads.
+"""The leader's side of sessions: grants renewals and ends expired sessions.
 
-Why an end is safe. A holder counts from when it sent its request. A renewal is granted after a leadership
-confirmation that was sent after the request came, so every request that an earlier leader answers was made
-before this leader was elected; this one counts from its election, and from each later grant of its own, for
-the whole duration and the drift of both clocks. A session that was proposed as ended is granted nothing more
-by this leader, and a later leader grants nothing before its own `BecomeManager` is in the log, behind which
-the end is void. A manager that was stopped counts from later, which is the safe side.
+A manager runs at every node and acts only while its node leads.
+
+Ending a session is safe for these reasons. A holder counts its lease from when it sent the request. A manager
+grants a renewal only after a leadership confirmation that was sent after the request arrived, so every
+request that an earlier leader granted was made before this leader was elected. This leader counts from its
+election, and from each later grant of its own, for the whole duration plus the drift of both clocks. After it
+has proposed the end of a session it grants that session nothing more. A later leader grants nothing before
+its own `BecomeManager` is in the log, and entries after that reject the earlier leader's `EndSession`. A
+manager whose process was paused counts from a later time, which errs on the safe side.
 
 Sources: Gray and Cheriton, "Leases" (SOSP 1989), sections 2 and 5; Burrows, "The Chubby lock service" (OSDI
 2006), sections 2.8 and 2.9; Ongaro (2014), section 6.4.
@@ -38,21 +41,21 @@
 
 @dataclass(slots=True)
 class ManagedSession:
-    """One open session, as its manager knows it. Times are microseconds of the manager's clock."""
+    """An open session, as known to the manager. Times are in microseconds of the manager's clock."""
 
     instance: NodeInstance
     fencing_token: int
-    renewed_at_us: int  # the last grant, the opening entry applied here, or the election: whichever was last
-    granted_number: int = 0  # of the last request that was granted
-    applied_position: int = 0  # as last reported; it only grows
-    clear_position: int = 0  # as last reported; it only grows
-    received_at_us: int | None = None
-    end_proposed: bool = False  # by this leader: nothing more is granted
-    end_retry_us: int = 0  # when its end is proposed once more
+    renewed_at_us: int  # the latest of: last grant, opening entry applied here, election
+    granted_number: int = 0  # number of the last request that was granted
+    applied_position: int = 0  # highest reported
+    clear_position: int = 0  # highest reported
+    received_at_us: int | None = None  # when the last request arrived
+    end_proposed: bool = False  # by this leader, which then grants nothing more
+    end_retry_us: int = 0  # when `EndSession` is proposed again
 
 
 class LeaseManager:
-    """Decides when a session is renewed, and when it has expired for all."""
+    """Grants renewals, and ends a session once it has expired by every clock."""
 
     def __init__(
         self,
@@ -63,27 +66,27 @@
         self.sessions = sessions
         self.terms = terms
         self.renewal_interval_us = renewal_interval_us
-        self.position = 0  # of the log, applied here
+        self.position = 0  # up to which the log was applied here
         self._managed: dict[str, ManagedSession] = {}
-        self._ballot: int | None = None  # under which it leads
-        self._takeover_retry_us = 0  # when its `BecomeManager` is proposed once more
+        self._ballot: int | None = None  # under which this node leads; None while it does not
+        self._takeover_retry_us = 0  # when `BecomeManager` is proposed again
         self._rounds = RenewalConfirmationRounds()
 
     # --- queries ---
 
     def report(self, name: str, fencing_token: int) -> ManagedSession | None:
-        """What is known of an open session, or None."""
+        """The latest report of an open session, or None."""
         session = self._managed.get(name)
         return session if session and session.fencing_token == fencing_token else None
 
     @property
     def manages(self) -> bool:
-        """Whether it leads, as far as it knows, and ends by earlier leaders are void."""
+        """Whether this node believes that it leads, and its `BecomeManager` is the latest in the log."""
         return self.sessions.ballot == self._ballot
 
     @property
     def wake_us(self) -> int:
-        """When it wants a `Tick`, in microseconds of its clock; `NEVER_US` for never."""
+        """When the next `Tick` is due, in microseconds of its clock; `NEVER_US` for never."""
         if self._ballot is None:
             return NEVER_US
         if not self.manages:
@@ -95,7 +98,7 @@
         return first_us if last_sent_us is None else max(first_us, last_sent_us + self.renewal_interval_us)
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
-        """Apply one event at `now_us`; the actions to carry out, in order."""
+        """Apply one event at `now_us`; returns the actions to carry out, in order."""
         actions: list[Action] = []
         match event:
             case LeaderChanged():
@@ -117,7 +120,7 @@
                 pass
         return actions + self._due_actions(now_us)
 
-    # --- who leads ---
+    # --- leadership ---
 
     def _handle_leadership(self, now_us: int, event: LeaderChanged) -> None:
         if event.is_self and event.ballot == self._ballot:
@@ -129,19 +132,19 @@
             self._restart_terms(now_us)
 
     def _restart_terms(self, now_us: int) -> None:
-        """Take all sessions as renewed now: an earlier leader may have granted until a moment ago."""
+        """Treat every session as renewed now: an earlier leader may have granted renewals until now."""
         for session in self._managed.values():
             session.renewed_at_us = now_us
             session.end_proposed = False
 
     def _follow_log(self, now_us: int) -> None:
-        """Manage what is open by the log; a session that was opened counts from here, or anything later."""
+        """Manage the sessions that the log has open; the lease of a new one counts from now, or later."""
         self._managed = {
             opened.instance.name: self.report(opened.instance.name, opened.fencing_token)
             or ManagedSession(opened.instance, opened.fencing_token, now_us)
             for opened in self.sessions.active_sessions()
         }
-        if self._ballot is not None and self.sessions.ballot > self._ballot:  # deposed, and not notified yet
+        if self._ballot is not None and self.sessions.ballot > self._ballot:  # deposed before `LeaderChanged`
             self._ballot = None
 
     # --- renewals ---
@@ -182,10 +185,10 @@
             grants.append(grant)
         return tuple(grants)
 
-    # --- ends ---
+    # --- ending expired sessions ---
 
     def _end_due_us(self, session: ManagedSession) -> int:
-        """From when an end is proposed; one microsecond more, as the clock's readings are truncated."""
+        """When to propose the end; one microsecond is added because clock readings are truncated."""
         if session.end_proposed:
             return session.end_retry_us
         return session.renewed_at_us + self.terms.expiry_us + 1
@@ -198,10 +201,10 @@
         return Propose(MACHINE, self._end_id(session), body, self._proposal_timeout_us)
 
     def _handle_proposal_result(self, now_us: int, event: ProposalFinished) -> None:
-        """Plan the next try of a proposal.
+        """Schedule the next attempt of a proposal.
 
-        Without a result it may be chosen yet, so nothing is granted, and it is proposed once more. Where it
-        was chosen, the log says what came of it.
+        Without a result the proposal may still be chosen, so nothing is granted and the proposal is repeated.
+        If it was chosen, its effect follows from the log.
         """
         retry_us = now_us + self.renewal_interval_us
         if event.id == f"keeping.{self._ballot}":
@@ -211,12 +214,12 @@
                 session.end_retry_us = retry_us
 
     def _due_actions(self, now_us: int) -> list[Action]:
-        """What is due: its `BecomeManager`, or a round for the requests and ends that wait."""
+        """The due action: `BecomeManager`, or a round for waiting requests and expired sessions."""
         if now_us < self.wake_us:
             return []
         if self.manages:
             return [ConfirmLeadership(self._rounds.begin(now_us))]
-        assert self._ballot is not None  # as it never wakes without
+        assert self._ballot is not None  # without a ballot `wake_us` is never reached
         self._takeover_retry_us = now_us + self._retry_after_us
         body = encode(BecomeManager(self._ballot))
         return [Propose(MACHINE, f"keeping.{self._ballot}", body, self._proposal_timeout_us)]
@@ -230,5 +233,5 @@
 
     @property
     def _retry_after_us(self) -> int:
-        """After the log's result on a proposal, unless that is lost."""
+        """Longer than the log takes to report a result, so it elapses only if the result is lost."""
         return self._proposal_timeout_us + self.renewal_interval_us
--- a/molereach/coordination/leases/permits.py
+++ b/molereach/coordination/leases/permits.py
@@ -1,7 +1,7 @@
-"""What a proxy may do only under its session, and what it does without one; checked before each use.
+"""Which activities of a proxy need a valid session, and what the proxy does instead without one.
 
-Source: Gray and Cheriton, "Leases" (SOSP 1989), section 2: a holder that cannot renew does without, and
-nothing breaks.
+Source: Gray and Cheriton, "Leases" (SOSP 1989), section 2: a holder that cannot renew its lease loses
+performance, not correctness.
 """
 
 from dataclasses import dataclass
@@ -11,36 +11,36 @@
 
 
 class LeasedActivity(Enum):
-    """An activity of a proxy that others may have to count on."""
+    """An activity of a proxy that may depend on its session."""
 
-    SERVE = "serve"  # requests, by the servers that it may use
-    CACHE = "memory"  # answer from the cache
-    SERVERS = "servers"  # use servers beyond those that its last session left it
-    PERMIT = "permit"  # give maintenance permits to machines
+    SERVE = "serve"  # serve requests from the servers that it may use
+    CACHE = "memory"  # answer requests from the cache
+    SERVERS = "servers"  # use servers beyond those assigned under its last session
+    PERMIT = "permit"  # grant maintenance permits to machines
     SPLIT = "split"  # take part in a split of a shard
 
 
 @dataclass(frozen=True, slots=True)
 class ActivityRule:
-    """Whether an activity needs the session, and what is done instead without one."""
+    """Whether an activity needs a valid session, and what the proxy does without one."""
 
     needs_session: bool
-    instead: str
+    fallback: str
 
 
 ACTIVITY_RULES: dict[LeasedActivity, ActivityRule] = {
-    LeasedActivity.SERVE: ActivityRule(False, "it serves on: requests never wait for coordination"),
+    LeasedActivity.SERVE: ActivityRule(False, "it keeps serving: requests never wait for coordination"),
     LeasedActivity.CACHE: ActivityRule(
-        True, "it asks a server each time, and keeps its entries unread until it has caught up"
+        True, "it asks a server each time, and keeps its entries but reads none until it has caught up"
     ),
-    LeasedActivity.SERVERS: ActivityRule(
-        True, "it uses the servers that its last session left it, and none beyond"
+    LeasedActivity.SERVERS: ActivityRule(True, "it uses only the servers assigned under its last session"),
+    LeasedActivity.PERMIT: ActivityRule(True, "it grants none; permits in use end at their own deadline"),
+    LeasedActivity.SPLIT: ActivityRule(
+        True, "it neither takes over nor moves anything, and routes by the map that it has"
     ),
-    LeasedActivity.PERMIT: ActivityRule(True, "it gives none; those in use end by their own time"),
-    LeasedActivity.SPLIT: ActivityRule(True, "it takes and moves nothing, and routes by the map that it has"),
 }
 
 
 def is_allowed(activity: LeasedActivity, session: Session, now_us: int) -> bool:
-    """Whether an activity is allowed at `now_us`, which is read after anything that may have taken time."""
+    """Whether an activity is allowed at `now_us`; read the clock after any step that may take time."""
     return not ACTIVITY_RULES[activity].needs_session or session.holds(now_us)
--- a/molereach/coordination/leases/proposal.py
+++ b/molereach/coordination/leases/proposal.py
@@ -1,6 +1,7 @@
-"""A proposal that is repeated under one id until it has a result.
+"""A proposal that is repeated under the same id until its result is known.
 
-Whatever depends on when it was made counts from the first time, as any of its copies may be the chosen one.
+A duration that starts with the proposal counts from the first attempt, because any attempt may be the one
+that is chosen.
 """
 
 from dataclasses import dataclass
@@ -8,12 +9,12 @@
 from molereach.coordination.interface.log import Propose
 from molereach.coordination.leases.bodies import MACHINE, Body, encode
 
-PROPOSAL_TIMEOUT_INTERVALS = 4  # renewal intervals after which the log reports UNKNOWN
+PROPOSAL_TIMEOUT_INTERVALS = 4  # renewal intervals until the log reports UNKNOWN
 
 
 @dataclass(slots=True)
 class RetriedProposal:
-    """A lease holder's proposal. Times are microseconds of the holder's clock."""
+    """A proposal of a lease holder. Times are in microseconds of the holder's clock."""
 
     id: str
     body: Body
@@ -21,7 +22,7 @@
     last_proposed_us: int = 0
 
     def propose(self, now_us: int, renewal_interval_us: int) -> Propose:
-        """The event that proposes it, for the first time or once more."""
+        """Return the event that makes the proposal, as a first attempt or a repetition."""
         self.last_proposed_us = now_us
         timeout_us = PROPOSAL_TIMEOUT_INTERVALS * renewal_interval_us
         return Propose(MACHINE, self.id, encode(self.body), timeout_us)
--- a/molereach/coordination/leases/renewals.py
+++ b/molereach/coordination/leases/renewals.py
@@ -1,7 +1,7 @@
-"""A lease holder's renewal requests without a grant: which grant renews the session, and from when.
+"""A lease holder's pending renewal requests, matched with grants by their number.
 
-A grant answers one request, by number; it renews from the time of that request and is used once. Numbers are
-never repeated within an instance, so a grant that is old, duplicated or for a dropped request finds nothing.
+A grant renews the session from the time at which its request was made, and is used once. Numbers are never
+repeated within an instance, so an old grant, a duplicate or one for a dropped request matches nothing.
 """
 
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-MAX_PENDING_RENEWALS = 16  # requests that are remembered without a grant
+MAX_PENDING_RENEWALS = 16  # requests without a grant; beyond it the oldest is dropped
 
 
 class SentRenewal(NamedTuple):
@@ -25,12 +25,12 @@
     def __init__(self, instance: NodeInstance) -> None:
         self._instance = instance
         self._number = 0
-        self._pending: dict[int, SentRenewal] = {}  # by number, so the oldest is the first
+        self._pending: dict[int, SentRenewal] = {}  # by number in ascending order, so the oldest comes first
 
     def create(
         self, now_us: int, fencing_token: int, applied_position: int, clear_position: int
     ) -> RenewalRequest:
-        """Make the next request; the oldest is dropped when there are too many."""
+        """Create the next request; the oldest pending one is dropped when there are too many."""
         self._number += 1
         request = RenewalRequest(
             self._instance.name,
@@ -46,15 +46,17 @@
         return request
 
     def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
-        """The request that a grant answers, or None; it and all before it are dropped then."""
+        """The request that a grant answers, or None; a match drops that request and all earlier ones."""
         if (grant.name, grant.instance_number) != (self._instance.name, self._instance.number):
             return None
         sent = self._pending.get(grant.number)
         if sent is None or sent.request.fencing_token != grant.fencing_token:
             return None
-        self._pending = {number: later for number, later in self._pending.items() if number > grant.number}
+        self._pending = {
+            number: pending for number, pending in self._pending.items() if number > grant.number
+        }
         return sent
 
     def clear(self) -> None:
-        """Drop all requests, as their session is over; their numbers are not used again all the same."""
+        """Drop all requests when their session ends; their numbers are not reused."""
         self._pending.clear()
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -1,4 +1,4 @@
-"""Which sessions are open, and how the earlier ones ended: the state machine "sessions".
+"""The state machine "sessions": which sessions are open, and how earlier ones ended.
 
 A session's fencing token is the position of the entry that opened it. Sources: Burrows, "The Chubby lock
 service" (OSDI 2006), sections 2.4 and 2.8; Ongaro, "Consensus: Bridging Theory and Practice" (2014), section
@@ -25,18 +25,18 @@
 )
 from molereach.coordination.leases.errors import InvalidSnapshotError
 
-MAX_ENDED_SESSIONS = 4  # ended sessions that are remembered of each name, for proofs in progress
+MAX_ENDED_SESSIONS = 4  # kept of each name, for proofs in progress
 
 
 class ActiveSession(WireStruct, frozen=True):
-    """A session that is open."""
+    """An open session."""
 
     instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
 
 
 class EndedSession(WireStruct, frozen=True):
-    """A session that is not open any more, how that is known, and by which entry."""
+    """A session that has ended: the evidence, and the position of the entry that ended it."""
 
     instance: NodeInstance = field(name="life")
     fencing_token: Position = field(name="fence")
@@ -45,9 +45,9 @@
 
 
 class _NodeSessions(WireStruct, frozen=True):
-    """The sessions of one name, the latest ended one last.
+    """The sessions of one name; ended ones are sorted from oldest to newest.
 
-    `first_dropped_token` is the fencing token of the first session that is not remembered; 0 for none.
+    `first_dropped_token` is the fencing token of the oldest session that was forgotten; 0 for none.
     """
 
     name: Name
@@ -59,26 +59,26 @@
 
     @property
     def latest_instance(self) -> NodeInstance | None:
-        """The highest instance that had a session."""
+        """The highest instance that has had a session."""
         if self.active:
             return self.active.instance
         return self.ended[-1].instance if self.ended else None
 
 
 class _State(WireStruct, frozen=True):
-    """A snapshot: the manager's ballot and the nodes' sessions, by name, each name once."""
+    """A snapshot: the lease manager's ballot, and the sessions of each node, sorted by unique name."""
 
     ballot: BallotNumber
     nodes: Annotated[tuple[_NodeSessions, ...], Meta(max_length=MAX_MEMBERS)] = field(name="doors")
 
 
 class SessionRegistry:
-    """Holds at most one open session for each name; a `StateMachine`."""
+    """The sessions of all nodes, at most one open for each name; implements `StateMachine`."""
 
     name = MACHINE
 
     def __init__(self) -> None:
-        self.ballot = 0  # of the leader that manages the sessions
+        self.ballot = 0  # of the current lease manager
         self._nodes: dict[str, _NodeSessions] = {}
 
     # --- queries ---
@@ -89,12 +89,12 @@
         return node.active if node else None
 
     def last_ended_session(self, name: str) -> EndedSession | None:
-        """The session of a name that ended last, or None."""
+        """The session of a name that ended most recently, or None."""
         node = self._nodes.get(name)
         return node.ended[-1] if node and node.ended else None
 
     def latest_instance(self, name: str) -> NodeInstance | None:
-        """The highest instance of a name that had a session, or None."""
+        """The highest instance of a name that has had a session, or None."""
         node = self._nodes.get(name)
         return node.latest_instance if node else None
 
@@ -103,10 +103,10 @@
         return [node.active for node in self._nodes.values() if node.active]
 
     def sessions_open_at(self, position: int) -> Iterator[ActiveSession | EndedSession]:
-        """The sessions that were open when this position was applied, as they stand now.
+        """The current records of the sessions that were open when this position was applied.
 
-        Of a name that has ended more sessions since than are remembered, the oldest remembered one stands for
-        it: the node has restarted. A name that was evicted for others is left out.
+        Where the session itself was forgotten, the oldest remembered one of its name takes its place as
+        evidence that the node has restarted. A name that was evicted to make space is left out.
         """
         for node in self._nodes.values():
             if node.active and node.active.fencing_token < position:
@@ -121,10 +121,10 @@
     # --- entries ---
 
     def apply(self, entry: Entry) -> Outcome:
-        """Apply an entry about sessions; an error leaves the state unchanged."""
+        """Apply an entry about sessions; if the outcome is an error, the state is unchanged."""
         try:
             body = decode(entry.body)
-        except msgspec.DecodeError:  # the decoder's own text may differ between versions of the library
+        except msgspec.DecodeError:  # the decoder's error text may differ between library versions
             return Outcome("not understood")
         match body:
             case OpenSession():
@@ -162,7 +162,7 @@
         if rejection := self._rejection(node, instance):
             return Outcome(rejection)
         if node.active:
-            node = _with_ended_session(node, _replaced(node.active, entry.position))
+            node = _with_ended_session(node, _restarted_session(node.active, entry.position))
         opened = ActiveSession(instance, entry.position)
         self._nodes[instance.name] = msgspec.structs.replace(node, active=opened)
         return Outcome(value=msgspec.json.encode(opened))
@@ -171,7 +171,8 @@
     def _rejection(node: _NodeSessions, instance: NodeInstance) -> str:
         """Why an instance may not open a session, or "".
 
-        A process that was stopped until its session expired may open one anew; one that left may not.
+        A process that was paused until its session expired may open a new one; a process that closed its
+        session may not.
         """
         if node.latest_instance is None or node.latest_instance < instance:
             return ""
@@ -188,22 +189,22 @@
         return Outcome()
 
     def _evict_one_node(self) -> bool:
-        """Make space: drop the name without a session whose last one ended first."""
-        idle = [node for node in self._nodes.values() if not node.active]
-        if not idle:
+        """Remove the name whose last session ended earliest; False if every name has an open one."""
+        inactive = [node for node in self._nodes.values() if not node.active]
+        if not inactive:
             return False
-        del self._nodes[min(idle, key=lambda node: node.ended[-1].position).name]
+        del self._nodes[min(inactive, key=lambda node: node.ended[-1].position).name]
         return True
 
     # --- snapshots ---
 
     def snapshot(self) -> bytes:
-        """The whole state as JSON, sorted by name."""
+        """The state as JSON, sorted by name."""
         nodes = tuple(self._nodes[name] for name in sorted(self._nodes))
         return msgspec.json.encode(_State(self.ballot, nodes))
 
     def restore(self, data: bytes) -> None:
-        """Take over a snapshot; raises `InvalidSnapshotError`, a ValueError, and is unchanged then."""
+        """Replace the state by a snapshot; raises `InvalidSnapshotError` and is then unchanged."""
         try:
             state = msgspec.json.decode(data, type=_State)
         except msgspec.DecodeError as error:
@@ -215,14 +216,14 @@
         self._nodes = {node.name: node for node in state.nodes}
 
 
-def _replaced(session: ActiveSession, position: int) -> EndedSession:
-    """A session that ends as a later instance opens its own, by the entry at `position`."""
+def _restarted_session(session: ActiveSession, position: int) -> EndedSession:
+    """The record of a session that ended because a later instance opened its own at `position`."""
     return EndedSession(session.instance, session.fencing_token, ClearanceEvidence.RESTARTED, position)
 
 
-def _with_ended_session(node: _NodeSessions, last: EndedSession) -> _NodeSessions:
-    """The node without an open session, with one more ended session; the oldest may be dropped."""
-    ended = (*node.ended, last)
+def _with_ended_session(node: _NodeSessions, newest: EndedSession) -> _NodeSessions:
+    """The node with no open session and one more ended session; the oldest may be dropped."""
+    ended = (*node.ended, newest)
     first_dropped_token = node.first_dropped_token
     if len(ended) > MAX_ENDED_SESSIONS:
         first_dropped_token = first_dropped_token or ended[0].fencing_token
@@ -231,13 +232,13 @@
 
 
 def _is_consistent(node: _NodeSessions) -> bool:
-    """Whether a name's sessions follow one another."""
+    """Whether the sessions of a name are in order, as every log leaves them."""
     if node.first_dropped_token and len(node.ended) < MAX_ENDED_SESSIONS:
         return False
     positions = [node.first_dropped_token]
     for ended in node.ended:
         positions += [ended.fencing_token, ended.position]
-    # A session that was replaced ends where the next one is opened.
+    # A replaced session ends at the position that opens its successor, so positions may be equal.
     instances = [ended.instance for ended in node.ended]
     if node.active:
         positions.append(node.active.fencing_token)
--- a/tests/coordination/leases/test_manager.py
+++ b/tests/coordination/leases/test_manager.py
@@ -26,7 +26,7 @@
 )
 from molereach.coordination.leases.manager import LeaseManager
 from molereach.coordination.leases.messages import RENEWAL_INTERVAL_US, RenewalsReceived, SendGrants
-from molereach.coordination.leases.rounds import MAX_ROUNDS
+from molereach.coordination.leases.rounds import MAX_UNANSWERED_ROUNDS
 from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, entry
 
@@ -211,7 +211,7 @@
         [confirm] = harness.handle(Tick())
         assert isinstance(confirm, ConfirmLeadership)
     assert (
-        len(harness.manager._rounds._unanswered) == MAX_ROUNDS
+        len(harness.manager._rounds._unanswered) == MAX_UNANSWERED_ROUNDS
         and harness.now >= OVER_US + 39 * RENEWAL_INTERVAL_US
     )
 
--- a/tests/coordination/node/test_core.py
+++ b/tests/coordination/node/test_core.py
@@ -93,7 +93,7 @@
 def test_a_clear_acknowledgement_waits_for_work_in_progress() -> None:
     play = well()
     busy = play.cored[6].components.lease_holder
-    busy.clear = lambda position: 3
+    busy.clear_position_for = lambda position: 3
     mark = play.mark(0)
     until(play, mark, 3)
     play.run(play.now + 2 * S)
@@ -104,7 +104,7 @@
     assert [(each.instance.name, each.reason) for each in account.pending()] == [
         ("n006", "something is under way there still")
     ]
-    busy.clear = lambda position: position
+    busy.clear_position_for = lambda position: position
     play.run(play.now + 2 * S)
     assert account.proof() is not None
 
