--- a/tests/coordination/leases/entries.py
+++ b/tests/coordination/leases/entries.py
@@ -1,4 +1,4 @@
-"""Entries and lives, made in a line."""
+"""Short constructors for log entries and node instances."""
 
 import msgspec
 
@@ -11,13 +11,13 @@
 
 
 def entry(
-    position: int, body: Body | bytes, proposer: NodeInstance = A, name: str = "", machine: str = MACHINE
+    position: int, body: Body | bytes, proposer: NodeInstance = A, entry_id: str = "", machine: str = MACHINE
 ) -> Entry:
     data = body if isinstance(body, bytes) else encode(body)
-    return Entry(position, machine, name or f"id{position}", proposer, position, data)
+    return Entry(position, machine, entry_id or f"id{position}", proposer, position, data)
 
 
-def opened(sessions: SessionRegistry, position: int, instance: NodeInstance) -> Outcome:
+def open_session(sessions: SessionRegistry, position: int, instance: NodeInstance) -> Outcome:
     return sessions.apply(entry(position, OpenSession(instance), instance))
 
 
--- a/tests/coordination/leases/histories.py
+++ b/tests/coordination/leases/histories.py
@@ -1,48 +1,48 @@
-"""Random histories: what goes wrong, and when, drawn from a seed."""
+"""Random histories: a seed determines which faults occur and when."""
 
 from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.interface.log import Propose
 from molereach.coordination.leases.messages import ReleaseLease
-from tests.coordination.leases.world import MS, TERMS, Cores, World
+from tests.coordination.leases.world import MS, TERMS, Components, World
 
 NAMES = ("a", "b", "c", "d")
-LENGTH_US = 16 * SECOND_US
-BOUND = (1 - TERMS.drift, 1.0, 1 + TERMS.drift)  # of rates; what lies between is drawn too
+HISTORY_US = 16 * SECOND_US
+CLOCK_RATES = (1 - TERMS.drift, 1.0, 1 + TERMS.drift)  # slowest, exact and fastest
 
 
-def trouble(world: World) -> None:
-    """One thing goes wrong, and the next is planned."""
-    chance = world.chance
-    proxy = world.proxies[chance.choice(NAMES)]
-    match chance.randrange(12):
+def inject_fault(world: World) -> None:
+    """Inject one random fault and schedule the next one."""
+    rng = world.rng
+    proxy = world.proxies[rng.choice(NAMES)]
+    match rng.randrange(12):
         case 0 | 1:
             world.elect(proxy)
         case 2 | 3 | 4 | 5:
-            world.stop(proxy, chance.randrange(50 * MS, 5 * SECOND_US))
+            world.pause(proxy, rng.randrange(50 * MS, 5 * SECOND_US))
         case 6 | 7:
-            proxy.cut_until = world.now + chance.randrange(100 * MS, 4 * SECOND_US)
+            proxy.isolated_until_us = world.now_us + rng.randrange(100 * MS, 4 * SECOND_US)
         case 8:
             world.start(proxy.instance.name)
         case 9:
-            world.to(proxy, lambda: world.cores_handle(proxy, ReleaseLease()))
+            world.run_on(proxy, lambda: world.dispatch(proxy, ReleaseLease()))
         case _:
-            forbid(world)
-    world.after(chance.randrange(50 * MS, 1200 * MS), lambda: trouble(world))
+            append_forbidding_entry(world)
+    world.schedule(rng.randrange(50 * MS, 1200 * MS), lambda: inject_fault(world))
 
 
-def forbid(world: World) -> None:
-    """An entry of some other machine, which is to be accounted for."""
-    number = len(world.open_at)
+def append_forbidding_entry(world: World) -> None:
+    """Append an entry of another state machine, which every node must acknowledge."""
+    number = len(world.sessions_open_at)
     world.append(Propose("other", f"forbid.{number}", b"", SECOND_US), world.proxies["a"].instance)
 
 
-def history(seed: int, cores: Cores = Cores(), quick: bool = False) -> World:  # noqa: B008
-    """Run one; its world at the end. With `quick` clocks are at the bound, and words take next to no time."""
-    world = World(seed, cores, BOUND[::2] if quick else (*BOUND, 1 - TERMS.drift / 3))
-    world.quick = quick
+def run_history(seed: int, components: Components = Components(), fast: bool = False) -> World:  # noqa: B008
+    """Run a history and return its world. With `fast`, rates are extreme and messages take under 1 ms."""
+    world = World(seed, components, CLOCK_RATES[::2] if fast else (*CLOCK_RATES, 1 - TERMS.drift / 3))
+    world.fast = fast
     for name in NAMES:
         world.start(name)
     world.elect(world.proxies["a"])
-    world.after(2 * SECOND_US, lambda: trouble(world))
-    world.run(LENGTH_US)
+    world.schedule(2 * SECOND_US, lambda: inject_fault(world))
+    world.run(HISTORY_US)
     return world
--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -1,4 +1,4 @@
-"""Each core with one of its safeguards taken out, and what it is taken for."""
+"""Mutants of the lease components: each lacks one safeguard, which the random histories must detect."""
 
 from collections.abc import Sequence
 
@@ -12,37 +12,37 @@
 from molereach.coordination.leases.messages import GrantsReceived, RenewalsReceived, SendGrants
 from molereach.coordination.leases.renewals import PendingRenewals, SentRenewal
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
-from tests.coordination.leases.world import TERMS, Cores
+from tests.coordination.leases.world import TERMS, Components
 
 
-class CountedFromTheAnswer(LeaseHolder):
-    """The lease runs from when the grant came."""
+class LeaseCountedFromGrant(LeaseHolder):
+    """Counts the lease from the arrival of the grant."""
 
     def _apply_grants(self, now_us: int, event: GrantsReceived) -> None:
-        before = self._expires_at_us
+        previous_us = self._expires_at_us
         super()._apply_grants(now_us, event)
-        if self._expires_at_us > before:
+        if self._expires_at_us > previous_us:
             self._expires_at_us = now_us + self.terms.holder_duration_us
 
 
-class OpenedFromTheAnswer(LeaseHolder):
-    """A session counts from when its opening was seen here."""
+class LeaseCountedFromOpening(LeaseHolder):
+    """Counts the lease from when the opening entry was applied here."""
 
-    def _start_session(self, now_us: int, fencing_token: int, mine: int) -> None:
-        super()._start_session(now_us, fencing_token, mine)
+    def _start_session(self, now_us: int, fencing_token: int, opening_position: int) -> None:
+        super()._start_session(now_us, fencing_token, opening_position)
         self._expires_at_us = now_us + self.terms.holder_duration_us
 
 
-class StillHeldWhileClosing(LeaseHolder):
-    """A session counts as held until its close is settled."""
+class HeldWhileClosing(LeaseHolder):
+    """Keeps the session valid until its `CloseSession` is chosen."""
 
     def _release(self, now_us: int) -> None:
-        until_us = self._expires_at_us
+        expires_at_us = self._expires_at_us
         super()._release(now_us)
-        self._expires_at_us = until_us
+        self._expires_at_us = expires_at_us
 
 
-class _AnyAsk(PendingRenewals):
+class _AnyGrantMatches(PendingRenewals):
     def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
         if (grant.name, grant.instance_number) != (
             self._instance.name,
@@ -52,80 +52,88 @@
         return next(reversed(self._pending.values()))
 
 
-class OldGrantForANewAsk(LeaseHolder):
-    """Any grant renews from the last ask."""
+class AnyGrantRenews(LeaseHolder):
+    """Any grant renews the session from the time of the newest request."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _AnyAsk(self.instance)
+        self._renewals = _AnyGrantMatches(self.instance)
 
 
-class _NumbersAgain(PendingRenewals):
+class _NumbersReused(PendingRenewals):
     def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
-        found = self._pending.get(grant.number)
-        return found if grant.name == self._instance.name else None
+        pending = self._pending.get(grant.number)
+        return pending if grant.name == self._instance.name else None
 
     def clear(self) -> None:
         super().clear()
         self._number = 0
 
 
-class NumbersUsedAgain(LeaseHolder):
-    """Numbers of asks begin anew with each start and each session, and say alone what a grant is for."""
+class RequestNumbersReused(LeaseHolder):
+    """Request numbers restart with each instance and session, and a grant matches by number alone."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _NumbersAgain(self.instance)
+        self._renewals = _NumbersReused(self.instance)
 
 
-class GivenUnconfirmed(LeaseManager):
-    """Renewals are given at once, by whoever believes to lead."""
+class GrantsUnconfirmed(LeaseManager):
+    """Grants renewals at once if it believes that it leads, without a confirmation."""
 
     def _handle_renewals(self, now_us: int, requests: Sequence[RenewalRequest]) -> None:
         super()._handle_renewals(now_us, requests)
-        self.unconfirmed = self._grant(now_us, requests) if self.manages else ()
+        self.unconfirmed_grants = self._grant(now_us, requests) if self.manages else ()
 
     def handle(self, now_us: int, event: object) -> Sequence[object]:  # type: ignore[override]
-        out = list(super().handle(now_us, event))  # type: ignore[arg-type]
-        return [SendGrants(self.unconfirmed), *out] if isinstance(event, RenewalsReceived) else out
+        actions = list(super().handle(now_us, event))  # type: ignore[arg-type]
+        return (
+            [SendGrants(self.unconfirmed_grants), *actions]
+            if isinstance(event, RenewalsReceived)
+            else actions
+        )
 
 
-class OldLeadersTimes(LeaseManager):
-    """A new leader goes by the times at which it gave, or heard of a session, itself."""
+class RenewalTimesKept(LeaseManager):
+    """A new leader keeps its own old renewal times instead of restarting them at its election."""
 
     def _restart_terms(self, now_us: int) -> None:
-        for kept in self._managed.values():
-            kept.end_proposed = False
+        for session in self._managed.values():
+            session.end_proposed = False
 
 
-class GivenAfterItsEnd(LeaseManager):
-    """What was proposed as ended is renewed all the same."""
+class GrantsAfterEndProposed(LeaseManager):
+    """Renews a session whose end it has already proposed."""
 
     def _handle_renewals(self, now_us: int, requests: Sequence[RenewalRequest]) -> None:
-        self._revive()
+        self._forget_proposed_ends()
         super()._handle_renewals(now_us, requests)
 
     def _grant(self, now_us: int, requests: Sequence[RenewalRequest]) -> tuple[RenewalGrant, ...]:
-        self._revive()
+        self._forget_proposed_ends()
         return super()._grant(now_us, requests)
 
-    def _revive(self) -> None:
-        for kept in self._managed.values():
-            kept.end_proposed = False
+    def _forget_proposed_ends(self) -> None:
+        for session in self._managed.values():
+            session.end_proposed = False
 
 
-class AWordIsEnough(AcknowledgementTracker):
-    """Whoever was heard of since the entry counts as having it."""
+class AnyReportAcknowledges(AcknowledgementTracker):
+    """Any report since the entry counts as an acknowledgement, whatever position it names."""
 
     def _acknowledgement(self, session: ActiveSession | EndedSession) -> NodeClearance | None:
-        said = self._reports.report(session.instance.name, session.fencing_token)
-        if said is not None and said.received_at_us is not None and said.received_at_us >= self.since_us:
+        report = self._reports.report(session.instance.name, session.fencing_token)
+        if (
+            report is not None
+            and report.received_at_us is not None
+            and report.received_at_us >= self.since_us
+        ):
             return NodeClearance(session.instance, ClearanceEvidence.REPORTED, self.position)
         return super()._acknowledgement(session)
 
 
-class EndsOfAnyLeader(SessionRegistry):
-    """An end is not bound to who keeps the sessions."""
+class EndsUnderAnyBallot(SessionRegistry):
+    """Accepts `EndSession` under any ballot."""
 
     def apply(self, entry: Entry) -> Outcome:
         body = decode(entry.body)
@@ -142,24 +150,24 @@
 
 
 class NoDrift(SessionTerms):
-    """The council takes its own clock for true."""
+    """The lease manager does not allow for clock drift."""
 
     @property
     def expiry_us(self) -> int:
         return self.duration_us
 
 
-MUTANTS: dict[str, Cores] = {
-    "lease counted from the answer": Cores(holder=CountedFromTheAnswer),
-    "opening counted from the answer": Cores(holder=OpenedFromTheAnswer),
-    "close that still holds": Cores(holder=StillHeldWhileClosing),
-    "an old grant taken for a new ask": Cores(holder=OldGrantForANewAsk),
-    "grant without confirm": Cores(manager=GivenUnconfirmed),
-    "new leader counts from its old times": Cores(manager=OldLeadersTimes),
-    "a renewal after the end was proposed": Cores(manager=GivenAfterItsEnd),
-    "ends of any leader": Cores(sessions=EndsOfAnyLeader),
-    "a word is enough": Cores(account=AWordIsEnough),
+MUTANTS: dict[str, Components] = {
+    "lease counted from the grant": Components(holder=LeaseCountedFromGrant),
+    "lease counted from the opening entry": Components(holder=LeaseCountedFromOpening),
+    "session held while closing": Components(holder=HeldWhileClosing),
+    "any grant matches the newest request": Components(holder=AnyGrantRenews),
+    "grant without confirmation": Components(manager=GrantsUnconfirmed),
+    "new leader keeps old renewal times": Components(manager=RenewalTimesKept),
+    "renewal after the end was proposed": Components(manager=GrantsAfterEndProposed),
+    "ends under any ballot": Components(sessions=EndsUnderAnyBallot),
+    "any report acknowledges": Components(tracker=AnyReportAcknowledges),
 }
-QUICK_MUTANTS: dict[str, Cores] = {  # found where words take next to no time
-    "drift left out": Cores(terms=NoDrift(TERMS.duration_us, TERMS.drift)),
+FAST_MUTANTS: dict[str, Components] = {  # detected only with message delays under 1 ms
+    "clock drift ignored": Components(terms=NoDrift(TERMS.duration_us, TERMS.drift)),
 }
--- a/tests/coordination/leases/test_histories.py
+++ b/tests/coordination/leases/test_histories.py
@@ -1,35 +1,37 @@
-"""Random histories: no session is ended while held, and no proof is wrong; and each safeguard is needed."""
+"""Random histories keep the lease invariants, and break them when any one safeguard is removed."""
 
 import pytest
 
-from tests.coordination.leases.histories import history
-from tests.coordination.leases.mutants import MUTANTS, QUICK_MUTANTS
-from tests.coordination.leases.world import BrokenError, Cores
+from tests.coordination.leases.histories import run_history
+from tests.coordination.leases.mutants import FAST_MUTANTS, MUTANTS
+from tests.coordination.leases.world import Components, InvariantViolationError
 
-AT_ONCE = 50
-MOST_HISTORIES = 400  # in which a mutant must be found; most take under 50
+HISTORIES_PER_TEST = 50
+MAX_HISTORIES = 400  # within which each mutant must fail; most fail in under 50
 
 
-@pytest.mark.parametrize("first", range(0, 500, AT_ONCE))
-def test_no_history_breaks_what_must_hold(first: int) -> None:
-    worlds = [history(seed, quick=seed % 5 == 0) for seed in range(first, first + AT_ONCE)]
-    # What was to be tested happened, and not rarely.
-    assert sum(world.given for world in worlds) > 20 * AT_ONCE
-    assert sum(world.ended for world in worlds) > AT_ONCE
-    assert sum(world.proven for world in worlds) > AT_ONCE
+@pytest.mark.parametrize("first_seed", range(0, 500, HISTORIES_PER_TEST))
+def test_histories_keep_every_invariant(first_seed: int) -> None:
+    worlds = [
+        run_history(seed, fast=seed % 5 == 0) for seed in range(first_seed, first_seed + HISTORIES_PER_TEST)
+    ]
+    # The histories exercise grants, ended sessions and proofs often enough.
+    assert sum(world.grant_count for world in worlds) > 20 * HISTORIES_PER_TEST
+    assert sum(world.ended_count for world in worlds) > HISTORIES_PER_TEST
+    assert sum(world.proof_count for world in worlds) > HISTORIES_PER_TEST
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_what_a_safeguard_prevents_is_found_without_it(name: str) -> None:
-    find(MUTANTS[name], quick=False)
+def test_removing_a_safeguard_breaks_an_invariant(name: str) -> None:
+    assert_violation_found(MUTANTS[name], fast=False)
 
 
-@pytest.mark.parametrize("name", QUICK_MUTANTS)
-def test_what_the_clocks_alone_can_do_is_found(name: str) -> None:
-    find(QUICK_MUTANTS[name], quick=True)
+@pytest.mark.parametrize("name", FAST_MUTANTS)
+def test_ignoring_clock_drift_breaks_an_invariant(name: str) -> None:
+    assert_violation_found(FAST_MUTANTS[name], fast=True)
 
 
-def find(cores: Cores, quick: bool) -> None:
-    with pytest.raises(BrokenError):
-        for seed in range(MOST_HISTORIES):
-            history(seed, cores, quick)
+def assert_violation_found(components: Components, fast: bool) -> None:
+    with pytest.raises(InvariantViolationError):
+        for seed in range(MAX_HISTORIES):
+            run_history(seed, components, fast)
--- a/tests/coordination/leases/test_manager.py
+++ b/tests/coordination/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""The keeper: when it gives, when it ends a session, and when it does neither."""
+"""The lease manager: when it grants renewals, when it ends sessions, and when it does neither."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -31,266 +31,278 @@
 from tests.coordination.leases.entries import A, B, entry
 
 TERMS = SessionTerms()
-OVER_US = TERMS.expiry_us + 1  # by whole microseconds of a clock
+END_DUE_US = TERMS.expiry_us + 1  # one microsecond more, because clock readings are truncated
 
 
 class Harness:
-    """A keeper at ballot 7, with a session of `a` opened at position 1 and its `Keeping` at position 2."""
+    """A manager under ballot 7, with a session of `a` at position 1 and its `BecomeManager` at position 2."""
 
     def __init__(self, manages: bool = True) -> None:
-        self.sessions, self.now, self.position = SessionRegistry(), 0, 0
+        self.sessions, self.now_us, self.position = SessionRegistry(), 0, 0
         self.manager = LeaseManager(self.sessions, TERMS)
-        self.settle(OpenSession(A))
+        self.apply(OpenSession(A))
         if manages:
             self.handle(LeaderChanged("k", 7, True))
-            self.settle(BecomeManager(7))
+            self.apply(BecomeManager(7))
 
     def handle(self, event: Any) -> Sequence[Any]:  # noqa: ANN401
-        return self.manager.handle(self.now, event)
+        return self.manager.handle(self.now_us, event)
 
-    def settle(self, body: Body, proposer: NodeInstance = A) -> Sequence[Any]:
+    def apply(self, body: Body, proposer: NodeInstance = A) -> Sequence[Any]:
         self.position += 1
-        step = entry(self.position, body, proposer)
-        return self.handle(Applied(step, self.sessions.apply(step)))
+        applied_entry = entry(self.position, body, proposer)
+        return self.handle(Applied(applied_entry, self.sessions.apply(applied_entry)))
 
-    def asked(
-        self, number: int, applied: int = 0, fencing_token: int = 1, instance: NodeInstance = A
+    def request_renewal(
+        self, number: int, applied_position: int = 0, fencing_token: int = 1, instance: NodeInstance = A
     ) -> Sequence[Any]:
         return self.handle(
             RenewalsReceived(
-                (RenewalRequest(instance.name, instance.number, fencing_token, number, applied),)
+                (RenewalRequest(instance.name, instance.number, fencing_token, number, applied_position),)
             )
         )
 
-    def given(self, token: int, ballot: int = 7) -> list[int]:
-        """The numbers of the asks that are given upon a confirmation."""
+    def granted_numbers(self, token: int, ballot: int = 7) -> list[int]:
+        """Confirm a round; returns the numbers of the requests that are then granted."""
         actions = self.handle(LeadershipConfirmed(token, ballot))
-        return [grant.number for each in actions if isinstance(each, SendGrants) for grant in each.grants]
+        return [
+            grant.number for action in actions if isinstance(action, SendGrants) for grant in action.grants
+        ]
 
-    def ends(self) -> list[Propose]:
-        """Go to where the end is due and confirm."""
-        self.now = self.manager.wake_us
+    def propose_due_end(self) -> list[Propose]:
+        """Advance to the next wake time and confirm the round; returns the proposals."""
+        self.now_us = self.manager.wake_us
         [confirm] = self.handle(Tick())
         return [
-            each for each in self.handle(LeadershipConfirmed(confirm.token, 7)) if isinstance(each, Propose)
+            action
+            for action in self.handle(LeadershipConfirmed(confirm.token, 7))
+            if isinstance(action, Propose)
         ]
 
 
-def test_a_renewal_is_given_after_a_round_that_began_after_the_request() -> None:
+def test_renewal_is_granted_after_a_round_that_began_after_the_request() -> None:
     harness = Harness()
-    [first] = harness.asked(1)
+    [first] = harness.request_renewal(1)
     assert isinstance(first, ConfirmLeadership)
-    assert harness.asked(2) == [], "the round that is out began before this ask"
-    first_given, second = harness.handle(LeadershipConfirmed(first.token, 7))
-    assert first_given == SendGrants((RenewalGrant("a", 1, 1, 1),)) and isinstance(second, ConfirmLeadership)
-    assert harness.given(first.token) == [], "an answer counts once"
-    assert harness.given(second.token) == [2]
+    assert harness.request_renewal(2) == [], "the pending round began before this request"
+    first_grants, second = harness.handle(LeadershipConfirmed(first.token, 7))
+    assert first_grants == SendGrants((RenewalGrant("a", 1, 1, 1),)) and isinstance(second, ConfirmLeadership)
+    assert harness.granted_numbers(first.token) == [], "a confirmation is used once"
+    assert harness.granted_numbers(second.token) == [2]
 
 
-def test_a_later_round_lets_pass_what_waited_for_an_earlier_one() -> None:
+def test_later_round_also_confirms_the_requests_of_earlier_rounds() -> None:
     harness = Harness()
-    [first] = harness.asked(1)
-    harness.settle(OpenSession(B), B)
-    harness.asked(1, fencing_token=3, instance=B)
-    harness.now += RENEWAL_INTERVAL_US
+    [first] = harness.request_renewal(1)
+    harness.apply(OpenSession(B), B)
+    harness.request_renewal(1, fencing_token=3, instance=B)
+    harness.now_us += RENEWAL_INTERVAL_US
     [second] = harness.handle(Tick())
-    assert harness.given(second.token) == [1, 1] and harness.given(first.token) == []
+    assert harness.granted_numbers(second.token) == [1, 1] and harness.granted_numbers(first.token) == []
 
 
-def test_nothing_is_given_under_another_ballot_or_by_one_that_does_not_lead() -> None:
+def test_nothing_is_granted_under_another_ballot_or_without_leadership() -> None:
     harness = Harness()
-    [confirm] = harness.asked(1)
-    harness.asked(2)
-    assert harness.given(confirm.token, 6) == [] == harness.given(confirm.token, 8)
+    [confirm] = harness.request_renewal(1)
+    harness.request_renewal(2)
+    assert harness.granted_numbers(confirm.token, 6) == [] == harness.granted_numbers(confirm.token, 8)
     harness.handle(LeaderChanged("other", 8, False))
     assert (
-        harness.given(confirm.token) == [] and harness.manager.wake_us == NEVER_US and harness.asked(3) == []
+        harness.granted_numbers(confirm.token) == []
+        and harness.manager.wake_us == NEVER_US
+        and harness.request_renewal(3) == []
     )
     harness.handle(LeaderChanged("k", 9, True))
-    assert harness.settle(BecomeManager(9)) == []
-    assert harness.given(confirm.token, 9) == [], "what was asked of its earlier time is void"
+    assert harness.apply(BecomeManager(9)) == []
+    assert harness.granted_numbers(confirm.token, 9) == [], "requests of an earlier term are dropped"
 
 
-def test_nothing_is_given_or_ended_before_its_own_takeover_is_in_the_log() -> None:
+def test_nothing_is_granted_or_ended_before_become_manager_is_applied() -> None:
     harness = Harness(manages=False)
     [propose] = harness.handle(LeaderChanged("k", 7, True))
-    assert decode(propose.body) == BecomeManager(7) and harness.asked(1) == []
-    harness.now = 20 * SECOND_US
-    assert harness.handle(Tick()) == [propose], "no word came: again, with the same id"
+    assert decode(propose.body) == BecomeManager(7) and harness.request_renewal(1) == []
+    harness.now_us = 20 * SECOND_US
+    assert harness.handle(Tick()) == [propose], "without a result it is repeated under the same id"
     harness.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
-    harness.now += RENEWAL_INTERVAL_US - 1
+    harness.now_us += RENEWAL_INTERVAL_US - 1
     harness.handle(ProposalFinished("another", ProposalStatus.UNKNOWN))
-    harness.now += 1
-    assert harness.handle(Tick()) == [propose], "a beat after no word on its own"
-    [confirm] = harness.settle(BecomeManager(7))
-    [given] = harness.handle(LeadershipConfirmed(confirm.token, 7))
-    assert given == SendGrants((RenewalGrant("a", 1, 1, 1),)), (
-        "what was asked meanwhile is given, and not ended"
+    harness.now_us += 1
+    assert harness.handle(Tick()) == [propose], "it is repeated one interval after its own result is unknown"
+    [confirm] = harness.apply(BecomeManager(7))
+    [grants] = harness.handle(LeadershipConfirmed(confirm.token, 7))
+    assert grants == SendGrants((RenewalGrant("a", 1, 1, 1),)), (
+        "a request that arrived meanwhile is granted, and its session does not end"
     )
 
 
-def test_it_gives_way_to_a_later_lease_manager_before_it_is_notified() -> None:
+def test_manager_steps_down_when_a_later_one_is_in_the_log() -> None:
     harness = Harness()
-    [confirm] = harness.asked(1)
-    harness.settle(BecomeManager(8), B)
+    [confirm] = harness.request_renewal(1)
+    harness.apply(BecomeManager(8), B)
     assert (
-        harness.given(confirm.token) == []
+        harness.granted_numbers(confirm.token) == []
         and not harness.manager.manages
         and harness.manager.wake_us == NEVER_US
     )
 
 
-def test_requests_that_are_not_of_the_open_session_or_not_new_are_passed_over() -> None:
+def test_requests_for_another_session_and_old_requests_are_ignored() -> None:
     harness = Harness()
     assert (
-        harness.asked(1, fencing_token=2)
-        == harness.asked(1, instance=NodeInstance("a", 2))
-        == harness.asked(1, instance=B)
+        harness.request_renewal(1, fencing_token=2)
+        == harness.request_renewal(1, instance=NodeInstance("a", 2))
+        == harness.request_renewal(1, instance=B)
         == []
     )
-    [confirm] = harness.asked(4)
-    assert harness.given(confirm.token) == [4]
-    assert harness.asked(4) == harness.asked(3) == []
-    [confirm] = harness.asked(6)
-    harness.asked(5)
-    harness.settle(CloseSession(A, 1))
-    assert harness.given(confirm.token) == [], "closed since"
+    [confirm] = harness.request_renewal(4)
+    assert harness.granted_numbers(confirm.token) == [4]
+    assert harness.request_renewal(4) == harness.request_renewal(3) == []
+    [confirm] = harness.request_renewal(6)
+    harness.request_renewal(5)
+    harness.apply(CloseSession(A, 1))
+    assert harness.granted_numbers(confirm.token) == [], "the session was closed meanwhile"
 
 
-def test_the_newest_request_of_a_session_waits_and_of_two_sessions_the_later_ones() -> None:
+def test_newest_request_of_the_latest_session_waits_for_the_round() -> None:
     harness = Harness()
-    [first] = harness.asked(1)
+    [first] = harness.request_renewal(1)
     for number in (5, 6, 5):
-        harness.asked(number)
+        harness.request_renewal(number)
     _, second = harness.handle(LeadershipConfirmed(first.token, 7))
-    assert harness.given(second.token) == [6]
-    [third] = harness.asked(7)
-    harness.asked(8)
-    harness.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
-    harness.asked(1, fencing_token=3, instance=NodeInstance("a", 2))
+    assert harness.granted_numbers(second.token) == [6]
+    [third] = harness.request_renewal(7)
+    harness.request_renewal(8)
+    harness.apply(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
+    harness.request_renewal(1, fencing_token=3, instance=NodeInstance("a", 2))
     [fourth] = harness.handle(LeadershipConfirmed(third.token, 7))
-    assert harness.given(fourth.token) == [1]
+    assert harness.granted_numbers(fourth.token) == [1]
 
 
-def test_a_request_that_came_twice_is_given_once() -> None:
+def test_duplicate_request_is_granted_once() -> None:
     harness = Harness()
-    [first] = harness.asked(1)
-    harness.asked(1)
+    [first] = harness.request_renewal(1)
+    harness.request_renewal(1)
     _, second = harness.handle(LeadershipConfirmed(first.token, 7))
-    assert harness.given(second.token) == []
+    assert harness.granted_numbers(second.token) == []
 
 
-def test_an_end_is_proposed_after_the_time_and_once_it_is_confirmed() -> None:
+def test_end_is_proposed_after_expiry_and_a_confirmed_round() -> None:
     harness = Harness()
-    assert harness.manager.wake_us == OVER_US
-    harness.now = OVER_US - 1
+    assert harness.manager.wake_us == END_DUE_US
+    harness.now_us = END_DUE_US - 1
     assert harness.handle(Tick()) == []
-    harness.now = OVER_US
+    harness.now_us = END_DUE_US
     [confirm] = harness.handle(Tick())
-    assert isinstance(confirm, ConfirmLeadership), "an end waits for a word from the panel"
+    assert isinstance(confirm, ConfirmLeadership), "the end requires a leadership confirmation"
     [propose] = harness.handle(LeadershipConfirmed(confirm.token, 7))
     assert decode(propose.body) == EndSession(A, 1, 7) and harness.handle(Tick()) == []
 
 
-def test_a_round_from_before_the_end_was_due_does_not_let_it_pass() -> None:
+def test_round_sent_before_the_end_was_due_does_not_confirm_it() -> None:
     harness = Harness()
-    harness.now = OVER_US - 1
-    harness.settle(OpenSession(B), B)
-    [confirm] = harness.asked(1, fencing_token=3, instance=B)
-    harness.now = OVER_US
-    assert [type(each) for each in harness.handle(LeadershipConfirmed(confirm.token, 7))] == [
+    harness.now_us = END_DUE_US - 1
+    harness.apply(OpenSession(B), B)
+    [confirm] = harness.request_renewal(1, fencing_token=3, instance=B)
+    harness.now_us = END_DUE_US
+    assert [type(action) for action in harness.handle(LeadershipConfirmed(confirm.token, 7))] == [
         SendGrants,
         ConfirmLeadership,
     ]
 
 
-def test_without_a_confirmation_nothing_is_ended_and_rounds_are_bounded() -> None:
+def test_unconfirmed_rounds_end_nothing_and_are_bounded() -> None:
     harness = Harness()
     for _ in range(40):
-        harness.now = harness.manager.wake_us
+        harness.now_us = harness.manager.wake_us
         [confirm] = harness.handle(Tick())
         assert isinstance(confirm, ConfirmLeadership)
     assert (
         len(harness.manager._rounds._unanswered) == MAX_UNANSWERED_ROUNDS
-        and harness.now >= OVER_US + 39 * RENEWAL_INTERVAL_US
+        and harness.now_us >= END_DUE_US + 39 * RENEWAL_INTERVAL_US
     )
 
 
-def test_what_was_proposed_as_ended_is_given_nothing_more_and_is_proposed_again() -> None:
+def test_session_with_a_proposed_end_is_granted_nothing_and_the_end_is_repeated() -> None:
     harness = Harness()
-    [propose] = harness.ends()
-    for over in (ProposalStatus.UNKNOWN, ProposalStatus.REJECTED):
-        harness.handle(ProposalFinished(propose.id, over))
-        assert harness.manager.wake_us == harness.now + RENEWAL_INTERVAL_US
-        assert harness.asked(9) == [], "held back, also where the end is not certain"
-        harness.handle(ProposalFinished("another", over))
-        assert harness.manager.wake_us == harness.now + RENEWAL_INTERVAL_US
-        harness.handle(LeaderChanged("k", 7, True))  # told again
-        assert harness.asked(9) == []
-        assert harness.ends() == [propose], "with the same id"
-        harness.handle(ProposalFinished("another", over))
-        assert harness.manager.wake_us == harness.now + 5 * RENEWAL_INTERVAL_US
+    [propose] = harness.propose_due_end()
+    for status in (ProposalStatus.UNKNOWN, ProposalStatus.REJECTED):
+        harness.handle(ProposalFinished(propose.id, status))
+        assert harness.manager.wake_us == harness.now_us + RENEWAL_INTERVAL_US
+        assert harness.request_renewal(9) == [], "no grant, even if the end may not have been chosen"
+        harness.handle(ProposalFinished("another", status))
+        assert harness.manager.wake_us == harness.now_us + RENEWAL_INTERVAL_US
+        harness.handle(LeaderChanged("k", 7, True))  # repeated notice
+        assert harness.request_renewal(9) == []
+        assert harness.propose_due_end() == [propose], "repeated under the same id"
+        harness.handle(ProposalFinished("another", status))
+        assert harness.manager.wake_us == harness.now_us + 5 * RENEWAL_INTERVAL_US
     harness.handle(ProposalFinished(propose.id, ProposalStatus.APPLIED))
-    assert harness.asked(10) == []
+    assert harness.request_renewal(10) == []
 
 
-def test_a_request_that_waited_when_the_end_was_proposed_is_not_given() -> None:
+def test_request_that_waited_when_the_end_was_proposed_is_not_granted() -> None:
     harness = Harness()
-    harness.now = OVER_US
+    harness.now_us = END_DUE_US
     [confirm] = harness.handle(Tick())
-    harness.asked(1)  # after the round that lets the end pass
+    harness.request_renewal(1)  # too late for the round that confirms the end
     propose, second = harness.handle(LeadershipConfirmed(confirm.token, 7))
-    assert isinstance(propose, Propose) and harness.given(second.token) == []
+    assert isinstance(propose, Propose) and harness.granted_numbers(second.token) == []
 
 
-def test_a_request_that_came_in_time_of_the_round_is_given_and_nothing_is_ended() -> None:
+def test_request_that_arrived_before_the_confirmed_round_is_granted_and_nothing_is_ended() -> None:
     harness = Harness()
-    harness.now = OVER_US
+    harness.now_us = END_DUE_US
     [first] = harness.handle(Tick())
-    harness.asked(1)
-    harness.now += RENEWAL_INTERVAL_US
+    harness.request_renewal(1)
+    harness.now_us += RENEWAL_INTERVAL_US
     [second] = harness.handle(Tick())
-    assert harness.given(second.token) == [1] and harness.manager.wake_us == harness.now + OVER_US
+    assert (
+        harness.granted_numbers(second.token) == [1]
+        and harness.manager.wake_us == harness.now_us + END_DUE_US
+    )
     assert first.token != second.token
 
 
-def test_a_new_leader_takes_all_as_given_when_it_was_elected() -> None:
+def test_new_leader_counts_all_sessions_from_its_election() -> None:
     harness = Harness()
     harness.handle(LeaderChanged("other", 8, False))
-    harness.now = 9 * SECOND_US
+    harness.now_us = 9 * SECOND_US
     harness.handle(LeaderChanged("k", 9, True))
-    harness.settle(BecomeManager(9))
-    assert harness.manager.wake_us == harness.now + OVER_US
-    harness.handle(LeaderChanged("k", 9, True))  # told again
+    harness.apply(BecomeManager(9))
+    assert harness.manager.wake_us == harness.now_us + END_DUE_US
+    harness.handle(LeaderChanged("k", 9, True))  # repeated notice
     assert harness.manager.manages
 
 
-def test_a_session_counts_from_when_its_opening_was_applied_here() -> None:
+def test_session_counts_from_when_its_opening_was_applied_here() -> None:
     harness = Harness()
-    harness.now = 3 * SECOND_US
+    harness.now_us = 3 * SECOND_US
     harness.sessions.apply(entry(3, OpenSession(B), B))
     harness.handle(Restored(3))
-    assert harness.manager.wake_us == OVER_US, "that of a, which was open before"
-    harness.settle(CloseSession(A, 1))
-    assert harness.manager.wake_us == 3 * SECOND_US + OVER_US and harness.manager.position == 3
+    assert harness.manager.wake_us == END_DUE_US, "due for the session of a, which was opened first"
+    harness.apply(CloseSession(A, 1))
+    assert harness.manager.wake_us == 3 * SECOND_US + END_DUE_US and harness.manager.position == 3
 
 
-def test_a_lease_manager_that_was_stopped_counts_from_when_it_gave() -> None:
+def test_paused_manager_counts_from_when_it_granted() -> None:
     harness = Harness()
-    [confirm] = harness.asked(1)
-    harness.now = 100 * SECOND_US  # stopped between the round and its answer
-    assert harness.given(confirm.token) == [1] and harness.manager.wake_us == 100 * SECOND_US + OVER_US
+    [confirm] = harness.request_renewal(1)
+    harness.now_us = 100 * SECOND_US  # paused between the round and its confirmation
+    assert (
+        harness.granted_numbers(confirm.token) == [1]
+        and harness.manager.wake_us == 100 * SECOND_US + END_DUE_US
+    )
 
 
-def test_what_was_said_only_grows_and_is_of_one_session() -> None:
+def test_reported_position_never_decreases_and_belongs_to_one_session() -> None:
     harness = Harness()
-    harness.now = SECOND_US
-    harness.asked(2, applied=5)
-    harness.now = 2 * SECOND_US
-    harness.asked(1, applied=3)
-    kept = harness.manager.report("a", 1)
-    assert kept and (kept.applied_position, kept.received_at_us) == (5, 2 * SECOND_US)
+    harness.now_us = SECOND_US
+    harness.request_renewal(2, applied_position=5)
+    harness.now_us = 2 * SECOND_US
+    harness.request_renewal(1, applied_position=3)
+    report = harness.manager.report("a", 1)
+    assert report and (report.applied_position, report.received_at_us) == (5, 2 * SECOND_US)
     assert harness.manager.report("a", 2) is None and harness.manager.report("b", 1) is None
-    harness.settle(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
-    kept = harness.manager.report("a", 3)
-    assert kept and (kept.applied_position, kept.received_at_us) == (0, None)
+    harness.apply(OpenSession(NodeInstance("a", 2)), NodeInstance("a", 2))
+    report = harness.manager.report("a", 3)
+    assert report and (report.applied_position, report.received_at_us) == (0, None)
--- a/tests/coordination/leases/test_messages.py
+++ b/tests/coordination/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""What goes along the tree: small, bounded, and refused when it is not as it says."""
+"""Renewal messages: bounded size, and rejection of invalid fields."""
 
 import msgspec
 import pytest
@@ -6,7 +6,7 @@
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
 
-def test_a_request_takes_at_most_48_bytes_in_the_bound_of_the_design() -> None:
+def test_request_with_a_21_character_name_takes_at_most_48_bytes() -> None:
     request = RenewalRequest("front-door-0123456789", 1 << 61, 1 << 31, 1 << 31, 1 << 31)
     data = msgspec.msgpack.encode(request)
     assert len(data) <= 48 and msgspec.msgpack.decode(data, type=RenewalRequest) == request
@@ -25,12 +25,12 @@
         ["a", 1, 1, "1", 1],
     ],
 )
-def test_a_request_that_is_not_one_is_refused(fields: list[object]) -> None:
+def test_invalid_request_is_rejected(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(fields, RenewalRequest)
 
 
 @pytest.mark.parametrize("fields", [["a", 1, 1, 0], ["a", 1, -1, 1], ["a", 1, 1, 1, 1], ["a", 1, 1]])
-def test_a_grant_that_is_not_one_is_refused(fields: list[object]) -> None:
+def test_invalid_grant_is_rejected(fields: list[object]) -> None:
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert(fields, RenewalGrant)
--- a/tests/coordination/leases/test_sessions.py
+++ b/tests/coordination/leases/test_sessions.py
@@ -1,4 +1,4 @@
-"""The state machine "sessions": what each entry comes to, bounds, and snapshots."""
+"""The state machine "sessions": the outcome of each entry, bounds, and snapshots."""
 
 import random
 
@@ -22,16 +22,16 @@
     EndedSession,
     SessionRegistry,
 )
-from tests.coordination.leases.entries import A, B, entry, fencing_token_of, opened
+from tests.coordination.leases.entries import A, B, entry, fencing_token_of, open_session
 
 A2 = NodeInstance("a", 2)
 
 
-def test_the_fencing_token_is_the_position_and_the_same_instance_gets_the_same_answer() -> None:
+def test_fencing_token_is_the_position_and_reopening_returns_the_same_session() -> None:
     sessions = SessionRegistry()
-    assert fencing_token_of(opened(sessions, 7, A)) == 7
+    assert fencing_token_of(open_session(sessions, 7, A)) == 7
     before = sessions.snapshot()
-    assert fencing_token_of(opened(sessions, 9, A)) == 7
+    assert fencing_token_of(open_session(sessions, 9, A)) == 7
     assert (
         sessions.snapshot() == before
         and sessions.active_session("a") == ActiveSession(A, 7)
@@ -39,25 +39,25 @@
     )
 
 
-def test_a_higher_instance_replaces_the_lower_and_a_lower_is_refused() -> None:
+def test_higher_instance_replaces_a_lower_one_and_a_lower_one_is_rejected() -> None:
     sessions = SessionRegistry()
-    opened(sessions, 3, A)
-    assert fencing_token_of(opened(sessions, 5, A2)) == 5
+    open_session(sessions, 3, A)
+    assert fencing_token_of(open_session(sessions, 5, A2)) == 5
     assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.RESTARTED, 5)
-    assert opened(sessions, 6, A).error and sessions.active_session("a") == ActiveSession(A2, 5)
+    assert open_session(sessions, 6, A).error and sessions.active_session("a") == ActiveSession(A2, 5)
     sessions.apply(entry(7, EndSession(A2, 5, 0)))
-    assert opened(sessions, 8, A).error, "also when the higher one's session is over"
+    assert open_session(sessions, 8, A).error, "also after the session of the higher one has ended"
 
 
-def test_a_run_whose_session_is_over_may_open_anew_and_one_that_left_may_not() -> None:
+def test_instance_may_reopen_an_expired_session_but_not_a_closed_one() -> None:
     sessions = SessionRegistry()
-    opened(sessions, 1, A)
+    open_session(sessions, 1, A)
     assert not sessions.apply(entry(2, EndSession(A, 1, 0))).error
-    assert fencing_token_of(opened(sessions, 3, A)) == 3
+    assert fencing_token_of(open_session(sessions, 3, A)) == 3
     assert not sessions.apply(entry(4, CloseSession(A, 3), A)).error
     assert sessions.last_ended_session("a") == EndedSession(A, 3, ClearanceEvidence.LEFT, 4)
-    assert opened(sessions, 5, A).error and sessions.active_session("a") is None
-    assert not opened(sessions, 6, A2).error
+    assert open_session(sessions, 5, A).error and sessions.active_session("a") is None
+    assert not open_session(sessions, 6, A2).error
 
 
 @pytest.mark.parametrize(
@@ -80,42 +80,40 @@
         (b'{"a":' + b"[" * (MAX_ENTRY_BODY_BYTES - 5), A),
     ],
 )
-def test_what_breaks_a_rule_is_an_error_and_changes_nothing(
-    body: Body | bytes, proposer: NodeInstance
-) -> None:
+def test_invalid_entry_is_an_error_and_changes_nothing(body: Body | bytes, proposer: NodeInstance) -> None:
     sessions = SessionRegistry()
     sessions.apply(entry(0, BecomeManager(5)))
-    opened(sessions, 1, A)
+    open_session(sessions, 1, A)
     before = sessions.snapshot()
     outcome = sessions.apply(entry(9, body, proposer))
     assert outcome.error and "\n" not in outcome.error and sessions.snapshot() == before
 
 
-def test_the_longest_body_is_read() -> None:
+def test_longest_body_is_accepted() -> None:
     instance = NodeInstance("n" * 64, 1 << 62)
     sessions = SessionRegistry()
     assert sessions.apply(entry(1, BecomeManager(1 << 62))) == Outcome()
-    opened(sessions, 1 << 62, instance)
+    open_session(sessions, 1 << 62, instance)
     assert not sessions.apply(entry(1 << 62, EndSession(instance, 1 << 62, 1 << 62))).error
 
 
-def test_names_are_bounded_and_the_one_that_ended_first_makes_room() -> None:
+def test_names_are_bounded_and_the_one_that_ended_first_is_evicted() -> None:
     sessions = SessionRegistry()
     for number in range(MAX_MEMBERS):
-        assert not opened(sessions, number + 1, NodeInstance(f"d{number}", 1)).error
-    assert opened(sessions, 300, A).error
+        assert not open_session(sessions, number + 1, NodeInstance(f"d{number}", 1)).error
+    assert open_session(sessions, 300, A).error
     sessions.apply(entry(301, EndSession(NodeInstance("d9", 1), 10, 0)))
     sessions.apply(entry(302, EndSession(NodeInstance("d3", 1), 4, 0)))
-    assert not opened(sessions, 303, A).error
+    assert not open_session(sessions, 303, A).error
     assert sessions.last_ended_session("d9") is None and sessions.last_ended_session("d3") is not None
     assert len(sessions.active_sessions()) == MAX_MEMBERS - 1
 
 
-def test_what_was_open_at_a_position_is_known_later_the_same() -> None:
+def test_sessions_open_at_a_position_remain_known() -> None:
     sessions = SessionRegistry()
-    opened(sessions, 1, A)
-    opened(sessions, 2, B)
-    opened(sessions, 5, A2)  # after position 4
+    open_session(sessions, 1, A)
+    open_session(sessions, 2, B)
+    open_session(sessions, 5, A2)  # after position 4
     sessions.apply(entry(6, EndSession(B, 2, 0)))
     assert list(sessions.sessions_open_at(4)) == [
         EndedSession(A, 1, ClearanceEvidence.RESTARTED, 5),
@@ -127,44 +125,46 @@
     ]
 
 
-def test_of_one_that_ended_more_often_than_is_kept_it_is_known_that_it_opened_anew() -> None:
+def test_forgotten_session_is_reported_as_restarted() -> None:
     sessions = SessionRegistry()
     for number in range(1, MAX_ENDED_SESSIONS + 3):
-        opened(sessions, 10 * number, NodeInstance("a", number))
-    last = NodeInstance("a", MAX_ENDED_SESSIONS + 2)
+        open_session(sessions, 10 * number, NodeInstance("a", number))
+    newest_instance = NodeInstance("a", MAX_ENDED_SESSIONS + 2)
     assert list(sessions.sessions_open_at(10)) == [] and list(sessions.sessions_open_at(70)) == [
-        ActiveSession(last, 60)
+        ActiveSession(newest_instance, 60)
+    ]
+    remembered = EndedSession(NodeInstance("a", 2), 20, ClearanceEvidence.RESTARTED, 30)
+    assert list(sessions.sessions_open_at(25)) == [remembered] and list(sessions.sessions_open_at(21)) == [
+        remembered
     ]
-    kept = EndedSession(NodeInstance("a", 2), 20, ClearanceEvidence.RESTARTED, 30)
-    assert list(sessions.sessions_open_at(25)) == [kept] and list(sessions.sessions_open_at(21)) == [kept]
     assert list(sessions.sessions_open_at(15)) == [
         EndedSession(NodeInstance("a", 2), 20, ClearanceEvidence.RESTARTED, 20)
     ]
-    again = SessionRegistry()
-    again.restore(sessions.snapshot())
-    opened(again, 70, NodeInstance("a", 7))
+    restored = SessionRegistry()
+    restored.restore(sessions.snapshot())
+    open_session(restored, 70, NodeInstance("a", 7))
     assert (
-        list(again.sessions_open_at(15))
-        == list(again.sessions_open_at(25))
+        list(restored.sessions_open_at(15))
+        == list(restored.sessions_open_at(25))
         == [EndedSession(NodeInstance("a", 3), 30, ClearanceEvidence.RESTARTED, 30)]
     )
 
 
-def history(seed: int) -> SessionRegistry:
-    chance, sessions = random.Random(seed), SessionRegistry()
+def registry_after_random_entries(seed: int) -> SessionRegistry:
+    rng, sessions = random.Random(seed), SessionRegistry()
     for position in range(1, 120):
-        instance = NodeInstance(chance.choice("xyz"), chance.randrange(1, 9))
-        fencing_token = chance.randrange(max(1, position - 4), position + 1)
-        open_now = sessions.active_session(instance.name)
-        if open_now and chance.random() < 0.7:
-            instance, fencing_token = open_now.instance, open_now.fencing_token
-        body = chance.choice(
+        instance = NodeInstance(rng.choice("xyz"), rng.randrange(1, 9))
+        fencing_token = rng.randrange(max(1, position - 4), position + 1)
+        active = sessions.active_session(instance.name)
+        if active and rng.random() < 0.7:
+            instance, fencing_token = active.instance, active.fencing_token
+        body = rng.choice(
             (
                 OpenSession(instance),
                 OpenSession(instance),
                 EndSession(instance, fencing_token, sessions.ballot),
                 CloseSession(instance, fencing_token),
-                BecomeManager(chance.randrange(position)),
+                BecomeManager(rng.randrange(position)),
             )
         )
         sessions.apply(entry(position, body, instance))
@@ -172,15 +172,18 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_snapshot_restores_to_the_same_bytes_and_goes_on_the_same(seed: int) -> None:
-    one, other = history(seed), SessionRegistry()
-    opened(other, 1, B)  # all of it is replaced
-    other.restore(one.snapshot())
-    assert other.snapshot() == one.snapshot()
+def test_restored_snapshot_has_the_same_bytes_and_behaves_the_same(seed: int) -> None:
+    original, restored = registry_after_random_entries(seed), SessionRegistry()
+    open_session(restored, 1, B)  # replaced by the snapshot
+    restored.restore(original.snapshot())
+    assert restored.snapshot() == original.snapshot()
     for position in range(200, 230):
-        step = entry(position, OpenSession(NodeInstance("x", position)), NodeInstance("x", position))
-        assert one.apply(step) == other.apply(step)
-    assert other.snapshot() == one.snapshot() and len(list(other.sessions_open_at(203))) <= MAX_ENDED_SESSIONS
+        next_entry = entry(position, OpenSession(NodeInstance("x", position)), NodeInstance("x", position))
+        assert original.apply(next_entry) == restored.apply(next_entry)
+    assert (
+        restored.snapshot() == original.snapshot()
+        and len(list(restored.sessions_open_at(203))) <= MAX_ENDED_SESSIONS
+    )
 
 
 @pytest.mark.parametrize(
@@ -198,22 +201,22 @@
         b'{"life":{"name":"a","number":2},"fence":2,"known":"over","position":3}]}]}',
     ],
 )
-def test_a_snapshot_that_makes_no_sense_is_refused_and_nothing_changes(data: bytes) -> None:
-    sessions = history(1)
+def test_invalid_snapshot_is_rejected_and_changes_nothing(data: bytes) -> None:
+    sessions = registry_after_random_entries(1)
     before = sessions.snapshot()
     with pytest.raises(ValueError):
         sessions.restore(data)
     assert sessions.snapshot() == before
 
 
-def test_a_snapshot_with_a_name_twice_is_refused() -> None:
+def test_snapshot_with_a_duplicate_name_is_rejected() -> None:
     sessions = SessionRegistry()
-    opened(sessions, 1, A)
+    open_session(sessions, 1, A)
     state = msgspec.json.decode(sessions.snapshot())
     sessions.restore(msgspec.json.encode(state))
     with pytest.raises(ValueError):
         sessions.restore(msgspec.json.encode(state | {"doors": state["doors"] * 2}))
 
 
-def test_encode_is_what_decode_reads() -> None:
+def test_body_is_encoded_under_its_recorded_names() -> None:
     assert encode(BecomeManager(3)) == b'{"kind":"keeping","ballot":3}'
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/world.py
@@ -1,8 +1,9 @@
-"""A virtual world of front doors with clocks of their own, one true log, and what can go wrong between them.
+"""Discrete-event simulation of front doors with their own clocks, a shared log, and faults between them.
 
-The log here keeps to what `coordination/interface/log.py` promises and to no more: one order, each id once,
-any proposal settled at any time or never, also when its proposer leads no more; `Confirmed` only if its asker
-truly led after it asked. True time is in microseconds; each front door sees its own clock only.
+The log gives only the guarantees of `coordination/interface/log.py`: one order of entries, each id at most
+once, and any proposal chosen at any time or never, even after its proposer has stopped leading. It sends
+`LeadershipConfirmed` only if the node still led after it asked. True time is in microseconds; a front door
+reads only its own clock.
 """
 
 import heapq
@@ -38,27 +39,27 @@
 TERMS = SessionTerms(2 * SECOND_US, 0.02)
 
 
-class BrokenError(AssertionError):
-    """What must never be, was."""
+class InvariantViolationError(AssertionError):
+    """A lease invariant does not hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class Clock:
-    """What a front door reads at a true time."""
+    """A front door's clock, with an offset and a constant rate."""
 
     offset_us: int
     rate: float
 
-    def at(self, true_us: int) -> int:
+    def read(self, true_us: int) -> int:
         return self.offset_us + int(true_us * self.rate)
 
-    def true(self, here_us: int) -> int:
-        return int((here_us - self.offset_us) / self.rate) + 1
+    def true_time(self, local_us: int) -> int:
+        return int((local_us - self.offset_us) / self.rate) + 1
 
 
 @dataclass(eq=False)
 class ProxyRun:
-    """One run of one front door: its replica, its cores, and the mail that waits while it is stopped."""
+    """One run of a front door: its replica, its components, and the events deferred while it is paused."""
 
     instance: NodeInstance
     clock: Clock
@@ -66,326 +67,352 @@
     holder: LeaseHolder
     manager: LeaseManager
     leader: str | None = None
-    stopped_until: int = 0
-    cut_until: int = 0
-    tick_at: int = 1 << 62
-    mail: list[Callable[[], None]] = field(default_factory=list)
-    learnt: int = 0  # entries of the order that were applied
-    waiting: dict[str, ProposalFinished] = field(default_factory=dict)  # settled, not applied here yet
-    out: set[str] = field(default_factory=set)  # proposals without their one word
-    accounts: dict[int, AcknowledgementTracker] = field(default_factory=dict)
+    paused_until_us: int = 0
+    isolated_until_us: int = 0
+    tick_at_us: int = 1 << 62
+    deferred: list[Callable[[], None]] = field(default_factory=list)
+    applied_position: int = 0  # of the log
+    unapplied_results: dict[str, ProposalFinished] = field(default_factory=dict)  # by proposal id
+    unfinished_proposals: set[str] = field(default_factory=set)  # ids without a `ProposalFinished`
+    trackers: dict[int, AcknowledgementTracker] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
-class Cores:
-    """What a world is made of; a mutation changes one."""
+class Components:
+    """The classes that a world is built of; a mutant replaces one of them."""
 
     holder: type[LeaseHolder] = LeaseHolder
     manager: type[LeaseManager] = LeaseManager
     sessions: type[SessionRegistry] = SessionRegistry
-    account: type[AcknowledgementTracker] = AcknowledgementTracker
+    tracker: type[AcknowledgementTracker] = AcknowledgementTracker
     terms: SessionTerms = TERMS
 
 
 class World:
-    """Runs until a true time; raises `BrokenError` where an invariant fails. All chance is of the seed."""
+    """Runs the simulation; raises `InvariantViolationError`. The seed determines every random draw."""
 
-    def __init__(self, seed: int, cores: Cores = Cores(), rates: Sequence[float] = ()) -> None:
-        self.chance, self.cores, self.rates = random.Random(seed), cores, rates
-        self.quick = False  # words take under a millisecond: what is left is what clocks make
+    def __init__(self, seed: int, components: Components = Components(), rates: Sequence[float] = ()) -> None:
+        self.rng, self.components, self.rates = random.Random(seed), components, rates
+        self.fast = False  # messages take under 1 ms, so that only clock differences matter
         self.lossy = True
-        self.now, self._sequence = 0, 0
+        self.now_us, self._sequence = 0, 0
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self.proxies: dict[str, ProxyRun] = {}
-        self.order: list[Entry] = []
-        self.truth = cores.sessions()
+        self.entries: list[Entry] = []
+        self.reference = components.sessions()
         self.outcomes: list[Outcome] = []
         self.snapshots: list[bytes] = []
-        self.ids: dict[str, int] = {}
+        self.positions_by_id: dict[str, int] = {}
         self.leader: ProxyRun | None = None
         self.ballot = 0
-        self.over: set[int] = set()  # fences of sessions that were decided as ended or closed
-        self.open_at: dict[
-            int, dict[str, ActiveSession]
-        ] = {}  # by position of an entry that forbids something
+        self.ended_tokens: set[int] = set()  # fencing tokens of sessions that the log ended
+        # By position of an entry of another state machine, then by name.
+        self.sessions_open_at: dict[int, dict[str, ActiveSession]] = {}
         self.proofs: dict[tuple[int, int], tuple[NodeClearance, ...]] = {}
-        self.given = self.ended = self.proven = 0
+        self.grant_count = self.ended_count = self.proof_count = 0
 
     # --- time ---
 
-    def after(self, delay_us: int, act: Callable[[], None]) -> None:
+    def schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
         self._sequence += 1
-        heapq.heappush(self._queue, (self.now + max(0, delay_us), self._sequence, act))
+        heapq.heappush(self._queue, (self.now_us + max(0, delay_us), self._sequence, callback))
 
     def run(self, until_us: int) -> None:
         while self._queue and self._queue[0][0] <= until_us:
-            self.now, _, act = heapq.heappop(self._queue)
-            act()
-            self.check()
-        self.now = max(self.now, until_us)
-        self.check()
+            self.now_us, _, callback = heapq.heappop(self._queue)
+            callback()
+            self.check_invariants()
+        self.now_us = max(self.now_us, until_us)
+        self.check_invariants()
 
     # --- front doors ---
 
     def start(self, name: str) -> ProxyRun:
-        """Start a front door; an earlier run of the name is dead."""
-        before = self.proxies.get(name)
-        if before is not None and before is self.leader:
+        """Start a front door; an earlier run of the name ends."""
+        previous = self.proxies.get(name)
+        if previous is not None and previous is self.leader:
             self.leader = None
-        instance = NodeInstance(name, before.instance.number + 1 if before else 1)
-        rate = self.chance.choice(self.rates) if self.rates else 1.0
-        sessions, terms = self.cores.sessions(), self.cores.terms
-        holder = self.cores.holder(instance, sessions, terms, self.chance.random)
+        instance = NodeInstance(name, previous.instance.number + 1 if previous else 1)
+        rate = self.rng.choice(self.rates) if self.rates else 1.0
+        sessions, terms = self.components.sessions(), self.components.terms
+        holder = self.components.holder(instance, sessions, terms, self.rng.random)
         proxy = ProxyRun(
             instance,
-            Clock(self.chance.randrange(1 << 40), rate),
+            Clock(self.rng.randrange(1 << 40), rate),
             sessions,
             holder,
-            self.cores.manager(sessions, terms),
+            self.components.manager(sessions, terms),
         )
         self.proxies[name] = proxy
-        self.after(0, lambda: self.to(proxy, lambda: self.learn(proxy, len(self.order))))
-        self.after(0, lambda: self.to(proxy, lambda: self.cores_handle(proxy, Tick())))
+        self.schedule(0, lambda: self.run_on(proxy, lambda: self.apply_up_to(proxy, len(self.entries))))
+        self.schedule(0, lambda: self.run_on(proxy, lambda: self.dispatch(proxy, Tick())))
         return proxy
 
-    def alive(self, proxy: ProxyRun) -> bool:
+    def is_current(self, proxy: ProxyRun) -> bool:
         return self.proxies[proxy.instance.name] is proxy
 
-    def to(self, proxy: ProxyRun, act: Callable[[], None]) -> None:
-        """Let a front door act; one that is stopped does so when it wakes, one that is dead never."""
-        if not self.alive(proxy):
+    def run_on(self, proxy: ProxyRun, callback: Callable[[], None]) -> None:
+        """Run a callback on a front door: once it resumes if it is paused, never if it was replaced."""
+        if not self.is_current(proxy):
             return
-        if self.now < proxy.stopped_until:
-            proxy.mail.append(act)
+        if self.now_us < proxy.paused_until_us:
+            proxy.deferred.append(callback)
             return
-        act()
-        self.plan(proxy)
+        callback()
+        self.schedule_tick(proxy)
 
-    def stop(self, proxy: ProxyRun, for_us: int) -> None:
-        proxy.stopped_until = max(proxy.stopped_until, self.now + for_us)
-        self.after(for_us, lambda: self.wake(proxy))
+    def pause(self, proxy: ProxyRun, duration_us: int) -> None:
+        proxy.paused_until_us = max(proxy.paused_until_us, self.now_us + duration_us)
+        self.schedule(duration_us, lambda: self.resume(proxy))
 
-    def wake(self, proxy: ProxyRun) -> None:
-        if self.now < proxy.stopped_until:
+    def resume(self, proxy: ProxyRun) -> None:
+        if self.now_us < proxy.paused_until_us:
             return
-        mail, proxy.mail = proxy.mail, []
-        for act in mail:
-            self.to(proxy, act)
-            self.check()
-
-    def plan(self, proxy: ProxyRun) -> None:
-        at = max(self.now, proxy.clock.true(min(proxy.holder.wake_us, proxy.manager.wake_us)))
-        if at < proxy.tick_at or proxy.tick_at < self.now:
-            proxy.tick_at = at
-            self.after(at - self.now, lambda: self.to(proxy, lambda: self.tick(proxy, at)))
-
-    def tick(self, proxy: ProxyRun, at: int) -> None:
-        if proxy.tick_at == at:
-            proxy.tick_at = 1 << 62
-            self.cores_handle(proxy, Tick())
-
-    def cores_handle(self, proxy: ProxyRun, event: Any) -> None:  # noqa: ANN401
-        """Hand an event to who takes it, the keeper first: what was applied is told as applied last."""
-        now_us = proxy.clock.at(self.now)
+        deferred, proxy.deferred = proxy.deferred, []
+        for callback in deferred:
+            self.run_on(proxy, callback)
+            self.check_invariants()
+
+    def schedule_tick(self, proxy: ProxyRun) -> None:
+        tick_at_us = max(self.now_us, proxy.clock.true_time(min(proxy.holder.wake_us, proxy.manager.wake_us)))
+        if tick_at_us < proxy.tick_at_us or proxy.tick_at_us < self.now_us:
+            proxy.tick_at_us = tick_at_us
+            self.schedule(
+                tick_at_us - self.now_us,
+                lambda: self.run_on(proxy, lambda: self.handle_tick(proxy, tick_at_us)),
+            )
+
+    def handle_tick(self, proxy: ProxyRun, tick_at_us: int) -> None:
+        if proxy.tick_at_us == tick_at_us:
+            proxy.tick_at_us = 1 << 62
+            self.dispatch(proxy, Tick())
+
+    def dispatch(self, proxy: ProxyRun, event: Any) -> None:  # noqa: ANN401
+        """Pass an event to the components that handle it; the holder always comes last."""
+        now_us = proxy.clock.read(self.now_us)
         if isinstance(
             event,
             (LeaderChanged, RenewalsReceived, LeadershipConfirmed, Tick, Applied, Restored, ProposalFinished),
         ):
-            self.act(proxy, proxy.manager.handle(now_us, event))
+            self.execute(proxy, proxy.manager.handle(now_us, event))
         if isinstance(
             event, (Tick, Applied, Restored, ProposalFinished, GrantsReceived, LeaderChanged, ReleaseLease)
         ):
-            self.act(proxy, proxy.holder.handle(now_us, event))
+            self.execute(proxy, proxy.holder.handle(now_us, event))
 
-    def act(self, proxy: ProxyRun, actions: Sequence[Any]) -> None:
+    def execute(self, proxy: ProxyRun, actions: Sequence[Any]) -> None:
         for action in actions:
             match action:
                 case RenewalRequest():
-                    self.request(proxy, action)
+                    self.send_request(proxy, action)
                 case SendGrants():
-                    self.give(action)
+                    self.send_grants(action)
                 case Propose():
                     self.propose(proxy, action)
                 case ConfirmLeadership():
-                    self.confirm(proxy, action)
+                    self.confirm_leadership(proxy, action)
 
-    # --- the tree ---
+    # --- the dissemination tree ---
 
-    def delay(self) -> int:
-        """Mostly short; one in twenty is late by seconds, unless all is quick."""
-        draw = self.chance.random()
-        if self.quick:
+    def draw_delay_us(self) -> int:
+        """A short delay, but up to 4 s for one message in twenty unless `fast` is set."""
+        draw = self.rng.random()
+        if self.fast:
             return 1 + int(draw * MS)
         if draw < 0.05:
-            return int(self.chance.random() * 4 * SECOND_US)
+            return int(self.rng.random() * 4 * SECOND_US)
         return MS + int(draw * 60 * MS)
 
-    def copies(self) -> int:
-        """How often a word arrives."""
-        draw = self.chance.random() if self.lossy else 0.5
+    def draw_copy_count(self) -> int:
+        """How many copies of a message arrive: 0 if it is lost, 2 if it is duplicated."""
+        draw = self.rng.random() if self.lossy else 0.5
         return 0 if draw < 0.05 else 2 if draw > 0.95 else 1
 
-    def request(self, proxy: ProxyRun, request: RenewalRequest) -> None:
-        to = self.proxies.get(proxy.leader or "")
-        if to is None or self.now < max(proxy.cut_until, to.cut_until):
+    def send_request(self, proxy: ProxyRun, request: RenewalRequest) -> None:
+        recipient = self.proxies.get(proxy.leader or "")
+        if recipient is None or self.now_us < max(proxy.isolated_until_us, recipient.isolated_until_us):
             return
-        for _ in range(self.copies()):
-            self.after(
-                self.delay(), lambda: self.to(to, lambda: self.cores_handle(to, RenewalsReceived((request,))))
+        for _ in range(self.draw_copy_count()):
+            self.schedule(
+                self.draw_delay_us(),
+                lambda: self.run_on(
+                    recipient, lambda: self.dispatch(recipient, RenewalsReceived((request,)))
+                ),
             )
 
-    def give(self, given: SendGrants) -> None:
-        for grant in given.grants:
-            self.given += 1
-            to = self.proxies[grant.name]
-            if self.now >= to.cut_until:
-                for _ in range(self.copies()):
-                    self.after(self.delay(), lambda to=to: self.granted(to, given))  # type: ignore[misc]
-
-    def granted(self, proxy: ProxyRun, given: SendGrants) -> None:
-        """By name, whoever runs under it by now: a grant may reach a later life."""
-        to = self.proxies[proxy.instance.name]
-        self.to(to, lambda: self.cores_handle(to, GrantsReceived(given.grants)))
+    def send_grants(self, action: SendGrants) -> None:
+        for grant in action.grants:
+            self.grant_count += 1
+            recipient = self.proxies[grant.name]
+            if self.now_us >= recipient.isolated_until_us:
+                for _ in range(self.draw_copy_count()):
+                    self.schedule(
+                        self.draw_delay_us(),
+                        lambda recipient=recipient: self.deliver_grants(  # type: ignore[misc]
+                            recipient, action
+                        ),
+                    )
+
+    def deliver_grants(self, proxy: ProxyRun, action: SendGrants) -> None:
+        """Deliver to the current run of the name, so that a grant may reach a later instance."""
+        current = self.proxies[proxy.instance.name]
+        self.run_on(current, lambda: self.dispatch(current, GrantsReceived(action.grants)))
 
     # --- the log ---
 
     def elect(self, proxy: ProxyRun) -> None:
         self.leader, self.ballot = proxy, self.ballot + 1
         for each in self.proxies.values():
-            if each is proxy or not self.lossy or self.chance.random() < 0.85:  # some go on in an old belief
-                news = LeaderChanged(proxy.instance.name, self.ballot, each is proxy)
-                self.after(
-                    self.delay(),
-                    lambda each=each, news=news: self.to(  # type: ignore[misc]
-                        each, lambda: self.hear(each, news)
+            # With losses, some front doors miss the change and keep their old view.
+            if each is proxy or not self.lossy or self.rng.random() < 0.85:
+                change = LeaderChanged(proxy.instance.name, self.ballot, each is proxy)
+                self.schedule(
+                    self.draw_delay_us(),
+                    lambda each=each, change=change: self.run_on(  # type: ignore[misc]
+                        each, lambda: self.notify_leader(each, change)
                     ),
                 )
 
-    def hear(self, proxy: ProxyRun, news: LeaderChanged) -> None:
-        proxy.leader = news.leader
-        self.cores_handle(proxy, news)
+    def notify_leader(self, proxy: ProxyRun, change: LeaderChanged) -> None:
+        proxy.leader = change.leader
+        self.dispatch(proxy, change)
 
-    def confirm(self, proxy: ProxyRun, confirm: ConfirmLeadership) -> None:
-        def followed() -> None:
-            if self.leader is proxy and self.now >= proxy.cut_until:
-                answer = LeadershipConfirmed(confirm.token, self.ballot)
-                self.after(self.delay(), lambda: self.to(proxy, lambda: self.cores_handle(proxy, answer)))
+    def confirm_leadership(self, proxy: ProxyRun, request: ConfirmLeadership) -> None:
+        def answer_if_leading() -> None:
+            if self.leader is proxy and self.now_us >= proxy.isolated_until_us:
+                answer = LeadershipConfirmed(request.token, self.ballot)
+                self.schedule(
+                    self.draw_delay_us(), lambda: self.run_on(proxy, lambda: self.dispatch(proxy, answer))
+                )
 
-        self.after(self.delay(), followed)
+        self.schedule(self.draw_delay_us(), answer_if_leading)
 
     def propose(self, proxy: ProxyRun, propose: Propose) -> None:
-        proxy.out.add(propose.id)
+        proxy.unfinished_proposals.add(propose.id)
         unknown = ProposalFinished(propose.id, ProposalStatus.UNKNOWN)
-        self.after(
+        self.schedule(
             int(propose.timeout_us / proxy.clock.rate),
-            lambda: self.to(proxy, lambda: self.word(proxy, unknown)),
+            lambda: self.run_on(proxy, lambda: self.finish_proposal(proxy, unknown)),
         )
-        draw = self.chance.random() if self.lossy else 0.5
+        draw = self.rng.random() if self.lossy else 0.5
         if draw < 0.03:
-            refused = ProposalFinished(propose.id, ProposalStatus.REJECTED)
-            self.after(0, lambda: self.to(proxy, lambda: self.word(proxy, refused)))
-        elif draw < 0.95 and self.now >= proxy.cut_until:
-            self.after(self.delay(), lambda: self.settle(proxy, propose))
-
-    def word(self, proxy: ProxyRun, over: ProposalFinished) -> None:
-        if over.id in proxy.out:
-            proxy.out.remove(over.id)
-            self.cores_handle(proxy, over)
-
-    def settle(self, proxy: ProxyRun, propose: Propose) -> None:
-        if propose.id not in self.ids:
+            rejected = ProposalFinished(propose.id, ProposalStatus.REJECTED)
+            self.schedule(0, lambda: self.run_on(proxy, lambda: self.finish_proposal(proxy, rejected)))
+        elif draw < 0.95 and self.now_us >= proxy.isolated_until_us:
+            self.schedule(self.draw_delay_us(), lambda: self.choose(proxy, propose))
+
+    def finish_proposal(self, proxy: ProxyRun, result: ProposalFinished) -> None:
+        if result.id in proxy.unfinished_proposals:
+            proxy.unfinished_proposals.remove(result.id)
+            self.dispatch(proxy, result)
+
+    def choose(self, proxy: ProxyRun, propose: Propose) -> None:
+        if propose.id not in self.positions_by_id:
             self.append(propose, proxy.instance)
-        position = self.ids[propose.id]
-        over = ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
+        position = self.positions_by_id[propose.id]
+        result = ProposalFinished(propose.id, ProposalStatus.APPLIED, self.outcomes[position - 1], position)
 
-        def told() -> None:
-            if proxy.learnt >= position:
-                self.word(proxy, over)
+        def deliver_result() -> None:
+            if proxy.applied_position >= position:
+                self.finish_proposal(proxy, result)
             else:
-                proxy.waiting[propose.id] = over
+                proxy.unapplied_results[propose.id] = result
 
-        self.after(self.delay(), lambda: self.to(proxy, told))
+        self.schedule(self.draw_delay_us(), lambda: self.run_on(proxy, deliver_result))
 
     def append(self, propose: Propose, proposer: NodeInstance) -> Entry:
-        position = len(self.order) + 1
-        entry = Entry(position, propose.machine, propose.id, proposer, self.now // MS, propose.body)
+        position = len(self.entries) + 1
+        entry = Entry(position, propose.machine, propose.id, proposer, self.now_us // MS, propose.body)
         outcome = Outcome()
         if entry.machine == MACHINE:
-            outcome = self.truth.apply(entry)
+            outcome = self.reference.apply(entry)
             body = decode(entry.body)
             if isinstance(body, (EndSession, CloseSession)) and not outcome.error:
-                self.over.add(body.fencing_token)
-                self.ended += isinstance(body, EndSession)
+                self.ended_tokens.add(body.fencing_token)
+                self.ended_count += isinstance(body, EndSession)
         else:
-            self.open_at[position] = {each.instance.name: each for each in self.truth.active_sessions()}
-        self.order.append(entry)
+            self.sessions_open_at[position] = {
+                each.instance.name: each for each in self.reference.active_sessions()
+            }
+        self.entries.append(entry)
         self.outcomes.append(outcome)
-        self.snapshots.append(self.truth.snapshot())
-        self.ids[propose.id] = position
+        self.snapshots.append(self.reference.snapshot())
+        self.positions_by_id[propose.id] = position
         for each in self.proxies.values():
-            self.after(
-                self.delay(),
-                lambda each=each: self.to(  # type: ignore[misc]
-                    each, lambda: self.learn(each, position)
+            self.schedule(
+                self.draw_delay_us(),
+                lambda each=each: self.run_on(  # type: ignore[misc]
+                    each, lambda: self.apply_up_to(each, position)
                 ),
             )
         return entry
 
-    def learn(self, proxy: ProxyRun, position: int) -> None:
-        """Apply the order up to a position, at times by a snapshot."""
-        if position - proxy.learnt > 1 and self.chance.random() < 0.3:
+    def apply_up_to(self, proxy: ProxyRun, position: int) -> None:
+        """Apply the log up to a position, at times by restoring a snapshot."""
+        if position - proxy.applied_position > 1 and self.rng.random() < 0.3:
             proxy.sessions.restore(self.snapshots[position - 1])
-            self.accounts(proxy, range(proxy.learnt + 1, position + 1))
-            proxy.learnt = position
-            self.cores_handle(proxy, Restored(position))
-        while proxy.learnt < position:
-            entry = self.order[proxy.learnt]
+            self.track_entries(proxy, range(proxy.applied_position + 1, position + 1))
+            proxy.applied_position = position
+            self.dispatch(proxy, Restored(position))
+        while proxy.applied_position < position:
+            entry = self.entries[proxy.applied_position]
             outcome = proxy.sessions.apply(entry) if entry.machine == MACHINE else Outcome()
             if entry.machine == MACHINE and outcome != self.outcomes[entry.position - 1]:
-                raise BrokenError(f"another outcome at {entry.position}")
-            proxy.learnt = entry.position
-            self.accounts(proxy, range(entry.position, entry.position + 1))
-            self.cores_handle(proxy, Applied(entry, outcome))
-        for over in [over for over in proxy.waiting.values() if over.position <= proxy.learnt]:
-            del proxy.waiting[over.id]
-            self.word(proxy, over)
-
-    def accounts(self, proxy: ProxyRun, positions: range) -> None:
+                raise InvariantViolationError(f"different outcome at {entry.position}")
+            proxy.applied_position = entry.position
+            self.track_entries(proxy, range(entry.position, entry.position + 1))
+            self.dispatch(proxy, Applied(entry, outcome))
+        for result in [
+            result for result in proxy.unapplied_results.values() if result.position <= proxy.applied_position
+        ]:
+            del proxy.unapplied_results[result.id]
+            self.finish_proposal(proxy, result)
+
+    def track_entries(self, proxy: ProxyRun, positions: range) -> None:
         for position in positions:
-            if position in self.open_at:
-                now_us = proxy.clock.at(self.now)
-                proxy.accounts[position] = self.cores.account(position, proxy.sessions, proxy.manager, now_us)
+            if position in self.sessions_open_at:
+                now_us = proxy.clock.read(self.now_us)
+                proxy.trackers[position] = self.components.tracker(
+                    position, proxy.sessions, proxy.manager, now_us
+                )
 
-    # --- what must hold after each step ---
+    # --- invariants, checked after each step ---
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         for proxy in self.proxies.values():
-            if proxy.holder.holds(proxy.clock.at(self.now)) and proxy.holder.fencing_token in self.over:
-                raise BrokenError(
-                    f"{proxy.instance} holds {proxy.holder.fencing_token}, which is over, at {self.now}"
+            if (
+                proxy.holder.holds(proxy.clock.read(self.now_us))
+                and proxy.holder.fencing_token in self.ended_tokens
+            ):
+                raise InvariantViolationError(
+                    f"{proxy.instance} holds {proxy.holder.fencing_token}, which has ended, at {self.now_us}"
                 )
-            if self.now >= proxy.stopped_until:
-                for position, account in list(proxy.accounts.items()):
-                    if proof := account.proof():
-                        del proxy.accounts[position]
-                        self.proof(proxy, position, proof)
-
-    def proof(self, proxy: ProxyRun, position: int, proof: tuple[NodeClearance, ...]) -> None:
-        self.proven += 1
-        known, were = {each.instance.name: each for each in proof}, self.open_at[position]
-        often = {
-            name for name, each in proxy.sessions._nodes.items() if each.first_dropped_token
-        }  # the last are kept
+            if self.now_us >= proxy.paused_until_us:
+                for position, tracker in list(proxy.trackers.items()):
+                    if proof := tracker.proof():
+                        del proxy.trackers[position]
+                        self.check_proof(proxy, position, proof)
+
+    def check_proof(self, proxy: ProxyRun, position: int, proof: tuple[NodeClearance, ...]) -> None:
+        self.proof_count += 1
+        proven = {clearance.instance.name: clearance for clearance in proof}
+        expected = self.sessions_open_at[position]
+        # For a name with forgotten sessions, the proof may name a later instance.
+        truncated = {name for name, node in proxy.sessions._nodes.items() if node.first_dropped_token}
         if (
-            were.keys() - known.keys()
-            or known.keys() - were.keys() - often
-            or any(known[name].instance != were[name].instance for name in were.keys() - often)
+            expected.keys() - proven.keys()
+            or proven.keys() - expected.keys() - truncated
+            or any(proven[name].instance != expected[name].instance for name in expected.keys() - truncated)
         ):
-            raise BrokenError(f"the proof of {position} is not of those that were open")
-        if self.proofs.setdefault((position, proxy.learnt), proof) != proof:
-            raise BrokenError(f"two proofs of {position} at {proxy.learnt}")
+            raise InvariantViolationError(
+                f"the proof of {position} does not match the sessions that were open"
+            )
+        if self.proofs.setdefault((position, proxy.applied_position), proof) != proof:
+            raise InvariantViolationError(f"different proofs of {position} at {proxy.applied_position}")
         for each in self.proxies.values():
-            session = self.open_at[position].get(each.instance.name)
+            session = self.sessions_open_at[position].get(each.instance.name)
             held = session is not None and each.holder.fencing_token == session.fencing_token
-            if held and each.learnt < position and each.holder.holds(each.clock.at(self.now)):
-                raise BrokenError(f"{each.instance} holds without {position}, which was proven")
+            if held and each.applied_position < position and each.holder.holds(each.clock.read(self.now_us)):
+                raise InvariantViolationError(
+                    f"{each.instance} holds without having applied {position}, which was proven"
+                )
