--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -12,7 +12,7 @@
 from molereach.coordination.leases.messages import GrantsReceived, RenewalsReceived, SendGrants
 from molereach.coordination.leases.renewals import PendingRenewals, SentRenewal
 from molereach.coordination.leases.sessions import ActiveSession, EndedSession, SessionRegistry
-from tests.coordination.leases.world import TERMS, Components
+from tests.coordination.leases.simulation import TERMS, Components
 
 
 class LeaseCountedFromGrant(LeaseHolder):
--- a/tests/coordination/leases/world.py
+++ b/tests/coordination/leases/simulation.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Components:
-    """The classes that a world is built of; a mutant replaces one of them."""
+    """The classes that a simulation is built of; a mutant replaces one of them."""
 
     holder: type[LeaseHolder] = LeaseHolder
     manager: type[LeaseManager] = LeaseManager
@@ -88,7 +88,7 @@
     terms: SessionTerms = TERMS
 
 
-class World:
+class Simulation:
     """Runs the simulation; raises `InvariantViolationError`. The seed determines every random draw."""
 
     def __init__(self, seed: int, components: Components = Components(), rates: Sequence[float] = ()) -> None:
@@ -395,8 +395,10 @@
 
     def check_proof(self, proxy: ProxyRun, position: int, proof: tuple[NodeClearance, ...]) -> None:
         self.proof_count += 1
-        proven = {clearance.instance.name: clearance for clearance in proof}
-        expected = self.sessions_open_at[position]
+        proven, expected = (
+            {clearance.instance.name: clearance for clearance in proof},
+            self.sessions_open_at[position],
+        )
         # For a name with forgotten sessions, the proof may name a later instance.
         truncated = {name for name, node in proxy.sessions._nodes.items() if node.first_dropped_token}
         if (
--- a/tests/coordination/leases/test_histories.py
+++ b/tests/coordination/leases/test_histories.py
@@ -4,7 +4,7 @@
 
 from tests.coordination.leases.histories import run_history
 from tests.coordination.leases.mutants import FAST_MUTANTS, MUTANTS
-from tests.coordination.leases.world import Components, InvariantViolationError
+from tests.coordination.leases.simulation import Components, InvariantViolationError
 
 HISTORIES_PER_TEST = 50
 MAX_HISTORIES = 400  # within which each mutant must fail; most fail in under 50
@@ -12,13 +12,13 @@
 
 @pytest.mark.parametrize("first_seed", range(0, 500, HISTORIES_PER_TEST))
 def test_histories_keep_every_invariant(first_seed: int) -> None:
-    worlds = [
+    simulations = [
         run_history(seed, fast=seed % 5 == 0) for seed in range(first_seed, first_seed + HISTORIES_PER_TEST)
     ]
     # The histories exercise grants, ended sessions and proofs often enough.
-    assert sum(world.grant_count for world in worlds) > 20 * HISTORIES_PER_TEST
-    assert sum(world.ended_count for world in worlds) > HISTORIES_PER_TEST
-    assert sum(world.proof_count for world in worlds) > HISTORIES_PER_TEST
+    assert sum(simulation.grant_count for simulation in simulations) > 20 * HISTORIES_PER_TEST
+    assert sum(simulation.ended_count for simulation in simulations) > HISTORIES_PER_TEST
+    assert sum(simulation.proof_count for simulation in simulations) > HISTORIES_PER_TEST
 
 
 @pytest.mark.parametrize("name", MUTANTS)
