--- a/molereach/coordination/storage/__init__.py
+++ b/molereach/coordination/storage/__init__.py
@@ -1,5 +1,5 @@
-"""The folder of one node's log: written before anything that depends on it is sent, and read at a start.
+"""The folder that stores a node's log: read at startup, and written before any message that depends on it.
 
-Read `disk` (system calls), `sealed_files` and `frames` (formats), `plan` (names in a folder), `reader`
-(what a folder holds), `folder` (opening and writing) and `worker` (the thread that writes).
+Reading order: `disk` (system calls), `sealed_files` and `frames` (file formats), `plan` (file names in a
+folder), `reader` (reading a folder), `folder` (opening and writing) and `worker` (the writer thread).
 """
--- a/molereach/coordination/storage/disk.py
+++ b/molereach/coordination/storage/disk.py
@@ -1,7 +1,7 @@
-"""The system calls of a log folder, and nothing else: each can fail or be the last before a crash.
+"""The system calls of a log folder, kept apart because each may fail or be the last one before a crash.
 
-All names are relative to the folder, which is held open: a folder that takes its place later is not written
-to.
+File names are relative to the open folder, so a folder that later replaces it under the same path is never
+written to.
 """
 
 import fcntl
@@ -13,23 +13,23 @@
 
 from molereach.coordination.storage.errors import FileSystemError
 
-PRIVATE_FILE = 0o600
-PRIVATE_FOLDER = 0o700
-OTHERS = 0o077
-SAFE = os.O_CLOEXEC | os.O_NOFOLLOW
+PRIVATE_FILE_MODE = 0o600
+PRIVATE_FOLDER_MODE = 0o700
+GROUP_AND_OTHERS_MODE = 0o077
+COMMON_OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW
 
 
 @dataclass(frozen=True, slots=True)
-class File:
-    """A file that is open for writing at its end."""
+class OpenFile:
+    """A file that is open for appending."""
 
     name: str
-    number: int
+    descriptor: int
 
 
 @contextmanager
-def named(name: str) -> Iterator[None]:
-    """Raise an `OSError` of the block as a `FileSystemError` that names the file."""
+def naming_errors(name: str) -> Iterator[None]:
+    """Convert an `OSError` of the block to a `FileSystemError` with the file name."""
     try:
         yield
     except OSError as error:
@@ -37,26 +37,27 @@
 
 
 class Disk:
-    """One folder, created if it is missing; each call raises `FileSystemError` with the file's name."""
+    """One folder, created if it is missing; the calls raise `FileSystemError` with the file name."""
 
     def __init__(self, folder: Path) -> None:
-        with named(""):
+        with naming_errors(""):
             try:
-                folder.mkdir(mode=PRIVATE_FOLDER)
+                folder.mkdir(mode=PRIVATE_FOLDER_MODE)
             except FileExistsError:
                 pass
             else:
-                sync_at(folder.parent)  # a folder that is lost in a crash gets another identity
+                # If a crash lost the folder, it would be created again with another identity.
+                sync_closed_folder(folder.parent)
             self.folder = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
 
-    def open_to_others(self) -> bool:
-        """Whether other users may read or write the folder."""
-        with named(""):
-            return bool(os.fstat(self.folder).st_mode & OTHERS)
+    def is_accessible_to_others(self) -> bool:
+        """Whether the mode of the folder gives any permission to other users."""
+        with naming_errors(""):
+            return bool(os.fstat(self.folder).st_mode & GROUP_AND_OTHERS_MODE)
 
     def lock(self) -> bool:
-        """Lock the folder; False where another process has the lock."""
-        with named(""):
+        """Lock the folder; returns False if another process holds the lock."""
+        with naming_errors(""):
             try:
                 fcntl.flock(self.folder, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError:
@@ -64,53 +65,53 @@
             return True
 
     def list(self, max_names: int) -> list[str]:
-        """At most `max_names` names of the folder."""
-        with named(""), os.scandir(self.folder) as entries:
+        """Up to `max_names` names of files in the folder."""
+        with naming_errors(""), os.scandir(self.folder) as entries:
             return [entry.name for entry, _ in zip(entries, range(max_names), strict=False)]
 
     def read(self, name: str, max_bytes: int) -> bytes:
-        """The file's first `max_bytes` bytes."""
-        with named(name):
-            file = os.open(name, os.O_RDONLY | SAFE, dir_fd=self.folder)
-            with os.fdopen(file, "rb") as reader:
+        """Read up to `max_bytes` bytes from the start of a file."""
+        with naming_errors(name):
+            descriptor = os.open(name, os.O_RDONLY | COMMON_OPEN_FLAGS, dir_fd=self.folder)
+            with os.fdopen(descriptor, "rb") as reader:
                 return reader.read(max_bytes)
 
-    def create(self, name: str) -> File:
+    def create(self, name: str) -> OpenFile:
         """Create an empty file; an existing one is truncated."""
-        with named(name):
-            flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | SAFE
-            return File(name, os.open(name, flags, PRIVATE_FILE, dir_fd=self.folder))
-
-    def write(self, file: File, data: bytes) -> None:
-        """Append all of `data`; after an error any part of it may be there."""
-        with named(file.name):
-            left = memoryview(data)
-            while left:
-                left = left[os.write(file.number, left) :]
-
-    def sync(self, file: File) -> None:
-        """Return once the file's data is on the disk."""
-        with named(file.name):
-            os.fdatasync(file.number)
-
-    def close(self, file: File) -> None:
+        with naming_errors(name):
+            flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | COMMON_OPEN_FLAGS
+            return OpenFile(name, os.open(name, flags, PRIVATE_FILE_MODE, dir_fd=self.folder))
+
+    def write(self, file: OpenFile, data: bytes) -> None:
+        """Append `data`; after an error, any part of it may have been written."""
+        with naming_errors(file.name):
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(file.descriptor, remaining) :]
+
+    def sync(self, file: OpenFile) -> None:
+        """Sync the data of a file to the disk."""
+        with naming_errors(file.name):
+            os.fdatasync(file.descriptor)
+
+    def close(self, file: OpenFile) -> None:
         """Close a file."""
-        with named(file.name):
-            os.close(file.number)
+        with naming_errors(file.name):
+            os.close(file.descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; one that has the new name is replaced."""
-        with named(new):
+        """Rename a file, replacing an existing file of the new name."""
+        with naming_errors(new):
             os.rename(old, new, src_dir_fd=self.folder, dst_dir_fd=self.folder)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        with named(name):
+        with naming_errors(name):
             os.unlink(name, dir_fd=self.folder)
 
     def sync_folder(self) -> None:
-        """Return once the folder's names are on the disk."""
-        with named(""):
+        """Sync the directory entries of the folder to the disk."""
+        with naming_errors(""):
             os.fsync(self.folder)
 
     def release(self) -> None:
@@ -118,10 +119,10 @@
         os.close(self.folder)
 
 
-def sync_at(folder: Path) -> None:
-    """Sync the names of a folder that is not open."""
-    number = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def sync_closed_folder(folder: Path) -> None:
+    """Open a folder, sync its directory entries and close it."""
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(number)
+        os.fsync(descriptor)
     finally:
-        os.close(number)
+        os.close(descriptor)
--- a/molereach/coordination/storage/errors.py
+++ b/molereach/coordination/storage/errors.py
@@ -1,22 +1,22 @@
-"""The errors of storage."""
+"""Exceptions raised by the storage package."""
 
 from molereach.coordination.errors import CoordinationError
 
 
 class StorageError(CoordinationError):
-    """Base class of the errors of storage."""
+    """Base class of the exceptions of this package."""
 
 
 class FolderError(StorageError):
-    """The folder cannot be opened or written; the text is one line that names the file."""
+    """The folder cannot be opened or written; the message is one line with the path."""
 
 
 class InvalidFileError(StorageError, ValueError):
-    """A file of the set is missing or wrong; the text starts with its name."""
+    """A file of the folder is missing or invalid; once a folder is read, the message begins with its name."""
 
 
 class DamagedTailError(StorageError, ValueError):
-    """Records that were synced are not there any more; the text says where."""
+    """Synced records are damaged or missing; the message says where."""
 
 
 class FileSystemError(StorageError, OSError):
--- a/molereach/coordination/storage/frames.py
+++ b/molereach/coordination/storage/frames.py
@@ -1,16 +1,19 @@
-"""The frames of a tail: one frame for each write, so that a write is durable as a whole or not at all.
+"""The frames of a tail: one frame for each write, which makes the write atomic.
 
-A frame is written only after the one before is known to be on the disk. So a crash can tear the last frame
-alone, and a complete frame behind one that is not proves that synced data was damaged. What tells a torn
-frame from a damaged one: it is truncated, or a sector of it (by its place in the file) was never written and
-reads as zeroes. Everything else is damage and is refused (after Alagappan, "Protocol-Aware Recovery for
-Consensus-Based Storage", 2018: a crash and corruption must not be taken for each other).
+A frame is written only after the previous one is known to be on the disk. A crash can therefore tear only the
+last frame, and a complete frame after an incomplete one proves that synced data was damaged. A torn frame is
+truncated, or one of its disk sectors was never written and reads as zeroes. Anything else is damage and is
+rejected, because a crash and corruption must be told apart (Alagappan, "Protocol-Aware Recovery for
+Consensus-Based Storage", 2018).
 
-    marker 4 | length of the body 4 | sequence number 8 | link 8 | check of these 4 | digest 16 | body | end 1
+Layout of a frame, with sizes in bytes:
 
-The link is the first half of the digest before, which the digest covers: frames of two histories cannot be
-mixed. The digest of a frame needs no other frame, so one behind a gap can be recognized as complete. The body
-is records, each with its length (4) before it. The marker follows from the seed, which is the tail's alone.
+    marker 4 | body length 4 | sequence number 8 | link 8 | CRC-32 of these 4 | digest 16 | body | end 1
+
+The link is the first half of the previous frame's digest and is covered by the digest, so frames of different
+histories cannot be mixed. The digest of a frame depends on no other frame, so a frame after a gap can be
+recognized as complete. The body holds records, each preceded by its length (4). The marker is the start of
+the seed, which is unique to the tail.
 """
 
 import hashlib
@@ -21,22 +24,22 @@
 
 from molereach.coordination.storage.errors import DamagedTailError
 
-HEAD = struct.Struct(">4sIQ8sI16s")
-CHECKED = struct.Struct(">4sIQ8s")  # what the head's checksum covers
-LENGTH = struct.Struct(">I")
-END = b"\xa5"  # not zero, so that its loss is seen
-FRAME_BYTES = HEAD.size + len(END)  # more than the body
-RECORD_BYTES = LENGTH.size  # more than the record itself
+HEADER = struct.Struct(">4sIQ8sI16s")
+CHECKED_HEADER = struct.Struct(">4sIQ8s")  # the fields covered by the header's checksum
+RECORD_LENGTH = struct.Struct(">I")
+END_MARKER = b"\xa5"  # not zero, so that an unwritten one is detected
+FRAME_OVERHEAD_BYTES = HEADER.size + len(END_MARKER)  # of a frame in addition to its body
+RECORD_OVERHEAD_BYTES = RECORD_LENGTH.size  # in addition to the record
 DIGEST_BYTES = 16
 LINK_BYTES = 8
-SECTOR_BYTES = 512  # what a disk writes whole or not at all
+SECTOR_BYTES = 512  # written by the disk as a whole or not at all
 MAX_RECORD_BYTES = 4 << 20
-MAX_FRAME_BYTES = 16 << 20  # of one body
-MAX_TAIL_BYTES = MAX_FRAME_BYTES  # of all frames behind one base: a copy of them is one frame
+MAX_FRAME_BYTES = 16 << 20  # of one frame's body
+MAX_TAIL_BYTES = MAX_FRAME_BYTES  # of all frames after one base, so that they can be copied into one frame
 
 
-class FrameHead(NamedTuple):
-    """What a frame's head says; `end` is the position in the file behind the frame."""
+class FrameHeader(NamedTuple):
+    """The header of a frame; `end` is the file position after the frame."""
 
     end: int
     sequence: int
@@ -47,18 +50,18 @@
 def digest(*chunks: bytes) -> bytes:
     """The BLAKE2b digest of the chunks in order."""
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
-    for data in chunks:
-        state.update(data)
+    for chunk in chunks:
+        state.update(chunk)
     return state.digest()
 
 
 def body_size(records: Sequence[bytes]) -> int:
-    """Bytes of a frame's body."""
-    return sum(map(len, records)) + RECORD_BYTES * len(records)
+    """The size of a frame's body in bytes."""
+    return sum(map(len, records)) + RECORD_OVERHEAD_BYTES * len(records)
 
 
 class FrameChain:
-    """Makes the frames of one tail, each linked to the one before."""
+    """Encodes the frames of one tail, each linked to the previous one."""
 
     def __init__(self, seed: bytes) -> None:
         self.seed = seed
@@ -66,89 +69,89 @@
         self.link = seed[:LINK_BYTES]
 
     def frame(self, records: Sequence[bytes]) -> bytes:
-        """The next frame; raises a ValueError for what is too large."""
+        """Encode the next frame; raises a ValueError if a record or the body is too large."""
         if any(len(record) > MAX_RECORD_BYTES for record in records):
             raise ValueError(f"a record of {max(map(len, records))} bytes; {MAX_RECORD_BYTES} at most")
-        body = b"".join(LENGTH.pack(len(record)) + record for record in records)
+        body = b"".join(RECORD_LENGTH.pack(len(record)) + record for record in records)
         if len(body) > MAX_FRAME_BYTES:
             raise ValueError(f"{len(body)} bytes for one write; {MAX_FRAME_BYTES} at most")
         self.sequence += 1
-        head = CHECKED.pack(self.seed[:4], len(body), self.sequence, self.link)
-        frame_digest = digest(self.seed, head, body)
+        header = CHECKED_HEADER.pack(self.seed[:4], len(body), self.sequence, self.link)
+        frame_digest = digest(self.seed, header, body)
         self.link = frame_digest[:LINK_BYTES]
-        return head + crc32(head).to_bytes(4) + frame_digest + body + END
+        return header + crc32(header).to_bytes(4) + frame_digest + body + END_MARKER
 
 
-def frame_head_at(data: bytes, start: int, seed: bytes) -> FrameHead | None:
-    """The head of the frame at `start`; None where there is no valid one."""
-    if len(data) - start < HEAD.size:
+def frame_header_at(data: bytes, start: int, seed: bytes) -> FrameHeader | None:
+    """The header of the frame at `start`, or None if it is invalid."""
+    if len(data) - start < HEADER.size:
         return None
-    marker, length, sequence, link, check, frame_digest = HEAD.unpack_from(data, start)
+    marker, length, sequence, link, check, frame_digest = HEADER.unpack_from(data, start)
     is_valid = marker == seed[:4] and length <= MAX_FRAME_BYTES
-    if not is_valid or crc32(data[start : start + CHECKED.size]) != check:
+    if not is_valid or crc32(data[start : start + CHECKED_HEADER.size]) != check:
         return None
-    return FrameHead(start + FRAME_BYTES + length, sequence, link, frame_digest)
+    return FrameHeader(start + FRAME_OVERHEAD_BYTES + length, sequence, link, frame_digest)
 
 
-def complete_frame_at(data: bytes, start: int, seed: bytes) -> FrameHead | None:
-    """The head of the frame at `start` if the frame is complete and undamaged, else None."""
-    head = frame_head_at(data, start, seed)
-    if head is None or head.end > len(data) or data[head.end - 1 : head.end] != END:
+def complete_frame_at(data: bytes, start: int, seed: bytes) -> FrameHeader | None:
+    """The header of the frame at `start` if the frame is complete and undamaged, else None."""
+    header = frame_header_at(data, start, seed)
+    if header is None or header.end > len(data) or data[header.end - 1 : header.end] != END_MARKER:
         return None
-    body = data[start + HEAD.size : head.end - 1]
-    return head if digest(seed, data[start : start + CHECKED.size], body) == head.digest else None
+    body = data[start + HEADER.size : header.end - 1]
+    return header if digest(seed, data[start : start + CHECKED_HEADER.size], body) == header.digest else None
 
 
 def decode_records(body: bytes) -> list[bytes]:
-    """The records in a frame's body; raises `DamagedTailError` where their lengths do not fit."""
-    found: list[bytes] = []
+    """Decode the records of a body; raises `DamagedTailError` if a record exceeds the body."""
+    records: list[bytes] = []
     position = 0
     while position < len(body):
-        start = position + RECORD_BYTES
+        start = position + RECORD_OVERHEAD_BYTES
         position = start + int.from_bytes(body[position:start])
         if position > len(body):
             raise DamagedTailError("holds a record that is longer than its frame")
-        found.append(body[start:position])
-    return found
+        records.append(body[start:position])
+    return records
 
 
-def read(data: bytes, seed: bytes, start: int = 0) -> list[bytes]:
-    """The records in a tail from `start` on, without a torn last frame.
+def read_records(data: bytes, seed: bytes, start: int = 0) -> list[bytes]:
+    """The records of a tail from `start` on; a torn last frame is ignored.
 
-    Raises `DamagedTailError`, which says at which byte.
+    Raises `DamagedTailError` with the position of the damage.
     """
     records: list[bytes] = []
     sequence = 0
     link = seed[:LINK_BYTES]
     while start < len(data):
-        head = complete_frame_at(data, start, seed)
-        if head is None:
-            check_end(data, start, seed)
+        header = complete_frame_at(data, start, seed)
+        if header is None:
+            check_torn_end(data, start, seed)
             break
-        if head.sequence != sequence + 1 or head.link != link:
+        if header.sequence != sequence + 1 or header.link != link:
             raise DamagedTailError(f"has a frame at byte {start} that does not follow the one before")
-        records += decode_records(data[start + HEAD.size : head.end - 1])
-        start = head.end
-        sequence = head.sequence
-        link = head.digest[:LINK_BYTES]
+        records += decode_records(data[start + HEADER.size : header.end - 1])
+        start = header.end
+        sequence = header.sequence
+        link = header.digest[:LINK_BYTES]
     return records
 
 
-def check_end(data: bytes, start: int, seed: bytes) -> None:
+def check_torn_end(data: bytes, start: int, seed: bytes) -> None:
     """Raise `DamagedTailError` unless everything from `start` on is a torn write that was never synced."""
     position = data.find(seed[:4], start + 1)
     while position >= 0:
         if complete_frame_at(data, position, seed):
             raise DamagedTailError(f"is damaged at byte {start}, with whole frames behind it")
         position = data.find(seed[:4], position + 1)
-    head = frame_head_at(data, start, seed)
-    is_truncated = head.end > len(data) if head else len(data) - start < HEAD.size
-    if not is_truncated and not lacks_sector(data, start):
+    header = frame_header_at(data, start, seed)
+    is_truncated = header.end > len(data) if header else len(data) - start < HEADER.size
+    if not is_truncated and not has_unwritten_sector(data, start):
         raise DamagedTailError(f"is damaged at byte {start}, in its last frame")
 
 
-def lacks_sector(data: bytes, start: int) -> bool:
-    """Whether a sector, or the part of one behind `start`, is all zeroes, or the last byte is."""
+def has_unwritten_sector(data: bytes, start: int) -> bool:
+    """Whether the last byte is zero, or a sector from `start` on consists of zeroes only."""
     if not data[-1]:
         return True
     while start < len(data):
--- a/molereach/coordination/storage/reader.py
+++ b/molereach/coordination/storage/reader.py
@@ -1,4 +1,4 @@
-"""What a folder holds: its files are read and checked, and nothing is changed."""
+"""Reads and checks the files of a folder without changing anything."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 from molereach.coordination.storage.plan import IDENTITY, base_name, tail_name
 from molereach.coordination.storage.sealed_files import FolderOwner
 
-T = TypeVar("T")
+Decoded = TypeVar("Decoded")
 
 
 @dataclass(frozen=True, slots=True)
 class FolderContents:
-    """All valid contents of a folder."""
+    """The contents of the valid generation of a folder."""
 
     owner: FolderOwner
     base: bytes | None
@@ -23,14 +23,14 @@
 
 
 class _BaseFile(NamedTuple):
-    """A base, and the seed of the tail behind it."""
+    """A base, and the seed of the tail that follows it."""
 
     seed: bytes
     base: bytes | None
 
 
 def read_folder(disk: Disk, node_name: str, generation: int) -> FolderContents:
-    """Read a generation; raises an OSError or `InvalidFileError` for the first file that is wrong."""
+    """Read a generation; raises an OSError or `InvalidFileError` for the first invalid file."""
     owner = read_file(disk, IDENTITY, sealed_files.MAX_IDENTITY_FILE_BYTES, sealed_files.decode_owner)
     if owner.node_name != node_name:
         raise InvalidFileError(f"{IDENTITY}: is of front door '{owner.node_name}', not '{node_name}'")
@@ -38,20 +38,20 @@
     def decode_base(data: bytes) -> _BaseFile:
         return _BaseFile(sealed_files.tail_seed(data), sealed_files.decode_base(owner, generation, data))
 
-    max_base_bytes = sealed_files.BASE_HEAD_BYTES + sealed_files.MAX_BASE_BYTES
+    max_base_bytes = sealed_files.BASE_HEADER_BYTES + sealed_files.MAX_BASE_BYTES
     base_file = read_file(disk, base_name(generation), max_base_bytes, decode_base)
 
     def decode_tail(data: bytes) -> list[bytes]:
-        sealed_files.check_tail_head(base_file.seed, data)
-        return frames.read(data, base_file.seed, sealed_files.TAIL_HEAD_BYTES)
+        sealed_files.check_tail_header(base_file.seed, data)
+        return frames.read_records(data, base_file.seed, sealed_files.TAIL_HEADER_BYTES)
 
-    max_tail_bytes = sealed_files.TAIL_HEAD_BYTES + frames.MAX_TAIL_BYTES
+    max_tail_bytes = sealed_files.TAIL_HEADER_BYTES + frames.MAX_TAIL_BYTES
     records = read_file(disk, tail_name(generation), max_tail_bytes, decode_tail)
     return FolderContents(owner, base_file.base, records)
 
 
-def read_file(disk: Disk, name: str, max_bytes: int, decode: Callable[[bytes], T]) -> T:
-    """Read and decode a file of at most `max_bytes`; raises `InvalidFileError` where it is wrong."""
+def read_file(disk: Disk, name: str, max_bytes: int, decode: Callable[[bytes], Decoded]) -> Decoded:
+    """Read and decode a file of at most `max_bytes`; raises `InvalidFileError` if it is invalid."""
     data = disk.read(name, max_bytes + 1)
     if len(data) > max_bytes:
         raise InvalidFileError(f"{name}: is larger than {max_bytes} bytes")
--- a/molereach/coordination/storage/worker.py
+++ b/molereach/coordination/storage/worker.py
@@ -1,8 +1,9 @@
-"""A thread that writes, so that no turn of the event loop waits for a sync.
+"""A writer thread, so that the event loop never waits for a sync.
 
-What waits while a write is in progress goes into the next one together, up to a bound (group commit; DeWitt
-et al., "Implementation Techniques for Main Memory Database Systems", 1984, section 5.2). The thread has
-batches and the folder alone; everything else is the loop's, so there is no lock.
+Writes that are queued while another is in progress are combined into the next one, up to a bound (group
+commit; DeWitt et al., "Implementation Techniques for Main Memory Database Systems", 1984, section 5.2). The
+thread uses only the folder and the queue of batches; all other state belongs to the event loop, so no lock is
+needed.
 """
 
 import asyncio
@@ -18,43 +19,43 @@
 from molereach.coordination.storage.folder import LogFolder
 from molereach.coordination.storage.frames import body_size
 
-MAX_GROUP_BYTES = 4 << 20  # in one write; a larger one goes alone
-MAX_WAITING_BYTES = 32 << 20  # a base and a full tail behind it
-PERSIST_BYTES = 256  # what one takes in memory, however empty
+MAX_GROUP_BYTES = 4 << 20  # in one write to the disk; a larger `Persist` is written alone
+MAX_WAITING_BYTES = 32 << 20  # room for a base and a full tail after it
+PERSIST_OVERHEAD_BYTES = 256  # memory of an empty `Persist`
 QUEUE_FULL = "too much waits for the disk"
 
 log = logging.getLogger(__name__)
 
 
 def queued_bytes(persist: Persist) -> int:
-    """Bytes that a write takes in memory while it waits."""
-    return PERSIST_BYTES + body_size(persist.records) + len(persist.base or b"")
+    """The memory that a queued write occupies, in bytes."""
+    return PERSIST_OVERHEAD_BYTES + body_size(persist.records) + len(persist.base or b"")
 
 
 class WriterThread:
     """Writes to one folder.
 
-    `on_result` is called by the loop, in the order of tokens; with `DiskFailed` once, then never more. A disk
-    that hangs gives no result, until too much waits.
+    `on_result` is called in the event loop, in the order of tokens; a `DiskFailed` is always the last call. A
+    disk that hangs produces no result until the queue exceeds its bound.
     """
 
     def __init__(self, folder: LogFolder, on_result: Callable[[Persisted | DiskFailed], None]) -> None:
-        """Call it within a running loop."""
+        """Start the thread; must be called within a running event loop."""
         self.folder = folder
         self.on_result = on_result
         self.loop = asyncio.get_running_loop()
         self.waiting: deque[Persist] = deque()
-        self.waiting_bytes = 0  # also of the batch that is being written
+        self.waiting_bytes = 0  # includes the batch that is being written
         self.is_writing = False
         self.failed = False
         self.closing = False
-        self.ended = asyncio.Event()
+        self.closed = asyncio.Event()
         self.batches: SimpleQueue[list[Persist] | None] = SimpleQueue()
-        # A daemon: a disk that hangs must not keep the process from exiting.
+        # A daemon thread, so that a disk that hangs does not prevent the process from exiting.
         Thread(target=self._run, name="council-store", daemon=True).start()
 
     def append(self, token: int, records: Sequence[bytes], base: bytes | None = None) -> None:
-        """Queue a write and return at once; it is dropped once the disk has failed or `close` was called."""
+        """Queue a write without blocking; it is dropped after a disk failure or a call of `close`."""
         if self.failed or self.closing:
             return
         persist = Persist(token, tuple(records), base)
@@ -65,14 +66,14 @@
         self.waiting.append(persist)
         self._start_next()
 
-    async def close(self, within_s: float) -> bool:
-        """Write what waits and release the folder; False if that took longer than `within_s` seconds."""
+    async def close(self, timeout_s: float) -> bool:
+        """Write everything queued and release the folder; returns False if `timeout_s` elapsed first."""
         if not self.closing:
             self.closing = True
             self._start_next()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.ended.wait(), within_s)
-        return self.ended.is_set()
+            await asyncio.wait_for(self.closed.wait(), timeout_s)
+        return self.closed.is_set()
 
     def _start_next(self) -> None:
         if self.is_writing:
@@ -85,7 +86,7 @@
             self.batches.put(None)
 
     def _next_group(self) -> list[Persist]:
-        """The waiting writes that go into one write to the disk."""
+        """Take the queued writes that form the next write to the disk."""
         group = [self.waiting.popleft()]
         remaining_bytes = MAX_GROUP_BYTES - queued_bytes(group[0])
         while self.waiting and queued_bytes(self.waiting[0]) <= remaining_bytes:
@@ -93,7 +94,7 @@
             group.append(self.waiting.popleft())
         return group
 
-    def _written(self, group: list[Persist], reason: str) -> None:
+    def _handle_write_result(self, group: list[Persist], reason: str) -> None:
         self.is_writing = False
         self.waiting_bytes -= sum(map(queued_bytes, group))
         if reason:
@@ -115,16 +116,16 @@
         except Exception:
             log.exception("replicated log failed on disk event %r", event)
 
-    # --- in the thread ---
+    # --- writer thread ---
 
     def _run(self) -> None:
         while (group := self.batches.get()) is not None:
-            self._call(self._written, group, self._write(group))
+            self._call_in_loop(self._handle_write_result, group, self._write(group))
         self.folder.close()
-        self._call(self.ended.set)
+        self._call_in_loop(self.closed.set)
 
     def _write(self, group: list[Persist]) -> str:
-        """Write a group; the reason of the failure, or ""."""
+        """Write a group; returns the reason of a failure, or ""."""
         try:
             self.folder.write(group)
         except FolderError as error:
@@ -134,6 +135,6 @@
             return f"{type(error).__name__}: {' '.join(str(error).split())}"
         return ""
 
-    def _call(self, callback: Callable[..., None], *arguments: object) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
+    def _call_in_loop(self, callback: Callable[..., None], *arguments: object) -> None:
+        with contextlib.suppress(RuntimeError):  # the event loop was closed meanwhile
             self.loop.call_soon_threadsafe(callback, *arguments)
--- a/tests/coordination/storage/medium.py
+++ b/tests/coordination/storage/medium.py
@@ -1,149 +1,157 @@
-"""A disk in memory that fails and crashes where it is told to, and what it may hold after a crash."""
+"""An in-memory disk with injected failures and crashes, and the states that a crash may leave."""
 
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from molereach.coordination.storage.disk import Disk, File
+from molereach.coordination.storage.disk import Disk, OpenFile
 
 
-class Crash(BaseException):
-    """The process ends here."""
+class SimulatedCrash(BaseException):
+    """The process ends at this call."""
 
 
-class Node:
-    """One file: what a reader sees, and what is on the plate."""
+class FileData:
+    """One file: the data that a reader sees, and the data that is durable."""
 
     def __init__(self, data: bytes = b"") -> None:
         self.data, self.synced = data, data
-        self.clean = False  # a sync has failed: its pages are taken for written, and never are
+        self.sync_failed = False  # its pages then count as clean, and are never written
 
 
 class Medium:
-    """What outlives a process."""
+    """The storage that survives the process, with the log of calls and the faults to inject."""
 
-    def __init__(self, names: dict[str, Node] | None = None) -> None:
+    def __init__(self, names: dict[str, FileData] | None = None) -> None:
         self.names = dict(names or {})
         self.durable = dict(self.names)
-        self.pending: list[Callable[[dict[str, Node]], object]] = []  # on the folder, not synced
+        self.pending: list[Callable[[dict[str, FileData]], object]] = []  # unsynced changes to the folder
         self.calls: list[str] = []
-        self.sizes: dict[int, int] = {}  # bytes of each write, by its number among the calls
-        self.crash_at = -1  # before the call of this number
-        self.fail: dict[int, OSError] = {}
-        self.most_written = -1  # bytes of the write that crashes
+        self.write_sizes: dict[int, int] = {}  # in bytes, by the number of the call
+        self.crash_at = -1  # number of the call before which the process crashes
+        self.failures: dict[int, OSError] = {}  # by the number of the call
+        self.torn_bytes = -1  # bytes that are written by a write that crashes or fails
         self.locked = False
 
-    def step(self, call: str) -> None:
+    def record_call(self, call: str) -> None:
         number = len(self.calls)
         self.calls.append(call)
         if number == self.crash_at:
-            raise Crash
-        if number in self.fail:
-            raise self.fail[number]
+            raise SimulatedCrash
+        if number in self.failures:
+            raise self.failures[number]
 
-    def change(self, what: Callable[[dict[str, Node]], object]) -> None:
-        what(self.names)
-        self.pending.append(what)
+    def change_folder(self, change: Callable[[dict[str, FileData]], object]) -> None:
+        change(self.names)
+        self.pending.append(change)
 
-    def after_crash(self) -> Iterator["Medium"]:
-        """Each state that a loss of power may leave: of changes to the folder any first part, or all but one;
-        of bytes that were not synced none, all, half, or as many zeroes, or all but the end."""
+    def states_after_crash(self) -> Iterator["Medium"]:
+        """The states that a power loss may leave.
+
+        Of the unsynced changes to the folder, any prefix or all but one survive. Of the unsynced bytes, none,
+        all or half survive, or they read as zeroes, or the last byte does.
+        """
         changes = self.pending
         for kept in (
             *(changes[:count] for count in range(len(changes) + 1)),
             *(changes[:lost] + changes[lost + 1 :] for lost in range(len(changes) - 1)),
         ):
             names = dict(self.durable)
-            for what in kept:
-                what(names)
-            for left in (
+            for change in kept:
+                change(names)
+            for surviving in (
                 lambda data: b"",
                 bytes,
                 lambda data: data[: len(data) // 2],
                 lambda data: bytes(len(data)),
                 lambda data: data[:-1] + b"\0"[: len(data)],
             ):
-                yield Medium({name: Node(self.plate(node, left)) for name, node in names.items()})
+                yield Medium(
+                    {
+                        name: FileData(self.durable_data(file_data, surviving))
+                        for name, file_data in names.items()
+                    }
+                )
 
     @staticmethod
-    def plate(node: Node, left: Callable[[bytes], bytes]) -> bytes:
-        if node.clean or not node.data.startswith(node.synced):
-            return node.synced
-        return node.synced + left(node.data[len(node.synced) :])
+    def durable_data(file_data: FileData, surviving: Callable[[bytes], bytes]) -> bytes:
+        if file_data.sync_failed or not file_data.data.startswith(file_data.synced):
+            return file_data.synced
+        return file_data.synced + surviving(file_data.data[len(file_data.synced) :])
 
     def restarted(self) -> "Medium":
-        """The process is gone and the system is not."""
-        self.locked, self.crash_at, self.fail = False, -1, {}
+        """The process has ended, but the operating system keeps running."""
+        self.locked, self.crash_at, self.failures = False, -1, {}
         return self
 
 
 class MemoryDisk(Disk):
-    """The same calls as `Disk`."""
+    """`Disk` on a `Medium`."""
 
     def __init__(self, medium: Medium) -> None:
-        self.medium, self.open = medium, dict[int, Node]()
+        self.medium, self.open_files = medium, dict[int, FileData]()
 
     @classmethod
-    def on(cls, medium: Medium) -> Callable[[Path], Disk]:
+    def opener_for(cls, medium: Medium) -> Callable[[Path], Disk]:
         return lambda folder: cls(medium)
 
-    def open_to_others(self) -> bool:
+    def is_accessible_to_others(self) -> bool:
         return False
 
     def lock(self) -> bool:
-        was, self.medium.locked = self.medium.locked, True
-        return not was
-
-    def list(self, most: int) -> list[str]:
-        return list(self.medium.names)[:most]
-
-    def read(self, name: str, most: int) -> bytes:
-        self.medium.step(f"read {name}")
-        return self.medium.names[name].data[:most]
-
-    def create(self, name: str) -> File:
-        self.medium.step(f"create {name}")
-        node = self.medium.names.get(name)
-        if node is None:
-            node = Node()
-            self.medium.change(lambda names, node=node: names.update({name: node}))
-        node.data = b""
-        self.open[len(self.medium.calls)] = node
-        return File(name, len(self.medium.calls))
-
-    def write(self, file: File, data: bytes) -> None:
-        node = self.open[file.number]
-        self.medium.sizes[len(self.medium.calls)] = len(data)
+        was_locked, self.medium.locked = self.medium.locked, True
+        return not was_locked
+
+    def list(self, max_names: int) -> list[str]:
+        return list(self.medium.names)[:max_names]
+
+    def read(self, name: str, max_bytes: int) -> bytes:
+        self.medium.record_call(f"read {name}")
+        return self.medium.names[name].data[:max_bytes]
+
+    def create(self, name: str) -> OpenFile:
+        self.medium.record_call(f"create {name}")
+        file_data = self.medium.names.get(name)
+        if file_data is None:
+            file_data = FileData()
+            self.medium.change_folder(lambda names, file_data=file_data: names.update({name: file_data}))
+        file_data.data = b""
+        self.open_files[len(self.medium.calls)] = file_data
+        return OpenFile(name, len(self.medium.calls))
+
+    def write(self, file: OpenFile, data: bytes) -> None:
+        file_data = self.open_files[file.descriptor]
+        self.medium.write_sizes[len(self.medium.calls)] = len(data)
         try:
-            self.medium.step(f"write {file.name}")
-        except (Crash, OSError):
-            node.data += data[: max(0, self.medium.most_written)]
+            self.medium.record_call(f"write {file.name}")
+        except (SimulatedCrash, OSError):
+            file_data.data += data[: max(0, self.medium.torn_bytes)]
             raise
-        node.data += data
+        file_data.data += data
 
-    def sync(self, file: File) -> None:
-        node = self.open[file.number]
+    def sync(self, file: OpenFile) -> None:
+        file_data = self.open_files[file.descriptor]
         try:
-            self.medium.step(f"sync {file.name}")
+            self.medium.record_call(f"sync {file.name}")
         except OSError:
-            node.clean = True
+            file_data.sync_failed = True
             raise
-        if not node.clean:
-            node.synced = node.data
+        if not file_data.sync_failed:
+            file_data.synced = file_data.data
 
-    def close(self, file: File) -> None:
-        del self.open[file.number]
+    def close(self, file: OpenFile) -> None:
+        del self.open_files[file.descriptor]
 
     def rename(self, old: str, new: str) -> None:
-        self.medium.step(f"rename {new}")
-        node = self.medium.names[old]
-        self.medium.change(lambda names: (names.pop(old, None), names.update({new: node})))
+        self.medium.record_call(f"rename {new}")
+        file_data = self.medium.names[old]
+        self.medium.change_folder(lambda names: (names.pop(old, None), names.update({new: file_data})))
 
     def remove(self, name: str) -> None:
-        self.medium.step(f"remove {name}")
-        self.medium.change(lambda names: names.pop(name, None))
+        self.medium.record_call(f"remove {name}")
+        self.medium.change_folder(lambda names: names.pop(name, None))
 
     def sync_folder(self) -> None:
-        self.medium.step("sync folder")
+        self.medium.record_call("sync folder")
         self.medium.durable, self.medium.pending = dict(self.medium.names), []
 
     def release(self) -> None:
--- a/tests/coordination/storage/test_crash.py
+++ b/tests/coordination/storage/test_crash.py
@@ -1,4 +1,4 @@
-"""A crash between any two calls, with what was not synced there, gone or torn; and calls that fail."""
+"""Crashes between any two disk calls, with unsynced data kept, lost or torn; and calls that fail."""
 
 import errno
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 from molereach.coordination.interface.disk import Persist
 from molereach.coordination.storage.errors import FolderError
 from molereach.coordination.storage.folder import LogFolder, OpenedFolder
-from tests.coordination.storage.medium import Crash, Medium, MemoryDisk
+from tests.coordination.storage.medium import Medium, MemoryDisk, SimulatedCrash
 
 BATCHES = [
     [Persist(1, (b"a",))],
@@ -19,143 +19,158 @@
     [Persist(9, (), b"")],
     [Persist(10, (b"h", b"i"))],
 ]
-REOPENED_AFTER = 3  # batches; then the folder is opened again
+REOPEN_AFTER_BATCHES = 3  # the folder is reopened after so many batches
 State = tuple[bytes | None, list[bytes]]
 
 
-def states() -> list[State]:
-    """After no batch, after the first, and so on."""
-    found: list[State] = [(None, [])]
+def expected_states() -> list[State]:
+    """The contents after no batch, after the first batch, and so on."""
+    states: list[State] = [(None, [])]
     for batch in BATCHES:
-        base, records = found[-1][0], list(found[-1][1])
+        base, records = states[-1][0], list(states[-1][1])
         for persist in batch:
             if persist.base is not None:
                 base, records = persist.base, []
             records += persist.records
-        found.append((base, records))
-    return found
+        states.append((base, records))
+    return states
 
 
-def opened(medium: Medium) -> OpenedFolder:
+def open_folder(medium: Medium) -> OpenedFolder:
     identity = len(medium.names).to_bytes(16)
-    return LogFolder.open(Path("/folder"), "d1", lambda: identity, MemoryDisk.on(medium))
+    return LogFolder.open(Path("/folder"), "d1", lambda: identity, MemoryDisk.opener_for(medium))
 
 
-def state(found: OpenedFolder) -> State:
-    return found.base, found.records
+def contents(opened: OpenedFolder) -> State:
+    return opened.base, opened.records
 
 
-def played(medium: Medium) -> Iterator[str]:
-    """Run the script; the identity after the opening and after each batch that was told."""
-    found = opened(medium)
-    yield found.identity
+def run_batches(medium: Medium) -> Iterator[str]:
+    """Write all batches; yields the folder's identity after the opening and after each batch."""
+    opened = open_folder(medium)
+    yield opened.identity
     for number, batch in enumerate(BATCHES, 1):
-        found.folder.write(batch)
-        yield found.identity
-        if number == REOPENED_AFTER:
-            found.folder.close()
-            found = opened(medium)
-            assert state(found) == states()[number]
+        opened.folder.write(batch)
+        yield opened.identity
+        if number == REOPEN_AFTER_BATCHES:
+            opened.folder.close()
+            opened = open_folder(medium)
+            assert contents(opened) == expected_states()[number]
 
 
-def told(medium: Medium) -> list[str]:
-    found = []
+def run_until_crash(medium: Medium) -> list[str]:
+    """The identities that `run_batches` yields before the injected crash."""
+    identities = []
     try:
-        for identity in played(medium):
-            found.append(identity)
-    except Crash:
+        for identity in run_batches(medium):
+            identities.append(identity)
+    except SimulatedCrash:
         pass
-    return found
+    return identities
 
 
-def test_crash_between_every_two_calls_finds_the_state_before_or_after() -> None:
-    whole = Medium()
-    assert len(told(whole)) == len(BATCHES) + 1
-    seen = 0
-    for cut in range(len(whole.calls) + 1):
+def test_crash_between_any_two_calls_leaves_the_state_before_or_after_a_batch() -> None:
+    uninterrupted = Medium()
+    assert len(run_until_crash(uninterrupted)) == len(BATCHES) + 1
+    state_count = 0
+    for call_number in range(len(uninterrupted.calls) + 1):
         medium = Medium()
-        medium.crash_at = cut
-        before = told(medium)
-        for left in medium.after_crash():
-            found = opened(left)
-            assert sorted(name.split(".")[0] for name in left.names) == ["base", "identity", "tail"]
-            batches = max(0, len(before) - 1)
-            assert state(found) in states()[batches : batches + 2], (cut, whole.calls[cut - 1 : cut + 1])
-            assert not before or found.identity == before[0]
-            seen += 1
-    assert seen > 500
-
-
-def test_write_that_is_torn_at_every_byte_is_as_if_it_had_not_begun() -> None:
-    whole, torn = Medium(), 0
-    told(whole)
-    for cut, call in enumerate(whole.calls):
-        for count in range(whole.sizes.get(cut, 0)):
+        medium.crash_at = call_number
+        identities = run_until_crash(medium)
+        for crashed in medium.states_after_crash():
+            opened = open_folder(crashed)
+            assert sorted(name.split(".")[0] for name in crashed.names) == ["base", "identity", "tail"]
+            batch_count = max(0, len(identities) - 1)
+            assert contents(opened) in expected_states()[batch_count : batch_count + 2], (
+                call_number,
+                uninterrupted.calls[call_number - 1 : call_number + 1],
+            )
+            assert not identities or opened.identity == identities[0]
+            state_count += 1
+    assert state_count > 500
+
+
+def test_write_torn_at_any_byte_is_discarded() -> None:
+    uninterrupted, torn_count = Medium(), 0
+    run_until_crash(uninterrupted)
+    for call_number, call in enumerate(uninterrupted.calls):
+        for count in range(uninterrupted.write_sizes.get(call_number, 0)):
             medium = Medium()
-            medium.crash_at, medium.most_written = cut, count
-            batches = max(0, len(told(medium)) - 1)
-            assert state(opened(medium.restarted())) == states()[batches], (call, count)
-            torn += 1
-    assert torn > 1500
-
-
-def test_crash_at_every_call_of_an_opening_loses_nothing() -> None:
-    whole = Medium()
-    told(whole)
-    for first in range(len(whole.calls)):
-        for second in range(40):
+            medium.crash_at, medium.torn_bytes = call_number, count
+            batch_count = max(0, len(run_until_crash(medium)) - 1)
+            assert contents(open_folder(medium.restarted())) == expected_states()[batch_count], (call, count)
+            torn_count += 1
+    assert torn_count > 1500
+
+
+def test_crash_at_any_call_of_the_next_opening_loses_nothing() -> None:
+    uninterrupted = Medium()
+    run_until_crash(uninterrupted)
+    for first_crash in range(len(uninterrupted.calls)):
+        for second_crash in range(40):
             medium = Medium()
-            medium.crash_at = first
-            batches = max(0, len(told(medium)) - 1)
-            medium.restarted().crash_at = len(medium.calls) + second
+            medium.crash_at = first_crash
+            batch_count = max(0, len(run_until_crash(medium)) - 1)
+            medium.restarted().crash_at = len(medium.calls) + second_crash
             try:
-                opened(medium)
+                open_folder(medium)
                 break
-            except Crash:
-                for left in medium.after_crash():
-                    assert state(opened(left)) in states()[batches : batches + 2], (first, second)
+            except SimulatedCrash:
+                for crashed in medium.states_after_crash():
+                    assert (
+                        contents(open_folder(crashed)) in expected_states()[batch_count : batch_count + 2]
+                    ), (first_crash, second_crash)
         else:
-            raise AssertionError("an opening has no end")
+            raise AssertionError("the opening does not finish within 40 calls")
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
-def test_call_that_fails_disables_the_folder_for_good_and_loses_nothing_synced(number: int) -> None:
-    whole = Medium()
-    list(played(whole))
-    for cut in range(len(whole.calls)):
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.EIO])
+def test_failed_call_disables_the_folder_and_loses_nothing_synced(error_number: int) -> None:
+    uninterrupted = Medium()
+    list(run_batches(uninterrupted))
+    for call_number in range(len(uninterrupted.calls)):
         medium = Medium()
-        medium.fail, medium.most_written = {cut: OSError(number, "the disk says no", "name")}, 5
-        done: list[str] = []
-        with pytest.raises(FolderError, match=r"^/folder/name: the disk says no$"):
-            for identity in played(medium):
-                done.append(identity)
-        for left in (*medium.after_crash(), medium.restarted()):
-            batches = max(0, len(done) - 1)
-            assert state(opened(left)) in states()[batches : batches + 2], (cut, whole.calls[cut])
+        medium.failures, medium.torn_bytes = (
+            {call_number: OSError(error_number, "simulated failure", "name")},
+            5,
+        )
+        identities: list[str] = []
+        with pytest.raises(FolderError, match=r"^/folder/name: simulated failure$"):
+            for identity in run_batches(medium):
+                identities.append(identity)
+        for crashed in (*medium.states_after_crash(), medium.restarted()):
+            batch_count = max(0, len(identities) - 1)
+            assert contents(open_folder(crashed)) in expected_states()[batch_count : batch_count + 2], (
+                call_number,
+                uninterrupted.calls[call_number],
+            )
 
 
 def test_nothing_is_written_or_synced_after_a_failure() -> None:
     medium = Medium()
-    found = opened(medium)
-    medium.fail = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
+    opened = open_folder(medium)
+    medium.failures = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
     with pytest.raises(FolderError, match=r"tail\.0: Input"):
-        found.folder.write(BATCHES[0])
-    calls = len(medium.calls)
+        opened.folder.write(BATCHES[0])
+    call_count = len(medium.calls)
     for batch in BATCHES:
         with pytest.raises(FolderError, match="has failed before"):
-            found.folder.write(batch)
-    assert len(medium.calls) == calls
+            opened.folder.write(batch)
+    assert len(medium.calls) == call_count
 
 
-def test_what_an_opening_finds_after_a_failed_sync_is_on_the_disk_from_then_on() -> None:
-    """The system takes the pages of a failed sync for written: a reader sees them, the plate has nothing."""
+def test_records_read_after_a_failed_sync_are_made_durable() -> None:
+    """Guards against data that is lost although it was read after a restart.
+
+    The system marks the pages of a failed sync as clean: a reader sees the data, but the disk lacks it.
+    """
     medium = Medium()
-    found = opened(medium)
-    medium.fail = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
+    opened = open_folder(medium)
+    medium.failures = {len(medium.calls) + 1: OSError(errno.EIO, "Input/output error", "tail.0")}
     with pytest.raises(FolderError):
-        found.folder.write(BATCHES[0])
-    found = opened(medium.restarted())
-    assert found.records == [b"a"]  # what follows may rest on it
-    found.folder.write([Persist(1, (b"more",))])
-    for left in medium.after_crash():
-        assert opened(left).records == [b"a", b"more"]
+        opened.folder.write(BATCHES[0])
+    opened = open_folder(medium.restarted())
+    assert opened.records == [b"a"]  # later records may depend on it
+    opened.folder.write([Persist(1, (b"more",))])
+    for crashed in medium.states_after_crash():
+        assert open_folder(crashed).records == [b"a", b"more"]
