--- a/molereach/coordination/leases/acknowledgements.py
+++ b/molereach/coordination/leases/acknowledgements.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingAcknowledgement:
-    """A node that has not acknowledged the entry yet, with the reason."""
+    """A node that has not acknowledged the entry yet, with the tracker's `since_us` and the reason."""
 
     instance: NodeInstance
     since_us: int
--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -65,15 +65,13 @@
         self.position = 0  # up to which the log was applied here
         self._fencing_token = 0  # of the session that is open in the log, valid or lapsed
         self._expires_at_us = 0  # the session is valid before this time
-        self._reported_token = (
-            0  # of the valid session by the last `LeaseAcquired` or `LeaseLost`; 0 for none
-        )
+        self._reported_token = 0  # of the session that was last reported as valid; 0 for none
         self._loss_reason = ""
         self._reported_position = 0
         self._renewals = PendingRenewals(instance)
         self._failed_attempts = 0  # requests and proposals without an answer while no session is valid
         self._next_action_us = 0  # when the next request or proposal is due
-        # The position up to which nothing that entries forbid is in flight here, given the applied position.
+        # Given the applied position, the one up to which nothing that entries forbid is in flight here.
         self.clear_position_for: Callable[[int], int] = lambda position: position
         self._opening: RetriedProposal | None = None
         self._closing: RetriedProposal | None = None
@@ -151,7 +149,7 @@
     # --- session state in the log ---
 
     def _follow_log(self, now_us: int, opening_position: int) -> None:
-        """Follow the applied log; `opening_position` is the entry that the current proposal made, or 0."""
+        """Follow the applied log; `opening_position` is that of the current opening proposal, else 0."""
         opened = self.sessions.active_session(self.instance.name)
         latest = self.sessions.latest_instance(self.instance.name)
         if latest is not None and latest > self.instance:
--- a/molereach/coordination/leases/messages.py
+++ b/molereach/coordination/leases/messages.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGrants:
-    """Action of the manager: send grants down the tree; a holder whose grant is lost asks again."""
+    """Action of the manager: send grants down the tree; losing one costs its holder a renewal interval."""
 
     grants: tuple[RenewalGrant, ...]
 
--- a/molereach/coordination/leases/sessions.py
+++ b/molereach/coordination/leases/sessions.py
@@ -66,7 +66,7 @@
 
 
 class _State(WireStruct, frozen=True):
-    """A snapshot: the lease manager's ballot, and the sessions of each node, sorted by unique name."""
+    """A snapshot: the lease manager's ballot, and each node's sessions, sorted by name, each name once."""
 
     ballot: BallotNumber
     nodes: Annotated[tuple[_NodeSessions, ...], Meta(max_length=MAX_MEMBERS)] = field(name="doors")
