--- a/tests/coordination/leases/simulation.py
+++ b/tests/coordination/leases/simulation.py
@@ -262,14 +262,14 @@
 
     def elect(self, proxy: ProxyRun) -> None:
         self.leader, self.ballot = proxy, self.ballot + 1
-        for each in self.proxies.values():
+        for recipient in self.proxies.values():
             # With losses, some front doors miss the change and keep their old view.
-            if each is proxy or not self.lossy or self.rng.random() < 0.85:
-                change = LeaderChanged(proxy.instance.name, self.ballot, each is proxy)
+            if recipient is proxy or not self.lossy or self.rng.random() < 0.85:
+                change = LeaderChanged(proxy.instance.name, self.ballot, recipient is proxy)
                 self.schedule(
                     self.draw_delay_us(),
-                    lambda each=each, change=change: self.run_on(  # type: ignore[misc]
-                        each, lambda: self.notify_leader(each, change)
+                    lambda recipient=recipient, change=change: self.run_on(  # type: ignore[misc]
+                        recipient, lambda: self.notify_leader(recipient, change)
                     ),
                 )
 
@@ -332,17 +332,17 @@
                 self.ended_count += isinstance(body, EndSession)
         else:
             self.sessions_open_at[position] = {
-                each.instance.name: each for each in self.reference.active_sessions()
+                session.instance.name: session for session in self.reference.active_sessions()
             }
         self.entries.append(entry)
         self.outcomes.append(outcome)
         self.snapshots.append(self.reference.snapshot())
         self.positions_by_id[propose.id] = position
-        for each in self.proxies.values():
+        for recipient in self.proxies.values():
             self.schedule(
                 self.draw_delay_us(),
-                lambda each=each: self.run_on(  # type: ignore[misc]
-                    each, lambda: self.apply_up_to(each, position)
+                lambda recipient=recipient: self.run_on(  # type: ignore[misc]
+                    recipient, lambda: self.apply_up_to(recipient, position)
                 ),
             )
         return entry
@@ -411,10 +411,14 @@
             )
         if self.proofs.setdefault((position, proxy.applied_position), proof) != proof:
             raise InvariantViolationError(f"different proofs of {position} at {proxy.applied_position}")
-        for each in self.proxies.values():
-            session = self.sessions_open_at[position].get(each.instance.name)
-            held = session is not None and each.holder.fencing_token == session.fencing_token
-            if held and each.applied_position < position and each.holder.holds(each.clock.read(self.now_us)):
+        for candidate in self.proxies.values():
+            session = self.sessions_open_at[position].get(candidate.instance.name)
+            held = session is not None and candidate.holder.fencing_token == session.fencing_token
+            if (
+                held
+                and candidate.applied_position < position
+                and candidate.holder.holds(candidate.clock.read(self.now_us))
+            ):
                 raise InvariantViolationError(
-                    f"{each.instance} holds without having applied {position}, which was proven"
+                    f"{candidate.instance} holds without having applied {position}, which was proven"
                 )
