--- a/molereach/coordination/__init__.py
+++ b/molereach/coordination/__init__.py
@@ -1,5 +1,5 @@
-"""What front doors agree on among themselves: membership, a replicated log, leases, dissemination.
+"""Coordination among proxies: membership, a replicated log, leases, dissemination.
 
-Read `interface` first, then `membership`, `replicated_log`, `leases`, `dissemination` (cores), `storage` and
-`transport` (shells), and `node`, which joins them.
+Read `interface` first, then `membership`, `replicated_log`, `leases` and `dissemination`, which do no I/O,
+`storage` and `transport`, which do it for them, and `node`, which combines all of them in one proxy.
 """
--- a/molereach/coordination/errors.py
+++ b/molereach/coordination/errors.py
@@ -2,4 +2,4 @@
 
 
 class CoordinationError(Exception):
-    """Something failed in the coordination of proxies; subclasses say in which part."""
+    """Base class of the errors of coordination; each subpackage derives its own from it."""
--- a/molereach/coordination/interface/clearance.py
+++ b/molereach/coordination/interface/clearance.py
@@ -1,4 +1,4 @@
-"""Proof that an entry holds everywhere: for each proxy, how it is known to be clear of what is forbidden."""
+"""Proof that an entry is in effect at every proxy: for each one, the evidence that it obeys the entry."""
 
 from enum import Enum
 
@@ -10,17 +10,16 @@
 class ClearanceEvidence(Enum):
     """How it is known that a proxy no longer does anything that an entry forbids."""
 
-    REPORTED = (
-        "said"  # it reported under its session that it applied the entry and has nothing left in flight
-    )
+    # It reported under its session that it has applied the entry and has nothing forbidden in flight.
+    REPORTED = "said"
     RESTARTED = "anew"  # it runs as a newer instance, which had the entry before it served
-    SESSION_EXPIRED = "over"  # its session has certainly expired; without one it stops by itself
-    LEFT = "left"  # it left the group in order
+    SESSION_EXPIRED = "over"  # its session has expired by any clock, and a proxy stops when its session ends
+    LEFT = "left"  # it left the group in an orderly way
 
 
 class NodeClearance(WireStruct, frozen=True):
-    """The clearance of one proxy, as part of the proof that an entry holds everywhere."""
+    """The clearance of one proxy, as part of the proof that an entry is in effect at every proxy."""
 
     instance: NodeInstance = msgspec.field(name="door")
     evidence: ClearanceEvidence = msgspec.field(name="known")
-    position: Position  # the log's position at which it was known
+    position: Position  # the log position at which the evidence was known
--- a/molereach/coordination/interface/core.py
+++ b/molereach/coordination/interface/core.py
@@ -1,4 +1,4 @@
-"""What all cores have in common: the events and actions, and how a core is driven."""
+"""The events and actions common to all cores, and the protocol by which a core is driven."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,17 +6,17 @@
 
 from molereach.coordination.interface.identifiers import NodeInstance
 
-NEVER_US = 1 << 62  # a time that no clock reaches
+NEVER_US = 1 << 62  # later than any time of a clock
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Event: the time that the core's `wake_us` named has come or has passed."""
+    """Event: the time given by the core's `wake_us` has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """Event: a message of another proxy. The transport has verified its sender and decoded it."""
+    """Event: a message from another proxy. The transport has decoded it and verified its sender."""
 
     sender: NodeInstance
     message: Any  # one of the core's own `Message` types
@@ -24,9 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Action: send a message to the newest instance of a proxy; it may be lost, late, doubled or reordered.
+    """Action: send a message to the newest instance of a proxy.
 
-    With `instance_number` it is for that instance alone: the transport drops it for any other.
+    The message may be lost, delayed, duplicated or reordered. With `instance_number` it is meant for that
+    instance only, and the transport drops it if another instance is running.
     """
 
     recipient: str
@@ -35,11 +36,14 @@
 
 
 class Core(Protocol):
-    """One part of coordination in one proxy, without I/O."""
+    """The logic of one coordination package in one proxy, without I/O."""
 
     @property
     def wake_us(self) -> int:
-        """When the core wants a `Tick` if no event comes before; `NEVER_US` for never."""
+        """When the core needs a `Tick` if no event arrives earlier; `NEVER_US` for never."""
 
     def handle(self, now_us: int, event: Any) -> Sequence[Any]:  # noqa: ANN401
-        """Apply one event; the actions to carry out, in order. `now_us` never decreases within a run."""
+        """Handle one event and return the actions to perform, in order.
+
+        `now_us` never decreases within a run.
+        """
--- a/molereach/coordination/interface/disk.py
+++ b/molereach/coordination/interface/disk.py
@@ -1,13 +1,13 @@
-"""The disk as the replicated log sees it: what to write, and what has become of it."""
+"""The interface between the replicated log and its disk: writes, their completion, and failures."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Action of the log: make these records durable before anything that waits for `token` is sent.
+    """Action of the log: make these records durable; messages that depend on them wait for `token`.
 
-    Records are appended in order; `base`, if given, replaces everything that was written before.
+    Records are appended in order. A `base` is a checkpoint that replaces everything written before it.
     """
 
     token: int
@@ -24,6 +24,6 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskFailed:
-    """Event for the log: a write or a sync failed. It accepts and promises nothing more in this run."""
+    """Event for the log: a write or a sync failed. The log promises and accepts nothing more in this run."""
 
     reason: str
--- a/molereach/coordination/interface/identifiers.py
+++ b/molereach/coordination/interface/identifiers.py
@@ -1,4 +1,4 @@
-"""Names, bounds and the identity of one run of a proxy."""
+"""Names and ids with their bounds, and the identity of one run of a proxy."""
 
 from typing import Annotated
 
@@ -7,7 +7,7 @@
 
 SECOND_US = 1_000_000
 
-MAX_MEMBERS = 256  # of one group of proxies
+MAX_MEMBERS = 256  # proxies in one group
 MAX_NAME_CHARACTERS = 64
 MAX_ID_CHARACTERS = 64
 
@@ -19,15 +19,18 @@
 
 
 class WireStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of what goes between proxies or to the disk: typed, bounded, and rejected if it does not match."""
+    """Base class of all data sent to other proxies or written to disk.
+
+    Fields are typed and bounded; data that does not match, or has unknown fields, is rejected.
+    """
 
 
 class NodeInstance(WireStruct, frozen=True, order=True):
-    """One run of one proxy: its name, and a number that is higher with each start.
+    """One run of one proxy: its name, and a number that increases with each start.
 
-    The number is the Unix time of the start in milliseconds times 2**20, plus 20 random bits, drawn by the
-    shell. A clock that was set back can give a lower number, so a proxy that learns of a higher one under its
-    own name must start again.
+    The number is the Unix time of the start in milliseconds times 2**20, plus 20 random bits; the caller of
+    the core draws it. If the clock was set back the number can be lower than that of an earlier run, so a
+    proxy that learns of a higher number under its own name must restart.
     """
 
     name: Name
--- a/molereach/coordination/replicated_log/acceptor.py
+++ b/molereach/coordination/replicated_log/acceptor.py
@@ -1,10 +1,10 @@
-"""What one voter has promised and accepted: one value at each position, whoever proposes.
+"""The Paxos acceptor of one voter: its promise and its vote.
 
-Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 and 3. A promise holds for all positions after
-what is decided; what is accepted is one batch, which starts at the first of them. A batch is accepted as a
-whole or not at all, and the next leader proposes the highest one as a whole, so entries need not be learned
-in batches: of one that was learned in part the rest is still an accepted value. The caller has both on the
-disk before it answers, and calls only about the position that follows all it has decided.
+Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 and 3. A promise holds for all undecided positions;
+the vote is for one batch, which starts at the first of them. A batch is accepted completely or not at all,
+and the next leader proposes the one with the highest ballot completely, so entries may be learned
+individually: if only some entries of a batch were learned, the rest is still an accepted value. The caller
+writes both to disk before it answers, and calls only for the position after its last decided entry.
 """
 
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class Acceptor:
-    """Promise and vote of one disk."""
+    """The promise and the vote of one disk."""
 
     def __init__(
         self, promised: Ballot = NOBODY, accepted_at: Ballot = NOBODY, accepted: Sequence[Entry] = ()
@@ -25,18 +25,21 @@
         self.accepted = tuple(accepted)
 
     def promise(self, ballot: Ballot) -> bool:
-        """Whether it is promised; the same again is. A number is promised once: no two lead with it."""
+        """Promise a ballot; return whether it is promised, also where it already was.
+
+        Of two ballots with the same number only one is promised, so at most one of them is elected.
+        """
         if not self.would_promise(ballot):
             return False
         self.promised = ballot
         return True
 
     def would_promise(self, ballot: Ballot) -> bool:
-        """Whether `promise` would accept this ballot; nothing changes."""
+        """Whether `promise` would succeed for this ballot; nothing changes."""
         return ballot == self.promised or ballot.number > self.promised.number
 
     def accept(self, ballot: Ballot, entries: Sequence[Entry]) -> bool:
-        """Whether it is accepted. It is a promise as well."""
+        """Accept a batch, which also promises the ballot; return whether it was accepted."""
         if not self.promise(ballot):
             return False
         self.accepted_at = ballot
@@ -44,10 +47,10 @@
         return True
 
     def adopt(self, promised: Ballot, accepted_at: Ballot, accepted: Sequence[Entry]) -> bool:
-        """Be no lower than another voter; whether anything was new.
+        """Raise the promise and the vote to those of another voter; return whether either changed.
 
-        A vote that was not cast here harms nothing: it was proposed, and it is reported to those who lead
-        next only. It is not answered to who proposed it.
+        Adopting a vote that this voter did not cast is safe: its batch was proposed, and the vote is reported
+        only to later candidates, never to the proposer of the batch.
         """
         higher_vote = bool(accepted) and accepted_at > self.accepted_at
         if higher_vote:
@@ -59,17 +62,17 @@
         return higher_vote or higher_promise
 
     def discard_decided(self, last: Entry) -> None:
-        """All up to `last` is decided: nothing is open there."""
+        """Drop the accepted entries up to `last`, which are decided."""
         self.accepted = undecided_rest(self.accepted, last)
         if not self.accepted:
             self.accepted_at = NOBODY
 
 
 def undecided_rest(accepted: Sequence[Entry], last: Entry) -> tuple[Entry, ...]:
-    """What is still open of an accepted batch when all up to `last` is decided.
+    """Return the undecided rest of an accepted batch when all entries up to `last` are decided.
 
-    Where another entry was decided at one of its positions, no majority accepted the batch: it is void, and
-    what follows may be older than what was decided.
+    If another entry was decided at one of its positions, no majority accepted the batch. It is void, as its
+    rest may be older than the decided entries.
     """
     if any(entry.position == last.position and entry != last for entry in accepted):
         return ()
@@ -77,7 +80,7 @@
 
 
 def are_consecutive(entries: Sequence[Entry], after: int) -> bool:
-    """Whether they are the positions that follow, without a gap, and times do not go back."""
+    """Whether the entries follow position `after` without a gap, and their times do not decrease."""
     if any(entry.position != after + 1 + index for index, entry in enumerate(entries)):
         return False
     return all(entry.at_ms >= before.at_ms for before, entry in pairwise(entries))
--- a/molereach/coordination/replicated_log/acceptor_protocol.py
+++ b/molereach/coordination/replicated_log/acceptor_protocol.py
@@ -1,7 +1,8 @@
 """How a voter answers candidates and the leader.
 
-Each message about what follows a position is judged only by a voter that has decided just as much: one that
-has more sends its entries, one that has less requests them. A ballot is accepted only from its own instance.
+A prepare or accept for the positions after some position is answered only by a voter that is at exactly that
+position. A voter that is ahead sends its entries, and one that is behind requests them. A ballot is accepted
+only from the instance to which it belongs.
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -29,16 +30,16 @@
 
 
 class AcceptorProtocol:
-    """The part of one voter."""
+    """Handles the messages to a voter."""
 
-    def __init__(self, state: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
+    def __init__(self, state: ReplicaState, election: Election, catch_up: CatchUpProtocol) -> None:
         self.state = state
         self.election = election
-        self.catch_up = catching_up
+        self.catch_up = catch_up
         self.outbox = state.outbox
 
     def synchronize_with(self, sender: NodeInstance, after: int) -> bool:
-        """Whether both have the same decided entries; if not, the one that lacks some gets them."""
+        """Whether both nodes have the same decided entries; if not, transfer them to the one behind."""
         if after < self.state.position:
             self.catch_up.send_entries(sender.name, after)
         elif after > self.state.position:
@@ -46,7 +47,7 @@
         return after == self.state.position
 
     def on_pre_vote(self, now_us: int, sender: NodeInstance, message: PreVote) -> None:
-        """Answer whether this voter would promise; nothing is promised."""
+        """Answer whether this voter would promise the ballot, without promising it."""
         self.election.observe_ballot(message.ballot)
         self.synchronize_with(sender, message.after)
         if not self.state.may_vote:
@@ -99,7 +100,7 @@
         )
 
     def on_heartbeat(self, now_us: int, sender: NodeInstance, message: Heartbeat) -> bool:
-        """Whether it is from a leader that may still lead."""
+        """Handle a heartbeat; return whether its sender may still be the leader."""
         acceptor = self.state.acceptor
         self.election.observe_ballot(message.ballot)
         if not is_ballot_of(message.ballot, sender):
@@ -108,17 +109,17 @@
             self.reject_ballot(sender, message.ballot)
             return False
         self.election.record_leader_contact(now_us)
-        if message.ballot == acceptor.accepted_at:  # one value for a ballot at a position
+        if message.ballot == acceptor.accepted_at:  # a ballot has only one value at each position
             self.state.apply_decided(
                 [entry for entry in acceptor.accepted if entry.position <= message.decided]
             )
         if message.decided > self.state.position:
             self.catch_up.request_from(sender.name)
         if self.state.may_vote:
-            follow = HeartbeatReply(message.ballot, message.round, self.state.vote_source())
-            self.outbox.send(sender.name, follow, sender.number)
+            reply = HeartbeatReply(message.ballot, message.round, self.state.vote_source())
+            self.outbox.send(sender.name, reply, sender.number)
         return True
 
     def reject_ballot(self, sender: NodeInstance, ballot: Ballot) -> None:
-        """Answer with the higher ballot that was promised."""
+        """Reject a ballot and report the one that was promised."""
         self.outbox.send(sender.name, BallotRejected(ballot, self.state.acceptor.promised), sender.number)
--- a/molereach/coordination/replicated_log/catch_up_protocol.py
+++ b/molereach/coordination/replicated_log/catch_up_protocol.py
@@ -1,7 +1,7 @@
-"""Fetching missing entries from another node, and sending them: entries, or a snapshot in chunks.
+"""Fetching missing entries from another node, and sending them, as entries or as a snapshot in chunks.
 
-The receiver has at most one snapshot in progress and takes a chunk only where it fits; the sender keeps one
-snapshot, made at the first request and used as long as its tail continues from it.
+The receiver has at most one snapshot in progress and accepts only the next chunk of it. The sender keeps one
+encoded snapshot, made at the first request and used as long as its tail of entries continues from it.
 """
 
 from hashlib import blake2b
@@ -17,11 +17,11 @@
 from molereach.coordination.replicated_log.replica_state import ReplicaState
 from molereach.coordination.replicated_log.settings import MAX_CHUNK_BYTES, MAX_SNAPSHOT_BYTES
 
-MAX_RETRIES = 5  # of a question that is not answered
+MAX_RETRIES = 5  # of an unanswered request
 
 
 class _EncodedSnapshot(NamedTuple):
-    """A snapshot that is sent in chunks; the digest is BLAKE2b, 16 bytes."""
+    """A snapshot to send in chunks; the digest is BLAKE2b, 16 bytes."""
 
     position: int
     data: bytes
@@ -29,26 +29,26 @@
 
 
 class CatchUpProtocol:
-    """Both sides of catching up at one node."""
+    """Requests missing entries of this node, and answers the requests of other nodes."""
 
     def __init__(self, state: ReplicaState) -> None:
         self.state = state
         self.outbox = state.outbox
-        self.source = ""  # whom the requests go to; empty for nobody
-        self.retry_at_us = 0  # when the request is repeated; 0 for the next `tick`
+        self.source = ""  # the node that requests go to; empty for none
+        self.retry_at_us = 0  # when the request is repeated; 0 if the next `tick` is to set it
         self.retries = 0
-        # of the snapshot under way
-        self.position = 0
-        self.total = 0
-        self.digest = b""
-        self.data = bytearray()
+        # The snapshot in progress, and the bytes of it received so far.
+        self.snapshot_position = 0
+        self.snapshot_bytes = 0
+        self.snapshot_digest = b""
+        self.snapshot_data = bytearray()
         self.sent_snapshot: _EncodedSnapshot | None = None
 
     # --- receiving ---
 
     def request_from(self, source: str) -> None:
-        """Request what follows; a snapshot in progress continues instead."""
-        if source == self.outbox.instance.name or self.data:
+        """Request the entries that follow, unless a snapshot is in progress."""
+        if source == self.outbox.instance.name or self.snapshot_data:
             return
         self.source = source
         self.retry_at_us = 0
@@ -56,37 +56,39 @@
         self._send_request()
 
     def _send_request(self) -> None:
-        if self.data:
-            self.outbox.send(self.source, SnapshotChunkRequest(self.position, len(self.data)))
+        if self.snapshot_data:
+            self.outbox.send(
+                self.source, SnapshotChunkRequest(self.snapshot_position, len(self.snapshot_data))
+            )
         else:
             self.outbox.send(self.source, EntriesRequest(self.state.position))
 
     def on_entries(self, sender: str, message: EntriesReply) -> bool:
-        """Take entries; whether any was new."""
+        """Apply received entries; return whether any was new."""
         new = self.state.apply_decided(message.entries)
         if new:
-            self._drop_passed()
+            self._drop_outdated_snapshot()
         if message.decided > self.state.position:
             if new:
                 self.request_from(sender)
-        elif sender == self.source and not self.data:
+        elif sender == self.source and not self.snapshot_data:
             self.source = ""
         return new
 
     def on_chunk(self, sender: str, message: SnapshotChunk) -> bool:
-        """Take a chunk; whether a snapshot was complete and of use."""
-        if message.position <= self.state.position or not self._accepts(sender, message):
+        """Add a chunk; return whether it completed a snapshot that was restored."""
+        if message.position <= self.state.position or not self._is_next_chunk(sender, message):
             return False
-        self.data += message.data
+        self.snapshot_data += message.data
         self.retry_at_us = 0
         self.retries = 0
-        if len(self.data) < self.total:
+        if len(self.snapshot_data) < self.snapshot_bytes:
             self._send_request()
             return False
-        data = bytes(self.data)
-        total = self.total
-        digest = self.digest
-        self._drop()
+        data = bytes(self.snapshot_data)
+        total = self.snapshot_bytes
+        digest = self.snapshot_digest
+        self._stop()
         if len(data) != total or blake2b(data, digest_size=16).digest() != digest:
             return False
         try:
@@ -95,36 +97,38 @@
             return False
         if not self.state.restore(snapshot):
             return False
-        self.request_from(sender)  # what came since
+        self.request_from(sender)  # the entries after the snapshot
         return True
 
-    def _accepts(self, sender: str, message: SnapshotChunk) -> bool:
-        """Whether it goes on with the snapshot under way, or begins the first or a newer one."""
-        if self.data and sender == self.source and message.position == self.position:
+    def _is_next_chunk(self, sender: str, message: SnapshotChunk) -> bool:
+        """Whether a chunk continues the snapshot in progress, or begins the first or a newer one."""
+        if self.snapshot_data and sender == self.source and message.position == self.snapshot_position:
             return (message.total, message.digest, message.offset) == (
-                self.total,
-                self.digest,
-                len(self.data),
+                self.snapshot_bytes,
+                self.snapshot_digest,
+                len(self.snapshot_data),
             )
-        if message.offset or (self.data and (sender != self.source or message.position < self.position)):
+        if message.offset or (
+            self.snapshot_data and (sender != self.source or message.position < self.snapshot_position)
+        ):
             return False
         self.source = sender
-        self.data = bytearray()
-        self.position = message.position
-        self.total = message.total
-        self.digest = message.digest
+        self.snapshot_data = bytearray()
+        self.snapshot_position = message.position
+        self.snapshot_bytes = message.total
+        self.snapshot_digest = message.digest
         return True
 
-    def _drop_passed(self) -> None:
-        if self.data and self.position <= self.state.position:
-            self._drop()
+    def _drop_outdated_snapshot(self) -> None:
+        if self.snapshot_data and self.snapshot_position <= self.state.position:
+            self._stop()
 
-    def _drop(self) -> None:
+    def _stop(self) -> None:
         self.source = ""
-        self.data = bytearray()
+        self.snapshot_data = bytearray()
 
     def tick(self, now_us: int, retry_interval_us: int) -> None:
-        """Repeat the request where no answer came."""
+        """Repeat an unanswered request, or give up after `MAX_RETRIES`."""
         if not self.source:
             return
         if not self.retry_at_us:
@@ -133,26 +137,26 @@
             self.retries += 1
             self.retry_at_us = now_us + retry_interval_us
             if self.retries > MAX_RETRIES:
-                self._drop()
+                self._stop()
             else:
                 self._send_request()
 
     # --- sending ---
 
-    def send_entries(self, to: str, after: int) -> None:
-        """Send what follows a position, as far as it fits into one message."""
+    def send_entries(self, recipient: str, after: int) -> None:
+        """Send as many entries after a position as fit into one message, or a snapshot if they are gone."""
         learner = self.state.learner
         entries = learner.entries_after(after)
         if entries is None:
-            self.send_chunk(to, 0, 0)
+            self.send_chunk(recipient, 0, 0)
         else:
-            self.outbox.send(to, EntriesReply(entries, learner.position))
+            self.outbox.send(recipient, EntriesReply(entries, learner.position))
 
-    def send_chunk(self, to: str, position: int, offset: int) -> None:
-        """Send a chunk of a snapshot; the first of the newest one where another is requested."""
+    def send_chunk(self, recipient: str, position: int, offset: int) -> None:
+        """Send a chunk of the current snapshot; the first one if another snapshot was requested."""
         learner = self.state.learner
         if self.sent_snapshot is None or learner.entries_after(self.sent_snapshot.position) is None:
-            if learner.failed_machines:  # a state that stopped at some entry is no state of the log
+            if learner.failed_machines:  # the state of a failed machine is not that at this position
                 return
             data = encode(learner.snapshot())
             if len(data) > MAX_SNAPSHOT_BYTES:
@@ -164,4 +168,4 @@
         if position != snapshot.position or offset >= total:
             offset = 0
         chunk = snapshot.data[offset : offset + MAX_CHUNK_BYTES]
-        self.outbox.send(to, SnapshotChunk(snapshot.position, total, offset, snapshot.digest, chunk))
+        self.outbox.send(recipient, SnapshotChunk(snapshot.position, total, offset, snapshot.digest, chunk))
--- a/molereach/coordination/replicated_log/core.py
+++ b/molereach/coordination/replicated_log/core.py
@@ -1,4 +1,4 @@
-"""The log at one node: events in, actions out; hands each event to the part that decides on it."""
+"""The core of the log at one node: dispatches events and messages, and returns the resulting actions."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -50,35 +50,36 @@
 
 @dataclass(frozen=True, slots=True)
 class EntriesLearned:
-    """Event: decided entries that came another way, in order; a gap is ignored."""
+    """Event: decided entries from another channel, in order; with a gap they are ignored."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class CatchUp:
-    """Event: request from this node what is missing here."""
+    """Event: request missing entries from the node `source`."""
 
     source: str
 
 
 class LogCore:
-    """One node's part in the log: learner always, acceptor as a voter, leader when elected.
+    """The log at one node: always a learner, an acceptor if it is a voter, and the leader when elected.
 
-    `wall_ms` gives Unix milliseconds for a `now_us`. ValueError where the disk is not the one named, the
-    first voters are invalid, or a machine has the log's own name.
+    `random_fraction` gives random numbers from 0 to 1, below 1, and `unix_ms` the Unix milliseconds for a
+    `now_us`. Raises a ValueError if the records are of another disk, the initial voters are invalid, or a
+    state machine has the name `LOG_MACHINE`.
     """
 
     def __init__(
         self,
-        me: NodeInstance,
+        instance: NodeInstance,
         disk: str,
         recovered: Recovered,
         voters: Voters,
         machines: Mapping[str, StateMachine],
         settings: LogSettings,
-        draw: Callable[[], float],
-        wall_ms: Callable[[int], int],
+        random_fraction: Callable[[], float],
+        unix_ms: Callable[[int], int],
     ) -> None:
         if recovered.disk not in ("", disk):
             raise ValueError("these records are another disk's")
@@ -86,27 +87,29 @@
             raise ValueError(error)
         if LOG_MACHINE in machines:
             raise ValueError(f"the name {LOG_MACHINE!r} is the log's own")
-        self.instance = me
+        self.instance = instance
         self.settings = settings
-        self.random_fraction = draw
+        self.random_fraction = random_fraction
         self.now_us = 0
-        self.outbox = Outbox(me)
+        self.outbox = Outbox(instance)
         self.learner = Learner(tuple(sorted(voters)), machines, settings)
-        self.recovery = Recovery(me, disk, recovered.start_count + 1, recovered.runs)
+        self.recovery = Recovery(instance, disk, recovered.start_count + 1, recovered.runs)
         self.state = ReplicaState(settings, self.outbox, self.learner, self.recovery, recovered)
-        self.election = Election(settings, draw)
+        self.election = Election(settings, random_fraction)
         self.catch_up = CatchUpProtocol(self.state)
         self.acceptor_protocol = AcceptorProtocol(self.state, self.election, self.catch_up)
         self.start_protocol = StartProtocol(self.state, self.election, self.catch_up)
-        self.leader_protocol = LeaderProtocol(me, self.state, self.election, ProposalQueue(settings, wall_ms))
-        self.proposals = ProposalTracker(me, settings, self.learner)
-        self.finished_position = 0  # the position up to which proposals were looked at
+        self.leader_protocol = LeaderProtocol(
+            instance, self.state, self.election, ProposalQueue(settings, unix_ms)
+        )
+        self.proposals = ProposalTracker(instance, settings, self.learner)
+        self.reported_position = 0  # position up to which the results of proposals were reported
 
     # --- queries ---
 
     @property
     def position(self) -> int:
-        """The position of the last entry applied here; 0 for none."""
+        """The position of the last entry applied at this node; 0 for none."""
         return self.learner.position
 
     @property
@@ -116,16 +119,16 @@
 
     @property
     def leader(self) -> Ballot | None:
-        """The ballot of the leader that is known here, or None."""
+        """The ballot of the known leader, or None."""
         return self.leader_protocol.leader
 
     def digest(self) -> str:
-        """A digest of all entries and state: equal at equal positions, everywhere."""
+        """Return a digest of all entries and all state, equal at all nodes at the same position."""
         return self.learner.digest()
 
     @property
     def wake_us(self) -> int:
-        """When it wants a `Tick`, in microseconds of its clock."""
+        """When a `Tick` is due; 0 before the first event."""
         due = [self.leader_protocol.wake_us, self.start_protocol.wake_us, self.proposals.wake_us]
         if self.catch_up.source:
             due.append(self.catch_up.retry_at_us)
@@ -134,24 +137,24 @@
     # --- events ---
 
     def handle(self, now_us: int, event: Any) -> Sequence[Any]:  # noqa: ANN401
-        """Take one event; what is to be done, in order."""
+        """Handle one event and return the actions to perform, in order."""
         self.now_us = now_us
-        if self.election.leader_contact_us is None:  # the first event: a leader may be alive
+        if self.election.leader_contact_us is None:  # the first event: assume that a leader is alive
             self.election.record_leader_contact(now_us)
-        self._take(now_us, event)
+        self._handle_event(now_us, event)
         self._finish_step(now_us)
         while self.outbox.local_messages:
-            self._receive(now_us, self.instance, self.outbox.local_messages.popleft())
+            self._handle_message(now_us, self.instance, self.outbox.local_messages.popleft())
             self._finish_step(now_us)
         return self.outbox.take_actions()
 
     def _finish_step(self, now_us: int) -> None:
-        """After each step: what follows from it, then what is sent."""
+        """Run what may follow from the event or message just handled, then release its messages."""
         self.leader_protocol.check_leadership(now_us)
-        if self.finished_position != self.position:
-            self.finished_position = self.position
-            for over in self.proposals.finish_applied():
-                self.outbox.emit(over)
+        if self.reported_position != self.position:
+            self.reported_position = self.position
+            for finished in self.proposals.finish_applied():
+                self.outbox.emit(finished)
         self.start_protocol.tick(now_us, self.settings.retry_interval_us)
         self.leader_protocol.announce_leadership()
         self._send_proposals(now_us)
@@ -159,15 +162,15 @@
         self.catch_up.tick(now_us, self.settings.retry_interval_us)
         self.outbox.flush()
 
-    def _take(self, now_us: int, event: object) -> None:
+    def _handle_event(self, now_us: int, event: object) -> None:
         match event:
             case Tick():
                 self.leader_protocol.tick(now_us)
-                for over in self.proposals.expire(now_us):
-                    self.outbox.emit(over)
+                for finished in self.proposals.expire(now_us):
+                    self.outbox.emit(finished)
             case MessageReceived(sender, message):
                 if sender.name != self.instance.name:
-                    self._receive(now_us, sender, message)
+                    self._handle_message(now_us, sender, message)
             case Persisted(token):
                 self.outbox.persisted(token)
                 self.outbox.release()
@@ -187,10 +190,10 @@
                 raise TypeError(f"no event of the log: {event!r}")
 
     def _propose(self, now_us: int, event: Propose) -> None:
-        if over := self.proposals.propose(now_us, event):
-            self.outbox.emit(over)
+        if finished := self.proposals.propose(now_us, event):
+            self.outbox.emit(finished)
 
-    def _receive(self, now_us: int, sender: NodeInstance, message: Message) -> None:
+    def _handle_message(self, now_us: int, sender: NodeInstance, message: Message) -> None:
         match message:
             case RunStarted():
                 self.start_protocol.on_run_started(sender, message)
@@ -236,16 +239,16 @@
                     self.proposals.retry_now()
 
     def _follow_leader(self, now_us: int, ballot: Ballot) -> None:
-        """Follow a leader whose heartbeat came and that may still lead."""
-        lead = self.leader_protocol.leadership
-        if lead and ballot > lead.ballot:
+        """Follow the leader of a ballot whose heartbeat arrived."""
+        leadership = self.leader_protocol.leadership
+        if leadership and ballot > leadership.ballot:
             self.leader_protocol.step_down(now_us)
         if self.leader_protocol.leadership is None and ballot != self.leader_protocol.leader:
             self.leader_protocol.set_leader(ballot)
             self.proposals.retry_now()
 
     def _send_proposals(self, now_us: int) -> None:
-        """Send proposals to the leader, or to a voter where it is unknown or does not answer."""
+        """Send due proposals to the leader, or to a random voter if it is unknown or does not answer."""
         for request, attempts in self.proposals.due_requests(now_us):
             leader = self.leader_protocol.leader
             if leader is None or attempts % 3 == 2:
--- a/molereach/coordination/replicated_log/deduplication.py
+++ b/molereach/coordination/replicated_log/deduplication.py
@@ -1,15 +1,16 @@
-"""Each proposal is applied once, however often it was sent and by whom.
+"""Deduplication of proposals by id: each is applied once, however often and by whichever node it was sent.
 
-The log keeps the ids of the newest entries with their outcomes as part of its state, so all nodes judge a
-repeat alike. Their number is bounded, so an id that has dropped out is unknown. Therefore a request says what
-its proposer had applied when it first sent it, and the leader rejects one from before the window: a message
-that was delayed for long has no effect a second time. An id that its owner reuses after the window (4,096
-entries) is a new proposal.
+The log keeps the ids of the newest entries with their outcomes as part of its state, so all nodes treat a
+repeated proposal alike. The number of ids is bounded. A request therefore names the position that its
+proposer had applied when it first sent the proposal, and the leader ignores a request from before the window
+of known ids: a message that was delayed for a long time has no effect a second time. An id that is reused
+after the window (4,096 entries) is a new proposal.
 """
 
 from collections.abc import Iterable
 from typing import Annotated
 
+import msgspec
 from msgspec import Meta
 
 from molereach.coordination.interface.identifiers import Id, Position, WireStruct
@@ -20,35 +21,37 @@
 
 
 class AppliedProposal(WireStruct, frozen=True):
-    """What the first entry with an id came to."""
+    """The first entry with an id, and its outcome."""
 
     id: Id
     machine: Annotated[str, Meta(max_length=64)]
-    body: Annotated[bytes, Meta(max_length=16)]  # its BLAKE2b
+    body_digest: Annotated[bytes, Meta(max_length=16)] = msgspec.field(name="body")  # BLAKE2b
     position: Position
     outcome: Outcome
 
 
 class DeduplicationTable:
-    """The newest ids, in the order of their entries."""
+    """The newest applied proposals by id, in the order of their entries."""
 
-    def __init__(self, max_ids: int, done: Iterable[AppliedProposal] = (), floor: int = 0) -> None:
-        # `floor`: the position of the newest that was dropped
+    def __init__(self, max_ids: int, proposals: Iterable[AppliedProposal] = (), floor: int = 0) -> None:
+        # `floor` is the position of the newest proposal that was dropped.
         self.max_ids = max_ids
         self.floor = floor
-        self.proposals = {each.id: each for each in done}
+        self.proposals = {proposal.id: proposal for proposal in proposals}
 
     def find(self, entry_id: str) -> AppliedProposal | None:
-        """The proposal that was applied under an id, or None."""
+        """Return the proposal that was applied under an id, or None."""
         return self.proposals.get(entry_id)
 
-    def add(self, entry: Entry, body: bytes, outcome: Outcome) -> None:
-        """Remember an entry and its outcome; the oldest ids drop out."""
-        self.proposals[entry.id] = AppliedProposal(entry.id, entry.machine, body, entry.position, outcome)
+    def add(self, entry: Entry, body_digest: bytes, outcome: Outcome) -> None:
+        """Record an entry and its outcome; beyond the bound, the oldest ids are dropped."""
+        self.proposals[entry.id] = AppliedProposal(
+            entry.id, entry.machine, body_digest, entry.position, outcome
+        )
         while len(self.proposals) > self.max_ids:
             oldest = next(iter(self.proposals))
             self.floor = self.proposals.pop(oldest).position
 
     def covers(self, since: int) -> bool:
-        """Whether a proposal first sent at this position would be in the table, had it been applied."""
+        """Whether a proposal first sent at this position would be in the table if it had been applied."""
         return since >= self.floor
--- a/molereach/coordination/replicated_log/errors.py
+++ b/molereach/coordination/replicated_log/errors.py
@@ -8,4 +8,4 @@
 
 
 class CorruptRecordsError(ReplicatedLogError, ValueError):
-    """The records on the disk contradict one another; this disk must not vote."""
+    """The records on the disk contradict one another, so this disk must not vote."""
--- a/molereach/coordination/replicated_log/leader_protocol.py
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -1,7 +1,7 @@
-"""How a voter comes to lead, leads, and stops: the elections, rounds and batches of one node.
+"""The candidate and leader role of one node: elections, heartbeat rounds and batches.
 
-A leader without contact to a majority for an election timeout steps down (Ongaro 2014, section 6.2). One
-whose log moves by anything but its own decisions while it leads was replaced, and steps down as well.
+A leader without contact to a majority for an election timeout steps down (Ongaro 2014, section 6.2). A leader
+whose log advances by anything but its own decisions has been replaced, and steps down as well.
 """
 
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -30,12 +30,12 @@
 
 
 class LeaderProtocol:
-    """The part of a leader or candidate."""
+    """Runs elections, and the leadership of this node once it is elected."""
 
     def __init__(
-        self, me: NodeInstance, state: ReplicaState, election: Election, queue: ProposalQueue
+        self, instance: NodeInstance, state: ReplicaState, election: Election, queue: ProposalQueue
     ) -> None:
-        self.instance = me
+        self.instance = instance
         self.state = state
         self.election = election
         self.queue = queue
@@ -43,13 +43,13 @@
         self.settings = state.settings
         self.leadership: Leadership | None = None
         self.heartbeat_due_us = 0
-        self.leader: Ballot | None = None  # of the leader that is known here
-        self.is_leader = False  # this node leads
+        self.leader: Ballot | None = None  # ballot of the known leader
+        self.is_leader = False  # whether this node is the leader
 
-    # --- who leads ---
+    # --- the current leader ---
 
     def set_leader(self, ballot: Ballot | None) -> None:
-        """Another leads, or nobody that is known."""
+        """Record that another node leads, or that no leader is known, and report a change."""
         if self.is_leader or ballot != self.leader:
             known = ballot or self.leader
             self.leader = ballot
@@ -59,15 +59,15 @@
             )
 
     def announce_leadership(self) -> None:
-        """Report that this node leads, once it has all earlier decisions."""
-        lead = self.leadership
-        if lead and lead.leads and not (self.is_leader and self.leader == lead.ballot):
-            self.leader = lead.ballot
+        """Report that this node leads, once it knows all earlier decisions."""
+        leadership = self.leadership
+        if leadership and leadership.leads and not (self.is_leader and self.leader == leadership.ballot):
+            self.leader = leadership.ballot
             self.is_leader = True
-            self.outbox.emit(LeaderChanged(self.instance.name, lead.ballot.number, True))
+            self.outbox.emit(LeaderChanged(self.instance.name, leadership.ballot.number, True))
 
     def step_down(self, now_us: int) -> None:
-        """Lead no more; what is proposed may still be decided, by whoever leads next."""
+        """Stop leading. The next leader may still decide the proposed batch."""
         if self.leadership is None:
             return
         self.leadership = None
@@ -77,44 +77,51 @@
             self.set_leader(None)
 
     def check_leadership(self, now_us: int) -> None:
-        """Step down if others moved the log, or a higher ballot was promised here."""
-        lead = self.leadership
-        if lead is None:
+        """Step down if another leader decided entries, or a higher ballot was promised at this node."""
+        leadership = self.leadership
+        if leadership is None:
             return
-        if self.state.acceptor.promised > lead.ballot or self.state.recovery.voter not in self.state.voters:
+        if (
+            self.state.acceptor.promised > leadership.ballot
+            or self.state.recovery.voter not in self.state.voters
+        ):
             self.step_down(now_us)
-        elif self.state.position != lead.after:
-            if lead.phase is LeadershipPhase.LEADING:
+        elif self.state.position != leadership.after:
+            if leadership.phase is LeadershipPhase.LEADING:
                 self.step_down(now_us)
             else:
-                self.prepare(now_us, lead)
+                self.prepare(now_us, leadership)
 
     # --- time ---
 
     @property
     def wake_us(self) -> int:
-        """When it wants a `Tick`, in microseconds of its clock."""
-        lead = self.leadership
+        """When a heartbeat or an election timeout is due."""
+        leadership = self.leadership
         return (
-            min(self.heartbeat_due_us, self.election.timeout_at_us) if lead else self.election.timeout_at_us
+            min(self.heartbeat_due_us, self.election.timeout_at_us)
+            if leadership
+            else self.election.timeout_at_us
         )
 
     def tick(self, now_us: int) -> None:
-        """Send what is due, step down without a majority, or begin an election."""
-        lead = self.leadership
-        if lead and lead.elected:
-            if not lead.has_quorum_contact(self.state.voters, now_us, self.settings.max_election_timeout_us):
+        """Send a heartbeat or resend messages, step down without a majority, or begin an election."""
+        leadership = self.leadership
+        if leadership and leadership.elected:
+            if not leadership.has_quorum_contact(
+                self.state.voters, now_us, self.settings.max_election_timeout_us
+            ):
                 self.step_down(now_us)
             elif now_us >= self.heartbeat_due_us:
-                self.send_heartbeat(now_us, lead)
+                self.send_heartbeat(now_us, leadership)
             elif now_us >= self.election.timeout_at_us:
                 self.election.restart_timeout(now_us)
             return
         if now_us >= self.election.timeout_at_us:
             self.leadership = None
             self.start_pre_vote(now_us)
-        elif lead and now_us >= self.heartbeat_due_us:
-            self.resend(now_us, lead)
+        elif leadership and now_us >= self.heartbeat_due_us:
+            self.resend(now_us, leadership)
 
     def start_pre_vote(self, now_us: int) -> None:
         """Ask all voters whether they would promise a new ballot."""
@@ -137,132 +144,138 @@
             self.election.restart_timeout(now_us)
             self.resend(now_us, self.leadership)
 
-    def prepare(self, now_us: int, lead: Leadership) -> None:
-        """Run phase 1 anew, about what follows now."""
-        lead.prepare(self.state.position, now_us)
-        self.resend(now_us, lead)
+    def prepare(self, now_us: int, leadership: Leadership) -> None:
+        """Restart phase 1 for the positions after the current one."""
+        leadership.prepare(self.state.position, now_us)
+        self.resend(now_us, leadership)
 
-    def resend(self, now_us: int, lead: Leadership) -> None:
-        """Resend what was not answered."""
+    def resend(self, now_us: int, leadership: Leadership) -> None:
+        """Send the message of the current phase to the voters that have not answered it."""
         self.heartbeat_due_us = now_us + self.settings.heartbeat_interval_us
-        answered = lead.promises if lead.phase is LeadershipPhase.PREPARING else lead.votes
+        replied = leadership.promises if leadership.phase is LeadershipPhase.PREPARING else leadership.votes
         for voter in self.state.voters:
-            if voter.disk in answered:
+            if voter.disk in replied:
                 continue
-            if lead.phase is LeadershipPhase.PREPARING:
-                self.outbox.send(voter.name, Prepare(lead.ballot, lead.after))
-            elif lead.batch:
-                self.outbox.send(voter.name, Accept(lead.ballot, lead.batch))
+            if leadership.phase is LeadershipPhase.PREPARING:
+                self.outbox.send(voter.name, Prepare(leadership.ballot, leadership.after))
+            elif leadership.batch:
+                self.outbox.send(voter.name, Accept(leadership.ballot, leadership.batch))
 
     def _leadership_for(
         self, now_us: int, sender: NodeInstance, ballot: Ballot, source: VoteSource
     ) -> Leadership | None:
-        """The leadership that a vote is for, if it came from a voter."""
-        lead = self.leadership
+        """Return the leadership that a promise, vote or reply is for, or None if it is not from a voter."""
+        leadership = self.leadership
         voter = voter_of_disk(self.state.voters, source.run.disk)
-        if lead is None or lead.ballot != ballot or voter is None:
+        if leadership is None or leadership.ballot != ballot or voter is None:
             return None
         if voter.name != sender.name or source.run.instance_number != sender.number:
             return None
-        lead.contact_us[voter.disk] = now_us
-        return lead
+        leadership.last_reply_us[voter.disk] = now_us
+        return leadership
 
     def on_promise(self, now_us: int, sender: NodeInstance, message: Promise) -> None:
-        """Record a promise; lead once a majority has promised."""
-        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
-        if lead is None or not are_consecutive(message.accepted, message.after):
+        """Record a promise; begin to lead once a majority has promised."""
+        leadership = self._leadership_for(now_us, sender, message.ballot, message.source)
+        if leadership is None or not are_consecutive(message.accepted, message.after):
             return
-        if lead.record_promise(message.source.run.disk, message, self.state.voters):
-            self.send_heartbeat(now_us, lead)
+        if leadership.record_promise(message.source.run.disk, message, self.state.voters):
+            self.send_heartbeat(now_us, leadership)
 
     def on_ballot_rejected(self, now_us: int, message: BallotRejected) -> None:
-        """Step down where a higher ballot was promised."""
+        """Step down if a ballot with the same or a higher number was promised elsewhere."""
         self.election.observe_ballot(message.promised)
-        lead = self.leadership
-        if lead and lead.ballot == message.ballot and message.promised.number >= lead.ballot.number:
+        leadership = self.leadership
+        if (
+            leadership
+            and leadership.ballot == message.ballot
+            and message.promised.number >= leadership.ballot.number
+        ):
             self.step_down(now_us)
 
     # --- batches ---
 
     def propose_next_batch(self, now_us: int) -> None:
-        """Propose the next batch, if its time has come."""
-        lead = self.leadership
-        if lead is None or not lead.leads or lead.batch:
+        """Propose the next batch of queued entries, unless one is in progress."""
+        leadership = self.leadership
+        if leadership is None or not leadership.leads or leadership.batch:
             return
         if batch := self.queue.batch(now_us, self.state.learner):
-            lead.propose(batch)
+            leadership.propose(batch)
             for voter in self.state.voters:
-                self.outbox.send(voter.name, Accept(lead.ballot, batch))
+                self.outbox.send(voter.name, Accept(leadership.ballot, batch))
 
     def on_accepted(self, now_us: int, sender: NodeInstance, message: Accepted) -> None:
-        """Record a vote; apply the batch once it is decided."""
-        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
-        if lead is None:
+        """Record a vote; apply the batch if the vote decides it."""
+        leadership = self._leadership_for(now_us, sender, message.ballot, message.source)
+        if leadership is None:
             return
         voters = self.state.voters
-        batch = lead.record_vote(message.source.run.disk, message.last, message.source, voters)
+        batch = leadership.record_vote(message.source.run.disk, message.last, message.source, voters)
         if not batch:
             return
         self.state.apply_decided(batch)
-        lead.after = self.state.position
+        leadership.after = self.state.position
         if self.state.voters == voters:
-            self.send_heartbeat(now_us, lead)
+            self.send_heartbeat(now_us, leadership)
         else:
-            self.change_voters(now_us, lead, voters)
+            self.change_voters(now_us, leadership, voters)
 
-    def change_voters(self, now_us: int, lead: Leadership, before: Voters) -> None:
-        """Notify old and new voters, and prepare anew with the new ones, or step down if not among them."""
+    def change_voters(self, now_us: int, leadership: Leadership, before: Voters) -> None:
+        """Notify old and new voters, then prepare with the new ones, or step down if not one of them."""
         for voter in before:
             if voter not in self.state.voters:
-                self.outbox.send(voter.name, Heartbeat(lead.ballot, self.state.position, lead.rounds.number))
-        self.send_heartbeat(now_us, lead)
+                self.outbox.send(
+                    voter.name, Heartbeat(leadership.ballot, self.state.position, leadership.rounds.number)
+                )
+        self.send_heartbeat(now_us, leadership)
         if self.state.recovery.voter in self.state.voters:
-            self.prepare(now_us, lead)
+            self.prepare(now_us, leadership)
         else:
             self.step_down(now_us)
 
-    # --- rounds ---
+    # --- heartbeat rounds ---
 
-    def send_heartbeat(self, now_us: int, lead: Leadership) -> None:
-        """Begin a heartbeat round, and resend what was not answered."""
-        number = lead.rounds.begin()
+    def send_heartbeat(self, now_us: int, leadership: Leadership) -> None:
+        """Begin a heartbeat round, and resend unanswered messages."""
+        number = leadership.rounds.begin()
         for voter in self.state.voters:
-            self.outbox.send(voter.name, Heartbeat(lead.ballot, self.state.position, number))
-        self.resend(now_us, lead)
+            self.outbox.send(voter.name, Heartbeat(leadership.ballot, self.state.position, number))
+        self.resend(now_us, leadership)
 
     def on_heartbeat_reply(self, now_us: int, sender: NodeInstance, message: HeartbeatReply) -> None:
-        """Record a reply; report the confirmations that it completes."""
-        lead = self._leadership_for(now_us, sender, message.ballot, message.source)
-        if lead is None:
+        """Record a reply to a heartbeat; report the confirmations that it completes."""
+        leadership = self._leadership_for(now_us, sender, message.ballot, message.source)
+        if leadership is None:
             return
-        lead.rounds.record_reply(message.source.run.disk, message)
-        if not lead.leads:
+        leadership.rounds.record_reply(message.source.run.disk, message)
+        if not leadership.leads:
             return
-        tokens = lead.rounds.take_confirmed(self.state.voters)
+        tokens = leadership.rounds.take_confirmed(self.state.voters)
         for token in tokens:
-            self.outbox.emit(LeadershipConfirmed(token, lead.ballot.number))
-        if tokens and lead.rounds.has_unsent_question:
-            self.send_heartbeat(now_us, lead)
+            self.outbox.emit(LeadershipConfirmed(token, leadership.ballot.number))
+        if tokens and leadership.rounds.has_unstarted_round:
+            self.send_heartbeat(now_us, leadership)
 
     def confirm_leadership(self, now_us: int, token: int) -> None:
-        """Wait for a heartbeat round that begins after this call."""
-        lead = self.leadership
-        if lead and lead.leads and lead.rounds.add_question(token):
-            self.send_heartbeat(now_us, lead)
+        """Request a confirmation by a heartbeat round that begins after this call."""
+        leadership = self.leadership
+        if leadership and leadership.leads and leadership.rounds.request_confirmation(token):
+            self.send_heartbeat(now_us, leadership)
 
     # --- proposals ---
 
     def on_proposal_request(self, sender: str, request: ProposalRequest) -> None:
-        """Queue a proposal, or name the leader and forward it once."""
+        """Queue a proposal if this node is elected, or else name the leader and forward it once."""
         if self.leadership and self.leadership.elected:
             self.queue.add(request, self.state.learner)
         elif self.leader:
             self.outbox.send(sender, LeaderHint(self.leader))
-            if sender == request.proposer.name:  # it may not reach the leader itself; forwarded once
+            if sender == request.proposer.name:  # it may not be able to reach the leader itself
                 self.outbox.send(self.leader.name, request)
 
     def on_leader_hint(self, message: LeaderHint) -> bool:
-        """Record who leads; whether that is new."""
+        """Record a leader named by another node; return whether it is newer than the known one."""
         newer = self.leader is None or message.ballot.number > self.leader.number
         if self.leadership or message.ballot.name == self.instance.name or not newer:
             return False
--- a/molereach/coordination/replicated_log/leadership_confirmation.py
+++ b/molereach/coordination/replicated_log/leadership_confirmation.py
@@ -1,9 +1,9 @@
-"""Whether this node is still the leader: a heartbeat round that began after the question.
+"""Confirms that this node is still the leader, by a heartbeat round that begins after the request.
 
-Source: Ongaro (2014), section 6.4. A voter that replies to a round had promised no higher ballot when its
-heartbeat came; when a majority has replied, no other ballot was promised by a majority before the round
-began, so no other leader was elected by then. A leader that was stopped finds the same, however old its last
-round is.
+Source: Ongaro (2014), section 6.4. A voter that replies to a round had promised no higher ballot when the
+heartbeat arrived. When a majority has replied, no majority had promised a higher ballot before the round
+began, so no other leader had been elected by then. This also holds for a leader whose process was paused,
+however long ago its previous round was.
 """
 
 from typing import NamedTuple
@@ -11,61 +11,71 @@
 from molereach.coordination.replicated_log.messages import HeartbeatReply, Voters, VoteSource
 from molereach.coordination.replicated_log.recovery import has_majority
 
-MAX_QUESTIONS = 1024
+MAX_PENDING_CONFIRMATIONS = 1024
 
 
 class RoundReply(NamedTuple):
-    """The newest round that a voter replied to."""
+    """The newest round to which a voter replied."""
 
     round: int
     source: VoteSource
 
 
-class Question(NamedTuple):
-    """A question about leadership, and the first round that answers it."""
+class PendingConfirmation(NamedTuple):
+    """A requested confirmation of leadership, and the first round that can give it."""
 
     round: int
     token: int
 
 
 class HeartbeatRounds:
-    """Heartbeat rounds of one leader, the replies, and the questions that wait for a round."""
+    """The heartbeat rounds of one leader, the replies, and the confirmations that wait for a round."""
 
     def __init__(self) -> None:
         self.number = 0
         self.replies: dict[str, RoundReply] = {}  # by disk
-        self.waiting_questions: list[Question] = []
+        self.pending_confirmations: list[PendingConfirmation] = []
 
     def begin(self) -> int:
-        """Begin a round; returns its number."""
+        """Begin a round and return its number."""
         self.number += 1
         return self.number
 
-    def add_question(self, token: int) -> bool:
-        """Take a question; whether to begin a round at once, as none for an earlier one is in progress."""
-        idle = all(question.round > self.number for question in self.waiting_questions)
-        if len(self.waiting_questions) < MAX_QUESTIONS:
-            self.waiting_questions.append(Question(self.number + 1, token))
-        return idle
+    def request_confirmation(self, token: int) -> bool:
+        """Record a request; return whether to begin a round now, as no earlier request waits for one."""
+        none_unstarted = all(confirmation.round > self.number for confirmation in self.pending_confirmations)
+        if len(self.pending_confirmations) < MAX_PENDING_CONFIRMATIONS:
+            self.pending_confirmations.append(PendingConfirmation(self.number + 1, token))
+        return none_unstarted
 
     def record_reply(self, disk: str, message: HeartbeatReply) -> None:
-        """Record a voter's reply to a round, the newest of each disk."""
+        """Record a voter's reply to a round; the newest of each disk is kept."""
         earlier = self.replies.get(disk)
         if message.round <= self.number and (earlier is None or earlier.round < message.round):
             self.replies[disk] = RoundReply(message.round, message.source)
 
     def take_confirmed(self, voters: Voters) -> list[int]:
-        """Tokens whose round a majority of the voters has answered."""
-        rounds = {question.round for question in self.waiting_questions}
-        for needed in sorted(rounds, reverse=True):
-            votes = {disk: reply.source for disk, reply in self.replies.items() if reply.round >= needed}
+        """Remove and return the tokens whose round a majority of the voters has answered."""
+        required_rounds = {confirmation.round for confirmation in self.pending_confirmations}
+        for required_round in sorted(required_rounds, reverse=True):
+            votes = {
+                disk: reply.source for disk, reply in self.replies.items() if reply.round >= required_round
+            }
             if has_majority(votes, voters):
-                confirmed = [each.token for each in self.waiting_questions if each.round <= needed]
-                self.waiting_questions = [each for each in self.waiting_questions if each.round > needed]
+                confirmed = [
+                    confirmation.token
+                    for confirmation in self.pending_confirmations
+                    if confirmation.round <= required_round
+                ]
+                self.pending_confirmations = [
+                    confirmation
+                    for confirmation in self.pending_confirmations
+                    if confirmation.round > required_round
+                ]
                 return confirmed
         return []
 
     @property
-    def has_unsent_question(self) -> bool:
-        """Whether a question waits for a round that has not begun."""
-        return any(question.round > self.number for question in self.waiting_questions)
+    def has_unstarted_round(self) -> bool:
+        """Whether a confirmation waits for a round that has not begun."""
+        return any(confirmation.round > self.number for confirmation in self.pending_confirmations)
--- a/molereach/coordination/replicated_log/learner.py
+++ b/molereach/coordination/replicated_log/learner.py
@@ -1,7 +1,8 @@
-"""What is decided, applied in order: the state machines, the voters, the tail for other nodes, digests.
+"""The Paxos learner: applies decided entries to the state machines and the voters; snapshots and digests.
 
-Everything here follows from the entries alone, so it is the same at all nodes at the same position. A machine
-that raises is stopped at this node and named; the others go on.
+This state follows from the entries alone, so it is the same at all nodes at the same position. A machine that
+raises an exception is stopped at this node and reported; the others continue. The newest entries are kept as
+a tail for nodes that lack them.
 """
 
 from collections import deque
@@ -23,33 +24,32 @@
 from molereach.coordination.replicated_log.settings import MAX_BATCH_BYTES, MAX_BATCH_ENTRIES, LogSettings
 from molereach.coordination.replicated_log.voters import apply_change
 
-LOG_MACHINE = (
-    "log"  # the machine of entries of the log's own; `Entry.machine` cannot be empty once it was sent
-)
+# The machine of entries that change the voters. A proposal may leave `machine` empty for them, an entry not.
+LOG_MACHINE = "log"
 
 
 @dataclass(frozen=True, slots=True)
 class MachineFailed:
-    """Action: a state machine raised and is stopped at this node."""
+    """Action: a state machine raised an exception and is stopped at this node."""
 
     machine: str
     reason: str
 
 
 class ProposalResult(NamedTuple):
-    """Where a proposal was applied, and its outcome."""
+    """The position at which a proposal was applied, and its outcome."""
 
     position: int
     outcome: Outcome
 
 
-def body_hash(body: bytes) -> bytes:
-    """The BLAKE2b digest of a body, 16 bytes."""
+def digest_of_body(body: bytes) -> bytes:
+    """Return the BLAKE2b digest of a body, 16 bytes."""
     return blake2b(body, digest_size=16).digest()
 
 
 class Learner:
-    """All that was decided, as far as it is known here."""
+    """The state after all entries applied at this node."""
 
     def __init__(self, voters: Voters, machines: Mapping[str, StateMachine], settings: LogSettings) -> None:
         self.settings = settings
@@ -65,32 +65,32 @@
 
     @property
     def at_ms(self) -> int:
-        """The time of the last entry, Unix milliseconds; 0 without one."""
+        """The time of the last entry in Unix milliseconds; 0 without one."""
         return self.last.at_ms if self.last else 0
 
     # --- entries ---
 
     def unapplied(self, entries: Sequence[Entry]) -> tuple[Entry, ...]:
-        """Those that follow what is applied here; none where there is a gap."""
-        fresh = tuple(entry for entry in entries if entry.position > self.position)
-        expected = range(self.position + 1, self.position + 1 + len(fresh))
-        return fresh if [entry.position for entry in fresh] == list(expected) else ()
+        """Return the entries that are not yet applied; none if there is a gap before or among them."""
+        unapplied_entries = tuple(entry for entry in entries if entry.position > self.position)
+        expected = range(self.position + 1, self.position + 1 + len(unapplied_entries))
+        return unapplied_entries if [entry.position for entry in unapplied_entries] == list(expected) else ()
 
     def apply(self, entry: Entry) -> list[Applied | MachineFailed]:
-        """Take the next entry."""
+        """Apply the next entry."""
         assert entry.position == self.position + 1
         self.position = entry.position
         self.last = entry
         self.chain = blake2b(self.chain + msgspec.msgpack.encode(entry), digest_size=32).digest()
         self._append_to_tail(entry)
         failures: list[Applied | MachineFailed] = []
-        body = body_hash(entry.body)
-        done = self.deduplication.find(entry.id)
-        if done is None:
+        body_digest = digest_of_body(entry.body)
+        earlier = self.deduplication.find(entry.id)
+        if earlier is None:
             outcome = self._outcome(entry, failures)
-            self.deduplication.add(entry, body, outcome)
-        elif (done.machine, done.body) == (entry.machine, body):
-            outcome = Outcome(REPEATED_ERROR.format(done.position))
+            self.deduplication.add(entry, body_digest, outcome)
+        elif (earlier.machine, earlier.body_digest) == (entry.machine, body_digest):
+            outcome = Outcome(REPEATED_ERROR.format(earlier.position))
         else:
             outcome = Outcome(REUSED_ERROR)
         return [*failures, Applied(entry, outcome)]
@@ -115,12 +115,12 @@
         return MachineFailed(name, reason[:200])
 
     def outcome_of(self, entry_id: str, machine: str, body: bytes) -> ProposalResult | None:
-        """The result of a proposal, if its id is remembered."""
-        done = self.deduplication.find(entry_id)
-        if done is None:
+        """Return the result of a proposal, or None if its id is not known."""
+        earlier = self.deduplication.find(entry_id)
+        if earlier is None:
             return None
-        same = (done.machine, done.body) == (machine, body_hash(body))
-        return ProposalResult(done.position, done.outcome if same else Outcome(REUSED_ERROR))
+        is_same = (earlier.machine, earlier.body_digest) == (machine, digest_of_body(body))
+        return ProposalResult(earlier.position, earlier.outcome if is_same else Outcome(REUSED_ERROR))
 
     # --- the tail ---
 
@@ -133,7 +133,7 @@
             self.tail_bytes -= len(self.tail.popleft().body)
 
     def entries_after(self, after: int) -> tuple[Entry, ...] | None:
-        """A bounded number of entries after a position; None where the tail does not reach back."""
+        """Return the next entries after a position, up to a bound; None if the tail begins later."""
         if after >= self.position:
             return ()
         if not self.tail or self.tail[0].position > after + 1:
@@ -146,7 +146,7 @@
     # --- snapshots ---
 
     def snapshot(self) -> Snapshot:
-        """All state at the current position."""
+        """Return the complete state at the current position."""
         machines = {
             name: machine.snapshot()
             for name, machine in sorted(self.machines.items())
@@ -164,7 +164,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> list[MachineFailed]:
-        """Be what a snapshot says. A machine that cannot is stopped here."""
+        """Replace the state with a snapshot. A machine that cannot be restored is stopped at this node."""
         failures = []
         for name, machine in self.machines.items():
             data = snapshot.machines.get(name)
@@ -188,17 +188,17 @@
         return failures
 
     def digest(self) -> str:
-        """Of all entries and all state: equal at equal positions, everywhere."""
+        """Return a digest of all entries and all state, equal at all nodes at the same position."""
         return blake2b(msgspec.msgpack.encode(self.snapshot()), digest_size=16).hexdigest()
 
 
 def first_batch(entries: Iterable[Entry]) -> tuple[Entry, ...]:
-    """As many as fit into one message; at least one."""
-    taken: list[Entry] = []
-    size = 0
+    """Return as many of the entries as fit into one message, at least one."""
+    batch: list[Entry] = []
+    body_bytes = 0
     for entry in entries:
-        size += len(entry.body)
-        if taken and (size > MAX_BATCH_BYTES or len(taken) == MAX_BATCH_ENTRIES):
+        body_bytes += len(entry.body)
+        if batch and (body_bytes > MAX_BATCH_BYTES or len(batch) == MAX_BATCH_ENTRIES):
             break
-        taken.append(entry)
-    return tuple(taken)
+        batch.append(entry)
+    return tuple(batch)
--- a/molereach/coordination/replicated_log/messages.py
+++ b/molereach/coordination/replicated_log/messages.py
@@ -1,7 +1,7 @@
-"""The messages between the nodes of the log. All may be lost, duplicated, late or old.
+"""The messages between the nodes of the log. Each may be lost, duplicated, delayed or from an earlier run.
 
 Every message is typed and bounded; the transport's decoder rejects any other. `after` is always the position
-of the last entry that the sender has: the message is about those that follow it.
+of the last entry that the sender has; the message concerns the positions that follow it.
 """
 
 from typing import Annotated
@@ -26,15 +26,14 @@
 
 MAX_VOTERS = 7
 
-DiskIdentity = Annotated[
-    str, Meta(pattern=r"^[0-9a-f]{32}\Z")
-]  # 128 random bits, drawn when its folder was made
+# 128 random bits, drawn when the disk's folder was created.
+DiskIdentity = Annotated[str, Meta(pattern=r"^[0-9a-f]{32}\Z")]
 StartCount = Annotated[int, Meta(ge=0, le=1 << 53)]
 Batch = Annotated[tuple[Entry, ...], Meta(max_length=MAX_BATCH_ENTRIES)]
 
 
 class Ballot(WireStruct, frozen=True, order=True):
-    """An attempt to lead. No two runs can have the same one; that of nobody is the lowest."""
+    """A Paxos ballot, which belongs to one run of one node. The default, `NOBODY`, is the lowest."""
 
     number: InstanceNumber = 0
     name: Name = "0"
@@ -45,7 +44,7 @@
 
 
 class Voter(WireStruct, frozen=True, order=True):
-    """A voter: a node with its disk. Either alone is not the voter."""
+    """A voter: a node together with its disk. The node with another disk is not this voter."""
 
     name: Name
     disk: DiskIdentity
@@ -55,7 +54,7 @@
 
 
 class Run(WireStruct, frozen=True):
-    """One start of one disk: how many there were, and the instance that it began."""
+    """One run on one disk: the number of starts of the disk so far, and the instance that was started."""
 
     disk: DiskIdentity
     start_count: StartCount = msgspec.field(name="starts")
@@ -63,7 +62,7 @@
 
 
 class VoteSource(WireStruct, frozen=True):
-    """Whose vote it is, and the runs of others that it has written down: votes of earlier ones are void."""
+    """The run that votes, and the runs of other disks that it has recorded; votes of older runs are void."""
 
     run: Run
     known_runs: Annotated[tuple[Run, ...], Meta(max_length=MAX_VOTERS)] = msgspec.field(
@@ -72,21 +71,24 @@
 
 
 class LogMessage(WireStruct, frozen=True, tag_field="kind"):
-    """A message of the log."""
+    """Base class of the messages of the log."""
 
 
 # --- a start ---
 
 
 class RunStarted(LogMessage, frozen=True, tag="l.start"):
-    """This disk was started: what is known of it?"""
+    """Announces a run of the sender's disk; the recipient records it and reports its own promise and vote."""
 
     run: Run
     after: Position
 
 
 class RunAcknowledged(LogMessage, frozen=True, tag="l.noted"):
-    """The run is written down, and no equal or higher one was; this was promised and accepted by me."""
+    """Confirms that the run is recorded, as it conflicts with no known run.
+
+    Reports the promise and the vote of the sender.
+    """
 
     run: Run
     acknowledged_by: Run = msgspec.field(name="by")
@@ -97,7 +99,7 @@
 
 
 class RunConflict(LogMessage, frozen=True, tag="l.exists"):
-    """An equal or higher start is known under another instance: the disk was rolled back."""
+    """Reports that an equal or higher start count is known of another instance: the disk was rolled back."""
 
     run: Run
     known: Run
@@ -107,14 +109,14 @@
 
 
 class PreVote(LogMessage, frozen=True, tag="l.poll"):
-    """Would you promise this? Nothing is promised by the answer."""
+    """Asks whether the voter would promise a ballot, without promising it."""
 
     ballot: Ballot
     after: Position
 
 
 class PreVoteReply(LogMessage, frozen=True, tag="l.polled"):
-    """Whether the voter would promise the ballot, and what it has promised."""
+    """Whether the voter would promise the ballot, and the ballot that it has promised."""
 
     ballot: Ballot
     disk: DiskIdentity
@@ -123,14 +125,14 @@
 
 
 class Prepare(LogMessage, frozen=True, tag="l.prepare"):
-    """Phase 1: promise this ballot, for all positions after `after`."""
+    """Phase 1: requests a promise of this ballot for all positions after `after`."""
 
     ballot: Ballot
     after: Position
 
 
 class Promise(LogMessage, frozen=True, tag="l.promise"):
-    """Nothing under this ballot will be accepted, at any later position; and what was accepted before."""
+    """Promises to accept no lower ballot at any later position; reports the batch accepted so far."""
 
     ballot: Ballot
     after: Position
@@ -140,7 +142,7 @@
 
 
 class BallotRejected(LogMessage, frozen=True, tag="l.outbid"):
-    """A higher ballot was promised than the one in the request."""
+    """Rejects a request, because another ballot with the same or a higher number was promised."""
 
     ballot: Ballot
     promised: Ballot
@@ -150,22 +152,25 @@
 
 
 class Accept(LogMessage, frozen=True, tag="l.accept"):
-    """Phase 2: accept these entries under this ballot."""
+    """Phase 2: requests that the voter accept these entries under this ballot."""
 
     ballot: Ballot
     entries: Annotated[tuple[Entry, ...], Meta(min_length=1, max_length=MAX_BATCH_ENTRIES)]
 
 
 class Accepted(LogMessage, frozen=True, tag="l.accepted"):
-    """The batch up to `last` was accepted and written to disk."""
+    """Confirms that the batch up to `last` was accepted and written to disk."""
 
     ballot: Ballot
-    last: Position  # of the batch
+    last: Position  # the last position of the batch
     source: VoteSource = msgspec.field(name="voter")
 
 
 class Heartbeat(LogMessage, frozen=True, tag="l.beat"):
-    """The leader is alive; all up to `decided` is decided, also what was accepted of this ballot."""
+    """Shows that the leader is alive, and that all up to `decided` is decided.
+
+    This includes entries that the recipient has accepted under this ballot.
+    """
 
     ballot: Ballot
     decided: Position
@@ -173,7 +178,7 @@
 
 
 class HeartbeatReply(LogMessage, frozen=True, tag="l.follow"):
-    """No higher ballot was promised here when this round's heartbeat came."""
+    """Confirms that the voter had promised no higher ballot when the heartbeat of this round arrived."""
 
     ballot: Ballot
     round: Position
@@ -184,27 +189,27 @@
 
 
 class EntriesRequest(LogMessage, frozen=True, tag="l.want"):
-    """Send the entries that follow this position."""
+    """Requests the entries that follow a position."""
 
     after: Position
 
 
 class EntriesReply(LogMessage, frozen=True, tag="l.known"):
-    """Decided entries; `decided` is the sender's own position."""
+    """Decided entries; `decided` is the position of the last one that the sender has."""
 
     entries: Batch
     decided: Position
 
 
 class SnapshotChunkRequest(LogMessage, frozen=True, tag="l.wantpiece"):
-    """The next bytes of the snapshot of this position."""
+    """Requests the next bytes of the snapshot of a position."""
 
     position: Position
     offset: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
 
 
 class SnapshotChunk(LogMessage, frozen=True, tag="l.piece"):
-    """Some bytes of a snapshot. A chunk that does not continue what came before is ignored."""
+    """A chunk of a snapshot. One that does not continue the bytes received so far is ignored."""
 
     position: Position
     total: Annotated[int, Meta(ge=1, le=MAX_SNAPSHOT_BYTES)]
@@ -217,7 +222,7 @@
 
 
 class ProposalRequest(LogMessage, frozen=True, tag="l.ask"):
-    """A proposal for the leader. `since` is what its proposer had applied when it first sent it."""
+    """A proposal for the leader. `since` is the proposer's position when it first sent the proposal."""
 
     machine: Annotated[str, Meta(max_length=64)]
     id: Id
@@ -227,7 +232,7 @@
 
 
 class LeaderHint(LogMessage, frozen=True, tag="l.leader"):
-    """Another leads, as far as is known here."""
+    """The leader that is known to the sender."""
 
     ballot: Ballot
 
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -1,7 +1,8 @@
-"""What is sent, and when: a message that depends on the disk leaves only once the disk has synced.
+"""Actions and outgoing messages: one that depends on a write is sent only after the write is synced.
 
-Messages to this node's own voter go the same way as those to others and come back in order, so its own vote
-counts no earlier than theirs. What does not fit any more is lost, as any message may be.
+Messages to this node's own voter take the same path as those to other nodes and are delivered in order, so
+its own vote counts no earlier than if it were remote. Messages beyond the bound are lost, as any message may
+be.
 """
 
 from collections import deque
@@ -14,8 +15,8 @@
 from molereach.coordination.replicated_log.messages import Message
 from molereach.coordination.replicated_log.records import Base, Record, encode
 
-MAX_UNSYNCED_WRITES = 1024  # writes under way: beyond it, a disk that hangs gets nothing new to vote for
-MAX_WAITING_MESSAGES = 4096  # messages that wait for the disk
+MAX_UNSYNCED_WRITES = 1024  # writes in progress; a disk that hangs and reaches this bound stops voting
+MAX_WAITING_MESSAGES = 4096  # messages that wait for a sync
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +27,7 @@
 
 
 class _WaitingMessage(NamedTuple):
-    """A message that may leave once the write `token` is synced."""
+    """A message that may be sent once the write `token` is synced."""
 
     token: int
     recipient: str
@@ -35,42 +36,41 @@
 
 
 class Outbox:
-    """Actions of one turn, in order, and messages that wait for a write."""
+    """The actions of one event, in order, and the messages that wait for a write."""
 
     def __init__(self, instance: NodeInstance) -> None:
         self.instance = instance
         self.actions: list[Any] = []
         self.local_messages: deque[Message] = deque()  # to this node itself
-        self.written = 0  # the token of the last write
-        self.synced = 0  # the token of the last write that is on the disk
+        self.written = 0  # token of the last write
+        self.synced = 0  # token of the last synced write
         self.failed = False
         self._records: list[bytes] = []
         self._base: bytes | None = None
-        # The messages of this step, then those that wait for a write; beyond the bound the oldest are
-        # lost.
+        # Messages of this step, and messages that wait for a write; beyond the bound the oldest are lost.
         self._new: list[_WaitingMessage] = []
         self._waiting: deque[_WaitingMessage] = deque(maxlen=MAX_WAITING_MESSAGES)
 
     @property
     def can_write(self) -> bool:
-        """Whether the disk takes writes and is not far behind."""
+        """Whether the disk has not failed and has fewer unsynced writes than the bound."""
         return not self.failed and self.written - self.synced < MAX_UNSYNCED_WRITES
 
     def emit(self, action: object) -> None:
         """Add an action."""
         self.actions.append(action)
 
-    def send(self, to: str, message: Message, instance_number: int | None = None) -> None:
+    def send(self, recipient: str, message: Message, instance_number: int | None = None) -> None:
         """Send a message that does not depend on the disk."""
-        if to == self.instance.name:
+        if recipient == self.instance.name:
             self.local_messages.append(message)
         else:
-            self.actions.append(SendMessage(to, message, instance_number))
+            self.actions.append(SendMessage(recipient, message, instance_number))
 
-    def send_after_sync(self, to: str, message: Message, instance_number: int | None = None) -> None:
+    def send_after_sync(self, recipient: str, message: Message, instance_number: int | None = None) -> None:
         """Send a message once everything written so far, also in this step, is synced."""
         if not self.failed:
-            self._new.append(_WaitingMessage(0, to, message, instance_number))
+            self._new.append(_WaitingMessage(0, recipient, message, instance_number))
 
     def write(self, record: Record) -> None:
         """Add a record to this step's write."""
@@ -78,19 +78,19 @@
             self._records.append(encode(record))
 
     def write_base(self, base: Base) -> None:
-        """Write this in place of all before."""
+        """Replace all records written so far, also in this step, with a base."""
         if not self.failed:
             self._base = encode(base)
             self._records = []
 
     def flush(self) -> None:
-        """The end of a step: one write for all that it changed; then what may leave."""
+        """End a step: request one write of all its records, and send the messages that need not wait."""
         if self._records or self._base is not None:
             self.written += 1
             self.emit(Persist(self.written, tuple(self._records), self._base))
             self._records = []
             self._base = None
-        self._waiting.extend(each._replace(token=self.written) for each in self._new)
+        self._waiting.extend(waiting._replace(token=self.written) for waiting in self._new)
         self._new.clear()
         self.release()
 
@@ -101,12 +101,12 @@
             self.send(waiting.recipient, waiting.message, waiting.instance_number)
 
     def persisted(self, token: int) -> None:
-        """Everything up to `token` is on the disk."""
+        """Record that everything up to `token` is synced."""
         if not self.failed:
             self.synced = max(self.synced, min(token, self.written))
 
     def fail(self, reason: str) -> bool:
-        """The disk failed; whether that is new."""
+        """Record that the disk failed; return whether that is new."""
         if self.failed:
             return False
         self.failed = True
@@ -118,7 +118,7 @@
         return True
 
     def take_actions(self) -> list[Any]:
-        """The actions so far, in order; they are handed out once."""
+        """Remove and return the actions so far, in order."""
         actions = self.actions
         self.actions = []
         return actions
--- a/molereach/coordination/replicated_log/proposals.py
+++ b/molereach/coordination/replicated_log/proposals.py
@@ -1,7 +1,7 @@
-"""This node's own proposals: sent to the leader repeatedly until one result ends each.
+"""The proposals of this node, which are resent to the leader until each has a result.
 
-APPLIED when the entry was applied here; REJECTED when it was never sent; UNKNOWN when its time is over. An id
-that is pending already has one result for both times that it was proposed.
+APPLIED if the entry was applied at this node, REJECTED if it was never sent, UNKNOWN if its deadline passed.
+An id that is proposed again while it is pending has one result for both.
 """
 
 from dataclasses import dataclass
@@ -29,35 +29,35 @@
 
 
 class DueRequest(NamedTuple):
-    """A request to send now, and how often it was sent before."""
+    """A request to send now, and the number of earlier attempts."""
 
     request: ProposalRequest
     attempts: int
 
 
 class ProposalTracker:
-    """The pending proposals, by id."""
+    """The pending proposals of this node, by id."""
 
-    def __init__(self, me: NodeInstance, settings: LogSettings, learner: Learner) -> None:
-        self.instance = me
+    def __init__(self, instance: NodeInstance, settings: LogSettings, learner: Learner) -> None:
+        self.instance = instance
         self.settings = settings
         self.learner = learner
         self.pending: dict[str, _PendingProposal] = {}
 
     def propose(self, now_us: int, event: Propose) -> ProposalFinished | None:
-        """Take a proposal; its result where it ends at once."""
+        """Add a proposal, or return its result if that is known at once."""
         if event.id in self.pending:
             pending = self.pending[event.id]
             pending.deadline_us = max(pending.deadline_us, now_us + event.timeout_us)
             return None
         machine = event.machine or LOG_MACHINE
-        known = machine == LOG_MACHINE or machine in self.learner.machines
-        fits = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
-        if not known or not fits or len(self.pending) >= self.settings.max_pending:
+        known_machine = machine == LOG_MACHINE or machine in self.learner.machines
+        within_bounds = len(event.body) <= MAX_ENTRY_BODY_BYTES and 0 < len(event.id) <= MAX_ID_CHARACTERS
+        if not known_machine or not within_bounds or len(self.pending) >= self.settings.max_pending:
             return ProposalFinished(event.id, ProposalStatus.REJECTED)
         request = ProposalRequest(machine, event.id, self.instance, self.learner.position, event.body)
-        if over := self._result(request):
-            return over
+        if result := self._result(request):
+            return result
         self.pending[event.id] = _PendingProposal(request, now_us + event.timeout_us, now_us)
         return None
 
@@ -68,38 +68,41 @@
         return ProposalFinished(request.id, ProposalStatus.APPLIED, found.outcome, found.position)
 
     def finish_applied(self) -> list[ProposalFinished]:
-        """Those that have been applied here by now."""
-        overs = [over for each in self.pending.values() if (over := self._result(each.request))]
-        for over in overs:
-            del self.pending[over.id]
-        return overs
+        """Remove the proposals that have been applied at this node, and return their results."""
+        finished = [result for pending in self.pending.values() if (result := self._result(pending.request))]
+        for result in finished:
+            del self.pending[result.id]
+        return finished
 
     def expire(self, now_us: int) -> list[ProposalFinished]:
-        """Remove the proposals whose deadline has passed."""
-        late = [key for key, each in self.pending.items() if now_us >= each.deadline_us]
-        for key in late:
-            del self.pending[key]
-        return [ProposalFinished(key, ProposalStatus.UNKNOWN) for key in late]
+        """Remove the proposals whose deadline has passed, and return their results."""
+        expired_ids = [
+            proposal_id for proposal_id, pending in self.pending.items() if now_us >= pending.deadline_us
+        ]
+        for proposal_id in expired_ids:
+            del self.pending[proposal_id]
+        return [ProposalFinished(proposal_id, ProposalStatus.UNKNOWN) for proposal_id in expired_ids]
 
     def due_requests(self, now_us: int) -> list[DueRequest]:
-        """The requests that are due, with the number of earlier attempts."""
+        """Return the requests that are due, and schedule their next attempts."""
         requests = []
-        for each in self.pending.values():
-            if now_us >= each.retry_at_us:
-                requests.append(DueRequest(each.request, each.attempts))
-                each.attempts += 1
-                each.retry_at_us = now_us + self.settings.retry_interval_us
+        for pending in self.pending.values():
+            if now_us >= pending.retry_at_us:
+                requests.append(DueRequest(pending.request, pending.attempts))
+                pending.attempts += 1
+                pending.retry_at_us = now_us + self.settings.retry_interval_us
         return requests
 
     def retry_now(self) -> None:
-        """Send all at once, as another leader is known."""
-        for each in self.pending.values():
-            each.retry_at_us = 0
-            each.attempts = 0
+        """Make all requests due now, as another leader is known."""
+        for pending in self.pending.values():
+            pending.retry_at_us = 0
+            pending.attempts = 0
 
     @property
     def wake_us(self) -> int:
-        """When a deadline or retry is due; `NEVER_US` for none."""
+        """When the next deadline or retry is due; `NEVER_US` for none."""
         return min(
-            (min(each.deadline_us, each.retry_at_us) for each in self.pending.values()), default=NEVER_US
+            (min(pending.deadline_us, pending.retry_at_us) for pending in self.pending.values()),
+            default=NEVER_US,
         )
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -1,7 +1,8 @@
-"""What the log has on its disk, and what it is after a start: records in order, on top of a base.
+"""The records of the log on disk, and the state recovered from them: a base, followed by records in order.
 
-A record that was not synced may be missing, with all that follow it; none is missing in between. Nothing that
-depends on a record leaves before it is synced, so whatever another node has seen is here.
+The base is a checkpoint of the whole state. After a crash, records that were not synced may be missing, but
+only from the end of the sequence. No message that depends on a record is sent before the record is synced,
+so the disk holds everything that other nodes have been told.
 """
 
 from collections.abc import Sequence
@@ -31,22 +32,21 @@
 
 
 class Snapshot(WireStruct, frozen=True):
-    """All that entries up to `position` came to: the log's own state, and each machine's."""
+    """The state after all entries up to `position`: that of the log itself and of each state machine."""
 
     position: Position
-    last: Entry | None  # the entry there
-    chain: Annotated[bytes, Meta(max_length=32)]  # BLAKE2b over all entries
+    last: Entry | None  # the entry at `position`
+    chain: Annotated[bytes, Meta(max_length=32)]  # hash chain (BLAKE2b) over all entries
     voters: Voters = msgspec.field(name="panel")
     applied_proposals: tuple[AppliedProposal, ...] = msgspec.field(name="once")
     deduplication_floor: Position = msgspec.field(name="once_floor")
     machines: dict[str, bytes]
-    failed_machines: tuple[str, ...] = msgspec.field(
-        name="failed", default=()
-    )  # stopped at who made it: their state is not here
+    # Machines that had failed at the node that made the snapshot; it does not contain their state.
+    failed_machines: tuple[str, ...] = msgspec.field(name="failed", default=())
 
 
 class Base(WireStruct, frozen=True):
-    """What takes the place of all records so far."""
+    """A checkpoint that replaces all records written before it."""
 
     disk: DiskIdentity
     start_count: StartCount = msgspec.field(name="starts")
@@ -58,36 +58,36 @@
 
 
 class Record(WireStruct, frozen=True, tag_field="kind"):
-    """One record."""
+    """Base class of the records."""
 
 
 class DiskStarted(Record, frozen=True, tag="started"):
-    """This disk was started once more."""
+    """A run was started on this disk."""
 
     run: Run
 
 
 class RunRecorded(Record, frozen=True, tag="wrote"):
-    """Another disk's newest run is known, and is part of each vote."""
+    """The newest known run of another disk; each vote of this disk names it."""
 
     run: Run
 
 
 class BallotPromised(Record, frozen=True, tag="promised"):
-    """A ballot was promised."""
+    """The acceptor promised a ballot."""
 
     ballot: Ballot
 
 
 class BatchAccepted(Record, frozen=True, tag="voted"):
-    """A batch was accepted."""
+    """The acceptor accepted a batch."""
 
     ballot: Ballot
     entries: Batch
 
 
 class StateAdopted(Record, frozen=True, tag="raised"):
-    """What other voters had promised and accepted, adopted at a start."""
+    """Promises and votes reported by other voters after a start of this disk, adopted by its acceptor."""
 
     promised: Ballot
     accepted_at: Ballot
@@ -109,9 +109,9 @@
 
 @dataclass(slots=True)
 class Recovered:
-    """What the disk says. As made, it is that of a disk that was never used."""
+    """The state recovered from a disk. The defaults are those of an unused disk."""
 
-    disk: str = ""  # empty where it was never started
+    disk: str = ""  # empty for an unused disk
     start_count: int = 0
     runs: dict[str, Run] = field(default_factory=dict)
     acceptor: Acceptor = field(default_factory=Acceptor)
@@ -127,25 +127,28 @@
 
 
 def encode(record: Record | Base | Snapshot) -> bytes:
-    """A record, base or snapshot as msgpack."""
+    """Encode a record, base or snapshot as msgpack."""
     return msgspec.msgpack.encode(record)
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The snapshot in `data`; raises a ValueError where it is none."""
+    """Decode a snapshot; raise a ValueError if `data` is malformed."""
     return _snapshot_decoder.decode(data)  # msgspec's errors are ValueErrors
 
 
 def recover(base: bytes | None, records: Sequence[bytes]) -> Recovered:
-    """What the disk says; Raises a ValueError where it makes no sense; then this disk must not vote."""
+    """Recover the state from a base and records.
+
+    Raises a ValueError if they are malformed or contradict one another; then this disk must not vote.
+    """
     recovered = Recovered()
     if base is not None:
-        known = _base_decoder.decode(base)
-        recovered.disk = known.disk
-        recovered.start_count = known.start_count
-        recovered.snapshot = known.snapshot
-        recovered.runs = {run.disk: run for run in known.runs}
-        recovered.acceptor = Acceptor(known.promised, known.accepted_at, known.accepted)
+        decoded = _base_decoder.decode(base)
+        recovered.disk = decoded.disk
+        recovered.start_count = decoded.start_count
+        recovered.snapshot = decoded.snapshot
+        recovered.runs = {run.disk: run for run in decoded.runs}
+        recovered.acceptor = Acceptor(decoded.promised, decoded.accepted_at, decoded.accepted)
     for data in records:
         _replay(recovered, _decoder.decode(data))
     return recovered
--- a/molereach/coordination/replicated_log/replica_state.py
+++ b/molereach/coordination/replicated_log/replica_state.py
@@ -1,7 +1,7 @@
-"""What one node has of the log, and its disk: each change is written before it is sent.
+"""The durable state of the log at one node: each change is written before it is sent.
 
-It joins what is decided (`Learner`), what was promised and accepted (`Acceptor`) and whose runs are known
-(`Recovery`), so that none changes without the record of it.
+It combines decided entries (`Learner`), the promise and the vote (`Acceptor`) and known runs (`Recovery`), so
+that none of them changes without a record on disk.
 """
 
 from collections.abc import Sequence
@@ -27,7 +27,7 @@
 
 
 class ReplicaState:
-    """State and disk of one node."""
+    """The state of one node, which writes a record of each change."""
 
     def __init__(
         self,
@@ -55,13 +55,13 @@
             for action in self.learner.apply(entry):
                 if not isinstance(action, Applied):
                     self.outbox.emit(action)
-            self._count(entry)
+            self._count_entry(entry)
         if self.position:
             self.outbox.emit(Restored(self.position))
 
     @property
     def position(self) -> int:
-        """The position of the last entry applied here."""
+        """The position of the last entry applied at this node."""
         return self.learner.position
 
     @property
@@ -71,17 +71,17 @@
 
     @property
     def may_vote(self) -> bool:
-        """Whether this run may vote, and its disk takes writes."""
+        """Whether this run may vote and its disk accepts writes."""
         return self.outbox.can_write and self.recovery.may_vote(self.voters, self.position)
 
     def vote_source(self) -> VoteSource:
-        """Who casts a vote of this run."""
+        """Return the source of a vote of this run."""
         return self.recovery.vote_source(self.voters)
 
-    # --- votes: the caller has checked `may_vote` ---
+    # --- promises and votes: the caller has checked `may_vote` ---
 
     def promise(self, ballot: Ballot) -> bool:
-        """Promise a ballot and write it; whether it was promised."""
+        """Promise a ballot and write the promise; return whether it was promised."""
         before = self.acceptor.promised
         if not self.acceptor.promise(ballot):
             return False
@@ -90,49 +90,49 @@
         return True
 
     def accept(self, ballot: Ballot, entries: Sequence[Entry]) -> bool:
-        """Accept a batch and write it; whether it was accepted."""
-        had = (self.acceptor.accepted_at, self.acceptor.accepted)
+        """Accept a batch and write the vote; return whether it was accepted."""
+        before = (self.acceptor.accepted_at, self.acceptor.accepted)
         if not self.acceptor.accept(ballot, entries):
             return False
-        if had != (ballot, self.acceptor.accepted):
+        if before != (ballot, self.acceptor.accepted):
             self.outbox.write(BatchAccepted(ballot, self.acceptor.accepted))
         return True
 
     # --- runs ---
 
     def record_run(self, run: Run) -> Run | None:
-        """Record a run and return None, or return the run that shows that its disk was rolled back."""
+        """Record a run and return None, or return the known run that shows that its disk was rolled back."""
         known = self.recovery.conflicting_run(run)
         if known is None and self.recovery.record_run(run, self.voters):
             self.outbox.write(RunRecorded(run))
         return known
 
     def adopt_acknowledged(self) -> None:
-        """Adopt what other voters acknowledged, and write it."""
+        """Adopt the promises and votes in the acknowledgements, and write them."""
         if self.recovery.adopt_acknowledged(self.acceptor, self.learner):
             acceptor = self.acceptor
             self.outbox.write(StateAdopted(acceptor.promised, acceptor.accepted_at, acceptor.accepted))
 
-    # --- what is decided ---
+    # --- decided entries ---
 
     def apply_decided(self, entries: Sequence[Entry]) -> bool:
-        """Take decided entries; whether any was new. A gap is ignored."""
+        """Apply decided entries; return whether any was new. With a gap they are ignored."""
         new = self.learner.unapplied(entries)
         if not new:
             return False
         for entry in new:
             for action in self.learner.apply(entry):
                 self.outbox.emit(action)
-            self._count(entry)
+            self._count_entry(entry)
         self.acceptor.discard_decided(new[-1])
-        for begin in range(0, len(new), MAX_BATCH_ENTRIES):
-            self.outbox.write(EntriesDecided(new[begin : begin + MAX_BATCH_ENTRIES]))
+        for start in range(0, len(new), MAX_BATCH_ENTRIES):
+            self.outbox.write(EntriesDecided(new[start : start + MAX_BATCH_ENTRIES]))
         self.adopt_acknowledged()
         self._compact()
         return True
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Take a snapshot; whether it was of any use."""
+        """Restore a snapshot that is newer than this state; return whether it was."""
         if snapshot.position <= self.position or snapshot.last is None:
             return False
         for failure in self.learner.restore(snapshot):
@@ -145,17 +145,17 @@
 
     # --- the base ---
 
-    def _count(self, entry: Entry) -> None:
+    def _count_entry(self, entry: Entry) -> None:
         self.entries_since_base += 1
         self.bytes_since_base += len(entry.body)
 
     def _compact(self) -> None:
-        many = self.entries_since_base > self.settings.max_tail_entries
-        if many or self.bytes_since_base > self.settings.max_tail_bytes:
+        too_many = self.entries_since_base > self.settings.max_tail_entries
+        if too_many or self.bytes_since_base > self.settings.max_tail_bytes:
             self.write_base()
 
     def write_base(self) -> None:
-        """Write the whole state, in place of all records so far."""
+        """Write the whole state as a base, which replaces all records written so far."""
         acceptor = self.acceptor
         recovery = self.recovery
         self.entries_since_base = 0
--- a/molereach/coordination/replicated_log/start_protocol.py
+++ b/molereach/coordination/replicated_log/start_protocol.py
@@ -1,6 +1,6 @@
-"""The messages of a start: to the other voters until all have acknowledged it, and answers to theirs.
+"""The messages of a start: announcing it to the other voters until all acknowledge it, and answering theirs.
 
-What they decide is in `recovery`.
+The rules are in `recovery`.
 """
 
 from dataclasses import dataclass
@@ -12,59 +12,60 @@
 from molereach.coordination.replicated_log.messages import RunAcknowledged, RunConflict, RunStarted
 from molereach.coordination.replicated_log.replica_state import ReplicaState
 
-SLOW_RETRY_FACTOR = 8  # times the retry interval, to voters whose answers are not needed any more
+SLOW_RETRY_FACTOR = 8  # times the retry interval, once the remaining acknowledgements are not needed to vote
 
 
 @dataclass(frozen=True, slots=True)
 class DiskRollbackDetected:
-    """Action: this disk holds an older state than it once did; it votes no more under its identity.
+    """Action: this disk holds an older state than it once did, so it never votes again.
 
-    The voter is to be replaced by one with a new disk identity, in a new folder."""
+    The voter must be replaced by one with a new disk identity, in a new folder.
+    """
 
     start_count: int  # of this run
-    known_start_count: int  # that another node has written down
+    known_start_count: int  # recorded by another node
 
 
 class StartProtocol:
-    """Both sides of a start at one node."""
+    """Announces the start of this node, and handles those of other nodes."""
 
-    def __init__(self, state: ReplicaState, election: Election, catching_up: CatchUpProtocol) -> None:
+    def __init__(self, state: ReplicaState, election: Election, catch_up: CatchUpProtocol) -> None:
         self.state = state
         self.election = election
-        self.catch_up = catching_up
+        self.catch_up = catch_up
         self.outbox = state.outbox
         self.recovery = state.recovery
         self.retry_at_us = 0
 
     @property
     def wake_us(self) -> int:
-        """When unanswered voters are asked once more."""
-        requests = self.outbox.can_write and self.recovery.unanswered_voters(self.state.voters)
-        return self.retry_at_us if requests else NEVER_US
+        """When the run is next announced to voters that have not acknowledged it."""
+        unanswered = self.outbox.can_write and self.recovery.unanswered_voters(self.state.voters)
+        return self.retry_at_us if unanswered else NEVER_US
 
     def tick(self, now_us: int, retry_interval_us: int) -> None:
         """Announce this run to the voters that have not acknowledged it."""
         if now_us < self.retry_at_us or not self.outbox.can_write:
             return
-        lacking = self.recovery.unanswered_voters(self.state.voters)
-        enough = self.recovery.may_vote(self.state.voters, self.state.position)
-        self.retry_at_us = now_us + retry_interval_us * (SLOW_RETRY_FACTOR if enough else 1)
-        for voter in lacking:
+        unanswered = self.recovery.unanswered_voters(self.state.voters)
+        may_vote = self.recovery.may_vote(self.state.voters, self.state.position)
+        self.retry_at_us = now_us + retry_interval_us * (SLOW_RETRY_FACTOR if may_vote else 1)
+        for voter in unanswered:
             self.outbox.send_after_sync(voter.name, RunStarted(self.recovery.run, self.state.position))
         self._catch_up()
 
     def _catch_up(self) -> None:
-        """No vote before all is here that those who answered had."""
-        for voter, answer in self.recovery.acknowledgements.items():
-            if answer.after > self.state.position and voter in self.state.voters:
+        """Request entries from a voter that is ahead: this node may not vote before it has them."""
+        for voter, acknowledgement in self.recovery.acknowledgements.items():
+            if acknowledgement.after > self.state.position and voter in self.state.voters:
                 self.catch_up.request_from(voter.name)
                 return
 
     def on_run_started(self, sender: NodeInstance, message: RunStarted) -> None:
-        """Record another disk's run and acknowledge it, or report a conflict."""
-        ours = message.run.disk == self.recovery.run.disk
+        """Record the run of another disk and acknowledge it, or report a conflict."""
+        is_own_disk = message.run.disk == self.recovery.run.disk
         if (
-            ours
+            is_own_disk
             or message.run.instance_number != sender.number
             or self.recovery.rollback_evidence
             or not self.outbox.can_write
@@ -88,7 +89,7 @@
         )
 
     def on_run_acknowledged(self, sender: NodeInstance, message: RunAcknowledged) -> None:
-        """Take an acknowledgement, and adopt what its voter promised and accepted."""
+        """Record an acknowledgement, and adopt the promise and the vote in it."""
         if self.recovery.record_acknowledgement(sender, message, self.state.voters):
             self.election.observe_ballot(message.promised)
             self.state.adopt_acknowledged()
--- a/molereach/coordination/replicated_log/voters.py
+++ b/molereach/coordination/replicated_log/voters.py
@@ -1,9 +1,9 @@
-"""Who accepts: the voters, and how an entry of the log changes them.
+"""The voters, which are the acceptors of the log, and the entries that change them.
 
-The voters of a position follow from the entries before it, so a change is an entry like any other (Lamport,
-"Paxos Made Simple", section 3, with a window of one). Successive groups need no voter in common: nothing is
-proposed under the new group before a majority of *it* has promised, and a voter at a position has all entries
-before it. Sizes stay odd, so the changes are: one voter for another, two more, or two less.
+The voters of a position are determined by the entries before it, so a change is an entry like any other
+(Lamport, "Paxos Made Simple", section 3, with a window of one). Successive groups of voters need not overlap:
+nothing is proposed to the new group before a majority of *it* has promised, and a voter at a position has all
+entries before it. The number of voters stays odd, so a change replaces one voter, adds two or removes two.
 """
 
 from typing import Annotated
@@ -19,24 +19,24 @@
 
 
 class VoterChange(WireStruct, frozen=True, tag_field="kind"):
-    """The body of an entry of the log's own."""
+    """Base class of the bodies of entries that change the voters."""
 
 
 class ReplaceVoter(VoterChange, frozen=True, tag="replace"):
-    """One voter for another: another node, or the same with another disk."""
+    """Replaces a voter by another node, or by the same node with another disk."""
 
     removed: Voter = msgspec.field(name="out")
     added: Voter = msgspec.field(name="into")
 
 
 class AddVoters(VoterChange, frozen=True, tag="grow"):
-    """Two more voters."""
+    """Adds two voters."""
 
     voters: VoterPair = msgspec.field(name="seats")
 
 
 class RemoveVoters(VoterChange, frozen=True, tag="shrink"):
-    """Two voters less."""
+    """Removes two voters."""
 
     voters: VoterPair = msgspec.field(name="seats")
 
@@ -46,7 +46,7 @@
 
 
 def voters_error(voters: Voters) -> str:
-    """What is wrong with a group of voters, in one line; empty for nothing."""
+    """Return why a group of voters is invalid, in one line, or an empty string if it is valid."""
     if len(voters) not in VOTER_COUNTS:
         return f"a panel has {', '.join(map(str, VOTER_COUNTS))} seats, not {len(voters)}"
     if len({voter.name for voter in voters}) < len(voters) or len({voter.disk for voter in voters}) < len(
@@ -57,38 +57,38 @@
 
 
 def apply_change(voters: Voters, body: bytes) -> tuple[Voters, Outcome]:
-    """The voters after an entry, and its outcome."""
+    """Return the voters after an entry with this body, and the outcome of the entry."""
     try:
         change = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError):
         return voters, Outcome("not a change of the panel")
     removed: tuple[Voter, ...]
-    new: tuple[Voter, ...]
+    added: tuple[Voter, ...]
     match change:
-        case ReplaceVoter(out, into):
-            removed = (out,)
-            new = (into,)
-        case AddVoters(voter_disks):
+        case ReplaceVoter(removed_voter, added_voter):
+            removed = (removed_voter,)
+            added = (added_voter,)
+        case AddVoters(changed_voters):
             removed = ()
-            new = voter_disks
-        case RemoveVoters(voter_disks):
-            removed = voter_disks
-            new = ()
+            added = changed_voters
+        case RemoveVoters(changed_voters):
+            removed = changed_voters
+            added = ()
     if any(voter not in voters for voter in removed):
         return voters, Outcome("no such seat")
-    after = tuple(sorted({*(voter for voter in voters if voter not in removed), *new}))
-    if len(after) != len(voters) - len(removed) + len(new):
+    new_voters = tuple(sorted({*(voter for voter in voters if voter not in removed), *added}))
+    if len(new_voters) != len(voters) - len(removed) + len(added):
         return voters, Outcome("the seat is taken")
-    if error := voters_error(after):
+    if error := voters_error(new_voters):
         return voters, Outcome(error)
-    return after, Outcome()
+    return new_voters, Outcome()
 
 
 def majority(voters: Voters) -> int:
-    """How many voters are a majority."""
+    """Return the number of voters in a majority."""
     return len(voters) // 2 + 1
 
 
 def voter_of_disk(voters: Voters, disk: str) -> Voter | None:
-    """The voter with this disk, or None."""
+    """Return the voter with this disk, or None."""
     return next((voter for voter in voters if voter.disk == disk), None)
--- a/tests/compatibility/council_samples.py
+++ b/tests/compatibility/council_samples.py
@@ -159,12 +159,12 @@
             AppliedProposal(
                 id="entry-12",
                 machine="sessions",
-                body=bytes(range(16)),
+                body_digest=bytes(range(16)),
                 position=12,
                 outcome=Outcome(error="", value=b"{}"),
             ),
             AppliedProposal(
-                id="entry-11", machine="", body=b"", position=11, outcome=Outcome(error="refused")
+                id="entry-11", machine="", body_digest=b"", position=11, outcome=Outcome(error="refused")
             ),
         ),
         deduplication_floor=3,
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_parts.py
@@ -355,7 +355,7 @@
     _, two, got = behind(10)
     catching_up = CatchUpProtocol(two)
     wrong = msgspec.structs.replace(got[0], data=got[0].data[:-1] + b"\x00")
-    assert not catching_up.on_chunk("d1", wrong) and two.position == 0 and not catching_up.data
+    assert not catching_up.on_chunk("d1", wrong) and two.position == 0 and not catching_up.snapshot_data
     assert catching_up.on_chunk("d1", got[0])
 
 
