--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -2,7 +2,7 @@
 
 The base is a checkpoint of the whole state. After a crash, records that were not synced may be missing, but
 only from the end of the sequence. No message that depends on a record is sent before the record is synced,
-so the disk holds everything that other nodes have been told.
+so the disk holds all state that other nodes may rely on.
 """
 
 from collections.abc import Sequence
--- a/molereach/coordination/replicated_log/start_protocol.py
+++ b/molereach/coordination/replicated_log/start_protocol.py
@@ -63,9 +63,9 @@
 
     def on_run_started(self, sender: NodeInstance, message: RunStarted) -> None:
         """Record the run of another disk and acknowledge it, or report a conflict."""
-        is_own_disk = message.run.disk == self.recovery.run.disk
+        is_local_disk = message.run.disk == self.recovery.run.disk
         if (
-            is_own_disk
+            is_local_disk
             or message.run.instance_number != sender.number
             or self.recovery.rollback_evidence
             or not self.outbox.can_write
