--- a/tests/coordination/replicated_log/histories.py
+++ b/tests/coordination/replicated_log/fault_histories.py
@@ -1,4 +1,4 @@
-"""Random histories: faults drawn by a seed for some time, then none; what must hold is in `world`."""
+"""Random histories: faults drawn by a seed for some time, then none; `simulated_cluster` has the invariants."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from molereach.coordination.replicated_log.messages import Voter, Voters
 from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter
-from tests.coordination.replicated_log.world import MS, Disk, Node, S, World
+from tests.coordination.replicated_log.simulated_cluster import MS, Disk, Node, S, World
 
 FAULTS_US, HEAL_US = 2_500 * MS, 25 * S
 QUICK = LogSettings(
--- a/tests/coordination/replicated_log/world.py
+++ b/tests/coordination/replicated_log/simulated_cluster.py
@@ -35,7 +35,7 @@
 from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.replicated_log.voters import Change
-from tests.coordination.replicated_log.machine import Sum
+from tests.coordination.replicated_log.sum_machine import Sum
 
 MS = 1000
 S = 1_000_000
--- a/tests/coordination/replicated_log/test_core.py
+++ b/tests/coordination/replicated_log/test_cluster.py
@@ -20,8 +20,8 @@
 from molereach.coordination.replicated_log.records import Recovered
 from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter
-from tests.coordination.replicated_log.machine import Sum
-from tests.coordination.replicated_log.world import MS, S, World
+from tests.coordination.replicated_log.simulated_cluster import MS, S, World
+from tests.coordination.replicated_log.sum_machine import Sum
 
 
 def led(seed: int = 1, size: int = 5, learners: int = 0) -> World:
--- a/tests/coordination/replicated_log/test_parts.py
+++ b/tests/coordination/replicated_log/test_components.py
@@ -47,7 +47,7 @@
     LogSettings,
 )
 from molereach.coordination.replicated_log.voters import AddVoters, RemoveVoters, ReplaceVoter, apply_change
-from tests.coordination.replicated_log.machine import Sum
+from tests.coordination.replicated_log.sum_machine import Sum
 
 ME = NodeInstance("d0", 1)
 SEATS = tuple(Voter(f"d{number}", f"{number:032x}") for number in range(9))
--- a/tests/coordination/replicated_log/test_histories.py
+++ b/tests/coordination/replicated_log/test_fault_histories.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.coordination.replicated_log.histories import History
+from tests.coordination.replicated_log.fault_histories import History
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/coordination/replicated_log/test_mutations.py
+++ b/tests/coordination/replicated_log/test_mutations.py
@@ -1,6 +1,6 @@
-"""Rules of whole front doors taken out one by one: the tests of `test_core` see each.
+"""Rules of whole front doors taken out one by one: the tests of `test_cluster` see each.
 
-Those of a start, of void votes and of what a new leader proposes are taken out in `test_explore`.
+Those of a start, of void votes and of what a new leader proposes are taken out in `test_state_space`.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 from molereach.coordination.replicated_log.outbox import Outbox
 from molereach.coordination.replicated_log.recovery import Recovery
 from molereach.coordination.replicated_log.replica_state import ReplicaState
-from tests.coordination.replicated_log import test_core as core
+from tests.coordination.replicated_log import test_cluster as core
 
 Patch = pytest.MonkeyPatch
 
--- a/tests/coordination/replicated_log/test_scripted.py
+++ b/tests/coordination/replicated_log/test_single_node.py
@@ -34,7 +34,7 @@
 from molereach.coordination.replicated_log.outbox import MAX_UNSYNCED_WRITES
 from molereach.coordination.replicated_log.records import Recovered
 from molereach.coordination.replicated_log.settings import LogSettings
-from tests.coordination.replicated_log.machine import Sum
+from tests.coordination.replicated_log.sum_machine import Sum
 
 S = 1_000_000
 PANEL = tuple(Voter(f"d{number}", f"{number:032x}") for number in range(3))
--- a/tests/coordination/replicated_log/test_explore.py
+++ b/tests/coordination/replicated_log/test_state_space.py
@@ -15,7 +15,7 @@
 from molereach.coordination.replicated_log.leadership import Leadership
 from molereach.coordination.replicated_log.messages import NOBODY, Ballot, Promise, Run, Voters
 from molereach.coordination.replicated_log.recovery import Recovery
-from tests.coordination.replicated_log.explore import ONE, TWO, Own, Scope
+from tests.coordination.replicated_log.state_space import ONE, TWO, Own, Scope
 
 ELECTED = (0, 2)
 MOST = 200_000
