--- a/tests/coordination/replicated_log/simulated_cluster.py
+++ b/tests/coordination/replicated_log/simulated_cluster.py
@@ -1,8 +1,8 @@
-"""Front doors with the log in virtual time: a network and disks that fail, and what must hold at each step.
+"""A simulated cluster of nodes with the log, in virtual time, with a faulty network and faulty disks.
 
-`World.check` and what it calls are the invariants: one value at each position, equal digests at equal
-positions, times that do not go back, one word for each proposal, no confirmation of a leader that was
-replaced before it.
+It checks these invariants at each step: one value at each position, equal digests at equal positions, times
+that do not decrease, one result for each proposal, and no confirmation of a leader that had been replaced
+before the request.
 """
 
 import heapq
@@ -35,18 +35,18 @@
 from molereach.coordination.replicated_log.settings import LogSettings
 from molereach.coordination.replicated_log.start_protocol import DiskRollbackDetected
 from molereach.coordination.replicated_log.voters import Change
-from tests.coordination.replicated_log.sum_machine import Sum
+from tests.coordination.replicated_log.sum_machine import SumMachine
 
-MS = 1000
-S = 1_000_000
-SMALL = LogSettings(max_tail_entries=24, max_deduplicated_ids=4096)
+MILLISECOND_US = 1000
+SECOND_US = 1_000_000
+SMALL_SETTINGS = LogSettings(max_tail_entries=24, max_deduplicated_ids=4096)
 
 _encoder, _decoder = msgspec.json.Encoder(), msgspec.json.Decoder(Message)
 
 
 @dataclass
 class Disk:
-    """What is synced; what was written since is lost with the process, or some of it is not."""
+    """A disk. Of the unsynced writes, any number from the first on survives a crash of the process."""
 
     identity: str
     base: bytes | None = None
@@ -66,233 +66,258 @@
 class Node:
     name: str
     disk: Disk
-    life: int = 0
+    instance_number: int = 0
     core: LogCore | None = None
-    stalled: bool = False
-    mail: list[Any] = field(default_factory=list)  # what came while it was stalled
+    paused: bool = False
+    deferred_events: list[Any] = field(default_factory=list)  # received while the node was paused
     wake_us: int = 0
     disk_fails: bool = False
     stopped: bool = False
-    set_back: bool = False
-    open: set[str] = field(default_factory=set)
+    rolled_back: bool = False
+    pending_ids: set[str] = field(default_factory=set)
 
 
-class World:
-    """`size` seats and `learners` front doors without one."""
+class SimulatedCluster:
+    """A cluster of `voter_count` voters and `learner_count` nodes that are none."""
 
-    def __init__(self, seed: int, size: int = 5, learners: int = 0, settings: LogSettings = SMALL) -> None:
+    def __init__(
+        self, seed: int, voter_count: int = 5, learner_count: int = 0, settings: LogSettings = SMALL_SETTINGS
+    ) -> None:
         self.random = Random(seed)
         self.settings = settings
-        self.now_us, self.serial = 5 * S, 0
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.loss, self.double, self.slowest_us, self.sync_us = 0.0, 0.0, 40 * MS, 10 * MS
-        self.groups: dict[str, int] = {}  # a split: those in other groups are not heard
-        self.deaf: set[tuple[str, str]] = set()  # links that are down one way: who is not heard, and by whom
-        self.disks = 0
-        names = [f"d{number}" for number in range(size + learners)]
+        self.now_us, self.event_number = 5 * SECOND_US, 0
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.loss_rate, self.duplication_rate, self.max_delay_us, self.max_sync_us = (
+            0.0,
+            0.0,
+            40 * MILLISECOND_US,
+            10 * MILLISECOND_US,
+        )
+        self.partitions: dict[str, int] = {}  # by node; messages between different ones are lost
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, recipient); down in this direction only
+        self.disk_count = 0
+        names = [f"d{number}" for number in range(voter_count + learner_count)]
         self.nodes = {name: Node(name, self.new_disk()) for name in names}
-        self.panel: Voters = tuple(Voter(name, self.nodes[name].disk.identity) for name in names[:size])
+        self.initial_voters: Voters = tuple(
+            Voter(name, self.nodes[name].disk.identity) for name in names[:voter_count]
+        )
         self.entries: dict[int, Entry] = {}
         self.digests: dict[int, str] = {}
         self.outcomes: dict[str, set[tuple[Any, int]]] = {}
-        self.words: dict[str, list[ProposalFinished]] = {}
-        self.led: dict[int, str] = {}  # ballots of leaders
-        self.asked: dict[int, int] = {}  # highest ballot that led when a confirmation was asked for
-        self.confirmed: list[int] = []
-        self.sent = self.turns = 0
-        self.machines: Callable[[], list[Sum]] = lambda: [Sum()]
-        self.may_fail = False  # machines
-        self.failed: list[tuple[str, str]] = []
+        self.results: dict[str, list[ProposalFinished]] = {}
+        self.leaders_by_ballot: dict[int, str] = {}
+        # By token of a requested confirmation: the highest ballot that had led at that time.
+        self.ballot_at_request: dict[int, int] = {}
+        self.confirmed_tokens: list[int] = []
+        self.messages_sent = self.events_handled = 0
+        self.new_machines: Callable[[], list[SumMachine]] = lambda: [SumMachine()]
+        self.machines_may_fail = False
+        self.failed_machines: list[tuple[str, str]] = []
 
     def new_disk(self) -> Disk:
-        self.disks += 1
-        return Disk(f"{self.disks:032x}")
+        self.disk_count += 1
+        return Disk(f"{self.disk_count:032x}")
 
     # --- time ---
 
-    def at(self, delay_us: int, do: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.heap, (self.now_us + delay_us, self.serial, do))
-
-    def run(self, for_us: int, until: Callable[[], bool] | None = None) -> bool:
-        """Go on for some time, or until something holds; whether it does."""
-        end = self.now_us + for_us
-        while self.heap and self.heap[0][0] <= end:
-            self.now_us, _, do = heapq.heappop(self.heap)
-            do()
-            if until and until():
+    def schedule(self, delay_us: int, callback: Callable[[], None]) -> None:
+        self.event_number += 1
+        heapq.heappush(self.events, (self.now_us + delay_us, self.event_number, callback))
+
+    def run(self, duration_us: int, condition: Callable[[], bool] | None = None) -> bool:
+        """Run for some time, or until a condition holds; return whether it holds."""
+        end_us = self.now_us + duration_us
+        while self.events and self.events[0][0] <= end_us:
+            self.now_us, _, callback = heapq.heappop(self.events)
+            callback()
+            if condition and condition():
                 return True
-        self.now_us = end
-        return until is not None and until()
+        self.now_us = end_us
+        return condition is not None and condition()
 
     # --- processes ---
 
     def start(self, name: str) -> None:
         node = self.nodes[name]
         assert node.core is None
-        node.life += 1
-        node.stopped = node.set_back = node.stalled = node.disk_fails = False
-        shift = self.random.randrange(-5000, 5000)  # clocks show different times
+        node.instance_number += 1
+        node.stopped = node.rolled_back = node.paused = node.disk_fails = False
+        clock_offset_ms = self.random.randrange(-5000, 5000)  # the wall clocks of the nodes differ
         node.core = LogCore(
-            NodeInstance(name, node.life),
+            NodeInstance(name, node.instance_number),
             node.disk.identity,
             recover(node.disk.base, node.disk.records),
-            self.panel,
-            {machine.name: machine for machine in self.machines()},
+            self.initial_voters,
+            {machine.name: machine for machine in self.new_machines()},
             self.settings,
             self.random.random,
-            lambda now_us: 1_000_000 + shift + now_us // MS,
+            lambda now_us: 1_000_000 + clock_offset_ms + now_us // MILLISECOND_US,
         )
-        self.give(node, Tick())
+        self.handle(node, Tick())
 
     def start_all(self) -> None:
         for name in self.nodes:
             self.start(name)
 
     def kill(self, name: str) -> None:
-        """Without a warning: what was not synced may be lost from some write on."""
+        """Kill a process without warning: unsynced writes are lost from a random one on."""
         node = self.nodes[name]
-        kept = self.random.randrange(len(node.disk.unsynced) + 1)
-        for persist in node.disk.unsynced[:kept]:
+        synced_count = self.random.randrange(len(node.disk.unsynced) + 1)
+        for persist in node.disk.unsynced[:synced_count]:
             node.disk.sync(persist)
         node.disk = node.disk.copy()
-        node.core, node.mail, node.open = None, [], set()
+        node.core, node.deferred_events, node.pending_ids = None, [], set()
 
-    def stall(self, name: str, for_us: int) -> None:
-        node, life = self.nodes[name], self.nodes[name].life
-        if node.core and not node.stalled:
-            node.stalled = True
-            self.at(for_us, lambda: self.wake(node, life))
+    def pause(self, name: str, duration_us: int) -> None:
+        node, instance_number = self.nodes[name], self.nodes[name].instance_number
+        if node.core and not node.paused:
+            node.paused = True
+            self.schedule(duration_us, lambda: self.resume(node, instance_number))
 
-    def wake(self, node: Node, life: int) -> None:
-        if node.life != life or not node.stalled:
+    def resume(self, node: Node, instance_number: int) -> None:
+        if node.instance_number != instance_number or not node.paused:
             return
-        node.stalled, mail = False, node.mail
-        node.mail = []
-        if self.random.random() < 0.5:  # its timer is late, or comes first
-            mail.insert(0, Tick())
-        for event in mail:
-            self.give(node, event)
-        self.give(node, Tick())
+        node.paused, deferred_events = False, node.deferred_events
+        node.deferred_events = []
+        if self.random.random() < 0.5:  # the timer fires before the deferred events, or after them
+            deferred_events.insert(0, Tick())
+        for event in deferred_events:
+            self.handle(node, event)
+        self.handle(node, Tick())
 
     # --- events and actions ---
 
-    def give(self, node: Node, event: object) -> None:
+    def handle(self, node: Node, event: object) -> None:
         if node.core is None:
             return
-        if node.stalled:
-            node.mail.append(event)
+        if node.paused:
+            node.deferred_events.append(event)
             return
-        self.turns += 1
+        self.events_handled += 1
         before = node.core.position
         actions = node.core.handle(self.now_us, event)
         for action in actions:
-            self.act(node, action)
+            self.perform(node, action)
         if node.core.position != before:
-            self.check(node)
-        wake = node.core.wake_us
-        if not node.wake_us or wake < node.wake_us or node.wake_us <= self.now_us:
-            node.wake_us = wake
-            life = node.life
-            self.at(max(0, wake - self.now_us), lambda: self.tick(node, life, wake))
-
-    def tick(self, node: Node, life: int, wake_us: int) -> None:
-        if node.life != life or node.core is None:
+            self.check_digest(node)
+        wake_us = node.core.wake_us
+        if not node.wake_us or wake_us < node.wake_us or node.wake_us <= self.now_us:
+            node.wake_us = wake_us
+            instance_number = node.instance_number
+            self.schedule(
+                max(0, wake_us - self.now_us), lambda: self.on_timer(node, instance_number, wake_us)
+            )
+
+    def on_timer(self, node: Node, instance_number: int, wake_us: int) -> None:
+        if node.instance_number != instance_number or node.core is None:
             return
         if node.wake_us == wake_us:
             node.wake_us = 0
         if node.core.wake_us <= self.now_us:
-            self.give(node, Tick())
+            self.handle(node, Tick())
         elif not node.wake_us:
-            again = node.wake_us = node.core.wake_us
-            self.at(again - self.now_us, lambda: self.tick(node, life, again))
+            next_wake_us = node.wake_us = node.core.wake_us
+            self.schedule(
+                next_wake_us - self.now_us, lambda: self.on_timer(node, instance_number, next_wake_us)
+            )
 
-    def act(self, node: Node, action: object) -> None:
+    def perform(self, node: Node, action: object) -> None:
         match action:
-            case SendMessage(to, message, life):
-                self.send(node, to, message, life)
+            case SendMessage(recipient, message, instance_number):
+                self.send(node, recipient, message, instance_number)
             case Persist():
                 self.persist(node, action)
             case Applied(entry):
-                self.applied(node, entry)
+                self.check_applied(node, entry)
             case ProposalFinished():
-                self.over(node, action)
-            case LeaderChanged(_, ballot, mine):
-                if mine:
-                    assert self.led.setdefault(ballot, node.name) == node.name, "two leaders of one ballot"
+                self.record_result(node, action)
+            case LeaderChanged(_, ballot, is_self):
+                if is_self:
+                    assert self.leaders_by_ballot.setdefault(ballot, node.name) == node.name, (
+                        "two leaders of one ballot"
+                    )
             case LeadershipConfirmed(token, ballot):
-                assert ballot >= self.asked[token], "confirmed, though replaced before it was asked"
-                self.confirmed.append(token)
+                assert ballot >= self.ballot_at_request[token], (
+                    "confirmed a leader replaced before the request"
+                )
+                self.confirmed_tokens.append(token)
             case LogStopped():
                 node.stopped = True
             case DiskRollbackDetected():
-                node.set_back = True
+                node.rolled_back = True
             case MachineFailed(machine):
-                assert self.may_fail, action
-                self.failed.append((node.name, machine))
+                assert self.machines_may_fail, action
+                self.failed_machines.append((node.name, machine))
             case Restored():
                 pass
             case _:
-                raise AssertionError(f"no action of the log: {action!r}")
+                raise AssertionError(f"unknown action of the log: {action!r}")
 
-    def send(self, node: Node, to: str, message: Message, life: int | None) -> None:
-        self.sent += 1
-        sender = NodeInstance(node.name, node.life)
+    def send(self, node: Node, recipient: str, message: Message, instance_number: int | None) -> None:
+        self.messages_sent += 1
+        sender = NodeInstance(node.name, node.instance_number)
         data = _encoder.encode(message)
-        for _ in range(2 if self.random.random() < self.double else 1):
-            if self.random.random() < self.loss:
+        for _ in range(2 if self.random.random() < self.duplication_rate else 1):
+            if self.random.random() < self.loss_rate:
                 continue
-            delay = self.random.randrange(MS, self.slowest_us)
-            if self.loss and self.random.random() < 0.02:
-                delay = self.random.randrange(3 * S)  # long under way, from an old life perhaps
-            self.at(delay, lambda: self.arrive(sender, to, data, life))
-
-    def arrive(self, sender: NodeInstance, to: str, data: bytes, life: int | None) -> None:
-        node = self.nodes.get(to)
-        if node is None or (life is not None and life != node.life):
+            delay = self.random.randrange(MILLISECOND_US, self.max_delay_us)
+            if self.loss_rate and self.random.random() < 0.02:
+                delay = self.random.randrange(3 * SECOND_US)  # may arrive after the sender restarted
+            self.schedule(delay, lambda: self.deliver(sender, recipient, data, instance_number))
+
+    def deliver(self, sender: NodeInstance, recipient: str, data: bytes, instance_number: int | None) -> None:
+        node = self.nodes.get(recipient)
+        if node is None or (instance_number is not None and instance_number != node.instance_number):
             return
-        if (sender.name, to) in self.deaf:
+        if (sender.name, recipient) in self.blocked_links:
             return
-        if self.groups.get(sender.name, 0) == self.groups.get(to, 0):
-            self.give(node, MessageReceived(sender, _decoder.decode(data)))
+        if self.partitions.get(sender.name, 0) == self.partitions.get(recipient, 0):
+            self.handle(node, MessageReceived(sender, _decoder.decode(data)))
 
     def persist(self, node: Node, persist: Persist) -> None:
-        disk, life = node.disk, node.life
+        disk, instance_number = node.disk, node.instance_number
         if node.stopped or node.disk_fails:
-            self.at(MS, lambda: self.disk_failed(node, life))
+            self.schedule(MILLISECOND_US, lambda: self.report_disk_failure(node, instance_number))
             return
         disk.unsynced.append(persist)
-        delay = self.random.randrange(MS, self.sync_us)
-        self.at(delay, lambda: self.synced(node, disk, life, persist))
+        delay = self.random.randrange(MILLISECOND_US, self.max_sync_us)
+        self.schedule(delay, lambda: self.finish_write(node, disk, instance_number, persist))
 
-    def disk_failed(self, node: Node, life: int) -> None:
-        if node.life == life:
-            self.give(node, DiskFailed("no space"))
+    def report_disk_failure(self, node: Node, instance_number: int) -> None:
+        if node.instance_number == instance_number:
+            self.handle(node, DiskFailed("no space"))
 
-    def synced(self, node: Node, disk: Disk, life: int, persist: Persist) -> None:
-        if node.life != life or persist not in disk.unsynced or node.disk is not disk:
+    def finish_write(self, node: Node, disk: Disk, instance_number: int, persist: Persist) -> None:
+        if node.instance_number != instance_number or persist not in disk.unsynced or node.disk is not disk:
             return
         while disk.unsynced and disk.unsynced[0].token <= persist.token:
             disk.sync(disk.unsynced.pop(0))
-        self.give(node, Persisted(persist.token))
+        self.handle(node, Persisted(persist.token))
 
-    # --- what doors do ---
+    # --- operations of nodes ---
 
     def propose(
-        self, name: str, identity: str, body: bytes = b"1", within_us: int = 3 * S, machine: str = "sum"
+        self,
+        name: str,
+        proposal_id: str,
+        body: bytes = b"1",
+        timeout_us: int = 3 * SECOND_US,
+        machine: str = "sum",
     ) -> None:
         node = self.nodes[name]
-        if node.core and not node.stalled:
-            node.open.add(identity)
-            self.give(node, Propose(machine, identity, body, within_us))
+        if node.core and not node.paused:
+            node.pending_ids.add(proposal_id)
+            self.handle(node, Propose(machine, proposal_id, body, timeout_us))
 
-    def change(self, name: str, identity: str, change: Change, within_us: int = 3 * S) -> None:
-        self.propose(name, identity, msgspec.json.encode(change), within_us, "")
+    def propose_change(
+        self, name: str, proposal_id: str, change: Change, timeout_us: int = 3 * SECOND_US
+    ) -> None:
+        self.propose(name, proposal_id, msgspec.json.encode(change), timeout_us, "")
 
-    def confirm(self, name: str) -> int:
-        token = len(self.asked) + 1
-        self.asked[token] = max(self.led, default=0)
-        self.give(self.nodes[name], ConfirmLeadership(token))
+    def request_confirmation(self, name: str) -> int:
+        token = len(self.ballot_at_request) + 1
+        self.ballot_at_request[token] = max(self.leaders_by_ballot, default=0)
+        self.handle(self.nodes[name], ConfirmLeadership(token))
         return token
 
     def leader(self) -> str | None:
@@ -301,51 +326,53 @@
         ]
         return leading[-1] if len(leading) == 1 else None
 
-    def spread(self, name: str, entries: Sequence[Entry]) -> None:
-        """The tree, as far as this goes: who has no seat is told by whom has it."""
+    def forward_entries(self, name: str, entries: Sequence[Entry]) -> None:
+        """Forward entries to a node as the dissemination tree does, unless they are lost."""
         node = self.nodes[name]
-        if self.groups.get(node.name, 0) == 0 and self.random.random() >= self.loss:
-            self.give(node, EntriesLearned(tuple(entries)))
+        if self.partitions.get(node.name, 0) == 0 and self.random.random() >= self.loss_rate:
+            self.handle(node, EntriesLearned(tuple(entries)))
 
-    def beat(self) -> None:
-        """Each half a second those without a seat ask another."""
+    def run_catch_up(self) -> None:
+        """Every half second, let each node request missing entries from a random one."""
         for node in self.nodes.values():
             other = self.random.choice(list(self.nodes))
             if node.core and other != node.name:
-                self.give(node, CatchUp(other))
-        self.at(S // 2, self.beat)
+                self.handle(node, CatchUp(other))
+        self.schedule(SECOND_US // 2, self.run_catch_up)
 
     # --- invariants ---
 
-    def applied(self, node: Node, entry: Entry) -> None:
+    def check_applied(self, node: Node, entry: Entry) -> None:
         known = self.entries.setdefault(entry.position, entry)
         assert known == entry, f"two values at {entry.position}: {known} and {entry}"
         before = self.entries.get(entry.position - 1)
-        assert before is None or before.at_ms <= entry.at_ms, "time went back"
+        assert before is None or before.at_ms <= entry.at_ms, "the time of an entry decreased"
         if len(self.entries) == entry.position and node.core and node.core.leader_protocol.is_leader:
             for other in self.nodes.values():
                 if other.core and other.core.recovery.voter not in other.core.voters:
-                    self.at(30 * MS, lambda name=other.name: self.spread(name, [entry]))  # type: ignore[misc]
+                    self.schedule(
+                        30 * MILLISECOND_US, lambda name=other.name: self.forward_entries(name, [entry])
+                    )  # type: ignore[misc]
 
-    def check(self, node: Node) -> None:
+    def check_digest(self, node: Node) -> None:
         assert node.core
         digest = node.core.digest()
         known = self.digests.setdefault(node.core.position, digest)
         assert known == digest, f"two states at {node.core.position}"
 
-    def over(self, node: Node, over: ProposalFinished) -> None:
-        assert over.id in node.open, f"{over.id} has two words at {node.name}"
-        node.open.discard(over.id)
-        self.words.setdefault(over.id, []).append(over)
-        if over.status is ProposalStatus.APPLIED:
-            came = self.outcomes.setdefault(over.id, set())
-            came.add((over.outcome, over.position))
-            assert len(came) == 1, f"{over.id} came to two things"
-
-    def level(self) -> bool:
-        """All that are up have all that was settled, and nothing is open."""
-        top = len(self.entries)
+    def record_result(self, node: Node, result: ProposalFinished) -> None:
+        assert result.id in node.pending_ids, f"{result.id} has two results at {node.name}"
+        node.pending_ids.discard(result.id)
+        self.results.setdefault(result.id, []).append(result)
+        if result.status is ProposalStatus.APPLIED:
+            known_outcomes = self.outcomes.setdefault(result.id, set())
+            known_outcomes.add((result.outcome, result.position))
+            assert len(known_outcomes) == 1, f"{result.id} has two outcomes"
+
+    def is_settled(self) -> bool:
+        """Whether all nodes run and have all decided entries, and no proposal is pending."""
+        last_position = len(self.entries)
         return all(
-            node.core is not None and node.core.position == top and not node.open
+            node.core is not None and node.core.position == last_position and not node.pending_ids
             for node in self.nodes.values()
         )
--- a/tests/coordination/replicated_log/state_space.py
+++ b/tests/coordination/replicated_log/state_space.py
@@ -1,9 +1,8 @@
-"""All orders of words between three seats and two leaders, in a small scope, by breadth first search.
+"""A model checker: all message orders between three voters and two leaders, by breadth-first search.
 
-The rules are the real ones (`Acceptor`, `Recovery`, `Leadership`, `settled`); around them is the least that
-makes them run. Words are never used up: each may come late, again, or not at all. The third seat may be
-started anew once, with its disk as it was, set back to a copy of the same run, or to one from before that
-run.
+It runs the production code of the rules (`Acceptor`, `Recovery`, `Leadership`) in a minimal model. Messages
+are never consumed: each may be delayed, duplicated or lost. The third voter may be restarted once, with its
+disk as it was, rolled back to a copy of the same run, or rolled back to a copy from before that run.
 """
 
 from collections import deque
@@ -35,7 +34,7 @@
 
 NAMES = ("a", "b", "c")
 DISKS = ("0" * 31 + "1", "0" * 31 + "2", "0" * 31 + "3")
-PANEL = tuple(Voter(name, disk) for name, disk in zip(NAMES, DISKS, strict=True))
+VOTERS = tuple(Voter(name, disk) for name, disk in zip(NAMES, DISKS, strict=True))
 RUNS = tuple(Run(disk, 1, 1) for disk in DISKS)
 BALLOTS = (Ballot(1, "p", 1), Ballot(2, "q", 1))
 
@@ -45,36 +44,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeatState:
+class VoterState:
     promised: Ballot = NOBODY
     accepted_at: Ballot = NOBODY
     accepted: tuple[Entry, ...] = ()
     decided: tuple[Entry, ...] = ()
     run: Run = RUNS[0]
-    knows: tuple[Run, ...] = ()
-    answers: tuple[tuple[Voter, RunAcknowledged], ...] = ()
-    set_back: Run | None = None
+    known_runs: tuple[Run, ...] = ()
+    acknowledgements: tuple[tuple[Voter, RunAcknowledged], ...] = ()
+    rollback_evidence: Run | None = None
 
     def acceptor(self) -> Acceptor:
         return Acceptor(self.promised, self.accepted_at, self.accepted)
 
-    def having(self, acceptor: Acceptor) -> "SeatState":
+    def with_acceptor(self, acceptor: Acceptor) -> "VoterState":
         return replace(
             self, promised=acceptor.promised, accepted_at=acceptor.accepted_at, accepted=acceptor.accepted
         )
 
     def recovery(self, name: str) -> Recovery:
-        runs = {run.disk: run for run in self.knows}
+        runs = {run.disk: run for run in self.known_runs}
         recovery = Recovery(
             NodeInstance(name, self.run.instance_number), self.run.disk, self.run.start_count, runs
         )
-        recovery.acknowledgements, recovery.rollback_evidence = dict(self.answers), self.set_back
+        recovery.acknowledgements, recovery.rollback_evidence = (
+            dict(self.acknowledgements),
+            self.rollback_evidence,
+        )
         return recovery
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderState:
-    """A leader's votes are not kept: any two that it may have got are tried."""
+    """The state of a leader, without its votes: each pair of votes that it may have received is tried."""
 
     phase: LeadershipPhase = LeadershipPhase.PREPARING
     batch: tuple[Entry, ...] = ()
@@ -82,263 +84,292 @@
     decided: tuple[Entry, ...] = ()
 
 
-State = tuple[int, int, int, int, int, int]  # numbers of three seats' and two leaders' states; words as bits
-Step = tuple[int, tuple[int, ...]]  # the new state's number, and words said
+# The numbers of the states of three voters and two leaders, and a bit set of all messages sent so far.
+State = tuple[int, int, int, int, int, int]
+Step = tuple[int, tuple[int, ...]]  # the numbers of a node's new state and of the messages that it sends
 
 
-Own = tuple[tuple[tuple[Entry, ...], ...], ...]  # batches of each leader
+LeaderBatches = tuple[tuple[tuple[Entry, ...], ...], ...]  # the batches of each leader
 
 
-class Numbers:
-    """Things by number, as comparing them is slow."""
+class Interner:
+    """Maps values to numbers, as comparing the values is slow."""
 
     def __init__(self) -> None:
-        self.things: list[Any] = []
+        self.values: list[Any] = []
         self.numbers: dict[Any, int] = {}
 
-    def of(self, thing: object) -> int:
-        number = self.numbers.setdefault(thing, len(self.things))
-        if number == len(self.things):
-            self.things.append(thing)
+    def number_of(self, value: object) -> int:
+        number = self.numbers.setdefault(value, len(self.values))
+        if number == len(self.values):
+            self.values.append(value)
         return number
 
 
-class Learned:
-    """What `raise_to` asks of a learner."""
+class DecidedEntries:
+    """The attributes of a learner that `Recovery.adopt_acknowledged` uses."""
 
     def __init__(self, decided: tuple[Entry, ...]) -> None:
         self.position, self.last = len(decided), decided[-1] if decided else None
 
 
-class Scope:
-    """What may happen: each leader's own batches, and whether the third seat may be started anew."""
+class StateSpace:
+    """The states reachable with given batches of each leader, with or without a restart of the third voter.
+
+    `restart` says what happens to its disk: "kept", "copy" or "before"; it is empty for no restart.
+    """
 
-    def __init__(self, own: Own, restart: str = "") -> None:
-        self.own, self.restart = own, restart  # "kept", "copy" or "before", as to the third seat's disk
-        self.last = max(batch[-1].position for batches in own for batch in batches)
-        self.seats, self.leaders, self.words = Numbers(), Numbers(), Numbers()
-        self.seat_steps: dict[tuple[int, int, int], Step | None] = {}
+    def __init__(self, leader_batches: LeaderBatches, restart: str = "") -> None:
+        self.leader_batches, self.restart = leader_batches, restart
+        self.last_position = max(batch[-1].position for batches in leader_batches for batch in batches)
+        self.voters, self.leaders, self.messages = Interner(), Interner(), Interner()
+        self.voter_steps: dict[tuple[int, int, int], Step | None] = {}
         self.leader_steps: dict[tuple[int, int, int, int], Step | None] = {}
-        self.masks: dict[object, list[int]] = {}  # words of one kind, as bits, in a list of one
-        self.alike: dict[int, list[int]] = {}  # that of a word, by number
-        self.splits: dict[int, tuple[list[tuple[int, int]], list[tuple[int, int, int]]]] = {}
+        self.kind_masks: dict[object, list[int]] = {}  # by kind of message: a bit set, in a list of one
+        self.same_kind_mask: dict[int, list[int]] = {}  # by number of a message: that of its kind
+        self.recipients_cache: dict[int, tuple[list[tuple[int, int]], list[tuple[int, int, int]]]] = {}
 
-    def first_seat(self, index: int) -> SeatState:
-        """All had answered one another at the first start."""
+    def initial_voter(self, index: int) -> VoterState:
+        """Return the state of a voter after the first start, at which all acknowledged one another."""
         run = RUNS[index]
-        answers = tuple(
-            (seat, RunAcknowledged(run, by, 0, NOBODY))
-            for seat, by in zip(PANEL, RUNS, strict=True)
-            if by != run
+        acknowledgements = tuple(
+            (voter, RunAcknowledged(run, acknowledged_by, 0, NOBODY))
+            for voter, acknowledged_by in zip(VOTERS, RUNS, strict=True)
+            if acknowledged_by != run
+        )
+        return VoterState(
+            run=run, known_runs=tuple(each for each in RUNS if each != run), acknowledgements=acknowledgements
         )
-        return SeatState(run=run, knows=tuple(each for each in RUNS if each != run), answers=answers)
-
-    def first(self, elected: tuple[int, ...]) -> State:
-        """Both ask for promises; or the first leader has those of two seats, and its first words are over."""
-        seats = [self.seats.of(self.first_seat(index)) for index in range(3)]
-        words = sum(1 << self.words.of(Prepare(ballot, 0)) for ballot in BALLOTS)
-        leader = self.leaders.of(LeaderState())
-        state: State = (seats[0], seats[1], seats[2], leader, leader, words)
-        for index in elected:
-            step = self.at_seat(index, self.seats.things[state[index]], Prepare(BALLOTS[0], 0))
-            state = after(state, index, self.number(self.seats, step))
-        if elected:
-            votes = [word for word in self.words.things if isinstance(word, Promise)]
-            state = after(state, 3, self.number(self.leaders, self.at_leader(0, LeaderState(), *votes)))
-            over = sum(1 << self.words.of(word) for word in (*votes, Prepare(BALLOTS[0], 0)))
-            state = (*state[:5], state[5] & ~over)
+
+    def initial_state(self, elected_by: tuple[int, ...]) -> State:
+        """Return the state in which both leaders have sent a prepare.
+
+        With `elected_by`, these voters have elected the first leader, and its phase 1 messages are gone.
+        """
+        voters = [self.voters.number_of(self.initial_voter(index)) for index in range(3)]
+        messages = sum(1 << self.messages.number_of(Prepare(ballot, 0)) for ballot in BALLOTS)
+        leader = self.leaders.number_of(LeaderState())
+        state: State = (voters[0], voters[1], voters[2], leader, leader, messages)
+        for index in elected_by:
+            step = self.step_voter(index, self.voters.values[state[index]], Prepare(BALLOTS[0], 0))
+            state = next_state(state, index, self.intern_step(self.voters, step))
+        if elected_by:
+            votes = [message for message in self.messages.values if isinstance(message, Promise)]
+            state = next_state(
+                state, 3, self.intern_step(self.leaders, self.step_leader(0, LeaderState(), *votes))
+            )
+            phase_1_bits = sum(
+                1 << self.messages.number_of(message) for message in (*votes, Prepare(BALLOTS[0], 0))
+            )
+            state = (*state[:5], state[5] & ~phase_1_bits)
         return state
 
-    def explore(self, most: int, elected: tuple[int, ...] = ()) -> int:
-        """How many states there are, up to `most`; AssertionError where two values are settled at a place."""
-        first = self.first(elected)
-        seen, todo = {first}, deque([first])
-        while todo and len(seen) < most:
-            for state in self.steps(todo.popleft()):
+    def count_states(self, max_states: int, elected_by: tuple[int, ...] = ()) -> int:
+        """Count the reachable states, up to `max_states`.
+
+        Raises an AssertionError if two values are decided at one position.
+        """
+        initial_state = self.initial_state(elected_by)
+        seen, queue = {initial_state}, deque([initial_state])
+        while queue and len(seen) < max_states:
+            for state in self.steps(queue.popleft()):
                 if state not in seen:
                     seen.add(state)
-                    todo.append(state)
+                    queue.append(state)
         return len(seen)
 
     # --- steps ---
 
     def steps(self, state: State) -> Iterator[State]:
-        to_seats, to_leaders = self.split(state[5])
-        for index, number in to_seats:
+        to_voters, to_leaders = self.recipients(state[5])
+        for index, number in to_voters:
             key = (index, state[index], number)
-            if key not in self.seat_steps:
-                self.seat_steps[key] = self.number(
-                    self.seats,
-                    self.at_seat(index, self.seats.things[state[index]], self.words.things[number]),
+            if key not in self.voter_steps:
+                self.voter_steps[key] = self.intern_step(
+                    self.voters,
+                    self.step_voter(index, self.voters.values[state[index]], self.messages.values[number]),
                 )
-            if (step := self.seat_steps[key]) and not self.told(state, step):
-                yield after(state, index, step)
-        for index, one, other in to_leaders:
-            pair = (index, state[index], one, other)
+            if (step := self.voter_steps[key]) and not self.is_repeated(state, step):
+                yield next_state(state, index, step)
+        for index, first, second in to_leaders:
+            pair = (index, state[index], first, second)
             if pair not in self.leader_steps:
-                self.leader_steps[pair] = self.number(
+                self.leader_steps[pair] = self.intern_step(
                     self.leaders,
-                    self.at_leader(
+                    self.step_leader(
                         index - 3,
-                        self.leaders.things[state[index]],
-                        self.words.things[one],
-                        self.words.things[other],
+                        self.leaders.values[state[index]],
+                        self.messages.values[first],
+                        self.messages.values[second],
                     ),
                 )
             if step := self.leader_steps[pair]:
                 self.check(state, index, step)
-                yield after(state, index, step)
-        if self.restart and self.seats.things[state[2]].run.instance_number == 1:
-            for seat, word in self.start_anew(self.seats.things[state[2]]):
-                yield after(state, 2, (self.seats.of(seat), (self.words.of(word),)))
-
-    def split(self, said: int) -> tuple[list[tuple[int, int]], list[tuple[int, int, int]]]:
-        """To which seat each word may come, and which two votes to which leader."""
-        if said in self.splits:
-            return self.splits[said]
-        seats: list[tuple[int, int]] = []
+                yield next_state(state, index, step)
+        if self.restart and self.voters.values[state[2]].run.instance_number == 1:
+            for voter, message in self.restart_voter(self.voters.values[state[2]]):
+                yield next_state(
+                    state, 2, (self.voters.number_of(voter), (self.messages.number_of(message),))
+                )
+
+    def recipients(self, message_bits: int) -> tuple[list[tuple[int, int]], list[tuple[int, int, int]]]:
+        """Return which voters may receive each message, and which leaders each pair of votes."""
+        if message_bits in self.recipients_cache:
+            return self.recipients_cache[message_bits]
+        voters: list[tuple[int, int]] = []
         votes: dict[tuple[type, Ballot], list[int]] = {}
-        for number in range(said.bit_length()):
-            word = self.words.things[number] if said >> number & 1 else None
-            match word:
+        for number in range(message_bits.bit_length()):
+            message = self.messages.values[number] if message_bits >> number & 1 else None
+            match message:
                 case Promise() | Accepted():
-                    votes.setdefault((type(word), word.ballot), []).append(number)
+                    votes.setdefault((type(message), message.ballot), []).append(number)
                 case RunAcknowledged() | RunConflict():
-                    seats.append((2, number))
+                    voters.append((2, number))
                 case Prepare() | Accept() | EntriesReply() | RunStarted():
-                    seats += [(index, number) for index in range(3)]
+                    voters += [(index, number) for index in range(3)]
         leaders = [
-            (3 + BALLOTS.index(ballot), one, other)
+            (3 + BALLOTS.index(ballot), first, second)
             for (_, ballot), numbers in votes.items()
-            for one, other in combinations(numbers, 2)
+            for first, second in combinations(numbers, 2)
         ]
-        self.splits[said] = seats, leaders
-        return self.splits[said]
+        self.recipients_cache[message_bits] = voters, leaders
+        return self.recipients_cache[message_bits]
 
-    def told(self, state: State, step: Step) -> bool:
-        """Whether this run has said as much before: a vote told again only makes more votes void."""
-        return any(state[5] & self.alike[number][0] for number in step[1])
+    def is_repeated(self, state: State, step: Step) -> bool:
+        """Whether this run sent a message of this kind before; a repeated vote only makes more votes void."""
+        return any(state[5] & self.same_kind_mask[number][0] for number in step[1])
 
-    def number(self, numbers: Numbers, step: tuple[object, list[Message]] | None) -> Step | None:
+    def intern_step(self, states: Interner, step: tuple[object, list[Message]] | None) -> Step | None:
         if step is None:
             return None
-        for word in step[1]:
-            number = self.words.of(word)
-            if number not in self.alike:
-                mask = self.masks.setdefault(kind(word), [0]) if kind(word) else [0]
-                self.alike[number] = mask
-                mask[0] |= 1 << number if kind(word) else 0
-        return numbers.of(step[0]), tuple(self.words.of(word) for word in step[1])
+        for message in step[1]:
+            number = self.messages.number_of(message)
+            if number not in self.same_kind_mask:
+                mask = self.kind_masks.setdefault(kind_of(message), [0]) if kind_of(message) else [0]
+                self.same_kind_mask[number] = mask
+                mask[0] |= 1 << number if kind_of(message) else 0
+        return states.number_of(step[0]), tuple(self.messages.number_of(message) for message in step[1])
 
     def check(self, state: State, index: int, step: Step) -> None:
-        """One value at each position: what this leader decided, and the other."""
-        mine, other = self.leaders.things[step[0]].decided, self.leaders.things[state[7 - index]].decided
-        for one, two in zip(mine, other, strict=False):
-            assert one == two, f"two values at {one.position}: {one.id} and {two.id}"
-
-    def start_anew(self, old: SeatState) -> Iterator[tuple[SeatState, Message]]:
-        """With its disk as it was, or set back to a copy of this run, or to one from before it."""
-        kept = old if self.restart == "kept" else self.first_seat(2)
+        """Check that this leader and the other one decided the same value at each position."""
+        decided, other = self.leaders.values[step[0]].decided, self.leaders.values[state[7 - index]].decided
+        for first, second in zip(decided, other, strict=False):
+            assert first == second, f"two values at {first.position}: {first.id} and {second.id}"
+
+    def restart_voter(self, previous: VoterState) -> Iterator[tuple[VoterState, Message]]:
+        """Restart a voter with its disk kept, or rolled back to a copy of this run or from before it."""
+        restored = previous if self.restart == "kept" else self.initial_voter(2)
         run = Run(DISKS[2], 1 if self.restart == "before" else 2, 2)
-        yield replace(kept, run=run, answers=()), RunStarted(run, len(kept.decided))
-
-    def at_seat(self, index: int, seat: SeatState, word: Message) -> tuple[SeatState, list[Message]] | None:
-        recovery, acceptor = seat.recovery(NAMES[index]), seat.acceptor()
-        voting = recovery.may_vote(PANEL, len(seat.decided))
-        match word:
-            case Prepare(ballot, after) if voting and after == len(seat.decided):
+        yield replace(restored, run=run, acknowledgements=()), RunStarted(run, len(restored.decided))
+
+    def step_voter(
+        self, index: int, voter: VoterState, message: Message
+    ) -> tuple[VoterState, list[Message]] | None:
+        recovery, acceptor = voter.recovery(NAMES[index]), voter.acceptor()
+        may_vote = recovery.may_vote(VOTERS, len(voter.decided))
+        match message:
+            case Prepare(ballot, after) if may_vote and after == len(voter.decided):
                 if acceptor.promise(ballot):
-                    return seat.having(acceptor), [
+                    return voter.with_acceptor(acceptor), [
                         Promise(
                             ballot,
                             after,
-                            recovery.vote_source(PANEL),
+                            recovery.vote_source(VOTERS),
                             acceptor.accepted_at,
                             acceptor.accepted,
                         )
                     ]
-            case Accept(ballot, entries) if voting and entries[0].position == len(seat.decided) + 1:
+            case Accept(ballot, entries) if may_vote and entries[0].position == len(voter.decided) + 1:
                 if acceptor.accept(ballot, entries):
-                    vote = Accepted(ballot, entries[-1].position, recovery.vote_source(PANEL))
-                    return seat.having(acceptor), [vote]
-            case EntriesReply(entries) if entries[0].position == len(seat.decided) + 1:
+                    vote = Accepted(ballot, entries[-1].position, recovery.vote_source(VOTERS))
+                    return voter.with_acceptor(acceptor), [vote]
+            case EntriesReply(entries) if entries[0].position == len(voter.decided) + 1:
                 acceptor.discard_decided(entries[-1])
-                decided = seat.decided + entries
-                recovery.adopt_acknowledged(acceptor, Learned(decided))  # type: ignore[arg-type]
-                return replace(seat.having(acceptor), decided=decided), []
-            case RunStarted(run) if run.disk != seat.run.disk:
+                decided = voter.decided + entries
+                recovery.adopt_acknowledged(acceptor, DecidedEntries(decided))  # type: ignore[arg-type]
+                return replace(voter.with_acceptor(acceptor), decided=decided), []
+            case RunStarted(run) if run.disk != voter.run.disk:
                 if known := recovery.conflicting_run(run):
-                    return seat, [RunConflict(run, known)]
-                recovery.record_run(run, PANEL)
-                knows = tuple(sorted(recovery.runs.values(), key=lambda each: each.disk))
-                return replace(seat, knows=knows), [
+                    return voter, [RunConflict(run, known)]
+                recovery.record_run(run, VOTERS)
+                known_runs = tuple(sorted(recovery.runs.values(), key=lambda each: each.disk))
+                return replace(voter, known_runs=known_runs), [
                     RunAcknowledged(
-                        run, seat.run, len(seat.decided), seat.promised, seat.accepted_at, seat.accepted
+                        run, voter.run, len(voter.decided), voter.promised, voter.accepted_at, voter.accepted
                     )
                 ]
-            case RunAcknowledged(run) if run.disk == seat.run.disk:
+            case RunAcknowledged(run) if run.disk == voter.run.disk:
                 if recovery.record_acknowledgement(
                     NodeInstance(
-                        NAMES[DISKS.index(word.acknowledged_by.disk)], word.acknowledged_by.instance_number
+                        NAMES[DISKS.index(message.acknowledged_by.disk)],
+                        message.acknowledged_by.instance_number,
                     ),
-                    word,
-                    PANEL,
+                    message,
+                    VOTERS,
                 ):
-                    recovery.adopt_acknowledged(acceptor, Learned(seat.decided))  # type: ignore[arg-type]
-                    answers = tuple(sorted(recovery.acknowledgements.items(), key=lambda each: each[0]))
-                    return replace(seat.having(acceptor), answers=answers), []
-            case RunConflict() if recovery.record_conflict(word):
-                return replace(seat, set_back=recovery.rollback_evidence), []
+                    recovery.adopt_acknowledged(acceptor, DecidedEntries(voter.decided))  # type: ignore[arg-type]
+                    acknowledgements = tuple(
+                        sorted(recovery.acknowledgements.items(), key=lambda each: each[0])
+                    )
+                    return replace(voter.with_acceptor(acceptor), acknowledgements=acknowledgements), []
+            case RunConflict() if recovery.record_conflict(message):
+                return replace(voter, rollback_evidence=recovery.rollback_evidence), []
         return None
 
-    def at_leader(
-        self, index: int, now: LeaderState, one: Message, other: Message
+    def step_leader(
+        self, index: int, state: LeaderState, first: Message, second: Message
     ) -> tuple[LeaderState, list[Message]] | None:
-        lead = Leadership(BALLOTS[index], 0, 0)
-        lead.phase, lead.batch, lead.inherited = now.phase, now.batch, now.inherited
-        for word in (one, other):
-            if not isinstance(word, Promise | Accepted) or word.ballot != BALLOTS[index]:
+        leadership = Leadership(BALLOTS[index], 0, 0)
+        leadership.phase, leadership.batch, leadership.inherited = state.phase, state.batch, state.inherited
+        for message in (first, second):
+            if not isinstance(message, Promise | Accepted) or message.ballot != BALLOTS[index]:
                 return None
-            disk = word.source.run.disk
-            if isinstance(word, Promise) and lead.record_promise(disk, word, PANEL):
-                self.propose(lead, index, 0)
-                return LeaderState(lead.phase, lead.batch, lead.inherited), [Accept(lead.ballot, lead.batch)]
-            if isinstance(word, Accepted) and (
-                batch := lead.record_vote(disk, word.last, word.source, PANEL)
+            disk = message.source.run.disk
+            if isinstance(message, Promise) and leadership.record_promise(disk, message, VOTERS):
+                self.propose(leadership, index, 0)
+                return LeaderState(leadership.phase, leadership.batch, leadership.inherited), [
+                    Accept(leadership.ballot, leadership.batch)
+                ]
+            if isinstance(message, Accepted) and (
+                batch := leadership.record_vote(disk, message.last, message.source, VOTERS)
             ):
-                decided = now.decided + batch
-                self.propose(lead, index, len(decided))
-                said: list[Message] = [Accept(lead.ballot, lead.batch)] if lead.batch else []
-                if len(decided) < self.last:  # of the last position there is nothing to be told
-                    said.append(EntriesReply(batch, len(decided)))
-                return LeaderState(lead.phase, lead.batch, False, decided), said
+                decided = state.decided + batch
+                self.propose(leadership, index, len(decided))
+                sent: list[Message] = (
+                    [Accept(leadership.ballot, leadership.batch)] if leadership.batch else []
+                )
+                if len(decided) < self.last_position:  # learning the last entry enables no further step
+                    sent.append(EntriesReply(batch, len(decided)))
+                return LeaderState(leadership.phase, leadership.batch, False, decided), sent
         return None
 
-    def propose(self, lead: Leadership, index: int, position: int) -> None:
-        """The leader's own next batch, where none is to be proposed first."""
-        if not lead.batch:
-            own = next((batch for batch in self.own[index] if batch[0].position == position + 1), ())
-            if own:
-                lead.propose(own)
-
-
-def kind(word: Message) -> object:
-    """What a run says once; None for what is said as often as there is cause."""
-    match word:
-        case Promise(ballot, place, voter) | Accepted(ballot, place, voter):
-            return type(word), ballot, place, voter.run
-        case RunAcknowledged(run, by):
-            return RunAcknowledged, run, by
+    def propose(self, leadership: Leadership, index: int, position: int) -> None:
+        """Propose the leader's own next batch, unless another must be proposed first."""
+        if not leadership.batch:
+            own_batch = next(
+                (batch for batch in self.leader_batches[index] if batch[0].position == position + 1), ()
+            )
+            if own_batch:
+                leadership.propose(own_batch)
+
+
+def kind_of(message: Message) -> object:
+    """Identify a message that a run needs to send only once; None for messages without such a limit."""
+    match message:
+        case Promise(ballot, position, voter) | Accepted(ballot, position, voter):
+            return type(message), ballot, position, voter.run
+        case RunAcknowledged(run, acknowledged_by):
+            return RunAcknowledged, run, acknowledged_by
     return None
 
 
-def after(state: State, index: int, step: Step | None) -> State:
+def next_state(state: State, index: int, step: Step | None) -> State:
     assert step is not None
-    words = state[5]
-    for word in step[1]:
-        words |= 1 << word
-    return (*state[:index], step[0], *state[index + 1 : 5], words)  # type: ignore[return-value]
+    messages = state[5]
+    for number in step[1]:
+        messages |= 1 << number
+    return (*state[:index], step[0], *state[index + 1 : 5], messages)  # type: ignore[return-value]
 
 
-ONE = (((entry(1, "x"),),), ((entry(1, "y"),),))
-TWO = (((entry(1, "x1"), entry(2, "x2")),), ((entry(1, "y1"),), (entry(2, "y2"),)))
+ONE_ENTRY_BATCHES = (((entry(1, "x"),),), ((entry(1, "y"),),))
+TWO_ENTRY_BATCH = (((entry(1, "x1"), entry(2, "x2")),), ((entry(1, "y1"),), (entry(2, "y2"),)))
--- a/tests/coordination/replicated_log/test_state_space.py
+++ b/tests/coordination/replicated_log/test_state_space.py
@@ -1,9 +1,10 @@
-"""All orders of words in a small scope: one value at each position, and the rules it takes are each needed.
+"""Model checking: each position has one value in all message orders, and each rule is needed for this.
 
-Each scope is searched to its end. Three seats and two leaders, one position: 6,109 states; a batch of two
-against two batches of one, learned in part: 21,454; the third seat started anew, with its disk kept, set
-back to a copy of the same run, or to one from before it, after the first leader was elected: 48,407, 52,082
-and 3,840. (The copy, from before any leader: 521,374 states in 25 s, run by hand.)
+Each state space is searched completely. Three voters and two leaders, one position: 6,109 states; a batch of
+two entries against two batches of one, learned in part: 21,454; a restart of the third voter after the first
+leader was elected, with its disk kept, rolled back to a copy of the same run, or to one from before it:
+48,407, 52,082 and 3,840. (The copy of the same run, with no leader elected before: 521,374 states in 25 s,
+run by hand.)
 """
 
 from collections.abc import Callable
@@ -15,115 +16,122 @@
 from molereach.coordination.replicated_log.leadership import Leadership
 from molereach.coordination.replicated_log.messages import NOBODY, Ballot, Promise, Run, Voters
 from molereach.coordination.replicated_log.recovery import Recovery
-from tests.coordination.replicated_log.state_space import ONE, TWO, Own, Scope
+from tests.coordination.replicated_log.state_space import (
+    ONE_ENTRY_BATCHES,
+    TWO_ENTRY_BATCH,
+    LeaderBatches,
+    StateSpace,
+)
 
-ELECTED = (0, 2)
-MOST = 200_000
+FIRST_LEADER_VOTERS = (0, 2)
+MAX_STATES = 200_000
 
 
 @pytest.mark.parametrize(
-    ("own", "restart", "elected", "states"),
+    ("leader_batches", "restart", "elected_by", "state_count"),
     [
-        (ONE, "", (), 6109),
-        (TWO, "", (), 21454),
-        (ONE, "kept", ELECTED, 48407),
-        (ONE, "copy", ELECTED, 52082),
-        (ONE, "before", ELECTED, 3840),
+        (ONE_ENTRY_BATCHES, "", (), 6109),
+        (TWO_ENTRY_BATCH, "", (), 21454),
+        (ONE_ENTRY_BATCHES, "kept", FIRST_LEADER_VOTERS, 48407),
+        (ONE_ENTRY_BATCHES, "copy", FIRST_LEADER_VOTERS, 52082),
+        (ONE_ENTRY_BATCHES, "before", FIRST_LEADER_VOTERS, 3840),
     ],
 )
-def test_one_value_at_each_position(own: Own, restart: str, elected: tuple[int, ...], states: int) -> None:
-    assert Scope(own, restart).explore(MOST, elected) == states
+def test_one_value_at_each_position(
+    leader_batches: LeaderBatches, restart: str, elected_by: tuple[int, ...], state_count: int
+) -> None:
+    assert StateSpace(leader_batches, restart).count_states(MAX_STATES, elected_by) == state_count
 
 
 Patch = pytest.MonkeyPatch
 
 
-def votes_at_once(patch: Patch) -> None:
-    patch.setattr(Recovery, "may_vote", lambda self, panel, position: self.voter in panel)
+def votes_without_acknowledgements(patch: Patch) -> None:
+    patch.setattr(Recovery, "may_vote", lambda self, voters, position: self.voter in voters)
 
 
-def one_answer_less(patch: Patch) -> None:
-    def may_vote(self: Recovery, panel: Voters, position: int) -> bool:
-        return bool(self.acknowledgements) and self.voter in panel
+def needs_one_acknowledgement_less(patch: Patch) -> None:
+    def may_vote(self: Recovery, voters: Voters, position: int) -> bool:
+        return bool(self.acknowledgements) and self.voter in voters
 
     patch.setattr(Recovery, "may_vote", may_vote)
 
 
-def answers_not_taken_over(patch: Patch) -> None:
+def ignores_acknowledged_votes(patch: Patch) -> None:
     patch.setattr(Recovery, "adopt_acknowledged", lambda self, acceptor, learner: False)
 
 
-def void_votes_counted(patch: Patch) -> None:
-    patch.setattr(recovery, "count_votes", lambda votes, panel: len(votes))
+def counts_void_votes(patch: Patch) -> None:
+    patch.setattr(recovery, "count_votes", lambda votes, voters: len(votes))
 
 
-def set_back_not_told(patch: Patch) -> None:
-    def note(self: Recovery, run: Run) -> Run | None:
+def ignores_conflicting_runs(patch: Patch) -> None:
+    def no_conflict(self: Recovery, run: Run) -> Run | None:
         return None
 
-    patch.setattr(Recovery, "conflicting_run", note)
+    patch.setattr(Recovery, "conflicting_run", no_conflict)
 
 
-def promise_forgets_the_vote(patch: Patch) -> None:
+def promise_drops_the_vote(patch: Patch) -> None:
     promise = Acceptor.promise
 
-    def forgets(self: Acceptor, ballot: Ballot) -> bool:
+    def promise_without_vote(self: Acceptor, ballot: Ballot) -> bool:
         self.accepted_at, self.accepted = NOBODY, ()
         return promise(self, ballot)
 
-    patch.setattr(Acceptor, "promise", forgets)
+    patch.setattr(Acceptor, "promise", promise_without_vote)
 
 
-def proposes_its_own(patch: Patch) -> None:
-    promised = Leadership.record_promise
+def proposes_its_own_batch(patch: Patch) -> None:
+    record_promise = Leadership.record_promise
 
-    def own(self: Leadership, disk: str, word: Promise, panel: Voters) -> bool:
-        led = promised(self, disk, word, panel)
-        if led:
+    def record_without_batch(self: Leadership, disk: str, message: Promise, voters: Voters) -> bool:
+        is_elected = record_promise(self, disk, message, voters)
+        if is_elected:
             self.batch, self.inherited = (), False
-        return led
+        return is_elected
 
-    patch.setattr(Leadership, "record_promise", own)
+    patch.setattr(Leadership, "record_promise", record_without_batch)
 
 
-def proposes_half_of_a_batch(patch: Patch) -> None:
-    promised = Leadership.record_promise
+def proposes_part_of_a_batch(patch: Patch) -> None:
+    record_promise = Leadership.record_promise
 
-    def half(self: Leadership, disk: str, word: Promise, panel: Voters) -> bool:
-        led = promised(self, disk, word, panel)
+    def record_part(self: Leadership, disk: str, message: Promise, voters: Voters) -> bool:
+        is_elected = record_promise(self, disk, message, voters)
         self.batch = self.batch[:1]
-        return led
+        return is_elected
 
-    patch.setattr(Leadership, "record_promise", half)
+    patch.setattr(Leadership, "record_promise", record_part)
 
 
-def half_is_enough(patch: Patch) -> None:
+def takes_half_as_a_majority(patch: Patch) -> None:
     for module in (recovery, leadership):
-        patch.setattr(module, "majority", lambda panel: len(panel) // 2)
+        patch.setattr(module, "majority", lambda voters: len(voters) // 2)
 
 
 @pytest.mark.parametrize(
-    ("breaks", "own", "restart", "elected"),
+    ("mutate", "leader_batches", "restart", "elected_by"),
     [
-        (votes_at_once, ONE, "copy", ELECTED),
-        (one_answer_less, ONE, "copy", ELECTED),
-        (answers_not_taken_over, ONE, "copy", ELECTED),
-        (void_votes_counted, ONE, "copy", ELECTED),
-        (set_back_not_told, ONE, "before", ELECTED),
-        (promise_forgets_the_vote, ONE, "", ()),
-        (proposes_its_own, ONE, "", ()),
-        (proposes_half_of_a_batch, TWO, "", ()),
-        (half_is_enough, ONE, "", ()),
+        (votes_without_acknowledgements, ONE_ENTRY_BATCHES, "copy", FIRST_LEADER_VOTERS),
+        (needs_one_acknowledgement_less, ONE_ENTRY_BATCHES, "copy", FIRST_LEADER_VOTERS),
+        (ignores_acknowledged_votes, ONE_ENTRY_BATCHES, "copy", FIRST_LEADER_VOTERS),
+        (counts_void_votes, ONE_ENTRY_BATCHES, "copy", FIRST_LEADER_VOTERS),
+        (ignores_conflicting_runs, ONE_ENTRY_BATCHES, "before", FIRST_LEADER_VOTERS),
+        (promise_drops_the_vote, ONE_ENTRY_BATCHES, "", ()),
+        (proposes_its_own_batch, ONE_ENTRY_BATCHES, "", ()),
+        (proposes_part_of_a_batch, TWO_ENTRY_BATCH, "", ()),
+        (takes_half_as_a_majority, ONE_ENTRY_BATCHES, "", ()),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
 def test_each_rule_is_needed(
-    breaks: Callable[[Patch], None],
-    own: Own,
+    mutate: Callable[[Patch], None],
+    leader_batches: LeaderBatches,
     restart: str,
-    elected: tuple[int, ...],
+    elected_by: tuple[int, ...],
     monkeypatch: Patch,
 ) -> None:
-    breaks(monkeypatch)
+    mutate(monkeypatch)
     with pytest.raises(AssertionError, match="two values"):
-        Scope(own, restart).explore(MOST, elected)
+        StateSpace(leader_batches, restart).count_states(MAX_STATES, elected_by)
