--- a/molereach/coordination/errors.py
+++ b/molereach/coordination/errors.py
@@ -2,4 +2,4 @@
 
 
 class CoordinationError(Exception):
-    """Base class of the errors of coordination; each subpackage derives its own from it."""
+    """Base class of the errors of coordination; subpackages derive their own from it."""
--- a/molereach/coordination/replicated_log/leader_protocol.py
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -77,7 +77,11 @@
             self.set_leader(None)
 
     def check_leadership(self, now_us: int) -> None:
-        """Step down if another leader decided entries, or a higher ballot was promised at this node."""
+        """End a leadership or candidacy that was superseded.
+
+        It ends if a higher ballot was promised at this node, or the node is no longer a voter. If the log
+        advanced by decisions of others, a leader steps down, and a candidate restarts phase 1.
+        """
         leadership = self.leadership
         if leadership is None:
             return
--- a/molereach/coordination/replicated_log/leadership_confirmation.py
+++ b/molereach/coordination/replicated_log/leadership_confirmation.py
@@ -42,11 +42,11 @@
         return self.number
 
     def request_confirmation(self, token: int) -> bool:
-        """Record a request; return whether to begin a round now, as no earlier request waits for one."""
-        none_unstarted = all(confirmation.round > self.number for confirmation in self.pending_confirmations)
+        """Record a request; return whether to begin a round now, as no earlier one has a round in progress."""
+        none_in_progress = all(pending.round > self.number for pending in self.pending_confirmations)
         if len(self.pending_confirmations) < MAX_PENDING_CONFIRMATIONS:
             self.pending_confirmations.append(PendingConfirmation(self.number + 1, token))
-        return none_unstarted
+        return none_in_progress
 
     def record_reply(self, disk: str, message: HeartbeatReply) -> None:
         """Record a voter's reply to a round; the newest of each disk is kept."""
@@ -56,21 +56,17 @@
 
     def take_confirmed(self, voters: Voters) -> list[int]:
         """Remove and return the tokens whose round a majority of the voters has answered."""
-        required_rounds = {confirmation.round for confirmation in self.pending_confirmations}
+        required_rounds = {pending.round for pending in self.pending_confirmations}
         for required_round in sorted(required_rounds, reverse=True):
             votes = {
                 disk: reply.source for disk, reply in self.replies.items() if reply.round >= required_round
             }
             if has_majority(votes, voters):
                 confirmed = [
-                    confirmation.token
-                    for confirmation in self.pending_confirmations
-                    if confirmation.round <= required_round
+                    pending.token for pending in self.pending_confirmations if pending.round <= required_round
                 ]
                 self.pending_confirmations = [
-                    confirmation
-                    for confirmation in self.pending_confirmations
-                    if confirmation.round > required_round
+                    pending for pending in self.pending_confirmations if pending.round > required_round
                 ]
                 return confirmed
         return []
@@ -78,4 +74,4 @@
     @property
     def has_unstarted_round(self) -> bool:
         """Whether a confirmation waits for a round that has not begun."""
-        return any(confirmation.round > self.number for confirmation in self.pending_confirmations)
+        return any(pending.round > self.number for pending in self.pending_confirmations)
--- a/molereach/coordination/replicated_log/records.py
+++ b/molereach/coordination/replicated_log/records.py
@@ -68,7 +68,7 @@
 
 
 class RunRecorded(Record, frozen=True, tag="wrote"):
-    """The newest known run of another disk; each vote of this disk names it."""
+    """The newest known run of another disk; if that is a voter's, each vote of this disk names it."""
 
     run: Run
 
--- a/molereach/coordination/replicated_log/recovery.py
+++ b/molereach/coordination/replicated_log/recovery.py
@@ -47,7 +47,7 @@
     def unanswered_voters(self, voters: Voters) -> list[Voter]:
         """Return the voters that have not acknowledged this run.
 
-        All are asked, not only a majority: each further acknowledgement tolerates one more failure later.
+        All are asked, not only a majority: each further answer lets one more failure be tolerated later.
         """
         if self.rollback_evidence or self.voter not in voters:
             return []
--- a/molereach/coordination/replicated_log/start_protocol.py
+++ b/molereach/coordination/replicated_log/start_protocol.py
@@ -52,9 +52,9 @@
         self.retry_at_us = now_us + retry_interval_us * (SLOW_RETRY_FACTOR if may_vote else 1)
         for voter in unanswered:
             self.outbox.send_after_sync(voter.name, RunStarted(self.recovery.run, self.state.position))
-        self._catch_up()
+        self._request_missing_entries()
 
-    def _catch_up(self) -> None:
+    def _request_missing_entries(self) -> None:
         """Request entries from a voter that is ahead: this node may not vote before it has them."""
         for voter, acknowledgement in self.recovery.acknowledgements.items():
             if acknowledgement.after > self.state.position and voter in self.state.voters:
@@ -93,7 +93,7 @@
         if self.recovery.record_acknowledgement(sender, message, self.state.voters):
             self.election.observe_ballot(message.promised)
             self.state.adopt_acknowledged()
-            self._catch_up()
+            self._request_missing_entries()
 
     def on_run_conflict(self, message: RunConflict) -> None:
         """Report, once, that this disk was rolled back."""
--- a/molereach/coordination/replicated_log/voters.py
+++ b/molereach/coordination/replicated_log/voters.py
@@ -68,11 +68,11 @@
         case ReplaceVoter(removed_voter, added_voter):
             removed = (removed_voter,)
             added = (added_voter,)
-        case AddVoters(changed_voters):
+        case AddVoters(voter_pair):
             removed = ()
-            added = changed_voters
-        case RemoveVoters(changed_voters):
-            removed = changed_voters
+            added = voter_pair
+        case RemoveVoters(voter_pair):
+            removed = voter_pair
             added = ()
     if any(voter not in voters for voter in removed):
         return voters, Outcome("no such seat")
--- a/tests/coordination/replicated_log/simulated_cluster.py
+++ b/tests/coordination/replicated_log/simulated_cluster.py
@@ -78,7 +78,7 @@
 
 
 class SimulatedCluster:
-    """A cluster of `voter_count` voters and `learner_count` nodes that are none."""
+    """A cluster of `voter_count` voters and `learner_count` nodes that are not voters."""
 
     def __init__(
         self, seed: int, voter_count: int = 5, learner_count: int = 0, settings: LogSettings = SMALL_SETTINGS
@@ -93,7 +93,7 @@
             40 * MILLISECOND_US,
             10 * MILLISECOND_US,
         )
-        self.partitions: dict[str, int] = {}  # by node; messages between different ones are lost
+        self.partitions: dict[str, int] = {}  # by node; those in different ones do not reach each other
         self.blocked_links: set[tuple[str, str]] = set()  # (sender, recipient); down in this direction only
         self.disk_count = 0
         names = [f"d{number}" for number in range(voter_count + learner_count)]
--- a/tests/coordination/replicated_log/test_cluster.py
+++ b/tests/coordination/replicated_log/test_cluster.py
@@ -34,7 +34,7 @@
     return cluster
 
 
-def is_applied(
+def propose_succeeds(
     cluster: SimulatedCluster, name: str, proposal_id: str, timeout_us: int = 3 * SECOND_US
 ) -> bool:
     cluster.propose(name, proposal_id, timeout_us=timeout_us)
@@ -66,7 +66,7 @@
     assert cluster.run(5 * SECOND_US, lambda: cluster.leader() is not None)
     cluster.kill("d3")  # a majority of running voters is enough now
     cluster.run(5 * SECOND_US)
-    assert is_applied(cluster, "d0", "p")
+    assert propose_succeeds(cluster, "d0", "p")
 
 
 def test_partitioned_voter_does_not_depose_the_leader() -> None:
@@ -170,8 +170,8 @@
         assert cluster.results[f"c{number}"][0].outcome == Outcome()
     cluster.partitions = {"d3": 1, "d4": 1}
     cluster.run(5 * SECOND_US)
-    assert not is_applied(cluster, "d0", "old") and not is_applied(cluster, "d1", "older")
-    assert is_applied(cluster, "d3", "new")
+    assert not propose_succeeds(cluster, "d0", "old") and not propose_succeeds(cluster, "d1", "older")
+    assert propose_succeeds(cluster, "d3", "new")
 
 
 def test_two_voters_are_added_and_removed() -> None:
@@ -181,13 +181,13 @@
     for name in ("d0", "d3"):
         cluster.kill(name)
     cluster.run(5 * SECOND_US)
-    assert is_applied(cluster, "d4", "by three of five")
+    assert propose_succeeds(cluster, "d4", "by three of five")
     for name in ("d0", "d3"):
         cluster.start(name)
     cluster.run(3 * SECOND_US)
     cluster.propose_change("d1", "shrink", RemoveVoters((voter_of(cluster, "d1"), voter_of(cluster, "d2"))))
     cluster.run(3 * SECOND_US)
-    assert is_applied(cluster, "d1", "by its learner")
+    assert propose_succeeds(cluster, "d1", "by its learner")
     assert {each.name for each in cluster.nodes["d2"].core.voters} == {"d0", "d3", "d4"}  # type: ignore[union-attr]
     assert [results[0].status for results in cluster.results.values()] == [ProposalStatus.APPLIED] * 4
 
@@ -196,12 +196,12 @@
     cluster = cluster_with_leader()
     name = next(name for name in cluster.nodes if name != cluster.leader())
     cluster.nodes[name].disk_fails = True
-    assert is_applied(cluster, name, "p1")
+    assert propose_succeeds(cluster, name, "p1")
     cluster.run(SECOND_US)
     node = cluster.nodes[name]
     assert node.stopped and node.core and not node.core.state.may_vote
     before = cluster.events_handled
-    assert is_applied(cluster, name, "p2") and node.core.position == 2
+    assert propose_succeeds(cluster, name, "p2") and node.core.position == 2
     assert cluster.events_handled - before < 2000  # no timer fires over and over for a time in the past
 
 
@@ -220,7 +220,7 @@
     cluster.run(3 * SECOND_US)
     core = cluster.nodes[name].core
     assert cluster.nodes[name].rolled_back and core and not core.state.may_vote
-    assert is_applied(cluster, name, "still proposes")
+    assert propose_succeeds(cluster, name, "still proposes")
     old_voter = voter_of(cluster, name)
     cluster.kill(name)
     cluster.nodes[name].disk = cluster.new_disk()
@@ -249,7 +249,7 @@
 
 def test_one_id_has_one_outcome() -> None:
     cluster = cluster_with_leader(voter_count=3)
-    assert is_applied(cluster, "d0", "p") and is_applied(cluster, "d1", "p")
+    assert propose_succeeds(cluster, "d0", "p") and propose_succeeds(cluster, "d1", "p")
     assert len(cluster.entries) == 1
     for name in ("d0", "d2"):
         cluster.outcomes.clear()
--- a/tests/coordination/replicated_log/test_components.py
+++ b/tests/coordination/replicated_log/test_components.py
@@ -406,7 +406,7 @@
     assert sent_messages(receiver) == [EntriesRequest(0)] * 6 and not catch_up.source
 
 
-def test_entries_are_requested_while_they_are_new() -> None:
+def test_entries_are_requested_while_replies_bring_new_ones() -> None:
     receiver = new_replica()
     catch_up = CatchUpProtocol(receiver)
     assert catch_up.on_entries("d1", EntriesReply((entry(1),), 5))
--- a/tests/coordination/replicated_log/test_fault_histories.py
+++ b/tests/coordination/replicated_log/test_fault_histories.py
@@ -1,4 +1,4 @@
-"""130 random histories of faults, with 3, 5 and 7 initial voters and other nodes that are none."""
+"""130 random histories of faults, with 3, 5 and 7 initial voters, and nodes that are not voters."""
 
 import pytest
 
--- a/tests/coordination/replicated_log/test_single_node.py
+++ b/tests/coordination/replicated_log/test_single_node.py
@@ -229,7 +229,7 @@
     assert node.core.leader_protocol.leadership.rounds.number == before + 2  # type: ignore[union-attr]
 
 
-def test_hanging_disk_gets_no_more_votes() -> None:
+def test_node_with_a_hanging_disk_stops_voting() -> None:
     node = SingleNode()
     node.syncs_at_once = False
     for number in range(MAX_UNSYNCED_WRITES + 10):
