--- a/molereach/coordination/replicated_log/leadership_confirmation.py
+++ b/molereach/coordination/replicated_log/leadership_confirmation.py
@@ -42,7 +42,10 @@
         return self.number
 
     def request_confirmation(self, token: int) -> bool:
-        """Record a request; return whether to begin a round now, as no earlier one has a round in progress."""
+        """Record a request; return whether to begin a round now.
+
+        While a round for earlier requests is in progress, the request waits for the next one.
+        """
         none_in_progress = all(pending.round > self.number for pending in self.pending_confirmations)
         if len(self.pending_confirmations) < MAX_PENDING_CONFIRMATIONS:
             self.pending_confirmations.append(PendingConfirmation(self.number + 1, token))
--- a/molereach/coordination/replicated_log/outbox.py
+++ b/molereach/coordination/replicated_log/outbox.py
@@ -1,7 +1,7 @@
 """Actions and outgoing messages: one that depends on a write is sent only after the write is synced.
 
-Messages to this node's own voter wait for the disk like those to other nodes, and are delivered in order, so
-its own vote does not count before it is synced. Messages beyond the bound are lost, as any message may be.
+Messages of this node to itself take the same path as those to other nodes, and are delivered in order, so its
+own vote does not count before it is synced. Messages beyond the bound are lost, as any message may be.
 """
 
 from collections import deque
