--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -18,7 +18,7 @@
 )
 from molereach.policy.interface.messages import CustomerKey
 from molereach.policy.interface.settings import DeduplicationScope
-from molereach.policy.load_balancing import CHOICES, LoadBalancer
+from molereach.policy.load_balancing import CANDIDATE_COUNT, LoadBalancer
 from molereach.policy.pending_request import PendingRequest
 from molereach.policy.quota import CustomerAccount
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
@@ -175,5 +175,5 @@
         steps.append(steps_of(calls[what]))
         looked.append(up.looked)
     assert max(looked) <= SIZE + STANDINS_MOST
-    assert what == "learn" or min(looked) >= CHOICES
+    assert what == "learn" or min(looked) >= CANDIDATE_COUNT
     assert_even(steps)
