--- a/molereach/discovery/__init__.py
+++ b/molereach/discovery/__init__.py
@@ -1,6 +1,6 @@
-"""Discovery of backends: the endpoint list of one address, watched, read and kept up to date.
+"""Client of the discovery service: keeps a watch on the endpoint list and publishes its updates.
 
-In reading order: `errors`, `endpoint_mapping` (a list's entries), `json_stream` (objects in a stream of
-bytes), `poll_backoff` and `watch_supervisor` (when to poll, without I/O), `watch_stream` (one request),
-`client` (one address), `endpoint_discovery` (the change to another address).
+In reading order: `errors`, `endpoint_mapping` (parses the entries of a list), `json_stream` (splits a byte
+stream into JSON objects), `poll_backoff` and `watch_supervisor` (when to poll; no I/O), `watch_stream` (one
+HTTP request), `client` (one address), `endpoint_discovery` (switches to another address).
 """
--- a/molereach/discovery/endpoint_discovery.py
+++ b/molereach/discovery/endpoint_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the updates of one address of discovery, and the change to another."""
+"""Endpoint discovery of a proxy: one client at a time, and the switch to another address."""
 
 import asyncio
 import random
@@ -12,13 +12,16 @@
 from molereach.subsetting.interface import EndpointListError, StagedEndpoints
 
 
-def no_staging() -> StagedEndpoints:
-    """For whoever holds no long lists: EndpointListError."""
+def reject_staging() -> StagedEndpoints:
+    """Raise EndpointListError: for callers that support no long lists."""
     raise EndpointListError("nothing is there to hold a list of this length")
 
 
 class EndpointDiscovery:
-    """Hands on the updates of one client; that of another address takes over with its first full list."""
+    """Passes on the updates of the current client; on a change of address, its successor replaces it.
+
+    The successor becomes the current client once its first full list has been applied.
+    """
 
     def __init__(
         self,
@@ -29,10 +32,13 @@
         spawn: Callable[[Coroutine[None, None, None]], object],
         new_backoff: Callable[[], PollBackoff] = lambda: PollBackoff(1),
         draw: Callable[[], float] = random.random,
-        open_staging: Callable[[], StagedEndpoints] = no_staging,
+        open_staging: Callable[[], StagedEndpoints] = reject_staging,
     ) -> None:
-        """`version`: that of the list known already, 0 for none; `on_update` applies an update, or returns
-        the steps that do; `spawn` runs a task; `draw`: a random source, evenly distributed from 0 to 1.
+        """`version`: that of the current list, 0 for none.
+
+        `on_update` applies an update, or returns the steps that apply it. `spawn` starts a task. `draw`
+        returns uniformly distributed random numbers between 0 and 1. `open_staging` returns staging for a
+        long list.
         """
         self.mapping = mapping
         self.on_update = on_update
@@ -44,10 +50,9 @@
         self.current = DiscoveryClient(
             address, mapping, version, self.apply_update, new_backoff(), draw, open_staging
         )
-        self.successor: DiscoveryClient | None = None  # it has brought no update yet
-        self.released_for_watch: int | None = (
-            None  # the successor's watch for which staged entries were freed
-        )
+        self.successor: DiscoveryClient | None = None  # no update of it has been applied yet
+        # Id of the successor's watch for which staged entries of the current client were freed.
+        self.released_for_watch: int | None = None
 
     @property
     def version(self) -> int | None:
@@ -59,10 +64,10 @@
         self.spawn(self.current.run())
 
     def change_address(self, address: EndpointAddress) -> None:
-        """Go to another address. Until its list has been applied, the old one is watched as before.
+        """Switch to another address. The old one is watched until the new one's full list has been applied.
 
-        The full list is requested from it: what was removed meanwhile may be in no change, and it need not
-        count versions as the old one did.
+        A full list is requested, as changes of the new address may not include all removals, and its versions
+        may be unrelated to those of the old one.
         """
         if address == (self.successor or self.current).address:
             return
@@ -70,7 +75,7 @@
             self.successor.close()
             self.successor = None
         if address == self.current.address:
-            return  # it returns before the other brought anything: this one's watch never ended
+            return  # switched back before the successor's first update: the current watch is still open
         self.released_for_watch = None
         self.successor = DiscoveryClient(
             address,
@@ -84,24 +89,24 @@
         )
         self.spawn(self.successor.run())
 
-    def reclaim_capacity(self, client: DiscoveryClient, number: int) -> bool:
-        """Whether entries staged by the current client were freed for a watch of its successor.
+    def reclaim_capacity(self, client: DiscoveryClient, attempt_id: int) -> bool:
+        """Free entries staged by the current client for a watch of its successor; returns whether any were.
 
-        Memory is for the list in use and one that comes. Only one watch in each change of address has this,
-        as an address whose lists cannot be applied must not keep the current one from bringing its own.
+        There is memory for the list in use and one more. Only one watch per change of address may reclaim it:
+        an address whose lists cannot be applied must not keep the current one from delivering its own.
         """
-        if client is not self.successor or self.released_for_watch not in (None, number):
+        if client is not self.successor or self.released_for_watch not in (None, attempt_id):
             return False
         was_released = self.current.release_staged()
         if was_released:
-            self.released_for_watch = number
+            self.released_for_watch = attempt_id
         return was_released
 
     def apply_update(self, client: DiscoveryClient, update: Update) -> Steps | None:
-        """Apply an update; the steps that are left to do.
+        """Apply an update; returns the remaining steps, if any.
 
-        One that could not be applied changes nothing, and one that needs several steps counts at the end of
-        the last: until then the current client's updates count.
+        An update that cannot be applied changes nothing. One that needs several steps is in effect after the
+        last one; until then the current client's updates are applied.
         """
         if steps := self.on_update(update):
             return self.apply_in_steps(client, steps)
@@ -109,12 +114,12 @@
         return None
 
     def apply_in_steps(self, client: DiscoveryClient, steps: Steps) -> Steps:
-        """Apply an update in steps; it counts at the end of the last."""
+        """Run the steps that apply an update; it is marked as applied after the last one."""
         yield from steps
         self.mark_applied(client)
 
     def mark_applied(self, client: DiscoveryClient) -> None:
-        """An update of a client counts; the first one of the successor makes it the current client."""
+        """Record that an update was applied; the first one of the successor makes it the current client."""
         if client is self.successor:
             self.current.close()
             self.current = client
--- a/molereach/discovery/endpoint_mapping.py
+++ b/molereach/discovery/endpoint_mapping.py
@@ -1,4 +1,8 @@
-"""Endpoint lists as the policy reads them: names become the settings' numbers, times the local clock's."""
+"""Converts endpoint lists of discovery to the policy's types.
+
+Names of zones and machine types become their indexes in the settings; wall-clock times become times of the
+local monotonic clock.
+"""
 
 import json
 import logging
@@ -19,15 +23,15 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
 }
-# What reading a malformed entry may raise; errors of this package and of addresses are ValueErrors.
+# Exceptions that a malformed entry may raise; those of this package and of addresses are ValueErrors.
 MALFORMED_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, ArithmeticError)
 MAX_WEIGHT = 1e6
 MAX_CELL = 1e9
-MAX_UNIX_TIME_MS = 1e14  # some thousands of years
+MAX_UNIX_TIME_MS = 1e14  # some thousands of years after 1970
 
 
 class ListedEndpoints(NamedTuple):
-    """Entries of a list in their order, and the addresses that they give, by the endpoint's name."""
+    """The valid entries of a list in order, and their addresses by endpoint name."""
 
     endpoints: list[Endpoint]
     addresses: dict[str, EndpointAddress]
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A list, or changes to one, for the policy, and the addresses that go with it."""
+    """A full list, or changes to one, as an event for the policy, with the addresses of its endpoints."""
 
     event: EndpointListReceived
     addresses: dict[str, EndpointAddress]
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StagedEndpointUpdate:
-    """A list, or changes to one, that came in parts: what was staged is yet to be applied, step by step."""
+    """A full list, or changes to one, received in several parts and staged; it is applied in steps."""
 
     staged: StagedEndpoints
     kind: EndpointListKind
@@ -51,33 +55,34 @@
 
 
 def number_in_range(value: object, maximum: float) -> float:
-    """The value where it is a number from 0 to `maximum`, else 0."""
-    if isinstance(value, (int, float)) and 0 <= value <= maximum:
-        return float(value)  # the comparison is also false for NaN
+    """Return the value if it is a number from 0 to `maximum`, else 0."""
+    if isinstance(value, (int, float)) and 0 <= value <= maximum:  # False for NaN
+        return float(value)
     return 0.0
 
 
 class EndpointMapping:
-    """Reads endpoint lists, with names turned to the settings' numbers and times to the local clock.
+    """Parses endpoint lists into the policy's endpoints.
 
-    Every proxy reads every entry: the work for each is kept short.
+    Every proxy parses every entry of the list, so the work per entry is kept small.
     """
 
     def __init__(self, zone_numbers: Mapping[str, int], kind_numbers: Mapping[str, int]) -> None:
-        """The settings' numbers of zones and of machine types, by name."""
+        """`zone_numbers`, `kind_numbers`: indexes of zones and machine types in the settings, by name."""
         self.zone_numbers = zone_numbers
         self.kind_numbers = kind_numbers
-        # Fixed once: the policy takes an endpoint whose start time differs for one that has restarted.
+        # Computed once: to the policy, an endpoint with a different start time is one that has restarted.
         self.clock_offset_us = (time.monotonic_ns() - time.time_ns()) // 1000
 
-    def started_us(self, unix_ms: float) -> int:
-        """A start time in microseconds of the local clock. 0 means long ago and stays; nothing else becomes
-        0.
+    def local_start_us(self, unix_ms: float) -> int:
+        """Convert a start time to microseconds of the local monotonic clock.
+
+        0 means long ago and stays 0; no other time becomes 0.
         """
         return (round(unix_ms * 1000) + self.clock_offset_us) or 1 if unix_ms else 0
 
     def read_endpoint(self, entry: Mapping[str, Any]) -> Endpoint:
-        """One entry of a list; one of MALFORMED_ENTRY_ERRORS where it has no usable name."""
+        """Parse one entry of a list; raises one of MALFORMED_ENTRY_ERRORS if it has no valid name."""
         name = entry["instanceId"]
         get = entry.get
         if not isinstance(name, str) or not name:
@@ -88,17 +93,18 @@
             self.zone_numbers.get(str(get("zone")), -1),
             self.kind_numbers.get(str(get("machineType")), -1),
             int(number_in_range(get("cell"), MAX_CELL)),
-            # An unknown state does not say that the endpoint serves: no new requests go there.
+            # An endpoint in an unknown state may not be serving, so it gets no new requests.
             LIFECYCLE_STATES.get(str(get("lifecycle")), EndpointState.DRAINING),
             number_in_range(get("weight"), MAX_WEIGHT) or 1.0,
-            self.started_us(started_ms) if started_ms else 0,
+            self.local_start_us(started_ms) if started_ms else 0,
         )
 
     @staticmethod
     def read_entry_address(entry: Mapping[str, Any], state: EndpointState) -> EndpointAddress | None:
-        """The address that an entry gives; an error only where the endpoint may get new requests.
+        """Parse the address of an entry; None if it has no valid one and the endpoint gets no new requests.
 
-        That an endpoint drains or is removed must count in any case, and needs no address.
+        A malformed address raises one of MALFORMED_ENTRY_ERRORS if the endpoint is up or the entry names no
+        state. Otherwise the entry is valid without one: a drain or removal takes effect in any case.
         """
         try:
             return read_address(entry["hostPort"]) if state is not EndpointState.REMOVED else None
@@ -108,7 +114,7 @@
             return None
 
     def read_entries(self, listed: Iterable[Any]) -> ListedEndpoints:
-        """The entries of a list; malformed ones are skipped, with one log line for all of them."""
+        """Parse the entries of a list; malformed ones are skipped, with a single log line for all of them."""
         endpoints: list[Endpoint] = []
         addresses: dict[str, EndpointAddress] = {}
         malformed_count = 0
@@ -130,13 +136,13 @@
         return ListedEndpoints(endpoints, addresses)
 
     def read_entry_list(self, text: bytes) -> ListedEndpoints:
-        """Entries that were extracted from a long object, as a JSON list."""
+        """Parse entries that were extracted from a long object, given as a JSON list."""
         return self.read_entries(json.loads(text))
 
     def read_update(self, value: Mapping[str, Any], kind: EndpointListKind | None = None) -> EndpointUpdate:
-        """A list, or changes to one, from an object that came complete.
+        """Parse a full list, or changes to one, from a complete object.
 
-        MalformedListError where a full list names an endpoint twice: either entry may be the right one.
+        Raises MalformedListError if a full list names an endpoint twice: either entry may be the right one.
         """
         kind = kind or list_kind(value)
         endpoints, addresses = self.read_entries(value["instances"])
@@ -149,11 +155,11 @@
     def read_staged_update(
         self, value: Mapping[str, Any], staged: StagedEndpoints, kind: EndpointListKind | None = None
     ) -> StagedEndpointUpdate:
-        """The end of an object whose entries have been staged; those that are left in it are staged too."""
+        """Parse the rest of an object whose first entries were staged, and stage its remaining entries."""
         staged.add(*self.read_entries(value["instances"]))
         return StagedEndpointUpdate(staged, kind or list_kind(value), int(value["generation"]))
 
 
 def list_kind(value: Mapping[str, Any]) -> EndpointListKind:
-    """Whether an object of a watch replaces the list or changes it."""
+    """Return whether an object of a watch is a full list or changes to one."""
     return EndpointListKind.FULL if value.get("reset") else EndpointListKind.CHANGES
--- a/molereach/discovery/watch_stream.py
+++ b/molereach/discovery/watch_stream.py
@@ -1,12 +1,11 @@
-"""One request to discovery: a GET, and its response until the connection ends.
+"""One HTTP request to discovery: a GET, and its response until the connection is closed.
 
-A response may have no length: then its end is that of the stream, which h11 must be told of. A reset is
-no end, and neither is one within a chunk or a length: an object that is not complete by then is dropped.
+A response without a length ends with the stream, which is passed on to h11. A connection reset is not a valid
+end, nor is the stream's end before the stated length or within a chunk: an incomplete object is then dropped.
 
-A long response is processed in turns of the loop, a chunk of it in each, and nothing more is read meanwhile:
-requests come in between, and what is pending is no more than what the loop had read at once. Whoever gets an
-object may have more to do with it than one turn; that is done in turns before the next chunk. What comes in
-short chunks is processed as it is read.
+A long response is processed in chunks, one per turn of the event loop, and reading is paused meanwhile. So
+other callbacks run in between, and no more is pending than the loop had read at once. Applying an object may
+take further steps, which run one per turn before the next chunk. Short chunks are processed as they are read.
 """
 
 import asyncio
@@ -23,8 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-CHUNK_BYTES = 1 << 15  # of a response in one turn of the loop
-# What a malformed response may raise here, or in whoever reads its objects.
+CHUNK_BYTES = 1 << 15  # processed in one turn of the event loop
+# Exceptions that a malformed response may raise here or in the callbacks.
 MALFORMED_RESPONSE_ERRORS = (
     h11.ProtocolError,
     ValueError,
@@ -35,12 +34,12 @@
 )
 END_OF_STREAM = b""
 
-Steps = Generator[None, None, None]  # work that is done in turns of the loop: each step in one
+Steps = Generator[None, None, None]  # work that runs one step per turn of the event loop
 HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 
 class WatchConnection(asyncio.Protocol):
-    """Sends a request and hands on the objects of its response."""
+    """Sends a request and delivers the objects of its response to callbacks."""
 
     def __init__(
         self,
@@ -50,11 +49,11 @@
         on_bytes: Callable[[bool], None],
         on_entries: Callable[[bytes], None],
     ) -> None:
-        """`target` and `host` are the request's.
+        """`target`: the path and query of the request; `host`: its Host header.
 
-        `on_object` gets each complete object, and b"" for an empty line, and returns what is still to be done
-        with it; `on_entries` gets the entries of a long object before it, as a JSON list; `on_bytes` is
-        called when any bytes were processed, with whether the response has begun.
+        `on_object` is called with each complete object, and with b"" for an empty line; it returns the steps
+        that remain, if any. `on_entries` is called with entries of a long object before its end, as a JSON
+        list. `on_bytes` is called after each chunk, with whether the response has begun.
         """
         self.target = target
         self.host = host
@@ -66,10 +65,10 @@
         self.response_started = False
         self.closed = False
         self.pending_chunks: deque[bytes | memoryview] = deque()
-        self.current_steps: Steps | None = None  # those of the chunk that is being processed
+        self.current_steps: Steps | None = None  # of the chunk that is being processed
         self.turn_scheduled = False
         self.reading_paused = False
-        self.connection_is_lost = False  # which counts after all pending chunks
+        self.connection_is_lost = False  # takes effect once all pending chunks are processed
         self.finished = asyncio.get_running_loop().create_future()
         self.transport: asyncio.Transport | None = None
 
@@ -79,25 +78,25 @@
         request = h11.Request(method="GET", target=self.target, headers=[("Host", self.host)])
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
-    # --- what is received, in its order ---
+    # --- received data, in order ---
 
     def data_received(self, data: bytes) -> None:
-        """Process bytes, in chunks where they are many."""
+        """Process received bytes, split into chunks if they are long."""
         buffer = memoryview(data) if len(data) > CHUNK_BYTES else data
         self.enqueue(*(buffer[start : start + CHUNK_BYTES] for start in range(0, len(data), CHUNK_BYTES)))
 
     def eof_received(self) -> None:
-        """Process the stream's end after all that came before it."""
+        """Process the end of the stream after all bytes received before it."""
         self.enqueue(END_OF_STREAM)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Finish once all that came before has been processed."""
+        """Finish once everything received before has been processed."""
         self.connection_is_lost = True
         if not self.is_processing:
             self.finish()
 
     def finish(self) -> None:
-        """Drop what is pending and resolve `finished`."""
+        """Drop pending chunks and steps, and resolve `finished`."""
         self.closed = True
         self.pending_chunks.clear()
         self.current_steps = None
@@ -106,11 +105,11 @@
 
     @property
     def is_processing(self) -> bool:
-        """Whether something that was received is still to be processed."""
+        """Whether received chunks or steps are still to be processed."""
         return not self.closed and (bool(self.pending_chunks) or self.current_steps is not None)
 
     def has_unread_data(self) -> bool:
-        """Whether something has come that has not been processed yet, here or by the loop."""
+        """Whether received bytes are unprocessed here or unread by the event loop."""
         if self.is_processing:
             return True
         if self.transport is None or self.transport.is_closing():
@@ -118,9 +117,7 @@
         return has_unread(self.transport)
 
     def close(self) -> None:
-        """Drop the connection, all that is pending and what a step left open, at once: these may hold a
-        list.
-        """
+        """Abort the connection, and drop pending chunks and steps at once, as they may reference a list."""
         self.closed = True
         self.pending_chunks.clear()
         self.current_steps = None
@@ -129,10 +126,10 @@
         if self.connection_is_lost:
             self.finish()
 
-    # --- turns of the loop ---
+    # --- turns of the event loop ---
 
     def enqueue(self, *chunks: bytes | memoryview) -> None:
-        """Add chunks; the first is processed now where none was pending."""
+        """Add chunks; the first one is processed immediately if the connection was idle."""
         was_idle = not self.is_processing
         if self.closed:
             return
@@ -141,7 +138,7 @@
             self.run_turn()
 
     def run_turn(self) -> None:
-        """Process one chunk, or one more step of the last one; reading resumes a turn after the last."""
+        """Process one chunk, or one more step of the current one; reading resumes one turn after the last."""
         self.turn_scheduled = False
         if not self.is_processing:
             self.resume_reading()
@@ -153,7 +150,7 @@
             self.schedule_turn()
 
     def schedule_turn(self) -> None:
-        """Go on in another turn; nothing is read until then."""
+        """Schedule the next turn, and pause reading until all chunks are processed."""
         if self.transport and not self.reading_paused and not self.transport.is_closing():
             self.reading_paused = True
             self.transport.pause_reading()
@@ -162,13 +159,13 @@
             asyncio.get_running_loop().call_soon(self.run_turn)
 
     def resume_reading(self) -> None:
-        """Have the loop read again, if it was paused."""
+        """Resume reading if it was paused."""
         if self.reading_paused and not self.closed and self.transport and not self.transport.is_closing():
             self.reading_paused = False
             self.transport.resume_reading()
 
     def run_step(self) -> None:
-        """Run one step of the current chunk, or of the next one; a failure closes the connection."""
+        """Run one step of the current chunk, or of the next one; an exception closes the connection."""
         if self.current_steps is None:
             self.current_steps = self.parse_chunk(self.pending_chunks.popleft())
         try:
@@ -183,7 +180,7 @@
             self.close()
 
     def parse_chunk(self, data: bytes | memoryview) -> Steps:
-        """Parse and deliver a chunk, or the stream's end, in steps."""
+        """Parse and deliver a chunk, or the end of the stream, in steps."""
         self.http.receive_data(bytes(data))
         while not self.closed and (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             yield from self.handle_http_event(event)
@@ -191,7 +188,10 @@
             self.on_bytes(self.response_started)
 
     def handle_http_event(self, event: HttpEvent) -> Steps:
-        """Deliver the objects of one event; WatchResponseError for a wrong status or an early end."""
+        """Deliver the objects of one HTTP event.
+
+        Raises WatchResponseError for an unexpected status, or for a response that ends within an object.
+        """
         if isinstance(event, h11.Response):
             if event.status_code != 200:
                 raise WatchResponseError(f"status {event.status_code}")
@@ -207,9 +207,9 @@
             self.close()
 
     def deliver(self, received: bytes | EntryList) -> Steps:
-        """Hand on an object or entries of one; what is then left to do follows in steps."""
+        """Pass an object, or entries of one, to its callback; remaining steps run in turns of their own."""
         if isinstance(received, EntryList):
             self.on_entries(received.text)
         elif steps := self.on_object(received):
-            yield  # they begin in a turn of their own
+            yield
             yield from steps
--- a/molereach/discovery/watch_supervisor.py
+++ b/molereach/discovery/watch_supervisor.py
@@ -1,24 +1,22 @@
-"""Which watches on discovery are open, which of them have failed, and when to open the next one.
-
-Discovery sends a heartbeat every 2 s, and a change that it has to announce counts as known 6 s after a watch
-has fallen silent. A watch on a local discovery process costs nothing: it is given up when it has missed one
-heartbeat and half of the time to the next, which leaves 3 s for a connect that hangs for its full second and
-for one more. Where the list must be polled for, a request costs discovery work, and none is made on a guess:
-two heartbeats must be missed, and half a second more, which leaves time for one connect that hangs.
-
-A local discovery process answers at once and at no cost; only while discovery is down it is silent, and
-what it gets when that returns counts at that moment. Then nobody can know whether a request that was made
-meanwhile will be answered or has been forgotten. So an attempt that has no response yet is left open for a
-while, as it may be the one that is answered, and every half second another is made beside it (a hedged
-request: Dean and Barroso, The Tail at Scale, 2013), two at most; the first that brings anything is kept, and
-the other is closed. A slow response comes by the elder one.
-
-Where the list must be polled for, requests cost discovery work and may wait in its queue, and a change still
-counts as known 6 s after discovery could be reached. A request proves that it could not be reached only for
-the moment at which it was made; so another is due `POLL_INTERVAL_LIMIT_S` after that, whether it was
-rejected, forgotten or trickles. The elder one stays meanwhile: its place in the queue is the better one, and
-a tier whose requests are given up and made again before their turn comes fills the queue with requests that
-nobody waits for.
+"""Decides which watches on discovery have failed, which to close, and when to open the next one.
+
+Discovery sends a heartbeat every 2 s, and a proxy has to know a change at most 6 s after its watch fell
+silent. A watch on a local discovery agent costs nothing: it has failed after one missed heartbeat and half an
+interval, 3 s. The 3 s that remain are enough for a connect that hangs for its full second and for another
+one. Where the list must be polled, each request costs discovery work, so a watch has failed only after two
+missed heartbeats and half a second. The rest is enough for one hung connect.
+
+A local agent answers immediately, unless discovery is down: then it is silent, and a proxy has to know the
+agent's changes once discovery is up. A proxy cannot tell whether a request sent meanwhile will be answered
+or was dropped. So an attempt without a response stays open for a while, and every half second another one is
+opened beside it (hedged requests: Dean and Barroso, The Tail at Scale, 2013), two at most. The first attempt
+that receives anything is kept and the other is closed. The older attempt waits for a slow response.
+
+Where the list must be polled, requests may wait in discovery's queue, and a change has to be known 6 s after
+discovery became reachable. A failed request proves that discovery was unreachable only at the time when it
+was sent, so the next one is due `POLL_INTERVAL_LIMIT_S` after that time, whether it was rejected, dropped or
+is answered slowly. The older request stays open, as it is ahead in the queue: proxies that abandon and
+resend requests before they are processed fill the queue with requests that no proxy waits for.
 """
 
 import math
@@ -34,27 +32,27 @@
     PollBackoff,
 )
 
-HEARTBEAT_INTERVAL_S = 2.0  # of discovery: an empty line while nothing changes
-# A response without a byte for so long is dead: of an agent, and of a discovery that must be polled.
+HEARTBEAT_INTERVAL_S = 2.0  # discovery sends an empty line while nothing changes
+# A watch has failed if its response brings no byte for so long, from a local agent or from polled discovery.
 LOCAL_DISCOVERY_SILENCE_TIMEOUT_S = 1.5 * HEARTBEAT_INTERVAL_S
 POLLED_SILENCE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.5
-LOCAL_DISCOVERY_OBJECT_TIMEOUT_S = 5.0  # so is one that brings bytes, but neither an object nor an empty line
-LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S = 5.0  # how long an attempt may wait for its response to begin
-POLLED_RESPONSE_TIMEOUT_S = 30.0  # in the queue of a discovery that must be polled, with another beside it
-LOCAL_DISCOVERY_HEDGE_DELAY_S = 0.5  # after an attempt that is still without a response
+LOCAL_DISCOVERY_OBJECT_TIMEOUT_S = 5.0  # likewise if it brings bytes, but no object and no empty line
+LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S = 5.0  # until the first byte of a response
+POLLED_RESPONSE_TIMEOUT_S = 30.0  # longer, as the request may wait in discovery's queue
+LOCAL_DISCOVERY_HEDGE_DELAY_S = 0.5  # until another attempt is opened beside one without a response
 MAX_OPEN_ATTEMPTS = 2
 
 
 @dataclass(slots=True)
 class WatchAttempt:
-    """An open watch, by the times in seconds at which it was opened and last brought something."""
+    """An open watch: when it was opened and when it last received anything, in seconds."""
 
     opened_at_s: float
-    last_byte_at_s: float | None = None  # of the response; None: it has not begun
-    last_object_at_s: float = 0.0  # an object or an empty line, or the response's beginning
+    last_byte_at_s: float | None = None  # of the response; None if it has not begun
+    last_object_at_s: float = 0.0  # of the last object or empty line, or of the response's first byte
 
     def expires_at_s(self, must_poll: bool) -> float:
-        """When it has failed, if it brings nothing more."""
+        """When the attempt has failed unless it receives something before."""
         if self.last_byte_at_s is None:
             timeout_s = POLLED_RESPONSE_TIMEOUT_S if must_poll else LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S
             return self.opened_at_s + timeout_s
@@ -64,39 +62,35 @@
 
 
 class WatchSupervisor:
-    """Decides on watches by their numbers, which are never used twice. All times are of one clock, in
-    seconds.
-    """
+    """Tracks open attempts by their ids, which are never reused. All times are in seconds of one clock."""
 
     def __init__(self, backoff: PollBackoff, draw: Callable[[], float]) -> None:
-        """`draw`: the random source, evenly distributed from 0 to 1."""
+        """`draw` returns uniformly distributed random numbers between 0 and 1."""
         self.backoff = backoff
         self.draw = draw
-        self.open_attempts: dict[int, WatchAttempt] = {}  # the eldest first
+        self.open_attempts: dict[int, WatchAttempt] = {}  # the oldest first
         self.opened_count = 0
         self.next_open_at_s = 0.0
         self.hedge_delay_s = POLL_INTERVAL_LIMIT_S if backoff.must_poll else LOCAL_DISCOVERY_HEDGE_DELAY_S
-        self.response_due_at_s = 0.0  # by when a response must begin, for what the last watch misses
+        self.response_due_at_s = 0.0  # by when a response must begin, to bring what the failed watch missed
 
     def wait_s(self, now_s: float) -> float:
-        """How long until something has to be done, if nothing is received before."""
+        """Time until an attempt expires or the next one is due, if nothing is received before."""
         must_poll = self.backoff.must_poll
         expiries_s = [attempt.expires_at_s(must_poll) for attempt in self.open_attempts.values()]
         return max(0.0, min([self.next_open_at_s, *expiries_s]) - now_s)
 
     def expired(self, now_s: float) -> list[int]:
-        """Attempts that have brought nothing for too long; each is then to be closed, and its failure to be
-        recorded.
-        """
+        """Attempts that timed out; the caller closes each and records its failure."""
         must_poll = self.backoff.must_poll
         return [
-            number
-            for number, attempt in self.open_attempts.items()
+            attempt_id
+            for attempt_id, attempt in self.open_attempts.items()
             if now_s >= attempt.expires_at_s(must_poll)
         ]
 
     def open_if_due(self, now_s: float) -> int | None:
-        """The number of the attempt that is to be made now, if one is due. `surplus` may then be closed."""
+        """Register a new attempt if one is due; returns its id. Attempts in `surplus` may then be closed."""
         if now_s < self.next_open_at_s:
             return None
         self.opened_count += 1
@@ -105,19 +99,20 @@
         return self.opened_count
 
     def surplus(self) -> list[int]:
-        """The younger ones of too many attempts: the eldest keeps its full time, for a response that is
-        slow.
+        """Attempts to close so that the maximum is kept: the next oldest after the oldest one.
+
+        The oldest keeps its full time, for a slow response.
         """
         surplus_count = max(0, len(self.open_attempts) - MAX_OPEN_ATTEMPTS)
         return list(self.open_attempts)[1 : 1 + surplus_count]
 
-    def record_bytes(self, number: int, now_s: float) -> None:
-        """An attempt has brought bytes of a response that has begun.
+    def record_bytes(self, attempt_id: int, now_s: float) -> None:
+        """Record that an attempt received bytes of its response.
 
-        None is needed beside it unless no object follows in time. Where the list must be polled for, that
-        time runs from the attempt.
+        Another attempt is then due only if no object follows in time. That time starts with the response, or
+        with the attempt where the list must be polled.
         """
-        attempt = self.open_attempts.get(number)
+        attempt = self.open_attempts.get(attempt_id)
         if attempt and attempt.last_byte_at_s is None:
             attempt.last_object_at_s = now_s
             if not self.backoff.must_poll and not self.has_response():
@@ -129,61 +124,61 @@
         """Whether a response has begun on any open attempt."""
         return any(attempt.last_byte_at_s is not None for attempt in self.open_attempts.values())
 
-    def record_object(self, number: int, now_s: float) -> list[int]:
-        """An attempt has brought an object, entries of one or an empty line: it is kept. The others.
+    def record_object(self, attempt_id: int, now_s: float) -> list[int]:
+        """Record an object, entries of one or an empty line; returns the other attempts, which may be closed.
 
-        Failures are forgotten only by `record_applied`: an object may still be malformed.
+        The attempt_id of failures is reset only by `record_applied`, as the object may still be malformed.
         """
-        self.record_bytes(number, now_s)
-        self.open_attempts[number].last_object_at_s = now_s
+        self.record_bytes(attempt_id, now_s)
+        self.open_attempts[attempt_id].last_object_at_s = now_s
         self.next_open_at_s = math.inf
         self.response_due_at_s = 0.0
-        return [other for other in self.open_attempts if other != number]
+        return [other for other in self.open_attempts if other != attempt_id]
 
     def record_applied(self) -> None:
-        """What an attempt has brought was good."""
+        """Record that a received object was applied, or that an empty line was received."""
         self.backoff.reset()
 
-    def complete(self, number: int) -> None:
-        """An attempt has done what it was made for, or was closed as surplus: it has not failed."""
-        self.open_attempts.pop(number, None)
+    def complete(self, attempt_id: int) -> None:
+        """Remove an attempt that is no longer needed, without counting a failure."""
+        self.open_attempts.pop(attempt_id, None)
 
     def open_now(self, now_s: float) -> None:
         """Make the next attempt due now."""
         self.next_open_at_s = now_s
 
-    def record_failure(self, number: int, now_s: float) -> None:
-        """An attempt has ended by itself, or has failed.
+    def record_failure(self, attempt_id: int, now_s: float) -> None:
+        """Remove an attempt that failed or whose connection was closed.
 
-        The next one is due after the backoff's delay, unless another has a response, or waits in a queue with
-        the time for one beside it already set.
+        The next one is due after the backoff's delay, unless another open attempt has a response. Where the
+        list must be polled, any other open attempt is enough: the time for one beside it is already set.
         """
-        attempt = self.open_attempts.pop(number, None)
+        attempt = self.open_attempts.pop(attempt_id, None)
         if attempt is None or self.has_response():
             return
         must_poll = self.backoff.must_poll
         has_expired = now_s >= attempt.expires_at_s(must_poll)
-        earliest_s = now_s + self.backoff.single_proxy_delay_s()  # read before the failure is counted
+        earliest_s = now_s + self.backoff.single_proxy_delay_s()  # computed before the failure is counted
         delay_s = self.backoff.record_failure(self.draw())
         if not must_poll:
-            retry_at_s = now_s + (0.0 if has_expired else delay_s)  # one that expired has waited enough
+            retry_at_s = now_s + (0.0 if has_expired else delay_s)  # after a timeout, no further delay
             self.next_open_at_s = min(self.next_open_at_s, retry_at_s)
         elif not self.open_attempts:
-            self.next_open_at_s = max(now_s, min(now_s + delay_s, self.poll_by_s(attempt, earliest_s)))
+            self.next_open_at_s = max(now_s, min(now_s + delay_s, self.latest_poll_at_s(attempt, earliest_s)))
 
-    def poll_by_s(self, failed: WatchAttempt, earliest_s: float) -> float:
-        """When to poll at the latest after an attempt that failed.
+    def latest_poll_at_s(self, failed: WatchAttempt, earliest_s: float) -> float:
+        """Latest time of the next poll after a failed attempt.
 
-        A connect that hangs and a response fit in before 6 s are over from when discovery can have been
-        reached again. The 6 s of a watch that has brought an update run on while attempts after it fail, the
-        next of them at `earliest_s` at the soonest.
+        It leaves time for a hung connect and a response within 6 s of when discovery may have become
+        reachable. After a watch that had a response, these 6 s continue while later attempts fail; the next
+        attempt is then not due before `earliest_s`.
         """
         if failed.last_byte_at_s is not None:
             last_received_s = min(failed.last_byte_at_s, failed.last_object_at_s)
             self.response_due_at_s = last_received_s + NOTIFICATION_LIMIT_S - RESPONSE_TIME_S
             return last_received_s + POLL_INTERVAL_LIMIT_S
-        poll_by_s = failed.opened_at_s + POLL_INTERVAL_LIMIT_S
+        latest_s = failed.opened_at_s + POLL_INTERVAL_LIMIT_S
         if earliest_s < self.response_due_at_s + RESPONSE_TIME_S:
             response_by_s = self.response_due_at_s - HUNG_CONNECT_S - RECONNECT_MARGIN_S
-            poll_by_s = min(poll_by_s, max(earliest_s, response_by_s))
-        return poll_by_s
+            latest_s = min(latest_s, max(earliest_s, response_by_s))
+        return latest_s
--- a/rig/broken.py
+++ b/rig/broken.py
@@ -129,7 +129,7 @@
     def broken(self: Proxy, config: Config) -> None:
         settings = config.settings
         make(self, replace(config, settings=replace(settings, slow_start_fraction=1.0)))
-        self.endpoints.mapping.started_us = lambda unix_ms: 0  # type: ignore[method-assign]
+        self.endpoints.mapping.local_start_us = lambda unix_ms: 0  # type: ignore[method-assign]
 
     Proxy.__init__ = broken  # type: ignore[method-assign]
 
--- a/tests/discovery/test_endpoint_discovery.py
+++ b/tests/discovery/test_endpoint_discovery.py
@@ -112,11 +112,11 @@
 
 def test_start_times_go_over_to_our_clock() -> None:
     read = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers)
-    assert read.started_us(0) == 0
+    assert read.local_start_us(0) == 0
     now_ms = time.time_ns() // 1_000_000
-    assert abs(read.started_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
-    assert read.started_us(now_ms) == read.started_us(now_ms)
-    assert read.started_us(1) < 0  # before this machine's clock began, but not 'long ago'
+    assert abs(read.local_start_us(now_ms - 5000) - (time.monotonic_ns() // 1000 - 5_000_000)) < 100_000
+    assert read.local_start_us(now_ms) == read.local_start_us(now_ms)
+    assert read.local_start_us(1) < 0  # before this machine's clock began, but not 'long ago'
 
 
 def test_known_list_serves_while_discovery_is_silent() -> None:
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -222,7 +222,7 @@
             seen += found.end() - at if found else 0
             return found
 
-    for name in ("PLAIN", "TEXT"):
+    for name in ("OUTSIDE_STRING", "INSIDE_STRING"):
         monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
     monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
     found = fed(JsonStream(), data, [at.end() for at in re.finditer(rb"\n", data)])
--- a/tests/discovery/test_notification_delay.py
+++ b/tests/discovery/test_notification_delay.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from molereach.discovery.client import CONNECT_TIMEOUT_S, MIN_WAIT_S
-from molereach.discovery.poll_backoff import HUNG_CONNECT_S, UNSPREAD_POLLS, PollBackoff
+from molereach.discovery.poll_backoff import HUNG_CONNECT_S, MAX_UNJITTERED_PROXIES, PollBackoff
 from molereach.discovery.watch_supervisor import HEARTBEAT_INTERVAL_S, WatchSupervisor
 from molereach.protocol.settings import MAX_PROXIES
 
@@ -22,7 +22,8 @@
 ASK_WITHIN_S = 10.0
 PROMPT_S = 0.2  # a dial and a whole answer of a discovery that can be reached
 DOORS = st.one_of(
-    st.integers(1, MAX_PROXIES), st.sampled_from([1, UNSPREAD_POLLS, UNSPREAD_POLLS + 1, 200, 7500])
+    st.integers(1, MAX_PROXIES),
+    st.sampled_from([1, MAX_UNJITTERED_PROXIES, MAX_UNJITTERED_PROXIES + 1, 200, 7500]),
 )
 # What becomes of a call that is made before discovery can be reached.
 FATES = ["refused", "reset", "hangs", "forgotten", "trickles", "begins"]
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -12,9 +12,9 @@
     BASE_BACKOFF_S,
     MAX_BACKOFF_S,
     MAX_LOCAL_DISCOVERY_BACKOFF_S,
+    MAX_UNJITTERED_PROXIES,
     POLL_COST_S,
     POLL_INTERVAL_LIMIT_S,
-    UNSPREAD_POLLS,
     PollBackoff,
 )
 from molereach.proxy.proxy import Proxy
@@ -65,7 +65,7 @@
 
 
 def test_small_tier_calls_soon() -> None:
-    pacing = PollBackoff(UNSPREAD_POLLS)
+    pacing = PollBackoff(MAX_UNJITTERED_PROXIES)
     assert pacing.initial_delay_s(1.0) == 0
     waits = [pacing.record_failure(1.0) for _ in range(100)]
     assert waits[:4] == [BASE_BACKOFF_S, 2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, 8 * BASE_BACKOFF_S]
@@ -83,7 +83,7 @@
         watch = Watch(play)
         heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         tasks = []
-        doors, draw = UNSPREAD_POLLS + 5, 0.1
+        doors, draw = MAX_UNJITTERED_PROXIES + 5, 0.1
         found = EndpointDiscovery(
             await watch.start(),
             EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
--- a/tests/races/test_discovery_documents.py
+++ b/tests/races/test_discovery_documents.py
@@ -90,7 +90,7 @@
             seen += found.end() - at if found else 0
             return found
 
-    for name in ("PLAIN", "TEXT"):
+    for name in ("OUTSIDE_STRING", "INSIDE_STRING"):
         monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
     checked = []
     loads = json.loads
