--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -24,7 +24,7 @@
 from molereach.protocol.gossip_codec import pack_messages, unpack_messages
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
-from tests.discovery.made import AllSeen
+from tests.discovery.fakes import AllSeen
 
 WAIT_S = 5.0
 TIER = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=1)
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -15,7 +15,7 @@
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import EntrySlice, Staging
-from tests.discovery.made import entries_text, list_text, says
+from tests.discovery.fakes import entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
 
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -16,7 +16,7 @@
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
-from tests.discovery.made import SIZE, AllSeen, door_before, entries_text, list_text, says
+from tests.discovery.fakes import SIZE, AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Client, Watch, chunk, entry, front_door, query, run, value
 from tests.sockets import Backend as Served
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -11,7 +11,7 @@
 from molereach.proxy import proxy, resources
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
-from tests.discovery.made import AllSeen, door_before, entries_text, list_text, says
+from tests.discovery.fakes import AllSeen, door_before, entries_text, list_text, says
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, chunk, run
 
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -7,7 +7,7 @@
 import pytest
 
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps, WatchConnection
-from tests.discovery.made import entries_text, list_text
+from tests.discovery.fakes import entries_text, list_text
 from tests.races.wire import turns
 from tests.sockets import HEAD, chunk, run
 
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -17,7 +17,7 @@
 from molereach.proxy.config_file import load, load_in_steps, reload
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
-from tests.discovery.made import entries_text
+from tests.discovery.fakes import entries_text
 from tests.races.wire import until
 from tests.sockets import (
     CUSTOMER,
--- a/tests/subsetting/test_scale.py
+++ b/tests/subsetting/test_scale.py
@@ -26,8 +26,8 @@
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import Subset
 from tests.helpers import IDEMPOTENT, PLAN
+from tests.subsetting.line_count import steps_of
 from tests.subsetting.model import DRAINING, GONE, NOW, SECOND_US, addresses_of, server, settings_of
-from tests.subsetting.steps import steps_of
 
 SIZES = (1_000, 10_000, 50_000)
 SIZE, STANDINS_MOST = 64, 4  # of the view; what the stand-ins of the last one may add
