--- a/tests/benchmarks/test_scale_hollow.py
+++ b/tests/benchmarks/test_scale_hollow.py
@@ -24,7 +24,7 @@
 from molereach.protocol.gossip_codec import pack_messages, unpack_messages
 from rig.clients import encode
 from rig.sockets import free_datagram_port, own_host
-from tests.discovery.fakes import AllSeen
+from tests.discovery.fakes import UnsubsettedList
 
 WAIT_S = 5.0
 TIER = Tier(doors=8, tenants=40, spread=3, seed=3, peer_port=1)
@@ -53,7 +53,7 @@
     """A real front door's reader of an agent's list; its view is all that it is told."""
 
     def __init__(self, address: EndpointAddress, version: int) -> None:
-        self.lists, self.tasks = AllSeen(), set[asyncio.Task[None]]()
+        self.lists, self.tasks = UnsubsettedList(), set[asyncio.Task[None]]()
         self.seen: asyncio.Queue[tuple[EndpointListReceived, Mapping[str, EndpointAddress]]] = asyncio.Queue()
         self.discovery = EndpointDiscovery(
             address,
--- a/tests/discovery/fakes.py
+++ b/tests/discovery/fakes.py
@@ -1,4 +1,4 @@
-"""Long lists, and a stand-in for what holds them."""
+"""Long endpoint lists as JSON, and fakes of what stores and sends them."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,11 @@
 from molereach.subsetting.interface import EndpointListError, StagedEndpoints, SubsetUpdate
 from tests.sockets import CONFIG, HOST, Watch, entry
 
-SIZE = 93_000  # backends of the fleet that is coming
+PLANNED_FLEET_SIZE = 93_000  # backends
 
 
-def entries_text(count: int, first: int = 0) -> bytes:
-    """Entries of a list as discovery writes them, without its brackets."""
+def entries_json(count: int, first: int = 0) -> bytes:
+    """Entries as discovery writes them, without the brackets of the list."""
     return ",".join(
         f'{{"instanceId": "s-{number:08x}", "hostPort": "{HOST}:{1024 + number % 60000}", "zone": "a", '
         f'"machineType": "m2", "cell": {number % 2900}, "lifecycle": "SERVING", "weight": 1.0, '
@@ -25,7 +25,7 @@
     ).encode()
 
 
-def list_text(version: int, entries: bytes, reset: bool = True) -> bytes:
+def list_json(version: int, entries: bytes, reset: bool = True) -> bytes:
     return b'{"generation": %d, "reset": %b, "instances": [%b]}\n' % (
         version,
         json.dumps(reset).encode(),
@@ -33,34 +33,34 @@
     )
 
 
-class Held:
-    """What was staged, with the size of each part."""
+class RecordingStaging:
+    """A `StagedEndpoints` that also records the size of each part."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.sizes = most, []
-        self.sizes: list[int]
-        self.servers: list[Endpoint] = []
+    def __init__(self, max_entries: int) -> None:
+        self.max_entries, self.part_sizes = max_entries, []
+        self.part_sizes: list[int]
+        self.endpoints: list[Endpoint] = []
         self.addresses: dict[str, EndpointAddress] = {}
 
-    def add(self, servers: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
-        some = list(servers)
-        self.servers += some
-        self.sizes.append(len(some))
+    def add(self, endpoints: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
+        part = list(endpoints)
+        self.endpoints += part
+        self.part_sizes.append(len(part))
         self.addresses |= addresses
-        if len(self.servers) > self.most:
-            raise EndpointListError(f"a list of over {self.most} entries")
+        if len(self.endpoints) > self.max_entries:
+            raise EndpointListError(f"a list of over {self.max_entries} entries")
 
 
-class AllSeen:
-    """`Lists` whose view is the whole list, taken over in a few turns."""
+class UnsubsettedList:
+    """An `EndpointList` whose subset is the full list; a staged list is applied in a few steps."""
 
-    def __init__(self, most: int = 1 << 20) -> None:
-        self.most, self.steps = most, 0
-        self.staged: list[Held] = []
+    def __init__(self, max_entries: int = 1 << 20) -> None:
+        self.max_entries, self.step_count = max_entries, 0
+        self.stagings: list[RecordingStaging] = []
 
-    def stage(self) -> Held:
-        self.staged.append(Held(self.most))
-        return self.staged[-1]
+    def stage(self) -> RecordingStaging:
+        self.stagings.append(RecordingStaging(self.max_entries))
+        return self.stagings[-1]
 
     def apply(
         self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
@@ -70,37 +70,47 @@
     def take_over(
         self, staged: StagedEndpoints, kind: EndpointListKind, version: int
     ) -> Generator[None, None, SubsetUpdate | None]:
-        assert isinstance(staged, Held)
+        assert isinstance(staged, RecordingStaging)
         for _ in range(5):
-            self.steps += 1
+            self.step_count += 1
             yield
-        if kind is EndpointListKind.FULL and len({one.name for one in staged.servers}) < len(staged.servers):
+        if kind is EndpointListKind.FULL and len({endpoint.name for endpoint in staged.endpoints}) < len(
+            staged.endpoints
+        ):
             raise EndpointListError("the whole list names a server twice")
-        return SubsetUpdate(EndpointListReceived(kind, version, tuple(staged.servers)), staged.addresses)
+        return SubsetUpdate(EndpointListReceived(kind, version, tuple(staged.endpoints)), staged.addresses)
 
 
-def says(*pieces: bytes, stay: bool = True) -> object:
-    async def play(writer: asyncio.StreamWriter) -> None:
+def sends(*pieces: bytes, stay_open: bool = True) -> object:
+    """A script of discovery that writes these pieces and then keeps the connection open, or closes it."""
+
+    async def script(writer: asyncio.StreamWriter) -> None:
         for piece in pieces:
             writer.write(piece)
             await writer.drain()
-        if stay:
+        if stay_open:
             await asyncio.Event().wait()
 
-    return play
+    return script
 
 
 @contextlib.asynccontextmanager
-async def door_before(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[Proxy, Watch]]:
-    """A front door with a known list, that calls on these."""
-    watch = Watch(*scripts)  # type: ignore[arg-type]
-    known = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
+async def proxy_with_discovery(*scripts: object, memory_mb: int = 64) -> AsyncIterator[tuple[Proxy, Watch]]:
+    """A proxy with a saved list of one backend that watches a discovery which runs these scripts."""
+    discovery = Watch(*scripts)  # type: ignore[arg-type]
+    saved_list = {"generation": 3, "reset": True, "instances": [entry("s1", ("127.0.0.1", 9))]}
     settings = replace(CONFIG.settings, must_poll_endpoints=False)
-    door = Proxy(
-        replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=memory_mb)
+    proxy = Proxy(
+        replace(
+            CONFIG,
+            known=saved_list,
+            discovery=await discovery.start(),
+            settings=settings,
+            memory_mb=memory_mb,
+        )
     )
-    door.discovery.start()
+    proxy.discovery.start()
     try:
-        yield door, watch
+        yield proxy, discovery
     finally:
-        door.close()
+        proxy.close()
--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -1,4 +1,4 @@
-"""What long lists hold at once while discovery moves: two copies of the longest list, and no third."""
+"""Memory for long lists while discovery switches its address: two copies of the longest list at most."""
 
 import asyncio
 import contextlib
@@ -15,277 +15,297 @@
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import EntrySlice, Staging
-from tests.discovery.fakes import entries_text, list_text, says
+from tests.discovery.fakes import entries_json, list_json, sends
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, Watch, chunk, entry, run
 
-MOST = 3_276  # entries of one list at 4 MB
-ROOM = 2 * MOST + 1_000  # with two steps of changes
-LONG = 3_200
-AT = ("127.0.0.1", 9)
-WHOLE, AFTER = "/catalog/members", "/catalog/members?watch=1&after="
+MAX_LIST_ENTRIES = 3_276  # of one list at 4 MB of memory
+MAX_TOTAL_ENTRIES = 2 * MAX_LIST_ENTRIES + 1_000  # with two steps of changes
+LONG_LIST_ENTRIES = 3_200
+BACKEND_ADDRESS = ("127.0.0.1", 9)
+FULL_LIST_TARGET, WATCH_TARGET = "/catalog/members", "/catalog/members?watch=1&after="
 
 
-def text_of(version: int, reset: bool = True) -> bytes:
-    return list_text(version, entries_text(LONG), reset)
+def long_list_json(version: int, reset: bool = True) -> bytes:
+    return list_json(version, entries_json(LONG_LIST_ENTRIES), reset)
 
 
-class Held:
-    """Entries that are there, by what the process has objects of and by no account of its own."""
+class EntryCount:
+    """Entries in memory, counted over the objects of the process and not by its own accounting."""
 
     def __init__(self) -> None:
         gc.collect()
-        self.others = [one for one in gc.get_objects() if isinstance(one, EntrySlice | Ring)]
-        self.most = 0
+        self.preexisting = [each for each in gc.get_objects() if isinstance(each, EntrySlice | Ring)]
+        self.maximum = 0
 
-    def now(self) -> int:
-        others, count = {id(one) for one in self.others}, 0
-        for one in gc.get_objects():
-            if id(one) in others:
+    def current(self) -> int:
+        preexisting, count = {id(each) for each in self.preexisting}, 0
+        for each in gc.get_objects():
+            if id(each) in preexisting:
                 continue
-            if isinstance(one, EntrySlice):
-                count += len(one.records)
-            if isinstance(one, Ring):
-                count += sum(len(bucket.records) for bucket in one.buckets if bucket)
+            if isinstance(each, EntrySlice):
+                count += len(each.records)
+            if isinstance(each, Ring):
+                count += sum(len(bucket.records) for bucket in each.buckets if bucket)
         return count
 
-    def look(self) -> None:
-        self.most = max(self.most, self.now())
+    def sample(self) -> None:
+        self.maximum = max(self.maximum, self.current())
 
 
 @pytest.fixture
-def held(monkeypatch: pytest.MonkeyPatch) -> Iterator[Held]:
-    """Looked at behind each part that was staged."""
-    found, add = Held(), Staging.add
+def entry_count(monkeypatch: pytest.MonkeyPatch) -> Iterator[EntryCount]:
+    """Sampled after each part that is staged; failed watches are reopened after 0.02 s at most."""
+    count, add = EntryCount(), Staging.add
 
-    def spied(self: Staging, *values: object) -> None:
-        add(self, *values)  # type: ignore[arg-type]
-        found.look()
+    def add_and_sample(self: Staging, *args: object) -> None:
+        add(self, *args)  # type: ignore[arg-type]
+        count.sample()
 
-    monkeypatch.setattr(Staging, "add", spied)
+    monkeypatch.setattr(Staging, "add", add_and_sample)
     monkeypatch.setattr("molereach.discovery.poll_backoff.MAX_LOCAL_DISCOVERY_BACKOFF_S", 0.02)
-    yield found
+    yield count
 
 
 @contextlib.asynccontextmanager
-async def long_door(*scripts: object) -> AsyncIterator[tuple[Proxy, Watch]]:
-    """A front door that knows a long list, and calls on these."""
-    watch = Watch(*scripts)  # type: ignore[arg-type]
-    known = {"generation": 3, "reset": True, "instances": [entry(f"k{number}", AT) for number in range(LONG)]}
+async def proxy_with_long_list(*scripts: object) -> AsyncIterator[tuple[Proxy, Watch]]:
+    """A proxy with a long saved list that watches a discovery which runs these scripts."""
+    discovery = Watch(*scripts)  # type: ignore[arg-type]
+    saved_list = {
+        "generation": 3,
+        "reset": True,
+        "instances": [entry(f"k{number}", BACKEND_ADDRESS) for number in range(LONG_LIST_ENTRIES)],
+    }
     settings = replace(CONFIG.settings, must_poll_endpoints=False)
-    door = Proxy(replace(CONFIG, known=known, discovery=await watch.start(), settings=settings, memory_mb=4))
-    door.discovery.start()
+    proxy = Proxy(
+        replace(CONFIG, known=saved_list, discovery=await discovery.start(), settings=settings, memory_mb=4)
+    )
+    proxy.discovery.start()
     try:
-        yield door, watch
+        yield proxy, discovery
     finally:
-        door.close()
+        proxy.close()
 
 
-def staged(door: Proxy, old: bool) -> int:
-    """Entries that an address has told of an object that has not ended."""
-    source = door.discovery.current if old else door.discovery.successor
-    stagings = [one.staged for one in source.staged_objects.values()] if source else []
-    return sum(one.added_count for one in stagings if isinstance(one, Staging))
+def staged_count(proxy: Proxy, old: bool) -> int:
+    """Staged entries of an incomplete object, of the old or the new address."""
+    client = proxy.discovery.current if old else proxy.discovery.successor
+    stagings = [staged_object.staged for staged_object in client.staged_objects.values()] if client else []
+    return sum(staging.added_count for staging in stagings if isinstance(staging, Staging))
 
 
-def said(caplog: pytest.LogCaptureFixture, text: str) -> list[str]:
-    return [one for one in caplog.messages if text in one]
+def messages_with(caplog: pytest.LogCaptureFixture, text: str) -> list[str]:
+    return [message for message in caplog.messages if text in message]
 
 
-def test_parts_of_the_old_address_give_way_to_those_of_the_new(
-    held: Held, caplog: pytest.LogCaptureFixture
+def test_staged_entries_of_the_old_address_are_freed_for_those_of_the_new_one(
+    entry_count: EntryCount, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The old one's call is lost with one line, and the move succeeds at its first call."""
-
-    async def job() -> None:
-        async with long_door(says(HEAD + chunk(text_of(4)[:-9])), says(HEAD)) as (door, watch):
-            await until(lambda: staged(door, old=True) > LONG - 100)
-            new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
-            door.discovery.change_address(await new.start())
-            await until(lambda: door.discovery.version == 9)
+    """The old address's watch is closed with one log line, and the switch succeeds at the first request."""
+
+    async def scenario() -> None:
+        async with proxy_with_long_list(sends(HEAD + chunk(long_list_json(4)[:-9])), sends(HEAD)) as (
+            proxy,
+            old,
+        ):
+            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            new = Watch(sends(HEAD + chunk(long_list_json(9))), sends(HEAD))  # type: ignore[arg-type]
+            proxy.discovery.change_address(await new.start())
+            await until(lambda: proxy.discovery.version == 9)
             await until(lambda: len(new.targets) == 2)
-            assert new.targets == [WHOLE, f"{AFTER}9"]
+            assert new.targets == [FULL_LIST_TARGET, f"{WATCH_TARGET}9"]
             assert (
-                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
-                and door.endpoints.endpoint_list.count == LONG
+                isinstance(proxy.endpoints.endpoint_list, EndpointSubsetting)
+                and proxy.endpoints.endpoint_list.count == LONG_LIST_ENTRIES
             )
-            assert set(watch.targets) == {f"{AFTER}3"}
+            assert set(old.targets) == {f"{WATCH_TARGET}3"}
 
-    run(job())
-    assert LONG < held.most <= ROOM
-    assert len(said(caplog, "dropped for")) == 1 and not said(caplog, "malformed watch response")
+    run(scenario())
+    assert LONG_LIST_ENTRIES < entry_count.maximum <= MAX_TOTAL_ENTRIES
+    assert len(messages_with(caplog, "dropped for")) == 1 and not messages_with(
+        caplog, "malformed watch response"
+    )
 
 
-def test_list_of_the_old_address_gives_way_also_while_it_is_taken_over(
-    held: Held, monkeypatch: pytest.MonkeyPatch
+def test_list_of_the_old_address_is_freed_also_while_it_is_applied_in_steps(
+    entry_count: EntryCount, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is held by what its steps have left open, and by nothing once its call is lost."""
+    """Only its unfinished steps reference its entries, and nothing does once its watch is closed."""
 
-    async def job() -> None:
-        begun, lost = asyncio.Event(), asyncio.Event()
-        gone: list[int] = []
+    async def scenario() -> None:
+        applying, released = asyncio.Event(), asyncio.Event()
+        freed_counts: list[int] = []
         monkeypatch.setattr("molereach.subsetting.staging.STEP_ENTRIES", 1)
 
-        async def whole(writer: asyncio.StreamWriter) -> None:
+        async def new_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD)
-            await begun.wait()
-            writer.write(chunk(text_of(9)))
+            await applying.wait()
+            writer.write(chunk(long_list_json(9)))
             await asyncio.Event().wait()
 
-        gate = asyncio.Event()
+        send_list = asyncio.Event()
 
-        async def old(writer: asyncio.StreamWriter) -> None:
+        async def old_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(b"\n"))
-            await gate.wait()
-            writer.write(chunk(text_of(4)))
+            await send_list.wait()
+            writer.write(chunk(long_list_json(4)))
             await asyncio.Event().wait()
 
-        async with long_door(old, says(HEAD)) as (door, watch):
-            new = Watch(whole, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.change_address(await new.start())
+        async with proxy_with_long_list(old_script, sends(HEAD)) as (proxy, old):
+            new = Watch(new_script, sends(HEAD))  # type: ignore[arg-type]
+            proxy.discovery.change_address(await new.start())
             await until(lambda: bool(new.targets))
-            source, take = door.discovery.current, door.discovery.apply_update
-            give_way = source.release_staged
-
-            def seen() -> bool:
-                before, found = held.now(), give_way()
-                gone.append(before - held.now())
-                lost.set()
-                return found
-
-            def taking(of: DiscoveryClient, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
-                begun.set()
-                return take(of, news)
-
-            source.on_update, source.release_staged = taking, seen  # type: ignore[method-assign]
-            gate.set()
-            await lost.wait()
-            assert LONG <= gone[0] <= LONG + 1  # the one in between was in both
+            client, apply_update = proxy.discovery.current, proxy.discovery.apply_update
+            release_staged = client.release_staged
+
+            def counting_release() -> bool:
+                before, was_released = entry_count.current(), release_staged()
+                freed_counts.append(before - entry_count.current())
+                released.set()
+                return was_released
+
+            def signalling_update(
+                sender: DiscoveryClient, update: EndpointUpdate | StagedEndpointUpdate
+            ) -> Steps | None:
+                applying.set()
+                return apply_update(sender, update)
+
+            client.on_update, client.release_staged = signalling_update, counting_release  # type: ignore[method-assign]
+            send_list.set()
+            await released.wait()
+            # The entry being moved from the staging to the index was in both.
+            assert LONG_LIST_ENTRIES <= freed_counts[0] <= LONG_LIST_ENTRIES + 1
             monkeypatch.undo()
-            await until(lambda: door.discovery.version == 9)
-            assert set(watch.targets) == {f"{AFTER}3"}
+            await until(lambda: proxy.discovery.version == 9)
+            assert set(old.targets) == {f"{WATCH_TARGET}3"}
 
-    run(job())
-    assert LONG < held.most <= ROOM
+    run(scenario())
+    assert LONG_LIST_ENTRIES < entry_count.maximum <= MAX_TOTAL_ENTRIES
 
 
-def test_old_address_has_no_room_beside_the_parts_of_the_new_and_its_list_holds(
-    held: Held, caplog: pytest.LogCaptureFixture
+def test_long_update_of_the_old_address_is_rejected_while_that_of_the_new_one_is_staged(
+    entry_count: EntryCount, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Its call is lost, as for any list without room; what it says in short is heard as before."""
+    """Its watch is closed, as for any list that exceeds memory; its short updates are applied as before."""
 
-    async def job() -> None:
-        gate, end = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        send_long, finish_new = asyncio.Event(), asyncio.Event()
 
-        async def old(writer: asyncio.StreamWriter) -> None:
+        async def old_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(b"\n"))
-            await gate.wait()
-            writer.write(chunk(text_of(4, reset=False)))
+            await send_long.wait()
+            writer.write(chunk(long_list_json(4, reset=False)))
             await asyncio.Event().wait()
 
-        async def first(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(text_of(9)[:-9]))
-            await end.wait()
-            writer.write(chunk(text_of(9)[-9:]))
+        async def new_script(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEAD + chunk(long_list_json(9)[:-9]))
+            await finish_new.wait()
+            writer.write(chunk(long_list_json(9)[-9:]))
             await asyncio.Event().wait()
 
-        short = says(HEAD + chunk(list_text(5, entries_text(1), reset=False)))
-        async with long_door(old, short) as (door, watch):
-            new = Watch(first, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.change_address(await new.start())
-            await until(lambda: staged(door, old=False) > LONG - 100)
-            gate.set()
-            await until(lambda: len(watch.targets) == 2)
-            assert watch.targets == [f"{AFTER}3"] * 2
-            await until(lambda: door.discovery.version == 5)
+        short_update = sends(HEAD + chunk(list_json(5, entries_json(1), reset=False)))
+        async with proxy_with_long_list(old_script, short_update) as (proxy, old):
+            new = Watch(new_script, sends(HEAD))  # type: ignore[arg-type]
+            proxy.discovery.change_address(await new.start())
+            await until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
+            send_long.set()
+            await until(lambda: len(old.targets) == 2)
+            assert old.targets == [f"{WATCH_TARGET}3"] * 2
+            await until(lambda: proxy.discovery.version == 5)
             assert (
-                isinstance(door.endpoints.endpoint_list, EndpointSubsetting)
-                and door.endpoints.endpoint_list.count == LONG + 1
+                isinstance(proxy.endpoints.endpoint_list, EndpointSubsetting)
+                and proxy.endpoints.endpoint_list.count == LONG_LIST_ENTRIES + 1
             )
-            end.set()
-            await until(lambda: door.discovery.version == 9)
-            assert door.endpoints.endpoint_list.count == LONG
+            finish_new.set()
+            await until(lambda: proxy.discovery.version == 9)
+            assert proxy.endpoints.endpoint_list.count == LONG_LIST_ENTRIES
 
-    run(job())
-    (line,) = said(caplog, "malformed watch response")
+    run(scenario())
+    (line,) = messages_with(caplog, "malformed watch response")
     assert "no room" in line and len(line) < 300
-    assert LONG < held.most <= ROOM and not said(caplog, "dropped for")
+    assert LONG_LIST_ENTRIES < entry_count.maximum <= MAX_TOTAL_ENTRIES and not messages_with(
+        caplog, "dropped for"
+    )
 
 
-@pytest.mark.parametrize("count", [1, LONG])
-def test_drain_told_while_a_list_of_the_new_address_is_taken_over_holds(
+@pytest.mark.parametrize("count", [1, LONG_LIST_ENTRIES])
+def test_drain_reported_while_a_list_of_the_new_address_is_applied_takes_effect(
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old address tells it when that list has come; nothing goes there after the move either."""
+    """The old address reports it once the new list has arrived; the backend gets no requests afterwards."""
 
-    async def job() -> None:
-        begun = asyncio.Event()
+    async def scenario() -> None:
+        applying = asyncio.Event()
         monkeypatch.setattr("molereach.subsetting.staging.STEP_ENTRIES", 1)
 
-        async def old(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(list_text(4, entries_text(count))))
-            await begun.wait()
-            drained = entries_text(1).replace(b"SERVING", b"DRAINING")
-            writer.write(chunk(list_text(5, drained, reset=False)))
+        async def old_script(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEAD + chunk(list_json(4, entries_json(count))))
+            await applying.wait()
+            drain = entries_json(1).replace(b"SERVING", b"DRAINING")
+            writer.write(chunk(list_json(5, drain, reset=False)))
             await asyncio.Event().wait()
 
-        async with long_door(old) as (door, _):
-            await until(lambda: door.discovery.version == 4)
-            new = Watch(says(HEAD + chunk(text_of(9))), says(HEAD))  # type: ignore[arg-type]
-            door.discovery.change_address(await new.start())
+        async with proxy_with_long_list(old_script) as (proxy, _):
+            await until(lambda: proxy.discovery.version == 4)
+            new = Watch(sends(HEAD + chunk(long_list_json(9))), sends(HEAD))  # type: ignore[arg-type]
+            proxy.discovery.change_address(await new.start())
             await until(
-                lambda: door.discovery.successor is not None and bool(door.discovery.successor.watches)
+                lambda: proxy.discovery.successor is not None and bool(proxy.discovery.successor.watches)
             )
-            heard, take = [], door.discovery.apply_update
-
-            def taking(of: DiscoveryClient, news: EndpointUpdate | StagedEndpointUpdate) -> Steps | None:
-                begun.set()
-                return take(of, news)
-
-            assert door.discovery.successor
-            door.discovery.successor.on_update = taking
-            hear = door.endpoints.publish
-            door.endpoints.publish = lambda event, addresses: (
-                heard.append(event.version),
-                hear(event, addresses),
+            published_versions, apply_update = [], proxy.discovery.apply_update
+
+            def signalling_update(
+                sender: DiscoveryClient, update: EndpointUpdate | StagedEndpointUpdate
+            ) -> Steps | None:
+                applying.set()
+                return apply_update(sender, update)
+
+            assert proxy.discovery.successor
+            proxy.discovery.successor.on_update = signalling_update
+            publish = proxy.endpoints.publish
+            proxy.endpoints.publish = lambda event, addresses: (
+                published_versions.append(event.version),
+                publish(event, addresses),
             )  # type: ignore
-            await until(lambda: door.discovery.version == 9)
-            assert heard == [5, 9]
-            assert "s-00000000" not in door.backends.pools and "s-00000001" in door.backends.pools
+            await until(lambda: proxy.discovery.version == 9)
+            assert published_versions == [5, 9]
+            assert "s-00000000" not in proxy.backends.pools and "s-00000001" in proxy.backends.pools
 
-    run(job())
+    run(scenario())
 
 
-def test_new_address_is_given_way_to_in_one_call(held: Held, caplog: pytest.LogCaptureFixture) -> None:
-    """One whose lists cannot be taken must not keep the old one from telling its own."""
+def test_staged_entries_of_the_old_address_are_freed_for_one_watch_of_the_new_one_only(
+    entry_count: EntryCount, caplog: pytest.LogCaptureFixture
+) -> None:
+    """A new address whose lists cannot be applied must not keep the old one from delivering its own."""
 
-    async def job() -> None:
-        half, refused = says(HEAD + chunk(text_of(4)[:-9])), list[int]()
-        gate = asyncio.Event()
+    async def scenario() -> None:
+        incomplete, no_room_counts = sends(HEAD + chunk(long_list_json(4)[:-9])), list[int]()
+        end_first = asyncio.Event()
 
-        async def broken(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(text_of(9)[:-9]))
-            await gate.wait()
+        async def broken_script(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEAD + chunk(long_list_json(9)[:-9]))
+            await end_first.wait()
 
-        async def whole(writer: asyncio.StreamWriter) -> None:
+        async def complete_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD)
-            await until(lambda: staged(door, old=True) > LONG - 100)
-            refused.append(len(said(caplog, "no room")))
-            writer.write(chunk(text_of(9)))
+            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            no_room_counts.append(len(messages_with(caplog, "no room")))
+            writer.write(chunk(long_list_json(9)))
             await asyncio.Event().wait()
 
-        async with long_door(half, half) as (door, watch):
-            await until(lambda: staged(door, old=True) > LONG - 100)
-            new = Watch(broken, whole, says(HEAD))  # type: ignore[arg-type]
-            door.discovery.change_address(await new.start())
-            await until(lambda: staged(door, old=False) > LONG - 100)
-            gave_way = len(said(caplog, "dropped for"))
-            gate.set()
+        async with proxy_with_long_list(incomplete, incomplete) as (proxy, old):
+            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            new = Watch(broken_script, complete_script, sends(HEAD))  # type: ignore[arg-type]
+            proxy.discovery.change_address(await new.start())
+            await until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
+            release_count = len(messages_with(caplog, "dropped for"))
+            end_first.set()
             await until(lambda: len(new.targets) == 3)
-            assert staged(door, old=True) > LONG - 100 and door.discovery.version == 3
-            assert new.targets == [WHOLE] * 3 and len(watch.targets) >= 2
-            assert len(said(caplog, "dropped for")) == gave_way >= 1
-            assert len(said(caplog, "no room")) > refused[0]
+            assert staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100 and proxy.discovery.version == 3
+            assert new.targets == [FULL_LIST_TARGET] * 3 and len(old.targets) >= 2
+            assert len(messages_with(caplog, "dropped for")) == release_count >= 1
+            assert len(messages_with(caplog, "no room")) > no_room_counts[0]
 
-    run(job())
-    assert held.most <= ROOM
+    run(scenario())
+    assert entry_count.maximum <= MAX_TOTAL_ENTRIES
--- a/tests/discovery/test_json_stream.py
+++ b/tests/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""Long lists cut from a stream in parts: nothing of them is lost, and nothing without an end is held."""
+"""Extraction of entries from long objects in a stream: none is lost, and the buffer is bounded."""
 
 import itertools
 import json
@@ -22,33 +22,40 @@
     max_leaves=6,
 )
 ENTRIES = st.lists(st.dictionaries(TEXTS, VALUES, max_size=3) | VALUES, max_size=8)
-ROOM = 40  # bytes that an object may have here before it is cut
+EXTRACT_ABOVE_BYTES = 40  # instead of the default, so that short objects are split
 
 
 @pytest.fixture(autouse=True, scope="module")
-def short() -> Iterator[None]:
+def extract_from_short_objects() -> Iterator[None]:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(json_stream, "EXTRACT_ABOVE_BYTES", ROOM)
+        patch.setattr(json_stream, "EXTRACT_ABOVE_BYTES", EXTRACT_ABOVE_BYTES)
         yield
 
 
-def fed(cut: JsonStream, data: bytes, ends: list[int]) -> list[bytes | EntryList]:
-    """What comes of data in pieces with these ends, but for empty lines."""
+def feed_chunks(stream: JsonStream, data: bytes, ends: list[int]) -> list[bytes | EntryList]:
+    """Feed data in chunks with these ends; returns the results without empty lines."""
     bounds = [0, *sorted(end % (len(data) + 1) for end in ends), len(data)]
-    return [one for at, end in itertools.pairwise(bounds) for one in cut.feed(data[at:end]) if one]
-
-
-def joined(found: list[bytes | EntryList], *path: str) -> tuple[dict[str, Any], int]:
-    """An object with its parts, as if it had come whole, and the number of parts."""
-    *parts, last = found
-    assert isinstance(last, bytes)
-    whole = json.loads(last)
-    inner = whole
+    return [
+        result
+        for start, end in itertools.pairwise(bounds)
+        for result in stream.feed(data[start:end])
+        if result
+    ]
+
+
+def reassemble(results: list[bytes | EntryList], *path: str) -> tuple[dict[str, Any], int]:
+    """The object with its extracted entries put back, and the number of entry lists."""
+    *entry_lists, rest = results
+    assert isinstance(rest, bytes)
+    complete = json.loads(rest)
+    inner = complete
     for key in path:
         inner = inner[key]
-    if parts:
-        inner["instances"] = [one for part in parts for one in json.loads(part.text)] + inner["instances"]
-    return whole, len(parts)
+    if entry_lists:
+        inner["instances"] = [
+            entry for entry_list in entry_lists for entry in json.loads(entry_list.text)
+        ] + inner["instances"]
+    return complete, len(entry_lists)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -61,45 +68,45 @@
     st.booleans(),
     st.booleans(),
 )
-def test_parts_and_the_rest_are_the_whole_however_it_is_laid_out_and_cut(
+def test_entry_lists_and_rest_reassemble_to_the_object_for_any_layout_and_chunks(
     head: dict[str, Any],
     entries: list[Any],
     tail: dict[str, Any],
     ends: list[int],
     indent: int | None,
-    deep: bool,
-    by_byte: bool,
+    nested: bool,
+    bytewise: bool,
 ) -> None:
-    said: dict[str, Any] = {"h" + key: value for key, value in head.items()}
-    said |= {"instances": entries} | {"t" + key: value for key, value in tail.items()}
-    path = ("known",) if deep else ()
-    said = {"a": head, "known": said, "instances": [{}, {}], "z": tail} if deep else said
-    text = json.dumps(said, indent=indent, ensure_ascii=False).encode()
-    cut = JsonStream(path=(*path, "instances"))
-    found = fed(cut, text, list(range(len(text))) if by_byte else ends)
-    assert joined(found, *path)[0] == said
-    assert not cut.unfinished and not cut.buffer
-
-
-def listed(count: int, **more: object) -> bytes:
+    value: dict[str, Any] = {"h" + key: value for key, value in head.items()}
+    value |= {"instances": entries} | {"t" + key: value for key, value in tail.items()}
+    path = ("known",) if nested else ()
+    value = {"a": head, "known": value, "instances": [{}, {}], "z": tail} if nested else value
+    text = json.dumps(value, indent=indent, ensure_ascii=False).encode()
+    stream = JsonStream(path=(*path, "instances"))
+    results = feed_chunks(stream, text, list(range(len(text))) if bytewise else ends)
+    assert reassemble(results, *path)[0] == value
+    assert not stream.unfinished and not stream.buffer
+
+
+def object_with_entries(count: int, **more: object) -> bytes:
     entries = [{"name": f"s{number}"} for number in range(count)]
     return json.dumps({"generation": 1, "instances": entries, **more}).encode()
 
 
-@pytest.mark.parametrize("ends_at", [b"}, ", b"},", b"}", b'{"na'])
-def test_list_is_cut_at_every_feed_that_brings_whole_entries(ends_at: bytes) -> None:
-    """Wherever all feeds end: behind a comma, before it, or within an entry."""
-    text = listed(200)
-    ends = [at.end() for at in re.finditer(re.escape(ends_at), text)][10:]
-    cut, held, parts = JsonStream(), 0, 0
-    for at, end in itertools.pairwise([0, *ends]):
-        parts += len(list(cut.feed(text[at:end])))
-        held = max(held, len(cut.buffer))
-    assert parts >= len(ends) - 1 and held <= 250
+@pytest.mark.parametrize("chunk_end", [b"}, ", b"},", b"}", b'{"na'])
+def test_entries_are_extracted_at_each_feed_that_completes_some(chunk_end: bytes) -> None:
+    """Wherever the chunks end: after a comma, before it, or within an entry."""
+    text = object_with_entries(200)
+    ends = [match.end() for match in re.finditer(re.escape(chunk_end), text)][10:]
+    stream, max_buffered, entry_list_count = JsonStream(), 0, 0
+    for start, end in itertools.pairwise([0, *ends]):
+        entry_list_count += len(list(stream.feed(text[start:end])))
+        max_buffered = max(max_buffered, len(stream.buffer))
+    assert entry_list_count >= len(ends) - 1 and max_buffered <= 250
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "unusual_entry",
     [
         b'"a}b"',
         b'["}"]',
@@ -110,24 +117,32 @@
         b'"\\\\}\\""',
     ],
 )
-def test_brace_within_a_string_ends_no_entry(odd: bytes) -> None:
-    text = b'{"instances":[' + (b'{"a":"b"},' + odd + b",") * 20 + b"{}]}"
+def test_brace_within_a_string_does_not_end_an_entry(unusual_entry: bytes) -> None:
+    text = b'{"instances":[' + (b'{"a":"b"},' + unusual_entry + b",") * 20 + b"{}]}"
     for size in range(1, 60):
-        assert joined(fed(JsonStream(), text, list(range(0, len(text), size))))[0] == json.loads(text)
+        assert reassemble(feed_chunks(JsonStream(), text, list(range(0, len(text), size))))[0] == json.loads(
+            text
+        )
 
 
 @pytest.mark.parametrize(
-    "order",
+    "template",
     [
         b'{"instances":[%b],"reset":true,"generation":7}',
         b'{"reset":true,"instances":[%b],"generation":7}',
         b'{"reset":true,"generation":7,\n "instances" :\n [ %b ] \n}',
     ],
 )
-def test_what_else_the_object_says_may_stand_on_either_side(order: bytes) -> None:
+def test_other_keys_may_precede_or_follow_the_entries(template: bytes) -> None:
     entries = b",\n".join(b'{"name":"s%d"}' % number for number in range(50))
-    whole, parts = joined(fed(JsonStream(), order % entries, list(range(0, 2000, 30))))
-    assert parts > 5 and (whole["reset"], whole["generation"], len(whole["instances"])) == (True, 7, 50)
+    value, entry_list_count = reassemble(
+        feed_chunks(JsonStream(), template % entries, list(range(0, 2000, 30)))
+    )
+    assert entry_list_count > 5 and (value["reset"], value["generation"], len(value["instances"])) == (
+        True,
+        7,
+        50,
+    )
 
 
 @pytest.mark.parametrize(
@@ -140,91 +155,91 @@
         b'{"a":[{"instances":[%b]}]}',
     ],
 )
-def test_no_other_list_is_cut(text: bytes) -> None:
+def test_nothing_is_extracted_from_other_lists(text: bytes) -> None:
     text %= b",".join([b'{"a":"b"}'] * 30)
-    assert fed(JsonStream(), text, list(range(0, len(text), 9))) == [text]
+    assert feed_chunks(JsonStream(), text, list(range(0, len(text), 9))) == [text]
 
 
 ENTRY = b'{"a":"b"},'
-BEGUN = b'{"instances":[' + ENTRY * 9
+INCOMPLETE_LIST = b'{"instances":[' + ENTRY * 9
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
-        BEGUN + b"]}",
-        BEGUN + b'{"a":1} {"a":2}]}',
-        BEGUN + b',{"a":1}]}',
-        BEGUN + b"7}}",
-        BEGUN + b"{]]}",
-        BEGUN + b'{"a":1}] 7}',
+        INCOMPLETE_LIST + b"]}",
+        INCOMPLETE_LIST + b'{"a":1} {"a":2}]}',
+        INCOMPLETE_LIST + b',{"a":1}]}',
+        INCOMPLETE_LIST + b"7}}",
+        INCOMPLETE_LIST + b"{]]}",
+        INCOMPLETE_LIST + b'{"a":1}] 7}',
         b'{"instances":[7 ' + ENTRY * 9 + b"{}]}",
-        BEGUN + b'{"a":1}],"instances":[]}',
-        BEGUN + b'{"a":1}],"instances":[{},' + ENTRY * 9 + b"{}]}",
+        INCOMPLETE_LIST + b'{"a":1}],"instances":[]}',
+        INCOMPLETE_LIST + b'{"a":1}],"instances":[{},' + ENTRY * 9 + b"{}]}",
     ],
 )
 @pytest.mark.parametrize("step", [1, 7])
-def test_what_would_be_no_json_as_a_whole_is_none_in_parts(bad: bytes, step: int) -> None:
+def test_invalid_json_is_an_error_also_when_entries_are_extracted(invalid: bytes, step: int) -> None:
     with pytest.raises(ValueError):
-        joined(fed(JsonStream(), bad, list(range(0, len(bad), step))))
+        reassemble(feed_chunks(JsonStream(), invalid, list(range(0, len(invalid), step))))
 
 
 @pytest.mark.parametrize(
     "text",
     [
-        BEGUN + b'{"a":[' + b"7," * 200,
-        BEGUN + b'{"a":"' + b"x" * 400,
-        BEGUN + b'{}],"other":[' + ENTRY * 40,
+        INCOMPLETE_LIST + b'{"a":[' + b"7," * 200,
+        INCOMPLETE_LIST + b'{"a":"' + b"x" * 400,
+        INCOMPLETE_LIST + b'{}],"other":[' + ENTRY * 40,
         b'{"instances":[' + b"7," * 200,
         b'{"other":"' + b"x" * 400,
     ],
 )
-def test_what_cannot_be_cut_is_bounded_as_before(text: bytes) -> None:
-    cut = JsonStream(max_object_bytes=150)
+def test_object_without_complete_entries_is_limited_in_size(text: bytes) -> None:
+    stream = JsonStream(max_object_bytes=150)
     with pytest.raises(JsonStreamError, match="without an end"):
-        fed(cut, text, list(range(0, len(text), 10)))
-    assert len(cut.buffer) <= 160
+        feed_chunks(stream, text, list(range(0, len(text), 10)))
+    assert len(stream.buffer) <= 160
 
 
-def test_whole_object_with_its_parts_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_object_with_its_extracted_entries_is_limited_in_size(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(json_stream, "MAX_STREAMED_BYTES", 1000)
-    cut, count = JsonStream(), 0
+    stream, count = JsonStream(), 0
     with pytest.raises(JsonStreamError, match="an object of over"):
         for piece in itertools.chain([b'{"instances":['], itertools.repeat(ENTRY, 200)):
-            list(cut.feed(piece))
+            list(stream.feed(piece))
             count += 1
-    assert count == 99  # with it they would be 1,004 bytes
+    assert count == 99  # one more entry would make 1,004 bytes
 
 
-def test_next_object_begins_anew_after_one_that_was_cut() -> None:
-    text = listed(30) + b"\n" + listed(2) + b"\n" + listed(40)
-    found = fed(JsonStream(), text, list(range(0, len(text), 11)))
-    wholes = [number for number, one in enumerate(found) if isinstance(one, bytes)]
-    assert len(wholes) == 2 + 1
+def test_object_after_one_with_extracted_entries_starts_anew() -> None:
+    text = object_with_entries(30) + b"\n" + object_with_entries(2) + b"\n" + object_with_entries(40)
+    results = feed_chunks(JsonStream(), text, list(range(0, len(text), 11)))
+    object_ends = [number for number, result in enumerate(results) if isinstance(result, bytes)]
+    assert len(object_ends) == 2 + 1
     assert [
-        len(joined(found[at : end + 1])[0]["instances"])
-        for at, end in zip([0, *[at + 1 for at in wholes]], wholes, strict=False)
+        len(reassemble(results[start : end + 1])[0]["instances"])
+        for start, end in zip([0, *[end + 1 for end in object_ends]], object_ends, strict=False)
     ] == [30, 2, 40]
 
 
-def test_long_list_is_looked_at_once_and_not_parsed_as_it_grows(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted in bytes that the patterns go over and that the check parses: indented, so lines end within."""
-    data = json.dumps(json.loads(listed(2000)), indent=1).encode()
-    seen, checked, loads = 0, [], json.loads
+def test_long_list_is_scanned_once_and_not_parsed_as_it_grows(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Counts the bytes scanned by the patterns and parsed by the syntax check, for a list of many lines."""
+    data = json.dumps(json.loads(object_with_entries(2000)), indent=1).encode()
+    scanned, parsed, loads = 0, [], json.loads
 
-    class Counting:
+    class CountingPattern:
         def __init__(self, pattern: re.Pattern[bytes]) -> None:
             self.pattern = pattern
 
-        def match(self, data: bytearray, at: int) -> re.Match[bytes] | None:
-            nonlocal seen
-            found = self.pattern.match(data, at)
-            seen += found.end() - at if found else 0
-            return found
+        def match(self, data: bytearray, start: int) -> re.Match[bytes] | None:
+            nonlocal scanned
+            match = self.pattern.match(data, start)
+            scanned += match.end() - start if match else 0
+            return match
 
     for name in ("OUTSIDE_STRING", "INSIDE_STRING"):
-        monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
-    monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
-    found = fed(JsonStream(), data, [at.end() for at in re.finditer(rb"\n", data)])
-    assert seen <= len(data) and sum(checked) < 4 * ROOM
-    assert len(found) > 1900
+        monkeypatch.setattr(json_stream, name, CountingPattern(getattr(json_stream, name)))
+    monkeypatch.setattr(json_stream.json, "loads", lambda text: parsed.append(len(text)) or loads(text))
+    results = feed_chunks(JsonStream(), data, [match.end() for match in re.finditer(rb"\n", data)])
+    assert scanned <= len(data) and sum(parsed) < 4 * EXTRACT_ABOVE_BYTES
+    assert len(results) > 1900
--- a/tests/discovery/test_poll_backoff.py
+++ b/tests/discovery/test_poll_backoff.py
@@ -1,4 +1,4 @@
-"""Calls for the list by a whole tier, against a discovery that takes them in turn."""
+"""Polls of many proxies at once, against a discovery that processes them in order."""
 
 import asyncio
 import heapq
@@ -20,119 +20,127 @@
 from molereach.proxy.proxy import Proxy
 from tests.sockets import CONFIG, HEAD, Watch, catalog, chunk, run
 
-DOORS = 40
-# A call that waits so long is given up; the line takes in so many time-outs of work.
-TIMEOUT_S, OVERBOOK = 2.0, 2.0
+PROXY_COUNT = 40
+CLIENT_TIMEOUT_S, MAX_QUEUE_TIMEOUTS = 2.0, 2.0  # discovery queues work for so many client timeouts
 
 
-class Line:
-    """Discovery: calls are worked on in turn, also those that nobody waits for any more."""
+class DiscoveryQueue:
+    """Discovery: requests are processed in order, including those whose clients have timed out."""
 
-    def __init__(self, calls_per_s: float) -> None:
-        self.each_s, self.free_s = 1 / calls_per_s, 0.0
+    def __init__(self, requests_per_s: float) -> None:
+        self.service_time_s, self.free_at_s = 1 / requests_per_s, 0.0
 
-    def call(self, now: float) -> tuple[bool, float]:
-        """Whether the call is answered in time, and when its caller knows."""
-        start = max(now, self.free_s)
-        if start - now > OVERBOOK * TIMEOUT_S:
-            return False, now
-        self.free_s = start + self.each_s
-        return self.free_s - now <= TIMEOUT_S, min(self.free_s, now + TIMEOUT_S)
+    def request(self, now_s: float) -> tuple[bool, float]:
+        """Whether the request is answered in time, and when its client has the answer or the error."""
+        start_s = max(now_s, self.free_at_s)
+        if start_s - now_s > MAX_QUEUE_TIMEOUTS * CLIENT_TIMEOUT_S:
+            return False, now_s
+        self.free_at_s = start_s + self.service_time_s
+        return self.free_at_s - now_s <= CLIENT_TIMEOUT_S, min(self.free_at_s, now_s + CLIENT_TIMEOUT_S)
 
 
-def after_mass_break(tier: int, calls_per_s: float, seed: int, until_s: float = 60.0) -> list[float]:
-    """All watches of a tier break at once: when each front door has its next one."""
-    chance, line = random.Random(seed), Line(calls_per_s)
-    doors = [PollBackoff(tier) for _ in range(DOORS)]
-    due = [(pacing.record_failure(chance.random()), number) for number, pacing in enumerate(doors)]
+def recovery_times_s(
+    assumed_proxy_count: int, requests_per_s: float, seed: int, until_s: float = 60.0
+) -> list[float]:
+    """All watches break at once: when each proxy that has an answer in time got its first one."""
+    random_source, queue = random.Random(seed), DiscoveryQueue(requests_per_s)
+    backoffs = [PollBackoff(assumed_proxy_count) for _ in range(PROXY_COUNT)]
+    due = [
+        (backoff.record_failure(random_source.random()), number) for number, backoff in enumerate(backoffs)
+    ]
     heapq.heapify(due)
-    known = []
+    answered_s = []
     while due and due[0][0] < until_s:
-        now, number = heapq.heappop(due)
-        ok, then = line.call(now)
-        if ok:
-            doors[number].reset()
-            known.append(then)
+        now_s, number = heapq.heappop(due)
+        is_answered, ended_s = queue.request(now_s)
+        if is_answered:
+            backoffs[number].reset()
+            answered_s.append(ended_s)
         else:
-            heapq.heappush(due, (then + doors[number].record_failure(chance.random()), number))
-    return known
+            heapq.heappush(due, (ended_s + backoffs[number].record_failure(random_source.random()), number))
+    return answered_s
 
 
-def test_calls_as_if_each_front_door_were_alone_never_end() -> None:
-    """What the pacing is for: a line called by 40 front doors that each think they are few, and that give up
-    the calls which wait in it. That they don't, and have their lists soon: test_notification_delay.py."""
-    assert len(after_mass_break(1, DOORS / 8, 1)) < DOORS / 2
+def test_polls_overload_discovery_if_each_proxy_assumes_that_it_is_the_only_one() -> None:
+    """The overload that the shared window prevents: 40 proxies poll as if alone, and abandon queued requests.
 
+    test_notification_delay.py shows that proxies that know their number recover soon.
+    """
+    assert len(recovery_times_s(1, PROXY_COUNT / 8, 1)) < PROXY_COUNT / 2
 
-def test_small_tier_calls_soon() -> None:
-    pacing = PollBackoff(MAX_UNJITTERED_PROXIES)
-    assert pacing.initial_delay_s(1.0) == 0
-    waits = [pacing.record_failure(1.0) for _ in range(100)]
-    assert waits[:4] == [BASE_BACKOFF_S, 2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, 8 * BASE_BACKOFF_S]
-    assert set(waits[4:]) == {MAX_BACKOFF_S}
-    pacing.reset()
-    assert pacing.record_failure(1.0) == BASE_BACKOFF_S
 
+def test_few_proxies_poll_again_soon() -> None:
+    backoff = PollBackoff(MAX_UNJITTERED_PROXIES)
+    assert backoff.initial_delay_s(1.0) == 0
+    delays_s = [backoff.record_failure(1.0) for _ in range(100)]
+    assert delays_s[:4] == [BASE_BACKOFF_S, 2 * BASE_BACKOFF_S, 4 * BASE_BACKOFF_S, 8 * BASE_BACKOFF_S]
+    assert set(delays_s[4:]) == {MAX_BACKOFF_S}
+    backoff.reset()
+    assert backoff.record_failure(1.0) == BASE_BACKOFF_S
 
-def test_restarted_front_door_of_a_large_tier_calls_at_its_own_time() -> None:
-    async def job() -> None:
-        async def play(writer: asyncio.StreamWriter) -> None:
+
+def test_restarted_proxy_of_many_polls_after_a_random_delay() -> None:
+    async def scenario() -> None:
+        async def script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(catalog(5, [])))
             await asyncio.Event().wait()
 
-        watch = Watch(play)
-        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+        watch = Watch(script)
+        updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         tasks = []
-        doors, draw = MAX_UNJITTERED_PROXIES + 5, 0.1
-        found = EndpointDiscovery(
+        proxy_count, draw = MAX_UNJITTERED_PROXIES + 5, 0.1
+        discovery = EndpointDiscovery(
             await watch.start(),
             EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers),
             4,
-            heard.put_nowait,
-            lambda job: tasks.append(asyncio.create_task(job)),
-            lambda: PollBackoff(doors),
+            updates.put_nowait,
+            lambda coroutine: tasks.append(asyncio.create_task(coroutine)),
+            lambda: PollBackoff(proxy_count),
             lambda: draw,
         )
-        started = time.monotonic()
-        found.start()
-        await heard.get()
-        assert time.monotonic() - started >= 0.9 * 5 * POLL_COST_S * draw
+        started_s = time.monotonic()
+        discovery.start()
+        await updates.get()
+        assert time.monotonic() - started_s >= 0.9 * 5 * POLL_COST_S * draw
         tasks[0].cancel()
 
-    run(job())
+    run(scenario())
+
 
+POLL_WITHIN_S = 10.0
 
-ASK_WITHIN_S = 10.0
 
+def test_local_agent_is_polled_immediately_for_any_number_of_proxies() -> None:
+    """A proxy has to know what its agent knows.
 
-def test_agent_of_ones_own_machine_is_called_at_once_in_any_tier() -> None:
-    """What it has counts as told: 148 of 212 were killed and sent to drained servers meanwhile."""
+    With a delay, 148 of 212 killed and restarted proxies sent requests to drained backends meanwhile.
+    """
 
-    async def job() -> None:
+    async def scenario() -> None:
         settings = replace(
             CONFIG.settings, proxy_count=200, must_poll_endpoints=False, poll_within_us=10_000_000
         )
-        door = Proxy(replace(CONFIG, settings=settings))
+        proxy = Proxy(replace(CONFIG, settings=settings))
         try:
-            pacing = door.discovery.current.backoff
-            assert pacing.initial_delay_s(1.0) == 0
-            assert pacing.record_failure(1.0) == BASE_BACKOFF_S
+            backoff = proxy.discovery.current.backoff
+            assert backoff.initial_delay_s(1.0) == 0
+            assert backoff.record_failure(1.0) == BASE_BACKOFF_S
             assert (
-                max(pacing.record_failure(1.0) for _ in range(100))
+                max(backoff.record_failure(1.0) for _ in range(100))
                 == MAX_LOCAL_DISCOVERY_BACKOFF_S
                 < MAX_BACKOFF_S
             )
         finally:
-            door.close()
+            proxy.close()
 
-    run(job())
+    run(scenario())
 
 
-def test_large_tier_that_must_ask_has_called_before_lists_count_as_told() -> None:
-    """However many they are; and after failed calls too: a change counts as told 6 s after discovery could be
-    reached, whatever else is allowed."""
+def test_many_proxies_that_must_poll_do_so_before_they_have_to_know_a_change() -> None:
+    """Also after failed polls: a change has to be known 6 s after discovery became reachable, even where the
+    settings allow more time."""
     settings = replace(CONFIG.settings, proxy_count=200, must_poll_endpoints=True, poll_within_us=10_000_000)
-    pacing = PollBackoff.from_settings(settings)
-    assert 0 < pacing.initial_delay_s(1.0) < ASK_WITHIN_S
-    assert pacing.record_failure(1.0) < ASK_WITHIN_S
-    assert max(pacing.record_failure(1.0) for _ in range(100)) <= POLL_INTERVAL_LIMIT_S < 6.0
+    backoff = PollBackoff.from_settings(settings)
+    assert 0 < backoff.initial_delay_s(1.0) < POLL_WITHIN_S
+    assert backoff.record_failure(1.0) < POLL_WITHIN_S
+    assert max(backoff.record_failure(1.0) for _ in range(100)) <= POLL_INTERVAL_LIMIT_S < 6.0
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -1,4 +1,4 @@
-"""What of a list reaches the module: its view, under the orders that lie over it."""
+"""What of an endpoint list reaches the policy: its subset, changed by operators' orders."""
 
 import asyncio
 from collections.abc import Generator, Mapping
@@ -8,16 +8,17 @@
 
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointListKind, EndpointListReceived
-from molereach.proxy import proxy, resources
+from molereach.proxy import proxy as proxy_module
+from molereach.proxy import resources
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
-from tests.discovery.fakes import AllSeen, door_before, entries_text, list_text, says
+from tests.discovery.fakes import UnsubsettedList, entries_json, list_json, proxy_with_discovery, sends
 from tests.races.wire import until
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
 @pytest.mark.parametrize(
-    ("sockets", "memory_mb", "view", "most"),
+    ("sockets", "memory_mb", "subset_size", "max_entries"),
     [
         (48, 1, 256, 819),
         (1024, 64, 256, 52_428),
@@ -25,94 +26,103 @@
         (4000, 128, 512, 104_857),
     ],
 )
-def test_view_follows_from_the_connections_and_the_list_from_the_memory(
-    sockets: int, memory_mb: int, view: int, most: int, monkeypatch: pytest.MonkeyPatch
+def test_subset_size_follows_from_sockets_and_list_length_from_memory(
+    sockets: int, memory_mb: int, subset_size: int, max_entries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    asked = []
-    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: asked.append(values) or AllSeen())
+    calls = []
+    monkeypatch.setattr(
+        proxy_module, "EndpointSubsetting", lambda *args: calls.append(args) or UnsubsettedList()
+    )
     monkeypatch.setattr(resources.resource, "getrlimit", lambda _: (1 << 20, 1 << 20))
 
-    async def job() -> None:
+    async def scenario() -> None:
         Proxy(replace(CONFIG, sockets=sockets, memory_mb=memory_mb)).close()
 
-    run(job())
-    assert asked == [(CONFIG.settings, view, most)]
+    run(scenario())
+    assert calls == [(CONFIG.settings, subset_size, max_entries)]
 
 
 @pytest.mark.parametrize("count", [3, 1000])
-def test_module_hears_what_the_view_shows_under_the_orders_that_lie_over_it(
+def test_policy_gets_the_subset_with_the_overlay_of_orders_applied(
     count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Of a list that is whole or in parts; nothing where nothing of it concerns the view."""
+    """For a list in one piece and for a staged one; an update that does not change the subset is not sent."""
 
-    class First(AllSeen):
-        """A view of one server, or of none."""
+    class FirstEndpointsList(UnsubsettedList):
+        """A subset of the first endpoint, or of none."""
 
         size = 1
 
-        def shown(
+        def subset_of(
             self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
         ) -> SubsetUpdate | None:
-            some = event.endpoints[: self.size]
-            addresses = {server.name: addresses[server.name] for server in some}
-            return SubsetUpdate(replace(event, endpoints=some), addresses) if some else None
+            subset = event.endpoints[: self.size]
+            addresses = {endpoint.name: addresses[endpoint.name] for endpoint in subset}
+            return SubsetUpdate(replace(event, endpoints=subset), addresses) if subset else None
 
         def apply(
             self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
         ) -> SubsetUpdate | None:
-            return self.shown(event, addresses)
+            return self.subset_of(event, addresses)
 
         def take_over(
             self, staged: StagedEndpoints, kind: EndpointListKind, version: int
         ) -> Generator[None, None, SubsetUpdate | None]:
-            seen = yield from super().take_over(staged, kind, version)
-            assert seen
-            return self.shown(seen.event, seen.addresses)
+            update = yield from super().take_over(staged, kind, version)
+            assert update
+            return self.subset_of(update.event, update.addresses)
 
-    lists = First()
-    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: lists)
+    endpoint_list = FirstEndpointsList()
+    monkeypatch.setattr(proxy_module, "EndpointSubsetting", lambda *args: endpoint_list)
 
-    async def job() -> None:
-        gate = asyncio.Event()
+    async def scenario() -> None:
+        send_second = asyncio.Event()
 
-        async def play(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(list_text(4, entries_text(count))))
-            await gate.wait()
-            writer.write(chunk(list_text(5, entries_text(count))))
+        async def script(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEAD + chunk(list_json(4, entries_json(count))))
+            await send_second.wait()
+            writer.write(chunk(list_json(5, entries_json(count))))
             await asyncio.Event().wait()
 
-        async with door_before(play) as (door, _):
-            assert door.endpoints.saved_list and door.endpoints.saved_list.event.endpoints[0].name == "s1"
-            heard: list[EndpointListReceived] = []
-            door.endpoints.overlay = lambda news: replace(news, sharing_proxies=7)
-            hear = door.endpoints.publish
-            door.endpoints.publish = lambda event, addresses: (heard.append(event), hear(event, addresses))  # type: ignore
-            await until(lambda: door.discovery.version == 4)
-            assert [[one.name for one in event.endpoints] for event in heard] == [["s-00000000"]]
-            assert heard[0].sharing_proxies == 7 and list(door.backends.pools) == ["s-00000000"]
-            lists.size = 0
-            gate.set()
-            await until(lambda: door.discovery.version == 5)
-            assert len(heard) == 1 and list(door.backends.pools) == ["s-00000000"]
-
-    run(job())
-
-
-def test_known_list_of_which_nothing_is_in_the_view_has_a_version_all_the_same(
+        async with proxy_with_discovery(script) as (proxy, _):
+            assert proxy.endpoints.saved_list and proxy.endpoints.saved_list.event.endpoints[0].name == "s1"
+            published: list[EndpointListReceived] = []
+            proxy.endpoints.overlay = lambda event: replace(event, sharing_proxies=7)
+            publish = proxy.endpoints.publish
+            proxy.endpoints.publish = lambda event, addresses: (
+                published.append(event),
+                publish(event, addresses),
+            )  # type: ignore
+            await until(lambda: proxy.discovery.version == 4)
+            assert [[endpoint.name for endpoint in event.endpoints] for event in published] == [
+                ["s-00000000"]
+            ]
+            assert published[0].sharing_proxies == 7 and list(proxy.backends.pools) == ["s-00000000"]
+            endpoint_list.size = 0
+            send_second.set()
+            await until(lambda: proxy.discovery.version == 5)
+            assert len(published) == 1 and list(proxy.backends.pools) == ["s-00000000"]
+
+    run(scenario())
+
+
+def test_saved_list_with_an_empty_subset_still_sets_the_version(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class Blind(AllSeen):
+    class EmptySubsetList(UnsubsettedList):
         def apply(
             self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
         ) -> SubsetUpdate | None:
             return None
 
-    monkeypatch.setattr(proxy, "EndpointSubsetting", lambda *values: Blind())
+    monkeypatch.setattr(proxy_module, "EndpointSubsetting", lambda *args: EmptySubsetList())
 
-    async def job() -> None:
-        async with door_before(says(HEAD)) as (door, _):
+    async def scenario() -> None:
+        async with proxy_with_discovery(sends(HEAD)) as (proxy, _):
             assert (
-                door.endpoints.saved_list is None and door.discovery.version == 3 and not door.backends.pools
+                proxy.endpoints.saved_list is None
+                and proxy.discovery.version == 3
+                and not proxy.backends.pools
             )
 
-    run(job())
+    run(scenario())
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -1,4 +1,4 @@
-"""An answer of discovery in turns of the loop: what comes at once is worked off in pieces, in its order."""
+"""The response of discovery in turns of the event loop: received data is processed in chunks and in order."""
 
 import asyncio
 import json
@@ -7,16 +7,16 @@
 import pytest
 
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps, WatchConnection
-from tests.discovery.fakes import entries_text, list_text
+from tests.discovery.fakes import entries_json, list_json
 from tests.races.wire import turns
 from tests.sockets import HEAD, chunk, run
 
-NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
-LONG = entries_text(5000)  # of about 1 MB
+HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
+LONG_ENTRIES = entries_json(5000)  # about 1 MB
 
 
-class Transport:
-    """Takes what is written; tells what was asked of it."""
+class FakeTransport:
+    """Ignores what is written; records whether reading is paused and the transport closed."""
 
     def __init__(self) -> None:
         self.reading, self.closing = True, False
@@ -39,153 +39,156 @@
         self.closing = True
 
 
-class Call:
-    """A call, with all that it told in its order."""
+class RecordedWatch:
+    """A connection that records its callbacks in order: objects, numbers of entries and "bytes"."""
 
-    def __init__(self, steps: Callable[[bytes], Steps | None] = lambda word: None) -> None:
-        self.told: list[object] = []
+    def __init__(self, steps: Callable[[bytes], Steps | None] = lambda received: None) -> None:
+        self.callbacks: list[object] = []
         self.steps = steps
         self.connection = WatchConnection(
             "/",
             "h",
-            self.word,
-            lambda begun: self.told.append("heard"),
-            lambda text: self.told.append(len(json.loads(text))),
+            self.on_object,
+            lambda response_started: self.callbacks.append("bytes"),
+            lambda text: self.callbacks.append(len(json.loads(text))),
         )
-        self.transport = Transport()
+        self.transport = FakeTransport()
         self.connection.connection_made(self.transport)  # type: ignore[arg-type]
-        self.say = self.connection.data_received
+        self.receive = self.connection.data_received
 
-    def word(self, word: bytes) -> Steps | None:
-        self.told.append(word)
-        return self.steps(word)
+    def on_object(self, received: bytes) -> Steps | None:
+        self.callbacks.append(received)
+        return self.steps(received)
 
     @property
-    def words(self) -> list[object]:
-        return [one for one in self.told if one != "heard"]
+    def received(self) -> list[object]:
+        """Objects, empty lines and numbers of extracted entries."""
+        return [callback for callback in self.callbacks if callback != "bytes"]
 
-    async def all_read(self) -> None:
+    async def until_processed(self) -> None:
         while self.connection.is_processing or self.connection.turn_scheduled:
             await asyncio.sleep(0)
 
 
-def test_what_comes_in_one_chunk_is_read_in_turns_with_others_between_them() -> None:
-    async def job() -> None:
-        call, others = Call(), 0
-        call.say(HEAD + chunk(list_text(4, LONG)))
+def test_long_response_is_processed_in_turns_with_other_callbacks_between() -> None:
+    async def scenario() -> None:
+        watch, other_turns = RecordedWatch(), 0
+        watch.receive(HEAD + chunk(list_json(4, LONG_ENTRIES)))
         assert (
-            call.told.count("heard") == 1 and not call.transport.reading and call.connection.has_unread_data()
+            watch.callbacks.count("bytes") == 1
+            and not watch.transport.reading
+            and watch.connection.has_unread_data()
         )
-        while call.connection.is_processing:
-            before = call.told.count("heard")
-            await asyncio.sleep(0)  # another callback's turn
-            others += 1
-            assert call.told.count("heard") <= before + 1
-        pieces = -(-(len(LONG)) // CHUNK_BYTES)
-        assert pieces - 1 <= others <= pieces + 1 and not call.transport.reading
-        await call.all_read()
-        assert call.transport.reading  # not in the same turn as the last piece
-        assert sum(one for one in call.words if isinstance(one, int)) < 5000
-        assert max(one for one in call.words if isinstance(one, int)) < 700
+        while watch.connection.is_processing:
+            before = watch.callbacks.count("bytes")
+            await asyncio.sleep(0)  # the turn of another callback
+            other_turns += 1
+            assert watch.callbacks.count("bytes") <= before + 1
+        chunk_count = -(-(len(LONG_ENTRIES)) // CHUNK_BYTES)
+        assert chunk_count - 1 <= other_turns <= chunk_count + 1 and not watch.transport.reading
+        await watch.until_processed()
+        assert watch.transport.reading  # resumed one turn after the last chunk
+        assert sum(count for count in watch.received if isinstance(count, int)) < 5000
+        assert max(count for count in watch.received if isinstance(count, int)) < 700
 
-    run(job())
+    run(scenario())
 
 
-def test_short_answers_are_read_as_they_come() -> None:
-    async def job() -> None:
-        call = Call()
-        call.say(HEAD + chunk(list_text(4, entries_text(100))))
-        assert len(call.words) == 2 and call.transport.reading and not call.connection.is_processing
+def test_short_response_is_processed_as_it_is_received() -> None:
+    async def scenario() -> None:
+        watch = RecordedWatch()
+        watch.receive(HEAD + chunk(list_json(4, entries_json(100))))
+        assert len(watch.received) == 2 and watch.transport.reading and not watch.connection.is_processing
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize("lost", [True, False])
-def test_end_that_comes_while_pieces_wait_is_heard_of_behind_them(lost: bool) -> None:
-    """An answer with no length ends with its stream; what it holds is whole only then."""
+def test_end_of_stream_is_processed_after_pending_chunks(lost: bool) -> None:
+    """A response without a length ends with its stream, and only then is its last object complete."""
 
-    async def job() -> None:
-        call = Call()
-        call.say(NO_LENGTH + list_text(4, LONG) + b'{"generation":5}')
-        call.connection.eof_received()
+    async def scenario() -> None:
+        watch = RecordedWatch()
+        watch.receive(HEAD_WITHOUT_LENGTH + list_json(4, LONG_ENTRIES) + b'{"generation":5}')
+        watch.connection.eof_received()
         if lost:
-            call.connection.connection_lost(None)
-        assert not call.connection.finished.done()
-        await call.all_read()
-        assert call.words[-1] == b'{"generation":5}' and call.connection.closed
-        assert call.connection.finished.done() is lost
+            watch.connection.connection_lost(None)
+        assert not watch.connection.finished.done()
+        await watch.until_processed()
+        assert watch.received[-1] == b'{"generation":5}' and watch.connection.closed
+        assert watch.connection.finished.done() is lost
 
-    run(job())
+    run(scenario())
 
 
-def test_reset_is_no_end_and_comes_behind_what_waits() -> None:
-    async def job() -> None:
-        call = Call()
-        call.say(NO_LENGTH + list_text(4, LONG) + b'{"generation":5}\n{"generation":6')
-        call.connection.connection_lost(ConnectionResetError())
-        await call.all_read()
+def test_connection_reset_takes_effect_after_pending_chunks() -> None:
+    async def scenario() -> None:
+        watch = RecordedWatch()
+        watch.receive(HEAD_WITHOUT_LENGTH + list_json(4, LONG_ENTRIES) + b'{"generation":5}\n{"generation":6')
+        watch.connection.connection_lost(ConnectionResetError())
+        await watch.until_processed()
         await turns()
-        assert call.words[-2:] == [b'{"generation":5}', b""] and call.connection.finished.done()
+        assert watch.received[-2:] == [b'{"generation":5}', b""] and watch.connection.finished.done()
 
-    run(job())
+    run(scenario())
 
 
-def test_our_own_close_drops_what_waits_at_once() -> None:
-    async def job() -> None:
-        call = Call()
-        call.say(HEAD + chunk(list_text(4, LONG)))
-        told = list(call.told)
-        call.connection.close()
+def test_close_drops_pending_chunks_immediately() -> None:
+    async def scenario() -> None:
+        watch = RecordedWatch()
+        watch.receive(HEAD + chunk(list_json(4, LONG_ENTRIES)))
+        callbacks = list(watch.callbacks)
+        watch.connection.close()
         assert (
-            not call.connection.is_processing
-            and not call.connection.pending_chunks
-            and call.transport.closing
+            not watch.connection.is_processing
+            and not watch.connection.pending_chunks
+            and watch.transport.closing
         )
         await turns()
-        assert call.told == told
-        call.connection.connection_lost(None)
-        assert call.connection.finished.done()
+        assert watch.callbacks == callbacks
+        watch.connection.connection_lost(None)
+        assert watch.connection.finished.done()
 
-    run(job())
+    run(scenario())
 
 
-def test_close_while_a_lost_connections_pieces_wait_ends_the_call() -> None:
-    """Else whoever waits for its end would wait for ever."""
+def test_close_after_a_lost_connection_with_pending_chunks_resolves_finished() -> None:
+    """Otherwise the task that awaits `finished` would wait forever."""
 
-    async def job() -> None:
-        call = Call()
-        call.say(HEAD + chunk(list_text(4, LONG)))
-        call.connection.connection_lost(None)
-        call.connection.close()
-        assert call.connection.finished.done()
+    async def scenario() -> None:
+        watch = RecordedWatch()
+        watch.receive(HEAD + chunk(list_json(4, LONG_ENTRIES)))
+        watch.connection.connection_lost(None)
+        watch.connection.close()
+        assert watch.connection.finished.done()
 
-    run(job())
+    run(scenario())
 
 
-def test_steps_of_an_object_go_before_what_came_behind_it_one_a_turn() -> None:
-    async def job() -> None:
-        def steps(word: bytes) -> Steps | None:
-            def some() -> Steps:
+def test_steps_of_an_object_run_one_per_turn_before_later_data() -> None:
+    async def scenario() -> None:
+        def steps(received: bytes) -> Steps | None:
+            def three_steps() -> Steps:
                 for number in range(3):
-                    call.told.append(f"step {number}")
+                    watch.callbacks.append(f"step {number}")
                     yield
 
-            return some() if b"4" in word else None
+            return three_steps() if b"4" in received else None
 
-        call = Call(steps)
-        call.say(HEAD + chunk(b'{"v":4}\n{"v":5}\n'))  # in one short chunk
-        call.say(chunk(b'{"v":6}\n'))
-        seen = []
-        while call.connection.is_processing:
-            seen.append(len(call.told))
-            assert call.connection.has_unread_data() and not call.transport.reading
+        watch = RecordedWatch(steps)
+        watch.receive(HEAD + chunk(b'{"v":4}\n{"v":5}\n'))  # in one short chunk
+        watch.receive(chunk(b'{"v":6}\n'))
+        callback_counts = []
+        while watch.connection.is_processing:
+            callback_counts.append(len(watch.callbacks))
+            assert watch.connection.has_unread_data() and not watch.transport.reading
             await asyncio.sleep(0)
-        assert seen[:4] == [1, 2, 3, 4]
-        await call.all_read()
-        said = [b'{"v":4}', "step 0", "step 1", "step 2", b"", b'{"v":5}', b"", b'{"v":6}', b""]
-        assert call.words == said and call.transport.reading
+        assert callback_counts[:4] == [1, 2, 3, 4]
+        await watch.until_processed()
+        expected = [b'{"v":4}', "step 0", "step 1", "step 2", b"", b'{"v":5}', b"", b'{"v":6}', b""]
+        assert watch.received == expected and watch.transport.reading
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -193,20 +196,20 @@
     [
         (ValueError("odd"), "malformed watch response: odd"),
         (ZeroDivisionError(), "malformed watch response"),
-        (RuntimeError("a fault of ours"), "a fault of ours"),
+        (RuntimeError("unexpected exception"), "unexpected exception"),
     ],
 )
-def test_error_in_a_step_costs_the_connection(
+def test_exception_in_a_step_is_logged_and_closes_the_connection(
     error: Exception, line: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def job() -> None:
-        def steps(word: bytes) -> Steps:
+    async def scenario() -> None:
+        def steps(received: bytes) -> Steps:
             yield
             raise error
 
-        call = Call(steps)
-        call.say(HEAD + chunk(b'{"v":4}{"v":5}'))
-        await call.all_read()
-        assert call.transport.closing and call.words == [b'{"v":4}'] and line in caplog.text
+        watch = RecordedWatch(steps)
+        watch.receive(HEAD + chunk(b'{"v":4}{"v":5}'))
+        await watch.until_processed()
+        assert watch.transport.closing and watch.received == [b'{"v":4}'] and line in caplog.text
 
-    run(job())
+    run(scenario())
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -17,7 +17,7 @@
 from molereach.proxy.config_file import load, load_in_steps, reload
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
-from tests.discovery.fakes import entries_text
+from tests.discovery.fakes import entries_json
 from tests.races.wire import until
 from tests.sockets import (
     CUSTOMER,
@@ -55,11 +55,11 @@
 def test_long_file_is_that_of_its_short_form_but_for_the_known_list_in_parts(
     tmp_path: Path, first: bool
 ) -> None:
-    short = load(env_of(tmp_path, long_text(entries_text(3), first)))
-    long = load(env_of(tmp_path, long_text(entries_text(COUNT), first)))
+    short = load(env_of(tmp_path, long_text(entries_json(3), first)))
+    long = load(env_of(tmp_path, long_text(entries_json(COUNT), first)))
     assert long.known["generation"] == 4 and not short.known_entry_lists
     listed = [one for part in long.known_entry_lists for one in json.loads(part)] + long.known["instances"]
-    assert listed == json.loads(b"[%b]" % entries_text(COUNT))
+    assert listed == json.loads(b"[%b]" % entries_json(COUNT))
     assert max(map(len, long.known_entry_lists)) < 1 << 17
     assert [getattr(long, name) for name in ("settings", "listen", "peers", "sockets")] == [
         getattr(short, name) for name in ("settings", "listen", "peers", "sockets")
@@ -67,7 +67,7 @@
 
 
 def test_long_file_is_read_in_short_steps_and_a_reload_holds_no_part(tmp_path: Path) -> None:
-    env = env_of(tmp_path, text := long_text(entries_text(COUNT)))
+    env = env_of(tmp_path, text := long_text(entries_json(COUNT)))
     assert sum(1 for _ in load_in_steps(env)) == -(-len(text) // reader.READ_CHUNK_BYTES)
     assert not reload(env).known_entry_lists
 
@@ -79,17 +79,17 @@
         (b'{"a":1}' + b" " * (1 << 18) + b"{}", "cannot read the configuration: more than one object"),
         (b'{"a":1}' + b" " * (1 << 18) + b'{"a":', "cannot read the configuration: the file ends within"),
         (
-            long_text(entries_text(COUNT))[:-9],
+            long_text(entries_json(COUNT))[:-9],
             "cannot read the configuration: the file ends within an object",
         ),
         (b" " * (1 << 19), "cannot read the configuration: no object"),
         (b"[" * (1 << 19), "cannot read the configuration: no object"),
         (
-            long_text(entries_text(COUNT)).replace(b'"seed": ', b'"seed": x'),
+            long_text(entries_json(COUNT)).replace(b'"seed": ', b'"seed": x'),
             "cannot read the configuration: Expect",
         ),
-        (long_text(entries_text(COUNT), seed="xyz"), "seed: is 'xyz', which is no hexadecimal number"),
-        (long_text(entries_text(COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
+        (long_text(entries_json(COUNT), seed="xyz"), "seed: is 'xyz', which is no hexadecimal number"),
+        (long_text(entries_json(COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
     ],
 )
 def test_long_file_that_is_wrong_is_one_line(tmp_path: Path, text: bytes, said: str) -> None:
@@ -101,7 +101,7 @@
 
 def test_long_file_is_held_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Of its known list only the text, and at the start no more than one part of it as objects."""
-    env = env_of(tmp_path, long_text(entries_text(COUNT)))
+    env = env_of(tmp_path, long_text(entries_json(COUNT)))
     parsed, loads = [0], json.loads
     monkeypatch.setattr(json, "loads", lambda text: parsed.append(len(text)) or loads(text))
     found = load(env)
@@ -148,7 +148,7 @@
 def test_known_list_that_is_wrong_within_does_not_keep_it_from_a_start(
     tmp_path: Path, wrong: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    entries = entries_text(COUNT) + b"," + wrong + b"," + entries_text(COUNT)
+    entries = entries_json(COUNT) + b"," + wrong + b"," + entries_json(COUNT)
     found = load(env_of(tmp_path, long_text(entries)))
 
     async def job() -> None:
@@ -169,7 +169,7 @@
 def test_known_list_over_the_memory_bound_is_refused_with_a_line(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    found = load(env_of(tmp_path, long_text(entries_text(COUNT), limits={"sockets": 512, "memory_mb": 1})))
+    found = load(env_of(tmp_path, long_text(entries_json(COUNT), limits={"sockets": 512, "memory_mb": 1})))
 
     async def job() -> None:
         door = Proxy(found)
@@ -186,7 +186,7 @@
 def moved(path: Path, count: int, port: int) -> None:
     """The file is replaced by one with another address of discovery."""
     new = path / "new.json"
-    new.write_bytes(long_text(entries_text(count), discovery=f"{HOST}:{port}"))
+    new.write_bytes(long_text(entries_json(count), discovery=f"{HOST}:{port}"))
     new.rename(path / "config.json")
 
 
@@ -223,7 +223,7 @@
 def test_reload_of_a_long_file_that_is_wrong_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    env = env_of(tmp_path, long_text(entries_text(COUNT))[:-1])
+    env = env_of(tmp_path, long_text(entries_json(COUNT))[:-1])
     monkeypatch.setitem(os.environ, "PROXY_CONFIG", env["PROXY_CONFIG"])
 
     async def job() -> None:
@@ -247,7 +247,7 @@
     async def job() -> None:
         backend = Backend()
         own = json.dumps(entry("s-own", await backend.start())).encode()
-        others = entries_text(20_000).replace(b"SERVING", b"DRAINING")
+        others = entries_json(20_000).replace(b"SERVING", b"DRAINING")
         body = b'{"generation":9,"reset":true,"instances":[%b,%b]}\n' % (own, others)
         begun, at_end, done = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
--- a/tests/sim/test_loopback.py
+++ b/tests/sim/test_loopback.py
@@ -29,7 +29,7 @@
     "test_nothing_is_written_to_an_address_that_was_retired_while_connecting": "the same",
     "test_what_comes_behind_an_answer_never_answers_the_next_request": "writes to a doubled descriptor",
     "test_answers_that_nobody_reads_end_the_connection": "sets the size of the kernel's buffers",
-    "test_peers_words_arrive_and_strangers_are_dropped": "sends from a raw datagram socket",
+    "test_gossip_of_peers_is_received_and_other_datagrams_are_dropped": "sends from a raw datagram socket",
     "test_burst_of_connections_stays_within_the_bound": "300 raw sockets connect within one turn",
     "test_silence_or_a_reset_puts_idle_connections_in_doubt": "counts on the time that answers take",
 }
@@ -40,7 +40,7 @@
     found = []
     for module in MODULES:
         for name, test in vars(module).items():
-            if not name.startswith("test_") or "run(job())" not in inspect.getsource(test):
+            if not name.startswith("test_") or "    run(" not in inspect.getsource(test):
                 continue
             parameters = set(inspect.signature(test).parameters)
             if parameters - {"monkeypatch", "caplog"} or hasattr(test, "pytestmark"):
