--- a/benchmarks/touches.py
+++ b/benchmarks/touches.py
@@ -7,7 +7,7 @@
 from bisect import bisect_left
 from collections.abc import Callable
 
-from molereach.subsetting.idempotency_groups import SUBSTITUTES, IdempotencyGroups
+from molereach.subsetting.idempotency_groups import SUBSTITUTE_COUNT, IdempotencyGroups
 from molereach.subsetting.packed_records import name_of
 from molereach.subsetting.placement import distance_behind
 from molereach.subsetting.subset import EndpointIndex, Subset
@@ -39,4 +39,4 @@
     """The places of the ones before it in its group, of which `IdempotencyGroups.substitutes` yields it."""
     places = groups.positions_by_scope[groups.scope_of(record)]
     at = bisect_left(places, place)
-    return [places[at - step] for step in range(1, 1 + min(SUBSTITUTES, len(places) - 1))]
+    return [places[at - step] for step in range(1, 1 + min(SUBSTITUTE_COUNT, len(places) - 1))]
--- a/molereach/subsetting/__init__.py
+++ b/molereach/subsetting/__init__.py
@@ -1,4 +1,4 @@
-"""A long endpoint list: all of it in few bytes, and the bounded subset that a front door uses. Cores.
+"""Long endpoint lists: compact storage of the full list, and the subset of it that a proxy uses. No I/O.
 
 In reading order: `interface`, `placement`, `packed_records`, `ring`, `idempotency_groups`, `subset`,
 `entry_budget`, `staging`, `takeover_overlay`, `endpoint_subsetting`.
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -1,8 +1,9 @@
-"""The endpoint list as it arrives, and what the policy sees of it: a short list, or a subset of a long one.
+"""The endpoint list of discovery, reported to the policy as a whole if it is short, else as a subset.
 
-A list is long from twice the subset's size on, and short again at the subset's size, so that a list near a
-bound does not change its state with every backend. What leaves the subset, also to drain, is reported as
-gone: attempts there end as they do on any backend that is removed. A core.
+A list becomes long when it has more than twice as many entries as the subset, and short again when it has no
+more than the subset. With this hysteresis, a list near a limit does not change between the two with every
+backend. A backend that leaves the subset, also because it drains, is reported as removed, so attempts on it
+end as on any removed backend. No I/O.
 """
 
 from collections.abc import Generator, Mapping, Sequence
@@ -24,9 +25,9 @@
 from molereach.subsetting.subset import EndpointIndex, Subset
 from molereach.subsetting.takeover_overlay import TakeoverOverlay
 
-LONG_LIST_FACTOR = 2  # times the subset's size: from there on a list is long
+LONG_LIST_FACTOR = 2  # a list becomes long above this multiple of the subset's size
 FULL_LIST_KINDS = (EndpointListKind.FULL, EndpointListKind.SAVED)
-CHANGE_HEADROOM_ENTRIES = 2 * STEP_ENTRIES  # beyond the bound, between the steps of changes to a list
+CHANGE_HEADROOM_ENTRIES = 2 * STEP_ENTRIES  # a list may exceed its limit between the steps of changes to it
 MAX_SHOWN_NAME_BYTES = 80
 
 Steps = Generator[None, None, SubsetUpdate | None]
@@ -35,15 +36,15 @@
 
 
 class EndpointSubsetting:
-    """The complete list and the subset of it that the policy sees."""
+    """The full list and the subset of it that is reported to the policy."""
 
     def __init__(self, settings: Settings, subset_size: int, max_entries: int) -> None:
-        """`subset_size` is that of the subset, `max_entries` what the complete list may have."""
+        """`subset_size`: minimum size of the subset; `max_entries`: maximum length of the full list."""
         self.proxy_count = settings.proxy_count
         self.subset_size = subset_size
         self.max_entries = max_entries
         self.scope_keys = scope_keys(settings)
-        self.short_list: ShortList | None = {}  # None: the list is long, and is in `index`
+        self.short_list: ShortList | None = {}  # None if the list is long; it is then in `index`
         self.budget = EntryBudget(MAX_LIST_COPIES * max_entries + CHANGE_HEADROOM_ENTRIES)
         self.index = self.new_index()
         self.subset = Subset(
@@ -51,27 +52,27 @@
             min_subset_distance(settings.proxy_index, settings.proxy_count),
             subset_size,
         )
-        self.reported: dict[bytes, bytes] = {}  # members of the subset by name, as the policy has them
-        self.is_stale = False  # the subset has to be selected anew
+        self.reported: dict[bytes, bytes] = {}  # members of the subset by name, as reported to the policy
+        self.is_stale = False  # whether the subset has to be selected again
         self.overlay = TakeoverOverlay(self.stage)
 
     @property
     def count(self) -> int:
-        """Entries of the complete list."""
+        """Number of entries of the full list."""
         return self.index.ring.count if self.short_list is None else len(self.short_list)
 
     def new_index(self) -> EndpointIndex:
-        """An empty list whose entries count against the budget."""
+        """Create an empty index whose entries count against the budget."""
         return self.budget.track(EndpointIndex(self.scope_keys))
 
     def stage(self) -> Staging:
-        """Begin a list that arrives in pieces."""
+        """Create the staging for a list that is received in parts."""
         return self.budget.track(Staging(self.max_entries, self.budget))
 
     def apply(
         self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
     ) -> SubsetUpdate | None:
-        """Apply a list or changes that arrived in one piece, and so have few entries."""
+        """Apply a full list, or changes, received in one part, and so with few entries."""
         if event.kind is EndpointListKind.FAILED:
             return SubsetUpdate(event, {})
         if self.short_list is not None:
@@ -87,7 +88,7 @@
         return run_to_end(self.take_over(staged, event.kind, event.version))
 
     def take_over(self, staged: StagedEndpoints, kind: EndpointListKind, version: int) -> Steps:
-        """Apply a staged list in short steps; what the policy has stays in force until the last one."""
+        """Apply a staged list, or staged changes, in short steps; the last one reports to the policy."""
         assert isinstance(staged, Staging)
         if kind in FULL_LIST_KINDS:
             yield from self.replace_index(staged)
@@ -96,11 +97,11 @@
         was_short = self.short_list is not None
         self.short_list = None
         if self.index.ring.count <= self.subset_size * (LONG_LIST_FACTOR if was_short else 1):
-            return self.become_short(kind, version)
-        return self.report(kind, version, was_short)
+            return self.report_short_list(kind, version)
+        return self.report_subset(kind, version, was_short)
 
     def replace_index(self, staged: Staging) -> Generator[None, None, None]:
-        """Build a new index of a full list, and put it in place of the one in service."""
+        """Build a new index from a full list, and replace the current one with it."""
         index = self.new_index()
         recording = self.overlay.begin()
         yield from self.build_index(index, staged)
@@ -108,11 +109,12 @@
         replaced = self.index
         self.index = index
         self.is_stale = True
-        if self.short_list is None:  # before the update is reported: who stops here has reported nothing
+        # Released before the update is reported: if the caller stops here, nothing counts as reported.
+        if self.short_list is None:
             yield from replaced.ring.release()
 
     def change_index(self, staged: Staging) -> Generator[None, None, None]:
-        """Apply changes to the index, which is built first where the list was short."""
+        """Apply changes to the index, which is built first if the list was short."""
         if self.short_list is not None:
             self.index = self.new_index()
             self.is_stale = True
@@ -120,29 +122,29 @@
         yield from self.apply_changes(staged)
 
     def stage_short_list(self, short_list: ShortList) -> Staging:
-        """The entries of a short list, packed."""
+        """Stage the entries of a short list."""
         staged = Staging(self.max_entries)
         for endpoint, address in short_list.values():
             staged.append(entry_of(endpoint, address))
         return staged
 
     def build_index(self, index: EndpointIndex, staged: Staging) -> Generator[None, None, None]:
-        """Fill an index with a full list.
+        """Add the entries of a full list to an empty index, in steps.
 
-        Raises EndpointListError where the list names a backend twice, as nobody knows which entry holds.
+        Raises EndpointListError if the list names a backend twice, as either entry may be the right one.
         """
         for entries in staged.consume_slices():
             for position, record, is_removed in entries:
                 if not is_removed and index.put(position, record) is not None:
-                    shown = name_of(record)[:MAX_SHOWN_NAME_BYTES]
-                    raise EndpointListError(f"the whole list names a server twice: {shown!r}")
+                    shown_name = name_of(record)[:MAX_SHOWN_NAME_BYTES]
+                    raise EndpointListError(f"the whole list names a server twice: {shown_name!r}")
             yield
 
     def apply_changes(self, staged: Staging) -> Generator[None, None, None]:
-        """Apply changes to the index in steps; raises EndpointListError where the list becomes too long.
+        """Apply changes to the index in steps; raises EndpointListError if the list becomes too long.
 
-        Each change is true by itself: where not all of them are applied, the next call brings them again. An
-        addition may stand before a removal, so the list is counted at the end of a step.
+        Each change is valid by itself: if not all are applied, the next request receives them again. Removals
+        may follow additions, so the length of the list is checked only at the end of each step.
         """
         index = self.index
         subset = self.subset
@@ -157,8 +159,8 @@
             if staged.slices:
                 yield
 
-    def become_short(self, kind: EndpointListKind, version: int) -> SubsetUpdate:
-        """Keep the list as a short one from now on, and report all of it."""
+    def report_short_list(self, kind: EndpointListKind, version: int) -> SubsetUpdate:
+        """Store the list as a short one from now on, and report all of it."""
         listed = [unpack(record) for record in self.index.ring]
         self.short_list = {endpoint.name: (endpoint, address) for endpoint, address in listed}
         self.index = self.new_index()
@@ -166,8 +168,8 @@
         self.is_stale = False
         return subset_update(full_kind(kind), version, listed)
 
-    def report(self, kind: EndpointListKind, version: int, was_short: bool) -> SubsetUpdate | None:
-        """The subset, or what has changed of it; None where nothing has."""
+    def report_subset(self, kind: EndpointListKind, version: int, was_short: bool) -> SubsetUpdate | None:
+        """Report the subset, or the changes to it; None if there are none."""
         is_full = was_short or kind in FULL_LIST_KINDS
         if not (self.is_stale or is_full):
             return None
@@ -176,7 +178,7 @@
             self.is_stale = False
         before = self.reported
         self.reported = self.subset.members
-        if before is self.reported and not was_short:  # nothing in the subset changed: it is not searched
+        if before is self.reported and not was_short:  # not selected again, so there is nothing to compare
             return None
         if is_full:
             members = [unpack(record) for record in self.reported.values()]
@@ -185,13 +187,13 @@
         return subset_update(kind, version, changes, self.sharing_proxies()) if changes else None
 
     def sharing_proxies(self) -> int:
-        """How many proxies have each backend in their subsets, on average."""
+        """Average number of proxies that have a backend in their subsets."""
         up = max(1, self.index.ring.up)
         mean = round(self.proxy_count * len(self.reported) / up)
         return min(self.proxy_count, max(MIN_PROXIES_PER_BACKEND, mean))
 
     def member_changes(self, before: Mapping[bytes, bytes]) -> list[AddressedEndpoint]:
-        """The members that left the subset, as gone, then those that joined it or changed."""
+        """The members that left the subset, as removed, then those that joined it or changed."""
         removed = [
             removed_endpoint(unpack(record)[0])
             for name, record in before.items()
@@ -202,14 +204,14 @@
 
 
 def full_kind(kind: EndpointListKind) -> EndpointListKind:
-    """The kind under which a full list is reported."""
+    """The kind with which a full list is reported."""
     return kind if kind in FULL_LIST_KINDS else EndpointListKind.FULL
 
 
 def apply_to_short_list(
     short_list: ShortList, endpoints: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]
 ) -> None:
-    """Apply changes to a short list; a backend keeps its address where a change names none."""
+    """Apply changes to a short list; a backend keeps its address if a change has none."""
     for endpoint in endpoints:
         before = short_list.pop(endpoint.name, None)
         if endpoint.state is not EndpointState.REMOVED:
@@ -217,7 +219,7 @@
 
 
 def removed_endpoint(endpoint: Endpoint) -> AddressedEndpoint:
-    """The entry that reports an endpoint as gone."""
+    """The entry that reports an endpoint as removed."""
     removed = Endpoint(
         endpoint.name,
         endpoint.zone,
@@ -233,14 +235,14 @@
 def subset_update(
     kind: EndpointListKind, version: int, listed: Sequence[AddressedEndpoint], sharing_proxies: int = 0
 ) -> SubsetUpdate:
-    """An update of these endpoints, with the addresses that are known."""
+    """An update with these endpoints and their known addresses."""
     endpoints = tuple(endpoint for endpoint, _ in listed)
     event = EndpointListReceived(kind, version, endpoints, sharing_proxies)
     return SubsetUpdate(event, {endpoint.name: address for endpoint, address in listed if address})
 
 
 def run_to_end(steps: Steps) -> SubsetUpdate | None:
-    """All steps at once, for a list of few entries."""
+    """Run all steps at once, for a list of few entries."""
     while True:
         try:
             next(steps)
--- a/molereach/subsetting/idempotency_groups.py
+++ b/molereach/subsetting/idempotency_groups.py
@@ -1,8 +1,8 @@
-"""Backends that can substitute each other: those of a cell or zone within which repeats are dropped. A core.
+"""Groups of backends that can substitute each other: those of one deduplication scope, a zone or cell.
 
-A request with an idempotency key that may have run is retried within its deduplication scope alone. So a
-subset that holds one backend of a group holds the next ones as well, in the order of their positions, round
-the group.
+A request with an idempotency key that may have been executed is retried only within its deduplication scope.
+A subset that has a backend of a group therefore also has the next ones of the group, in the order of their
+positions, from the last on to the first. No I/O.
 """
 
 from array import array
@@ -12,14 +12,14 @@
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, Settings
 from molereach.subsetting.packed_records import cell_of, zone_of
 
-SUBSTITUTES = 2  # of each backend in a subset, for each kind of group: enough for two retries
+SUBSTITUTE_COUNT = 2  # for each member of a subset and each kind of group: enough for two retries
 
 ScopeKey = Callable[[bytes], int]
-"""The number of the zone or cell of a record."""
+"""Returns the number of the zone or cell of a record."""
 
 
 class IdempotencyGroups:
-    """The positions of backends that are up, by zone or by cell."""
+    """The sorted positions of backends that are up, by zone or by cell."""
 
     __slots__ = ("positions_by_scope", "scope_of")
 
@@ -45,15 +45,15 @@
             del self.positions_by_scope[scope]
 
     def substitutes(self, position: int, record: bytes) -> Iterator[int]:
-        """The positions of the backends next after one in its group."""
+        """The positions of the next backends after one in its group."""
         positions = self.positions_by_scope[self.scope_of(record)]
-        after = bisect_right(positions, position)
-        for step in range(min(SUBSTITUTES, len(positions) - 1)):
-            yield positions[(after + step) % len(positions)]
+        next_index = bisect_right(positions, position)
+        for step in range(min(SUBSTITUTE_COUNT, len(positions) - 1)):
+            yield positions[(next_index + step) % len(positions)]
 
 
 def scope_keys(settings: Settings) -> list[ScopeKey]:
-    """The kinds of groups, zones and cells, to which some request class binds its retries."""
+    """Keys of the kinds of groups, zones or cells, to which some request class restricts its retries."""
     scopes = {
         request_class.deduplication_scope
         for request_class in settings.classes
--- a/molereach/subsetting/interface.py
+++ b/molereach/subsetting/interface.py
@@ -1,6 +1,6 @@
-"""What discovery and the proxy use of subsetting: an endpoint list, staged entries, updates of the subset.
+"""Interface of subsetting for discovery and the proxy: endpoint list, staged entries, updates of the subset.
 
-A list that is no longer than the subset passes through unchanged: the same events come out as went in.
+A short list is passed through unchanged: the policy gets the same events as were received.
 """
 
 from collections.abc import Generator, Mapping, Sequence
@@ -12,11 +12,11 @@
 
 
 class EndpointListError(ValueError):
-    """An endpoint list that cannot be applied. The text is one line; the list in service stays in force."""
+    """An endpoint list cannot be applied; the current one stays in use. The message is a single line."""
 
 
 class EntryBudgetExceededError(EndpointListError):
-    """Other lists use up the memory for entries; there may be enough once one of them is released."""
+    """Other lists use the memory for entries; there may be enough once one of them has been released."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,13 +28,13 @@
 
 
 class StagedEndpoints(Protocol):
-    """Entries of one list that arrives in pieces; none of them is in force before the list is taken over."""
+    """Entries of one list that is received in parts; they are not in use until the list is taken over."""
 
-    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
-        """Add the entries of the next piece.
+    def add(self, endpoints: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
+        """Add the entries of the next part.
 
-        Raises EndpointListError where the list would exceed its own bound, EntryBudgetExceededError where
-        other lists use the memory just now. In both cases nothing of the piece was added.
+        Raises EndpointListError if the list would exceed its maximum length, and EntryBudgetExceededError if
+        other lists use the memory at present. In both cases no entry of the part is added.
         """
 
 
@@ -42,18 +42,18 @@
     """The complete endpoint list, and the subset of it that the policy sees."""
 
     def stage(self) -> StagedEndpoints:
-        """Begin a list of which a first piece has arrived."""
+        """Create the staging for a list that is received in parts."""
 
     def apply(
         self, event: EndpointListReceived, addresses: Mapping[str, EndpointAddress]
     ) -> SubsetUpdate | None:
-        """Apply a list or changes that arrived in one piece; None where the subset does not change."""
+        """Apply a full list, or changes, received in one part; returns None if the subset does not change."""
 
     def take_over(
         self, staged: StagedEndpoints, kind: EndpointListKind, version: int
     ) -> Generator[None, None, SubsetUpdate | None]:
-        """Apply a staged list in steps, each short enough for one turn of the event loop.
+        """Apply a staged list, or staged changes, in steps short enough for one turn of the event loop each.
 
-        The list before stays in force until the last step. Raises EndpointListError where it cannot be
-        applied.
+        The policy keeps the previous subset until the last step. Raises EndpointListError if the list cannot
+        be applied.
         """
--- a/molereach/subsetting/staging.py
+++ b/molereach/subsetting/staging.py
@@ -1,7 +1,7 @@
-"""Entries of one list that arrives in pieces, packed as they arrive. A core.
+"""Entries of one list that is received in parts; each is packed on arrival. No I/O.
 
-The entries are in slices that are released one by one: to free 100,000 of them at once, or to have the
-garbage collector look through one object for each, would block the event loop.
+The entries are kept in slices that are released one at a time. To free 100,000 entries at once would block
+the event loop, and so would a garbage collection that has to traverse one object for each entry.
 """
 
 from array import array
@@ -16,76 +16,76 @@
 from molereach.subsetting.packed_records import encode_name, pack
 from molereach.subsetting.placement import backend_position
 
-STEP_ENTRIES = 500  # taken over in one turn of the event loop: some milliseconds
+STEP_ENTRIES = 500  # processed in one turn of the event loop: some milliseconds
 
 
 class StagedEntry(NamedTuple):
-    """One entry: its position, its record or, where it is removed, its encoded name."""
+    """One entry: its position, and its record, or its encoded name if it is a removal."""
 
     position: int
     record: bytes
     is_removed: bool
 
 
-def entry_of(server: Endpoint, address: EndpointAddress | None) -> StagedEntry:
-    """The entry of an endpoint; raises EndpointListError where it fits no record."""
-    name = encode_name(server.name)
-    if server.state is EndpointState.REMOVED:
+def entry_of(endpoint: Endpoint, address: EndpointAddress | None) -> StagedEntry:
+    """The entry for an endpoint; raises EndpointListError if it does not fit into a record."""
+    name = encode_name(endpoint.name)
+    if endpoint.state is EndpointState.REMOVED:
         return StagedEntry(backend_position(name), name, True)
-    return StagedEntry(backend_position(name), pack(server, address, name), False)
+    return StagedEntry(backend_position(name), pack(endpoint, address, name), False)
 
 
 class EntrySlice:
-    """Some entries, by column; those that are removed are in `removed_numbers` by their index."""
+    """Some entries, stored by column; `removed_indexes` has the indexes of removals."""
 
-    __slots__ = ("positions", "records", "removed_numbers")
+    __slots__ = ("positions", "records", "removed_indexes")
 
     def __init__(self) -> None:
         self.positions = array("Q")
         self.records = list[bytes]()
-        self.removed_numbers = set[int]()
+        self.removed_indexes = set[int]()
 
     def append(self, position: int, record: bytes, is_removed: bool) -> None:
         """Add an entry at the end."""
         if is_removed:
-            self.removed_numbers.add(len(self.records))
+            self.removed_indexes.add(len(self.records))
         self.positions.append(position)
         self.records.append(record)
 
     def __iter__(self) -> Iterator[StagedEntry]:
         """The entries in order."""
-        for number, (position, record) in enumerate(zip(self.positions, self.records, strict=True)):
-            yield StagedEntry(position, record, number in self.removed_numbers)
+        for index, (position, record) in enumerate(zip(self.positions, self.records, strict=True)):
+            yield StagedEntry(position, record, index in self.removed_indexes)
 
 
 class Staging:
-    """Entries in the order in which they arrived: `max_entries` at most, within the budget."""
+    """Entries in order of arrival: at most `max_entries`, and within the budget."""
 
     __slots__ = ("__weakref__", "added_count", "budget", "entry_count", "max_entries", "slices")
 
     def __init__(self, max_entries: int, budget: EntryBudget | None = None) -> None:
-        """Without a budget for a list that arrived in one piece, which is a few entries for a moment."""
+        """`budget`: None for a list received in one part, whose few entries are staged only briefly."""
         self.slices: deque[EntrySlice] = deque()
         self.max_entries = max_entries
         self.budget = budget
         self.added_count = 0
-        self.entry_count = 0  # of the slices that are not consumed
+        self.entry_count = 0  # in the slices that are not consumed yet
 
-    def add(self, servers: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
-        """Add the entries of a piece.
+    def add(self, endpoints: Sequence[Endpoint], addresses: Mapping[str, EndpointAddress]) -> None:
+        """Add the entries of a part.
 
-        Raises EndpointListError where the list would have too many entries, EntryBudgetExceededError where
-        other lists use the memory.
+        Raises EndpointListError if the list would have too many entries, EntryBudgetExceededError if other
+        lists use the memory.
         """
-        if self.added_count + len(servers) > self.max_entries:
+        if self.added_count + len(endpoints) > self.max_entries:
             raise EndpointListError(f"a list of over {self.max_entries} entries has no room in memory")
         if self.budget:
-            self.budget.require(len(servers))
-        for server in servers:
-            self.append(entry_of(server, addresses.get(server.name)))
+            self.budget.require(len(endpoints))
+        for endpoint in endpoints:
+            self.append(entry_of(endpoint, addresses.get(endpoint.name)))
 
     def append(self, entry: StagedEntry) -> None:
-        """Add one entry, whatever the bounds."""
+        """Add one entry without checking the limits."""
         if not self.slices or len(self.slices[-1].records) >= STEP_ENTRIES:
             self.slices.append(EntrySlice())
         self.slices[-1].append(*entry)
@@ -93,7 +93,7 @@
         self.entry_count += 1
 
     def consume_slices(self) -> Iterator[EntrySlice]:
-        """Each slice once; what was consumed is no longer held here."""
+        """Remove the slices one at a time and yield them."""
         while self.slices:
             consumed = self.slices.popleft()
             self.entry_count -= len(consumed.records)
--- a/molereach/subsetting/takeover_overlay.py
+++ b/molereach/subsetting/takeover_overlay.py
@@ -1,10 +1,10 @@
-"""Changes from the old address of discovery while a new address's list is taken over in steps. A core.
+"""Changes sent by the old address of discovery while the list of a new address is applied in steps. No I/O.
 
-While discovery moves, the old address stays in force until the new one's list does. Changes that the old one
-sends when the new list has arrived, and is still being built, are later than that list: what has left or
-started anew since has done so in the new list as well. All else is left to the new address's own changes,
-which bring all that has happened since its list. A change of the old address that the new list does not name,
-or knows from a later start, may be in none of them, and would stay for ever.
+The old address's list stays in use until that of the new address has been applied. Changes from the old
+address that arrive while the new list is being built are newer than that list, so backends that were removed,
+drain or were restarted meanwhile are changed in the new list too. Other changes are left to the new address,
+which sends everything that happened after its list. An endpoint that the new list does not have, or has with
+a later start, may be in none of these changes, so if it were added here it would never be removed.
 """
 
 import contextlib
@@ -20,39 +20,41 @@
 
 
 class TakeoverOverlay:
-    """Recordings of changes, one for each list that is being built."""
+    """Recordings of changes, one for each new list that is being built."""
 
     def __init__(self, stage: Callable[[], Staging]) -> None:
-        """`stage` makes a staging whose entries count against the budget."""
+        """`stage` creates a staging whose entries count against the budget."""
         self.stage = stage
         self.recordings: WeakSet[Staging] = WeakSet()
 
     def begin(self) -> Staging:
-        """Start a recording, which goes on for as long as the caller keeps it."""
+        """Start a recording, which continues for as long as the caller keeps a reference to it."""
         recording = self.stage()
         self.recordings.add(recording)
         return recording
 
     def record(self, entries: Iterable[StagedEntry]) -> None:
-        """Record changes to the list in service."""
+        """Record changes to the list in use."""
         for recording in self.recordings:
             for entry in entries:
-                if recording.added_count <= recording.max_entries:  # one too many shows that it is incomplete
+                # One entry more than the maximum is kept, which shows that the recording is incomplete.
+                if recording.added_count <= recording.max_entries:
                     recording.append(entry)
 
     def record_short_list(
-        self, servers: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]
+        self, endpoints: Iterable[Endpoint], addresses: Mapping[str, EndpointAddress]
     ) -> None:
         """Record changes to a short list, whose entries are not packed."""
         if self.recordings:
-            for server in servers:
-                with contextlib.suppress(EndpointListError):  # what fits no record is in no long list
-                    self.record([entry_of(server, addresses.get(server.name))])
+            for endpoint in endpoints:
+                # An endpoint that does not fit into a record cannot be in the new list, which is long.
+                with contextlib.suppress(EndpointListError):
+                    self.record([entry_of(endpoint, addresses.get(endpoint.name))])
 
     def catch_up(self, index: EndpointIndex, recording: Staging) -> Generator[None, None, None]:
-        """Apply a recording to a new list in steps; nothing is left of it after the last one.
+        """Apply a recording to a new list in steps; the recording ends with the last one.
 
-        Raises EndpointListError where there were more changes than a list may have entries.
+        Raises EndpointListError if there were more changes than a list may have entries.
         """
         for entries in recording.consume_slices():
             for position, record, is_removed in entries:
--- a/tests/subsetting/model.py
+++ b/tests/subsetting/model.py
@@ -9,7 +9,7 @@
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.policy.load_balancing import LoadBalancer
 from molereach.subsetting.endpoint_subsetting import LONG_LIST_FACTOR, EndpointSubsetting
-from molereach.subsetting.idempotency_groups import SUBSTITUTES
+from molereach.subsetting.idempotency_groups import SUBSTITUTE_COUNT
 from molereach.subsetting.interface import SubsetUpdate
 from molereach.subsetting.packed_records import encode_name
 from molereach.subsetting.placement import (
@@ -107,7 +107,7 @@
         for of in kinds:
             alike = [other for other in up if of(known[other][0]) == of(known[name][0])]
             after = sorted(distance_behind(at[name], at[other]) or RING_SIZE for other in alike)
-            for far in after[: min(SUBSTITUTES, len(alike) - 1)]:
+            for far in after[: min(SUBSTITUTE_COUNT, len(alike) - 1)]:
                 standin = (at[name] + far) % RING_SIZE
                 view |= {other: known[other] for other in alike if at[other] == standin}
     return view
--- a/tests/subsetting/test_subset.py
+++ b/tests/subsetting/test_subset.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from molereach.subsetting.idempotency_groups import SUBSTITUTES
+from molereach.subsetting.idempotency_groups import SUBSTITUTE_COUNT
 from molereach.subsetting.packed_records import cell_of, zone_of
 from molereach.subsetting.placement import (
     MIN_PROXIES_PER_BACKEND,
@@ -54,8 +54,8 @@
             distance_behind(place, view.proxy_position) < reach for place, _, _ in entries_of(servers)
         )
         # At each step at most one and its stand-ins; past the size only what the reach asks for.
-        assert len(view.members) < size + max(1, asked) * (1 + SUBSTITUTES * len(kinds))
-        assert len(view.members) <= max(size, asked + 1) + SUBSTITUTES * len(kinds) * (asked + 1)
+        assert len(view.members) < size + max(1, asked) * (1 + SUBSTITUTE_COUNT * len(kinds))
+        assert len(view.members) <= max(size, asked + 1) + SUBSTITUTE_COUNT * len(kinds) * (asked + 1)
         assert kinds or len(view.members) <= max(size, asked)
 
 
@@ -88,7 +88,7 @@
         for _, record, _ in up[:5]:
             for of in kinds:
                 alike = [other for other in view.members.values() if of(other) == of(record)]  # type: ignore[operator]
-                assert len(alike) > SUBSTITUTES
+                assert len(alike) > SUBSTITUTE_COUNT
 
 
 @pytest.mark.parametrize("kinds", [(), CELLS])
