--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -17,7 +17,7 @@
 from molereach.proxy.config_file import load, load_in_steps, reload
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
-from tests.discovery.made import entries_text
+from tests.discovery.fakes import entries_json
 from tests.races.wire import until
 from tests.sockets import (
     CUSTOMER,
@@ -60,13 +60,13 @@
 def test_large_file_has_the_values_of_a_small_one_and_its_saved_list_in_parts(
     tmp_path: Path, known_first: bool
 ) -> None:
-    small = load(write_config(tmp_path, config_text(entries_text(3), known_first)))
-    large = load(write_config(tmp_path, config_text(entries_text(ENTRY_COUNT), known_first)))
+    small = load(write_config(tmp_path, config_text(entries_json(3), known_first)))
+    large = load(write_config(tmp_path, config_text(entries_json(ENTRY_COUNT), known_first)))
     assert large.known["generation"] == 4 and not small.known_entry_lists
     entries = [each for part in large.known_entry_lists for each in json.loads(part)] + large.known[
         "instances"
     ]
-    assert entries == json.loads(b"[%b]" % entries_text(ENTRY_COUNT))
+    assert entries == json.loads(b"[%b]" % entries_json(ENTRY_COUNT))
     assert max(map(len, large.known_entry_lists)) < 1 << 17
     assert [getattr(large, name) for name in ("settings", "listen", "peers", "sockets")] == [
         getattr(small, name) for name in ("settings", "listen", "peers", "sockets")
@@ -74,7 +74,7 @@
 
 
 def test_large_file_is_read_in_small_steps_and_a_reload_keeps_no_entries(tmp_path: Path) -> None:
-    env = write_config(tmp_path, text := config_text(entries_text(ENTRY_COUNT)))
+    env = write_config(tmp_path, text := config_text(entries_json(ENTRY_COUNT)))
     assert sum(1 for _ in load_in_steps(env)) == -(-len(text) // config_file.READ_CHUNK_BYTES)
     assert not reload(env).known_entry_lists
 
@@ -86,20 +86,20 @@
         (b'{"a":1}' + b" " * (1 << 18) + b"{}", "cannot read the configuration: more than one object"),
         (b'{"a":1}' + b" " * (1 << 18) + b'{"a":', "cannot read the configuration: the file ends within"),
         (
-            config_text(entries_text(ENTRY_COUNT))[:-9],
+            config_text(entries_json(ENTRY_COUNT))[:-9],
             "cannot read the configuration: the file ends within an object",
         ),
         (b" " * (1 << 19), "cannot read the configuration: no object"),
         (b"[" * (1 << 19), "cannot read the configuration: no object"),
         (
-            config_text(entries_text(ENTRY_COUNT)).replace(b'"seed": ', b'"seed": x'),
+            config_text(entries_json(ENTRY_COUNT)).replace(b'"seed": ', b'"seed": x'),
             "cannot read the configuration: Expect",
         ),
         (
-            config_text(entries_text(ENTRY_COUNT), seed="xyz"),
+            config_text(entries_json(ENTRY_COUNT), seed="xyz"),
             "seed: is 'xyz', which is no hexadecimal number",
         ),
-        (config_text(entries_text(ENTRY_COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
+        (config_text(entries_json(ENTRY_COUNT), listen="nowhere"), "listen: 'nowhere' is not an address"),
     ],
 )
 def test_error_in_a_large_file_is_one_line(tmp_path: Path, text: bytes, reason: str) -> None:
@@ -113,7 +113,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Only its text is kept, and the start parses one part of it at a time into objects."""
-    env = write_config(tmp_path, config_text(entries_text(ENTRY_COUNT)))
+    env = write_config(tmp_path, config_text(entries_json(ENTRY_COUNT)))
     parsed_sizes, loads = [0], json.loads
     monkeypatch.setattr(json, "loads", lambda text: parsed_sizes.append(len(text)) or loads(text))
     large = load(env)
@@ -165,7 +165,7 @@
 def test_malformed_entry_in_the_saved_list_does_not_prevent_a_start(
     tmp_path: Path, malformed: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    entries = entries_text(ENTRY_COUNT) + b"," + malformed + b"," + entries_text(ENTRY_COUNT)
+    entries = entries_json(ENTRY_COUNT) + b"," + malformed + b"," + entries_json(ENTRY_COUNT)
     large = load(write_config(tmp_path, config_text(entries)))
 
     async def job() -> None:
@@ -190,7 +190,7 @@
 ) -> None:
     large = load(
         write_config(
-            tmp_path, config_text(entries_text(ENTRY_COUNT), limits={"sockets": 512, "memory_mb": 1})
+            tmp_path, config_text(entries_json(ENTRY_COUNT), limits={"sockets": 512, "memory_mb": 1})
         )
     )
 
@@ -209,7 +209,7 @@
 def replace_config(path: Path, entry_count: int, discovery_port: int) -> None:
     """Replace the configuration file by one with another discovery address."""
     new_file = path / "new.json"
-    new_file.write_bytes(config_text(entries_text(entry_count), discovery=f"{HOST}:{discovery_port}"))
+    new_file.write_bytes(config_text(entries_json(entry_count), discovery=f"{HOST}:{discovery_port}"))
     new_file.rename(path / "config.json")
 
 
@@ -246,7 +246,7 @@
 def test_reload_of_an_invalid_large_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    env = write_config(tmp_path, config_text(entries_text(ENTRY_COUNT))[:-1])
+    env = write_config(tmp_path, config_text(entries_json(ENTRY_COUNT))[:-1])
     monkeypatch.setitem(os.environ, "PROXY_CONFIG", env["PROXY_CONFIG"])
 
     async def job() -> None:
@@ -270,7 +270,7 @@
     async def job() -> None:
         backend = Backend()
         serving_entry = json.dumps(entry("s-own", await backend.start())).encode()
-        draining_entries = entries_text(20_000).replace(b"SERVING", b"DRAINING")
+        draining_entries = entries_json(20_000).replace(b"SERVING", b"DRAINING")
         body = b'{"generation":9,"reset":true,"instances":[%b,%b]}\n' % (serving_entry, draining_entries)
         first_half_sent, send_second_half, list_sent = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
