--- a/molereach/coordination/interface/log.py
+++ b/molereach/coordination/interface/log.py
@@ -57,9 +57,7 @@
     """The final status of a proposal at its proposer."""
 
     APPLIED = "settled"  # applied at this proxy; the outcome is known
-    UNKNOWN = (
-        "unknown"  # no result in time: it may have been chosen or be chosen later; retry with the same id
-    )
+    UNKNOWN = "unknown"  # no result in time; it may still be chosen, so retry with the same id
     REJECTED = "refused"  # never sent: too large, too many pending proposals, or no such machine
 
 
