--- a/molereach/discovery/poll_backoff.py
+++ b/molereach/discovery/poll_backoff.py
@@ -27,7 +27,7 @@
 BASE_BACKOFF_S = 0.1  # after the first failure, if this is the only proxy
 MAX_BACKOFF_S = 1.0
 MAX_LOCAL_DISCOVERY_BACKOFF_S = 0.25  # where the address is an agent on the same machine
-MAX_DOUBLINGS = 8  # the limits above are reached earlier
+MAX_DOUBLINGS = 8  # bounds the exponent; the limits above are reached earlier
 MAX_RETRY_WINDOWS = 4  # the mean delay of a retry is at most this many windows
 # The window is at most this fraction of the time within which a proxy has to poll, so that a list is received
 # before the proxy has to know it.
--- a/molereach/discovery/watch_supervisor.py
+++ b/molereach/discovery/watch_supervisor.py
@@ -6,11 +6,12 @@
 one. Where the list must be polled, each request costs discovery work, so a watch has failed only after two
 missed heartbeats and half a second. The rest is enough for one hung connect.
 
-A local agent answers immediately, unless discovery is down: then it is silent, and a proxy has to know the
-agent's changes once discovery is up. A proxy cannot tell whether a request sent meanwhile will be answered
-or was dropped. So an attempt without a response stays open for a while, and every half second another one is
-opened beside it (hedged requests: Dean and Barroso, The Tail at Scale, 2013), two at most. The first attempt
-that receives anything is kept and the other is closed. The older attempt waits for a slow response.
+A local agent answers immediately, unless discovery is down. Then the agent is silent, and once discovery is
+up again, a proxy has to know at once what the agent receives. It cannot tell whether a request sent meanwhile
+will be answered or was dropped. So an attempt without a response stays open for a while, and every half
+second another one is opened beside it (hedged requests: Dean and Barroso, The Tail at Scale, 2013), two at
+most. The first attempt that receives anything is kept and the other is closed. The older one of the two is
+left open longer, in case its response is slow.
 
 Where the list must be polled, requests may wait in discovery's queue, and a change has to be known 6 s after
 discovery became reachable. A failed request proves that discovery was unreachable only at the time when it
@@ -99,9 +100,9 @@
         return self.opened_count
 
     def surplus(self) -> list[int]:
-        """Attempts to close so that the maximum is kept: the next oldest after the oldest one.
+        """Attempts beyond the maximum, which may be closed.
 
-        The oldest keeps its full time, for a slow response.
+        They are the oldest but one and those after it: the oldest keeps its full time, for a slow response.
         """
         surplus_count = max(0, len(self.open_attempts) - MAX_OPEN_ATTEMPTS)
         return list(self.open_attempts)[1 : 1 + surplus_count]
@@ -127,7 +128,7 @@
     def record_object(self, attempt_id: int, now_s: float) -> list[int]:
         """Record an object, entries of one or an empty line; returns the other attempts, which may be closed.
 
-        The attempt_id of failures is reset only by `record_applied`, as the object may still be malformed.
+        Failures are reset only by `record_applied`, as the object may still be malformed.
         """
         self.record_bytes(attempt_id, now_s)
         self.open_attempts[attempt_id].last_object_at_s = now_s
