--- a/molereach/coordination/membership/core.py
+++ b/molereach/coordination/membership/core.py
@@ -1,10 +1,10 @@
-"""Decides which proxies are alive, as a hint: SWIM with Lifeguard (see the package).
+"""The membership core: SWIM with Lifeguard (see the package).
 
-Each interval one member is probed: directly, then through three others, then it is suspected. A suspect that
-stays silent is declared dead after a timeout; one that is alive learns of it and refutes it. Rumours on the
-probes carry all this. From time to time all rumours are exchanged with one member and a dead one is tried, so
-that what was missed or partitioned converges again. A proxy whose own Tick comes late has stalled, and blames
-what it missed meanwhile on itself.
+In each interval one member is probed, first directly, then through three helpers; without an ack it becomes a
+suspect. A suspect that does not refute the suspicion is declared dead after a timeout. Rumours piggybacked on
+probes spread these changes. Periodically all rumours are exchanged with a random member and a dead member is
+contacted, so that the views converge after lost messages and partitions. A late Tick means that this process
+stalled: timeouts that passed during the stall then count against its own local health, not against others.
 """
 
 from collections.abc import Sequence
@@ -22,14 +22,14 @@
 from molereach.coordination.membership.settings import MembershipSettings
 
 MAX_SEEDS_CONTACTED = 3  # at once
-MAX_REFUTATION_RECIPIENTS = 3  # at once, beside those that the next messages reach
-FIRST_SYNC_INTERVALS = 3  # after the start: if all start at once, a seed's first list is short
+MAX_REFUTATION_RECIPIENTS = 3  # at once; others receive the refutation with later messages
+FIRST_SYNC_INTERVALS = 3  # after joining; if all proxies start at once, a seed's first list is short
 
 Event = Join | Leave | Tick | MessageReceived
 
 
 class Membership:
-    """The membership core of one proxy. `draw` gives numbers from 0 to 1, below 1."""
+    """The membership core of one proxy. `draw` returns uniform random numbers in [0, 1)."""
 
     def __init__(self, local: NodeInstance, settings: MembershipSettings, draw: RandomSource) -> None:
         self.local = local
@@ -40,22 +40,22 @@
         self._failure_detector = FailureDetector(self._states, self._outbox, draw)
         self._seeds: tuple[str, ...] = ()
         self._next_probe_us = NEVER_US
-        self._expected_tick_us = NEVER_US  # as the last event left it
-        # By time and not by own intervals, which poor local health makes longer.
+        self._expected_tick_us = NEVER_US  # as of the last event
+        # Times rather than counts of intervals, which poor local health lengthens.
         self._sync_us = NEVER_US
         self._retry_us = NEVER_US
 
     # --- queries ---
 
     def live_instances(self) -> tuple[NodeInstance, ...]:
-        """All that count as live, this proxy included, by name; a suspect is live until it is dead."""
+        """The live instances and suspects by name; this proxy too, unless it has left or is superseded."""
         stopped = self._outbox.superseded or self._states.left
         members = self._states.table.members.values()
         instances = [member.instance for member in members if member.status.is_live]
         return tuple(sorted(instances if stopped else [*instances, self.local]))
 
     def status(self, name: str) -> MemberStatus | None:
-        """The status of the newest known instance of a name; None for an unknown one."""
+        """The status of the newest known instance of a name; None if the name is unknown."""
         if name == self.local.name:
             return self._states.local_rumour().status
         return self._states.table.status(name)
@@ -67,7 +67,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When the next Tick is wanted."""
+        """When the next Tick is due; `NEVER_US` if none is."""
         if self._outbox.superseded or self._states.left or self._next_probe_us == NEVER_US:
             return NEVER_US
         return min(self._next_probe_us, self._failure_detector.wake_us, self._states.wake_us)
@@ -75,12 +75,12 @@
     # --- events ---
 
     def handle(self, now_us: int, event: Event) -> Sequence[Action]:
-        """Apply one event at `now_us` (microseconds, monotonic); the actions to carry out, in order."""
+        """Apply one event at `now_us` (monotonic microseconds); returns the actions to perform, in order."""
         if self._outbox.superseded:
             return ()
-        late_us = now_us - self._expected_tick_us
-        if late_us > self._settings.stall_us:
-            self._on_stall(now_us, late_us)
+        tick_delay_us = now_us - self._expected_tick_us
+        if tick_delay_us > self._settings.stall_us:
+            self._on_stall(now_us, tick_delay_us)
         match event:
             case Join() if self._next_probe_us == NEVER_US and not self._states.left:
                 self._on_join(now_us, event.seeds)
@@ -92,7 +92,7 @@
                 self._on_message(now_us, event.sender, event.message)
             case _:
                 pass
-        # One more accuser can move a suspect's deadline into the past: that is no stall, but a Tick at once.
+        # Another accuser can move a suspicion's deadline into the past; its Tick is then due now, not late.
         self._expected_tick_us = max(now_us, self.wake_us)
         return self._outbox.drain()
 
@@ -109,13 +109,13 @@
         names = sample(self._states.table.live_names(), recipients, self._draw)
         self._outbox.send_sync(names, wants_reply=False)
 
-    def _on_stall(self, now_us: int, late_us: int) -> None:
-        """Suspect nobody for what ran out while this process stalled: the reply may wait to be read."""
-        self._outbox.adjust_health(max(1, late_us // self._settings.probe_interval_us))
-        self._failure_detector.abandon()
+    def _on_stall(self, now_us: int, tick_delay_us: int) -> None:
+        """Suspect no member over a timeout that passed during a stall: its reply may still be unread."""
+        self._outbox.adjust_local_health(max(1, tick_delay_us // self._settings.probe_interval_us))
+        self._failure_detector.discard_in_flight()
         self._next_probe_us = now_us + self._settings.ping_timeout_us
         interval_us = self._states.local_health.scale(self._settings.probe_interval_us)
-        self._states.extend_suspicions(late_us, now_us + interval_us)
+        self._states.extend_suspicions(tick_delay_us, now_us + interval_us)
 
     # --- time ---
 
@@ -127,11 +127,11 @@
 
     def _start_interval(self, now_us: int) -> None:
         self._failure_detector.finish_probe(now_us)
-        # Only now, with the local health that the last probe left, or the interval would end before helpers
-        # are asked.
+        # Computed after the last probe has changed the local health; otherwise the interval could end before
+        # its helpers are asked.
         interval_us = self._states.local_health.scale(self._settings.probe_interval_us)
         self._next_probe_us = now_us + interval_us
-        self._states.table.forget(now_us - self._settings.forget_us)
+        self._states.table.remove_expired(now_us - self._settings.forget_us)
         self._sync_if_due(now_us)
         self._retry_if_due(now_us)
         self._failure_detector.start_probe(now_us)
@@ -143,7 +143,7 @@
                 self._outbox.send_all_rumours(name, wants_reply=True)
 
     def _retry_if_due(self, now_us: int) -> None:
-        """Try a dead member or an unknown seed: a partition may have healed after both sides gave up."""
+        """Contact a dead member or an unknown seed, so that the sides of a healed partition merge again."""
         table = self._states.table
         if not table.live_count:
             self._request_sync(self._seeds, MAX_SEEDS_CONTACTED)
@@ -156,7 +156,7 @@
         self._outbox.send_sync(sample(names, count, self._draw), wants_reply=True)
 
     def _jittered(self, intervals: int) -> int:
-        """That many intervals on average, in microseconds, so that not all proxies act at once."""
+        """A random duration of 0.5 to 1.5 times `intervals`, so that proxies do not act all at once."""
         return round(intervals * self._settings.probe_interval_us * (0.5 + self._draw()))
 
     # --- messages ---
@@ -180,14 +180,15 @@
             else:
                 self._outbox.emit(self._states.apply_rumour(now_us, rumour))
         self._outbox.emit(self._states.observe_sender(now_us, sender))
-        if self._states.incarnation > incarnation_before:  # a refutation races against others' timeouts
+        # Other members must receive a refutation before their suspicion expires.
+        if self._states.incarnation > incarnation_before:
             names = self._states.table.live_names()
             self._outbox.send_sync(sample(names, MAX_REFUTATION_RECIPIENTS, self._draw), wants_reply=False)
 
     def _reply(self, now_us: int, sender: NodeInstance, message: Message) -> None:
         if isinstance(message, Ping):
             self._outbox.ack(sender.name, message.seq, sender.number)
-        elif self._states.left:  # a proxy that has left answers pings with that, and does nothing else
+        elif self._states.left:  # a proxy that has left only answers pings, with that status
             return
         elif isinstance(message, PingReq):
             self._failure_detector.relay_ping(now_us, sender, message)
--- a/molereach/coordination/membership/events.py
+++ b/molereach/coordination/membership/events.py
@@ -1,4 +1,4 @@
-"""Events that this core takes and actions it returns, beside those in `coordination.interface.core`."""
+"""Events and actions of this core, in addition to those of `coordination.interface.core`."""
 
 from dataclasses import dataclass
 
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """Event: start. Seeds are names; dead seeds do no harm, and all are retried from time to time."""
+    """Event: join the group through seeds, given by name. Some may be down; they are retried until known."""
 
     seeds: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Event: this instance leaves in order. The messages that follow are sent before the process exits."""
+    """Event: leave gracefully. The resulting messages must be sent before the process exits."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatusChanged:
-    """Action: an instance has another status; `previous` is None if it was not known."""
+    """Action: the status of an instance changed; `previous` is None if the instance was unknown."""
 
     instance: NodeInstance
     status: MemberStatus
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Action: a newer instance runs under this proxy's name. This one must end; it sends nothing more."""
+    """Action: a newer instance of this proxy is running. This one must exit and sends nothing more."""
 
     instance: NodeInstance
 
 
 @dataclass(frozen=True, slots=True)
 class LocalHealthChanged:
-    """Action: the local health score has changed; 0 is healthy."""
+    """Action: the local health score changed; 0 is healthy."""
 
     score: int
--- a/molereach/coordination/membership/failure_detector.py
+++ b/molereach/coordination/membership/failure_detector.py
@@ -1,6 +1,6 @@
-"""One probe an interval, and pings for others: who is probed, when helpers are asked, who is suspected.
+"""Failure detection: one probe per interval, indirect probes through helpers, and pings relayed for others.
 
-Source: SWIM, section 3.1; Lifeguard, section IV.A (timeouts that grow as local health falls).
+Source: SWIM, section 3.1; Lifeguard, section IV.A (timeouts that grow as local health declines).
 """
 
 from molereach.coordination.interface.core import NEVER_US
@@ -13,7 +13,7 @@
 
 
 class FailureDetector:
-    """At most one probe of its own is in flight, and a bounded number of pings for others."""
+    """Keeps at most one probe and a bounded number of relayed pings in flight."""
 
     __slots__ = ("draw", "outbox", "probe", "relays", "seq", "states")
 
@@ -25,26 +25,26 @@
         self.relays = Relays()
         self.seq = int(draw() * MAX_SEQUENCE_NUMBER)
 
-    def abandon(self) -> None:
-        """Drop what is in flight, so that it suspects nobody."""
+    def discard_in_flight(self) -> None:
+        """Discard the probe and relays in flight, so that their timeouts cause no suspicion."""
         self.probe = None
         self.relays = Relays()
 
     # --- time ---
 
     def finish_probe(self, now_us: int) -> None:
-        """End the last probe: suspect its target, and ping it once more, as it may only be slow."""
+        """End the last probe; if it is still unanswered, suspect its target and ping it once more."""
         if self.probe is None:
             return
         probe = self.probe
         self.probe = None
-        self.outbox.adjust_health(probe.health_penalty)
+        self.outbox.adjust_local_health(probe.health_penalty)
         self.outbox.emit(self.states.suspect(now_us, probe.target))
         # This ping carries the suspicion, so that the target can refute it.
         self.outbox.ping(probe.target.name, self._next_seq(), probe.target.number)
 
     def start_probe(self, now_us: int) -> None:
-        """Ping the next member."""
+        """Ping the next scheduled member."""
         name = self.outbox.schedule.next()
         if name is None:
             return
@@ -54,7 +54,7 @@
         self.outbox.ping(name, self.probe.seq, target.number)
 
     def check_deadlines(self, now_us: int) -> None:
-        """Between the intervals: send the nacks that are due, and ask helpers to ping."""
+        """Send the nacks that are due, and start indirect probes once the direct ping has timed out."""
         for relay in self.relays.due_nacks(now_us):
             self.outbox.nack(relay.requester.name, relay.requester_seq, relay.requester.number)
         probe = self.probe
@@ -71,22 +71,22 @@
     # --- messages ---
 
     def relay_ping(self, now_us: int, requester: NodeInstance, request: PingReq) -> None:
-        """Ping a member on behalf of one that has no ack of it."""
+        """Ping a member on behalf of one that received no ack from it."""
         seq = self._next_seq()
         ping_timeout_us = self.states.settings.ping_timeout_us
         if self.relays.begin(now_us, seq, requester, request.seq, request.name, ping_timeout_us):
             self.outbox.ping(request.name, seq, request.number)
 
     def on_ack(self, sender: NodeInstance, seq: int) -> None:
-        """Apply an ack, to the own probe or to a relayed ping."""
+        """Match an ack to the current probe or to a relayed ping."""
         if self.probe and self.probe.is_answered_by(sender.name, seq):
             self.probe = None
-            self.outbox.adjust_health(-1)
-        elif relay := self.relays.take_answered(sender.name, seq):
+            self.outbox.adjust_local_health(-1)
+        elif relay := self.relays.pop_answered(sender.name, seq):
             self.outbox.ack(relay.requester.name, relay.requester_seq, relay.requester.number)
 
     def on_nack(self, sender: NodeInstance, seq: int) -> None:
-        """Apply a nack of a helper."""
+        """Record a nack from a helper."""
         if self.probe:
             self.probe.record_nack(sender.name, seq)
 
@@ -96,7 +96,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When helpers are to be asked or a nack is due."""
+        """When indirect probes or a nack are next due."""
         probe = self.probe
         ping_deadline_us = probe.ping_deadline_us if probe and not probe.indirect_sent else NEVER_US
         return min(ping_deadline_us, self.relays.wake_us)
--- a/molereach/coordination/membership/gossip.py
+++ b/molereach/coordination/membership/gossip.py
@@ -1,7 +1,7 @@
-"""Rumours still to be sent: each rides on the next messages of this proxy, the least sent first.
+"""The queue of rumours to piggyback on the next messages of this proxy, the least sent first.
 
-Source: SWIM, section 4.1: sent 3 log2(n + 1) times by each member that has it, a rumour reaches all with high
-probability; after that it is dropped here. Whatever is missed all the same comes by `Sync`.
+Source: SWIM, section 4.1: a rumour that each member sends 3 log2(n + 1) times reaches all members with high
+probability, and is then removed from the queue. `Sync` delivers the rumours that a member missed.
 """
 
 import math
@@ -13,12 +13,12 @@
 
 
 def max_transmissions(members: int) -> int:
-    """How often a rumour is sent in a group of `members`."""
+    """How many times a member sends a rumour in a group of `members`."""
     return TRANSMISSION_FACTOR * math.ceil(math.log2(members + 1))
 
 
 def _are_separate_accusations(first: Rumour, second: Rumour) -> bool:
-    """Whether both suspect the same incarnation, so that each counts as a confirmation of its own."""
+    """Whether both suspect the same incarnation, so that each is a confirmation of its own."""
     both_suspect = first.status is second.status is MemberStatus.SUSPECT
     return both_suspect and (first.instance_number, first.incarnation) == (
         second.instance_number,
@@ -27,7 +27,7 @@
 
 
 class GossipQueue:
-    """At most one rumour of each name, or one from each accuser that its suspicion counts."""
+    """Holds one rumour per name, or one per counted accuser of a suspect."""
 
     __slots__ = ("transmissions",)
 
@@ -35,15 +35,17 @@
         self.transmissions: dict[Rumour, int] = {}
 
     def enqueue(self, rumour: Rumour) -> None:
-        """Add a rumour that changed something here; those that it replaces are dropped."""
+        """Add a rumour that changed the local state; removes the queued rumours that it replaces."""
         for other in [other for other in self.transmissions if other.name == rumour.name]:
             if not _are_separate_accusations(other, rumour):
                 del self.transmissions[other]
         self.transmissions[rumour] = 0
 
-    def next_rumours(self, members: int, limit: int, first: Iterable[Rumour] = ()) -> tuple[Rumour, ...]:
-        """What the next message carries: `first` in any case, then the least sent, at most `limit` in all."""
-        leading = tuple(first)
+    def next_rumours(
+        self, members: int, limit: int, leading_rumours: Iterable[Rumour] = ()
+    ) -> tuple[Rumour, ...]:
+        """The rumours for the next message, at most `limit`: `leading_rumours` first, then the least sent."""
+        leading = tuple(leading_rumours)
         if not self.transmissions:
             return leading
         waiting = sorted(self.transmissions, key=self.transmissions.__getitem__)
--- a/molereach/coordination/membership/local_health.py
+++ b/molereach/coordination/membership/local_health.py
@@ -1,13 +1,13 @@
-"""How far a proxy trusts itself: the local health multiplier of Lifeguard, section IV.A.
+"""How reliable this proxy is as an observer: the local health multiplier of Lifeguard, section IV.A.
 
-Against it count a probe without an ack, a helper that sent not even a nack, a suspicion that it had to
-refute, and a stall of its own process; an acknowledged probe counts for it. The higher the score, the longer
-it waits before it suspects another, and the less often it probes.
+A probe without an ack, a helper that sent neither ack nor nack, a suspicion of itself that it had to refute,
+and a stall of its own process raise the score; an acknowledged probe lowers it. The higher the score, the
+longer the proxy waits before it suspects another member, and the less often it probes.
 """
 
 
 class LocalHealth:
-    """A score from 0, healthy, to `max_score`."""
+    """A score from 0 (healthy) to `max_score`."""
 
     __slots__ = ("max_score", "score")
 
@@ -16,11 +16,11 @@
         self.max_score = max_score
 
     def adjust(self, delta: int) -> bool:
-        """Add `delta` within the bounds; whether the score has changed."""
+        """Add `delta`, clamped to the bounds; returns whether the score changed."""
         before = self.score
         self.score = max(0, min(self.max_score, before + delta))
         return self.score != before
 
     def scale(self, duration_us: int) -> int:
-        """A timeout in microseconds, multiplied by the score plus one."""
+        """Multiply a timeout or interval by the score plus one."""
         return duration_us * (self.score + 1)
--- a/molereach/coordination/membership/messages.py
+++ b/molereach/coordination/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of membership: typed, bounded, at most 1,200 bytes each.
+"""Membership messages: typed, bounded, at most 1,200 bytes each.
 
-Source: SWIM, section 4.1 (rumours ride on the probes) and Lifeguard, section IV (the nack). A message is cut
-to its budget before it is returned, so that it fits one datagram and no transport need split it.
+Source: SWIM, section 4.1 (rumours are piggybacked on probes) and Lifeguard, section IV (the nack). The number
+of rumours is limited to the byte budget of a message, so that it fits into one datagram unfragmented.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,9 +14,9 @@
 from molereach.coordination.interface.identifiers import InstanceNumber, Name, NodeInstance, WireStruct
 
 MAX_MESSAGE_BYTES = 1_200
-MAX_HEADER_BYTES = 150  # a message without its rumours: the longest is a PingReq with a name of 64 characters
+MAX_HEADER_BYTES = 150  # without the rumours; the largest is a PingReq with a name of 64 characters
 MIN_RUMOUR_BYTES = 7
-MAX_RUMOURS = 128  # more than fit in a message; a longer list is rejected before its members are decoded
+MAX_RUMOURS = 128  # more than fit into a message; a longer list is rejected before its items are decoded
 MAX_INCARNATION = 1 << 53
 MAX_SEQUENCE_NUMBER = (1 << 32) - 1
 
@@ -25,31 +25,31 @@
 
 
 class MemberStatus(IntEnum):
-    """The status of an instance. Of two rumours with one incarnation the higher status wins."""
+    """The status of an instance. At equal incarnations the higher status takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # in order, by its own message
+    LEFT = 3  # gracefully, as announced by the instance itself
 
     @property
     def is_live(self) -> bool:
-        """Whether the instance counts as a member: alive, or suspect until it is declared dead."""
+        """Whether the instance counts as live; a suspect does until it is declared dead."""
         return self <= MemberStatus.SUSPECT
 
 
 class Rumour(msgspec.Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """The status that some member gives an instance. The incarnation is raised by that instance alone."""
+    """The status of an instance as some member reports it. Only the instance raises its incarnation."""
 
     name: Name
     instance_number: InstanceNumber
     incarnation: Incarnation
     status: MemberStatus
-    accuser: Name | None = None  # the member that suspects it or declared it dead
+    accuser: Name | None = None  # the member that reported it suspect or dead
 
     @property
     def instance(self) -> NodeInstance:
-        """The instance that it is of."""
+        """The instance that the rumour is about."""
         return NodeInstance(self.name, self.instance_number)
 
 
@@ -57,14 +57,14 @@
 
 
 class Ping(WireStruct, frozen=True, tag="m.ping"):
-    """A probe. The reply is an `Ack` with the same sequence number."""
+    """A probe, answered by an `Ack` with the same sequence number."""
 
     seq: SequenceNumber
     rumours: Rumours = ()
 
 
 class PingReq(WireStruct, frozen=True, tag="m.pingreq"):
-    """Request to ping a member on the sender's behalf. The reply is its `Ack`, or a `Nack` before that."""
+    """A request to ping a member for the sender. The reply is an `Ack`, or a `Nack` while there is none."""
 
     seq: SequenceNumber
     name: Name
@@ -80,14 +80,14 @@
 
 
 class Nack(WireStruct, frozen=True, tag="m.nack"):
-    """The helper is alive and has pinged the member, which has not replied so far."""
+    """A reply to `PingReq`: the helper has pinged the member and has not received an ack yet."""
 
     seq: SequenceNumber
     rumours: Rumours = ()
 
 
 class Sync(WireStruct, frozen=True, tag="m.sync"):
-    """A part of all rumours of the sender; with `wants_reply` it asks for those of the receiver."""
+    """Some or all of the rumours of the sender; `wants_reply` asks for all those of the receiver."""
 
     rumours: Rumours = ()
     wants_reply: bool = msgspec.field(default=False, name="answer")
@@ -100,12 +100,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as MessagePack."""
+    """Encode a message as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """The message in `data`; ValueError (msgspec's errors are such) if it is too long or malformed."""
+    """Decode a message; raises ValueError (the base of msgspec's errors) if it is too long or malformed."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise ValueError(f"a message of {len(data)} bytes, more than {MAX_MESSAGE_BYTES}")
     message: Message = _decoder.decode(data)
@@ -113,7 +113,7 @@
 
 
 def fitting_rumours(rumours: Iterable[Rumour], limit: int = MAX_RUMOURS) -> Iterator[Rumour]:
-    """The rumours that fit together in one message, in order; one that does not fit is skipped."""
+    """Yield rumours that fit into one message together, in order; skips those that no longer fit."""
     available_bytes = MAX_MESSAGE_BYTES - MAX_HEADER_BYTES
     for rumour in rumours:
         if limit <= 0 or available_bytes < MIN_RUMOUR_BYTES:
@@ -126,7 +126,7 @@
 
 
 def split_rumours(rumours: Iterable[Rumour]) -> list[tuple[Rumour, ...]]:
-    """All of the rumours, divided among as many messages as they need."""
+    """Split the rumours into groups that each fit into one message."""
     remaining = list(rumours)
     groups = list[tuple[Rumour, ...]]()
     while remaining:
--- a/molereach/coordination/membership/outbox.py
+++ b/molereach/coordination/membership/outbox.py
@@ -1,6 +1,6 @@
-"""The actions of one event, in order: messages with their rumours, and changes of state.
+"""The actions that one event causes, in order: messages with piggybacked rumours, and state changes.
 
-Source: SWIM, section 4.1. The probe schedule is kept up to date here, where every change passes.
+Source: SWIM, section 4.1. All state changes pass through the outbox, so it also updates the probe schedule.
 """
 
 from collections.abc import Iterable, Sequence
@@ -24,7 +24,7 @@
 
 
 class Outbox:
-    """Collects the actions of the current event. Once superseded, it takes no more."""
+    """Collects the actions of the current event; accepts none once this instance is superseded."""
 
     __slots__ = ("actions", "schedule", "states", "superseded")
 
@@ -35,7 +35,7 @@
         self.superseded = False
 
     def drain(self) -> list[Action]:
-        """Remove and return the actions."""
+        """Remove and return the collected actions."""
         actions = self.actions
         self.actions = []
         return actions
@@ -43,7 +43,7 @@
     # --- messages ---
 
     def ping(self, recipient: str, seq: int, instance_number: int) -> None:
-        """Send a `Ping` to that instance."""
+        """Send a `Ping` to one instance."""
         self._send(recipient, Ping(seq, self._rumours(recipient)), instance_number)
 
     def ping_req(self, recipient: str, seq: int, name: str, number: int) -> None:
@@ -51,24 +51,24 @@
         self._send(recipient, PingReq(seq, name, number, self._rumours(recipient)), None)
 
     def ack(self, recipient: str, seq: int, instance_number: int) -> None:
-        """Send an `Ack` to that instance."""
+        """Send an `Ack` to one instance."""
         self._send(recipient, Ack(seq, self._rumours(recipient)), instance_number)
 
     def nack(self, recipient: str, seq: int, instance_number: int) -> None:
-        """Send a `Nack` to that instance."""
+        """Send a `Nack` to one instance."""
         self._send(recipient, Nack(seq, self._rumours(recipient)), instance_number)
 
     def send_sync(self, recipients: Iterable[str], wants_reply: bool) -> None:
-        """Send the leading rumours alone; with `wants_reply`, ask for all rumours of the recipients."""
+        """Send only the leading rumours; `wants_reply` asks for all rumours of the recipients."""
         for name in recipients:
             self._send(name, Sync(self.states.leading_rumours(name), wants_reply), None)
 
     def send_correction(self, recipient: str, instance_number: int) -> None:
-        """Tell an older instance that a newer one is known."""
+        """Inform an older instance that a newer one is known."""
         self._send(recipient, Sync(self.states.leading_rumours(recipient)), instance_number)
 
     def send_all_rumours(self, recipient: str, wants_reply: bool) -> None:
-        """Send all rumours; a reply is asked for with the last message."""
+        """Send all rumours; only the last message asks for the reply."""
         groups = split_rumours(self.states.all_rumours())
         for number, group in enumerate(groups, 1):
             self._send(recipient, Sync(group, wants_reply and number == len(groups)), None)
@@ -82,10 +82,10 @@
         if not self.superseded:
             self.actions.append(SendMessage(recipient, message, instance_number))
 
-    # --- changes of state ---
+    # --- state changes ---
 
     def emit(self, changes: Sequence[StateChange]) -> None:
-        """Add changes, and keep the schedule to members that are live."""
+        """Add state changes, and keep exactly the live members in the probe schedule."""
         for change in changes:
             if self.superseded:
                 return
@@ -95,8 +95,8 @@
             elif isinstance(change, MemberStatusChanged):
                 self._update_schedule(change)
 
-    def adjust_health(self, delta: int) -> None:
-        """Change the local health score, and report it if it differs."""
+    def adjust_local_health(self, delta: int) -> None:
+        """Adjust the local health score, and report it if it changed."""
         if self.states.local_health.adjust(delta):
             self.emit([LocalHealthChanged(self.states.local_health.score)])
 
--- a/molereach/coordination/membership/probe_schedule.py
+++ b/molereach/coordination/membership/probe_schedule.py
@@ -1,15 +1,16 @@
-"""Which member is probed next.
+"""The order in which members are probed.
 
-Source: SWIM, section 4.3: round robin over a shuffled list, so that each member is probed within two rounds.
+Source: SWIM, section 4.3: round robin over a shuffled list bounds the time between two probes of a member to
+two rounds.
 """
 
 from collections.abc import Callable, Iterable
 
-RandomSource = Callable[[], float]  # numbers from 0 to 1, below 1
+RandomSource = Callable[[], float]  # uniform in [0, 1)
 
 
 def sample(names: Iterable[str], count: int, draw: RandomSource) -> list[str]:
-    """At most `count` of the names at random, in the order drawn."""
+    """Up to `count` names chosen at random, in the order in which they are drawn."""
     remaining = list(names)
     chosen = list[str]()
     while remaining and len(chosen) < count:
@@ -20,7 +21,7 @@
 
 
 class ProbeSchedule:
-    """The live members, each once a round, in an order that is drawn again for each round."""
+    """The live members, each once per round; the order is shuffled for each round."""
 
     __slots__ = ("draw", "index", "names")
 
@@ -30,19 +31,19 @@
         self.draw = draw
 
     def add(self, name: str) -> None:
-        """Insert at a random position, so that not all members probe a new one in the same interval."""
+        """Insert at a random position, so that a new member is not probed by all others at once."""
         position = int(self.draw() * (len(self.names) + 1))
         self.names.insert(position, name)
         self.index += position < self.index
 
     def remove(self, name: str) -> None:
-        """Remove a member; ValueError if it is not scheduled."""
+        """Remove a member; raises ValueError if it is not scheduled."""
         position = self.names.index(name)
         del self.names[position]
         self.index -= position < self.index
 
     def next(self) -> str | None:
-        """The member to probe now; None if there is no other."""
+        """The next member to probe; None if there are no other members."""
         if self.index >= len(self.names):
             self.names = sample(self.names, len(self.names), self.draw)
             self.index = 0
--- a/molereach/coordination/membership/settings.py
+++ b/molereach/coordination/membership/settings.py
@@ -1,4 +1,4 @@
-"""How often members are probed, how long replies are waited for, and how slowly a suspect is declared dead.
+"""Settings of failure detection: probe interval, reply timeouts and suspicion timeouts.
 
 Sources: Das et al., "SWIM" (DSN 2002), sections 3 and 4; Dadgar et al., "Lifeguard" (2017), section IV.
 """
@@ -10,23 +10,23 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """Times in microseconds of this proxy's clock; intervals are longer while its local health is poor."""
+    """Times are microseconds of this proxy's clock. Poor local health lengthens the probe interval."""
 
-    probe_interval_us: int = SECOND_US // 2  # one member is probed in each
-    ping_timeout_us: int = SECOND_US // 5  # without an ack for so long, others are asked to ping
+    probe_interval_us: int = SECOND_US // 2  # one member is probed per interval
+    ping_timeout_us: int = SECOND_US // 5  # without an ack by then, other members are asked to ping
     indirect_probes: int = 3
-    suspicion_intervals: int = 4  # times log10 of the members: the minimum time from suspect to dead
-    max_suspicion_multiple: int = 6  # times the minimum, while one member alone accuses
-    confirmations: int = 3  # by so many others the time falls to the minimum
+    suspicion_intervals: int = 4  # times log10 of the number of members: the minimum suspicion timeout
+    max_suspicion_multiple: int = 6  # times the minimum timeout, while there is a single accuser
+    confirmations: int = 3  # further accusers that reduce the timeout to the minimum
     max_local_health_score: int = 8
-    max_rumours: int = 24  # in one message
-    sync_intervals: int = 30  # mean time between exchanges of all rumours with one member
-    retry_intervals: int = 10  # mean time between attempts to reach a dead member or an unknown seed
-    forget_us: int = 600 * SECOND_US  # after so long a member that is dead or has left is forgotten
-    stall_us: int = SECOND_US // 10  # a Tick that is later than this means that this process stalled
+    max_rumours: int = 24  # per message
+    sync_intervals: int = 30  # mean time between full exchanges of rumours with a random member
+    retry_intervals: int = 10  # mean time between attempts to contact a dead member or an unknown seed
+    forget_us: int = 600 * SECOND_US  # how long members that are dead or have left are kept
+    stall_us: int = SECOND_US // 10  # a Tick delayed by more than this counts as a stall of this process
 
     def __post_init__(self) -> None:
-        """Reject values that cannot work together.
+        """Reject inconsistent values.
 
         Raises ValueError.
         """
--- a/molereach/coordination/membership/suspicion.py
+++ b/molereach/coordination/membership/suspicion.py
@@ -1,7 +1,7 @@
-"""When a suspect is declared dead: Lifeguard, section IV.B.
+"""The timeout after which a suspect is declared dead. Source: Lifeguard, section IV.B.
 
-A single accuser may itself be the one that fails, so the timeout is long at first. It falls with the
-logarithm of the number of others that suspect the same member independently, down to the minimum.
+A single accuser may be faulty itself, so the timeout is long at first. It decreases with the logarithm of the
+number of members that suspect the same instance independently, down to the minimum.
 """
 
 import math
@@ -10,39 +10,51 @@
 
 
 def minimum_suspicion_us(settings: MembershipSettings, members: int) -> int:
-    """The timeout when enough members accuse; `members` counts this one and the suspect too."""
+    """The timeout once enough accusers have confirmed; `members` includes this proxy and the suspect."""
     scale = max(1.0, math.log10(max(1, members)))
     return round(settings.suspicion_intervals * scale * settings.probe_interval_us)
 
 
 class Suspicion:
-    """One instance under one incarnation, suspected here since `start_us`."""
+    """The suspicion of one incarnation of an instance, which this proxy holds since `start_us`."""
 
-    __slots__ = ("accusers", "floor_us", "maximum_us", "minimum_us", "needed", "start_us")
+    __slots__ = (
+        "accusers",
+        "earliest_deadline_us",
+        "maximum_us",
+        "minimum_us",
+        "required_confirmations",
+        "start_us",
+    )
 
     def __init__(self, now_us: int, accuser: str, members: int, settings: MembershipSettings) -> None:
         self.start_us = now_us
         self.accusers = {accuser}
-        self.needed = max(0, min(settings.confirmations, members - 2))  # without the first and the suspect
+        # The first accuser and the suspect cannot confirm the suspicion.
+        self.required_confirmations = max(0, min(settings.confirmations, members - 2))
         self.minimum_us = minimum_suspicion_us(settings, members)
         self.maximum_us = self.minimum_us * settings.max_suspicion_multiple
-        self.floor_us = 0
+        self.earliest_deadline_us = 0
 
     def confirm(self, accuser: str) -> bool:
-        """Add an accuser; False if it is known or no more are needed, which bounds their number."""
-        if accuser in self.accusers or len(self.accusers) > self.needed:
+        """Add an accuser; False if it is already counted, or if enough are, which bounds their number."""
+        if accuser in self.accusers or len(self.accusers) > self.required_confirmations:
             return False
         self.accusers.add(accuser)
         return True
 
     def extend(self, stalled_us: int, not_before_us: int) -> None:
-        """Do not count the time in which this process stalled, nor end before waiting messages are read."""
+        """Exclude a stall of this process from the timeout, and leave time to read the delayed messages."""
         self.start_us += stalled_us
-        self.floor_us = max(self.floor_us, not_before_us)
+        self.earliest_deadline_us = max(self.earliest_deadline_us, not_before_us)
 
     @property
     def deadline_us(self) -> int:
-        """When the suspect is declared dead."""
-        confirmed = math.log(len(self.accusers)) / math.log(self.needed + 1) if self.needed else 1.0
+        """When the suspect is to be declared dead."""
+        confirmed = (
+            math.log(len(self.accusers)) / math.log(self.required_confirmations + 1)
+            if self.required_confirmations
+            else 1.0
+        )
         timeout = self.maximum_us - (self.maximum_us - self.minimum_us) * min(1.0, confirmed)
-        return max(self.start_us + round(timeout), self.floor_us)
+        return max(self.start_us + round(timeout), self.earliest_deadline_us)
--- a/tests/coordination/membership/test_suspicion.py
+++ b/tests/coordination/membership/test_suspicion.py
@@ -28,9 +28,11 @@
     assert [suspicion.confirm(f"x{number}") for number in range(100)].count(True) == 3
 
 
-@pytest.mark.parametrize(("members", "needed"), [(2, 0), (3, 1), (4, 2), (5, 3), (200, 3)])
-def test_no_more_accusers_are_needed_than_there_are_members(members: int, needed: int) -> None:
-    assert Suspicion(0, "b", members, MembershipSettings()).needed == needed
+@pytest.mark.parametrize(("members", "required_confirmations"), [(2, 0), (3, 1), (4, 2), (5, 3), (200, 3)])
+def test_no_more_accusers_are_needed_than_there_are_members(
+    members: int, required_confirmations: int
+) -> None:
+    assert Suspicion(0, "b", members, MembershipSettings()).required_confirmations == required_confirmations
 
 
 def test_stall_does_not_count_towards_the_timeout() -> None:
--- a/tests/coordination/membership/test_table.py
+++ b/tests/coordination/membership/test_table.py
@@ -86,7 +86,7 @@
     for name, status in (("a", ALIVE), ("b", DEAD), ("c", LEFT)):
         table.apply(0, rumour_of(1, 0, ALIVE, name))
         table.apply(5, rumour_of(1, 1, status, name))
-    table.forget(4)
+    table.remove_expired(4)
     assert set(table.members) == {"a", "b", "c"}
-    table.forget(5)
+    table.remove_expired(5)
     assert set(table.members) == {"a"} and table.live_count == 1
