--- a/tests/coordination/membership/rumours.py
+++ b/tests/coordination/membership/rumours.py
@@ -1,10 +1,10 @@
-"""Builds rumours of one member."""
+"""Test helper that builds rumours."""
 
 from molereach.coordination.membership.messages import MemberStatus, Rumour
 
 ALIVE, SUSPECT, DEAD, LEFT = MemberStatus
 
 
-def rumour_of(number: int, incarnation: int, status: MemberStatus, name: str = "a") -> Rumour:
-    """A rumour of `name`, with an accuser where the status needs one."""
-    return Rumour(name, number, incarnation, status, "z" if status in (SUSPECT, DEAD) else None)
+def rumour_of(instance_number: int, incarnation: int, status: MemberStatus, name: str = "a") -> Rumour:
+    """A rumour about `name`, with an accuser if the status requires one."""
+    return Rumour(name, instance_number, incarnation, status, "z" if status in (SUSPECT, DEAD) else None)
--- a/tests/coordination/membership/simulated_cluster.py
+++ b/tests/coordination/membership/simulated_cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster of membership cores: one heap of deliveries, faults by connection and node, a seed.
+"""A seeded simulation of a cluster of membership cores, with faults of connections and nodes.
 
-All messages pass through the wire's encoding. A node that stalls gets its messages late and all at once, and
-its Tick late too, before or after them; a slow one handles everything late.
+All messages are encoded and decoded. After a stall a node receives the delayed messages all at once, with its
+late Tick either before or after them; a slow node handles every event late.
 """
 
 import heapq
@@ -28,16 +28,16 @@
 
 @dataclass(eq=False)
 class Node:
-    """One instance of one proxy."""
+    """One instance of a proxy."""
 
     core: Membership
     delay_us: int = 0
     stalled_until_us: int = 0
-    delayed: list[Event] = field(default_factory=list)  # events that wait while it stalls
-    tick_at: int = NEVER_US
+    delayed: list[Event] = field(default_factory=list)  # events that arrived during a stall
+    tick_us: int = NEVER_US
     killed: bool = False
     superseded: bool = False
-    sent_messages: int = 0
+    sent_message_count: int = 0
     max_local_health_score: int = 0
     changes: list[tuple[int, MemberStatusChanged]] = field(default_factory=list)
 
@@ -45,9 +45,9 @@
     def name(self) -> str:
         return self.core.local.name
 
-    def dead_at(self, instance: NodeInstance) -> int | None:
-        """When it last declared that instance dead, or None while it does not."""
-        statuses = [(at, change.status) for at, change in self.changes if change.instance == instance]
+    def declared_dead_us(self, instance: NodeInstance) -> int | None:
+        """When this node declared the instance dead; None if it does not consider it dead."""
+        statuses = [(at_us, change.status) for at_us, change in self.changes if change.instance == instance]
         return statuses[-1][0] if statuses and statuses[-1][1] is MemberStatus.DEAD else None
 
     def ever_changed_to(self, status: MemberStatus) -> set[str]:
@@ -55,33 +55,33 @@
 
 
 class SimulatedCluster:
-    """Nodes by name; `now` only grows."""
+    """The running nodes by name, and the simulated time, which never decreases."""
 
     def __init__(self, seed: int, settings: MembershipSettings = SETTINGS) -> None:
         self.random = random.Random(seed)
         self.settings = settings
-        self.now = 0
-        self.order = 0
+        self.now_us = 0
+        self.last_event_number = 0
         self.heap: list[tuple[int, int, Node, Event]] = []
         self.nodes: dict[str, Node] = {}
-        self.duplicates: list[Node] = []  # further processes under a name that another one has
-        self.started = 0
-        self.failed_connections: set[tuple[str, str]] = set()  # from and to
-        self.partition: dict[str, int] = {}  # sides by name; connections between sides fail
+        self.duplicates: list[Node] = []  # further processes with the name of another node
+        self.start_count = 0
+        self.failed_connections: set[tuple[str, str]] = set()  # (sender, recipient)
+        self.partition: dict[str, int] = {}  # side of each name; connections between sides fail
         self.loss = 0.0
         self.longest_message_bytes = 0
 
     # --- nodes ---
 
     def start(self, name: str, seeds: tuple[str, ...] = (), number: int | None = None) -> Node:
-        self.started += 1
-        local = NodeInstance(name, self.started if number is None else number)
+        self.start_count += 1
+        local = NodeInstance(name, self.start_count if number is None else number)
         node = self.nodes[name] = Node(Membership(local, self.settings, self.random.random))
-        self.give(node, Join(seeds))
+        self.deliver(node, Join(seeds))
         return node
 
-    def group(self, size: int, intervals: int = 60) -> list[Node]:
-        """So many that know one another, with no changes recorded and no rumours queued."""
+    def start_group(self, size: int, intervals: int = 60) -> list[Node]:
+        """Start nodes that join through seeds, and run until they all know each other."""
         for number in range(size):
             self.start(f"d{number:03}", tuple(f"d{seed:03}" for seed in range(min(3, number + 1))))
             self.run(1)
@@ -90,17 +90,18 @@
         assert all(len(node.core.live_instances()) == size for node in nodes)
         for node in nodes:
             node.changes.clear()
-            node.sent_messages = 0
+            node.sent_message_count = 0
         return nodes
 
-    def preconnected_group(self, size: int) -> list[Node]:
-        """The same for many, who learn of one another at once."""
+    def start_preconnected_group(self, size: int) -> list[Node]:
+        """Start nodes and deliver the full list to each, which is faster than joining for large groups."""
         nodes = [self.start(f"d{number:03}") for number in range(size)]
         groups = split_rumours([node.core._states.local_rumour() for node in nodes])
         for node in nodes:
             for group in groups:
-                self.give(
-                    node, MessageReceived(nodes[0 if node is not nodes[0] else 1].core.local, Sync(group))
+                self.deliver(
+                    node,
+                    MessageReceived(nodes[0 if node is not nodes[0] else 1].core.local, Sync(group)),
                 )
             node.core._states.gossip.transmissions.clear()
         assert all(len(node.core.live_instances()) == size for node in nodes)
@@ -111,30 +112,30 @@
     def kill(self, name: str) -> None:
         self.nodes.pop(name).killed = True
 
-    def stall(self, name: str, us: int) -> None:
-        self.nodes[name].stalled_until_us = self.now + us
-        self.push(self.now + us, self.nodes[name], TICK)
+    def stall(self, name: str, duration_us: int) -> None:
+        self.nodes[name].stalled_until_us = self.now_us + duration_us
+        self.schedule(self.now_us + duration_us, self.nodes[name], TICK)
 
     def leave(self, name: str) -> None:
-        self.give(self.nodes[name], Leave())
+        self.deliver(self.nodes[name], Leave())
 
     # --- time ---
 
-    def push(self, at: int, node: Node, event: Event) -> None:
-        self.order += 1
-        heapq.heappush(self.heap, (at, self.order, node, event))
+    def schedule(self, at_us: int, node: Node, event: Event) -> None:
+        self.last_event_number += 1
+        heapq.heappush(self.heap, (at_us, self.last_event_number, node, event))
 
     def run(self, intervals: float) -> None:
-        end_us = self.now + round(intervals * INTERVAL_US)
+        end_us = self.now_us + round(intervals * INTERVAL_US)
         while self.heap and self.heap[0][0] <= end_us:
-            self.now, _, node, event = heapq.heappop(self.heap)
-            self.arrive(node, event)
-        self.now = end_us
+            self.now_us, _, node, event = heapq.heappop(self.heap)
+            self.receive_event(node, event)
+        self.now_us = end_us
 
-    def arrive(self, node: Node, event: Event) -> None:
+    def receive_event(self, node: Node, event: Event) -> None:
         if node.killed or node.superseded:
             return
-        if self.now < node.stalled_until_us:
+        if self.now_us < node.stalled_until_us:
             if event is not TICK:
                 node.delayed.append(event)
             return
@@ -142,31 +143,31 @@
             delayed = node.delayed
             node.delayed = []
             for waiting in [TICK, *delayed] if self.random.random() < 0.5 else [*delayed, TICK]:
-                self.give(node, waiting)
-        if event is not TICK or node.core.wake_us <= self.now:
-            self.give(node, event)
+                self.deliver(node, waiting)
+        if event is not TICK or node.core.wake_us <= self.now_us:
+            self.deliver(node, event)
 
-    def give(self, node: Node, event: Event) -> None:
+    def deliver(self, node: Node, event: Event) -> None:
         if node.killed or node.superseded:
             return
-        for action in node.core.handle(self.now, event):
+        for action in node.core.handle(self.now_us, event):
             match action:
                 case SendMessage():
                     self.transmit(node, action)
                 case MemberStatusChanged():
-                    node.changes.append((self.now, action))
+                    node.changes.append((self.now_us, action))
                 case Superseded():
                     node.superseded = True
                 case LocalHealthChanged():
                     node.max_local_health_score = max(node.max_local_health_score, action.score)
         wake = node.core.wake_us
-        if wake != node.tick_at and wake < NEVER_US:
-            self.push(max(self.now, wake) + node.delay_us, node, TICK)
-        node.tick_at = wake
+        if wake != node.tick_us and wake < NEVER_US:
+            self.schedule(max(self.now_us, wake) + node.delay_us, node, TICK)
+        node.tick_us = wake
 
     def transmit(self, node: Node, action: SendMessage) -> None:
         data = encode(action.message)
-        node.sent_messages += 1
+        node.sent_message_count += 1
         self.longest_message_bytes = max(self.longest_message_bytes, len(data))
         candidates = [
             candidate
@@ -188,19 +189,19 @@
         if self.random.random() < self.loss:
             return
         delay_us = self.random.randint(1_000, 25_000) + recipient.delay_us
-        self.push(self.now + delay_us, recipient, MessageReceived(node.core.local, decode(data)))
+        self.schedule(self.now_us + delay_us, recipient, MessageReceived(node.core.local, decode(data)))
 
-    # --- what is asserted ---
+    # --- assertions ---
 
-    def is_agreed(self) -> bool:
-        """Whether all hold exactly the running nodes for live."""
+    def views_agree(self) -> bool:
+        """Whether all nodes consider exactly the running nodes live."""
         instances = tuple(sorted(node.core.local for node in self.nodes.values()))
         return all(node.core.live_instances() == instances for node in self.nodes.values())
 
     def run_until_agreed(self, intervals: int) -> int:
-        """Intervals until all agree; AssertionError if that takes longer."""
+        """Run until all nodes agree; returns the intervals taken. Raises AssertionError at the limit."""
         for interval in range(intervals):
-            if self.is_agreed():
+            if self.views_agree():
                 return interval
             self.run(1)
         raise AssertionError({name: node.core.live_instances() for name, node in self.nodes.items()})
--- a/tests/coordination/membership/single_core.py
+++ b/tests/coordination/membership/single_core.py
@@ -1,4 +1,4 @@
-"""One membership core, driven by hand."""
+"""A single membership core whose clock and incoming messages the test controls."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -18,7 +18,7 @@
 
 
 class SingleCore:
-    """A core with its clock, among members that reply as a test says."""
+    """A membership core with its clock, and members whose replies the test provides."""
 
     def __init__(self, *names: str, settings: MembershipSettings = SETTINGS) -> None:
         self.core = Membership(LOCAL, settings, random.Random(1).random)
@@ -37,33 +37,33 @@
         return self.handle(MessageReceived(NodeInstance(name, number), message))
 
     def tick(self) -> Sequence[Any]:
-        """Let time pass until it wants a Tick, and deliver it on time."""
+        """Advance the clock to the next due Tick and deliver it on time."""
         self.now_us = max(self.now_us, self.core.wake_us)
         actions = [*self.handle(Tick())]
         for _ in range(3):
             if self.core.wake_us > self.now_us:
                 return actions
             actions += self.handle(Tick())
-        raise AssertionError("it wants the same Tick forever")
+        raise AssertionError("the core requests the same Tick repeatedly")
 
-    def until(self, kind: type, max_ticks: int = 1_000) -> tuple[str, Any]:
-        """Tick until it sends such a message; its recipient and the message."""
+    def run_until_sent(self, kind: type, max_ticks: int = 1_000) -> tuple[str, Any]:
+        """Tick until the core sends a message of that type; returns the recipient and the message."""
         for _ in range(max_ticks):
             for action in self.tick():
                 if isinstance(action, SendMessage) and isinstance(action.message, kind):
                     return action.recipient, action.message
-        raise AssertionError(f"no {kind.__name__}")
+        raise AssertionError(f"no {kind.__name__} was sent")
 
-    def run(self, us: int, reply: Callable[[SendMessage], Any] = lambda sent: None) -> None:
-        """Let time pass; `reply` gives the message that comes back at once, if any."""
-        end_us = self.now_us + us
+    def run(self, duration_us: int, reply: Callable[[SendMessage], Any] = lambda sent: None) -> None:
+        """Advance the clock; `reply` returns the immediate reply to a sent message, or None."""
+        end_us = self.now_us + duration_us
         while self.core.wake_us <= end_us:
             for action in self.tick():
                 if isinstance(action, SendMessage) and (message := reply(action)) is not None:
                     self.receive(action.recipient, message)
         self.now_us = end_us
 
-    def changed(self, status: MemberStatus) -> set[str]:
+    def changed_to(self, status: MemberStatus) -> set[str]:
         changes = [action for action in self.actions if isinstance(action, MemberStatusChanged)]
         return {change.instance.name for change in changes if change.status is status}
 
@@ -79,10 +79,10 @@
 # --- stalls ---
 
 
-def stalled_core(*names: str, us: int = 30 * SECOND_US) -> SingleCore:
-    """A core with a probe and its indirect probes in flight, whose process then stalled."""
+def stalled_core(*names: str, stall_us: int = 30 * SECOND_US) -> SingleCore:
+    """A core whose process stalled with a probe and its indirect probes in flight."""
     single = SingleCore(*names)
-    single.until(Ping)
+    single.run_until_sent(Ping)
     single.tick()
-    single.now_us += us
+    single.now_us += stall_us
     return single
--- a/tests/coordination/membership/test_full_lists.py
+++ b/tests/coordination/membership/test_full_lists.py
@@ -1,4 +1,4 @@
-"""Exchange of all rumours, and the bounds on what is kept."""
+"""Full exchanges of rumours, and the bounds on the stored state."""
 
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, SECOND_US
 from molereach.coordination.membership.messages import Ping, Rumour, Sync
--- a/tests/coordination/membership/test_gossip.py
+++ b/tests/coordination/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""The queue of rumours still to be sent."""
+"""The queue of rumours to send."""
 
 from molereach.coordination.membership.gossip import GossipQueue, max_transmissions
 from molereach.coordination.membership.messages import (
@@ -13,8 +13,8 @@
     assert gossip.next_rumours(9, 1) == (rumour_of(1, 0, ALIVE),)
     gossip.enqueue(rumour_of(1, 0, ALIVE, "b"))
     assert gossip.next_rumours(9, 1) == (rumour_of(1, 0, ALIVE, "b"),)
-    rest = [gossip.next_rumours(9, 24) for _ in range(40)]
-    assert sum(rumour_of(1, 0, ALIVE) in rumours for rumours in rest) == max_transmissions(9) - 1 == 11
+    remaining = [gossip.next_rumours(9, 24) for _ in range(40)]
+    assert sum(rumour_of(1, 0, ALIVE) in rumours for rumours in remaining) == max_transmissions(9) - 1 == 11
     assert not gossip.transmissions
 
 
--- a/tests/coordination/membership/test_histories.py
+++ b/tests/coordination/membership/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories from seeds: losses, stalls, kills, returns, partitions, leaves; invariants of all."""
+"""Invariants under seeded random faults: message loss, stalls, kills, restarts, partitions and leaves."""
 
 import pytest
 
@@ -8,29 +8,32 @@
 
 ALIVE, SUSPECT, DEAD, LEFT = MemberStatus
 STEPS = 12
-MIN_LIVE_NODES = 3  # with two, nobody can probe around a failed connection
-MAX_WRONG_INTERVALS = 40  # for which some node holds a live, running, reachable one for dead
+MIN_LIVE_NODES = 3  # with two, no helper can bypass a failed connection
+MAX_FALSE_DEATH_INTERVALS = 40  # for which a node may consider a running, reachable one dead
 
 
 class History:
-    """One cluster, its faults, and for how long each wrong verdict on a live node has lasted."""
+    """A cluster, its faults, and how long each node has wrongly considered another one dead."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = SimulatedCluster(seed)
         self.random = self.cluster.random
-        self.nodes = self.cluster.group(self.random.randint(3, 8), 20)
+        self.nodes = self.cluster.start_group(self.random.randint(3, 8), 20)
         self.names = [node.name for node in self.nodes]
-        self.ended: set[NodeInstance] = set()  # killed, or left
+        self.ended: set[NodeInstance] = set()  # killed or left
         self.left: set[NodeInstance] = set()
-        self.wrong: dict[tuple[str, str], int] = {}  # intervals, by observer and observed
-        self.longest_wrong_intervals = 0
+        self.false_death_intervals: dict[tuple[str, str], int] = {}  # intervals by (observer, subject)
+        self.longest_false_death_intervals = 0
 
     def random_node(self) -> Node:
         return self.random.choice(sorted(self.cluster.nodes.values(), key=lambda node: node.name))
 
     def fail_connection(self) -> None:
-        one, two = self.random.sample(self.names, 2)
-        self.cluster.failed_connections = {(one, two), *([(two, one)] if self.random.random() < 0.5 else [])}
+        sender, recipient = self.random.sample(self.names, 2)
+        self.cluster.failed_connections = {
+            (sender, recipient),
+            *([(recipient, sender)] if self.random.random() < 0.5 else []),
+        }
 
     def kill(self) -> None:
         if len(self.cluster.nodes) > MIN_LIVE_NODES:
@@ -73,34 +76,39 @@
         cluster = self.cluster
         assert cluster.longest_message_bytes <= MAX_MESSAGE_BYTES
         for node in cluster.nodes.values():
-            assert not node.superseded  # the newest instance of a name is never told to end
+            assert not node.superseded  # the newest instance of a name is never superseded
             assert (
                 node.core.local in node.core.live_instances()
                 and len(node.core.live_instances()) <= MAX_MEMBERS
             )
             assert 0 <= node.core.local_health_score <= SETTINGS.max_local_health_score
-            if cluster.now >= node.stalled_until_us:
-                assert node.core.wake_us >= cluster.now
+            if cluster.now_us >= node.stalled_until_us:
+                assert node.core.wake_us >= cluster.now_us
             for other in cluster.nodes.values():
                 declared_dead = node.core.status(other.name) is DEAD and not cluster.partition
-                stalled = max(node.stalled_until_us, other.stalled_until_us) >= cluster.now
-                wrong_intervals = (
-                    self.wrong.get((node.name, other.name), 0) + 1 if declared_dead and not stalled else 0
+                stalled = max(node.stalled_until_us, other.stalled_until_us) >= cluster.now_us
+                duration_intervals = (
+                    self.false_death_intervals.get((node.name, other.name), 0) + 1
+                    if declared_dead and not stalled
+                    else 0
+                )
+                self.false_death_intervals[node.name, other.name] = duration_intervals
+                self.longest_false_death_intervals = max(
+                    self.longest_false_death_intervals, duration_intervals
                 )
-                self.wrong[node.name, other.name] = wrong_intervals
-                self.longest_wrong_intervals = max(self.longest_wrong_intervals, wrong_intervals)
 
     def finish(self) -> None:
-        """Once all faults are over, all nodes agree, and the recorded changes are consistent."""
+        """End all faults; check that all nodes agree and that the recorded changes are consistent."""
         cluster = self.cluster
         self.heal()
         cluster.loss = 0.0
         cluster.run(
-            max([0, *(node.stalled_until_us - cluster.now for node in cluster.nodes.values())]) / INTERVAL_US
+            max([0, *(node.stalled_until_us - cluster.now_us for node in cluster.nodes.values())])
+            / INTERVAL_US
             + 1
         )
         cluster.run_until_agreed(120)
-        assert self.longest_wrong_intervals <= MAX_WRONG_INTERVALS
+        assert self.longest_false_death_intervals <= MAX_FALSE_DEATH_INTERVALS
         for node in self.nodes:
             last: dict[NodeInstance, MemberStatus] = {}
             for _, change in node.changes:
@@ -117,7 +125,7 @@
 
 
 @pytest.mark.parametrize("seed", range(15))
-def test_single_failed_connections_make_no_live_node_dead(seed: int) -> None:
+def test_single_failed_connections_cause_no_false_death(seed: int) -> None:
     history = History(seed)
     for _ in range(STEPS):
         history.fail_connection()
--- a/tests/coordination/membership/test_instances.py
+++ b/tests/coordination/membership/test_instances.py
@@ -1,4 +1,4 @@
-"""Instances of one name: the newest wins, older ones are told to end."""
+"""Instances with the same name: the newest takes precedence, and older ones are told to exit."""
 
 import pytest
 
@@ -66,7 +66,7 @@
         "me", 5, 0, ALIVE
     ) in sent.message.rumours
     assert single.core.status("z") is None
-    assert not single.handle(MessageReceived(LOCAL, Ping(1)))  # an own word that came back
+    assert not single.handle(MessageReceived(LOCAL, Ping(1)))  # its own message, sent back
 
 
 def test_unknown_event_or_message_is_ignored() -> None:
--- a/tests/coordination/membership/test_leaving.py
+++ b/tests/coordination/membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving in order."""
+"""Graceful leave."""
 
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.membership.events import (
@@ -16,9 +16,9 @@
 
 def test_leaving_member_notifies_others_then_only_answers_pings() -> None:
     single = SingleCore("a", "b", "c")
-    farewells = sent_messages(single.handle(Leave()))
-    assert {sent.recipient for sent in farewells} == {"a", "b", "c"}
-    assert all(Rumour("me", 5, 1, LEFT) in sent.message.rumours for sent in farewells)
+    leave_messages = sent_messages(single.handle(Leave()))
+    assert {sent.recipient for sent in leave_messages} == {"a", "b", "c"}
+    assert all(Rumour("me", 5, 1, LEFT) in sent.message.rumours for sent in leave_messages)
     assert (
         single.core.wake_us == NEVER_US
         and single.core.status("me") is LEFT
--- a/tests/coordination/membership/test_local_health.py
+++ b/tests/coordination/membership/test_local_health.py
@@ -1,4 +1,4 @@
-"""The local health score."""
+"""The local health score: bounds and scaling."""
 
 from molereach.coordination.membership.local_health import LocalHealth
 
--- a/tests/coordination/membership/test_messages.py
+++ b/tests/coordination/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages keep to their byte budget, and malformed ones are rejected."""
+"""The byte budget of messages, and the rejection of malformed ones."""
 
 import msgspec
 import pytest
@@ -23,10 +23,10 @@
 )
 from tests.coordination.membership.rumours import ALIVE, SUSPECT, rumour_of
 
-LONG = "n" * (MAX_NAME_CHARACTERS - 4)
+LONG_PREFIX = "n" * (MAX_NAME_CHARACTERS - 4)
 
 
-LONG_NAMES = [f"{LONG}{number:04}" for number in range(300)]
+LONG_NAMES = [f"{LONG_PREFIX}{number:04}" for number in range(300)]
 
 
 LONGEST = [Rumour(name, 1 << 62, 1 << 53, SUSPECT, name) for name in LONG_NAMES]
@@ -55,7 +55,7 @@
 
 def test_full_list_is_split_without_loss() -> None:
     groups = split_rumours(LONGEST)
-    assert sorted(rumour for group in groups for rumour in [rumour.name for rumour in group]) == sorted(
+    assert sorted(name for group in groups for name in [rumour.name for rumour in group]) == sorted(
         rumour.name for rumour in LONGEST
     )
     assert all(len(encode(Sync(group, True))) <= MAX_MESSAGE_BYTES for group in groups)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "malformed",
     [
         {"type": "m.pong", "seq": 1},
         {**PING, "more": 1},
@@ -84,17 +84,17 @@
         None,
     ],
 )
-def test_malformed_message_is_rejected(wrong: object) -> None:
+def test_malformed_message_is_rejected(malformed: object) -> None:
     with pytest.raises(ValueError):
-        decode(msgspec.msgpack.encode(wrong))
+        decode(msgspec.msgpack.encode(malformed))
 
 
 def test_truncated_extended_or_oversized_message_is_rejected() -> None:
     good = encode(Ping(1, (rumour_of(1, 0, ALIVE),)))
     assert decode(good)
-    for wrong in (good[:-1], good + b"\0", b"", b"\xc1" * 40):
+    for malformed in (good[:-1], good + b"\0", b"", b"\xc1" * 40):
         with pytest.raises(ValueError):
-            decode(wrong)
-    many = tuple(rumour_of(1, 0, ALIVE, f"{LONG}{number:04}") for number in range(100))
+            decode(malformed)
+    many = tuple(rumour_of(1, 0, ALIVE, f"{LONG_PREFIX}{number:04}") for number in range(100))
     with pytest.raises(ValueError, match="bytes"):
         decode(msgspec.msgpack.encode(Ping(1, many)))
--- a/tests/coordination/membership/test_probe_schedule.py
+++ b/tests/coordination/membership/test_probe_schedule.py
@@ -1,4 +1,4 @@
-"""Round robin over a shuffled list of members."""
+"""Round-robin probing over a shuffled list of members."""
 
 import random
 
@@ -21,11 +21,11 @@
     assert len(set(orders)) == 5 and all(sorted(order) == names for order in orders)
 
 
-@pytest.mark.parametrize("taken", range(1, 20))
-def test_change_within_a_round_skips_and_repeats_nobody(taken: int) -> None:
+@pytest.mark.parametrize("probe_count", range(1, 20))
+def test_change_during_a_round_neither_skips_nor_repeats_members(probe_count: int) -> None:
     names = [f"d{number}" for number in range(20)]
     schedule = schedule_of(names)
-    probed = [schedule.next() for _ in range(taken)]
+    probed = [schedule.next() for _ in range(probe_count)]
     schedule.add("new")
     schedule.remove("d0")
     schedule.remove("d1")
--- a/tests/coordination/membership/test_settings.py
+++ b/tests/coordination/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that cannot work together are rejected."""
+"""Inconsistent settings are rejected."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid",
     [
         {"ping_timeout_us": 500_000},
         {"ping_timeout_us": 0},
@@ -16,6 +16,6 @@
         {"retry_intervals": 0},
     ],
 )
-def test_invalid_settings_are_rejected(wrong: dict[str, int]) -> None:
+def test_invalid_settings_are_rejected(invalid: dict[str, int]) -> None:
     with pytest.raises(ValueError, match="must"):
-        MembershipSettings(**wrong)
+        MembershipSettings(**invalid)
--- a/tests/coordination/membership/test_stalls.py
+++ b/tests/coordination/membership/test_stalls.py
@@ -1,4 +1,4 @@
-"""A stall of the own process suspects nobody and lowers local health."""
+"""A stall of the local process causes no suspicion and lowers local health."""
 
 from typing import Any
 
@@ -22,21 +22,21 @@
 )
 
 
-@pytest.mark.parametrize("us", [SECOND_US // 2, 3 * SECOND_US, 30 * SECOND_US])
+@pytest.mark.parametrize("stall_us", [SECOND_US // 2, 3 * SECOND_US, 30 * SECOND_US])
 @pytest.mark.parametrize("first", [Tick(), MessageReceived(NodeInstance("b", 1), Ping(9))])
-def test_timeouts_during_a_stall_suspect_nobody(us: int, first: Any) -> None:  # noqa: ANN401
-    single = stalled_core("a", "b", "c", us=us)
+def test_timeouts_during_a_stall_cause_no_suspicion(stall_us: int, first: Any) -> None:  # noqa: ANN401
+    single = stalled_core("a", "b", "c", stall_us=stall_us)
     single.handle(first)
     assert (
         single.core.local_health_score >= 1
         and LocalHealthChanged(single.core.local_health_score) in single.actions
     )
     single.run(20 * INTERVAL_US, ack_pings)
-    assert not single.changed(SUSPECT)
+    assert not single.changed_to(SUSPECT)
 
 
 def test_long_stall_lowers_local_health_more_than_a_short_one() -> None:
-    short, long = stalled_core("a", us=SECOND_US // 2), stalled_core("a", us=30 * SECOND_US)
+    short, long = stalled_core("a", stall_us=SECOND_US // 2), stalled_core("a", stall_us=30 * SECOND_US)
     short.handle(Tick())
     long.handle(Tick())
     assert (
@@ -44,7 +44,7 @@
     )
 
 
-def test_slightly_late_tick_is_no_stall() -> None:
+def test_slightly_late_tick_is_not_a_stall() -> None:
     single = SingleCore("a", "b")
     single.now_us = single.core.wake_us + SETTINGS.stall_us
     single.handle(Tick())
@@ -60,15 +60,14 @@
     single.run(INTERVAL_US, ack_pings)
     assert single.core.status("a") is SUSPECT
     single.receive("a", Ack(0, (Rumour("a", 1, 1, ALIVE),)))
-    assert single.core.status("a") is ALIVE and not single.changed(DEAD)
+    assert single.core.status("a") is ALIVE and not single.changed_to(DEAD)
 
 
-def test_deadline_that_an_accuser_moves_into_the_past_is_no_stall() -> None:
+def test_deadline_that_an_accuser_moves_into_the_past_is_not_a_stall() -> None:
     single = SingleCore("a", "b", "c")
     single.receive("b", Ping(1, (Rumour("a", 1, 0, SUSPECT, "b"),)))
-    single.run(
-        4 * SECOND_US, lambda sent: ack_pings(sent) if sent.recipient != "a" else None
-    )  # the shortest time would be over
+    # Longer than the minimum timeout.
+    single.run(4 * SECOND_US, lambda sent: ack_pings(sent) if sent.recipient != "a" else None)
     assert single.core.status("a") is SUSPECT
     before = single.core.local_health_score
     single.receive("c", Ping(1, (Rumour("a", 1, 0, SUSPECT, "c"),)))
@@ -80,14 +79,13 @@
 def test_suspicion_about_to_expire_waits_for_unread_messages() -> None:
     single = SingleCore("a")
     single.receive("a", Sync((Rumour("b", 1, 0, SUSPECT, "a"),)))
-    single.run(
-        2 * SECOND_US - 1, ack_pings
-    )  # three members: two accusers are awaited, so it is not yet at its end
-    deadline = single.core._states.suspicions["b"].deadline_us
-    single.run(deadline - single.now_us - 1, ack_pings)
-    single.now_us = deadline + 10 * SECOND_US
+    # Three members need two accusers, so the timeout has not passed yet.
+    single.run(2 * SECOND_US - 1, ack_pings)
+    deadline_us = single.core._states.suspicions["b"].deadline_us
+    single.run(deadline_us - single.now_us - 1, ack_pings)
+    single.now_us = deadline_us + 10 * SECOND_US
     single.handle(Tick())
-    woke = single.now_us
+    resumed_us = single.now_us
     while single.core.status("b") is SUSPECT:
         single.tick()
-    assert single.now_us >= woke + INTERVAL_US
+    assert single.now_us >= resumed_us + INTERVAL_US
--- a/tests/coordination/membership/test_suspicion.py
+++ b/tests/coordination/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""The timeout of a suspicion: falls with its accusers, is bounded, does not run during a stall."""
+"""The suspicion timeout: decreases with the number of accusers, is bounded, and excludes stalls."""
 
 import math
 
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("members", "required_confirmations"), [(2, 0), (3, 1), (4, 2), (5, 3), (200, 3)])
-def test_no_more_accusers_are_needed_than_there_are_members(
+def test_required_confirmations_are_limited_by_the_group_size(
     members: int, required_confirmations: int
 ) -> None:
     assert Suspicion(0, "b", members, MembershipSettings()).required_confirmations == required_confirmations
--- a/tests/coordination/membership/test_table.py
+++ b/tests/coordination/membership/test_table.py
@@ -1,4 +1,4 @@
-"""Which rumour of a member wins, and how the table of members stays bounded."""
+"""The precedence of rumours, and the bound on the member table."""
 
 from itertools import permutations
 
@@ -15,7 +15,7 @@
 from molereach.coordination.membership.table import MemberTable
 from tests.coordination.membership.rumours import ALIVE, DEAD, LEFT, SUSPECT, rumour_of
 
-WINNERS = [  # the first wins over the second
+WINNER_LOSER_PAIRS = [  # the first takes precedence over the second
     (rumour_of(2, 0, ALIVE), rumour_of(1, 9, DEAD)),
     (rumour_of(2, 0, ALIVE), rumour_of(1, 9, LEFT)),
     (rumour_of(1, 1, ALIVE), rumour_of(1, 0, SUSPECT)),
@@ -26,7 +26,7 @@
 ]
 
 
-@pytest.mark.parametrize(("winner", "loser"), WINNERS)
+@pytest.mark.parametrize(("winner", "loser"), WINNER_LOSER_PAIRS)
 def test_rumour_of_higher_precedence_wins(winner: Rumour, loser: Rumour) -> None:
     table = MemberTable()
     table.apply(0, loser)
