--- a/molereach/coordination/dissemination/__init__.py
+++ b/molereach/coordination/dissemination/__init__.py
@@ -1,8 +1,8 @@
-"""The dissemination tree: log entries from the leader to all proxies, session renewals back to it.
+"""The dissemination tree: log entries flow from the leader to all proxies, renewal requests back.
 
-In reading order: `settings`, `messages` (events, actions, messages), `ranked_tree` (the tree by rank),
-`tree_state` (which proxies are live and which leads), `parent_tracker` (the parent, and when it is given up),
-`parent_selection` (what changes the parent), `children` (who follows this proxy), `aggregation` (renewal
-requests up, grants down), `entry_forwarding` (entries down), `downstream` (messages to children), `heartbeat`
-(when to send), `core`.
+In reading order: `settings`, `messages` (messages, events and actions), `ranked_tree` (the tree computed from
+the ranks of proxies), `tree_state` (the live proxies and the leader), `parent_tracker` (the parent and its
+timeout), `parent_selection` (changes of the parent), `children` (the proxies that follow this one),
+`aggregation` (requests upstream, grants downstream), `entry_forwarding` (entries downstream), `downstream`
+(messages to children), `heartbeat` (the times of heartbeats and reports), `core`.
 """
--- a/molereach/coordination/dissemination/aggregation.py
+++ b/molereach/coordination/dissemination/aggregation.py
@@ -1,7 +1,7 @@
-"""Renewal requests from below on their way up, and the routes that grants take back.
+"""Aggregation of renewal requests from the subtree, and the routes of grants back to the requesters.
 
-At most `MAX_MEMBERS` of each are kept. Without capacity, names that are known to be live replace those
-that are not, so invented names cannot keep out anybody.
+At most `MAX_MEMBERS` of each are kept. At that limit, names of live proxies replace unknown ones, so that
+invented names cannot displace live proxies.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,7 +16,7 @@
 
 
 class BoundedRegistry(Generic[Key, Value]):
-    """A mapping of at most `MAX_MEMBERS`, in which known keys come before unknown ones."""
+    """A mapping of at most `MAX_MEMBERS` keys, in which known keys take precedence over unknown ones."""
 
     def __init__(self) -> None:
         self.known: dict[Key, Value] = {}
@@ -27,11 +27,11 @@
         return len(self.known) + len(self.unknown)
 
     def get(self, key: Key) -> Value | None:
-        """The value of a key, or None."""
+        """The value of a key; None if it is absent."""
         return self.known.get(key) or self.unknown.get(key)
 
     def put(self, key: Key, value: Value, known: bool) -> None:
-        """Set a value; without capacity a known key replaces an unknown one, and any other is dropped."""
+        """Set a value. When full, a new known key replaces an unknown one; any other new key is dropped."""
         if key not in self.known and key not in self.unknown and len(self) >= MAX_MEMBERS:
             if not known or not self.unknown:
                 return
@@ -44,21 +44,21 @@
         """All values, those of known keys first."""
         return (*self.known.values(), *self.unknown.values())
 
-    def keep(self, wanted: Callable[[Value], bool]) -> None:
-        """Remove all values but the wanted."""
-        self.known = {key: value for key, value in self.known.items() if wanted(value)}
-        self.unknown = {key: value for key, value in self.unknown.items() if wanted(value)}
+    def retain(self, predicate: Callable[[Value], bool]) -> None:
+        """Remove the values for which `predicate` is false."""
+        self.known = {key: value for key, value in self.known.items() if predicate(value)}
+        self.unknown = {key: value for key, value in self.unknown.items() if predicate(value)}
 
 
 class RequestOrder(NamedTuple):
-    """The order of renewal requests of one name; the highest is the newest."""
+    """The sort key of the renewal requests of one name; the highest is the newest."""
 
     instance_number: int
     number: int
 
 
 class SessionKey(NamedTuple):
-    """One session of one instance."""
+    """Identifies a session of an instance."""
 
     name: str
     instance_number: int
@@ -66,7 +66,7 @@
 
 
 class RoutedGrants(NamedTuple):
-    """Grants for this proxy, and those for others by the child that they go through."""
+    """Grants for this proxy, and grants for others by the child that leads to them."""
 
     local: list[RenewalGrant]
     by_child: dict[str, list[RenewalGrant]]
@@ -75,13 +75,13 @@
 @dataclass(slots=True)
 class _Route:
     child: str
-    order: RequestOrder  # of the request that came this way
+    order: RequestOrder  # of the request that established the route
     received_us: int
-    awaits_grant: bool = True  # False once granted, or in a ring of proxies a grant would circulate for ever
+    awaits_grant: bool = True  # False once used; otherwise a grant could circulate in a cycle for ever
 
 
 class RenewalAggregator:
-    """The newest request of each session, and the child that the newest request of each name came by."""
+    """The newest request of each session, and the child that sent the newest request of each name."""
 
     def __init__(self, local_name: str, route_lifetime_us: int) -> None:
         self.local_name = local_name
@@ -91,13 +91,13 @@
         self.routes: BoundedRegistry[str, _Route] = BoundedRegistry()
 
     def set_local_request(self, request: RenewalRequest) -> None:
-        """Set this proxy's request, which each report repeats until it is granted, as any may be lost."""
+        """Set this proxy's request. Each report repeats it until it is granted, as reports may be lost."""
         self.local_request = request
 
     def collect(
         self, now_us: int, child: str, requests: Iterable[RenewalRequest], live: dict[str, int]
     ) -> None:
-        """Add the requests of a child's report; those under this proxy's own name are ignored."""
+        """Add the requests of a child's report, except any under this proxy's own name."""
         for request in requests:
             if request.name != self.local_name:
                 self._collect_one(now_us, child, request, request.name in live)
@@ -113,14 +113,14 @@
             self.routes.put(request.name, _Route(child, order, now_us), known)
 
     def flush(self, now_us: int) -> tuple[RenewalRequest, ...]:
-        """Remove and return all requests, this proxy's first; others repeat theirs, so none is kept."""
+        """Return all requests, this proxy's first, and clear those of others, who repeat them."""
         requests = self.requests.values()
         self.requests = BoundedRegistry()
-        self.routes.keep(lambda route: now_us - route.received_us <= self.route_lifetime_us)
+        self.routes.retain(lambda route: now_us - route.received_us <= self.route_lifetime_us)
         return ((self.local_request, *requests) if self.local_request else requests)[:MAX_MEMBERS]
 
     def route_grants(self, grants: Iterable[RenewalGrant]) -> RoutedGrants:
-        """Divide grants by the way they go; those without a route are dropped."""
+        """Assign grants to their routes; drops those without one."""
         routed = RoutedGrants([], {})
         used: list[_Route] = []
         for grant in grants:
@@ -129,7 +129,7 @@
             elif (route := self.routes.get(grant.name)) and route.awaits_grant:
                 used.append(route)
                 routed.by_child.setdefault(route.child, []).append(grant)
-        # Only now, as several grants of one batch may go the same way.
+        # After the loop, as several grants of one batch may use the same route.
         for route in used:
             route.awaits_grant = False
         for grant in routed.local:
--- a/molereach/coordination/dissemination/children.py
+++ b/molereach/coordination/dissemination/children.py
@@ -1,7 +1,7 @@
-"""The children of this proxy: at most twice the fanout, and where one without a place is redirected.
+"""The children of this proxy, at most twice the fanout, and the redirection of those without a place.
 
-A child by rank is always admitted, as there are at most `fanout` of them: another one is evicted for it. So
-no number of strangers or invented names can keep out the proxies that belong here.
+A child by rank is always admitted, as there are at most `fanout` of them: if necessary it replaces another
+child. So other proxies or invented names, whatever their number, cannot displace the children by rank.
 """
 
 from dataclasses import dataclass
@@ -14,17 +14,17 @@
 
 @dataclass(slots=True)
 class Child:
-    """One proxy that follows this one."""
+    """A proxy that follows this one."""
 
     instance_number: int
-    applied_position: int  # as reported
+    applied_position: int  # as reported by the child
     subtree_size: int
     last_report_us: int
     has_reported: bool = True  # since the last heartbeat
 
 
 class Admission(NamedTuple):
-    """Whether a proxy is a child now, and the child that was evicted for it."""
+    """Whether a proxy was admitted as a child, and the child evicted for it."""
 
     admitted: bool
     evicted: str | None = None
@@ -38,20 +38,20 @@
         self.table: dict[str, Child] = {}
 
     def __contains__(self, name: str) -> bool:
-        """Whether that proxy is a child."""
+        """Whether a proxy is a child."""
         return name in self.table
 
     @property
     def subtree_size(self) -> int:
-        """Proxies below, this one included."""
+        """The number of proxies in the subtree of this one, itself included."""
         return min(MAX_MEMBERS, 1 + sum(child.subtree_size for child in self.table.values()))
 
     def update(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> bool:
-        """Apply the report of a child; False for a proxy, or an instance of it, that is no child."""
+        """Apply the report of a child; False if this instance of the sender is not a child."""
         child = self.table.get(sender.name)
         if child is None or child.instance_number != sender.number:
             return False
-        # Reports may be reordered; within one instance the position never decreases.
+        # Reports may be reordered; the position of one instance never decreases.
         child.applied_position = max(child.applied_position, report.applied_position)
         child.subtree_size = report.subtree_size
         child.last_report_us = now_us
@@ -64,26 +64,26 @@
         return child is not None and child.instance_number > sender.number
 
     def admit(
-        self, now_us: int, sender: NodeInstance, report: UpstreamReport, ranked: frozenset[str]
+        self, now_us: int, sender: NodeInstance, report: UpstreamReport, children_by_rank: frozenset[str]
     ) -> Admission:
-        """Make the sender a child if there is capacity; `ranked` are the children by rank."""
+        """Make the sender a child if there is capacity or it is a child by rank."""
         evicted = None
         if sender.name not in self.table and len(self.table) >= self.settings.max_children:
-            strangers = [name for name in self.table if name not in ranked]
-            if sender.name not in ranked or not strangers:
+            unranked = [name for name in self.table if name not in children_by_rank]
+            if sender.name not in children_by_rank or not unranked:
                 return Admission(admitted=False)
-            evicted = min(strangers, key=lambda name: self.table[name].last_report_us)
+            evicted = min(unranked, key=lambda name: self.table[name].last_report_us)
             del self.table[evicted]
         self.table[sender.name] = Child(sender.number, report.applied_position, report.subtree_size, now_us)
         return Admission(admitted=True, evicted=evicted)
 
-    def has_capacity_for(self, name: str, ranked: frozenset[str]) -> bool:
-        """Whether that proxy would be admitted."""
-        return name in self.table or name in ranked or len(self.table) < self.settings.max_children
+    def has_capacity_for(self, name: str, children_by_rank: frozenset[str]) -> bool:
+        """Whether a proxy would be admitted."""
+        return name in self.table or name in children_by_rank or len(self.table) < self.settings.max_children
 
-    def smallest_child(self, besides: str) -> str | None:
-        """The child with the smallest subtree, for a proxy that was not admitted; it counts as below it."""
-        names = [name for name in self.table if name != besides]
+    def choose_redirect_target(self, excluded_name: str) -> str | None:
+        """The child with the smallest subtree, to redirect a proxy to; counts that proxy into its subtree."""
+        names = [name for name in self.table if name != excluded_name]
         if not names:
             return None
         name = min(names, key=lambda name: self.table[name].subtree_size)
@@ -91,10 +91,10 @@
         return name
 
     def start_interval(self, now_us: int) -> None:
-        """At a heartbeat: forget silent children, and wait for the reports of the others."""
+        """At a heartbeat: remove silent children, and expect a report from each of the others."""
         timeout_us = self.settings.child_timeout_intervals * self.settings.heartbeat_interval_us
-        oldest_us = now_us - timeout_us
-        self.table = {name: child for name, child in self.table.items() if child.last_report_us >= oldest_us}
+        cutoff_us = now_us - timeout_us
+        self.table = {name: child for name, child in self.table.items() if child.last_report_us >= cutoff_us}
         for child in self.table.values():
             child.has_reported = False
 
@@ -104,7 +104,7 @@
         return all(child.has_reported for child in self.table.values())
 
     def remove_older_instance(self, name: str, instance_number: int) -> None:
-        """Remove a child of a lower instance number than this, which has ended."""
+        """Remove a child whose instance number is lower than `instance_number`, as it has ended."""
         child = self.table.get(name)
         if child is not None and child.instance_number < instance_number:
             del self.table[name]
--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -1,7 +1,7 @@
-"""The dissemination tree at one proxy: heartbeats, entries and grants down, reports with renewal requests up.
+"""The core of the dissemination tree: heartbeats, entries and grants downstream, reports upstream.
 
-Any tree is safe: a message that is lost or doubled costs time only, and a stale ballot never replaces a newer
-one. Source: docs/design/council.md, "How entries reach all".
+Any shape of the tree is safe: lost or duplicated messages only cause delays, and a stale ballot never
+replaces a newer one. Source: docs/design/council.md, "How entries reach all".
 """
 
 from collections.abc import Callable, Iterable
@@ -32,7 +32,7 @@
 
 
 class DisseminationTree:
-    """Decides what is sent to the parent and the children. A `Core` of the interface."""
+    """Decides what to send to the parent and the children. Implements `Core` of the interface."""
 
     def __init__(
         self, local: NodeInstance, settings: DisseminationSettings, draw: Callable[[], float]
@@ -44,22 +44,22 @@
         self.tracker = self.selection.tracker
         self.downstream = Downstream(settings, self.state, self.tracker)
         self.heartbeat = HeartbeatTimer(settings)
-        self.reported_parent: str | None = None  # by the last `ParentChanged`
-        self.heartbeat_number = 0  # of the last heartbeat that this proxy made
-        self.pending_grants: dict[str, RenewalGrant] = {}  # at the leader, for the next heartbeat
+        self.reported_parent: str | None = None  # in the last `ParentChanged`
+        self.heartbeat_number = 0  # of the last heartbeat issued as leader
+        self.pending_grants: dict[str, RenewalGrant] = {}  # at the leader, by name, for the next heartbeat
         self.last_fetch_us = -settings.fetch_interval_us
         self.actions: Actions = []
 
     @property
     def wake_us(self) -> int:
-        """When the next Tick is wanted."""
+        """When the next Tick is due; `NEVER_US` if none is."""
         wake_us = self.heartbeat.wake_us(self.downstream.children.all_reported)
         if self.state.is_leader:
             return wake_us
         return min(wake_us, self.tracker.expires_us, self.tracker.preferred_retry_us)
 
     def handle(self, now_us: int, event: Any) -> Actions:  # noqa: ANN401
-        """Apply one event at `now_us` (microseconds, monotonic); the actions to carry out, in order."""
+        """Apply one event at `now_us` (monotonic microseconds); returns the actions to perform, in order."""
         match event:
             case MessageReceived():
                 if not self.state.is_stale(event.sender):
@@ -82,7 +82,7 @@
     # --- time ---
 
     def tick(self, now_us: int) -> None:
-        """Do what is due, after every event."""
+        """Perform what is due; called after every event."""
         if self.state.is_leader:
             if now_us >= self.heartbeat.next_heartbeat_us:
                 self.start_heartbeat(now_us)
@@ -92,7 +92,7 @@
         if changed:
             self.reported_parent = self.tracker.name
             self.actions.append(ParentChanged(self.reported_parent))
-        # A new parent gets a report at once: it makes this proxy a child by it.
+        # A report to a new parent is due at once, as it makes this proxy a child there.
         has_new_parent = changed and self.reported_parent is not None
         if self.heartbeat.should_report(now_us, self.downstream.children.all_reported) or has_new_parent:
             self.send_report(now_us)
@@ -105,7 +105,7 @@
             self.actions.append(SendMessage(preferred, ParentRequest()))
 
     def start_heartbeat(self, now_us: int) -> None:
-        """At the leader: make a new heartbeat, with the grants that wait for it."""
+        """At the leader: issue a new heartbeat, with the pending grants."""
         self.heartbeat_number += 1
         self.heartbeat.next_heartbeat_us = now_us + self.settings.heartbeat_interval_us
         self.tracker.last_heartbeat = HeartbeatId(self.state.ballot, self.heartbeat_number)
@@ -114,15 +114,15 @@
         self.forward_heartbeat(now_us, grants.values())
 
     def forward_heartbeat(self, now_us: int, grants: Iterable[RenewalGrant]) -> None:
-        """Send a heartbeat to the children, and wait for their reports."""
+        """Send a heartbeat to the children, and start the timers for their reports."""
         self.downstream.send_heartbeat(now_us, grants, self.actions)
         self.heartbeat.on_heartbeat(now_us, self.state.ballot, self.tracker.depth)
 
     def send_report(self, now_us: int) -> None:
-        """Send the collected requests to the parent; at the leader, deliver them."""
+        """Send the collected requests to the parent; at the leader, emit them for the lease manager."""
         requests = self.downstream.aggregator.flush(now_us)
         if self.state.is_leader:
-            self.heartbeat.on_collected()
+            self.heartbeat.mark_collected()
             if requests:
                 self.actions.append(RequestsCollected(requests))
             return
@@ -132,28 +132,28 @@
             report = UpstreamReport(position, self.downstream.children.subtree_size, requests)
             self.actions.append(SendMessage(self.tracker.name, report))
 
-    # --- events of this proxy ---
+    # --- local events ---
 
     def on_cluster_state(self, now_us: int, reported: ClusterState) -> None:
-        """Apply membership and leadership; a leader that begins makes a heartbeat at once."""
-        begins = self.selection.apply_cluster_state(now_us, reported, self.downstream.children.table)
-        for name, instance_number in self.state.live_numbers.items():
+        """Apply membership and leadership; a new leader issues a heartbeat at once."""
+        starts_leading = self.selection.apply_cluster_state(now_us, reported, self.downstream.children.table)
+        for name, instance_number in self.state.live_instance_numbers.items():
             self.downstream.children.remove_older_instance(name, instance_number)
-        if begins:
+        if starts_leading:
             self.pending_grants = {}
             self.start_heartbeat(now_us)
 
     def on_renewal_wanted(self, event: RenewalWanted) -> None:
-        """Set the request of this proxy, if it is of this instance."""
+        """Set this proxy's renewal request if it is for this instance."""
         request = event.request
         if request.name == self.local.name and request.instance_number == self.local.number:
             self.downstream.aggregator.set_local_request(request)
 
     def on_grants(self, now_us: int, grants: tuple[RenewalGrant, ...]) -> None:
-        """At the leader: keep grants for the next heartbeat, or send them at once if that is far off."""
+        """At the leader: keep grants for the next heartbeat, or send them now if that is too far off."""
         if not self.state.is_leader:
             return
-        if not self.heartbeat.can_wait(now_us):
+        if not self.heartbeat.is_heartbeat_soon(now_us):
             self.downstream.forward_grants(grants[:MAX_MEMBERS], self.actions)
             return
         local_grants = [grant for grant in grants if grant.name == self.local.name]
@@ -173,7 +173,7 @@
     # --- messages ---
 
     def on_message(self, now_us: int, sender: NodeInstance, message: Any) -> None:  # noqa: ANN401
-        """Apply a message of another proxy; an unknown one is ignored."""
+        """Apply a message of another proxy; ignores unknown types."""
         match message:
             case UpstreamReport():
                 self.on_report(now_us, sender, message)
@@ -185,37 +185,40 @@
                 self.on_parent_request(now_us, sender)
 
     def on_parent_request(self, now_us: int, sender: NodeInstance) -> None:
-        """Consent to be the parent, with capacity and connected, unless the sender is the own parent."""
+        """Consent to be the sender's parent if connected and with capacity; never if it is this proxy's parent."""
         has_capacity = self.downstream.children.has_capacity_for(sender.name, self.state.tree.children)
         if has_capacity and sender.name != self.tracker.name and self.selection.is_connected(now_us):
             self.downstream.send_redirect(sender.name, self.local.name, self.actions)
 
     def on_report(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> None:
-        """Apply a report; its sender becomes a child or is redirected to one."""
+        """Apply a report; the sender becomes a child or is redirected to one."""
         children = self.downstream.children
         if children.has_newer_instance(sender):
             return
         if not children.update(now_us, sender, report) and not self._admit(now_us, sender, report):
             return
-        live = self.state.live_numbers
+        live = self.state.live_instance_numbers
         self.downstream.aggregator.collect(now_us, sender.name, report.renewal_requests, live)
-        if self.state.is_leader and self.heartbeat.is_collected:  # too late for the others of this interval
+        # The reports of this interval are collected already, so a late one is passed on at once.
+        if self.state.is_leader and self.heartbeat.has_collected:
             self.send_report(now_us)
 
     def _admit(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> bool:
         children = self.downstream.children
         admission = children.admit(now_us, sender, report, self.state.tree.children)
         if evicted := admission.evicted:
-            self.downstream.send_redirect(evicted, children.smallest_child(evicted), self.actions)
+            self.downstream.send_redirect(evicted, children.choose_redirect_target(evicted), self.actions)
         if not admission.admitted:
-            self.downstream.send_redirect(sender.name, children.smallest_child(sender.name), self.actions)
+            self.downstream.send_redirect(
+                sender.name, children.choose_redirect_target(sender.name), self.actions
+            )
             return False
         if self.selection.is_connected(now_us):
             self.downstream.send_update(sender.name, self.actions, with_entries=True)
         return True
 
     def on_update(self, now_us: int, sender: NodeInstance, update: DownstreamUpdate) -> None:
-        """Apply an update; a sender that follows a replaced leader is redirected."""
+        """Apply an update; redirects a sender that follows a replaced leader."""
         if update.ballot < self.state.ballot:
             self.downstream.send_redirect(sender.name, self.state.leader, self.actions)
             return
@@ -228,10 +231,10 @@
             self.forward_heartbeat(now_us, update.grants)
         else:
             self.downstream.forward_grants(update.grants, self.actions)
-        self.take_entries(now_us, sender.name, update)
+        self.deliver_entries(now_us, sender.name, update)
 
-    def take_entries(self, now_us: int, sender: str, update: DownstreamUpdate) -> None:
-        """Give new entries to the log, and let it catch up if it is still behind."""
+    def deliver_entries(self, now_us: int, sender: str, update: DownstreamUpdate) -> None:
+        """Deliver new entries to the log, and have it fetch missing ones if it is still behind."""
         forwarder = self.downstream.forwarder
         if new_entries := forwarder.take_new(update.entries):
             self.actions.append(EntriesReceived(new_entries))
--- a/molereach/coordination/dissemination/downstream.py
+++ b/molereach/coordination/dissemination/downstream.py
@@ -1,4 +1,4 @@
-"""Messages to the children: heartbeats to all, entries at once, each grant to the child of its request."""
+"""Messages to the children: heartbeats for all, entries as they are applied, grants along their routes."""
 
 from collections.abc import Iterable
 
@@ -20,11 +20,11 @@
 
 Actions = list[Action | SendMessage]
 
-ROUTE_LIFETIME_INTERVALS = 4  # for which the way of a grant is known
+ROUTE_LIFETIME_INTERVALS = 4  # for which the route of a request is kept
 
 
 class Downstream:
-    """What is known of the children, and what is sent there; `actions` is the core's list."""
+    """The state of the children, and the messages to them, which are appended to the core's `actions`."""
 
     def __init__(self, settings: DisseminationSettings, state: TreeState, tracker: ParentTracker) -> None:
         self.state = state
@@ -35,7 +35,7 @@
         self.forwarder = EntryForwarder(settings)
 
     def send_heartbeat(self, now_us: int, grants: Iterable[RenewalGrant], actions: Actions) -> None:
-        """Start an interval: one message to each child, with the grants for its subtree."""
+        """Start an interval: send one update to each child, with the grants for its subtree."""
         self.forwarder.on_heartbeat()
         self.children.start_interval(now_us)
         by_child = self.route_grants(grants, actions)
@@ -43,20 +43,20 @@
             self.send_update(name, actions, grants=tuple(by_child.get(name, ())))
 
     def forward_grants(self, grants: Iterable[RenewalGrant], actions: Actions) -> None:
-        """Forward grants between heartbeats."""
+        """Forward grants without a heartbeat."""
         for name, child_grants in self.route_grants(grants, actions).items():
             if name in self.children:
                 self.send_update(name, actions, grants=tuple(child_grants))
 
     def route_grants(self, grants: Iterable[RenewalGrant], actions: Actions) -> dict[str, list[RenewalGrant]]:
-        """Deliver the grants of this proxy; those of others by child."""
+        """Deliver the grants for this proxy; returns those for others by child."""
         routed = self.aggregator.route_grants(grants)
         if routed.local:
             actions.append(LocalGrants(tuple(routed.local)))
         return routed.by_child
 
     def on_log_advanced(self, event: LogAdvanced, actions: Actions) -> None:
-        """Send new entries to the children that lack them."""
+        """Send newly applied entries to the children that lack them."""
         if not self.forwarder.advance(event.position, event.entries):
             return
         for name, child in self.children.table.items():
@@ -70,7 +70,7 @@
         with_entries: bool = False,
         grants: tuple[RenewalGrant, ...] = (),
     ) -> None:
-        """Send an update to a child, unless no heartbeat of the newest leader has come here yet."""
+        """Send an update to a child if a heartbeat of the newest known leader has been received."""
         child = self.children.table[name]
         ballot, number = self.tracker.last_heartbeat
         leader = self.state.leader
@@ -82,7 +82,7 @@
         actions.append(SendMessage(name, update, child.instance_number))
 
     def send_redirect(self, name: str, parent: str | None, actions: Actions) -> None:
-        """Tell a proxy to follow `parent`."""
+        """Tell a proxy to follow `parent`, unless that is None or the proxy itself."""
         if parent is not None and parent != name:
             redirect = Redirect(parent, self.state.ballot, self.state.leader)
             actions.append(SendMessage(name, redirect))
--- a/molereach/coordination/dissemination/messages.py
+++ b/molereach/coordination/dissemination/messages.py
@@ -1,7 +1,7 @@
-"""The events, actions and messages of the dissemination tree.
+"""The messages, events and actions of the dissemination tree.
 
-Messages are arrays on the wire. A renewal request takes at most 48 bytes of MessagePack for names of up to 21
-characters and positions below 2**32.
+Messages are encoded as arrays. A renewal request takes at most 48 bytes of MessagePack if its name has at
+most 21 characters and its positions are below 2**32.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from molereach.coordination.interface.log import Entry
 from molereach.coordination.interface.sessions import RenewalGrant, RenewalRequest
 
-MAX_ENTRIES = 64  # in one message
+MAX_ENTRIES = 64  # per message
 MAX_DEPTH = 64
 
 Ballot = Position
@@ -24,35 +24,35 @@
 
 
 class TreeMessage(WireStruct, frozen=True, array_like=True, tag_field="kind"):
-    """Base of the messages."""
+    """Base class of the messages."""
 
 
 class UpstreamReport(TreeMessage, frozen=True, tag="s.up"):
-    """From a child, once an interval: its position, and the requests of its subtree, its own first."""
+    """Sent to the parent each interval: the position, and the requests of the subtree, the own one first."""
 
     applied_position: Position
-    subtree_size: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # proxies, itself included
+    subtree_size: Annotated[int, Meta(ge=1, le=MAX_MEMBERS)]  # number of proxies, the sender included
     renewal_requests: Annotated[tuple[RenewalRequest, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class DownstreamUpdate(TreeMessage, frozen=True, tag="s.down"):
-    """From a parent. A new `heartbeat_number` is a heartbeat; only the leader makes new ones."""
+    """Sent to a child. A new `heartbeat_number` marks a heartbeat; only the leader issues new numbers."""
 
     ballot: Ballot
     heartbeat_number: Count
     leader: Name
-    depth: Annotated[int, Meta(ge=0, le=MAX_DEPTH)]  # of the sender; 0 is the leader
+    depth: Annotated[int, Meta(ge=0, le=MAX_DEPTH)]  # of the sender; 0 for the leader
     applied_position: Position  # of the sender
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
     grants: Annotated[tuple[RenewalGrant, ...], Meta(max_length=MAX_MEMBERS)] = ()
 
 
 class ParentRequest(TreeMessage, frozen=True, tag="s.whom"):
-    """From a proxy that has a parent and would prefer the receiver."""
+    """Asks the receiver to become the parent of a proxy that currently follows another."""
 
 
 class Redirect(TreeMessage, frozen=True, tag="s.redirect"):
-    """Follow this parent, which may be the sender; with the newest leader that the sender knows."""
+    """Tells the receiver which parent to follow (possibly the sender), and the newest known leader."""
 
     parent: Name
     ballot: Ballot
@@ -62,12 +62,12 @@
 Message = UpstreamReport | DownstreamUpdate | ParentRequest | Redirect
 
 
-# --- events, with `MessageReceived` and `Tick` of the interface ---
+# --- events, in addition to `MessageReceived` and `Tick` of the interface ---
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterState:
-    """The live proxies, by membership, and the leader, by the log; either may be wrong for a time."""
+    """The live proxies according to membership, and the leader according to the log. Both may be outdated."""
 
     live_instances: tuple[NodeInstance, ...]
     leader: str | None
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogAdvanced:
-    """The log here has applied everything up to `position`; `entries` are the newest of it, in order."""
+    """The local log has applied all entries up to `position`; `entries` are the newest of them, in order."""
 
     position: int
     entries: tuple[Entry, ...] = ()
@@ -85,38 +85,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalWanted:
-    """This proxy's own renewal request, in place of its last one."""
+    """This proxy's own renewal request, which replaces its previous one."""
 
     request: RenewalRequest
 
 
 @dataclass(frozen=True, slots=True)
 class GrantsIssued:
-    """At the leader: the grants of the lease manager."""
+    """At the leader: grants issued by the lease manager."""
 
     grants: tuple[RenewalGrant, ...]
 
 
-# --- actions, with `SendMessage` of the interface ---
+# --- actions, in addition to `SendMessage` of the interface ---
 
 
 @dataclass(frozen=True, slots=True)
 class EntriesReceived:
-    """For the log: entries that follow what is applied here or was already given to it."""
+    """Entries for the local log that follow those it has applied or was given before."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEntries:
-    """The log here is behind and should catch up from this proxy."""
+    """The local log is behind and should fetch missing entries from `source`."""
 
     source: str
 
 
 @dataclass(frozen=True, slots=True)
 class RequestsCollected:
-    """At the leader: all renewal requests that came up, for the lease manager."""
+    """At the leader: the collected renewal requests, for the lease manager."""
 
     requests: tuple[RenewalRequest, ...]
 
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParentChanged:
-    """The parent from now on; None for the leader, or for no parent."""
+    """The new parent; None if this proxy leads or has no parent."""
 
     name: str | None
 
--- a/molereach/coordination/dissemination/parent_tracker.py
+++ b/molereach/coordination/dissemination/parent_tracker.py
@@ -1,13 +1,13 @@
-"""The parent of this proxy, and when it is given up for another.
+"""Tracks the parent of this proxy, and replaces it after a timeout.
 
-A parent counts only while it brings heartbeats (ballot, number) above any received before, and only the
-leader makes new ones. So proxies that follow one another in a ring receive nothing new, and each leaves after
-about two intervals, whatever made the ring: no table of paths is needed. A parent too many steps from the
-leader is left likewise.
+A parent is kept only while it delivers heartbeats (ballot, number) higher than any received before, and only
+the leader issues new ones. In a cycle no new heartbeats arrive, so its members leave it after about two
+intervals, whatever caused it: no path information is needed. A parent too far from the leader is likewise
+replaced.
 
-Candidates in order: the parent by rank, its parent, the leader, a voter, and random live proxies. A proxy
-served by another than its parent by rank, the preferred one, requests that from time to time, and keeps the
-parent that serves it meanwhile.
+Candidates are, in order: the parent by rank, its parent, the leader, a voter, and random live proxies. While
+a proxy follows a parent other than its parent by rank (the preferred parent), it periodically asks the
+preferred one and keeps the current parent until that consents.
 """
 
 from collections.abc import Callable, Collection
@@ -17,46 +17,46 @@
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import NEVER_US
 
-CANDIDATES_PER_ROUND = 6  # before the first is tried once more
-MAX_REDIRECTS = 4  # followed in a row
+CANDIDATES_PER_ROUND = 6  # before the first is tried again
+MAX_REDIRECTS = 4  # followed in succession
 MAX_ATTEMPTS = 1 << 10
 MAX_BACKOFF_EXPONENT = 8
 
 
 class HeartbeatId(NamedTuple):
-    """One heartbeat of a leader; higher ones are newer."""
+    """Identifies a heartbeat; higher ones are newer."""
 
     ballot: int
     number: int
 
 
 class ParentTracker:
-    """The parent, or the search for one."""
+    """The current parent, and the state of the search for one."""
 
     def __init__(self, settings: DisseminationSettings, draw: Callable[[], float]) -> None:
         self.settings = settings
         self.draw = draw
         self.max_depth = settings.max_depth
         self.name: str | None = None
-        self.last_heartbeat = HeartbeatId(0, 0)  # the highest from any parent
-        self.depth = 0  # steps from the leader
-        self.confirmed = False  # a newer heartbeat came since this parent was chosen
-        self.expires_us = NEVER_US  # when the parent is given up
+        self.last_heartbeat = HeartbeatId(0, 0)  # the highest received from any parent
+        self.depth = 0  # distance from the leader
+        self.confirmed = False  # whether the parent has sent a newer heartbeat since it was chosen
+        self.expires_us = NEVER_US  # when the parent is replaced
         self.attempts = 0
         self.redirects = 0
-        self.preferred_retry_us = NEVER_US  # when to request the parent by rank
+        self.preferred_retry_us = NEVER_US  # when to ask the parent by rank next
         self.preferred_attempts = 0
 
     def is_connected(self, now_us: int) -> bool:
-        """Whether messages from here derive from the leader."""
+        """Whether the parent currently delivers heartbeats of the leader."""
         return self.confirmed and now_us < self.expires_us
 
     def is_expired(self, now_us: int) -> bool:
-        """Whether the parent is to be given up."""
+        """Whether the parent is to be replaced."""
         return now_us >= self.expires_us
 
     def on_heartbeat(self, now_us: int, heartbeat: HeartbeatId, depth: int) -> bool:
-        """Apply a message of the parent, which is at that depth; whether it was a new heartbeat."""
+        """Apply an update of the parent at `depth`; returns whether it is a new heartbeat."""
         if heartbeat <= self.last_heartbeat or depth >= self.max_depth:
             return False
         self.last_heartbeat = heartbeat
@@ -68,7 +68,7 @@
         return True
 
     def attach(self, now_us: int, name: str | None) -> None:
-        """Follow this parent from now on; its next heartbeat confirms it."""
+        """Follow a parent; its next new heartbeat confirms it."""
         self.name = name
         self.confirmed = False
         rounds = self.attempts / CANDIDATES_PER_ROUND
@@ -79,7 +79,7 @@
         self.expires_us = now_us + timeout_us
 
     def detach(self) -> None:
-        """Follow nobody, as the leader does."""
+        """Follow no parent, as is the case for the leader."""
         self.name = None
         self.confirmed = False
         self.expires_us = NEVER_US
@@ -89,7 +89,7 @@
         self.depth = 0
 
     def follow_redirect(self, now_us: int, name: str) -> bool:
-        """Follow the redirect of a parent without capacity; False after too many in a row."""
+        """Follow the redirect of a parent without capacity; False after too many in succession."""
         self.redirects += 1
         if self.redirects > MAX_REDIRECTS:
             return False
@@ -97,24 +97,24 @@
         return True
 
     def try_next_candidate(
-        self, now_us: int, tree: RankedTree, voters: Collection[str], below: Collection[str]
+        self, now_us: int, tree: RankedTree, voters: Collection[str], children: Collection[str]
     ) -> None:
-        """Replace the parent by the next candidate; `below` are the children, which are no candidates."""
+        """Follow the next candidate; excludes the children from the random ones."""
         name = None
         for _ in range(CANDIDATES_PER_ROUND):
-            name = self.candidate(self.attempts % CANDIDATES_PER_ROUND, tree, voters, below)
+            name = self.candidate(self.attempts % CANDIDATES_PER_ROUND, tree, voters, children)
             self.attempts = min(self.attempts + 1, MAX_ATTEMPTS)
             if name is not None and name not in (tree.local_name, self.name):
                 break
         else:
-            name = self.name  # there is no other
+            name = self.name  # no other candidate
         self.redirects = 0
         self.attach(now_us, name)
 
     def candidate(
-        self, index: int, tree: RankedTree, voters: Collection[str], below: Collection[str]
+        self, index: int, tree: RankedTree, voters: Collection[str], children: Collection[str]
     ) -> str | None:
-        """The candidate of that index in a round."""
+        """The candidate at an index of the round; None if there is none."""
         match index:
             case 0:
                 return tree.parent
@@ -125,27 +125,27 @@
             case 3:
                 return self.random_choice(sorted(set(voters) - {tree.local_name}))
             case _:
-                others = [name for name in tree.names if name != tree.local_name and name not in below]
+                others = [name for name in tree.names if name != tree.local_name and name not in children]
                 return self.random_choice(others)
 
     def random_choice(self, names: list[str]) -> str | None:
-        """A random name; None of an empty list."""
+        """A random name; None if the list is empty."""
         return names[min(int(self.draw() * len(names)), len(names) - 1)] if names else None
 
     # --- return to the parent by rank ---
 
-    def schedule_preferred(self, now_us: int) -> None:
-        """After a change of the tree by rank: request within an interval, not all proxies at once."""
+    def schedule_preferred_request(self, now_us: int) -> None:
+        """Ask the preferred parent at a random time within an interval, to spread the requests of proxies."""
         self.preferred_attempts = 0
         self.preferred_retry_us = now_us + int(self.settings.heartbeat_interval_us * self.draw())
 
-    def seek_preferred(self, now_us: int, tree: RankedTree) -> None:
-        """Once a parent serves that is not the parent by rank, start to request that."""
+    def ensure_preferred_request_scheduled(self, now_us: int, tree: RankedTree) -> None:
+        """Start asking the preferred parent if another one is followed."""
         if self.name != tree.parent and self.preferred_retry_us == NEVER_US:
-            self.schedule_preferred(now_us)
+            self.schedule_preferred_request(now_us)
 
     def preferred_to_request(self, now_us: int, tree: RankedTree) -> str | None:
-        """The parent by rank, if it is time to request it."""
+        """The parent by rank if it is to be asked now; else None."""
         if now_us < self.preferred_retry_us:
             return None
         if self.name == tree.parent or tree.parent is None:
--- a/molereach/coordination/dissemination/ranked_tree.py
+++ b/molereach/coordination/dissemination/ranked_tree.py
@@ -1,4 +1,4 @@
-"""The tree by rank: live proxies by name, the leader first; the parent of rank r is (r - 1) // fanout."""
+"""The tree by rank: the leader, then the live proxies by name; the parent of rank r is (r - 1) // fanout."""
 
 from collections.abc import Iterable
 from functools import cached_property
@@ -7,7 +7,7 @@
 
 
 class RankedTree:
-    """One immutable state of the tree; each change makes a new one. The local proxy is always part of it."""
+    """An immutable tree, replaced on each change. It always contains the local proxy."""
 
     def __init__(
         self, local_name: str, live: Iterable[str] = (), leader: str | None = None, fanout: int = 8
@@ -22,17 +22,17 @@
         self.rank = {name: rank for rank, name in enumerate(self.names)}
 
     def parent_of(self, name: str | None) -> str | None:
-        """The parent by rank; None for the first, and for a name that is not known."""
+        """The parent by rank; None for the first proxy and for unknown names."""
         rank = self.rank.get(name, 0) if name is not None else 0
         return self.names[(rank - 1) // self.fanout] if rank else None
 
     @cached_property
     def parent(self) -> str | None:
-        """The parent by rank of the local proxy."""
+        """The local proxy's parent by rank."""
         return self.parent_of(self.local_name)
 
     @cached_property
     def children(self) -> frozenset[str]:
-        """The children by rank of the local proxy."""
+        """The local proxy's children by rank."""
         first = self.rank[self.local_name] * self.fanout + 1
         return frozenset(self.names[first : first + self.fanout])
