--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -185,7 +185,7 @@
                 self.on_parent_request(now_us, sender)
 
     def on_parent_request(self, now_us: int, sender: NodeInstance) -> None:
-        """Consent to be the sender's parent if connected and with capacity; never if it is this proxy's parent."""
+        """Consent to be the sender's parent if connected and with capacity, unless that is the own parent."""
         has_capacity = self.downstream.children.has_capacity_for(sender.name, self.state.tree.children)
         if has_capacity and sender.name != self.tracker.name and self.selection.is_connected(now_us):
             self.downstream.send_redirect(sender.name, self.local.name, self.actions)
