--- a/tests/coordination/dissemination/test_bounds.py
+++ b/tests/coordination/dissemination/test_bounds.py
@@ -27,7 +27,7 @@
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import MessageReceived, SendMessage, Tick
 from molereach.coordination.interface.identifiers import MAX_MEMBERS, NodeInstance
-from tests.coordination.dissemination.world import BEAT, entry
+from tests.coordination.dissemination.simulated_tree import BEAT, entry
 
 NAMES = [f"d{at:02}" for at in range(20)]  # d00 leads; d01 to d08 are below it, d09 to d16 below d01
 LIVES = {name: NodeInstance(name, 10) for name in NAMES}
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -6,7 +6,7 @@
 from molereach.coordination.dissemination.messages import DownstreamUpdate
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import MessageReceived
-from tests.coordination.dissemination.world import BEAT, World
+from tests.coordination.dissemination.simulated_tree import BEAT, World
 
 FAN = DisseminationSettings().fanout
 HEALED = 10  # beats
--- a/tests/coordination/dissemination/test_parent.py
+++ b/tests/coordination/dissemination/test_parent_selection.py
@@ -22,7 +22,7 @@
 from molereach.coordination.interface.core import SendMessage, Tick
 from molereach.coordination.interface.identifiers import NodeInstance
 from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
-from tests.coordination.dissemination.world import BEAT, entry
+from tests.coordination.dissemination.simulated_tree import BEAT, entry
 
 ALIVE = tuple(LIVES.values())
 
--- a/tests/coordination/dissemination/test_steady.py
+++ b/tests/coordination/dissemination/test_steady_state.py
@@ -3,7 +3,7 @@
 import pytest
 
 from molereach.coordination.dissemination.settings import DisseminationSettings
-from tests.coordination.dissemination.world import BEAT, World
+from tests.coordination.dissemination.simulated_tree import BEAT, World
 
 FAN = DisseminationSettings().fanout
 
