--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -121,7 +121,7 @@
     world.run(10)
     world.said.clear()
     world.run(0.5)
-    assert world.said["door-001", "Down"] <= 2 * FAN
+    assert world.said["door-001", "DownstreamUpdate"] <= 2 * FAN
     all_reach_all(world)
 
 
--- a/tests/coordination/dissemination/test_parent_selection.py
+++ b/tests/coordination/dissemination/test_parent_selection.py
@@ -21,8 +21,8 @@
 from molereach.coordination.dissemination.settings import DisseminationSettings
 from molereach.coordination.interface.core import SendMessage, Tick
 from molereach.coordination.interface.identifiers import NodeInstance
-from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
 from tests.coordination.dissemination.simulated_tree import BEAT, entry
+from tests.coordination.dissemination.test_bounds import LIVES, VIEW, door, inner, said, tell
 
 ALIVE = tuple(LIVES.values())
 
--- a/tests/coordination/dissemination/test_steady_state.py
+++ b/tests/coordination/dissemination/test_steady_state.py
@@ -20,8 +20,8 @@
     beats = 20
     world.run(beats)
     for name in world.living:
-        assert world.said[name, "Up"] <= beats + 1
-        assert world.said[name, "Down"] <= FAN * (beats + 1)
+        assert world.said[name, "UpstreamReport"] <= beats + 1
+        assert world.said[name, "DownstreamUpdate"] <= FAN * (beats + 1)
         assert len(world.peers[name]) <= FAN + 1
         assert not world.said[name, "Redirect"]
     assert world.most_up_over <= 16
