--- a/tests/coordination/dissemination/simulated_tree.py
+++ b/tests/coordination/dissemination/simulated_tree.py
@@ -1,4 +1,8 @@
-"""Many cores in virtual time: faulty links, stops, deaths, views that differ; a simple log and keeper."""
+"""A seeded simulation of dissemination cores in virtual time.
+
+Connections fail, proxies stall or are killed, and cluster states differ between proxies. The log and the
+lease manager are replaced by simple stand-ins.
+"""
 
 import heapq
 import random
@@ -30,202 +34,246 @@
 from molereach.coordination.interface.identifiers import NodeInstance
 from molereach.coordination.interface.log import Entry
 
-BEAT = DisseminationSettings().heartbeat_interval_us
-KEEPER_US = 40_000  # from what was gathered to what is given
+INTERVAL_US = DisseminationSettings().heartbeat_interval_us
+LEASE_MANAGER_DELAY_US = 40_000  # from collected requests to issued grants
 
 
-def entry(position: int, body: bytes = b"{}") -> Entry:
+def make_entry(position: int, body: bytes = b"{}") -> Entry:
     return Entry(position, "m", f"id{position}", NodeInstance("door-000", 1), position, body)
 
 
 @dataclass
 class Node:
     core: DisseminationTree
-    applied: int = 0
-    asked: dict[int, int] = field(default_factory=dict)  # number of an ask to when it was made
-    granted: dict[int, int] = field(default_factory=dict)
-    number: int = 0
-    stopped_until: int = 0
-    dead: bool = False
-    mail: list[Any] = field(default_factory=list)
-    tick_at: int = NEVER_US
-    applied_at: dict[int, int] = field(default_factory=dict)
+    applied_position: int = 0
+    requested_us: dict[int, int] = field(default_factory=dict)  # by request number
+    granted_us: dict[int, int] = field(default_factory=dict)
+    last_request_number: int = 0
+    stalled_until_us: int = 0
+    killed: bool = False
+    delayed_events: list[Any] = field(default_factory=list)
+    tick_us: int = NEVER_US
+    applied_us: dict[int, int] = field(default_factory=dict)
 
 
-class World:
-    """All that the cores cannot see, and what was counted of their words."""
+class SimulatedTree:
+    """The proxies, the network between them, and counts of their messages."""
 
     def __init__(self, count: int, seed: int = 1, delay_us: int = 20_000, jitter_us: int = 0) -> None:
         self.random = random.Random(seed)
         self.delay_us, self.jitter_us, self.loss = delay_us, jitter_us, 0.0
-        self.cut: set[tuple[str, str]] = set()
-        self.now = 0
+        self.failed_connections: set[tuple[str, str]] = set()
+        self.now_us = 0
         self.heap: list[tuple[int, int, str, str, Any]] = []
-        self.serial = 0
+        self.last_event_number = 0
         self.entries: list[Entry] = []
         self.leader, self.ballot = "", 0
         self.nodes: dict[str, Node] = {}
-        self.said: Counter[tuple[str, str]] = Counter()
-        self.peers: defaultdict[str, set[str]] = defaultdict(set)
-        self.fetches = 0
-        self.moves: Counter[str] = Counter()  # from one parent to another
-        self.most_up_over = 0  # bytes of a word up over 48 for each front door below
-        for at in range(count):
-            name = f"door-{at:03}"
-            life = NodeInstance(name, (1_800_000_000_000 << 20) + at)
+        self.sent_messages: Counter[tuple[str, str]] = Counter()
+        self.connected_names: defaultdict[str, set[str]] = defaultdict(set)
+        self.fetch_count = 0
+        self.parent_changes: Counter[str] = Counter()  # by proxy
+        self.max_report_excess_bytes = 0  # of a report, over 48 bytes per proxy of the subtree
+        for index in range(count):
+            name = f"door-{index:03}"
+            instance = NodeInstance(name, (1_800_000_000_000 << 20) + index)
             self.nodes[name] = Node(
-                DisseminationTree(life, DisseminationSettings(), random.Random(seed * 1000 + at).random)
+                DisseminationTree(
+                    instance, DisseminationSettings(), random.Random(seed * 1000 + index).random
+                )
             )
-            self.at(self.random.randrange(BEAT), "ask", name)
+            self.schedule(self.random.randrange(INTERVAL_US), "request", name)
 
-    # --- what happens ---
+    # --- events ---
 
-    def at(self, when: int, kind: str, name: str, what: Any = None) -> None:  # noqa: ANN401
-        self.serial += 1
-        heapq.heappush(self.heap, (when, self.serial, kind, name, what))
+    def schedule(self, at_us: int, kind: str, name: str, event: Any = None) -> None:  # noqa: ANN401
+        self.last_event_number += 1
+        heapq.heappush(self.heap, (at_us, self.last_event_number, kind, name, event))
 
-    def run(self, beats: float) -> None:
-        end = self.now + int(beats * BEAT)
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, kind, name, what = heapq.heappop(self.heap)
+    def run(self, intervals: float) -> None:
+        end_us = self.now_us + int(intervals * INTERVAL_US)
+        while self.heap and self.heap[0][0] <= end_us:
+            self.now_us, _, kind, name, event = heapq.heappop(self.heap)
             node = self.nodes[name]
-            if node.dead:
+            if node.killed:
                 continue
-            if kind == "tick" and node.tick_at != self.now:
+            if kind == "tick" and node.tick_us != self.now_us:
                 continue
-            if kind == "ask":
-                node.number += 1
-                node.asked[node.number] = self.now
-                self.at(self.now + BEAT, "ask", name)
-                what = RenewalWanted(
-                    RenewalRequest(name, node.core.local.number, 7, node.number, node.applied)
+            if kind == "request":
+                node.last_request_number += 1
+                node.requested_us[node.last_request_number] = self.now_us
+                self.schedule(self.now_us + INTERVAL_US, "request", name)
+                event = RenewalWanted(
+                    RenewalRequest(
+                        name,
+                        node.core.local.number,
+                        7,
+                        node.last_request_number,
+                        node.applied_position,
+                    )
                 )
             if kind == "fetch":
-                self.fetched(name, what)
+                self.complete_fetch(name, event)
                 continue
-            if node.stopped_until > self.now:
-                node.mail.append(what)
-                if len(node.mail) == 1:
-                    self.at(node.stopped_until, "wake", name)
+            if node.stalled_until_us > self.now_us:
+                node.delayed_events.append(event)
+                if len(node.delayed_events) == 1:
+                    self.schedule(node.stalled_until_us, "resume", name)
                 continue
-            if kind == "wake":
-                mail, node.mail = node.mail, []
-                for late in mail:
-                    self.feed(name, late)
+            if kind == "resume":
+                delayed_events, node.delayed_events = node.delayed_events, []
+                for delayed in delayed_events:
+                    self.deliver(name, delayed)
                 continue
-            self.feed(name, what)
-        self.now = end
+            self.deliver(name, event)
+        self.now_us = end_us
 
-    def feed(self, name: str, event: Any) -> None:  # noqa: ANN401
+    def deliver(self, name: str, event: Any) -> None:  # noqa: ANN401
         node = self.nodes[name]
-        for action in node.core.handle(self.now, event):
-            self.act(name, node, action)
-        wake = node.core.wake_us
-        assert wake > self.now, "it would spin"
-        if wake != node.tick_at:
-            node.tick_at = wake
-            if wake < NEVER_US:
-                self.at(wake, "tick", name, Tick())
-
-    def act(self, name: str, node: Node, action: Any) -> None:  # noqa: ANN401
+        for action in node.core.handle(self.now_us, event):
+            self.perform(name, node, action)
+        wake_us = node.core.wake_us
+        assert wake_us > self.now_us, "the core requests a Tick that is already due"
+        if wake_us != node.tick_us:
+            node.tick_us = wake_us
+            if wake_us < NEVER_US:
+                self.schedule(wake_us, "tick", name, Tick())
+
+    def perform(self, name: str, node: Node, action: Any) -> None:  # noqa: ANN401
         match action:
             case SendMessage():
-                self.say(name, node, action)
+                self.transmit(name, node, action)
             case EntriesReceived():
-                if action.entries[0].position <= node.applied + 1:
-                    news = [entry for entry in action.entries if entry.position > node.applied]
-                    self.grow(name, news[-1].position if news else node.applied, tuple(news))
+                if action.entries[0].position <= node.applied_position + 1:
+                    new_entries = [
+                        entry for entry in action.entries if entry.position > node.applied_position
+                    ]
+                    self.advance_log(
+                        name,
+                        new_entries[-1].position if new_entries else node.applied_position,
+                        tuple(new_entries),
+                    )
             case FetchEntries():
-                self.fetches += 1
-                self.at(self.now + 2 * self.delay_us, "fetch", name, action.source)
+                self.fetch_count += 1
+                self.schedule(self.now_us + 2 * self.delay_us, "fetch", name, action.source)
             case RequestsCollected():
                 grants = tuple(
-                    RenewalGrant(ask.name, ask.instance_number, ask.fencing_token, ask.number)
-                    for ask in action.requests
+                    RenewalGrant(
+                        request.name,
+                        request.instance_number,
+                        request.fencing_token,
+                        request.number,
+                    )
+                    for request in action.requests
                 )
                 if name == self.leader:
-                    self.at(self.now + KEEPER_US, "give", name, GrantsIssued(grants))
+                    self.schedule(self.now_us + LEASE_MANAGER_DELAY_US, "grants", name, GrantsIssued(grants))
             case LocalGrants():
                 for grant in action.grants:
-                    node.granted.setdefault(grant.number, self.now)
+                    node.granted_us.setdefault(grant.number, self.now_us)
             case ParentChanged():
                 assert action.name != name
-                self.moves[name] += 1
-
-    def say(self, name: str, node: Node, say: SendMessage) -> None:
-        self.said[name, type(say.message).__name__] += 1
-        if isinstance(say.message, UpstreamReport | DownstreamUpdate):
-            self.peers[name].add(say.recipient)
-            self.peers[say.recipient].add(name)
-        size = len(msgspec.msgpack.encode(say.message))
-        if isinstance(say.message, UpstreamReport):
-            self.most_up_over = max(self.most_up_over, size - 48 * say.message.subtree_size)
+                self.parent_changes[name] += 1
+
+    def transmit(self, name: str, node: Node, sent: SendMessage) -> None:
+        self.sent_messages[name, type(sent.message).__name__] += 1
+        if isinstance(sent.message, UpstreamReport | DownstreamUpdate):
+            self.connected_names[name].add(sent.recipient)
+            self.connected_names[sent.recipient].add(name)
+        size = len(msgspec.msgpack.encode(sent.message))
+        if isinstance(sent.message, UpstreamReport):
+            self.max_report_excess_bytes = max(
+                self.max_report_excess_bytes, size - 48 * sent.message.subtree_size
+            )
         else:
             assert size <= (64 << 10)
-        target = self.nodes.get(say.recipient)
-        if target is None or (name, say.recipient) in self.cut or self.random.random() < self.loss:
+        target = self.nodes.get(sent.recipient)
+        if (
+            target is None
+            or (name, sent.recipient) in self.failed_connections
+            or self.random.random() < self.loss
+        ):
             return
-        if say.instance_number not in (None, target.core.local.number):
+        if sent.instance_number not in (None, target.core.local.number):
             return
         delay = self.delay_us + (self.random.randrange(self.jitter_us) if self.jitter_us else 0)
-        self.at(self.now + delay, "mail", say.recipient, MessageReceived(node.core.local, say.message))
+        self.schedule(
+            self.now_us + delay, "message", sent.recipient, MessageReceived(node.core.local, sent.message)
+        )
 
-    def grow(self, name: str, position: int, entries: tuple[Entry, ...]) -> None:
+    def advance_log(self, name: str, position: int, entries: tuple[Entry, ...]) -> None:
         node = self.nodes[name]
-        if position <= node.applied:
+        if position <= node.applied_position:
             return
-        for at in range(node.applied + 1, position + 1):
-            node.applied_at[at] = self.now
-        node.applied = position
-        self.feed(name, LogAdvanced(position, entries))
-
-    def fetched(self, name: str, source: str) -> None:
-        other = self.nodes[source]
-        if other.dead or (name, source) in self.cut or (source, name) in self.cut:
+        for entry_position in range(node.applied_position + 1, position + 1):
+            node.applied_us[entry_position] = self.now_us
+        node.applied_position = position
+        self.deliver(name, LogAdvanced(position, entries))
+
+    def complete_fetch(self, name: str, source: str) -> None:
+        source_node = self.nodes[source]
+        if (
+            source_node.killed
+            or (name, source) in self.failed_connections
+            or (source, name) in self.failed_connections
+        ):
             return
-        if self.nodes[name].stopped_until <= self.now:
-            self.grow(name, other.applied, tuple(self.entries[: other.applied][-8:]))
+        if self.nodes[name].stalled_until_us <= self.now_us:
+            self.advance_log(
+                name, source_node.applied_position, tuple(self.entries[: source_node.applied_position][-8:])
+            )
 
-    # --- what a test does ---
+    # --- operations and queries of tests ---
 
     @property
-    def living(self) -> list[str]:
-        return [name for name, node in self.nodes.items() if not node.dead]
+    def live_names(self) -> list[str]:
+        return [name for name, node in self.nodes.items() if not node.killed]
 
     def propose(self, body: bytes = b"{}") -> int:
-        self.entries.append(entry(len(self.entries) + 1, body))
-        leader = self.nodes[self.leader]  # of a new leader, the log has all that was settled
-        self.grow(self.leader, len(self.entries), tuple(self.entries[leader.applied :][-8:]))
+        self.entries.append(make_entry(len(self.entries) + 1, body))
+        leader = self.nodes[self.leader]  # a new leader's log contains all decided entries
+        self.advance_log(self.leader, len(self.entries), tuple(self.entries[leader.applied_position :][-8:]))
         return len(self.entries)
 
-    def view(self, names: Iterable[str] = (), within_us: int = 0, alive: Iterable[str] | None = None) -> None:
-        """Say who lives and leads to these front doors (all), each at some moment within that time."""
-        lives = tuple(self.nodes[name].core.local for name in (self.living if alive is None else alive))
-        view = ClusterState(lives, self.leader or None, self.ballot, tuple(self.nodes)[:5])
-        for name in names or self.living:
-            self.at(self.now + (self.random.randrange(within_us) if within_us else 0), "view", name, view)
+    def publish_cluster_state(
+        self, names: Iterable[str] = (), within_us: int = 0, live_names: Iterable[str] | None = None
+    ) -> None:
+        """Deliver a cluster state to `names` (default: all), at random times within `within_us`."""
+        instances = tuple(
+            self.nodes[name].core.local for name in (self.live_names if live_names is None else live_names)
+        )
+        state = ClusterState(instances, self.leader or None, self.ballot, tuple(self.nodes)[:5])
+        for name in names or self.live_names:
+            self.schedule(
+                self.now_us + (self.random.randrange(within_us) if within_us else 0),
+                "cluster_state",
+                name,
+                state,
+            )
 
-    def lead(self, name: str) -> None:
+    def elect(self, name: str) -> None:
         self.leader, self.ballot = name, self.ballot + 1
 
     def kill(self, name: str) -> None:
-        self.nodes[name].dead = True
+        self.nodes[name].killed = True
 
     def start(self) -> None:
-        self.lead("door-001")
-        self.view()
+        self.elect("door-001")
+        self.publish_cluster_state()
         self.run(4)
 
-    def lacking(self, position: int) -> list[str]:
-        return [name for name in self.living if self.nodes[name].applied < position]
+    def names_behind(self, position: int) -> list[str]:
+        return [name for name in self.live_names if self.nodes[name].applied_position < position]
 
-    def ungranted(self, since: int) -> list[str]:
-        """Front doors that had no grant for any ask made since then."""
+    def names_without_grant(self, since_us: int) -> list[str]:
+        """The live proxies without a grant for a request made at or after `since_us`."""
         return [
             name
-            for name in self.living
-            if not any(self.nodes[name].asked[number] >= since for number in self.nodes[name].granted)
+            for name in self.live_names
+            if not any(
+                self.nodes[name].requested_us[number] >= since_us for number in self.nodes[name].granted_us
+            )
         ]
 
     def parents(self) -> dict[str, str | None]:
-        return {name: self.nodes[name].core.tracker.name for name in self.living}
+        return {name: self.nodes[name].core.tracker.name for name in self.live_names}
