--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -222,11 +222,11 @@
         if update.ballot < self.state.ballot:
             self.downstream.send_redirect(sender.name, self.state.leader, self.actions)
             return
-        is_newer = self.selection.observe_leader(now_us, update.ballot, update.leader)
+        leader_changed = self.selection.observe_leader(now_us, update.ballot, update.leader)
         if self.state.is_leader or update.leader != self.state.leader:
             return
         heartbeat = HeartbeatId(update.ballot, update.heartbeat_number)
-        is_heartbeat = self.selection.on_update(now_us, sender.name, heartbeat, update.depth, is_newer)
+        is_heartbeat = self.selection.on_update(now_us, sender.name, heartbeat, update.depth, leader_changed)
         if is_heartbeat and self.heartbeat.should_forward(now_us, update.ballot):
             self.forward_heartbeat(now_us, update.grants)
         else:
--- a/molereach/coordination/dissemination/parent_selection.py
+++ b/molereach/coordination/dissemination/parent_selection.py
@@ -32,19 +32,19 @@
         led_before = self.state.is_leader
         preferred_before = self.state.tree.parent
         self.state.apply_cluster_state(reported)
-        is_newer = self.state.ballot > ballot_before
+        leader_changed = self.state.ballot > ballot_before
         if self.state.is_leader:
-            starts_leading = is_newer or not led_before
+            starts_leading = leader_changed or not led_before
             if starts_leading:
                 self.tracker.detach()
             return starts_leading
-        self.on_leader_changed(now_us, is_newer, preferred_before)
+        self.on_leader_changed(now_us, leader_changed, preferred_before)
         preferred = self.state.tree.parent
         if preferred is None or led_before:
             if self.tracker.name is None:
                 self.search(now_us, children)
         elif preferred != self.tracker.name:
-            has_new_leader = is_newer and self.state.leader is not None
+            has_new_leader = leader_changed and self.state.leader is not None
             if has_new_leader or (preferred != preferred_before and not self.is_connected(now_us)):
                 self.tracker.attach(now_us, preferred)
         return False
@@ -57,23 +57,25 @@
         self.on_leader_changed(now_us, True, preferred_before)
         return True
 
-    def on_leader_changed(self, now_us: int, is_newer: bool, preferred_before: str | None) -> None:
-        """After a change of leader, restart the search, and ask the parent by rank if that changed."""
-        if is_newer:
+    def on_leader_changed(self, now_us: int, leader_changed: bool, preferred_before: str | None) -> None:
+        """Restart the search under a changed leader, and ask the parent by rank if that may differ now."""
+        if leader_changed:
             self.tracker.attempts = 0
-        if is_newer or self.state.tree.parent != preferred_before:
+        if leader_changed or self.state.tree.parent != preferred_before:
             self.tracker.schedule_preferred_request(now_us)
 
     def search(self, now_us: int, children: Collection[str]) -> None:
         """Follow the next candidate (see `ParentTracker.try_next_candidate`)."""
         self.tracker.try_next_candidate(now_us, self.state.tree, self.state.voters, children)
 
-    def on_update(self, now_us: int, sender: str, heartbeat: HeartbeatId, depth: int, is_newer: bool) -> bool:
+    def on_update(
+        self, now_us: int, sender: str, heartbeat: HeartbeatId, depth: int, leader_changed: bool
+    ) -> bool:
         """Apply a downstream update; returns whether it is a new heartbeat of the parent."""
         tracker = self.tracker
         # During a search, an earlier candidate may have been connected meanwhile. A proxy that returns to its
         # parent by rank (attempts is 0) keeps waiting for that.
-        is_searching = (is_newer or tracker.attempts > 0) and not self.is_connected(now_us)
+        is_searching = (leader_changed or tracker.attempts > 0) and not self.is_connected(now_us)
         if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.name:
             tracker.attach(now_us, sender)
         if sender != tracker.name or not tracker.on_heartbeat(now_us, heartbeat, depth):
--- a/molereach/coordination/membership/probes.py
+++ b/molereach/coordination/membership/probes.py
@@ -10,7 +10,7 @@
 
 MAX_RELAYS = 64  # relayed pings in flight; further requests are dropped without an ack or nack
 NACK_TIMEOUT_FIFTHS = 4  # of the ping timeout, as the nack must arrive before the requester's interval ends
-RELAY_LIFETIME_TIMEOUTS = 4  # in ping timeouts; nobody waits for the ack any longer than that
+RELAY_LIFETIME_TIMEOUTS = 4  # in ping timeouts; the requester does not wait for the ack any longer
 
 
 @dataclass(slots=True)
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -37,12 +37,12 @@
     killed = ("door-000", "door-002", "door-003")  # of the leader's children
     for name in killed:
         simulation.kill(name)
-    before = simulation.parents()
+    parents_before = simulation.parents()
     simulation.parent_changes.clear()
     assert_all_reached(simulation, 5)
-    after = simulation.parents()
-    for name, parent in before.items():
-        assert after[name] not in killed
+    parents_after = simulation.parents()
+    for name, parent in parents_before.items():
+        assert parents_after[name] not in killed
         # Proxies whose parent still runs keep it.
         assert parent in killed or not simulation.parent_changes[name]
     simulation.publish_cluster_state()
--- a/tests/coordination/membership/test_instances.py
+++ b/tests/coordination/membership/test_instances.py
@@ -49,7 +49,7 @@
         MessageReceived(NodeInstance("a", 1), Ping(1, (Rumour("me", 6, 0, DEAD, "a"),))),
     ],
 )
-def test_newer_instance_under_the_own_name_supersedes_this_one(event: MessageReceived) -> None:
+def test_newer_instance_under_the_own_name_supersedes_the_local_one(event: MessageReceived) -> None:
     single = SingleCore("a", "b")
     actions = single.handle(event)
     assert actions == [Superseded(NodeInstance("me", 6))]
@@ -57,7 +57,7 @@
     assert LOCAL not in single.core.live_instances()
 
 
-def test_older_instance_under_the_own_name_is_told_to_end() -> None:
+def test_older_instance_under_the_own_name_is_told_to_exit() -> None:
     single = SingleCore("a")
     (sent,) = sent_messages(
         single.handle(MessageReceived(NodeInstance("me", 4), Sync((Rumour("z", 1, 0, ALIVE),))))
--- a/tests/coordination/membership/test_stalls.py
+++ b/tests/coordination/membership/test_stalls.py
@@ -23,10 +23,10 @@
 
 
 @pytest.mark.parametrize("stall_us", [SECOND_US // 2, 3 * SECOND_US, 30 * SECOND_US])
-@pytest.mark.parametrize("first", [Tick(), MessageReceived(NodeInstance("b", 1), Ping(9))])
-def test_timeouts_during_a_stall_cause_no_suspicion(stall_us: int, first: Any) -> None:  # noqa: ANN401
+@pytest.mark.parametrize("first_event", [Tick(), MessageReceived(NodeInstance("b", 1), Ping(9))])
+def test_timeouts_during_a_stall_cause_no_suspicion(stall_us: int, first_event: Any) -> None:  # noqa: ANN401
     single = stalled_core("a", "b", "c", stall_us=stall_us)
-    single.handle(first)
+    single.handle(first_event)
     assert (
         single.core.local_health_score >= 1
         and LocalHealthChanged(single.core.local_health_score) in single.actions
--- a/tests/coordination/membership/test_sync.py
+++ b/tests/coordination/membership/test_sync.py
@@ -30,7 +30,7 @@
     assert all(sent.recipient == "n000" and not sent.message.wants_reply for sent in answer)
 
 
-def test_full_list_is_sent_periodically_and_requests_a_reply_once() -> None:
+def test_full_list_is_sent_periodically_and_asks_for_one_reply() -> None:
     single = SingleCore(*(f"n{number:03}" for number in range(200)))
     single.run(46 * INTERVAL_US, ack_pings)
     reply_requests = [
