--- a/molereach/coordination/membership/table.py
+++ b/molereach/coordination/membership/table.py
@@ -74,7 +74,7 @@
         return [name for name, member in self.members.items() if member.status is MemberStatus.DEAD]
 
     def wins(self, rumour: Rumour) -> bool:
-        """Whether a rumour takes precedence; for an unknown name, whether it is live and there is capacity."""
+        """Whether a rumour takes precedence; for an unknown name, whether it is live and there is room."""
         member = self.members.get(rumour.name)
         if member is None:
             return rumour.status.is_live and self._has_capacity()
