--- a/tests/coordination/membership/test_instances.py
+++ b/tests/coordination/membership/test_instances.py
@@ -1,4 +1,4 @@
-"""Instances of one name: the newest wins, older ones are told to end."""
+"""Instances with the same name: the newest takes precedence, and older ones are told to exit."""
 
 import pytest
 
@@ -49,7 +49,7 @@
         MessageReceived(NodeInstance("a", 1), Ping(1, (Rumour("me", 6, 0, DEAD, "a"),))),
     ],
 )
-def test_newer_instance_under_the_own_name_supersedes_this_one(event: MessageReceived) -> None:
+def test_newer_instance_under_the_own_name_supersedes_the_local_one(event: MessageReceived) -> None:
     single = SingleCore("a", "b")
     actions = single.handle(event)
     assert actions == [Superseded(NodeInstance("me", 6))]
@@ -57,7 +57,7 @@
     assert LOCAL not in single.core.live_instances()
 
 
-def test_older_instance_under_the_own_name_is_told_to_end() -> None:
+def test_older_instance_under_the_own_name_is_told_to_exit() -> None:
     single = SingleCore("a")
     (sent,) = sent_messages(
         single.handle(MessageReceived(NodeInstance("me", 4), Sync((Rumour("z", 1, 0, ALIVE),))))
@@ -66,7 +66,7 @@
         "me", 5, 0, ALIVE
     ) in sent.message.rumours
     assert single.core.status("z") is None
-    assert not single.handle(MessageReceived(LOCAL, Ping(1)))  # an own word that came back
+    assert not single.handle(MessageReceived(LOCAL, Ping(1)))  # its own message, sent back
 
 
 def test_unknown_event_or_message_is_ignored() -> None:
--- a/tests/coordination/membership/test_suspicion.py
+++ b/tests/coordination/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""The timeout of a suspicion: falls with its accusers, is bounded, does not run during a stall."""
+"""The suspicion timeout: decreases with the number of accusers, is bounded, and excludes stalls."""
 
 import math
 
@@ -28,9 +28,11 @@
     assert [suspicion.confirm(f"x{number}") for number in range(100)].count(True) == 3
 
 
-@pytest.mark.parametrize(("members", "needed"), [(2, 0), (3, 1), (4, 2), (5, 3), (200, 3)])
-def test_no_more_accusers_are_needed_than_there_are_members(members: int, needed: int) -> None:
-    assert Suspicion(0, "b", members, MembershipSettings()).needed == needed
+@pytest.mark.parametrize(("members", "required_confirmations"), [(2, 0), (3, 1), (4, 2), (5, 3), (200, 3)])
+def test_required_confirmations_are_limited_by_the_group_size(
+    members: int, required_confirmations: int
+) -> None:
+    assert Suspicion(0, "b", members, MembershipSettings()).required_confirmations == required_confirmations
 
 
 def test_stall_does_not_count_towards_the_timeout() -> None:
