--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -16,7 +16,7 @@
 from molereach.fleet import roster
 from molereach.fleet.agent.link import REQUEST_TIMEOUT_S, Link, LinkError
 from molereach.fleet.agent.watcher import Watcher
-from molereach.fleet.agreement import Acceptor, Message, Promised
+from molereach.fleet.agreement import Acceptor, AcceptorState, Message
 from molereach.fleet.anchored_clock import anchored_unix_ms
 from molereach.fleet.api_bodies import AgentSnapshot, Event, Members, Orders, Quota, Status, ready_servers
 from molereach.fleet.journal import AgentState, Journal, JournalError
@@ -421,7 +421,7 @@
         return Orders(self.name, record.revision, record.in_force, record.recent, self.acceptor.pending())
 
 
-def log_accepted(state: Promised, by: str) -> None:
+def log_accepted(state: AcceptorState, by: str) -> None:
     """Log the order that the acceptor has accepted from client `by`."""
     order = state.accepted
     if order is None:
--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -1,12 +1,12 @@
-"""Agreement of the agents on one order for each revision: single-decree Paxos, one instance for each.
+"""Agreement of the agents on the order of each revision: one instance of single-decree Paxos per revision.
 
-Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 to 2.4. The agents are the acceptors; the tool that
-gives an order is the proposer. An order is decided when a majority of all agents has accepted it, so two
-tools cannot both succeed at one revision, and the next tool completes what a killed one has begun. An
-acceptor's state must be on disk before its reply is sent: `Acceptor.state` is what to write.
+Source: Lamport, "Paxos Made Simple" (2001), sections 2.2 to 2.4. The agents are the acceptors; the
+command-line tool that submits an order is the proposer. An order is decided once a majority of all agents has
+accepted it, so two tools cannot both succeed at one revision, and the next tool completes an agreement that a
+killed tool has started. An acceptor must store its state (`Acceptor.state`) on disk before it replies.
 
 Class names of messages are their tags on the wire, and docstrings of messages are published in the API's
-description (`agent/openapi.json`): neither may change. `Prepare`, `Accept` and `Accepted` are published
+description (`agent/openapi.json`); neither may change. `Prepare`, `Accept` and `Accepted` are published
 without a description.
 """
 
@@ -96,8 +96,8 @@
 # --- acceptor ---
 
 
-class Promised(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The state of an acceptor about the revision under way, which must survive a restart."""
+class AcceptorState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """What an acceptor has promised and accepted at the undecided revision; it must survive a restart."""
 
     revision: int = 0
     promised: Ballot | None = None
@@ -106,25 +106,27 @@
 
 
 class Acceptor:
-    """An agent as an acceptor: accepts one order at most for each ballot, and none below its promise.
+    """An agent's acceptor: accepts at most one order per ballot, and none below the promised ballot.
 
     `state` and `order_state` must survive a restart.
     """
 
-    def __init__(self, state: Promised = Promised(), record: OrderStateRecord = OrderStateRecord()) -> None:
-        """Start from stored state."""
+    def __init__(
+        self, state: AcceptorState = AcceptorState(), record: OrderStateRecord = OrderStateRecord()
+    ) -> None:
+        """Start from the stored state."""
         self.state = state
         self.order_state = OrderState(record)
 
     def handle(self, message: Message) -> list[Message]:
-        """Handle one message; return the replies to it. Messages that are replies themselves get none."""
+        """Handle one message; return the replies. A message that is itself a reply gets none."""
         match message:
             case Known():
                 self.record_decided(message)
                 return []
             case Prepare() | Accept():
                 if message.revision <= self.order_state.revision:
-                    return [self.known(message.revision)]
+                    return [self.decided_since(message.revision)]
                 if message.revision > self.order_state.revision + 1:
                     return [Behind(self.order_state.revision + 1)]
                 return self.prepare(message) if isinstance(message, Prepare) else self.accept(message)
@@ -132,42 +134,42 @@
                 return []
 
     def record_decided(self, known: Known) -> None:
-        """Add orders that were decided elsewhere."""
+        """Apply decided orders that a proposer or another agent sent."""
         if known.base:
             self.order_state.adopt(known.base)
         for decided in known.decided:
             self.order_state.record_decided(decided)
 
-    def known(self, since: int) -> Known:
-        """Return the decided orders from revision `since` on, or the whole state if some are forgotten."""
-        last = min(self.order_state.revision, since + MAX_DECIDED_PER_REPLY - 1)
+    def decided_since(self, first: int) -> Known:
+        """Return the decided orders from revision `first` on, or the whole state if some are not stored."""
+        last = min(self.order_state.revision, first + MAX_DECIDED_PER_REPLY - 1)
         recent = self.order_state.recent
-        if any(revision not in recent for revision in range(since, last + 1)):
+        if any(revision not in recent for revision in range(first, last + 1)):
             return Known(base=self.order_state.to_record())
-        return Known(tuple(recent[revision] for revision in range(since, last + 1)))
+        return Known(tuple(recent[revision] for revision in range(first, last + 1)))
 
     def pending(self) -> Order | None:
-        """Return the order that was accepted here and is not known to be decided."""
-        return self.current(self.order_state.revision + 1).accepted
+        """Return the order that this agent has accepted and does not know to be decided."""
+        return self.state_at(self.order_state.revision + 1).accepted
 
-    def current(self, revision: int) -> Promised:
-        """Return the promise for a revision; one for an earlier revision does not bind it."""
-        return self.state if self.state.revision == revision else Promised(revision)
+    def state_at(self, revision: int) -> AcceptorState:
+        """Return the state at a revision; a promise for an earlier revision does not apply to it."""
+        return self.state if self.state.revision == revision else AcceptorState(revision)
 
     def prepare(self, message: Prepare) -> list[Message]:
-        """Promise to accept nothing below the ballot, unless a higher one has been promised."""
-        current = self.current(message.revision)
-        if current.promised and current.promised > message.ballot:
-            return [Outbid(message.revision, message.ballot, current.promised)]
-        self.state = Promised(message.revision, message.ballot, current.accepted_at, current.accepted)
-        return [Promise(message.revision, message.ballot, current.accepted_at, current.accepted)]
+        """Promise to accept nothing below the ballot, unless a higher ballot has been promised."""
+        state = self.state_at(message.revision)
+        if state.promised and state.promised > message.ballot:
+            return [Outbid(message.revision, message.ballot, state.promised)]
+        self.state = AcceptorState(message.revision, message.ballot, state.accepted_at, state.accepted)
+        return [Promise(message.revision, message.ballot, state.accepted_at, state.accepted)]
 
     def accept(self, message: Accept) -> list[Message]:
         """Accept the order, unless a higher ballot has been promised."""
-        current = self.current(message.revision)
-        if current.promised and current.promised > message.ballot:
-            return [Outbid(message.revision, message.ballot, current.promised)]
-        self.state = Promised(message.revision, message.ballot, message.ballot, message.order)
+        state = self.state_at(message.revision)
+        if state.promised and state.promised > message.ballot:
+            return [Outbid(message.revision, message.ballot, state.promised)]
+        self.state = AcceptorState(message.revision, message.ballot, message.ballot, message.order)
         return [Accepted(message.revision, message.ballot)]
 
 
@@ -175,7 +177,7 @@
 
 
 class Phase(Enum):
-    """The phase of a proposer."""
+    """The phase of a proposer; `DONE` and `LOST` are final."""
 
     PREPARING = "preparing"
     ACCEPTING = "accepting"
@@ -185,11 +187,12 @@
 
 @dataclass(slots=True)
 class Proposer:
-    """Proposes one order at one revision; its messages are for all agents.
+    """Proposes one order at one revision; each message that it returns is to be sent to all agents.
 
-    After `DONE` or `LOST` either `outcome` is what is decided at the revision, or `overtaken` is a state past
-    it, in which the outcome is no longer known. A tool that lost may validate its order against that state
-    and propose it at the next revision.
+    In the phases `DONE` and `LOST`, `outcome` is the order that is decided at the revision. If an agent sent
+    a whole state instead of single orders, `later_state` is that state, and `outcome` is this proposer's own
+    order if the state still names it, otherwise None. A proposer that lost may validate its order against the
+    newer state and propose it at the next revision.
     """
 
     name: str
@@ -199,19 +202,19 @@
     ballot: Ballot = field(init=False)
     phase: Phase = Phase.PREPARING
     promises: dict[str, Promise] = field(default_factory=dict)
-    accepts: set[str] = field(default_factory=set)
-    chosen: Order | None = None
+    accepted_by: set[str] = field(default_factory=set)
+    proposed: Order | None = None  # the order in `Accept`: its own, or one accepted before
     outcome: Decided | None = None
-    overtaken: OrderStateRecord | None = None
-    outbid: int = 0  # the highest ballot number that was received
+    later_state: OrderStateRecord | None = None
+    highest_promised: int = 0  # the highest ballot number that an `Outbid` named
 
     def __post_init__(self) -> None:
-        """Start below the first ballot."""
+        """Set the number that the first ballot goes beyond."""
         self.ballot = Ballot(1, self.name)
 
     @property
     def finished(self) -> bool:
-        """Whether the proposer has ended, with its own order or another one."""
+        """Whether an order is decided at the revision, be it this one or another."""
         return self.phase in (Phase.DONE, Phase.LOST)
 
     @property
@@ -220,15 +223,15 @@
         return len(self.agents) // 2 + 1
 
     def begin(self) -> list[Message]:
-        """Start or restart with a ballot above all known ones; return the message to all agents."""
+        """Start or restart with a ballot above all known ones; return the messages to all agents."""
         if self.finished:
             return []
-        number = min(MAX_BALLOT_NUMBER, max(self.ballot.number, self.outbid) + 1)
+        number = min(MAX_BALLOT_NUMBER, max(self.ballot.number, self.highest_promised) + 1)
         self.ballot = Ballot(number, self.name)
         self.phase = Phase.PREPARING
         self.promises = {}
-        self.accepts = set()
-        self.chosen = None
+        self.accepted_by = set()
+        self.proposed = None
         return [Prepare(self.revision, self.ballot)]
 
     def handle(self, agent: str, message: Message) -> list[Message]:
@@ -239,47 +242,47 @@
             case Known():
                 return self.on_known(message)
             case Outbid() if message.ballot == self.ballot:
-                self.outbid = max(self.outbid, message.promised.number)
+                self.highest_promised = max(self.highest_promised, message.promised.number)
             case Promise() if message.ballot == self.ballot and self.phase is Phase.PREPARING:
                 return self.on_promise(agent, message)
             case Accepted() if message.ballot == self.ballot and self.phase is Phase.ACCEPTING:
-                self.accepts.add(agent)
-                if len(self.accepts) >= self.majority and self.chosen:
-                    return self.settle(Decided(self.revision, self.chosen))
+                self.accepted_by.add(agent)
+                if len(self.accepted_by) >= self.majority and self.proposed:
+                    return self.finish(Decided(self.revision, self.proposed))
             case _:
                 pass
         return []
 
     def on_promise(self, agent: str, message: Promise) -> list[Message]:
-        """Go on to accepting once a majority has promised."""
+        """Record a promise; once a majority has promised, ask all agents to accept."""
         self.promises[agent] = message
         if len(self.promises) < self.majority:
             return []
-        # An order that a majority may have accepted must be completed, whoever proposed it: the promise with
-        # the highest ballot names it (section 2.2 of the source).
-        earlier = [
+        # An order that a majority may already have accepted must be proposed again, whoever proposed it.
+        # It is the one accepted at the highest ballot that the promises name (section 2.2 of the source).
+        accepted_before = [
             (promise.accepted_at, promise.accepted)
             for promise in self.promises.values()
             if promise.accepted_at and promise.accepted
         ]
-        self.chosen = max(earlier, key=lambda pair: pair[0])[1] if earlier else self.order
+        self.proposed = max(accepted_before, key=lambda pair: pair[0])[1] if accepted_before else self.order
         self.phase = Phase.ACCEPTING
-        return [Accept(self.revision, self.ballot, self.chosen)]
+        return [Accept(self.revision, self.ballot, self.proposed)]
 
     def on_known(self, message: Known) -> list[Message]:
-        """End if the revision is decided, and pass on what is known to all agents."""
+        """End if the revision is decided, and forward the decision to all agents."""
         for decided in message.decided:
             if decided.revision == self.revision:
-                return self.settle(decided)
+                return self.finish(decided)
         if message.base and message.base.revision >= self.revision:
             self.outcome = OrderState(message.base).find(self.order.id)
             self.phase = Phase.DONE if self.outcome else Phase.LOST
-            self.overtaken = message.base
+            self.later_state = message.base
             return [Known(base=message.base)]
         return []
 
-    def settle(self, decided: Decided) -> list[Message]:
-        """End with what is decided at the revision."""
+    def finish(self, decided: Decided) -> list[Message]:
+        """End with the order that is decided at the revision; return it as a message to all agents."""
         self.outcome = decided
         self.phase = Phase.DONE if decided.order.id == self.order.id else Phase.LOST
         return [Known((decided,))]
--- a/molereach/fleet/journal.py
+++ b/molereach/fleet/journal.py
@@ -1,8 +1,8 @@
-"""An agent's journal: a file with the acceptor's promise and the state of the orders.
+"""An agent's journal: a file that holds the acceptor's state and the replicated state of orders.
 
-Each write makes a new file, syncs it, renames it over the old one and syncs the directory, in this sequence:
-after a crash either the old or the new state is there, whole. A damaged file is an error and never read as an
-empty one, since an acceptor that forgot a promise could let two orders be decided at one revision.
+Each write creates a new file, syncs it, renames it over the old one and syncs the directory, in this order: a
+crash leaves either the old or the new state, complete. A damaged file is an error and is never
+treated as empty, since an acceptor that forgot a promise could let two orders be decided at one revision.
 """
 
 import contextlib
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from molereach.fleet.agreement import Promised
+from molereach.fleet.agreement import AcceptorState
 from molereach.fleet.errors import FleetError
 from molereach.fleet.orders import OrderStateRecord
 
@@ -32,8 +32,8 @@
 class AgentState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The state of an agent that survives a restart."""
 
-    agent: str  # its name, so that no agent starts with another's journal
-    promised: Promised = Promised()
+    agent: str  # the agent's name, so that no agent starts from another agent's journal
+    promised: AcceptorState = AcceptorState()
     order_state: OrderStateRecord = msgspec.field(name="book", default=OrderStateRecord())
 
 
@@ -42,12 +42,12 @@
 
 
 def digest(head: bytes, body: bytes) -> bytes:
-    """Return the checksum of a file's head and body."""
+    """Return the checksum of the head (without the checksum itself) and the body."""
     return hashlib.blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
 
 def encode(state: AgentState) -> bytes:
-    """Return the file's bytes for a state; raise ValueError if it is too large."""
+    """Return the contents of the file for a state; raise ValueError if the state is too large."""
     body = _encoder.encode(state)
     if len(body) > MAX_BODY_BYTES:
         raise ValueError(f"{len(body)} bytes of state; {MAX_BODY_BYTES} at most")
@@ -56,16 +56,16 @@
 
 
 def decode(data: bytes) -> AgentState:
-    """Return the state in a file's bytes; ValueError says what is wrong with them."""
-    start = len(MAGIC) + 1 + 4
+    """Return the state from the contents of a file; raise ValueError if they are not valid."""
+    digest_start = len(MAGIC) + 1 + 4
     if len(data) < HEAD_BYTES or not data.startswith(MAGIC):
         raise ValueError("is no journal of an agent, or is cut off")
     if data[len(MAGIC)] != VERSION:
         raise ValueError(f"is of version {data[len(MAGIC)]}; {VERSION} is read here")
     body = data[HEAD_BYTES:]
-    if int.from_bytes(data[start - 4 : start]) != len(body):
+    if int.from_bytes(data[digest_start - 4 : digest_start]) != len(body):
         raise ValueError("is not as long as it says")
-    if digest(data[:start], body) != data[start:HEAD_BYTES]:
+    if digest(data[:digest_start], body) != data[digest_start:HEAD_BYTES]:
         raise ValueError("is damaged: its checksum is another")
     state = _decoder.decode(body)
     state.order_state.check()
@@ -73,30 +73,30 @@
 
 
 class Journal:
-    """The journal of one agent, locked for as long as it is open.
+    """The journal of one agent, locked while it is open.
 
-    `broken` is set by a failed write, after which it is not known what is on the disk.
+    `broken` is set by a failed write, after which the contents of the disk are unknown.
     """
 
     def __init__(self, path: Path, agent: str) -> None:
-        """Lock the journal at `path`; raise JournalError if that fails, or another process has it."""
+        """Lock the journal at `path`; raise JournalError if that fails or another process holds the lock."""
         self.path = path
         self.agent = agent
         self.temporary_path = path.with_name(path.name + ".new")
         self.broken = False
-        lock = path.with_name(path.name + ".lock")
+        lock_path = path.with_name(path.name + ".lock")
         try:
-            self.lock = os.open(lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, PRIVATE_MODE)
+            self.lock_file = os.open(lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, PRIVATE_MODE)
         except OSError as error:
-            raise JournalError(f"{lock}: {error.strerror}") from error
+            raise JournalError(f"{lock_path}: {error.strerror}") from error
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self.lock)
+            os.close(self.lock_file)
             raise JournalError(f"{path}: another agent has it") from None
 
     def load(self) -> AgentState:
-        """What was saved last; a new agent's state where there is no file."""
+        """Return the state saved last, or the initial state if there is no file."""
         try:
             with self.path.open("rb") as file:
                 data = file.read(HEAD_BYTES + MAX_BODY_BYTES + 1)
@@ -113,10 +113,10 @@
         return state
 
     def save(self, state: AgentState) -> None:
-        """Write a state and return once it is on the disk; raise JournalError if it may not be.
+        """Write a state and return once it is on the disk; raise JournalError if it may not be there.
 
-        After a failure nothing may be promised any more. A second sync may succeed although data is lost, so
-        the journal stays broken until it is opened anew.
+        The agent must not send a promise after a failure. A second sync may succeed although data was lost,
+        so later writes fail until the journal is opened again.
         """
         if self.broken:
             raise JournalError(f"{self.path}: a write has failed before; start the agent again")
@@ -132,9 +132,9 @@
             self.temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, PRIVATE_MODE
         )
         try:
-            left = memoryview(data)
-            while left:
-                left = left[os.write(file, left) :]
+            unwritten = memoryview(data)
+            while unwritten:
+                unwritten = unwritten[os.write(file, unwritten) :]
             os.fsync(file)
         finally:
             os.close(file)
@@ -148,4 +148,4 @@
     def close(self) -> None:
         """Release the lock."""
         with contextlib.suppress(OSError):
-            os.close(self.lock)
+            os.close(self.lock_file)
--- a/molereach/fleet/rollout/ballots.py
+++ b/molereach/fleet/rollout/ballots.py
@@ -1,4 +1,4 @@
-"""Has a majority of agents accept an order: when a ballot is sent again, and to whom."""
+"""Obtains a majority's acceptance of an order, and schedules the retries of its ballots."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -7,78 +7,80 @@
 from molereach.fleet.orders import Order
 from molereach.fleet.rollout.events import Action, SendMessage, Step, send_to_all
 
-MIN_RETRY_DELAY_US = 150_000  # the delay is drawn between this and MAX_JITTER times as much
-MAX_JITTER = 3
-RETRY_DELAY_FACTOR = 3  # delay over the time in which a majority answered: a large fleet replies slowly
-MIN_TRIES = 20  # tries that the delay leaves room for within `agree_us`
+MIN_RETRY_DELAY_US = 150_000
+MAX_JITTER = 3  # each delay is drawn between the base delay and MAX_JITTER times that
+# Base delay over the time in which a majority of agents responded, since a large fleet responds slowly.
+RETRY_DELAY_FACTOR = 3
+MIN_TRIES = 20  # limits the base delay to `agree_us` divided by this
 
 
 @dataclass(slots=True)
 class Ballots:
     """The ballots of one run of the tool.
 
-    `run` identifies the run among all proposers, `draws` yields random numbers from 0 to 1, and `agree_us` is
-    the time for reaching agreement, in microseconds.
+    `run_id` identifies the run among all proposers, `random_values` yields numbers from 0 to 1, and
+    `agree_us` is the time for reaching agreement, in microseconds.
     """
 
-    run: str
-    draws: Iterator[float]
+    run_id: str
+    random_values: Iterator[float]
     agree_us: int
-    pace_us: int = 0
+    preferred_delay_us: int = 0
     next_try_us: int = 0
     proposer: Proposer | None = None
 
-    def record_majority_time(self, took_us: int) -> None:
-        """Adapt the retry delay to the time in which a majority of agents answered."""
-        self.pace_us = RETRY_DELAY_FACTOR * took_us
+    def record_majority_time(self, elapsed_us: int) -> None:
+        """Adapt the retry delay to the time in which a majority of agents responded."""
+        self.preferred_delay_us = RETRY_DELAY_FACTOR * elapsed_us
 
     def start(self, agents: tuple[str, ...], order: Order, revision: int) -> None:
-        """Begin to propose `order` at `revision`; `propose` gives the messages."""
-        self.proposer = Proposer(self.run, agents, order, revision)
+        """Prepare to propose `order` at `revision`; `propose` returns the messages."""
+        self.proposer = Proposer(self.run_id, agents, order, revision)
         self.next_try_us = 0
 
     def propose(self, now_us: int) -> list[Action]:
-        """Return the messages of the next try, and schedule the one after it.
+        """Return the messages of the next try, and schedule the try after it.
 
-        Agents that have not answered get the same ballot once more; a higher ballot goes to all only after
-        an `Outbid`. A new ballot for each try would outbid replies of a large fleet that are on their way.
+        Agents that have not responded are sent the current ballot again; a higher ballot is sent to all
+        agents only after an `Outbid`. A new ballot for each try would invalidate replies of a large fleet
+        that are still in flight.
         """
         proposer = self.proposer
         assert proposer is not None
         first_try = not self.next_try_us
         self.next_try_us = now_us + self.retry_delay_us()
-        if first_try or proposer.outbid >= proposer.ballot.number:
+        if first_try or proposer.highest_promised >= proposer.ballot.number:
             return send_to_all(proposer.agents, proposer.begin())
-        answered = proposer.promises if proposer.phase is Phase.PREPARING else proposer.accepts
-        missing = [agent for agent in proposer.agents if agent not in answered]
-        return [action for agent in missing for action in resend(agent, proposer)]
+        responded = proposer.promises if proposer.phase is Phase.PREPARING else proposer.accepted_by
+        unresponsive = [agent for agent in proposer.agents if agent not in responded]
+        return [action for agent in unresponsive for action in resend(agent, proposer)]
 
     def retry_delay_us(self) -> int:
-        """Draw the time until the next try, so that competing proposers do not retry in step."""
-        base_us = max(MIN_RETRY_DELAY_US, min(self.pace_us, self.agree_us // MIN_TRIES))
-        return round(base_us * (1 + (MAX_JITTER - 1) * next(self.draws)))
+        """Draw the delay until the next try at random, so that competing proposers do not retry in step."""
+        base_us = max(MIN_RETRY_DELAY_US, min(self.preferred_delay_us, self.agree_us // MIN_TRIES))
+        return round(base_us * (1 + (MAX_JITTER - 1) * next(self.random_values)))
 
     def tick(self, now_us: int) -> list[Action]:
-        """Try once more if it is time to."""
+        """Try again if the next try is due."""
         return self.propose(now_us) if now_us >= self.next_try_us else []
 
 
 def handle_reply(proposer: Proposer, agent: str, message: Message) -> list[Action]:
-    """Hand an agent's reply to the proposer; return its messages and the steps that were reached."""
+    """Pass an agent's reply to the proposer; return its messages and the steps that it reached."""
     phase_before = proposer.phase
-    accepts_before = len(proposer.accepts)
+    accepted_count_before = len(proposer.accepted_by)
     actions = send_to_all(proposer.agents, proposer.handle(agent, message))
     if phase_before is Phase.PREPARING and proposer.phase is Phase.ACCEPTING:
         actions = [Step("promised"), *actions, Step("accepting")]
-    if not accepts_before and proposer.accepts and not proposer.finished:
+    if not accepted_count_before and proposer.accepted_by and not proposer.finished:
         actions.append(Step("accepted"))
     return actions
 
 
 def resend(agent: str, proposer: Proposer) -> list[Action]:
-    """Return the current message for an agent that did not answer it, or lacked revisions before it."""
+    """Return the current message for an agent that did not respond, or lacked earlier revisions."""
     if proposer.phase is Phase.PREPARING:
         return [SendMessage(agent, Prepare(proposer.revision, proposer.ballot))]
-    if proposer.phase is Phase.ACCEPTING and proposer.chosen:
-        return [SendMessage(agent, Accept(proposer.revision, proposer.ballot, proposer.chosen))]
+    if proposer.phase is Phase.ACCEPTING and proposer.proposed:
+        return [SendMessage(agent, Accept(proposer.revision, proposer.ballot, proposer.proposed))]
     return []
--- a/molereach/fleet/rollout/events.py
+++ b/molereach/fleet/rollout/events.py
@@ -1,7 +1,7 @@
-"""What goes into a rollout and what comes out of it.
+"""The events that a rollout handles and the actions that it returns.
 
-The shell reports the results of its calls and the passing of time as events, and carries out the actions that
-`Rollout` returns.
+The caller does the I/O: it reports the results of its requests and the passing of time as events, and carries
+out the actions that `Rollout` returns.
 """
 
 from collections.abc import Iterable
@@ -15,9 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """An order whose base revision is not fixed yet.
+    """An order whose base revision may not be set yet.
 
-    `based_on` None stands for the newest revision of the first observation; `lapses_ms` is as in `Order`.
+    A `based_on` of None stands for the newest revision known at the first validation; `lapses_ms` is as in
+    `Order`.
     """
 
     id: str
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """How long to wait, in microseconds: for agreement of a majority, then for confirmations of proxies."""
+    """How long to wait, in microseconds: for a majority to agree, then for proxies to confirm the order."""
 
     agree_us: int = 5_000_000
     confirm_us: int = 3_000_000
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyReceived:
-    """An agent replied to a message of the agreement."""
+    """An agent replied to an agreement message."""
 
     agent: str
     message: Message
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFailed:
-    """A request to an agent failed; `snapshot_requested` tells which kind of request it was."""
+    """A request to an agent failed; `snapshot_requested` is False if it was an agreement message."""
 
     agent: str
     reason: str
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed; the caller reports it at intervals."""
 
 
 # --- actions ---
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send an agent a message of the agreement."""
+    """Send an agent an agreement message."""
 
     agent: str
     message: Message
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A step that was reached: shown to operators, and a point at which tests interrupt a rollout."""
+    """The rollout has reached a step, which is shown to operators; tests inject faults at these steps."""
 
     name: Literal[
         "looking", "judged", "promised", "accepting", "accepted", "decided", "told", "confirming", "reported"
@@ -103,6 +104,6 @@
 
 
 def send_to_all(agents: Iterable[str], messages: Iterable[Message]) -> list[Action]:
-    """Return actions that send each message to every agent, message by message."""
+    """Return the actions that send each message to every agent, in order of messages."""
     agents = tuple(agents)
     return [SendMessage(agent, message) for message in messages for agent in agents]
--- a/molereach/fleet/rollout/observations.py
+++ b/molereach/fleet/rollout/observations.py
@@ -1,4 +1,4 @@
-"""The latest snapshot of each agent, and the agents that could not be reached."""
+"""The latest snapshot of each agent, and the reasons of failed requests."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,9 +12,9 @@
 class Observations:
     """What the agents have reported so far.
 
-    `expected_proxies` names the proxies of each agent, where the fleet's file does. `received_us` is the time
-    at which each snapshot arrived, `failures` holds the reason of each agent's last failed request, and
-    `pending` the agents whose snapshot is on its way.
+    `expected_proxies` holds the names of each agent's proxies, if the fleet's file lists them. `received_us`
+    holds the time at which each snapshot arrived, `failures` the reason for which an agent's last request
+    failed, and `pending` the agents whose snapshot is requested and has not arrived.
     """
 
     expected_proxies: Mapping[str, tuple[str, ...]]
@@ -24,10 +24,10 @@
     pending: set[str] = field(default_factory=set)
 
     def request_snapshots(self, agents: tuple[str, ...]) -> list[Action]:
-        """Request snapshots of those `agents` for which no request is pending."""
-        idle = [agent for agent in agents if agent not in self.pending]
-        self.pending.update(idle)
-        return [RequestSnapshot(agent) for agent in idle]
+        """Request the snapshots of those `agents` that have no such request pending."""
+        not_pending = [agent for agent in agents if agent not in self.pending]
+        self.pending.update(not_pending)
+        return [RequestSnapshot(agent) for agent in not_pending]
 
     def record_snapshot(self, now_us: int, agent: str, snapshot: AgentSnapshot) -> None:
         """Store an agent's snapshot that arrived at `now_us`."""
@@ -37,17 +37,17 @@
         self.received_us[agent] = now_us
 
     def record_reply(self, agent: str) -> None:
-        """Note that an agent is reachable."""
+        """Clear the failure of an agent that has replied."""
         self.failures.pop(agent, None)
 
     def record_failure(self, agent: str, reason: str, snapshot_requested: bool) -> None:
-        """Note why a request to an agent failed."""
+        """Store the reason for which a request to an agent failed."""
         self.failures[agent] = reason
         if snapshot_requested:
             self.pending.discard(agent)
 
     def clear_snapshots(self) -> None:
-        """Drop all snapshots, so that only later ones count; `received_us` stays."""
+        """Drop all snapshots, so that only later ones count; `received_us` remains."""
         self.snapshots.clear()
 
     def unobserved_agents(self) -> tuple[str, ...]:
@@ -55,7 +55,7 @@
         return tuple(agent for agent in self.failures if agent not in self.snapshots)
 
     def ready_servers(self) -> dict[str, str]:
-        """Return the servers that any snapshot lists as up, with their buildings."""
+        """Return the servers that any snapshot gives as ready, with their buildings."""
         return {
             server: building
             for snapshot in self.snapshots.values()
@@ -78,19 +78,19 @@
         return all(name in names for name in self.expected_proxies.get(agent, ()))
 
     def describe_unknown_subject(self, order: Order) -> str:
-        """Return why an order's subject is not known, or '' if it is, so that a mistyped name is rejected."""
-        if order.verb is Verb.DRAIN and not self.lists_as_up(order.subject):
+        """Return why an order's subject is unknown, or ''; an unknown subject is probably a mistyped name."""
+        if order.verb is Verb.DRAIN and not self.is_ready(order.subject):
             return f"no front door that answers lists {order.subject} as up; --force drains it all the same"
         if order.verb is Verb.HOLD and order.subject not in self.known_proxies():
             return f"no agent that answers knows a front door {order.subject}; --force holds it all the same"
         return ""
 
-    def lists_as_up(self, server: str) -> bool:
-        """Return whether any snapshot lists a server as up."""
+    def is_ready(self, server: str) -> bool:
+        """Return whether any snapshot gives a server as ready."""
         return any(server in snapshot.ready for snapshot in self.snapshots.values())
 
     def known_proxies(self) -> set[str]:
-        """Return the names of the proxies that agents have reported or the fleet's file names."""
+        """Return the names of the proxies that an agent has reported or the fleet's file lists."""
         reported = {proxy.name for snapshot in self.snapshots.values() for proxy in snapshot.status.proxies}
         expected = {name for names in self.expected_proxies.values() for name in names}
         return reported | expected
--- a/molereach/fleet/rollout/report.py
+++ b/molereach/fleet/rollout/report.py
@@ -1,6 +1,6 @@
 """The result of a rollout, which the tool prints as text or as JSON.
 
-The names given to `msgspec.field` are those of the JSON output, which scripts read.
+The names given to `msgspec.field` are those in the JSON output, which scripts read.
 """
 
 from enum import Enum
@@ -15,13 +15,13 @@
 
     DONE = "done"  # decided, and confirmed by all agents and proxies
     PARTIAL = "partly"  # decided, but not confirmed by all
-    CONFLICT = "conflict"  # another decided order prevents it
-    UNREACHABLE = "unreachable"  # no majority of agents: it may or may not get decided later
+    CONFLICT = "conflict"  # a decided order prevents it
+    UNREACHABLE = "unreachable"  # too few agents responded; the order may still be decided later
     REJECTED = "refused"
 
 
 class AgentReport(msgspec.Struct, frozen=True):
-    """Whether an agent is known to have the order; `reason` tells why the agent could not be reached."""
+    """Whether an agent is known to have the order; `reason` says why its last request failed, if it did."""
 
     agent: str
     notified: bool = msgspec.field(name="told")
@@ -31,8 +31,9 @@
 class ProxyReport(msgspec.Struct, frozen=True):
     """What an agent last reported of one of its proxies.
 
-    `reachability` is as in `api_bodies.Reach`, or "unknown"; `revision` is the last one that the proxy is
-    known to have had; `reported_ago_ms` is the age of its last answer in milliseconds, None for never.
+    `applied` says whether the proxy is known to have the decided revision. `reachability` is as in
+    `api_bodies.Reachability`, or "unknown". `revision` is the last one that the proxy is known to have, and
+    `reported_ago_ms` the age of its last response in milliseconds; None stands for never.
     """
 
     agent: str
@@ -47,7 +48,7 @@
 class Report(msgspec.Struct, frozen=True):
     """The result of a rollout, and what each agent and proxy last reported.
 
-    `decided` is the order as decided; `winner` is another decided order that prevented this one.
+    `decided` is the decided order; `winner` is the decided order that prevented this one.
     """
 
     verdict: Verdict
--- a/molereach/fleet/rollout/stages.py
+++ b/molereach/fleet/rollout/stages.py
@@ -1,9 +1,9 @@
 """The stages of a rollout, as a state machine without I/O.
 
-It requests snapshots of all agents, validates the order against the newest replicated state, has a majority
-of agents accept it, sends the decided order to every agent, and waits until all proxies have confirmed the
-revision or the time for that is over. The tool may be killed at any point: an order keeps its id, so giving
-it once more either finds it decided or completes it.
+A rollout requests the snapshots of all agents, validates the order against the newest replicated state,
+obtains acceptance by a majority of agents, sends the decided order to every agent, and waits until all
+proxies have confirmed the revision or a timeout expires. The tool may be killed at any point: an order keeps
+its id, so a second rollout with this id either finds the order decided or completes it.
 """
 
 from collections.abc import Iterator, Mapping
@@ -19,9 +19,9 @@
 from molereach.fleet.rollout.summary import Summary
 from molereach.fleet.rollout.validation import Rejection, Validation
 
-SNAPSHOT_TIMEOUT_US = 1_000_000  # then the snapshots of a majority are enough
+SNAPSHOT_TIMEOUT_US = 1_000_000  # after this, the snapshots of a majority suffice
 POLL_INTERVAL_US = 50_000  # between requests for the snapshots of agents that have not confirmed
-TICK_INTERVAL_US = 10_000  # between `Tick` events from the shell
+TICK_INTERVAL_US = 10_000  # between `Tick` events from the caller
 US_PER_MS = 1000
 
 
@@ -35,41 +35,42 @@
 
 
 class Rollout:
-    """Rolls one order out.
+    """Rolls out one order.
 
-    `run` identifies this run of the tool among all proposers and is never used twice; `draws` yields random
-    numbers from 0 to 1; `started_unix_ms` is Unix time at the start, to which the monotonic clock is added so
-    that a step of the machine's clock changes nothing; `floor` is the number of ready servers that a drain
-    leaves in each building; `expected_proxies` names the proxies of each agent, where the fleet's file does.
+    `run_id` identifies this run of the tool among all proposers and is never reused. `random_values` yields
+    numbers from 0 to 1. `started_unix_ms` is Unix time at the start; elapsed time by the monotonic clock is
+    added to it, so that a step of the system clock has no effect. `floor` is the number of ready servers that
+    a drain must leave in each building. `expected_proxies` holds the names of each agent's proxies, if the
+    fleet's file lists them.
     """
 
     def __init__(
         self,
         agents: tuple[str, ...],
         draft: events.Draft,
-        run: str,
-        draws: Iterator[float],
+        run_id: str,
+        random_values: Iterator[float],
         started_unix_ms: int,
         floor: int = 1,
         timeouts: events.Timeouts | None = None,
         expected_proxies: Mapping[str, tuple[str, ...]] | None = None,
     ) -> None:
-        """Prepare a rollout to `agents`; `begin` starts it."""
+        """Create a rollout to `agents`; `begin` starts it."""
         self.agents = agents
         self.draft = draft
         self.timeouts = timeouts or events.Timeouts()
         self.started_unix_ms = started_unix_ms
         self.observations = Observations(expected_proxies or {})
         self.validation = Validation(draft, floor)
-        self.ballots = Ballots(run, draws, self.timeouts.agree_us)
+        self.ballots = Ballots(run_id, random_values, self.timeouts.agree_us)
         self.stage = Stage.OBSERVING
         self.started_us = 0
         self.now_us = 0
         self.stage_deadline_us = 0
         self.next_poll_us = 0
-        self.target_revision = 0  # the revision that all agents and proxies are to have
+        self.target_revision = 0  # the revision that agents and proxies are to confirm
         self.decided: Decided | None = None
-        self.rejection: Rejection | None = None  # the result, once a majority knows the winner
+        self.rejection: Rejection | None = None  # to be reported once a majority has the winner
         self.report: Report | None = None
 
     @property
@@ -78,9 +79,10 @@
         return len(self.agents) // 2 + 1
 
     def begin(self, now_us: int) -> list[events.Action]:
-        """Start at a time of the monotonic clock.
+        """Start the rollout; times are those of the monotonic clock.
 
-        Then hand in each event, and a `Tick` every `TICK_INTERVAL_US`, until there is a `report`.
+        The caller then passes each event to `handle`, and a `Tick` every `TICK_INTERVAL_US`, until `report`
+        is set.
         """
         self.started_us = now_us
         self.now_us = now_us
@@ -108,10 +110,10 @@
     # --- observing ---
 
     def on_snapshot(self, now_us: int, agent: str, snapshot: AgentSnapshot) -> list[events.Action]:
-        """Store an agent's snapshot, and go on if it was the one that was missing."""
+        """Store an agent's snapshot; continue if the stage needs no further one."""
         status = snapshot.status
         if sorted(status.fleet) != sorted(self.agents) or status.agent != agent:
-            # Agents of another fleet must not count towards a majority of this one.
+            # Agents of another fleet must not count towards a majority of this fleet.
             members = ", ".join(sorted(status.fleet))
             text = f"agent {agent} is '{status.agent}' of the fleet {members}: not the fleet of this file"
             return self.finish(Verdict.REJECTED, text)
@@ -123,23 +125,23 @@
         return self.on_confirmation(agent, snapshot) if self.stage is Stage.NOTIFYING else []
 
     def validate_when_observed(self, now_us: int) -> list[events.Action]:
-        """Go on once every request has ended, or a majority has answered within the timeout."""
-        enough = now_us >= self.next_poll_us or not self.observations.pending
-        if enough and len(self.observations.snapshots) >= self.majority:
+        """Validate once no request is pending or the timeout is over, provided a majority has responded."""
+        waited_enough = now_us >= self.next_poll_us or not self.observations.pending
+        if waited_enough and len(self.observations.snapshots) >= self.majority:
             return self.validate(now_us)
         return []
 
     def validate(self, now_us: int) -> list[events.Action]:
-        """Check the order against the newest state, and propose it if nothing prevents it."""
+        """Validate the order against the newest state; propose it if nothing prevents it."""
         unix_ms = self.started_unix_ms + (now_us - self.started_us) // US_PER_MS
         self.validation.adopt(self.observations.snapshots)
-        found = self.validation.validate(unix_ms, self.observations.ready_servers())
-        if isinstance(found, Rejection):
-            return self.reject(now_us, found)
-        if isinstance(found, Decided):
-            if text := self.validation.describe_id_reuse(found):
-                return self.finish(Verdict.REJECTED, text, found)
-            return self.on_decided(now_us, found)
+        result = self.validation.validate(unix_ms, self.observations.ready_servers())
+        if isinstance(result, Rejection):
+            return self.reject(now_us, result)
+        if isinstance(result, Decided):
+            if text := self.validation.describe_id_reuse(result):
+                return self.finish(Verdict.REJECTED, text, result)
+            return self.on_decided(now_us, result)
         order = self.validation.build_order()
         if not order.forced and (text := self.observations.describe_unknown_subject(order)):
             return self.finish(Verdict.REJECTED, text)
@@ -148,9 +150,9 @@
         return [events.Step("judged"), *self.ballots.propose(now_us)]
 
     def reject(self, now_us: int, rejection: Rejection) -> list[events.Action]:
-        """End with a rejection; after a proposal, only once the agents have been sent the winner.
+        """End with a rejection; after a proposal, send the newest state to the agents first.
 
-        This run's ballots may have completed the winner's agreement, and no agent may know of it yet.
+        The ballots of this run may have decided the winner, and no agent may know of that yet.
         """
         if self.ballots.proposer is None:
             return self.finish(rejection.verdict, rejection.text, rejection.winner)
@@ -160,7 +162,7 @@
     # --- proposing ---
 
     def on_reply(self, now_us: int, agent: str, message: Message) -> list[events.Action]:
-        """Handle an agent's reply to a message of the agreement."""
+        """Handle an agent's reply to an agreement message."""
         proposer = self.ballots.proposer
         if self.stage is not Stage.PROPOSING or proposer is None:
             return []
@@ -169,30 +171,30 @@
         actions = handle_reply(proposer, agent, message)
         if not proposer.finished:
             return actions
-        # The state takes over the outcome before anything is validated against it or sent to agents.
+        # The outcome must be in the state before that is used for validation or sent to agents.
         self.validation.record_decided(proposer.outcome)
-        if proposer.overtaken:
-            self.validation.order_state.adopt(proposer.overtaken)
+        if proposer.later_state:
+            self.validation.order_state.adopt(proposer.later_state)
         if proposer.phase is Phase.DONE and proposer.outcome:
             notifications = self.on_decided(now_us, proposer.outcome)
             return [events.Step("decided"), *actions, events.Step("told"), *notifications]
         return [*actions, *self.validate(now_us)]
 
     def send_state(self, agent: str) -> events.SendMessage:
-        """Return the action that sends an agent the whole state."""
+        """Return the action that sends an agent the whole replicated state."""
         return events.SendMessage(agent, Known(base=self.validation.order_state.to_record()))
 
     # --- notifying ---
 
     def on_decided(self, now_us: int, decided: Decided) -> list[events.Action]:
-        """Send the decided order to all agents, and wait for their confirmations."""
+        """Send the decided order to all agents, and start waiting for confirmations."""
         self.decided = decided
         return [events.Step("confirming"), *self.notify_all(now_us, decided.revision)]
 
     def notify_all(self, now_us: int, revision: int | None = None) -> list[events.Action]:
-        """Send all agents the state and wait until they have `revision`, by default the newest one.
+        """Send the state to all agents and wait until they have `revision`, by default the newest one.
 
-        Earlier snapshots are dropped first: a confirmation counts only if it was reported after this.
+        Drops earlier snapshots, so that only confirmations received from now on count.
         """
         self.stage = Stage.NOTIFYING
         self.target_revision = revision or self.validation.order_state.revision
@@ -203,7 +205,7 @@
         return [*messages, *self.on_tick(now_us)]
 
     def on_confirmation(self, agent: str, snapshot: AgentSnapshot) -> list[events.Action]:
-        """Finish if the snapshot was the last one needed; send the state once more to one that lacks it."""
+        """Finish if this snapshot was the last one needed; send the state again to an agent that lacks it."""
         if snapshot.order_state.revision < self.target_revision:
             return [self.send_state(agent)]
         if self.rejection:
@@ -223,7 +225,7 @@
     # --- time and the end ---
 
     def on_tick(self, now_us: int) -> list[events.Action]:
-        """End the stage if its time is over; otherwise retry or poll what is due."""
+        """End the stage if its deadline has passed; otherwise send the retries or polls that are due."""
         if now_us >= self.stage_deadline_us:
             return self.on_deadline()
         match self.stage:
@@ -235,27 +237,27 @@
                 return self.poll_unconfirmed(now_us)
 
     def on_deadline(self) -> list[events.Action]:
-        """Finish with what is known when a stage's time is over."""
+        """Finish with what is known at the deadline of a stage."""
         if self.rejection:
             text = f"{self.rejection.text}; {self.summary().describe_notified()}"
             return self.finish(self.rejection.verdict, text, self.rejection.winner)
         return self.finish(*self.summary().verdict())
 
     def retry_failed_agents(self, now_us: int) -> list[events.Action]:
-        """Request the snapshots of agents whose request failed, once the first timeout is over."""
+        """Request the snapshots of agents whose request failed, once the snapshot timeout is over."""
         if now_us < self.next_poll_us:
             return []
         return self.observations.request_snapshots(self.observations.unobserved_agents())
 
     def poll_unconfirmed(self, now_us: int) -> list[events.Action]:
-        """Request the snapshots of agents that have not confirmed, at the poll interval."""
+        """Request the snapshots of agents that have not confirmed, if the next poll is due."""
         if now_us < self.next_poll_us:
             return []
         self.next_poll_us = now_us + POLL_INTERVAL_US
         return self.observations.request_snapshots(self.unconfirmed_agents())
 
     def summary(self) -> Summary:
-        """Return the result as far as it is known now."""
+        """Return the summary of what is known now."""
         return Summary(
             self.agents,
             self.observations,
@@ -266,7 +268,7 @@
         )
 
     def finish(self, verdict: Verdict, text: str, winner: Decided | None = None) -> list[events.Action]:
-        """End with a report."""
+        """Set the report and end the rollout."""
         self.stage = Stage.FINISHED
         if winner is None and self.decided and self.draft.id != self.decided.order.id:
             winner = self.decided
--- a/molereach/fleet/rollout/summary.py
+++ b/molereach/fleet/rollout/summary.py
@@ -1,6 +1,6 @@
 """The result of a rollout as far as it is known at one time.
 
-It claims nothing that no agent or proxy has reported.
+It states only what agents have reported, of themselves and of their proxies.
 """
 
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What is known at `now_us`; `target_revision` is what all agents and proxies are to have."""
+    """What is known at `now_us`; `target_revision` is the revision that agents and proxies are to confirm."""
 
     agents: tuple[str, ...]
     observations: Observations
@@ -36,38 +36,38 @@
         return self.observations.notified_count(self.target_revision)
 
     def describe_notified(self) -> str:
-        """Return one line that says how many agents are known to have the target revision."""
+        """Return in one line how many agents are known to have the target revision."""
         return f"only {self.notified_count()} of {len(self.agents)} agents have said that they know it"
 
     def verdict(self) -> tuple[Verdict, str]:
-        """Return the verdict and its text, once all have confirmed or the time is over."""
+        """Return the verdict and its text, once all have confirmed or the deadline has passed."""
         if self.decided is None:
             return Verdict.UNREACHABLE, self.describe_undecided()
         order = self.decided.order
-        result = f"{order.verb.value} {order.subject} stands at revision {self.decided.revision}"
+        decision = f"{order.verb.value} {order.subject} stands at revision {self.decided.revision}"
         if self.notified_count() < self.majority:
-            return Verdict.UNREACHABLE, f"{result}; {self.describe_notified()}"
+            return Verdict.UNREACHABLE, f"{decision}; {self.describe_notified()}"
         unconfirmed = [
             report.proxy
             for report in self.proxy_reports()
             if not report.applied and report.reachability != "ended"
         ]
         if not unconfirmed and self.notified_count() == len(self.agents):
-            return Verdict.DONE, result
+            return Verdict.DONE, decision
         unnotified = [report.agent for report in self.agent_reports() if not report.notified]
-        texts = [
-            result,
+        clauses = [
+            decision,
             *(f"front door {name} has not said that it has it" for name in unconfirmed),
             *(f"agent {name} has not said that it knows it" for name in unnotified),
         ]
-        return Verdict.PARTIAL, "; ".join(texts)
+        return Verdict.PARTIAL, "; ".join(clauses)
 
     def describe_undecided(self) -> str:
-        """Return one line that says why no majority is known to have accepted the order."""
-        answered = len(self.agents) - len(self.observations.failures)
-        text = f"{answered} of {len(self.agents)} agents answered, {self.majority} must agree"
+        """Return in one line why no majority is known to have accepted the order."""
+        responded_count = len(self.agents) - len(self.observations.failures)
+        text = f"{responded_count} of {len(self.agents)} agents answered, {self.majority} must agree"
         if self.proposer and self.proposer.phase is Phase.ACCEPTING:
-            text += f"; {len(self.proposer.accepts)} said that they accepted it: it may yet come to stand"
+            text += f"; {len(self.proposer.accepted_by)} said that they accepted it: it may yet come to stand"
         return text
 
     def agent_reports(self) -> Iterator[AgentReport]:
@@ -80,7 +80,7 @@
             yield AgentReport(agent, notified, self.observations.failures.get(agent, ""))
 
     def proxy_reports(self) -> Iterator[ProxyReport]:
-        """Yield what is known of each proxy, including those that only the fleet's file names."""
+        """Yield what is known of each proxy, including those that only the fleet's file lists."""
         for agent in self.agents:
             snapshot = self.observations.snapshots.get(agent)
             proxies = snapshot.status.proxies if snapshot else ()
@@ -92,7 +92,7 @@
                     yield ProxyReport(agent, name, False, "unknown", None, None, reason)
 
     def proxy_report(self, agent: str, proxy: ProxyStatus) -> ProxyReport:
-        """Return what an agent's snapshot says of one proxy, with its age brought up to `now_us`."""
+        """Return what an agent's snapshot says of one proxy, with ages as of `now_us`."""
         applied = bool(self.decided and proxy.state and proxy.revision >= self.decided.revision)
         revision = proxy.revision if proxy.state else None
         snapshot_age_ms = (self.now_us - self.observations.received_us[agent]) // US_PER_MS
--- a/molereach/fleet/rollout/validation.py
+++ b/molereach/fleet/rollout/validation.py
@@ -1,4 +1,4 @@
-"""Checks the order of a rollout against the newest replicated state that any agent has reported."""
+"""Validates the order of a rollout against the newest replicated state that any agent has reported."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why an order is not to be decided; `winner` is the decided order that prevents it, if there is one."""
+    """Why an order must not be proposed; `winner` is the decided order that prevents it, if there is one."""
 
     verdict: Verdict
     text: str
@@ -23,8 +23,8 @@
 class Validation:
     """The newest known state, and the order.
 
-    `floor` is the number of ready servers that a drain leaves in each building. The order is built once and
-    then stays the same for all tries, so that its `based_on` keeps meaning what its issuer had seen.
+    `floor` is the number of ready servers that a drain must leave in each building. The order is built once
+    and is the same for all tries, so that its `based_on` remains the revision that the issuer saw.
     """
 
     draft: Draft
@@ -55,19 +55,19 @@
         return self.built_order
 
     def validate(self, unix_ms: int, ready_servers: dict[str, str]) -> Rejection | Decided | None:
-        """Check the order; `Decided` if it is decided already, None if nothing prevents it."""
-        found = self.order_state.validate(self.build_order(), unix_ms, ready_servers, self.floor)
-        if isinstance(found, OrderRejection):
+        """Return a rejection, the decided order with the same id, or None if the order may be proposed."""
+        result = self.order_state.validate(self.build_order(), unix_ms, ready_servers, self.floor)
+        if isinstance(result, OrderRejection):
             verdict = (
                 Verdict.CONFLICT
-                if found.reason is RejectionReason.CONFLICT or found.winner
+                if result.reason is RejectionReason.CONFLICT or result.winner
                 else Verdict.REJECTED
             )
-            return Rejection(verdict, found.text, found.winner)
-        return found
+            return Rejection(verdict, result.text, result.winner)
+        return result
 
     def describe_id_reuse(self, decided: Decided) -> str:
-        """Return how a decided order with the same id differs from this order; '' if it is the same order."""
+        """Return how a decided order with the same id differs in verb or subject, or '' if it does not."""
         order = self.build_order()
         if (decided.order.verb, decided.order.subject) == (order.verb, order.subject):
             return ""
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -62,11 +62,13 @@
 JOURNALS = {
     "new": journal.AgentState(agent=AGENT),
     "promised": journal.AgentState(
-        agent=AGENT, promised=agreement.Promised(revision=1, promised=BALLOT), order_state=BOOKS[0]
+        agent=AGENT, promised=agreement.AcceptorState(revision=1, promised=BALLOT), order_state=BOOKS[0]
     ),
     "accepted": journal.AgentState(
         agent=AGENT,
-        promised=agreement.Promised(revision=4, promised=HIGHER_BALLOT, accepted_at=BALLOT, accepted=RELEASE),
+        promised=agreement.AcceptorState(
+            revision=4, promised=HIGHER_BALLOT, accepted_at=BALLOT, accepted=RELEASE
+        ),
         order_state=FULL_BOOK,
     ),
 }
--- a/tests/fleet/test_agreement.py
+++ b/tests/fleet/test_agreement.py
@@ -137,7 +137,7 @@
         for reply in agents[name].handle(prepare):
             sent += second.handle(name, reply)
     while any(isinstance(message, Outbid) for name in AGENTS[2:] for message in agents[name].handle(prepare)):
-        second.outbid = first.ballot.number
+        second.highest_promised = first.ballot.number
         (prepare,) = second.begin()
         sent = [
             message
--- a/tests/fleet/test_journal.py
+++ b/tests/fleet/test_journal.py
@@ -12,7 +12,7 @@
 import pytest
 
 from molereach.fleet import journal
-from molereach.fleet.agreement import Acceptor, Ballot, Prepare, Promised
+from molereach.fleet.agreement import Acceptor, Ballot, Prepare, AcceptorState
 from molereach.fleet.journal import AgentState, Journal, JournalError, decode, encode
 from molereach.fleet.orders import Decided, Order, OrderStateRecord, Verb
 
@@ -24,7 +24,7 @@
         Decided(number, Order(f"o{number}", Verb.DRAIN, "s1", "duty", 'why "\u00e9"', number - 1))
         for number in range(1, revisions + 1)
     )
-    promised = Promised(
+    promised = AcceptorState(
         revisions + 1, Ballot(7, "t1"), Ballot(5, "t2"), Order("x", Verb.HOLD, "n1", "duty", "r", 0, 99, True)
     )
     return AgentState("a1", promised, OrderStateRecord(revisions, log, log))
