--- a/molereach/fleet/api_bodies.py
+++ b/molereach/fleet/api_bodies.py
@@ -1,7 +1,7 @@
-"""The bodies of an agent's API: the agent and its proxies.
+"""The response bodies of an agent's HTTP API, except the agreement messages.
 
 Class docstrings and the names given to `msgspec.field` are published in the API's description
-(`agent/openapi.json`), as are class names unless `agent/openapi.py` maps them: they stay as they are.
+(`agent/openapi.json`), and so are class names unless `agent/openapi.py` maps them; none of them may change.
 """
 
 from collections.abc import Iterable
@@ -12,8 +12,8 @@
 from molereach.fleet.orders import Decided, Order, OrderStateRecord
 from molereach.fleet.wire import Member, ProxyState, QuotaStatus
 
-MAX_BODY_BYTES = 1 << 20  # more than the largest record of orders
-# new: no answer yet; silent: connected, but does not answer; gone: not connected; ended: removed its socket
+MAX_BODY_BYTES = 1 << 20  # larger than the largest `OrderStateRecord`
+# new: no response yet; silent: connected, but not responding; gone: not connected; ended: removed its socket
 Reachability = Literal["new", "up", "silent", "gone", "ended"]
 
 
@@ -26,13 +26,15 @@
 
     name: str
     reachability: Reachability = msgspec.field(name="reach")
-    reported_ago_ms: int | None = msgspec.field(name="heard_ago_ms")  # since its last answer; None for never
+    reported_ago_ms: int | None = msgspec.field(
+        name="heard_ago_ms"
+    )  # since its last response; None for never
     reason: str = msgspec.field(name="why", default="")
-    state: ProxyState | None = None  # the last one that was received
+    state: ProxyState | None = None  # the last one received
 
     @property
     def revision(self) -> int:
-        """The revision of the orders in its last state, 0 without a state."""
+        """The revision of the orders in its last state; 0 if no state was received."""
         return self.state.revision if self.state else 0
 
 
@@ -40,11 +42,11 @@
     """An agent and its front doors."""
 
     agent: str
-    fleet: tuple[str, ...]  # the names of all agents, which decide together
+    fleet: tuple[str, ...]  # the names of all agents that vote on orders
     revision: int
-    synced: bool  # whether a majority has answered since the start
-    journal: str  # why the journal cannot be written any more, or ""
-    pending: Order | None  # accepted by this agent and not known to be decided
+    synced: bool  # whether a majority of agents has responded since the start
+    journal: str  # why the journal can no longer be written, or ""
+    pending: Order | None  # accepted by this agent, but not known to be decided
     proxies: tuple[ProxyStatus, ...] = msgspec.field(name="doors")
 
 
@@ -53,7 +55,7 @@
 
     status: Status
     order_state: OrderStateRecord = msgspec.field(name="book")
-    ready: dict[str, str]  # servers listed as up by all proxies that list them, and their buildings
+    ready: dict[str, str]  # servers that all proxies listing them list as up, with their buildings
 
 
 class Members(Body, frozen=True):
@@ -61,7 +63,7 @@
 
     agent: str
     proxies: dict[str, tuple[Member, ...]] = msgspec.field(name="doors")
-    missing: dict[str, str]  # proxies that did not answer, and why
+    missing: dict[str, str]  # proxies that did not respond, with the reason
 
 
 class Quota(Body, frozen=True):
@@ -100,7 +102,7 @@
 
 
 def ready_servers(proxies: Iterable[Iterable[Member]]) -> dict[str, str]:
-    """Return the servers listed as up by every proxy that lists them, with their buildings."""
+    """Return the servers that all proxies listing them list as up, with their buildings."""
     buildings: dict[str, str] = {}
     not_up: set[str] = set()
     for members in proxies:
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -1,8 +1,9 @@
-"""Control of one proxy through a private Unix-domain socket.
+"""The control server of one proxy, on a private Unix-domain socket.
 
-It cannot delay the proxy's requests for long: it handles one message of a connection in each turn of the
-event loop, limits the number of connections, and drops a client that does not read. Only the owner can open
-the socket, and the user that the kernel reports for a connection is checked as well.
+It shares the proxy's event loop and must not delay the proxy's requests: it handles one message of a
+connection in each iteration of the loop, limits the number of connections, and drops a client that does not
+read its responses. Only the owner of the socket may open it; the user that the kernel reports for a
+connection is checked as well.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from molereach.clock import now_us
 from molereach.fleet import wire
 from molereach.fleet.anchored_clock import anchored_unix_ms
-from molereach.fleet.control_socket import ControlError, peer_user, remove_stale_socket
+from molereach.fleet.control_socket import ControlError, peer_user_id, remove_stale_socket
 from molereach.fleet.order_state import OrderState
 from molereach.fleet.orders import Decided, Verb
 from molereach.fleet.overlay import Overlay
@@ -26,20 +27,20 @@
 log = logging.getLogger(__name__)
 
 MAX_CONNECTIONS = 8
-MAX_UNREAD_BYTES = 1 << 20  # written and not read by a client, which is then dropped
-NOTIFICATION_DELAY_S = 0.25  # least time between notifications
+MAX_UNREAD_BYTES = 1 << 20  # of responses; a client that leaves more unread is dropped
+NOTIFICATION_DELAY_S = 0.25  # changes within this time share one notification
 EXPIRY_INTERVAL_S = 0.5  # between checks for lapsed orders
 
 
 class ControlConnection(asyncio.Protocol):
-    """An agent's connection.
+    """A connection from an agent.
 
-    `watches` is set once it has asked for notifications, `handling_scheduled` while a turn of the event loop
-    is due to handle its next request.
+    `watches` is set once the agent has requested notifications, `handling_scheduled` while the event loop is
+    to call `handle_next`.
     """
 
     def __init__(self, control: "Control") -> None:
-        """Prepare a connection of `control`."""
+        """Create a connection of the server `control`."""
         self.control = control
         self.reader = wire.FrameReader(wire.MAX_REQUEST_BYTES)
         self.transport: asyncio.Transport | None = None
@@ -47,19 +48,19 @@
         self.handling_scheduled = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Accept the connection, or abort it."""
+        """Abort the connection unless the server accepts it."""
         self.transport = cast(asyncio.Transport, transport)
         if not self.control.accept(self):
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Buffer received bytes and handle the first request."""
+        """Buffer received bytes, and handle the first request if none is scheduled."""
         self.reader.feed(data)
         if not self.handling_scheduled:
             self.handle_next()
 
     def handle_next(self) -> None:
-        """Handle one request, and schedule the next one, so that the proxy's own requests come in between."""
+        """Handle one request; schedule the next one, so that the event loop can serve clients in between."""
         self.handling_scheduled = False
         assert self.transport is not None
         if self.transport.is_closing():
@@ -75,7 +76,7 @@
             self.send(self.control.handle(request, self))
         except wire.WireError as error:
             self.send(wire.Response(wire.VERSION, number, error=str(error)))
-            if number == wire.NOTIFICATION_NUMBER:  # the next frame's start is not known
+            if number == wire.NOTIFICATION_NUMBER:  # where the next frame starts is unknown
                 self.transport.close()
                 return
         except Exception:
@@ -86,7 +87,7 @@
         self.control.proxy.loop.call_soon(self.handle_next)
 
     def send(self, response: wire.Response) -> None:
-        """Send a message, and drop a client that leaves too many unread."""
+        """Send a response; drop the client if it leaves too many bytes unread."""
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(wire.frame(response))
@@ -95,25 +96,25 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from the server."""
         self.control.connections.discard(self)
 
 
 class Control:
-    """The control of one proxy, and the orders in force there.
+    """The control server of one proxy, and the orders in force there.
 
-    `orders_received` is set once an agent has sent its orders, even if there are none.
+    `orders_received` is set once an agent has sent the orders in force, even if there are none.
     """
 
     def __init__(self, proxy: Proxy, path: Path) -> None:
-        """Attach to a proxy; `start` listens at `path`."""
+        """Attach to a proxy; `start` opens the socket at `path`."""
         self.proxy = proxy
         self.path = path
         self.order_state = OrderState()
         self.overlay = Overlay()
         self.connections: set[ControlConnection] = set()
         self.server: asyncio.AbstractServer | None = None
-        self.inode: tuple[int, int] | None = None
+        self.inode: tuple[int, int] | None = None  # device and inode of the socket
         self.started_us = now_us()
         self.unix_ms = anchored_unix_ms()
         self.request_count = 0
@@ -137,10 +138,10 @@
     # --- start and end ---
 
     async def start(self) -> None:
-        """Listen; raise ControlError if the path is taken or not private."""
+        """Open the socket; raise ControlError if its path is in use or its folder is not private."""
         remove_stale_socket(self.path)
-        # The mode is set by the mask, since a later chmod would leave a moment in which others can connect.
-        previous_mask = os.umask(0o177)
+        # The umask sets the mode; a later chmod would leave a time in which other users could connect.
+        previous_umask = os.umask(0o177)
         try:
             self.server = await self.proxy.loop.create_unix_server(
                 lambda: ControlConnection(self), str(self.path)
@@ -148,13 +149,13 @@
         except OSError as error:
             raise ControlError(f"{self.path}: {error.strerror or error}") from error
         finally:
-            os.umask(previous_mask)
-        found = self.path.stat()
-        self.inode = found.st_dev, found.st_ino
+            os.umask(previous_umask)
+        status = self.path.stat()
+        self.inode = status.st_dev, status.st_ino
         self.expire_orders()
 
     def close(self) -> None:
-        """Close all connections and remove the socket, unless a successor has replaced it."""
+        """Close all connections; remove the socket unless another process has replaced it."""
         if self.expiry_timer:
             self.expiry_timer.cancel()
         if self.server:
@@ -163,17 +164,19 @@
             if connection.transport:
                 connection.transport.abort()
         with contextlib.suppress(OSError):
-            found = self.path.lstat()
-            if (found.st_dev, found.st_ino) == self.inode:
+            status = self.path.lstat()
+            if (status.st_dev, status.st_ino) == self.inode:
                 self.path.unlink()
 
     def accept(self, connection: ControlConnection) -> bool:
-        """Return whether a connection may stay: it is the owner's, and there are not too many."""
+        """Return whether to accept a connection: its user is the owner or root, and few enough are open."""
         assert connection.transport is not None
-        user = peer_user(connection.transport.get_extra_info("socket"))
-        if user not in (os.geteuid(), 0) or len(self.connections) >= MAX_CONNECTIONS:
+        user_id = peer_user_id(connection.transport.get_extra_info("socket"))
+        if user_id not in (os.geteuid(), 0) or len(self.connections) >= MAX_CONNECTIONS:
             self.rejected_connections += 1
-            log.warning("a connection to control is refused: user %d, %d open", user, len(self.connections))
+            log.warning(
+                "a connection to control is refused: user %d, %d open", user_id, len(self.connections)
+            )
             return False
         self.connections.add(connection)
         return True
@@ -181,7 +184,7 @@
     # --- requests ---
 
     def handle(self, request: wire.Request, connection: ControlConnection) -> wire.Response:
-        """Handle a request; return the response."""
+        """Count and handle a request; return the response."""
         self.request_count += 1
         return self.handlers[request.kind](request, connection)
 
@@ -204,7 +207,7 @@
         )
 
     def on_members(self, request: wire.Request, _: ControlConnection) -> wire.Response:
-        """Handle `members`: the servers, and the attempts in flight at each."""
+        """Handle `members`: the listed servers, with the number of attempts in flight at each."""
         in_flight = Counter(
             attempt.server
             for exchange in (*self.proxy.requests.open.values(), *self.proxy.requests.answered.values())
@@ -229,7 +232,7 @@
         return wire.Response(wire.VERSION, request.number, orders=in_force, state=self.state())
 
     def on_counters(self, request: wire.Request, _: ControlConnection) -> wire.Response:
-        """Handle `counters`: those of the proxy, and of the services attached to it."""
+        """Handle `counters`: the counters of the proxy and of the services attached to it."""
         counters = {
             "asks": self.request_count,
             "connections_refused": self.rejected_connections,
@@ -243,20 +246,20 @@
         return wire.Response(wire.VERSION, request.number, counters=counters)
 
     def on_quota(self, request: wire.Request, _: ControlConnection) -> wire.Response:
-        """Handle `quota`: what the proxy knows of a customer's quota, for each plan."""
-        read_us = now_us()
+        """Handle `quota`: the state of a customer's quota at this proxy, for each plan."""
+        read_at_us = now_us()
         customer = request.customer.lower()
         customers = self.proxy.gateway.customers
-        limits = {each.plan: each for each in customers.customer_limits(customer, read_us)}
-        statuses = customers.quota_statuses(customer, read_us)
+        limits = {limit.plan: limit for limit in customers.customer_limits(customer, read_at_us)}
+        statuses = customers.quota_statuses(customer, read_at_us)
         quota = tuple(wire.QuotaStatus(*status, limits.get(status.plan_index)) for status in statuses)
         return wire.Response(wire.VERSION, request.number, quota=quota)
 
     def on_put(self, request: wire.Request, _: ControlConnection) -> wire.Response:
-        """Handle `put`: adopt the orders in force at a revision, unless a newer one is known."""
-        before = dict(self.order_state.in_force)
+        """Handle `put`: adopt the orders in force, unless those known already are as new or newer."""
+        previous = dict(self.order_state.in_force)
         if request.order_state and self.order_state.adopt(request.order_state):
-            self.log_changes(before)
+            self.log_changes(previous)
             self.apply_orders()
         self.orders_received.set()
         return wire.Response(wire.VERSION, request.number, state=self.state())
@@ -268,10 +271,10 @@
 
     # --- orders ---
 
-    def log_changes(self, before: Mapping[tuple[Verb, str], Decided]) -> None:
-        """Log the orders that came into force and those that ended, compared with `before`."""
+    def log_changes(self, previous: Mapping[tuple[Verb, str], Decided]) -> None:
+        """Log the orders that came into force since `previous`, and those that ended."""
         for key, decided in self.order_state.in_force.items():
-            if before.get(key) != decided:
+            if previous.get(key) != decided:
                 log.info(
                     "order %s: %s %s, by %s at revision %d: %s",
                     decided.order.id,
@@ -281,11 +284,11 @@
                     decided.revision,
                     decided.order.reason,
                 )
-        for verb, subject in before.keys() - self.order_state.in_force.keys():
+        for verb, subject in previous.keys() - self.order_state.in_force.keys():
             log.info("order ended: %s %s, at revision %d", verb.value, subject, self.order_state.revision)
 
     def apply_orders(self) -> None:
-        """Apply the orders in force to the proxy, and schedule a notification."""
+        """Apply the orders in force to the proxy, and schedule a notification of the watchers."""
         now_ms = self.unix_ms()
         drained = self.order_state.active_subjects(Verb.DRAIN, now_ms)
         if changes := self.overlay.on_drained_servers(drained):
@@ -298,16 +301,16 @@
             self.proxy.loop.call_later(NOTIFICATION_DELAY_S, self.notify_watchers)
 
     def expire_orders(self) -> None:
-        """Drop lapsed orders and apply the others once more if something differs; schedule the next check."""
-        before = len(self.order_state.in_force)
+        """Remove lapsed orders, apply the others if that changes anything, and schedule the next check."""
+        previous_count = len(self.order_state.in_force)
         self.order_state.remove_lapsed(self.unix_ms())
         on_hold = self.proxy.config.name in self.order_state.active_subjects(Verb.HOLD, self.unix_ms())
-        if len(self.order_state.in_force) != before or on_hold != self.proxy.clients.is_paused:
+        if len(self.order_state.in_force) != previous_count or on_hold != self.proxy.clients.is_paused:
             self.apply_orders()
         self.expiry_timer = self.proxy.loop.call_later(EXPIRY_INTERVAL_S, self.expire_orders)
 
     def notify_watchers(self) -> None:
-        """Send the state to all watchers."""
+        """Send the state to all connections that watch."""
         self.notification_scheduled = False
         notification = wire.Response(wire.VERSION, wire.NOTIFICATION_NUMBER, state=self.state())
         for connection in [connection for connection in self.connections if connection.watches]:
@@ -315,10 +318,10 @@
 
 
 async def attach(proxy: Proxy, path: Path, wait_s: float) -> Callable[[], None]:
-    """Start control of a proxy that is about to start; return the function that ends it.
+    """Start the control server of a proxy that is about to start; return the function that stops it.
 
-    It waits up to `wait_s` seconds for an agent to send the orders in force, so that they apply before the
-    first request is taken.
+    Waits up to `wait_s` seconds for an agent to send the orders in force, so that they apply before the proxy
+    takes its first request.
     """
     control = Control(proxy, path)
     await control.start()
--- a/molereach/fleet/errors.py
+++ b/molereach/fleet/errors.py
@@ -1,5 +1,5 @@
-"""The base class of the errors that the fleet's modules define."""
+"""The base class of the errors in `molereach.fleet`."""
 
 
 class FleetError(Exception):
-    """An error of the fleet's agents, control or tool; its text is one line."""
+    """An error of an agent, a control server or the command-line tool; its text is one line."""
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -1,7 +1,7 @@
-"""Orders for proxies, and the record of decided ones as it is sent and stored.
+"""Orders to proxies, and the record of decided orders as it is sent and stored.
 
-Docstrings and field names of the structs are published in the API's description (`agent/openapi.json`): they
-stay as they are. `OrderStateRecord` is published as `BookState`.
+Docstrings and field names of the structs are published in the API's description (`agent/openapi.json`), so
+they must not change. `OrderStateRecord` is published as `BookState`.
 """
 
 from enum import Enum
@@ -12,13 +12,13 @@
 
 MAX_NAME_BYTES = 64  # of an id, a subject or an issuer, in UTF-8
 MAX_REASON_BYTES = 256
-MAX_RECENT_REVISIONS = 256  # revisions that are remembered, so that a repeated order is recognised
+MAX_RECENT_REVISIONS = 256  # decided orders that are stored, so that a repeated order is recognised
 MAX_IN_FORCE = 256  # orders in force at once
-MAX_REVISION = 1 << 53  # larger integers are not safe in JSON
+MAX_REVISION = 1 << 53  # many JSON parsers read larger integers inexactly
 
 
 class OrderError(FleetError, ValueError):
-    """An order or a record of orders is not valid; the text is one line."""
+    """An order or a record of orders is not valid; its text is one line."""
 
 
 class Verb(Enum):
@@ -31,7 +31,7 @@
 
     @property
     def reverts(self) -> "Verb | None":
-        """The verb whose orders this one ends, or None."""
+        """The verb whose order this one ends for the same subject, or None."""
         return {Verb.UNDRAIN: Verb.DRAIN, Verb.RELEASE: Verb.HOLD}.get(self)
 
 
@@ -83,20 +83,22 @@
 
     revision: int = 0
     in_force: tuple[Decided, ...] = ()
-    recent: tuple[Decided, ...] = ()  # the latest ones, to recognise repeats and to name winners
+    recent: tuple[
+        Decided, ...
+    ] = ()  # the latest decided orders: to recognise repeats, and to name the winner of a conflict
 
     def check(self) -> None:
-        """Raise OrderError if no sequence of decided orders leads to this record."""
+        """Raise OrderError if a limit, the order of revisions or a single order is not valid."""
         if not 0 <= self.revision <= MAX_REVISION:
             raise OrderError(f"revision: not 0 to {MAX_REVISION}")
-        for name, found, max_orders in (
+        for name, decided_orders, max_orders in (
             ("in_force", self.in_force, MAX_IN_FORCE),
             ("recent", self.recent, MAX_RECENT_REVISIONS),
         ):
-            revisions = [decided.revision for decided in found]
-            if len(found) > max_orders or sorted(set(revisions)) != revisions:
+            revisions = [decided.revision for decided in decided_orders]
+            if len(decided_orders) > max_orders or sorted(set(revisions)) != revisions:
                 raise OrderError(f"{name}: not {max_orders} orders at most, in order of revision")
-            for decided in found:
+            for decided in decided_orders:
                 decided.check()
             if revisions and revisions[-1] > self.revision:
                 raise OrderError(f"{name}: an order from after revision {self.revision}")
--- a/molereach/fleet/overlay.py
+++ b/molereach/fleet/overlay.py
@@ -1,6 +1,6 @@
-"""Applies the drains of orders to discovery's list of servers.
+"""Applies drains, which orders ask for, to discovery's list of servers.
 
-The decision module sees them as ordinary list events.
+The decision module receives them as ordinary events of the endpoint list.
 """
 
 from collections.abc import Iterable
@@ -10,10 +10,10 @@
 
 
 class Overlay:
-    """Discovery's list of servers with the drains of orders applied.
+    """Discovery's list of servers, with the drains of orders applied.
 
-    It never adds a server that discovery has not named, and never undoes a drain of discovery's own. `listed`
-    holds the servers as discovery lists them.
+    It never adds a server that discovery does not list, and never ends a drain that discovery itself reports.
+    `listed` holds the servers as discovery lists them.
     """
 
     def __init__(self) -> None:
@@ -23,14 +23,14 @@
         self.sharing_proxies = 0
         self.drained: frozenset[str] = frozenset()
 
-    def overlaid(self, server: Endpoint) -> Endpoint:
-        """Return a server as the decision module is to see it."""
+    def with_drain(self, server: Endpoint) -> Endpoint:
+        """Return the server in the state that the decision module is to see."""
         if server.state is EndpointState.UP and server.name in self.drained:
             return replace(server, state=EndpointState.DRAINING)
         return server
 
     def on_endpoint_list(self, event: EndpointListReceived) -> EndpointListReceived:
-        """Record an event of discovery; return it as the decision module is to see it."""
+        """Record an event from discovery; return it with the drains applied."""
         if event.kind in (EndpointListKind.FULL, EndpointListKind.SAVED):
             self.listed = {}
         if event.kind is not EndpointListKind.FAILED:
@@ -41,16 +41,16 @@
                 self.listed.pop(server.name, None)
             else:
                 self.listed[server.name] = server
-        return replace(event, endpoints=tuple(map(self.overlaid, event.endpoints)))
+        return replace(event, endpoints=tuple(map(self.with_drain, event.endpoints)))
 
     def on_drained_servers(self, drained: Iterable[str]) -> EndpointListReceived | None:
-        """Set the servers that orders drain; return the changes for the decision module, or None."""
-        before = self.drained
+        """Set the servers that orders drain; return the changes as an event, or None if there are none."""
+        previously_drained = self.drained
         self.drained = frozenset(drained)
         changed = [
-            self.overlaid(server)
+            self.with_drain(server)
             for name, server in self.listed.items()
-            if server.state is EndpointState.UP and (name in before) != (name in self.drained)
+            if server.state is EndpointState.UP and (name in previously_drained) != (name in self.drained)
         ]
         if not changed:
             return None
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -1,8 +1,8 @@
 """The proxies of one agent: their last states, and which of them lack orders. A state machine without I/O.
 
-A proxy that was killed leaves its socket behind: it is "gone" and stays listed. One that ended regularly has
-removed its socket: it is "ended" and dropped after a while. One that is stopped takes requests but does not
-answer: it is "silent".
+A proxy that was killed leaves its socket behind: it is "gone" and stays listed. One that exited normally has
+removed its socket: it is "ended", and removed from the list after `REMOVAL_DELAY_MS`. One that hangs accepts
+requests but does not respond: it is "silent".
 """
 
 from collections import deque
@@ -12,15 +12,15 @@
 from molereach.fleet.wire import ProxyState
 
 MAX_PROXIES = 64
-MAX_EVENTS = 512  # kept in the history
-SILENCE_TIMEOUT_MS = 1000  # without an answer
-REMOVAL_DELAY_MS = 600_000  # from "ended" until a proxy is dropped
+MAX_EVENTS = 512  # in the history
+SILENCE_TIMEOUT_MS = 1000  # a proxy without a response for this long is silent
+REMOVAL_DELAY_MS = 600_000  # from "ended" until the proxy is removed from the list
 SILENT_REASON = "it takes what is sent and says nothing"
 
 
 @dataclass(frozen=True, slots=True)
 class SocketsListed:
-    """The sockets that exist now, by the name of their proxy."""
+    """The folder of sockets was read: the names of the proxies whose sockets exist."""
 
     names: frozenset[str]
 
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestUnanswered:
-    """A request on an open connection was not answered in time."""
+    """A request on an open connection got no response in time."""
 
     proxy: str
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionChanged:
-    """The agent's revision changed; `ready` once orders may be sent to proxies."""
+    """The agent's revision or readiness changed; proxies are sent orders only while `ready`."""
 
     revision: int
     ready: bool
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed; the caller reports it at intervals."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class ProxyRecord:
-    """What is known of a proxy; times in milliseconds."""
+    """What is known of a proxy; `reported_ms` and `changed_ms` are times of its last response and change."""
 
     reachability: Reachability = "new"
     reported_ms: int | None = None
@@ -111,14 +111,14 @@
     """The proxies of an agent, and the history of their changes."""
 
     def __init__(self, agent: str) -> None:
-        """Start without proxies; `agent` is the name in events."""
+        """Start without proxies; `agent` is the agent's name in events."""
         self.agent = agent
         self.proxies: dict[str, ProxyRecord] = {}
         self.revision = 0
         self.ready = False
         self.history: deque[Event] = deque(maxlen=MAX_EVENTS)
-        self.number = 0  # of the last event
-        self.rejected_sockets = 0  # beyond MAX_PROXIES
+        self.number = 0  # the number of the last event
+        self.truncated_listings = 0  # listings with more than MAX_PROXIES proxies
 
     def handle(self, now_ms: int, event: RosterEvent) -> list[Action]:
         """Handle one event at `now_ms`; return the actions to carry out."""
@@ -143,7 +143,7 @@
                 return self.on_state(now_ms, event.proxy, record, event.state)
             case Disconnected():
                 record.connecting = False
-                if record.reachability != "gone":  # the first reason is the useful one
+                if record.reachability != "gone":  # the first reason names the cause
                     self.set_reachability(now_ms, event.proxy, record, "gone", event.reason)
                 return []
             case RequestUnanswered():
@@ -151,7 +151,7 @@
                 return []
 
     def is_behind(self, record: ProxyRecord) -> bool:
-        """Return whether a connected proxy lacks orders that may be sent."""
+        """Return whether a connected proxy lacks orders that the agent may send."""
         return (
             self.ready
             and record.reachability in ("up", "silent")
@@ -160,10 +160,10 @@
         )
 
     def on_sockets(self, now_ms: int, names: frozenset[str]) -> list[Action]:
-        """Add proxies with new sockets, connect to those without a connection, drop ended ones."""
+        """Add proxies with new sockets, connect to disconnected ones, and remove those ended long ago."""
         for name in sorted(names - self.proxies.keys()):
             if len(self.proxies) >= MAX_PROXIES:
-                self.rejected_sockets += 1
+                self.truncated_listings += 1
                 break
             self.proxies[name] = ProxyRecord(changed_ms=now_ms)
         actions: list[Action] = []
@@ -178,7 +178,7 @@
         return actions
 
     def on_state(self, now_ms: int, name: str, record: ProxyRecord, state: ProxyState) -> list[Action]:
-        """Store a proxy's state; send it the orders that it lacks."""
+        """Store the state that a proxy sent; send it the orders that it lacks."""
         if state.name != name:
             self.set_reachability(
                 now_ms, name, record, "gone", f"another front door answers there: {state.name}"
@@ -194,7 +194,7 @@
         return [SendOrders(name)] if self.is_behind(record) else []
 
     def on_tick(self, now_ms: int) -> None:
-        """Mark proxies whose last answer is too old as silent."""
+        """Mark proxies whose last response is too old as silent."""
         for name, record in self.proxies.items():
             if (
                 record.reachability == "up"
@@ -206,7 +206,7 @@
     def set_reachability(
         self, now_ms: int, name: str, record: ProxyRecord, reachability: Reachability, reason: str
     ) -> None:
-        """Set the reachability of a proxy, with an event if it changed."""
+        """Set the reachability of a proxy; add an event if it changed."""
         if record.reachability != reachability:
             self.add_event(
                 now_ms,
@@ -224,7 +224,7 @@
         self.history.append(Event(self.number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
 
     def proxy_statuses(self, now_ms: int) -> tuple[ProxyStatus, ...]:
-        """Return what is known of all proxies, sorted by name."""
+        """Return the status of all proxies, sorted by name."""
         return tuple(
             ProxyStatus(
                 name, record.reachability, age_ms(now_ms, record.reported_ms), record.reason, record.state
@@ -234,5 +234,5 @@
 
 
 def age_ms(now_ms: int, reported_ms: int | None) -> int | None:
-    """Return the age of a report, None if there is none."""
+    """Return the age of a report, or None if there is none."""
     return None if reported_ms is None else max(0, now_ms - reported_ms)
--- a/molereach/fleet/settings.py
+++ b/molereach/fleet/settings.py
@@ -1,6 +1,7 @@
-"""The fleet's file, which tools and agents share, and an agent's file: typed and checked as a whole.
+"""The fleet's file, which tools and agents share, and an agent's file: typed, and checked when loaded.
 
-Both name files with secrets; one that other users can read is an error. Keys are field names in kebab case.
+Both name files that hold secrets; a secret that other users can read is an error. Keys are the field names in
+kebab case, or the name given to `msgspec.field`.
 """
 
 import ipaddress
@@ -28,53 +29,53 @@
 
 
 class SettingsError(FleetError):
-    """A file is not usable; the text is one line that names it."""
+    """A file is not valid or not readable; the text is one line that names it."""
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
-    """A table of such a file."""
+    """A table of a settings file."""
 
 
 class AgentEntry(Table, frozen=True):
-    """One agent of the fleet."""
+    """`[[agents]]` of the fleet's file: one agent."""
 
     name: Name
     url: str
-    # The proxies that it should know; one that it does not know is reported.
+    # The proxies that the agent is expected to know; a report names those that it does not know.
     proxies: tuple[Name, ...] = msgspec.field(name="doors", default=())
 
     def __post_init__(self) -> None:
-        """Raise ValueError for a URL that is not usable."""
-        address = urlsplit(self.url)
-        beyond = address.path.strip("/") or address.query
-        if address.scheme not in ("http", "https") or not address.hostname or beyond:
+        """Raise ValueError if the URL is not valid, or would send the token unencrypted over a network."""
+        parsed_url = urlsplit(self.url)
+        path_or_query = parsed_url.path.strip("/") or parsed_url.query
+        if parsed_url.scheme not in ("http", "https") or not parsed_url.hostname or path_or_query:
             raise ValueError(f"url: '{self.url}' is not http(s)://HOST:PORT")
-        if address.scheme == "http" and not is_loopback(address.hostname):
+        if parsed_url.scheme == "http" and not is_loopback(parsed_url.hostname):
             raise ValueError(f"url: '{self.url}' would carry a token in the clear; https, or loopback")
 
 
 class FleetFile(Table, frozen=True, kw_only=True):
-    """The agents of a fleet, and how to call them."""
+    """The fleet's file: its agents, and how a client connects to them."""
 
     agents: Annotated[tuple[AgentEntry, ...], Meta(min_length=1, max_length=MAX_AGENTS)]
-    floor: Annotated[int, Meta(ge=0, le=1000)] = 1  # ready servers that a drain leaves in each building
-    timeout_s: Seconds = 2.0  # for one call
-    agree_s: Seconds = 5.0  # for a majority of agents
-    confirm_s: Seconds = 3.0  # for the confirmations of the proxies
-    token: str  # a file with a bearer token
-    ca: str = ""  # a file with the certificates that agents are verified by
-    cert: str = ""  # of this client, where agents want one
+    floor: Annotated[int, Meta(ge=0, le=1000)] = 1  # ready servers that a drain must leave in each building
+    timeout_s: Seconds = 2.0  # for one request to an agent
+    agree_s: Seconds = 5.0  # for a majority of agents to agree on an order
+    confirm_s: Seconds = 3.0  # for the proxies to confirm an order
+    token: str  # a file that holds a bearer token
+    ca: str = ""  # a file of CA certificates, which verify the agents' certificates
+    cert: str = ""  # a file with this client's certificate, for agents that require one
     key: str = ""
 
     def __post_init__(self) -> None:
-        """Raise ValueError for names that are not unique, or a certificate without its key."""
-        for what, names in (
+        """Raise ValueError if a name is not unique, or only one of certificate and key is given."""
+        for key, names in (
             ("agents", [agent.name for agent in self.agents]),
-            ("doors", [door for agent in self.agents for door in agent.proxies]),
+            ("doors", [proxy for agent in self.agents for proxy in agent.proxies]),
         ):
             for name in names:
                 if names.count(name) > 1:
-                    raise ValueError(f"{what}: '{name}' stands there twice")
+                    raise ValueError(f"{key}: '{name}' stands there twice")
         if bool(self.cert) != bool(self.key):
             raise ValueError("cert and key: one without the other")
 
@@ -84,32 +85,32 @@
         return tuple(agent.name for agent in self.agents)
 
     def expected_proxies(self) -> dict[str, tuple[str, ...]]:
-        """Return the proxies that each agent should know, for agents that list any."""
+        """Return the proxies that each agent is expected to know, for agents that list any."""
         return {agent.name: agent.proxies for agent in self.agents if agent.proxies}
 
 
 class TlsTable(Table, frozen=True):
-    """`[tls]` of an agent: certificates from files."""
+    """`[tls]` of an agent's file: the files that hold its certificates."""
 
     cert: str
     key: str
-    client_ca: str = ""  # clients must show a certificate of these
+    client_ca: str = ""  # a file of CA certificates; clients then need a certificate that one of them issued
 
 
 class AgentFile(Table, frozen=True, kw_only=True):
-    """One agent."""
+    """An agent's file."""
 
     name: Name
-    fleet: str  # the fleet's file, in which it stands
-    sockets: str  # a folder: NAME.sock in it is the control socket of proxy NAME
+    fleet: str  # the fleet's file, which must list this agent
+    sockets: str  # a folder, in which NAME.sock is the control socket of proxy NAME
     journal: str
     listen: str
-    tokens: str  # a file: a line `ROLE NAME TOKEN` for each client, ROLE read or operate
-    start_alone_s: Seconds = 3.0  # then orders are sent without a majority of agents
+    tokens: str  # a file with a line `ROLE NAME TOKEN` for each client; ROLE is read or operate
+    start_alone_s: Seconds = 3.0  # after this time orders are sent without a majority of agents
     tls: TlsTable | None = None
 
     def __post_init__(self) -> None:
-        """Raise ValueError for an address that is not usable, or not safe without TLS."""
+        """Raise ValueError if the address is not valid, or is not loopback and there is no TLS."""
         host, _, port = self.listen.rpartition(":")
         if not host or not port.isdigit() or int(port) > 65535:
             raise ValueError(f"listen: '{self.listen}' is not HOST:PORT")
@@ -131,7 +132,7 @@
 
 
 def load(path: Path, kind: type[T]) -> T:
-    """Return a TOML file as `kind`; SettingsError names the file, the key and the reason."""
+    """Return a TOML file as `kind`; raise SettingsError with the file, the key and the reason."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -145,12 +146,12 @@
 
 
 def resolve(file: Path, name: str) -> Path:
-    """Return a path that a file names, relative to the folder of the file."""
+    """Return a path that a settings file names, relative to the folder of that file."""
     return file.parent / name
 
 
 def read_secret(path: Path) -> str:
-    """Return the text of a secret; raise SettingsError if it cannot be read, or others can read it."""
+    """Return the text of a secret; raise SettingsError if it is not readable, or readable by others."""
     try:
         with path.open("rb") as file:
             mode = stat.S_IMODE(path.stat().st_mode)
@@ -168,7 +169,7 @@
 
 
 def load_token(path: Path) -> str:
-    """Return a client's bearer token; raise SettingsError if the file holds none."""
+    """Return the bearer token in a file; raise SettingsError if there is no valid one."""
     token = read_secret(path)
     if len(token) < MIN_TOKEN_BYTES or not token.isprintable() or " " in token:
         raise SettingsError(f"{path}: not a token of {MIN_TOKEN_BYTES} or more characters without spaces")
@@ -176,7 +177,7 @@
 
 
 def client_tls(file: Path, fleet: FleetFile) -> ssl.SSLContext:
-    """Return the TLS context of a client of the agents; raise SettingsError if a file is not usable."""
+    """Return the TLS context for requests to agents; raise SettingsError if a file cannot be loaded."""
     try:
         context = ssl.create_default_context(cafile=str(resolve(file, fleet.ca)) if fleet.ca else None)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -1,8 +1,9 @@
 """The control protocol between an agent and one proxy: frames and messages, without I/O.
 
-A frame is a length of four bytes (big-endian) and that many bytes of JSON. Every message names the version of
-the protocol. Both sides check a frame's length before they allocate memory for it; a frame that is too long
-ends the connection. The names given to `msgspec.field` are those on the wire.
+A frame is a length of four bytes (big-endian), followed by that many bytes of JSON. Every message carries the
+version of the protocol. Both sides check the length of a frame before they buffer its body; an invalid length
+ends the connection. The names given to `msgspec.field` are those on the wire, and the docstrings of `Member`,
+`ProxyState` and `QuotaStatus` are published in the API's description (`agent/openapi.json`).
 """
 
 from typing import Literal
@@ -15,7 +16,7 @@
 
 VERSION = 2
 HEAD_BYTES = 4
-MAX_REQUEST_BYTES = 512 * 1024  # MAX_IN_FORCE orders, each of the greatest length
+MAX_REQUEST_BYTES = 512 * 1024  # holds `MAX_IN_FORCE` orders of the greatest length
 MAX_RESPONSE_BYTES = 1 << 20
 
 
@@ -32,8 +33,8 @@
     version: int
     number: int
     kind: RequestKind = msgspec.field(name="what")
-    customer: str = ""  # of `quota`: 16 hex digits
-    # Of `put`: all orders in force at its revision.
+    customer: str = ""  # for `quota`: 16 hex digits
+    # For `put`: a revision, and all orders in force at it.
     order_state: OrderStateRecord | None = msgspec.field(name="book", default=None)
 
 
@@ -42,9 +43,9 @@
 
     name: str
     building: str
-    listed: str  # by discovery
-    drained: bool  # by an order
-    in_flight: int  # attempts of this proxy
+    listed: str  # the state that discovery reports
+    drained: bool  # whether an order drains it
+    in_flight: int  # attempts of this proxy in flight at the server
 
 
 class ProxyState(msgspec.Struct, frozen=True):
@@ -73,7 +74,7 @@
 
 
 class Response(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A proxy's response, or a notification to a watcher; `error` is one line, '' without an error."""
+    """A proxy's response, or a notification to a watching agent; `error` is one line, or '' on success."""
 
     version: int
     number: int
@@ -92,7 +93,7 @@
 
 
 def frame(message: Request | Response) -> bytes:
-    """Encode a message as a frame; raise WireError if it is too long."""
+    """Return a message as a frame; raise WireError if it is too long."""
     body = _encoder.encode(message)
     max_bytes = MAX_REQUEST_BYTES if isinstance(message, Request) else MAX_RESPONSE_BYTES
     if len(body) > max_bytes:
@@ -101,19 +102,19 @@
 
 
 class FrameReader:
-    """Splits a stream of bytes into frames."""
+    """Splits a stream of bytes into the bodies of frames."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Read frames whose body has at most `max_bytes` bytes."""
+        """Create a reader of frames with at most `max_bytes` bytes of body."""
         self.buffer = bytearray()
         self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes."""
+        """Buffer received bytes."""
         self.buffer += data
 
     def next(self) -> bytes | None:
-        """Return the body of the next complete frame, or None; raise WireError for a wrong length."""
+        """Return the body of the next frame, or None if it is incomplete; raise WireError for its length."""
         if len(self.buffer) < HEAD_BYTES:
             return None
         size = int.from_bytes(self.buffer[:HEAD_BYTES])
@@ -128,7 +129,7 @@
 
 
 def decode_request(body: bytes) -> Request:
-    """Decode the body of a request; WireError names the key that is wrong, or the version."""
+    """Decode the body of a request; raise WireError if the message or its version is not valid."""
     try:
         request = _request_decoder.decode(body)
         if request.order_state:
@@ -141,7 +142,7 @@
 
 
 def decode_response(body: bytes) -> Response:
-    """Decode the body of a response; WireError names the key that is wrong, or the version."""
+    """Decode the body of a response; raise WireError if the message or its version is not valid."""
     try:
         response = _response_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/tests/fleet/test_control.py
+++ b/tests/fleet/test_control.py
@@ -318,7 +318,7 @@
                 one.writer.close()
             while len(made.connections) > 1:
                 await asyncio.sleep(0)
-            monkeypatch.setattr(control, "peer_user", lambda connection: 12345)
+            monkeypatch.setattr(control, "peer_user_id", lambda connection: 12345)
             stranger = await Agent.open(tmp_path / "s")
             with pytest.raises((EOFError, ConnectionError)):
                 await stranger.ask("state")
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -107,7 +107,7 @@
 def test_proxies_and_history_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     made = Roster("a0")
     made.handle(0, SocketsListed(frozenset(f"n{number}" for number in range(1000))))
-    assert len(made.proxies) == module.MAX_PROXIES and made.rejected_sockets
+    assert len(made.proxies) == module.MAX_PROXIES and made.truncated_listings
     for number in range(2000):
         made.add_event(number, "door", "n0", "x")
     assert len(made.history) == module.MAX_EVENTS and made.history[-1].number == 2000
