--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders and records of them: what is not valid."""
+"""Validation of orders and of their records."""
 
 import pytest
 from msgspec.structs import replace
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "changes",
     [
         {"id": ""},
         {"id": "x" * 65},
@@ -20,23 +20,25 @@
         {"lapses_ms": -1},
     ],
 )
-def test_unusable_order_is_named(wrong: dict[str, object]) -> None:
+def test_error_names_the_invalid_field_of_an_order(changes: dict[str, object]) -> None:
     order().check()
-    with pytest.raises(OrderError, match=next(iter(wrong))):
-        replace(order(), **wrong).check()
+    with pytest.raises(OrderError, match=next(iter(changes))):
+        replace(order(), **changes).check()
 
 
-def test_impossible_record_is_rejected() -> None:
-    one, two = Decided(1, order()), Decided(2, order("o2", subject="s2"))
-    OrderStateRecord(2, (one, two), (one, two)).check()
-    for wrong in (
+def test_inconsistent_record_is_rejected() -> None:
+    first, second = Decided(1, order()), Decided(2, order("o2", subject="s2"))
+    OrderStateRecord(2, (first, second), (first, second)).check()
+    for invalid in (
         OrderStateRecord(-1),
-        OrderStateRecord(1, (one, two)),
-        OrderStateRecord(2, (two, one)),
-        OrderStateRecord(2, (one, one)),
+        OrderStateRecord(1, (first, second)),
+        OrderStateRecord(2, (second, first)),
+        OrderStateRecord(2, (first, first)),
         OrderStateRecord(2, (Decided(2, order(verb=Verb.UNDRAIN)),)),
         OrderStateRecord(2, (), (Decided(0, order()),)),
-        OrderStateRecord(1000, tuple(Decided(n, order()) for n in range(1, orders.MAX_IN_FORCE + 2))),
+        OrderStateRecord(
+            1000, tuple(Decided(number, order()) for number in range(1, orders.MAX_IN_FORCE + 2))
+        ),
     ):
         with pytest.raises(OrderError):
-            wrong.check()
+            invalid.check()
--- a/tests/fleet/test_overlay.py
+++ b/tests/fleet/test_overlay.py
@@ -1,4 +1,4 @@
-"""Drains over discovery's list of servers."""
+"""Drains of orders, applied to discovery's list of servers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,35 +12,35 @@
 
 
 def states(event: EndpointListReceived | None) -> dict[str, EndpointState]:
-    return {one.name: one.state for one in event.endpoints} if event else {}
+    return {endpoint.name: endpoint.state for endpoint in event.endpoints} if event else {}
 
 
-def test_drained_server_is_seen_as_draining_and_nothing_is_added() -> None:
+def test_drained_server_is_draining_and_no_server_is_added() -> None:
     overlay = Overlay()
     full = EndpointListReceived(
         EndpointListKind.FULL, 4, (server("s1"), server("s2", EndpointState.DRAINING))
     )
     assert overlay.on_endpoint_list(full) == full
-    changes = overlay.on_drained_servers({"s1", "s2", "unheard"})
+    changes = overlay.on_drained_servers({"s1", "s2", "unlisted"})
     assert states(changes) == {"s1": EndpointState.DRAINING} and changes and changes.version == 4
-    assert overlay.on_drained_servers({"s1", "s2", "unheard"}) is None
+    assert overlay.on_drained_servers({"s1", "s2", "unlisted"}) is None
     later = overlay.on_endpoint_list(
         EndpointListReceived(EndpointListKind.CHANGES, 5, (server("s1"), server("s3")))
     )
     assert states(later) == {"s1": EndpointState.DRAINING, "s3": EndpointState.UP}
     assert states(overlay.on_drained_servers(())) == {
         "s1": EndpointState.UP
-    }  # and s2 stays as discovery has it
+    }  # s2 remains as discovery lists it
 
 
-def test_drain_waits_for_a_server_that_is_not_listed_yet() -> None:
+def test_drain_applies_to_a_server_that_is_listed_later() -> None:
     overlay = Overlay()
     assert overlay.on_drained_servers({"s1"}) is None
     first = overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"),)))
-    assert states(first) == {"s1": EndpointState.DRAINING}  # before any request could reach it
+    assert states(first) == {"s1": EndpointState.DRAINING}  # so no request is sent to it first
 
 
-def test_change_of_an_unlisted_server_is_not_reported() -> None:
+def test_drain_of_a_server_no_longer_listed_is_not_reported() -> None:
     overlay = Overlay()
     overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 1, (server("s1"), server("s2"))))
     overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 2, (server("s2"),)))
@@ -69,7 +69,7 @@
 
 
 @given(STEPS)
-def test_module_never_sees_more_than_discovery_and_orders_allow(
+def test_decision_module_sees_a_server_as_up_only_if_listed_and_not_drained(
     steps: list[tuple[EndpointListKind, dict[str, EndpointState]] | frozenset[str]],
 ) -> None:
     overlay = Overlay()
@@ -93,11 +93,11 @@
             up = listed.get(name) is EndpointState.UP and name not in drained
             assert (visible.get(name) is EndpointState.UP) == up
             if name in listed and listed[name] is not EndpointState.UP:
-                assert visible[name] is listed[name]  # discovery's own word on what is not up goes through
+                assert visible[name] is listed[name]  # other states are passed on unchanged
 
 
 def test_overlay_reports_the_number_of_sharing_proxies() -> None:
-    overlay, one = Overlay(), Endpoint("s0", 0, 0, 0, EndpointState.UP)
-    overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 4, (one,), sharing_proxies=21))
+    overlay, endpoint = Overlay(), Endpoint("s0", 0, 0, 0, EndpointState.UP)
+    overlay.on_endpoint_list(EndpointListReceived(EndpointListKind.FULL, 4, (endpoint,), sharing_proxies=21))
     event = overlay.on_drained_servers({"s0"})
     assert event is not None and event.sharing_proxies == 21 and event.version == 4
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""The fleet's file, an agent's, tokens and secrets: one line that names file, key and reason."""
+"""The fleet's file, an agent's file, tokens and secrets; errors are one line with file, key and reason."""
 
 import json
 from collections.abc import Iterator
@@ -23,10 +23,10 @@
 )
 
 
-def test_examples_can_be_used() -> None:
+def test_example_files_are_valid() -> None:
     deploy = Path(__file__).parents[2] / "deploy"
-    found = load(deploy / "fleet.toml", FleetFile)
-    assert load(deploy / "agent.toml", AgentFile).name in found.names and found.expected_proxies()
+    fleet_file = load(deploy / "fleet.toml", FleetFile)
+    assert load(deploy / "agent.toml", AgentFile).name in fleet_file.names and fleet_file.expected_proxies()
 
 
 @pytest.mark.parametrize(
@@ -44,24 +44,24 @@
         ("floor = [", "at end of document"),
     ],
 )
-def test_fleet_file_that_is_wrong_is_one_line(tmp_path: Path, text: str, reason: str) -> None:
+def test_error_of_an_invalid_fleet_file_is_one_line(tmp_path: Path, text: str, reason: str) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(text)
     with pytest.raises(SettingsError) as caught:
         load(file, FleetFile)
     assert str(file) in str(caught.value) and reason in str(caught.value) and "\n" not in str(caught.value)
-    done = CliRunner().invoke(command, ["--fleet", str(file), "status"])
-    assert done.exit_code == 2 and reason in done.stderr and done.stderr.count("\n") == 1
+    result = CliRunner().invoke(command, ["--fleet", str(file), "status"])
+    assert result.exit_code == 2 and reason in result.stderr and result.stderr.count("\n") == 1
 
 
 @pytest.fixture
-def restored_log() -> Iterator[None]:
-    """Undoes the agent's log set-up: later tests must not write to the stream that pytest has closed."""
+def reset_log_configuration() -> Iterator[None]:
+    """Resets the log configuration, which would make later tests write to a stream that pytest has closed."""
     yield
     structlog.reset_defaults()
 
 
-@pytest.mark.usefixtures("restored_log")
+@pytest.mark.usefixtures("reset_log_configuration")
 @pytest.mark.parametrize(
     ("change", "reason"),
     [
@@ -75,7 +75,7 @@
         (("name", "nome"), "unknown field `nome`"),
     ],
 )
-def test_agent_that_cannot_be_started_is_one_line(
+def test_error_of_an_agent_that_cannot_start_is_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: tuple[str, str], reason: str
 ) -> None:
     (tmp_path / "sockets").mkdir()
@@ -98,7 +98,7 @@
     assert "secret-word" not in line
 
 
-def test_secret_is_for_its_owner_and_no_trifle(tmp_path: Path) -> None:
+def test_secret_must_be_private_and_of_valid_length_and_text(tmp_path: Path) -> None:
     file = tmp_path / "token"
     for text, mode, reason in (
         ("x" * 20, 0o640, "others may read"),
@@ -115,7 +115,7 @@
         load_token(tmp_path / "none")
 
 
-def test_tokens_have_names_and_roles() -> None:
+def test_tokens_identify_clients_and_their_roles() -> None:
     tokens = Tokens(f"# c\n\noperate duty {'d' * 16}\nread wall {'w' * 16}\n")
     assert tokens.client("Bearer " + "d" * 16) == Client("duty", Role.OPERATE)
     assert tokens.client("Bearer " + "w" * 16) == Client("wall", Role.READ)
@@ -124,24 +124,24 @@
     assert Role.OPERATE.may(Role.READ) and not Role.READ.may(Role.OPERATE)
 
 
-def test_no_agent_answers_and_no_file_have_their_exit_codes(tmp_path: Path) -> None:
+def test_exit_codes_for_unreachable_agents_and_unusable_arguments(tmp_path: Path) -> None:
     (tmp_path / "token").write_text("x" * 20)
     (tmp_path / "token").chmod(0o600)
     file = tmp_path / "fleet.toml"
     file.write_text("agree-s = 0.3\n" + 'token = "token"\n' + AGENT.format(0, refusing_address()[1]))
-    run = CliRunner().invoke
-    done = run(command, ["--fleet", str(file), "status", "--json"])
-    assert done.exit_code == 5 and list(json.loads(done.stdout)["not_reached"]) == ["a0"]
-    drain = run(command, ["--fleet", str(file), "drain", "s-1", "--reason", "why", "--json"])
+    invoke = CliRunner().invoke
+    result = invoke(command, ["--fleet", str(file), "status", "--json"])
+    assert result.exit_code == 5 and list(json.loads(result.stdout)["not_reached"]) == ["a0"]
+    drain = invoke(command, ["--fleet", str(file), "drain", "s-1", "--reason", "why", "--json"])
     assert drain.exit_code == 5 and json.loads(drain.stdout)["verdict"] == "unreachable"
-    assert run(command, ["--fleet", str(file), "drain", "s-1"]).exit_code == 2  # no reason
-    assert run(command, ["--fleet", str(file), "drain", "s\n1", "--reason", "why"]).exit_code == 2
-    assert run(command, ["--fleet", str(file), "quota", "xyz"]).exit_code == 2
+    assert invoke(command, ["--fleet", str(file), "drain", "s-1"]).exit_code == 2  # no reason
+    assert invoke(command, ["--fleet", str(file), "drain", "s\n1", "--reason", "why"]).exit_code == 2
+    assert invoke(command, ["--fleet", str(file), "quota", "xyz"]).exit_code == 2
     for arguments in (["status"], ["--fleet", str(tmp_path / "none"), "status"]):
-        done = run(command, arguments, env={"MOLEREACH_FLEET": ""})
-        assert done.exit_code == 2 and "fleet" in done.stderr
+        result = invoke(command, arguments, env={"MOLEREACH_FLEET": ""})
+        assert result.exit_code == 2 and "fleet" in result.stderr
 
 
-def test_secret_that_is_no_file(tmp_path: Path) -> None:
+def test_secret_that_is_not_a_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(SettingsError):
         settings.read_secret(tmp_path)
--- a/tests/fleet/test_wire.py
+++ b/tests/fleet/test_wire.py
@@ -1,4 +1,4 @@
-"""The control protocol: frames in pieces, bounds, versions, what is no message."""
+"""The control protocol: frames split by the stream, length limits, versions, invalid messages."""
 
 import pytest
 from hypothesis import given
@@ -32,17 +32,17 @@
     ),
     st.integers(1, 40),
 )
-def test_frames_are_complete_however_the_stream_is_split(requests: list[Request], size: int) -> None:
+def test_frames_are_complete_however_the_stream_is_split(requests: list[Request], chunk_bytes: int) -> None:
     data = b"".join(map(frame, requests))
-    reader, found = FrameReader(wire.MAX_REQUEST_BYTES), []
-    for start in range(0, len(data), size):
-        reader.feed(data[start : start + size])
+    reader, decoded = FrameReader(wire.MAX_REQUEST_BYTES), []
+    for start in range(0, len(data), chunk_bytes):
+        reader.feed(data[start : start + chunk_bytes])
         while (body := reader.next()) is not None:
-            found.append(decode_request(body))
-    assert found == requests and not reader.buffer
+            decoded.append(decode_request(body))
+    assert decoded == requests and not reader.buffer
 
 
-def test_length_is_checked_before_anything_is_waited_for() -> None:
+def test_length_is_checked_before_the_body_arrives() -> None:
     for head in (b"\xff\xff\xff\xff", b"\0\0\0\0", (wire.MAX_REQUEST_BYTES + 1).to_bytes(4)):
         reader = FrameReader(wire.MAX_REQUEST_BYTES)
         reader.feed(head)
@@ -63,14 +63,14 @@
         (b'{"version":2,"number":1,"what":"put","book":{"revision":1,"in_force":[{}]}}', r"in_force"),
     ],
 )
-def test_invalid_request_is_named(body: bytes, reason: str) -> None:
+def test_error_names_what_is_invalid_in_a_request(body: bytes, reason: str) -> None:
     with pytest.raises(WireError, match=reason):
         decode_request(body)
 
 
-def test_answers_are_checked_too_and_bounded() -> None:
-    answer = Response(2, 4, counters={"asks": 2})
-    assert decode_response(frame(answer)[4:]) == answer
+def test_invalid_response_and_too_long_request_are_rejected() -> None:
+    response = Response(2, 4, counters={"asks": 2})
+    assert decode_response(frame(response)[4:]) == response
     for body in (b"{}", b'{"version":9,"number":1}'):
         with pytest.raises(WireError):
             decode_response(body)
