--- a/tests/fleet/test_order_state.py
+++ b/tests/fleet/test_order_state.py
@@ -27,9 +27,8 @@
 
 def test_order_with_a_repeated_id_is_applied_once() -> None:
     state = state_of(order(), order("o2", Verb.UNDRAIN), order())
-    assert state.revision == 3 and not state.active_subjects(
-        Verb.DRAIN, 0
-    )  # the repeated drain had no effect
+    # The repeated drain had no effect after the undrain.
+    assert state.revision == 3 and not state.active_subjects(Verb.DRAIN, 0)
     assert state.validate(order(), 0, READY, 0) == Decided(1, order())
 
 
@@ -41,9 +40,8 @@
     assert "duty" in rejection.text and "revision 2" in rejection.text and "replaced" in rejection.text
     assert state.validate(order("o3", based_on=2), 0, READY, 0) is None  # its issuer has seen the undrain
     assert state.validate(order("o3", subject="s2", based_on=0), 0, READY, 0) is None  # for another server
-    assert (
-        state.validate(order("o3", Verb.UNDRAIN, based_on=0), 0, READY, 0) is None
-    )  # the same verb as the latest order
+    # The verb of the latest order is the same.
+    assert state.validate(order("o3", Verb.UNDRAIN, based_on=0), 0, READY, 0) is None
 
 
 def test_drain_below_the_floor_of_a_building_is_rejected_unless_forced() -> None:
--- a/tests/fleet/test_overlay.py
+++ b/tests/fleet/test_overlay.py
@@ -28,9 +28,8 @@
         EndpointListReceived(EndpointListKind.CHANGES, 5, (server("s1"), server("s3")))
     )
     assert states(later) == {"s1": EndpointState.DRAINING, "s3": EndpointState.UP}
-    assert states(overlay.on_drained_servers(())) == {
-        "s1": EndpointState.UP
-    }  # s2 remains as discovery lists it
+    # s2 remains as discovery lists it.
+    assert states(overlay.on_drained_servers(())) == {"s1": EndpointState.UP}
 
 
 def test_drain_applies_to_a_server_that_is_listed_later() -> None:
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -41,9 +41,8 @@
     assert agent_roster.handle(10, StateReceived("n0", state(revision=2))) == [SendOrders("n0")]
     assert agent_roster.handle(11, StateReceived("n0", state(revision=3))) == []
     assert agent_roster.handle(12, RevisionChanged(4, True)) == [SendOrders("n0")]
-    assert agent_roster.handle(13, StateReceived("n0", state(revision=0, pid=2))) == [
-        SendOrders("n0")
-    ]  # it has restarted
+    # The proxy has restarted.
+    assert agent_roster.handle(13, StateReceived("n0", state(revision=0, pid=2))) == [SendOrders("n0")]
     (status,) = agent_roster.proxy_statuses(50)
     assert (status.reachability, status.reported_ago_ms, status.revision) == ("up", 37, 0)
 
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: agents with journals, proxies without, tools, and a network with losses."""
+"""A simulated fleet in virtual time: agents, proxies, tools, and a network that loses and delays messages."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -23,11 +23,11 @@
 )
 from molereach.fleet.wire import ProxyState
 
-MS_US = 1000
-CALL_US = 300 * MS_US
-HEARTBEAT_US = 200 * MS_US
-SYNC_US = 400 * MS_US
-TICK_US = 25 * MS_US
+US_PER_MS = 1000
+REQUEST_TIMEOUT_US = 300 * US_PER_MS
+HEARTBEAT_INTERVAL_US = 200 * US_PER_MS
+SYNC_INTERVAL_US = 400 * US_PER_MS
+TICK_INTERVAL_US = 25 * US_PER_MS
 READY = {"s1": "east", "s2": "east", "s3": "west", "s4": "west"}
 
 
@@ -39,7 +39,7 @@
     up: bool = True
     pid: int = 1
     order_state: OrderState = field(default_factory=OrderState)
-    carried: list[int] = field(default_factory=list)  # revisions, over all its starts
+    applied: list[int] = field(default_factory=list)  # all revisions that it has applied, over restarts
 
     def state(self) -> ProxyState:
         return ProxyState(self.name, self.pid, 1.0, False, self.order_state.revision, 1, 0, 0)
@@ -51,25 +51,28 @@
 
     rollout: Rollout
     kill_at: str = ""
-    dead: bool = False
+    killed: bool = False
     steps: list[str] = field(default_factory=list)
     on_step: Callable[[str], None] = lambda step: None
-    truth: dict[str, list[int]] = field(default_factory=dict)  # what proxies had carried out at the report
+    # The revisions that each proxy had applied when the tool reported.
+    applied_at_report: dict[str, list[int]] = field(default_factory=dict)
 
 
 class Fleet:
-    """Five agents with a proxy each, by default."""
+    """Five agents by default, with one proxy each."""
 
-    def __init__(self, seed: int, loss: float = 0.0, size: int = 5, slowest_us: int = 40 * MS_US) -> None:
+    def __init__(
+        self, seed: int, loss: float = 0.0, size: int = 5, max_delay_us: int = 40 * US_PER_MS
+    ) -> None:
         self.random = Random(seed)
         self.loss = loss
-        self.slowest_us = slowest_us
+        self.max_delay_us = max_delay_us
         self.now_us = 0
-        self.serial = 0
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
+        self.event_count = 0
+        self.scheduled: list[tuple[int, int, Callable[[], None]]] = []
         self.names = tuple(f"a{number}" for number in range(size))
         self.agents = {name: Acceptor() for name in self.names}
-        self.away: set[str] = set()  # agents that are down or cut off
+        self.unreachable: set[str] = set()  # agents that are down or disconnected
         self.proxies = {name: SimulatedProxy(f"n{name[1:]}") for name in self.names}
         self.rosters = {name: Roster(name) for name in self.names}
         self.connected: set[str] = set()
@@ -81,62 +84,62 @@
 
     # --- time and the network ---
 
-    def after(self, delay_us: int, do: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.heap, (self.now_us + delay_us, self.serial, do))
+    def after(self, delay_us: int, action: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.scheduled, (self.now_us + delay_us, self.event_count, action))
 
-    def hop(self, do: Callable[[], None], lost: Callable[[], None] = lambda: None) -> None:
-        """Over the network; what is lost is noticed by a time-out only."""
+    def transmit(self, on_arrival: Callable[[], None], on_loss: Callable[[], None] = lambda: None) -> None:
+        """Send a message; its loss is noticed only by a timeout."""
         if self.random.random() < self.loss:
-            self.after(CALL_US, lost)
+            self.after(REQUEST_TIMEOUT_US, on_loss)
         else:
-            self.after(self.random.randint(1, self.slowest_us), do)
+            self.after(self.random.randint(1, self.max_delay_us), on_arrival)
 
-    def run(self, until: Callable[[], bool], max_us: int = 60_000 * MS_US) -> None:
-        end = self.now_us + max_us
-        while not until() and self.heap and self.now_us < end:
-            self.now_us, _, do = heapq.heappop(self.heap)
-            do()
-            self.check()
+    def run(self, until: Callable[[], bool], max_us: int = 60_000 * US_PER_MS) -> None:
+        end_us = self.now_us + max_us
+        while not until() and self.scheduled and self.now_us < end_us:
+            self.now_us, _, action = heapq.heappop(self.scheduled)
+            action()
+            self.check_agreement()
 
-    def settle(self) -> None:
-        """Everybody is back and nothing is lost: the fleet comes to rest."""
+    def recover(self) -> None:
+        """End all faults, and run for 5 s, in which agents and proxies catch up."""
         self.loss = 0.0
         for name in self.names:
-            self.away.discard(name)
+            self.unreachable.discard(name)
             self.proxies[name].up = True
-        end = self.now_us + 5_000 * MS_US
-        self.run(lambda: self.now_us >= end)
+        end_us = self.now_us + 5_000 * US_PER_MS
+        self.run(lambda: self.now_us >= end_us)
 
     # --- agents and proxies ---
 
     def update_roster(
         self, name: str, event: StateReceived | Disconnected | Connected | SocketsListed | RevisionChanged
     ) -> None:
-        for action in self.rosters[name].handle(self.now_us // MS_US, event):
+        for action in self.rosters[name].handle(self.now_us // US_PER_MS, event):
             if isinstance(action, SendOrders):
-                self.put(name)
+                self.send_orders(name)
 
-    def put(self, name: str) -> None:
-        order_state = self.agents[name].order_state.to_record()
-        proxy, start = self.proxies[name], self.proxies[name].pid
+    def send_orders(self, name: str) -> None:
+        record = self.agents[name].order_state.to_record()
+        proxy, pid = self.proxies[name], self.proxies[name].pid
 
-        def arrive() -> None:
-            if proxy.up and proxy.pid == start:
-                if proxy.order_state.adopt(OrderStateRecord(order_state.revision, order_state.in_force)):
-                    proxy.carried.append(order_state.revision)
-                self.hop(lambda: self.on_state(name, start))
+        def on_arrival() -> None:
+            if proxy.up and proxy.pid == pid:
+                if proxy.order_state.adopt(OrderStateRecord(record.revision, record.in_force)):
+                    proxy.applied.append(record.revision)
+                self.transmit(lambda: self.on_state(name, pid))
 
-        self.hop(arrive)
+        self.transmit(on_arrival)
 
-    def on_state(self, name: str, start: int) -> None:
-        if name not in self.away and self.proxies[name].pid == start and self.proxies[name].up:
+    def on_state(self, name: str, pid: int) -> None:
+        if name not in self.unreachable and self.proxies[name].pid == pid and self.proxies[name].up:
             self.update_roster(name, StateReceived(self.proxies[name].name, self.proxies[name].state()))
 
     def send_heartbeat(self, name: str) -> None:
-        """The agent looks at its proxy, and tells it again what it lacks."""
+        """The agent checks the socket of its proxy and requests the state, at intervals."""
         proxy = self.proxies[name]
-        if name not in self.away:
+        if name not in self.unreachable:
             self.update_roster(name, SocketsListed(frozenset({proxy.name})))
             if proxy.up and name not in self.connected:
                 self.connected.add(name)
@@ -145,21 +148,21 @@
                 self.connected.discard(name)
                 self.update_roster(name, Disconnected(proxy.name, "refused"))
             if proxy.up:
-                self.hop(lambda: self.on_state(name, proxy.pid))
-        self.after(HEARTBEAT_US, lambda: self.send_heartbeat(name))
+                self.transmit(lambda: self.on_state(name, proxy.pid))
+        self.after(HEARTBEAT_INTERVAL_US, lambda: self.send_heartbeat(name))
 
     def sync(self, name: str) -> None:
         peer = self.random.choice(self.names)
-        if not {name, peer} & self.away:
-            self.hop(lambda: self.adopt(name, self.agents[peer].order_state.to_record()))
-        self.after(SYNC_US, lambda: self.sync(name))
+        if not {name, peer} & self.unreachable:
+            self.transmit(lambda: self.adopt(name, self.agents[peer].order_state.to_record()))
+        self.after(SYNC_INTERVAL_US, lambda: self.sync(name))
 
-    def adopt(self, name: str, order_state: OrderStateRecord) -> None:
-        if name not in self.away and self.agents[name].order_state.adopt(order_state):
-            self.update_roster(name, RevisionChanged(order_state.revision, True))
+    def adopt(self, name: str, record: OrderStateRecord) -> None:
+        if name not in self.unreachable and self.agents[name].order_state.adopt(record):
+            self.update_roster(name, RevisionChanged(record.revision, True))
 
     def restart_agent(self, name: str) -> None:
-        """With what is on its disk; what it knew of its proxy is gone."""
+        """Restart an agent from its stored state, without its roster."""
         self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].order_state.to_record())
         self.rosters[name] = Roster(name)
         self.connected.discard(name)
@@ -180,105 +183,114 @@
             True,
             "",
             acceptor.pending(),
-            self.rosters[name].proxy_statuses(self.now_us // MS_US),
+            self.rosters[name].proxy_statuses(self.now_us // US_PER_MS),
         )
         return AgentSnapshot(status, acceptor.order_state.to_record(), READY if self.proxies[name].up else {})
 
     # --- tools ---
 
-    def draws(self) -> Iterator[float]:
+    def random_values(self) -> Iterator[float]:
         while True:
             yield self.random.random()
 
-    def give(
+    def start_tool(
         self, draft: events.Draft, kill_at: str = "", on_step: Callable[[str], None] = lambda step: None
     ) -> Tool:
-        """Start a tool."""
-        expected = {name: (self.proxies[name].name,) for name in self.names}
-        run = f"run{len(self.tools)}"
+        """Start a run of the tool for an order."""
+        expected_proxies = {name: (self.proxies[name].name,) for name in self.names}
+        run_id = f"run{len(self.tools)}"
         tool = Tool(
-            Rollout(self.names, draft, run, self.draws(), 0, 1, events.Timeouts(), expected),
+            Rollout(
+                self.names, draft, run_id, self.random_values(), 0, 1, events.Timeouts(), expected_proxies
+            ),
             kill_at,
             on_step=on_step,
         )
         self.tools.append(tool)
-        self.act(tool, tool.rollout.begin(self.now_us))
+        self.carry_out(tool, tool.rollout.begin(self.now_us))
         self.tick(tool)
         return tool
 
     def tick(self, tool: Tool) -> None:
-        if not tool.dead and tool.rollout.report is None:
-            self.hand(tool, events.Tick())
-            self.after(TICK_US, lambda: self.tick(tool))
+        if not tool.killed and tool.rollout.report is None:
+            self.handle(tool, events.Tick())
+            self.after(TICK_INTERVAL_US, lambda: self.tick(tool))
 
-    def hand(self, tool: Tool, event: events.Event) -> None:
-        if not tool.dead and tool.rollout.report is None:
-            self.act(tool, tool.rollout.handle(self.now_us, event))
+    def handle(self, tool: Tool, event: events.Event) -> None:
+        if not tool.killed and tool.rollout.report is None:
+            self.carry_out(tool, tool.rollout.handle(self.now_us, event))
 
-    def act(self, tool: Tool, actions: list[events.Action]) -> None:
+    def carry_out(self, tool: Tool, actions: list[events.Action]) -> None:
         for action in actions:
-            if tool.dead:
+            if tool.killed:
                 return
             if isinstance(action, events.Step):
                 tool.steps.append(action.name)
-                tool.dead = action.name == tool.kill_at
+                tool.killed = action.name == tool.kill_at
                 tool.on_step(action.name)
                 if action.name == "reported":
-                    tool.truth = {proxy.name: list(proxy.carried) for proxy in self.proxies.values()}
+                    tool.applied_at_report = {
+                        proxy.name: list(proxy.applied) for proxy in self.proxies.values()
+                    }
             elif isinstance(action, events.RequestSnapshot):
                 self.request_snapshot(tool, action.agent)
             else:
-                self.say(tool, action.agent, action.message)
+                self.send_message(tool, action.agent, action.message)
 
     def request_snapshot(self, tool: Tool, agent: str) -> None:
-        def failed() -> None:
-            self.hand(tool, events.RequestFailed(agent, "no answer", snapshot_requested=True))
+        def on_failure() -> None:
+            self.handle(tool, events.RequestFailed(agent, "no answer", snapshot_requested=True))
 
-        def arrive() -> None:
-            if agent in self.away:
-                self.after(CALL_US, failed)
+        def on_arrival() -> None:
+            if agent in self.unreachable:
+                self.after(REQUEST_TIMEOUT_US, on_failure)
                 return
             snapshot = self.snapshot(agent)
-            self.hop(lambda: self.hand(tool, events.SnapshotReceived(agent, snapshot)), failed)
+            self.transmit(lambda: self.handle(tool, events.SnapshotReceived(agent, snapshot)), on_failure)
 
-        self.hop(arrive, failed)
+        self.transmit(on_arrival, on_failure)
 
-    def say(self, tool: Tool, agent: str, message: Message) -> None:
-        def failed() -> None:
-            self.hand(tool, events.RequestFailed(agent, "no answer"))
+    def send_message(self, tool: Tool, agent: str, message: Message) -> None:
+        def on_failure() -> None:
+            self.handle(tool, events.RequestFailed(agent, "no answer"))
 
-        def arrive() -> None:
-            if agent in self.away:
-                self.after(CALL_US, failed)
+        def on_arrival() -> None:
+            if agent in self.unreachable:
+                self.after(REQUEST_TIMEOUT_US, on_failure)
                 return
-            before = self.agents[agent].order_state.revision
+            revision_before = self.agents[agent].order_state.revision
             replies = self.agents[agent].handle(message)
-            if self.agents[agent].order_state.revision > before:
+            if self.agents[agent].order_state.revision > revision_before:
                 self.update_roster(agent, RevisionChanged(self.agents[agent].order_state.revision, True))
             for reply in replies:
-                self.hop(lambda reply=reply: self.hand(tool, events.ReplyReceived(agent, reply)), failed)
+                self.transmit(
+                    lambda reply=reply: self.handle(tool, events.ReplyReceived(agent, reply)), on_failure
+                )
 
-        self.hop(arrive, failed)
+        self.transmit(on_arrival, on_failure)
 
-    # --- what must always hold ---
+    # --- invariants ---
 
-    def check(self) -> None:
-        """No two agents hold different orders at one revision, and no report claims what was not so."""
+    def check_agreement(self) -> None:
+        """Assert that no two agents hold different orders at one revision."""
         decided_ids: dict[int, str] = {}
         for agent in self.agents.values():
             for decided in agent.order_state.recent.values():
                 assert decided_ids.setdefault(decided.revision, decided.order.id) == decided.order.id
 
     def check_report(self, tool: Tool) -> None:
-        """What the tool said is what each proxy had done by then."""
+        """Assert that the report claims nothing that a proxy had not applied at the time of the report."""
         report = tool.rollout.report
         assert report is not None
         revision = report.decided.revision if report.decided else 0
         for proxy_report in report.proxies:
-            done = bool(revision) and any(each >= revision for each in tool.truth.get(proxy_report.proxy, ()))
-            assert done or not proxy_report.applied, (proxy_report, tool.truth)
-        named = {each.proxy for each in report.proxies}
-        assert named == {proxy.name for proxy in self.proxies.values()}
+            applied = bool(revision) and any(
+                applied_revision >= revision
+                for applied_revision in tool.applied_at_report.get(proxy_report.proxy, ())
+            )
+            assert applied or not proxy_report.applied, (proxy_report, tool.applied_at_report)
+        reported_proxies = {each.proxy for each in report.proxies}
+        assert reported_proxies == {proxy.name for proxy in self.proxies.values()}
         if report.verdict is Verdict.DONE:
             assert all(each.applied for each in report.proxies) and all(
                 each.notified for each in report.agents
@@ -288,8 +300,8 @@
                 not each.notified for each in report.agents
             )
 
-    def final(self) -> tuple[OrderStateRecord, list[frozenset[str]]]:
-        """The record that all agents have, and what each proxy drains."""
+    def final_state(self) -> tuple[OrderStateRecord, list[frozenset[str]]]:
+        """Return the record that all agents hold, and the servers that each proxy drains."""
         records = {agent.order_state.to_record() for agent in self.agents.values()}
         assert len(records) == 1
         return records.pop(), [
@@ -297,8 +309,8 @@
         ]
 
 
-def once(record: OrderStateRecord, order_id: str) -> Decided | None:
-    """The decided order with an id, of which a record holds one at most."""
+def find_once(record: OrderStateRecord, order_id: str) -> Decided | None:
+    """Return the decided order with an id; assert that the record holds it at most once."""
     found = [decided for decided in record.recent if decided.order.id == order_id]
     assert len(found) <= 1
     return found[0] if found else None
