--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -97,7 +97,7 @@
 
 
 class AcceptorState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an acceptor has promised and accepted at the undecided revision; it must survive a restart."""
+    """What an acceptor has promised and accepted at `revision`; it must survive a restart."""
 
     revision: int = 0
     promised: Ballot | None = None
@@ -134,14 +134,14 @@
                 return []
 
     def record_decided(self, known: Known) -> None:
-        """Apply decided orders that a proposer or another agent sent."""
+        """Apply the decided orders, or the whole state, in a message."""
         if known.base:
             self.order_state.adopt(known.base)
         for decided in known.decided:
             self.order_state.record_decided(decided)
 
     def decided_since(self, first: int) -> Known:
-        """Return the decided orders from revision `first` on, or the whole state if some are not stored."""
+        """Return decided orders from revision `first` on, or the whole state if one of them is not stored."""
         last = min(self.order_state.revision, first + MAX_DECIDED_PER_REPLY - 1)
         recent = self.order_state.recent
         if any(revision not in recent for revision in range(first, last + 1)):
@@ -209,7 +209,7 @@
     highest_promised: int = 0  # the highest ballot number that an `Outbid` named
 
     def __post_init__(self) -> None:
-        """Set the number that the first ballot goes beyond."""
+        """Set a ballot that is never sent; `begin` uses a higher one."""
         self.ballot = Ballot(1, self.name)
 
     @property
--- a/molereach/fleet/api_bodies.py
+++ b/molereach/fleet/api_bodies.py
@@ -1,4 +1,4 @@
-"""The response bodies of an agent's HTTP API, except the agreement messages.
+"""The bodies of an agent's HTTP API that describe the agent and its proxies.
 
 Class docstrings and the names given to `msgspec.field` are published in the API's description
 (`agent/openapi.json`), and so are class names unless `agent/openapi.py` maps them; none of them may change.
@@ -26,9 +26,8 @@
 
     name: str
     reachability: Reachability = msgspec.field(name="reach")
-    reported_ago_ms: int | None = msgspec.field(
-        name="heard_ago_ms"
-    )  # since its last response; None for never
+    # Since its last response; None for never.
+    reported_ago_ms: int | None = msgspec.field(name="heard_ago_ms")
     reason: str = msgspec.field(name="why", default="")
     state: ProxyState | None = None  # the last one received
 
--- a/molereach/fleet/control.py
+++ b/molereach/fleet/control.py
@@ -2,8 +2,8 @@
 
 It shares the proxy's event loop and must not delay the proxy's requests: it handles one message of a
 connection in each iteration of the loop, limits the number of connections, and drops a client that does not
-read its responses. Only the owner of the socket may open it; the user that the kernel reports for a
-connection is checked as well.
+read its responses. Only the owner of the socket and root can open it; the user that the kernel
+reports for a connection is checked as well.
 """
 
 import asyncio
--- a/molereach/fleet/journal.py
+++ b/molereach/fleet/journal.py
@@ -115,8 +115,8 @@
     def save(self, state: AgentState) -> None:
         """Write a state and return once it is on the disk; raise JournalError if it may not be there.
 
-        The agent must not send a promise after a failure. A second sync may succeed although data was lost,
-        so later writes fail until the journal is opened again.
+        After a failure the agent must promise and accept nothing. A second sync may succeed although data was
+        lost, so later writes fail until the journal is opened again.
         """
         if self.broken:
             raise JournalError(f"{self.path}: a write has failed before; start the agent again")
--- a/molereach/fleet/order_state.py
+++ b/molereach/fleet/order_state.py
@@ -129,7 +129,7 @@
     def validate(
         self, order: Order, now_ms: int, ready: Mapping[str, str], floor: int
     ) -> OrderRejection | Decided | None:
-        """Return None if the order may be proposed at the next revision, otherwise the reason against it.
+        """Return None if the order may be proposed at the next revision, otherwise why it may not.
 
         `ready` maps the servers that discovery lists as up to their buildings; `floor` is the number of them
         that must remain in each building. If an order with the same id is decided already, it is returned.
--- a/molereach/fleet/orders.py
+++ b/molereach/fleet/orders.py
@@ -12,7 +12,7 @@
 
 MAX_NAME_BYTES = 64  # of an id, a subject or an issuer, in UTF-8
 MAX_REASON_BYTES = 256
-MAX_RECENT_REVISIONS = 256  # decided orders that are stored, so that a repeated order is recognised
+MAX_RECENT_REVISIONS = 256  # the latest revisions, whose orders are stored to recognise repeats
 MAX_IN_FORCE = 256  # orders in force at once
 MAX_REVISION = 1 << 53  # many JSON parsers read larger integers inexactly
 
@@ -83,9 +83,7 @@
 
     revision: int = 0
     in_force: tuple[Decided, ...] = ()
-    recent: tuple[
-        Decided, ...
-    ] = ()  # the latest decided orders: to recognise repeats, and to name the winner of a conflict
+    recent: tuple[Decided, ...] = ()  # the latest ones, to recognise repeats and to name winners
 
     def check(self) -> None:
         """Raise OrderError if a limit, the order of revisions or a single order is not valid."""
--- a/molereach/fleet/rollout/ballots.py
+++ b/molereach/fleet/rollout/ballots.py
@@ -7,11 +7,11 @@
 from molereach.fleet.orders import Order
 from molereach.fleet.rollout.events import Action, SendMessage, Step, send_to_all
 
-MIN_RETRY_DELAY_US = 150_000
+MIN_RETRY_DELAY_US = 150_000  # the lower limit of the base delay
 MAX_JITTER = 3  # each delay is drawn between the base delay and MAX_JITTER times that
 # Base delay over the time in which a majority of agents responded, since a large fleet responds slowly.
 RETRY_DELAY_FACTOR = 3
-MIN_TRIES = 20  # limits the base delay to `agree_us` divided by this
+MIN_TRIES = 20  # the upper limit of the base delay is `agree_us` divided by this
 
 
 @dataclass(slots=True)
--- a/molereach/fleet/rollout/events.py
+++ b/molereach/fleet/rollout/events.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """An order whose base revision may not be set yet.
+    """An order whose base revision may still be unset.
 
     A `based_on` of None stands for the newest revision known at the first validation; `lapses_ms` is as in
     `Order`.
--- a/molereach/fleet/rollout/report.py
+++ b/molereach/fleet/rollout/report.py
@@ -16,7 +16,7 @@
     DONE = "done"  # decided, and confirmed by all agents and proxies
     PARTIAL = "partly"  # decided, but not confirmed by all
     CONFLICT = "conflict"  # a decided order prevents it
-    UNREACHABLE = "unreachable"  # too few agents responded; the order may still be decided later
+    UNREACHABLE = "unreachable"  # no majority of agents responded; the order may be decided all the same
     REJECTED = "refused"
 
 
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -97,7 +97,10 @@
 
 @dataclass(slots=True)
 class ProxyRecord:
-    """What is known of a proxy; `reported_ms` and `changed_ms` are times of its last response and change."""
+    """What is known of a proxy.
+
+    `reported_ms` is the time of its last response, `changed_ms` that of the last change of reachability.
+    """
 
     reachability: Reachability = "new"
     reported_ms: int | None = None
--- a/molereach/fleet/settings.py
+++ b/molereach/fleet/settings.py
@@ -90,7 +90,7 @@
 
 
 class TlsTable(Table, frozen=True):
-    """`[tls]` of an agent's file: the files that hold its certificates."""
+    """`[tls]` of an agent's file: the files that hold its certificate and key."""
 
     cert: str
     key: str
--- a/molereach/fleet/wire.py
+++ b/molereach/fleet/wire.py
@@ -1,9 +1,10 @@
 """The control protocol between an agent and one proxy: frames and messages, without I/O.
 
 A frame is a length of four bytes (big-endian), followed by that many bytes of JSON. Every message carries the
-version of the protocol. Both sides check the length of a frame before they buffer its body; an invalid length
-ends the connection. The names given to `msgspec.field` are those on the wire, and the docstrings of `Member`,
-`ProxyState` and `QuotaStatus` are published in the API's description (`agent/openapi.json`).
+version of the protocol. Both sides check the length of a frame before its body has arrived, so that a peer
+cannot make them buffer an unlimited body; an invalid length ends the connection. The names given to
+`msgspec.field` are those on the wire. The docstrings of `Member`, `ProxyState` and `QuotaStatus` are
+published in the API's description (`agent/openapi.json`), so they must not change.
 """
 
 from typing import Literal
@@ -114,7 +115,7 @@
         self.buffer += data
 
     def next(self) -> bytes | None:
-        """Return the body of the next frame, or None if it is incomplete; raise WireError for its length."""
+        """Return the body of the next complete frame, or None; raise WireError if its length is invalid."""
         if len(self.buffer) < HEAD_BYTES:
             return None
         size = int.from_bytes(self.buffer[:HEAD_BYTES])
