--- a/molereach/coordination/transport/connection.py
+++ b/molereach/coordination/transport/connection.py
@@ -1,8 +1,8 @@
 """One connection to a peer: the handshake, then authenticated messages in both directions.
 
-The owner processes received messages and supplies the next one to send. A fault ends this connection and
-nothing else. A side that closes in order says so (`Goodbye`) and processes what is still on its way; the side
-that receives it sends no more and closes. So no message is lost between two proxies that are alive.
+The owner processes received messages and supplies the next one to send. An error closes this connection only.
+A side that closes gracefully sends `Goodbye` and still processes messages in flight; the side that receives
+it stops sending and closes the socket. So no message is lost between two running proxies.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, dialled or accepted; `handshake` has the matching role."""
+    """One connection, outgoing or incoming; `handshake` has the matching role."""
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
             self.settings.max_stalled_heartbeats,
             self.settings.max_idle_heartbeats,
         )
-        self.channel: SessionChannel | None = None  # once the handshake is complete
+        self.channel: SessionChannel | None = None  # set when the handshake is complete
         self.transport: asyncio.Transport | None = None
         self.handshake_timer: asyncio.TimerHandle | None = None
-        self.source_address = ""  # while it has an unauthenticated slot
+        self.source_address = ""  # of the peer while the connection holds an unauthenticated slot, else ""
         self.hello_sent = False
         self.is_scheduled = False  # set by the scheduler
         self.writing_paused = False  # the write buffer is full
-        self.reading_paused = False  # too much is received and not processed
+        self.reading_paused = False  # the read buffer is full
         self.draining_heartbeats = 0
         self.bytes_received = 0
         self.bytes_sent = 0
@@ -69,23 +69,23 @@
 
     @property
     def peer_instance(self) -> NodeInstance:
-        """The authenticated peer; only once the handshake is complete."""
+        """The authenticated peer; available only when the handshake is complete."""
         assert self.channel is not None
         return self.channel.peer
 
     @property
     def peer_name(self) -> str:
-        """The peer's name; "" while it is not known."""
+        """The peer's name; "" if it is unknown."""
         if self.channel:
             return self.channel.peer.name
         return self.handshake.recipient if isinstance(self.handshake, DiallerHandshake) else ""
 
-    # --- callbacks of asyncio ---
+    # --- asyncio callbacks ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open: begin the handshake if the owner admits the connection."""
+        """Start the handshake if the owner admits the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.phase is ConnectionPhase.CLOSED:  # cancelled while it was dialled
+        if self.phase is ConnectionPhase.CLOSED:  # cancelled during the dial
             self.transport.abort()
             return
         self.transport.set_write_buffer_limits(high=self.settings.max_write_buffer_bytes)
@@ -98,10 +98,10 @@
             self.source_address = ""
             self.abort("too many that are not proven", failed=False)
         elif isinstance(self.handshake, ListenerHandshake):
-            self.write_unsealed(self.handshake.greeting)
+            self.write_handshake_message(self.handshake.greeting)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer data; handshakes are processed at once, messages in the scheduler's steps."""
+        """Buffer data; handshakes are processed at once, messages by the scheduler."""
         self.bytes_received += len(data)
         self.last_received_us = now_us()
         self.heartbeat.on_bytes()
@@ -115,36 +115,36 @@
                 self.transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """The write buffer is full; messages wait in the peer's send queue."""
+        """Stop writing until the write buffer drains; messages wait in the peer's send queue."""
         self.writing_paused = True
 
     def resume_writing(self) -> None:
-        """The write buffer has drained."""
+        """Continue writing; the write buffer has drained."""
         self.writing_paused = False
         if self.phase is ConnectionPhase.OPEN:
             self.owner.schedule(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The socket is closed. While draining, received messages are still processed."""
+        """Report the closed socket. While draining, received messages are still processed."""
         if self.phase is not ConnectionPhase.DRAINING:
             failure = f"connection lost: {error.__class__.__name__}" if error else ""
             self.abort(failure or "closed by the other side")
         self.owner.on_socket_closed(self)
 
     def write(self, data: bytes) -> None:
-        """Send bytes, if there is a socket."""
+        """Send bytes if the socket is open."""
         if self.transport is not None:
             self.bytes_sent += len(data)
             self.transport.write(data)
 
-    def write_unsealed(self, body: bytes) -> None:
-        """Send a message of the handshake, whose frame has no tag."""
+    def write_handshake_message(self, body: bytes) -> None:
+        """Send a handshake message; its frame has no tag."""
         self.write(length_prefix(body) + body)
 
     # --- the handshake ---
 
     def process_handshake(self) -> None:
-        """Process all complete messages of the handshake; any fault ends the connection."""
+        """Process all complete handshake messages; any error closes the connection."""
         try:
             while self.phase is ConnectionPhase.HANDSHAKE:
                 message = self.splitter.next_frame()
@@ -158,27 +158,27 @@
             self.abort("internal error")
 
     def on_handshake_message(self, message: bytes) -> None:
-        """Process one message of the handshake; HandshakeError if it is invalid."""
+        """Process one handshake message; HandshakeError if it is invalid."""
         if isinstance(self.handshake, ListenerHandshake):
             self.on_hello(self.handshake, message)
         elif not self.hello_sent:
             hello = self.handshake.receive_greeting(message)
             self.hello_sent = True
-            self.write_unsealed(hello)
+            self.write_handshake_message(hello)
         else:
             self.begin_session(self.handshake.receive_reply(message))
 
     def on_hello(self, handshake: ListenerHandshake, message: bytes) -> None:
-        """Accept the dialler, or raise HandshakeError with the reason."""
+        """Accept the dialler; HandshakeError with the reason if it is rejected."""
         instance = handshake.receive_hello(message)
         if reason := self.owner.rejection_reason(instance):
             raise HandshakeError(reason)
         welcome, session = handshake.accept(instance)
-        self.write_unsealed(welcome)
+        self.write_handshake_message(welcome)
         self.begin_session(session)
 
     def begin_session(self, session: Session) -> None:
-        """The handshake is complete: frames are sealed from now on."""
+        """Complete the handshake; all further frames are authenticated."""
         key = self.owner.key
         self.channel = SessionChannel(key, session, self.is_outgoing, self.owner.codec, self.heartbeat)
         self.splitter.max_body_bytes = MAX_BODY_BYTES
@@ -191,14 +191,14 @@
         """Close during the handshake; the listener sends the reason first."""
         if self.phase is ConnectionPhase.HANDSHAKE and self.transport is not None:
             if not self.is_outgoing:
-                self.write_unsealed(encode_rejection(reason))
-            self.finish(reason, failed=True)
+                self.write_handshake_message(encode_rejection(reason))
+            self.leave_phase(reason, failed=True)
             self.transport.close()
 
-    # --- steps of the scheduler ---
+    # --- scheduled steps ---
 
     def step(self) -> bool:
-        """Receive a message and send one; whether there may be more. Any fault ends the connection."""
+        """Receive and send one message; whether there may be more. Any error closes the connection."""
         try:
             has_received = self.receive_next()
             return self.send_next() or has_received
@@ -210,7 +210,7 @@
         return False
 
     def receive_next(self) -> bool:
-        """Process the next received message; False if none is complete."""
+        """Process the next received message; False if there is no complete one."""
         if self.phase not in (ConnectionPhase.OPEN, ConnectionPhase.DRAINING) or self.channel is None:
             return False
         frame = self.splitter.next_frame()
@@ -225,13 +225,13 @@
         return True
 
     def resume_reading(self) -> None:
-        """Read again after a pause; the received messages are processed."""
+        """Resume reading when all complete received messages are processed."""
         if self.reading_paused and self.transport and not self.transport.is_closing():
             self.reading_paused = False
             self.transport.resume_reading()
 
     def send_next(self) -> bool:
-        """Send the next waiting message; False if there is none or none can be sent."""
+        """Send the next queued message; False if there is none or the connection cannot send now."""
         if self.phase is not ConnectionPhase.OPEN or self.writing_paused:
             return False
         message = self.owner.next_message(self)
@@ -240,12 +240,12 @@
         return message is not None
 
     def send(self, body: bytes) -> None:
-        """Send an encoded message at once; only while `OPEN`."""
+        """Send an encoded message immediately; only in phase `OPEN`."""
         if self.channel is not None:
             self.write(self.channel.seal_message(body))
 
     def send_heartbeat(self) -> None:
-        """Acknowledge received messages; end a connection that is not alive, is idle or does not close."""
+        """Acknowledge received messages; close a connection that is unresponsive, idle or slow to close."""
         if self.phase is ConnectionPhase.DRAINING:
             self.draining_heartbeats += 1
             if self.draining_heartbeats >= self.settings.max_draining_heartbeats:
@@ -265,33 +265,33 @@
     # --- closing ---
 
     def close_gracefully(self, reason: str) -> None:
-        """Close in order: the peer closes the socket when it has sent everything."""
+        """Announce the close; the peer closes the socket after sending its remaining data."""
         if self.phase is ConnectionPhase.OPEN and self.channel is not None:
             self.write(self.channel.seal_control(Goodbye(reason)))
-            self.finish(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
+            self.leave_phase(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
 
     def on_goodbye(self, goodbye: Goodbye) -> None:
-        """The peer closes in order: send no more, and close the socket when all is written."""
+        """Stop sending, and close the socket when the write buffer has drained."""
         if self.phase is ConnectionPhase.OPEN:
             reason = f"left: {printable_line(goodbye.reason)}"
-            self.finish(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
+            self.leave_phase(reason, failed=False, next_phase=ConnectionPhase.DRAINING)
         if self.transport:
             self.transport.close()
 
     def abort(self, reason: str, failed: bool = True) -> None:
-        """End the connection at once; `failed` tells a fault from a decision of this side."""
+        """Close the connection immediately; `failed` is False if this side chose to close it."""
         if self.phase is not ConnectionPhase.CLOSED:
-            self.finish(reason, failed)
+            self.leave_phase(reason, failed)
         if self.transport:
             self.transport.abort()
 
-    def finish(
+    def leave_phase(
         self,
         reason: str,
         failed: bool,
         next_phase: ConnectionPhase = ConnectionPhase.CLOSED,
     ) -> None:
-        """Leave the current phase; the owner learns once that the connection has ended."""
+        """Enter the next phase; the owner is notified once that the connection is no longer usable."""
         previous = self.phase
         self.phase = next_phase
         self.cancel_handshake_timer()
@@ -299,7 +299,7 @@
             self.owner.on_ended(self, previous, reason, failed)
 
     def cancel_handshake_timer(self) -> None:
-        """The handshake is complete or has failed."""
+        """Cancel the timeout of a handshake that is complete or has failed."""
         if self.handshake_timer:
             self.handshake_timer.cancel()
             self.handshake_timer = None
--- a/molereach/coordination/transport/connection_owner.py
+++ b/molereach/coordination/transport/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a connection needs from its owner and reports to it; only the owner imports the connection."""
+"""The interface that a connection calls on its owner; the owner imports the connection, not the reverse."""
 
 from enum import Enum
 from typing import Any, Protocol, TypeVar
@@ -16,28 +16,28 @@
 
     HANDSHAKE = "handshake"
     OPEN = "open"
-    DRAINING = "draining"  # nothing more is sent; what arrives is processed
+    DRAINING = "draining"  # sends nothing more, still processes received messages
     CLOSED = "closed"
 
 
 class ConnectionOwner(Protocol[ConnectionT]):
-    """The owner of connections of one type. Imports run from the connection to this module only."""
+    """The owner of connections; generic, so that this module need not import the connection's type."""
 
     key: bytes
     codec: MessageCodec
     settings: TransportSettings
 
     def admit(self, connection: ConnectionT) -> bool:
-        """Register a connection that has a socket; False if an incoming one finds no unauthenticated slot."""
+        """Register a connection with an open socket; False if no unauthenticated slot is free for it."""
 
     def rejection_reason(self, instance: NodeInstance) -> str:
-        """Why the authenticated dialler `instance` is rejected; "" if it is accepted."""
+        """The reason to reject the authenticated dialler `instance`; "" if it is accepted."""
 
     def on_opened(self, connection: ConnectionT) -> None:
-        """The handshake is complete; the connection knows the peer's instance."""
+        """Handle a completed handshake; the connection's `peer_instance` is available."""
 
     def schedule(self, connection: ConnectionT) -> None:
-        """The connection needs a step: data arrived, or it can write again."""
+        """Schedule a step: data arrived, or the connection can write again."""
 
     def on_message(self, connection: ConnectionT, protocol: str, message: Any) -> None:  # noqa: ANN401
         """Deliver a message; must not raise."""
@@ -46,7 +46,7 @@
         """Remove and return the message to send next, if any."""
 
     def on_ended(self, connection: ConnectionT, previous: ConnectionPhase, reason: str, failed: bool) -> None:
-        """The connection is no longer usable; reported once each. Its socket may be open while `DRAINING`."""
+        """Handle the end of a connection, once per connection. Its socket may still be open (`DRAINING`)."""
 
     def on_socket_closed(self, connection: ConnectionT) -> None:
-        """The socket is closed."""
+        """Handle a closed socket."""
--- a/molereach/coordination/transport/connection_registry.py
+++ b/molereach/coordination/transport/connection_registry.py
@@ -1,10 +1,11 @@
-"""All peers and connections of one proxy: which connections to accept, and which of two to keep.
-
-If two proxies dial each other at once, the dial of the smaller name stays: it rejects the other's hello once
-its own hello is sent, and gives up its own dial before that; the larger name gives up its dial whenever
-the smaller's hello arrives. Both sides know the same, so exactly one stays. A peer that dials while a
-connection of its instance is in use has lost that one, so the new one replaces it. Messages wait in the send
-queue of the peer, not of a connection; a replacement neither loses nor repeats them.
+"""All peers and connections of one proxy: which connections to accept, and which one to keep of two.
+
+If two proxies dial each other simultaneously, the connection dialled by the smaller name is kept. The proxy
+with the smaller name rejects the other's hello if it has already sent its own; before that it cancels its own
+dial and accepts. The proxy with the larger name cancels its dial whenever the hello of the smaller arrives.
+Both sides apply the same rule, so exactly one connection remains. A peer that dials while a connection
+to the same instance is in use has lost that connection, so the new one replaces it. Messages are queued per
+peer, not per connection, so a replacement neither loses nor repeats queued messages.
 """
 
 import asyncio
@@ -32,11 +33,11 @@
 log = logging.getLogger(__name__)
 
 REPLACED_REASON = "replaced by a newer link"
-HEARTBEATS_PER_TURN = 16  # connections in one turn of the event loop
+HEARTBEATS_PER_TURN = 16  # connections that send a heartbeat in one turn of the event loop
 
 
 class ConnectionRegistry:
-    """The owner of all connections, as `ConnectionOwner` describes it."""
+    """Owns all connections; implements `ConnectionOwner`."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
             settings.max_unauthenticated, settings.max_unauthenticated_per_source
         )
         self.peers: dict[str, Peer] = {}
-        self.connections: dict[PeerConnection, None] = {}  # all with a socket, in the order of their opening
+        self.connections: dict[PeerConnection, None] = {}  # with an open socket, in the order of opening
         self.deliver_message: Callable[[str, MessageReceived], None] = lambda protocol, received: None
         self.on_peer_connected: Callable[[NodeInstance], None] = lambda instance: None
         self.on_peer_disconnected: Callable[[str, str], None] = lambda name, reason: None
@@ -72,7 +73,7 @@
         self.handler_failures = 0
 
     def peer(self, name: str) -> Peer | None:
-        """The peer of that name; None for an unknown name, for this proxy itself, and after closing."""
+        """The peer of this name; None if it is unknown or this proxy itself, or after closing."""
         is_remote = name in self.addresses and name != self.local_instance.name
         if name not in self.peers and is_remote and not self.closed:
             self.peers[name] = Peer(name, SendQueue(self.queue_limits), RetryBackoff(self.random), self.dial)
@@ -81,14 +82,14 @@
     # --- opening connections ---
 
     def accept_connection(self) -> PeerConnection:
-        """The connection for a socket that a peer opened."""
+        """Create the connection for an accepted socket."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         protocols = self.codec.protocols
         handshake = ListenerHandshake(self.local_instance, self.addresses, protocols, self.key, nonce)
         return PeerConnection(self, handshake)
 
     def dial(self, peer: Peer) -> None:
-        """Begin a new connection to a peer."""
+        """Start a new connection to a peer."""
         nonce = secrets.token_bytes(NONCE_BYTES)
         protocols = self.codec.protocols
         handshake = DiallerHandshake(self.local_instance, peer.name, protocols, self.key, nonce)
@@ -96,7 +97,7 @@
         self.dialer.request(peer, peer.pending_connection)
 
     def admit(self, connection: PeerConnection) -> bool:
-        """Register a connection with a socket; False after closing or without an unauthenticated slot."""
+        """Register a connection with an open socket; False after closing or if no slot is free."""
         if self.closed:
             return False
         if not connection.is_outgoing and not self.unauthenticated_slots.acquire(connection.source_address):
@@ -105,13 +106,13 @@
         return True
 
     def release_slot(self, connection: PeerConnection) -> None:
-        """Return the unauthenticated slot of a connection, if it has one."""
+        """Release the unauthenticated slot of a connection, if it holds one."""
         if connection.source_address:
             self.unauthenticated_slots.release(connection.source_address)
             connection.source_address = ""
 
     def rejection_reason(self, instance: NodeInstance) -> str:
-        """Why an authenticated dialler is rejected; "" if it is accepted."""
+        """The reason to reject an authenticated dialler; "" if it is accepted."""
         peer = self.peer(instance.name)
         if peer is None:
             return "closed"
@@ -125,21 +126,24 @@
         return ""
 
     def accepted_connections(self) -> list[PeerConnection]:
-        """The open connections that peers dialled."""
+        """The open incoming connections."""
         connections = [peer.connection for peer in self.peers.values()]
         return [connection for connection in connections if connection and not connection.is_outgoing]
 
     def evict_idle_connection(self) -> None:
-        """At the limit, close the accepted connection that was idle for longest; its peer may dial again."""
+        """At the limit, close the incoming connection that is idle for longest; its peer may redial."""
         accepted = self.accepted_connections()
         if len(accepted) >= self.settings.max_accepted:
-            idlest = min(accepted, key=lambda one: (-one.heartbeat.idle_heartbeats, one.last_received_us))
-            idlest.close_gracefully("room for another")
+            longest_idle = min(
+                accepted,
+                key=lambda connection: (-connection.heartbeat.idle_heartbeats, connection.last_received_us),
+            )
+            longest_idle.close_gracefully("room for another")
 
-    # --- events of connections ---
+    # --- connection events ---
 
     def on_opened(self, connection: PeerConnection) -> None:
-        """Take an authenticated connection into use, instead of the peer's previous one."""
+        """Use an authenticated connection instead of the peer's previous one."""
         self.release_slot(connection)
         instance = connection.peer_instance
         peer = self.peer(instance.name)
@@ -156,11 +160,11 @@
         self.schedule(connection)
 
     def schedule(self, connection: PeerConnection) -> None:
-        """Queue a step of a connection."""
+        """Schedule a step of a connection."""
         self.scheduler.schedule(connection)
 
     def on_message(self, connection: PeerConnection, protocol: str, message: Any) -> None:  # noqa: ANN401
-        """Deliver a message; an exception of its handler is logged and counted."""
+        """Deliver a message; an exception of the handler is logged and counted."""
         try:
             self.deliver_message(protocol, MessageReceived(connection.peer_instance, message))
         except Exception:
@@ -168,7 +172,7 @@
             log.exception("a message of %s from %s failed", protocol, connection.peer_instance.name)
 
     def next_message(self, connection: PeerConnection) -> QueuedMessage | None:
-        """The next message for the peer, if this is its connection in use."""
+        """Remove and return the peer's next message, if this is the connection in use."""
         instance = connection.peer_instance
         peer = self.peers.get(instance.name)
         if peer is None or peer.connection is not connection:
@@ -182,7 +186,7 @@
         reason: str,
         failed: bool,
     ) -> None:
-        """Log and report the end of a connection; dial again if messages wait."""
+        """Log and report the end of a connection; dial again if messages are queued."""
         self.release_slot(connection)
         name = connection.peer_name
         if previous is ConnectionPhase.HANDSHAKE and failed:
@@ -197,11 +201,11 @@
             peer.dial_if_needed()
 
     def on_socket_closed(self, connection: PeerConnection) -> None:
-        """Remove a connection whose socket is closed."""
+        """Unregister a connection whose socket is closed."""
         self.connections.pop(connection, None)
 
     def notify(self, callback: Callable[..., None], *values: object) -> None:
-        """Report an event; an exception of the callback is logged."""
+        """Call an event callback; an exception is logged."""
         try:
             callback(*values)
         except Exception:
@@ -210,12 +214,12 @@
     # --- heartbeats ---
 
     def send_heartbeats(self) -> None:
-        """Send the heartbeats of one interval on all connections."""
+        """Send one heartbeat on each connection."""
         self.warnings.start_interval()
         self.send_heartbeat_batch(list(self.connections))
 
     def send_heartbeat_batch(self, connections: list[PeerConnection]) -> None:
-        """Send some heartbeats; the others follow after other callbacks of the loop."""
+        """Send a batch of heartbeats; the remaining ones are scheduled after other event loop callbacks."""
         for connection in connections[:HEARTBEATS_PER_TURN]:
             connection.send_heartbeat()
         if len(connections) > HEARTBEATS_PER_TURN:
--- a/molereach/coordination/transport/dialer.py
+++ b/molereach/coordination/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Opens connections to peers, a few in each turn of the event loop."""
+"""Opens connections to peers, a limited number in each turn of the event loop."""
 
 import asyncio
 from collections import deque
@@ -9,26 +9,26 @@
 from molereach.coordination.transport.peer import Peer
 from molereach.coordination.transport.settings import Address
 
-DIALS_PER_TURN = 8  # a message to all members may need 200 connections at once
+DIALS_PER_TURN = 8  # a broadcast to all members may need 200 connections at once
 
 
 class Dialer:
-    """Dials the peers' pending connections in the order of the requests."""
+    """Dials pending connections in the order of the requests."""
 
     def __init__(self, addresses: Mapping[str, Address], timeout_s: float) -> None:
-        self.addresses = addresses  # may change; looked up at each dial
+        self.addresses = addresses  # mutable; looked up at each dial
         self.timeout_s = timeout_s
         self.loop = asyncio.get_running_loop()
         self.requests: deque[tuple[Peer, PeerConnection]] = deque()
 
     def request(self, peer: Peer, connection: PeerConnection) -> None:
-        """Dial `peer` for its new pending connection in one of the loop's next turns."""
+        """Queue the dial of `peer` for its new pending connection."""
         self.requests.append((peer, connection))
         if len(self.requests) == 1:
             self.loop.call_soon(self.start_dials)
 
     def start_dials(self) -> None:
-        """Begin a few dials; the others begin after other callbacks of the loop."""
+        """Start a batch of dials; the remaining ones are scheduled after other event loop callbacks."""
         for _ in range(min(len(self.requests), DIALS_PER_TURN)):
             peer, connection = self.requests.popleft()
             if connection.phase is not ConnectionPhase.CLOSED:
@@ -37,7 +37,7 @@
             self.loop.call_soon(self.start_dials)
 
     async def connect(self, name: str, connection: PeerConnection) -> None:
-        """Open the socket of a connection, or abort it with the reason."""
+        """Open the socket of a connection; abort the connection with the reason if that fails."""
         try:
             async with asyncio.timeout(self.timeout_s):
                 host, port = self.addresses[name]
--- a/molereach/coordination/transport/errors.py
+++ b/molereach/coordination/transport/errors.py
@@ -1,14 +1,14 @@
-"""The errors of the transport between proxies. Their texts are one line, fit for a log and for the peer."""
+"""Errors of the transport between proxies. Each text is one line that may be logged and sent to the peer."""
 
 from molereach.coordination.errors import CoordinationError
 
 
 class TransportError(CoordinationError, ValueError):
-    """Base class: the peer sent something invalid, or something cannot be sent to it."""
+    """Base class: the peer sent invalid data, or a message cannot be sent to it."""
 
 
 class FrameError(TransportError):
-    """Received bytes are no frame of this session, or a body is too long to be sent."""
+    """Received bytes are not a valid frame of this session, or the size of a body to send is invalid."""
 
 
 class HandshakeError(TransportError):
@@ -16,8 +16,8 @@
 
 
 class MessageError(TransportError):
-    """The body of a frame is no message of any known protocol."""
+    """The body of a frame is not a valid message of a known protocol."""
 
 
 class AcknowledgementError(TransportError):
-    """The peer acknowledged messages that were never sent, or that it had acknowledged before."""
+    """The peer acknowledged more messages than were sent, or fewer than before."""
--- a/molereach/coordination/transport/fair_scheduler.py
+++ b/molereach/coordination/transport/fair_scheduler.py
@@ -1,4 +1,4 @@
-"""Round-robin scheduling of connections: one step each in turn, within a budget per event loop turn."""
+"""Round-robin scheduling of connections, one step each, within a budget per turn of the event loop."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,7 @@
 
 
 class FairScheduler:
-    """Runs the steps of all connections; what exceeds the budget runs after other callbacks of the loop."""
+    """Runs the steps of all connections; those beyond the budget run after other event loop callbacks."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int]) -> None:
         self.loop = loop
@@ -19,20 +19,20 @@
         self.completed_turns = 0
 
     def schedule(self, connection: PeerConnection) -> None:
-        """Queue a connection for a step, unless it is queued already."""
+        """Queue a connection for a step unless it is already queued."""
         if not connection.is_scheduled:
             connection.is_scheduled = True
             self.ready_connections.append(connection)
             self.schedule_turn()
 
     def schedule_turn(self) -> None:
-        """Have the event loop call `run_turn` once."""
+        """Schedule `run_turn` on the event loop unless it is already scheduled."""
         if not self.turn_scheduled:
             self.turn_scheduled = True
             self.loop.call_soon(self.run_turn)
 
     def run_turn(self) -> None:
-        """Run steps until the budget is spent or no connection has work."""
+        """Run steps until the budget is exhausted or no connection has work."""
         self.turn_scheduled = False
         self.completed_turns += 1
         budget = EventLoopBudget(self.clock())
--- a/molereach/coordination/transport/frames.py
+++ b/molereach/coordination/transport/frames.py
@@ -1,9 +1,10 @@
-"""Authenticated frames between two proxies: split from a byte stream, sealed and opened. Sans-I/O.
+"""Authenticated frames between two proxies: splitting a byte stream, sealing and opening. Sans-I/O.
 
-A frame is four bytes of length (big-endian), a body of that length, and a tag of 16 bytes: BLAKE2b (RFC 7693)
-under the shared key over the session, the direction, the frame's number and the body. So a frame of another
-session or direction, or one that is repeated, omitted or reordered, does not open. Bodies are not encrypted.
-A `FrameError` ends the connection, as nothing after it can be trusted.
+A frame consists of a length of four bytes (big-endian), a body of that length and an authentication tag of 16
+bytes. The tag is BLAKE2b (RFC 7693), keyed with the shared key, over the session, the direction, the frame
+number and the body. So a frame of another session or direction fails verification, as does one that is
+repeated, reordered or follows an omitted frame. Bodies are not encrypted. A `FrameError` closes the
+connection, as the rest of the stream cannot be trusted.
 """
 
 import hashlib
@@ -13,23 +14,23 @@
 
 LENGTH_BYTES = 4
 TAG_BYTES = 16
-NUMBER_BYTES = 8
+FRAME_NUMBER_BYTES = 8
 MAX_BODY_BYTES = 1 << 20
 OVERHEAD_BYTES = LENGTH_BYTES + TAG_BYTES
-PURPOSE = b"molereach-frame"  # separates these tags from other uses of the key
-DIALLER = b"d"  # the direction of frames that the dialler sends
-LISTENER = b"l"
+PERSONALIZATION = b"molereach-frame"  # separates these tags from other uses of the key
+FROM_DIALLER = b"d"  # direction of the frames that the dialler sends
+FROM_LISTENER = b"l"  # direction of the frames that the listener sends
 
 
 def length_prefix(body: bytes) -> bytes:
-    """The encoded length of a body."""
+    """The length field of a frame."""
     return len(body).to_bytes(LENGTH_BYTES, "big")
 
 
 class FrameSplitter:
-    """Splits a byte stream into frames. A length is checked before its bytes are buffered.
+    """Splits a byte stream into frames. A length is checked before the rest of its frame is buffered.
 
-    `max_body_bytes` and `tag_bytes` hold for the next frame; they change when the handshake is complete.
+    `max_body_bytes` and `tag_bytes` apply to the next frame; they change when the handshake is complete.
     """
 
     __slots__ = ("buffer", "max_body_bytes", "tag_bytes")
@@ -40,11 +41,11 @@
         self.tag_bytes = tag_bytes
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes."""
+        """Append received bytes to the buffer."""
         self.buffer += data
 
     def next_frame(self) -> bytes | None:
-        """The next complete frame as body and tag, without its length; None if it is incomplete."""
+        """The body and tag of the next frame, without its length; None if the frame is incomplete."""
         buffer = self.buffer
         if len(buffer) < LENGTH_BYTES:
             return None
@@ -60,30 +61,32 @@
 
 
 class _TagSequence:
-    """The tags of the frames of one direction, in order."""
+    """Computes the tags of the frames of one direction, in order."""
 
     __slots__ = ("frame_number", "keyed_hash")
 
     def __init__(self, key: bytes, session: bytes, direction: bytes) -> None:
-        self.keyed_hash = hashlib.blake2b(session + direction, key=key, digest_size=TAG_BYTES, person=PURPOSE)
+        self.keyed_hash = hashlib.blake2b(
+            session + direction, key=key, digest_size=TAG_BYTES, person=PERSONALIZATION
+        )
         self.frame_number = 0
 
     def next_tag(self, body: bytes) -> bytes:
-        """The tag of the next frame, which has this body."""
+        """The tag of the next frame, whose body is `body`."""
         tag = self.keyed_hash.copy()
-        tag.update(self.frame_number.to_bytes(NUMBER_BYTES, "big"))
+        tag.update(self.frame_number.to_bytes(FRAME_NUMBER_BYTES, "big"))
         tag.update(body)
         self.frame_number += 1
         return tag.digest()
 
 
 class FrameSealer(_TagSequence):
-    """Makes the frames of one direction."""
+    """Creates the frames of one direction."""
 
     __slots__ = ()
 
     def seal(self, body: bytes) -> bytes:
-        """The frame of a body; FrameError for a size that the peer would reject."""
+        """The frame that contains a body; FrameError for a size that the peer would reject."""
         if not 0 < len(body) <= MAX_BODY_BYTES:
             raise FrameError(f"a body of {len(body)} bytes; 1 to {MAX_BODY_BYTES} are sent")
         return b"".join((length_prefix(body), body, self.next_tag(body)))
@@ -95,7 +98,7 @@
     __slots__ = ()
 
     def open(self, frame: bytes) -> bytes:
-        """The body of a frame from `FrameSplitter`; FrameError if its tag is not the next one."""
+        """The body of a frame from `FrameSplitter`; FrameError if the tag is not that of the next frame."""
         body = frame[:-TAG_BYTES]
         tag = frame[-TAG_BYTES:]
         if not hmac.compare_digest(tag, self.next_tag(body)):
--- a/molereach/coordination/transport/handshake.py
+++ b/molereach/coordination/transport/handshake.py
@@ -1,11 +1,11 @@
-"""Mutual authentication of two proxies by a shared key, which is never sent. Sans-I/O.
-
-Three messages, the listener's first: `Greeting` with its nonce; `Hello` with the dialler's nonce, instance,
-intended recipient and proof; `Welcome` with the listener's instance and proof, or `Rejection`. A proof is
-BLAKE2b (RFC 7693) under the key over the side's role and all messages so far. So an old proof is worthless
-against a new nonce, one side's proof cannot be returned to it, and the listener proves nothing to a peer that
-has not proven itself. The session's identifier is derived from the same messages. What arrives before a proof
-is verified is used for nothing but a log line.
+"""Mutual authentication of two proxies with a shared key, which is never transmitted. Sans-I/O.
+
+There are three messages. The listener sends `Greeting` with its nonce; the dialler sends `Hello` with its
+nonce, instance, intended recipient and proof; the listener sends `Welcome` with its instance and proof, or
+`Rejection`. A proof is BLAKE2b (RFC 7693), keyed with the shared key, over the role of its sender and all
+messages so far. So a replayed proof fails against a new nonce, a proof cannot be reflected to its sender, and
+the listener sends no proof to a peer that is not authenticated. The session identifier is derived from the
+same messages. Unauthenticated data is otherwise used in log lines and rejections only.
 """
 
 import hashlib
@@ -26,8 +26,8 @@
 MAX_HANDSHAKE_BYTES = 1024
 MAX_PROTOCOLS = 16
 MAX_REASON_CHARS = 200
-PURPOSE = b"molereach-hello"  # separates these digests from other uses of the key
-LENGTH_BYTES = 4  # of a message's length within a digest
+PERSONALIZATION = b"molereach-hello"  # separates these digests from other uses of the key
+MESSAGE_LENGTH_BYTES = 4  # size of a message's length in the digest's input
 DIALLER_ROLE = b"dialler"
 LISTENER_ROLE = b"listener"
 SESSION_ROLE = b"session"
@@ -39,27 +39,27 @@
 
 
 class Greeting(WireStruct, frozen=True, array_like=True, tag=1):
-    """The listener's first message; all versions have it in this form."""
+    """The listener's first message; its format is the same in all versions."""
 
     version: Version
     nonce: Nonce
 
 
 class Hello(WireStruct, frozen=True, array_like=True, tag=2):
-    """The dialler's message."""
+    """The dialler's request for a session."""
 
     version: Version
     sender: NodeInstance
     recipient: Name
     protocols: Annotated[
         tuple[Name, ...], Meta(max_length=MAX_PROTOCOLS)
-    ]  # both sides must have the same: they number messages
+    ]  # must be the same on both sides: the order numbers the protocols
     nonce: Nonce
     proof: Proof = b""
 
 
 class Welcome(WireStruct, frozen=True, array_like=True, tag=3):
-    """The listener accepts; the session has begun."""
+    """The listener accepts the dialler; the session is established."""
 
     sender: NodeInstance
     proof: Proof = b""
@@ -73,28 +73,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The result of a handshake in which both sides are authenticated."""
+    """The result of a completed handshake: both sides are authenticated."""
 
     id: bytes
     peer: NodeInstance
 
 
 _encoder = msgspec.msgpack.Encoder()
-_greetings = msgspec.msgpack.Decoder(Greeting)
-_hellos = msgspec.msgpack.Decoder(Hello)
-_replies = msgspec.msgpack.Decoder(Welcome | Rejection)
+_greeting_decoder = msgspec.msgpack.Decoder(Greeting)
+_hello_decoder = msgspec.msgpack.Decoder(Hello)
+_reply_decoder = msgspec.msgpack.Decoder(Welcome | Rejection)
 
 
 def handshake_digest(key: bytes, role: bytes, *messages: bytes) -> bytes:
-    """The keyed hash of a role and encoded messages; lengths keep different sequences apart."""
-    keyed_hash = hashlib.blake2b(role, key=key, digest_size=PROOF_BYTES, person=PURPOSE)
+    """The keyed hash of a role and messages; length prefixes make sequences of messages unambiguous."""
+    keyed_hash = hashlib.blake2b(role, key=key, digest_size=PROOF_BYTES, person=PERSONALIZATION)
     for message in messages:
-        keyed_hash.update(len(message).to_bytes(LENGTH_BYTES, "big") + message)
+        keyed_hash.update(len(message).to_bytes(MESSAGE_LENGTH_BYTES, "big") + message)
     return keyed_hash.digest()
 
 
 def encode_without_proof(message: Hello | Welcome) -> bytes:
-    """The part of a message that its proof covers."""
+    """The encoded message with an empty proof, which its proof covers."""
     return _encoder.encode(msgspec.structs.replace(message, proof=b""))
 
 
@@ -105,23 +105,23 @@
 
 
 def check_version(version: int) -> None:
-    """HandshakeError for another version than this one."""
+    """HandshakeError for a version other than `VERSION`."""
     if version != VERSION:
         raise HandshakeError(f"version {version} is not spoken here; {VERSION} is")
 
 
 def printable_line(text: str) -> str:
-    """Untrusted text as one bounded line for a log."""
+    """Untrusted text as one printable line of bounded length, for a log."""
     return "".join(char if char.isprintable() else "?" for char in text[:MAX_REASON_CHARS])
 
 
 def encode_rejection(reason: str) -> bytes:
-    """The rejection to send to a dialler."""
+    """The encoded rejection for a dialler."""
     return _encoder.encode(Rejection(reason[:MAX_REASON_CHARS]))
 
 
 class DiallerHandshake:
-    """The dialler's side of one handshake; `nonce` is random and used only once."""
+    """The dialler's side of one handshake; `nonce` must be random and used only once."""
 
     def __init__(
         self,
@@ -140,9 +140,9 @@
         self.greeting = b""
 
     def receive_greeting(self, data: bytes) -> bytes:
-        """The encoded hello that answers a greeting; HandshakeError for an invalid one."""
+        """The encoded hello that replies to a greeting; HandshakeError for an invalid greeting."""
         try:
-            greeting = _greetings.decode(data)
+            greeting = _greeting_decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise HandshakeError(f"no greeting: {printable_line(str(error))}") from error
         check_version(greeting.version)
@@ -153,9 +153,9 @@
         return self.hello
 
     def receive_reply(self, data: bytes) -> Session:
-        """The session that a welcome begins; HandshakeError for a rejection, with its reason."""
+        """The session that a welcome establishes; HandshakeError for a rejection, with its reason."""
         try:
-            reply = _replies.decode(data)
+            reply = _reply_decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise HandshakeError(f"no welcome: {printable_line(str(error))}") from error
         if isinstance(reply, Rejection):
@@ -190,9 +190,9 @@
         self.hello = b""
 
     def receive_hello(self, data: bytes) -> NodeInstance:
-        """The authenticated dialler, which the owner may still reject; HandshakeError for any other."""
+        """The authenticated dialler, which the owner may still reject; HandshakeError if it is invalid."""
         try:
-            hello = _hellos.decode(data)
+            hello = _hello_decoder.decode(data)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise HandshakeError(f"no hello: {printable_line(str(error))}") from error
         check_version(hello.version)
@@ -212,9 +212,9 @@
 
     def accept(self, peer: NodeInstance) -> tuple[bytes, Session]:
         """The encoded welcome for an authenticated dialler, and the session."""
-        unproven = Welcome(self.local_instance)
-        proof_input = encode_without_proof(unproven)
+        welcome_without_proof = Welcome(self.local_instance)
+        proof_input = encode_without_proof(welcome_without_proof)
         proof = handshake_digest(self.key, LISTENER_ROLE, self.greeting, self.hello, proof_input)
-        welcome = _encoder.encode(msgspec.structs.replace(unproven, proof=proof))
+        welcome = _encoder.encode(msgspec.structs.replace(welcome_without_proof, proof=proof))
         session_id = handshake_digest(self.key, SESSION_ROLE, self.greeting, self.hello, welcome)
         return welcome, Session(session_id, peer)
--- a/molereach/coordination/transport/messages.py
+++ b/molereach/coordination/transport/messages.py
@@ -1,7 +1,7 @@
-"""The bodies of frames: a protocol's number and a message of that protocol. Sans-I/O.
+"""Frame bodies: a protocol number and a message of that protocol. Sans-I/O.
 
-A body is msgpack, an array of the two. Protocols are numbered from 1 in alphabetical order of their names,
-which both sides compare in the handshake; 0 is the transport's own protocol.
+A body is a msgpack array of the two. Protocols are numbered from 1 in the alphabetical order of their names,
+which the handshake compares; 0 is the transport's control protocol.
 """
 
 from collections.abc import Mapping
@@ -14,30 +14,30 @@
 from molereach.coordination.transport.errors import MessageError
 from molereach.coordination.transport.handshake import MAX_PROTOCOLS, Reason, printable_line
 
-CONTROL_PROTOCOL = ""  # of the transport's own messages
+CONTROL_PROTOCOL = ""  # name of the protocol of the transport's control messages
 
 
 class Heartbeat(WireStruct, frozen=True, array_like=True, tag=1):
-    """How many messages the sender has received on this connection since it opened."""
+    """The total of messages that the sender has received on this connection."""
 
     received: Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
 class Goodbye(WireStruct, frozen=True, array_like=True, tag=2):
-    """The sender sends nothing more on this connection; it processes what still arrives."""
+    """The last message of its sender on this connection; the sender still processes received messages."""
 
     reason: Reason
 
 
 class Envelope(WireStruct, frozen=True, array_like=True):
-    """A body whose message is not decoded yet."""
+    """A body with an undecoded message."""
 
     protocol_number: Annotated[int, Meta(ge=0, le=MAX_PROTOCOLS)]
     body: msgspec.Raw
 
 
 class MessageCodec:
-    """Encodes and decodes messages; `message_types` has a msgspec type (a tagged union) per protocol."""
+    """Encodes and decodes messages; `message_types` maps a protocol to a msgspec type (a tagged union)."""
 
     def __init__(self, message_types: Mapping[str, Any]) -> None:
         if len(message_types) > MAX_PROTOCOLS or CONTROL_PROTOCOL in message_types:
@@ -51,11 +51,11 @@
         self.decoders = [(name, msgspec.msgpack.Decoder(types[name])) for name in self.protocol_numbers]
 
     def encode(self, protocol: str, message: object) -> bytes:
-        """The body of a message; KeyError for an unknown protocol, a programming error."""
+        """The body that contains a message; KeyError for an unknown protocol (a programming error)."""
         return self.encoder.encode((self.protocol_numbers[protocol], message))
 
     def decode(self, body: bytes) -> tuple[str, Any]:
-        """The protocol and the message in a body; MessageError if there is none."""
+        """The protocol and message of a body; MessageError if the body is invalid."""
         try:
             envelope = self.envelope_decoder.decode(body)
             if envelope.protocol_number >= len(self.decoders):
--- a/molereach/coordination/transport/peer.py
+++ b/molereach/coordination/transport/peer.py
@@ -1,4 +1,4 @@
-"""One remote proxy: its send queue, its connection in use, and when to dial it."""
+"""One remote proxy: its send queue, its connection and when to dial it."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,9 +18,9 @@
 
 
 class Peer:
-    """Dials whenever messages wait and there is neither a connection nor a dial.
+    """Dials when messages are queued and there is neither a connection nor a dial in progress.
 
-    `dial` starts one: it sets `pending_connection`, and `dial_task` once the dial has begun.
+    `dial` starts a dial: it sets `pending_connection`, and `dial_task` when the socket is being opened.
     """
 
     def __init__(
@@ -38,22 +38,22 @@
         self.pending_connection: PeerConnection | None = None
         self.dial_task: asyncio.Task[None] | None = None
         self.retry_timer: asyncio.TimerHandle | None = None
-        self.must_dial = False  # dial once even if no message waits
+        self.must_dial = False  # dial once even if no message is queued
         self.closed_bytes_received = 0  # of connections that have ended
         self.closed_bytes_sent = 0
         self.close_reason = ""
 
     def enqueue(self, message: QueuedMessage) -> None:
-        """Queue a message until there is a connection.
+        """Queue a message; without a connection, a dropped message causes a dial as well.
 
-        One that is too large for the queue of a failed peer is dropped. Its sender repeats it, so dial
-        anyway: by then there may be a connection.
+        A message that exceeds the capacity of a failed peer is dropped. Its sender repeats it, and by then a
+        connection may be open.
         """
         if not self.send_queue.put(message) and not self.connection:
             self.must_dial = True
 
     def dial_if_needed(self) -> None:
-        """Dial, at once or after the backoff, if there is a reason to."""
+        """Dial immediately or after the backoff, if messages are queued or a dial is required."""
         is_connecting = self.connection or self.pending_connection or self.retry_timer
         if is_connecting or not (self.must_dial or len(self.send_queue)):
             return
@@ -65,12 +65,12 @@
         self.dial(self)
 
     def on_retry_timer(self) -> None:
-        """The backoff is over."""
+        """Dial if that is still needed after the backoff."""
         self.retry_timer = None
         self.dial_if_needed()
 
     def on_opened(self, connection: PeerConnection) -> PeerConnection | None:
-        """Use this connection from now on; the previous one, if any."""
+        """Use this connection from now on; return the previous one, if any."""
         previous = self.connection
         self.connection = connection
         self.must_dial = False
@@ -82,7 +82,7 @@
         return previous
 
     def on_ended(self, connection: PeerConnection, reason: str, failed: bool) -> bool:
-        """Account for a connection that ended; whether it was the one in use."""
+        """Process the end of a connection; whether it was the one in use."""
         self.closed_bytes_received += connection.bytes_received
         self.closed_bytes_sent += connection.bytes_sent
         if connection is not self.connection and connection is not self.pending_connection:
@@ -110,7 +110,7 @@
                 self.dial_task.cancel()
 
     def close(self) -> None:
-        """Drop all messages and close the connection in order."""
+        """Drop all messages and close the connection gracefully."""
         self.must_dial = False
         self.send_queue.clear()
         self.cancel_dial()
@@ -121,7 +121,7 @@
             self.connection.close_gracefully("closed")
 
     def state(self) -> str:
-        """The state as `PeerStats` names it."""
+        """The state for `PeerStats`."""
         if self.connection:
             return "up"
         if self.pending_connection:
@@ -132,15 +132,20 @@
         """The state of the peer and the totals of its connections."""
         connection = self.connection
         candidates = (connection, self.pending_connection)
-        live = [one for one in candidates if one and one.phase is not ConnectionPhase.CLOSED]
+        live_connections = [
+            candidate
+            for candidate in candidates
+            if candidate and candidate.phase is not ConnectionPhase.CLOSED
+        ]
         return PeerStats(
             state=self.state(),
             instance_number=connection.peer_instance.number if connection else None,
             queued_messages=len(self.send_queue),
-            queued_bytes=self.send_queue.size,
+            queued_bytes=self.send_queue.size_bytes,
             dropped=self.send_queue.dropped,
-            bytes_received=self.closed_bytes_received + sum(one.bytes_received for one in live),
-            bytes_sent=self.closed_bytes_sent + sum(one.bytes_sent for one in live),
+            bytes_received=self.closed_bytes_received
+            + sum(candidate.bytes_received for candidate in live_connections),
+            bytes_sent=self.closed_bytes_sent + sum(candidate.bytes_sent for candidate in live_connections),
             silent_us=now_us() - connection.last_received_us if connection else None,
             consecutive_failures=self.retry.failures,
             close_reason=self.close_reason,
--- a/molereach/coordination/transport/send_queue.py
+++ b/molereach/coordination/transport/send_queue.py
@@ -1,9 +1,10 @@
-"""The bounded queue of messages that wait to be sent to one peer. Sans-I/O.
+"""The bounded queue of messages to one peer. Sans-I/O.
 
-Messages leave in the order of their sending, over all protocols. Each protocol has limits, and the peer has a
-capacity for all. Beyond either, the oldest message of a droppable protocol is dropped, of the same protocol
-first; if there is none, the new message is not queued. A message that supersedes an older one of its type
-replaces it, at the end of the queue.
+Messages of all protocols leave in the order in which they were queued. Each protocol has limits, and the peer
+has a total capacity. If a new message exceeds either, the oldest message of its protocol is dropped, provided
+that the protocol is droppable. Otherwise a message beyond the limits of its protocol is not queued; one
+beyond the capacity displaces the oldest droppable message, and is not queued if there is none. A message that
+supersedes an older one of its type replaces it and is queued last.
 """
 
 from collections import OrderedDict
@@ -14,21 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueCapacity:
-    """The limits of one peer's messages of all protocols."""
+    """The limits of one peer over all protocols."""
 
     max_messages: int
     max_bytes: int
 
 
-# A peer that does not read is disconnected, so this much waits only briefly, or before the first dial ends.
+# Reached only during the first dial, or briefly, until a peer that does not read is disconnected.
 FULL_CAPACITY = QueueCapacity(max_messages=1024, max_bytes=4 << 20)
-# After a failure: many unreachable peers must not hold much memory.
+# After a failure: messages for many unreachable peers must not use much memory.
 FAILED_PEER_CAPACITY = QueueCapacity(max_messages=128, max_bytes=256 << 10)
 
 
 @dataclass(frozen=True, slots=True)
 class QueueLimits:
-    """The limits of one protocol. Of the types in `latest_only` only the newest message is kept."""
+    """The limits of one protocol. Only the newest message of each type in `latest_only` is kept."""
 
     max_messages: int = 256
     max_bytes: int = 2 << 20
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """An encoded message; with `instance_number` for that instance of the peer only."""
+    """An encoded message; `instance_number` restricts it to that instance of the peer."""
 
     protocol: str
     message_type: type
@@ -47,28 +48,28 @@
 
 
 class _MessageKind(NamedTuple):
-    """Messages of one kind supersede each other."""
+    """The key under which messages of a type in `latest_only` supersede each other."""
 
     message_type: type
     instance_number: int | None
 
 
 class _ProtocolQueue:
-    """The waiting messages of one protocol, by their sequence number."""
+    """The queued messages of one protocol by sequence number."""
 
-    __slots__ = ("latest_numbers", "limits", "messages", "size")
+    __slots__ = ("latest_numbers", "limits", "messages", "size_bytes")
 
     def __init__(self, limits: QueueLimits) -> None:
         self.limits = limits
-        self.size = 0
+        self.size_bytes = 0
         self.messages: OrderedDict[int, QueuedMessage] = OrderedDict()
         self.latest_numbers: dict[_MessageKind, int] = {}  # of the types in `limits.latest_only`
 
     def is_over_limit(self) -> bool:
-        return len(self.messages) > self.limits.max_messages or self.size > self.limits.max_bytes
+        return len(self.messages) > self.limits.max_messages or self.size_bytes > self.limits.max_bytes
 
     def add(self, number: int, message: QueuedMessage) -> int:
-        """Append a message; the number of messages that it supersedes, 0 or 1."""
+        """Append a message; return the number of messages that it supersedes, 0 or 1."""
         superseded = 0
         if message.message_type in self.limits.latest_only:
             kind = _MessageKind(message.message_type, message.instance_number)
@@ -77,12 +78,12 @@
                 self.remove(self.latest_numbers[kind])
             self.latest_numbers[kind] = number
         self.messages[number] = message
-        self.size += len(message.body)
+        self.size_bytes += len(message.body)
         return superseded
 
     def remove(self, number: int) -> QueuedMessage:
         message = self.messages.pop(number)
-        self.size -= len(message.body)
+        self.size_bytes -= len(message.body)
         kind = _MessageKind(message.message_type, message.instance_number)
         if self.latest_numbers.get(kind) == number:
             del self.latest_numbers[kind]
@@ -94,7 +95,7 @@
     def clear(self) -> None:
         self.messages.clear()
         self.latest_numbers.clear()
-        self.size = 0
+        self.size_bytes = 0
 
 
 def _with_oldest_message(queues: Iterable[_ProtocolQueue]) -> _ProtocolQueue | None:
@@ -103,35 +104,35 @@
 
 
 class SendQueue:
-    """The queue of one peer; `limits` has an entry for each protocol."""
+    """The queue of one peer; `limits` must have an entry for each protocol."""
 
     def __init__(self, limits: Mapping[str, QueueLimits], capacity: QueueCapacity = FULL_CAPACITY) -> None:
         self.protocol_queues = {name: _ProtocolQueue(limit) for name, limit in limits.items()}
         self.capacity = capacity
         self.last_number = 0
-        self.dropped = 0  # for lack of capacity, or addressed to another instance
+        self.dropped = 0  # beyond the limits, cleared, or addressed to another instance
         self.superseded = 0
 
     def __len__(self) -> int:
         return sum(len(queue.messages) for queue in self.protocol_queues.values())
 
     @property
-    def size(self) -> int:
-        """The bytes of all bodies."""
-        return sum(queue.size for queue in self.protocol_queues.values())
+    def size_bytes(self) -> int:
+        """The total size of all bodies."""
+        return sum(queue.size_bytes for queue in self.protocol_queues.values())
 
     def is_over_capacity(self) -> bool:
-        """Whether the messages of all protocols exceed the capacity."""
-        return len(self) > self.capacity.max_messages or self.size > self.capacity.max_bytes
+        """Whether the messages of all protocols together exceed the capacity."""
+        return len(self) > self.capacity.max_messages or self.size_bytes > self.capacity.max_bytes
 
     def set_capacity(self, capacity: QueueCapacity) -> None:
-        """Change the capacity and drop what exceeds it; other protocols keep to their own limits."""
+        """Set the capacity and drop the oldest droppable messages beyond it; others are kept."""
         self.capacity = capacity
         while self.is_over_capacity() and (queue := self._oldest_droppable()):
             self._drop_first(queue)
 
     def put(self, message: QueuedMessage) -> bool:
-        """Queue a message, dropping others if needed; False if it was dropped itself.
+        """Queue a message, dropping others if needed; False if the message itself was dropped.
 
         KeyError for a protocol without limits.
         """
@@ -149,7 +150,7 @@
         return True
 
     def pop(self, instance_number: int) -> QueuedMessage | None:
-        """Remove the next message for this instance of the peer; those for other instances are dropped."""
+        """Remove and return the next message for this instance; messages for other instances are dropped."""
         while queue := _with_oldest_message(self.protocol_queues.values()):
             message = queue.remove(queue.first_number())
             if message.instance_number is None or message.instance_number == instance_number:
@@ -171,7 +172,7 @@
     def _queue_to_drop_from(self, queue: _ProtocolQueue) -> _ProtocolQueue | None:
         if queue.limits.droppable:
             return queue
-        if queue.is_over_limit():  # it may not drop from others to exceed its own limits
+        if queue.is_over_limit():  # other protocols' messages are dropped only for lack of capacity
             return None
         return self._oldest_droppable()
 
--- a/molereach/coordination/transport/service.py
+++ b/molereach/coordination/transport/service.py
@@ -1,4 +1,4 @@
-"""The transport as the coordination node uses it: send and receive messages, and learn who is connected."""
+"""The transport's interface for the coordination node: messages and notifications of connected peers."""
 
 import asyncio
 import logging
@@ -19,17 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-# All peers dial a proxy that has returned. Beyond the backlog a dial is not refused but waits for seconds.
+# All peers dial a proxy that restarts. A dial beyond the backlog is not refused but delayed by seconds.
 LISTEN_BACKLOG = 128
 
 
 class TransportService:
     """Sends and receives messages between this proxy and those at `addresses`, looked up at each dial.
 
-    `message_types` has the messages of each protocol. `on_message` gets a protocol and a message;
-    `on_peer_connected` and `on_peer_disconnected` report who is connected. Their exceptions are logged
-    and have no other effect. `queue_limits` say per protocol how messages wait. `random` returns a number
-    from 0 up to 1.
+    `message_types` maps each protocol to its message type. `on_message` receives a protocol and a message;
+    `on_peer_connected` and `on_peer_disconnected` are called when a connection opens or ends. Exceptions of
+    these callbacks are logged and have no other effect. `queue_limits` overrides the default limits per
+    protocol. `random` returns a number in [0, 1).
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self.undeliverable = 0
 
     async def start(self, listen: Address) -> Address:
-        """Listen at an address and dial; the address with its port. OSError if it is not available."""
+        """Listen and dial peers; return the bound address. OSError if `listen` is not available."""
         self.server = await self.loop.create_server(
             self.registry.accept_connection, *listen, backlog=LISTEN_BACKLOG
         )
@@ -86,9 +86,9 @@
         self.registry.send_heartbeats()
 
     def send(self, protocol: str, action: SendMessage) -> None:
-        """Send a message now, queue it until there is a connection, or drop it.
+        """Send a message now, queue it until it can be sent, or drop it.
 
-        KeyError for an unknown protocol; other faults are logged.
+        KeyError for an unknown protocol; other errors are logged.
         """
         if protocol not in self.codec.protocol_numbers:
             raise KeyError(protocol)
@@ -98,7 +98,7 @@
             log.exception("a message of %s to %s failed", protocol, action.recipient)
 
     def encode_and_send(self, protocol: str, action: SendMessage) -> None:
-        """Send or queue a message; one that can never be delivered is counted and dropped."""
+        """Send or queue a message; an undeliverable one is counted and dropped."""
         body = self.codec.encode(protocol, action.message)
         peer = self.registry.peer(action.recipient)
         if peer is None or len(body) > MAX_BODY_BYTES:
@@ -120,17 +120,17 @@
         elif message.instance_number not in (None, connection.peer_instance.number):
             peer.send_queue.dropped += 1
         elif connection.writing_paused or len(peer.send_queue):
-            peer.enqueue(message)  # the scheduler sends it, or the connection resumes writing
+            peer.enqueue(message)  # sent by the scheduler, or when writing resumes
         else:
             connection.send(message.body)
 
     def remove_peer(self, name: str) -> None:
-        """Close the connection to a peer and drop its waiting messages."""
+        """Close the connection to a peer and drop its queued messages."""
         if peer := self.registry.peers.pop(name, None):
             peer.close()
 
     def close(self) -> None:
-        """Close all connections; waiting messages are dropped."""
+        """Close all connections; queued messages are dropped."""
         self.registry.closed = True
         if self.server:
             self.server.close()
@@ -142,11 +142,11 @@
             if connection.phase is ConnectionPhase.HANDSHAKE:
                 connection.abort("closed", failed=False)
             elif connection.transport:
-                connection.transport.close()  # after its write buffer has drained
+                connection.transport.close()  # asyncio closes the socket after the write buffer has drained
         self.loop.call_later(self.settings.handshake_timeout_s, self.abort_connections)
 
     def abort_connections(self) -> None:
-        """Abort the connections whose peers do not read or close."""
+        """Abort the connections that are still open after the timeout."""
         for connection in list(self.registry.connections):
             connection.abort("closed", failed=False)
 
--- a/molereach/coordination/transport/session_channel.py
+++ b/molereach/coordination/transport/session_channel.py
@@ -1,18 +1,18 @@
-"""The frames of one authenticated session: messages to sealed bytes and back. Sans-I/O.
+"""Encodes the messages of one authenticated session as frames, and decodes them. Sans-I/O.
 
-It also counts messages for the heartbeat and acknowledges them. A `TransportError` ends the connection.
+Messages are also counted for heartbeats, which acknowledge them. A `TransportError` closes the connection.
 """
 
 from typing import Any
 
-from molereach.coordination.transport.frames import DIALLER, LISTENER, FrameOpener, FrameSealer
+from molereach.coordination.transport.frames import FROM_DIALLER, FROM_LISTENER, FrameOpener, FrameSealer
 from molereach.coordination.transport.handshake import Session
 from molereach.coordination.transport.heartbeat import ConnectionHealth, HeartbeatMonitor
 from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Goodbye, Heartbeat, MessageCodec
 
 
 class SessionChannel:
-    """One session; `is_dialler` says which direction of frames is this side's."""
+    """One session; `is_dialler` selects the direction of the frames that this side sends."""
 
     __slots__ = ("codec", "heartbeat", "opener", "peer", "sealer")
 
@@ -24,25 +24,25 @@
         codec: MessageCodec,
         heartbeat: HeartbeatMonitor,
     ) -> None:
-        local_role = DIALLER if is_dialler else LISTENER
-        remote_role = LISTENER if is_dialler else DIALLER
-        self.sealer = FrameSealer(key, session.id, local_role)
-        self.opener = FrameOpener(key, session.id, remote_role)
+        local_direction = FROM_DIALLER if is_dialler else FROM_LISTENER
+        remote_direction = FROM_LISTENER if is_dialler else FROM_DIALLER
+        self.sealer = FrameSealer(key, session.id, local_direction)
+        self.opener = FrameOpener(key, session.id, remote_direction)
         self.codec = codec
         self.heartbeat = heartbeat
         self.peer = session.peer
 
     def seal_message(self, body: bytes) -> bytes:
-        """The frame of an encoded message, which is counted as sent."""
+        """The frame of an encoded message; counts the message as sent."""
         self.heartbeat.on_sent()
         return self.sealer.seal(body)
 
     def seal_control(self, message: Heartbeat | Goodbye) -> bytes:
-        """The frame of a message of the transport itself."""
+        """The frame of a control message; it is not counted."""
         return self.sealer.seal(self.codec.encode(CONTROL_PROTOCOL, message))
 
     def open_frame(self, frame: bytes) -> tuple[str, Any]:
-        """The protocol and message of a frame; the acknowledgement in a heartbeat has been counted."""
+        """The protocol and message of a frame; counts messages and processes acknowledgements."""
         protocol, message = self.codec.decode(self.opener.open(frame))
         if protocol != CONTROL_PROTOCOL:
             self.heartbeat.on_received()
@@ -51,9 +51,9 @@
         return protocol, message
 
     def check_heartbeat(self, drained_bytes: int, waiting_bytes: int) -> tuple[bytes, ConnectionHealth]:
-        """The heartbeat's frame (b"" if nothing is to be acknowledged) and the health of the connection."""
+        """The heartbeat frame (b"" without a message to acknowledge) and the health of the connection."""
         frame = b""
         if self.heartbeat.acknowledgement_due:
-            self.heartbeat.reported = self.heartbeat.received
+            self.heartbeat.acknowledged_to_peer = self.heartbeat.received
             frame = self.seal_control(Heartbeat(self.heartbeat.received))
         return frame, self.heartbeat.check(drained_bytes, waiting_bytes)
--- a/tests/coordination/transport/nodes.py
+++ b/tests/coordination/transport/nodes.py
@@ -8,8 +8,8 @@
 from molereach.coordination.interface.core import MessageReceived, SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance, WireStruct
 from molereach.coordination.transport.frames import (
-    DIALLER,
-    LISTENER,
+    FROM_DIALLER,
+    FROM_LISTENER,
     MAX_BODY_BYTES,
     TAG_BYTES,
     FrameOpener,
@@ -169,8 +169,8 @@
         await self.connect(address)
         self.writer.write(await self.hello())
         session = self.handshake.receive_reply(await self.frame())
-        self.sealer = FrameSealer(self.key, session.id, DIALLER)
-        self.opener = FrameOpener(self.key, session.id, LISTENER)
+        self.sealer = FrameSealer(self.key, session.id, FROM_DIALLER)
+        self.opener = FrameOpener(self.key, session.id, FROM_LISTENER)
         self.cutter.max_body_bytes, self.cutter.tag_bytes = MAX_BODY_BYTES, TAG_BYTES
         return self
 
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -5,7 +5,7 @@
 
 from molereach.coordination.interface.core import SendMessage
 from molereach.coordination.interface.identifiers import NodeInstance
-from molereach.coordination.transport.budget import MAX_STEPS
+from molereach.coordination.transport.budget import MAX_STEPS_PER_TURN
 from molereach.coordination.transport.connection_registry import HEARTBEATS_PER_TURN
 from molereach.coordination.transport.dialer import DIALS_PER_TURN
 from molereach.coordination.transport.messages import Goodbye
@@ -85,7 +85,7 @@
         await b.until(lambda: len(b.received) == 5000)
         await spin(lambda: sum(between) == 5000)
         assert b.numbers == list(range(5000))
-        assert 0 < max(between) <= MAX_STEPS
+        assert 0 < max(between) <= MAX_STEPS_PER_TURN
         assert max(waiting) <= MANUAL_HEARTBEATS.max_read_buffer_bytes + (
             256 << 10
         )  # and what the loop reads at once
@@ -103,7 +103,7 @@
             a.say("b", number, "x" * 100, part="hint")
             a.transport.send("log", SendMessage("b", State(number)))
             a.say("d", number, "x" * 100)
-            assert a.transport.registry.peers["b"].send_queue.size <= 1 << 16
+            assert a.transport.registry.peers["b"].send_queue.size_bytes <= 1 << 16
             assert len(a.transport.registry.peers["d"].send_queue) <= 256
         a.say("c", 1)
         await c.until_received(1)
@@ -158,7 +158,7 @@
         await spin(
             lambda: (
                 a.transport.registry.peers["b"].connection
-                and a.transport.registry.peers["b"].connection.heartbeat.acknowledged
+                and a.transport.registry.peers["b"].connection.heartbeat.acknowledged_by_peer
             )
         )
         for _ in range(4):
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -201,7 +201,7 @@
             await spin(
                 lambda: (
                     a.transport.registry.peers["b"].connection
-                    and a.transport.registry.peers["b"].connection.heartbeat.acknowledged
+                    and a.transport.registry.peers["b"].connection.heartbeat.acknowledged_by_peer
                 )
             )
             a.transport.registry.send_heartbeats()
--- a/tests/coordination/transport/test_frames.py
+++ b/tests/coordination/transport/test_frames.py
@@ -4,8 +4,8 @@
 
 from molereach.coordination.transport import frames
 from molereach.coordination.transport.frames import (
-    DIALLER,
-    LISTENER,
+    FROM_DIALLER,
+    FROM_LISTENER,
     TAG_BYTES,
     FrameError,
     FrameOpener,
@@ -17,7 +17,7 @@
 
 
 def sealed() -> bytes:
-    sealer = frames.FrameSealer(KEY, SESSION, DIALLER)
+    sealer = frames.FrameSealer(KEY, SESSION, FROM_DIALLER)
     return b"".join(map(sealer.seal, BODIES))
 
 
@@ -27,7 +27,7 @@
     *,
     key: bytes = KEY,
     session: bytes = SESSION,
-    direction: bytes = DIALLER,
+    direction: bytes = FROM_DIALLER,
 ) -> list[bytes]:
     """What opens of a stream that comes in pieces of `step` bytes."""
     cutter, opener = FrameSplitter(frames.MAX_BODY_BYTES, TAG_BYTES), FrameOpener(key, session, direction)
@@ -44,14 +44,14 @@
     assert opened(sealed(), step) == BODIES
 
 
-@pytest.mark.parametrize("other", [{"key": b"o" * 32}, {"session": b"o" * 32}, {"direction": LISTENER}])
+@pytest.mark.parametrize("other", [{"key": b"o" * 32}, {"session": b"o" * 32}, {"direction": FROM_LISTENER}])
 def test_frames_of_another_key_session_or_direction_do_not_open(other: dict[str, bytes]) -> None:
     with pytest.raises(FrameError, match="tag"):
         opened(sealed(), **other)
 
 
 def test_a_repeated_omitted_or_reordered_frame_does_not_open() -> None:
-    sealer = frames.FrameSealer(KEY, SESSION, DIALLER)
+    sealer = frames.FrameSealer(KEY, SESSION, FROM_DIALLER)
     first, second = sealer.seal(b"first"), sealer.seal(b"second")
     for data in (first + first, second, second + first):
         with pytest.raises(FrameError, match="tag"):
@@ -59,7 +59,7 @@
 
 
 def test_a_frame_with_any_flipped_bit_does_not_open() -> None:
-    whole = frames.FrameSealer(KEY, SESSION, DIALLER).seal(b"a body")
+    whole = frames.FrameSealer(KEY, SESSION, FROM_DIALLER).seal(b"a body")
     for place in range(len(whole)):
         data = bytearray(whole)
         data[place] ^= 1
@@ -81,4 +81,4 @@
 @pytest.mark.parametrize("size", [0, frames.MAX_BODY_BYTES + 1])
 def test_a_body_of_invalid_size_is_not_sealed(size: int) -> None:
     with pytest.raises(FrameError, match=f"{size} bytes"):
-        frames.FrameSealer(KEY, SESSION, DIALLER).seal(bytes(size))
+        frames.FrameSealer(KEY, SESSION, FROM_DIALLER).seal(bytes(size))
--- a/tests/coordination/transport/test_send_queue.py
+++ b/tests/coordination/transport/test_send_queue.py
@@ -31,7 +31,7 @@
     queue = SendQueue(LIMITS)
     for number, protocol in enumerate(("log", "hint", "spread", "log", "hint")):
         queue.put(queued(protocol, b"%d" % number))
-    assert pop_all(queue) == [b"0", b"1", b"2", b"3", b"4"] and not len(queue) and not queue.size
+    assert pop_all(queue) == [b"0", b"1", b"2", b"3", b"4"] and not len(queue) and not queue.size_bytes
 
 
 def test_a_droppable_protocol_drops_its_oldest_message_and_another_rejects_the_new_one() -> None:
@@ -104,10 +104,14 @@
     queue = SendQueue(LIMITS, QueueCapacity(max_messages, max_bytes))
     for protocol, size, message_type, instance_number in many:
         queue.put(queued(protocol, bytes(size), message_type, instance_number))
-        assert len(queue) <= max_messages and queue.size <= max_bytes
+        assert len(queue) <= max_messages and queue.size_bytes <= max_bytes
         for name, limits in LIMITS.items():
             waiting = queue.protocol_queues[name]
             assert len(waiting.messages) <= limits.max_messages
-            assert waiting.size == sum(len(one.body) for one in waiting.messages.values()) <= limits.max_bytes
+            assert (
+                waiting.size_bytes
+                == sum(len(one.body) for one in waiting.messages.values())
+                <= limits.max_bytes
+            )
             assert len(waiting.latest_numbers) <= len(waiting.messages)
     assert len(pop_all(queue)) + queue.dropped + queue.superseded == len(many)
