--- a/molereach/coordination/node/__init__.py
+++ b/molereach/coordination/node/__init__.py
@@ -1,7 +1,7 @@
-"""The coordination of one proxy: membership, replicated log, leases and dissemination as one component.
+"""Coordination of one proxy: membership, replicated log, leases and dissemination combined into one node.
 
-Reading order: `settings`, `initial_voters` (who votes when a cluster is formed), `components` (the sans-I/O
-cores), `events` (what goes in and out), `translations` (actions of one component that are events of another),
-`core` (their composition), `event_log` (log lines for the operator), `service` (I/O) and `attach` (the start
-beside a proxy).
+Modules in reading order: `settings`, `initial_voters` (the voters of a new cluster), `components` (the
+sans-I/O components), `events` (events and actions of the node), `translations` (actions of one component that
+are events of another), `core` (composition of the components), `event_log` (log lines for the operator),
+`service` (I/O) and `attach` (startup beside a proxy).
 """
--- a/molereach/coordination/node/attach.py
+++ b/molereach/coordination/node/attach.py
@@ -1,4 +1,4 @@
-"""Starts coordination beside a proxy, from the operator file; settings are checked before the start."""
+"""Starts coordination beside a proxy from the operator file; settings are checked before the proxy starts."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
 
 
 def read_settings(section: CoordinationSection) -> CoordinationSettings:
-    """The settings of an operator file; ValueError names the key of an invalid one."""
+    """The settings of an operator file; ValueError names the key of an invalid value."""
     try:
         addresses = {name: read_address(address) for name, address in section.doors.items()}
         terms = SessionTerms(section.session_ms * MILLISECOND_US, section.drift)
@@ -30,7 +30,7 @@
 
 
 def attacher(section: CoordinationSection) -> Callable[[Proxy], Awaitable[Callable[[], None]]]:
-    """The function that starts coordination for a proxy; ValueError for invalid settings or key file."""
+    """Return a function that starts coordination for a proxy; ValueError for invalid settings or key file."""
     settings = read_settings(section)
     key = read_key(Path(section.key_file), "council.key_file")
 
@@ -46,7 +46,7 @@
 def open_section_folder(
     section: CoordinationSection, settings: CoordinationSettings, key: bytes, name: str
 ) -> OpenedFolder | None:
-    """Open the folder that the operator file names, if any; AttachError if it is missing or invalid."""
+    """Open the configured folder, if any; AttachError if it is invalid, or if a voter has none."""
     is_voter = name in settings.initial_voters
     if section.folder is None:
         if is_voter:
@@ -64,16 +64,18 @@
     key: bytes,
     name: str,
 ) -> CoordinationService:
-    """Open the folder, listen and join; AttachError if that fails."""
+    """Open the folder, listen and join the cluster; AttachError if that fails."""
     if name not in settings.addresses:
         raise AttachError(f"council.doors: '{name}' is not among them")
-    opened = open_section_folder(section, settings, key, name)
-    service = CoordinationService(name, settings, key, opened, {})
+    opened_folder = open_section_folder(section, settings, key, name)
+    service = CoordinationService(name, settings, key, opened_folder, {})
     host, port = settings.addresses[name]
     try:
         await service.start((host, port))
     except OSError as error:
         await service.close()
         raise AttachError(f"council.doors.{name}: {host}:{port}: {error.strerror or error}") from error
-    log.info("council: %s takes part at %s:%d%s", name, host, port, "" if opened else ", without a folder")
+    log.info(
+        "council: %s takes part at %s:%d%s", name, host, port, "" if opened_folder else ", without a folder"
+    )
     return service
--- a/molereach/coordination/node/components.py
+++ b/molereach/coordination/node/components.py
@@ -1,4 +1,4 @@
-"""The sans-I/O components of one proxy's coordination, and the message types of their protocols."""
+"""The sans-I/O components of one coordination node, and the message types of their protocols."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
@@ -21,7 +21,7 @@
 from molereach.coordination.replicated_log.records import Recovered
 from molereach.coordination.replicated_log.settings import LogSettings
 
-# The names of protocols are on the wire, and their alphabetical order numbers them.
+# Protocol names are part of the handshake, and their alphabetical order numbers the protocols.
 MEMBERSHIP = "membership"
 LOG = "log"
 DISSEMINATION = "spread"
@@ -30,24 +30,24 @@
     LOG: log_messages.Message,
     DISSEMINATION: dissemination_messages.Message,
 }
-# Components that exchange no messages with peers themselves.
+# Components without a protocol of their own.
 LEASE_MANAGER = "lease manager"
 LEASE_HOLDER = "lease holder"
 
 
 class Component(Protocol):
-    """A sans-I/O component: it takes events and returns actions."""
+    """A sans-I/O component: handles events and returns actions."""
 
     @property
     def wake_us(self) -> int:
-        """When the next `Tick` is due."""
+        """The time at which the next `Tick` is due."""
 
     def handle(self, now_us: int, event: Any) -> Any:  # noqa: ANN401
-        """Process an event; the actions that follow, in order."""
+        """Handle an event; return the resulting actions in order."""
 
 
 class Components:
-    """All components of one proxy. `machines` are replicated beside the sessions, by name."""
+    """All components of one node. `machines` are state machines by name, replicated beside the sessions."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         wall_ms: Callable[[int], int],
     ) -> None:
         interval_us = settings.heartbeat_interval_us
-        terms = settings.session_terms
+        session_terms = settings.session_terms
         self.sessions = SessionRegistry()
         all_machines = {self.sessions.name: self.sessions, **machines}
         membership_settings = MembershipSettings(
@@ -71,11 +71,11 @@
         self.log = LogCore(
             local_instance, disk, recovered, initial_voters, all_machines, LogSettings(), random, wall_ms
         )
-        self.lease_holder = LeaseHolder(local_instance, self.sessions, terms, random, interval_us)
-        self.lease_manager = LeaseManager(self.sessions, terms, interval_us)
+        self.lease_holder = LeaseHolder(local_instance, self.sessions, session_terms, random, interval_us)
+        self.lease_manager = LeaseManager(self.sessions, session_terms, interval_us)
         tree_settings = DisseminationSettings(heartbeat_interval_us=interval_us)
         self.dissemination = DisseminationTree(local_instance, tree_settings, random)
-        # In the order of ticks: the holder is last, so that it acknowledges what the others have applied.
+        # In the order of ticks. The lease holder is last: it acknowledges what the other components applied.
         self.by_name: dict[str, Component] = {
             MEMBERSHIP: self.membership,
             LOG: self.log,
@@ -86,5 +86,5 @@
 
     @property
     def wake_us(self) -> int:
-        """When the first component needs a `Tick`."""
+        """The earliest time at which a component needs a `Tick`."""
         return min(component.wake_us for component in self.by_name.values())
--- a/molereach/coordination/node/core.py
+++ b/molereach/coordination/node/core.py
@@ -1,15 +1,15 @@
-"""The composition of one proxy's coordination components into one sans-I/O core.
+"""Combines the coordination components of one proxy into one sans-I/O core.
 
-An action of one component is an event of another, or leaves for the shell: messages to peers, writes, and
-notifications. Applying an entry has a fixed order: whoever observes the log acts on it first, and only then
-the lease holder may acknowledge it. So an acknowledged entry is in effect at this proxy.
+An action of a component becomes an event of another component, or an action of the core for the I/O layer:
+a message to a peer, a disk write or a notification. An applied entry is first reported to the observers of
+the log; only then may the lease holder acknowledge it. So an acknowledged entry is in effect at this proxy.
 """
 
 from collections import deque
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
 
-from molereach.coordination.dissemination import messages as tree
+from molereach.coordination.dissemination import messages as dissemination
 from molereach.coordination.interface.core import SendMessage, Tick
 from molereach.coordination.interface.disk import DiskFailed, Persisted
 from molereach.coordination.interface.identifiers import NodeInstance
@@ -21,7 +21,7 @@
     Restored,
     StateMachine,
 )
-from molereach.coordination.leases import messages as lease
+from molereach.coordination.leases import messages as leases
 from molereach.coordination.leases.acknowledgements import AcknowledgementTracker
 from molereach.coordination.leases.messages import LeasePhase
 from molereach.coordination.membership.events import Join, MemberStatusChanged, Superseded
@@ -49,18 +49,18 @@
 from molereach.coordination.replicated_log.messages import Voters
 from molereach.coordination.replicated_log.records import Recovered
 
-MAX_RECENT_ENTRIES = 64  # entries just applied that dissemination gets at once
+MAX_RECENT_ENTRIES = 64  # newly applied entries passed to dissemination at once
 
 
 class PendingAction(NamedTuple):
-    """An action that is not dispatched yet, and the component that it comes from."""
+    """An undispatched action and the component that returned it."""
 
     component: str
     action: Any
 
 
 class CoordinationCore:
-    """`handle` takes an event with the time, and returns actions in the order of their execution."""
+    """`handle` processes an event at a given time and returns actions in the order of execution."""
 
     def __init__(
         self,
@@ -80,9 +80,9 @@
         )
         self.leader: str | None = None
         self.ballot = 0
-        self.end_reason = ""  # why this instance takes no further part
+        self.end_reason = ""  # set when this instance has stopped taking part
         self.session_closed = False
-        self.last_received_us = 0  # of any peer's message
+        self.last_received_us = 0  # time of the last message from any peer
         self._recent_entries: list[Any] = []
         self._pending_actions: deque[PendingAction] = deque()
         self._output: list[Action] = []
@@ -91,7 +91,7 @@
 
     @property
     def wake_us(self) -> int:
-        """When the next `Tick` is due."""
+        """The time at which the next `Tick` is due."""
         return self.components.wake_us
 
     @property
@@ -100,18 +100,18 @@
         return self.components.log.position
 
     def holds_session(self, now_us: int) -> bool:
-        """Whether this proxy's session is valid now; to be asked at each use."""
+        """Whether this proxy's session is valid now; must be checked at each use."""
         return not self.end_reason and self.components.lease_holder.holds(now_us)
 
     def is_isolated(self, now_us: int) -> bool:
-        """Whether no other member was heard of for the isolation timeout."""
+        """Whether no message was received from any peer for the isolation timeout."""
         has_peers = len(self.settings.addresses) > 1
         return has_peers and now_us - self.last_received_us > self.settings.isolation_timeout_us
 
     def track_acknowledgements(
         self, position: int, since_us: int, clear: bool = False
     ) -> AcknowledgementTracker:
-        """Who has applied the entry at `position`, or with `clear` finished all work before it."""
+        """A tracker of the members that applied `position`, or with `clear` finished all work before it."""
         components = self.components
         return AcknowledgementTracker(
             position, components.sessions, components.lease_manager, since_us, clear
@@ -120,7 +120,7 @@
     # --- events ---
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Process an event and all actions that follow from it within the components."""
+        """Process an event and all resulting events of the components; return the remaining actions."""
         if self.end_reason:
             return []
         self._dispatch_event(now_us, event)
@@ -144,7 +144,7 @@
             case Start():
                 self._start(now_us)
             case Leave():
-                self._run_component(LEASE_HOLDER, now_us, lease.ReleaseLease())
+                self._run_component(LEASE_HOLDER, now_us, leases.ReleaseLease())
                 self._run_component(MEMBERSHIP, now_us, LeaveMembers())
 
     def _start(self, now_us: int) -> None:
@@ -155,7 +155,7 @@
         self._tick(now_us)
 
     def _tick(self, now_us: int) -> None:
-        """Wake the components that are due. The lease holder is last: it acknowledges what was applied."""
+        """Tick the components that are due. The lease holder is last: it acknowledges applied entries."""
         for name, component in self.components.by_name.items():
             if component.wake_us <= now_us:
                 self._run_component(name, now_us, Tick())
@@ -168,7 +168,7 @@
         self._run_component(LEASE_MANAGER, now_us, event)
         self._run_component(LEASE_HOLDER, now_us, event)
 
-    # --- actions of the components ---
+    # --- actions of components ---
 
     def _dispatch_action(self, now_us: int, pending: PendingAction) -> None:
         action = pending.action
@@ -182,7 +182,7 @@
             self._output.append(action)
 
     def _on_applied(self, now_us: int, action: Applied) -> None:
-        self._output.append(action)  # before the holder can acknowledge it: observers act on it first
+        self._output.append(action)  # before the lease holder can acknowledge it: observers act on it first
         self._recent_entries = [*self._recent_entries, action.entry][-MAX_RECENT_ENTRIES:]
         self._run_lease_components(now_us, action)
         if not any(isinstance(pending.action, Applied) for pending in self._pending_actions):
@@ -191,7 +191,7 @@
     def _report_progress(self, now_us: int) -> None:
         recent = tuple(self._recent_entries)
         self._recent_entries = []
-        self._run_component(DISSEMINATION, now_us, tree.LogAdvanced(self.position, recent))
+        self._run_component(DISSEMINATION, now_us, dissemination.LogAdvanced(self.position, recent))
 
     def _on_restored(self, now_us: int, action: Restored) -> None:
         self._output.append(action)
@@ -213,7 +213,7 @@
     def _update_cluster_state(self, now_us: int) -> None:
         voters = tuple(voter.name for voter in self.components.log.voters)
         members = self.components.membership.live_instances()
-        state = tree.ClusterState(members, self.leader, self.ballot, voters)
+        state = dissemination.ClusterState(members, self.leader, self.ballot, voters)
         self._run_component(DISSEMINATION, now_us, state)
 
     def _on_proposal_finished(self, now_us: int, action: ProposalFinished) -> None:
@@ -221,12 +221,12 @@
         self._output.append(action)
         self._check_lease_phase()
 
-    def _on_lease_lost(self, now_us: int, action: lease.LeaseLost) -> None:
+    def _on_lease_lost(self, now_us: int, action: leases.LeaseLost) -> None:
         self._output.append(action)
         self._check_lease_phase()
 
     def _check_lease_phase(self) -> None:
-        """Report a session that was closed, or superseded by another instance of this proxy."""
+        """Report that the session was closed, or superseded by another instance of this proxy."""
         phase = self.components.lease_holder.phase
         if phase is LeasePhase.LEFT and not self.session_closed:
             self.session_closed = True
@@ -249,5 +249,5 @@
     MemberStatusChanged: CoordinationCore._on_member_changed,
     Superseded: CoordinationCore._on_superseded,
     ProposalFinished: CoordinationCore._on_proposal_finished,
-    lease.LeaseLost: CoordinationCore._on_lease_lost,
+    leases.LeaseLost: CoordinationCore._on_lease_lost,
 }
--- a/molereach/coordination/node/errors.py
+++ b/molereach/coordination/node/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the coordination node."""
+"""Errors of the coordination node."""
 
 from molereach.coordination.errors import CoordinationError
 
@@ -8,4 +8,4 @@
 
 
 class AttachError(NodeError, OSError):
-    """Coordination cannot be started beside the proxy; the text is one line for the operator."""
+    """Coordination cannot be started beside the proxy; the message is one line for the operator."""
--- a/molereach/coordination/node/event_log.py
+++ b/molereach/coordination/node/event_log.py
@@ -1,4 +1,4 @@
-"""The log lines by which an operator follows the coordination of one proxy."""
+"""Log lines for the operator about the coordination of one proxy."""
 
 import logging
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def log_action(action: Any) -> None:  # noqa: ANN401
-    """Write the line of an action, if an operator needs one."""
+    """Log an action, if it is relevant to the operator."""
     match action:
         case LeaderChanged() | LeaseAcquired() | LeaseLost() | MemberStatusChanged():
             _log_status(action)
--- a/molereach/coordination/node/events.py
+++ b/molereach/coordination/node/events.py
@@ -1,4 +1,4 @@
-"""The events and actions of a whole coordination node."""
+"""Events and actions of a coordination node."""
 
 from dataclasses import dataclass
 
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Event: the first one; join the other members."""
+    """Event: join the other members; must be the first event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Event: this proxy leaves. `SessionClosed` follows once the log has closed its session."""
+    """Event: leave the cluster. `SessionClosed` follows when the log has closed the session."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,12 +47,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClosed:
-    """Action: the session was closed in order."""
+    """Action: the session was closed because this proxy left."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """Action: this instance takes no further part in coordination; the reason is one line."""
+    """Action: this instance no longer takes part in coordination; the reason is one line."""
 
     reason: str
 
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -1,7 +1,7 @@
-"""The coordination of one proxy with its I/O: connections, disk and timer.
+"""The coordination node of one proxy with its I/O: connections, disk and timer.
 
-Everything runs in turns of the proxy's event loop between requests: the transport delivers a bounded number
-of messages in a turn, and the disk has its own thread.
+It shares the proxy's event loop with client requests, so its turns are short: the transport delivers a
+bounded number of messages per turn, and disk writes have their own thread.
 """
 
 import asyncio
@@ -47,23 +47,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_PROPOSALS = 1024  # of this proxy
+MAX_PENDING_PROPOSALS = 1024  # proposed by this proxy
 DISK_CLOSE_TIMEOUT_S = 1.0
-LEAVE_TIMEOUT_S = 1.0  # for the log to close the session
-INSTANCE_RANDOM_BITS = 20  # below the milliseconds of the start, so that two starts differ
+LEAVE_TIMEOUT_S = 1.0  # for the log to close the session when leaving
+INSTANCE_RANDOM_BITS = 20  # below the start time in milliseconds, so that two starts differ
 NS_PER_MS = 1_000_000
 NS_PER_US = 1_000
 US_PER_MS = 1_000
 
 
 def new_instance(name: str) -> NodeInstance:
-    """An instance of this proxy with a greater number than its earlier ones."""
+    """A new instance of this proxy; its number is greater than those of earlier instances."""
     start_ms = time.time_ns() // NS_PER_MS
     return NodeInstance(name, (start_ms << INSTANCE_RANDOM_BITS) | random.getrandbits(INSTANCE_RANDOM_BITS))
 
 
 def open_folder(folder: Path, name: str, key: bytes, is_initial_voter: bool) -> OpenedFolder:
-    """Open a voter's folder; a new one gets the initial voter's identity or a random one."""
+    """Open a folder; a new one gets the identity of an initial voter or a random one."""
     if is_initial_voter:
         return LogFolder.open(folder, name, lambda: initial_disk_identity(key, name))
     return LogFolder.open(folder, name, random_identity)
@@ -71,10 +71,10 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Totals since the start."""
+    """Totals since the service started."""
 
     turns: int = 0
-    longest_turn_us: int = 0  # CPU time of one event and all its actions
+    longest_turn_us: int = 0  # CPU time of one event and its actions
     applied: int = 0
     sessions_acquired: int = 0
     sessions_lost: int = 0
@@ -82,45 +82,47 @@
 
 @dataclass(slots=True)
 class Observers:
-    """Callbacks of those that act at this proxy on what the log decides."""
+    """Callbacks of code in this proxy that acts on decisions of the log."""
 
     on_applied: list[Callable[[Applied], None]] = field(default_factory=list)
     on_restored: list[Callable[[Restored], None]] = field(default_factory=list)
-    after_turn: list[Callable[[int], None]] = field(default_factory=list)  # with the time in microseconds
+    after_turn: list[Callable[[int], None]] = field(
+        default_factory=list
+    )  # called with the time in microseconds
 
 
 class CoordinationService:
-    """To be made in the running event loop; `opened` is a voter's folder, None for any other proxy."""
+    """Must be created in the running event loop; `opened_folder` is None for a proxy without a folder."""
 
     def __init__(
         self,
         name: str,
         settings: CoordinationSettings,
         key: bytes,
-        opened: OpenedFolder | None,
+        opened_folder: OpenedFolder | None,
         machines: Mapping[str, StateMachine],
         addresses: Mapping[str, Address] | None = None,
     ) -> None:
-        """`addresses` replaces those of the settings as the ones to dial."""
+        """`addresses` are dialled instead of those in the settings."""
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.turn_counters = Counters()
         self.observers = Observers()
         self.local_instance = new_instance(name)
-        recovered = recover(opened.base, opened.records) if opened else Recovered()
+        recovered = recover(opened_folder.base, opened_folder.records) if opened_folder else Recovered()
         clock_offset_ms = time.time_ns() // NS_PER_MS - now_us() // US_PER_MS
         self.core = CoordinationCore(
             self.local_instance,
             settings,
-            opened.identity if opened else NO_DISK,
+            opened_folder.identity if opened_folder else NO_DISK,
             recovered,
             initial_voters(key, settings.initial_voters),
             machines,
             random.random,
             lambda at_us: clock_offset_ms + at_us // US_PER_MS,
         )
-        # The writer's events get a turn of their own: it may report a full queue while an action is executed.
-        self.disk_writer = WriterThread(opened.folder, self.on_disk_event) if opened else None
+        # The writer may report a full queue during an action, so its events are handled in another turn.
+        self.disk_writer = WriterThread(opened_folder.folder, self.on_disk_event) if opened_folder else None
         self.transport = TransportService(
             self.local_instance,
             addresses or settings.addresses,
@@ -149,13 +151,13 @@
     # --- start and end ---
 
     async def start(self, listen: Address) -> Address:
-        """Listen and join; the address with its port. OSError if it is not available."""
+        """Listen and join; return the bound address. OSError if `listen` is not available."""
         address = await self.transport.start(listen)
         self.handle_event(Start())
         return address
 
     async def leave(self) -> None:
-        """Close the session in order if the log can do so in time, then `close`."""
+        """Ask the log to close the session, wait for it up to a timeout, then `close`."""
         self.handle_event(Leave())
         try:
             await asyncio.wait_for(self.session_closed.wait(), LEAVE_TIMEOUT_S)
@@ -164,7 +166,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """End at once; the outcome of pending proposals is unknown."""
+        """Stop immediately; pending proposals finish with an unknown outcome."""
         self.closed = True
         if self.timer:
             self.timer.cancel()
@@ -176,11 +178,11 @@
     # --- requests ---
 
     def holds_session(self) -> bool:
-        """Whether the session is valid now; to be asked at each use."""
+        """Whether the session is valid now; must be checked at each use."""
         return self.core.holds_session(now_us())
 
-    async def propose(self, machine: str, name: str, body: bytes, within_us: int) -> ProposalFinished:
-        """Propose an entry for a state machine and wait for its outcome; `name` identifies the proposal."""
+    async def propose(self, machine: str, name: str, body: bytes, timeout_us: int) -> ProposalFinished:
+        """Propose an entry for a state machine and wait for the outcome; `name` identifies the proposal."""
         outcome = self.pending_proposals.get(name)
         if outcome is None:
             is_full = len(self.pending_proposals) >= MAX_PENDING_PROPOSALS
@@ -188,7 +190,7 @@
                 return ProposalFinished(name, ProposalStatus.REJECTED)
             outcome = self.loop.create_future()
             self.pending_proposals[name] = outcome
-            self.handle_event(Propose(machine, name, body, within_us))
+            self.handle_event(Propose(machine, name, body, timeout_us))
         return await asyncio.shield(outcome)
 
     def abandon_proposals(self) -> None:
@@ -199,15 +201,15 @@
     # --- events ---
 
     def on_peer_message(self, protocol: str, received: MessageReceived) -> None:
-        """A message arrived."""
+        """Handle a message from a peer."""
         self.handle_event(PeerMessage(protocol, received))
 
     def on_disk_event(self, event: Persisted | DiskFailed) -> None:
-        """The disk writer finished or failed; handled in a new turn."""
+        """Handle an event of the disk writer in a new turn."""
         self.loop.call_soon(self.handle_event, event)
 
     def handle_event(self, event: Event) -> None:
-        """Handle one event and execute all actions. It is never called from within itself."""
+        """Handle one event and execute the resulting actions; not reentrant."""
         if self.closed:
             return
         at_us = now_us()
@@ -223,7 +225,7 @@
         self.set_timer()
 
     def execute_action(self, action: Action) -> None:
-        """Execute an action; a failure is logged and affects this action only."""
+        """Execute an action; an exception is logged and affects this action only."""
         try:
             log_action(action)
             if handler := self.action_handlers.get(type(action)):
@@ -232,7 +234,7 @@
             log.exception("council: cannot carry out %r", action)
 
     def set_timer(self) -> None:
-        """Set the only timer to the first due time; an earlier time replaces a later one."""
+        """Set the timer to the next due time; an earlier time replaces a later one."""
         due_us = self.core.wake_us
         if self.closed or (self.timer and self.due_us <= due_us):
             return
@@ -243,7 +245,7 @@
         self.timer = None if due_us >= NEVER_US else self.loop.call_later(delay_s, self.on_timer)
 
     def on_timer(self) -> None:
-        """Something is due, unless it was postponed meanwhile."""
+        """Tick, unless the due time was postponed in the meantime."""
         self.timer = None
         self.due_us = NEVER_US
         if self.core.wake_us <= now_us():
@@ -254,53 +256,53 @@
     # --- actions ---
 
     def on_send_to_peer(self, action: SendToPeer) -> None:
-        """Send a message."""
+        """Send a message to a peer."""
         self.transport.send(action.protocol, action.message)
 
     def on_persist(self, action: Persist) -> None:
-        """Write to the disk; what depends on it waits for `Persisted`. A proxy without a disk learns anew."""
+        """Write to the disk; without one, confirm at once, as a restarted proxy then learns anew."""
         if self.disk_writer:
             self.disk_writer.append(action.token, action.records, action.base)
         else:
             self.loop.call_soon(self.handle_event, Persisted(action.token))
 
     def on_proposal_finished(self, action: ProposalFinished) -> None:
-        """Report the outcome of a proposal of this proxy."""
+        """Set the result of a pending proposal."""
         outcome = self.pending_proposals.pop(action.id, None)
         if outcome and not outcome.done():
             outcome.set_result(action)
 
     def on_applied(self, action: Applied) -> None:
-        """An entry was applied."""
+        """Notify observers of an applied entry."""
         self.turn_counters.applied += 1
         for callback in self.observers.on_applied:
             callback(action)
 
     def on_restored(self, action: Restored) -> None:
-        """The state machines were restored from a snapshot."""
+        """Notify observers that the state machines were restored from a snapshot."""
         for callback in self.observers.on_restored:
             callback(action)
 
     def on_session_closed(self, action: SessionClosed) -> None:
-        """The session was closed in order."""
+        """Let `leave` continue: the session is closed."""
         self.session_closed.set()
 
     def on_ended(self, action: Ended) -> None:
-        """This instance takes no further part."""
+        """Abandon proposals: this instance no longer takes part."""
         self.abandon_proposals()
 
     def on_lease_acquired(self, action: LeaseAcquired) -> None:
-        """A session was acquired."""
+        """Count an acquired session."""
         self.turn_counters.sessions_acquired += 1
 
     def on_lease_lost(self, action: LeaseLost) -> None:
-        """A session was lost."""
+        """Count a lost session."""
         self.turn_counters.sessions_lost += 1
 
     # --- counters ---
 
     def counters(self) -> dict[str, int]:
-        """The state of this proxy's coordination as numbers, by the operator's names."""
+        """Statistics by the names that the operator sees."""
         core = self.core
         peers = self.transport.stats().peers.values()
         return {
--- a/molereach/coordination/node/settings.py
+++ b/molereach/coordination/node/settings.py
@@ -1,4 +1,4 @@
-"""The settings of coordination, validated as a whole."""
+"""Settings of coordination, validated together."""
 
 from dataclasses import dataclass, field
 
@@ -8,17 +8,17 @@
 
 Address = tuple[str, int]  # host and port, as asyncio takes them
 
-MILLISECOND_US = 1000  # in microseconds
+MILLISECOND_US = 1000
 MIN_HEARTBEATS_PER_SESSION = 4  # so that one lost message does not end a session
-MAX_CLOCK_DRIFT = 0.05  # the share by which a clock may run fast or slow
+MAX_CLOCK_DRIFT = 0.05  # fraction by which a clock may run fast or slow
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinationSettings:
-    """The same at all proxies of a cluster. ValueError names the key of the operator file that is wrong."""
+    """Must be the same at all proxies of a cluster. ValueError names the invalid key of the operator file."""
 
     addresses: dict[str, Address]  # by proxy name
-    initial_voters: tuple[str, ...]  # names; the log knows the current voters
+    initial_voters: tuple[str, ...]  # proxy names; the current voters are in the log
     heartbeat_interval_us: int = 500 * MILLISECOND_US
     session_terms: SessionTerms = field(default_factory=SessionTerms)
 
@@ -51,5 +51,5 @@
 
     @property
     def isolation_timeout_us(self) -> int:
-        """A proxy that receives nothing from any other for so long is isolated."""
+        """A proxy is isolated if it receives no message for this long."""
         return max(2 * SECOND_US, 4 * self.heartbeat_interval_us)
--- a/molereach/coordination/node/translations.py
+++ b/molereach/coordination/node/translations.py
@@ -1,12 +1,12 @@
-"""Actions of one component that are, in another form, events of another one."""
+"""Translates actions of one component to events of another."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from molereach.coordination.dissemination import messages as tree
+from molereach.coordination.dissemination import messages as dissemination
 from molereach.coordination.interface.log import ConfirmLeadership, LeadershipConfirmed, Propose
 from molereach.coordination.interface.sessions import RenewalRequest
-from molereach.coordination.leases import messages as lease
+from molereach.coordination.leases import messages as leases
 from molereach.coordination.node.components import DISSEMINATION, LEASE_HOLDER, LEASE_MANAGER, LOG
 from molereach.coordination.replicated_log.core import CatchUp, EntriesLearned
 
@@ -16,7 +16,7 @@
 
 
 class Translation(NamedTuple):
-    """The component that handles an action, and the function that makes its event."""
+    """The component that handles an action, and the function that converts the action to its event."""
 
     component: str
     to_event: Callable[[Any], Any] = _unchanged
@@ -26,12 +26,12 @@
     Propose: Translation(LOG),
     ConfirmLeadership: Translation(LOG),
     LeadershipConfirmed: Translation(LEASE_MANAGER),
-    RenewalRequest: Translation(DISSEMINATION, tree.RenewalWanted),
-    lease.SendGrants: Translation(DISSEMINATION, lambda action: tree.GrantsIssued(action.grants)),
-    tree.RequestsCollected: Translation(
-        LEASE_MANAGER, lambda action: lease.RenewalsReceived(action.requests)
+    RenewalRequest: Translation(DISSEMINATION, dissemination.RenewalWanted),
+    leases.SendGrants: Translation(DISSEMINATION, lambda action: dissemination.GrantsIssued(action.grants)),
+    dissemination.RequestsCollected: Translation(
+        LEASE_MANAGER, lambda action: leases.RenewalsReceived(action.requests)
     ),
-    tree.LocalGrants: Translation(LEASE_HOLDER, lambda action: lease.GrantsReceived(action.grants)),
-    tree.EntriesReceived: Translation(LOG, lambda action: EntriesLearned(action.entries)),
-    tree.FetchEntries: Translation(LOG, lambda action: CatchUp(action.source)),
+    dissemination.LocalGrants: Translation(LEASE_HOLDER, lambda action: leases.GrantsReceived(action.grants)),
+    dissemination.EntriesReceived: Translation(LOG, lambda action: EntriesLearned(action.entries)),
+    dissemination.FetchEntries: Translation(LOG, lambda action: CatchUp(action.source)),
 }
