--- a/tests/coordination/transport/nodes.py
+++ b/tests/coordination/transport/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes on loopback that run only the transport, and what they received."""
+"""Transport nodes on loopback that record received messages, and a scripted peer."""
 
 import asyncio
 import secrets
@@ -25,28 +25,31 @@
 
 KEY = b"k" * 32
 HOST = "127.0.0.1"
-MANUAL_HEARTBEATS = TransportSettings(heartbeat_interval_s=3600)  # the tests send the heartbeats
+MANUAL_HEARTBEATS = TransportSettings(heartbeat_interval_s=3600)  # tests send heartbeats explicitly
 
 
-class Word(WireStruct, frozen=True, tag_field="kind", tag="word"):
+class NumberedMessage(WireStruct, frozen=True, tag_field="kind", tag="word"):
     number: int
     text: str = ""
 
 
-class State(WireStruct, frozen=True, tag_field="kind", tag="state"):
+class LatestOnlyMessage(WireStruct, frozen=True, tag_field="kind", tag="state"):
     number: int
 
 
-class Other(WireStruct, frozen=True, tag_field="kind", tag="other"):
+class UnknownMessage(WireStruct, frozen=True, tag_field="kind", tag="other"):
     number: int
 
 
-MESSAGE_TYPES = {"log": Word | State, "hint": Word}
-QUEUE_LIMITS = {"hint": QueueLimits(100, 1 << 16), "log": QueueLimits(latest_only=frozenset({State}))}
+MESSAGE_TYPES = {"log": NumberedMessage | LatestOnlyMessage, "hint": NumberedMessage}
+QUEUE_LIMITS = {
+    "hint": QueueLimits(100, 1 << 16),
+    "log": QueueLimits(latest_only=frozenset({LatestOnlyMessage})),
+}
 
 
 class TransportNode:
-    """One proxy's transport; `addresses` is shared, and each node adds its own when it starts."""
+    """The transport of one proxy; nodes share `addresses`, and each adds its own when it starts."""
 
     def __init__(
         self,
@@ -54,131 +57,141 @@
         addresses: dict[str, Address],
         number: int = 1,
         key: bytes = KEY,
-        parts: dict[str, Any] = MESSAGE_TYPES,
+        message_types: dict[str, Any] = MESSAGE_TYPES,
         settings: TransportSettings = MANUAL_HEARTBEATS,
     ) -> None:
         self.name, self.addresses = name, addresses
         self.received: list[Any] = []  # messages
         self.senders: list[NodeInstance] = []
         self.events: list[str] = []
-        self.changed = asyncio.Event()
-        self.fail: set[int] = set()  # numbers of messages whose handler raises
+        self.changed = asyncio.Event()  # a message or an event was recorded
+        self.failing_numbers: set[int] = set()  # numbers of messages on which the handler raises
         self.transport = TransportService(
             NodeInstance(name, number),
             addresses,
             key,
-            parts,
+            message_types,
             self.deliver,
             lambda: 0.999,
-            on_peer_connected=self.on_up,
-            on_peer_disconnected=self.on_down,
+            on_peer_connected=self.on_peer_connected,
+            on_peer_disconnected=self.on_peer_disconnected,
             queue_limits=QUEUE_LIMITS,
             settings=settings,
         )
 
-    async def start(self, *, listed: bool = True) -> Address:
+    async def start(self, *, register_address: bool = True) -> Address:
         address = await self.transport.start((HOST, 0))
-        if listed:
+        if register_address:
             self.addresses[self.name] = address
         return address
 
-    def deliver(self, part: str, received: MessageReceived) -> None:
+    def deliver(self, protocol: str, received: MessageReceived) -> None:
         self.received.append(received.message)
         self.senders.append(received.sender)
         self.changed.set()
-        if getattr(received.message, "number", None) in self.fail:
-            raise RuntimeError("as the test wants")
+        if getattr(received.message, "number", None) in self.failing_numbers:
+            raise RuntimeError("raised by the test")
 
-    def on_up(self, life: NodeInstance) -> None:
-        self.events.append(f"up {life.name} {life.number}")
+    def on_peer_connected(self, instance: NodeInstance) -> None:
+        self.events.append(f"up {instance.name} {instance.number}")
         self.changed.set()
 
-    def on_down(self, name: str, reason: str) -> None:
+    def on_peer_disconnected(self, name: str, reason: str) -> None:
         self.events.append(f"down {name}: {reason}")
         self.changed.set()
 
-    def say(self, to: str, number: int, text: str = "", part: str = "log", life: int | None = None) -> None:
-        self.transport.send(part, SendMessage(to, Word(number, text), life))
+    def send(
+        self,
+        recipient: str,
+        number: int,
+        text: str = "",
+        protocol: str = "log",
+        instance_number: int | None = None,
+    ) -> None:
+        self.transport.send(protocol, SendMessage(recipient, NumberedMessage(number, text), instance_number))
 
     @property
-    def numbers(self) -> list[int]:
+    def received_numbers(self) -> list[int]:
         return [message.number for message in self.received]
 
-    async def until(self, true: Callable[[], object]) -> None:
-        """Wait until something that was heard or told makes it so."""
-        while not true():
+    async def wait_until(self, condition: Callable[[], object]) -> None:
+        """Wait for a condition that depends on received messages or connection events."""
+        while not condition():
             self.changed.clear()
             await self.changed.wait()
 
-    async def until_received(self, *numbers: int) -> None:
-        await self.until(lambda: set(numbers) <= set(self.numbers))
+    async def wait_until_received(self, *numbers: int) -> None:
+        await self.wait_until(lambda: set(numbers) <= set(self.received_numbers))
 
-    def downs(self) -> int:
+    def disconnected_count(self) -> int:
         return sum(event.startswith("down") for event in self.events)
 
-    def ups(self) -> int:
+    def connected_count(self) -> int:
         return sum(event.startswith("up") for event in self.events)
 
 
-async def start_nodes(*names: str, **more: Any) -> list[TransportNode]:  # noqa: ANN401
+async def start_nodes(*names: str, **options: Any) -> list[TransportNode]:  # noqa: ANN401
     addresses: dict[str, Address] = {}
-    found = [TransportNode(name, addresses, **more) for name in names]
-    for door in found:
-        await door.start()
-    return found
+    nodes = [TransportNode(name, addresses, **options) for name in names]
+    for node in nodes:
+        await node.start()
+    return nodes
 
 
-async def spin(true: Callable[[], object]) -> None:
-    """Let the loop go on until it is so; for what nobody is told of."""
-    while not true():
+async def poll_until(condition: Callable[[], object]) -> None:
+    """Run the event loop until a condition holds that no callback reports."""
+    while not condition():
         await asyncio.sleep(0)
 
 
 class RawPeer:
-    """A peer that does as the test says, byte by byte."""
+    """A scripted peer that sends arbitrary bytes."""
 
-    def __init__(self, me: NodeInstance, to: str, key: bytes = KEY) -> None:
-        self.me, self.key = me, key
-        self.words = MessageCodec(MESSAGE_TYPES)
-        self.handshake = DiallerHandshake(me, to, self.words.protocols, key, secrets.token_bytes(NONCE_BYTES))
-        self.cutter = FrameSplitter(MAX_HANDSHAKE_BYTES, 0)
+    def __init__(self, instance: NodeInstance, recipient: str, key: bytes = KEY) -> None:
+        self.instance, self.key = instance, key
+        self.codec = MessageCodec(MESSAGE_TYPES)
+        self.handshake = DiallerHandshake(
+            instance, recipient, self.codec.protocols, key, secrets.token_bytes(NONCE_BYTES)
+        )
+        self.splitter = FrameSplitter(MAX_HANDSHAKE_BYTES, 0)
 
     async def connect(self, address: Address) -> "RawPeer":
         self.reader, self.writer = await asyncio.open_connection(*address)
         return self
 
-    async def frame(self) -> bytes:
-        """The next; b"" at the end."""
-        while (frame := self.cutter.next_frame()) is None:
+    async def read_frame(self) -> bytes:
+        """The next frame; b"" at the end of the stream."""
+        while (frame := self.splitter.next_frame()) is None:
             try:
                 data = await self.reader.read(1 << 16)
             except ConnectionError:
                 return b""
             if not data:
                 return b""
-            self.cutter.feed(data)
+            self.splitter.feed(data)
         return frame
 
-    async def hello(self) -> bytes:
-        """What to say to the greeting, as a frame."""
-        hello = self.handshake.receive_greeting(await self.frame())
+    async def hello_frame(self) -> bytes:
+        """Read the greeting; the frame of the hello that replies to it."""
+        hello = self.handshake.receive_greeting(await self.read_frame())
         return length_prefix(hello) + hello
 
     async def dial(self, address: Address) -> "RawPeer":
-        """A whole handshake; HelloError where it is refused."""
+        """Connect and complete the handshake; HandshakeError if it is rejected."""
         await self.connect(address)
-        self.writer.write(await self.hello())
-        session = self.handshake.receive_reply(await self.frame())
+        self.writer.write(await self.hello_frame())
+        session = self.handshake.receive_reply(await self.read_frame())
         self.sealer = FrameSealer(self.key, session.id, FROM_DIALLER)
         self.opener = FrameOpener(self.key, session.id, FROM_LISTENER)
-        self.cutter.max_body_bytes, self.cutter.tag_bytes = MAX_BODY_BYTES, TAG_BYTES
+        self.splitter.max_body_bytes, self.splitter.tag_bytes = MAX_BODY_BYTES, TAG_BYTES
         return self
 
-    def sealed(self, number: int, text: str = "", part: str = "log") -> bytes:
-        return self.sealer.seal(self.words.encode(part, Word(number, text)))
+    def seal(self, number: int, text: str = "", protocol: str = "log") -> bytes:
+        """The frame of a message."""
+        return self.sealer.seal(self.codec.encode(protocol, NumberedMessage(number, text)))
 
-    async def read(self) -> Any:  # noqa: ANN401
-        return self.words.decode(self.opener.open(await self.frame()))[1]
+    async def read_message(self) -> Any:  # noqa: ANN401
+        return self.codec.decode(self.opener.open(await self.read_frame()))[1]
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         self.writer.transport.abort()
--- a/tests/coordination/transport/test_budget.py
+++ b/tests/coordination/transport/test_budget.py
@@ -13,8 +13,8 @@
     while budget.allows_step(0):
         steps += 1
     assert steps == MAX_STEPS_PER_TURN
-    late = EventLoopBudget(0)
-    assert late.allows_step(10 * MAX_TURN_US) and not late.allows_step(10 * MAX_TURN_US)
+    late_budget = EventLoopBudget(0)
+    assert late_budget.allows_step(10 * MAX_TURN_US) and not late_budget.allows_step(10 * MAX_TURN_US)
     budget = EventLoopBudget(0)
     assert (
         budget.allows_step(0)
--- a/tests/coordination/transport/test_send_queue.py
+++ b/tests/coordination/transport/test_send_queue.py
@@ -15,7 +15,6 @@
 def queued(
     protocol: str, body: bytes, message_type: type = str, instance_number: int | None = None
 ) -> QueuedMessage:
-    """A message for the queue."""
     return QueuedMessage(protocol, message_type, body, instance_number)
 
 
@@ -62,7 +61,7 @@
     queue.put(queued("spread", b"5"))
     assert (queue.superseded, queue.dropped) == (1, 0)
     assert pop_all(queue, 7) == [b"2", b"3", b"4", b"5"]
-    queue.put(queued("spread", b"6", int))  # the one before has left: nothing of it is kept
+    queue.put(queued("spread", b"6", int))  # the previous message was sent, so it is not superseded
     assert pop_all(queue) == [b"6"] and queue.superseded == 1
 
 
@@ -97,21 +96,21 @@
     st.integers(1, 200),
 )
 def test_limits_hold_after_each_message_and_every_message_is_accounted_for(
-    many: list[tuple[str, int, type, int | None]],
+    messages: list[tuple[str, int, type, int | None]],
     max_messages: int,
     max_bytes: int,
 ) -> None:
     queue = SendQueue(LIMITS, QueueCapacity(max_messages, max_bytes))
-    for protocol, size, message_type, instance_number in many:
+    for protocol, size, message_type, instance_number in messages:
         queue.put(queued(protocol, bytes(size), message_type, instance_number))
         assert len(queue) <= max_messages and queue.size_bytes <= max_bytes
         for name, limits in LIMITS.items():
-            waiting = queue.protocol_queues[name]
-            assert len(waiting.messages) <= limits.max_messages
+            protocol_queue = queue.protocol_queues[name]
+            assert len(protocol_queue.messages) <= limits.max_messages
             assert (
-                waiting.size_bytes
-                == sum(len(one.body) for one in waiting.messages.values())
+                protocol_queue.size_bytes
+                == sum(len(message.body) for message in protocol_queue.messages.values())
                 <= limits.max_bytes
             )
-            assert len(waiting.latest_numbers) <= len(waiting.messages)
-    assert len(pop_all(queue)) + queue.dropped + queue.superseded == len(many)
+            assert len(protocol_queue.latest_numbers) <= len(protocol_queue.messages)
+    assert len(pop_all(queue)) + queue.dropped + queue.superseded == len(messages)
