--- a/tests/coordination/node/test_core.py
+++ b/tests/coordination/node/test_core.py
@@ -1,4 +1,4 @@
-"""Whole council parts of front doors in virtual time: with all well, and after each single fault."""
+"""Simulated clusters of coordination nodes in virtual time: no faults, single faults and random faults."""
 
 import pytest
 
@@ -8,128 +8,146 @@
 from sim.histories import Mail, S
 from sim.troubles import calm, trouble
 
-MS = 1000
+MILLISECOND_US = 1000
 
 
-def well(seed: int = 1, doors: int = 7, seats: int = 5, seconds: int = 6) -> CouncilHistory:
-    """A council that has formed."""
-    play = CouncilHistory(seed, doors, seats)
-    play.run(seconds * S)
-    return play
+def formed_cluster(seed: int = 1, proxies: int = 7, voters: int = 5, seconds: int = 6) -> CouncilHistory:
+    """A cluster that ran long enough to elect a leader and open sessions."""
+    simulation = CouncilHistory(seed, proxies, voters)
+    simulation.run(seconds * S)
+    return simulation
 
 
-def until(play: CouncilHistory, what: str, seconds: float) -> float:
-    """Seconds until something holds; a failure if it does not in time."""
-    begin = play.now
-    while play.now < begin + seconds * S:
-        play.run(play.now + 20 * MS)
-        play.proofs()
-        if (what == "led" and len(play.leaders()) == 1) or (what in play.marks and play.marks[what].proof_us):
-            return (play.now - begin) / S
-    raise AssertionError(f"not {what} in {seconds} s")
+def run_until(simulation: CouncilHistory, goal: str, timeout_s: float) -> float:
+    """Run until one proxy leads (`goal` is "led") or the mark `goal` has a proof; the seconds that it took.
+
+    AssertionError after `timeout_s`.
+    """
+    start_us = simulation.now
+    while simulation.now < start_us + timeout_s * S:
+        simulation.run(simulation.now + 20 * MILLISECOND_US)
+        simulation.proofs()
+        if (goal == "led" and len(simulation.leaders()) == 1) or (
+            goal in simulation.marks and simulation.marks[goal].proof_us
+        ):
+            return (simulation.now - start_us) / S
+    raise AssertionError(f"{goal}: not reached in {timeout_s} s")
 
 
 def test_a_cluster_forms_and_all_proxies_hold_sessions() -> None:
-    play = well()
-    assert len(play.leaders()) == 1 and all(play.holding(door) for door in range(7))
-    mark = play.mark(6)
-    until(play, mark, 3)
-    told = play.marks[mark]
-    assert told.over_us - told.asked_us <= 200 * MS  # settled at who asked, as the design note says
-    assert len({core.components.log.digest() for core in play.cored.values()}) == 1
+    simulation = formed_cluster()
+    assert len(simulation.leaders()) == 1 and all(simulation.holding(proxy) for proxy in range(7))
+    mark = simulation.mark(6)
+    run_until(simulation, mark, 3)
+    result = simulation.marks[mark]
+    assert (
+        result.over_us - result.asked_us <= 200 * MILLISECOND_US
+    )  # applied at the proposer, as the design note says
+    assert len({core.components.log.digest() for core in simulation.cored.values()}) == 1
 
 
 def test_a_dead_leader_is_replaced_and_its_session_expires_everywhere() -> None:
-    play = well()
-    (leader,) = play.leaders()
-    life = play.lives[leader]
-    play.kill(play.nodes[leader], 60 * S)
-    assert until(play, "led", 4) <= 3
-    play.run(play.now + 9 * S)
-    mark = play.mark((leader + 1) % 7)
-    until(play, mark, 3)
-    core = play.cored[play.leaders()[0]]
-    past = core.components.sessions.last_ended_session(life.name)
-    assert past is not None and past.instance == life
-    assert life.name not in {alive.name for alive in core.components.membership.live_instances()}
+    simulation = formed_cluster()
+    (leader,) = simulation.leaders()
+    instance = simulation.lives[leader]
+    simulation.kill(simulation.nodes[leader], 60 * S)
+    assert run_until(simulation, "led", 4) <= 3
+    simulation.run(simulation.now + 9 * S)
+    mark = simulation.mark((leader + 1) % 7)
+    run_until(simulation, mark, 3)
+    core = simulation.cored[simulation.leaders()[0]]
+    ended = core.components.sessions.last_ended_session(instance.name)
+    assert ended is not None and ended.instance == instance
+    assert instance.name not in {live.name for live in core.components.membership.live_instances()}
 
 
 def test_a_suspended_proxy_finds_its_session_expired_before_it_acts() -> None:
-    play = well()
-    stopped = next(door for door in range(5, 7))
-    before = play.cored[stopped].components.lease_holder.fencing_token
-    play.stop(play.nodes[stopped])
-    play.run(play.now + 12 * S)
-    assert not play.holding(stopped)  # by its own clock, whatever it has read
-    mark = play.mark(0)
-    until(play, mark, 3)  # nobody waits for it
-    play.resume(play.nodes[stopped])
-    play.run(play.now + 4 * S)
-    assert play.holding(stopped) and play.cored[stopped].components.lease_holder.fencing_token > before
-    assert play.cored[stopped].position >= play.marks[mark].position
+    simulation = formed_cluster()
+    suspended = next(proxy for proxy in range(5, 7))
+    previous_token = simulation.cored[suspended].components.lease_holder.fencing_token
+    simulation.stop(simulation.nodes[suspended])
+    simulation.run(simulation.now + 12 * S)
+    assert not simulation.holding(suspended)  # by its own clock, before it processes any message
+    mark = simulation.mark(0)
+    run_until(simulation, mark, 3)  # the others do not wait for it
+    simulation.resume(simulation.nodes[suspended])
+    simulation.run(simulation.now + 4 * S)
+    assert (
+        simulation.holding(suspended)
+        and simulation.cored[suspended].components.lease_holder.fencing_token > previous_token
+    )
+    assert simulation.cored[suspended].position >= simulation.marks[mark].position
 
 
 def test_one_bad_connection_makes_no_member_dead_and_stops_nothing() -> None:
     for one_way in (False, True):
-        play = well(seed=3)
-        cut = {(0, 5)} if one_way else {(0, 5), (5, 0)}
-        play.mail = Mail(cut=frozenset(cut))
+        simulation = formed_cluster(seed=3)
+        cut_links = {(0, 5)} if one_way else {(0, 5), (5, 0)}
+        simulation.mail = Mail(cut=frozenset(cut_links))
         for _ in range(30):
-            play.run(play.now + S)
-            assert all(len(play.cored[door].components.membership.live_instances()) == 7 for door in range(7))
-        assert all(play.holding(door) for door in range(7))
-        until(play, play.mark(5), 4)
+            simulation.run(simulation.now + S)
+            assert all(
+                len(simulation.cored[proxy].components.membership.live_instances()) == 7 for proxy in range(7)
+            )
+        assert all(simulation.holding(proxy) for proxy in range(7))
+        run_until(simulation, simulation.mark(5), 4)
 
 
 def test_proposals_are_forwarded_for_a_proxy_that_does_not_reach_the_leader() -> None:
-    play = well()
-    (leader,) = play.leaders()
-    other = (leader + 1) % 5
-    play.mail = Mail(cut=frozenset({(leader, other), (other, leader)}))
-    until(play, play.mark(other, 8 * S), 6)
-    assert play.leaders() == [leader]
+    simulation = formed_cluster()
+    (leader,) = simulation.leaders()
+    follower = (leader + 1) % 5
+    simulation.mail = Mail(cut=frozenset({(leader, follower), (follower, leader)}))
+    run_until(simulation, simulation.mark(follower, 8 * S), 6)
+    assert simulation.leaders() == [leader]
 
 
 def test_a_clear_acknowledgement_waits_for_work_in_progress() -> None:
-    play = well()
-    busy = play.cored[6].components.lease_holder
-    busy.clear = lambda position: 3
-    mark = play.mark(0)
-    until(play, mark, 3)
-    play.run(play.now + 2 * S)
-    position, leader = play.marks[mark].position, play.cored[play.leaders()[0]]
+    simulation = formed_cluster()
+    lease_holder = simulation.cored[6].components.lease_holder
+    lease_holder.clear = lambda position: 3
+    mark = simulation.mark(0)
+    run_until(simulation, mark, 3)
+    simulation.run(simulation.now + 2 * S)
+    position, leader = simulation.marks[mark].position, simulation.cored[simulation.leaders()[0]]
     assert leader.track_acknowledgements(position, 0).proof() is not None
-    account = leader.track_acknowledgements(position, 0, clear=True)
-    assert account.proof() is None
-    assert [(each.instance.name, each.reason) for each in account.pending()] == [
+    tracker = leader.track_acknowledgements(position, 0, clear=True)
+    assert tracker.proof() is None
+    assert [(each.instance.name, each.reason) for each in tracker.pending()] == [
         ("n006", "something is under way there still")
     ]
-    busy.clear = lambda position: position
-    play.run(play.now + 2 * S)
-    assert account.proof() is not None
+    lease_holder.clear = lambda position: position
+    simulation.run(simulation.now + 2 * S)
+    assert tracker.proof() is not None
 
 
 def test_a_minority_partition_decides_nothing_and_loses_its_sessions() -> None:
-    play = well()
-    small = frozenset({0, 1, 6})
-    play.mail = Mail(groups=(small, frozenset(range(7)) - small))
-    lost = play.mark(6, 4 * S)
-    play.run(play.now + 8 * S)
-    assert play.marks[lost].over is not None and play.marks[lost].over.value == "unknown"
-    assert not any(play.holding(door) for door in small) and all(play.holding(door) for door in (2, 3, 4, 5))
-    until(play, play.mark(5), 3)
-    calm(play)
+    simulation = formed_cluster()
+    minority = frozenset({0, 1, 6})
+    simulation.mail = Mail(groups=(minority, frozenset(range(7)) - minority))
+    undecided = simulation.mark(6, 4 * S)
+    simulation.run(simulation.now + 8 * S)
+    assert (
+        simulation.marks[undecided].over is not None and simulation.marks[undecided].over.value == "unknown"
+    )
+    assert not any(simulation.holding(proxy) for proxy in minority) and all(
+        simulation.holding(proxy) for proxy in (2, 3, 4, 5)
+    )
+    run_until(simulation, simulation.mark(5), 3)
+    calm(simulation)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_faults(seed: int) -> None:
-    play = CouncilHistory(seed, (5, 6, 7, 8)[seed % 4], (3, 5)[seed % 2], drift=0.01, offset_us=3600 * S)
-    trouble(play, seed, 12)
-    calm(play)
+    simulation = CouncilHistory(
+        seed, (5, 6, 7, 8)[seed % 4], (3, 5)[seed % 2], drift=0.01, offset_us=3600 * S
+    )
+    trouble(simulation, seed, 12)
+    calm(simulation)
 
 
 @pytest.mark.parametrize(
-    ("panel", "doors", "beat_us", "reason"),
+    ("voters", "proxies", "heartbeat_interval_us", "reason"),
     [
         (("a", "b"), "abc", 500_000, "panel: 2 front doors"),
         (("a", "b", "x"), "abc", 500_000, "panel: 'x' is not among the doors"),
@@ -138,10 +156,12 @@
         (("a", "b", "c"), "abc", 2_000_000, "session_ms: less than 4 beats"),
     ],
 )
-def test_invalid_settings_are_rejected(panel: tuple[str, ...], doors: str, beat_us: int, reason: str) -> None:
-    addresses = {name: ("127.0.0.1", 7000 + number) for number, name in enumerate(doors)}
+def test_invalid_settings_are_rejected(
+    voters: tuple[str, ...], proxies: str, heartbeat_interval_us: int, reason: str
+) -> None:
+    addresses = {name: ("127.0.0.1", 7000 + number) for number, name in enumerate(proxies)}
     with pytest.raises(ValueError, match=reason):
-        CoordinationSettings(addresses, panel, beat_us)
+        CoordinationSettings(addresses, voters, heartbeat_interval_us)
 
 
 def test_two_proxies_with_one_address_are_rejected() -> None:
