--- a/tests/coordination/processes/test_faults.py
+++ b/tests/coordination/processes/test_faults.py
@@ -1,7 +1,7 @@
-"""Processes of one council with faults between and in them: dropped links, stalls, slow replies, kills.
+"""Clusters of processes under faults: lost connections, stalls, delays, suspended and killed processes.
 
-Each waits for what must come, not for a time; what must not come is looked for in the members' logs and
-answers at the end.
+Tests wait for conditions, not for fixed times; at the end they check the members' logs and states for events
+that must not occur.
 """
 
 import asyncio
@@ -14,126 +14,142 @@
 
 from rig.council.tier import Member, Tier
 
-WITHIN_S = 20.0  # only what hangs takes so long
-WITHIN_US = 15_000_000
+WAIT_TIMEOUT_S = 20.0  # reached only if the cluster hangs
+PROPOSAL_TIMEOUT_US = 15_000_000
 States = dict[str, dict[str, Any]]
-Job = Callable[[Tier], Awaitable[None]]
+Scenario = Callable[[Tier], Awaitable[None]]
 
 
-def play(home: Path, job: Job, count: int = 5, seats: int = 5, faulty: bool = False, **more: int) -> Tier:
-    """A council that has formed, what is done to it, and its end."""
-    tier = Tier(home, count, seats, faulty, **more)
+def run_cluster(
+    folder: Path, scenario: Scenario, count: int = 5, voters: int = 5, faulty: bool = False, **options: int
+) -> Tier:
+    """Start a cluster, run a scenario once it has formed, stop it and check the logs for errors."""
+    cluster = Tier(folder, count, voters, faulty, **options)
 
-    async def whole() -> None:
+    async def run() -> None:
         async with asyncio.timeout(60):
             try:
-                await tier.start()
-                await until(tier, formed)
-                await job(tier)
+                await cluster.start()
+                await wait_until(cluster, is_formed)
+                await scenario(cluster)
             finally:
-                await tier.close()
+                await cluster.close()
 
-    asyncio.run(whole())
-    lines = [line for member in tier.members.values() for line in member.log]
+    asyncio.run(run())
+    lines = [line for member in cluster.members.values() for line in member.log]
     assert not [line for line in lines if "Traceback" in line or "cannot carry out" in line]
-    return tier
+    return cluster
 
 
-def formed(states: States) -> bool:
-    """One leads, all hold sessions and see all."""
+def is_formed(states: States) -> bool:
+    """Whether there is one leader, and all members hold sessions and see each other."""
     leaders = [name for name, state in states.items() if state["council_leads"]]
     return len(leaders) == 1 and all(
         state["council_session"] and len(state["alive"]) == len(states) for state in states.values()
     )
 
 
-async def until(tier: Tier, true: Callable[[States], bool]) -> States:
-    """Look until it is so; each look is a word with each process, so this does not spin."""
-    async with asyncio.timeout(WITHIN_S):
-        while not true(states := await tier.states()):
+async def wait_until(cluster: Tier, condition: Callable[[States], bool]) -> States:
+    """Poll the members' states until a condition holds; return the states."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not condition(states := await cluster.states()):
             await asyncio.sleep(0.01)
     return states
 
 
-async def mark(member: Member, name: str) -> dict[str, Any]:
-    found = await member.ask("mark", id=name, within_us=WITHIN_US)
-    assert found["over"] == "settled", found
-    return found
+async def propose_mark(member: Member, name: str) -> dict[str, Any]:
+    """Have a member propose a mark; its answer once the mark is applied."""
+    answer = await member.ask("mark", id=name, within_us=PROPOSAL_TIMEOUT_US)
+    assert answer["over"] == "settled", answer
+    return answer
 
 
-async def leader(tier: Tier) -> str:
-    states = await until(tier, lambda states: any(state["council_leads"] for state in states.values()))
+async def find_leader(cluster: Tier) -> str:
+    """The name of the leader; waits for an election if there is none."""
+    states = await wait_until(
+        cluster, lambda states: any(state["council_leads"] for state in states.values())
+    )
     return next(name for name, state in states.items() if state["council_leads"])
 
 
-async def proof(tier: Tier, position: int) -> dict[str, str]:
-    """The proof that all have the entry, as whoever leads gives it."""
-    async with asyncio.timeout(WITHIN_S):
+async def wait_for_proof(cluster: Tier, position: int) -> dict[str, str]:
+    """The leader's proof that the entry at `position` is in effect everywhere, by proxy name."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while True:
-            found = await tier.members[await leader(tier)].ask("account", position=position)
-            if found["proof"] is not None:
-                return dict(found["proof"])
+            answer = await cluster.members[await find_leader(cluster)].ask("account", position=position)
+            if answer["proof"] is not None:
+                return dict(answer["proof"])
             await asyncio.sleep(0.02)
 
 
-def same(states: States) -> bool:
+def have_same_state(states: States) -> bool:
+    """Whether all members have applied the same position with the same result."""
     return len({(state["council_position"], state["digest"]) for state in states.values()}) == 1
 
 
-def test_leader_killed_under_proposals(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        first = await leader(tier)
-        others = [member for name, member in tier.members.items() if name != first]
-        asked = [asyncio.create_task(mark(others[number % 4], f"m{number}")) for number in range(12)]
-        tier.members[first].signal(signal.SIGKILL)
-        await asyncio.gather(*asked)
-        await tier.members[first].end()
-        last = await mark(others[0], "last")
-        states = await until(
-            tier, lambda states: same(states) and all(len(state["alive"]) == 4 for state in states.values())
+def test_proposals_are_applied_although_the_leader_is_killed(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        first_leader = await find_leader(cluster)
+        others = [member for name, member in cluster.members.items() if name != first_leader]
+        proposals = [
+            asyncio.create_task(propose_mark(others[number % 4], f"m{number}")) for number in range(12)
+        ]
+        cluster.members[first_leader].signal(signal.SIGKILL)
+        await asyncio.gather(*proposals)
+        await cluster.members[first_leader].end()
+        last = await propose_mark(others[0], "last")
+        states = await wait_until(
+            cluster,
+            lambda states: (
+                have_same_state(states) and all(len(state["alive"]) == 4 for state in states.values())
+            ),
         )
         for state in states.values():
             assert sorted(state["marks"]) == sorted([*(f"m{number}" for number in range(12)), "last"])
-        known = await proof(tier, last["position"])
-        assert known.pop(first, "over") == "over" and set(known.values()) == {"said"} and len(known) == 4
-
-    play(tmp_path, job)
-
-
-def test_learner_stopped_is_accounted_for_by_its_session_and_comes_back(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        stopped = tier.members["n5"]
-        before = (await stopped.ask("state"))["council_session"]
-        stopped.signal(signal.SIGSTOP)
-        found = await mark(tier.members["n0"], "while-it-stood")
-        known = await proof(tier, found["position"])
-        assert known["n5"] == "over" and set(known) == set(tier.names)
-        stopped.signal(signal.SIGCONT)
-        states = await until(tier, lambda states: formed(states) and same(states))
-        assert states["n5"]["council_session"] > before and "while-it-stood" in states["n5"]["marks"]
-        assert any("is not held any more" in line for line in stopped.log)
-
-    play(tmp_path, job, count=6)
-
-
-def test_leader_stopped_gives_nothing_when_it_wakes(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        first = await leader(tier)
-        tier.members[first].signal(signal.SIGSTOP)
-        rest = [member for name, member in tier.members.items() if name != first]
-        await mark(rest[0], "without-it")
-        tier.members[first].signal(signal.SIGCONT)
-        states = await until(tier, lambda states: formed(states) and same(states))
-        assert "without-it" in states[first]["marks"]
-
-    play(tmp_path, job)
-
-
-@pytest.mark.parametrize("how", ["stall", "lose", "one way", "drop", "slow"])
-def test_one_bad_link_makes_nobody_dead(tmp_path: Path, how: str) -> None:
-    async def job(tier: Tier) -> None:
-        for relay in tier.between("n1", "n2"):
-            match how:
+        evidence = await wait_for_proof(cluster, last["position"])
+        assert (
+            evidence.pop(first_leader, "over") == "over"
+            and set(evidence.values()) == {"said"}
+            and len(evidence) == 4
+        )
+
+    run_cluster(tmp_path, scenario)
+
+
+def test_a_suspended_learner_is_covered_by_the_end_of_its_session_and_returns(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        suspended = cluster.members["n5"]
+        previous_token = (await suspended.ask("state"))["council_session"]
+        suspended.signal(signal.SIGSTOP)
+        answer = await propose_mark(cluster.members["n0"], "while-suspended")
+        evidence = await wait_for_proof(cluster, answer["position"])
+        assert evidence["n5"] == "over" and set(evidence) == set(cluster.names)
+        suspended.signal(signal.SIGCONT)
+        states = await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
+        assert states["n5"]["council_session"] > previous_token and "while-suspended" in states["n5"]["marks"]
+        assert any("is not held any more" in line for line in suspended.log)
+
+    run_cluster(tmp_path, scenario, count=6)
+
+
+def test_a_suspended_leader_catches_up_when_it_resumes(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        first_leader = await find_leader(cluster)
+        cluster.members[first_leader].signal(signal.SIGSTOP)
+        others = [member for name, member in cluster.members.items() if name != first_leader]
+        await propose_mark(others[0], "while-suspended")
+        cluster.members[first_leader].signal(signal.SIGCONT)
+        states = await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
+        assert "while-suspended" in states[first_leader]["marks"]
+
+    run_cluster(tmp_path, scenario)
+
+
+@pytest.mark.parametrize("fault", ["stall", "lose", "one way", "drop", "slow"])
+def test_one_bad_connection_makes_no_member_dead(tmp_path: Path, fault: str) -> None:
+    async def scenario(cluster: Tier) -> None:
+        for relay in cluster.between("n1", "n2"):
+            match fault:
                 case "stall":
                     relay.stall()
                 case "lose":
@@ -146,79 +162,83 @@
                     relay.hold()
                     relay.drop()
         for number in range(6):
-            await mark(tier.members[f"n{number % 5}"], f"m{number}")
-        await until(tier, lambda states: formed(states) and same(states))
+            await propose_mark(cluster.members[f"n{number % 5}"], f"m{number}")
+        await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
 
-    tier = play(tmp_path, job, faulty=True)
-    assert not [line for member in tier.members.values() for line in member.log if line.endswith("is dead")]
+    cluster = run_cluster(tmp_path, scenario, faulty=True)
+    assert not [
+        line for member in cluster.members.values() for line in member.log if line.endswith("is dead")
+    ]
 
 
-def test_cut_off_member_loses_its_session_and_nothing_is_settled_there(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        for relay in tier.around("n4"):
+def test_an_isolated_member_loses_its_session_and_its_proposals_are_not_decided(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        for relay in cluster.around("n4"):
             relay.hold()
             relay.drop()
-        lost = asyncio.create_task(tier.members["n4"].ask("mark", id="cut-off", within_us=1_500_000))
-        found = await mark(tier.members["n0"], "with-the-rest")
-        assert (await proof(tier, found["position"]))["n4"] == "over"
-        assert (await lost)["over"] == "unknown"
-        assert not (await tier.members["n4"].ask("state"))["council_session"]
-        for relay in tier.around("n4"):
+        undecided = asyncio.create_task(cluster.members["n4"].ask("mark", id="cut-off", within_us=1_500_000))
+        answer = await propose_mark(cluster.members["n0"], "with-the-majority")
+        assert (await wait_for_proof(cluster, answer["position"]))["n4"] == "over"
+        assert (await undecided)["over"] == "unknown"
+        assert not (await cluster.members["n4"].ask("state"))["council_session"]
+        for relay in cluster.around("n4"):
             relay.pass_()
             relay.drop()
-        await until(tier, lambda states: formed(states) and same(states))
+        await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
 
-    play(tmp_path, job, faulty=True)
+    run_cluster(tmp_path, scenario, faulty=True)
 
 
-def test_restart_with_its_folder_and_with_a_lost_one(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        member = tier.members["n3"]
-        await mark(member, "before")
+def test_a_member_restarts_with_its_folder_and_with_an_emptied_one(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        member = cluster.members["n3"]
+        await propose_mark(member, "before")
         await member.end()
-        await mark(tier.members["n0"], "meanwhile")
+        await propose_mark(cluster.members["n0"], "meanwhile")
         await member.start()
-        states = await until(tier, lambda states: formed(states) and same(states))
+        states = await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
         assert states["n3"]["marks"] == ["before", "meanwhile"]
         await member.end()
         assert member.folder
         for file in member.folder.iterdir():
             file.unlink()
-        await member.start()  # with the first seat's name again, and none of its promises
-        await until(tier, lambda states: formed(states) and same(states))
+        await member.start()  # with the disk identity of the initial voter, but without its promises
+        await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
         assert any("was set back" in line for line in member.log)
 
-    play(tmp_path, job)
+    run_cluster(tmp_path, scenario)
 
 
-def test_wrong_key_and_a_name_twice_are_kept_out(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        member = tier.members["n4"]
+def test_a_member_with_a_wrong_key_is_excluded_until_it_has_the_key(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        member = cluster.members["n4"]
         await member.end()
-        good, text = tier.key, member.config.read_text()
-        member.config.write_text(text.replace(good, "00" * 16))
+        key, config = cluster.key, member.config.read_text()
+        member.config.write_text(config.replace(key, "00" * 16))
         assert member.folder
-        other = member.folder.with_name("other")
-        other.mkdir(mode=0o700)
-        member.config.write_text(member.config.read_text().replace(f'"{member.folder}"', f'"{other}"'))
+        other_folder = member.folder.with_name("other")
+        other_folder.mkdir(mode=0o700)
+        member.config.write_text(member.config.read_text().replace(f'"{member.folder}"', f'"{other_folder}"'))
         await member.start()
-        await until(tier, lambda states: len(states["n0"]["alive"]) == 4)
+        await wait_until(cluster, lambda states: len(states["n0"]["alive"]) == 4)
         assert not (await member.ask("state"))["council_session"]
         await member.end()
-        member.config.write_text(text)
+        member.config.write_text(config)
         await member.start()
-        await until(tier, formed)
+        await wait_until(cluster, is_formed)
 
-    play(tmp_path, job)
+    run_cluster(tmp_path, scenario)
 
 
-def test_leaving_in_order_is_no_death(tmp_path: Path) -> None:
-    async def job(tier: Tier) -> None:
-        await tier.members["n4"].ask("leave")
-        await tier.members["n4"].end()
-        found = await mark(tier.members["n0"], "after")
-        assert "n4" not in await proof(tier, found["position"])
-        await until(tier, lambda states: all(len(state["alive"]) == 4 for state in states.values()))
+def test_a_member_that_leaves_is_not_reported_dead(tmp_path: Path) -> None:
+    async def scenario(cluster: Tier) -> None:
+        await cluster.members["n4"].ask("leave")
+        await cluster.members["n4"].end()
+        answer = await propose_mark(cluster.members["n0"], "after")
+        assert "n4" not in await wait_for_proof(cluster, answer["position"])
+        await wait_until(cluster, lambda states: all(len(state["alive"]) == 4 for state in states.values()))
 
-    tier = play(tmp_path, job)
-    assert not [line for member in tier.members.values() for line in member.log if line.endswith("is dead")]
+    cluster = run_cluster(tmp_path, scenario)
+    assert not [
+        line for member in cluster.members.values() for line in member.log if line.endswith("is dead")
+    ]
