--- a/tests/coordination/test_attach.py
+++ b/tests/coordination/test_attach.py
@@ -1,4 +1,4 @@
-"""`[council]` of real front doors: what is refused at the start, and three of them that lose one."""
+"""The section `[council]` of proxy processes: errors at startup, and a cluster of three that loses one."""
 
 import asyncio
 import json
@@ -25,20 +25,22 @@
     return file
 
 
-def section(home: Path, doors: dict[str, str], **more: object) -> str:
+def council_section(home: Path, addresses: dict[str, str], **changes: object) -> str:
+    """The text of a section `[council]`; None in `changes` omits a key."""
     values: dict[str, object] = {
         "panel": list(NAMES),
         "key_file": str(key_file(home)),
         "beat_ms": 100,
         "session_ms": 1000,
-        **more,
+        **changes,
     }
     lines = [f"{key} = {json.dumps(value)}" for key, value in values.items() if value is not None]
-    addresses = [f'{name} = "{address}"' for name, address in doors.items()]
-    return "\n".join(["[council]", *lines, "[council.doors]", *addresses])
+    address_lines = [f'{name} = "{address}"' for name, address in addresses.items()]
+    return "\n".join(["[council]", *lines, "[council.doors]", *address_lines])
 
 
-def three() -> dict[str, str]:
+def free_addresses() -> dict[str, str]:
+    """An unused address for each proxy."""
     return {name: f"{HOST}:{refusing_address()[1]}" for name in NAMES}
 
 
@@ -61,7 +63,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], change: dict[str, object], reason: str
 ) -> None:
     file = tmp_path / "operator.toml"
-    file.write_text(section(tmp_path, three(), **change))
+    file.write_text(council_section(tmp_path, free_addresses(), **change))
     assert command.run(["config", "check", str(file)], {}, lambda level: 0) == 2
     line = capsys.readouterr().err
     assert line.startswith("molereach: ") and line.count("\n") == 1
@@ -69,17 +71,17 @@
 
 
 @pytest.mark.parametrize(
-    ("doors", "reason"),
+    ("addresses", "reason"),
     [
         ({"n0": "here", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "doors.n0: 'here' is not HOST:PORT"),
         ({"n0": f"{HOST}:7", "n1": f"{HOST}:7", "n2": f"{HOST}:8"}, "council.doors: two have one address"),
     ],
 )
 def test_invalid_addresses_are_rejected(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], doors: dict[str, str], reason: str
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], addresses: dict[str, str], reason: str
 ) -> None:
     file = tmp_path / "operator.toml"
-    file.write_text(section(tmp_path, doors))
+    file.write_text(council_section(tmp_path, addresses))
     assert command.run(["config", "check", str(file)], {}, lambda level: 0) == 2
     assert reason in capsys.readouterr().err
 
@@ -88,117 +90,119 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "operator.toml"
-    file.write_text(section(tmp_path, three()))
+    file.write_text(council_section(tmp_path, free_addresses()))
     key_file(tmp_path, 0o644)
     assert command.run(["config", "check", str(file)], {}, lambda level: 0) == 2
     assert "council.key_file" in capsys.readouterr().err
 
 
-class Door:
-    """A front door as a process, and a connection to its control."""
+class ProxyProcess:
+    """A proxy process: its log and its control socket."""
 
     def __init__(self, name: str, home: Path) -> None:
         self.name, self.home = name, home
         home.chmod(0o700)
         self.lines: list[str] = []
 
-    async def start(self, number: int, backend: tuple[str, int], operator: str) -> "Door":
+    async def start(self, number: int, backend: tuple[str, int], council: str) -> "ProxyProcess":
         self.listen = refusing_address()
-        known = json.loads(catalog(4, [entry("s1", backend)]))
-        silent = f"{HOST}:{refusing_address()[1]}"
-        values = config(name=self.name, listen=f"{HOST}:{self.listen[1]}", discovery=silent, known=known)
-        file, settings = self.home / "config.json", self.home / "operator.toml"
-        file.write_text(json.dumps(values))
-        settings.write_text(f'[control]\nsocket = "{self.home}/c.sock"\n' + operator)
+        endpoints = json.loads(catalog(4, [entry("s1", backend)]))
+        discovery = f"{HOST}:{refusing_address()[1]}"  # refuses connections: `known` is used
+        proxy_config = config(
+            name=self.name, listen=f"{HOST}:{self.listen[1]}", discovery=discovery, known=endpoints
+        )
+        config_file, operator_file = self.home / "config.json", self.home / "operator.toml"
+        config_file.write_text(json.dumps(proxy_config))
+        operator_file.write_text(f'[control]\nsocket = "{self.home}/c.sock"\n' + council)
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "molereach",
             "--operator",
-            str(settings),
+            str(operator_file),
             cwd=ROOT,
-            env={**os.environ, "PROXY_CONFIG": str(file)},
+            env={**os.environ, "PROXY_CONFIG": str(config_file)},
             stderr=asyncio.subprocess.PIPE,
         )
-        self.said = asyncio.Event()
-        self.reading = asyncio.create_task(self.read())
+        self.line_logged = asyncio.Event()
+        self.reader_task = asyncio.create_task(self.read_log())
         return self
 
-    async def read(self) -> None:
+    async def read_log(self) -> None:
         assert self.process.stderr
         while line := await self.process.stderr.readline():
             self.lines.append(line.decode())
-            self.said.set()
+            self.line_logged.set()
 
-    async def hears(self, text: str) -> None:
+    async def wait_for_log(self, text: str) -> None:
         """Wait until the log has a line with this text."""
         while not any(text in line for line in self.lines):
-            self.said.clear()
-            await self.said.wait()
+            self.line_logged.clear()
+            await self.line_logged.wait()
 
-    async def holds_a_session(self) -> None:
-        """Wait until it does: on a busy machine one may lapse, and is held again."""
+    async def wait_for_session(self) -> None:
+        """Wait until the proxy holds a session; on a busy machine it may lapse and be acquired again."""
         while not (await self.counters())["council_session"]:
             await asyncio.sleep(0.02)
 
     async def end(self) -> None:
-        """Gone, however the test went."""
+        """Kill the process if it is running, and wait for its end."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        await self.reading
+        await self.reader_task
 
     async def counters(self) -> dict[str, int]:
         reader, writer = await asyncio.open_unix_connection(str(self.home / "c.sock"))
         writer.write(wire.frame(wire.Request(wire.VERSION, 1, "counters")))
         size = int.from_bytes(await reader.readexactly(wire.HEAD_BYTES))
-        answer = wire.decode_response(await reader.readexactly(size))
+        response = wire.decode_response(await reader.readexactly(size))
         writer.close()
-        assert answer.counters is not None
-        return answer.counters
+        assert response.counters is not None
+        return response.counters
 
 
-def test_three_proxies_serve_on_after_the_loss_of_one(tmp_path: Path) -> None:
-    doors: dict[str, Door] = {}
+def test_three_proxies_keep_serving_after_the_loss_of_one(tmp_path: Path) -> None:
+    processes: dict[str, ProxyProcess] = {}
 
-    async def job() -> None:
+    async def scenario() -> None:
         try:
-            await lose_one(doors)
+            await kill_the_leader(processes)
         finally:
-            for door in doors.values():
-                await door.end()
+            for proxy in processes.values():
+                await proxy.end()
 
-    async def lose_one(doors: dict[str, Door]) -> None:
-        backend, addresses = await Backend().start(), three()
+    async def kill_the_leader(processes: dict[str, ProxyProcess]) -> None:
+        backend, addresses = await Backend().start(), free_addresses()
         for number, name in enumerate(NAMES):
             home = tmp_path / name
             (home / "folder").mkdir(parents=True, mode=0o700)
-            text = section(tmp_path, addresses, folder=str(home / "folder"), forming=True)
-            doors[name] = await Door(name, home).start(number, backend, text)
-        for door in doors.values():
-            await door.hears("is held")
-        while True:  # all see all, and one leads
-            counted = {name: await door.counters() for name, door in doors.items()}
-            leaders = [name for name, found in counted.items() if found["council_leads"]]
-            if [found["council_alive"] for found in counted.values()] == [3, 3, 3] and len(leaders) == 1:
+            council = council_section(tmp_path, addresses, folder=str(home / "folder"), forming=True)
+            processes[name] = await ProxyProcess(name, home).start(number, backend, council)
+        for proxy in processes.values():
+            await proxy.wait_for_log("is held")
+        while True:  # until each sees all, and there is one leader
+            counters = {name: await proxy.counters() for name, proxy in processes.items()}
+            leaders = [name for name, values in counters.items() if values["council_leads"]]
+            if [values["council_alive"] for values in counters.values()] == [3, 3, 3] and len(leaders) == 1:
                 break
             await asyncio.sleep(0.02)
         (leader,) = leaders
-        others = [door for name, door in doors.items() if name != leader]
-        doors[leader].process.kill()
-        led = [asyncio.create_task(door.hears("council: leads")) for door in others]
-        await asyncio.wait(led, return_when="FIRST_COMPLETED")
-        for door in others:  # requests never wait for the council
-            client = await Client.open(door.listen)
+        others = [proxy for name, proxy in processes.items() if name != leader]
+        processes[leader].process.kill()
+        elections = [asyncio.create_task(proxy.wait_for_log("council: leads")) for proxy in others]
+        await asyncio.wait(elections, return_when="FIRST_COMPLETED")
+        for proxy in others:  # requests never wait for coordination
+            client = await Client.open(proxy.listen)
             assert await client.ask(REQUEST) == b"ok"
-            await door.hears(f"council: {leader} is dead")
-            await door.holds_a_session()
+            await proxy.wait_for_log(f"council: {leader} is dead")
+            await proxy.wait_for_session()
         others[0].process.send_signal(signal.SIGTERM)
-        await others[1].hears(f"council: {others[0].name} is left")
+        await others[1].wait_for_log(f"council: {others[0].name} is left")
         assert await others[0].process.wait() == 0
-        assert not any("Traceback" in line for door in doors.values() for line in door.lines)
+        assert not any("Traceback" in line for proxy in processes.values() for line in proxy.lines)
 
-    run(job())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -211,14 +215,16 @@
 def test_a_failed_start_is_reported_in_one_line(
     tmp_path: Path, change: dict[str, object], reason: str
 ) -> None:
-    async def job() -> None:
+    async def scenario() -> None:
         (tmp_path / "folder").mkdir(mode=0o700)
-        more = {"folder": str(tmp_path / "folder"), "forming": True, **change}
-        door = await Door("n0", tmp_path).start(0, (HOST, 9), section(tmp_path, three(), **more))
-        assert await door.process.wait() == 1
-        await door.reading
-        (line,) = [line for line in door.lines if line.startswith("molereach: ")]
+        changes = {"folder": str(tmp_path / "folder"), "forming": True, **change}
+        proxy = await ProxyProcess("n0", tmp_path).start(
+            0, (HOST, 9), council_section(tmp_path, free_addresses(), **changes)
+        )
+        assert await proxy.process.wait() == 1
+        await proxy.reader_task
+        (line,) = [line for line in proxy.lines if line.startswith("molereach: ")]
         assert "cannot start" in line and reason in line
-        assert not any("Traceback" in each for each in door.lines)
+        assert not any("Traceback" in logged for logged in proxy.lines)
 
-    run(job())
+    run(scenario())
