--- a/molereach/coordination/node/core.py
+++ b/molereach/coordination/node/core.py
@@ -111,7 +111,7 @@
     def track_acknowledgements(
         self, position: int, since_us: int, clear: bool = False
     ) -> AcknowledgementTracker:
-        """A tracker of the members that applied `position`, or with `clear` finished all work before it."""
+        """A tracker of who has applied `position`, or with `clear` finished all work before it."""
         components = self.components
         return AcknowledgementTracker(
             position, components.sessions, components.lease_manager, since_us, clear
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -86,9 +86,7 @@
 
     on_applied: list[Callable[[Applied], None]] = field(default_factory=list)
     on_restored: list[Callable[[Restored], None]] = field(default_factory=list)
-    after_turn: list[Callable[[int], None]] = field(
-        default_factory=list
-    )  # called with the time in microseconds
+    after_turn: list[Callable[[int], None]] = field(default_factory=list)  # with the time in microseconds
 
 
 class CoordinationService:
@@ -121,7 +119,7 @@
             random.random,
             lambda at_us: clock_offset_ms + at_us // US_PER_MS,
         )
-        # The writer may report a full queue during an action, so its events are handled in another turn.
+        # The writer may report a full queue during an action, so its events are handled in a new turn.
         self.disk_writer = WriterThread(opened_folder.folder, self.on_disk_event) if opened_folder else None
         self.transport = TransportService(
             self.local_instance,
@@ -234,7 +232,7 @@
             log.exception("council: cannot carry out %r", action)
 
     def set_timer(self) -> None:
-        """Set the timer to the next due time; an earlier time replaces a later one."""
+        """Set the only timer to the next due time; an earlier time replaces a later one."""
         due_us = self.core.wake_us
         if self.closed or (self.timer and self.due_us <= due_us):
             return
@@ -260,7 +258,7 @@
         self.transport.send(action.protocol, action.message)
 
     def on_persist(self, action: Persist) -> None:
-        """Write to the disk; without one, confirm at once, as a restarted proxy then learns anew."""
+        """Write to the disk. Without one, confirm at once: the proxy relearns the log after a restart."""
         if self.disk_writer:
             self.disk_writer.append(action.token, action.records, action.base)
         else:
@@ -302,7 +300,7 @@
     # --- counters ---
 
     def counters(self) -> dict[str, int]:
-        """Statistics by the names that the operator sees."""
+        """The state of coordination as numbers, under the operator's counter names."""
         core = self.core
         peers = self.transport.stats().peers.values()
         return {
--- a/molereach/coordination/transport/connection.py
+++ b/molereach/coordination/transport/connection.py
@@ -291,7 +291,7 @@
         failed: bool,
         next_phase: ConnectionPhase = ConnectionPhase.CLOSED,
     ) -> None:
-        """Enter the next phase; the owner is notified once that the connection is no longer usable."""
+        """Move to `next_phase`; the owner is notified once that the connection is no longer usable."""
         previous = self.phase
         self.phase = next_phase
         self.cancel_handshake_timer()
--- a/molereach/coordination/transport/heartbeat.py
+++ b/molereach/coordination/transport/heartbeat.py
@@ -54,7 +54,7 @@
         self.acknowledged_by_peer = 0
         self.received = 0
         self.acknowledged_to_peer = 0
-        # Since the last heartbeat.
+        # Since the last check, and numbers of consecutive heartbeats.
         self.has_received_bytes = True
         self.has_no_messages = True
         self.silent_heartbeats = 0
