--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -44,7 +44,7 @@
         config = hypercorn_config(urlsplit(entry.url).netloc, None, file)
         app = Api(agent, Tokens(f"operate bench {token}")).app()
         tasks.append(asyncio.create_task(serve(app, config, shutdown_trigger=stopped.wait)))  # type: ignore[arg-type]
-    while not all(agent.links and agent.roster.ready for agent in agents):
+    while not all(agent.connections and agent.roster.ready for agent in agents):
         await asyncio.sleep(0.05)
     print("ready", flush=True)
     await asyncio.to_thread(sys.stdin.read)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 
 from benchmarks.door import Instant, Loop, cost, start_door
 from benchmarks.result import Result, quantile
-from molereach.fleet.agent.link import Link
+from molereach.fleet.agent.link import ProxyConnection
 from molereach.fleet.api_bodies import Status
 from molereach.fleet.cli.client import CallError, Fleet
 from molereach.fleet.orders import Verb
@@ -154,7 +154,7 @@
 @contextlib.asynccontextmanager
 async def watched(path: Path) -> AsyncIterator[None]:
     """What an agent asks of a front door: its news, and its state again and again."""
-    link = Link(lambda state: None, lambda why: None)
+    link = ProxyConnection(lambda state: None, lambda why: None)
     await link.open(path)
     await link.request("watch")
 
--- a/molereach/fleet/agent/__init__.py
+++ b/molereach/fleet/agent/__init__.py
@@ -1,6 +1,6 @@
-"""The agent of the proxies on one machine.
+"""The agent: manages the proxies on one machine and takes part in the agreement on orders.
 
-In reading order: `link` (the connection to one proxy), `watcher` (queues of events for API clients), `agent`
-(the acceptor, its journal, proxies and peers), `peers` (requests to other agents), `auth` (tokens and roles),
-`middleware` and `api` (the HTTP API), `openapi` (its published description), `run` (start and end).
+In reading order: `link` (the connection to one proxy), `watcher` (event queues of API clients), `agent` (the
+acceptor, its journal, proxies and peers), `peers` (fetches the state of other agents), `auth` (tokens and
+roles), `middleware` and `api` (the HTTP API), `openapi` (its published description), `run` (the process).
 """
--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -1,7 +1,8 @@
 """The agent: an acceptor with its journal, the proxies of its machine, and synchronization with its peers.
 
-It does the I/O for `agreement`, `roster` and `journal`. It handles one message of the agreement at a time and
-replies only after the journal is on the disk: a promise that a crash could undo would be worthless.
+It does the I/O for `agreement`, `roster` and `journal`. It handles one agreement message at a time and
+replies only once the journal is on the disk: a promise lost in a crash could let two different orders be
+decided for one revision.
 """
 
 import asyncio
@@ -14,7 +15,7 @@
 import structlog
 
 from molereach.fleet import roster
-from molereach.fleet.agent.link import REQUEST_TIMEOUT_S, Link, LinkError
+from molereach.fleet.agent.link import REQUEST_TIMEOUT_S, ProxyConnection, ProxyConnectionError
 from molereach.fleet.agent.watcher import Watcher
 from molereach.fleet.agreement import Acceptor, Message, Promised
 from molereach.fleet.anchored_clock import anchored_unix_ms
@@ -23,12 +24,12 @@
 from molereach.fleet.orders import Decided, OrderStateRecord
 from molereach.fleet.wire import RequestKind, Response
 
-SCAN_INTERVAL_S = 0.1  # between scans of the folder of sockets
-HEARTBEAT_INTERVAL_S = 0.3  # between requests for a proxy's state
-SYNC_INTERVAL_S = 1.0  # between requests to a peer; varied by SYNC_JITTER
-INITIAL_SYNC_INTERVAL_S = 0.2  # the same, until a majority has answered
-INITIAL_SYNC_PEERS = 8  # requests at once, until a majority has answered
-SYNC_JITTER = (0.8, 1.2)  # the interval is multiplied by a number between these
+SOCKET_SCAN_INTERVAL_S = 0.1  # between scans of the socket folder
+HEARTBEAT_INTERVAL_S = 0.3  # between state requests to a proxy
+SYNC_INTERVAL_S = 1.0  # between fetches from a peer, multiplied by a factor from SYNC_JITTER
+INITIAL_SYNC_INTERVAL_S = 0.2  # the same, until orders may be sent to proxies
+INITIAL_SYNC_PEERS = 8  # concurrent fetches, until orders may be sent to proxies
+SYNC_JITTER = (0.8, 1.2)  # least and greatest factor
 MAX_WATCHERS = 16
 SOCKET_SUFFIX = ".sock"
 MS_PER_S = 1000
@@ -40,54 +41,54 @@
 class Agent:
     """One agent.
 
-    `fetch` requests a peer's state that is newer than a revision. `synced_agents` are the agents whose state
-    has been received since the start, and this one; `alone` is set when the agent went on without a majority
-    of them. `journal_error` is the reason why nothing may be promised any more, or "".
+    `fetch_state` fetches a peer's state if it is newer than a revision. `synced_agents` are this agent and
+    the peers that have answered since the start; `started_without_majority` is set if the agent began to send
+    orders before a majority was among them. `journal_error` is why the acceptor may no longer reply, or "".
     """
 
     def __init__(
         self,
         name: str,
-        fleet: tuple[str, ...],
+        agent_names: tuple[str, ...],
         socket_folder: Path,
         journal: Journal,
-        fetch: FetchState,
+        fetch_state: FetchState,
         start_alone_s: float = 3.0,
         random: Random | None = None,
     ) -> None:
-        """Load the journal; `start` begins the work. JournalError if it cannot be read."""
+        """Load the journal, or raise JournalError if it is not valid; `start` starts the tasks."""
         self.name = name
-        self.fleet = fleet
+        self.agent_names = agent_names
         self.socket_folder = socket_folder
         self.journal = journal
-        self.fetch = fetch
+        self.fetch_state = fetch_state
         self.start_alone_s = start_alone_s
         self.random = random or Random()
         state = journal.load()
         self.acceptor = Acceptor(state.promised, state.order_state)
         self.roster = roster.Roster(name)
         self.now_ms = anchored_unix_ms()
-        self.lock = asyncio.Lock()
-        self.links: dict[str, Link] = {}
-        self.sending_orders: set[str] = set()
+        self.state_lock = asyncio.Lock()
+        self.connections: dict[str, ProxyConnection] = {}
+        self.sending_orders_to: set[str] = set()
         self.synced_agents = {name}
-        self.alone = False
+        self.started_without_majority = False
         self.journal_error = ""
         self.watchers: set[Watcher] = set()
-        self.last_published = 0  # number of the last event that was sent to watchers
+        self.last_published_number = 0  # of the last event sent to watchers
         self.tasks: set[asyncio.Task[Any]] = set()
 
     @property
     def synced(self) -> bool:
-        """Whether a majority of agents has been synchronized with since the start."""
-        return len(self.synced_agents) > len(self.fleet) // 2
+        """Whether a majority of agents, this one included, has been synchronized since the start."""
+        return len(self.synced_agents) > len(self.agent_names) // 2
 
-    # --- start and end ---
+    # --- tasks ---
 
     def start(self) -> None:
-        """Start to scan for proxies and to synchronize with peers."""
+        """Start the tasks that find and poll proxies and synchronize with peers."""
         self.add_event("agent", self.name, f"starts at revision {self.acceptor.order_state.revision}")
-        for loop in (self.scan_loop(), self.heartbeat_loop(), self.sync_loop()):
+        for loop in (self.socket_scan_loop(), self.heartbeat_loop(), self.sync_loop()):
             self.spawn(loop)
 
     async def close(self) -> None:
@@ -95,8 +96,8 @@
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for link in list(self.links.values()):
-            await link.close()
+        for connection in list(self.connections.values()):
+            await connection.close()
         self.journal.close()
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
@@ -106,19 +107,19 @@
         task.add_done_callback(self.on_task_done)
 
     def on_task_done(self, task: asyncio.Task[Any]) -> None:
-        """Forget a task, and log its error."""
+        """Remove a finished task, and log its exception if it failed."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             log.error("a task of the agent failed", exc_info=error)
 
-    async def scan_loop(self) -> None:
-        """Scan for sockets at the interval."""
+    async def socket_scan_loop(self) -> None:
+        """Scan the socket folder periodically."""
         while True:
-            self.scan()
-            await asyncio.sleep(SCAN_INTERVAL_S)
+            self.scan_sockets()
+            await asyncio.sleep(SOCKET_SCAN_INTERVAL_S)
 
-    def scan(self) -> None:
-        """Read which sockets exist, and let the roster check the age of states."""
+    def scan_sockets(self) -> None:
+        """List the sockets for the roster, and have it check the age of the proxies' states."""
         try:
             names = frozenset(
                 path.name.removesuffix(SOCKET_SUFFIX)
@@ -134,21 +135,21 @@
         self.update_roster(roster.Tick())
 
     async def heartbeat_loop(self) -> None:
-        """Request the states of all connected proxies at the interval."""
+        """Request the state of every connected proxy periodically."""
         while True:
-            for name in list(self.links):
-                self.spawn(self.send_heartbeat(name))
+            for proxy in list(self.connections):
+                self.spawn(self.send_heartbeat(proxy))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def send_heartbeat(self, name: str) -> None:
-        """Request a proxy's state; without an answer the roster finds its last state too old."""
-        with contextlib.suppress(LinkError):
-            self.on_response(name, await self.request(name, "state", HEARTBEAT_INTERVAL_S))
+    async def send_heartbeat(self, proxy: str) -> None:
+        """Request a proxy's state; without a response, the roster marks the proxy as silent after a time."""
+        with contextlib.suppress(ProxyConnectionError):
+            self.update_proxy_state(proxy, await self.request(proxy, "state", HEARTBEAT_INTERVAL_S))
 
     # --- proxies ---
 
     def update_roster(self, event: roster.RosterEvent) -> None:
-        """Hand an event to the roster and carry out its actions."""
+        """Pass an event to the roster and carry out the actions that it returns."""
         for action in self.roster.handle(self.now_ms(), event):
             match action:
                 case roster.Connect():
@@ -159,105 +160,105 @@
                     self.spawn(self.disconnect(action.proxy))
         self.publish_events()
 
-    async def connect(self, name: str) -> None:
-        """Connect to a proxy and watch it."""
-        link = Link(
-            lambda state: self.update_roster(roster.StateReceived(name, state)),
-            lambda reason: self.on_disconnected(name, reason),
+    async def connect(self, proxy: str) -> None:
+        """Connect to a proxy and subscribe to its notifications."""
+        connection = ProxyConnection(
+            lambda state: self.update_roster(roster.StateReceived(proxy, state)),
+            lambda reason: self.on_disconnected(proxy, reason),
         )
         try:
-            await link.open(self.socket_folder / f"{name}{SOCKET_SUFFIX}")
-            self.links[name] = link
-        except LinkError as error:
-            await link.close()
-            self.on_disconnected(name, str(error))
+            await connection.open(self.socket_folder / f"{proxy}{SOCKET_SUFFIX}")
+            self.connections[proxy] = connection
+        except ProxyConnectionError as error:
+            await connection.close()
+            self.on_disconnected(proxy, str(error))
             return
-        self.update_roster(roster.Connected(name))
+        self.update_roster(roster.Connected(proxy))
         try:
-            self.on_response(name, await link.request("watch"))
-        except LinkError:  # it may be stopped: the connection stays, and heartbeats go on
-            if name in self.links:
-                self.update_roster(roster.RequestUnanswered(name))
+            self.update_proxy_state(proxy, await connection.request("watch"))
+        except ProxyConnectionError:  # the process may be suspended: keep the connection and its heartbeats
+            if proxy in self.connections:
+                self.update_roster(roster.RequestUnanswered(proxy))
 
-    def on_disconnected(self, name: str, reason: str) -> None:
-        """Forget a connection that has ended."""
-        self.links.pop(name, None)
-        self.update_roster(roster.Disconnected(name, reason))
+    def on_disconnected(self, proxy: str, reason: str) -> None:
+        """Remove a closed connection and report it to the roster."""
+        self.connections.pop(proxy, None)
+        self.update_roster(roster.Disconnected(proxy, reason))
 
-    async def disconnect(self, name: str) -> None:
+    async def disconnect(self, proxy: str) -> None:
         """Close the connection to a proxy."""
-        if link := self.links.pop(name, None):
-            await link.close()
+        if connection := self.connections.pop(proxy, None):
+            await connection.close()
 
     async def request(
         self,
-        name: str,
+        proxy: str,
         kind: RequestKind,
-        within_s: float = REQUEST_TIMEOUT_S,
+        timeout_s: float = REQUEST_TIMEOUT_S,
         customer: str = "",
         order_state: OrderStateRecord | None = None,
     ) -> Response:
-        """Send a request to a proxy; return the response, or raise LinkError if there is none."""
-        if (link := self.links.get(name)) is None:
-            raise LinkError("not connected")
-        return await link.request(kind, within_s, customer, order_state)
+        """Send a request to a proxy; return the response, or raise ProxyConnectionError if it fails."""
+        if (connection := self.connections.get(proxy)) is None:
+            raise ProxyConnectionError("not connected")
+        return await connection.request(kind, timeout_s, customer, order_state)
 
-    def on_response(self, name: str, response: Response) -> None:
-        """Hand the state in a response to the roster."""
+    def update_proxy_state(self, proxy: str, response: Response) -> None:
+        """Pass the state in a response, if any, to the roster."""
         if response.state:
-            self.update_roster(roster.StateReceived(name, response.state))
+            self.update_roster(roster.StateReceived(proxy, response.state))
 
-    async def send_orders(self, name: str) -> None:
-        """Send a proxy all orders in force; the roster repeats that if newer ones come meanwhile."""
-        if name in self.sending_orders:
+    async def send_orders(self, proxy: str) -> None:
+        """Send a proxy all orders in force; the roster sends again if they have changed meanwhile."""
+        if proxy in self.sending_orders_to:
             return
-        self.sending_orders.add(name)
+        self.sending_orders_to.add(proxy)
         record = self.acceptor.order_state.to_record()
-        in_force = OrderStateRecord(record.revision, record.in_force)
+        in_force_record = OrderStateRecord(record.revision, record.in_force)
         try:
-            response = await self.request(name, "put", order_state=in_force)
-        except LinkError as error:
-            log.warning("a front door was not told", door=name, revision=record.revision, error=str(error))
+            response = await self.request(proxy, "put", order_state=in_force_record)
+        except ProxyConnectionError as error:
+            log.warning("a front door was not told", door=proxy, revision=record.revision, error=str(error))
             return
         finally:
-            self.sending_orders.discard(name)
-        self.on_response(name, response)
+            self.sending_orders_to.discard(proxy)
+        self.update_proxy_state(proxy, response)
 
     async def request_all(
         self, kind: RequestKind, customer: str = ""
     ) -> tuple[dict[str, Response], dict[str, str]]:
-        """Send a request to all proxies; return the responses, and the reasons where there is none."""
-        names = [
+        """Send a request to all proxies; return the responses, and the reason for each missing one."""
+        proxies = [
             status.name
             for status in self.roster.proxy_statuses(self.now_ms())
             if status.reachability != "ended"
         ]
-        requests = (self.request(name, kind, customer=customer) for name in names)
+        requests = (self.request(proxy, kind, customer=customer) for proxy in proxies)
         results = await asyncio.gather(*requests, return_exceptions=True)
         responses: dict[str, Response] = {}
         missing: dict[str, str] = {}
-        for name, result in zip(names, results, strict=True):
+        for proxy, result in zip(proxies, results, strict=True):
             if isinstance(result, Response):
-                responses[name] = result
-            elif isinstance(result, LinkError):
-                missing[name] = str(result)
+                responses[proxy] = result
+            elif isinstance(result, ProxyConnectionError):
+                missing[proxy] = str(result)
             else:
                 raise result
         return responses, missing
 
-    # --- the agreement ---
+    # --- agreement ---
 
-    async def handle_message(self, message: Message, by: str = "") -> list[Message]:
-        """Handle a tool's message; return the replies, or raise JournalError if none may be sent.
+    async def handle_message(self, message: Message, client_name: str = "") -> list[Message]:
+        """Handle a proposer's message; return the replies, or raise JournalError if none may be sent.
 
-        A client that disconnects does not cancel this: an acceptor's state that has changed must be saved
+        It is shielded from cancellation when the client disconnects: a changed acceptor state must be saved
         before any later reply.
         """
-        return await asyncio.shield(asyncio.ensure_future(self.handle_message_locked(message, by)))
+        return await asyncio.shield(asyncio.ensure_future(self.handle_message_locked(message, client_name)))
 
-    async def handle_message_locked(self, message: Message, by: str) -> list[Message]:
-        """Handle one message at a time, and save the state before the replies are returned."""
-        async with self.lock:
+    async def handle_message_locked(self, message: Message, client_name: str) -> list[Message]:
+        """Handle a message under the lock, and save a changed state before the replies are returned."""
+        async with self.state_lock:
             if self.journal_error:
                 raise JournalError(self.journal_error)
             acceptor = self.acceptor
@@ -265,14 +266,14 @@
             revision_before = acceptor.order_state.revision
             replies = acceptor.handle(message)
             if acceptor.state != state_before or acceptor.order_state.revision != revision_before:
-                await self.save()
+                await self.save_state()
                 if acceptor.state.accepted_at != state_before.accepted_at:
-                    log_accepted(acceptor.state, by)
+                    log_accepted(acceptor.state, client_name)
                 self.on_orders_applied(revision_before)
         return replies
 
-    async def save(self) -> None:
-        """Write the journal; after a failure nothing is promised any more."""
+    async def save_state(self) -> None:
+        """Write the state to the journal; after a failure, the agent rejects all further messages."""
         state = AgentState(self.name, self.acceptor.state, self.acceptor.order_state.to_record())
         try:
             await asyncio.get_running_loop().run_in_executor(None, self.journal.save, state)
@@ -282,16 +283,18 @@
             raise
 
     def on_orders_applied(self, revision_before: int) -> None:
-        """Log the orders applied since a revision, and have them sent to proxies."""
+        """Record the orders applied since `revision_before`, and have the roster send them to proxies."""
         order_state = self.acceptor.order_state
         if order_state.revision == revision_before:
             return
-        for decided in [each for each in order_state.recent.values() if each.revision > revision_before]:
+        for decided in [
+            decided for decided in order_state.recent.values() if decided.revision > revision_before
+        ]:
             self.record_order(decided)
         self.update_roster(roster.RevisionChanged(order_state.revision, self.roster.ready))
 
     def record_order(self, decided: Decided) -> None:
-        """Log a decided order and add it to the history."""
+        """Log a decided order and add it to the event history."""
         order = decided.order
         log.info(
             "order decided",
@@ -309,77 +312,79 @@
     # --- peers ---
 
     async def sync_loop(self) -> None:
-        """Synchronize with peers at the interval.
+        """Synchronize with peers periodically.
 
-        Orders are sent to proxies only after a majority has answered, or after `start_alone_s`: this agent
-        may have missed orders that were decided while it was down.
+        Orders are sent to proxies only once a majority has answered, or after `start_alone_s`: this agent may
+        lack orders that were decided while it was down.
         """
         started_ms = self.now_ms()
-        peers = [name for name in self.fleet if name != self.name]
-        turn = 0
+        peers = [name for name in self.agent_names if name != self.name]
+        round_robin_index = 0
         while True:
             if not self.roster.ready:
-                # A few random ones at a time: agents that start together must not load each other so much
-                # that none answers in time.
-                missing = [peer for peer in peers if peer not in self.synced_agents]
-                sample = self.random.sample(missing, min(INITIAL_SYNC_PEERS, len(missing)))
-                await asyncio.gather(*map(self.sync, sample))
-                alone = self.now_ms() - started_ms >= self.start_alone_s * MS_PER_S
-                if self.synced or alone:
-                    self.become_ready(alone and not self.synced)
+                # A few random peers at a time: many agents that start together would otherwise overload
+                # one another, and none would answer in time.
+                unsynced_peers = [peer for peer in peers if peer not in self.synced_agents]
+                peers_to_sync = self.random.sample(
+                    unsynced_peers, min(INITIAL_SYNC_PEERS, len(unsynced_peers))
+                )
+                await asyncio.gather(*map(self.sync, peers_to_sync))
+                wait_over = self.now_ms() - started_ms >= self.start_alone_s * MS_PER_S
+                if self.synced or wait_over:
+                    self.become_ready(wait_over and not self.synced)
             elif peers:
-                turn += 1
-                await self.sync(peers[turn % len(peers)])
-            pause = SYNC_INTERVAL_S if self.roster.ready else INITIAL_SYNC_INTERVAL_S
-            await asyncio.sleep(pause * self.random.uniform(*SYNC_JITTER))
-
-    def become_ready(self, alone: bool) -> None:
-        """Send orders to proxies from now on; `alone` if no majority of agents has answered."""
-        self.alone = alone
-        if alone:
+                round_robin_index += 1
+                await self.sync(peers[round_robin_index % len(peers)])
+            interval_s = SYNC_INTERVAL_S if self.roster.ready else INITIAL_SYNC_INTERVAL_S
+            await asyncio.sleep(interval_s * self.random.uniform(*SYNC_JITTER))
+
+    def become_ready(self, without_majority: bool) -> None:
+        """Send orders to proxies from now on; `without_majority` if no majority of agents has answered."""
+        self.started_without_majority = without_majority
+        if without_majority:
             log.warning(
                 "no majority of agents was heard: front doors are told what is known here",
                 heard=len(self.synced_agents),
-                fleet=len(self.fleet),
+                fleet=len(self.agent_names),
             )
         self.update_roster(roster.RevisionChanged(self.acceptor.order_state.revision, True))
-        for name in list(self.links):
-            self.spawn(self.send_orders(name))
+        for proxy in list(self.connections):
+            self.spawn(self.send_orders(proxy))
 
     async def sync(self, peer: str) -> None:
-        """Take over a peer's state if it is newer, and save it before anything is done with it."""
+        """Adopt a peer's state if it is newer, and save it before it takes effect."""
         try:
-            record = await self.fetch(peer, self.acceptor.order_state.revision)
+            record = await self.fetch_state(peer, self.acceptor.order_state.revision)
             if record is not None:
                 record.check()
-                async with self.lock:
+                async with self.state_lock:
                     revision_before = self.acceptor.order_state.revision
                     if self.acceptor.order_state.adopt(record):
-                        await self.save()
+                        await self.save_state()
                         self.add_event("agent", self.name, f"learned revision {record.revision} from {peer}")
                         self.on_orders_applied(revision_before)
             self.synced_agents.add(peer)
         except (OSError, ValueError, JournalError) as error:
             log.debug("a peer was not heard", peer=peer, error=str(error))
 
-    # --- reading ---
+    # --- events and queries ---
 
     def add_event(self, kind: str, subject: str, text: str) -> None:
-        """Add an event to the history and publish it."""
+        """Add an event to the history and send it to watchers."""
         self.roster.add_event(self.now_ms(), kind, subject, text)
         self.publish_events()
 
     def publish_events(self) -> None:
-        """Send the events since the last call to all watchers."""
-        for event in self.events(self.last_published):
+        """Send watchers the events that were added since the last call."""
+        for event in self.events(self.last_published_number):
             if event.kind == "door":
                 log.info("front door", door=event.subject, change=event.text)
             for watcher in self.watchers:
                 watcher.push(event)
-        self.last_published = self.roster.number
+        self.last_published_number = self.roster.number
 
     def events(self, after: int) -> list[Event]:
-        """Return the events with a number greater than `after`, as far as they are kept."""
+        """Return the events in the history whose number is greater than `after`."""
         if after >= self.roster.number:
             return []
         return [event for event in self.roster.history if event.number > after]
@@ -389,7 +394,7 @@
         acceptor = self.acceptor
         return Status(
             self.name,
-            self.fleet,
+            self.agent_names,
             acceptor.order_state.revision,
             self.synced,
             self.journal_error,
@@ -398,7 +403,7 @@
         )
 
     async def snapshot(self) -> AgentSnapshot:
-        """Return all that a tool needs to give an order."""
+        """Return what a tool needs to propose an order."""
         responses, _ = await self.request_all("members")
         ready = ready_servers(response.members or () for response in responses.values())
         return AgentSnapshot(self.status(), self.acceptor.order_state.to_record(), ready)
@@ -406,29 +411,29 @@
     async def members(self) -> Members:
         """Return the servers as each proxy sees them."""
         responses, missing = await self.request_all("members")
-        members = {name: response.members or () for name, response in responses.items()}
+        members = {proxy: response.members or () for proxy, response in responses.items()}
         return Members(self.name, members, missing)
 
     async def quota(self, customer: str) -> Quota:
         """Return what each proxy knows of a customer's quota."""
         responses, missing = await self.request_all("quota", customer=customer)
-        quota = {name: response.quota or () for name, response in responses.items()}
+        quota = {proxy: response.quota or () for proxy, response in responses.items()}
         return Quota(self.name, quota, missing)
 
     def orders(self) -> Orders:
-        """Return the orders in force, the latest ones, and one that is under way."""
+        """Return the orders in force, the recent ones, and the one accepted but not known to be decided."""
         record = self.acceptor.order_state.to_record()
         return Orders(self.name, record.revision, record.in_force, record.recent, self.acceptor.pending())
 
 
-def log_accepted(state: Promised, by: str) -> None:
-    """Log the order that the acceptor has accepted from client `by`."""
+def log_accepted(state: Promised, client_name: str) -> None:
+    """Log the order that the acceptor has accepted, and the client that sent it."""
     order = state.accepted
     if order is None:
         return
     log.info(
         "order accepted",
-        by=by,
+        by=client_name,
         order=order.id,
         verb=order.verb.value,
         subject=order.subject,
--- a/molereach/fleet/agent/api.py
+++ b/molereach/fleet/agent/api.py
@@ -1,7 +1,7 @@
-"""The agent's HTTP API, the same over HTTP/1.1 and HTTP/2. `openapi.json` beside this file describes it.
+"""The agent's HTTP API, the same over HTTP/1.1 and HTTP/2; described by `openapi.json` in this folder.
 
-A body's length is checked before it is read and its type before it is used. A client sends a bearer token,
-whose role says what it may do. Every rejected call is logged.
+The length of a body is limited before it is read, and its type checked before it is used. The role of a
+client's bearer token determines which routes it may use. Every rejected call is logged.
 """
 
 import asyncio
@@ -27,34 +27,34 @@
 from molereach.fleet.journal import JournalError
 from molereach.fleet.orders import OrderError
 
-MAX_CONCURRENT_CALLS = 64  # without watchers
+MAX_CONCURRENT_CALLS = 64  # streams to watchers are not counted
 CUSTOMER_DIGITS = 16
-JSON = "application/json"
-JSON_LINES = "application/x-ndjson"
-DOCUMENT = Path(__file__).with_name("openapi.json")
-HEADERS = {"cache-control": "no-store"}
+JSON_MEDIA_TYPE = "application/json"
+JSON_LINES_MEDIA_TYPE = "application/x-ndjson"
+OPENAPI_FILE = Path(__file__).with_name("openapi.json")
+COMMON_HEADERS = {"cache-control": "no-store"}
 
 log = structlog.get_logger()
 _encode = msgspec.json.Encoder().encode
-_message: msgspec.json.Decoder[Message] = msgspec.json.Decoder(
+_message_decoder: msgspec.json.Decoder[Message] = msgspec.json.Decoder(
     Prepare | Promise | Accept | Accepted | Outbid | Known | Behind
 )
 
 
 class CallRejectedError(FleetError):
-    """A call that is answered with a `Problem` and an HTTP status."""
+    """A call is rejected with a `Problem` and an HTTP status."""
 
     def __init__(self, status: int, text: str, headers: dict[str, str] | None = None) -> None:
-        """Answer with an HTTP status, one line of text, and additional headers."""
+        """Set the HTTP status, the text of the `Problem` (one line), and additional headers."""
         super().__init__(text)
         self.status = status
         self.text = text
         self.headers = headers or {}
 
 
-def answer(body: object, status: int = 200, headers: dict[str, str] | None = None) -> Response:
+def json_response(body: object, status: int = 200, headers: dict[str, str] | None = None) -> Response:
     """Return a JSON response."""
-    return Response(_encode(body), status, HEADERS | (headers or {}), JSON)
+    return Response(_encode(body), status, COMMON_HEADERS | (headers or {}), JSON_MEDIA_TYPE)
 
 
 def check_message(message: Message) -> None:
@@ -74,8 +74,8 @@
         raise OrderError("ballot: no proposer has such a one")
 
 
-async def body_of(request: Request) -> bytes:
-    """Return a request's body; reject one that is too large without reading all of it."""
+async def read_body(request: Request) -> bytes:
+    """Return the body of a request; reject one that is too large before it is read in full."""
     length = request.headers.get("content-length", "0")
     data = bytearray()
     if not length.isdigit() or int(length) > MAX_BODY_BYTES:
@@ -89,8 +89,8 @@
     return bytes(data)
 
 
-def number_of(request: Request, name: str) -> int:
-    """Return a query parameter that is a whole number, 0 without it."""
+def integer_parameter(request: Request, name: str) -> int:
+    """Return a query parameter as an integer, 0 by default; reject what is not a whole number."""
     text = request.query_params.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > 16:
         raise CallRejectedError(400, f"{name}: not a whole number")
@@ -98,10 +98,10 @@
 
 
 class Api:
-    """The routes of one agent."""
+    """The HTTP routes of one agent."""
 
     def __init__(self, agent: Agent, tokens: Tokens) -> None:
-        """Serve an agent to the holders of tokens."""
+        """Create the API of an agent for the clients in `tokens`."""
         self.agent = agent
         self.tokens = tokens
         self.calls_in_progress = 0
@@ -112,40 +112,42 @@
         operate = Role.OPERATE
         return Starlette(
             routes=[
-                Route("/v1/status", self.guarded(read, self.status)),
-                Route("/v1/view", self.guarded(read, self.snapshot)),
-                Route("/v1/members", self.guarded(read, self.members)),
-                Route("/v1/orders", self.guarded(read, self.orders)),
-                Route("/v1/quota/{customer}", self.guarded(read, self.quota)),
-                Route("/v1/book", self.guarded(read, self.order_state)),
-                Route("/v1/events", self.guarded(read, self.events)),
-                Route("/v1/watch", self.guarded(read, self.watch)),
-                Route("/v1/agreement", self.guarded(operate, self.agreement), methods=["POST"]),
-                Route("/v1/openapi.json", self.guarded(read, self.openapi)),
+                Route("/v1/status", self.authorized(read, self.status)),
+                Route("/v1/view", self.authorized(read, self.snapshot)),
+                Route("/v1/members", self.authorized(read, self.members)),
+                Route("/v1/orders", self.authorized(read, self.orders)),
+                Route("/v1/quota/{customer}", self.authorized(read, self.quota)),
+                Route("/v1/book", self.authorized(read, self.order_state)),
+                Route("/v1/events", self.authorized(read, self.events)),
+                Route("/v1/watch", self.authorized(read, self.watch)),
+                Route("/v1/agreement", self.authorized(operate, self.agreement), methods=["POST"]),
+                Route("/v1/openapi.json", self.authorized(read, self.openapi)),
             ],
             middleware=[Middleware(DiscardUnreadBody)],
         )
 
-    def guarded(
-        self, role: Role, call: Callable[[Request, str], Awaitable[Response]]
+    def authorized(
+        self, required_role: Role, handler: Callable[[Request, str], Awaitable[Response]]
     ) -> Callable[[Request], Awaitable[Response]]:
-        """Return a route for clients with a role; every error in `call` is answered with a `Problem`."""
+        """Return an endpoint for clients with a role; errors in `handler` are answered with a `Problem`."""
 
-        async def guard(request: Request) -> Response:
-            client = self.tokens.client(request.headers.get("authorization", ""))
-            name = client.name if client else ""
+        async def endpoint(request: Request) -> Response:
+            client = self.tokens.authenticate(request.headers.get("authorization", ""))
+            client_name = client.name if client else ""
             try:
                 if client is None:
                     raise CallRejectedError(
                         401, "no token that is known here", {"www-authenticate": "Bearer"}
                     )
-                if not client.role.may(role):
-                    raise CallRejectedError(403, f"{name} may not do this: it takes the role {role.value}")
+                if not client.role.includes(required_role):
+                    raise CallRejectedError(
+                        403, f"{client_name} may not do this: it takes the role {required_role.value}"
+                    )
                 if self.calls_in_progress >= MAX_CONCURRENT_CALLS:
                     raise CallRejectedError(
                         503, f"{MAX_CONCURRENT_CALLS} calls are under way", {"retry-after": "1"}
                     )
-                return await self.counted(call, request, name)
+                return await self.run_counted(handler, request, client_name)
             except CallRejectedError as rejection:
                 peer = request.client.host if request.client else ""
                 log.warning(
@@ -153,117 +155,119 @@
                     path=request.url.path,
                     status=rejection.status,
                     peer=peer,
-                    client=name,
+                    client=client_name,
                     why=rejection.text,
                 )
-                return answer(Problem(rejection.text), rejection.status, rejection.headers)
+                return json_response(Problem(rejection.text), rejection.status, rejection.headers)
             except ClientDisconnect:
                 return Response(status_code=499)
             except Exception:
                 log.exception("a call failed", path=request.url.path)
-                return answer(Problem("internal error"), 500)
+                return json_response(Problem("internal error"), 500)
 
-        return guard
+        return endpoint
 
-    async def counted(
-        self, call: Callable[[Request, str], Awaitable[Response]], request: Request, name: str
+    async def run_counted(
+        self, handler: Callable[[Request, str], Awaitable[Response]], request: Request, client_name: str
     ) -> Response:
-        """Run a call, counted among the calls in progress."""
+        """Run a handler and count it in `calls_in_progress` meanwhile."""
         self.calls_in_progress += 1
         try:
-            return await call(request, name)
+            return await handler(request, client_name)
         finally:
             self.calls_in_progress -= 1
 
-    # --- reading ---
+    # --- routes with the role READ ---
 
     async def status(self, request: Request, client: str) -> Response:
         """Answer with the state of the agent and its proxies."""
-        return answer(self.agent.status())
+        return json_response(self.agent.status())
 
     async def snapshot(self, request: Request, client: str) -> Response:
-        """Answer with all that a tool needs to give an order."""
-        return answer(await self.agent.snapshot())
+        """Answer with what a tool needs to propose an order."""
+        return json_response(await self.agent.snapshot())
 
     async def members(self, request: Request, client: str) -> Response:
         """Answer with the servers as each proxy sees them."""
-        return answer(await self.agent.members())
+        return json_response(await self.agent.members())
 
     async def orders(self, request: Request, client: str) -> Response:
-        """Answer with the orders in force, the latest ones, and one that is under way."""
-        return answer(self.agent.orders())
+        """Answer with the orders in force, the recent ones, and the pending one."""
+        return json_response(self.agent.orders())
 
     async def quota(self, request: Request, client: str) -> Response:
         """Answer with what each proxy knows of a customer's quota."""
         customer = request.path_params["customer"].lower()
         if len(customer) != CUSTOMER_DIGITS or set(customer) - set("0123456789abcdef"):
             raise CallRejectedError(400, f"customer: not {CUSTOMER_DIGITS} hex digits")
-        return answer(await self.agent.quota(customer))
+        return json_response(await self.agent.quota(customer))
 
     async def order_state(self, request: Request, client: str) -> Response:
-        """Answer with the replicated state if it is newer than a revision, otherwise 204."""
+        """Answer with the replicated state if it is newer than the revision `after`, otherwise with 204."""
         state = self.agent.acceptor.order_state.to_record()
-        if state.revision <= number_of(request, "after"):
-            return Response(status_code=204, headers=HEADERS)
-        return answer(state)
+        if state.revision <= integer_parameter(request, "after"):
+            return Response(status_code=204, headers=COMMON_HEADERS)
+        return json_response(state)
 
     async def events(self, request: Request, client: str) -> Response:
-        """Answer with the events after a number."""
-        return answer(self.agent.events(number_of(request, "after")))
+        """Answer with the events whose number is greater than `after`."""
+        return json_response(self.agent.events(integer_parameter(request, "after")))
 
     async def watch(self, request: Request, client: str) -> Response:
-        """Stream events as lines; a client that reads too slowly misses some and gets their number."""
+        """Stream events as JSON lines; a client that reads too slowly misses events and is told how many."""
         agent = self.agent
         if len(agent.watchers) >= MAX_WATCHERS:
             raise CallRejectedError(503, f"{MAX_WATCHERS} watchers are there", {"retry-after": "5"})
         watcher = Watcher()
-        agent.watchers.add(watcher)  # before the response starts, so that no event after it is missed
+        agent.watchers.add(watcher)  # before the response starts, so that no later event is missed
 
-        async def lines() -> AsyncIterator[bytes]:
+        async def event_lines() -> AsyncIterator[bytes]:
             try:
-                yield b"\n"  # sends the headers at once
+                yield b"\n"  # makes the server send the headers at once
                 while True:
                     event = await watcher.queue.get()
                     if watcher.missed:
                         text = f"{watcher.missed} events were not read"
                         watcher.missed = 0
-                        yield line(Event(event.number, event.at_ms, agent.name, "dropped", agent.name, text))
-                    yield line(event)
+                        yield encode_line(
+                            Event(event.number, event.at_ms, agent.name, "dropped", agent.name, text)
+                        )
+                    yield encode_line(event)
             finally:
                 agent.watchers.discard(watcher)
 
-        return WatchResponse(lines(), agent, watcher)
+        return WatchResponse(event_lines(), agent, watcher)
 
     async def openapi(self, request: Request, client: str) -> Response:
-        """Answer with the description of the API."""
-        return Response(DOCUMENT.read_bytes(), 200, HEADERS, JSON)
+        """Answer with the OpenAPI description."""
+        return Response(OPENAPI_FILE.read_bytes(), 200, COMMON_HEADERS, JSON_MEDIA_TYPE)
 
-    # --- operating ---
+    # --- routes with the role OPERATE ---
 
     async def agreement(self, request: Request, client: str) -> Response:
-        """Handle a tool's message; answer with the replies."""
+        """Handle a proposer's message; answer with the acceptor's replies."""
         try:
-            message = _message.decode(await body_of(request))
+            message = _message_decoder.decode(await read_body(request))
             check_message(message)
         except (msgspec.DecodeError, UnicodeDecodeError, OrderError) as error:
             raise CallRejectedError(400, " ".join(str(error).split())) from error
         try:
-            return answer(await self.agent.handle_message(message, client))
+            return json_response(await self.agent.handle_message(message, client))
         except JournalError as error:
             raise CallRejectedError(503, str(error)) from error
 
 
 class WatchResponse(StreamingResponse):
-    """A stream that removes its watcher when it ends, even if it never started."""
+    """A streaming response that removes its watcher at its end, even if the body was never iterated."""
 
     def __init__(self, lines: AsyncIterator[bytes], agent: Agent, watcher: Watcher) -> None:
-        """Stream `lines` to a watcher of an agent."""
-        super().__init__(lines, headers=HEADERS, media_type=JSON_LINES)
+        """Create the response; `lines` is its body."""
+        super().__init__(lines, headers=COMMON_HEADERS, media_type=JSON_LINES_MEDIA_TYPE)
         self.agent = agent
         self.watcher = watcher
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:  # noqa: ANN401
-        """Send the stream, and remove the watcher."""
+        """Send the response, then remove the watcher."""
         try:
             await super().__call__(scope, receive, send)
         except asyncio.CancelledError:
@@ -272,6 +276,6 @@
             self.agent.watchers.discard(self.watcher)
 
 
-def line(event: Event) -> bytes:
-    """Return an event as a line of JSON."""
+def encode_line(event: Event) -> bytes:
+    """Encode an event as a line of JSON."""
     return _encode(event) + b"\n"
--- a/molereach/fleet/agent/peers.py
+++ b/molereach/fleet/agent/peers.py
@@ -1,4 +1,4 @@
-"""Requests an agent's peers for the replicated state."""
+"""Fetches the replicated state from an agent's peers."""
 
 import httpx
 import msgspec
@@ -9,18 +9,18 @@
 from molereach.fleet.orders import OrderStateRecord
 from molereach.fleet.settings import FleetFile
 
-_decoder = msgspec.json.Decoder(OrderStateRecord)
+_state_decoder = msgspec.json.Decoder(OrderStateRecord)
 
 
 class PeerError(FleetError, OSError):
-    """A peer did not answer with a state."""
+    """A peer could not be reached, or did not answer with a state."""
 
 
-def fetch_from(client: httpx.AsyncClient, fleet: FleetFile) -> FetchState:
-    """Return the function that requests a peer's state if it is newer than a revision."""
+def peer_state_fetcher(client: httpx.AsyncClient, fleet: FleetFile) -> FetchState:
+    """Return a function that fetches the state of a named peer if it is newer than a revision."""
     urls = {agent.name: agent.url.rstrip("/") for agent in fleet.agents}
 
-    async def fetch(peer: str, after: int) -> OrderStateRecord | None:
+    async def fetch_state(peer: str, after: int) -> OrderStateRecord | None:
         try:
             response = await client.get(f"{urls[peer]}/v1/book", params={"after": after})
         except httpx.HTTPError as error:
@@ -29,6 +29,6 @@
             return None
         if response.status_code != httpx.codes.OK or len(response.content) > MAX_BODY_BYTES:
             raise PeerError(f"status {response.status_code}, {len(response.content)} bytes")
-        return _decoder.decode(response.content)
+        return _state_decoder.decode(response.content)
 
-    return fetch
+    return fetch_state
--- a/molereach/fleet/agent/watcher.py
+++ b/molereach/fleet/agent/watcher.py
@@ -4,11 +4,11 @@
 
 from molereach.fleet.api_bodies import Event
 
-MAX_QUEUED_EVENTS = 256  # for one watcher; events beyond that are counted and dropped
+MAX_QUEUED_EVENTS = 256  # per watcher; further events are dropped and counted
 
 
 class Watcher:
-    """The queue of one watcher; `missed` counts the events that did not fit."""
+    """The event queue of one watcher; `missed` counts dropped events that the client has not been told of."""
 
     def __init__(self) -> None:
         """Start with an empty queue."""
--- a/tests/compatibility/fleet_samples.py
+++ b/tests/compatibility/fleet_samples.py
@@ -234,7 +234,7 @@
 
 def api_bodies() -> bytes:
     """The bodies that the API answers with, a line each."""
-    return b"".join(bytes(api.answer(body).body) + b"\n" for body in BODIES)
+    return b"".join(bytes(api.json_response(body).body) + b"\n" for body in BODIES)
 
 
 def journal_files() -> Mapping[str, Callable[[], bytes]]:
@@ -254,7 +254,7 @@
     "fleet-books.json": lambda: json_lines(BOOKS),
     "fleet-agreement.json": lambda: json_lines(MESSAGES),
     "fleet-api-bodies.json": api_bodies,
-    "fleet-api-replies.json": lambda: bytes(api.answer(list(MESSAGES)).body),
-    "fleet-api-events.json": lambda: b"".join(map(api.line, EVENTS)),
+    "fleet-api-replies.json": lambda: bytes(api.json_response(list(MESSAGES)).body),
+    "fleet-api-events.json": lambda: b"".join(map(api.encode_line, EVENTS)),
     "fleet-reports.json": lambda: json_lines(REPORTS),
 }
--- a/tests/compatibility/roster_samples.py
+++ b/tests/compatibility/roster_samples.py
@@ -38,7 +38,9 @@
     """The history, an event a line, and then each front door as the API tells of it."""
     made = played()
     views = made.proxy_statuses(BEGUN_MS + 10_000)
-    return b"".join([*map(api.line, made.history), *(msgspec.json.encode(view) + b"\n" for view in views)])
+    return b"".join(
+        [*map(api.encode_line, made.history), *(msgspec.json.encode(view) + b"\n" for view in views)]
+    )
 
 
 # The recorded files of this module, and what makes each.
--- a/tests/compatibility/test_control.py
+++ b/tests/compatibility/test_control.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from molereach.fleet import wire
-from molereach.fleet.agent.link import Link
+from molereach.fleet.agent.link import ProxyConnection
 from tests.compatibility import fleet_samples as samples
 from tests.compatibility.control_samples import controlled_front_door
 from tests.compatibility.recording import recorded
@@ -27,7 +27,7 @@
     async def job() -> None:
         path = tmp_path / "n0.sock"
         async with await asyncio.start_unix_server(answer_all, str(path)):
-            link = Link(lambda state: None, lambda why: None)
+            link = ProxyConnection(lambda state: None, lambda why: None)
             await link.open(path)
             for ask in samples.ASKS:
                 await link.request(ask.kind, customer=ask.customer, order_state=ask.order_state)
@@ -54,7 +54,7 @@
     async def job() -> None:
         path = tmp_path / "n0.sock"
         async with await asyncio.start_unix_server(answer_at_once, str(path)):
-            link = Link(heard.append, lambda why: None)
+            link = ProxyConnection(heard.append, lambda why: None)
             await link.open(path)
             asks = [link.request("state") for _ in answers]
             found = await asyncio.gather(*asks, return_exceptions=True)
--- a/tests/compatibility/test_fleet.py
+++ b/tests/compatibility/test_fleet.py
@@ -84,7 +84,7 @@
 
 
 def test_messages_of_the_agreement_are_read_by_agents_as_sent() -> None:
-    found = tuple(api._message.decode(line) for line in recorded_lines("fleet-agreement.json"))
+    found = tuple(api._message_decoder.decode(line) for line in recorded_lines("fleet-agreement.json"))
     assert found == samples.MESSAGES
     for message in found:
         api.check_message(message)
--- a/tests/fleet/test_agent.py
+++ b/tests/fleet/test_agent.py
@@ -104,7 +104,7 @@
 
 def test_description_matches_the_code(tmp_path: Path) -> None:
     text = Path(openapi.__file__).with_name("openapi.json").read_text()
-    assert text == openapi.text()
+    assert text == openapi.document_text()
     paths: dict[str, Any] = json.loads(text)["paths"]
     agent = made(tmp_path)
     found = Api(agent, Tokens(TOKENS)).app().routes
@@ -112,7 +112,10 @@
     assert {path: {method.upper() for method in calls} for path, calls in paths.items()} == routes
 
     async def scenario() -> None:
-        kinds = {openapi.published_name(kind.__name__): kind for kind in (*openapi.BODIES, *openapi.MESSAGES)}
+        kinds = {
+            openapi.published_schema_name(kind.__name__): kind
+            for kind in (*openapi.BODY_TYPES, *openapi.MESSAGE_TYPES)
+        }
         async with serving(agent) as url, client(url) as session:
             for path, calls in paths.items():
                 if "get" not in calls or path.endswith(("watch", "openapi.json")):
@@ -279,7 +282,7 @@
         async with front_door(Backend()) as (door, _), serving(agent):
             control = Control(door, tmp_path / "sockets" / "n0.sock")
             await control.start()
-            await until(lambda: bool(agent.links))
+            await until(lambda: bool(agent.connections))
             assert not control.orders_received.is_set() and not agent.status().synced
             answers["a2"] = RECORD  # now a majority is heard
             await until(lambda: control.orders_received.is_set())
@@ -297,7 +300,7 @@
         agent = made(tmp_path, fleet=("a0", "a1", "a2"))
         async with serving(agent):
             await until(lambda: agent.roster.ready)
-            assert agent.alone and not agent.status().synced
+            assert agent.started_without_majority and not agent.status().synced
 
     run(scenario())
 
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -117,11 +117,11 @@
 
 def test_tokens_have_names_and_roles() -> None:
     tokens = Tokens(f"# c\n\noperate duty {'d' * 16}\nread wall {'w' * 16}\n")
-    assert tokens.client("Bearer " + "d" * 16) == Client("duty", Role.OPERATE)
-    assert tokens.client("Bearer " + "w" * 16) == Client("wall", Role.READ)
+    assert tokens.authenticate("Bearer " + "d" * 16) == Client("duty", Role.OPERATE)
+    assert tokens.authenticate("Bearer " + "w" * 16) == Client("wall", Role.READ)
     for header in ("", "Bearer ", "Basic " + "d" * 16, "Bearer " + "d" * 15, "bearer " + "d" * 16):
-        assert tokens.client(header) is None
-    assert Role.OPERATE.may(Role.READ) and not Role.READ.may(Role.OPERATE)
+        assert tokens.authenticate(header) is None
+    assert Role.OPERATE.includes(Role.READ) and not Role.READ.includes(Role.OPERATE)
 
 
 def test_no_agent_answers_and_no_file_have_their_exit_codes(tmp_path: Path) -> None:
