--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -146,7 +146,7 @@
 async def timed_status(fleet: Fleet) -> float:
     """Seconds for the state of all agents; inf where one did not answer."""
     begun = time.monotonic()
-    found = await fleet.all("/v1/status", Status)
+    found = await fleet.call_all("/v1/status", Status)
     failed = any(isinstance(each, CallError) for each in found.values())
     return float("inf") if failed else time.monotonic() - begun
 
--- a/molereach/fleet/cli/commands/__init__.py
+++ b/molereach/fleet/cli/commands/__init__.py
@@ -1,5 +1,5 @@
 """The commands of `molereach fleet`.
 
 In reading order: `status`, `servers` (members, quota), `orders`, `watch`, `give` (drain, undrain, hold,
-release), `group` (all of them).
+release), `group` (the command group).
 """
--- a/molereach/fleet/cli/commands/give.py
+++ b/molereach/fleet/cli/commands/give.py
@@ -1,4 +1,4 @@
-"""`drain`, `undrain`, `hold`, `release`: roll out an order and print the report."""
+"""`drain`, `undrain`, `hold`, `release`: roll out an order and print a report."""
 
 import getpass
 import secrets
@@ -11,12 +11,12 @@
 import msgspec
 
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import DONE, EXITS, PARTIAL
-from molereach.fleet.cli.in_flight import print_in_flight, wait_for_end
-from molereach.fleet.cli.rollouts import rollout_for
+from molereach.fleet.cli.exits import DONE, EXIT_CODES, PARTIAL
+from molereach.fleet.cli.in_flight import print_in_flight, wait_until_idle
+from molereach.fleet.cli.rollouts import new_rollout
 from molereach.fleet.cli.runner import RolloutRunner
-from molereach.fleet.cli.session import as_json, run
-from molereach.fleet.cli.tables import Printer, age
+from molereach.fleet.cli.session import as_json, run_command
+from molereach.fleet.cli.tables import Printer, format_age
 from molereach.fleet.orders import Order, Verb
 from molereach.fleet.rollout import events
 from molereach.fleet.rollout.report import Report
@@ -27,64 +27,64 @@
 
 
 def print_report(printer: Printer, report: Report) -> None:
-    """Print a report for people."""
+    """Print a report as text."""
     printer.line(f"{report.verdict.value}: {report.text} (order {report.order_id})")
     if report.winner:
-        other = report.winner.order
+        winner = report.winner.order
         printer.line(
-            f"  stands: {other.verb.value} {other.subject} at revision {report.winner.revision}, by "
-            f"{other.issuer}: {other.reason} (order {other.id})"
+            f"  stands: {winner.verb.value} {winner.subject} at revision {report.winner.revision}, by "
+            f"{winner.issuer}: {winner.reason} (order {winner.id})"
         )
-    for each in report.agents:
-        if each.reason or (report.decided and not each.notified):
-            printer.line(f"  agent {each.agent}: {each.reason or 'has not said that it knows the order'}")
+    for agent in report.agents:
+        if agent.reason or (report.decided and not agent.notified):
+            printer.line(f"  agent {agent.agent}: {agent.reason or 'has not said that it knows the order'}")
     if report.decided and report.proxies:
         printer.table(
             "",
             ("agent", "front door", "carried out", "reach", "revision", "heard", ""),
             (
                 (
-                    each.agent,
-                    each.proxy,
-                    "yes" if each.applied else "NOT KNOWN",
-                    each.reachability,
-                    each.revision,
-                    age(each.reported_ago_ms),
-                    each.reason,
+                    proxy.agent,
+                    proxy.proxy,
+                    "yes" if proxy.applied else "NOT KNOWN",
+                    proxy.reachability,
+                    proxy.revision,
+                    format_age(proxy.reported_ago_ms),
+                    proxy.reason,
                 )
-                for each in report.proxies
+                for proxy in report.proxies
             ),
         )
 
 
-def give(file: Path | None, draft: events.Draft, json_only: bool, wait_s: float | None) -> None:
-    """Roll out an order and end with the exit code of its verdict.
+def run_rollout(file: Path | None, draft: events.Draft, json_only: bool, wait_s: float | None) -> None:
+    """Roll out an order and exit with the code of its verdict.
 
-    `wait_s` is how long to wait until nothing is in flight at a drained server, in seconds; None: no wait.
+    `wait_s` is how many seconds to wait until nothing is in flight at a drained server; None for no wait.
     """
 
     async def command(fleet: Fleet) -> int:
         check_draft(draft)
         printer = Printer(json_only)
-        rollout = rollout_for(fleet.settings, draft)
-        report = await RolloutRunner(fleet, rollout, lambda step: printer.note(f"{step} ...")).run()
-        code = EXITS[report.verdict]
+        rollout = new_rollout(fleet.settings, draft)
+        report = await RolloutRunner(fleet, rollout, lambda step: printer.progress(f"{step} ...")).run()
+        exit_code = EXIT_CODES[report.verdict]
         in_flight = None
-        if wait_s is not None and report.decided and code in (DONE, PARTIAL):
-            in_flight = await wait_for_end(fleet, draft.subject, wait_s, printer.note)
-            code = code if in_flight.ended else PARTIAL
-        printer.result({**msgspec.to_builtins(report), "exit": code, "in_flight": in_flight})
+        if wait_s is not None and report.decided and exit_code in (DONE, PARTIAL):
+            in_flight = await wait_until_idle(fleet, draft.subject, wait_s, printer.progress)
+            exit_code = exit_code if in_flight.ended else PARTIAL
+        printer.result({**msgspec.to_builtins(report), "exit": exit_code, "in_flight": in_flight})
         if not json_only:
             print_report(printer, report)
             if in_flight:
                 print_in_flight(printer, draft.subject, in_flight, wait_s or 0.0)
-        return code
+        return exit_code
 
-    run(file, command, many_calls=True)
+    run_command(file, command, many_calls=True)
 
 
 def check_draft(draft: events.Draft) -> None:
-    """Raise OrderError if the order of a draft is not valid."""
+    """Raise OrderError if the order that a draft describes is not valid."""
     Order(
         draft.id,
         draft.verb,
@@ -98,12 +98,12 @@
 
 
 def lapse_time_ms(lapse_s: float) -> int:
-    """Return the Unix time in milliseconds after so many seconds; 0, for never, after 0."""
+    """Return the Unix time in milliseconds at which an order lapses; 0 (never) if `lapse_s` is 0."""
     return time.time_ns() // NS_PER_MS + round(lapse_s * MS_PER_S) if lapse_s else 0
 
 
 def order_options(verb: Verb, metavar: str) -> list[Callable[..., Any]]:
-    """Return the argument and the options of one verb's command, in the order of its help."""
+    """Return the argument and the options of a verb's command, in the order in which its help lists them."""
     options = [
         click.argument("subject", metavar=metavar),
         as_json,
@@ -144,8 +144,8 @@
     return options
 
 
-def order_command(verb: Verb, metavar: str, text: str) -> click.Command:
-    """Return the command of one verb; `metavar` names its argument, and `text` is its help."""
+def order_command(verb: Verb, metavar: str, help_text: str) -> click.Command:
+    """Return the command for a verb; `metavar` names its argument in the help."""
 
     def command(
         file: Path | None,
@@ -169,10 +169,10 @@
             forced,
             based_on,
         )
-        give(file, draft, json_only, wait_s)
+        run_rollout(file, draft, json_only, wait_s)
 
-    command.__doc__ = text
-    decorated: Callable[..., None] = command
+    command.__doc__ = help_text
+    decorated_command: Callable[..., None] = command
     for option in reversed(order_options(verb, metavar)):
-        decorated = option(decorated)
-    return click.command(verb.value)(click.pass_obj(decorated))
+        decorated_command = option(decorated_command)
+    return click.command(verb.value)(click.pass_obj(decorated_command))
--- a/molereach/fleet/cli/commands/group.py
+++ b/molereach/fleet/cli/commands/group.py
@@ -1,4 +1,4 @@
-"""`molereach fleet` with all its commands."""
+"""The command group `molereach fleet`."""
 
 from pathlib import Path
 
@@ -9,19 +9,19 @@
 from molereach.fleet.cli.commands.servers import members, quota
 from molereach.fleet.cli.commands.status import status
 from molereach.fleet.cli.commands.watch import watch
-from molereach.fleet.cli.exits import EXIT_TEXT
-from molereach.fleet.cli.session import FLEET_VARIABLE
+from molereach.fleet.cli.exits import EXIT_CODES_HELP
+from molereach.fleet.cli.session import FLEET_ENVIRONMENT_VARIABLE
 from molereach.fleet.orders import Verb
 
 
-@click.group("fleet", epilog=EXIT_TEXT)
+@click.group("fleet", epilog=EXIT_CODES_HELP)
 @click.option(
     "--fleet",
     "file",
     type=click.Path(path_type=Path),
-    envvar=FLEET_VARIABLE,
+    envvar=FLEET_ENVIRONMENT_VARIABLE,
     metavar="FILE",
-    help=f"The fleet's file: its agents, and how to speak with them (or {FLEET_VARIABLE}).",
+    help=f"The fleet's file: its agents, and how to speak with them (or {FLEET_ENVIRONMENT_VARIABLE}).",
 )
 @click.pass_context
 def fleet(context: click.Context, file: Path | None) -> None:
--- a/molereach/fleet/cli/commands/orders.py
+++ b/molereach/fleet/cli/commands/orders.py
@@ -1,4 +1,4 @@
-"""`orders`: how far each order has come at every agent and proxy."""
+"""`orders`: which agents know each order, and which proxies apply it."""
 
 import asyncio
 import json
@@ -11,12 +11,12 @@
 
 from molereach.fleet.api_bodies import Orders, ProxyStatus, Status
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import answers, errors, print_errors, reading_exit
-from molereach.fleet.cli.session import as_json, run
+from molereach.fleet.cli.exits import error_texts, print_errors, query_exit_code, successful_answers
+from molereach.fleet.cli.session import as_json, run_command
 from molereach.fleet.cli.tables import Printer
 from molereach.fleet.orders import Decided
 
-COLUMNS = ("order", "what", "of", "by", "reason", "revision", "agents", "front doors", "lacking")
+ORDER_COLUMNS = ("order", "what", "of", "by", "reason", "revision", "agents", "front doors", "lacking")
 
 
 @click.command()
@@ -29,24 +29,24 @@
     async def command(fleet: Fleet) -> int:
         printer = Printer(json_only)
         results, statuses = await asyncio.gather(
-            fleet.all("/v1/orders", Orders), fleet.all("/v1/status", Status)
+            fleet.call_all("/v1/orders", Orders), fleet.call_all("/v1/status", Status)
         )
-        proxies = listed_proxies(answers(statuses))
+        proxies = listed_proxies(successful_answers(statuses))
         rows = [
-            *decided_rows(answers(results), proxies, len(fleet.urls), everything),
-            *pending_rows(answers(results), len(proxies), len(fleet.urls)),
+            *decided_rows(successful_answers(results), proxies, len(fleet.urls), everything),
+            *pending_rows(successful_answers(results), len(proxies), len(fleet.urls)),
         ]
-        printer.result({"orders": rows, "not_reached": errors(results)})
+        printer.result({"orders": rows, "not_reached": error_texts(results)})
         if not json_only:
-            printer.table("orders", COLUMNS, map(table_row, rows))
-            print_errors(printer, errors(results))
-        return reading_exit(results, False)
+            printer.table("orders", ORDER_COLUMNS, map(table_row, rows))
+            print_errors(printer, error_texts(results))
+        return query_exit_code(results, False)
 
-    run(file, command)
+    run_command(file, command)
 
 
 def listed_proxies(statuses: dict[str, Status]) -> list[tuple[str, ProxyStatus]]:
-    """Return the proxies that have not ended, each with its name after that of its agent."""
+    """Return the proxies that have not ended, each as `AGENT/PROXY` and its status."""
     return [
         (f"{agent}/{proxy.name}", proxy)
         for agent, status in statuses.items()
@@ -56,43 +56,45 @@
 
 
 def decided_rows(
-    found: dict[str, Orders], proxies: list[tuple[str, ProxyStatus]], total: int, everything: bool
+    answers: dict[str, Orders], proxies: list[tuple[str, ProxyStatus]], agent_count: int, everything: bool
 ) -> Iterator[dict[str, Any]]:
-    """Yield a row for each decided order by revision; `everything` includes those that are over."""
+    """Yield a row for each decided order, by revision; `everything` includes those no longer in force."""
     by_revision: dict[int, Decided] = {}
-    for each in found.values():
-        for decided in (*each.recent, *each.in_force) if everything else each.in_force:
+    for answer in answers.values():
+        for decided in (*answer.recent, *answer.in_force) if everything else answer.in_force:
             by_revision[decided.revision] = decided
     for revision, decided in sorted(by_revision.items()):
-        informed = {agent for agent, each in found.items() if each.revision >= revision}
-        applied = {name for name, proxy in proxies if proxy.revision >= revision}
-        lacking = (found.keys() - informed) | {name for name, _ in proxies if name not in applied}
+        agents_informed = {agent for agent, answer in answers.items() if answer.revision >= revision}
+        proxies_applied = {name for name, proxy in proxies if proxy.revision >= revision}
+        lacking = (answers.keys() - agents_informed) | {
+            name for name, _ in proxies if name not in proxies_applied
+        }
         yield {
             **msgspec.to_builtins(decided.order),
             "stands": revision,
-            "agents": f"{len(informed)}/{total}",
-            "doors": f"{len(applied)}/{len(proxies)}",
+            "agents": f"{len(agents_informed)}/{agent_count}",
+            "doors": f"{len(proxies_applied)}/{len(proxies)}",
             "lacking": sorted(lacking),
         }
 
 
-def pending_rows(found: dict[str, Orders], proxy_count: int, total: int) -> Iterator[dict[str, Any]]:
-    """Yield a row for each order that agents have accepted and that is not known to be decided."""
-    pending: dict[str, list[str]] = {}
-    for agent, each in found.items():
-        if each.pending:
-            pending.setdefault(json.dumps(msgspec.to_builtins(each.pending)), []).append(agent)
-    for text, accepted in pending.items():
+def pending_rows(answers: dict[str, Orders], proxy_count: int, agent_count: int) -> Iterator[dict[str, Any]]:
+    """Yield a row for each order that an agent has accepted without knowing whether it is decided."""
+    agents_by_order: dict[str, list[str]] = {}
+    for agent, answer in answers.items():
+        if answer.pending:
+            agents_by_order.setdefault(json.dumps(msgspec.to_builtins(answer.pending)), []).append(agent)
+    for order_json, accepting_agents in agents_by_order.items():
         yield {
-            **json.loads(text),
+            **json.loads(order_json),
             "stands": "not decided: give it again",
-            "agents": f"accepted {len(accepted)}/{total}",
+            "agents": f"accepted {len(accepting_agents)}/{agent_count}",
             "doors": f"0/{proxy_count}",
-            "lacking": sorted(found.keys() - set(accepted)),
+            "lacking": sorted(answers.keys() - set(accepting_agents)),
         }
 
 
 def table_row(row: dict[str, Any]) -> tuple[Any, ...]:
-    """Return the table's row of an order."""
+    """Return the cells of an order's row in the table."""
     keys = ("id", "verb", "subject", "issuer", "reason", "stands", "agents", "doors")
     return (*(row[key] for key in keys), " ".join(row["lacking"]))
--- a/molereach/fleet/cli/commands/servers.py
+++ b/molereach/fleet/cli/commands/servers.py
@@ -1,4 +1,4 @@
-"""`members` and `quota`: servers and a customer's quota, as each proxy sees them."""
+"""`members` and `quota`: the servers, and the quota of a customer, as each proxy sees them."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -8,9 +8,9 @@
 
 from molereach.fleet.api_bodies import Members, Quota
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import answers, errors, print_errors, reading_exit
-from molereach.fleet.cli.session import as_json, run
-from molereach.fleet.cli.tables import Printer, age
+from molereach.fleet.cli.exits import error_texts, print_errors, query_exit_code, successful_answers
+from molereach.fleet.cli.session import as_json, run_command
+from molereach.fleet.cli.tables import Printer, format_age
 from molereach.fleet.wire import QuotaStatus
 from molereach.policy.interface.protocols import CustomerLimits
 
@@ -40,26 +40,28 @@
 
     async def command(fleet: Fleet) -> int:
         printer = Printer(json_only)
-        results = await fleet.all("/v1/members", Members)
-        found: dict[str, Members] = answers(results)
+        results = await fleet.call_all("/v1/members", Members)
+        answers: dict[str, Members] = successful_answers(results)
         missing = {
-            f"{agent}/{proxy}": text for agent, each in found.items() for proxy, text in each.missing.items()
+            f"{agent}/{proxy}": text
+            for agent, answer in answers.items()
+            for proxy, text in answer.missing.items()
         }
-        printer.result({"agents": list(found.values()), "not_reached": errors(results)})
+        printer.result({"agents": list(answers.values()), "not_reached": error_texts(results)})
         if not json_only:
-            printer.table("servers", MEMBER_COLUMNS, sorted(member_rows(found)))
-            print_errors(printer, errors(results))
-            for name, text in missing.items():
-                printer.line(f"front door {name}: not reached: {text}")
-        return reading_exit(results, bool(missing))
+            printer.table("servers", MEMBER_COLUMNS, sorted(member_rows(answers)))
+            print_errors(printer, error_texts(results))
+            for proxy, text in missing.items():
+                printer.line(f"front door {proxy}: not reached: {text}")
+        return query_exit_code(results, bool(missing))
 
-    run(file, command)
+    run_command(file, command)
 
 
-def member_rows(found: dict[str, Members]) -> Iterator[tuple[Any, ...]]:
+def member_rows(answers: dict[str, Members]) -> Iterator[tuple[Any, ...]]:
     """Yield a row for each server of each proxy."""
-    for each in found.values():
-        for proxy, servers in each.proxies.items():
+    for answer in answers.values():
+        for proxy, servers in answer.proxies.items():
             for server in servers:
                 by_order = "drained" if server.drained else ""
                 yield server.name, server.building, proxy, server.listed, by_order, server.in_flight
@@ -76,24 +78,26 @@
 
     async def command(fleet: Fleet) -> int:
         printer = Printer(json_only)
-        results = await fleet.all(f"/v1/quota/{customer}", Quota)
-        found: dict[str, Quota] = answers(results)
-        printer.result({"customer": customer, "agents": list(found.values()), "not_reached": errors(results)})
+        results = await fleet.call_all(f"/v1/quota/{customer}", Quota)
+        answers: dict[str, Quota] = successful_answers(results)
+        printer.result(
+            {"customer": customer, "agents": list(answers.values()), "not_reached": error_texts(results)}
+        )
         if not json_only:
-            print_quota(printer, customer, found)
-            print_errors(printer, errors(results))
-        return reading_exit(results, any(each.missing for each in found.values()))
+            print_quota(printer, customer, answers)
+            print_errors(printer, error_texts(results))
+        return query_exit_code(results, any(answer.missing for answer in answers.values()))
 
-    run(file, command)
+    run_command(file, command)
 
 
-def print_quota(printer: Printer, customer: str, found: dict[str, Quota]) -> None:
-    """Print a table of the quota, and one of the limits where there are any."""
+def print_quota(printer: Printer, customer: str, answers: dict[str, Quota]) -> None:
+    """Print a table of the quota by proxy and plan, and one of the ceiling shares if there are any."""
     statuses = [
         (proxy, status)
-        for each in found.values()
-        for proxy, of_proxy in each.proxies.items()
-        for status in of_proxy
+        for answer in answers.values()
+        for proxy, proxy_statuses in answer.proxies.items()
+        for status in proxy_statuses
     ]
     printer.table(
         f"customer {customer}", QUOTA_COLUMNS, (quota_row(proxy, status) for proxy, status in statuses)
@@ -104,7 +108,7 @@
 
 
 def quota_row(proxy: str, status: QuotaStatus) -> tuple[Any, ...]:
-    """Return the table's row of a quota."""
+    """Return the cells of a row in the quota table."""
     return (
         proxy,
         status.plan,
@@ -112,19 +116,19 @@
         f"{status.local_tokens:.2f}",
         f"{status.ceiling_tokens:.2f}",
         f"{status.demand:.1f}",
-        age(None if status.reply_age_s is None else round(status.reply_age_s * MS_PER_S)),
+        format_age(None if status.reply_age_s is None else round(status.reply_age_s * MS_PER_S)),
     )
 
 
 def limits_row(proxy: str, plan: int, limits: CustomerLimits) -> tuple[Any, ...]:
-    """Return the table's row of a customer's limits."""
+    """Return the cells of a row in the table of ceiling shares."""
     return (
         proxy,
         plan,
         f"{limits.share:.3f}",
         f"{limits.store:.1f}",
-        amounts(limits.lent),
-        amounts(limits.borrowed),
+        format_amounts(limits.lent),
+        format_amounts(limits.borrowed),
         f"{limits.oldest_s:.1f} s",
         f"{limits.taken:.0f}",
         f"{limits.spent:.0f}",
@@ -132,6 +136,6 @@
     )
 
 
-def amounts(by_proxy: dict[int, float]) -> str:
-    """Return amounts by the number of a proxy as text."""
-    return ", ".join(f"{number}: {amount:.3f}" for number, amount in by_proxy.items())
+def format_amounts(amounts: dict[int, float]) -> str:
+    """Format amounts by proxy number as text."""
+    return ", ".join(f"{number}: {amount:.3f}" for number, amount in amounts.items())
--- a/molereach/fleet/cli/commands/status.py
+++ b/molereach/fleet/cli/commands/status.py
@@ -7,9 +7,9 @@
 
 from molereach.fleet.api_bodies import ProxyStatus, Status
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.exits import answers, errors, print_errors, reading_exit
-from molereach.fleet.cli.session import as_json, run
-from molereach.fleet.cli.tables import Printer, age
+from molereach.fleet.cli.exits import error_texts, print_errors, query_exit_code, successful_answers
+from molereach.fleet.cli.session import as_json, run_command
+from molereach.fleet.cli.tables import Printer, format_age
 
 PROXY_COLUMNS = (
     "agent",
@@ -34,42 +34,42 @@
 
     async def command(fleet: Fleet) -> int:
         printer = Printer(json_only)
-        results = await fleet.all("/v1/status", Status)
-        statuses: dict[str, Status] = answers(results)
+        results = await fleet.call_all("/v1/status", Status)
+        statuses: dict[str, Status] = successful_answers(results)
         unknown = unknown_proxies(fleet.settings.expected_proxies(), statuses)
         printer.result(
             {
                 "agents": list(statuses.values()),
-                "not_reached": errors(results),
+                "not_reached": error_texts(results),
                 "not_seen": [{"agent": agent, "door": proxy} for agent, proxy in unknown],
             }
         )
         if not json_only:
             print_status(printer, statuses, unknown)
-            print_errors(printer, errors(results))
+            print_errors(printer, error_texts(results))
         unreachable = any(
             proxy.reachability not in ("up", "ended")
             for agent_status in statuses.values()
             for proxy in agent_status.proxies
         )
-        return reading_exit(results, unreachable or bool(unknown))
+        return query_exit_code(results, unreachable or bool(unknown))
 
-    run(file, command)
+    run_command(file, command)
 
 
 def unknown_proxies(
     expected: dict[str, tuple[str, ...]], statuses: dict[str, Status]
 ) -> list[tuple[str, str]]:
-    """Return agent and name of the proxies that the fleet's file names and no agent has reported."""
+    """Return agent and name of each proxy that the fleet file lists but its agent has not reported."""
     known = {
         (agent, proxy.name) for agent, agent_status in statuses.items() for proxy in agent_status.proxies
     }
-    named = [(agent, name) for agent, names in expected.items() for name in names]
-    return [each for each in named if each not in known]
+    listed = [(agent, name) for agent, names in expected.items() for name in names]
+    return [proxy for proxy in listed if proxy not in known]
 
 
 def print_status(printer: Printer, statuses: dict[str, Status], unknown: list[tuple[str, str]]) -> None:
-    """Print a table of the proxies, with the unknown ones at its end, and a table of the agents."""
+    """Print a table of the proxies, unknown ones last, and a table of the agents."""
     rows = [
         proxy_row(agent, proxy) for agent, agent_status in statuses.items() for proxy in agent_status.proxies
     ]
@@ -95,13 +95,13 @@
 
 
 def proxy_row(agent: str, proxy: ProxyStatus) -> tuple[Any, ...]:
-    """Return the table's row of a proxy."""
+    """Return the cells of a proxy's row in the table."""
     state = proxy.state
     return (
         agent,
         proxy.name,
         proxy.reachability,
-        age(proxy.reported_ago_ms),
+        format_age(proxy.reported_ago_ms),
         proxy.revision,
         state and ("held" if state.on_hold else "open"),
         state and state.clients,
--- a/molereach/fleet/cli/commands/watch.py
+++ b/molereach/fleet/cli/commands/watch.py
@@ -1,4 +1,4 @@
-"""`watch`: the events of all agents as they happen."""
+"""`watch`: streams the events of all agents."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from molereach.fleet.api_bodies import Event
 from molereach.fleet.cli.client import CallError, Fleet
 from molereach.fleet.cli.exits import DONE, PARTIAL, UNREACHABLE
-from molereach.fleet.cli.session import as_json, run
+from molereach.fleet.cli.session import as_json, run_command
 
 
 @click.command()
@@ -22,29 +22,29 @@
     """What happens at all agents, as it happens; with --json an object a line."""
 
     async def command(fleet: Fleet) -> int:
-        failed: dict[str, str] = {}
+        failures: dict[str, str] = {}
 
-        def show(event: Event) -> None:
+        def print_event(event: Event) -> None:
             if json_only:
                 click.echo(json.dumps(msgspec.to_builtins(event)))
             else:
-                clock = time.strftime("%H:%M:%S", time.localtime(event.at_ms / 1000))
-                click.echo(f"{clock} {event.agent} {event.kind} {event.subject}: {event.text}")
+                local_time = time.strftime("%H:%M:%S", time.localtime(event.at_ms / 1000))
+                click.echo(f"{local_time} {event.agent} {event.kind} {event.subject}: {event.text}")
 
-        async def follow(agent: str) -> None:
+        async def watch_agent(agent: str) -> None:
             try:
                 async for event in fleet.watch(agent):
-                    show(event)
-                failed[agent] = "its stream has ended"
+                    print_event(event)
+                failures[agent] = "its stream has ended"
             except CallError as error:
-                failed[agent] = str(error)
-            click.echo(f"molereach fleet: agent {agent}: {failed[agent]}", err=True)
+                failures[agent] = str(error)
+            click.echo(f"molereach fleet: agent {agent}: {failures[agent]}", err=True)
 
         try:
             async with asyncio.timeout(seconds):
-                await asyncio.gather(*(follow(agent) for agent in fleet.urls))
+                await asyncio.gather(*(watch_agent(agent) for agent in fleet.urls))
         except TimeoutError:
             pass
-        return (UNREACHABLE if len(failed) == len(fleet.urls) else PARTIAL) if failed else DONE
+        return (UNREACHABLE if len(failures) == len(fleet.urls) else PARTIAL) if failures else DONE
 
-    run(file, command, many_calls=True)
+    run_command(file, command, many_calls=True)
--- a/molereach/fleet/cli/rollouts.py
+++ b/molereach/fleet/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""Makes the rollout of an order, with the random numbers and the clock of the machine."""
+"""Creates the rollout of an order, with the system's random numbers and clock."""
 
 import secrets
 import time
@@ -10,21 +10,21 @@
 from molereach.fleet.settings import FleetFile
 
 
-def draws() -> Iterator[float]:
-    """Yield random numbers from 0 to 1."""
+def random_numbers() -> Iterator[float]:
+    """Yield random numbers from 0 (included) to 1 (excluded)."""
     random = SystemRandom()
     while True:
         yield random.random()
 
 
-def rollout_for(settings: FleetFile, draft: events.Draft, confirm_s: float | None = None) -> Rollout:
-    """Return the rollout of an order, whose run has a new random name."""
+def new_rollout(settings: FleetFile, draft: events.Draft, confirm_s: float | None = None) -> Rollout:
+    """Return the rollout of an order, with a new random run identifier."""
     timeouts = events.Timeouts(round(settings.agree_s * 1e6), round((confirm_s or settings.confirm_s) * 1e6))
     return Rollout(
         settings.names,
         draft,
         secrets.token_hex(16),
-        draws(),
+        random_numbers(),
         time.time_ns() // 1_000_000,
         settings.floor,
         timeouts,
--- a/molereach/fleet/cli/session.py
+++ b/molereach/fleet/cli/session.py
@@ -1,4 +1,4 @@
-"""One command on one fleet: its file, the agents' clients, the loop, and the exit code."""
+"""Runs one command on one fleet: loads its file, opens the HTTP clients and sets the exit code."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,19 +12,21 @@
 from molereach.fleet.orders import OrderError
 from molereach.fleet.settings import FleetFile, SettingsError, load
 
-FLEET_VARIABLE = "MOLEREACH_FLEET"
+FLEET_ENVIRONMENT_VARIABLE = "MOLEREACH_FLEET"
 as_json = click.option("--json", "json_only", is_flag=True, help="Print one JSON object and nothing else.")
 
 
 def load_fleet(file: Path | None) -> tuple[Path, FleetFile]:
-    """Return a fleet's file and its settings; raise UsageError without a file."""
+    """Return the path and the settings of a fleet file; raise UsageError if none is given."""
     if file is None:
-        raise click.UsageError(f"no fleet file: give --fleet FILE, or set {FLEET_VARIABLE}")
+        raise click.UsageError(f"no fleet file: give --fleet FILE, or set {FLEET_ENVIRONMENT_VARIABLE}")
     return file, load(file, FleetFile)
 
 
-def run(file: Path | None, command: Callable[[Fleet], Awaitable[int]], many_calls: bool = False) -> None:
-    """Run a command on a fleet and end with its exit code; `many_calls` if it calls an agent repeatedly."""
+def run_command(
+    file: Path | None, command: Callable[[Fleet], Awaitable[int]], many_calls: bool = False
+) -> None:
+    """Run a command on a fleet and exit with its code; `many_calls` if it calls an agent more than once."""
 
     async def run_with_clients(path: Path, settings: FleetFile) -> int:
         async with Fleet(path, settings, http1=not many_calls) as fleet:
@@ -32,11 +34,11 @@
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            code = runner.run(run_with_clients(*load_fleet(file)))
+            exit_code = runner.run(run_with_clients(*load_fleet(file)))
     except (SettingsError, OrderError) as error:
         click.echo(f"molereach fleet: {error}", err=True)
-        code = INVALID_INPUT
+        exit_code = INVALID_INPUT
     except KeyboardInterrupt:
         click.echo("molereach fleet: interrupted; 'orders' shows how far it came", err=True)
-        code = INTERRUPTED
-    raise SystemExit(code)
+        exit_code = INTERRUPTED
+    raise SystemExit(exit_code)
--- a/rig/orders.py
+++ b/rig/orders.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from molereach.fleet.cli.client import Fleet
-from molereach.fleet.cli.in_flight import wait_for_end
-from molereach.fleet.cli.rollouts import rollout_for
+from molereach.fleet.cli.in_flight import wait_until_idle
+from molereach.fleet.cli.rollouts import new_rollout
 from molereach.fleet.cli.runner import RolloutRunner
 from molereach.fleet.orders import Verb
 from molereach.fleet.rollout import events as ev
@@ -69,7 +69,7 @@
     fleet: Fleet, what: ev.Draft, on_step: Callable[[str], None] = lambda step: None
 ) -> words.Report:
     """Give an order as the tool does."""
-    return await RolloutRunner(fleet, rollout_for(fleet.settings, what), on_step).run()
+    return await RolloutRunner(fleet, new_rollout(fleet.settings, what), on_step).run()
 
 
 async def kill_at(step: str, seed: int) -> Trial:
@@ -101,7 +101,7 @@
                 up_us = now_us()
                 await world.faults.restart(victim)
                 again = await give(fleet, draft("o1"))
-                waited = await wait_for_end(fleet, SERVER, 3.0, lambda text: None)
+                waited = await wait_until_idle(fleet, SERVER, 3.0, lambda text: None)
             found = Trial(step, seed, report, await day)
             await rig.finish()
         finally:
--- a/tests/compatibility/command_samples.py
+++ b/tests/compatibility/command_samples.py
@@ -86,7 +86,7 @@
     """In place of `Fleet.call`: the sample, through its JSON."""
     if (agent, path) not in ANSWERS:
         raise client.CallError(SILENCE)
-    return client.read(200, bytes(api.json_response(ANSWERS[agent, path]).body), kind)
+    return client.decode_response(200, bytes(api.json_response(ANSWERS[agent, path]).body), kind)
 
 
 async def watched(self: client.Fleet, agent: str) -> AsyncIterator[api_bodies.Event]:
--- a/tests/compatibility/test_fleet.py
+++ b/tests/compatibility/test_fleet.py
@@ -7,7 +7,7 @@
 
 from molereach.fleet import agreement, api_bodies, journal, order_state, orders, wire
 from molereach.fleet.agent import api
-from molereach.fleet.cli.client import read
+from molereach.fleet.cli.client import decode_response
 from molereach.fleet.cli.runner import Replies
 from molereach.fleet.rollout import report
 from tests.compatibility import fleet_samples as samples
@@ -91,12 +91,12 @@
 
 
 def test_replies_of_the_agreement_are_read_by_tools_as_sent() -> None:
-    assert read(HTTP_OK, recorded("fleet-api-replies.json"), Replies) == samples.MESSAGES
+    assert decode_response(HTTP_OK, recorded("fleet-api-replies.json"), Replies) == samples.MESSAGES
 
 
 def test_bodies_of_the_api_are_read_by_tools_as_sent() -> None:
     for line, body in zip(recorded_lines("fleet-api-bodies.json"), samples.BODIES, strict=True):
-        assert read(HTTP_OK, line.encode(), type(body)) == body
+        assert decode_response(HTTP_OK, line.encode(), type(body)) == body
 
 
 def test_events_are_read_by_watchers_as_sent() -> None:
