--- a/tests/compatibility/api_samples.py
+++ b/tests/compatibility/api_samples.py
@@ -17,7 +17,7 @@
 from molereach.fleet.agent.auth import Tokens
 from molereach.fleet.journal import AgentState
 from tests.compatibility import fleet_samples as samples
-from tests.fleet.agents import OPERATE, READ, TOKENS, made
+from tests.fleet.agents import OPERATE_TOKEN, READ_TOKEN, TOKENS_FILE_TEXT, new_agent
 from tests.sockets import run
 
 # Headers that say what a body is and what to do about a refusal; others are the HTTP server's.
@@ -29,7 +29,7 @@
     """A call of the API with a client's token."""
 
     path: str
-    token: str = READ
+    token: str = READ_TOKEN
     body: bytes | None = None
 
     @property
@@ -51,10 +51,10 @@
     Call("/v1/events?after=0"),
     Call("/v1/events?after=x"),
     Call("/v1/status", "no-token-that-is-known"),
-    Call("/v1/agreement", READ, b"{}"),
-    Call("/v1/agreement", OPERATE, b"{}"),
-    Call("/v1/agreement", OPERATE, msgspec.json.encode(PREPARE)),
-    Call("/v1/agreement", OPERATE, msgspec.json.encode(ACCEPT)),
+    Call("/v1/agreement", READ_TOKEN, b"{}"),
+    Call("/v1/agreement", OPERATE_TOKEN, b"{}"),
+    Call("/v1/agreement", OPERATE_TOKEN, msgspec.json.encode(PREPARE)),
+    Call("/v1/agreement", OPERATE_TOKEN, msgspec.json.encode(ACCEPT)),
 )
 
 
@@ -62,12 +62,12 @@
 def application() -> Iterator[Starlette]:
     """The API of an agent that has had a journal with orders, and has no front doors."""
     with tempfile.TemporaryDirectory() as folder:
-        agent = made(Path(folder), name=samples.AGENT, fleet=("a", "b", "c"))
+        agent = new_agent(Path(folder), name=samples.AGENT, agent_names=("a", "b", "c"))
         state: AgentState = samples.JOURNALS["accepted"]
         agent.acceptor.state = state.promised
         agent.acceptor.order_state.adopt(state.order_state)
         try:
-            yield Api(agent, Tokens(TOKENS)).app()
+            yield Api(agent, Tokens(TOKENS_FILE_TEXT)).app()
         finally:
             agent.journal.close()
 
