--- a/molereach/fleet/agent/auth.py
+++ b/molereach/fleet/agent/auth.py
@@ -33,7 +33,10 @@
     """The API clients of an agent; tokens are stored as digests and compared in constant time."""
 
     def __init__(self, text: str) -> None:
-        """Parse a line `ROLE NAME TOKEN` for each client; ValueError names an invalid line by its number."""
+        """Parse a line `ROLE NAME TOKEN` for each client.
+
+        ValueError gives the number of an invalid line, but not its text, which may contain a token.
+        """
         self.clients: list[tuple[bytes, Client]] = []
         for number, line in enumerate(text.splitlines(), 1):
             columns = line.split()
