--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -16,7 +16,7 @@
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import EntrySlice, Staging
 from tests.discovery.fakes import entries_json, list_json, sends
-from tests.races.wire import until
+from tests.races.scripted_peers import until
 from tests.sockets import CONFIG, HEAD, DiscoveryServer, chunk, entry, run
 
 MAX_LIST_ENTRIES = 3_276  # of one list at 4 MB of memory
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -24,7 +24,7 @@
     proxy_with_discovery,
     sends,
 )
-from tests.races.wire import until
+from tests.races.scripted_peers import until
 from tests.sockets import (
     CONFIG,
     HEAD,
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -13,7 +13,7 @@
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
 from tests.discovery.fakes import UnsubsettedList, entries_json, list_json, proxy_with_discovery, sends
-from tests.races.wire import until
+from tests.races.scripted_peers import until
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -8,7 +8,7 @@
 
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps, WatchConnection
 from tests.discovery.fakes import entries_json, list_json
-from tests.races.wire import turns
+from tests.races.scripted_peers import turns
 from tests.sockets import HEAD, chunk, run
 
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -18,7 +18,7 @@
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.fakes import entries_json
-from tests.races.wire import until
+from tests.races.scripted_peers import until
 from tests.sockets import (
     CUSTOMER,
     HEAD,
--- a/tests/races/attempts.py
+++ b/tests/races/attempt_sender.py
@@ -3,7 +3,7 @@
 from molereach.backends.attempt import Attempt
 from molereach.backends.pools import Backends
 from molereach.policy.interface.events import AttemptResult, EndpointState
-from tests.races.wire import Machine
+from tests.races.scripted_peers import Machine
 
 S = 1_000_000
 
--- a/tests/races/listing.py
+++ b/tests/races/discovery_agent.py
@@ -10,7 +10,7 @@
 from molereach.discovery.poll_backoff import PollBackoff
 from molereach.endpoint_address import EndpointAddress
 from molereach.policy.interface.events import EndpointState
-from tests.races.wire import Machine, Peer
+from tests.races.scripted_peers import Machine, Peer
 from tests.sockets import CONFIG, HEAD, HOST, catalog, entry
 
 AT = (HOST, 6379)
--- a/tests/races/sigterm.py
+++ b/tests/races/sigterm.py
@@ -8,7 +8,7 @@
 from molereach.endpoint_address import EndpointAddress
 from molereach.proxy import graceful_shutdown
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Peer
+from tests.races.scripted_peers import Peer
 from tests.sockets import query
 
 OK = b"$2\r\nok\r\n"
--- a/tests/races/test_attempts_gone.py
+++ b/tests/races/test_attempts_client_disconnect.py
@@ -11,7 +11,7 @@
 
 from molereach.policy.interface.settings import Settings
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Dials, Peer, machine, narrow, turns, until
+from tests.races.scripted_peers import Dials, Peer, machine, narrow, turns, until
 from tests.sockets import CLASSES, SETTINGS, front_door, run, submit
 
 STREAMED = replace(SETTINGS, classes=tuple(replace(rule, is_streamed=True) for rule in CLASSES))
--- a/tests/races/test_attempts_dial.py
+++ b/tests/races/test_attempts_connect.py
@@ -4,8 +4,8 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.policy.interface.events import AttemptResult
-from tests.races.attempts import Sender
-from tests.races.wire import Dials, Machine, machine, turns, until
+from tests.races.attempt_sender import Sender
+from tests.races.scripted_peers import Dials, Machine, machine, turns, until
 from tests.sockets import run, value
 
 
--- a/tests/races/test_attempts_dial_late.py
+++ b/tests/races/test_attempts_connect_timeout.py
@@ -8,8 +8,8 @@
 from molereach.backends import pool as pools
 from molereach.backends.connection import BackendConnection
 from molereach.policy.interface.events import AttemptResult
-from tests.races.attempts import S, Sender
-from tests.races.wire import machine, until
+from tests.races.attempt_sender import S, Sender
+from tests.races.scripted_peers import machine, until
 from tests.sockets import run, value
 
 DIAL_S = 0.02
--- a/tests/races/test_attempts_window.py
+++ b/tests/races/test_attempts_deduplication_window.py
@@ -12,7 +12,7 @@
 
 from molereach.clock import now_us
 from molereach.policy.interface.settings import DeduplicationScope, Settings
-from tests.races.wire import Dials, Machine, Peer, machine, narrow, until
+from tests.races.scripted_peers import Dials, Machine, Peer, machine, narrow, until
 from tests.sockets import CLASSES, SETTINGS, Client, front_door, run, submit
 
 WINDOW_US = 150_000
--- a/tests/races/test_attempts_drain.py
+++ b/tests/races/test_attempts_drain.py
@@ -7,7 +7,7 @@
 
 from molereach.policy.interface.events import Endpoint, EndpointListKind, EndpointListReceived, EndpointState
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Dials, Machine, Peer, machine, turns, until
+from tests.races.scripted_peers import Dials, Machine, Peer, machine, turns, until
 from tests.sockets import SETTINGS, Backend, Client, front_door, run, submit, value
 
 OLD = Endpoint("s0", 0, 0, 0, EndpointState.UP)
--- a/tests/races/test_attempts_part.py
+++ b/tests/races/test_attempts_partial_write.py
@@ -13,8 +13,8 @@
 
 from molereach.backends.attempt import Attempt
 from molereach.policy.interface.events import AttemptResult
-from tests.races.attempts import Sender
-from tests.races.wire import Peer, machine, narrow, until
+from tests.races.attempt_sender import Sender
+from tests.races.scripted_peers import Peer, machine, narrow, until
 from tests.sockets import run, value
 
 LONG = b"x" * 65_000 + b"LAST"
--- a/tests/races/test_attempts_reset.py
+++ b/tests/races/test_attempts_reset.py
@@ -12,8 +12,8 @@
     EndpointListReceived,
     EndpointState,
 )
-from tests.races.attempts import Sender
-from tests.races.wire import Dials, Machine, Peer, machine, until
+from tests.races.attempt_sender import Sender
+from tests.races.scripted_peers import Dials, Machine, Peer, machine, until
 from tests.sockets import Backend, Client, front_door, query, run, submit, value
 
 ENDS = [Peer.close, Peer.reset, lambda peer: peer.say(b"-BUSY\r\n") or peer.close()]
--- a/tests/races/test_attempts_answer.py
+++ b/tests/races/test_attempts_response.py
@@ -8,8 +8,8 @@
 from molereach.backends import pool
 from molereach.policy.interface.events import AttemptResult
 from molereach.resp import MAX_VALUE_BYTES
-from tests.races.attempts import S, Sender
-from tests.races.wire import Machine, Peer, machine, turns, until
+from tests.races.attempt_sender import S, Sender
+from tests.races.scripted_peers import Machine, Peer, machine, turns, until
 from tests.sockets import Client, front_door, query, run, submit, value
 
 
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -13,7 +13,7 @@
 from molereach.clients.connection_state import State
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
-from tests.races.wire import Peer, turns, until
+from tests.races.scripted_peers import Peer, turns, until
 from tests.sockets import Backend, front_door, query, resp, run, value
 
 LINGER_US = 50_000
--- a/tests/races/test_clients_gone.py
+++ b/tests/races/test_clients_disconnect.py
@@ -13,7 +13,7 @@
 from molereach.policy.interface.events import ClientDisconnected, Event, RequestReceived
 from molereach.policy.interface.settings import Plan
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Dials, Peer, turns, until
+from tests.races.scripted_peers import Dials, Peer, turns, until
 from tests.sockets import CUSTOMER, SETTINGS, Backend, Client, front_door, query, resp, run, submit, value
 
 GOES = pytest.mark.parametrize("go", [Peer.close, Peer.finish, Peer.reset])
--- a/tests/races/test_clients_gone_waits.py
+++ b/tests/races/test_clients_disconnect_waiting.py
@@ -1,7 +1,8 @@
 """Requests whose clients go while they wait inside the module: no attempt begins more than 0.1 s later.
 
 The waits are the module's own here, and each of them ends after the client has gone: room under the cap, a
-word of a home, a repeat's moment. Those for a dial: test_clients_gone.py, test_attempts_gone.py.
+word of a home, a repeat's moment. Those for a dial: test_clients_disconnect.py and
+test_attempts_client_disconnect.py.
 """
 
 import asyncio
@@ -24,8 +25,8 @@
 from molereach.policy.interface.settings import Plan
 from molereach.policy.overload_control import IN_FLIGHT_PER_BACKEND
 from molereach.proxy.proxy import Proxy
-from tests.races.test_clients_gone import GOES, events, gone
-from tests.races.wire import Peer, machine, turns, until
+from tests.races.scripted_peers import Peer, machine, turns, until
+from tests.races.test_clients_disconnect import GOES, events, gone
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, front_door, query, resp, run, submit, value
 
 GONE_S = 0.1  # from a close until when the last attempt for its client may begin
--- a/tests/races/test_clients_places.py
+++ b/tests/races/test_clients_eviction.py
@@ -14,7 +14,7 @@
 from molereach.policy.interface.events import RequestReceived
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
-from tests.races.wire import Peer, turns, until
+from tests.races.scripted_peers import Peer, turns, until
 from tests.sockets import Backend, front_door, query, resp, run
 
 OK = b"$2\r\nok\r\n"
--- a/tests/races/test_clients_bounds.py
+++ b/tests/races/test_clients_limits.py
@@ -11,7 +11,7 @@
 from molereach.clients import resp as clients
 from molereach.clients.connection_state import State
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Peer, turns, until
+from tests.races.scripted_peers import Peer, turns, until
 from tests.sockets import CONFIG, Backend, Client, front_door, query, resp, run, submit, value
 
 OK = b"$2\r\nok\r\n"
--- a/tests/races/test_clients_tries.py
+++ b/tests/races/test_clients_retries.py
@@ -3,7 +3,7 @@
 from molereach.policy.interface.actions import Action, ForwardAttempt
 from molereach.policy.interface.events import AttemptEnded, AttemptResult, Event, TimerExpired
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Peer, machine, until
+from tests.races.scripted_peers import Peer, machine, until
 from tests.sockets import Backend, front_door, query, run, value
 
 
--- a/tests/races/test_discovery_moves.py
+++ b/tests/races/test_discovery_address_change.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.policy.interface.events import EndpointListKind, EndpointState
-from tests.races.listing import WHOLE, asked, call, changes, gone, listed, watch, whole
-from tests.races.wire import Machine, machine, until
+from tests.races.discovery_agent import WHOLE, asked, call, changes, gone, listed, watch, whole
+from tests.races.scripted_peers import Machine, machine, until
 from tests.sockets import HEAD, chunk, run
 
 UP, DRAINING = EndpointState.UP, EndpointState.DRAINING
--- a/tests/races/test_discovery_calls.py
+++ b/tests/races/test_discovery_connections.py
@@ -11,8 +11,8 @@
 from molereach.discovery.poll_backoff import MAX_LOCAL_DISCOVERY_BACKOFF_S
 from molereach.policy.interface.events import EndpointState
 from molereach.proxy.proxy import Proxy
-from tests.races.listing import after, asked, call, changes, gone, watch
-from tests.races.wire import Machine, machine, until
+from tests.races.discovery_agent import after, asked, call, changes, gone, watch
+from tests.races.scripted_peers import Machine, machine, until
 from tests.sockets import CONFIG, HEAD, Client, chunk, resp, run
 
 UP, DRAINING = EndpointState.UP, EndpointState.DRAINING
--- a/tests/races/test_discovery_lists.py
+++ b/tests/races/test_discovery_endpoint_lists.py
@@ -22,8 +22,8 @@
     RequestReceived,
 )
 from molereach.proxy.proxy import Proxy
-from tests.races.listing import AT, after, call
-from tests.races.wire import Machine, Peer, machine, until
+from tests.races.discovery_agent import AT, after, call
+from tests.races.scripted_peers import Machine, Peer, machine, until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
 
 UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
--- a/tests/races/test_discovery_answers.py
+++ b/tests/races/test_discovery_responses.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.policy.interface.events import EndpointState
-from tests.races.listing import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
-from tests.races.wire import Peer, machine, turns
+from tests.races.discovery_agent import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
+from tests.races.scripted_peers import Peer, machine, turns
 from tests.sockets import HEAD, chunk, run
 
 UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
--- a/tests/races/test_descriptors.py
+++ b/tests/races/test_file_descriptors.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from molereach.proxy.resources import CLIENT_SOCKET_FRACTION, RESERVED_SOCKETS
-from tests.races.processes import Process, processes
-from tests.races.wire import Machine, Peer, machine, until
+from tests.races.proxy_processes import Process, processes
+from tests.races.scripted_peers import Machine, Peer, machine, until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
 from tests.test_program import SETTINGS
 
--- a/tests/races/test_peers_none.py
+++ b/tests/races/test_gossip_disabled.py
@@ -9,7 +9,7 @@
 from molereach.policy.interface.settings import Plan
 from molereach.proxy.config_file import load
 from tests.helpers import MILLISECOND_US, SETTINGS, GatewayCluster
-from tests.races.test_settings_wrong import VALUES
+from tests.races.test_settings_invalid import VALUES
 
 ALONE = replace(SETTINGS, may_gossip=False, gossip_messages_per_s=0.0)
 
--- a/tests/races/test_restarts_ready.py
+++ b/tests/races/test_restarts_ready.py
@@ -6,8 +6,8 @@
 import socket
 from pathlib import Path
 
-from tests.races.processes import Process, processes
-from tests.races.wire import machine
+from tests.races.proxy_processes import Process, processes
+from tests.races.scripted_peers import machine
 from tests.sockets import (
     CUSTOMER,
     HEAD,
--- a/tests/races/test_restarts_start.py
+++ b/tests/races/test_restarts_startup.py
@@ -14,7 +14,7 @@
 from molereach.policy.interface.settings import Plan
 from molereach.proxy import proxy, resources
 from molereach.proxy.proxy import Proxy
-from tests.races.wire import Dials, Peer, machine
+from tests.races.scripted_peers import Dials, Peer, machine
 from tests.sockets import CONFIG, HOST, SETTINGS, Backend, Client, catalog, entry, refusing_address, resp, run
 
 
--- a/tests/races/test_sigterm_ends.py
+++ b/tests/races/test_sigterm_connections.py
@@ -11,8 +11,8 @@
 from molereach.proxy import connection_draining, graceful_shutdown
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
+from tests.races.scripted_peers import Peer, turns, until
 from tests.races.sigterm import ENDS, FAILED, OK, before, drained, is_answer, shorten
-from tests.races.wire import Peer, turns, until
 from tests.sockets import Backend, front_door, query, resp, run, value
 
 LARGE = value(b"x" * 60_000)
--- a/tests/races/test_sigterm_listener.py
+++ b/tests/races/test_sigterm_listener.py
@@ -5,8 +5,8 @@
 import pytest
 
 from molereach.clients import listener
+from tests.races.scripted_peers import Peer, until
 from tests.races.sigterm import ENDS, before, dial_and_ask, drained, is_answer, shorten
-from tests.races.wire import Peer, until
 from tests.sockets import Backend, front_door, query, run
 
 
--- a/tests/races/test_sigterm_process.py
+++ b/tests/races/test_sigterm_process.py
@@ -21,8 +21,8 @@
 from molereach.clock import now_us
 from molereach.proxy.graceful_shutdown import GracefulShutdown
 from molereach.proxy.proxy import Proxy
+from tests.races.scripted_peers import Machine, Peer, machine, turns, until
 from tests.races.sigterm import shorten
-from tests.races.wire import Machine, Peer, machine, turns, until
 from tests.sockets import CONFIG, CUSTOMER, HOST, Backend, catalog, entry, refusing_address, resp, run, value
 from tests.test_program import ROOT, SETTINGS, config, write
 
--- a/tests/races/test_sigterm_requests.py
+++ b/tests/races/test_sigterm_requests.py
@@ -6,8 +6,8 @@
 import pytest
 
 from molereach.policy.interface.settings import Idempotency, RequestClass
+from tests.races.scripted_peers import Peer, machine, until
 from tests.races.sigterm import FAILED, shorten
-from tests.races.wire import Peer, machine, until
 from tests.sockets import SETTINGS, front_door, query, run, submit
 
 
