--- a/tests/discovery/test_entry_budget.py
+++ b/tests/discovery/test_entry_budget.py
@@ -16,7 +16,7 @@
 from molereach.subsetting.ring import Ring
 from molereach.subsetting.staging import EntrySlice, Staging
 from tests.discovery.fakes import entries_json, list_json, sends
-from tests.races.scripted_peers import until
+from tests.races.scripted_peers import wait_until
 from tests.sockets import CONFIG, HEAD, DiscoveryServer, chunk, entry, run
 
 MAX_LIST_ENTRIES = 3_276  # of one list at 4 MB of memory
@@ -108,11 +108,11 @@
             proxy,
             old,
         ):
-            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            await wait_until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
             new = DiscoveryServer(sends(HEAD + chunk(long_list_json(9))), sends(HEAD))  # type: ignore[arg-type]
             proxy.discovery.change_address(await new.start())
-            await until(lambda: proxy.discovery.version == 9)
-            await until(lambda: len(new.targets) == 2)
+            await wait_until(lambda: proxy.discovery.version == 9)
+            await wait_until(lambda: len(new.targets) == 2)
             assert new.targets == [FULL_LIST_TARGET, f"{WATCH_TARGET}9"]
             assert (
                 isinstance(proxy.endpoints.endpoint_list, EndpointSubsetting)
@@ -154,7 +154,7 @@
         async with proxy_with_long_list(old_script, sends(HEAD)) as (proxy, old):
             new = DiscoveryServer(new_script, sends(HEAD))  # type: ignore[arg-type]
             proxy.discovery.change_address(await new.start())
-            await until(lambda: bool(new.targets))
+            await wait_until(lambda: bool(new.targets))
             client, apply_update = proxy.discovery.current, proxy.discovery.apply_update
             release_staged = client.release_staged
 
@@ -176,7 +176,7 @@
             # The entry being moved from the staging to the index was in both.
             assert LONG_LIST_ENTRIES <= freed_counts[0] <= LONG_LIST_ENTRIES + 1
             monkeypatch.undo()
-            await until(lambda: proxy.discovery.version == 9)
+            await wait_until(lambda: proxy.discovery.version == 9)
             assert set(old.targets) == {f"{WATCH_TARGET}3"}
 
     run(scenario())
@@ -207,17 +207,17 @@
         async with proxy_with_long_list(old_script, short_update) as (proxy, old):
             new = DiscoveryServer(new_script, sends(HEAD))  # type: ignore[arg-type]
             proxy.discovery.change_address(await new.start())
-            await until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
+            await wait_until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
             send_long.set()
-            await until(lambda: len(old.targets) == 2)
+            await wait_until(lambda: len(old.targets) == 2)
             assert old.targets == [f"{WATCH_TARGET}3"] * 2
-            await until(lambda: proxy.discovery.version == 5)
+            await wait_until(lambda: proxy.discovery.version == 5)
             assert (
                 isinstance(proxy.endpoints.endpoint_list, EndpointSubsetting)
                 and proxy.endpoints.endpoint_list.count == LONG_LIST_ENTRIES + 1
             )
             finish_new.set()
-            await until(lambda: proxy.discovery.version == 9)
+            await wait_until(lambda: proxy.discovery.version == 9)
             assert proxy.endpoints.endpoint_list.count == LONG_LIST_ENTRIES
 
     run(scenario())
@@ -246,10 +246,10 @@
             await asyncio.Event().wait()
 
         async with proxy_with_long_list(old_script) as (proxy, _):
-            await until(lambda: proxy.discovery.version == 4)
+            await wait_until(lambda: proxy.discovery.version == 4)
             new = DiscoveryServer(sends(HEAD + chunk(long_list_json(9))), sends(HEAD))  # type: ignore[arg-type]
             proxy.discovery.change_address(await new.start())
-            await until(
+            await wait_until(
                 lambda: proxy.discovery.successor is not None and bool(proxy.discovery.successor.watches)
             )
             published_versions, apply_update = [], proxy.discovery.apply_update
@@ -267,7 +267,7 @@
                 published_versions.append(event.version),
                 publish(event, addresses),
             )  # type: ignore
-            await until(lambda: proxy.discovery.version == 9)
+            await wait_until(lambda: proxy.discovery.version == 9)
             assert published_versions == [5, 9]
             assert "s-00000000" not in proxy.backends.pools and "s-00000001" in proxy.backends.pools
 
@@ -289,19 +289,19 @@
 
         async def complete_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD)
-            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            await wait_until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
             no_room_counts.append(len(messages_with(caplog, "no room")))
             writer.write(chunk(long_list_json(9)))
             await asyncio.Event().wait()
 
         async with proxy_with_long_list(incomplete, incomplete) as (proxy, old):
-            await until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
+            await wait_until(lambda: staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100)
             new = DiscoveryServer(broken_script, complete_script, sends(HEAD))  # type: ignore[arg-type]
             proxy.discovery.change_address(await new.start())
-            await until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
+            await wait_until(lambda: staged_count(proxy, old=False) > LONG_LIST_ENTRIES - 100)
             release_count = len(messages_with(caplog, "dropped for"))
             end_first.set()
-            await until(lambda: len(new.targets) == 3)
+            await wait_until(lambda: len(new.targets) == 3)
             assert staged_count(proxy, old=True) > LONG_LIST_ENTRIES - 100 and proxy.discovery.version == 3
             assert new.targets == [FULL_LIST_TARGET] * 3 and len(old.targets) >= 2
             assert len(messages_with(caplog, "dropped for")) == release_count >= 1
--- a/tests/discovery/test_long_lists.py
+++ b/tests/discovery/test_long_lists.py
@@ -24,7 +24,7 @@
     proxy_with_discovery,
     sends,
 )
-from tests.races.scripted_peers import until
+from tests.races.scripted_peers import wait_until
 from tests.sockets import (
     CONFIG,
     HEAD,
@@ -205,7 +205,7 @@
             proxy.discovery.change_address(await new.start())
             assert (await proxy.events.get()).version == 6
             assert (await proxy.events.get()).version == 5
-            await until(lambda: len(new.targets) == 2)
+            await wait_until(lambda: len(new.targets) == 2)
             assert proxy.discovery.successor is None and proxy.discovery.version == 5
             assert new.targets[1] == f"{FULL_LIST_TARGET}?watch=1&after=5"
 
@@ -238,7 +238,7 @@
         async def broken_script(writer: asyncio.StreamWriter) -> None:
             writer.write(HEAD + chunk(text[:-1000]))
             await writer.drain()
-            await until(
+            await wait_until(
                 lambda: bool(
                     proxy.endpoint_list.stagings and len(proxy.endpoint_list.stagings[0].part_sizes) > 5
                 )
@@ -308,7 +308,7 @@
                 await asyncio.sleep(0.002)
             assert max(failure_counts) >= 2
             assert watch.targets == [f"{FULL_LIST_TARGET}?watch=1&after=3"] * 4
-            await until(lambda: proxy.discovery.version == 6)
+            await wait_until(lambda: proxy.discovery.version == 6)
             assert backoff.failures == 0 and len(proxy.backends.pools) == 2
             assert not proxy.discovery.current.staged_objects
 
@@ -324,12 +324,12 @@
     async def scenario() -> None:
         first = sends(HEAD + chunk(list_json(4, entries_json(1))))
         async with proxy_with_discovery(first) as (proxy, watch):
-            await until(lambda: proxy.discovery.version == 4)
+            await wait_until(lambda: proxy.discovery.version == 4)
             new = DiscoveryServer(
                 sends(response(INVALID_LISTS["duplicate name in a short list"][0]), stay_open=False)  # type: ignore[arg-type]
             )
             proxy.discovery.change_address(await new.start())
-            await until(lambda: len(new.targets) == 2)
+            await wait_until(lambda: len(new.targets) == 2)
             assert proxy.discovery.current.address == watch.server.sockets[0].getsockname()
             assert proxy.discovery.successor and not proxy.discovery.current.closed
 
--- a/tests/discovery/test_subset.py
+++ b/tests/discovery/test_subset.py
@@ -13,7 +13,7 @@
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.interface import StagedEndpoints, SubsetUpdate
 from tests.discovery.fakes import UnsubsettedList, entries_json, list_json, proxy_with_discovery, sends
-from tests.races.scripted_peers import until
+from tests.races.scripted_peers import wait_until
 from tests.sockets import CONFIG, HEAD, chunk, run
 
 
@@ -93,14 +93,14 @@
                 published.append(event),
                 publish(event, addresses),
             )  # type: ignore
-            await until(lambda: proxy.discovery.version == 4)
+            await wait_until(lambda: proxy.discovery.version == 4)
             assert [[endpoint.name for endpoint in event.endpoints] for event in published] == [
                 ["s-00000000"]
             ]
             assert published[0].sharing_proxies == 7 and list(proxy.backends.pools) == ["s-00000000"]
             endpoint_list.size = 0
             send_second.set()
-            await until(lambda: proxy.discovery.version == 5)
+            await wait_until(lambda: proxy.discovery.version == 5)
             assert len(published) == 1 and list(proxy.backends.pools) == ["s-00000000"]
 
     run(scenario())
--- a/tests/discovery/test_watch_stream.py
+++ b/tests/discovery/test_watch_stream.py
@@ -8,7 +8,7 @@
 
 from molereach.discovery.watch_stream import CHUNK_BYTES, Steps, WatchConnection
 from tests.discovery.fakes import entries_json, list_json
-from tests.races.scripted_peers import turns
+from tests.races.scripted_peers import run_loop_iterations
 from tests.sockets import HEAD, chunk, run
 
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
@@ -127,7 +127,7 @@
         watch.receive(HEAD_WITHOUT_LENGTH + list_json(4, LONG_ENTRIES) + b'{"generation":5}\n{"generation":6')
         watch.connection.connection_lost(ConnectionResetError())
         await watch.until_processed()
-        await turns()
+        await run_loop_iterations()
         assert watch.received[-2:] == [b'{"generation":5}', b""] and watch.connection.finished.done()
 
     run(scenario())
@@ -144,7 +144,7 @@
             and not watch.connection.pending_chunks
             and watch.transport.closing
         )
-        await turns()
+        await run_loop_iterations()
         assert watch.callbacks == callbacks
         watch.connection.connection_lost(None)
         assert watch.connection.finished.done()
--- a/tests/proxy/test_config_file.py
+++ b/tests/proxy/test_config_file.py
@@ -18,7 +18,7 @@
 from molereach.proxy.proxy import Proxy
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 from tests.discovery.fakes import entries_json
-from tests.races.scripted_peers import until
+from tests.races.scripted_peers import wait_until
 from tests.sockets import (
     CUSTOMER,
     HEAD,
@@ -234,7 +234,7 @@
                     await asyncio.sleep(0)
                     turns += 1
                 assert turns > 10 if entry_count == ENTRY_COUNT else turns == 0
-                await until(first_reload.done)
+                await wait_until(first_reload.done)
                 assert first_reload.cancelled()
                 assert proxy.discovery.successor and proxy.discovery.successor.address[1] == (
                     12 if entry_count == 1 else 13
--- a/tests/races/__init__.py
+++ b/tests/races/__init__.py
@@ -1,1 +1,4 @@
-"""Two things meet at a connection's end; which comes first is forced. The rows: docs/design/endings.md."""
+"""Tests that force the order of two events that coincide, such as a response and a timeout.
+
+The cases are listed in docs/design/endings.md.
+"""
--- a/tests/races/scripted_peers.py
+++ b/tests/races/scripted_peers.py
@@ -1,7 +1,8 @@
-"""Peers by script, outside the loop: what they do has come to the front door's machine when the call returns.
+"""Scripted TCP peers that run outside the proxy's event loop.
 
-Loopback hands bytes, ends and resets over at once. So a test that says several things without an `await`
-between them has them all wait for the front door in one turn of its loop, in the order said.
+The loopback interface delivers data, FIN and RST before the call that sends them returns. A test that makes
+several such calls without an `await` in between therefore presents all of them to the proxy in one iteration
+of its loop, in the order of the calls.
 """
 
 import asyncio
@@ -14,67 +15,67 @@
 from molereach.endpoint_address import EndpointAddress
 from tests.sockets import HOST
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close sends RST
 
 
 class Peer:
-    """One end of a connection that the front door holds the other of."""
+    """The test's end of a connection whose other end the proxy holds."""
 
-    def __init__(self, own: socket.socket) -> None:
-        self.socket = own
-        own.setblocking(False)
-        own.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    def __init__(self, sock: socket.socket) -> None:
+        self.socket = sock
+        sock.setblocking(False)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def dial(cls, address: EndpointAddress) -> "Peer":
-        """Connected when this returns, whether or not the front door has accepted it yet."""
-        own = socket.create_connection(address)
-        return cls(own)
+    def connect(cls, address: EndpointAddress) -> "Peer":
+        """Connect; the connection is established on return, whether or not the proxy has accepted it."""
+        sock = socket.create_connection(address)
+        return cls(sock)
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         assert self.socket.send(data) == len(data)
 
-    def finish(self) -> None:
-        """Half-close: nothing more comes from here, but this end still reads."""
+    def half_close(self) -> None:
+        """Shut down sending; this end can still receive."""
         self.socket.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
         self.socket.close()
 
     def reset(self) -> None:
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
         self.socket.close()
 
-    async def hear(self, most: int = 1 << 16) -> bytes:
-        """What has come, once something has; b'' at the end. A reset is a ConnectionResetError."""
-        return await asyncio.get_running_loop().sock_recv(self.socket, most)
+    async def receive(self, max_bytes: int = 1 << 16) -> bytes:
+        """Return available data, waiting for some; b'' at EOF. A reset raises ConnectionResetError."""
+        return await asyncio.get_running_loop().sock_recv(self.socket, max_bytes)
 
-    async def hear_until(self, mark: bytes) -> bytes:
-        """What comes, up to where `mark` is in it; an EOFError with what came if it ends before."""
-        heard = b""
-        while mark not in heard:
-            data = await self.hear()
+    async def receive_until(self, delimiter: bytes) -> bytes:
+        """Receive until the data contains `delimiter`; raise EOFError with the data if it ends before."""
+        received = b""
+        while delimiter not in received:
+            data = await self.receive()
             if not data:
-                raise EOFError(heard)
-            heard += data
-        return heard
-
-    async def hear_all(self) -> bytes:
-        """All that comes until the end; a reset is a ConnectionResetError."""
-        heard = b""
-        while data := await self.hear():
-            heard += data
-        return heard
-
-    def pending(self) -> bytes:
-        """What has come by now, without letting the loop run; b'' where nothing has (or the end)."""
+                raise EOFError(received)
+            received += data
+        return received
+
+    async def receive_all(self) -> bytes:
+        """Receive until EOF; a reset raises ConnectionResetError."""
+        received = b""
+        while data := await self.receive():
+            received += data
+        return received
+
+    def receive_nowait(self) -> bytes:
+        """Return what the kernel has received by now, without running the loop; b'' for nothing or EOF."""
         with contextlib.suppress(BlockingIOError):
             return self.socket.recv(1 << 16)
         return b""
 
 
-class Machine:
-    """A machine that listens and does nothing by itself: the test accepts, reads and answers."""
+class ScriptedServer:
+    """A listening server with no behavior of its own: the test accepts, reads and responds."""
 
     def __init__(self, backlog: int = 16, port: int = 0) -> None:
         self.listener = socket.create_server((HOST, port), backlog=backlog)
@@ -86,14 +87,14 @@
         return address
 
     async def accept(self) -> Peer:
-        own, _ = await asyncio.get_running_loop().sock_accept(self.listener)
-        return Peer(own)
+        sock, _ = await asyncio.get_running_loop().sock_accept(self.listener)
+        return Peer(sock)
 
-    def waiting(self) -> bool:
-        """Whether a connection has come that nobody has accepted; it is accepted and reset by this look."""
+    def has_pending_connection(self) -> bool:
+        """Return whether an unaccepted connection exists; if so, it is accepted and reset."""
         with contextlib.suppress(BlockingIOError):
-            own, _ = self.listener.accept()
-            Peer(own).reset()
+            sock, _ = self.listener.accept()
+            Peer(sock).reset()
             return True
         return False
 
@@ -102,69 +103,69 @@
 
 
 @contextlib.contextmanager
-def machine() -> Iterator[Machine]:
-    """A machine for one test."""
-    made = Machine()
+def scripted_server() -> Iterator[ScriptedServer]:
+    """Provide a scripted server that is closed on exit."""
+    server = ScriptedServer()
     try:
-        yield made
+        yield server
     finally:
-        made.close()
+        server.close()
 
 
-class Dials:
-    """Holds the front door's dials: each goes on only when the test lets it, by `let_go`.
+class HeldConnects:
+    """Hold the proxy's outgoing connects until the test calls `release`.
 
-    A dial that waits here looks to the front door like one whose handshake takes long.
+    To the proxy, a held connect looks like a slow handshake.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop | None = None) -> None:
         self.loop: Any = loop or asyncio.get_running_loop()
-        self.dial: Callable[..., Awaitable[Any]] = self.loop.create_connection
-        self.held: list[asyncio.Event] = []
-        self.came = asyncio.Event()
+        self.connect: Callable[..., Awaitable[Any]] = self.loop.create_connection
+        self.gates: list[asyncio.Event] = []
+        self.arrived = asyncio.Event()
 
-    def __enter__(self) -> "Dials":
+    def __enter__(self) -> "HeldConnects":
         self.loop.create_connection = self.hold
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.loop.create_connection = self.dial
-        for gate in self.held:
+        self.loop.create_connection = self.connect
+        for gate in self.gates:
             gate.set()
 
-    async def hold(self, *args: object, **values: object) -> object:
+    async def hold(self, *args: object, **kwargs: object) -> object:
         gate = asyncio.Event()
-        self.held.append(gate)
-        self.came.set()
+        self.gates.append(gate)
+        self.arrived.set()
         await gate.wait()
-        return await self.dial(*args, **values)
+        return await self.connect(*args, **kwargs)
 
-    def let_go(self, number: int = 0) -> None:
-        """The dial that came as the `number`-th goes on."""
-        self.held[number].set()
+    def release(self, index: int = 0) -> None:
+        """Let the connect number `index` proceed, counted from 0 in order of arrival."""
+        self.gates[index].set()
 
 
-async def turns(count: int = 3) -> None:
-    """Let the loop run so many turns: what was readable before has been read by then."""
+async def run_loop_iterations(count: int = 3) -> None:
+    """Run `count` iterations of the loop, so that data that was readable before has been read."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def until(seen: Callable[[], bool], within_s: float = 10.0) -> None:
-    """Wait for something that must come; the time is a bound for a hang, nothing is measured by it."""
-    async with asyncio.timeout(within_s):
-        while not seen():
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> None:
+    """Wait until the condition holds; the timeout only bounds a hang and measures nothing."""
+    async with asyncio.timeout(timeout_s):
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-def narrow(monkeypatch: Any) -> None:  # noqa: ANN401
-    """The kernel takes little of what the front door writes to a backend: a long command only in part."""
+def shrink_send_buffers(monkeypatch: Any) -> None:  # noqa: ANN401
+    """Shrink the send buffer of connections to backends, so that a long command is written in parts."""
     from molereach.backends.connection import BackendConnection
 
-    made = BackendConnection.connection_made
+    connection_made_original = BackendConnection.connection_made
 
     def connection_made(self: BackendConnection, transport: asyncio.Transport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        made(self, transport)
+        connection_made_original(self, transport)
 
     monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
--- a/tests/races/sigterm.py
+++ b/tests/races/sigterm.py
@@ -1,4 +1,4 @@
-"""What the tests of the end by SIGTERM share: its times made short, and acts in the instant of a step."""
+"""Helpers of the SIGTERM tests: shortened shutdown times and actions at the moment of a given step."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 
 OK = b"$2\r\nok\r\n"
 FAILED = b"-ERR failed\r\n"
-ENDS = b"-ERR the front door ends\r\n"
+SHUTTING_DOWN = b"-ERR the front door ends\r\n"
 
 
-def shorten(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The times of the end, a tenth: killed 0.37 s after SIGTERM where deadlines are 3 s or more."""
+def shorten_shutdown_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Divide the shutdown times by ten: SIGKILL comes 0.37 s after SIGTERM with deadlines of 3 s or more."""
     for name in (
         "MAX_DEADLINE_US",
         "KILL_GRACE_US",
@@ -29,29 +29,29 @@
         monkeypatch.setattr(graceful_shutdown, name, getattr(graceful_shutdown, name) // 10)
 
 
-def before(owner: object, name: str, act: Callable[[], object]) -> None:
-    """Have `act` done in the instant of a step, with no turn of the loop between."""
-    step = getattr(owner, name)
+def run_before(owner: object, name: str, action: Callable[[], object]) -> None:
+    """Run `action` right before each call of a method, in the same iteration of the loop."""
+    method = getattr(owner, name)
 
-    def both(*args: object) -> object:
-        act()
-        return step(*args)
+    def run_both(*args: object) -> object:
+        action()
+        return method(*args)
 
-    setattr(owner, name, both)
+    setattr(owner, name, run_both)
 
 
-async def drained(door: Proxy) -> None:
-    """A drain, within a time that only a hang takes."""
+async def drain(proxy: Proxy) -> None:
+    """Drain the proxy; the timeout only bounds a hang."""
     async with asyncio.timeout(10):
-        await door.drain()
+        await proxy.drain()
 
 
-def dial_and_ask(address: EndpointAddress, name: str) -> Peer:
-    client = Peer.dial(address)
-    client.say(query(name))
+def connect_and_query(address: EndpointAddress, name: str) -> Peer:
+    client = Peer.connect(address)
+    client.send(query(name))
     return client
 
 
 def is_answer(data: bytes) -> bool:
-    """One whole answer and nothing more: a value, or a word that near the kill there is no time for one."""
+    """Whether this is exactly one answer: a value, or an error that too little time is left."""
     return data == OK or (data[:1] == b"-" and data.index(b"\r\n") == len(data) - 2)
--- a/tests/races/test_attempts_connect.py
+++ b/tests/races/test_attempts_connect.py
@@ -1,92 +1,99 @@
-"""Dials that come up late: after their attempt was given up, or for another's attempt."""
+"""Connects that succeed after their attempt ended, or serve the attempt of another connect."""
 
 import pytest
 
 from molereach.backends.attempt import Attempt
 from molereach.policy.interface.events import AttemptResult
 from tests.races.attempt_sender import Sender
-from tests.races.scripted_peers import Dials, Machine, machine, turns, until
+from tests.races.scripted_peers import (
+    HeldConnects,
+    ScriptedServer,
+    run_loop_iterations,
+    scripted_server,
+    wait_until,
+)
 from tests.sockets import run, value
 
 
-async def nothing_is_written(sender: Sender, held: Machine) -> None:
-    """The dial comes up, and the connection is kept with nothing on it."""
-    peer = await held.accept()
-    await until(lambda: bool(sender.backends.pools["s"].idle))
-    assert peer.pending() == b""
+async def expect_idle_and_unwritten(sender: Sender, backend: ScriptedServer) -> None:
+    """The connect succeeds, and the connection is kept idle with nothing written to it."""
+    peer = await backend.accept()
+    await wait_until(lambda: bool(sender.backends.pools["s"].idle))
+    assert peer.receive_nowait() == b""
 
 
 @pytest.mark.parametrize(
-    ("how", "result"),
+    ("abandon", "result"),
     [(Attempt.cancel, AttemptResult.CANCELLED), (Attempt.on_timeout, AttemptResult.CONNECT_FAILED)],
 )
-def test_dial_that_comes_up_after_its_attempt_was_given_up_carries_nothing(
-    how: object, result: AttemptResult
+def test_connect_that_succeeds_after_its_attempt_ended_carries_no_request(
+    abandon: object, result: AttemptResult
 ) -> None:
     async def job() -> None:
-        with machine() as held:
-            sender = Sender(held)
-            with Dials() as dials:
+        with scripted_server() as backend:
+            sender = Sender(backend)
+            with HeldConnects() as connects:
                 attempt = sender.send(b"first")
-                await dials.came.wait()
-                how(attempt)
-                assert sender.ended == [result] and not sender.backends.pools["s"].waiting
-                dials.let_go()
-                await nothing_is_written(sender, held)
-                assert sender.ended == [result]
+                await connects.arrived.wait()
+                abandon(attempt)
+                assert sender.results == [result] and not sender.backends.pools["s"].waiting
+                connects.release()
+                await expect_idle_and_unwritten(sender, backend)
+                assert sender.results == [result]
             sender.backends.close()
 
     run(job())
 
 
-def test_dial_serves_whoever_waits_longest_and_still_waits() -> None:
+def test_connect_serves_the_longest_waiting_attempt() -> None:
     async def job() -> None:
-        with machine() as held:
-            sender = Sender(held)
-            with Dials() as dials:
+        with scripted_server() as backend:
+            sender = Sender(backend)
+            with HeldConnects() as connects:
                 first, second, third = (sender.send(text) for text in (b"first", b"second", b"third"))
-                await until(lambda: len(dials.held) == 3)
+                await wait_until(lambda: len(connects.gates) == 3)
                 first.cancel()
-                dials.let_go(2)
-                peer = await held.accept()
-                assert await peer.hear() == b"second"
+                connects.release(2)
+                peer = await backend.accept()
+                assert await peer.receive() == b"second"
                 second.cancel()
-                dials.let_go(0)
-                peer = await held.accept()
-                assert await peer.hear() == b"third" and third.is_written
-                dials.let_go(1)
-                await nothing_is_written(sender, held)
+                connects.release(0)
+                peer = await backend.accept()
+                assert await peer.receive() == b"third" and third.is_written
+                connects.release(1)
+                await expect_idle_and_unwritten(sender, backend)
                 assert sender.backends.pools["s"].dial_count == 0
             sender.backends.close()
 
     run(job())
 
 
-def test_failed_dial_takes_down_no_attempt_that_another_dial_is_under_way_for() -> None:
-    """Of two that wait one was given up; its dial is left for the other when the first dial fails."""
+def test_failed_connect_fails_no_attempt_that_another_connect_can_serve() -> None:
+    """One of two waiting attempts is cancelled; when the first connect fails, the second one serves the other
+    attempt."""
 
     async def job() -> None:
-        with machine() as held:
-            sender = Sender(held)
-            with Dials() as dials:
+        with scripted_server() as backend:
+            sender = Sender(backend)
+            with HeldConnects() as connects:
                 sender.send(b"first")
                 second = sender.send(b"second")
-                await until(lambda: len(dials.held) == 2)
+                await wait_until(lambda: len(connects.gates) == 2)
                 second.cancel()
-                dial, dials.dial = dials.dial, refused
-                dials.let_go(0)
-                await turns(5)
-                dials.dial = dial
-                dials.let_go(1)
-                peer = await held.accept()
-                assert await peer.hear() == b"first"
-                peer.say(value(b"ok"))
-                await until(lambda: len(sender.ended) == 2)
-                assert sender.ended == [AttemptResult.CANCELLED, AttemptResult.OK]
+                connect, connects.connect = connects.connect, refuse_connect
+                connects.release(0)
+                await run_loop_iterations(5)
+                connects.connect = connect
+                connects.release(1)
+                peer = await backend.accept()
+                assert await peer.receive() == b"first"
+                peer.send(value(b"ok"))
+                await wait_until(lambda: len(sender.results) == 2)
+                assert sender.results == [AttemptResult.CANCELLED, AttemptResult.OK]
             sender.backends.close()
 
     run(job())
 
 
-async def refused(*args: object, **values: object) -> None:
+async def refuse_connect(*args: object, **kwargs: object) -> None:
     raise ConnectionRefusedError
--- a/tests/races/test_attempts_connect_timeout.py
+++ b/tests/races/test_attempts_connect_timeout.py
@@ -1,4 +1,4 @@
-"""A dial that comes up in the very turn in which its time is over."""
+"""A connect that succeeds in the loop iteration in which its timeout expires."""
 
 import asyncio
 import time
@@ -8,53 +8,54 @@
 from molereach.backends import pool as pools
 from molereach.backends.connection import BackendConnection
 from molereach.policy.interface.events import AttemptResult
-from tests.races.attempt_sender import S, Sender
-from tests.races.scripted_peers import machine, until
+from tests.races.attempt_sender import SECOND_US, Sender
+from tests.races.scripted_peers import scripted_server, wait_until
 from tests.sockets import run, value
 
-DIAL_S = 0.02
+CONNECT_TIMEOUT_S = 0.02
 
 
-def come_up_too_late(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first connection is told that it is up, and the loop stands still until the dial's time is over."""
-    told, first = BackendConnection.connection_made, [True]
+def block_loop_after_first_connect(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Block the loop after the first connection is made until the connect timeout has expired."""
+    original, first = BackendConnection.connection_made, [True]
 
     def connection_made(self: BackendConnection, transport: asyncio.BaseTransport) -> None:
-        told(self, transport)
+        original(self, transport)
         if first:
             first.clear()
-            time.sleep(2 * DIAL_S)
+            time.sleep(2 * CONNECT_TIMEOUT_S)
 
     monkeypatch.setattr(BackendConnection, "connection_made", connection_made)
 
 
-@pytest.mark.parametrize("waits", [True, False])
-def test_dial_that_comes_up_in_the_turn_of_its_time_out_is_none(
-    waits: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("is_waiting", [True, False])
+def test_connect_that_succeeds_in_the_iteration_of_its_timeout_counts_as_failed(
+    is_waiting: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop lets go of its socket without a word; kept, it would fail each request that was sent on it."""
-    come_up_too_late(monkeypatch)
+    """The loop closes the socket without calling connection_lost; if the connection were kept, each request
+    sent on it would fail."""
+    block_loop_after_first_connect(monkeypatch)
     monkeypatch.setattr(pools, "MIN_IDLE_US", 0)
 
     async def job() -> None:
-        with machine() as held:
-            sender = Sender(held)
-            sender.backends.connect_timeout_s = DIAL_S
+        with scripted_server() as backend:
+            sender = Sender(backend)
+            sender.backends.connect_timeout_s = CONNECT_TIMEOUT_S
             pool = sender.backends.pools["s"]
-            first = sender.send(b"first", 60 * S)
-            if not waits:
+            first = sender.send(b"first", 60 * SECOND_US)
+            if not is_waiting:
                 first.cancel()
-            await until(lambda: bool(sender.ended) and not pool.dial_count)
-            assert sender.ended == [AttemptResult.CONNECT_FAILED if waits else AttemptResult.CANCELLED]
+            await wait_until(lambda: bool(sender.results) and not pool.dial_count)
+            assert sender.results == [AttemptResult.CONNECT_FAILED if is_waiting else AttemptResult.CANCELLED]
             assert not pool.idle and not pool.connections and pool.owner.open_connections == 0
-            (await held.accept()).close()  # that of the first
+            (await backend.accept()).close()  # the connection of the first attempt
             sender.backends.connect_timeout_s = 5
             sender.send(b"second")
-            peer = await held.accept()
-            assert await peer.hear() == b"second"
-            peer.say(value(b"ok"))
-            await until(lambda: len(sender.ended) == 2)
-            assert sender.ended[1] is AttemptResult.OK
+            peer = await backend.accept()
+            assert await peer.receive() == b"second"
+            peer.send(value(b"ok"))
+            await wait_until(lambda: len(sender.results) == 2)
+            assert sender.results[1] is AttemptResult.OK
             sender.backends.close()
 
     run(job())
--- a/tests/races/test_attempts_deduplication_window.py
+++ b/tests/races/test_attempts_deduplication_window.py
@@ -1,6 +1,7 @@
-"""A keyed request's further attempts against the end of its window, counted from when the first may have run.
+"""Retries of requests with an idempotency key near the end of the deduplication window.
 
-Only the write counts: an attempt is decided in time, and its dial comes up, or its last byte goes, too late.
+The window counts from when the first attempt may have run. Only the write matters: a retry that was decided
+in time may be connected, or have its last byte written, too late.
 """
 
 import asyncio
@@ -12,109 +13,121 @@
 
 from molereach.clock import now_us
 from molereach.policy.interface.settings import DeduplicationScope, Settings
-from tests.races.scripted_peers import Dials, Machine, Peer, machine, narrow, until
+from tests.races.scripted_peers import (
+    HeldConnects,
+    Peer,
+    ScriptedServer,
+    scripted_server,
+    shrink_send_buffers,
+    wait_until,
+)
 from tests.sockets import CLASSES, SETTINGS, Client, front_door, run, submit
 
 WINDOW_US = 150_000
-LONG = b"x" * 65_000 + b"BODY"
+LONG_BODY = b"x" * 65_000 + b"BODY"
 
 
 def settings(**changes: object) -> Settings:
-    keyed = replace(CLASSES[1], deduplication_window_us=WINDOW_US, **changes)
-    return replace(SETTINGS, classes=(CLASSES[0], keyed, CLASSES[2]))
+    idempotent_with_key = replace(CLASSES[1], deduplication_window_us=WINDOW_US, **changes)
+    return replace(SETTINGS, classes=(CLASSES[0], idempotent_with_key, CLASSES[2]))
 
 
-async def heard(peer: Peer) -> bytes:
-    """All that comes, until an end of any kind."""
+async def receive_until_closed(peer: Peer) -> bytes:
+    """Receive until EOF or reset."""
     data = b""
     with contextlib.suppress(ConnectionResetError):
-        while more := await peer.hear():
+        while more := await peer.receive():
             data += more
     return data
 
 
-async def broken_after_the_last_byte(client: Client, held: Machine, **more: object) -> None:
-    """The first attempt comes whole to the machine, and may have run there."""
-    client.send(submit("a1", class_name="book", **more))
-    peer = await held.accept()
-    await peer.hear_until(b"BODY")
+async def reset_first_attempt(client: Client, backend: ScriptedServer, **changes: object) -> None:
+    """The backend receives the whole first attempt, which may have run, and resets the connection."""
+    client.send(submit("a1", class_name="book", **changes))
+    peer = await backend.accept()
+    await peer.receive_until(b"BODY")
     peer.reset()
 
 
-@pytest.mark.parametrize("group", [DeduplicationScope.ALL, DeduplicationScope.ZONE])
-def test_dial_that_comes_up_after_the_window_carries_no_repeat(group: DeduplicationScope) -> None:
+@pytest.mark.parametrize("scope", [DeduplicationScope.ALL, DeduplicationScope.ZONE])
+def test_connect_that_succeeds_after_the_window_carries_no_retry(scope: DeduplicationScope) -> None:
     async def job() -> None:
-        with machine() as held:
+        with scripted_server() as backend:
             async with front_door(
-                addresses=[held.address],
-                settings=settings(deduplication_scope=group),
+                addresses=[backend.address],
+                settings=settings(deduplication_scope=scope),
                 connect_timeout_us=5_000_000,
-            ) as (door, address):
+            ) as (proxy, address):
                 client = await Client.open(address)
-                await broken_after_the_last_byte(client, held)
-                with Dials() as dials:
-                    await dials.came.wait()  # the repeat was decided within the window
+                await reset_first_attempt(client, backend)
+                with HeldConnects() as connects:
+                    await connects.arrived.wait()  # the retry was decided within the window
                     await asyncio.sleep(WINDOW_US / 1e6)
-                    dials.let_go()
-                    peer = await held.accept()
-                    assert await client.answer() == "-ERR failed"  # a next try would run again as well
-                    assert peer.pending() == b"" and not door.requests.open and not door.requests.answered
+                    connects.release()
+                    peer = await backend.accept()
+                    assert await client.answer() == "-ERR failed"  # another attempt would also run it twice
+                    assert (
+                        peer.receive_nowait() == b""
+                        and not proxy.requests.open
+                        and not proxy.requests.answered
+                    )
 
     run(job())
 
 
-class Standstill(Dials):
-    """The loop stands still when a dial comes up, until that time: no timer runs before it is used."""
+class BlockingConnect(HeldConnects):
+    """Block the loop until a given time when a connect succeeds, so that no timer runs before it is used."""
 
-    until_us = 0
+    block_until_us = 0
 
-    async def hold(self, *args: object, **values: object) -> object:
-        made = await super().hold(*args, **values)
-        while now_us() < self.until_us:
+    async def hold(self, *args: object, **kwargs: object) -> object:
+        connected = await super().hold(*args, **kwargs)
+        while now_us() < self.block_until_us:
             pass
-        return made
+        return connected
 
 
-def test_dial_and_window_that_end_in_one_turn_carry_no_repeat() -> None:
+def test_connect_that_succeeds_as_the_window_ends_carries_no_retry() -> None:
     async def job() -> None:
-        with machine() as held:
+        with scripted_server() as backend:
             async with front_door(
-                addresses=[held.address], settings=settings(), connect_timeout_us=5_000_000
+                addresses=[backend.address], settings=settings(), connect_timeout_us=5_000_000
             ) as (_, address):
                 client = await Client.open(address)
-                await broken_after_the_last_byte(client, held)
-                with Standstill() as dials:
-                    await dials.came.wait()
-                    dials.until_us = now_us() + WINDOW_US
-                    dials.let_go()
-                    peer = await held.accept()
+                await reset_first_attempt(client, backend)
+                with BlockingConnect() as connects:
+                    await connects.arrived.wait()
+                    connects.block_until_us = now_us() + WINDOW_US
+                    connects.release()
+                    peer = await backend.accept()
                     assert await client.answer() == "-ERR failed"
-                    assert peer.pending() == b""
+                    assert peer.receive_nowait() == b""
 
     run(job())
 
 
-def test_repeat_that_is_written_in_part_when_the_window_ends_is_never_whole(
+def test_retry_partially_written_when_the_window_ends_is_never_completed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The machine reads on only after the window: what it had not taken by then never comes."""
+    """The backend resumes reading only after the window: the bytes that it had not taken by then never
+    arrive."""
 
-    narrow(monkeypatch)
+    shrink_send_buffers(monkeypatch)
 
     async def job() -> None:
-        with machine() as held:
-            held.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        with scripted_server() as backend:
+            backend.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
             async with front_door(
-                addresses=[held.address], settings=settings(), connect_timeout_us=5_000_000
-            ) as (door, address):
+                addresses=[backend.address], settings=settings(), connect_timeout_us=5_000_000
+            ) as (proxy, address):
                 client = await Client.open(address)
-                await broken_after_the_last_byte(client, held, body=LONG)
-                peer = await held.accept()
-                attempt = next(iter(door.requests.open["a1"].in_flight.values()))
-                await until(lambda: attempt.connection is not None)
+                await reset_first_attempt(client, backend, body=LONG_BODY)
+                peer = await backend.accept()
+                attempt = next(iter(proxy.requests.open["a1"].in_flight.values()))
+                await wait_until(lambda: attempt.connection is not None)
                 assert not attempt.is_written
                 await asyncio.sleep(WINDOW_US / 1e6)
-                assert not (await heard(peer)).endswith(b"BODY\r\n")
+                assert not (await receive_until_closed(peer)).endswith(b"BODY\r\n")
                 assert await client.answer() == "-ERR failed"
 
     run(job())
--- a/tests/races/test_attempts_retry_scope.py
+++ b/tests/races/test_attempts_retry_scope.py
@@ -1,4 +1,4 @@
-"""Where a keyed request may be repeated: in the group of its first attempt, as that stood then."""
+"""Requests with an idempotency key are retried in the deduplication scope that their first backend had."""
 
 from dataclasses import replace
 
@@ -9,8 +9,8 @@
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass
 from tests.helpers import MILLISECOND_US, SECOND_US, SETTINGS, GatewayDriver, endpoints, of_type
 
-FLEET = endpoints(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
-KEYED = RequestClass(
+ENDPOINTS = endpoints(4)  # s0 and s2 in zone 0, s0 and s1 in cell 0
+IDEMPOTENT_WITH_KEY = RequestClass(
     2 * SECOND_US,
     6 * SECOND_US,
     idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
@@ -18,40 +18,50 @@
 )
 
 
-def sent(world: GatewayDriver) -> list[str]:
-    return [action.endpoint for _, action in world.log if isinstance(action, ForwardAttempt)]
+def forwarded_endpoints(driver: GatewayDriver) -> list[str]:
+    return [action.endpoint for _, action in driver.log if isinstance(action, ForwardAttempt)]
 
 
 @pytest.mark.parametrize(
-    ("group", "moved", "only"),
+    ("scope", "new_place", "allowed"),
     [(DeduplicationScope.ZONE, {"zone": 1}, "s2"), (DeduplicationScope.CELL, {"cell": 1}, "s1")],
 )
 @pytest.mark.parametrize("restarted", [False, True])
-def test_repeat_stays_in_the_group_that_the_first_server_was_in(
-    group: DeduplicationScope, moved: dict[str, int], only: str, restarted: bool
+def test_retry_stays_in_the_deduplication_scope_of_the_first_backend(
+    scope: DeduplicationScope, new_place: dict[str, int], allowed: str, restarted: bool
 ) -> None:
-    """Its entry changes while the attempt is out: what it did is known where it was."""
-    world = GatewayDriver(replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=group),)), FLEET[:1])
-    world.send_request("a")
-    assert sent(world) == ["s0"]
-    first = replace(FLEET[0], started_us=int(restarted), **moved)
-    world.handle(EndpointListReceived(EndpointListKind.FULL, 2, (first, *FLEET[1:])))
-    world.advance(10 * MILLISECOND_US)
-    world.end_attempt("a", AttemptResult.RESET)
-    assert sent(world) == ["s0", only]
+    """The endpoint's entry changes during the attempt; the key is known in the scope to which the backend
+    belonged before."""
+    driver = GatewayDriver(
+        replace(SETTINGS, classes=(replace(IDEMPOTENT_WITH_KEY, deduplication_scope=scope),)), ENDPOINTS[:1]
+    )
+    driver.send_request("a")
+    assert forwarded_endpoints(driver) == ["s0"]
+    first = replace(ENDPOINTS[0], started_us=int(restarted), **new_place)
+    driver.handle(EndpointListReceived(EndpointListKind.FULL, 2, (first, *ENDPOINTS[1:])))
+    driver.advance(10 * MILLISECOND_US)
+    driver.end_attempt("a", AttemptResult.RESET)
+    assert forwarded_endpoints(driver) == ["s0", allowed]
 
 
-def test_no_repeat_where_the_group_has_no_other_server_by_then() -> None:
-    world = GatewayDriver(
-        replace(SETTINGS, classes=(replace(KEYED, deduplication_scope=DeduplicationScope.ZONE),)), FLEET[:1]
+def test_no_retry_where_the_scope_has_no_other_backend_by_then() -> None:
+    driver = GatewayDriver(
+        replace(
+            SETTINGS, classes=(replace(IDEMPOTENT_WITH_KEY, deduplication_scope=DeduplicationScope.ZONE),)
+        ),
+        ENDPOINTS[:1],
+    )
+    driver.send_request("a")
+    driver.handle(
+        EndpointListReceived(EndpointListKind.FULL, 2, (replace(ENDPOINTS[0], zone=1), ENDPOINTS[1]))
     )
-    world.send_request("a")
-    world.handle(EndpointListReceived(EndpointListKind.FULL, 2, (replace(FLEET[0], zone=1), FLEET[1])))
-    assert of_type(FailRequest, world.end_attempt("a", AttemptResult.RESET)) and sent(world) == ["s0"]
+    assert of_type(FailRequest, driver.end_attempt("a", AttemptResult.RESET)) and forwarded_endpoints(
+        driver
+    ) == ["s0"]
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "more"),
+    ("first", "last", "retries"),
     [
         ([AttemptResult.CONNECT_FAILED], AttemptResult.RESET, 0),
         ([AttemptResult.REJECTED], AttemptResult.TIMEOUT, 0),
@@ -62,15 +72,15 @@
         ([], AttemptResult.MALFORMED, 0),
     ],
 )
-def test_unsafe_request_is_never_sent_again_once_in_doubt(
-    first: list[AttemptResult], second: AttemptResult, more: int
+def test_non_idempotent_request_is_not_retried_once_it_may_have_run(
+    first: list[AttemptResult], last: AttemptResult, retries: int
 ) -> None:
-    unsafe = RequestClass(2 * SECOND_US, 6 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT)
-    world = GatewayDriver(replace(SETTINGS, classes=(unsafe,), max_attempts=9), FLEET)
-    world.send_request("a")
-    for number, result in enumerate([*first, second]):
-        world.end_attempt("a", result, number)
-    world.advance(5 * SECOND_US)
-    assert len(sent(world)) == len(first) + 1 + more
-    assert len(of_type(Reject, [action for _, action in world.log])) == 0
-    assert len(of_type(FailRequest, [action for _, action in world.log])) == 1 - more or more
+    non_idempotent = RequestClass(2 * SECOND_US, 6 * SECOND_US, idempotency=Idempotency.NON_IDEMPOTENT)
+    driver = GatewayDriver(replace(SETTINGS, classes=(non_idempotent,), max_attempts=9), ENDPOINTS)
+    driver.send_request("a")
+    for number, result in enumerate([*first, last]):
+        driver.end_attempt("a", result, number)
+    driver.advance(5 * SECOND_US)
+    assert len(forwarded_endpoints(driver)) == len(first) + 1 + retries
+    assert len(of_type(Reject, [action for _, action in driver.log])) == 0
+    assert len(of_type(FailRequest, [action for _, action in driver.log])) == 1 - retries or retries
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -1,4 +1,4 @@
-"""Connections that we close: what crosses the close, and the last answer before it."""
+"""Connections that the proxy closes: requests that cross the close, and the last answer before it."""
 
 import asyncio
 import socket
@@ -13,166 +13,168 @@
 from molereach.clients.connection_state import State
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
-from tests.races.scripted_peers import Peer, turns, until
+from tests.races.scripted_peers import Peer, run_loop_iterations, wait_until
 from tests.sockets import Backend, front_door, query, resp, run, value
 
-LINGER_US = 50_000
+CLOSING_TIMEOUT_US = 50_000
 
 
 @pytest.fixture
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "SWEEP_S", 0.01)
-    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOSING, LINGER_US)
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOSING, CLOSING_TIMEOUT_US)
 
 
-def crossed_by(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
-    """What a peer does in the instant after the look for unread bytes."""
+def act_after_check(monkeypatch: pytest.MonkeyPatch, action: Callable[[], None]) -> None:
+    """Run an action right after the check for unread bytes, as a peer that acts at that moment."""
 
-    def look(transport: asyncio.BaseTransport) -> bool:
-        found = has_unread(transport)
-        act()
-        return found
+    def check(transport: asyncio.BaseTransport) -> bool:
+        result = has_unread(transport)
+        action()
+        return result
 
-    monkeypatch.setattr(clients, "has_unread", look)
+    monkeypatch.setattr(clients, "has_unread", check)
 
 
-async def rested(door: Proxy, peer: Peer, hear: bool = True) -> Any:  # noqa: ANN401
-    """A connection between requests; its one answer is read by the client or not."""
-    peer.say(query("a1"))
-    await until(lambda: any(each.state is State.IDLE for each in door.clients.connections))
-    if hear:
-        assert await peer.hear_until(b"ok\r\n")
-    (connection,) = door.clients.connections
+async def idle_connection(proxy: Proxy, peer: Peer, reads_answer: bool = True) -> Any:  # noqa: ANN401
+    """Return a connection between requests; `reads_answer`: whether the client has read its one answer."""
+    peer.send(query("a1"))
+    await wait_until(lambda: any(connection.state is State.IDLE for connection in proxy.clients.connections))
+    if reads_answer:
+        assert await peer.receive_until(b"ok\r\n")
+    (connection,) = proxy.clients.connections
     return connection
 
 
-@pytest.mark.parametrize("hear", [True, False])
-def test_request_that_crosses_the_close_is_neither_sent_on_nor_a_reset(
-    monkeypatch: pytest.MonkeyPatch, hear: bool
+@pytest.mark.parametrize("reads_answer", [True, False])
+def test_request_that_crosses_the_close_is_not_forwarded_and_causes_no_reset(
+    monkeypatch: pytest.MonkeyPatch, reads_answer: bool
 ) -> None:
-    """It stays unread, its client hears a clean end, and an answer that it had not read yet is whole."""
+    """The request stays unread, the client sees EOF, and an answer that it had not read yet is complete."""
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            peer = Peer.dial(address)
-            connection = await rested(door, peer, hear)
-            crossed_by(monkeypatch, lambda: peer.say(query("a2")))
+        async with front_door(backend) as (proxy, address):
+            peer = Peer.connect(address)
+            connection = await idle_connection(proxy, peer, reads_answer)
+            act_after_check(monkeypatch, lambda: peer.send(query("a2")))
             connection.close()
-            await turns(10)
-            assert await peer.hear_all() == (b"" if hear else b"$2\r\nok\r\n")
+            await run_loop_iterations(10)
+            assert await peer.receive_all() == (b"" if reads_answer else b"$2\r\nok\r\n")
             assert len(backend.commands) == 1 and has_unread(connection.transport)
             peer.close()
-            assert await door.clients.wait_closed(10)
-            assert len(backend.commands) == 1 and door.clients.socket_count == 0
+            assert await proxy.clients.wait_closed(10)
+            assert len(backend.commands) == 1 and proxy.clients.socket_count == 0
 
     run(job())
 
 
-def test_client_that_rests_on_after_the_close_is_let_go_of(
-    monkeypatch: pytest.MonkeyPatch, short: None
+def test_connection_of_a_client_that_does_not_close_is_released_after_a_timeout(
+    monkeypatch: pytest.MonkeyPatch, short_timeouts: None
 ) -> None:
-    """Whether it says nothing or sends on; the time is bounded."""
+    """The client stays silent or keeps sending; in both cases the time is bounded."""
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            for sends in (False, True):
-                peer = Peer.dial(address)
-                connection = await rested(door, peer)
+        async with front_door(backend) as (proxy, address):
+            for sends_more in (False, True):
+                peer = Peer.connect(address)
+                connection = await idle_connection(proxy, peer)
                 connection.close()
-                assert await peer.hear_all() == b""
-                if sends:
-                    peer.say(query("a2"))
-                assert await door.clients.wait_closed(10)
-            assert len(backend.commands) == 2 and door.clients.socket_count == 0
+                assert await peer.receive_all() == b""
+                if sends_more:
+                    peer.send(query("a2"))
+                assert await proxy.clients.wait_closed(10)
+            assert len(backend.commands) == 2 and proxy.clients.socket_count == 0
 
     run(job())
 
 
-def test_request_that_came_before_the_close_is_answered_first() -> None:
+def test_request_received_before_the_close_is_answered_first() -> None:
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            peer = Peer.dial(address)
-            await rested(door, peer)
-            peer.say(query("a2"))
-            door.clients.drain()
-            assert await peer.hear_all() == b"$2\r\nok\r\n"
+        async with front_door(backend) as (proxy, address):
+            peer = Peer.connect(address)
+            await idle_connection(proxy, peer)
+            peer.send(query("a2"))
+            proxy.clients.drain()
+            assert await peer.receive_all() == b"$2\r\nok\r\n"
             assert len(backend.commands) == 2
 
     run(job())
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_half_a_command_is_waited_for_when_connections_are_closed(known: bool) -> None:
-    """Also where it is the first on its connection."""
+@pytest.mark.parametrize("has_sent_before", [True, False])
+def test_drain_waits_for_the_rest_of_a_partial_command(has_sent_before: bool) -> None:
+    """Also where it is the first command on its connection."""
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            peer, whole = Peer.dial(address), query("a2")
-            if known:
-                await rested(door, peer)
-            peer.say(whole[:30])
-            await until(lambda: any(each.reader.buffer for each in door.clients.connections))
-            await turns()
-            door.clients.drain()
-            peer.say(whole[30:])
-            assert await peer.hear_all() == b"$2\r\nok\r\n"
+        async with front_door(Backend()) as (proxy, address):
+            peer, command = Peer.connect(address), query("a2")
+            if has_sent_before:
+                await idle_connection(proxy, peer)
+            peer.send(command[:30])
+            await wait_until(
+                lambda: any(connection.reader.buffer for connection in proxy.clients.connections)
+            )
+            await run_loop_iterations()
+            proxy.clients.drain()
+            peer.send(command[30:])
+            assert await peer.receive_all() == b"$2\r\nok\r\n"
 
     run(job())
 
 
-def test_first_command_in_the_moment_of_its_time_out_is_taken() -> None:
+def test_first_command_that_arrives_with_the_timeout_is_answered() -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            peer = Peer.dial(address)
-            await until(lambda: len(door.clients.connections) == 1)
-            (connection,) = door.clients.connections
-            peer.say(query("a1"))
+        async with front_door(Backend()) as (proxy, address):
+            peer = Peer.connect(address)
+            await wait_until(lambda: len(proxy.clients.connections) == 1)
+            (connection,) = proxy.clients.connections
+            peer.send(query("a1"))
             connection.on_timeout()
-            assert await peer.hear_until(b"\r\n") == b"$2\r\nok\r\n"
+            assert await peer.receive_until(b"\r\n") == b"$2\r\nok\r\n"
 
     run(job())
 
 
-@pytest.mark.parametrize("more", [b"x" * 8_000, query("a2") * 3])
-def test_last_answer_comes_whole_while_the_client_sends_on(more: bytes) -> None:
-    """What follows a command that cannot be read is thrown away: left unread, it would be a reset."""
+@pytest.mark.parametrize("rest", [b"x" * 8_000, query("a2") * 3])
+def test_last_answer_arrives_complete_while_the_client_keeps_sending(rest: bytes) -> None:
+    """Data after a malformed command is discarded: left unread at the close, it would cause a reset."""
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            peer = Peer.dial(address)
-            await until(lambda: len(door.clients.connections) == 1)
-            (connection,) = door.clients.connections
-            peer.say(b"?" * 10 + more)
-            heard = await peer.hear_until(b"\r\n")
-            peer.say(more)
-            await turns(10)
-            connection.on_timeout()  # its time to read the answer is over
-            assert await door.clients.wait_closed(10)
-            assert peer.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no reset came
-            assert heard + await peer.hear_all() == b"-ERR Protocol error: expected '*'\r\n"
+        async with front_door(backend) as (proxy, address):
+            peer = Peer.connect(address)
+            await wait_until(lambda: len(proxy.clients.connections) == 1)
+            (connection,) = proxy.clients.connections
+            peer.send(b"?" * 10 + rest)
+            received = await peer.receive_until(b"\r\n")
+            peer.send(rest)
+            await run_loop_iterations(10)
+            connection.on_timeout()  # the time to read the answer has expired
+            assert await proxy.clients.wait_closed(10)
+            assert peer.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # no RST arrived
+            assert received + await peer.receive_all() == b"-ERR Protocol error: expected '*'\r\n"
             assert backend.commands == []
 
     run(job())
 
 
-def test_flood_behind_a_last_answer_is_bounded(short: None) -> None:
+def test_data_discarded_after_a_last_answer_is_bounded(short_timeouts: None) -> None:
     async def job() -> None:
-        async with front_door() as (door, address):
-            peer = Peer.dial(address)
-            peer.say(b"?")
-            await until(lambda: len(door.clients.connections) == 1)
-            (connection,) = door.clients.connections
+        async with front_door() as (proxy, address):
+            peer = Peer.connect(address)
+            peer.send(b"?")
+            await wait_until(lambda: len(proxy.clients.connections) == 1)
+            (connection,) = proxy.clients.connections
 
             async def flood() -> None:
                 while True:
                     await asyncio.get_running_loop().sock_sendall(peer.socket, b"x" * 65536)
 
             flooding = asyncio.create_task(flood())
-            assert await door.clients.wait_closed(10)
+            assert await proxy.clients.wait_closed(10)
             assert connection.discarded_bytes <= clients.MAX_DISCARDED_BYTES + listener.READ_BYTES
             assert not connection.reader.buffer[64:]
             await asyncio.wait([flooding])
@@ -180,68 +182,69 @@
     run(job())
 
 
-def test_requests_before_a_garbled_command_are_answered_also_after_a_clog(
+def test_requests_before_a_malformed_command_are_answered_after_writing_was_paused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection is closing, and its answers were not read for a while: then they are, and it goes on."""
+    """Writing is paused for a while on a connection that is closing, then resumes, and the connection goes
+    on."""
     monkeypatch.setitem(connection_state.TIMEOUTS_US, State.WRITE_BLOCKED, 0)
 
     async def job() -> None:
         backend = Backend(lambda words: None)
-        async with front_door(backend) as (door, address):
-            peer = Peer.dial(address)
-            peer.say(query("a1") + b"?")
+        async with front_door(backend) as (proxy, address):
+            peer = Peer.connect(address)
+            peer.send(query("a1") + b"?")
             await backend.command_received.wait()
-            (connection,) = door.clients.connections
+            (connection,) = proxy.clients.connections
             connection.pause_writing()
             connection.resume_writing()
-            door.clients.sweep()
+            proxy.clients.sweep()
             backend.writers[0].write(value(b"late"))
-            assert await peer.hear_all() == b"$4\r\nlate\r\n-ERR Protocol error: expected '*'\r\n"
+            assert await peer.receive_all() == b"$4\r\nlate\r\n-ERR Protocol error: expected '*'\r\n"
 
     run(job())
 
 
 @contextmanager
-def slow_reader(address: Any) -> Any:  # noqa: ANN401
-    with socket.socket() as own:
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        own.connect(address)
-        yield Peer(own)
+def client_with_small_buffer(address: Any) -> Any:  # noqa: ANN401
+    with socket.socket() as sock:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        sock.connect(address)
+        yield Peer(sock)
 
 
-def test_close_with_answers_unread_waits_for_them_within_bounds(
-    monkeypatch: pytest.MonkeyPatch, short: None
+def test_close_waits_a_bounded_time_for_unread_answers(
+    monkeypatch: pytest.MonkeyPatch, short_timeouts: None
 ) -> None:
-    """A transport that closes waits without end for what the kernel does not take."""
-    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.WRITE_BLOCKED, LINGER_US)
+    """A closing transport waits forever for the kernel to take its buffer."""
+    monkeypatch.setitem(connection_state.TIMEOUTS_US, State.WRITE_BLOCKED, CLOSING_TIMEOUT_US)
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            with slow_reader(address) as peer:
-                connection = await rested(door, peer)
-                kernel = connection.transport.get_extra_info("socket")
-                kernel.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        async with front_door(Backend()) as (proxy, address):
+            with client_with_small_buffer(address) as peer:
+                connection = await idle_connection(proxy, peer)
+                sock = connection.transport.get_extra_info("socket")
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 while not connection.transport.get_write_buffer_size():
                     connection.transport.write(b"x" * 10_000)
                 connection.close()
                 assert connection.state is State.WRITE_BLOCKED
-                assert await door.clients.wait_closed(10)
-                assert door.clients.socket_count == 0
+                assert await proxy.clients.wait_closed(10)
+                assert proxy.clients.socket_count == 0
 
     run(job())
 
 
-def test_small_writes_are_not_held_back() -> None:
-    """An accepted socket has TCP_NODELAY: a reset would take along what the system holds back."""
+def test_accepted_sockets_have_tcp_nodelay() -> None:
+    """A reset would discard data that the kernel holds back without TCP_NODELAY."""
 
     async def job() -> None:
-        async with front_door() as (door, address):
-            peer = Peer.dial(address)
-            peer.say(resp("PING"))
-            assert await peer.hear() == b"+PONG\r\n"
-            (connection,) = door.clients.connections
-            kernel = connection.transport.get_extra_info("socket")
-            assert kernel.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        async with front_door() as (proxy, address):
+            peer = Peer.connect(address)
+            peer.send(resp("PING"))
+            assert await peer.receive() == b"+PONG\r\n"
+            (connection,) = proxy.clients.connections
+            sock = connection.transport.get_extra_info("socket")
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(job())
--- a/tests/races/test_clients_retries.py
+++ b/tests/races/test_clients_retries.py
@@ -1,75 +1,76 @@
-"""A request that is over in the turn in which its next try is decided: nothing is left of it."""
+"""A request that ends in the loop iteration in which its next attempt is decided leaves no state behind."""
 
 from molereach.policy.interface.actions import Action, ForwardAttempt
 from molereach.policy.interface.events import AttemptEnded, AttemptResult, Event, TimerExpired
 from molereach.proxy.proxy import Proxy
-from tests.races.scripted_peers import Peer, machine, until
+from tests.races.scripted_peers import Peer, scripted_server, wait_until
 from tests.sockets import Backend, front_door, query, run, value
 
 
-def written(door: Proxy, name: str) -> bool:
-    return name in door.requests.open and any(
-        each.is_written for each in door.requests.open[name].in_flight.values()
+def is_written(proxy: Proxy, name: str) -> bool:
+    return name in proxy.requests.open and any(
+        attempt.is_written for attempt in proxy.requests.open[name].in_flight.values()
     )
 
 
-def heard_from(door: Proxy, name: str, answer: bytes) -> None:
-    """A backend's answer to the first try, in this turn and at this place among what else comes in it."""
-    connection = door.requests.open[name].in_flight[0].connection
+def deliver_response(proxy: Proxy, name: str, answer: bytes) -> None:
+    """Deliver a backend's response to the first attempt now, before or after the other events of this
+    iteration."""
+    connection = proxy.requests.open[name].in_flight[0].connection
     assert connection
     connection.data_received(answer)
 
 
-def test_client_that_goes_between_two_tries_has_no_second_one() -> None:
-    """The refusal of the first try and the client's end come in one turn: the next try is for nobody, and the
-    module does not go on counting it as out."""
+def test_disconnect_between_two_attempts_prevents_the_second_one() -> None:
+    """The rejection of the first attempt and the client's EOF arrive in one loop iteration: no second attempt
+    is sent, and the policy does not count one as in flight."""
 
     async def job() -> None:
-        with machine() as one, machine() as other:
-            async with front_door(addresses=[one.address, other.address]) as (door, address):
-                peer = Peer.dial(address)
-                peer.say(query("a1"))
-                await until(lambda: written(door, "a1"))
+        with scripted_server() as backend_0, scripted_server() as backend_1:
+            async with front_door(addresses=[backend_0.address, backend_1.address]) as (proxy, address):
+                peer = Peer.connect(address)
+                peer.send(query("a1"))
+                await wait_until(lambda: is_written(proxy, "a1"))
                 sent: list[str] = []
-                start = door.backends.send
-                door.backends.send = lambda attempt, timeout: (
+                original_send = proxy.backends.send
+                proxy.backends.send = lambda attempt, timeout: (
                     sent.append(attempt.request_id),
-                    start(attempt, timeout),
+                    original_send(attempt, timeout),
                 )
-                (connection,) = door.clients.connections
-                heard_from(door, "a1", b"-BUSY\r\n")
+                (connection,) = proxy.clients.connections
+                deliver_response(proxy, "a1", b"-BUSY\r\n")
                 connection.eof_received()
-                await until(lambda: not door.requests.open and not door.gateway.attempts.pending)
-                assert sent == [] and not door.requests.answered
-                assert not any(server.in_flight for server in door.gateway.load_balancer.backends.values())
+                await wait_until(lambda: not proxy.requests.open and not proxy.gateway.attempts.pending)
+                assert sent == [] and not proxy.requests.answered
+                assert not any(backend.in_flight for backend in proxy.gateway.load_balancer.backends.values())
 
     run(job())
 
 
-def test_try_that_is_asked_for_while_the_answer_comes_has_an_outcome_of_its_own() -> None:
-    """The module asks for one in the turn in which the value of the first goes out: what it hears of it bears
-    the number that it counts it by."""
+def test_attempt_requested_while_the_answer_is_sent_gets_its_own_result() -> None:
+    """The policy requests an attempt in the loop iteration in which the value of the first one is sent; the
+    result that it receives carries the number of that attempt."""
 
     async def job() -> None:
-        async with front_door(Backend(lambda words: None)) as (door, address):
-            peer = Peer.dial(address)
-            peer.say(query("a1"))
-            await until(lambda: written(door, "a1"))
-            told: list[Event] = []
-            asks = TimerExpired(-1)  # none of the module's own
-            handle = door.gateway.handle
+        async with front_door(Backend(lambda words: None)) as (proxy, address):
+            peer = Peer.connect(address)
+            peer.send(query("a1"))
+            await wait_until(lambda: is_written(proxy, "a1"))
+            events: list[Event] = []
+            trigger = TimerExpired(-1)  # not a timer of the policy
+            handle = proxy.gateway.handle
 
-            def ask_again(now: int, event: Event) -> list[Action]:
-                told.append(event)
-                return [ForwardAttempt("a1", "s0", attempt=1)] if event == asks else handle(now, event)
+            def request_another_attempt(now: int, event: Event) -> list[Action]:
+                events.append(event)
+                return [ForwardAttempt("a1", "s0", attempt=1)] if event == trigger else handle(now, event)
 
-            door.gateway.handle = ask_again
-            door.driver.post(asks)
-            heard_from(door, "a1", value(b"ok"))
-            assert await peer.hear_until(b"ok\r\n")
-            await until(lambda: sum(isinstance(event, AttemptEnded) for event in told) == 2)
-            outcomes = [(event.attempt, event.result) for event in told if isinstance(event, AttemptEnded)]
-            assert outcomes == [(0, AttemptResult.OK), (1, AttemptResult.NOT_SENT)]
-            assert not door.requests.answered
+            proxy.gateway.handle = request_another_attempt
+            proxy.driver.post(trigger)
+            deliver_response(proxy, "a1", value(b"ok"))
+            assert await peer.receive_until(b"ok\r\n")
+            await wait_until(lambda: sum(isinstance(event, AttemptEnded) for event in events) == 2)
+            results = [(event.attempt, event.result) for event in events if isinstance(event, AttemptEnded)]
+            assert results == [(0, AttemptResult.OK), (1, AttemptResult.NOT_SENT)]
+            assert not proxy.requests.answered
 
     run(job())
--- a/tests/races/test_discovery_address_change.py
+++ b/tests/races/test_discovery_address_change.py
@@ -1,129 +1,144 @@
-"""Discovery at a new address, and versions that go back. The rows: docs/design/endings.md."""
+"""Changes of the discovery address, and versions that go back. Cases: docs/design/endings.md."""
 
 from collections.abc import Iterator
 
 import pytest
 
 from molereach.policy.interface.events import EndpointListKind, EndpointState
-from tests.races.discovery_agent import WHOLE, asked, call, changes, gone, listed, watch, whole
-from tests.races.scripted_peers import Machine, machine, until
+from tests.races.discovery_agent import (
+    FULL_LIST_PATH,
+    accept_request,
+    accept_watch,
+    change_list,
+    full_list,
+    full_list_response,
+    is_closed,
+    running_discovery,
+)
+from tests.races.scripted_peers import ScriptedServer, scripted_server, wait_until
 from tests.sockets import HEAD, chunk, run
 
 UP, DRAINING = EndpointState.UP, EndpointState.DRAINING
 
 
 @pytest.fixture
-def agent() -> Iterator[Machine]:
-    with machine() as made:
-        yield made
+def agent() -> Iterator[ScriptedServer]:
+    with scripted_server() as server:
+        yield server
 
 
 @pytest.fixture
-def other() -> Iterator[Machine]:
-    with machine() as made:
-        yield made
+def other_agent() -> Iterator[ScriptedServer]:
+    with scripted_server() as server:
+        yield server
 
 
-def test_list_is_taken_before_its_answer_has_ended(
-    agent: Machine, other: Machine, caplog: pytest.LogCaptureFixture
+def test_list_is_applied_before_its_response_has_ended(
+    agent: ScriptedServer, other_agent: ScriptedServer, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The object is whole, also where it does not say so, and the watch is opened; the rest is not heard."""
+    """The first object is taken as the full list, even if it is not marked as one, and the watch is opened;
+    the rest of the response is ignored."""
 
     async def job() -> None:
-        async with asked(agent) as door:
-            door.discovery.change_address(other.address)
-            peer, target = await call(other)
-            assert target == WHOLE
-            peer.say(HEAD + chunk(changes(7, s1="SERVING") + changes(8, s1="DRAINING")))
-            event = (await door.heard.get()).event
+        async with running_discovery(agent) as harness:
+            harness.discovery.change_address(other_agent.address)
+            peer, target = await accept_request(other_agent)
+            assert target == FULL_LIST_PATH
+            peer.send(HEAD + chunk(change_list(7, s1="SERVING") + change_list(8, s1="DRAINING")))
+            event = (await harness.updates.get()).event
             assert (event.kind, event.version) == (EndpointListKind.FULL, 7)
-            kept = await watch(other, 7)
-            assert await gone(peer) and door.heard.empty() and not kept.pending()
-        assert not [line for line in caplog.messages if "no sense" in line]
+            new_watch = await accept_watch(other_agent, 7)
+            assert await is_closed(peer) and harness.updates.empty() and not new_watch.receive_nowait()
+        assert not [message for message in caplog.messages if "no sense" in message]
 
     run(job())
 
 
-def test_old_address_is_asked_again_until_the_new_one_has_told_its_list(
-    agent: Machine, other: Machine
+def test_old_address_stays_watched_until_the_new_one_has_sent_its_list(
+    agent: ScriptedServer, other_agent: ScriptedServer
 ) -> None:
-    """The new one accepts and says nothing, and the old watch breaks meanwhile."""
+    """The new address accepts and stays silent, and the old watch breaks meanwhile."""
 
     async def job() -> None:
-        async with asked(agent) as door:
-            old = await watch(agent)
-            await until(
+        async with running_discovery(agent) as harness:
+            old_watch = await accept_watch(agent)
+            await wait_until(
                 lambda: any(
-                    one.last_byte_at_s for one in door.discovery.current.supervisor.open_attempts.values()
+                    attempt.last_byte_at_s
+                    for attempt in harness.discovery.current.supervisor.open_attempts.values()
                 )
             )
-            door.discovery.change_address(other.address)
-            new, target = await call(other)
-            assert target == WHOLE
-            old.reset()
-            old = await watch(agent)
-            old.say(chunk(changes(4, s1="DRAINING")))
-            assert await door.next() == (4, {"s1": DRAINING})
-            new.say(listed(2, "s1"))
-            assert await door.next() == (2, {"s1": UP})
-            await watch(other, 2)
-            assert await gone(old)
+            harness.discovery.change_address(other_agent.address)
+            new_peer, target = await accept_request(other_agent)
+            assert target == FULL_LIST_PATH
+            old_watch.reset()
+            old_watch = await accept_watch(agent)
+            old_watch.send(chunk(change_list(4, s1="DRAINING")))
+            assert await harness.next_update() == (4, {"s1": DRAINING})
+            new_peer.send(full_list_response(2, "s1"))
+            assert await harness.next_update() == (2, {"s1": UP})
+            await accept_watch(other_agent, 2)
+            assert await is_closed(old_watch)
 
     run(job())
 
 
-def test_moves_back_before_the_new_address_has_spoken(agent: Machine, other: Machine) -> None:
-    """A, B, A: the watch on A was never left, and what B says at last is not heard."""
+def test_change_back_before_the_new_address_has_responded(
+    agent: ScriptedServer, other_agent: ScriptedServer
+) -> None:
+    """A, B, A: the watch on A was never closed, and the late response of B is ignored."""
 
     async def job() -> None:
-        async with asked(agent) as door:
-            old = await watch(agent)
-            door.discovery.change_address(other.address)
-            new, _ = await call(other)
-            new.say(listed(9, "s9"))  # in the very turn
-            door.discovery.change_address(agent.address)
-            door.discovery.change_address(agent.address)
-            assert await gone(new)
-            old.say(chunk(changes(4, s1="DRAINING")))
-            assert await door.next() == (4, {"s1": DRAINING})
-            assert door.discovery.current.address == agent.address
-            assert door.heard.empty() and door.discovery.successor is None
+        async with running_discovery(agent) as harness:
+            old_watch = await accept_watch(agent)
+            harness.discovery.change_address(other_agent.address)
+            new_peer, _ = await accept_request(other_agent)
+            new_peer.send(full_list_response(9, "s9"))  # in the same loop iteration
+            harness.discovery.change_address(agent.address)
+            harness.discovery.change_address(agent.address)
+            assert await is_closed(new_peer)
+            old_watch.send(chunk(change_list(4, s1="DRAINING")))
+            assert await harness.next_update() == (4, {"s1": DRAINING})
+            assert harness.discovery.current.address == agent.address
+            assert harness.updates.empty() and harness.discovery.successor is None
 
     run(job())
 
 
-def test_moves_back_after_the_new_address_has_spoken(agent: Machine, other: Machine) -> None:
-    """A, B, A: A is asked anew and whole, and its smaller count of versions is taken over."""
+def test_change_back_after_the_new_address_has_responded(
+    agent: ScriptedServer, other_agent: ScriptedServer
+) -> None:
+    """A, B, A: the full list is requested from A again, and its lower version is adopted."""
 
     async def job() -> None:
-        async with asked(agent) as door:
-            old = await watch(agent)
-            door.discovery.change_address(other.address)
-            new, _ = await call(other)
-            new.say(listed(9, "s9"))
-            assert await door.next() == (9, {"s9": UP})
-            await watch(other, 9)
-            assert await gone(old)
-            door.discovery.change_address(agent.address)
-            peer, target = await call(agent)
-            assert target == WHOLE
-            peer.say(listed(4, "s1"))
-            assert await door.next() == (4, {"s1": UP})
-            await watch(agent, 4)
+        async with running_discovery(agent) as harness:
+            old_watch = await accept_watch(agent)
+            harness.discovery.change_address(other_agent.address)
+            new_peer, _ = await accept_request(other_agent)
+            new_peer.send(full_list_response(9, "s9"))
+            assert await harness.next_update() == (9, {"s9": UP})
+            await accept_watch(other_agent, 9)
+            assert await is_closed(old_watch)
+            harness.discovery.change_address(agent.address)
+            peer, target = await accept_request(agent)
+            assert target == FULL_LIST_PATH
+            peer.send(full_list_response(4, "s1"))
+            assert await harness.next_update() == (4, {"s1": UP})
+            await accept_watch(agent, 4)
 
     run(job())
 
 
-def test_version_that_goes_back_on_a_watch_is_taken_over(agent: Machine) -> None:
-    """An agent that has started anew counts from the beginning, and says its whole list."""
+def test_lower_version_on_a_watch_is_adopted(agent: ScriptedServer) -> None:
+    """A restarted agent counts versions from the beginning and sends its full list."""
 
     async def job() -> None:
-        async with asked(agent) as door:
-            peer = await watch(agent)
-            peer.say(chunk(whole(1, "s7")))
-            version, states = await door.next()
+        async with running_discovery(agent) as harness:
+            peer = await accept_watch(agent)
+            peer.send(chunk(full_list(1, "s7")))
+            version, states = await harness.next_update()
             assert (version, states) == (1, {"s7": UP})
             peer.reset()
-            await watch(agent, 1)
+            await accept_watch(agent, 1)
 
     run(job())
--- a/tests/races/test_discovery_endpoint_lists.py
+++ b/tests/races/test_discovery_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""What a list says, and what it cannot take back. The rows: docs/design/endings.md, "Discovery"."""
+"""Effects of endpoint lists, also with invalid entries. Cases: docs/design/endings.md, "Discovery"."""
 
 import asyncio
 import contextlib
@@ -22,22 +22,22 @@
     RequestReceived,
 )
 from molereach.proxy.proxy import Proxy
-from tests.races.discovery_agent import AT, after, call
-from tests.races.scripted_peers import Machine, Peer, machine, until
+from tests.races.discovery_agent import BACKEND_ADDRESS, accept_request, watch_path
+from tests.races.scripted_peers import Peer, ScriptedServer, scripted_server, wait_until
 from tests.sockets import CONFIG, HEAD, SETTINGS, Client, catalog, chunk, entry, query, run, value
 
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
+UP, DRAINING, REMOVED = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
-def read(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
-    news = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers).read_update(
+def read_update(*entries: object, reset: bool = False) -> tuple[dict[str, EndpointState], dict[str, Any]]:
+    update = EndpointMapping(CONFIG.zone_numbers, CONFIG.kind_numbers).read_update(
         {"generation": 1, "reset": reset, "instances": list(entries)}
     )
-    return {server.name: server.state for server in news.event.endpoints}, news.addresses
+    return {endpoint.name: endpoint.state for endpoint in update.event.endpoints}, update.addresses
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         {"hostPort": None},
         {"hostPort": "nowhere"},
@@ -50,13 +50,17 @@
         {"machineType": 7},
     ],
 )
-def test_server_that_drains_is_heard_of_whatever_else_its_entry_says(odd: dict[str, object]) -> None:
-    for state, known in (("DRAINING", DRAINING), ("DELETED", GONE), ("RESTING", DRAINING)):
-        assert read({**entry("s1", AT), "lifecycle": state, **odd})[0] == {"s1": known}
+def test_draining_is_reported_even_if_other_fields_of_the_entry_are_invalid(
+    invalid: dict[str, object],
+) -> None:
+    for state, expected in (("DRAINING", DRAINING), ("DELETED", REMOVED), ("RESTING", DRAINING)):
+        assert read_update({**entry("s1", BACKEND_ADDRESS), "lifecycle": state, **invalid})[0] == {
+            "s1": expected
+        }
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         None,
         7,
@@ -69,152 +73,164 @@
         {"hostPort": "nowhere"},
     ],
 )
-def test_entry_that_makes_no_sense_is_passed_over_alone(odd: object) -> None:
-    bad = {**entry("s1", AT), **odd} if isinstance(odd, dict) and odd else odd
-    assert read(entry("s0", AT), bad, entry("s2", AT)) == ({"s0": UP, "s2": UP}, {"s0": AT, "s2": AT})
+def test_only_the_invalid_entry_is_skipped(invalid: object) -> None:
+    invalid_entry = (
+        {**entry("s1", BACKEND_ADDRESS), **invalid} if isinstance(invalid, dict) and invalid else invalid
+    )
+    assert read_update(entry("s0", BACKEND_ADDRESS), invalid_entry, entry("s2", BACKEND_ADDRESS)) == (
+        {"s0": UP, "s2": UP},
+        {"s0": BACKEND_ADDRESS, "s2": BACKEND_ADDRESS},
+    )
 
 
-# --- a server that comes back under its name ---
+# Backends that return under the same name.
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
-def server(name: str = "s1", state: EndpointState = UP, started_us: int = 0) -> Endpoint:
+def endpoint(name: str = "s1", state: EndpointState = UP, started_us: int = 0) -> Endpoint:
     return Endpoint(name, 0, 0, 0, state, 1.0, started_us)
 
 
-class Told:
-    """The decisions, as they are told of one server."""
+class GatewayHarness:
+    """The policy, given updates about one backend."""
 
     def __init__(self) -> None:
-        self.gateway, self.now, self.count = Gateway(SETTINGS), S, 0
-        self.say(server(), kind=EndpointListKind.FULL)
+        self.gateway, self.now, self.count = Gateway(SETTINGS), SECOND_US, 0
+        self.report(endpoint(), kind=EndpointListKind.FULL)
 
-    def say(self, *servers: Endpoint, kind: EndpointListKind = EndpointListKind.CHANGES) -> None:
+    def report(self, *endpoints: Endpoint, kind: EndpointListKind = EndpointListKind.CHANGES) -> None:
         self.now += 1
-        self.gateway.handle(self.now, EndpointListReceived(kind, 1, servers))
+        self.gateway.handle(self.now, EndpointListReceived(kind, 1, endpoints))
 
-    def ask(self) -> list[ForwardAttempt]:
-        """A request comes: where it is sent at once."""
+    def send_request(self) -> list[ForwardAttempt]:
+        """Deliver a request; return the attempts that are forwarded at once."""
         self.now, self.count = self.now + 1, self.count + 1
-        actions = self.gateway.handle(self.now, RequestReceived(f"r{self.count}", 2, 0, "c", S))
+        actions = self.gateway.handle(self.now, RequestReceived(f"r{self.count}", 2, 0, "c", SECOND_US))
         return [action for action in actions if isinstance(action, ForwardAttempt)]
 
-    def end(self, send: ForwardAttempt, result: AttemptResult) -> None:
+    def end_attempt(self, attempt: ForwardAttempt, result: AttemptResult) -> None:
         self.now += 1
-        self.gateway.handle(self.now, AttemptEnded(send.request_id, False, 0, send.endpoint, result, 1))
+        self.gateway.handle(self.now, AttemptEnded(attempt.request_id, False, 0, attempt.endpoint, result, 1))
 
 
 @pytest.mark.parametrize(
-    "away",
+    "updates",
     [
-        [(server(state=DRAINING),)],
-        [(server(state=GONE),)],
-        [(server(state=DRAINING),), (server(state=GONE),)],
-        [(server(), server(state=GONE))],
+        [(endpoint(state=DRAINING),)],
+        [(endpoint(state=REMOVED),)],
+        [(endpoint(state=DRAINING),), (endpoint(state=REMOVED),)],
+        [(endpoint(), endpoint(state=REMOVED))],
     ],
 )
-@pytest.mark.parametrize("started_us", [0, S])
-def test_server_gets_nothing_while_away_and_work_once_it_is_back(
-    away: list[tuple[Endpoint, ...]], started_us: int
+@pytest.mark.parametrize("started_us", [0, SECOND_US])
+def test_backend_gets_no_requests_while_absent_and_some_once_it_is_back(
+    updates: list[tuple[Endpoint, ...]], started_us: int
 ) -> None:
-    told = Told()
-    assert told.ask()
-    for news in away:
-        told.say(*news)
-        assert not told.ask()
-        assert ("s1" in told.gateway.load_balancer.backends) is (
-            news[-1].state is DRAINING
-        )  # else it is forgotten
-    told.say(server(started_us=started_us))
-    assert told.ask()
-
-
-def test_whole_list_takes_away_what_it_does_not_name_and_a_failed_call_nothing() -> None:
-    told = Told()
-    told.say(kind=EndpointListKind.FAILED)
-    assert told.ask()
-    told.say(server("s2"), kind=EndpointListKind.FULL)
-    assert [send.endpoint for send in told.ask()] == ["s2"] == list(told.gateway.load_balancer.backends)
-
-
-def test_what_its_former_life_still_owes_is_not_held_against_a_server_that_started_anew() -> None:
-    told = Told()
-    sent = [send for _ in range(3) for send in told.ask()]
-    told.say(server(state=DRAINING))
-    told.say(server(started_us=S))
-    for send in sent:
-        told.end(send, AttemptResult.TIMEOUT)
-    assert told.ask() and not told.gateway.load_balancer.backends["s1"].failure_score
-    told.say(server(started_us=S))  # said once more: it is the same one
-    assert len(told.gateway.load_balancer.backends["s1"].in_flight) == 1
-
-
-class Door:
-    """A front door with one backend and an agent of discovery, both by hand."""
-
-    def __init__(self, door: Proxy, backend: Machine, watch: Peer, client: Client) -> None:
-        self.door, self.backend, self.watch, self.client = door, backend, watch, client
-
-    def say(self, version: int, *entries: dict[str, Any], reset: bool = False) -> None:
-        self.watch.say(chunk(catalog(version, entries, reset)))
-
-    async def serve(self, name: str) -> Peer:
-        """A request that a new connection to the backend brings; it rests there afterwards."""
+    gateway_harness = GatewayHarness()
+    assert gateway_harness.send_request()
+    for update in updates:
+        gateway_harness.report(*update)
+        assert not gateway_harness.send_request()
+        # A draining backend is kept; any other is removed.
+        assert ("s1" in gateway_harness.gateway.load_balancer.backends) is (update[-1].state is DRAINING)
+    gateway_harness.report(endpoint(started_us=started_us))
+    assert gateway_harness.send_request()
+
+
+def test_full_list_removes_absent_backends_and_a_failed_request_none() -> None:
+    gateway_harness = GatewayHarness()
+    gateway_harness.report(kind=EndpointListKind.FAILED)
+    assert gateway_harness.send_request()
+    gateway_harness.report(endpoint("s2"), kind=EndpointListKind.FULL)
+    assert (
+        [attempt.endpoint for attempt in gateway_harness.send_request()]
+        == ["s2"]
+        == list(gateway_harness.gateway.load_balancer.backends)
+    )
+
+
+def test_attempts_from_before_a_restart_do_not_count_against_the_backend() -> None:
+    gateway_harness = GatewayHarness()
+    sent = [attempt for _ in range(3) for attempt in gateway_harness.send_request()]
+    gateway_harness.report(endpoint(state=DRAINING))
+    gateway_harness.report(endpoint(started_us=SECOND_US))
+    for attempt in sent:
+        gateway_harness.end_attempt(attempt, AttemptResult.TIMEOUT)
+    assert (
+        gateway_harness.send_request()
+        and not gateway_harness.gateway.load_balancer.backends["s1"].failure_score
+    )
+    gateway_harness.report(endpoint(started_us=SECOND_US))  # reported again: the same process
+    assert len(gateway_harness.gateway.load_balancer.backends["s1"].in_flight) == 1
+
+
+class ProxyHarness:
+    """A proxy with one scripted backend and one scripted discovery agent."""
+
+    def __init__(self, proxy: Proxy, backend: ScriptedServer, watch: Peer, client: Client) -> None:
+        self.proxy, self.backend, self.watch, self.client = proxy, backend, watch, client
+
+    def send_list(self, version: int, *entries: dict[str, Any], reset: bool = False) -> None:
+        self.watch.send(chunk(catalog(version, entries, reset)))
+
+    async def serve_request(self, name: str) -> Peer:
+        """Serve a request on a new connection to the backend, which is idle afterwards."""
         self.client.send(query(name))
         peer = await self.backend.accept()
-        await peer.hear_until(name.encode())
-        peer.say(value(b"ok"))
+        await peer.receive_until(name.encode())
+        peer.send(value(b"ok"))
         assert await self.client.answer() == b"ok"
         return peer
 
 
 @contextlib.asynccontextmanager
-async def one_backend() -> AsyncIterator[Door]:
-    with machine() as backend, machine() as agent:
+async def one_backend() -> AsyncIterator[ProxyHarness]:
+    with scripted_server() as backend, scripted_server() as agent:
         known = {"generation": 3, "reset": True, "instances": [entry("s1", backend.address)]}
-        door = Proxy(replace(CONFIG, discovery=agent.address, known=known))
-        starting = asyncio.create_task(door.start())
-        watch, target = await call(agent)
-        assert target == after(3)
-        watch.say(HEAD + chunk(catalog(4, [], reset=False)))
+        proxy = Proxy(replace(CONFIG, discovery=agent.address, known=known))
+        starting = asyncio.create_task(proxy.start())
+        watch, target = await accept_request(agent)
+        assert target == watch_path(3)
+        watch.send(HEAD + chunk(catalog(4, [], reset=False)))
         await starting
         try:
-            yield Door(door, backend, watch, await Client.open(door.address))
+            yield ProxyHarness(proxy, backend, watch, await Client.open(proxy.address))
         finally:
-            door.close()
+            proxy.close()
 
 
-def test_connections_that_rest_are_closed_when_their_server_started_anew() -> None:
-    """Same name and address, and nothing was said of its end: they lead to a process that is no more, and the
-    next request on one would be reset, which an unsafe class cannot repeat."""
+def test_idle_connections_are_closed_when_their_backend_restarted() -> None:
+    """Name and address are unchanged and no removal was reported. The connections lead to the old process;
+    the next request on one would be reset, and a class that is not idempotent can't be retried."""
 
     async def job() -> None:
-        async with one_backend() as made:
-            peer = await made.serve("r1")
-            made.say(5, entry("s1", made.backend.address, started_ms=1))
-            assert await peer.hear() == b""
-            again = await made.serve("r2")
-            made.say(6, entry("s1", made.backend.address, started_ms=1))  # the same start: it stays
-            made.say(7, entry("s2", AT, "DRAINING"))
-            await until(lambda: made.door.discovery.version == 7)
-            assert again.pending() == b"" and made.door.backends.pools["s1"].idle
+        async with one_backend() as harness:
+            peer = await harness.serve_request("r1")
+            harness.send_list(5, entry("s1", harness.backend.address, started_ms=1))
+            assert await peer.receive() == b""
+            second_peer = await harness.serve_request("r2")
+            # The same start time: the connection stays.
+            harness.send_list(6, entry("s1", harness.backend.address, started_ms=1))
+            harness.send_list(7, entry("s2", BACKEND_ADDRESS, "DRAINING"))
+            await wait_until(lambda: harness.proxy.discovery.version == 7)
+            assert second_peer.receive_nowait() == b"" and harness.proxy.backends.pools["s1"].idle
 
     run(job())
 
 
-def test_server_that_comes_back_at_another_address_is_not_sent_anything_at_its_old_one() -> None:
+def test_backend_that_moved_gets_no_requests_at_its_old_address() -> None:
     async def job() -> None:
-        async with one_backend() as made:
-            old = await made.serve("r1")
-            first = made.backend
-            made.say(5, entry("s1", first.address, "DRAINING"))
-            assert await old.hear() == b""
-            with machine() as second:
-                made.say(6, entry("s1", second.address, started_ms=1))
-                await until(lambda: made.door.discovery.version == 6)
-                made.backend = second
-                await made.serve("r2")
-                assert not first.waiting()
+        async with one_backend() as harness:
+            old_peer = await harness.serve_request("r1")
+            first_backend = harness.backend
+            harness.send_list(5, entry("s1", first_backend.address, "DRAINING"))
+            assert await old_peer.receive() == b""
+            with scripted_server() as second_backend:
+                harness.send_list(6, entry("s1", second_backend.address, started_ms=1))
+                await wait_until(lambda: harness.proxy.discovery.version == 6)
+                harness.backend = second_backend
+                await harness.serve_request("r2")
+                assert not first_backend.has_pending_connection()
 
     run(job())
--- a/tests/races/test_discovery_json_stream.py
+++ b/tests/races/test_discovery_json_stream.py
@@ -1,4 +1,5 @@
-"""Objects cut from a stream, in whatever pieces it comes. The rows: docs/design/endings.md, "Discovery"."""
+"""JSON objects split from a stream that arrives in arbitrary pieces. Cases: docs/design/endings.md,
+"Discovery"."""
 
 import itertools
 import json
@@ -16,40 +17,45 @@
 TEXTS = st.text(alphabet='ab{}[]"\\\n\x07é😀,: ', max_size=8)
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | TEXTS,
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner, max_size=3),
+    lambda children: st.lists(children, max_size=3) | st.dictionaries(TEXTS, children, max_size=3),
     max_leaves=8,
 )
 OBJECTS = st.lists(st.tuples(st.dictionaries(TEXTS, VALUES, max_size=3), st.sampled_from([None, 0, 2])))
 
 
-def feed(cut: JsonStream, data: bytes, ends: list[int]) -> list[bytes]:
-    """The objects of data that comes in pieces with these ends."""
-    bounds = [0, *sorted(end % (len(data) + 1) for end in ends), len(data)]
-    return [one for at, end in itertools.pairwise(bounds) for one in cut.feed(data[at:end]) if one]
+def feed_pieces(stream: JsonStream, data: bytes, boundaries: list[int]) -> list[bytes]:
+    """Feed the data in pieces with these boundaries; return the objects."""
+    bounds = [0, *sorted(boundary % (len(data) + 1) for boundary in boundaries), len(data)]
+    return [
+        found
+        for start, boundary in itertools.pairwise(bounds)
+        for found in stream.feed(data[start:boundary])
+        if found
+    ]
 
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(OBJECTS, st.lists(st.integers(0, 10_000)), st.sampled_from([b"\n", b"\r\n", b"\n\n \t\n", b""]))
-def test_any_pieces_of_any_layout_give_the_same_objects(
-    objects: list[tuple[dict[str, Any], int | None]], ends: list[int], between: bytes
+def test_same_objects_for_any_layout_in_any_pieces(
+    objects: list[tuple[dict[str, Any], int | None]], boundaries: list[int], separator: bytes
 ) -> None:
-    said = [json.dumps(value, indent=indent, ensure_ascii=False).encode() for value, indent in objects]
-    cut = JsonStream()
-    assert feed(cut, b"".join(one + between for one in said), ends) == said
-    assert not cut.unfinished
-    assert not cut.buffer.strip()
+    encoded = [json.dumps(value, indent=indent, ensure_ascii=False).encode() for value, indent in objects]
+    stream = JsonStream()
+    assert feed_pieces(stream, b"".join(document + separator for document in encoded), boundaries) == encoded
+    assert not stream.unfinished
+    assert not stream.buffer.strip()
 
 
-def test_each_empty_line_is_told_of_and_half_an_object_is_not() -> None:
-    cut = JsonStream()
-    assert list(cut.feed(b"\n\r\n")) == [b"", b""]
-    assert list(cut.feed(b'{"a":\n"}')) == [] and cut.unfinished
-    assert list(cut.feed(b'\\"\\')) == []
-    assert list(cut.feed(b'\\"}\n')) == [b'{"a":\n"}\\"\\\\"}', b""]
+def test_empty_lines_are_reported_and_partial_objects_are_not() -> None:
+    stream = JsonStream()
+    assert list(stream.feed(b"\n\r\n")) == [b"", b""]
+    assert list(stream.feed(b'{"a":\n"}')) == [] and stream.unfinished
+    assert list(stream.feed(b'\\"\\')) == []
+    assert list(stream.feed(b'\\"}\n')) == [b'{"a":\n"}\\"\\\\"}', b""]
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"not json",
         b"[1]",
@@ -61,42 +67,44 @@
         b'{"a":{"b":[1}]},\n"c" 1',
     ],
 )
-def test_what_can_never_be_an_object_is_an_error_at_its_lines_end(bad: bytes) -> None:
-    cut = JsonStream()
+def test_text_that_cannot_be_an_object_is_an_error_at_the_end_of_its_line(invalid: bytes) -> None:
+    stream = JsonStream()
     with pytest.raises(ValueError):
-        for found in cut.feed(bad + b"\n"):
+        for found in stream.feed(invalid + b"\n"):
             json.loads(found)
 
 
-def test_object_without_an_end_costs_bounded_memory() -> None:
-    cut = JsonStream(max_object_bytes=100)
+def test_endless_object_uses_bounded_memory() -> None:
+    stream = JsonStream(max_object_bytes=100)
     with pytest.raises(JsonStreamError):
         for _ in range(20):
-            list(cut.feed(b'{"a":"b",  '))
-    assert len(cut.buffer) <= 111
+            list(stream.feed(b'{"a":"b",  '))
+    assert len(stream.buffer) <= 111
 
 
-def test_large_list_in_small_pieces_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted in bytes that the patterns are given to go over and that the check parses, not in time."""
-    seen = 0
+def test_large_list_in_small_pieces_is_scanned_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Counts the bytes that the patterns match and that the check parses, not time."""
+    scanned_bytes = 0
 
-    class Counting:
+    class CountingPattern:
         def __init__(self, pattern: re.Pattern[bytes]) -> None:
             self.pattern = pattern
 
-        def match(self, data: bytearray, at: int) -> re.Match[bytes] | None:
-            nonlocal seen
-            found = self.pattern.match(data, at)
-            seen += found.end() - at if found else 0
+        def match(self, data: bytearray, start: int) -> re.Match[bytes] | None:
+            nonlocal scanned_bytes
+            found = self.pattern.match(data, start)
+            scanned_bytes += found.end() - start if found else 0
             return found
 
     for name in ("OUTSIDE_STRING", "INSIDE_STRING"):
-        monkeypatch.setattr(json_stream, name, Counting(getattr(json_stream, name)))
-    checked = []
+        monkeypatch.setattr(json_stream, name, CountingPattern(getattr(json_stream, name)))
+    parsed_lengths = []
     loads = json.loads
-    monkeypatch.setattr(json_stream.json, "loads", lambda text: checked.append(len(text)) or loads(text))
-    listed = json.dumps({"instances": [{"name": f"s{n}", "host": "x" * 40} for n in range(500)]}, indent=1)
-    data = listed.encode() + b"\n"
-    assert feed(JsonStream(), data, list(range(0, len(data), 7))) == [data[:-1]]
-    assert seen <= len(data)
-    assert sum(checked) <= 2 * len(data)
+    monkeypatch.setattr(
+        json_stream.json, "loads", lambda text: parsed_lengths.append(len(text)) or loads(text)
+    )
+    document = json.dumps({"instances": [{"name": f"s{n}", "host": "x" * 40} for n in range(500)]}, indent=1)
+    data = document.encode() + b"\n"
+    assert feed_pieces(JsonStream(), data, list(range(0, len(data), 7))) == [data[:-1]]
+    assert scanned_bytes <= len(data)
+    assert sum(parsed_lengths) <= 2 * len(data)
--- a/tests/races/test_discovery_responses.py
+++ b/tests/races/test_discovery_responses.py
@@ -1,92 +1,106 @@
-"""How an answer of discovery ends, and what of it counts then. The rows: docs/design/endings.md."""
+"""How a discovery response ends, and which of its objects are applied. Cases: docs/design/endings.md."""
 
 from collections.abc import Callable
 
 import pytest
 
 from molereach.policy.interface.events import EndpointState
-from tests.races.discovery_agent import PLAIN_HEAD, WHOLE, after, asked, call, changes, indented, watch, whole
-from tests.races.scripted_peers import Peer, machine, turns
+from tests.races.discovery_agent import (
+    FULL_LIST_PATH,
+    HEAD_WITHOUT_LENGTH,
+    accept_request,
+    accept_watch,
+    change_list,
+    full_list,
+    indented,
+    running_discovery,
+    watch_path,
+)
+from tests.races.scripted_peers import Peer, run_loop_iterations, scripted_server
 from tests.sockets import HEAD, chunk, run
 
-UP, DRAINING, GONE = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
+UP, DRAINING, REMOVED = EndpointState.UP, EndpointState.DRAINING, EndpointState.REMOVED
 
 
-def test_indented_lists_are_read_in_a_watch_and_in_the_whole_list() -> None:
+def test_indented_lists_are_read_in_a_watch_and_in_the_full_list() -> None:
     async def job() -> None:
-        with machine() as agent, machine() as other:
-            async with asked(agent) as door:
-                peer = await watch(agent)
-                text = indented(changes(4, s1="DRAINING")) + b"\n" + indented(changes(5, s1="DELETED"))
-                peer.say(chunk(text[:70]) + chunk(text[70:]))
-                assert await door.next() == (4, {"s1": DRAINING})
-                assert await door.next() == (5, {"s1": GONE})
-                door.discovery.change_address(other.address)
-                peer, target = await call(other)
-                assert target == WHOLE
-                body = indented(whole(9, "s2"))
-                peer.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-                assert await door.next() == (9, {"s2": UP})
-                await watch(other, 9)
+        with scripted_server() as agent, scripted_server() as other_agent:
+            async with running_discovery(agent) as harness:
+                peer = await accept_watch(agent)
+                objects = (
+                    indented(change_list(4, s1="DRAINING")) + b"\n" + indented(change_list(5, s1="DELETED"))
+                )
+                peer.send(chunk(objects[:70]) + chunk(objects[70:]))
+                assert await harness.next_update() == (4, {"s1": DRAINING})
+                assert await harness.next_update() == (5, {"s1": REMOVED})
+                harness.discovery.change_address(other_agent.address)
+                peer, target = await accept_request(other_agent)
+                assert target == FULL_LIST_PATH
+                body = indented(full_list(9, "s2"))
+                peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
+                assert await harness.next_update() == (9, {"s2": UP})
+                await accept_watch(other_agent, 9)
 
     run(job())
 
 
-def test_answer_with_no_length_that_ends_cleanly_is_complete() -> None:
+def test_response_without_a_length_is_complete_at_eof() -> None:
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent, version=0) as door:
-                peer, _ = await call(agent)
-                peer.say(PLAIN_HEAD + whole(4, "s1") + changes(5, s1="DRAINING").strip())
+        with scripted_server() as agent:
+            async with running_discovery(agent, version=0) as harness:
+                peer, _ = await accept_request(agent)
+                peer.send(HEAD_WITHOUT_LENGTH + full_list(4, "s1") + change_list(5, s1="DRAINING").strip())
                 peer.close()
-                assert await door.next() == (4, {"s1": UP})
-                assert await door.next() == (5, {"s1": DRAINING})
-                await watch(agent, 5)
+                assert await harness.next_update() == (4, {"s1": UP})
+                assert await harness.next_update() == (5, {"s1": DRAINING})
+                await accept_watch(agent, 5)
 
     run(job())
 
 
-@pytest.mark.parametrize(("cut", "said"), [(1, True), (2, True), (0, False)])
-def test_answer_with_no_length_that_ends_within_an_object_is_told_of_in_the_log(
-    cut: int, said: bool, caplog: pytest.LogCaptureFixture
+@pytest.mark.parametrize(("cut", "is_logged"), [(1, True), (2, True), (0, False)])
+def test_response_without_a_length_that_ends_within_an_object_is_logged(
+    cut: int, is_logged: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Its end looks clean: nothing else tells whoever runs it that lists come in part."""
+    """The response ends with a clean EOF, so only the log tells an operator that lists are truncated."""
 
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent):
-                peer, _ = await call(agent)
-                text = changes(4, s1="DRAINING").strip()
-                peer.say(PLAIN_HEAD + text[: len(text) - cut])
+        with scripted_server() as agent:
+            async with running_discovery(agent):
+                peer, _ = await accept_request(agent)
+                objects = change_list(4, s1="DRAINING").strip()
+                peer.send(HEAD_WITHOUT_LENGTH + objects[: len(objects) - cut])
                 peer.close()
-                await watch(agent, 3 if said else 4)
-        assert any("ends within an object" in line for line in caplog.messages) is said
+                await accept_watch(agent, 3 if is_logged else 4)
+        assert any("ends within an object" in message for message in caplog.messages) is is_logged
 
     run(job())
 
 
-def test_answer_with_no_length_that_is_reset_is_not_complete() -> None:
-    """What was whole before counts; what was not is dropped, and asked for again."""
+def test_response_without_a_length_that_is_reset_is_incomplete() -> None:
+    """Objects complete before the reset are applied; a partial one is dropped and requested again."""
 
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent) as door:
-                peer, _ = await call(agent)
-                peer.say(PLAIN_HEAD + changes(4, s1="DRAINING") + changes(5, s1="DELETED")[:-3])
-                assert await door.next() == (4, {"s1": DRAINING})
+        with scripted_server() as agent:
+            async with running_discovery(agent) as harness:
+                peer, _ = await accept_request(agent)
+                peer.send(
+                    HEAD_WITHOUT_LENGTH + change_list(4, s1="DRAINING") + change_list(5, s1="DELETED")[:-3]
+                )
+                assert await harness.next_update() == (4, {"s1": DRAINING})
                 peer.reset()
-                peer = await watch(agent, 4)
-                assert door.heard.empty()
-                peer.say(chunk(changes(5, s1="DELETED")))
-                assert await door.next() == (5, {"s1": GONE})
+                peer = await accept_watch(agent, 4)
+                assert harness.updates.empty()
+                peer.send(chunk(change_list(5, s1="DELETED")))
+                assert await harness.next_update() == (5, {"s1": REMOVED})
 
     run(job())
 
 
-LINE = changes(5, s1="DELETED")
+CHANGE = change_list(5, s1="DELETED")
 
 
-def fin(peer: Peer) -> None:
+def close(peer: Peer) -> None:
     peer.close()
 
 
@@ -95,37 +109,38 @@
 
 
 def last_chunk(peer: Peer) -> None:
-    peer.say(chunk(b""))
+    peer.send(chunk(b""))
     peer.close()
 
 
-@pytest.mark.parametrize("end", [fin, reset, last_chunk])
-@pytest.mark.parametrize("cut", [b"", b"c", b"c8\r\n", b"c8\r\n" + LINE[:40], chunk(LINE[:40])])
-def test_watch_that_ends_within_an_object_is_opened_after_what_was_whole(
+@pytest.mark.parametrize("end", [close, reset, last_chunk])
+@pytest.mark.parametrize("cut", [b"", b"c", b"c8\r\n", b"c8\r\n" + CHANGE[:40], chunk(CHANGE[:40])])
+def test_watch_that_ends_within_an_object_resumes_after_the_last_complete_one(
     end: Callable[[Peer], None], cut: bytes
 ) -> None:
-    """Cut before a chunk, in its size, behind that, within the chunk, or between two that hold an object."""
+    """Cut before a chunk, within its size, after its size, within its data, or between two chunks of one
+    object."""
 
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent) as door:
-                peer = await watch(agent)
-                peer.say(chunk(changes(4, s1="DRAINING")) + cut)
-                assert await door.next() == (4, {"s1": DRAINING})
+        with scripted_server() as agent:
+            async with running_discovery(agent) as harness:
+                peer = await accept_watch(agent)
+                peer.send(chunk(change_list(4, s1="DRAINING")) + cut)
+                assert await harness.next_update() == (4, {"s1": DRAINING})
                 end(peer)
-                await watch(agent, 4)
-                assert door.heard.empty()
+                await accept_watch(agent, 4)
+                assert harness.updates.empty()
 
     run(job())
 
 
-REFUSAL = changes(9, s9="DRAINING")  # whatever it is, the status goes before it
+ERROR_BODY = change_list(9, s9="DRAINING")  # the status takes precedence over any body
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
-        b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(REFUSAL) + REFUSAL,
+        b"HTTP/1.1 500 Oops\r\nContent-Length: %d\r\n\r\n" % len(ERROR_BODY) + ERROR_BODY,
         b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{}\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
@@ -136,54 +151,55 @@
         HEAD + b"fffffffffffffffffffff\r\n",
     ],
 )
-def test_answer_that_makes_no_sense_costs_its_call_alone(answer: bytes) -> None:
+def test_invalid_response_fails_only_its_request(response: bytes) -> None:
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent) as door:
-                peer, _ = await call(agent)
-                peer.say(answer)  # and it stays open
-                peer = await watch(agent)
-                peer.say(chunk(changes(4, s1="DRAINING")))
-                assert await door.next() == (4, {"s1": DRAINING})
+        with scripted_server() as agent:
+            async with running_discovery(agent) as harness:
+                peer, _ = await accept_request(agent)
+                peer.send(response)  # the connection stays open
+                peer = await accept_watch(agent)
+                peer.send(chunk(change_list(4, s1="DRAINING")))
+                assert await harness.next_update() == (4, {"s1": DRAINING})
 
     run(job())
 
 
-def test_news_that_nobody_could_take_are_asked_for_again() -> None:
-    """The version goes on only once they were handed on."""
+def test_update_whose_handler_fails_is_requested_again() -> None:
+    """The version advances only after the update was handled."""
 
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent) as door:
-                take, failures = door.discovery.on_update, [LookupError("taken ill")]
+        with scripted_server() as agent:
+            async with running_discovery(agent) as harness:
+                on_update, failures = harness.discovery.on_update, [LookupError("injected error")]
 
-                def fail_once(news: object) -> None:
+                def fail_once(update: object) -> None:
                     if failures:
                         raise failures.pop()
-                    take(news)  # type: ignore[arg-type]
+                    on_update(update)  # type: ignore[arg-type]
 
-                door.discovery.on_update = fail_once
-                peer = await watch(agent)
-                peer.say(chunk(changes(4, s1="DRAINING")))
-                peer = await watch(agent)
-                peer.say(chunk(changes(4, s1="DRAINING")))
-                assert await door.next() == (4, {"s1": DRAINING})
+                harness.discovery.on_update = fail_once
+                peer = await accept_watch(agent)
+                peer.send(chunk(change_list(4, s1="DRAINING")))
+                peer = await accept_watch(agent)
+                peer.send(chunk(change_list(4, s1="DRAINING")))
+                assert await harness.next_update() == (4, {"s1": DRAINING})
 
     run(job())
 
 
-@pytest.mark.parametrize("senseless", [b"{}\n", b"nonsense\n", b'{"a\n'])
-def test_what_came_before_an_object_that_makes_no_sense_counts_and_nothing_after_it(senseless: bytes) -> None:
-    """All in one chunk. Else what always comes with such a one would never be heard."""
+@pytest.mark.parametrize("invalid", [b"{}\n", b"nonsense\n", b'{"a\n'])
+def test_objects_before_an_invalid_one_are_applied_and_none_after_it(invalid: bytes) -> None:
+    """All objects are in one chunk. Otherwise an update that always comes with an invalid object would never
+    be applied."""
 
     async def job() -> None:
-        with machine() as agent:
-            async with asked(agent) as door:
-                peer = await watch(agent)
-                peer.say(chunk(changes(4, s1="DRAINING") + senseless + changes(9, s2="DRAINING")))
-                assert await door.next() == (4, {"s1": DRAINING})
-                await turns()
-                _, target = await call(agent)
-                assert target == after(4) and door.heard.empty()
+        with scripted_server() as agent:
+            async with running_discovery(agent) as harness:
+                peer = await accept_watch(agent)
+                peer.send(chunk(change_list(4, s1="DRAINING") + invalid + change_list(9, s2="DRAINING")))
+                assert await harness.next_update() == (4, {"s1": DRAINING})
+                await run_loop_iterations()
+                _, target = await accept_request(agent)
+                assert target == watch_path(4) and harness.updates.empty()
 
     run(job())
--- a/tests/races/test_file_descriptors.py
+++ b/tests/races/test_file_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients fill the descriptors while discovery is down: what the front door itself needs it keeps."""
+"""File descriptors that the proxy itself needs are kept while idle clients use up the others."""
 
 import asyncio
 import contextlib
@@ -6,95 +6,99 @@
 from pathlib import Path
 
 from molereach.proxy.resources import CLIENT_SOCKET_FRACTION, RESERVED_SOCKETS
-from tests.races.proxy_processes import Process, processes
-from tests.races.scripted_peers import Machine, Peer, machine, until
+from tests.races.proxy_processes import ProxyProcess, stopped_on_exit
+from tests.races.scripted_peers import Peer, ScriptedServer, scripted_server, wait_until
 from tests.sockets import CUSTOMER, HEAD, Backend, Client, catalog, chunk, entry, resp, run, value
 from tests.test_program import SETTINGS
 
-DESCRIPTORS = 64  # that the process may have, by its configuration and by the system
-PLACES = round((DESCRIPTORS - RESERVED_SOCKETS) * CLIENT_SOCKET_FRACTION)  # of them for clients
-CROWD = 300
-TOLD_S = 6.0  # from when discovery has a change and can be reached
-AMPLE = {**SETTINGS, "plans": [{"name": "team", "units-per-s": 1000, "burst": 1000}]}
+DESCRIPTOR_LIMIT = 64  # of the process, in its configuration and by ulimit
+CLIENT_SOCKETS = round((DESCRIPTOR_LIMIT - RESERVED_SOCKETS) * CLIENT_SOCKET_FRACTION)  # sockets for clients
+IDLE_CLIENTS = 300
+MAX_UPDATE_DELAY_S = 6.0  # from when discovery is reachable and has a change
+LARGE_QUOTA = {**SETTINGS, "plans": [{"name": "team", "units-per-s": 1000, "burst": 1000}]}
 
 
 def request(name: str) -> bytes:
     return resp("SVC.QUERY", CUSTOMER, name, "c=read,t=team,d=1500")
 
 
-class Crowd:
-    """Idle clients, more than there are places for: those that find one are told +PONG and stay."""
+class IdleClients:
+    """Idle clients, more than there are sockets for: those that are accepted receive +PONG and stay."""
 
-    def __init__(self, door: Process, count: int) -> None:
-        self.peers = [Peer.dial(door.address) for _ in range(count)]
+    def __init__(self, proxy: ProxyProcess, count: int) -> None:
+        self.peers = [Peer.connect(proxy.address) for _ in range(count)]
 
-    async def greet(self) -> int:
-        """How many of them were told +PONG."""
+    async def ping_all(self) -> int:
+        """Return how many of them received +PONG."""
         for peer in self.peers:
-            with contextlib.suppress(OSError):  # shut unread
-                peer.say(resp("PING"))
-        return [await self.told(peer) for peer in self.peers].count(b"+PONG\r\n")
+            with contextlib.suppress(OSError):  # closed by the proxy
+                peer.send(resp("PING"))
+        return [await self.receive(peer) for peer in self.peers].count(b"+PONG\r\n")
 
-    async def told(self, peer: Peer) -> bytes:
+    async def receive(self, peer: Peer) -> bytes:
         with contextlib.suppress(OSError):
-            return await peer.hear()
+            return await peer.receive()
         return b""
 
-    def end(self) -> None:
+    def close(self) -> None:
         for peer in self.peers:
             peer.close()
 
 
-def test_descriptors_full_of_idle_clients_keep_nothing_from_discovery_and_backends(tmp_path: Path) -> None:
-    """A backend drains while discovery is down. That is heard within the time of the term once it is back,
-    requests go to the one that has joined, and the log still says what became of discovery."""
+def test_idle_clients_leave_descriptors_for_discovery_and_backends(tmp_path: Path) -> None:
+    """A backend drains while discovery is down. Once discovery is back, the change is received in time,
+    requests go to the backend that joined, and the log still reports the state of discovery."""
 
     async def job() -> None:
-        old, new = Backend(), Backend(lambda words: value(b"new"))
-        known = await old.start()
-        entries = [entry("s1", known)]
-        with machine() as first:
-            address = first.address
-            door = Process(
+        old_backend, new_backend = Backend(), Backend(lambda words: value(b"new"))
+        old_address = await old_backend.start()
+        entries = [entry("s1", old_address)]
+        with scripted_server() as discovery:
+            address = discovery.address
+            proxy = ProxyProcess(
                 tmp_path / "n0",
-                DESCRIPTORS,
+                DESCRIPTOR_LIMIT,
                 discovery="{}:{}".format(*address),
-                limits={"sockets": DESCRIPTORS},
-                settings=AMPLE,
+                limits={"sockets": DESCRIPTOR_LIMIT},
+                settings=LARGE_QUOTA,
                 known=json.loads(catalog(4, entries)),
             )
-            async with processes(door):
-                await door.start()
-                watch = await first.accept()
-                await watch.hear_until(b"\r\n\r\n")
-                watch.say(HEAD + chunk(catalog(5, entries)))
-                client = await door.ready()
+            async with stopped_on_exit(proxy):
+                await proxy.start()
+                watch = await discovery.accept()
+                await watch.receive_until(b"\r\n\r\n")
+                watch.send(HEAD + chunk(catalog(5, entries)))
+                client = await proxy.connect_when_ready()
                 assert await client.ask(request("a1")) == b"ok"
-                first.close()
-                watch.reset()  # discovery is down
-                crowd = Crowd(door, CROWD)
-                assert 0 < await crowd.greet() < CROWD  # not all found a place; who only pings may lose it
-                await until(lambda: door.descriptors() > PLACES)  # all places are taken
-                assert door.descriptors() <= DESCRIPTORS
+                discovery.close()
+                watch.reset()  # discovery goes down
+                idle_clients = IdleClients(proxy, IDLE_CLIENTS)
+                # Not all were accepted; a connection that only pings may be evicted.
+                assert 0 < await idle_clients.ping_all() < IDLE_CLIENTS
+                # Wait until all client sockets are in use.
+                await wait_until(lambda: proxy.open_descriptors() > CLIENT_SOCKETS)
+                assert proxy.open_descriptors() <= DESCRIPTOR_LIMIT
                 assert await client.ask(request("a2")) == b"ok"
-                await door.said(b"no watch on discovery")  # the log is open
-                joined = await new.start()
-                await back(address[1], client, [entry("s1", known, "DRAINING"), entry("s2", joined)])
-                crowd.end()
+                await proxy.wait_for_log(b"no watch on discovery")  # the log still works
+                new_address = await new_backend.start()
+                await restart_discovery(
+                    address[1], client, [entry("s1", old_address, "DRAINING"), entry("s2", new_address)]
+                )
+                idle_clients.close()
 
     run(job())
 
 
-async def back(port: int, client: Client, entries: list[dict[str, object]]) -> None:
-    """Discovery is there again with that list: it is asked, and its list is in force, in time."""
-    again = Machine(port=port)
-    async with asyncio.timeout(TOLD_S):
-        watch = await again.accept()
-        await watch.hear_until(b"\r\n\r\n")
-        watch.say(HEAD + chunk(catalog(9, entries)))
+async def restart_discovery(port: int, client: Client, entries: list[dict[str, object]]) -> None:
+    """Restart discovery with this list: the proxy asks for it, and the list is in force, in time."""
+    discovery = ScriptedServer(port=port)
+    async with asyncio.timeout(MAX_UPDATE_DELAY_S):
+        watch = await discovery.accept()
+        await watch.receive_until(b"\r\n\r\n")
+        watch.send(HEAD + chunk(catalog(9, entries)))
         number = 0
-        while await client.ask(request(f"b{number}")) != b"new":  # it may be read before the list is
+        while await client.ask(request(f"b{number}")) != b"new":  # the request may be read before the list
             number += 1
     for number in range(5):
         assert await client.ask(request(f"c{number}")) == b"new"
-    again.close()
+    discovery.close()
--- a/tests/races/test_gossip_home.py
+++ b/tests/races/test_gossip_home.py
@@ -1,4 +1,5 @@
-"""A customer's home that dies, starts again with its stores full, is silent, or says things late or twice."""
+"""A customer's home proxy that dies, restarts with full token buckets, is silent, or sends late or duplicate
+replies."""
 
 import zlib
 from dataclasses import replace
@@ -24,157 +25,166 @@
     of_type,
 )
 
-PAIR = replace(SETTINGS, proxy_count=2)
+TWO_PROXIES = replace(SETTINGS, proxy_count=2)
 
 
-def customer_of(world: GatewayDriver, home: int) -> str:
-    """A customer of both, whose home is that one."""
-    return next(f"c{n}" for n in range(99) if zlib.crc32(f"c{n}".encode()) % 2 == home)
+def customer_of(driver: GatewayDriver, home: int) -> str:
+    """A customer of both proxies with this home."""
+    return next(f"c{number}" for number in range(99) if zlib.crc32(f"c{number}".encode()) % 2 == home)
 
 
-def answers_to(world: GatewayDriver, name: str) -> list[Action]:
-    """Final answers and sends for a request."""
+def actions_for(driver: GatewayDriver, name: str) -> list[Action]:
+    """Final answers to a request, and its forwarded attempts."""
     return [
         action
-        for _, action in world.log
+        for _, action in driver.log
         if isinstance(action, ForwardAttempt | Reject | FailRequest) and action.request_id == name
     ]
 
 
-def restart(gates: GatewayCluster, me: int, settings: Settings) -> None:
-    """It is killed, and starts again from nothing: what it had is gone, and so are its stores."""
-    fresh = GatewayDriver(
-        replace(settings, proxy_index=me, proxy_count=len(gates.drivers), seed=99 + me), endpoints(4)
+def restart(cluster: GatewayCluster, index: int, settings: Settings) -> None:
+    """Kill a proxy and start it again without state, so that its token buckets are full."""
+    restarted = GatewayDriver(
+        replace(settings, proxy_index=index, proxy_count=len(cluster.drivers), seed=99 + index), endpoints(4)
     )
-    fresh.now_us = gates.drivers[me].now_us
-    fresh.log, fresh.timers = [], []
-    fresh.gateway = type(fresh.gateway)(
-        replace(settings, proxy_index=me, proxy_count=len(gates.drivers), seed=99 + me)
+    restarted.now_us = cluster.drivers[index].now_us
+    restarted.log, restarted.timers = [], []
+    restarted.gateway = type(restarted.gateway)(
+        replace(settings, proxy_index=index, proxy_count=len(cluster.drivers), seed=99 + index)
     )
-    gates.drivers[me] = fresh
-    fresh.handle(EndpointListReceived(EndpointListKind.SAVED, 1, endpoints(4)))
+    cluster.drivers[index] = restarted
+    restarted.handle(EndpointListReceived(EndpointListKind.SAVED, 1, endpoints(4)))
 
 
-@pytest.mark.parametrize("own_first", [False, True])
-def test_home_that_starts_again_goes_by_what_the_set_knows_of_the_store(own_first: bool) -> None:
-    """Its store is full again, the customer's is not. Where its own request came first, before the first word
-    of another, the whole burst was let in once more."""
+@pytest.mark.parametrize("sends_first", [False, True])
+def test_restarted_home_adopts_the_token_count_that_its_peers_know(sends_first: bool) -> None:
+    """After the restart the home's bucket is full, while the customer's quota is used up. If the home
+    admitted its own request before the first message of a peer, the whole burst was admitted once more."""
     settings = replace(SETTINGS, plans=(Plan(quota_rate=4.0, quota_burst=40.0),))
-    gates = GatewayCluster(3, settings)
+    cluster = GatewayCluster(3, settings)
     home = zlib.crc32(b"c") % 3
-    for n in range(300):  # three times what the plan gives: the store is empty
-        gates.send_request(n % 3, f"a{n}")
-        gates.advance(80 * MILLISECOND_US)
-    gates.advance(SECOND_US)
-    restart(gates, home, settings)
-    before = gates.forwarded_count()
-    if own_first:
-        gates.send_request(home, "own")
-    for n in range(60):
-        gates.send_request((home + 1 + n) % 3, f"b{n}")
-        gates.advance(50 * MILLISECOND_US)
-    gates.advance(SECOND_US)
-    # 4 s at 4 a second, and what came back in the second of rest; a fresh burst of 40 would take all 60.
-    assert gates.forwarded_count() - before <= 16 + 4 + 8
-
-
-def test_home_that_dies_while_it_is_asked_costs_no_request_its_time() -> None:
-    """It is asked again, as words may be lost; then what is known here must do."""
-    world = GatewayDriver(PAIR)
-    name = customer_of(world, home=1)
-    for number in range(11):  # the eleventh is past this one's part of the burst
-        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
-    assert not answers_to(world, "a10")
-    world.advance(SECOND_US - 40 * MILLISECOND_US)  # a refusal after half of the time would come too late
-    assert len(answers_to(world, "a10")) == 1
-    words = [word for _, action in world.log if isinstance(action, SendGossip) for word in action.messages]
-    assert sum(word.requested_units > 0 for word in words) == 3
-
-
-@pytest.mark.parametrize("inside", [False, True])
-def test_word_that_comes_after_the_answer_changes_nothing_for_the_request(inside: bool) -> None:
-    """Late, and then twice: one final answer all the same, and nothing is sent again."""
-    world = GatewayDriver(PAIR)
-    name = customer_of(world, home=1)
+    for number in range(300):  # three times what the plan gives: the bucket is empty
+        cluster.send_request(number % 3, f"a{number}")
+        cluster.advance(80 * MILLISECOND_US)
+    cluster.advance(SECOND_US)
+    restart(cluster, home, settings)
+    before = cluster.forwarded_count()
+    if sends_first:
+        cluster.send_request(home, "own")
+    for number in range(60):
+        cluster.send_request((home + 1 + number) % 3, f"b{number}")
+        cluster.advance(50 * MILLISECOND_US)
+    cluster.advance(SECOND_US)
+    # 4 s at 4 tokens/s, plus the refill of the idle second; a full burst of 40 would admit all 60.
+    assert cluster.forwarded_count() - before <= 16 + 4 + 8
+
+
+def test_request_is_decided_in_time_when_its_home_dies() -> None:
+    """The question is repeated, as datagrams may be lost; then the proxy decides with what it knows."""
+    driver = GatewayDriver(TWO_PROXIES)
+    name = customer_of(driver, home=1)
+    for number in range(11):  # the eleventh exceeds this proxy's part of the burst
+        driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
+    assert not actions_for(driver, "a10")
+    driver.advance(SECOND_US - 40 * MILLISECOND_US)  # a rejection after half of the time would come too late
+    assert len(actions_for(driver, "a10")) == 1
+    messages = [
+        message for _, action in driver.log if isinstance(action, SendGossip) for message in action.messages
+    ]
+    assert sum(message.requested_units > 0 for message in messages) == 3
+
+
+@pytest.mark.parametrize("is_within_quota", [False, True])
+def test_reply_after_the_final_answer_has_no_effect_on_the_request(is_within_quota: bool) -> None:
+    """The reply comes late and twice: there is still one final answer, and nothing is sent again."""
+    driver = GatewayDriver(TWO_PROXIES)
+    name = customer_of(driver, home=1)
     for number in range(11):
-        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
-    world.advance(SECOND_US)
-    said = answers_to(world, "a10")
-    key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
-    late = GossipMessage(
-        *key, True, requested_units=1.0, tokens=-2.0, is_ceiling_granted=True, is_within_quota=inside
+        driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
+    driver.advance(SECOND_US)
+    actions = actions_for(driver, "a10")
+    customer_key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
+    reply = GossipMessage(
+        *customer_key,
+        True,
+        requested_units=1.0,
+        tokens=-2.0,
+        is_ceiling_granted=True,
+        is_within_quota=is_within_quota,
     )
     for _ in range(2):
-        assert not of_type(ForwardAttempt, world.handle(GossipReceived(1, (late,))))
-    world.advance(SECOND_US)
-    assert answers_to(world, "a10") == said and len(said) == 1
-    (customer,) = world.gateway.customers.accounts.values()
-    assert not customer.ceiling.grants  # nobody waited for the units that it brought
+        assert not of_type(ForwardAttempt, driver.handle(GossipReceived(1, (reply,))))
+    driver.advance(SECOND_US)
+    assert actions_for(driver, "a10") == actions and len(actions) == 1
+    (customer,) = driver.gateway.customers.accounts.values()
+    assert not customer.ceiling.grants  # no request waited for the units of the reply
 
 
-def test_word_that_comes_for_a_client_that_has_gone() -> None:
-    world = GatewayDriver(PAIR)
-    name = customer_of(world, home=1)
+def test_reply_for_a_disconnected_client_updates_only_the_customer() -> None:
+    driver = GatewayDriver(TWO_PROXIES)
+    name = customer_of(driver, home=1)
     for number in range(11):
-        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
-    world.handle(ClientDisconnected("a10"))
-    answer = GossipMessage(
+        driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=2 * SECOND_US)
+    driver.handle(ClientDisconnected("a10"))
+    reply = GossipMessage(
         zlib.crc32(name.encode()), 0, 0, 2, True, requested_units=1.0, tokens=5.0, is_within_quota=True
     )
-    world.handle(GossipReceived(1, (answer,)))
-    (customer,) = world.gateway.customers.accounts.values()
-    assert customer.tokens == 5.0  # and it costs the customer nothing
-    world.advance(SECOND_US)
-    assert not answers_to(world, "a10")
-
-
-def test_older_word_that_comes_last_holds_until_the_next_one_only() -> None:
-    world = GatewayDriver(PAIR)
-    name = customer_of(world, home=1)
-    key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
-    for level in (-5.0, 15.0):  # the second was sent first
-        world.handle(GossipReceived(1, (GossipMessage(*key, True, tokens=level),)))
-    customer = world.gateway.customers.accounts[key]
+    driver.handle(GossipReceived(1, (reply,)))
+    (customer,) = driver.gateway.customers.accounts.values()
+    assert customer.tokens == 5.0  # the customer is not charged
+    driver.advance(SECOND_US)
+    assert not actions_for(driver, "a10")
+
+
+def test_reordered_reply_is_replaced_by_the_next_one() -> None:
+    driver = GatewayDriver(TWO_PROXIES)
+    name = customer_of(driver, home=1)
+    customer_key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
+    for tokens in (-5.0, 15.0):  # the second one was sent first
+        driver.handle(GossipReceived(1, (GossipMessage(*customer_key, True, tokens=tokens),)))
+    customer = driver.gateway.customers.accounts[customer_key]
     assert customer.local_tokens <= 15.0 / 2 and customer.tokens == 15.0
-    world.handle(GossipReceived(1, (GossipMessage(*key, True, tokens=-5.0),)))
+    driver.handle(GossipReceived(1, (GossipMessage(*customer_key, True, tokens=-5.0),)))
     assert customer.tokens == -5.0 and customer.local_tokens == 0.0
 
 
-def test_silent_home_is_known_again_by_its_first_word() -> None:
-    world = GatewayDriver(PAIR)
-    name, peers = customer_of(world, home=1), world.gateway.admission.peer_liveness
+def test_silent_home_counts_as_alive_after_its_first_message() -> None:
+    driver = GatewayDriver(TWO_PROXIES)
+    name, liveness = customer_of(driver, home=1), driver.gateway.admission.peer_liveness
     for number in range(11):
-        world.send_request(f"a{number}", customer=name, set_size=2)
-    world.advance(600 * MILLISECOND_US)
-    assert peers.is_silent(world.now_us, 1)
-    world.handle(GossipReceived(1, (GossipMessage(7, 0, 0, 2, True),)))
-    assert not peers.is_silent(world.now_us, 1)
-
-
-def test_set_of_two_of_two_hundred_that_goes_round_the_end() -> None:
-    """The last front door and the first: the one at home answers the other, and nobody else counts."""
-    world = GatewayDriver(replace(SETTINGS, proxy_count=200))  # it is the first
-    name = customer_of(world, home=1)  # the second of its set
-    key = zlib.crc32(name.encode()), 0, 199, 2
-    actions = world.handle(
-        GossipReceived(199, (GossipMessage(*key, demand=1.0, requested_units=1.0, tokens=20.0),))
+        driver.send_request(f"a{number}", customer=name, set_size=2)
+    driver.advance(600 * MILLISECOND_US)
+    assert liveness.is_silent(driver.now_us, 1)
+    driver.handle(GossipReceived(1, (GossipMessage(7, 0, 0, 2, True),)))
+    assert not liveness.is_silent(driver.now_us, 1)
+
+
+def test_proxy_set_wraps_around_the_last_index() -> None:
+    """The set is the last and the first of 200 proxies: its home answers the other one, and no other sets."""
+    driver = GatewayDriver(replace(SETTINGS, proxy_count=200))  # index 0
+    name = customer_of(driver, home=1)  # the second proxy of its set
+    customer_key = zlib.crc32(name.encode()), 0, 199, 2
+    actions = driver.handle(
+        GossipReceived(199, (GossipMessage(*customer_key, demand=1.0, requested_units=1.0, tokens=20.0),))
     )
-    (told,) = of_type(SendGossip, actions)
+    (gossip,) = of_type(SendGossip, actions)
     assert (
-        isinstance(told, SendGossip)
-        and told.peer == 199
-        and told.messages[0].is_reply
-        and told.messages[0].is_within_quota
+        isinstance(gossip, SendGossip)
+        and gossip.peer == 199
+        and gossip.messages[0].is_reply
+        and gossip.messages[0].is_within_quota
     )
-    others = [
+    other_replies = [
         action
         for first in (0, 1, 198)
         for action in of_type(
             SendGossip,
-            world.handle(
-                GossipReceived(5, (GossipMessage(key[0], 0, first, 1, demand=1.0, requested_units=1.0),))
+            driver.handle(
+                GossipReceived(
+                    5, (GossipMessage(customer_key[0], 0, first, 1, demand=1.0, requested_units=1.0),)
+                )
             ),
         )
     ]
-    assert len(others) == 1  # of the set that is this one alone
-    assert len(world.gateway.customers.accounts) == 2
+    assert len(other_replies) == 1  # for the set of this proxy alone
+    assert len(driver.gateway.customers.accounts) == 2
--- a/tests/races/test_restarts_ready.py
+++ b/tests/races/test_restarts_ready.py
@@ -6,8 +6,8 @@
 import socket
 from pathlib import Path
 
-from tests.races.proxy_processes import Process, processes
-from tests.races.scripted_peers import machine
+from tests.races.proxy_processes import ProxyProcess, stopped_on_exit
+from tests.races.scripted_peers import scripted_server
 from tests.sockets import (
     CUSTOMER,
     HEAD,
@@ -23,67 +23,67 @@
     run,
 )
 
-READY_S = 10.0  # in which nine in ten restarted processes have to be ready
-DOORS, AGAIN = 10, 4  # all of them; those that had a predecessor
-READY_PART = 0.9
+READY_S = 10.0  # nine in ten restarted processes must be ready by then
+PROXY_COUNT, RESTARTED_COUNT = 10, 4  # all processes; those of them that are restarts
+MIN_READY_FRACTION = 0.9
 
 
-async def started(doors: list[Process]) -> list[Client]:
-    """A client of each that is ready in time, after all have been started at once."""
-    starts = [asyncio.create_task(door.start()) for door in doors]
+async def start_all(proxies: list[ProxyProcess]) -> list[Client]:
+    """Start all proxies at once; return a client of each that is ready in time."""
+    starts = [asyncio.create_task(proxy.start()) for proxy in proxies]
     await asyncio.wait(starts)
-    waits = [asyncio.create_task(door.ready()) for door in doors]
-    ready, others = await asyncio.wait(waits, timeout=READY_S)
-    for other in others:
-        other.cancel()
-    return [each.result() for each in ready]
+    waits = [asyncio.create_task(proxy.connect_when_ready()) for proxy in proxies]
+    ready, unready = await asyncio.wait(waits, timeout=READY_S)
+    for wait in unready:
+        wait.cancel()
+    return [wait.result() for wait in ready]
 
 
 def test_of_ten_processes_that_start_at_once_nine_are_ready_in_time(tmp_path: Path) -> None:
-    """Some of them in place of one that was killed or told to end. For some discovery answers; for others it
-    refuses, takes the connection and says nothing, or never takes it: they serve from a list that they knew.
-    """
+    """Some replace a process that was killed or terminated. Discovery answers, refuses, accepts and stays
+    silent, or never accepts; without an answer the proxies serve from their known list."""
 
     async def job() -> None:
         backend = Backend()
-        listed = catalog(5, [entry("s1", await backend.start())])
+        list_line = catalog(5, [entry("s1", await backend.start())])
 
         async def script(writer: asyncio.StreamWriter) -> None:
-            writer.write(HEAD + chunk(listed))
+            writer.write(HEAD + chunk(list_line))
             await asyncio.Event().wait()
 
-        answers, refuses = await DiscoveryServer(script).start(), refusing_address()
-        full = socket.create_server((HOST, 0), backlog=0)
-        fillers = [socket.socket() for _ in range(4)]  # no dial comes up behind them
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        with machine() as silent:
-            found = [answers, refuses, silent.address, full.getsockname()]
-            doors = [
-                Process(
-                    tmp_path / f"n{n}",
-                    discovery="{}:{}".format(*found[n % 4]),
-                    known=json.loads(listed),
-                    name=f"n{n}",
+        answering, refusing = await DiscoveryServer(script).start(), refusing_address()
+        full_listener = socket.create_server((HOST, 0), backlog=0)
+        # Sockets that fill the backlog, so that no further connect succeeds.
+        backlog_sockets = [socket.socket() for _ in range(4)]
+        for sock in backlog_sockets:
+            sock.setblocking(False)
+            sock.connect_ex(full_listener.getsockname())
+        with scripted_server() as silent:
+            addresses = [answering, refusing, silent.address, full_listener.getsockname()]
+            proxies = [
+                ProxyProcess(
+                    tmp_path / f"n{number}",
+                    discovery="{}:{}".format(*addresses[number % 4]),
+                    known=json.loads(list_line),
+                    name=f"n{number}",
                 )
-                for n in range(DOORS)
+                for number in range(PROXY_COUNT)
             ]
-            async with processes(*doors):
-                await asyncio.gather(*(door.start() for door in doors[:AGAIN]))
-                await asyncio.gather(*(door.ready() for door in doors[:AGAIN]))
+            async with stopped_on_exit(*proxies):
+                await asyncio.gather(*(proxy.start() for proxy in proxies[:RESTARTED_COUNT]))
+                await asyncio.gather(*(proxy.connect_when_ready() for proxy in proxies[:RESTARTED_COUNT]))
                 await asyncio.gather(
                     *(
-                        door.end((signal.SIGKILL, signal.SIGTERM)[n % 2])
-                        for n, door in enumerate(doors[:AGAIN])
+                        proxy.stop((signal.SIGKILL, signal.SIGTERM)[number % 2])
+                        for number, proxy in enumerate(proxies[:RESTARTED_COUNT])
                     )
                 )
-                ready = await started(doors)
-                assert len(ready) >= READY_PART * DOORS
+                ready = await start_all(proxies)
+                assert len(ready) >= MIN_READY_FRACTION * PROXY_COUNT
                 for client in ready:
                     request = resp("SVC.QUERY", CUSTOMER, "a1", "c=read,t=team,d=1500")
                     assert await client.ask(request) == b"ok"
-        for used in (full, *fillers):
-            used.close()
+        for sock in (full_listener, *backlog_sockets):
+            sock.close()
 
     run(job())
--- a/tests/races/test_restarts_saved_list.py
+++ b/tests/races/test_restarts_saved_list.py
@@ -1,13 +1,13 @@
-"""A start with a known list that is old, absent or makes no sense."""
+"""Startup with a known list that is absent or invalid."""
 
 import json
 
 from tests.sockets import HOST, catalog, front_door, run
 
 
-def test_known_list_that_makes_no_sense_is_no_reason_not_to_start() -> None:
-    """JSON knows numbers that are infinite here; they were an OverflowError at the start."""
-    good = json.loads(catalog(4, []))
+def test_invalid_known_list_does_not_prevent_the_start() -> None:
+    """JSON may hold numbers that are infinite as a float; they caused an OverflowError at startup."""
+    valid = json.loads(catalog(4, []))
     infinite = {"instanceId": "s1", "hostPort": f"{HOST}:7", "lifecycle": "SERVING", "cell": float("inf")}
 
     async def job() -> None:
@@ -17,15 +17,15 @@
             7,
             {},
             {"instances": 1},
-            {**good, "generation": float("inf")},
-            {**good, "generation": None},
-            {**good, "instances": [7]},
+            {**valid, "generation": float("inf")},
+            {**valid, "generation": None},
+            {**valid, "instances": [7]},
         ):
-            async with front_door(known=known) as (door, _):
-                assert door.endpoints.saved_list is None or not door.endpoints.saved_list.event.endpoints
-        async with front_door(known={**good, "instances": [infinite]}) as (door, _):
-            assert door.endpoints.saved_list and [
-                server.cell for server in door.endpoints.saved_list.event.endpoints
-            ] == [0]  # says nothing
+            async with front_door(known=known) as (proxy, _):
+                assert proxy.endpoints.saved_list is None or not proxy.endpoints.saved_list.event.endpoints
+        async with front_door(known={**valid, "instances": [infinite]}) as (proxy, _):
+            assert proxy.endpoints.saved_list and [
+                endpoint.cell for endpoint in proxy.endpoints.saved_list.event.endpoints
+            ] == [0]  # an infinite cell counts as not given
 
     run(job())
--- a/tests/races/test_settings_invalid.py
+++ b/tests/races/test_settings_invalid.py
@@ -1,4 +1,4 @@
-"""A configuration that is wrong in one place is one line with file, key and reason, and never a start."""
+"""A configuration with an error is rejected with one line: file, key and reason."""
 
 import copy
 import json
@@ -15,7 +15,7 @@
 from molereach.proxy.config_file import load
 from tests.sockets import HOST, front_door, run
 
-Path_ = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 SETTINGS: dict[str, Any] = {
     "me": 0,
     "balancers": 3,
@@ -91,7 +91,7 @@
     "peers": [f"{HOST}:9", f"{HOST}:10"],
     "settings": SETTINGS,
 }
-REQUIRED = [
+REQUIRED_KEYS = [
     ("name",),
     ("listen",),
     ("discovery",),
@@ -106,7 +106,7 @@
     ("settings", "plans"),
     ("settings", "plans", 0, "name"),
 ]
-WRONG: dict[type, list[object]] = {  # by the type of what is right: no key takes any of these
+INVALID_BY_TYPE: dict[type, list[object]] = {  # by the type of the valid value; no key accepts any of these
     str: [7, 1.5, True, [], {}, ["a"], {"a": 1}],
     bool: [7, 0, "true", "", [], {"a": 1}],
     int: [-1, "7", "", True, float("nan"), float("inf"), 1e300, 10**400, [], [7], {}, {"a": 1}],
@@ -116,71 +116,71 @@
 }
 
 
-def places(value: object, at: Path_ = ()) -> Iterator[tuple[Path_, object]]:
-    """Every key, with what is right there."""
-    if at:
-        yield at, value
+def keys_with_values(value: object, key_path: KeyPath = ()) -> Iterator[tuple[KeyPath, object]]:
+    """Yield the path of every key, with its valid value."""
+    if key_path:
+        yield key_path, value
     if isinstance(value, dict):
-        for key, inner in value.items():
-            yield from places(inner, (*at, key))
+        for key, child in value.items():
+            yield from keys_with_values(child, (*key_path, key))
     elif isinstance(value, list):
-        for number, inner in enumerate(value):
-            yield from places(inner, (*at, number))
+        for number, child in enumerate(value):
+            yield from keys_with_values(child, (*key_path, number))
 
 
-def named(at: Path_) -> str:
-    return ".".join(map(str, at))
+def dotted(key_path: KeyPath) -> str:
+    return ".".join(map(str, key_path))
 
 
-ALL = [at for at, _ in places(VALUES)]
-SOME = [at for at in ALL if len(at) < 3]
+ALL_KEYS = [key_path for key_path, _ in keys_with_values(VALUES)]
+UPPER_KEYS = [key_path for key_path in ALL_KEYS if len(key_path) < 3]
 
 
-def changed(at: Path_, value: object = None, remove: bool = False) -> dict[str, Any]:
+def with_change(key_path: KeyPath, value: object = None, remove: bool = False) -> dict[str, Any]:
     values = copy.deepcopy(VALUES)
-    inner: Any = values
-    for key in at[:-1]:
-        inner = inner[key]
+    child: Any = values
+    for key in key_path[:-1]:
+        child = child[key]
     if remove:
-        del inner[at[-1]]
+        del child[key_path[-1]]
     else:
-        inner[at[-1]] = value
+        child[key_path[-1]] = value
     return values
 
 
-def line_for(tmp_path: Path, values: object) -> str:
-    """What is said of a configuration; the test fails where it can be used, or brings another error."""
+def error_for(tmp_path: Path, values: object) -> str:
+    """Return the error for a configuration; the test fails if it is accepted or causes another exception."""
     file = tmp_path / "config.json"
     file.write_text(values if isinstance(values, str) else json.dumps(values))
-    with pytest.raises(ConfigError) as caught:
+    with pytest.raises(ConfigError) as error:
         load({"PROXY_CONFIG": str(file)})
-    line = str(caught.value)
+    line = str(error.value)
     assert line.startswith(f"{file}: ") and "\n" not in line and len(line) < 300 + len(str(file))
     return line.removeprefix(f"{file}: ")
 
 
-def test_the_configuration_itself_is_good(tmp_path: Path) -> None:
+def test_unchanged_configuration_is_valid(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(VALUES))
     assert load({"PROXY_CONFIG": str(tmp_path / "config.json")}).settings.proxy_count == 3
 
 
-@pytest.mark.parametrize("at", ALL, ids=named)
-def test_each_key_in_turn_with_what_is_no_value_for_it(tmp_path: Path, at: Path_) -> None:
-    right = dict(places(VALUES))[at]
-    for wrong in WRONG[type(right)]:
-        line = line_for(tmp_path, changed(at, wrong))
-        # An entry with no usable name is named itself, and so is a list or object in the wrong place.
-        assert line.startswith((named(at), named(at[:-1]) or "?"))
+@pytest.mark.parametrize("key_path", ALL_KEYS, ids=dotted)
+def test_invalid_value_of_each_key_is_reported(tmp_path: Path, key_path: KeyPath) -> None:
+    valid = dict(keys_with_values(VALUES))[key_path]
+    for invalid in INVALID_BY_TYPE[type(valid)]:
+        line = error_for(tmp_path, with_change(key_path, invalid))
+        # For an entry without a valid name, or a misplaced list or object, the parent key is reported.
+        assert line.startswith((dotted(key_path), dotted(key_path[:-1]) or "?"))
 
 
-@pytest.mark.parametrize("at", REQUIRED, ids=named)
-def test_missing_key_is_named(tmp_path: Path, at: Path_) -> None:
-    for values in (changed(at, remove=True), changed(at)):
-        assert line_for(tmp_path, values).startswith(named(at[:3]))
+@pytest.mark.parametrize("key_path", REQUIRED_KEYS, ids=dotted)
+def test_missing_key_is_reported(tmp_path: Path, key_path: KeyPath) -> None:
+    for values in (with_change(key_path, remove=True), with_change(key_path)):
+        assert error_for(tmp_path, values).startswith(dotted(key_path[:3]))
 
 
 @pytest.mark.parametrize(
-    ("at", "wrong"),
+    ("key_path", "invalid"),
     [
         (("settings", "me"), 3),
         (("settings", "zone"), 2),
@@ -202,47 +202,47 @@
         (("peers", 1), "x:y"),
     ],
 )
-def test_value_out_of_its_range_is_named(tmp_path: Path, at: Path_, wrong: object) -> None:
-    key = named(at[:-1] if at[-1] == "name" else at)
-    assert line_for(tmp_path, changed(at, wrong)).startswith(key)
+def test_value_out_of_range_is_reported(tmp_path: Path, key_path: KeyPath, invalid: object) -> None:
+    key = dotted(key_path[:-1] if key_path[-1] == "name" else key_path)
+    assert error_for(tmp_path, with_change(key_path, invalid)).startswith(key)
 
 
 @pytest.mark.parametrize("text", ["", "null", "[]", "7", "{", "[" * 100_000, "\x00"])
-def test_file_that_holds_no_object(tmp_path: Path, text: str) -> None:
-    assert line_for(tmp_path, text)
+def test_file_without_a_json_object_is_reported(tmp_path: Path, text: str) -> None:
+    assert error_for(tmp_path, text)
 
 
-def test_settings_nested_without_end(tmp_path: Path) -> None:
+def test_deeply_nested_settings_are_reported(tmp_path: Path) -> None:
     nested = '{"a":' * 500 + "1" + "}" * 500
     text = json.dumps(VALUES).replace('"me": 0', f'"me": 0, "more": {nested}')
-    was = sys.getrecursionlimit()
+    previous_limit = sys.getrecursionlimit()
     sys.setrecursionlimit(520)
     try:
-        assert "recursion" in line_for(tmp_path, text) or "nested" in line_for(tmp_path, text)
+        assert "recursion" in error_for(tmp_path, text) or "nested" in error_for(tmp_path, text)
     finally:
-        sys.setrecursionlimit(was)
+        sys.setrecursionlimit(previous_limit)
 
 
-def test_variable_that_holds_no_address_is_named(tmp_path: Path) -> None:
+def test_environment_variable_without_an_address_is_reported(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(VALUES))
     with pytest.raises(ConfigError, match="PROXY_LISTEN: 'nowhere' is not an address"):
         load({"PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_LISTEN": "nowhere"})
 
 
-@pytest.mark.parametrize("at", SOME, ids=named)
-def test_reload_of_a_wrong_file_changes_nothing(
-    tmp_path: Path, at: Path_, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("key_path", UPPER_KEYS, ids=dotted)
+def test_reload_of_an_invalid_file_changes_nothing(
+    tmp_path: Path, key_path: KeyPath, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The address of discovery in it is another one, and good; it must not be taken over all the same."""
+    """The discovery address in the file is valid and differs; it must not be adopted."""
 
     async def job() -> None:
-        async with front_door() as (door, _):
-            config, watched = door.config, door.discovery.current.address
+        async with front_door() as (proxy, _):
+            config, discovery_address = proxy.config, proxy.discovery.current.address
             monkeypatch.setitem(os.environ, "PROXY_CONFIG", str(tmp_path / "config.json"))
-            wrong = WRONG[type(dict(places(VALUES))[at])][0]
-            (tmp_path / "config.json").write_text(json.dumps(changed(at, wrong)))
-            reload_configuration(door)
-            assert door.config is config and door.discovery.successor is None
-            assert door.discovery.current.address == watched
+            invalid = INVALID_BY_TYPE[type(dict(keys_with_values(VALUES))[key_path])][0]
+            (tmp_path / "config.json").write_text(json.dumps(with_change(key_path, invalid)))
+            reload_configuration(proxy)
+            assert proxy.config is config and proxy.discovery.successor is None
+            assert proxy.discovery.current.address == discovery_address
 
     run(job())
--- a/tests/races/test_settings_names.py
+++ b/tests/races/test_settings_names.py
@@ -1,4 +1,4 @@
-"""Names of classes and plans as other deployments have them: they come from the settings alone."""
+"""Names of classes and plans in other deployments: they come from the settings alone."""
 
 from dataclasses import replace
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_whatever_a_class_or_plan_is_called_its_requests_are_taken(name: str) -> None:
+def test_requests_are_accepted_for_any_name_of_a_class_or_plan(name: str) -> None:
     config = replace(CONFIG, class_numbers={name: 0}, plan_numbers={"other": 0, name: 0})
     fields = f"c={name},t={name},d=480,units=1".encode()
     command = CommandParser(config).parse([b"SVC.QUERY", CUSTOMER.encode(), b"a1", fields], 0)
@@ -20,10 +20,10 @@
     assert command.payload(70_000).endswith(fields.replace(b"d=480", b"d=70") + b"\r\n")
 
 
-NO_FIELDS = [b"c=\xff,t=team,d=480", b"c=read,t=team,d=\xd9\xa3", b"c=read,t=team,\xc3\xa9"]
+INVALID_FIELDS = [b"c=\xff,t=team,d=480", b"c=read,t=team,d=\xd9\xa3", b"c=read,t=team,\xc3\xa9"]
 
 
-@pytest.mark.parametrize("fields", NO_FIELDS)
-def test_bytes_that_are_no_text_or_no_number_are_an_error(fields: bytes) -> None:
+@pytest.mark.parametrize("fields", INVALID_FIELDS)
+def test_invalid_text_or_numbers_are_an_error(fields: bytes) -> None:
     with pytest.raises(CommandError):
         CommandParser(CONFIG).parse([b"SVC.QUERY", CUSTOMER.encode(), b"a1", fields], 0)
--- a/tests/races/test_settings_short_deadlines.py
+++ b/tests/races/test_settings_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Deployments whose times are far shorter than usual: what is waited for scales with them."""
+"""Deployments with far shorter deadlines than usual: waiting times scale with them."""
 
 import zlib
 from dataclasses import replace
@@ -12,82 +12,92 @@
 from molereach.policy.time_units import TICK_US
 from tests.helpers import MILLISECOND_US, SETTINGS, GatewayDriver
 
-SHORT = RequestClass(latency_objective_us=100 * MILLISECOND_US, deadline_us=400 * MILLISECOND_US)
-PAIR = replace(SETTINGS, proxy_count=2, classes=(SHORT,))
-LEFT_US = SHORT.deadline_us - 25 * MILLISECOND_US
+SHORT_CLASS = RequestClass(latency_objective_us=100 * MILLISECOND_US, deadline_us=400 * MILLISECOND_US)
+TWO_PROXIES = replace(SETTINGS, proxy_count=2, classes=(SHORT_CLASS,))
+REMAINING_US = SHORT_CLASS.deadline_us - 25 * MILLISECOND_US
 
 
-def other_home(world: GatewayDriver) -> str:
-    return next(f"c{n}" for n in range(99) if zlib.crc32(f"c{n}".encode()) % 2)
+def customer_of_other_home(driver: GatewayDriver) -> str:
+    return next(f"c{number}" for number in range(99) if zlib.crc32(f"c{number}".encode()) % 2)
 
 
-def asks(world: GatewayDriver) -> list[int]:
+def question_times(driver: GatewayDriver) -> list[int]:
     return [
-        at
-        for at, action in world.log
+        time_us
+        for time_us, action in driver.log
         if isinstance(action, SendGossip)
-        for word in action.messages
-        if word.requested_units
+        for message in action.messages
+        if message.requested_units
     ]
 
 
-def test_word_that_was_lost_is_asked_for_again_where_the_wait_is_short() -> None:
-    """The wait is a third of the aim; whether there is time for another was judged by the longest wait."""
-    world = GatewayDriver(PAIR)
-    name = other_home(world)
-    for number in range(11):  # the eleventh is past this one's part of the burst
-        world.send_request(f"a{number}", customer=name, set_size=2, remaining_us=LEFT_US)
-    world.advance(LEFT_US // 2)
-    assert len(asks(world)) == 3
+def test_lost_gossip_is_requested_again_where_the_wait_is_short() -> None:
+    """The wait is a third of the latency objective; whether time remains for another was judged by the
+    longest wait."""
+    driver = GatewayDriver(TWO_PROXIES)
+    name = customer_of_other_home(driver)
+    for number in range(11):  # the eleventh exceeds this proxy's part of the burst
+        driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=REMAINING_US)
+    driver.advance(REMAINING_US // 2)
+    assert len(question_times(driver)) == 3
     assert [
-        at
-        for at, action in world.log
+        time_us
+        for time_us, action in driver.log
         if isinstance(action, ForwardAttempt | Reject) and action.request_id == "a10"
     ]
 
 
-@pytest.mark.parametrize("effect", list(Idempotency))
+@pytest.mark.parametrize("idempotency", list(Idempotency))
 @pytest.mark.parametrize(
-    ("aim_us", "deadline_us"),
+    ("objective_us", "deadline_us"),
     [(100 * MILLISECOND_US, 400 * MILLISECOND_US), (60 * MILLISECOND_US, 200 * MILLISECOND_US)],
 )
-def test_each_request_has_one_answer_in_time(effect: Idempotency, aim_us: int, deadline_us: int) -> None:
-    """Servers that answer nothing, and a home that is silent: the final answer comes before the deadline."""
-    rule = RequestClass(
-        aim_us,
+def test_each_request_gets_one_answer_before_its_deadline(
+    idempotency: Idempotency, objective_us: int, deadline_us: int
+) -> None:
+    """Backends that never respond, and a silent home: the final answer still comes before the deadline."""
+    request_class = RequestClass(
+        objective_us,
         deadline_us,
-        idempotency=effect,
-        deduplication_window_us=aim_us // 2,
+        idempotency=idempotency,
+        deduplication_window_us=objective_us // 2,
         deduplication_scope=DeduplicationScope.CELL,
     )
-    world = GatewayDriver(replace(PAIR, classes=(rule,), max_attempts=2))
-    came = {}
+    driver = GatewayDriver(replace(TWO_PROXIES, classes=(request_class,), max_attempts=2))
+    arrived_us = {}
     for number in range(40):
-        came[f"a{number}"] = world.now_us
-        world.send_request(
+        arrived_us[f"a{number}"] = driver.now_us
+        driver.send_request(
             f"a{number}",
-            customer=other_home(world),
+            customer=customer_of_other_home(driver),
             set_size=2,
             remaining_us=deadline_us - 25 * MILLISECOND_US,
         )
         for _ in range(2):
-            world.advance(10 * MILLISECOND_US)
-            for (name, attempt), (_, sent, wait) in list(world.in_flight.items()):
-                if wait and world.now_us - sent >= wait:
-                    world.end_attempt(name, AttemptResult.TIMEOUT, attempt)
+            driver.advance(10 * MILLISECOND_US)
+            for (name, attempt), (_, sent_us, timeout_us) in list(driver.in_flight.items()):
+                if timeout_us and driver.now_us - sent_us >= timeout_us:
+                    driver.end_attempt(name, AttemptResult.TIMEOUT, attempt)
     for _ in range(deadline_us // (10 * MILLISECOND_US)):
-        world.advance(10 * MILLISECOND_US)
-        for (name, attempt), (_, sent, wait) in list(world.in_flight.items()):
-            if wait and world.now_us - sent >= wait:
-                world.end_attempt(name, AttemptResult.TIMEOUT, attempt)
-    ended = [(at, action.request_id) for at, action in world.log if isinstance(action, Reject | FailRequest)]
-    assert sorted(name for _, name in ended) == sorted(came)
-    assert all(at - came[name] < deadline_us for at, name in ended)
+        driver.advance(10 * MILLISECOND_US)
+        for (name, attempt), (_, sent_us, timeout_us) in list(driver.in_flight.items()):
+            if timeout_us and driver.now_us - sent_us >= timeout_us:
+                driver.end_attempt(name, AttemptResult.TIMEOUT, attempt)
+    final_answers = [
+        (time_us, action.request_id)
+        for time_us, action in driver.log
+        if isinstance(action, Reject | FailRequest)
+    ]
+    assert sorted(name for _, name in final_answers) == sorted(arrived_us)
+    assert all(time_us - arrived_us[name] < deadline_us for time_us, name in final_answers)
 
 
-def test_periods_are_no_shorter_than_the_steps_that_end_them() -> None:
-    """With an aim of a millisecond a period was 667 us, and a tick ended thirty; of 1 us, thousands."""
-    for aim_us in (1, 1000, 29 * MILLISECOND_US):
-        rule = RequestClass(aim_us, 400 * MILLISECOND_US)
-        assert OverloadControl(replace(SETTINGS, classes=(rule,))).control_period_us == TICK_US
-    assert OverloadControl(replace(SETTINGS, classes=(SHORT,))).control_period_us == pytest.approx(66_667)
+def test_control_periods_are_no_shorter_than_a_tick() -> None:
+    """With an objective of a millisecond a period was 667 us, so that one tick ended thirty; with 1 us,
+    thousands."""
+    for objective_us in (1, 1000, 29 * MILLISECOND_US):
+        request_class = RequestClass(objective_us, 400 * MILLISECOND_US)
+        assert OverloadControl(replace(SETTINGS, classes=(request_class,))).control_period_us == TICK_US
+    assert OverloadControl(replace(SETTINGS, classes=(SHORT_CLASS,))).control_period_us == pytest.approx(
+        66_667
+    )
--- a/tests/races/test_sigterm_connections.py
+++ b/tests/races/test_sigterm_connections.py
@@ -1,4 +1,4 @@
-"""SIGTERM and connections: who stays until the end, and what the close leaves of the last answers."""
+"""SIGTERM and open connections: which stay until the end, and whether their last answers arrive."""
 
 import asyncio
 import contextlib
@@ -11,73 +11,81 @@
 from molereach.proxy import connection_draining, graceful_shutdown
 from molereach.proxy.proxy import Proxy
 from molereach.resp import has_unread
-from tests.races.scripted_peers import Peer, turns, until
-from tests.races.sigterm import ENDS, FAILED, OK, before, drained, is_answer, shorten
+from tests.races.scripted_peers import Peer, run_loop_iterations, wait_until
+from tests.races.sigterm import (
+    FAILED,
+    OK,
+    SHUTTING_DOWN,
+    drain,
+    is_answer,
+    run_before,
+    shorten_shutdown_times,
+)
 from tests.sockets import Backend, front_door, query, resp, run, value
 
-LARGE = value(b"x" * 60_000)
-ANSWER = b"$60000\r\n" + b"x" * 60_000 + b"\r\n"
+LARGE_VALUE = value(b"x" * 60_000)
+LARGE_ANSWER = b"$60000\r\n" + b"x" * 60_000 + b"\r\n"
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch: pytest.MonkeyPatch) -> None:
-    shorten(monkeypatch)
+def short_shutdown_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    shorten_shutdown_times(monkeypatch)
 
 
-async def resting(address: tuple[str, int], name: str = "a0") -> Peer:
-    """A client whose connection rests after an answer."""
-    client = Peer.dial(address)
-    client.say(query(name))
-    assert await client.hear_until(b"ok\r\n") == OK
+async def idle_client(address: tuple[str, int], name: str = "a0") -> Peer:
+    """Return a client whose connection is idle after an answer."""
+    client = Peer.connect(address)
+    client.send(query(name))
+    assert await client.receive_until(b"ok\r\n") == OK
     return client
 
 
-def test_request_in_the_instant_of_its_resting_connections_close_is_answered() -> None:
+def test_request_that_crosses_the_close_of_its_idle_connection_is_answered() -> None:
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            client = await resting(address)
-            before(door.clients, "drain", lambda: client.say(query("a1")))
-            draining = asyncio.create_task(drained(door))
-            assert is_answer(await client.hear_all())
+        async with front_door(Backend()) as (proxy, address):
+            client = await idle_client(address)
+            run_before(proxy.clients, "drain", lambda: client.send(query("a1")))
+            draining = asyncio.create_task(drain(proxy))
+            assert is_answer(await client.receive_all())
             client.close()
             await draining
 
     run(job())
 
 
-def test_request_that_comes_after_the_end_of_our_sending_is_never_sent_on() -> None:
-    """Its client sends it once more elsewhere: sent on, it would run twice."""
+def test_request_received_after_our_half_close_is_not_forwarded() -> None:
+    """Its client sends it again elsewhere: if it were forwarded, it would run twice."""
 
-    taken: list[None] = []
+    handled: list[None] = []
 
     async def job() -> None:
         backend = Backend()
-        async with front_door(backend) as (door, address):
-            client = await resting(address)
-            before(door, "handle_command", lambda: taken.append(None))
-            door.clients.shut_down()
-            assert await client.hear_all() == b""  # it rests until the front door ends it: an end, no reset
-            client.say(query("a1"))
-            await turns()
-            assert has_unread(next(iter(door.clients.connections)).transport)
-            await drained(door)
-            assert not taken and len(backend.commands) == 1
+        async with front_door(backend) as (proxy, address):
+            client = await idle_client(address)
+            run_before(proxy, "handle_command", lambda: handled.append(None))
+            proxy.clients.shut_down()
+            assert await client.receive_all() == b""  # an idle connection ends with EOF, not with a reset
+            client.send(query("a1"))
+            await run_loop_iterations()
+            assert has_unread(next(iter(proxy.clients.connections)).transport)
+            await drain(proxy)
+            assert not handled and len(backend.commands) == 1
 
     run(job())
 
 
-def test_half_a_command_when_draining_begins_is_answered_when_its_rest_comes() -> None:
+def test_partial_command_at_the_start_of_draining_is_answered_once_complete() -> None:
     command = query("a1")
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            client = await resting(address)
-            client.say(command[:40])
-            draining = asyncio.create_task(drained(door))
-            await until(lambda: door.clients.is_draining)
-            door.clients.sweep()
-            client.say(command[40:])
-            assert is_answer(await client.hear_all())
+        async with front_door(Backend()) as (proxy, address):
+            client = await idle_client(address)
+            client.send(command[:40])
+            draining = asyncio.create_task(drain(proxy))
+            await wait_until(lambda: proxy.clients.is_draining)
+            proxy.clients.sweep()
+            client.send(command[40:])
+            assert is_answer(await client.receive_all())
             client.close()
             await draining
 
@@ -85,151 +93,153 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "heard"),
+    ("sent", "expected"),
     [
-        (query("a1")[:40], ENDS),  # the rest may be on its way: a whole answer, whenever it comes
-        (resp("PING") + query("a1")[:40], b"+PONG\r\n" + ENDS),
-        (resp("PING"), b"+PONG\r\n"),  # between requests: an end, and no word that answers nothing
-        (query("a0") + b"*", OK + ENDS),
+        (query("a1")[:40], SHUTTING_DOWN),  # the rest may be on its way: a complete answer in any case
+        (resp("PING") + query("a1")[:40], b"+PONG\r\n" + SHUTTING_DOWN),
+        (resp("PING"), b"+PONG\r\n"),  # between requests: EOF without an error
+        (query("a0") + b"*", OK + SHUTTING_DOWN),
     ],
 )
-def test_who_stops_within_a_command_is_told_before_the_kill(
-    sent: bytes, heard: bytes, monkeypatch: pytest.MonkeyPatch
+def test_client_that_stops_within_a_command_gets_an_error_before_sigkill(
+    sent: bytes, expected: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0
-    )  # not for being quiet: by the time
+    # The deadline, not the silence, must end the connection.
+    monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            client = Peer.dial(address)
-            client.say(sent)
-            await until(lambda: bool(door.clients.connections))
-            draining = asyncio.create_task(drained(door))
-            assert await client.hear_all() == heard
+        async with front_door(Backend()) as (proxy, address):
+            client = Peer.connect(address)
+            client.send(sent)
+            await wait_until(lambda: bool(proxy.clients.connections))
+            draining = asyncio.create_task(drain(proxy))
+            assert await client.receive_all() == expected
             client.close()
             await draining
 
     run(job())
 
 
-def test_client_that_always_has_a_request_on_its_way_is_ended_before_the_kill() -> None:
-    """Its connection is never idle. Whatever was read has its answer; the last one is sent once more."""
-    asked, taken = 0, 0
+def test_client_that_never_stops_sending_is_closed_before_sigkill() -> None:
+    """Its connection is never idle. Every request that was read is answered; the client sends the last one
+    again."""
+    sent_count, handled = 0, 0
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            client = Peer.dial(address)
-
-            def ask(*_: object) -> None:
-                nonlocal asked
-                asked += 1
-                client.say(query(f"r{asked}"))
-
-            def count() -> None:
-                nonlocal taken
-                taken += 1
-
-            before(door, "handle_command", count)
-            before(door.actions, "answer", ask)  # the next one has come when an answer leaves
-            ask()
-            heard = asyncio.create_task(client.hear_all())
-            draining = asyncio.create_task(drained(door))
-            lines = await heard
+        async with front_door(Backend()) as (proxy, address):
+            client = Peer.connect(address)
+
+            def send_next(*_: object) -> None:
+                nonlocal sent_count
+                sent_count += 1
+                client.send(query(f"r{sent_count}"))
+
+            def count_handled() -> None:
+                nonlocal handled
+                handled += 1
+
+            run_before(proxy, "handle_command", count_handled)
+            run_before(proxy.actions, "answer", send_next)  # the next request arrives as an answer is sent
+            send_next()
+            receiving = asyncio.create_task(client.receive_all())
+            draining = asyncio.create_task(drain(proxy))
+            answers = await receiving
             client.close()
             await draining
-            assert lines.count(OK) + lines.count(b"-") == taken == asked - 1 > 2
+            assert answers.count(OK) + answers.count(b"-") == handled == sent_count - 1 > 2
 
     run(job())
 
 
-def test_commands_that_were_read_and_wait_for_their_turn_are_answered_at_the_end() -> None:
+def test_queued_commands_are_answered_at_shutdown() -> None:
     async def job() -> None:
-        async with front_door(Backend(lambda words: None)) as (door, address):
-            client = Peer.dial(address)
-            client.say(b"".join(query(f"r{number}") for number in range(40)))
-            await until(lambda: len(door.requests.open) == MAX_PIPELINED)
-            door.clients.shut_down()
-            for name in list(door.requests.open):
-                door.actions.answer(name, OK)
-            assert await client.hear_all() == OK * MAX_PIPELINED + FAILED * (40 - MAX_PIPELINED)
+        async with front_door(Backend(lambda words: None)) as (proxy, address):
+            client = Peer.connect(address)
+            client.send(b"".join(query(f"r{number}") for number in range(40)))
+            await wait_until(lambda: len(proxy.requests.open) == MAX_PIPELINED)
+            proxy.clients.shut_down()
+            for name in list(proxy.requests.open):
+                proxy.actions.answer(name, OK)
+            assert await client.receive_all() == OK * MAX_PIPELINED + FAILED * (40 - MAX_PIPELINED)
 
     run(job())
 
 
-def slow(door: Proxy, address: tuple[str, int], requests: int) -> Peer:
-    """A client that asks and does not read, and little room between."""
-    assert door.clients.listener
-    door.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)  # as what it accepts
-    own = socket.socket()
-    own.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
-    own.connect(address)
-    client = Peer(own)
-    client.say(b"".join(query(f"r{number}") for number in range(requests)))
+def connect_slow_reader(proxy: Proxy, address: tuple[str, int], requests: int) -> Peer:
+    """Connect a client that sends requests and does not read, with small socket buffers on both sides."""
+    assert proxy.clients.listener
+    # Inherited by accepted sockets.
+    proxy.clients.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
+    sock.connect(address)
+    client = Peer(sock)
+    client.send(b"".join(query(f"r{number}") for number in range(requests)))
     return client
 
 
-def clogged(door: Proxy) -> bool:
+def is_write_blocked(proxy: Proxy) -> bool:
     return (
-        any(each.buffered_bytes() > len(ANSWER) for each in door.clients.connections)
-        and not door.requests.open
+        any(connection.buffered_bytes() > len(LARGE_ANSWER) for connection in proxy.clients.connections)
+        and not proxy.requests.open
     )
 
 
-def test_answers_not_read_yet_leave_whole_where_their_client_reads_before_the_kill(
+def test_unread_answers_are_delivered_if_the_client_reads_before_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_US", 20_000_000)  # the kill is far
+    monkeypatch.setattr(graceful_shutdown, "KILL_GRACE_US", 20_000_000)  # SIGKILL is far off
     monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 0.05)
 
     async def job() -> None:
-        async with front_door(Backend(lambda words: LARGE)) as (door, address):
-            client = slow(door, address, 4)
-            await until(lambda: clogged(door))
-            ended = asyncio.Event()
+        async with front_door(Backend(lambda words: LARGE_VALUE)) as (proxy, address):
+            client = connect_slow_reader(proxy, address, 4)
+            await wait_until(lambda: is_write_blocked(proxy))
+            shutdown_started = asyncio.Event()
 
-            def end() -> None:
+            def extend_write_timeout() -> None:
                 monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
-                ended.set()
+                shutdown_started.set()
 
-            before(door.clients, "shut_down", end)
-            task = asyncio.create_task(drained(door))
-            await ended.wait()
-            assert await client.hear_all() == ANSWER * 4
+            run_before(proxy.clients, "shut_down", extend_write_timeout)
+            draining = asyncio.create_task(drain(proxy))
+            await shutdown_started.wait()
+            assert await client.receive_all() == LARGE_ANSWER * 4
             client.close()
-            await task
+            await draining
 
     run(job())
 
 
-def test_client_that_never_reads_does_not_keep_the_door_past_the_kill(
+def test_client_that_never_reads_does_not_delay_the_exit_past_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It can tell that what it gets of the last value is not whole."""
+    """It can tell that the last value which it receives is truncated."""
     monkeypatch.setattr(connection_draining, "FINAL_WRITE_TIMEOUT_S", 60.0)
-    monkeypatch.setitem(TIMEOUTS_US, State.WRITE_BLOCKED, NEVER_US)  # not by the time that it has to read
+    # The read timeout must not end the connection.
+    monkeypatch.setitem(TIMEOUTS_US, State.WRITE_BLOCKED, NEVER_US)
 
     async def job() -> None:
-        async with front_door(Backend(lambda words: LARGE)) as (door, address):
-            client = slow(door, address, 4)
-            await until(lambda: clogged(door))
-            await drained(door)
-            heard = b""
+        async with front_door(Backend(lambda words: LARGE_VALUE)) as (proxy, address):
+            client = connect_slow_reader(proxy, address, 4)
+            await wait_until(lambda: is_write_blocked(proxy))
+            await drain(proxy)
+            received = b""
             with contextlib.suppress(ConnectionResetError):
-                while data := await client.hear():
-                    heard += data
-            assert (ANSWER * 4).startswith(heard) and len(heard) < len(ANSWER) * 4
+                while data := await client.receive():
+                    received += data
+            assert (LARGE_ANSWER * 4).startswith(received) and len(received) < len(LARGE_ANSWER) * 4
 
     run(job())
 
 
-def test_small_writes_are_not_held_back() -> None:
-    """A close that resets would take what the system still holds."""
+def test_accepted_sockets_have_tcp_nodelay() -> None:
+    """A close with a reset would discard what the kernel holds back."""
 
     async def job() -> None:
-        async with front_door(Backend()) as (door, address):
-            await resting(address)
-            accepted = next(iter(door.clients.connections)).transport.get_extra_info("socket")
-            assert accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        async with front_door(Backend()) as (proxy, address):
+            await idle_client(address)
+            sock = next(iter(proxy.clients.connections)).transport.get_extra_info("socket")
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
     run(job())
