--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -11,11 +11,12 @@
 from benchmarks.result import Result
 
 SUBJECTS = ("council", "door", "fleet", "limits", "scale", "scenarios", "simulation", "view")
-TWO_SIDED = ("door", "scale")
-FILED = ("scale",)
+COMPARING_SUBJECTS = ("door", "scale")
+FILE_WRITING_SUBJECTS = ("scale",)
 
 
-def first_line(name: str) -> str:
+def summary_line(name: str) -> str:
+    """Return the first line of a benchmark module's docstring."""
     return (importlib.import_module(f"benchmarks.{name}").__doc__ or "").split("\n")[0]
 
 
@@ -37,18 +38,20 @@
     help="scale: also write the result as JSON to a file.",
 )
 def main(name: str, quick: bool, as_json: bool, seed: int, against: str | None, out: str | None) -> None:
-    """Measure one subject and end with the exit code of its aims."""
+    """Run one benchmark; the exit code says whether its aims are met."""
     if name == "list":
-        docs = {subject: first_line(subject) for subject in SUBJECTS}
-        lines = "\n".join(f"{subject}: {doc}" for subject, doc in docs.items())
-        click.echo(json.dumps(docs) if as_json else lines)
+        summaries = {subject: summary_line(subject) for subject in SUBJECTS}
+        lines = "\n".join(f"{subject}: {doc}" for subject, doc in summaries.items())
+        click.echo(json.dumps(summaries) if as_json else lines)
         return
-    if against and name not in TWO_SIDED:
-        raise click.UsageError(f"--against: only for {', '.join(TWO_SIDED)}")
-    if out and name not in FILED:
-        raise click.UsageError(f"--out: only for {', '.join(FILED)}")
-    more = {key: value for key, value in (("against", against), ("out", out)) if value}
-    result: Result = importlib.import_module(f"benchmarks.{name}").measure(quick, seed, not as_json, **more)
+    if against and name not in COMPARING_SUBJECTS:
+        raise click.UsageError(f"--against: only for {', '.join(COMPARING_SUBJECTS)}")
+    if out and name not in FILE_WRITING_SUBJECTS:
+        raise click.UsageError(f"--out: only for {', '.join(FILE_WRITING_SUBJECTS)}")
+    options = {key: value for key, value in (("against", against), ("out", out)) if value}
+    result: Result = importlib.import_module(f"benchmarks.{name}").measure(
+        quick, seed, not as_json, **options
+    )
     if as_json:
         click.echo(result.json())
     else:
--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -1,7 +1,10 @@
-"""Many agents in one process, each with a front door that is only its control. Part of the benchmark `fleet`.
-They do not ask each other for news: on one machine that would be most of what is measured.
+"""Many agents in one process, each with a stand-in front door that has only the control protocol.
 
-`python -m benchmarks.agents FLEET_FILE FIRST COUNT` serves agents of a fleet's file until its input ends.
+Part of the benchmark `fleet`. The agents don't request orders from their peers: on one machine those requests
+would be most of what is measured.
+
+`python -m benchmarks.agents FLEET_FILE FIRST COUNT` serves agents of a fleet file until its standard input
+ends.
 """
 
 import asyncio
@@ -23,33 +26,37 @@
 from rig.fakedoor import FakeDoor
 
 
-async def unasked(peer: str, after: int) -> OrderStateRecord | None:
-    raise OSError("peers are not asked here")
+async def refuse_peer_request(peer: str, after: int) -> OrderStateRecord | None:
+    """Refuse a request for a peer's order state."""
+    raise OSError("requests to peers are disabled in this benchmark")
 
 
-async def main(file: Path, first: int, count: int) -> None:
+async def main(fleet_file: Path, first: int, count: int) -> None:
+    """Serve `count` agents of the fleet file from index `first`; print `ready` once all are connected."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    fleet = load(file, FleetFile)
-    token = load_token(resolve(file, fleet.token))
-    stopped, tasks, agents = asyncio.Event(), [], []
-    doors: list[FakeDoor] = []
+    fleet = load(fleet_file, FleetFile)
+    token = load_token(resolve(fleet_file, fleet.token))
+    shutdown, server_tasks, agents = asyncio.Event(), [], []
+    fake_doors: list[FakeDoor] = []
     for entry in fleet.agents[first : first + count]:
-        folder = file.parent / entry.name
+        folder = fleet_file.parent / entry.name
         folder.mkdir()
-        doors.append(FakeDoor(entry.proxies[0]))
-        await doors[-1].start(folder / f"{entry.proxies[0]}.sock")
-        agent = Agent(entry.name, fleet.names, folder, Journal(folder / "journal", entry.name), unasked, 0.1)
+        fake_doors.append(FakeDoor(entry.proxies[0]))
+        await fake_doors[-1].start(folder / f"{entry.proxies[0]}.sock")
+        agent = Agent(
+            entry.name, fleet.names, folder, Journal(folder / "journal", entry.name), refuse_peer_request, 0.1
+        )
         agent.start()
         agents.append(agent)
-        config = hypercorn_config(urlsplit(entry.url).netloc, None, file)
+        config = hypercorn_config(urlsplit(entry.url).netloc, None, fleet_file)
         app = Api(agent, Tokens(f"operate bench {token}")).app()
-        tasks.append(asyncio.create_task(serve(app, config, shutdown_trigger=stopped.wait)))  # type: ignore[arg-type]
+        server_tasks.append(asyncio.create_task(serve(app, config, shutdown_trigger=shutdown.wait)))  # type: ignore[arg-type]
     while not all(agent.links and agent.roster.ready for agent in agents):
         await asyncio.sleep(0.05)
     print("ready", flush=True)
     await asyncio.to_thread(sys.stdin.read)
-    stopped.set()
-    await asyncio.gather(*tasks)
+    shutdown.set()
+    await asyncio.gather(*server_tasks)
     for agent in agents:
         await agent.close()
 
--- a/benchmarks/council.py
+++ b/benchmarks/council.py
@@ -1,8 +1,8 @@
 """What front doors settle among themselves: time, words, faults and CPU, at 3 to 200 front doors.
 
-At 3 and 9 each front door's part is a process with its folder on this disk, at 50 and 200 the same cores run
-in virtual time (ways of 1 to 24 ms, syncs of 8 ms). CPU for a request is that of a front door with a council
-of three, which has formed, against one without, in the same rounds.
+At 3 and 9 front doors each council member is a process with its folder on the local disk; at 50 and 200 the
+same protocol code runs in virtual time (message delays of 1 to 24 ms, disk syncs of 8 ms). CPU for a request
+compares a front door in a formed council of three with one without a council, in the same rounds.
 """
 
 import asyncio
@@ -19,7 +19,14 @@
 
 import uvloop
 
-from benchmarks.door import DOOR, Instant, Loop, cost, finish, start_door
+from benchmarks.door import (
+    DOOR_COMMAND,
+    ClosedLoopClients,
+    ImmediateServer,
+    cpu_per_request_us,
+    start_door,
+    stop_door,
+)
 from benchmarks.result import Result, quantile
 from rig.council.tier import Tier
 from rig.sockets import Listener, own_host
@@ -28,19 +35,20 @@
 from sim.troubles import calm, trouble
 
 MS = 1000
-BEAT_MS, SESSION_MS = 500, 5000  # as they are by default
+HEARTBEAT_MS, SESSION_MS = 500, 5000  # the defaults
 PROCESSES, QUICK_PROCESSES = (3, 9), (3, 9)
 VIRTUAL, QUICK_VIRTUAL = (50, 200), (50, 200)
-MARKS, QUICK_MARKS = 400, 60
-VIRTUAL_MARKS, QUICK_VIRTUAL_MARKS = 100, 10
+MARK_COUNT, QUICK_MARK_COUNT = 400, 60
+VIRTUAL_MARK_COUNT, QUICK_VIRTUAL_MARK_COUNT = 100, 10
 KILLS, QUICK_KILLS = 10, 1
 VIRTUAL_KILLS, QUICK_VIRTUAL_KILLS = 10, 1
 HISTORIES, QUICK_HISTORIES = 10_000, 24
-WORKERS = 6
-FORMED_S, QUIET_S = 16, 10  # in virtual time; 200 that start at once all know one another after 11 s
+POOL_PROCESSES = 6
+# In virtual time; 200 members that start together all know each other after 11 s.
+FORMATION_S, IDLE_S = 16, 10
 ROUNDS, QUICK_ROUNDS = 30, 8
 REQUESTS, QUICK_REQUESTS = 2000, 800
-DEATH_S = {9: 7.7, 50: 11.8, 200: 14.7}  # the design note's bounds, of a beat of 0.5 s
+MAX_DEATH_S = {9: 7.7, 50: 11.8, 200: 14.7}  # bounds of the design note for a heartbeat of 0.5 s
 AIMS = {
     "most_settle_3_p99_ms": 200.0,
     "most_settle_9_p99_ms": 200.0,
@@ -50,9 +58,9 @@
     "most_replaced_9_s": 3.0,
     "most_replaced_50_s": 3.0,
     "most_replaced_200_s": 3.0,
-    "most_death_9_s": DEATH_S[9],
-    "most_death_50_s": DEATH_S[50],
-    "most_death_200_s": DEATH_S[200],
+    "most_death_9_s": MAX_DEATH_S[9],
+    "most_death_50_s": MAX_DEATH_S[50],
+    "most_death_200_s": MAX_DEATH_S[200],
     "most_histories_broken": 0.0,
     "most_membership_words_200": 4.0,
     "most_tree_words_200": 9.0,
@@ -64,66 +72,70 @@
 # --- processes ---
 
 
-async def until(tier: Tier, true: Callable[[dict[str, Any]], bool]) -> float:
-    """Seconds until it is so of the states of all who live."""
+async def seconds_until(tier: Tier, condition: Callable[[dict[str, Any]], bool]) -> float:
+    """Return the seconds until a condition holds for the states of all live members."""
     loop = asyncio.get_running_loop()
-    begin = loop.time()
+    started_at = loop.time()
     async with asyncio.timeout(60):
-        while not true(await tier.states()):
+        while not condition(await tier.states()):
             await asyncio.sleep(0.005)
-    return loop.time() - begin
+    return loop.time() - started_at
 
 
-def formed(states: dict[str, Any]) -> bool:
+def is_formed(states: dict[str, Any]) -> bool:
+    """Return whether there is one leader and all members know each other and have a session."""
     leaders = sum(state["council_leads"] for state in states.values())
-    whole = all(len(state["alive"]) == len(states) for state in states.values())
-    return leaders == 1 and whole and all(state["council_session"] for state in states.values())
+    all_known = all(len(state["alive"]) == len(states) for state in states.values())
+    return leaders == 1 and all_known and all(state["council_session"] for state in states.values())
 
 
-def led(states: dict[str, Any]) -> bool:
+def has_leader(states: dict[str, Any]) -> bool:
+    """Return whether a member leads."""
     return any(state["council_leads"] for state in states.values())
 
 
-def unseen(name: str, states: dict[str, Any]) -> bool:
+def is_unseen(name: str, states: dict[str, Any]) -> bool:
+    """Return whether no member counts `name` as alive."""
     return not any(name in state["alive"] for state in states.values())
 
 
-async def settle_times(tier: Tier, count: int) -> list[float]:
+async def settle_times_ms(tier: Tier, count: int) -> list[float]:
+    """Return the milliseconds that each of `count` marks takes to settle, at each member in turn."""
     loop, times = asyncio.get_running_loop(), []
     for number in range(count):
-        begin = loop.time()
+        started_at = loop.time()
         member = tier.members[tier.names[number % len(tier.names)]]
-        found = await member.ask("mark", id=f"timed-{number}", within_us=10 * S)
-        assert found["over"] == "settled", found
-        times.append((loop.time() - begin) * 1000)
+        reply = await member.ask("mark", id=f"timed-{number}", within_us=10 * S)
+        assert reply["over"] == "settled", reply
+        times.append((loop.time() - started_at) * 1000)
     return times
 
 
-async def processes(count: int, marks: int, kills: int) -> dict[str, float]:
-    """Settle times, and the leader killed several times."""
-    with tempfile.TemporaryDirectory() as home:
-        tier = Tier(Path(home), count, min(count, 5), beat_ms=BEAT_MS, session_ms=SESSION_MS)
+async def measure_processes(count: int, marks: int, kills: int) -> dict[str, float]:
+    """Measure settle times and, with more than 3 members, the replacement of a killed leader."""
+    with tempfile.TemporaryDirectory() as folder:
+        tier = Tier(Path(folder), count, min(count, 5), beat_ms=HEARTBEAT_MS, session_ms=SESSION_MS)
         try:
             await tier.start()
-            formed_s = await until(tier, formed)
-            times = await settle_times(tier, marks)
-            longest = max(state["council_longest_turn_us"] for state in (await tier.states()).values())
+            formed_s = await seconds_until(tier, is_formed)
+            times_ms = await settle_times_ms(tier, marks)
+            longest_us = max(state["council_longest_turn_us"] for state in (await tier.states()).values())
             figures = {
                 f"formed_{count}_s": formed_s,
-                f"settle_{count}_p50_ms": quantile(times, 0.5),
-                f"settle_{count}_p99_ms": quantile(times, 0.99),
-                f"longest_turn_{count}_ms": longest / 1000,
+                f"settle_{count}_p50_ms": quantile(times_ms, 0.5),
+                f"settle_{count}_p99_ms": quantile(times_ms, 0.99),
+                f"longest_turn_{count}_ms": longest_us / 1000,
             }
             replaced, death = [], []
             for _ in range(kills if count > 3 else 0):
                 states = await tier.states()
-                first = next(name for name, state in states.items() if state["council_leads"])
-                tier.members[first].signal(signal.SIGKILL)
-                await tier.members[first].end()
-                replaced.append(await until(tier, led))
-                death.append(replaced[-1] + await until(tier, partial(unseen, first)))
-                await tier.members[first].start()
-                await until(tier, formed)
+                leader = next(name for name, state in states.items() if state["council_leads"])
+                tier.members[leader].signal(signal.SIGKILL)
+                await tier.members[leader].end()
+                replaced.append(await seconds_until(tier, has_leader))
+                death.append(replaced[-1] + await seconds_until(tier, partial(is_unseen, leader)))
+                await tier.members[leader].start()
+                await seconds_until(tier, is_formed)
             if replaced:
                 figures |= {f"replaced_{count}_s": max(replaced), f"death_{count}_s": max(death)}
             return figures
@@ -134,70 +146,70 @@
 # --- virtual time ---
 
 
-def virtual(count: int, marks: int, kills: int, seed: int) -> dict[str, float]:
-    """The same cores; settle, everywhere, words a beat, a leader killed."""
-    play = CouncilHistory(seed, count, 7)
-    play.run(FORMED_S * S)
-    words, sent, begin = dict(play.words_out), dict(play.bytes_out), play.now
-    play.run(play.now + QUIET_S * S)  # with nothing to settle: what a beat costs
-    beats = (play.now - begin) / (BEAT_MS * MS)
+def measure_virtual(count: int, marks: int, kills: int, seed: int) -> dict[str, float]:
+    """Measure in virtual time: settling, messages per heartbeat, replacement of a killed leader."""
+    history = CouncilHistory(seed, count, 7)
+    history.run(FORMATION_S * S)
+    messages_before, bytes_before, idle_from = dict(history.words_out), dict(history.bytes_out), history.now
+    history.run(history.now + IDLE_S * S)  # nothing to settle: the cost of a heartbeat alone
+    beats = (history.now - idle_from) / (HEARTBEAT_MS * MS)
 
-    def words_of(part: str, rank: Callable[[list[float]], float]) -> float:
-        return rank(
+    def messages_per_beat(part: str, reduce: Callable[[list[float]], float]) -> float:
+        return reduce(
             [
-                (play.words_out.get((door, part), 0) - words.get((door, part), 0)) / beats
+                (history.words_out.get((door, part), 0) - messages_before.get((door, part), 0)) / beats
                 for door in range(count)
             ]
         )
 
-    bytes_s = [(play.bytes_out[door] - sent[door]) / QUIET_S for door in range(count)]
+    bytes_s = [(history.bytes_out[door] - bytes_before[door]) / IDLE_S for door in range(count)]
     figures = {
-        f"membership_words_{count}": words_of("membership", statistics.mean),
-        f"tree_words_{count}": words_of("spread", max),
+        f"membership_words_{count}": messages_per_beat("membership", statistics.mean),
+        f"tree_words_{count}": messages_per_beat("spread", max),
         f"bytes_s_most_{count}": max(bytes_s),
         f"bytes_s_mean_{count}": statistics.mean(bytes_s),
     }
     draw, settled, everywhere = Random(f"{seed}:marks"), [], []
     for _ in range(marks):
-        told = play.marks[play.mark(draw.randrange(count))]
-        while not (told.everywhere_us and told.over_us):
-            play.run(play.now + 10 * MS)
-            play.proofs()
-        settled.append((told.over_us - told.asked_us) / MS)
-        everywhere.append((told.everywhere_us - told.asked_us) / MS)
-        play.run(play.now + draw.randrange(S // 4))
+        mark = history.marks[history.mark(draw.randrange(count))]
+        while not (mark.everywhere_us and mark.over_us):
+            history.run(history.now + 10 * MS)
+            history.proofs()
+        settled.append((mark.over_us - mark.asked_us) / MS)
+        everywhere.append((mark.everywhere_us - mark.asked_us) / MS)
+        history.run(history.now + draw.randrange(S // 4))
     figures |= {
         f"settle_{count}_p50_ms": quantile(settled, 0.5),
         f"settle_{count}_p99_ms": quantile(settled, 0.99),
         f"everywhere_{count}_p99_ms": quantile(everywhere, 0.99),
     }
-    replaced, death, at = [], [], play.now
+    replaced, death, killed_at = [], [], history.now
     for number in range(kills):
         if number:
-            play.run(at + 50 * S)  # the last one is back, and all is well again
-        (leader,) = play.leaders()
-        name, at = play.names[leader], play.now
-        play.kill(play.nodes[leader], 40 * S)
-        while not play.leaders():
-            play.run(play.now + 10 * MS)
-        replaced.append((play.now - at) / S)
+            history.run(killed_at + 50 * S)  # the killed member is back and the council has recovered
+        (leader,) = history.leaders()
+        name, killed_at = history.names[leader], history.now
+        history.kill(history.nodes[leader], 40 * S)
+        while not history.leaders():
+            history.run(history.now + 10 * MS)
+        replaced.append((history.now - killed_at) / S)
         while any(
-            name in {life.name for life in play.cored[door].components.membership.live_instances()}
-            for door in play.living()
+            name in {instance.name for instance in history.cored[door].components.membership.live_instances()}
+            for door in history.living()
         ):
-            play.run(play.now + 100 * MS)
-        death.append((play.now - at) / S)
+            history.run(history.now + 100 * MS)
+        death.append((history.now - killed_at) / S)
     return figures | {f"replaced_{count}_s": max(replaced), f"death_{count}_s": max(death)}
 
 
-def history(seed: int) -> str:
-    """One random history; what broke, or nothing."""
+def run_history(seed: int) -> str:
+    """Run one random history; return the violated rule, or an empty string."""
     draw = Random(seed)
     seats = draw.choice((3, 5, 5, 7))
-    play = CouncilHistory(seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * S)
+    history = CouncilHistory(seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * S)
     try:
-        trouble(play, seed)
-        calm(play)
+        trouble(history, seed)
+        calm(history)
     except BrokenError as error:
         return f"seed {seed}: {error}"
     return ""
@@ -206,49 +218,54 @@
 # --- CPU for a request ---
 
 
-async def cpu_more(rounds: int, count: int) -> dict[str, float]:
-    """A front door with a council of three against one without, in turn; the median of the pairs."""
-    host, loop = own_host(), Loop()
-    backend = Listener(host, Instant)
-    with tempfile.TemporaryDirectory() as home:
-        tier = Tier(Path(home), 3, 3, beat_ms=BEAT_MS, session_ms=SESSION_MS)
-        plain = await start_door(host, 60, backend.address)
+async def measure_cpu(rounds: int, count: int) -> dict[str, float]:
+    """Compare the CPU of a front door with a council of three and one without; medians of the pairs."""
+    host, clients = own_host(), ClosedLoopClients()
+    backend = Listener(host, ImmediateServer)
+    with tempfile.TemporaryDirectory() as folder:
+        tier = Tier(Path(folder), 3, 3, beat_ms=HEARTBEAT_MS, session_ms=SESSION_MS)
+        without_council = await start_door(host, 60, backend.address)
         try:
             await tier.prepare()
             operator = tier.operator_file("n0")
-            command = ("env", f"MOLEREACH_OPERATOR={operator}", *DOOR)
-            beside = await start_door(host, 60, backend.address, command)
+            command = ("env", f"MOLEREACH_OPERATOR={operator}", *DOOR_COMMAND)
+            with_council = await start_door(host, 60, backend.address, command)
             try:
                 for name in ("n1", "n2"):
                     await tier.members[name].start()
-                await until(
+                await seconds_until(
                     tier,
                     lambda states: all(
                         state["council_session"] and len(state["alive"]) == 3 for state in states.values()
                     ),
                 )
-                return await rounds_of({"off": plain[0], "on": beside[0]}, loop, rounds, count)
+                return await measure_rounds(
+                    {"off": without_council[0], "on": with_council[0]}, clients, rounds, count
+                )
             finally:
-                await finish(beside)
+                await stop_door(with_council)
         finally:
-            await finish(plain)
+            await stop_door(without_council)
             await tier.close()
             backend.end()
 
 
-async def rounds_of(doors: dict[str, Any], loop: Loop, rounds: int, count: int) -> dict[str, float]:
-    taken: dict[str, list[float]] = {side: [] for side in doors}
+async def measure_rounds(
+    doors: dict[str, Any], clients: ClosedLoopClients, rounds: int, count: int
+) -> dict[str, float]:
+    """Measure both front doors in alternating order."""
+    cpu_us: dict[str, list[float]] = {side: [] for side in doors}
     for door in doors.values():
-        await loop.run(door.address, 300)
+        await clients.run(door.address, 300)
     for number in range(rounds):
         for side in (("off", "on"), ("on", "off"))[number % 2]:
             door = doors[side]
-            taken[side].append((await cost(loop, door.process.pid, door.address, count))[0])
-    ratios = [on / off for on, off in zip(taken["on"], taken["off"], strict=True)]
+            cpu_us[side].append((await cpu_per_request_us(clients, door.process.pid, door.address, count))[0])
+    ratios = [on / off for on, off in zip(cpu_us["on"], cpu_us["off"], strict=True)]
     memory = {side: door.usage()[1] / (1 << 20) for side, door in doors.items()}
     return {
-        "cpu_off_us": statistics.median(taken["off"]),
-        "cpu_on_us": statistics.median(taken["on"]),
+        "cpu_off_us": statistics.median(cpu_us["off"]),
+        "cpu_on_us": statistics.median(cpu_us["on"]),
         "cpu_more_percent": 100 * (statistics.median(ratios) - 1),
         "memory_more_mb": memory["on"] - memory["off"],
     }
@@ -257,38 +274,39 @@
 # --- all ---
 
 
-async def everything(quick: bool, seed: int, progress: bool) -> Result:
+async def measure_all(quick: bool, seed: int, progress: bool) -> Result:
+    """Run all measurements."""
     figures: dict[str, float] = {}
 
     async def step(text: str, job: Awaitable[dict[str, float]]) -> None:
-        found = await job
-        figures.update({name: round(value, 3) for name, value in found.items()})
+        measured = await job
+        figures.update({name: round(value, 3) for name, value in measured.items()})
         if progress:
-            print(f"{text}: {found}", file=sys.stderr)
+            print(f"{text}: {measured}", file=sys.stderr)
 
-    await step("CPU", cpu_more(*((QUICK_ROUNDS, QUICK_REQUESTS) if quick else (ROUNDS, REQUESTS))))
-    marks, kills = (QUICK_MARKS, QUICK_KILLS) if quick else (MARKS, KILLS)
+    await step("CPU", measure_cpu(*((QUICK_ROUNDS, QUICK_REQUESTS) if quick else (ROUNDS, REQUESTS))))
+    marks, kills = (QUICK_MARK_COUNT, QUICK_KILLS) if quick else (MARK_COUNT, KILLS)
     for count in QUICK_PROCESSES if quick else PROCESSES:
-        await step(f"{count} processes", processes(count, marks, kills))
+        await step(f"{count} processes", measure_processes(count, marks, kills))
     loop, broken = asyncio.get_running_loop(), []
-    with ProcessPoolExecutor(WORKERS) as pool:
+    with ProcessPoolExecutor(POOL_PROCESSES) as pool:
         virtual_kills = QUICK_VIRTUAL_KILLS if quick else VIRTUAL_KILLS
-        virtual_marks = QUICK_VIRTUAL_MARKS if quick else VIRTUAL_MARKS
-        plays = [
-            loop.run_in_executor(pool, virtual, count, virtual_marks, virtual_kills, seed)
+        virtual_marks = QUICK_VIRTUAL_MARK_COUNT if quick else VIRTUAL_MARK_COUNT
+        virtual_jobs = [
+            loop.run_in_executor(pool, measure_virtual, count, virtual_marks, virtual_kills, seed)
             for count in (QUICK_VIRTUAL if quick else VIRTUAL)
         ]
         histories = QUICK_HISTORIES if quick else HISTORIES
         seeds = range(seed * 1_000_000, seed * 1_000_000 + histories)
-        found = [loop.run_in_executor(pool, history, each) for each in seeds]
-        for job in plays:
+        history_jobs = [loop.run_in_executor(pool, run_history, each) for each in seeds]
+        for job in virtual_jobs:
             await step("virtual time", job)
-        broken = [text for text in await asyncio.gather(*found) if text]
+        broken = [text for text in await asyncio.gather(*history_jobs) if text]
     figures |= {"histories": float(histories), "histories_broken": float(len(broken))}
     return Result("council", seed, AIMS, figures, {"broken": broken[:20]})
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
-    """Aims are the bounds of docs/design/council.md, stated before these were measured."""
+    """The aims are the bounds of docs/design/council.md, stated before the measurement."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(everything(quick, seed, progress))
+        return runner.run(measure_all(quick, seed, progress))
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -1,9 +1,9 @@
 """CPU of a front door for one served request, against a bare pass-through of the same bytes, in one run.
 
 Clients in a closed loop send the same commands through a front door with 4, 60, 200 and 500 servers, and
-through a program that only hands bytes on. The servers answer at once. CPU is read from the clock of each
-process. Then the longest turn of the loop, under the same load while the whole list changes. With `--against
-DIR` the front door of another checkout takes its turns in the same rounds.
+through a program that only forwards bytes. The servers answer immediately. CPU is read from the clock of each
+process. Then the longest iteration of the event loop is measured, under the same load while the whole list
+changes. With `--against DIR` the front door of another checkout is measured in the same rounds.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 import uvloop
 
 from benchmarks.result import Result
-from benchmarks.turns import MARK
+from benchmarks.turns import LOG_PREFIX
 from rig.clients import ClientConnection, encode
 from rig.discovery import Agent
 from rig.doors import FRONT_DOOR, Door, die_with_parent
@@ -39,46 +39,50 @@
 WARM_UP = 300
 CUSTOMERS = 64
 WAIT_S = 60.0
-Cost = tuple[int, Address]  # of a program: its process, and where it listens
-REPORT = b"util=0.200,latency_ms=2.00"
-# With -P only PYTHONPATH says whose front door it is, and not the folder that it is started in.
-DOOR = (sys.executable, "-P", "-m", "molereach")
-TURNS = (sys.executable, "-P", str(Path(__file__).with_name("turns.py")))
-LIST_CHANGES = 5  # of all servers at once, while the longest turn is measured
-LIST_EVERY_S = 0.3
+ProcessAddress = tuple[int, Address]  # process id of a program and the address that it listens on
+LOAD_REPORT = b"util=0.200,latency_ms=2.00"
+# With -P only PYTHONPATH selects the checkout, and not the working directory.
+DOOR_COMMAND = (sys.executable, "-P", "-m", "molereach")
+TIMED_DOOR_COMMAND = (sys.executable, "-P", str(Path(__file__).with_name("turns.py")))
+LIST_CHANGES = 5  # of all servers at once, while the longest iteration is measured
+LIST_INTERVAL_S = 0.3
 
 
-class Instant(asyncio.Protocol):
-    """A server that answers every command at once."""
+class ImmediateServer(asyncio.Protocol):
+    """A server that answers every command immediately."""
 
     def __init__(self) -> None:
         self.reader: Any = hiredis.Reader()
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Answer each complete command with its request id and a load report."""
         self.reader.feed(data)
-        while (words := self.reader.gets()) is not False:
-            value = words[2]
+        while (command := self.reader.gets()) is not False:
+            value = command[2]
             self.transport.write(
-                b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(REPORT), REPORT)
+                b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n"
+                % (len(value), value, len(LOAD_REPORT), LOAD_REPORT)
             )
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds that a process has used so far."""
+    """Return the CPU seconds that a process has used so far."""
     return time.clock_gettime((~pid << 3) | 2)  # the kernel's numbering of other processes' CPU clocks
 
 
-class Loop:
+class ClosedLoopClients:
     """Clients in a closed loop."""
 
     def __init__(self) -> None:
         self.serial = 0
 
-    def command(self) -> bytes:
+    def next_request(self) -> bytes:
+        """Return the next request's bytes."""
         self.serial += 1
         customer = self.serial % CUSTOMERS
         return encode(
@@ -92,7 +96,7 @@
         )
 
     async def run(self, address: Address, count: int) -> int:
-        """Ask `count` times over all clients; how many were served."""
+        """Send `count` requests over all clients; return how many were served."""
         facts: list[Fact] = []
         served = 0
 
@@ -102,7 +106,7 @@
                 lambda: ClientConnection("door", facts), *address
             )
             for _ in range(times):
-                reply = await connection.ask(self.command())
+                reply = await connection.ask(self.next_request())
                 served += isinstance(reply, bytes | list)
             connection.abort()
 
@@ -110,8 +114,8 @@
         return served
 
 
-def open_settings() -> dict[str, object]:
-    """One front door, with quotas that let everything through."""
+def unlimited_settings() -> dict[str, object]:
+    """Return the settings of a single front door with quotas that refuse nothing."""
     values = settings(0, 1, MemberSpec())
     plans = [dict(plan) for plan in values["plans"]]  # type: ignore[attr-defined]
     for plan in plans:
@@ -122,6 +126,7 @@
 async def start_door(
     host: str, servers: int, target: Address, command: Sequence[str] = FRONT_DOOR
 ) -> tuple[Door, Agent]:
+    """Start a front door and its discovery, with a list of `servers` entries that all lead to `target`."""
     facts: list[Fact] = []
     registry = Registry()
     for number in range(servers):
@@ -135,7 +140,7 @@
         listen="{}:{}".format(*door.address),
         discovery="{}:{}".format(*discovery),
         limits={"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        settings=open_settings(),
+        settings=unlimited_settings(),
         seed="1",
         known=agent.known(),
     )
@@ -144,133 +149,148 @@
     return door, agent
 
 
-async def cost(loop: Loop, pid: int, address: Address, count: int) -> tuple[float, int]:
-    """CPU microseconds of a process for each of `count` requests, and how many were served."""
+async def cpu_per_request_us(
+    clients: ClosedLoopClients, pid: int, address: Address, count: int
+) -> tuple[float, int]:
+    """Return a process's CPU microseconds for each of `count` requests, and how many were served."""
     before = cpu_s(pid)
-    served = await loop.run(address, count)
+    served = await clients.run(address, count)
     return (cpu_s(pid) - before) * 1e6 / count, served
 
 
-class Sides:
-    """The front door of this checkout and, if one is named, that of another: started and asked alike."""
+class ComparedCheckouts:
+    """The front doors of this checkout and, if one is named, of another, started and measured alike."""
 
     def __init__(self, host: str, target: Address, against: str) -> None:
         self.host, self.target = host, target
         self.roots = {"": "", **({"against_": against} if against else {})}
 
     def command(self, side: str, command: Sequence[str]) -> Sequence[str]:
+        """Return the command that runs `command` with the checkout of a side."""
         root = self.roots[side]
         return ("env", f"PYTHONPATH={root}", *command) if root else command
 
     async def start(self, servers: int) -> dict[str, tuple[Door, Agent]]:
+        """Start a front door of each side."""
         return {
-            side: await start_door(self.host, servers, self.target, self.command(side, DOOR))
+            side: await start_door(self.host, servers, self.target, self.command(side, DOOR_COMMAND))
             for side in self.roots
         }
 
 
-async def finish(started: tuple[Door, Agent]) -> None:
+async def stop_door(started: tuple[Door, Agent]) -> None:
+    """Stop a front door and its discovery."""
     door, agent = started
     await door.finish()
     door.close()
     agent.close()
 
 
-async def longest_turn(sides: Sides, side: str, loop: Loop, servers: int, count: int) -> float:
-    """In milliseconds of CPU: requests, and the whole list anew several times."""
-    started = door, agent = await start_door(sides.host, servers, sides.target, sides.command(side, TURNS))
+async def longest_iteration_ms(
+    checkouts: ComparedCheckouts, side: str, clients: ClosedLoopClients, servers: int, count: int
+) -> float:
+    """Return the longest event loop iteration, in CPU time, under requests and changes of the list."""
+    started = door, agent = await start_door(
+        checkouts.host, servers, checkouts.target, checkouts.command(side, TIMED_DOOR_COMMAND)
+    )
     try:
-        await loop.run(door.address, WARM_UP)
+        await clients.run(door.address, WARM_UP)
         door.signal(signal.SIGUSR1)
-        asking = asyncio.ensure_future(loop.run(door.address, count))
+        traffic = asyncio.ensure_future(clients.run(door.address, count))
         registry = Registry(version=agent.view.version)
         for number in range(LIST_CHANGES):
             state = Listed.SERVING if number % 2 else Listed.DRAINING
-            # The first stays as it is, so that requests have a place to go.
+            # The first server keeps serving, so that requests can be forwarded.
             await agent.learn(
                 [registry.put(f"s-{each}", "plant-building", state, 0) for each in range(1, servers)]
             )
-            await asyncio.sleep(LIST_EVERY_S)
-        await asking
+            await asyncio.sleep(LIST_INTERVAL_S)
+        await traffic
     finally:
-        await finish(started)
-    line = next(line for line in reversed(door.log) if MARK in line)
-    return float(json.loads(line.rpartition(MARK)[2])["longest_us"]) / 1000
+        await stop_door(started)
+    line = next(line for line in reversed(door.log) if LOG_PREFIX in line)
+    return float(json.loads(line.rpartition(LOG_PREFIX)[2])["longest_us"]) / 1000
 
 
-async def rounds_of(
-    doors: dict[str, tuple[Door, Agent]], loop: Loop, bare: Cost, times: int, count: int
+async def measure_rounds(
+    doors: dict[str, tuple[Door, Agent]],
+    clients: ClosedLoopClients,
+    baseline: ProcessAddress,
+    times: int,
+    count: int,
 ) -> tuple[dict[str, list[float]], float]:
-    """CPU for a request in each round, by side and of the pass-through (`bare`), and the share served."""
-    taken: dict[str, list[float]] = {side: [] for side in (*doors, "bare")}
+    """Return the CPU for a request in each round, by side and for the baseline, and the share served."""
+    cpu_us: dict[str, list[float]] = {side: [] for side in (*doors, "bare")}
     served = 0
     for door, _ in doors.values():
-        await loop.run(door.address, WARM_UP)
-    for _ in range(times):  # in turn, so that what slows the machine slows all
+        await clients.run(door.address, WARM_UP)
+    for _ in range(times):  # alternating, so that a slowdown of the machine affects all
         for side, (door, _) in doors.items():
             assert door.process is not None
-            spent, good = await cost(loop, door.process.pid, door.address, count)
-            taken[side].append(spent)
-            served += good
-        taken["bare"].append((await cost(loop, *bare, count))[0])
-    return taken, served / (times * len(doors) * (count // CLIENTS * CLIENTS))
-
-
-def cost_figures(taken: dict[str, list[float]], servers: int) -> dict[str, float]:
-    bares = taken["bare"]
-    figures = {f"passthrough_us_{servers}": round(statistics.median(bares), 1)}
-    for side in (side for side in taken if side != "bare"):
-        ratio = statistics.median(one / other for one, other in zip(taken[side], bares, strict=True))
+            request_us, served_now = await cpu_per_request_us(clients, door.process.pid, door.address, count)
+            cpu_us[side].append(request_us)
+            served += served_now
+        cpu_us["bare"].append((await cpu_per_request_us(clients, *baseline, count))[0])
+    return cpu_us, served / (times * len(doors) * (count // CLIENTS * CLIENTS))
+
+
+def cost_figures(cpu_us: dict[str, list[float]], servers: int) -> dict[str, float]:
+    """Return medians of the rounds, and their ratios to the baseline."""
+    baseline_us = cpu_us["bare"]
+    figures = {f"passthrough_us_{servers}": round(statistics.median(baseline_us), 1)}
+    for side in (side for side in cpu_us if side != "bare"):
+        ratio = statistics.median(one / other for one, other in zip(cpu_us[side], baseline_us, strict=True))
         figures[f"{side}ratio_{servers}"] = round(ratio, 2)
-        figures[f"{side}door_us_{servers}"] = round(statistics.median(taken[side]), 1)
+        figures[f"{side}door_us_{servers}"] = round(statistics.median(cpu_us[side]), 1)
     return figures
 
 
 async def compare(quick: bool, progress: bool, against: str) -> tuple[dict[str, float], dict[str, object]]:
-    host, loop = own_host(), Loop()
+    """Measure all sizes; return the figures and the rounds behind them."""
+    host, clients = own_host(), ClosedLoopClients()
     times, count = (QUICK_ROUNDS, QUICK_REQUESTS) if quick else (ROUNDS, REQUESTS)
-    backend = Listener(host, Instant)
-    sides = Sides(host, backend.address, against)
-    bare = subprocess.Popen(
+    backend = Listener(host, ImmediateServer)
+    checkouts = ComparedCheckouts(host, backend.address, against)
+    baseline = subprocess.Popen(
         [sys.executable, "-m", "benchmarks.passthrough", host, str(backend.address[1])],
         stdout=subprocess.PIPE,
         preexec_fn=die_with_parent(),
     )
-    assert bare.stdout is not None
-    address = host, int(await asyncio.to_thread(bare.stdout.readline))
+    assert baseline.stdout is not None
+    address = host, int(await asyncio.to_thread(baseline.stdout.readline))
     figures: dict[str, float] = {"served_share": 1.0}
     costs: dict[str, object] = {}
     try:
-        await loop.run(address, WARM_UP)
+        await clients.run(address, WARM_UP)
         for servers in SERVERS:
-            doors = await sides.start(servers)
+            doors = await checkouts.start(servers)
             try:
-                taken, share = await rounds_of(doors, loop, (bare.pid, address), times, count)
-                figures |= cost_figures(taken, servers)
+                cpu_us, share = await measure_rounds(doors, clients, (baseline.pid, address), times, count)
+                figures |= cost_figures(cpu_us, servers)
                 figures["served_share"] = min(figures["served_share"], round(share, 4))
                 for side, (door, _) in doors.items():
                     figures[f"{side}memory_mb_{servers}"] = round(door.usage()[1] / (1 << 20), 1)
-                costs[str(servers)] = taken
+                costs[str(servers)] = cpu_us
             finally:
                 for started in doors.values():
-                    await finish(started)
-            for side in sides.roots:
-                turn = await longest_turn(sides, side, loop, servers, count)
-                figures[f"{side}longest_turn_ms_{servers}"] = round(turn, 2)
+                    await stop_door(started)
+            for side in checkouts.roots:
+                iteration_ms = await longest_iteration_ms(checkouts, side, clients, servers, count)
+                figures[f"{side}longest_turn_ms_{servers}"] = round(iteration_ms, 2)
             if progress:
                 print(
                     f"{servers} servers: {figures[f'ratio_{servers}']:.1f} times the pass-through",
                     file=sys.stderr,
                 )
     finally:
-        bare.kill()
-        bare.wait()
+        baseline.kill()
+        baseline.wait()
         backend.end()
     return figures, {"rounds": costs}
 
 
 def measure(quick: bool, seed: int, progress: bool, against: str = "") -> Result:
-    """The ratio has no aim yet: an issue of its own brings it down. All requests must be served.
+    """Aims: all requests are served; the ratio to the baseline has no aim.
 
     `against` is the root of another checkout, whose front door runs with the libraries of this one.
     """
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from benchmarks.door import Instant, Loop, cost, start_door
+from benchmarks.door import ClosedLoopClients, ImmediateServer, cpu_per_request_us, start_door
 from benchmarks.result import Result, quantile
 from molereach.fleet.agent.link import Link
 from molereach.fleet.api_bodies import Status
@@ -27,70 +27,70 @@
 from rig.sockets import Listener, own_host, reserve
 from rig.world.world import World
 
-TRIALS, QUICK_TRIALS, TRIALS_AT_ONCE = 20, 1, 1  # one after another: the rig judges times
+TRIALS, QUICK_TRIALS, PARALLEL_TRIALS = 20, 1, 1  # sequential: the rig checks times
 ORDERS, QUICK_ORDERS = 60, 8
 AGENTS, PER_PROCESS = 200, 50
 STATUS_ROUNDS, BIG_ORDERS, QUICK_BIG_ORDERS = 5, 10, 2
-COST_PAIRS, QUICK_COST_PAIRS = 14, 2  # of processes: each has a speed of its own by its layout in memory
+COST_PAIRS, QUICK_COST_PAIRS = 14, 2  # pairs of processes: memory layout makes each process's speed differ
 COST_ROUNDS, QUICK_COST_ROUNDS = 16, 12
 COST_REQUESTS = 320
-BEAT_S = 0.3  # as an agent asks
+POLL_INTERVAL_S = 0.3  # an agent's polling interval
 SERVERS = 50
 
 
-async def trials(count: int, seed: int, say: Callable[[str], None]) -> list[Trial]:
-    """A front door killed at each step in turn, with load; some side by side."""
-    places, done = asyncio.Semaphore(TRIALS_AT_ONCE), []
+async def run_trials(count: int, seed: int, say: Callable[[str], None]) -> list[Trial]:
+    """Kill a front door at each step of an order in turn, under load."""
+    slots, done = asyncio.Semaphore(PARALLEL_TRIALS), []
 
-    async def one(number: int) -> None:
-        async with places:
+    async def run(number: int) -> None:
+        async with slots:
             trial = await kill_at(STEPS[number % len(STEPS)], seed + number)
             done.append(trial)
             late = "" if trial.world.ledger.times_judged else "; the rig was late"
             outcome = "in order" if trial.ok else f"NOT in order: {trial.wrong}{late}"
             say(f"killed at '{trial.step}': {trial.report.verdict.value}, {outcome}")
 
-    await asyncio.gather(*(one(number) for number in range(count)))
+    await asyncio.gather(*(run(number) for number in range(count)))
     return done
 
 
-async def orders_under_traffic(count: int, seed: int) -> list[float]:
-    """Milliseconds from giving an order to the last of five front doors' confirmation."""
+async def order_times_under_traffic(count: int, seed: int) -> list[float]:
+    """Return the milliseconds from giving an order until the last of five front doors confirms it."""
     with tempfile.TemporaryDirectory() as folder:
         world = World(scenario(5, 4.0 + count * 0.25), seed)
         rig, ready = FleetRig(Path(folder), world.host, world.doors), asyncio.Event()
         try:
             await rig.start()
-            day = asyncio.get_running_loop().create_task(world.run(ready.set))
+            run = asyncio.get_running_loop().create_task(world.run(ready.set))
             await ready.wait()
             async with Fleet(rig.file, load(rig.file, FleetFile)) as fleet:
-                found = await timed_orders(fleet, count)
-            day.cancel()
-            await asyncio.gather(day, return_exceptions=True)
+                times_ms = await order_times_ms(fleet, count)
+            run.cancel()
+            await asyncio.gather(run, return_exceptions=True)
         finally:
             world.close()
             rig.close()
-        return found
+        return times_ms
 
 
-async def timed_orders(fleet: Fleet, count: int) -> list[float]:
-    """Drains and undrains in turn; an order that is not done everywhere counts as for ever."""
-    found = []
+async def order_times_ms(fleet: Fleet, count: int) -> list[float]:
+    """Drain and undrain in turn; an order that is not done everywhere counts as infinite."""
+    times_ms = []
     for number in range(count):
         verb = (Verb.DRAIN, Verb.UNDRAIN)[number % 2]
-        begun = now_us()
+        started_us = now_us()
         report = await give(fleet, draft(f"o{number}", verb))
-        found.append((now_us() - begun) / 1000 if report.verdict is Verdict.DONE else float("inf"))
-    return found
+        times_ms.append((now_us() - started_us) / 1000 if report.verdict is Verdict.DONE else float("inf"))
+    return times_ms
 
 
-async def many_agents(orders: int, say: Callable[[str], None]) -> dict[str, float]:
-    """200 agents in processes of 50: a status of all, and orders."""
+async def measure_many_agents(orders: int, say: Callable[[str], None]) -> dict[str, float]:
+    """Measure the status of all 200 agents, in processes of 50, and orders to them."""
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder, host = Path(name), own_host()
-        held = [reserve(host) for _ in range(AGENTS)]
+        reserved = [reserve(host) for _ in range(AGENTS)]
         lines = ['token = "token"', "timeout-s = 30.0", "agree-s = 60.0", "confirm-s = 60.0"]
-        for number, (holder, address) in enumerate(held):
+        for number, (holder, address) in enumerate(reserved):
             stack.callback(holder.close)
             lines += [
                 "[[agents]]",
@@ -105,13 +105,13 @@
         processes = [
             stack.enter_context(
                 subprocess.Popen(
-                    [sys.executable, "-m", "benchmarks.agents", str(file), str(first), str(PER_PROCESS)],
+                    [sys.executable, "-m", "benchmarks.agents", str(file), str(offset), str(PER_PROCESS)],
                     stdin=subprocess.PIPE,
                     stdout=subprocess.PIPE,
                     preexec_fn=die_with_parent(),
                 )
             )
-            for first in range(0, AGENTS, PER_PROCESS)
+            for offset in range(0, AGENTS, PER_PROCESS)
         ]
         try:
             for process in processes:
@@ -119,97 +119,100 @@
                 await asyncio.to_thread(process.stdout.readline)
             say(f"{AGENTS} agents answer")
             async with Fleet(file, load(file, FleetFile)) as fleet:
-                found = await timed_orders(fleet, orders)
-                warm = [await timed_status(fleet) for _ in range(STATUS_ROUNDS)]
-            first = [await fresh_status(file) for _ in range(STATUS_ROUNDS)]
+                times_ms = await order_times_ms(fleet, orders)
+                reused_s = [await status_s(fleet) for _ in range(STATUS_ROUNDS)]
+            new_s = [await new_connection_status_s(file) for _ in range(STATUS_ROUNDS)]
         finally:
             for process in processes:
                 assert process.stdin is not None
                 process.stdin.close()
                 process.wait()
         return {
-            "status_200_s": round(statistics.median(first), 3),
-            "status_200_again_s": round(statistics.median(warm), 3),
-            "order_200_p50_s": round(quantile(found, 0.5) / 1000, 2),
-            "order_200_p99_s": round(quantile(found, 0.99) / 1000, 2),
+            "status_200_s": round(statistics.median(new_s), 3),
+            "status_200_again_s": round(statistics.median(reused_s), 3),
+            "order_200_p50_s": round(quantile(times_ms, 0.5) / 1000, 2),
+            "order_200_p99_s": round(quantile(times_ms, 0.99) / 1000, 2),
         }
 
 
-async def fresh_status(file: Path) -> float:
-    """Seconds for the state of all agents with connections that are made for it, as the command's are."""
-    begun = time.monotonic()
+async def new_connection_status_s(file: Path) -> float:
+    """Return the seconds for the state of all agents over new connections, as the command line uses them."""
+    started_s = time.monotonic()
     async with Fleet(file, load(file, FleetFile), http1=True) as fleet:
-        failed = await timed_status(fleet) == float("inf")
-    return float("inf") if failed else time.monotonic() - begun
+        failed = await status_s(fleet) == float("inf")
+    return float("inf") if failed else time.monotonic() - started_s
 
 
-async def timed_status(fleet: Fleet) -> float:
-    """Seconds for the state of all agents; inf where one did not answer."""
-    begun = time.monotonic()
-    found = await fleet.all("/v1/status", Status)
-    failed = any(isinstance(each, CallError) for each in found.values())
-    return float("inf") if failed else time.monotonic() - begun
+async def status_s(fleet: Fleet) -> float:
+    """Return the seconds for the state of all agents; infinite if one did not answer."""
+    started_s = time.monotonic()
+    answers = await fleet.all("/v1/status", Status)
+    failed = any(isinstance(answer, CallError) for answer in answers.values())
+    return float("inf") if failed else time.monotonic() - started_s
 
 
 @contextlib.asynccontextmanager
-async def watched(path: Path) -> AsyncIterator[None]:
-    """What an agent asks of a front door: its news, and its state again and again."""
+async def polling_agent(path: Path) -> AsyncIterator[None]:
+    """Poll a front door as an agent does: subscribe to its events and request its state repeatedly."""
     link = Link(lambda state: None, lambda why: None)
     await link.open(path)
     await link.request("watch")
 
-    async def beat() -> None:
+    async def poll() -> None:
         while True:
             await link.request("state")
-            await asyncio.sleep(BEAT_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    task = asyncio.get_running_loop().create_task(beat())
+    task = asyncio.get_running_loop().create_task(poll())
     try:
         yield
-        assert not task.done(), "the watcher was dropped"
+        assert not task.done(), "the front door closed the watcher's connection"
     finally:
         task.cancel()
         await link.close()
 
 
-async def control_cost(pairs: int, rounds: int) -> dict[str, float]:
-    """CPU for a request and memory of a front door with control and a watcher, against one without.
+async def measure_control(pairs: int, rounds: int) -> dict[str, float]:
+    """Compare a front door with control and a watcher against one without: CPU for a request, and memory.
 
-    Medians over pairs of fresh processes. Two equal processes are up to 10% apart by their layout in memory,
-    so what a watcher costs is also measured within one process, with it and without it in turn.
+    The figures are medians over pairs of fresh processes. Two equal processes differ by up to 10% because of
+    their memory layout, so the cost of a watcher is also measured within one process, with and without it in
+    turn.
     """
-    found = [await one_pair(rounds) for _ in range(pairs)]
-    return {name: round(statistics.median(each[name] for each in found), 2) for name in found[0]}
+    measured = [await measure_pair(rounds) for _ in range(pairs)]
+    return {name: round(statistics.median(pair[name] for pair in measured), 2) for name in measured[0]}
 
 
-async def one_pair(rounds: int) -> dict[str, float]:
-    """Two processes, measured in turn: off, control with a watcher, control without one."""
+async def measure_pair(rounds: int) -> dict[str, float]:
+    """Measure two processes in turn: without control, with a watcher, with control but no watcher."""
     with tempfile.TemporaryDirectory() as name:
-        host, loop, socket = own_host(), Loop(), Path(name) / "n0.sock"
+        host, clients, socket = own_host(), ClosedLoopClients(), Path(name) / "n0.sock"
         operator = Path(name) / "operator.toml"
         operator.write_text(f'[control]\nsocket = "{socket}"\n')
-        backend = Listener(host, Instant)
+        backend = Listener(host, ImmediateServer)
         off, off_agent = await start_door(host, SERVERS, backend.address)
         on, on_agent = await start_door(
             host, SERVERS, backend.address, (*FRONT_DOOR, "--operator", str(operator))
         )
-        taken: dict[str, list[float]] = {"off": [], "on": [], "idle": []}
+        cpu_us: dict[str, list[float]] = {"off": [], "on": [], "idle": []}
 
         async def measure_door(which: str, door: Door) -> None:
             assert door.process is not None
-            taken[which].append((await cost(loop, door.process.pid, door.address, COST_REQUESTS))[0])
+            cpu_us[which].append(
+                (await cpu_per_request_us(clients, door.process.pid, door.address, COST_REQUESTS))[0]
+            )
 
-        async def measure_watched() -> None:
-            async with watched(socket):
+        async def measure_polled() -> None:
+            async with polling_agent(socket):
                 await measure_door("on", on)
 
         try:
             for door in (off, on):
-                await loop.run(door.address, 320)
+                await clients.run(door.address, 320)
             for number in range(rounds):
                 for which in ("off", "on", "idle") if number % 2 else ("idle", "on", "off"):
                     if which == "on":
-                        await measure_watched()
+                        await measure_polled()
                     else:
                         await measure_door(which, off if which == "off" else on)
             memory = (on.usage()[1] - off.usage()[1]) / (1 << 20)
@@ -220,19 +223,21 @@
                 agent.close()
             backend.end()
 
-    def more(one: str, other: str) -> float:
-        pairs = zip(taken[one], taken[other], strict=True)
+    def overhead_percent(one: str, other: str) -> float:
+        pairs = zip(cpu_us[one], cpu_us[other], strict=True)
         return 100 * statistics.median(first / second - 1 for first, second in pairs)
 
     return {
-        "control_cpu_more_percent": more("on", "off"),
-        "watcher_cpu_more_percent": more("on", "idle"),
-        "control_off_us": statistics.median(taken["off"]),
+        "control_cpu_more_percent": overhead_percent("on", "off"),
+        "watcher_cpu_more_percent": overhead_percent("on", "idle"),
+        "control_off_us": statistics.median(cpu_us["off"]),
         "control_memory_more_mb": memory,
     }
 
 
-async def everything(quick: bool, seed: int, progress: bool) -> Result:
+async def measure_all(quick: bool, seed: int, progress: bool) -> Result:
+    """Run all measurements."""
+
     def say(text: str) -> None:
         if progress:
             print(text, file=sys.stderr)
@@ -244,15 +249,15 @@
 
     figures = await step(
         "control",
-        control_cost(*((QUICK_COST_PAIRS, QUICK_COST_ROUNDS) if quick else (COST_PAIRS, COST_ROUNDS))),
+        measure_control(*((QUICK_COST_PAIRS, QUICK_COST_ROUNDS) if quick else (COST_PAIRS, COST_ROUNDS))),
     )
-    times = await orders_under_traffic(QUICK_ORDERS if quick else ORDERS, seed)
+    times_ms = await order_times_under_traffic(QUICK_ORDERS if quick else ORDERS, seed)
     figures |= {
-        "order_5_p50_ms": round(quantile(times, 0.5), 1),
-        "order_5_p99_ms": round(quantile(times, 0.99), 1),
+        "order_5_p50_ms": round(quantile(times_ms, 0.5), 1),
+        "order_5_p99_ms": round(quantile(times_ms, 0.99), 1),
     }
-    figures |= await step("agents", many_agents(QUICK_BIG_ORDERS if quick else BIG_ORDERS, say))
-    done = await trials(QUICK_TRIALS if quick else TRIALS, seed, say)
+    figures |= await step("agents", measure_many_agents(QUICK_BIG_ORDERS if quick else BIG_ORDERS, say))
+    done = await run_trials(QUICK_TRIALS if quick else TRIALS, seed, say)
     figures |= {
         "trials": float(len(done)),
         "trials_true": float(sum(not trial.wrong for trial in done)),
@@ -288,6 +293,6 @@
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
-    """Aims as the issue has them; a second from an order to the last door's word is the tool's own."""
+    """Aims are the issue's; the second between an order and the last confirmation is the tool's own aim."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(everything(quick, seed, progress))
+        return runner.run(measure_all(quick, seed, progress))
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,6 +1,6 @@
 """Limits over front doors that lose words: bounds in random histories, a moved building, words and CPU.
 
-Figures named `before_` are of the same seed without limits, as the front door was.
+Figures named `before_` are of the same seed without the limits module.
 """
 
 import multiprocessing
@@ -39,7 +39,7 @@
 from sim.run import JOBS_CONTEXT
 from sim.world import play
 
-S = 1_000_000
+US_PER_S = 1_000_000
 HISTORIES, QUICK_HISTORIES = 10_000, 240
 QUOTAS, QUICK_QUOTAS = 400, 40
 SEEDS, QUICK_SEEDS = range(1, 6), range(1, 3)
@@ -48,49 +48,59 @@
 MEASURED_S = 5.0
 TIERS = (3, 10, 50)
 CUSTOMERS, QUICK_CUSTOMERS = 100_000, 5_000
-TIER_RATE, TIER_SECONDS = 2000, 4  # tries a second over a tier
-COST_ROUNDS, QUICK_COST_ROUNDS, COST_TRIES = 9, 3, 3000
-# A plan without a quota, so that the ceiling alone binds.
-CEILING = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
+TIER_RATE_PER_S, TIER_SECONDS = 2000, 4  # requests a second over a tier
+COST_ROUNDS, QUICK_COST_ROUNDS, COST_REQUESTS = 9, 3, 3000
+# A plan without a quota, so that only the ceiling applies.
+CEILING_PLAN = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
 
 
-class Share(msgspec.Struct, frozen=True):
-    """What one random history of shares came to."""
+class ShareOutcome(msgspec.Struct, frozen=True):
+    """Outcome of one random history of shares."""
 
     broken: str
     most_share: float
-    lowest: float  # of the judge's store, as a part of the burst
+    lowest: float  # lowest level of the reference store, as a share of the burst
     granted: int
 
 
-class Over(msgspec.Struct, frozen=True):
-    """What one random history of a quota came to: units beyond it, of the bound stated ahead."""
+class QuotaOutcome(msgspec.Struct, frozen=True):
+    """Outcome of one random history of a quota: units over it, and these as a share of the bound."""
 
-    units: float
-    part: float
-    ceiling: float  # units beyond the ceiling
+    excess_units: float
+    bound_share: float
+    ceiling_excess_units: float  # units over the ceiling
 
 
-def share_history(seed: int) -> Share:
+def run_share_history(seed: int) -> ShareOutcome:
+    """Run one random history of shares."""
     history = ShareHistory(seed)
     try:
         history.play()
     except BrokenError as error:
-        return Share(
+        return ShareOutcome(
             str(error), history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
         )
-    return Share("", history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted)
+    return ShareOutcome(
+        "", history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
+    )
+
 
+def excess_bound(history: QuotaHistory, events: int) -> float:
+    """Return the bound on units over a quota for a number of splits, stops and restarts.
 
-def bound(history: QuotaHistory, events: int) -> float:
-    """docs/design/limits.md: the most that may go beyond a quota, for so many splits, stops and restarts."""
+    It is stated in docs/design/limits.md.
+    """
     plan, others = history.plan, len(history.nodes) - 1
-    silence_s = 4 * history.figures.heartbeat_us / S
-    return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_DECAY_US / S))
+    silence_s = 4 * history.figures.heartbeat_us / US_PER_S
+    return (
+        max(1, events)
+        * others
+        * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_DECAY_US / US_PER_S))
+    )
 
 
-def quota_history(seed: int) -> Over:
-    """Traffic that moves among front doors that lose words, are split and killed."""
+def run_quota_history(seed: int) -> QuotaOutcome:
+    """Run traffic that moves among front doors that lose messages, are partitioned and killed."""
     draw = Random(f"{seed}:quota")
     history = QuotaHistory(seed, draw.randint(2, 5))
     history.mail.loss, history.mail.double = draw.choice((0.0, 0.1, 0.3, 0.5)), draw.choice((0.0, 0.2))
@@ -99,46 +109,50 @@
         weights = [draw.choice((0.0, 0.2, 1.0)) for _ in history.nodes]
         weights[draw.randrange(len(weights))] = 2.0
         until = min(end, at + draw.uniform(1.0, 6.0))
-        history.load(round(at * S), round(until * S), draw.uniform(5, 60), weights)
+        history.load(round(at * US_PER_S), round(until * US_PER_S), draw.uniform(5, 60), weights)
         at = until
     events = draw.randint(0, 4)
     for _ in range(events):
-        fault(history, draw, round(draw.uniform(2.0, 20.0) * S))
-    history.run(round(end * S) + S)
-    # Loss alone may look like a split now and then: each such moment counts as one.
+        schedule_fault(history, draw, round(draw.uniform(2.0, 20.0) * US_PER_S))
+    history.run(round(end * US_PER_S) + US_PER_S)
+    # Message loss alone can look like a partition: each such case counts as an event.
     losses = 1 + (history.mail.loss >= 0.3) * 2 + (history.mail.loss >= 0.5) * 5
-    over = max(0.0, -history.quota.lowest)
-    return Over(over, over / bound(history, events + losses), max(0.0, -history.ceiling.lowest))
+    excess_units = max(0.0, -history.quota.lowest)
+    return QuotaOutcome(
+        excess_units, excess_units / excess_bound(history, events + losses), max(0.0, -history.ceiling.lowest)
+    )
 
 
-def fault(history: QuotaHistory, draw: Random, at: int) -> None:
-    node, lasts = draw.choice(history.nodes), round(draw.uniform(0.3, 8.0) * S)
+def schedule_fault(history: QuotaHistory, draw: Random, at_us: int) -> None:
+    """Schedule a kill or a partition with its end."""
+    node, duration_us = draw.choice(history.nodes), round(draw.uniform(0.3, 8.0) * US_PER_S)
     if draw.random() < 0.4:
-        history.at(at, lambda: history.kill(node, lasts) if node.up else None)
+        history.at(at_us, lambda: history.kill(node, duration_us) if node.up else None)
         return
-    cut = draw.randint(1, len(history.nodes) - 1)
-    names = draw.sample(range(len(history.nodes)), len(history.nodes))
-    links = frozenset((one, other) for one in names for other in names if draw.random() < 0.3)
-    whole = draw.random() < 0.6  # else some links fail, each way by itself
+    group_size = draw.randint(1, len(history.nodes) - 1)
+    numbers = draw.sample(range(len(history.nodes)), len(history.nodes))
+    links = frozenset((one, other) for one in numbers for other in numbers if draw.random() < 0.3)
+    is_group_split = draw.random() < 0.6  # otherwise single links fail, each direction independently
 
     def split() -> None:
-        if whole:
-            history.mail.groups = frozenset(names[:cut]), frozenset(names[cut:])
+        if is_group_split:
+            history.mail.groups = frozenset(numbers[:group_size]), frozenset(numbers[group_size:])
         else:
             history.mail.cut = links
 
     def heal() -> None:
         history.mail.groups, history.mail.cut = (), frozenset()
 
-    history.at(at, split)
-    history.at(at + lasts, heal)
+    history.at(at_us, split)
+    history.at(at_us + duration_us, heal)
 
 
 A = TypeVar("A")
 T = TypeVar("T")
 
 
-def over_cores(work: Callable[[A], T], seeds: Sequence[A], say: Callable[[str], None]) -> Iterator[T]:
+def map_in_processes(work: Callable[[A], T], seeds: Sequence[A], say: Callable[[str], None]) -> Iterator[T]:
+    """Map `work` over the seeds in a pool of processes."""
     context = multiprocessing.get_context(JOBS_CONTEXT)
     with ProcessPoolExecutor(mp_context=context) as pool:
         for number, found in enumerate(pool.map(work, seeds, chunksize=2), 1):
@@ -147,29 +161,30 @@
             yield found
 
 
-def histories(quick: bool, say: Callable[[str], None]) -> tuple[dict[str, float], dict[str, object]]:
+def run_histories(quick: bool, say: Callable[[str], None]) -> tuple[dict[str, float], dict[str, object]]:
+    """Run all random histories; return the figures and the first violations."""
     count, quotas = (QUICK_HISTORIES, QUICK_QUOTAS) if quick else (HISTORIES, QUOTAS)
-    shares = list(over_cores(share_history, range(count), say))
-    overs = list(over_cores(quota_history, range(quotas), say))
-    broken = [found.broken for found in shares if found.broken]
+    share_outcomes = list(map_in_processes(run_share_history, range(count), say))
+    quota_outcomes = list(map_in_processes(run_quota_history, range(quotas), say))
+    broken = [outcome.broken for outcome in share_outcomes if outcome.broken]
     return {
-        "share_histories": len(shares),
+        "share_histories": len(share_outcomes),
         "share_histories_broken": len(broken),
-        "shares_at_most": max(found.most_share for found in shares),
-        "ceiling_left_at_least": round(min(found.lowest for found in shares), 6),
-        "granted_in_histories": sum(found.granted for found in shares),
-        "quota_histories": len(overs),
-        "quota_over_units": round(max(found.units for found in overs), 2),
-        "quota_over_of_bound": round(max(found.part for found in overs), 4),
-        "quota_ceiling_over_units": round(max(found.ceiling for found in overs), 3),
+        "shares_at_most": max(outcome.most_share for outcome in share_outcomes),
+        "ceiling_left_at_least": round(min(outcome.lowest for outcome in share_outcomes), 6),
+        "granted_in_histories": sum(outcome.granted for outcome in share_outcomes),
+        "quota_histories": len(quota_outcomes),
+        "quota_over_units": round(max(outcome.excess_units for outcome in quota_outcomes), 2),
+        "quota_over_of_bound": round(max(outcome.bound_share for outcome in quota_outcomes), 4),
+        "quota_ceiling_over_units": round(max(outcome.ceiling_excess_units for outcome in quota_outcomes), 3),
     }, {"broken": broken[:3]}
 
 
-# --- a building that stands at one front door, or moves at once ---
+# --- a customer whose traffic stays at one front door, or moves at once ---
 
 
-def entitled(plan: Plan, history: QuotaHistory, since: int, until: int, asked: int) -> float:
-    """What one front door that sees all tries would have sent on between two times."""
+def entitled_units(plan: Plan, history: QuotaHistory, since: int, until: int, asked: int) -> float:
+    """Return what a single front door that sees all requests would have forwarded between two times."""
     rate, burst = (
         (plan.quota_rate, plan.quota_burst) if plan.quota_rate else (plan.ceiling_rate, plan.ceiling_burst)
     )
@@ -178,12 +193,12 @@
         if at < since:
             store.take(at, 1.0)
     store.take(since, 0.0)
-    return min(asked, max(0.0, store.level) + rate * (until - since) / S)
+    return min(asked, max(0.0, store.level) + rate * (until - since) / US_PER_S)
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """A building's traffic for 5 s, or for as long as a split."""
+    """A customer's traffic for 5 s, or for the duration of a partition."""
 
     limit: str
     name: str
@@ -195,28 +210,31 @@
     seed: int
 
 
-def granted(case: Case) -> tuple[float, float]:
-    """The share granted of what the plan entitles to over the next 5 s, and units beyond the plan's store."""
+def measure_case(case: Case) -> tuple[float, float]:
+    """Return the granted share of what the plan entitles to over the next 5 s, and the units over it."""
     plan, split_s = case.plan, case.split_s
     history = QuotaHistory(case.seed, 3, case.with_limits, plan)
     history.mail.loss = case.loss
-    start = 5 * S
+    start = 5 * US_PER_S
     if case.moves:
-        history.load(start, start + 5 * S, 60.0, [1.0, 0.0, 0.0])
-        start += 5 * S
+        history.load(start, start + 5 * US_PER_S, 60.0, [1.0, 0.0, 0.0])
+        start += 5 * US_PER_S
     if split_s:
         history.at(start, lambda: setattr(history.mail, "groups", tuple(frozenset([n]) for n in range(3))))
-    end = start + round((split_s or MEASURED_S) * S)
+    end = start + round((split_s or MEASURED_S) * US_PER_S)
     history.load(start, end, 60.0, [0.0, 1.0, 0.0] if case.moves else [1.0, 0.0, 0.0])
     history.run(start)
     before = history.asked
-    history.run(end + S)
+    history.run(end + US_PER_S)
     store = history.quota if plan.quota_rate else history.ceiling
-    share = history.sent_between(start, end) / entitled(plan, history, start, end, history.asked - before)
+    share = history.sent_between(start, end) / entitled_units(
+        plan, history, start, end, history.asked - before
+    )
     return min(1.0, share), max(0.0, -store.lowest)
 
 
 def cases(quick: bool) -> list[Case]:
+    """Return all cases."""
     split_s = QUICK_SPLIT_S if quick else SPLIT_S
     kinds = (
         ("one_door", False, 0.0, 0.0),
@@ -227,70 +245,76 @@
     )
     return [
         Case(limit, name, plan, moves, loss, lasts, with_limits, seed)
-        for limit, plan in (("quota", PLAN), ("ceiling", CEILING))
+        for limit, plan in (("quota", PLAN), ("ceiling", CEILING_PLAN))
         for name, moves, loss, lasts in kinds
         for with_limits in (False, True)
         for seed in (QUICK_SEEDS if quick else SEEDS)
     ]
 
 
-def moved(quick: bool, say: Callable[[str], None]) -> dict[str, float]:
-    """By limit and case, with limits and before: the mean share granted, and the most units beyond."""
-    drawn = cases(quick)
+def measure_cases(quick: bool, say: Callable[[str], None]) -> dict[str, float]:
+    """Return the mean share granted and the most units over, by limit and case, with and without limits."""
+    all_cases = cases(quick)
     found: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for case, result in zip(drawn, over_cores(granted, drawn, say), strict=True):
+    for case, result in zip(all_cases, map_in_processes(measure_case, all_cases, say), strict=True):
         found[f"{'' if case.with_limits else 'before_'}{case.limit}_{case.name}"].append(result)
     figures: dict[str, float] = {}
     for name, results in found.items():
         figures[name] = round(statistics.mean(share for share, _ in results), 4)
-        figures[f"{name}_over"] = round(max(over for _, over in results), 2)
+        figures[f"{name}_over"] = round(max(excess_units for _, excess_units in results), 2)
     return figures
 
 
-def rig_days(quick: bool) -> dict[str, float]:
-    """The whole program in virtual time, judged by servers' and clients' journals, on both sides."""
+def measure_whole_program(quick: bool) -> dict[str, float]:
+    """Run the whole program in virtual time with and without limits.
+
+    The records of servers and clients give the units over quota and ceiling.
+    """
     figures: dict[str, float] = {}
     for side, limits in (("before_", False), ("", True)):
-        over, ceiling, share, fine = [], [], [], 0
+        quota_over, ceiling_over, share, passed = [], [], [], 0
         for seed in QUICK_DAYS if quick else DAYS:
-            ledger = (played := play(scenario_files.load("move-in-split"), seed, limits=limits)).report.ledger
-            over.append(ledger.quota_over)
-            ceiling.append(ledger.units_over)
+            ledger = (run := play(scenario_files.load("move-in-split"), seed, limits=limits)).report.ledger
+            quota_over.append(ledger.quota_over)
+            ceiling_over.append(ledger.units_over)
             share.append(ledger.quota_granted)
-            fine += played.ok
-        figures[f"{side}days_in_order"] = fine / len(over)
-        figures[f"{side}days_quota_over"] = round(max(over), 2)
-        figures[f"{side}days_ceiling_over"] = round(max(ceiling), 2)
+            passed += run.ok
+        figures[f"{side}days_in_order"] = passed / len(quota_over)
+        figures[f"{side}days_quota_over"] = round(max(quota_over), 2)
+        figures[f"{side}days_ceiling_over"] = round(max(ceiling_over), 2)
         figures[f"{side}days_quota_granted"] = round(statistics.mean(share), 4)
     return figures
 
 
-# --- what it costs ---
+# --- costs ---
 
 
-def tier(doors: int, customers: int, with_limits: bool) -> tuple[float, float]:
-    """Messages and bytes a second that one front door of a tier sends, with so many customers' traffic."""
+def message_rates(doors: int, customers: int, with_limits: bool) -> tuple[float, float]:
+    """Return the messages and bytes a second that one front door of a tier sends for so many customers."""
     history = QuotaHistory(1, doors, with_limits)
     draw = history.random
-    for number in range(TIER_RATE * TIER_SECONDS):
+    for number in range(TIER_RATE_PER_S * TIER_SECONDS):
         node = draw.choice(history.nodes)
         size = min(3, doors)
         first = (node.number - draw.randrange(size)) % doors
         customer = f"{draw.randrange(customers):016x}"
         request = RequestReceived(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
         history.at(
-            2 * S + number * S // TIER_RATE,
+            2 * US_PER_S + number * US_PER_S // TIER_RATE_PER_S,
             lambda node=node, request=request: history.tell(node, request),  # type: ignore[misc]
         )
-    history.run(2 * S)
+    history.run(2 * US_PER_S)
     before = history.messages, history.bytes
-    history.run((2 + TIER_SECONDS) * S)
+    history.run((2 + TIER_SECONDS) * US_PER_S)
     span = doors * TIER_SECONDS
     return (history.messages - before[0]) / span, (history.bytes - before[1]) / span
 
 
-def try_us(with_limits: bool, seed: int) -> float:
-    """CPU microseconds in the module for a try, of one customer in ten with a ceiling, all served."""
+def request_cpu_us(with_limits: bool, seed: int) -> float:
+    """Return CPU microseconds in the policy module for a request.
+
+    One customer in ten has a ceiling, and all requests are served.
+    """
     settings = Settings(
         seed=seed,
         proxy_index=0,
@@ -303,9 +327,9 @@
     gateway = Gateway(settings, Limits(settings, LimitSettings()) if with_limits else None)
     servers = tuple(Endpoint(f"s{n}", n % 3, 0, 0, EndpointState.UP) for n in range(9))
     gateway.handle(0, EndpointListReceived(EndpointListKind.FULL, 1, servers))
-    now = 20 * S
-    begun = time.process_time()
-    for number in range(COST_TRIES):
+    now = 20 * US_PER_S
+    started_s = time.process_time()
+    for number in range(COST_REQUESTS):
         now += 2000
         name = f"r{number}"
         actions = gateway.handle(
@@ -314,11 +338,11 @@
         for action in actions:
             if isinstance(action, ForwardAttempt):
                 gateway.handle(now, AttemptEnded(name, True, 0, action.endpoint, AttemptResult.OK, 30_000))
-    return (time.process_time() - begun) * 1e6 / COST_TRIES
+    return (time.process_time() - started_s) * 1e6 / COST_REQUESTS
 
 
-def memory(count: int) -> float:
-    """Bytes that limits hold for each customer with a ceiling, a quota spent here and its home elsewhere."""
+def bytes_per_customer(count: int) -> float:
+    """Return the bytes held for each customer with a ceiling, a quota spent here and its home elsewhere."""
     settings = Settings(
         seed=1,
         proxy_index=0,
@@ -334,45 +358,46 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
         key = CustomerKey(number, 0, 0, 3)
-        limits.request_capacity(10 * S, key, 1.0)
-        limits.reachable_quota(10 * S, key)
-        limits.record_spending(10 * S, key, 1.0, 1.0)
-    taken = tracemalloc.get_traced_memory()[0] - before
+        limits.request_capacity(10 * US_PER_S, key, 1.0)
+        limits.reachable_quota(10 * US_PER_S, key)
+        limits.record_spending(10 * US_PER_S, key, 1.0, 1.0)
+    held_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return taken / count
+    return held_bytes / count
 
 
-def costs(quick: bool) -> dict[str, float]:
+def measure_costs(quick: bool) -> dict[str, float]:
+    """Measure messages, CPU and memory."""
     figures: dict[str, float] = {}
     customers = QUICK_CUSTOMERS if quick else CUSTOMERS
     for doors in TIERS:
         for side, with_limits in (("before_", False), ("", True)):
-            messages, size = tier(doors, customers, with_limits)
+            messages, size = message_rates(doors, customers, with_limits)
             figures[f"{side}messages_per_s_{doors}"] = round(messages, 1)
             figures[f"{side}bytes_per_s_{doors}"] = round(size)
     ratios = []
     for number in range(QUICK_COST_ROUNDS if quick else COST_ROUNDS):
-        without = try_us(False, number)
-        ratios.append(try_us(True, number) / without)
+        without = request_cpu_us(False, number)
+        ratios.append(request_cpu_us(True, number) / without)
     figures["module_cpu_ratio"] = round(statistics.median(ratios), 3)
     figures["module_us"] = round(without, 1)
-    figures["bytes_per_customer"] = round(memory(customers))
+    figures["bytes_per_customer"] = round(bytes_per_customer(customers))
     return figures
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
-    """Aims: the issue's, and the bounds of docs/design/limits.md."""
+    """Aims are the issue's and the bounds of docs/design/limits.md."""
 
     def say(text: str) -> None:
         if progress:
             print(text, file=sys.stderr)
 
-    figures, more = histories(quick, say)
-    figures |= moved(quick, say)
+    figures, more = run_histories(quick, say)
+    figures |= measure_cases(quick, say)
     say("a building that moves: done")
-    figures |= rig_days(quick)
+    figures |= measure_whole_program(quick)
     say("days of the whole program: done")
-    figures |= costs(quick)
+    figures |= measure_costs(quick)
     aims = {
         "most_share_histories_broken": 0.0,
         "most_shares_at_most": 1.0,
--- a/benchmarks/result.py
+++ b/benchmarks/result.py
@@ -1,20 +1,23 @@
-"""What a benchmark prints: one JSON object."""
+"""The result of a benchmark, printed as one JSON object."""
 
 import json
 import os
 from dataclasses import dataclass, field
 
 
-def quantile(values: list[float], part: float) -> float:
-    """The value below which that part of them lies."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which `fraction` of the values lie."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @dataclass(slots=True)
 class Result:
-    """Figures against aims. An aim is the least that a figure of its name must be, or the most where its name
-    begins with `most_`."""
+    """Figures and the aims that they are checked against.
+
+    An aim is the lower bound of the figure with its name, or the upper bound where its name begins with
+    `most_`.
+    """
 
     name: str
     seed: int
@@ -23,16 +26,18 @@
     more: dict[str, object] = field(default_factory=dict)
 
     def missed(self) -> list[str]:
-        """The aims that are not met; one without a figure is missed."""
-        return [aim for aim, wanted in self.aims.items() if not self.met(aim, wanted)]
+        """Return the aims that are not met; an aim without a figure is missed."""
+        return [aim for aim, bound in self.aims.items() if not self.is_met(aim, bound)]
 
-    def met(self, aim: str, wanted: float) -> bool:
+    def is_met(self, aim: str, bound: float) -> bool:
+        """Return whether the figure of an aim is within its bound."""
         figure = self.figures.get(aim.removeprefix("most_"))
         if figure is None:
             return False
-        return figure <= wanted if aim.startswith("most_") else figure >= wanted
+        return figure <= bound if aim.startswith("most_") else figure >= bound
 
     def json(self) -> str:
+        """Return the result as JSON text."""
         missed = self.missed()
         return json.dumps(
             {
--- a/benchmarks/scale/stage.py
+++ b/benchmarks/scale/stage.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.doors import Real
 from benchmarks.scale.helper import Helper
 from benchmarks.scale.tier import Requests, Tier
-from benchmarks.turns import MARK
+from benchmarks.turns import LOG_PREFIX
 from rig.sockets import Address
 
 HOLLOW_A_PROCESS, LOADS_A_PROCESS = 16, 4
@@ -143,12 +143,12 @@
         if not self.watched:
             return None
         log = self.watched.door.log
-        said = sum(MARK in line for line in log)
+        said = sum(LOG_PREFIX in line for line in log)
         self.watched.door.signal(signal.SIGUSR2)
         for _ in range(LOOKS):
             await asyncio.sleep(SAID_S / LOOKS)
-            if sum(MARK in line for line in log) > said:
-                return float(doors.counts_in(list(log), MARK)["longest_us"]) / 1000
+            if sum(LOG_PREFIX in line for line in log) > said:
+                return float(doors.counts_in(list(log), LOG_PREFIX)["longest_us"]) / 1000
         return None
 
     # --- load ---
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,6 +1,6 @@
 """Every shipped scenario with several seeds: its ledger and the rules that were broken.
 
-Each runs in a process of its own, a few side by side.
+Each run is a process of its own; a few run in parallel.
 """
 
 import json
@@ -14,9 +14,9 @@
 from rig import scenario_files
 
 SEEDS, QUICK_SEEDS = 10, 1
-AT_ONCE = 4
-WAIT_S = 180
-KEPT = (
+PARALLEL_RUNS = 4
+TIMEOUT_S = 180
+REPORT_FIELDS = (
     "requests",
     "served",
     "refused",
@@ -32,42 +32,44 @@
 )
 
 
-def play(name: str, seed: int) -> dict[str, Any]:
-    done = subprocess.run(
+def run_scenario(name: str, seed: int) -> dict[str, Any]:
+    """Run one scenario with one seed and return the reported fields that are kept."""
+    process = subprocess.run(
         [sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
         capture_output=True,
         text=True,
         check=False,
-        timeout=WAIT_S,
+        timeout=TIMEOUT_S,
     )
-    found = json.loads(done.stdout) if done.stdout else {}
+    report = json.loads(process.stdout) if process.stdout else {}
     return {
         "scenario": name,
         "seed": seed,
-        "exit": done.returncode,
-        "errors": done.stderr.strip(),
-        **{key: found.get(key) for key in KEPT},
+        "exit": process.returncode,
+        "errors": process.stderr.strip(),
+        **{key: report.get(key) for key in REPORT_FIELDS},
     }
 
 
-def days(seeds: range, progress: bool) -> Iterator[dict[str, Any]]:
+def run_all(seeds: range, progress: bool) -> Iterator[dict[str, Any]]:
+    """Run every shipped scenario with every seed; yield the rows in order."""
     keys = [(name, seed) for name in scenario_files.shipped() for seed in seeds]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for number, row in enumerate(pool.map(lambda key: play(*key), keys)):
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        for number, row in enumerate(pool.map(lambda key: run_scenario(*key), keys)):
             if progress:
-                day = f"{row['scenario']} seed {row['seed']}: exit {row['exit']}"
-                print(f"{number + 1} of {len(keys)}: {day}", file=sys.stderr)
+                run = f"{row['scenario']} seed {row['seed']}: exit {row['exit']}"
+                print(f"{number + 1} of {len(keys)}: {run}", file=sys.stderr)
             yield row
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
-    """Aims: every request accounted for, no rule broken, every day judged."""
+    """Aims: every request is accounted for, no rule is broken and every run passes."""
     count = QUICK_SEEDS if quick else SEEDS
-    rows = list(days(range(seed, seed + count), progress))
-    judged = [row for row in rows if row["exit"] == 0]
+    rows = list(run_all(range(seed, seed + count), progress))
+    passed = [row for row in rows if row["exit"] == 0]
     figures = {
         "days": float(len(rows)),
-        "days_in_order": float(len(judged)),
+        "days_in_order": float(len(passed)),
         "requests": float(sum(row["requests"] or 0 for row in rows)),
         "unaccounted": float(sum(row["unaccounted"] or 0 for row in rows)),
         "rules_broken": float(sum(len(row["broken_rules"] or ()) for row in rows)),
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,6 +1,6 @@
 """Speed, sameness, memory and fidelity of simulated days, and how soon broken front doors are found.
 
-With MOLEREACH_BASE naming another checkout, CPU for a request is compared with the front door there.
+If MOLEREACH_BASE names another checkout, CPU for a request is compared with that checkout's front door.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from benchmarks.door import Instant, Loop, cost, start_door
+from benchmarks.door import ClosedLoopClients, ImmediateServer, cpu_per_request_us, start_door
 from benchmarks.result import Result
 from rig import scenario as sc
 from rig import scenario_files
@@ -28,13 +28,13 @@
 SPEED_S, QUICK_SPEED_S = 20.0, 8.0
 LARGE = sc.Scenario("large", "50 doors, 1,000 servers", 4.0, 50, 1000, sc.Load(400.0, 400))
 QUICK_LARGE = sc.Scenario("large", "50 doors, 1,000 servers", 1.0, 50, 1000, sc.Load(200.0, 400))
-SAME_SEEDS, QUICK_SAME_SEEDS = 10, 4
+REPRODUCED_SEEDS, QUICK_REPRODUCED_SEEDS = 10, 4
 FIDELITY_SEEDS, QUICK_FIDELITY = (1, 2, 3), ("calm",)
 SHARES = ("served", "refused", "failed")
-BROKEN_SECONDS, BROKEN_DAYS = 20.0, 200
-BASE = "MOLEREACH_BASE"
+BROKEN_DAY_S, BROKEN_DAYS = 20.0, 200
+BASE_VARIABLE = "MOLEREACH_BASE"
 PAIRS, PAIR_REQUESTS = 24, 3000
-RULES = {
+RULES_BY_MODE = {
     "drop": {"unaccounted", "no request is lost"},
     "twice": {"no effect happens twice"},
     "drain": {"drains are kept"},
@@ -46,61 +46,70 @@
 }
 
 
-def speed(day: sc.Scenario) -> tuple[float, float, int]:
-    """Virtual seconds a real one, real seconds, callbacks; the start and the end of the world included."""
-    begun = time.process_time()
-    played = play(day, 1)
-    took = time.process_time() - begun
+def measure_speed(scenario: sc.Scenario) -> tuple[float, float, int]:
+    """Return virtual seconds per real second, real seconds and callbacks.
+
+    Start and end of the simulated world are included.
+    """
+    started_s = time.process_time()
+    played = play(scenario, 1)
+    elapsed_s = time.process_time() - started_s
     assert played.ok, played.report.json()
-    return day.seconds / took, took, played.callbacks
+    return scenario.seconds / elapsed_s, elapsed_s, played.callbacks
 
 
-def sameness(seeds: int) -> int:
-    """How many seeds gave the same callbacks at the same times twice."""
-    day = scenario_files.load("kill-a-door", {"seconds": 4.0})
-    return sum(play(day, seed).digest == play(day, seed).digest for seed in range(seeds))
+def count_reproducible(seeds: int) -> int:
+    """Return how many seeds gave the same callbacks at the same times in two runs."""
+    scenario = scenario_files.load("kill-a-door", {"seconds": 4.0})
+    return sum(play(scenario, seed).digest == play(scenario, seed).digest for seed in range(seeds))
 
 
-def real(name: str, seed: int) -> dict[str, Any]:
-    done = subprocess.run(
+def run_in_real_time(name: str, seed: int) -> dict[str, Any]:
+    """Run a scenario in real time and return its report."""
+    process = subprocess.run(
         [sys.executable, "-m", "rig", "--json", "--scenario", name, "--seed", str(seed)],
         capture_output=True,
         text=True,
         check=False,
         timeout=180,
     )
-    found: dict[str, Any] = json.loads(done.stdout)
-    return found
+    report: dict[str, Any] = json.loads(process.stdout)
+    return report
 
 
-def shares(found: dict[str, Any]) -> dict[str, float]:
-    """Shares of the outcomes, and the median over front doors of p50 and p99 in milliseconds."""
-    made = {name: found[name] / found["requests"] for name in SHARES}
+def outcome_shares(report: dict[str, Any]) -> dict[str, float]:
+    """Return the shares of the outcomes, and the medians over front doors of p50 and p99 in milliseconds."""
+    figures = {name: report[name] / report["requests"] for name in SHARES}
     for name in ("p50_ms", "p99_ms"):
-        made[name] = statistics.median(door[name] for door in found["doors"])
-    return made
+        figures[name] = statistics.median(door[name] for door in report["doors"])
+    return figures
 
 
-def fidelity(names: tuple[str, ...], seeds: tuple[int, ...], progress: bool) -> list[dict[str, Any]]:
-    """Each scenario in both worlds: shares and waiting, means over the seeds."""
+def compare_real_and_virtual(
+    names: tuple[str, ...], seeds: tuple[int, ...], progress: bool
+) -> list[dict[str, Any]]:
+    """Run each scenario in real and in virtual time; return means of shares and latencies over the seeds."""
     rows = []
     for name in names:
         with ThreadPoolExecutor(2) as pool:
-            outside = [shares(each) for each in pool.map(lambda seed, name=name: real(name, seed), seeds)]
-        inside = [shares(play(scenario_files.load(name), seed).report.json()) for seed in seeds]
+            real_runs = [
+                outcome_shares(each)
+                for each in pool.map(lambda seed, name=name: run_in_real_time(name, seed), seeds)
+            ]
+        virtual_runs = [outcome_shares(play(scenario_files.load(name), seed).report.json()) for seed in seeds]
         row: dict[str, Any] = {"scenario": name}
-        for key in outside[0]:
-            both = [statistics.fmean(each[key] for each in world) for world in (outside, inside)]
-            row[key] = [round(each, 4) for each in both]
+        for key in real_runs[0]:
+            means = [statistics.fmean(each[key] for each in world) for world in (real_runs, virtual_runs)]
+            row[key] = [round(each, 4) for each in means]
         rows.append(row)
         if progress:
             print(row, file=sys.stderr)
     return rows
 
 
-def broken(mode: str) -> dict[str, Any]:
-    """Random days until a broken front door is found, and to how many faults the day was shrunk."""
-    done = subprocess.run(
+def find_broken_door(mode: str) -> dict[str, Any]:
+    """Run random days until a broken front door is found; return how few faults remain after shrinking."""
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -111,7 +120,7 @@
             "--seeds",
             f"1..{BROKEN_DAYS}",
             "--seconds",
-            str(BROKEN_SECONDS),
+            str(BROKEN_DAY_S),
             "--jobs",
             "4",
             "--json",
@@ -121,76 +130,78 @@
         check=False,
         timeout=900,
     )
-    found = json.loads(done.stdout)
-    small = found.get("small", {})
-    hit = bool(RULES[mode] & set(found["failed"][0]["why"])) if found["failed"] else False
+    report = json.loads(process.stdout)
+    small = report.get("small", {})
+    is_found = bool(RULES_BY_MODE[mode] & set(report["failed"][0]["why"])) if report["failed"] else False
     return {
         "mode": mode,
-        "days": found["days"],
-        "found": hit,
+        "days": report["days"],
+        "found": is_found,
         "faults": small.get("faults"),
         "why": small.get("why"),
     }
 
 
-async def paired(base: str) -> dict[str, float]:
-    """CPU for a request here and in another checkout, in turn."""
-    host, loop = own_host(), Loop()
-    backend = Listener(host, Instant)
+async def compare_checkouts(base: str) -> dict[str, float]:
+    """Compare the CPU for a request here and in another checkout, in alternating order."""
+    host, clients = own_host(), ClosedLoopClients()
+    backend = Listener(host, ImmediateServer)
     other = ("env", f"--chdir={base}", f"PYTHONPATH={base}", sys.executable, "-m", "molereach")
     here, here_agent = await start_door(host, 4, backend.address, FRONT_DOOR)
     there, there_agent = await start_door(host, 4, backend.address, other)
     try:
         assert here.process is not None and there.process is not None
-        taken: dict[str, list[float]] = {"here": [], "there": []}
+        cpu_us: dict[str, list[float]] = {"here": [], "there": []}
         doors = {"here": here, "there": there}
         for number in range(PAIRS):
-            for which in ("here", "there") if number % 2 else ("there", "here"):
-                process = doors[which].process
+            for side in ("here", "there") if number % 2 else ("there", "here"):
+                process = doors[side].process
                 assert process is not None
-                taken[which].append((await cost(loop, process.pid, doors[which].address, PAIR_REQUESTS))[0])
+                cpu_us[side].append(
+                    (await cpu_per_request_us(clients, process.pid, doors[side].address, PAIR_REQUESTS))[0]
+                )
     finally:
         for door, agent in ((here, here_agent), (there, there_agent)):
             await door.finish()
             door.close()
             agent.close()
         backend.end()
-    more = [one / two - 1 for one, two in zip(taken["here"], taken["there"], strict=True)]
+    more = [one / two - 1 for one, two in zip(cpu_us["here"], cpu_us["there"], strict=True)]
     return {
         "door_cpu_more_percent": round(100 * statistics.median(more), 2),
-        "door_us": round(statistics.median(taken["here"]), 1),
+        "door_us": round(statistics.median(cpu_us["here"]), 1),
     }
 
 
 def measure(quick: bool, seed: int, progress: bool) -> Result:
-    """Aims: 10 virtual seconds a real one with 3 doors, the same twice, every broken front door found."""
+    """Aims: 10 virtual seconds per real second with 3 doors, reproducible runs, every broken door found."""
     small = sc.Scenario("small", "3 doors, 120 requests a second", QUICK_SPEED_S if quick else SPEED_S)
-    fast, _, callbacks = speed(small)
-    large, large_s, _ = speed(QUICK_LARGE if quick else LARGE)
-    count = QUICK_SAME_SEEDS if quick else SAME_SEEDS
+    fast, _, callbacks = measure_speed(small)
+    large, large_s, _ = measure_speed(QUICK_LARGE if quick else LARGE)
+    count = QUICK_REPRODUCED_SEEDS if quick else REPRODUCED_SEEDS
     figures = {
         "speed_3_doors": round(fast, 2),
         "speed_50_doors": round(large, 3),
         "large_real_s": round(large_s, 1),
         "callbacks_a_virtual_s": round(callbacks / small.seconds),
-        "same": float(sameness(count)),
+        "same": float(count_reproducible(count)),
         "memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
     }
     aims = {"speed_3_doors": 10.0, "same": float(count)}
     more: dict[str, object] = {}
     names = QUICK_FIDELITY if quick else tuple(scenario_files.shipped())
-    rows = fidelity(names, FIDELITY_SEEDS[:1] if quick else FIDELITY_SEEDS, progress)
+    rows = compare_real_and_virtual(names, FIDELITY_SEEDS[:1] if quick else FIDELITY_SEEDS, progress)
     more["fidelity"] = rows
     figures["served_share_apart"] = max(abs(row["served"][0] - row["served"][1]) for row in rows)
     aims["most_served_share_apart"] = 0.05
     if not quick:
-        found = [broken(mode) for mode in MODES]
+        found = [find_broken_door(mode) for mode in MODES]
         more["broken"] = found
         figures["broken_found"] = float(sum(row["found"] for row in found))
         figures["most_faults_left"] = float(max(len(row["faults"] or ()) for row in found))
         aims |= {"broken_found": float(len(MODES)), "most_most_faults_left": 3.0}
-    if base := os.environ.get(BASE):
+    if base := os.environ.get(BASE_VARIABLE):
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            figures |= runner.run(paired(base))
+            figures |= runner.run(compare_checkouts(base))
         aims["most_door_cpu_more_percent"] = 1.0
     return Result("simulation", seed, aims, figures, more)
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -1,4 +1,4 @@
-"""What one front door's own routing does when a zone is lost: entries touched, events until it is full."""
+"""The cost of losing a zone for one proxy's endpoint subsetting: entries examined, events until it is full."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -7,7 +7,7 @@
 from molereach.policy.interface.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 from molereach.subsetting.endpoint_subsetting import EndpointSubsetting
 
-SIZE = 256  # of a view
+SUBSET_SIZE = 256  # endpoints of a subset
 LOST_ZONE = 3
 KEYED = RequestClass(
     1,
@@ -18,24 +18,32 @@
 )
 
 
-def zone_told(servers: Sequence[Endpoint], doors: int, cells: bool) -> tuple[int, int]:
-    """Entries touched by the loss, and events after it until full."""
+def zone_loss_cost(servers: Sequence[Endpoint], doors: int, cells: bool) -> tuple[int, int]:
+    """Return the entries examined for the loss of a zone, and the further events until the subset is full."""
     settings = Settings(1, 0, doors, (KEYED,) if cells else (), ())
-    routing = EndpointSubsetting(settings, SIZE, 2 * len(servers))
-    take(routing, EndpointListKind.FULL, servers)
-    start = routing.index.ring.examined
-    lost = [each for each in servers if each.zone == LOST_ZONE]
-    take(routing, EndpointListKind.CHANGES, [replace(each, state=EndpointState.REMOVED) for each in lost])
-    touched = routing.index.ring.examined - start
-    told = routing.reported if routing.short_list is None else routing.short_list
-    left = len(servers) - len(lost)
-    is_full = len(told) >= min(SIZE, left) if routing.short_list is None else len(told) == left
-    return touched, 0 if is_full else 1
+    routing = EndpointSubsetting(settings, SUBSET_SIZE, 2 * len(servers))
+    apply_endpoints(routing, EndpointListKind.FULL, servers)
+    examined_before = routing.index.ring.examined
+    lost = [endpoint for endpoint in servers if endpoint.zone == LOST_ZONE]
+    apply_endpoints(
+        routing,
+        EndpointListKind.CHANGES,
+        [replace(endpoint, state=EndpointState.REMOVED) for endpoint in lost],
+    )
+    examined = routing.index.ring.examined - examined_before
+    reported = routing.reported if routing.short_list is None else routing.short_list
+    remaining_count = len(servers) - len(lost)
+    is_full = (
+        len(reported) >= min(SUBSET_SIZE, remaining_count)
+        if routing.short_list is None
+        else len(reported) == remaining_count
+    )
+    return examined, 0 if is_full else 1
 
 
-def take(routing: EndpointSubsetting, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
-    """As an object that came in parts."""
+def apply_endpoints(routing: EndpointSubsetting, kind: EndpointListKind, servers: Sequence[Endpoint]) -> None:
+    """Apply an endpoint list as if it had been received in parts."""
     staged = routing.stage()
-    staged.add(servers, {each.name: ("10.0.0.1", 80) for each in servers})
+    staged.add(servers, {endpoint.name: ("10.0.0.1", 80) for endpoint in servers})
     for _ in routing.take_over(staged, kind, 1):
         pass
--- a/benchmarks/touches.py
+++ b/benchmarks/touches.py
@@ -1,7 +1,7 @@
-"""Which views one backend that goes or comes can move: no others are chosen anew, only to come out the same.
+"""Which subsets the removal or addition of one backend can change, so that only these are computed again.
 
-`Subset.is_affected_by` takes a few more, which does no harm in one front door. Bound to cells, of which a
-view holds many, it takes most of all front doors.
+`Subset.is_affected_by` also accepts a few subsets that come out the same, which is cheap in one proxy. With
+keyed requests bound to cells, of which a subset holds many, it accepts most subsets of all proxies.
 """
 
 from bisect import bisect_left
@@ -12,31 +12,40 @@
 from molereach.subsetting.placement import distance_behind
 from molereach.subsetting.subset import EndpointIndex, Subset
 
-Touches = Callable[[Subset], bool]
+SubsetFilter = Callable[[Subset], bool]
 
 
-def holding(record: bytes) -> Touches:
-    """Of one that goes: those that hold it. What a view does not hold has no part in it."""
+def changed_by_removal(record: bytes) -> SubsetFilter:
+    """Match the subsets that hold a removed record; the others don't depend on it."""
     name = name_of(record)
-    return lambda view: name in view.members
+    return lambda subset: name in subset.members
 
 
-def reaching(whole: EndpointIndex, place: int, record: bytes) -> Touches:
-    """Of one that came: those that may hold it now, as it, or one that it stands in for, lies within what the
-    view looked at. None looks further for it: of the stand-ins it pushes out one at most. Of views that are
-    full, or look all round."""
-    places = [place]
-    for groups in whole.groups:
-        places += stood_in_for(groups, place, record)
+def changed_by_addition(index: EndpointIndex, position: int, record: bytes) -> SubsetFilter:
+    """Match the subsets that may hold an added record.
 
-    def touches(view: Subset) -> bool:
-        return any(distance_behind(each, view.proxy_position) <= view.max_distance for each in places)
+    The record, or one that it is a substitute of, lies within the distance that the subset has searched. No
+    subset searches further because of an addition: the record displaces at most one of the substitutes. This
+    holds for subsets that are full or have searched the whole ring.
+    """
+    positions = [position]
+    for groups in index.groups:
+        positions += substituted_positions(groups, position, record)
 
-    return touches
+    def matches(subset: Subset) -> bool:
+        return any(
+            distance_behind(candidate, subset.proxy_position) <= subset.max_distance
+            for candidate in positions
+        )
 
+    return matches
 
-def stood_in_for(groups: IdempotencyGroups, place: int, record: bytes) -> list[int]:
-    """The places of the ones before it in its group, of which `IdempotencyGroups.substitutes` yields it."""
-    places = groups.positions_by_scope[groups.scope_of(record)]
-    at = bisect_left(places, place)
-    return [places[at - step] for step in range(1, 1 + min(SUBSTITUTE_COUNT, len(places) - 1))]
+
+def substituted_positions(groups: IdempotencyGroups, position: int, record: bytes) -> list[int]:
+    """Return the positions of the preceding records of the group that the record is a substitute of.
+
+    These are the ones for which `IdempotencyGroups.substitutes` yields it.
+    """
+    positions = groups.positions_by_scope[groups.scope_of(record)]
+    start = bisect_left(positions, position)
+    return [positions[start - step] for step in range(1, 1 + min(SUBSTITUTE_COUNT, len(positions) - 1))]
--- a/tests/benchmarks/test_views.py
+++ b/tests/benchmarks/test_views.py
@@ -1,4 +1,4 @@
-"""Rows of all front doors' views."""
+"""Rows of all proxies' subsets."""
 
 import subprocess
 import sys
@@ -9,14 +9,14 @@
 
 from benchmarks import views
 from benchmarks.view import rows_of
-from benchmarks.views import Row, Tier, moved, server
+from benchmarks.views import Row, TierSubsets, moved_pairs, server
 from molereach.policy.interface.events import Endpoint
 from molereach.subsetting.placement import RING_SIZE, proxy_position
 from molereach.subsetting.staging import entry_of
 from molereach.subsetting.subset import Subset
 from tests.docs.shell import ROOT
 
-ROWS = [  # as measured at commit 40dc8ad, seed 1, three backends that go and three that come
+ROWS = [  # of commit 40dc8ad, seed 1, three backends removed and three added
     Row(
         5,
         600,
@@ -131,7 +131,7 @@
 ]
 
 
-POOLED = """
+POOL_PROGRAM = """
 import ast, multiprocessing, sys
 from concurrent.futures import ProcessPoolExecutor
 from benchmarks.view import rows_of
@@ -143,24 +143,25 @@
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: f"{row.doors}-{row.backends}-{row.cells}")
-def test_row_of_a_seed_stays_as_it_is(row: Row) -> None:
-    """A figure is a function of size and seed, so that a run can be compared with the one before it."""
-    assert Tier(row.doors, row.backends, row.cells, 1).row(3) == row
+def test_row_is_reproducible_from_size_and_seed(row: Row) -> None:
+    """A figure is a function of size and seed, so that runs can be compared."""
+    assert TierSubsets(row.doors, row.backends, row.cells, 1).row(3) == row
 
 
-def test_rows_of_processes_are_those_of_one_in_the_order_of_the_sizes() -> None:
-    """Small sizes stand behind a large one, which is the last to end.
+def test_rows_from_a_process_pool_equal_sequential_rows_in_order() -> None:
+    """Small sizes follow a large one, which ends last.
 
-    They are played from a process of its own: what starts workers stays for as long as its parent does.
+    The rows come from a separate process: a pool's helper processes live as long as the process that started
+    it.
     """
     sizes = [(40, 2_000, True), (5, 20, False), (7, 20, True), (5, 600, False)]
-    command = [sys.executable, "-c", POOLED, repr(sizes)]
-    done = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True)
-    assert done.stdout.decode().splitlines() == [repr(Tier(*size, 3).row(2)) for size in sizes]
+    command = [sys.executable, "-c", POOL_PROGRAM, repr(sizes)]
+    process = subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True)
+    assert process.stdout.decode().splitlines() == [repr(TierSubsets(*size, 3).row(2)) for size in sizes]
 
 
-class Held(Executor):
-    """Nothing is played; each future is ended by hand."""
+class ManualExecutor(Executor):
+    """An executor that runs nothing: the second future fails, the others are finished by the test."""
 
     def __init__(self) -> None:
         self.futures: list[Future[Any]] = []
@@ -172,57 +173,63 @@
         return self.futures[-1]
 
 
-def test_row_that_fails_ends_the_run_and_those_not_begun_are_left() -> None:
-    held = Held()
+def test_failed_row_ends_the_run_and_cancels_the_other_rows() -> None:
+    executor = ManualExecutor()
     with ThreadPoolExecutor(1) as thread:
-        run = thread.submit(rows_of, held, [(5, 20, False)] * 4, 2, 3, False)
+        run = thread.submit(rows_of, executor, [(5, 20, False)] * 4, 2, 3, False)
         try:
             with pytest.raises(ZeroDivisionError):
                 run.result(timeout=20)
-            assert [each.cancelled() for each in held.futures] == [True, False, True, True]
+            assert [future.cancelled() for future in executor.futures] == [True, False, True, True]
         finally:
-            for each in held.futures:
-                if not each.done():
-                    each.set_result(None)
+            for future in executor.futures:
+                if not future.done():
+                    future.set_result(None)
 
 
 @pytest.mark.parametrize("cells", [False, True])
 @pytest.mark.parametrize(("doors", "backends"), [(3, 40), (7, 130), (30, 130), (9, 6)])
-def test_only_views_that_one_backend_can_move_are_chosen_anew(
+def test_reselecting_only_affected_subsets_equals_reselecting_all(
     doors: int, backends: int, cells: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(views, "SIZE", 8)
+    monkeypatch.setattr(views, "SUBSET_SIZE", 8)
     for seed in range(3):
-        tier = Tier(doors, backends, cells, seed)
-        assert [what(view) for view in tier.views] == [what(plain(tier, me)) for me in range(doors)]
+        tier = TierSubsets(doors, backends, cells, seed)
+        assert [contents(subset) for subset in tier.subsets] == [
+            contents(proxy_subset(tier, proxy)) for proxy in range(doors)
+        ]
         for number in range(max(0, backends - 15), backends + 10):
-            each = server(number, backends, seed)
-            fill = tier.one_goes if number < backends else tier.one_comes
-            assert fill(each)[:2] == anew(tier, each, number < backends)
+            backend = server(number, backends, seed)
+            change = tier.remove_backend if number < backends else tier.add_backend
+            assert change(backend)[:2] == moved_by_full_selection(tier, backend, number < backends)
 
 
-def what(view: Subset) -> tuple[object, ...]:
-    return view.members, view.scopes, view.max_distance
+def contents(subset: Subset) -> tuple[object, ...]:
+    return subset.members, subset.scopes, subset.max_distance
 
 
-def plain(tier: Tier, me: int) -> Subset:
-    """As a front door chooses it."""
-    view = Subset(proxy_position(me), tier.reach[me] if tier.is_long else RING_SIZE, views.SIZE)
-    view.select(tier.whole)
-    return view
+def proxy_subset(tier: TierSubsets, proxy: int) -> Subset:
+    """Select a proxy's subset as the proxy does."""
+    subset = Subset(
+        proxy_position(proxy), tier.distances[proxy] if tier.is_long else RING_SIZE, views.SUBSET_SIZE
+    )
+    subset.select(tier.index)
+    return subset
 
 
-def anew(tier: Tier, each: Endpoint, goes: bool) -> tuple[int, int]:
-    """Pairs moved, and those of its own, where all views are chosen anew."""
-    place, record, _ = entry_of(each, ("10.0.0.1", 80))
-    name = each.name.encode()
-    if goes:
-        tier.whole.remove(place, name)
+def moved_by_full_selection(tier: TierSubsets, backend: Endpoint, is_removal: bool) -> tuple[int, int]:
+    """Return the pairs moved and the pairs of the backend, with all subsets selected again."""
+    position, record, _ = entry_of(backend, ("10.0.0.1", 80))
+    name = backend.name.encode()
+    if is_removal:
+        tier.index.remove(position, name)
     else:
-        tier.whole.put(place, record)
-    new = [plain(tier, me) for me in range(tier.doors)]
-    if goes:
-        tier.whole.put(place, record)
+        tier.index.put(position, record)
+    new = [proxy_subset(tier, proxy) for proxy in range(tier.doors)]
+    if is_removal:
+        tier.index.put(position, record)
     else:
-        tier.whole.remove(place, name)
-    return moved(tier.views, new), sum(name in view.members for view in (tier.views if goes else new))
+        tier.index.remove(position, name)
+    return moved_pairs(tier.subsets, new), sum(
+        name in subset.members for subset in (tier.subsets if is_removal else new)
+    )
