--- a/benchmarks/scale/catalogue.py
+++ b/benchmarks/scale/catalogue.py
@@ -1,4 +1,4 @@
-"""Discovery's list of a run, as bytes: the whole of it, and changes to it. A core.
+"""Discovery's endpoint list as bytes: the whole list and changes to it. No input or output.
 
 Each entry's text is made once and shared, so that a whole list costs a join.
 """
@@ -6,15 +6,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from benchmarks.scale.tier import CELLS, ZONES, backend_address, shown
+from benchmarks.scale.tier import CELLS, ZONES, address_text, backend_address
 
 SERVING, DRAINING, DELETED = "SERVING", "DRAINING", "DELETED"
-MOST_KEPT = 100_000  # changes that a watch may ask for; who is behind them is told the whole list
+MAX_KEPT_CHANGES = 100_000  # batches kept for watches; a watch from before them gets the whole list
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What becomes of one backend."""
+    """The new state of one backend."""
 
     number: int
     state: str
@@ -22,22 +22,25 @@
 
 
 class Catalogue:
-    """The list at its newest version; each batch of changes is one version."""
+    """The list at its newest version; each batch of changes makes one version."""
 
     def __init__(self, size: int, port: int) -> None:
         self.port, self.version = port, 1
-        self.listed: dict[int, bytes] = {number: self.text(Change(number, SERVING)) for number in range(size)}
+        self.entries: dict[int, bytes] = {
+            number: self.encode_entry(Change(number, SERVING)) for number in range(size)
+        }
         self.changes: list[tuple[int, bytes]] = []  # by version, oldest first
-        self.joined: bytes | None = None
+        self.cached_line: bytes | None = None
 
-    def text(self, change: Change) -> bytes:
+    def encode_entry(self, change: Change) -> bytes:
+        """Encode one backend's entry."""
         number = change.number
         return (
             b'{"instanceId":"s-%08x","hostPort":"%b","zone":"z%02d","machineType":"two-core","cell":%d,'
             b'"lifecycle":"%b","weight":1.0,"startedAtMs":%d}'
             % (
                 number,
-                shown(backend_address(number, self.port)).encode(),
+                address_text(backend_address(number, self.port)).encode(),
                 number % ZONES,
                 number % CELLS,
                 change.state.encode(),
@@ -46,47 +49,52 @@
         )
 
     def change(self, changes: Iterable[Change]) -> bytes:
-        """Take over a batch; its line."""
+        """Apply a batch and return its line."""
         self.version += 1
-        texts: list[bytes] = []
+        entries: list[bytes] = []
         for change in changes:
-            text = self.text(change)
-            texts.append(text)
+            entry = self.encode_entry(change)
+            entries.append(entry)
             if change.state == DELETED:
-                self.listed.pop(change.number, None)
+                self.entries.pop(change.number, None)
             else:
-                self.listed[change.number] = text
-        self.joined = None
-        body = b",".join(texts)
+                self.entries[change.number] = entry
+        self.cached_line = None
+        body = b",".join(entries)
         self.changes.append((self.version, body))
-        del self.changes[:-MOST_KEPT]
-        return self.line(False, body)
+        del self.changes[:-MAX_KEPT_CHANGES]
+        return self.encode_line(False, body)
 
-    def line(self, reset: bool, body: bytes) -> bytes:
+    def encode_line(self, reset: bool, body: bytes) -> bytes:
+        """Encode a line of entries at the present version."""
         return b'{"generation":%d,"reset":%b,"instances":[%b]}\n' % (
             self.version,
             b"true" if reset else b"false",
             body,
         )
 
-    def whole(self) -> bytes:
-        """The list in one object, made once for each version."""
-        if self.joined is None:
-            self.joined = self.line(True, b",".join(self.listed.values()))
-        return self.joined
+    def full_line(self) -> bytes:
+        """Return the line of the whole list, made once for each version."""
+        if self.cached_line is None:
+            self.cached_line = self.encode_line(True, b",".join(self.entries.values()))
+        return self.cached_line
 
-    def since(self, version: int) -> bytes:
-        """What a watch after a version is told first: nothing, changes, or the whole list where these are
-        not known any more."""
+    def line_since(self, version: int) -> bytes:
+        """Return the first line for a watch after a version.
+
+        This is nothing, the changes, or the whole list where the changes are not kept any more.
+        """
         if version == self.version:
             return b""
         oldest = self.changes[0][0] - 1 if self.changes else self.version
         if not oldest <= version < self.version:
-            return self.whole()
-        return self.line(False, b",".join(body for at, body in self.changes if at > version))
+            return self.full_line()
+        return self.encode_line(
+            False, b",".join(body for changed_at, body in self.changes if changed_at > version)
+        )
 
-    def forget(self) -> None:
-        """As discovery that was down and is back: it knows its list, and nothing of the way to it."""
+    def drop_history(self) -> None:
+        """Drop the kept changes, as a discovery restart does: the list remains, its history does not."""
         self.changes.clear()
         self.version += 1
-        self.joined = None
+        self.cached_line = None
--- a/benchmarks/scale/counted.py
+++ b/benchmarks/scale/counted.py
@@ -1,6 +1,6 @@
-"""A front door that counts the datagrams of its peers, and says so in its log when it ends.
+"""A front door that counts the datagrams from its peers and logs the counts at its end.
 
-SIGUSR1 begins the count anew.
+SIGUSR1 resets the counts; SIGUSR2 logs them.
 """
 
 import asyncio
@@ -15,42 +15,45 @@
 from molereach.proxy.proxy import Proxy
 
 log = logging.getLogger("molereach.counted")
-MARK = "datagrams: "
+LOG_PREFIX = "datagrams: "
 
 
-class Count:
-    """Datagrams in, since the last look."""
+class DatagramCounter:
+    """Datagrams received since the last reset."""
 
     def __init__(self) -> None:
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
+        """Reset the counts."""
         self.datagrams = self.bytes = 0
         self.since_s = time.monotonic()
 
-    def take(self, data: bytes) -> None:
+    def add(self, data: bytes) -> None:
+        """Count a datagram."""
         self.datagrams += 1
         self.bytes += len(data)
 
-    def end(self) -> None:
+    def log_counts(self) -> None:
+        """Log the counts."""
         seconds = time.monotonic() - self.since_s
         values = {"datagrams": self.datagrams, "bytes": self.bytes, "seconds": seconds}
-        log.info("%s%s", MARK, json.dumps(values))
+        log.info("%s%s", LOG_PREFIX, json.dumps(values))
 
 
 async def attach(door: Proxy) -> Callable[[], None]:
-    """Beside a front door, from before its start to its end."""
-    count, receive = Count(), door.gossip.datagram_received
+    """Count a front door's datagrams from before its start until its end."""
+    counter, receive = DatagramCounter(), door.gossip.datagram_received
 
     def received(data: bytes, address: tuple[str, int]) -> None:
-        count.take(data)
+        counter.add(data)
         receive(data, address)
 
     door.gossip.datagram_received = received  # type: ignore[method-assign]
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGUSR1, count.begin)
-    loop.add_signal_handler(signal.SIGUSR2, count.end)
-    return count.end
+    loop.add_signal_handler(signal.SIGUSR1, counter.reset)
+    loop.add_signal_handler(signal.SIGUSR2, counter.log_counts)
+    return counter.log_counts
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/doors.py
+++ b/benchmarks/scale/doors.py
@@ -1,4 +1,4 @@
-"""Real front doors of a run: started, looked at from outside, ended."""
+"""Real front doors of a run: start, inspection from outside, stop."""
 
 import asyncio
 import itertools
@@ -12,29 +12,29 @@
 from typing import Any
 
 from benchmarks.door import cpu_s
-from benchmarks.scale.tier import Tier, peer_address, shown
+from benchmarks.scale.tier import Tier, address_text, peer_address
 from rig.clients import encode
 from rig.doors import Door
 from rig.facts import Fact
 from rig.sockets import Address
 
-PLAIN = (sys.executable, "-P", "-m", "molereach")
-TURNS = (sys.executable, "-P", str(Path(__file__).parents[1] / "turns.py"))
-COUNTED = (sys.executable, "-P", str(Path(__file__).with_name("counted.py")))
+DOOR_COMMAND = (sys.executable, "-P", "-m", "molereach")
+TIMED_DOOR_COMMAND = (sys.executable, "-P", str(Path(__file__).parents[1] / "turns.py"))
+COUNTING_DOOR_COMMAND = (sys.executable, "-P", str(Path(__file__).with_name("counted.py")))
 MEMORY_MB, SOCKETS = 128, 1024
-READY_S = 25.0  # the longest that a start is waited for
-ASK_EVERY_S = 0.02
-SERIAL = itertools.count()
+READY_S = 25.0  # timeout of a start
+RETRY_S = 0.02
+REQUEST_SERIALS = itertools.count()
 
 
-def command(root: str, of: Sequence[str] = PLAIN) -> Sequence[str]:
-    """Of this checkout's front door, or of another's."""
-    return ("env", f"PYTHONPATH={root}", *of) if root else of
+def with_checkout(root: str, door_command: Sequence[str] = DOOR_COMMAND) -> Sequence[str]:
+    """Return a front door's command, run with another checkout if `root` is given."""
+    return ("env", f"PYTHONPATH={root}", *door_command) if root else door_command
 
 
 @dataclass(slots=True)
-class Real:
-    """One of them, in its tier."""
+class RealDoor:
+    """One real front door of a tier."""
 
     name: str
     number: int
@@ -43,20 +43,22 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         assert self.door.process is not None
         return self.door.process.pid
 
     def cpu_s(self) -> float:
+        """Return the CPU seconds used so far."""
         return cpu_s(self.pid)
 
     def memory_mb(self) -> tuple[float, float]:
-        """Resident now, and the most that it ever was."""
+        """Return the resident memory now and at its peak."""
         lines = Path(f"/proc/{self.pid}/status").read_text().splitlines()
         fields = dict(line.split(":", 1) for line in lines if ":" in line)
         return tuple(int(fields[name].split()[0]) / 1024 for name in ("VmRSS", "VmHWM"))  # type: ignore[return-value]
 
     async def end(self) -> list[str]:
-        """What it had to say at last."""
+        """Stop the front door and return its log."""
         await self.door.finish()
         if self.door.process is not None:
             await self.door.log_ended.wait()
@@ -65,63 +67,66 @@
         return log
 
 
-def make(
+def create(
     name: str,
     number: int,
     tier: Tier,
     host: str,
     discovery: Address,
     known: str,
-    of: Sequence[str],
-) -> Real:
-    """A front door with its configuration written, and not started; the known list is JSON already."""
+    door_command: Sequence[str],
+) -> RealDoor:
+    """Create a front door with its configuration, not started; `known` is a list as JSON text."""
     facts: list[Fact] = []
-    door = Door(name, number, host, facts, of)
+    door = Door(name, number, host, facts, door_command)
     door.write_config(
         name=name,
-        listen=shown(door.address),
-        discovery=shown(discovery),
+        listen=address_text(door.address),
+        discovery=address_text(discovery),
         settings=tier.settings(number),
         limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         seed=f"{number:x}",
-        peer_listen=shown(peer_address(number, tier.peer_port)),
+        peer_listen=address_text(peer_address(number, tier.peer_port)),
         peers=tier.peers(),
     )
     write_known(door, known)
-    return Real(name, number, door, facts)
+    return RealDoor(name, number, door, facts)
 
 
 def write_known(door: Door, known: str) -> None:
-    """Put a list into a configuration that has been written without one."""
+    """Write a known list into a configuration that was written without one."""
     text = json.dumps(door.config)[:-1] + f', "known": {known}}}'
     os.ftruncate(door.memory, 0)
     os.pwrite(door.memory, text.encode(), 0)
 
 
-async def start(real: Real, request: list[bytes] | None = None) -> tuple[float, float]:
-    """Seconds from its start until it answers PING and until it has served a request, if one is given; each
-    at most `READY_S`."""
-    began_s = time.monotonic()
+async def start(real: RealDoor, request: list[bytes] | None = None) -> tuple[float, float]:
+    """Start a front door; return the seconds until it answers PING and until it has served a request.
+
+    Each is at most `READY_S`. Without a request the second is the same moment as the first.
+    """
+    started_s = time.monotonic()
     real.door.start()
     ready_s = served_s = READY_S
     try:
         async with asyncio.timeout(READY_S):
             await real.door.ready()
-            ready_s = time.monotonic() - began_s
-            while request and not await served(real.door.address, request):
-                # The next one is a new request; no real one of the run has such an id.
-                request = [*request[:2], b"%04x%012x" % (real.number, next(SERIAL)), *request[3:]]
-                await asyncio.sleep(ASK_EVERY_S)
-            served_s = time.monotonic() - began_s
+            ready_s = time.monotonic() - started_s
+            while request and not await is_served(real.door.address, request):
+                # A retry is a new request, with an id that no other request of the run has.
+                request = [*request[:2], b"%04x%012x" % (real.number, next(REQUEST_SERIALS)), *request[3:]]
+                await asyncio.sleep(RETRY_S)
+            served_s = time.monotonic() - started_s
     except TimeoutError:
         pass
     return ready_s, served_s
 
 
-async def served(address: Address, words: list[bytes]) -> bool:
+async def is_served(address: Address, command: list[bytes]) -> bool:
+    """Return whether a request is served."""
     reader, writer = await asyncio.open_connection(*address)
     try:
-        writer.write(encode(words))
+        writer.write(encode(command))
         return (await reader.readline()).startswith(b"$")
     except OSError:
         return False
@@ -129,12 +134,13 @@
         writer.close()
 
 
-async def end_all(doors: Sequence[Real]) -> list[list[str]]:
+async def stop_all(doors: Sequence[RealDoor]) -> list[list[str]]:
+    """Stop all doors and return their logs."""
     return await asyncio.gather(*(real.end() for real in doors))
 
 
-def counts_in(log: list[str], mark: str) -> dict[str, Any]:
-    """The last object that a watched door has said under a mark; nothing where it said none."""
-    lines = [line for line in log if mark in line]
-    found: dict[str, Any] = json.loads(lines[-1].rpartition(mark)[2]) if lines else {}
-    return found
+def last_logged_counts(log: list[str], prefix: str) -> dict[str, Any]:
+    """Return the last object that a door logged after a prefix, or an empty one."""
+    lines = [line for line in log if prefix in line]
+    counts: dict[str, Any] = json.loads(lines[-1].rpartition(prefix)[2]) if lines else {}
+    return counts
--- a/benchmarks/scale/helper.py
+++ b/benchmarks/scale/helper.py
@@ -1,4 +1,4 @@
-"""The side of whoever plays: a process for one role, told by lines of JSON and answering by them (`role`)."""
+"""A handle on the process of one role, which takes calls and answers them as lines of JSON (see `role`)."""
 
 import asyncio
 import json
@@ -9,18 +9,19 @@
 
 from rig.doors import die_with_parent
 
-ANSWER_S = 60.0
+ANSWER_TIMEOUT_S = 60.0
 LINE_BYTES = 1 << 27
 
 
-class Helper:
-    """One of these processes."""
+class RoleProcess:
+    """The process of one role."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.turn = name, asyncio.Lock()
+        self.name, self.lock = name, asyncio.Lock()
         self.process: asyncio.subprocess.Process | None = None
 
-    async def start(self) -> "Helper":
+    async def start(self) -> "RoleProcess":
+        """Start the process."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -34,10 +35,13 @@
         )
         return self
 
-    async def ask(self, do: str, **values: object) -> Any:  # noqa: ANN401
-        """RuntimeError where it fails, TimeoutError where it does not answer."""
+    async def call(self, do: str, **values: object) -> Any:  # noqa: ANN401
+        """Call one of the role's methods and return its answer.
+
+        Raises RuntimeError if it fails, TimeoutError if it does not answer.
+        """
         assert self.process and self.process.stdin and self.process.stdout
-        async with self.turn, asyncio.timeout(ANSWER_S):
+        async with self.lock, asyncio.timeout(ANSWER_TIMEOUT_S):
             self.process.stdin.write(json.dumps({"do": do, **values}).encode() + b"\n")
             await self.process.stdin.drain()
             line = await self.process.stdout.readline()
@@ -50,10 +54,12 @@
 
     @property
     def pid(self) -> int:
+        """The process id."""
         assert self.process
         return self.process.pid
 
     async def end(self) -> None:
+        """Kill the process and wait for it."""
         if self.process and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow front doors: many in one process, which are peers of the real ones and nothing else.
+"""Simulated front doors, many in one process, which act only as peers of the real ones.
 
-Each is the decision module with a datagram socket at its address: it takes the requests of those tenants
-that it shares with a real door, at their rates, and its words leave and arrive as a real door's. It has no
-clients, no list from discovery and no connections: what a quota lets through counts as served.
+Each is the policy module with a datagram socket at its address: it receives the requests of the tenants that
+it shares with a real door, at their rates, and sends and receives gossip as a real door does. It has no
+clients, no discovery and no backend connections: a request that its quota admits counts as served.
 """
 
 import asyncio
@@ -21,32 +21,33 @@
 from rig.sockets import Address
 from rig.workload import CLASSES
 
-MOST_BEHIND_S = 0.5  # past this what was due is left out, and counted as one skip
-DATAGRAM_HEAD_BYTES = 28  # of IPv4 and UDP
+MAX_BEHIND_S = 0.5  # when later than this, due requests are dropped and counted as one skip
+DATAGRAM_HEADER_BYTES = 28  # headers of IPv4 and UDP
 
 
 def configuration(tier: Tier, door: int) -> Config:
-    """As a real door of that number reads its own, but for the others' addresses."""
-    none = "127.0.0.1:1"
+    """Return the configuration of a real door of that number, but for the other doors' addresses."""
+    unused = "127.0.0.1:1"
     values = {
         "name": f"hollow-{door}",
-        "listen": none,
-        "discovery": none,
-        "peer_listen": none,
-        "peers": [none],
+        "listen": unused,
+        "discovery": unused,
+        "peer_listen": unused,
+        "peers": [unused],
         "seed": f"{door:x}",
         "settings": tier.settings(door),
     }
     return parse(values, {})
 
 
-class Served(Gateway):
-    """A gateway whose requests are served as soon as their quota and ceiling allow it: by nobody.
+class ImmediateGateway(Gateway):
+    """A gateway whose requests count as served once their quota and ceiling admit them.
 
-    What is left out is the choice of a server and what comes of it; a peer hears nothing of these.
+    The choice of a server and its results are left out; they cause no messages to peers.
     """
 
     def forward_waiting(self) -> None:
+        """Close every waiting request that is below its ceiling."""
         entries = self.queue.entries
         self.queue.entries = []
         for entry in entries:
@@ -61,151 +62,167 @@
             pending.is_closed = True
 
 
-class HollowDoor(asyncio.DatagramProtocol):
-    """One of them."""
+class SimulatedDoor(asyncio.DatagramProtocol):
+    """One simulated front door."""
 
-    def __init__(self, role: "Hollow", tier: Tier, door: int) -> None:
+    def __init__(self, role: "SimulatedDoors", tier: Tier, door: int) -> None:
         self.role, self.tier, self.door = role, tier, door
-        self.gateway, self.form = Served(configuration(tier, door).settings), QuotaGossipCodec()
+        self.gateway, self.codec = ImmediateGateway(configuration(tier, door).settings), QuotaGossipCodec()
         self.loop, self.serial = asyncio.get_running_loop(), itertools.count()
         self.transport: asyncio.DatagramTransport | None = None
 
     async def start(self) -> None:
+        """Open the datagram socket."""
         await self.loop.create_datagram_endpoint(
             lambda: self, local_addr=peer_address(self.door, self.tier.peer_port)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: Address) -> None:
+        """Pass a peer's gossip to the gateway."""
         sender = self.role.numbers.get(address[0])
         if sender is None:
             return
         self.role.count(sender, "sent", data)  # by the real door, if it is one
-        if message := self.form.unpack(sender, data):
-            self.post(message)
+        if message := self.codec.unpack(sender, data):
+            self.handle_event(message)
 
-    def ask(self, tenant: Tenant, kind: int) -> None:
-        name, rule = f"{self.door:x}-{next(self.serial)}", CLASSES[kind]
-        self.post(
+    def request(self, tenant: Tenant, kind: int) -> None:
+        """Pass a tenant's request of a class to the gateway."""
+        name, request_class = f"{self.door:x}-{next(self.serial)}", CLASSES[kind]
+        self.handle_event(
             RequestReceived(
                 name,
                 kind,
                 tenant.plan,
                 tenant.name,
-                min(1_875_000, rule.deadline_us),
+                min(1_875_000, request_class.deadline_us),
                 set_size=self.tier.spread,
                 set_first=tenant.first,
-                is_write=rule.is_write,
+                is_write=request_class.is_write,
             )
         )
 
-    def post(self, event: Event) -> None:
-        """Hand it to the module, and do what peers hear of."""
+    def handle_event(self, event: Event) -> None:
+        """Pass an event to the gateway and carry out the actions that concern peers and timers."""
         for action in self.gateway.handle(now_us(), event):
             if isinstance(action, SendGossip):
-                for data in self.form.pack(action.peer, action.messages):
-                    self.tell(action.peer, data)
+                for data in self.codec.pack(action.peer, action.messages):
+                    self.send_datagram(action.peer, data)
             elif isinstance(action, SetTimer):
-                self.ring(now_us() + action.delay_us, action.token)
+                self.expire_timer(now_us() + action.delay_us, action.token)
 
-    def ring(self, due_us: int, token: int) -> None:
-        left = due_us - now_us()
-        if left > 0:
-            self.loop.call_later(max(1000, left) / 1e6, self.ring, due_us, token)
+    def expire_timer(self, due_us: int, token: int) -> None:
+        """Pass a timer to the gateway once it is due."""
+        remaining = due_us - now_us()
+        if remaining > 0:
+            self.loop.call_later(max(1000, remaining) / 1e6, self.expire_timer, due_us, token)
         elif self.transport and not self.transport.is_closing():
-            self.post(TimerExpired(token))
+            self.handle_event(TimerExpired(token))
 
-    def tell(self, peer: int, data: bytes) -> None:
+    def send_datagram(self, peer: int, data: bytes) -> None:
+        """Send a datagram to a peer."""
         self.role.count(peer, "received", data)  # by the real door, if it is one
         if self.transport and not self.transport.is_closing():
             self.transport.sendto(data, peer_address(peer, self.tier.peer_port))
 
     def close(self) -> None:
+        """Close the socket."""
         if self.transport:
             self.transport.close()
 
 
-class Hollow:
+class SimulatedDoors:
     """The role `hollow` of a run."""
 
     def __init__(self) -> None:
-        self.doors: dict[int, HollowDoor] = {}
-        self.numbers: dict[str, int] = {}  # of doors, by their addresses' hosts
+        self.doors: dict[int, SimulatedDoor] = {}
+        self.numbers: dict[str, int] = {}  # door numbers by the host of their address
         self.real: dict[int, dict[str, int]] = {}
-        self.asks: asyncio.Task[None] | None = None
-        self.began_s, self.paused, self.skips = 0.0, False, 0
+        self.request_task: asyncio.Task[None] | None = None
+        self.counted_since_s, self.paused, self.skips = 0.0, False, 0
 
-    def count(self, door: int, what: str, data: bytes) -> None:
-        """A datagram that a real door sent to or received from one of these."""
+    def count(self, door: int, direction: str, data: bytes) -> None:
+        """Count a datagram that a real door sent to or received from a simulated one."""
         if counted := self.real.get(door):
-            counted[f"{what}_datagrams"] += 1
-            counted[f"{what}_bytes"] += len(data)
+            counted[f"{direction}_datagrams"] += 1
+            counted[f"{direction}_bytes"] += len(data)
 
     async def do_begin(
-        self, tier: dict[str, Any], real: list[int], hollow: list[int], others: list[int]
+        self, tier: dict[str, Any], real: list[int], simulated: list[int], others: list[int]
     ) -> dict[str, object]:
-        """Stand for these doors, beside those that are real and those of another process."""
-        played = Tier(**tier)
-        self.numbers = {peer_address(door, 0)[0]: door for door in (*real, *hollow, *others)}
-        self.real = {door: self.empty() for door in real}
-        for door in hollow:
-            self.doors[door] = HollowDoor(self, played, door)
+        """Simulate some doors beside the `real` ones and the `others` of another process."""
+        running_tier = Tier(**tier)
+        self.numbers = {peer_address(door, 0)[0]: door for door in (*real, *simulated, *others)}
+        self.real = {door: self.zero_counts() for door in real}
+        for door in simulated:
+            self.doors[door] = SimulatedDoor(self, running_tier, door)
             await self.doors[door].start()
-        share = [
+        shared_tenants = [
             (self.doors[door], tenant)
-            for tenant in played.everyone()
-            if any(played.holds(tenant, door) for door in real)
-            for door in ((tenant.first + step) % played.doors for step in range(played.spread))
+            for tenant in running_tier.all_tenants()
+            if any(running_tier.has_tenant(tenant, door) for door in real)
+            for door in ((tenant.first + step) % running_tier.doors for step in range(running_tier.spread))
             if door in self.doors
         ]
-        self.asks = asyncio.get_running_loop().create_task(self.ask(share, played))
-        self.began_s = time.monotonic()
-        return {"doors": len(hollow), "rate": sum(tenant.rate for _, tenant in share) / played.spread}
+        self.request_task = asyncio.get_running_loop().create_task(self.request(shared_tenants, running_tier))
+        self.counted_since_s = time.monotonic()
+        return {
+            "doors": len(simulated),
+            "rate": sum(tenant.rate for _, tenant in shared_tenants) / running_tier.spread,
+        }
 
     @staticmethod
-    def empty() -> dict[str, int]:
+    def zero_counts() -> dict[str, int]:
+        """Return counts of zero."""
         return dict.fromkeys(("sent_datagrams", "sent_bytes", "received_datagrams", "received_bytes"), 0)
 
-    async def ask(self, share: list[tuple[HollowDoor, Tenant]], tier: Tier) -> None:
-        """The requests of the tenants that these share with real doors, at their moments."""
-        if not share:
+    async def request(self, shared_tenants: list[tuple[SimulatedDoor, Tenant]], tier: Tier) -> None:
+        """Generate the requests of the tenants shared with real doors, at their times."""
+        if not shared_tenants:
             return
-        random, kinds = Random(tier.seed), [kind.share for kind in CLASSES]
-        weights = list(itertools.accumulate(tenant.rate / tier.spread for _, tenant in share))
+        random, class_shares = Random(tier.seed), [kind.share for kind in CLASSES]
+        weights = list(itertools.accumulate(tenant.rate / tier.spread for _, tenant in shared_tenants))
         due_s = time.monotonic()
         while True:
             due_s += random.expovariate(weights[-1])
-            left = due_s - time.monotonic()
-            await asyncio.sleep(max(0.0, left))  # also when behind: words are to be heard
-            if left < -MOST_BEHIND_S:
+            remaining = due_s - time.monotonic()
+            await asyncio.sleep(max(0.0, remaining))  # also when behind, so that gossip is received
+            if remaining < -MAX_BEHIND_S:
                 due_s = time.monotonic()
                 self.skips += 1
             if self.paused:
                 continue
-            door, tenant = random.choices(share, cum_weights=weights)[0]
-            door.ask(tenant, random.choices(range(len(CLASSES)), kinds)[0])
+            door, tenant = random.choices(shared_tenants, cum_weights=weights)[0]
+            door.request(tenant, random.choices(range(len(CLASSES)), class_shares)[0])
 
     async def do_take(self) -> dict[str, object]:
-        """What real doors sent and received since the last look, with the seconds it took."""
+        """Return what real doors have sent and received since the last call, and the seconds since."""
         now_s = time.monotonic()
         taken: dict[str, object] = {
-            "seconds": now_s - self.began_s,
+            "seconds": now_s - self.counted_since_s,
             "skips": self.skips,
             "doors": {str(door): count for door, count in self.real.items()},
         }
-        self.real, self.began_s, self.skips = {door: self.empty() for door in self.real}, now_s, 0
+        self.real, self.counted_since_s, self.skips = (
+            {door: self.zero_counts() for door in self.real},
+            now_s,
+            0,
+        )
         return taken
 
     async def do_pause(self, on: bool) -> dict[str, object]:
-        """Take no requests for a while; words that come are still answered."""
+        """Generate no requests while `on`; gossip is still answered."""
         self.paused = on
         return {}
 
     async def do_end(self) -> dict[str, object]:
-        if self.asks:
-            self.asks.cancel()
+        """Stop the requests and close all doors."""
+        if self.request_task:
+            self.request_task.cancel()
         for door in self.doors.values():
             door.close()
         self.doors.clear()
--- a/benchmarks/scale/ladders.py
+++ b/benchmarks/scale/ladders.py
@@ -1,7 +1,7 @@
-"""Slopes: doors measured at several sizes of one thing while the others stay, and what a hollow door costs.
+"""Slopes: doors measured at several sizes of one dimension, and simulated doors compared with real ones.
 
-Tenants that a door knows are those of its sets: their number is what a slope is taken over, and the tier's
-number of tenants is how it is reached. Backends are raised together with doors, whose own part is taken off.
+The tenants that a door knows are those of its sets: slopes are taken over their number, which the tier's
+number of tenants determines. Backends grow together with doors, whose own share is subtracted.
 """
 
 import asyncio
@@ -11,46 +11,48 @@
 from random import Random
 
 from benchmarks.scale import doors, moves
-from benchmarks.scale.counted import MARK
-from benchmarks.scale.doors import counts_in
-from benchmarks.scale.figures import rounded
-from benchmarks.scale.fit import Fit, fit
+from benchmarks.scale.counted import LOG_PREFIX
+from benchmarks.scale.doors import last_logged_counts
+from benchmarks.scale.figures import round_figure
+from benchmarks.scale.fit import Fit, fit_line
 from benchmarks.scale.moves import Figures
 from benchmarks.scale.stage import Size, Stage
 from benchmarks.scale.tier import SPREAD
 
 MB = 1 << 20
-TURNS = 3  # of each side of a comparison
-LINE_S = 0.3  # for a line that a door was asked for
-REAL = 2
+ROUNDS = 3  # for each side of a comparison
+LOG_WAIT_S = 0.3  # time for a door to write a requested log line
+REAL_DOORS = 2
 
 
-def alike(backends: int, doors: int) -> Size:
-    """A tier with as many tenants for each door as the one that is coming."""
-    return Size(backends, doors, doors * 170_000 // 7_500, REAL)
+def proportional_size(backends: int, doors: int) -> Size:
+    """Return a size with as many tenants for each door as the planned tier."""
+    return Size(backends, doors, doors * 170_000 // 7_500, REAL_DOORS)
 
 
-# With as many doors for each backend as there will be: few doors must see more of a list.
-BACKENDS = [alike(backends, backends * 7_500 // 93_000) for backends in (200, 2_000, 20_000, 93_000)]
-DOORS = [alike(20_000, count) for count in (200, 1_000, 7_500)]
-TENANTS = [Size(2_000, 200, tenants, REAL) for tenants in (1_000, 20_000, 170_000)]
-EIGHT, HALF = Size(200, 8, 181, 8), Size(200, 8, 181, 4)  # a tier that is small enough to be all real
+# With the planned number of doors for each backend: with few doors each must see more of a list.
+BACKENDS = [
+    proportional_size(backends, backends * 7_500 // 93_000) for backends in (200, 2_000, 20_000, 93_000)
+]
+DOORS = [proportional_size(20_000, count) for count in (200, 1_000, 7_500)]
+TENANTS = [Size(2_000, 200, tenants, REAL_DOORS) for tenants in (1_000, 20_000, 170_000)]
+ALL_REAL, HALF_REAL = Size(200, 8, 181, 8), Size(200, 8, 181, 4)  # small enough for all doors to be real
 
 
 @dataclass(frozen=True, slots=True)
-class Ladder:
-    """What is raised, and the figures that are fitted over it: name of the slope, figure, its unit in it."""
+class SizeSeries:
+    """A dimension that grows, and the figures fitted over it: slope's name, figure, factor of its unit."""
 
     name: str
     sizes: Sequence[Size]
     over: Callable[[Size], float]
     fitted: dict[str, tuple[str, float]]
-    to: float  # the size that is coming
+    to: float  # the planned size
 
 
-LESS_DOORS = "memory_less_doors_mb"  # less what other doors take, by the ladder before
-LADDERS = (
-    Ladder(
+LESS_DOORS = "memory_less_doors_mb"  # less the memory for other doors, by the slope of the series `doors`
+SERIES = (
+    SizeSeries(
         "doors",
         DOORS,
         lambda size: size.doors,
@@ -61,7 +63,7 @@
         },
         7_500,
     ),
-    Ladder(
+    SizeSeries(
         "backends",
         BACKENDS,
         lambda size: size.backends,
@@ -72,7 +74,7 @@
         },
         93_000,
     ),
-    Ladder(
+    SizeSeries(
         "tenants",
         TENANTS,
         lambda size: size.tenants * SPREAD / size.doors,
@@ -87,120 +89,128 @@
 MakeStage = Callable[..., Stage]
 
 
-async def rung(make: MakeStage, size: Size, warm_s: float, seconds: float, changes: bool) -> Figures:
-    """Memory and CPU of doors at one size, under their traffic and then without."""
+async def measure_size(make: MakeStage, size: Size, warm_s: float, seconds: float, changes: bool) -> Figures:
+    """Measure memory and CPU of doors at one size, with traffic and then without."""
     stage = make(size)
     try:
         await stage.start()
         await stage.begin_load()
         await asyncio.sleep(warm_s)
-        look = await stage.look()
+        measurement = await stage.start_measurement()
         await asyncio.sleep(seconds)
-        window = await look.window()
-        found = {
+        window = await measurement.window()
+        figures = {
             "request_us": moves.request_us(window, stage.names),
-            **moves.shares(window, stage.names),
+            **moves.outcome_shares(window, stage.names),
             **moves.latencies(window, stage.names),
-            **moves.memory(stage),
-            **await moves.words(stage),
+            **moves.memory_figures(stage),
+            **await moves.gossip_figures(stage),
         }
         await stage.end_load()
         if changes:
-            await stage.hollow_do("pause", on=True)
+            await stage.call_simulated("pause", on=True)
             await asyncio.sleep(moves.SETTLE_S)
-            still = await stage.look()
+            rest_start = await stage.start_measurement()
             await asyncio.sleep(seconds / 2)
-            rest = await still.window()
-            share = sum(rest.cpu_s.values()) / len(rest.cpu_s) / rest.seconds
-            found["change_us"] = await moves.change_us(stage, Random(1), share)
-        return found
+            rest_window = await rest_start.window()
+            share = sum(rest_window.cpu_s.values()) / len(rest_window.cpu_s) / rest_window.seconds
+            figures["change_us"] = await moves.change_us(stage, Random(1), share)
+        return figures
     finally:
         await stage.end()
 
 
-async def climb(
+async def measure_series(
     make: MakeStage,
-    ladder: Ladder,
+    series: SizeSeries,
     warm_s: float,
     seconds: float,
     say: Callable[[str], None],
     bytes_a_door: float = 0.0,
 ) -> tuple[Figures, dict[str, dict[str, object]]]:
-    """The figures of each rung by its size, and the fits; `bytes_a_door` is a slope that is known by then."""
+    """Return the figures at each size of a series, and the fits.
+
+    `bytes_a_door` is a slope that has been measured before.
+    """
     figures: Figures = {}
-    rungs: list[tuple[float, Figures]] = []
-    for size in ladder.sizes:
-        found = await rung(make, size, warm_s, seconds, ladder.name == "backends")
-        if ladder.sizes is BACKENDS:
-            found[LESS_DOORS] = found["memory_mb"] - bytes_a_door * size.doors / MB
-        rungs.append((ladder.over(size), found))
-        say(f"{ladder.name} {ladder.over(size):g}: {found}")
+    points: list[tuple[float, Figures]] = []
+    for size in series.sizes:
+        measured = await measure_size(make, size, warm_s, seconds, series.name == "backends")
+        if series.sizes is BACKENDS:
+            measured[LESS_DOORS] = measured["memory_mb"] - bytes_a_door * size.doors / MB
+        points.append((series.over(size), measured))
+        say(f"{series.name} {series.over(size):g}: {measured}")
         figures |= {
-            f"{ladder.name}_{round(ladder.over(size))}_{name}": rounded(figure)
-            for name, figure in found.items()
+            f"{series.name}_{round(series.over(size))}_{name}": round_figure(figure)
+            for name, figure in measured.items()
         }
     fits: dict[str, dict[str, object]] = {}
-    for name, (figure, unit) in ladder.fitted.items():
-        line: Fit = fit([(at, found[figure] * unit) for at, found in rungs if figure in found])
-        fits[name] = {"of": figure, "over": ladder.name, **line.shown(ladder.to)}
-        figures[name] = rounded(line.slope)
+    for name, (figure, unit) in series.fitted.items():
+        line: Fit = fit_line([(at, measured[figure] * unit) for at, measured in points if figure in measured])
+        fits[name] = {"of": figure, "over": series.name, **line.as_fields(series.to)}
+        figures[name] = round_figure(line.slope)
     return figures, fits
 
 
-async def beside(make: MakeStage, warm_s: float, seconds: float) -> Figures:
-    """What a door receives and costs among 7 real ones, and among 3 real and 4 hollow ones: in turn, so that
-    what slows the machine slows both."""
+async def compare_simulated(make: MakeStage, warm_s: float, seconds: float) -> Figures:
+    """Measure a door among 7 real ones, and among 3 real and 4 simulated ones.
+
+    The two tiers alternate, so that a slowdown of the machine affects both.
+    """
     stages = {
-        "real": make(EIGHT, numbers=range(8), hollow=[], of=doors.COUNTED),
-        "hollow": make(HALF, numbers=range(4), hollow=[4, 5, 6, 7], of=doors.COUNTED),
+        "real": make(ALL_REAL, numbers=range(8), simulated=[], door_command=doors.COUNTING_DOOR_COMMAND),
+        "hollow": make(
+            HALF_REAL, numbers=range(4), simulated=[4, 5, 6, 7], door_command=doors.COUNTING_DOOR_COMMAND
+        ),
     }
-    seen: dict[str, list[Figures]] = {side: [] for side in stages}
+    rounds_by_side: dict[str, list[Figures]] = {side: [] for side in stages}
     try:
         for stage in stages.values():
             await stage.start()
-            await stage.hollow_do("pause", on=True)
-        for _ in range(TURNS):
+            await stage.call_simulated("pause", on=True)
+        for _ in range(ROUNDS):
             for side, stage in stages.items():
-                await stage.hollow_do("pause", on=False)
+                await stage.call_simulated("pause", on=False)
                 await stage.begin_load()
                 await asyncio.sleep(warm_s)
-                seen[side].append(await turn(stage, seconds))
+                rounds_by_side[side].append(await measure_round(stage, seconds))
                 await stage.end_load()
-                await stage.hollow_do("pause", on=True)
+                await stage.call_simulated("pause", on=True)
     finally:
         await asyncio.gather(*(stage.end() for stage in stages.values()))
     return {
-        f"beside_{side}_{name}": rounded(sum(figures[name] for figures in turns) / len(turns))
-        for side, turns in seen.items()
-        for name in turns[0]
+        f"beside_{side}_{name}": round_figure(sum(figures[name] for figures in rounds) / len(rounds))
+        for side, rounds in rounds_by_side.items()
+        for name in rounds[0]
     }
 
 
-async def turn(stage: Stage, seconds: float) -> Figures:
-    """Means of the doors that are real on both sides."""
-    look = await stage.look()
+async def measure_round(stage: Stage, seconds: float) -> Figures:
+    """Return means over the doors that are real on both sides."""
+    measurement = await stage.start_measurement()
     signal_all(stage, signal.SIGUSR1)
     await asyncio.sleep(seconds)
     signal_all(stage, signal.SIGUSR2)
-    window = await look.window()
-    await asyncio.sleep(LINE_S)
-    compared = stage.real[: HALF.real]
-    counts = [counts_in(list(real.door.log), MARK) for real in compared]
-    found = {
+    window = await measurement.window()
+    await asyncio.sleep(LOG_WAIT_S)
+    compared = stage.real[: HALF_REAL.real]
+    counts = [last_logged_counts(list(real.door.log), LOG_PREFIX) for real in compared]
+    datagram_rates = {
         f"{what}_per_s": sum(count[what] / count["seconds"] for count in counts) / len(counts)
         for what in ("datagrams", "bytes")
     }
     names = [real.name for real in compared]
     share = sum(window.cpu_s[name] for name in names) / window.seconds / len(names)
     return {
-        **found,
+        **datagram_rates,
         "cpu_share": share,
         "request_us": moves.request_us(window, names),
-        **moves.shares(window, names),
+        **moves.outcome_shares(window, names),
         **moves.latencies(window, names),
     }
 
 
 def signal_all(stage: Stage, number: signal.Signals) -> None:
+    """Send a signal to all real doors."""
     for real in stage.real:
         real.door.signal(number)
--- a/benchmarks/scale/role.py
+++ b/benchmarks/scale/role.py
@@ -1,7 +1,7 @@
-"""A process that plays one role.
+"""A process that runs one role.
 
-`python -m benchmarks.scale.role ROLE` takes `{"do": NAME, ...}` at its input, a line each, answers each by a
-line, and ends with its input.
+`python -m benchmarks.scale.role ROLE` reads calls `{"do": NAME, ...}` from standard input, one a line,
+answers each with a line, and ends when its input closes.
 """
 
 import asyncio
@@ -15,20 +15,22 @@
 
 from benchmarks.scale.helper import LINE_BYTES
 
-ROLES = {"agent": "Agent", "backends": "Backends", "hollow": "Hollow", "load": "Load"}  # by module
+ROLES = {"agent": "Agent", "backends": "Backends", "hollow": "SimulatedDoors", "load": "Load"}  # by module
 
 
 async def answer(role: object, line: bytes) -> dict[str, object]:
+    """Call the method that a line names; return its result, or the error under `fault`."""
     values = json.loads(line)
     try:
-        act: Callable[..., Any] = getattr(role, f"do_{values.pop('do')}")
-        result: dict[str, object] = await act(**values)
+        method: Callable[..., Any] = getattr(role, f"do_{values.pop('do')}")
+        result: dict[str, object] = await method(**values)
     except Exception as error:
         return {"fault": f"{type(error).__name__}: {error}"}
     return result
 
 
 async def main(name: str) -> None:
+    """Answer lines until the input closes."""
     role = getattr(importlib.import_module(f"benchmarks.scale.{name}"), ROLES[name])()
     reader = asyncio.StreamReader(LINE_BYTES)
     loop = asyncio.get_running_loop()
--- a/benchmarks/scale/run.py
+++ b/benchmarks/scale/run.py
@@ -1,4 +1,4 @@
-"""One run as a result: figures against aims."""
+"""The result of one run: figures and aims."""
 
 import asyncio
 import json
@@ -9,17 +9,18 @@
 import uvloop
 
 from benchmarks.result import Result
-from benchmarks.scale.figures import AIMS, HOLLOW
-from benchmarks.scale.play import FULL, QUICK, SMALL, WHOLE, Run
+from benchmarks.scale.figures import AIMS, SIMULATED_PARTS
+from benchmarks.scale.play import FULL_SIZE, FULL_SPANS, QUICK_SPANS, SMALL_SIZE, Run
 from benchmarks.scale.tier import RATE, SPREAD
 
-LIMIT_S, QUICK_LIMIT_S = 450.0, 130.0  # of one side; what is not measured by then has no figure
+TIMEOUT_S, QUICK_TIMEOUT_S = 450.0, 130.0  # for one checkout; what is not measured by then has no figure
 
 
 async def compare(
     quick: bool, seed: int, progress: bool, against: str
 ) -> tuple[dict[str, float], dict[str, object]]:
-    spans = QUICK if quick else WHOLE
+    """Measure this checkout and, if one is named, another; errors are part of the result."""
+    spans = QUICK_SPANS if quick else FULL_SPANS
     figures: dict[str, float] = {}
     unfinished: dict[str, str] = {}
     fits: dict[str, object] = {}
@@ -27,10 +28,10 @@
     for number, (side, root) in enumerate({"": "", **({"against_": against} if against else {})}.items()):
         run = Run(spans, seed, root, progress, number)
         try:
-            async with asyncio.timeout(QUICK_LIMIT_S if quick else LIMIT_S):
+            async with asyncio.timeout(QUICK_TIMEOUT_S if quick else TIMEOUT_S):
                 await run.main()
-                if not root:  # the slopes are this program's
-                    await run.more()
+                if not root:  # slopes are measured for this checkout only
+                    await run.measure_series()
         except (OSError, RuntimeError, TimeoutError) as error:
             unfinished[side or "this"] = f"{type(error).__name__}: {error}"
         fits |= run.fits
@@ -40,7 +41,10 @@
 
 
 def measure(quick: bool, seed: int, progress: bool, against: str = "", out: str = "") -> Result:
-    """`out` names a file that takes the result as JSON: the pages' figures come from there."""
+    """Measure, and write the result as JSON to the file `out` if it is given.
+
+    The pages' figures come from that file.
+    """
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         figures, more = runner.run(compare(quick, seed, progress, against))
     result = Result(
@@ -50,10 +54,10 @@
         figures,
         {
             "quick": quick,
-            "hollow": HOLLOW,
+            "hollow": SIMULATED_PARTS,
             "spread": SPREAD,
             "rate_per_s": RATE,
-            "tiers": {"full": asdict(FULL), "small": asdict(SMALL)},
+            "tiers": {"full": asdict(FULL_SIZE), "small": asdict(SMALL_SIZE)},
             **more,
         },
     )
--- a/benchmarks/scale/troubles.py
+++ b/benchmarks/scale/troubles.py
@@ -1,6 +1,6 @@
-"""Moves of days that are not ordinary: backends lost, discovery back, doors that start anew.
+"""Measurements of failures: backends lost, discovery restarted, doors restarted.
 
-Quick and full runs play the same ones; only spans differ.
+Quick and full runs do the same ones with different spans.
 """
 
 import asyncio
@@ -10,117 +10,117 @@
 
 from benchmarks.result import quantile
 from benchmarks.scale.catalogue import DELETED, SERVING
-from benchmarks.scale.day import SEEN_S, Day, unix_ms
+from benchmarks.scale.day import RECENT_S, OrdinaryDay, unix_ms
 from benchmarks.scale.doors import READY_S, write_known
-from benchmarks.scale.moves import Figures, forced, latencies, memory, shares
+from benchmarks.scale.moves import Figures, in_force_figures, latencies, memory_figures, outcome_shares
 from benchmarks.scale.stage import Stage
 from benchmarks.scale.tier import ZONES
 from rig.doors import Door
 
-RACK, ZONE = 40, 3
-TOLD_S = 1.0  # from when backends die to the word of it
-QUIET_S = 2.0  # without a request, after which a change of several backends is in force
+RACK_BACKENDS, LOST_ZONE = 40, 3
+ANNOUNCEMENT_DELAY_S = 1.0  # from the failure of backends to its announcement
+QUIET_S = 2.0  # a change of several backends is in force after this time without a request to them
 
 
-async def lose(stage: Stage, numbers: list[int], seconds: float) -> Figures:
-    """These die at once, and the word of it comes a little later."""
-    had = await stage.ask("backends", "last", since_s=time.monotonic() - SEEN_S, numbers=numbers)
-    look = await stage.look()
-    await stage.ask("backends", "gone", numbers=numbers)
-    await asyncio.sleep(TOLD_S)
-    told = await stage.ask("agent", "change", changes=[(number, DELETED, 0) for number in numbers])
+async def lose_backends(stage: Stage, numbers: list[int], seconds: float) -> Figures:
+    """Take backends down at once and announce it a little later."""
+    used_before = await stage.call("backends", "last", since_s=time.monotonic() - RECENT_S, numbers=numbers)
+    measurement = await stage.start_measurement()
+    await stage.call("backends", "gone", numbers=numbers)
+    await asyncio.sleep(ANNOUNCEMENT_DELAY_S)
+    announced = await stage.call("agent", "change", changes=[(number, DELETED, 0) for number in numbers])
     await asyncio.sleep(seconds)
-    window = await look.window()
-    last = await stage.ask("backends", "last", since_s=told["at_s"], numbers=numbers)
-    force = [max(0.0, last.get(door, told["at_s"]) - told["at_s"]) for door in had]
+    window = await measurement.window()
+    last = await stage.call("backends", "last", since_s=announced["at_s"], numbers=numbers)
+    delays_s = [max(0.0, last.get(door, announced["at_s"]) - announced["at_s"]) for door in used_before]
     return {
-        **shares(window, stage.names),
+        **outcome_shares(window, stage.names),
         **latencies(window, stage.names),
-        "force_s": max(force, default=0.0),
-        "force_seen": len(force),
-        "line_bytes": told["line_bytes"],
+        "force_s": max(delays_s, default=0.0),
+        "force_seen": len(delays_s),
+        "line_bytes": announced["line_bytes"],
     }
 
 
-async def rack(stage: Stage, random: Random, seconds: float) -> Figures:
-    """A rack of 40 gone at once: those that doors ask most, as the others would not show."""
-    used = await stage.ask("backends", "used", since_s=time.monotonic() - SEEN_S)
-    asked = [number for counts in used.values() for number, _ in counts[: RACK // len(used) + 1]]
-    rest = random.sample(range(stage.size.backends), min(RACK, stage.size.backends))
-    numbers = list(dict.fromkeys([*asked, *rest]))[:RACK]
-    return await lose(stage, numbers, seconds)
+async def lose_rack(stage: Stage, random: Random, seconds: float) -> Figures:
+    """Lose a rack of 40 at once: the backends that doors use most, since others would not show."""
+    used = await stage.call("backends", "used", since_s=time.monotonic() - RECENT_S)
+    most_used = [number for counts in used.values() for number, _ in counts[: RACK_BACKENDS // len(used) + 1]]
+    others = random.sample(range(stage.size.backends), min(RACK_BACKENDS, stage.size.backends))
+    numbers = list(dict.fromkeys([*most_used, *others]))[:RACK_BACKENDS]
+    return await lose_backends(stage, numbers, seconds)
 
 
-async def zone(stage: Stage, seconds: float) -> Figures:
-    """A zone of 26 lost, and back cold as backends of new names."""
+async def lose_zone(stage: Stage, seconds: float) -> Figures:
+    """Lose one of 26 zones, and bring it back as cold backends with new names."""
     size = stage.size.backends
-    numbers = list(range(ZONE, size, ZONES))
-    span_s = min(SEEN_S, seconds)
-    before = await stage.ask("backends", "used", since_s=time.monotonic() - span_s)
-    figures = await lose(stage, numbers, seconds)
-    after = await stage.ask("backends", "used", since_s=time.monotonic() - span_s)
-    figures |= {"asked_before": least(before), "asked_after": least(after)}
-    base = stage.next_number - stage.next_number % ZONES + ZONES + ZONE
+    numbers = list(range(LOST_ZONE, size, ZONES))
+    span_s = min(RECENT_S, seconds)
+    before = await stage.call("backends", "used", since_s=time.monotonic() - span_s)
+    figures = await lose_backends(stage, numbers, seconds)
+    after = await stage.call("backends", "used", since_s=time.monotonic() - span_s)
+    figures |= {"asked_before": fewest_backends(before), "asked_after": fewest_backends(after)}
+    base = stage.next_number - stage.next_number % ZONES + ZONES + LOST_ZONE
     back = [base + at * ZONES for at in range(len(numbers))]
     stage.next_number = back[-1]
-    look, now_ms = await stage.look(), unix_ms()
-    told = await stage.ask("agent", "change", changes=[(number, SERVING, now_ms) for number in back])
+    measurement, now_ms = await stage.start_measurement(), unix_ms()
+    announced = await stage.call("agent", "change", changes=[(number, SERVING, now_ms) for number in back])
     await asyncio.sleep(seconds)
-    window = await look.window()
-    cold = await stage.ask("backends", "busiest", since_s=told["at_s"], numbers=back)
+    window = await measurement.window()
+    cold = await stage.call("backends", "busiest", since_s=announced["at_s"], numbers=back)
     return {
         **figures,
         "back_served_share": window.served_share(stage.names),
-        "back_line_bytes": told["line_bytes"],
+        "back_line_bytes": announced["line_bytes"],
         **{f"back_{name}": figure for name, figure in latencies(window, stage.names).items()},
         "back_cold_most_per_s": cold["most"],
         "back_cold_requests": cold["all"],
     }
 
 
-def least(used: Mapping[str, list[list[int]]]) -> int:
-    """The fewest backends that a door asked."""
+def fewest_backends(used: Mapping[str, list[list[int]]]) -> int:
+    """Return the fewest backends that one door used."""
     return min((len(counts) for counts in used.values()), default=0)
 
 
-async def reset(stage: Stage, random: Random, seconds: float) -> Figures:
-    """Discovery is back with a whole list for everybody, and a change right behind it."""
-    day, look = Day(stage, random), await stage.look()
-    sent = await stage.ask("agent", "reset")
-    used = await stage.ask("backends", "used", since_s=time.monotonic() - SEEN_S)
-    asked = [number for counts in used.values() for number, _ in counts[:3]]
-    await day.drain(asked, seconds, quiet_s=QUIET_S)
-    window = await look.window()
+async def reset_discovery(stage: Stage, random: Random, seconds: float) -> Figures:
+    """Restart discovery: a whole list for all doors, followed by a change."""
+    day, measurement = OrdinaryDay(stage, random), await stage.start_measurement()
+    sent = await stage.call("agent", "reset")
+    used = await stage.call("backends", "used", since_s=time.monotonic() - RECENT_S)
+    most_used = [number for counts in used.values() for number, _ in counts[:3]]
+    await day.drain(most_used, seconds, quiet_s=QUIET_S)
+    window = await measurement.window()
     return {
-        **shares(window, stage.names),
+        **outcome_shares(window, stage.names),
         **latencies(window, stage.names),
         "whole_bytes": sent["line_bytes"],
-        **forced(day),
+        **in_force_figures(day),
         "share": max(window.cpu_s[name] for name in stage.names) / window.seconds,
-        **memory(stage),
+        **memory_figures(stage),
     }
 
 
-async def restarts(stage: Stage, rounds: int, before: list[tuple[float, float]]) -> Figures:
-    """All real doors die and start anew at once, with the whole list in their configuration.
+async def restart_doors(stage: Stage, rounds: int, before: list[tuple[float, float]]) -> Figures:
+    """Kill and restart all real doors at once, with the whole list in their configuration.
 
-    In the last round the first has none, and reads all of it from discovery. `before` are the times of starts
-    that were seen already.
+    In the last round the first door has none and reads it from discovery. `before` are the times of earlier
+    starts.
     """
-    times, found = list(before), Figures()
-    for at in range(rounds):
+    times, fresh_figures = list(before), Figures()
+    for round_number in range(rounds):
         for real in stage.real:
-            await stop(real.door)
+            await kill_door(real.door)
         first = stage.real[0]
-        if at == rounds - 1:
+        if round_number == rounds - 1:
             write_known(first.door, "{}")
-            await stage.ask("agent", "take")
-        seen = await asyncio.gather(*(stage.start_door(real) for real in stage.real))
-        if at == rounds - 1:
-            ready_s, served_s = seen.pop(0)
-            sent = (await stage.ask("agent", "take"))[str(first.number)]
+            await stage.call("agent", "take")
+        round_times = await asyncio.gather(*(stage.start_door(real) for real in stage.real))
+        if round_number == rounds - 1:
+            ready_s, served_s = round_times.pop(0)
+            sent = (await stage.call("agent", "take"))[str(first.number)]
             now_mb, most_mb = first.memory_mb()
-            found |= {
+            fresh_figures |= {
                 "fresh_ready_s": ready_s,
                 "fresh_served_s": served_s,
                 "fresh_served": int(served_s < READY_S),
@@ -129,17 +129,18 @@
                 "fresh_memory_mb": now_mb,
                 "fresh_peak_memory_mb": most_mb,
             }
-        times += seen
-    ready, serves = [ready_s for ready_s, _ in times], [served_s for _, served_s in times]
+        times += round_times
+    ready, served = [ready_s for ready_s, _ in times], [served_s for _, served_s in times]
     return {
-        **found,
+        **fresh_figures,
         "starts": len(ready),
         "ready_s": quantile(ready, 0.9),
         "slowest_ready_s": max(ready),
-        "first_served_s": quantile(serves, 0.9),
+        "first_served_s": quantile(served, 0.9),
     }
 
 
-async def stop(door: Door) -> None:
+async def kill_door(door: Door) -> None:
+    """Kill a front door and wait for its end."""
     door.kill()
     await door.ended.wait()
--- a/benchmarks/told.py
+++ b/benchmarks/told.py
@@ -1,4 +1,4 @@
-"""The cost of losing a zone for one proxy's endpoint subsetting: entries examined, events until it is full."""
+"""What losing a zone costs one proxy's endpoint subsetting: entries examined, events until it is full."""
 
 from collections.abc import Sequence
 from dataclasses import replace
--- a/tests/benchmarks/test_scale_page.py
+++ b/tests/benchmarks/test_scale_page.py
@@ -1,9 +1,9 @@
-"""Fits of measured points, and whether a page says what a run has measured."""
+"""Fits of measured points, and whether a page agrees with the figures of a run."""
 
 import pytest
 
-from benchmarks.scale.figures import joined, rounded
-from benchmarks.scale.fit import fit
+from benchmarks.scale.figures import combine, round_figure
+from benchmarks.scale.fit import fit_line
 from benchmarks.scale.page import page_faults
 
 FIGURES = {
@@ -16,23 +16,25 @@
 }
 
 
-def test_fit_of_points_on_a_line_is_that_line_and_leaves_nothing() -> None:
-    line = fit([(200, 24.0), (2_000, 42.0), (20_000, 222.0)])
+def test_fit_of_points_on_a_line_is_that_line_without_residual() -> None:
+    line = fit_line([(200, 24.0), (2_000, 42.0), (20_000, 222.0)])
     assert line.slope == pytest.approx(0.01) and line.base == pytest.approx(22.0)
     assert line.residual == pytest.approx(0.0, abs=1e-9) and line.sizes == (200, 2_000, 20_000)
-    assert line.at(93_000) == pytest.approx(952.0) and line.beyond(93_000) == pytest.approx(4.65)
-    assert line.beyond(200) == 1.0
-    assert line.shown(93_000)["extrapolated_times"] == pytest.approx(4.65)
+    assert line.value_at(93_000) == pytest.approx(952.0) and line.extrapolation_factor(
+        93_000
+    ) == pytest.approx(4.65)
+    assert line.extrapolation_factor(200) == 1.0
+    assert line.as_fields(93_000)["extrapolated_times"] == pytest.approx(4.65)
 
 
-def test_residual_is_how_far_points_lie_from_the_line() -> None:
-    line = fit([(0, 1.0), (0, -1.0), (10, 1.0), (10, -1.0)])
+def test_residual_is_the_root_mean_square_distance() -> None:
+    line = fit_line([(0, 1.0), (0, -1.0), (10, 1.0), (10, -1.0)])
     assert line.slope == pytest.approx(0.0) and line.residual == pytest.approx(1.0)
 
 
-def test_one_size_makes_no_slope() -> None:
+def test_fit_rejects_a_single_size() -> None:
     with pytest.raises(ValueError, match="two sizes"):
-        fit([(200, 1.0), (200, 2.0)])
+        fit_line([(200, 1.0), (200, 2.0)])
 
 
 @pytest.mark.parametrize(
@@ -46,7 +48,7 @@
         "2<!-- scale: half --> and 3<!-- scale: half --> and -3.2 ms<!-- scale: below -->",
     ],
 )
-def test_figure_rounded_to_its_digits_is_no_fault(text: str) -> None:
+def test_figure_rounded_to_the_shown_digits_agrees(text: str) -> None:
     assert page_faults(text, FIGURES) == []
 
 
@@ -72,16 +74,16 @@
         ("10 MB<!-- scale: below -->", "line 1: below is 10, and -3.24 in the file"),
     ],
 )
-def test_what_differs_is_a_fault(text: str, fault: str) -> None:
+def test_difference_is_a_fault(text: str, fault: str) -> None:
     assert fault in page_faults(text, FIGURES)
 
 
-def test_all_faults_of_a_page_are_told() -> None:
+def test_all_faults_of_a_page_are_reported() -> None:
     text = "1<!-- scale: starts --> 2<!-- scale: starts -->\n12<!-- scale: starts -->"
     assert len(page_faults(text, FIGURES)) == 2
 
 
-def test_figures_of_a_size_carry_the_moves_names_and_the_worst_of_all() -> None:
+def test_combined_figures_have_prefixes_and_the_worst_of_all() -> None:
     parts = {
         "ordinary": {
             "p99_ms": 5.0,
@@ -95,9 +97,19 @@
         "reset": {"turn_ms": 3.0},
         "zone": {"force_s": 2.25, "force_seen": 4, "turn_ms": 7.0},
     }
-    found = joined(parts, 200)
-    assert found["added_p99_ms_200"] == 3.5 and found["force_s_200"] == 2.25 and found["force_seen_200"] == 7
-    assert found["control_bytes_per_s_200"] == 120.0 and found["control_payload_bytes_per_s_200"] == 80.0
-    assert found["zone_force_s_200"] == 2.25
-    assert found["longest_turn_ms_200"] == 7.0 and found["reset_turn_ms_200"] == 3.0
-    assert rounded(0.0123456) == 0.01235 and rounded(93_000) == 93_000 and rounded(123_456.7) == 123_457
+    combined = combine(parts, 200)
+    assert (
+        combined["added_p99_ms_200"] == 3.5
+        and combined["force_s_200"] == 2.25
+        and combined["force_seen_200"] == 7
+    )
+    assert (
+        combined["control_bytes_per_s_200"] == 120.0 and combined["control_payload_bytes_per_s_200"] == 80.0
+    )
+    assert combined["zone_force_s_200"] == 2.25
+    assert combined["longest_turn_ms_200"] == 7.0 and combined["reset_turn_ms_200"] == 3.0
+    assert (
+        round_figure(0.0123456) == 0.01235
+        and round_figure(93_000) == 93_000
+        and round_figure(123_456.7) == 123_457
+    )
