--- a/rig/audit/auditor.py
+++ b/rig/audit/auditor.py
@@ -1,37 +1,39 @@
-"""Facts in, in any order; the ledger out once all are in.
+"""The auditor takes facts in any order, and returns the ledger once all are in.
 
-What it finds names the request (or server, or customer) and the two facts that clash. Rules and figures: the
-protocol's section "The rules on sockets".
+Each violation names the request, server or customer and the two facts that contradict each other. The rules
+and their parameters: the protocol's section "The rules on sockets".
 """
 
 from collections.abc import Iterable
 
-from rig.audit.ceilings import judge_ceilings
+from rig.audit.ceilings import check_ceilings
 from rig.audit.doors import Doors
-from rig.audit.effects import judge_effects
-from rig.audit.figures import Figures
+from rig.audit.effects import check_effects
+from rig.audit.figures import RuleParameters
 from rig.audit.ledger import Ledger, Rule
 from rig.audit.outcomes import Outcomes
-from rig.audit.quotas import count_quotas
+from rig.audit.quotas import measure_quotas
 from rig.audit.requests import Requests
 from rig.audit.servers import Servers
 from rig.facts import Arrived, DoorDown, DoorUp, Extra, Fact, Fell, Late, Repeat, Started, Told
 
 
 class Auditor:
-    """Hands each fact to what keeps it, and has all of it judged."""
+    """Distributes facts to the parts that store them, and runs all checks."""
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
-        self.requests, self.doors, self.servers = Requests(), Doors(), Servers(figures)
+    def __init__(self, parameters: RuleParameters) -> None:
+        self.parameters = parameters
+        self.requests, self.doors, self.servers = Requests(), Doors(), Servers(parameters)
         self.extras: list[Extra] = []
         self.ledger = Ledger()
 
     def feed(self, facts: Iterable[Fact]) -> None:
+        """Store many facts."""
         for fact in facts:
             self.take(fact)
 
     def take(self, fact: Fact) -> None:
+        """Store one fact."""
         match fact:
             case Started() | Fell() | Told():
                 self.servers.take(fact)
@@ -50,22 +52,22 @@
             case _:
                 self.requests.take(fact)
 
-    def judge(self) -> Ledger:
-        """The ledger of all that was fed; call it once."""
-        ledger, asked = self.ledger, self.requests.asked()
+    def audit(self) -> Ledger:
+        """Check all stored facts and return the ledger; call it once."""
+        ledger, requests_by_id = self.ledger, self.requests.sent_by_clients()
         outcomes = Outcomes(self.requests, self.doors, ledger)
-        for name, request in asked:
+        for request_id, request in requests_by_id:
             request.sort()
-            outcomes.judge(name, request)
-            judge_effects(ledger, name, request)
+            outcomes.check(request_id, request)
+            check_effects(ledger, request_id, request)
         for extra in self.extras:
-            ledger.note(Rule.LOST, extra.door, extra.text, extra, extra)
+            ledger.add_violation(Rule.LOST, extra.door, extra.text, extra, extra)
         for down in self.doors.crashes():
-            ledger.note(Rule.LOST, down.door, "the front door crashed", down, down)
+            ledger.add_violation(Rule.LOST, down.door, "the front door crashed", down, down)
         if ledger.times_judged:
-            self.servers.judge_drains(self.doors, ledger)
-        self.servers.judge_cold(ledger)
-        requests = [request for _, request in asked]
-        judge_ceilings(ledger, self.figures.ceilings, requests)
-        count_quotas(ledger, self.figures.quotas, requests)
+            self.servers.check_drains(self.doors, ledger)
+        self.servers.check_cold_servers(ledger)
+        requests = [request for _, request in requests_by_id]
+        check_ceilings(ledger, self.parameters.ceilings, requests)
+        measure_quotas(ledger, self.parameters.quotas, requests)
         return ledger
--- a/rig/audit/figures.py
+++ b/rig/audit/figures.py
@@ -1,8 +1,8 @@
-"""The figures of the rules, from the protocol's section "The rules on sockets"."""
+"""Parameters of the audit rules, from the protocol's section "The rules on sockets"."""
 
 from dataclasses import dataclass, field
 
-S = 1_000_000
+US_PER_S = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,23 +11,23 @@
 
     rate: float  # units a second
     burst: float  # units
-    slack: float  # units that it may go below nothing
+    slack: float  # units by which the bucket may fall below zero
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """A plan's quota for one customer, over all front doors together; what goes beyond it is told."""
+    """A plan's quota for one customer, over all front doors together; use beyond it breaks no rule."""
 
-    rate: float
-    burst: float
+    rate: float  # units a second
+    burst: float  # units
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """The figures of the rules."""
+class RuleParameters:
+    """Parameters of the audit rules."""
 
-    drain_us: int = 1 * S
+    drain_us: int = 1 * US_PER_S
     fall_multiple: float = 2.5
-    fall_us: int = 1 * S
+    fall_us: int = 1 * US_PER_S
     ceilings: dict[str, Ceiling] = field(default_factory=dict)  # by plan
-    quotas: dict[str, Quota] = field(default_factory=dict)  # by plan; what they say is told, not judged
+    quotas: dict[str, Quota] = field(default_factory=dict)  # by plan; measured, not a rule
--- a/rig/audit/ledger.py
+++ b/rig/audit/ledger.py
@@ -1,6 +1,6 @@
-"""What became of all requests, and what was broken: by whom, and the two facts that clash.
+"""The audit ledger: the outcome of each request, and all violations of the rules.
 
-Where the rig itself was too late, it gives no verdict on times.
+If the test bed itself ran too late, the ledger gives no verdict on times.
 """
 
 from collections import Counter, defaultdict
@@ -9,13 +9,13 @@
 
 from rig.facts import Fact
 
-SLACK_US = 50_000  # that each time limit is longer on sockets
-TOO_LATE_US = 100_000  # a rig later than this cannot tell times
-MOST_BROKEN = 200  # findings that are kept; all are counted
+TIME_LIMIT_SLACK_US = 50_000  # added to each time limit, for delays on sockets
+MAX_LATENESS_US = 100_000  # times observed by a test bed that ran later than this are not reliable
+MAX_VIOLATIONS = 200  # that are stored; all are counted
 
 
 class Rule(Enum):
-    """The five rules, and what must hold for the ledger itself."""
+    """The five rules; the values appear in reports."""
 
     LOST = "no request is lost"
     TWICE = "no effect happens twice"
@@ -25,7 +25,7 @@
 
 
 class Outcome(Enum):
-    """What became of a request; each has exactly one."""
+    """The outcome of a request; each has exactly one."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -42,13 +42,13 @@
     customer: str
     asked: float = 0.0
     granted: float = 0.0  # sent on to servers
-    entitled: float = 0.0  # what one front door that sees all tries would have sent on
-    over: float = 0.0  # the most that it was beyond its quota
+    entitled: float = 0.0  # what a single front door that sees all requests would have sent on
+    over: float = 0.0  # largest excess over its quota
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """A rule that was broken: by whom (`about`), and the two facts that clash."""
+class Violation:
+    """A violation of a rule: the request, server or customer, and two facts that contradict each other."""
 
     rule: Rule
     about: str
@@ -56,59 +56,66 @@
     facts: tuple[Fact, Fact]
 
     def line(self) -> str:
+        """One line for reports."""
         return f"{self.rule.value}: {self.about}: {self.text}; {self.facts[0]} against {self.facts[1]}"
 
 
 @dataclass(slots=True)
 class Ledger:
-    """What became of all requests, and what was broken."""
+    """Outcomes of all requests, and violations of the rules."""
 
     outcomes: dict[str, Outcome] = field(default_factory=dict)
     counts: Counter[Outcome] = field(default_factory=Counter)
     by_door: dict[str, Counter[Outcome]] = field(default_factory=lambda: defaultdict(Counter))
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[Violation] = field(default_factory=list)
     broken_count: Counter[Rule] = field(default_factory=Counter)
-    late_us: int = 0  # how late the rig was at most
-    units_over: float = 0.0  # the most that any customer was above its ceiling, in units
+    late_us: int = 0  # largest lateness of the test bed
+    units_over: float = 0.0  # largest excess of any customer over its ceiling, in units
     repeats_dropped: int = 0
     quotas: list[QuotaUse] = field(default_factory=list)
 
     @property
     def quota_over(self) -> float:
-        """The most that any customer was beyond its quota, in units."""
+        """Largest excess of any customer over its quota, in units."""
         return max((use.over for use in self.quotas), default=0.0)
 
     @property
     def quota_granted(self) -> float:
-        """Units sent on for each that quotas entitled to, over all customers; beyond quotas not counted."""
+        """The share of the entitled units that were sent on, over all customers; excess is not counted."""
         entitled = sum(use.entitled for use in self.quotas)
         return sum(min(use.granted, use.entitled) for use in self.quotas) / entitled if entitled else 1.0
 
     @property
     def slack_us(self) -> int:
-        """For a time limit: the protocol's, and by how much the rig may have seen things late."""
-        return SLACK_US + self.late_us
+        """Slack of time limits: that of the protocol, plus the largest lateness of the test bed."""
+        return TIME_LIMIT_SLACK_US + self.late_us
 
     @property
     def times_judged(self) -> bool:
-        return self.late_us <= TOO_LATE_US
+        """Whether the test bed was on time, so that times can be checked."""
+        return self.late_us <= MAX_LATENESS_US
 
     @property
     def requests(self) -> int:
+        """The number of requests."""
         return len(self.outcomes)
 
     @property
     def unaccounted(self) -> int:
+        """The number of requests without an explained outcome."""
         return self.counts[Outcome.UNACCOUNTED]
 
     @property
     def ok(self) -> bool:
+        """Whether all requests are accounted for, no rule is broken and times could be checked."""
         return not self.unaccounted and not self.broken_count and self.times_judged
 
-    def note(self, rule: Rule, about: str, text: str, first: Fact, second: Fact) -> None:
+    def add_violation(self, rule: Rule, about: str, text: str, first: Fact, second: Fact) -> None:
+        """Count a violation, and store it unless the ledger is full."""
         self.broken_count[rule] += 1
-        if len(self.broken) < MOST_BROKEN:
-            self.broken.append(Broken(rule, about, text, (first, second)))
+        if len(self.broken) < MAX_VIOLATIONS:
+            self.broken.append(Violation(rule, about, text, (first, second)))
 
     def rules_broken(self) -> list[str]:
+        """The texts of all rules that were broken."""
         return [rule.value for rule in Rule if self.broken_count[rule]]
--- a/rig/audit/requests.py
+++ b/rig/audit/requests.py
@@ -1,4 +1,4 @@
-"""The facts about each request, by its id, and what servers made for each."""
+"""The facts about each request by its id, and the values that servers returned for it."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """The facts about one request id."""
+    """The facts about one request."""
 
     asks: list[Asked] = field(default_factory=list)
     answers: list[Answered] = field(default_factory=list)
@@ -22,8 +22,8 @@
     runs: list[Ran] = field(default_factory=list)
 
     def sort(self) -> None:
-        """Journals come in any order; what happened first is judged first."""
-        journals: tuple[list[Any], ...] = (
+        """Sort the facts by time, as they may arrive in any order."""
+        fact_lists: tuple[list[Any], ...] = (
             self.asks,
             self.answers,
             self.ends,
@@ -31,18 +31,19 @@
             self.turned,
             self.runs,
         )
-        for facts in journals:
+        for facts in fact_lists:
             facts.sort(key=lambda fact: (fact.at_us, str(fact)))
 
 
 class Requests:
-    """All requests, in the order in which they were first heard of."""
+    """All requests, in the order of their first fact."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, Request] = defaultdict(Request)
-        self.made: set[tuple[bytes, str]] = set()  # values, and the requests that they were given for
+        self.made: set[tuple[bytes, str]] = set()  # pairs of a value and the request it was returned for
 
     def take(self, fact: Event) -> None:
+        """Store a fact."""
         match fact:
             case Asked():
                 self.by_id[fact.id].asks.append(fact)
@@ -62,6 +63,6 @@
             case Repeat():
                 self.made.add((fact.value, fact.id))
 
-    def asked(self) -> list[tuple[str, Request]]:
-        """Those that a client sent; of others only their traces are known."""
-        return [(name, request) for name, request in self.by_id.items() if request.asks]
+    def sent_by_clients(self) -> list[tuple[str, Request]]:
+        """The requests that a client is known to have sent, with their ids."""
+        return [(request_id, request) for request_id, request in self.by_id.items() if request.asks]
--- a/rig/council/__init__.py
+++ b/rig/council/__init__.py
@@ -1,1 +1,5 @@
-"""Councils for trials: `marks` (on the log), `member` (a process), `relay` (faulty ways), `tier` (many)."""
+"""Councils for tests.
+
+In reading order: `marks` (a state machine of the log), `member` (one process), `relay` (a TCP relay with
+faults), `tier` (several processes).
+"""
--- a/rig/council/marks.py
+++ b/rig/council/marks.py
@@ -1,4 +1,4 @@
-"""A state machine for trials of the council: the ids that were settled, in order."""
+"""A replicated state machine for tests: the ids of all applied entries, in order."""
 
 import msgspec
 
@@ -9,19 +9,22 @@
 
 
 class Marks:
-    """It keeps all, so a trial is bounded by what it asks for."""
+    """Stores the id of each applied entry. It never drops one, so memory grows with the entries of a test."""
 
     name = NAME
 
     def __init__(self) -> None:
-        self.seen: list[str] = []
+        self.applied_ids: list[str] = []
 
     def apply(self, entry: Entry) -> Outcome:
-        self.seen.append(entry.id)
-        return Outcome(value=msgspec.json.encode(len(self.seen)))
+        """Append the id; the value is the number of ids so far."""
+        self.applied_ids.append(entry.id)
+        return Outcome(value=msgspec.json.encode(len(self.applied_ids)))
 
     def snapshot(self) -> bytes:
-        return msgspec.json.encode(self.seen)
+        """All ids as JSON."""
+        return msgspec.json.encode(self.applied_ids)
 
     def restore(self, data: bytes) -> None:
-        self.seen = msgspec.json.decode(data, type=list[str])
+        """Replace all ids by those of a snapshot."""
+        self.applied_ids = msgspec.json.decode(data, type=list[str])
--- a/rig/council/member.py
+++ b/rig/council/member.py
@@ -1,6 +1,7 @@
-"""One process of a council, steered by lines on its standard input: the service, and marks on its log.
+"""One process of a council, which runs the coordination service and takes requests on standard input.
 
-Started as `python -m rig.council.member CONFIG`, a JSON file. It answers each line with one line.
+Started as `python -m rig.council.member CONFIG`, a JSON file. Each request is a line of JSON, and so is its
+response.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 from rig.council.marks import BODY, NAME, Marks
 
 
-class Member:
-    """The service of this process, and what its tester may ask."""
+class MemberService:
+    """The coordination service of this process, and the requests that a test may send to it."""
 
     def __init__(self, config: dict[str, Any]) -> None:
         self.config, self.marks = config, Marks()
@@ -30,26 +31,31 @@
         opened = None
         if folder := config.get("folder"):
             opened = open_folder(Path(folder), config["name"], key, config["name"] in settings.initial_voters)
-        ways = {name: (host, port) for name, (host, port) in config["ways"].items()}  # by relays
-        self.service = CoordinationService(config["name"], settings, key, opened, {NAME: self.marks}, ways)
+        peer_addresses = {
+            name: (host, port) for name, (host, port) in config["ways"].items()
+        }  # as this process dials them, perhaps through relays
+        self.service = CoordinationService(
+            config["name"], settings, key, opened, {NAME: self.marks}, peer_addresses
+        )
 
-    async def answer(self, ask: dict[str, Any]) -> dict[str, Any]:
-        match ask["what"]:
+    async def answer(self, request: dict[str, Any]) -> dict[str, Any]:
+        """Carry out a request and return the fields of its response."""
+        match request["what"]:
             case "mark":
-                over = await self.service.propose(NAME, ask["id"], BODY, ask["within_us"])
-                return {"over": over.status.value, "position": over.position}
+                result = await self.service.propose(NAME, request["id"], BODY, request["within_us"])
+                return {"over": result.status.value, "position": result.position}
             case "account":
-                proof = self.service.core.track_acknowledgements(ask["position"], 0).proof()
+                proof = self.service.core.track_acknowledgements(request["position"], 0).proof()
                 return {"proof": proof and [[each.instance.name, each.evidence.value] for each in proof]}
             case "leave":
                 await self.service.leave()
                 return {}
             case _:
                 core = self.service.core
-                alive = [life.name for life in core.components.membership.live_instances()]
+                alive = [instance.name for instance in core.components.membership.live_instances()]
                 return {
                     **self.service.counters(),
-                    "marks": self.marks.seen,
+                    "marks": self.marks.applied_ids,
                     "alive": alive,
                     "leader": core.leader,
                     "digest": core.components.log.digest(),
@@ -58,21 +64,22 @@
 
 
 async def run(config: dict[str, Any]) -> None:
-    member = Member(config)
+    """Run the service until standard input ends."""
+    member = MemberService(config)
     await member.service.start(tuple(config["listen"]))
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     print(json.dumps({"ready": config["name"]}), flush=True)
-    under_way: set[asyncio.Task[None]] = set()
+    pending: set[asyncio.Task[None]] = set()
 
-    async def answer(ask: dict[str, Any]) -> None:
-        print(json.dumps({"number": ask["number"], **await member.answer(ask)}), flush=True)
+    async def respond(request: dict[str, Any]) -> None:
+        print(json.dumps({"number": request["number"], **await member.answer(request)}), flush=True)
 
     while line := await reader.readline():
-        task = asyncio.create_task(answer(json.loads(line)))
-        under_way.add(task)
-        task.add_done_callback(under_way.discard)
+        task = asyncio.create_task(respond(json.loads(line)))
+        pending.add(task)
+        task.add_done_callback(pending.discard)
     await member.service.close()
 
 
--- a/rig/council/tier.py
+++ b/rig/council/tier.py
@@ -1,4 +1,4 @@
-"""Several processes of one council on loopback, with a faulty way from each to each, and words with them."""
+"""Several processes of one council on loopback, optionally connected through relays that inject faults."""
 
 import asyncio
 import contextlib
@@ -14,25 +14,25 @@
 from rig.doors import die_with_parent
 from rig.sockets import Address, own_host
 
-READY_S = 20.0
-ANSWER_S = 30.0
+READY_TIMEOUT_S = 20.0
+RESPONSE_TIMEOUT_S = 30.0
 
 
 def free_address() -> Address:
-    """One that nobody has now, and no other rig takes: the host is this process's alone."""
-    with socket.socket() as free:
-        free.bind((own_host(), 0))
-        address: Address = free.getsockname()
+    """A free address; no other test bed takes it, as the host belongs to this process alone."""
+    with socket.socket() as probe:
+        probe.bind((own_host(), 0))
+        address: Address = probe.getsockname()
         return address
 
 
 class MemberEndedError(Exception):
-    """The process is not there any more."""
+    """The process has ended."""
 
 
 @dataclass(eq=False)
 class Member:
-    """One process, as its tester has it."""
+    """One process of the council, seen from the test that runs it."""
 
     name: str
     listen: Address
@@ -40,12 +40,13 @@
     config: Path
     process: asyncio.subprocess.Process | None = None
     log: list[str] = field(default_factory=list)
-    waits: dict[int, asyncio.Future[dict[str, Any]]] = field(default_factory=dict)
-    number: int = 0
-    stopped: bool = False  # it answers nothing until it goes on
+    pending: dict[int, asyncio.Future[dict[str, Any]]] = field(default_factory=dict)
+    last_request: int = 0
+    stopped: bool = False  # by SIGSTOP: it answers nothing until SIGCONT
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def start(self) -> None:
+        """Start the process and wait until it serves; MemberEndedError if it ends before."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -57,47 +58,52 @@
             stderr=asyncio.subprocess.PIPE,
         )
         assert self.process.stdout and self.process.stderr
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             line = await self.process.stdout.readline()
         if not line:
             self.log.append((await self.process.stderr.read()).decode())
             raise MemberEndedError(f"{self.name} ended at its start: {self.log[-1][-300:]}")
         self.tasks = [
-            asyncio.create_task(self.answers(self.process.stdout)),
-            asyncio.create_task(self.lines(self.process.stderr)),
+            asyncio.create_task(self.read_responses(self.process.stdout)),
+            asyncio.create_task(self.read_log(self.process.stderr)),
         ]
 
-    async def answers(self, stream: asyncio.StreamReader) -> None:
+    async def read_responses(self, stream: asyncio.StreamReader) -> None:
+        """Hand each response to the request that waits for it; pending ones fail when the process ends."""
         while line := await stream.readline():
-            found = json.loads(line)
-            if waiting := self.waits.pop(found["number"], None):
-                waiting.set_result(found)
-        for waiting in self.waits.values():
+            response = json.loads(line)
+            if waiting := self.pending.pop(response["number"], None):
+                waiting.set_result(response)
+        for waiting in self.pending.values():
             if not waiting.done():
                 waiting.set_exception(MemberEndedError(self.name))
 
-    async def lines(self, stream: asyncio.StreamReader) -> None:
+    async def read_log(self, stream: asyncio.StreamReader) -> None:
+        """Collect the log."""
         while line := await stream.readline():
             self.log.append(line.decode().rstrip())
 
-    async def ask(self, what: str, **more: object) -> dict[str, Any]:
-        """What the process answers; MemberEndedError if it ends before."""
+    async def ask(self, what: str, **arguments: object) -> dict[str, Any]:
+        """Send a request and return the response; MemberEndedError if the process ends before."""
         assert self.process and self.process.stdin
-        self.number += 1
-        waiting = self.waits[self.number] = asyncio.get_running_loop().create_future()
-        self.process.stdin.write(json.dumps({"what": what, "number": self.number, **more}).encode() + b"\n")
-        async with asyncio.timeout(ANSWER_S):
-            found: dict[str, Any] = await waiting
-            return found
+        self.last_request += 1
+        waiting = self.pending[self.last_request] = asyncio.get_running_loop().create_future()
+        self.process.stdin.write(
+            json.dumps({"what": what, "number": self.last_request, **arguments}).encode() + b"\n"
+        )
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+            response: dict[str, Any] = await waiting
+            return response
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal, unless the process has ended."""
         assert self.process
         self.stopped = number == signal.SIGSTOP
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
     async def end(self) -> None:
-        """Gone, however it stands."""
+        """Kill the process, in whatever state it is, and wait for its end."""
         if self.process is None:
             return
         self.signal(signal.SIGKILL)
@@ -108,7 +114,10 @@
 
 
 class Tier:
-    """`count` members, of which the first `seats` accept. With `faulty`, every way between two is a relay."""
+    """`count` processes, of which the first `seats` are voters.
+
+    With `faulty`, each connects to each other one through a relay of its own.
+    """
 
     def __init__(
         self,
@@ -121,13 +130,13 @@
     ) -> None:
         self.home, self.seats, self.faulty = home, seats, faulty
         self.beat_us, self.session_us = beat_ms * 1000, session_ms * 1000
-        self.key = b"0123456789abcdef-council".hex()  # a trial has no secrets
+        self.key = b"0123456789abcdef-council".hex()  # tests have no secrets
         self.names = [f"n{number}" for number in range(count)]
         self.members: dict[str, Member] = {}
-        self.ways: dict[tuple[str, str], Relay] = {}  # from one to another, as the first dials
+        self.relays: dict[tuple[str, str], Relay] = {}  # by the connecting and the accepting process
 
     async def prepare(self) -> None:
-        """Folders and configurations, before anybody starts."""
+        """Write folders and configuration files, before any process starts."""
         for name in self.names:
             folder = None
             if name in self.names[: self.seats]:
@@ -139,17 +148,19 @@
             await self.write_config(self.members[name])
 
     async def start(self) -> "Tier":
+        """Prepare and start all processes."""
         await self.prepare()
         await asyncio.gather(*(member.start() for member in self.members.values()))
         return self
 
     async def write_config(self, member: Member) -> None:
+        """Write the configuration of one process, and start its relays."""
         doors = {name: other.listen for name, other in self.members.items()}
-        ways = dict(doors)
+        peer_addresses = dict(doors)
         for name in self.names if self.faulty else ():
             if name != member.name:
-                relay = self.ways[member.name, name] = Relay(doors[name])
-                ways[name] = await relay.start()
+                relay = self.relays[member.name, name] = Relay(doors[name])
+                peer_addresses[name] = await relay.start()
         member.config.write_text(
             json.dumps(
                 {
@@ -157,7 +168,7 @@
                     "key": self.key,
                     "listen": member.listen,
                     "doors": doors,
-                    "ways": ways,
+                    "ways": peer_addresses,
                     "panel": self.names[: self.seats],
                     "folder": str(member.folder) if member.folder else None,
                     "beat_us": self.beat_us,
@@ -167,12 +178,12 @@
         )
 
     def operator_file(self, name: str) -> Path:
-        """The same for a front door that takes a member's place."""
+        """Write the operator file of a front door that runs in place of a process."""
         member, key = self.members[name], self.home / "council.key"
         key.write_bytes(bytes.fromhex(self.key))
         key.chmod(0o600)
-        listens = {each: "{}:{}".format(*other.listen) for each, other in self.members.items()}
-        doors = "\n".join(f'{each} = "{listen}"' for each, listen in listens.items())
+        listens = {peer: "{}:{}".format(*other.listen) for peer, other in self.members.items()}
+        doors = "\n".join(f'{peer} = "{listen}"' for peer, listen in listens.items())
         file = self.home / f"{name}.toml"
         file.write_text(
             f"[council]\npanel = {json.dumps(self.names[: self.seats])}\nkey_file = {json.dumps(str(key))}\n"
@@ -182,22 +193,23 @@
         )
         return file
 
-    def between(self, one: str, other: str) -> list[Relay]:
-        """Both ways, as either may dial."""
-        return [self.ways[one, other], self.ways[other, one]]
+    def relays_between(self, one: str, other: str) -> list[Relay]:
+        """Both relays relays_between two processes, as either may connect to the other."""
+        return [self.relays[one, other], self.relays[other, one]]
 
-    def around(self, name: str) -> list[Relay]:
-        """All ways to and from one."""
-        return [relay for pair, relay in self.ways.items() if name in pair]
+    def relays_of(self, name: str) -> list[Relay]:
+        """All relays to and from one process."""
+        return [relay for pair, relay in self.relays.items() if name in pair]
 
     async def states(self) -> dict[str, dict[str, Any]]:
-        """Of all who live and go on."""
+        """The states of all processes that run and are not stopped."""
         names = [name for name, member in self.members.items() if member.process and not member.stopped]
-        found = await asyncio.gather(*(self.members[name].ask("state") for name in names))
-        return dict(zip(names, found, strict=True))
+        states = await asyncio.gather(*(self.members[name].ask("state") for name in names))
+        return dict(zip(names, states, strict=True))
 
     async def close(self) -> None:
+        """Kill all processes and close all relays."""
         for member in self.members.values():
             await member.end()
-        for relay in self.ways.values():
+        for relay in self.relays.values():
             await relay.close()
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -13,7 +13,7 @@
 
 from rig.clock import now_us, unix_ms
 from rig.facts import Extra, Fact
-from rig.member import Closed, Command, Die, Member, Reply, SetDraining, SetSlow, Start, Tick
+from rig.member import Closed, Command, Crash, Member, Reply, SetDraining, SetSlow, Start, Tick
 from rig.sockets import Listener, reset
 
 SPOILT: tuple[Callable[[bytes], bytes], ...] = (  # ways in which an answer cannot be read
@@ -80,7 +80,7 @@
     ) -> None:
         """`work_of` gives the work in microseconds, the key and the words of a request that a client sent."""
         self.member, self.facts, self.random, self.work_of = member, facts, random, work_of
-        self.member.notes = facts
+        self.member.facts = facts
         self.connections: dict[int, ServerConnection] = {}
         self.serial = 0
         self.silent = self.vanished = False
@@ -142,7 +142,7 @@
             match action:
                 case Reply():
                     self.reply(action)
-                case Die():
+                case Crash():
                     self.die()
         self.schedule()
 
--- a/rig/world/__init__.py
+++ b/rig/world/__init__.py
@@ -1,6 +1,6 @@
-"""A world on loopback: servers, discovery, the network, front doors and clients, and a scenario's faults.
+"""Runs a scenario on loopback: servers, discovery, the network, front doors, clients and fault injection.
 
-In reading order: `settings` (of front doors, and the auditor's figures), `report` (what a day came to),
-`jobs` (what runs beside the day), `machines` (servers, and how discovery tells of them), `faults` (the
-scenario's steps), `world` (start, day, end).
+In reading order: `settings` (settings of front doors, and the auditor's rule parameters), `report` (results
+of a run), `jobs` (background tasks), `machines` (servers and the endpoint list), `faults` (steps of the
+scenario), `world` (start, load and shutdown of a run).
 """
--- a/rig/world/faults.py
+++ b/rig/world/faults.py
@@ -1,4 +1,4 @@
-"""A scenario's steps, carried out on front doors, servers, discovery and the network when they are due."""
+"""Applies the steps of a scenario to front doors, servers, discovery and the network when they are due."""
 
 import asyncio
 import signal
@@ -17,16 +17,16 @@
 from rig.servers import Server
 from rig.timeline import Step, Verb
 from rig.world.jobs import Jobs
-from rig.world.machines import LIST_LATE_US, Machines
+from rig.world.machines import LIST_DELAY_US, Machines
 
-S = 1_000_000
-NOTICE_US = 500_000  # for which a front door's death goes unnoticed
-PLANNED_US = 300_000  # for which new connections go on coming after a planned end began
-CROWD_GAP_S = 0.001  # between those of a crowd that connect: a burst, and not one turn of the rig's loop
+US_PER_S = 1_000_000
+FAILURE_DETECTION_US = 500_000  # from the failure of a front door until clients avoid it
+PLANNED_END_DETECTION_US = 300_000  # the same from the start of a planned shutdown
+CROWD_INTERVAL_S = 0.001  # between connections: a burst that does not block the test bed's event loop
 
 
-class Faults:
-    """What befalls a world; a front door that starts again starts with `start_list`."""
+class FaultInjector:
+    """Applies faults to a running world. `start_list` selects the endpoint list of restarted front doors."""
 
     def __init__(
         self,
@@ -45,35 +45,39 @@
         self.crowds: dict[str, asyncio.Event] = {}
 
     def begin(self, steps: Sequence[Step], start_us: int) -> None:
-        """Have each step taken when it is due, from the day's start on."""
+        """Schedule all steps; their times count from `start_us`, the start of the load."""
         for step in steps:
-            self.jobs.spawn(self.step_at(step, start_us))
+            self.jobs.spawn(self.apply_at(step, start_us))
 
     def end_crowds(self) -> None:
+        """Disconnect the idle clients of all crowds."""
         for crowd in self.crowds.values():
             crowd.set()
 
-    async def step_at(self, step: Step, start_us: int) -> None:
-        left = start_us + step.at_us - now_us()
-        if left > 0:
-            await asyncio.sleep(left / 1e6)
-        await self.take(step)
+    async def apply_at(self, step: Step, start_us: int) -> None:
+        """Wait until a step is due, then apply it."""
+        delay_us = start_us + step.at_us - now_us()
+        if delay_us > 0:
+            await asyncio.sleep(delay_us / 1e6)
+        await self.apply(step)
 
-    async def take(self, step: Step) -> None:
+    async def apply(self, step: Step) -> None:
+        """Apply a step at once."""
         if step.door:
-            await self.take_door(step, self.by_name[step.door])
+            await self.apply_to_door(step, self.by_name[step.door])
         elif step.server:
-            self.take_server(step, self.machines.here(step.server))
+            self.apply_to_server(step, self.machines.current_server(step.server))
         else:
-            await self.take_other(step)
+            await self.apply_to_environment(step)
 
-    async def take_door(self, step: Step, door: Door) -> None:
+    async def apply_to_door(self, step: Step, door: Door) -> None:
+        """Apply a step that names a front door, and perhaps a server."""
         match step.verb:
             case Verb.KILL:
                 door.kill()
             case Verb.END:
                 door.end()
-                self.front.died(now_us() + PLANNED_US - NOTICE_US, door.number)
+                self.front.died(now_us() + PLANNED_END_DETECTION_US - FAILURE_DETECTION_US, door.number)
             case Verb.START:
                 await door.ended.wait()
                 await self.restart(door)
@@ -86,9 +90,9 @@
             case Verb.DISCOVERY_MOVE:
                 await self.move_discovery(door)
             case Verb.CUT:
-                self.machines.here(step.server).cut(door.name)
+                self.machines.current_server(step.server).cut(door.name)
             case Verb.JOIN:
-                self.machines.here(step.server).join(door.name)
+                self.machines.current_server(step.server).join(door.name)
             case Verb.GATHER:
                 self.front.gather(door.number, step.amount)
             case Verb.CROWD:
@@ -99,7 +103,10 @@
                     self.jobs.spawn(hostile(door.name, door.address, send, self.facts, lambda: not door.up))
 
     async def restart(self, door: Door) -> None:
-        """Start a front door again, with nothing but a list. What its agent has by then counts as told."""
+        """Restart a front door that has no state but an endpoint list.
+
+        Whatever its discovery agent holds once it is ready counts as told to it.
+        """
         agent = self.machines.agents[door.name]
         door.write_config(seed=f"{self.random.getrandbits(64):016x}")
         if self.start_list is StartList.LAST:
@@ -113,21 +120,24 @@
         self.front.answered(door.number)
 
     async def move_discovery(self, door: Door) -> None:
+        """Move a front door's discovery agent to a new address and reload the front door."""
         address = await self.machines.agents[door.name].start(self.machines.host)
         door.write_config(discovery="{}:{}".format(*address))
         door.signal(signal.SIGHUP)
 
     async def crowd(self, door: Door, count: int) -> None:
+        """Connect `count` idle clients to a front door; 0 disconnects those that are there."""
         if not count:
             if crowd := self.crowds.pop(door.name, None):
                 crowd.set()
             return
-        until = self.crowds.setdefault(door.name, asyncio.Event())
+        leave = self.crowds.setdefault(door.name, asyncio.Event())
         for _ in range(count):
-            self.jobs.spawn(greet_and_stay(door.address, until))
-            await asyncio.sleep(CROWD_GAP_S)
+            self.jobs.spawn(greet_and_stay(door.address, leave))
+            await asyncio.sleep(CROWD_INTERVAL_S)
 
-    def take_server(self, step: Step, server: Server) -> None:
+    def apply_to_server(self, step: Step, server: Server) -> None:
+        """Apply a step that names a server only."""
         match step.verb:
             case Verb.SILENCE:
                 server.silent = True
@@ -153,13 +163,14 @@
             case Verb.REPLACE:
                 self.machines.replace(step.server, server)
 
-    async def take_other(self, step: Step) -> None:
+    async def apply_to_environment(self, step: Step) -> None:
+        """Apply a step to discovery, to the network between front doors or to the spread of clients."""
         match step.verb:
             case Verb.DISCOVERY_DOWN | Verb.DISCOVERY_UP:
                 for agent in self.machines.agents.values():
                     await agent.set_silent(step.verb is Verb.DISCOVERY_DOWN)
             case Verb.DISCOVERY_LATE:
-                self.machines.late_list_us = LIST_LATE_US + round(step.amount * S)
+                self.machines.list_delay_us = LIST_DELAY_US + round(step.amount * US_PER_S)
             case Verb.SPLIT:
                 self.network.mail.split(
                     tuple(frozenset(self.by_name[name].number for name in group) for group in step.groups)
@@ -168,7 +179,7 @@
                 self.network.mail.heal()
             case Verb.MAIL:
                 loss, duplicate, reorder = step.mail
-                usual = MailSpec()
-                self.network.mail.change(loss=max(usual.loss, loss), duplicate=duplicate, reorder=reorder)
+                default = MailSpec()
+                self.network.mail.change(loss=max(default.loss, loss), duplicate=duplicate, reorder=reorder)
             case Verb.GATHER:
                 self.front.gather(None)
--- a/rig/world/machines.py
+++ b/rig/world/machines.py
@@ -1,4 +1,4 @@
-"""Servers, the list that discovery keeps of them, and how late each front door's agent hears of it."""
+"""Servers, discovery's endpoint list, and the delay after which each discovery agent receives changes."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -6,7 +6,7 @@
 
 from rig.discovery import Agent
 from rig.facts import Fact, Listed
-from rig.member import Building, Member, MemberSpec
+from rig.member import DeduplicationStore, Member, MemberSpec
 from rig.registry import Entry, Registry
 from rig.scenario import ZONES
 from rig.servers import Server
@@ -14,13 +14,16 @@
 from rig.workload import CLASSES
 from rig.world.jobs import Jobs
 
-Work = tuple[int, str, list[bytes]]  # what a server needs of a request: work, key, words
-LIST_LATE_US = 150_000  # how late discovery is in any case
+RequestWork = tuple[int, str, list[bytes]]  # work in microseconds, idempotency key, command words
+LIST_DELAY_US = 150_000  # least delay of a change to the endpoint list
 
 
 class Machines:
-    """All servers of a world. `doors` names the front doors, each of which has an agent of discovery;
-    `work_of` says what a server needs of a request."""
+    """All servers of a run, and the discovery agent of each front door.
+
+    `doors` holds the names of the front doors. `work_of` returns what a server needs to know of a request
+    that a client sent, or None for an unknown request id.
+    """
 
     def __init__(
         self,
@@ -29,25 +32,29 @@
         spec: MemberSpec,
         facts: list[Fact],
         random: Random,
-        work_of: Callable[[str], Work | None],
+        work_of: Callable[[str], RequestWork | None],
         jobs: Jobs,
     ) -> None:
         self.doors, self.host, self.spec, self.facts, self.random = doors, host, spec, facts, random
         self.work_of, self.jobs = work_of, jobs
-        window = max(kind.window_us for kind in CLASSES)
-        self.buildings = {zone: Building(window) for zone in ZONES}
+        longest_window_us = max(request_class.window_us for request_class in CLASSES)
+        self.deduplication_stores = {zone: DeduplicationStore(longest_window_us) for zone in ZONES}
         self.servers: dict[str, Server] = {}
         self.registry = Registry()
         self.agents = {name: Agent(name, self.address_at(name), facts) for name in doors}
-        self.late_list_us = LIST_LATE_US
-        self.replaced: dict[str, str] = {}  # a server's name in the scenario, and who stands there now
+        self.list_delay_us = LIST_DELAY_US
+        self.replaced: dict[
+            str, str
+        ] = {}  # a server's name in the scenario -> the name of its latest replacement
 
     def address_at(self, door: str) -> Callable[[str], tuple[str, int]]:
+        """Returns a function from a server's name to its address for one front door."""
         return lambda name: self.servers[name].listeners[door].address
 
     def add_server(self, name: str, zone: str, cold: bool = False) -> Server:
-        member = Member(name, zone, self.spec, self.buildings[zone])
-        host = host_of(self.host, len(self.servers))  # it listens for each front door
+        """Start a server and put it into the endpoint list; agents are not told yet."""
+        member = Member(name, zone, self.spec, self.deduplication_stores[zone])
+        host = host_of(self.host, len(self.servers))  # each server opens a listener for each front door
         server = Server(member, list(self.doors), host, self.facts, self.random, self.work_of)
         self.servers[name] = server
         if cold:
@@ -56,30 +63,32 @@
         return server
 
     def list_server(self, name: str, state: Listed) -> None:
+        """Change the listed state of a server and announce it to all agents."""
         server = self.servers[name]
         entry = self.registry.put(name, server.member.zone, state, server.started_ms)
-        self.jobs.spawn(self.spread(entry))
+        self.jobs.spawn(self.announce(entry))
 
-    async def spread(self, entry: Entry) -> None:
-        """Discovery tells every front door's agent, late."""
-        await asyncio.sleep(self.late_list_us / 1e6)
+    async def announce(self, entry: Entry) -> None:
+        """Send an entry to all discovery agents after the current list delay."""
+        await asyncio.sleep(self.list_delay_us / 1e6)
         for agent in self.agents.values():
             await agent.learn([entry])
 
-    def here(self, name: str) -> Server:
-        """The server that stands where the scenario names one."""
+    def current_server(self, name: str) -> Server:
+        """The server that has the given name in the scenario, or its latest replacement."""
         return self.servers[self.replaced.get(name, name)]
 
     def replace(self, name: str, server: Server) -> None:
-        """The server goes, and a machine with a new name starts cold in its place."""
+        """Stop a server and start a cold one with a new name in its place."""
         server.die()
         self.list_server(server.name, Listed.DELETED)
         successor = f"{name}-{len(self.servers) + 1}"
         self.add_server(successor, server.member.zone, cold=True)
         self.replaced[name] = successor
-        self.jobs.spawn(self.spread(self.registry.entries[successor]))
+        self.jobs.spawn(self.announce(self.registry.entries[successor]))
 
     def close(self) -> None:
+        """Close all servers and agents."""
         for server in self.servers.values():
             server.close()
         for agent in self.agents.values():
--- a/rig/world/report.py
+++ b/rig/world/report.py
@@ -1,4 +1,4 @@
-"""What a day came to: each front door's figures, the ledger, and the rig's own trouble."""
+"""The result of a run: figures of each front door, the audit ledger, and faults of the test bed itself."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class DoorReport:
-    """What one front door did and took."""
+    """Request counts, latencies and resource use of one front door."""
 
     name: str
     served: int = 0
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """A world's end."""
+    """The result of a run."""
 
     scenario: str
     seed: int
@@ -40,10 +40,11 @@
 
     @property
     def ok(self) -> bool:
+        """Whether the ledger is in order and the test bed had no fault of its own."""
         return self.ledger.ok and not self.trouble
 
     def json(self) -> dict[str, object]:
-        """One object for machines; times in milliseconds, CPU in seconds, memory in megabytes."""
+        """The fields of the `--json` output: times in milliseconds, CPU in seconds, memory in megabytes."""
         counts = self.ledger.counts
         return {
             "scenario": self.scenario,
@@ -58,7 +59,7 @@
             "clients_gone": counts[Outcome.CLIENT_GONE],
             "unaccounted": self.ledger.unaccounted,
             "broken_rules": self.ledger.rules_broken(),
-            "broken": [broken.line() for broken in self.ledger.broken],
+            "broken": [violation.line() for violation in self.ledger.broken],
             "rig_late_ms": round(self.ledger.late_us / 1000, 1),
             "times_judged": self.ledger.times_judged,
             "rig_trouble": self.trouble,
@@ -74,7 +75,7 @@
         }
 
 
-def quantile(values: Sequence[int], part: float) -> float:
-    """In milliseconds; 0 of nothing."""
-    ordered = sorted(values)
+def quantile(values_us: Sequence[int], part: float) -> float:
+    """A quantile of values in microseconds, in milliseconds; 0 if there are none."""
+    ordered = sorted(values_us)
     return round(ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000, 1) if ordered else 0.0
--- a/rig/world/settings.py
+++ b/rig/world/settings.py
@@ -1,18 +1,18 @@
-"""The settings of front doors, as a deployment gives them, and the auditor's figures of the same rules."""
+"""The settings of front doors in the form of a deployment, and the auditor's parameters of the same rules."""
 
-from rig.audit.figures import Ceiling, Figures, Quota
+from rig.audit.figures import Ceiling, Quota, RuleParameters
 from rig.member import MemberSpec
 from rig.scenario import ZONES
 from rig.workload import CLASSES, PLANS, PlanSpec
 
-S = 1_000_000
-DRAIN_US = 1 * S
-MAIL_PER_S = 60.0
-CONN_IDLE_US, CONNECT_US, MAX_WAIT_US = 10 * S, 250_000, 1 * S
+US_PER_S = 1_000_000
+DRAIN_GRACE_US = 1 * US_PER_S
+PEER_DATAGRAMS_PER_S = 60.0
+CONNECTION_IDLE_US, CONNECT_TIMEOUT_US, MAX_RETRY_AFTER_US = 10 * US_PER_S, 250_000, 1 * US_PER_S
 
 
 def settings(number: int, doors: int, spec: MemberSpec) -> dict[str, object]:
-    """The settings of one front door, as the deployment gives them: nested JSON."""
+    """The settings of one front door as nested JSON, as a deployment gives them."""
     return {
         "me": number,
         "balancers": doors,
@@ -23,38 +23,38 @@
         "domain-type": "gate",
         "categories": [
             {
-                "name": kind.name,
-                "on-time-us": kind.aim_us,
-                "deadline-us": kind.deadline_us,
-                "points": kind.worth,
+                "name": request_class.name,
+                "on-time-us": request_class.aim_us,
+                "deadline-us": request_class.deadline_us,
+                "points": request_class.worth,
                 "late-worth": 0.0,
-                "idempotency": kind.effect.value,
-                "group": kind.group,
-                "window-us": kind.window_us,
+                "idempotency": request_class.effect.value,
+                "group": request_class.group,
+                "window-us": request_class.window_us,
                 "streamed": False,
             }
-            for kind in CLASSES
+            for request_class in CLASSES
         ],
         "plans": [plan_settings(plan) for plan in PLANS],
         "ceilings": {
             "max-attempts": 4,
-            "conn-idle-us": CONN_IDLE_US,
-            "connect-timeout-us": CONNECT_US,
+            "conn-idle-us": CONNECTION_IDLE_US,
+            "connect-timeout-us": CONNECT_TIMEOUT_US,
             "max-open": 20_000,
             "retry-after": True,
-            "max-retry-after-us": MAX_WAIT_US,
+            "max-retry-after-us": MAX_RETRY_AFTER_US,
             "may-cancel": True,
             "may-probe": False,
             "parallel-tries": False,
             "peers": True,
             "streams-per-conn": 1,
         },
-        "extra": {"mail-per-s": MAIL_PER_S, "counter": False, "trued-up": False, "largest": 1},
+        "extra": {"mail-per-s": PEER_DATAGRAMS_PER_S, "counter": False, "trued-up": False, "largest": 1},
         "stats": {"how": "inline", "names": ["util", "latency_ms"]},
         "prices": {"cross-zone": 0.01, "waste": 0.05, "late-fail": 0.03, "peer": 0.02},
         "obligations": {
             "grace-to-answer-us": 0,
-            "drain-grace-us": DRAIN_US,
+            "drain-grace-us": DRAIN_GRACE_US,
             "cold-from": spec.cold_from,
             "warm-within-us": spec.warm_us,
             "fall-multiple": spec.fall_multiple,
@@ -64,6 +64,7 @@
 
 
 def plan_settings(plan: PlanSpec) -> dict[str, object]:
+    """One entry of `plans` in the settings."""
     return {
         "name": plan.name,
         "units-per-s": plan.rate,
@@ -78,11 +79,12 @@
     }
 
 
-def figures(spec: MemberSpec) -> Figures:
+def rule_parameters(spec: MemberSpec) -> RuleParameters:
+    """The parameters of the audit rules that match `settings`."""
     ceilings = {
         plan.name: Ceiling(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack)
         for plan in PLANS
         if plan.ceiling_rate
     }
     quotas = {plan.name: Quota(plan.rate, plan.burst) for plan in PLANS}
-    return Figures(DRAIN_US, spec.fall_multiple, spec.fall_us, ceilings, quotas)
+    return RuleParameters(DRAIN_GRACE_US, spec.fall_multiple, spec.fall_us, ceilings, quotas)
--- a/rig/world/world.py
+++ b/rig/world/world.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: everything is started, the day is played, everything is ended, and it is judged."""
+"""One run of a scenario: starts all processes, plays the load and the faults, shuts down and audits."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -19,17 +19,17 @@
 from rig.sockets import own_host
 from rig.timeline import expand
 from rig.workload import Customer, LoadSpec, arrivals, customers
-from rig.world.faults import NOTICE_US, Faults
+from rig.world.faults import FAILURE_DETECTION_US, FaultInjector
 from rig.world.jobs import Jobs
 from rig.world.machines import Machines
 from rig.world.report import DoorReport, Report, quantile
-from rig.world.settings import MAIL_PER_S, S, figures, settings
+from rig.world.settings import PEER_DATAGRAMS_PER_S, US_PER_S, rule_parameters, settings
 
-MEMORY_MB, SOCKETS = 192, 1024
+DOOR_MEMORY_MB, DOOR_SOCKETS = 192, 1024  # resource limits of each front door
 
 
 class World:
-    """One run of a scenario."""
+    """One run of a scenario with real processes on loopback; `door_type` may replace them."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.host = own_host()
         self.facts: list[Fact] = []
         self.jobs = Jobs()
-        # A source of chance for each concern: what one draws does not change what another does.
+        # A random generator for each purpose: draws for one do not shift those of another.
         self.randoms = {
             name: Random(f"{seed}:{name}") for name in ("load", "faults", "mail", "servers", "clients")
         }
@@ -51,18 +51,18 @@
         self.doors = [
             door_type(name, number, self.host, self.facts, command) for number, name in enumerate(names)
         ]
-        self.front = Front(scenario.doors, NOTICE_US)
+        self.front = Front(scenario.doors, FAILURE_DETECTION_US)
         self.pools = [DoorPool(door.name, door.address, self.facts) for door in self.doors]
         self.clients = Clients(self.pools, self.front, self.facts, self.randoms["clients"], seed)
         self.machines = Machines(
             names, self.host, self.spec, self.facts, self.randoms["servers"], self.clients.work_of, self.jobs
         )
         self.network = Network(
-            Mail(MailSpec(intake_per_s=MAIL_PER_S)),
+            Mail(MailSpec(intake_per_s=PEER_DATAGRAMS_PER_S)),
             [door.peer_address for door in self.doors],
             self.randoms["mail"],
         )
-        self.faults = Faults(
+        self.faults = FaultInjector(
             self.doors,
             self.machines,
             self.front,
@@ -72,13 +72,13 @@
             scenario.start_list,
             self.jobs,
         )
-        self.heart = Heartbeat(self.facts)
+        self.heartbeat = Heartbeat(self.facts)
         self.start_us = 0
 
-    # --- start and end ---
+    # --- start and shutdown ---
 
     async def run(self, on_ready: Callable[[], None] = lambda: None) -> Report:
-        """Start everything, play the day, end everything, and judge. Nothing stays behind."""
+        """Start everything, play the scenario, shut down and audit. No process or socket is left over."""
         try:
             await self.start()
             on_ready()
@@ -89,6 +89,7 @@
         return self.report()
 
     async def start(self) -> None:
+        """Start servers, the network and front doors; returns once all front doors answer."""
         for number, name in enumerate(self.scenario.server_names()):
             server = self.machines.add_server(name, ZONES[number % len(ZONES)])
             self.facts.append(Started(now_us(), server.name, float(self.spec.cores), 1.0, self.spec.warm_us))
@@ -101,7 +102,7 @@
                 name=door.name,
                 listen="{}:{}".format(*door.address),
                 discovery="{}:{}".format(*discovery),
-                limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
+                limits={"cores": 1.0, "memory_mb": DOOR_MEMORY_MB, "sockets": DOOR_SOCKETS},
                 peer_listen="{}:{}".format(*door.peer_address),
                 peers=["{}:{}".format(*address) for address in self.network.peers_of(door.number)],
                 settings=settings(door.number, len(self.doors), self.spec),
@@ -109,35 +110,36 @@
             door.write_config(seed=f"{self.randoms['faults'].getrandbits(64):016x}", known=agent.known())
             door.start()
         await asyncio.gather(*(door.ready() for door in self.doors))
-        self.heart.start()
+        self.heartbeat.start()
 
     async def play(self) -> None:
-        span_us = round(self.scenario.seconds * S)
+        """Play the load and the faults until all requests of clients have ended."""
+        duration_us = round(self.scenario.seconds * US_PER_S)
         load = self.scenario.load
         spec = LoadSpec(
             load.rate, load.customers, load.greedy, impatient=load.impatient, set_doors=load.set_doors
         )
         random = self.randoms["load"]
-        everyone: list[Customer] = customers(spec, len(self.doors), random)
-        day = arrivals(spec, everyone, span_us, random)
+        all_customers: list[Customer] = customers(spec, len(self.doors), random)
+        schedule = arrivals(spec, all_customers, duration_us, random)
         self.start_us = now_us() + 50_000
         self.faults.begin(list(expand(self.scenario, self.randoms["faults"])), self.start_us)
-        await self.clients.run(day, self.start_us)
+        await self.clients.run(schedule, self.start_us)
 
     async def finish(self) -> None:
-        """End what faults have begun, then the front doors, in order."""
+        """Cancel pending faults, close the clients, then shut the front doors down gracefully."""
         self.jobs.cancel()
         self.faults.end_crowds()
         for pool in self.pools:
             pool.close()
         for door in self.doors:
-            door.usage()  # the last look at what it takes
+            door.usage()  # reads the resource use a last time while the process exists
         await asyncio.gather(*(door.finish() for door in self.doors))
-        self.heart.stop()
+        self.heartbeat.stop()
 
     def close(self) -> None:
-        """Let go of everything; also after a fault of the rig's."""
-        self.heart.stop()
+        """Release all processes and sockets, also after a fault of the test bed itself."""
+        self.heartbeat.stop()
         self.jobs.cancel()
         self.clients.cancel()
         for pool in self.pools:
@@ -147,19 +149,20 @@
         self.machines.close()
         self.network.close()
 
-    # --- what it was like ---
+    # --- results ---
 
     def door_report(self, door: Door) -> DoorReport:
+        """The figures of one front door so far, as its clients saw them."""
         pool = self.pools[door.number]
         cpu_s, memory = door.usage()
-        count = pool.count
+        counts = pool.count
         return DoorReport(
             door.name,
-            count.served,
-            count.refused,
-            count.failed,
-            count.lost,
-            count.open,
+            counts.served,
+            counts.refused,
+            counts.failed,
+            counts.lost,
+            counts.open,
             quantile(pool.took_us, 0.5),
             quantile(pool.took_us, 0.99),
             round(cpu_s, 2),
@@ -170,13 +173,14 @@
         )
 
     def report(self) -> Report:
+        """Audit all facts of the run and return its result."""
         mail = self.network.mail
-        if mail.oversized:  # the protocol's bound: one of these voids a run
+        if mail.oversized:  # the protocol limits the size; a run with an oversized datagram is not in order
             text = f"{mail.oversized} datagrams of more than {MOST_BYTES} bytes were sent"
             self.facts.append(Extra(now_us(), "front doors", text))
-        auditor = Auditor(figures(self.spec))
+        auditor = Auditor(rule_parameters(self.spec))
         auditor.feed(self.facts)
-        ledger = auditor.judge()
+        ledger = auditor.audit()
         doors = [self.door_report(door) for door in self.doors]
         for door in doors:
             counts = ledger.by_door[door.name]
--- a/tests/coordination/processes/test_faults.py
+++ b/tests/coordination/processes/test_faults.py
@@ -132,14 +132,14 @@
 @pytest.mark.parametrize("how", ["stall", "lose", "one way", "drop", "slow"])
 def test_one_bad_link_makes_nobody_dead(tmp_path: Path, how: str) -> None:
     async def job(tier: Tier) -> None:
-        for relay in tier.between("n1", "n2"):
+        for relay in tier.relays_between("n1", "n2"):
             match how:
                 case "stall":
                     relay.stall()
                 case "lose":
-                    relay.lose()
+                    relay.discard()
                 case "one way":
-                    relay.lose("to")
+                    relay.discard("to")
                 case "slow":
                     relay.delay(0.3)
                 case _:
@@ -155,7 +155,7 @@
 
 def test_cut_off_member_loses_its_session_and_nothing_is_settled_there(tmp_path: Path) -> None:
     async def job(tier: Tier) -> None:
-        for relay in tier.around("n4"):
+        for relay in tier.relays_of("n4"):
             relay.hold()
             relay.drop()
         lost = asyncio.create_task(tier.members["n4"].ask("mark", id="cut-off", within_us=1_500_000))
@@ -163,8 +163,8 @@
         assert (await proof(tier, found["position"]))["n4"] == "over"
         assert (await lost)["over"] == "unknown"
         assert not (await tier.members["n4"].ask("state"))["council_session"]
-        for relay in tier.around("n4"):
-            relay.pass_()
+        for relay in tier.relays_of("n4"):
+            relay.clear_faults()
             relay.drop()
         await until(tier, lambda states: formed(states) and same(states))
 
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -139,7 +139,7 @@
             a.say("b", 0, "x" * 10_000, part="hint")
         for number in range(4, 24):
             a.say("b", number, "x" * 60_000)  # more than would wait for one that failed
-        relay.pass_()
+        relay.clear_faults()
         await b.until_received(23)
         assert [number for number in b.numbers if number] == list(range(3, 24))
         await relay.close()
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -215,7 +215,7 @@
             assert not a.downs()
             a.transport.registry.send_heartbeats()
         assert a.events[-1] == "down b: nothing heard while something was unacknowledged"
-        relay.pass_()
+        relay.clear_faults()
         await a.until(lambda: a.events.count("up b 1") == 2)
         a.say("b", 3)
         await b.until_received(3)
@@ -235,7 +235,7 @@
         a.say("b", 1)
         await relay.until(lambda: len(relay.connections) == 2)
         assert a.transport.stats().peers["b"].close_reason == "not proven in time"
-        relay.pass_()
+        relay.clear_faults()
         await b.until_received(1)
         await relay.close()
 
@@ -254,20 +254,20 @@
             case "drop":
                 relay.drop()
             case "lose":  # one way only: b hears nothing of it
-                relay.lose("to")
-                passed = relay.connections[0].count["to"]
+                relay.discard("to")
+                passed = relay.connections[0].received_bytes["to"]
                 a.say("b", 2)
-                await spin(lambda: relay.connections[0].count["to"] > passed)
+                await spin(lambda: relay.connections[0].received_bytes["to"] > passed)
                 for _ in range(5):
                     a.transport.registry.send_heartbeats()
             case "cut_at":
-                relay.cut_at(relay.connections[0].count["to"] + 5)
+                relay.cut_at(relay.connections[0].received_bytes["to"] + 5)
                 a.say("b", 2)
             case _:
-                relay.flip_at(relay.connections[0].count["to"] + 5)
+                relay.flip_at(relay.connections[0].received_bytes["to"] + 5)
                 a.say("b", 2)
         await a.until(a.downs)
-        relay.pass_()
+        relay.clear_faults()
         await a.until(lambda: a.ups() == 2)
         a.say("b", 3)
         await b.until_received(3)
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -68,7 +68,7 @@
             lambda: all(peer.pending_connection and peer.pending_connection.hello_sent for peer in dials)
         )
         for name in names:  # whichever hello comes first
-            relays["b" if name == "a" else "a"].pass_()
+            relays["b" if name == "a" else "a"].clear_faults()
         await a.until_received(1)
         await b.until_received(1)
         a.say("b", 2)
--- a/tests/rig/test_audit.py
+++ b/tests/rig/test_audit.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from rig.audit.auditor import Auditor
-from rig.audit.figures import Ceiling, Figures
+from rig.audit.figures import Ceiling, RuleParameters
 from rig.audit.ledger import Ledger, Outcome, Rule
 from rig.facts import (
     Answered,
@@ -33,7 +33,7 @@
 
 S = 1_000_000
 MS = 1_000
-FIGURES = Figures(ceilings={"bulk": Ceiling(rate=10.0, burst=5.0, slack=2.0)})
+FIGURES = RuleParameters(ceilings={"bulk": Ceiling(rate=10.0, burst=5.0, slack=2.0)})
 
 
 def asked(
@@ -62,7 +62,7 @@
 def audit(*facts: Fact) -> Ledger:
     auditor = Auditor(FIGURES)
     auditor.feed(facts)
-    return auditor.judge()
+    return auditor.audit()
 
 
 def only(ledger: Ledger, rule: Rule) -> tuple[str, str, tuple[Fact, Fact]]:
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -1,7 +1,7 @@
 """What the demo says of a day, and its exit codes."""
 
 from rig import scenario_files as sc
-from rig.audit.ledger import Broken, Ledger, Outcome, Rule
+from rig.audit.ledger import Ledger, Outcome, Rule, Violation
 from rig.demo import BROKEN, DONE, NO_VERDICT, exit_code
 from rig.facts import Left
 from rig.mail import Datagram
@@ -16,7 +16,7 @@
 
 def broken() -> Ledger:
     fact = Left(1, "a", "n0")
-    ledger = Ledger(broken=[Broken(Rule.LOST, "a", "taken and never answered", (fact, fact))])
+    ledger = Ledger(broken=[Violation(Rule.LOST, "a", "taken and never answered", (fact, fact))])
     ledger.broken_count[Rule.LOST] = 30
     return ledger
 
--- a/tests/rig/test_member.py
+++ b/tests/rig/test_member.py
@@ -6,10 +6,10 @@
 from rig.facts import Arrived, Fell, Ran, Repeat, Started, TurnedAway
 from rig.member import (
     Action,
-    Building,
     Closed,
     Command,
-    Die,
+    Crash,
+    DeduplicationStore,
     Member,
     MemberSpec,
     Reply,
@@ -23,8 +23,8 @@
 SPEC = MemberSpec(cores=2, queue=2, cold_from=0.25, warm_us=8 * S)
 
 
-def member(spec: MemberSpec = SPEC, building: Building | None = None, name: str = "s1") -> Member:
-    return Member(name, "z1", spec, building or Building(15 * S))
+def member(spec: MemberSpec = SPEC, store: DeduplicationStore | None = None, name: str = "s1") -> Member:
+    return Member(name, "z1", spec, store or DeduplicationStore(15 * S))
 
 
 def command(name: str, connection: int = 1, work_us: int = 20 * MS, key: str = "", at: int = 0) -> Command:
@@ -40,7 +40,7 @@
 
 
 def kinds(server: Member, kind: type) -> list[str]:
-    return [note.id for note in server.notes if isinstance(note, kind)]  # type: ignore[attr-defined]
+    return [note.id for note in server.facts if isinstance(note, kind)]  # type: ignore[attr-defined]
 
 
 def test_cores_queue_and_turning_away() -> None:
@@ -60,7 +60,7 @@
     server = member()
     server.handle(0, command("r0"))
     ((_, action),) = until(server, S)
-    (run,) = [note for note in server.notes if isinstance(note, Ran)]
+    (run,) = [note for note in server.facts if isinstance(note, Ran)]
     assert isinstance(action, Reply) and run.value in action.data
     assert b"util=" in action.data and b",latency_ms=" in action.data
 
@@ -77,13 +77,13 @@
 
 
 def test_repeat_of_a_key_is_dropped_in_its_building_and_window() -> None:
-    building = Building(15 * S)
-    first, second, other = member(building=building), member(building=building, name="s2"), member(name="s3")
+    store = DeduplicationStore(15 * S)
+    first, second, other = member(store=store), member(store=store, name="s2"), member(name="s3")
     first.handle(0, command("r0", key="k"))
     (reply,) = second.handle(5 * S, command("r1", key="k"))
     assert kinds(second, Repeat) == ["r1"] and not kinds(second, Ran)
     assert isinstance(reply, Reply) and b"s1.1.r0" in reply.data  # what the first one made
-    other.handle(5 * S, command("r2", key="k"))  # another building knows nothing of it
+    other.handle(5 * S, command("r2", key="k"))  # another store knows nothing of it
     second.handle(15 * S + 1, command("r3", key="k"))
     second.handle(5 * S, command("r4", key="l"))
     assert kinds(other, Ran) == ["r2"] and kinds(second, Ran) == ["r3", "r4"]
@@ -107,7 +107,7 @@
     until(server, 9 * S)
     server.handle(9 * S, command("r1"))
     assert server.next_us() == 9 * S + 20 * MS
-    assert next(type(note) for note in server.notes) is Started
+    assert next(type(note) for note in server.facts) is Started
 
 
 def test_cold_server_falls_over_when_it_is_pushed() -> None:
@@ -115,8 +115,8 @@
     server = member(MemberSpec(queue=100))
     server.handle(0, Start(cold=True))
     actions = [server.handle(0, command(f"r{number}", number, work_us=50 * MS)) for number in range(28)]
-    assert all(Die() not in found for found in actions[:27]) and actions[27] == [Die()]
-    assert any(isinstance(note, Fell) for note in server.notes)
+    assert all(Crash() not in found for found in actions[:27]) and actions[27] == [Crash()]
+    assert any(isinstance(note, Fell) for note in server.facts)
     assert server.handle(S, command("more")) == [] and until(server, 20 * S) == []  # it stays down
     server.handle(20 * S, Start(cold=False))
     server.handle(20 * S, command("later"))
@@ -126,7 +126,7 @@
 def test_warm_server_is_not_pushed_over() -> None:
     server = member()
     for number in range(1000):
-        assert Die() not in server.handle(0, command(f"r{number}", number, work_us=S))
+        assert Crash() not in server.handle(0, command(f"r{number}", number, work_us=S))
 
 
 def test_slow_server_takes_so_many_times_as_long() -> None:
@@ -137,11 +137,11 @@
 
 
 def test_building_forgets_what_is_old_and_what_is_too_much() -> None:
-    building = Building(10)
+    store = DeduplicationStore(10)
     for number in range(1000):
-        building.remember(number, "c", str(number), b"v")
-    assert len(building.values) <= 12 and building.find(1000, "c", "995") == b"v"
-    assert building.find(1010, "c", "995") is None
+        store.remember(number, "c", str(number), b"v")
+    assert len(store.values) <= 12 and store.find(1000, "c", "995") == b"v"
+    assert store.find(1010, "c", "995") is None
 
 
 EVENTS = st.lists(
