--- a/benchmarks/scale/doors.py
+++ b/benchmarks/scale/doors.py
@@ -96,8 +96,8 @@
 def write_known(door: Door, known: str) -> None:
     """Write a known list into a configuration that was written without one."""
     text = json.dumps(door.config)[:-1] + f', "known": {known}}}'
-    os.ftruncate(door.memory, 0)
-    os.pwrite(door.memory, text.encode(), 0)
+    os.ftruncate(door.config_fd, 0)
+    os.pwrite(door.config_fd, text.encode(), 0)
 
 
 async def start(real: RealDoor, request: list[bytes] | None = None) -> tuple[float, float]:
--- a/tests/coordination/processes/test_faults.py
+++ b/tests/coordination/processes/test_faults.py
@@ -148,14 +148,14 @@
 @pytest.mark.parametrize("fault", ["stall", "lose", "one way", "drop", "slow"])
 def test_one_bad_connection_makes_no_member_dead(tmp_path: Path, fault: str) -> None:
     async def scenario(cluster: Tier) -> None:
-        for relay in cluster.between("n1", "n2"):
+        for relay in cluster.relays_between("n1", "n2"):
             match fault:
                 case "stall":
                     relay.stall()
                 case "lose":
-                    relay.lose()
+                    relay.discard()
                 case "one way":
-                    relay.lose("to")
+                    relay.discard("to")
                 case "slow":
                     relay.delay(0.3)
                 case _:
@@ -173,7 +173,7 @@
 
 def test_an_isolated_member_loses_its_session_and_its_proposals_are_not_decided(tmp_path: Path) -> None:
     async def scenario(cluster: Tier) -> None:
-        for relay in cluster.around("n4"):
+        for relay in cluster.relays_of("n4"):
             relay.hold()
             relay.drop()
         undecided = asyncio.create_task(cluster.members["n4"].ask("mark", id="cut-off", within_us=1_500_000))
@@ -181,8 +181,8 @@
         assert (await wait_for_proof(cluster, answer["position"]))["n4"] == "over"
         assert (await undecided)["over"] == "unknown"
         assert not (await cluster.members["n4"].ask("state"))["council_session"]
-        for relay in cluster.around("n4"):
-            relay.pass_()
+        for relay in cluster.relays_of("n4"):
+            relay.clear_faults()
             relay.drop()
         await wait_until(cluster, lambda states: is_formed(states) and have_same_state(states))
 
--- a/tests/coordination/transport/test_connection_registry.py
+++ b/tests/coordination/transport/test_connection_registry.py
@@ -146,7 +146,7 @@
             a.send("b", 0, "x" * 10_000, protocol="hint")
         for number in range(4, 24):
             a.send("b", number, "x" * 60_000)  # more than the capacity of a failed peer
-        relay.pass_()
+        relay.clear_faults()
         await b.wait_until_received(23)
         assert [number for number in b.received_numbers if number] == list(range(3, 24))
         await relay.close()
--- a/tests/coordination/transport/test_faults.py
+++ b/tests/coordination/transport/test_faults.py
@@ -225,7 +225,7 @@
             assert not a.disconnected_count()
             a.transport.registry.send_heartbeats()
         assert a.events[-1] == "down b: nothing heard while something was unacknowledged"
-        relay.pass_()
+        relay.clear_faults()
         await a.wait_until(lambda: a.events.count("up b 1") == 2)
         a.send("b", 3)
         await b.wait_until_received(3)
@@ -245,7 +245,7 @@
         a.send("b", 1)
         await relay.until(lambda: len(relay.connections) == 2)
         assert a.transport.stats().peers["b"].close_reason == "not proven in time"
-        relay.pass_()
+        relay.clear_faults()
         await b.wait_until_received(1)
         await relay.close()
 
@@ -264,20 +264,20 @@
             case "drop":
                 relay.drop()
             case "lose":  # one way only: b notices nothing
-                relay.lose("to")
-                passed = relay.connections[0].count["to"]
+                relay.discard("to")
+                passed = relay.connections[0].received_bytes["to"]
                 a.send("b", 2)
-                await poll_until(lambda: relay.connections[0].count["to"] > passed)
+                await poll_until(lambda: relay.connections[0].received_bytes["to"] > passed)
                 for _ in range(5):
                     a.transport.registry.send_heartbeats()
             case "cut_at":
-                relay.cut_at(relay.connections[0].count["to"] + 5)
+                relay.cut_at(relay.connections[0].received_bytes["to"] + 5)
                 a.send("b", 2)
             case _:
-                relay.flip_at(relay.connections[0].count["to"] + 5)
+                relay.flip_at(relay.connections[0].received_bytes["to"] + 5)
                 a.send("b", 2)
         await a.wait_until(a.disconnected_count)
-        relay.pass_()
+        relay.clear_faults()
         await a.wait_until(lambda: a.connected_count() == 2)
         a.send("b", 3)
         await b.wait_until_received(3)
--- a/tests/coordination/transport/test_service.py
+++ b/tests/coordination/transport/test_service.py
@@ -77,7 +77,7 @@
             lambda: all(peer.pending_connection and peer.pending_connection.hello_sent for peer in peers)
         )
         for name in names:  # in either order of the hellos
-            relays["b" if name == "a" else "a"].pass_()
+            relays["b" if name == "a" else "a"].clear_faults()
         await a.wait_until_received(1)
         await b.wait_until_received(1)
         a.send("b", 2)
