--- a/benchmarks/council.py
+++ b/benchmarks/council.py
@@ -23,9 +23,9 @@
 from benchmarks.result import Result, quantile
 from rig.council.tier import Tier
 from rig.sockets import Listener, own_host
-from sim.council import CouncilHistory
-from sim.histories import BrokenError, S
-from sim.troubles import calm, trouble
+from sim.council import CoordinationHistory
+from sim.histories import SECOND_US, InvariantError
+from sim.troubles import inject_faults, recover_and_check
 
 MS = 1000
 BEAT_MS, SESSION_MS = 500, 5000  # as they are by default
@@ -93,7 +93,7 @@
     for number in range(count):
         begin = loop.time()
         member = tier.members[tier.names[number % len(tier.names)]]
-        found = await member.ask("mark", id=f"timed-{number}", within_us=10 * S)
+        found = await member.ask("mark", id=f"timed-{number}", within_us=10 * SECOND_US)
         assert found["over"] == "settled", found
         times.append((loop.time() - begin) * 1000)
     return times
@@ -136,21 +136,21 @@
 
 def virtual(count: int, marks: int, kills: int, seed: int) -> dict[str, float]:
     """The same cores; settle, everywhere, words a beat, a leader killed."""
-    play = CouncilHistory(seed, count, 7)
-    play.run(FORMED_S * S)
-    words, sent, begin = dict(play.words_out), dict(play.bytes_out), play.now
-    play.run(play.now + QUIET_S * S)  # with nothing to settle: what a beat costs
+    play = CoordinationHistory(seed, count, 7)
+    play.run_until(FORMED_S * SECOND_US)
+    words, sent, begin = dict(play.sent_messages), dict(play.sent_bytes), play.now
+    play.run_until(play.now + QUIET_S * SECOND_US)  # with nothing to settle: what a beat costs
     beats = (play.now - begin) / (BEAT_MS * MS)
 
     def words_of(part: str, rank: Callable[[list[float]], float]) -> float:
         return rank(
             [
-                (play.words_out.get((door, part), 0) - words.get((door, part), 0)) / beats
+                (play.sent_messages.get((door, part), 0) - words.get((door, part), 0)) / beats
                 for door in range(count)
             ]
         )
 
-    bytes_s = [(play.bytes_out[door] - sent[door]) / QUIET_S for door in range(count)]
+    bytes_s = [(play.sent_bytes[door] - sent[door]) / QUIET_S for door in range(count)]
     figures = {
         f"membership_words_{count}": words_of("membership", statistics.mean),
         f"tree_words_{count}": words_of("spread", max),
@@ -159,13 +159,13 @@
     }
     draw, settled, everywhere = Random(f"{seed}:marks"), [], []
     for _ in range(marks):
-        told = play.marks[play.mark(draw.randrange(count))]
-        while not (told.everywhere_us and told.over_us):
-            play.run(play.now + 10 * MS)
-            play.proofs()
-        settled.append((told.over_us - told.asked_us) / MS)
-        everywhere.append((told.everywhere_us - told.asked_us) / MS)
-        play.run(play.now + draw.randrange(S // 4))
+        told = play.marks[play.propose_mark(draw.randrange(count))]
+        while not (told.applied_everywhere_us and told.finished_us):
+            play.run_until(play.now + 10 * MS)
+            play.check_proofs()
+        settled.append((told.finished_us - told.requested_us) / MS)
+        everywhere.append((told.applied_everywhere_us - told.requested_us) / MS)
+        play.run_until(play.now + draw.randrange(SECOND_US // 4))
     figures |= {
         f"settle_{count}_p50_ms": quantile(settled, 0.5),
         f"settle_{count}_p99_ms": quantile(settled, 0.99),
@@ -174,19 +174,19 @@
     replaced, death, at = [], [], play.now
     for number in range(kills):
         if number:
-            play.run(at + 50 * S)  # the last one is back, and all is well again
+            play.run_until(at + 50 * SECOND_US)  # the last one is back, and all is well again
         (leader,) = play.leaders()
         name, at = play.names[leader], play.now
-        play.kill(play.nodes[leader], 40 * S)
+        play.kill(play.nodes[leader], 40 * SECOND_US)
         while not play.leaders():
-            play.run(play.now + 10 * MS)
-        replaced.append((play.now - at) / S)
+            play.run_until(play.now + 10 * MS)
+        replaced.append((play.now - at) / SECOND_US)
         while any(
-            name in {life.name for life in play.cored[door].components.membership.live_instances()}
-            for door in play.living()
+            name in {life.name for life in play.cores[door].components.membership.live_instances()}
+            for door in play.running_doors()
         ):
-            play.run(play.now + 100 * MS)
-        death.append((play.now - at) / S)
+            play.run_until(play.now + 100 * MS)
+        death.append((play.now - at) / SECOND_US)
     return figures | {f"replaced_{count}_s": max(replaced), f"death_{count}_s": max(death)}
 
 
@@ -194,11 +194,11 @@
     """One random history; what broke, or nothing."""
     draw = Random(seed)
     seats = draw.choice((3, 5, 5, 7))
-    play = CouncilHistory(seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * S)
+    play = CoordinationHistory(seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * SECOND_US)
     try:
-        trouble(play, seed)
-        calm(play)
-    except BrokenError as error:
+        inject_faults(play, seed)
+        recover_and_check(play)
+    except InvariantError as error:
         return f"seed {seed}: {error}"
     return ""
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -35,11 +35,11 @@
 from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.quota import DEMAND_DECAY_US
 from rig import scenario_files
-from sim.histories import PLAN, READS, BrokenError, QuotaHistory, ShareHistory, Store
+from sim.histories import PLAN, READ_CLASS, InvariantError, QuotaHistory, ReferenceBucket, ShareHistory
 from sim.run import JOBS_CONTEXT
-from sim.world import play
+from sim.world import run_scenario
 
-S = 1_000_000
+SECOND_US = 1_000_000
 HISTORIES, QUICK_HISTORIES = 10_000, 240
 QUOTAS, QUICK_QUOTAS = 400, 40
 SEEDS, QUICK_SEEDS = range(1, 6), range(1, 3)
@@ -75,46 +75,58 @@
     history = ShareHistory(seed)
     try:
         history.play()
-    except BrokenError as error:
+    except InvariantError as error:
         return Share(
-            str(error), history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
+            str(error),
+            history.max_share,
+            history.reference.lowest_level / history.plan.ceiling_burst,
+            history.granted,
         )
-    return Share("", history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted)
+    return Share(
+        "", history.max_share, history.reference.lowest_level / history.plan.ceiling_burst, history.granted
+    )
 
 
 def bound(history: QuotaHistory, events: int) -> float:
     """docs/design/limits.md: the most that may go beyond a quota, for so many splits, stops and restarts."""
     plan, others = history.plan, len(history.nodes) - 1
-    silence_s = 4 * history.figures.heartbeat_us / S
-    return max(1, events) * others * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_DECAY_US / S))
+    silence_s = 4 * history.limit_settings.heartbeat_us / SECOND_US
+    return (
+        max(1, events)
+        * others
+        * (plan.quota_burst + plan.quota_rate * (silence_s + DEMAND_DECAY_US / SECOND_US))
+    )
 
 
 def quota_history(seed: int) -> Over:
     """Traffic that moves among front doors that lose words, are split and killed."""
     draw = Random(f"{seed}:quota")
     history = QuotaHistory(seed, draw.randint(2, 5))
-    history.mail.loss, history.mail.double = draw.choice((0.0, 0.1, 0.3, 0.5)), draw.choice((0.0, 0.2))
+    history.network.loss, history.network.duplicate = (
+        draw.choice((0.0, 0.1, 0.3, 0.5)),
+        draw.choice((0.0, 0.2)),
+    )
     at, end = 3.0, 23.0
     while at < end:
         weights = [draw.choice((0.0, 0.2, 1.0)) for _ in history.nodes]
         weights[draw.randrange(len(weights))] = 2.0
         until = min(end, at + draw.uniform(1.0, 6.0))
-        history.load(round(at * S), round(until * S), draw.uniform(5, 60), weights)
+        history.load(round(at * SECOND_US), round(until * SECOND_US), draw.uniform(5, 60), weights)
         at = until
     events = draw.randint(0, 4)
     for _ in range(events):
-        fault(history, draw, round(draw.uniform(2.0, 20.0) * S))
-    history.run(round(end * S) + S)
+        fault(history, draw, round(draw.uniform(2.0, 20.0) * SECOND_US))
+    history.run_until(round(end * SECOND_US) + SECOND_US)
     # Loss alone may look like a split now and then: each such moment counts as one.
-    losses = 1 + (history.mail.loss >= 0.3) * 2 + (history.mail.loss >= 0.5) * 5
-    over = max(0.0, -history.quota.lowest)
-    return Over(over, over / bound(history, events + losses), max(0.0, -history.ceiling.lowest))
+    losses = 1 + (history.network.loss >= 0.3) * 2 + (history.network.loss >= 0.5) * 5
+    over = max(0.0, -history.quota.lowest_level)
+    return Over(over, over / bound(history, events + losses), max(0.0, -history.ceiling.lowest_level))
 
 
 def fault(history: QuotaHistory, draw: Random, at: int) -> None:
-    node, lasts = draw.choice(history.nodes), round(draw.uniform(0.3, 8.0) * S)
+    node, lasts = draw.choice(history.nodes), round(draw.uniform(0.3, 8.0) * SECOND_US)
     if draw.random() < 0.4:
-        history.at(at, lambda: history.kill(node, lasts) if node.up else None)
+        history.call_at(at, lambda: history.kill(node, lasts) if node.up else None)
         return
     cut = draw.randint(1, len(history.nodes) - 1)
     names = draw.sample(range(len(history.nodes)), len(history.nodes))
@@ -123,15 +135,15 @@
 
     def split() -> None:
         if whole:
-            history.mail.groups = frozenset(names[:cut]), frozenset(names[cut:])
+            history.network.groups = frozenset(names[:cut]), frozenset(names[cut:])
         else:
-            history.mail.cut = links
+            history.network.blocked_links = links
 
     def heal() -> None:
-        history.mail.groups, history.mail.cut = (), frozenset()
+        history.network.groups, history.network.blocked_links = (), frozenset()
 
-    history.at(at, split)
-    history.at(at + lasts, heal)
+    history.call_at(at, split)
+    history.call_at(at + lasts, heal)
 
 
 A = TypeVar("A")
@@ -173,12 +185,12 @@
     rate, burst = (
         (plan.quota_rate, plan.quota_burst) if plan.quota_rate else (plan.ceiling_rate, plan.ceiling_burst)
     )
-    store = Store(rate, burst, burst, 0)
+    store = ReferenceBucket(rate, burst, burst, 0)
     for at, _ in history.sent:
         if at < since:
             store.take(at, 1.0)
     store.take(since, 0.0)
-    return min(asked, max(0.0, store.level) + rate * (until - since) / S)
+    return min(asked, max(0.0, store.level) + rate * (until - since) / SECOND_US)
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,21 +211,23 @@
     """The share granted of what the plan entitles to over the next 5 s, and units beyond the plan's store."""
     plan, split_s = case.plan, case.split_s
     history = QuotaHistory(case.seed, 3, case.with_limits, plan)
-    history.mail.loss = case.loss
-    start = 5 * S
+    history.network.loss = case.loss
+    start = 5 * SECOND_US
     if case.moves:
-        history.load(start, start + 5 * S, 60.0, [1.0, 0.0, 0.0])
-        start += 5 * S
+        history.load(start, start + 5 * SECOND_US, 60.0, [1.0, 0.0, 0.0])
+        start += 5 * SECOND_US
     if split_s:
-        history.at(start, lambda: setattr(history.mail, "groups", tuple(frozenset([n]) for n in range(3))))
-    end = start + round((split_s or MEASURED_S) * S)
+        history.call_at(
+            start, lambda: setattr(history.network, "groups", tuple(frozenset([n]) for n in range(3)))
+        )
+    end = start + round((split_s or MEASURED_S) * SECOND_US)
     history.load(start, end, 60.0, [0.0, 1.0, 0.0] if case.moves else [1.0, 0.0, 0.0])
-    history.run(start)
-    before = history.asked
-    history.run(end + S)
+    history.run_until(start)
+    before = history.requested
+    history.run_until(end + SECOND_US)
     store = history.quota if plan.quota_rate else history.ceiling
-    share = history.sent_between(start, end) / entitled(plan, history, start, end, history.asked - before)
-    return min(1.0, share), max(0.0, -store.lowest)
+    share = history.count_sent(start, end) / entitled(plan, history, start, end, history.requested - before)
+    return min(1.0, share), max(0.0, -store.lowest_level)
 
 
 def cases(quick: bool) -> list[Case]:
@@ -253,7 +267,9 @@
     for side, limits in (("before_", False), ("", True)):
         over, ceiling, share, fine = [], [], [], 0
         for seed in QUICK_DAYS if quick else DAYS:
-            ledger = (played := play(scenario_files.load("move-in-split"), seed, limits=limits)).report.ledger
+            ledger = (
+                played := run_scenario(scenario_files.load("move-in-split"), seed, limits=limits)
+            ).report.ledger
             over.append(ledger.quota_over)
             ceiling.append(ledger.units_over)
             share.append(ledger.quota_granted)
@@ -278,13 +294,13 @@
         first = (node.number - draw.randrange(size)) % doors
         customer = f"{draw.randrange(customers):016x}"
         request = RequestReceived(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
-        history.at(
-            2 * S + number * S // TIER_RATE,
-            lambda node=node, request=request: history.tell(node, request),  # type: ignore[misc]
+        history.call_at(
+            2 * SECOND_US + number * SECOND_US // TIER_RATE,
+            lambda node=node, request=request: history.handle_event(node, request),  # type: ignore[misc]
         )
-    history.run(2 * S)
+    history.run_until(2 * SECOND_US)
     before = history.messages, history.bytes
-    history.run((2 + TIER_SECONDS) * S)
+    history.run_until((2 + TIER_SECONDS) * SECOND_US)
     span = doors * TIER_SECONDS
     return (history.messages - before[0]) / span, (history.bytes - before[1]) / span
 
@@ -295,7 +311,7 @@
         seed=seed,
         proxy_index=0,
         proxy_count=3,
-        classes=(READS,),
+        classes=(READ_CLASS,),
         may_gossip=True,
         plans=(replace(PLAN, quota_rate=1e6, quota_burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
         gossip_messages_per_s=60.0,
@@ -303,7 +319,7 @@
     gateway = Gateway(settings, Limits(settings, LimitSettings()) if with_limits else None)
     servers = tuple(Endpoint(f"s{n}", n % 3, 0, 0, EndpointState.UP) for n in range(9))
     gateway.handle(0, EndpointListReceived(EndpointListKind.FULL, 1, servers))
-    now = 20 * S
+    now = 20 * SECOND_US
     begun = time.process_time()
     for number in range(COST_TRIES):
         now += 2000
@@ -323,7 +339,7 @@
         seed=1,
         proxy_index=0,
         proxy_count=3,
-        classes=(READS,),
+        classes=(READ_CLASS,),
         plans=(PLAN,),
         may_gossip=True,
         gossip_messages_per_s=60.0,
@@ -334,9 +350,9 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(count):
         key = CustomerKey(number, 0, 0, 3)
-        limits.request_capacity(10 * S, key, 1.0)
-        limits.reachable_quota(10 * S, key)
-        limits.record_spending(10 * S, key, 1.0, 1.0)
+        limits.request_capacity(10 * SECOND_US, key, 1.0)
+        limits.reachable_quota(10 * SECOND_US, key)
+        limits.record_spending(10 * SECOND_US, key, 1.0, 1.0)
     taken = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return taken / count
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -23,7 +23,7 @@
 from rig.broken import MODES
 from rig.doors import FRONT_DOOR
 from rig.sockets import Listener, own_host
-from sim.world import play
+from sim.world import run_scenario
 
 SPEED_S, QUICK_SPEED_S = 20.0, 8.0
 LARGE = sc.Scenario("large", "50 doors, 1,000 servers", 4.0, 50, 1000, sc.Load(400.0, 400))
@@ -49,7 +49,7 @@
 def speed(day: sc.Scenario) -> tuple[float, float, int]:
     """Virtual seconds a real one, real seconds, callbacks; the start and the end of the world included."""
     begun = time.process_time()
-    played = play(day, 1)
+    played = run_scenario(day, 1)
     took = time.process_time() - begun
     assert played.ok, played.report.json()
     return day.seconds / took, took, played.callbacks
@@ -58,7 +58,7 @@
 def sameness(seeds: int) -> int:
     """How many seeds gave the same callbacks at the same times twice."""
     day = scenario_files.load("kill-a-door", {"seconds": 4.0})
-    return sum(play(day, seed).digest == play(day, seed).digest for seed in range(seeds))
+    return sum(run_scenario(day, seed).digest == run_scenario(day, seed).digest for seed in range(seeds))
 
 
 def real(name: str, seed: int) -> dict[str, Any]:
@@ -87,7 +87,7 @@
     for name in names:
         with ThreadPoolExecutor(2) as pool:
             outside = [shares(each) for each in pool.map(lambda seed, name=name: real(name, seed), seeds)]
-        inside = [shares(play(scenario_files.load(name), seed).report.json()) for seed in seeds]
+        inside = [shares(run_scenario(scenario_files.load(name), seed).report.json()) for seed in seeds]
         row: dict[str, Any] = {"scenario": name}
         for key in outside[0]:
             both = [statistics.fmean(each[key] for each in world) for world in (outside, inside)]
--- a/sim/__init__.py
+++ b/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The whole program in virtual time: loop, network and clock simulated, everything else as it is."""
+"""Runs the whole program in virtual time: loop, network and clocks are simulated."""
--- a/sim/__main__.py
+++ b/sim/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sim`, which `molereach simulate` becomes: days in virtual time, each from a seed."""
+"""The command `molereach simulate` (`python -m sim`): runs seeded scenarios in virtual time."""
 
 import json
 import os
@@ -14,18 +14,18 @@
 
 from rig import scenario as sc
 from rig import scenario_files
-from sim.run import Options, Verdict, day_of, make_small, play_many
-from sim.world import Clocks, play
+from sim.run import Options, Verdict, run_seeds, scenario_for, shrink_failure
+from sim.world import ClockSkew, run_scenario
 
-DONE, BROKEN, BAD_INPUT, INTERRUPTED = 0, 1, 2, 130
+EXIT_OK, EXIT_FAILED, EXIT_BAD_INPUT, EXIT_INTERRUPTED = 0, 1, 2, 130
 EPILOG = """\b
 exit codes: 0 every day is in order; 1 one is not, or the simulation itself
 failed; 2 bad input; 130 interrupted"""
-MOST_SEEDS = 1_000_000
+MAX_SEEDS = 1_000_000
 
 
 class Seeds(click.ParamType[range]):
-    """`A..B`, both included, or one number."""
+    """A range of seeds: `A..B`, both included, or one number."""
 
     name = "A..B"
 
@@ -35,72 +35,73 @@
         first, _, last = str(value).partition("..")
         if not first.isdigit() or not (last or first).isdigit():
             self.fail(f"'{value}' is not A..B, such as 1..100", param, ctx)
-        found = range(int(first), int(last or first) + 1)
-        if not 0 < len(found) <= MOST_SEEDS:
-            self.fail(f"'{value}': 1 to {MOST_SEEDS} seeds", param, ctx)
-        return found
+        seeds = range(int(first), int(last or first) + 1)
+        if not 0 < len(seeds) <= MAX_SEEDS:
+            self.fail(f"'{value}': 1 to {MAX_SEEDS} seeds", param, ctx)
+        return seeds
 
 
-def scenario_text(name: str, seconds: float | None) -> str:
-    """A shipped scenario, a file or JSON, checked, as JSON; '' for none."""
+def scenario_json(name: str, seconds: float | None) -> str:
+    """A validated scenario as JSON, from a shipped name, a file or JSON; '' for none."""
     if not name:
         return ""
     if name.startswith("{"):
         try:
-            day = msgspec.json.decode(name, type=sc.Scenario)
-            sc.check_names(day)
+            scenario = msgspec.json.decode(name, type=sc.Scenario)
+            sc.check_names(scenario)
         except (ValueError, msgspec.DecodeError) as error:
             raise click.BadParameter(" ".join(str(error).split()), param_hint="--scenario") from error
     else:
         try:
-            day = scenario_files.load(name, {"seconds": seconds}, real=False)
+            scenario = scenario_files.load(name, {"seconds": seconds}, real=False)
         except scenario_files.ScenarioError as error:
             raise click.BadParameter(str(error), param_hint="--scenario") from error
-    return msgspec.json.encode(day).decode()
+    return msgspec.json.encode(scenario).decode()
 
 
-def play_all(options: Options, seeds: range, jobs: int, hours: float, go_on: bool) -> list[Verdict]:
-    """All days with progress; it stops at the first that is not in order, unless it is to go on."""
+def run_all(options: Options, seeds: range, jobs: int, hours: float, keep_going: bool) -> list[Verdict]:
+    """Run all seeds with a progress bar; stop at the first failure unless `keep_going`."""
     console = Console(stderr=True)
-    found: list[Verdict] = []
+    verdicts: list[Verdict] = []
     with Progress(console=console, disable=not sys.stderr.isatty()) as progress:
         bar = progress.add_task("days", total=None if hours else len(seeds))
-        for verdict in play_many(options, seeds, jobs, hours):
-            found.append(verdict)
+        for verdict in run_seeds(options, seeds, jobs, hours):
+            verdicts.append(verdict)
             progress.advance(bar)
             if not verdict.ok:
                 progress.console.print(f"seed {verdict.seed}: {', '.join(verdict.why)}", markup=False)
-                if not go_on:
+                if not keep_going:
                     break
-    return found
+    return verdicts
 
 
-def summary(found: list[Verdict], took_s: float) -> dict[str, Any]:
-    virtual_s = sum(verdict.seconds for verdict in found)
-    failed = sorted((verdict for verdict in found if not verdict.ok), key=lambda verdict: verdict.seed)
+def summary(verdicts: list[Verdict], elapsed_s: float) -> dict[str, Any]:
+    """The figures of the report over all verdicts."""
+    virtual_s = sum(verdict.seconds for verdict in verdicts)
+    failures = sorted((verdict for verdict in verdicts if not verdict.ok), key=lambda verdict: verdict.seed)
     return {
-        "days": len(found),
-        "in_order": len(found) - len(failed),
+        "days": len(verdicts),
+        "in_order": len(verdicts) - len(failures),
         "virtual_s": virtual_s,
-        "real_s": round(took_s, 1),
-        "virtual_per_real": round(virtual_s / max(took_s, 1e-9), 1),
-        "requests": sum(verdict.requests for verdict in found),
-        "unaccounted": sum(verdict.unaccounted for verdict in found),
-        "failed": [msgspec.to_builtins(verdict) for verdict in failed],
+        "real_s": round(elapsed_s, 1),
+        "virtual_per_real": round(virtual_s / max(elapsed_s, 1e-9), 1),
+        "requests": sum(verdict.requests for verdict in verdicts),
+        "unaccounted": sum(verdict.unaccounted for verdict in verdicts),
+        "failed": [msgspec.to_builtins(verdict) for verdict in failures],
     }
 
 
 def write_trace(options: Options, seed: int, file: Path) -> None:
-    """What happened, in order: time in microseconds, node, callback."""
-    played = play(
-        day_of(options, seed),
+    """Write the trace of a seed: one line per callback with time in microseconds, node and name."""
+    result = run_scenario(
+        scenario_for(options, seed),
         seed,
         trace=True,
         cost_us=options.cost_us,
         shuffle=options.shuffle,
-        clocks=Clocks(options.skew_ms * 1000, options.drift),
+        clock_skew=ClockSkew(options.skew_ms * 1000, options.drift),
     )
-    file.write_text("".join(played.trace or ()))
+    file.write_text("".join(result.trace or ()))
 
 
 @click.command("molereach simulate", epilog=EPILOG)
@@ -172,31 +173,32 @@
     The first that is not in order is made small, and printed as one line that plays it again.
     """
     options = Options(
-        scenario_text(name, seconds), seconds or 60.0, cost_us, skew_ms, drift, broken, limits=limits
+        scenario_json(name, seconds), seconds or 60.0, cost_us, skew_ms, drift, broken, limits=limits
     )
     if trace:
         write_trace(options, seeds[0], trace)
-    begun = time.perf_counter()
-    found = play_all(options, seeds, jobs, hours, go_on)
-    result = summary(found, time.perf_counter() - begun)
-    failed = next((verdict for verdict in found if not verdict.ok), None)
-    small = make_small(options, failed) if failed else None
-    if small:
+    start = time.perf_counter()
+    verdicts = run_all(options, seeds, jobs, hours, go_on)
+    result = summary(verdicts, time.perf_counter() - start)
+    failed = next((verdict for verdict in verdicts if not verdict.ok), None)
+    shrunk = shrink_failure(options, failed) if failed else None
+    if shrunk:
         result["small"] = {
-            "faults": small.faults,
-            "runs": small.runs,
-            "why": small.verdict.why,
-            "lines": small.verdict.lines,
-            "again": small.line(),
+            "faults": shrunk.faults,
+            "runs": shrunk.runs,
+            "why": shrunk.verdict.why,
+            "lines": shrunk.verdict.lines,
+            "again": shrunk.line(),
         }
     if as_json:
         click.echo(json.dumps(result))
     else:
-        show(result)
-    raise SystemExit(BROKEN if failed else DONE)
+        print_report(result)
+    raise SystemExit(EXIT_FAILED if failed else EXIT_OK)
 
 
-def show(result: dict[str, Any]) -> None:
+def print_report(result: dict[str, Any]) -> None:
+    """Print the report in text form."""
     click.echo(
         f"{result['in_order']} of {result['days']} days in order: {result['requests']} requests, "
         f"{result['virtual_s'] / 3600:.2f} virtual hours in {result['real_s']} s "
@@ -204,26 +206,26 @@
     )
     for failed in result["failed"]:
         click.echo(f"seed {failed['seed']}: {', '.join(failed['why'])}")
-    if small := result.get("small"):
-        click.echo(f"made small in {small['runs']} days: {', '.join(small['faults']) or 'no fault at all'}")
-        for line in small["lines"]:
+    if shrunk := result.get("small"):
+        click.echo(f"made small in {shrunk['runs']} days: {', '.join(shrunk['faults']) or 'no fault at all'}")
+        for line in shrunk["lines"]:
             click.echo(f"  {line}")
-        click.echo(f"again: {small['again']}")
+        click.echo(f"again: {shrunk['again']}")
 
 
 def main() -> int:
-    """Carry out the command line; its exit code."""
+    """Run the command line; its exit code."""
     try:
         simulate.main(prog_name="molereach simulate", standalone_mode=False)
     except click.Abort:
         click.echo("molereach simulate: interrupted", err=True)
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     except click.ClickException as error:
         error.show()
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     except SystemExit as end:
-        return end.code if isinstance(end.code, int) else BROKEN
-    return DONE
+        return end.code if isinstance(end.code, int) else EXIT_FAILED
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/sim/network/__init__.py
+++ b/sim/network/__init__.py
@@ -1,11 +1,11 @@
-"""TCP and UDP in memory, with what kernels do, on the simulated loop.
+"""In-memory TCP and UDP with the kernel's semantics, on the simulated event loop.
 
-A connection is two endpoints, each in a process's descriptor. What is written travels for a while and arrives
-in order; the reader has a window, so that a writer whose peer does not read waits; reads come in pieces of
-any size. Closing with bytes unread, a killed process with bytes unread, SO_LINGER of 0 and writing to an
-endpoint that is gone are resets (RFC 9293, 3.5.2 and 3.10.4); a reset overtakes nothing and discards what was
-not read.
+A connection is a pair of endpoints, each held by a descriptor of a process. Written bytes arrive in order
+after a random delay. Each endpoint has a receive window, so a writer blocks while its peer does not read. A
+read returns a chunk of random size. A connection is reset when it is closed or its process is killed with
+unread bytes, when it is closed with an SO_LINGER of 0, and when data arrives at a closed endpoint (RFC 9293,
+3.5.2 and 3.10.4). A reset stays in order behind earlier segments and discards unread bytes.
 
-In reading order: `way` (how long things take), `kernel` (ports and descriptors), `endpoint`, `transport`,
-`listener`, `tcp`, `udp`, `modules` (what stands in for `socket` and `select`), `network` (all of it).
+In reading order: `way` (delays and losses), `kernel` (ports and descriptors), `endpoint`, `transport`,
+`listener`, `tcp`, `udp`, `modules` (replacements for `socket` and `select`), `network` (the facade).
 """
--- a/sim/network/kernel.py
+++ b/sim/network/kernel.py
@@ -1,4 +1,4 @@
-"""What kernels keep for all processes of a world: the descriptors, and which port is whose."""
+"""Kernel state of all simulated processes: open descriptors and bound ports."""
 
 import errno
 import os
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING, Protocol
 
 from sim.loop import Node
-from sim.network.way import Spec, Way
+from sim.network.way import Links, NetworkSettings
 
 if TYPE_CHECKING:
     from sim.network.listener import Listener
-    from sim.network.udp import SimDatagrams
+    from sim.network.udp import SimDatagramTransport
 
 Address = tuple[str, int]
 
@@ -18,50 +18,53 @@
 FIRST_DESCRIPTOR = 100
 
 
-class Thing(Protocol):
-    """What a descriptor stands for."""
+class OpenFile(Protocol):
+    """An object that a descriptor refers to."""
 
     node: Node | None
 
     def close(self) -> None: ...
 
 
-class Descriptors:
-    """All that is open, in the order in which it was opened. `most` of them for each process."""
+class DescriptorTable:
+    """All open descriptors in the order they were opened; each process may hold `limit` of them."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.last = most, FIRST_DESCRIPTOR
-        self.things: dict[int, Thing] = {}
+    def __init__(self, limit: int) -> None:
+        self.limit, self.last_descriptor = limit, FIRST_DESCRIPTOR
+        self.open_files: dict[int, OpenFile] = {}
 
-    def add(self, thing: Thing) -> int:
-        self.last += 1
-        self.things[self.last] = thing
-        return self.last
+    def add(self, open_file: OpenFile) -> int:
+        """Open a descriptor for an object."""
+        self.last_descriptor += 1
+        self.open_files[self.last_descriptor] = open_file
+        return self.last_descriptor
 
     def release(self, descriptor: int) -> None:
-        self.things.pop(descriptor, None)
+        """Free a descriptor."""
+        self.open_files.pop(descriptor, None)
 
-    def of(self, node: Node) -> Iterator[Thing]:
-        return (thing for thing in self.things.values() if thing.node is node)
+    def owned_by(self, node: Node) -> Iterator[OpenFile]:
+        """The open objects of a process."""
+        return (open_file for open_file in self.open_files.values() if open_file.node is node)
 
-    def full(self, node: Node | None) -> bool:
-        """Whether a process can have no more. Counted only where a bound is set."""
-        if node is None or self.most >= Spec().descriptors:
+    def is_full(self, node: Node | None) -> bool:
+        """Whether a process is at its limit; descriptors are counted only below the default limit."""
+        if node is None or self.limit >= NetworkSettings().max_descriptors:
             return False
-        return sum(1 for _ in self.of(node)) >= self.most
+        return sum(1 for _ in self.owned_by(node)) >= self.limit
 
 
 class Ports:
-    """Who listens where, and what the rig keeps for a program that is down."""
+    """Listening and bound addresses, and those reserved for a program that is down."""
 
     def __init__(self) -> None:
         self.listeners: dict[Address, Listener] = {}
-        self.sockets: dict[Address, SimDatagrams] = {}
-        self.reserved: set[Address] = set()  # bound by the rig, which may hand them to a program
+        self.sockets: dict[Address, SimDatagramTransport] = {}
+        self.reserved: set[Address] = set()  # bound by the test rig, which may hand them to a program
         self.next_port = FIRST_PORT
 
-    def free(self, host: str) -> int:
-        """The next one that nobody there has, or keeps for a program that is down."""
+    def allocate_port(self, host: str) -> int:
+        """The next port of the host that is neither in use nor reserved."""
         for _ in range(LAST_PORT - FIRST_PORT + 1):
             self.next_port = self.next_port + 1 if self.next_port < LAST_PORT else FIRST_PORT
             address = host, self.next_port
@@ -69,22 +72,22 @@
                 return self.next_port
         raise OSError(errno.EADDRINUSE, os.strerror(errno.EADDRINUSE))
 
-    def given(self, address: Address) -> Address:
-        """The address, with a free port for 0."""
-        return address if address[1] else (address[0], self.free(address[0]))
+    def resolve_port(self, address: Address) -> Address:
+        """The address, with port 0 replaced by a free port."""
+        return address if address[1] else (address[0], self.allocate_port(address[0]))
 
 
 class Kernel:
-    """What all endpoints, listeners and sockets of a world share."""
+    """State shared by all endpoints, listeners and sockets of a simulation."""
 
-    def __init__(self, way: Way) -> None:
-        self.way, self.loop = way, way.loop
-        self.descriptors, self.ports = Descriptors(way.spec.descriptors), Ports()
+    def __init__(self, links: Links) -> None:
+        self.links, self.loop = links, links.loop
+        self.descriptors, self.ports = DescriptorTable(links.settings.max_descriptors), Ports()
 
     def close_all(self, node: Node) -> None:
-        """A killed process's descriptors are closed by the kernel, in the order in which they were opened."""
-        for thing in list(self.descriptors.of(node)):
-            thing.close()
-        for address, udp in list(self.ports.sockets.items()):
-            if udp.node is node:
+        """Close a killed process's descriptors in the order they were opened."""
+        for open_file in list(self.descriptors.owned_by(node)):
+            open_file.close()
+        for address, transport in list(self.ports.sockets.items()):
+            if transport.node is node:
                 del self.ports.sockets[address]
--- a/sim/network/modules.py
+++ b/sim/network/modules.py
@@ -1,4 +1,4 @@
-"""What stands in for `socket` and `select`, where a shell goes past the loop."""
+"""Replacements for `socket` and `select` in modules that use them directly."""
 
 import errno
 import os
@@ -6,18 +6,18 @@
 import socket as real
 from types import SimpleNamespace
 
-from sim.loop import NODE
+from sim.loop import CURRENT_NODE
 from sim.network.endpoint import Endpoint
-from sim.network.kernel import Address, Descriptors
+from sim.network.kernel import Address, DescriptorTable
 from sim.network.listener import SOMAXCONN
 from sim.network.tcp import Tcp
 from sim.network.udp import Udp
 
-ALWAYS_TOLD = select.POLLHUP | select.POLLERR
+UNMASKABLE_EVENTS = select.POLLHUP | select.POLLERR
 
 
 class SimSocket:
-    """A socket that is not connected yet: what the rig does with one by hand."""
+    """A socket as the test rig uses one directly: bound, listening, or connecting without waiting."""
 
     def __init__(self, tcp: Tcp, udp: Udp) -> None:
         self.tcp, self.udp, self.kernel = tcp, udp, tcp.kernel
@@ -37,7 +37,8 @@
         return None
 
     def bind(self, address: Address) -> None:
-        self.address = self.kernel.ports.given(address)
+        """Reserve the address, with port 0 replaced by a free port."""
+        self.address = self.kernel.ports.resolve_port(address)
         self.kernel.ports.reserved.add(self.address)
 
     def getsockname(self) -> Address:
@@ -45,18 +46,19 @@
         return self.address
 
     def listen(self, backlog: int = SOMAXCONN) -> None:
-        """It is a listener from now on."""
+        """Turn the socket into a listener."""
         listener = self.tcp.listen(self.getsockname(), backlog)
         self.accept, self.close, self.fileno = listener.accept, listener.close, listener.fileno  # type: ignore[method-assign]
 
     def sendto(self, data: bytes, address: Address) -> None:
+        """Send a datagram from the bound address."""
         self.udp.send(self.getsockname(), address, bytes(data))
 
     def connect_ex(self, address: Address) -> int:
-        """A connect that nobody waits for."""
-        own = self.kernel.ports.given((address[0], 0))
-        self.endpoint = Endpoint(self.kernel, NODE.get(), own, address)
-        self.tcp.syn(self.endpoint, address, lambda error: None)
+        """Start to connect without waiting for the result."""
+        local = self.kernel.ports.resolve_port((address[0], 0))
+        self.endpoint = Endpoint(self.kernel, CURRENT_NODE.get(), local, address)
+        self.tcp.send_syn(self.endpoint, address, lambda error: None)
         return errno.EINPROGRESS
 
     def accept(self) -> tuple[Endpoint, Address]:
@@ -71,7 +73,7 @@
 
 
 def socket_module(tcp: Tcp, udp: Udp) -> SimpleNamespace:
-    """In place of `socket`, where a shell goes past the loop."""
+    """Replacement for the `socket` module."""
     names = (
         "AF_INET",
         "AF_INET6",
@@ -92,31 +94,33 @@
     )
 
 
-def select_module(descriptors: Descriptors) -> SimpleNamespace:
-    """In place of `select`, for what is asked of it: is there something to read, has the peer ended?"""
+def select_module(descriptors: DescriptorTable) -> SimpleNamespace:
+    """Replacement for the `select` module; polls for unread data and a closed peer."""
 
     class Poll:
         def __init__(self) -> None:
-            self.asked: dict[int, int] = {}
+            self.masks: dict[int, int] = {}
 
         def register(self, descriptor: int, mask: int) -> None:
-            self.asked[descriptor] = mask
+            self.masks[descriptor] = mask
 
         def poll(self, timeout: int) -> list[tuple[int, int]]:
-            found = []
-            for number, mask in self.asked.items():
-                endpoint = descriptors.things.get(number)
-                if isinstance(endpoint, Endpoint) and (told := state(endpoint) & (mask | ALWAYS_TOLD)):
-                    found.append((number, told))
-            return found
-
-    def state(endpoint: Endpoint) -> int:
-        told = select.POLLIN if endpoint.readable() else 0
+            results = []
+            for descriptor, mask in self.masks.items():
+                endpoint = descriptors.open_files.get(descriptor)
+                if isinstance(endpoint, Endpoint) and (
+                    reported := events_of(endpoint) & (mask | UNMASKABLE_EVENTS)
+                ):
+                    results.append((descriptor, reported))
+            return results
+
+    def events_of(endpoint: Endpoint) -> int:
+        events = select.POLLIN if endpoint.readable() else 0
         if endpoint.eof or endpoint.error:
-            told |= select.POLLRDHUP
+            events |= select.POLLRDHUP
         if endpoint.error:
-            told |= select.POLLERR
-        return told | (select.POLLHUP if endpoint.error or (endpoint.eof and endpoint.shut) else 0)
+            events |= select.POLLERR
+        return events | (select.POLLHUP if endpoint.error or (endpoint.eof and endpoint.write_closed) else 0)
 
     names = ("POLLIN", "POLLRDHUP", "POLLHUP", "POLLERR")
     return SimpleNamespace(poll=Poll, **{name: getattr(select, name) for name in names})
--- a/sim/network/way.py
+++ b/sim/network/way.py
@@ -1,4 +1,4 @@
-"""How long things take between hosts, and how they fail by themselves; the only chance of the network."""
+"""Delays, read sizes and losses between hosts; the only source of randomness in the network."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,49 +7,51 @@
 
 from sim.loop import SimLoop
 
-READ_BYTES = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 
 @dataclass(slots=True)
-class Spec:
-    """How long things take, in microseconds, and how they fail by themselves."""
+class NetworkSettings:
+    """Ranges of delays and probabilities of partial reads and losses."""
 
-    least_us: int = 30
-    most_us: int = 250  # one way, drawn for each segment
-    whole_reads: float = 0.7  # share of reads that take all that is there; others take a piece of any size
-    lost: float = 0.0  # of datagrams, beside what the world's mail does
-    descriptors: int = 65536  # of a process
+    min_delay_us: int = 30
+    max_delay_us: int = 250  # delays are one way and drawn for each segment
+    whole_read_fraction: float = 0.7  # other reads return a random part of the available bytes
+    datagram_loss: float = 0.0  # probability; faults that a scenario injects come on top
+    max_descriptors: int = 65536  # per process
 
 
 class Receiver(Protocol):
-    """An end of a connection: when the last of what is on its way arrives there."""
+    """One end of a connection, with the arrival time of the last segment sent to it."""
 
-    arrive_us: int
+    last_arrival_us: int
 
 
-class Way:
-    """What lies between all hosts."""
+class Links:
+    """Draws the delays and losses between all hosts."""
 
-    def __init__(self, loop: SimLoop, spec: Spec, random: Random) -> None:
-        self.loop, self.spec, self.random = loop, spec, random
+    def __init__(self, loop: SimLoop, settings: NetworkSettings, random: Random) -> None:
+        self.loop, self.settings, self.random = loop, settings, random
 
     def delay_us(self) -> int:
-        return self.random.randint(self.spec.least_us, self.spec.most_us)
-
-    def travel(self, receiver: Receiver, what: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
-        """Along one way of a connection: late by chance, never overtaking."""
-        receiver.arrive_us = max(receiver.arrive_us + 1, self.loop.now_us + self.delay_us())
-        self.loop.at(receiver.arrive_us, None, what, *args)
-
-    def piece(self, there: int) -> int:
-        """How much one read takes."""
-        if there == 1 or self.random.random() < self.spec.whole_reads:
-            return min(there, READ_BYTES)
-        return self.random.randint(1, min(there, READ_BYTES))
-
-    def after(self, delay_us: int, what: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
-        self.loop.at(self.loop.now_us + delay_us, None, what, *args)
-
-    def loses(self) -> bool:
-        """Whether a datagram is lost."""
-        return bool(self.spec.lost) and self.random.random() < self.spec.lost
+        """Random one-way delay."""
+        return self.random.randint(self.settings.min_delay_us, self.settings.max_delay_us)
+
+    def deliver_in_order(self, receiver: Receiver, callback: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
+        """Call back after a random delay, in order with earlier segments to the same receiver."""
+        receiver.last_arrival_us = max(receiver.last_arrival_us + 1, self.loop.now_us + self.delay_us())
+        self.loop.call_at_us(receiver.last_arrival_us, None, callback, *args)
+
+    def read_size(self, available: int) -> int:
+        """Number of bytes that one read returns."""
+        if available == 1 or self.random.random() < self.settings.whole_read_fraction:
+            return min(available, MAX_READ_BYTES)
+        return self.random.randint(1, min(available, MAX_READ_BYTES))
+
+    def call_after(self, delay_us: int, callback: Callable[..., None], *args: Any) -> None:  # noqa: ANN401
+        """Call back after a delay, outside any node."""
+        self.loop.call_at_us(self.loop.now_us + delay_us, None, callback, *args)
+
+    def drops_datagram(self) -> bool:
+        """Whether to lose the next datagram."""
+        return bool(self.settings.datagram_loss) and self.random.random() < self.settings.datagram_loss
--- a/sim/seam.py
+++ b/sim/seam.py
@@ -1,7 +1,7 @@
-"""Where the program reaches past its loop, and what stands there while a world is simulated.
+"""Replaces what the program uses besides its event loop while a simulation runs.
 
-The product is not changed for it and pays nothing: names in its modules are exchanged while a world runs.
-What must not be (threads, real sockets, chance without a seed) is an error that names the caller.
+Names in the program's modules are patched during a simulation, so the program itself needs no hooks and has
+no overhead. Threads, real sockets, real sleeps and unseeded randomness raise an error that names the caller.
 """
 
 import contextlib
@@ -19,8 +19,8 @@
 from sim.loop import SimLoop
 from sim.network.network import Network
 
-DESCRIPTORS = 1 << 16
-GUARDED: tuple[tuple[object, str, str], ...] = (
+DESCRIPTOR_LIMIT = 1 << 16
+FORBIDDEN_CALLS: tuple[tuple[object, str, str], ...] = (
     *(
         (random, name, "chance without a seed")
         for name in (
@@ -45,21 +45,21 @@
 )
 
 
-def forbidden(loop: SimLoop, what: str) -> Callable[..., NoReturn]:
-    """An error that names the caller."""
+def forbid(loop: SimLoop, description: str) -> Callable[..., NoReturn]:
+    """A function that aborts the simulation with an error that names its caller."""
 
-    def refuse(*args: object, **more: object) -> NoReturn:
+    def refuse(*args: object, **options: object) -> NoReturn:
         caller = traceback.extract_stack(limit=2)[0]
-        place = f"{os.path.basename(caller.filename)}:{caller.lineno}"
-        loop.fail(f"{what} in a simulation, at {place} ({caller.name})")
+        location = f"{os.path.basename(caller.filename)}:{caller.lineno}"
+        loop.fail(f"{description} in a simulation, at {location} ({caller.name})")
 
     return refuse
 
 
-def places(
+def patches(
     loop: SimLoop, network: Network, reload: Callable[..., Any], end: Callable[[int], None]
 ) -> Iterator[tuple[object, str, object]]:
-    """Each name that is exchanged, and for what."""
+    """Each patch: the object, the attribute and its replacement."""
     sockets = network.socket_module()
     for module, name, value in (
         ("molereach.clients.listener", "socket", sockets),
@@ -70,7 +70,7 @@
         (
             "molereach.proxy.resources",
             "resource",
-            SimpleNamespace(RLIMIT_NOFILE=0, getrlimit=lambda which: (DESCRIPTORS, DESCRIPTORS)),
+            SimpleNamespace(RLIMIT_NOFILE=0, getrlimit=lambda which: (DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT)),
         ),
         ("rig.sockets", "os", SimpleNamespace(getpid=lambda: 1)),
     ):
@@ -80,22 +80,22 @@
     yield time, "monotonic", lambda: loop.clock_us() / 1e6
     yield time, "time_ns", lambda: loop.wall_us() * 1000
     yield time, "time", lambda: loop.wall_us() / 1e6
-    for owner, name, what in GUARDED:
-        yield owner, name, forbidden(loop, what)
+    for owner, name, description in FORBIDDEN_CALLS:
+        yield owner, name, forbid(loop, description)
 
 
 @contextlib.contextmanager
 def simulated(
     loop: SimLoop, network: Network, reload: Callable[..., Any], end: Callable[[int], None]
 ) -> Iterator[None]:
-    """Exchange all of them; what was there is put back whatever happens. `reload` reads a front door's
-    configuration anew, `end` ends the process that calls it."""
-    before: list[tuple[object, str, object]] = []
+    """Apply all patches and undo them on exit. `reload` reads a front door's configuration again; `end`
+    replaces `os._exit`."""
+    originals: list[tuple[object, str, object]] = []
     try:
-        for owner, name, value in list(places(loop, network, reload, end)):
-            before.append((owner, name, getattr(owner, name)))
+        for owner, name, value in list(patches(loop, network, reload, end)):
+            originals.append((owner, name, getattr(owner, name)))
             setattr(owner, name, value)
         yield
     finally:
-        for owner, name, value in reversed(before):
+        for owner, name, value in reversed(originals):
             setattr(owner, name, value)
--- a/sim/troubles.py
+++ b/sim/troubles.py
@@ -1,73 +1,82 @@
-"""Random troubles for a council in virtual time, and what must hold when they are over."""
+"""Random faults for simulated coordination, and the checks that must hold once they have ended."""
 
 from functools import partial
 from random import Random
 
-from sim.council import CouncilHistory
-from sim.histories import BrokenError, Mail, Node, S
+from sim.council import CoordinationHistory
+from sim.histories import SECOND_US, InvariantError, NetworkConditions, Node
 
-MOST_LOSS, MOST_DOUBLE, MOST_OLD = 0.3, 0.1, 0.05
-CALM_US = 25 * S  # after the last trouble, until all must be well again
+MAX_LOSS, MAX_DUPLICATE, MAX_STALE = 0.3, 0.1, 0.05
+RECOVERY_US = 25 * SECOND_US  # time to recover after the last fault
 
 
-def trouble(play: CouncilHistory, seed: int, seconds: int = 15) -> None:
-    """Kills, stops, splits, one-way links, losses, a broken disk at times; marks are asked for all along."""
+def inject_faults(history: CoordinationHistory, seed: int, seconds: int = 15) -> None:
+    """Inject kills, stops, partitions, lost messages and at times a broken disk, while proposing marks."""
     draw = Random(f"{seed}:troubles")
-    play.run(6 * S)
-    # One, so that a majority is left; of three, another that starts anew would lack half of the others.
-    if draw.random() < 0.2 and len(play.disks) >= 5:
-        play.disks[draw.choice(sorted(play.disks))].broken = True
+    history.run_until(6 * SECOND_US)
+    # One broken disk at most, and only with 5 or more voters, so that a majority is left: of 3 voters,
+    # another that restarts would lack half of the others.
+    if draw.random() < 0.2 and len(history.disks) >= 5:
+        history.disks[draw.choice(sorted(history.disks))].broken = True
     for _ in range(seconds * 2):
-        each = draw.random()
-        node = play.nodes[draw.randrange(len(play.nodes))]
-        if each < 0.12 and node.up:
-            play.kill(node, draw.randrange(S // 2, 5 * S))
-        elif each < 0.25 and node.up and not node.stopped:
-            play.stop(node)
-            play.at(play.now + draw.randrange(S // 2, 10 * S), partial(go_on, play, node, node.life))
-        elif each < 0.4:
-            play.mail = mail(draw, len(play.nodes))
+        kind = draw.random()
+        node = history.nodes[draw.randrange(len(history.nodes))]
+        if kind < 0.12 and node.up:
+            history.kill(node, draw.randrange(SECOND_US // 2, 5 * SECOND_US))
+        elif kind < 0.25 and node.up and not node.stopped:
+            history.stop(node)
+            history.call_at(
+                history.now + draw.randrange(SECOND_US // 2, 10 * SECOND_US),
+                partial(resume_incarnation, history, node, node.incarnation),
+            )
+        elif kind < 0.4:
+            history.network = draw_network(draw, len(history.nodes))
         if draw.random() < 0.5:
-            play.mark(draw.randrange(len(play.nodes)), 4 * S)
-        play.run(play.now + S // 2)
-        play.proofs()
+            history.propose_mark(draw.randrange(len(history.nodes)), 4 * SECOND_US)
+        history.run_until(history.now + SECOND_US // 2)
+        history.check_proofs()
 
 
-def go_on(play: CouncilHistory, node: Node, life: int) -> None:
-    if node.life == life and node.stopped:
-        play.resume(node)
+def resume_incarnation(history: CoordinationHistory, node: Node, incarnation: int) -> None:
+    """Resume a front door if it has not been killed since it was stopped."""
+    if node.incarnation == incarnation and node.stopped:
+        history.resume(node)
 
 
-def mail(draw: Random, doors: int) -> Mail:
-    """How messages fare from now on."""
+def draw_network(draw: Random, doors: int) -> NetworkConditions:
+    """Draw the network conditions that hold from now on."""
     groups: tuple[frozenset[int], ...] = ()
-    cut: set[tuple[int, int]] = set()
+    blocked_links: set[tuple[int, int]] = set()
     if draw.random() < 0.4:
         side = frozenset(draw.sample(range(doors), draw.randint(1, doors - 1)))
         groups = side, frozenset(range(doors)) - side
     elif draw.random() < 0.5:
-        cut = {(draw.randrange(doors), draw.randrange(doors)) for _ in range(draw.randint(1, doors))}
-    loss, double, old = (draw.random() * most for most in (MOST_LOSS, MOST_DOUBLE, MOST_OLD))
-    return Mail(loss, double, old, groups, frozenset(cut))
+        blocked_links = {
+            (draw.randrange(doors), draw.randrange(doors)) for _ in range(draw.randint(1, doors))
+        }
+    loss, duplicate, stale = (draw.random() * most for most in (MAX_LOSS, MAX_DUPLICATE, MAX_STALE))
+    return NetworkConditions(loss, duplicate, stale, groups, frozenset(blocked_links))
 
 
-def calm(play: CouncilHistory) -> None:
-    """All goes on and hears one another again; after a time all must be well, or it is a BrokenError."""
-    play.mail = Mail()
-    for node in play.nodes:
+def recover_and_check(history: CoordinationHistory) -> None:
+    """End all faults and wait; raise `InvariantError` unless everything has recovered by then."""
+    history.network = NetworkConditions()
+    for node in history.nodes:
         if node.stopped:
-            play.resume(node)
-    end = play.now + CALM_US
-    while play.now < end:
-        play.run(play.now + S // 2)
-        play.proofs()
-    last = play.mark(0, 2 * S)
-    play.run(play.now + 3 * S)
-    play.proofs()
-    wrong = [name for name, told in play.marks.items() if told.over is None and told.asked]
-    if wrong:
-        raise BrokenError(f"no word on {wrong}")
-    if not play.marks[last].everywhere_us or not play.marks[last].proof_us:
-        raise BrokenError("a mark is not everywhere 3 s after it was asked for, with all well")
-    if lacking := [door for door in range(len(play.nodes)) if not play.holding(door)]:
-        raise BrokenError(f"{lacking} hold no session, with all well")
+            history.resume(node)
+    end = history.now + RECOVERY_US
+    while history.now < end:
+        history.run_until(history.now + SECOND_US // 2)
+        history.check_proofs()
+    last = history.propose_mark(0, 2 * SECOND_US)
+    history.run_until(history.now + 3 * SECOND_US)
+    history.check_proofs()
+    unfinished = [name for name, mark in history.marks.items() if mark.status is None and mark.awaited]
+    if unfinished:
+        raise InvariantError(f"no result for {unfinished}")
+    if not history.marks[last].applied_everywhere_us or not history.marks[last].proof_us:
+        raise InvariantError(
+            "a mark is not applied everywhere with a proof 3 s after it was proposed, without faults"
+        )
+    if without_session := [door for door in range(len(history.nodes)) if not history.holds_session(door)]:
+        raise InvariantError(f"front doors {without_session} hold no session, without faults")
--- a/sim/world.py
+++ b/sim/world.py
@@ -1,6 +1,7 @@
-"""A world of the rig in virtual time: its scenarios, cores, clients, servers, auditor, and the real program.
+"""Runs a scenario in virtual time, with the test rig's clients, servers and auditor and the real program.
 
-Each front door is a node of the loop: killed at a callback it is gone with all that it held in memory.
+Each start of a front door is a node of the event loop. A kill takes effect at a callback and loses all that
+the node held in memory.
 """
 
 import asyncio
@@ -26,29 +27,29 @@
 from rig.sockets import free_datagram_port, reserve
 from rig.world.report import Report
 from rig.world.world import World
-from sim.loop import NODE, SPIN_S, Node, SimLoop, SpinWatch
+from sim.loop import CURRENT_NODE, SPIN_TIMEOUT_S, Node, SimLoop, SpinDetector
 from sim.network.network import Network
-from sim.network.way import Spec
+from sim.network.way import NetworkSettings
 from sim.seam import simulated
 
-STARTS_US = 250_000  # from the start of a process to its first line of code
-LEVEL = logging.WARNING
-LINKS = 2_500  # between front doors and servers, of a small world
+STARTUP_US = 250_000  # from the start of a process until its code runs
+LOG_LEVEL = logging.WARNING
+LINKS_PER_SCALE = 2_500  # links between front doors and servers for each unit of `SimLoop.scale`
 
 
 @dataclass(frozen=True, slots=True)
-class Clocks:
-    """How front doors' clocks differ: each draws an offset and a rate."""
+class ClockSkew:
+    """Bounds of the clock offset and drift that each start of a front door draws."""
 
-    offset_us: int = 0  # at most, either way
-    drift: float = 0.0  # at most, either way
+    offset_us: int = 0  # largest absolute offset
+    drift: float = 0.0  # largest absolute deviation of the rate from 1
 
 
 class SimDoor(Door):
-    """One front door, over all its starts, each a node of its own."""
+    """A front door over all its starts, each of which is a new node."""
 
     cost_us = 0
-    clocks = Clocks()
+    clock_skew = ClockSkew()
 
     def __init__(
         self,
@@ -72,12 +73,15 @@
         self.serve: Callable[[Config], Any] = serve
 
     def write_config(self, **changes: object) -> None:
+        """Change the configuration that the next start or reload reads."""
         self.config |= changes
 
     def read_config(self) -> Config:
+        """The current configuration."""
         return parse(self.config, {})
 
     def start(self) -> None:
+        """Start a new node, which runs the program after `STARTUP_US`."""
         self.told_to_end = self.killed = False
         self.ended, self.log_ended = asyncio.Event(), asyncio.Event()
         self.starts += 1
@@ -85,41 +89,45 @@
         node = self.loop.new_node(
             self.name,
             cost_us=self.cost_us,
-            offset_us=random.randint(-self.clocks.offset_us, self.clocks.offset_us),
-            rate=1.0 + random.uniform(-self.clocks.drift, self.clocks.drift),
+            offset_us=random.randint(-self.clock_skew.offset_us, self.clock_skew.offset_us),
+            rate=1.0 + random.uniform(-self.clock_skew.drift, self.clock_skew.drift),
         )
         self.node = node
-        DOORS[node] = self
-        self.loop.at(self.loop.now_us + STARTS_US, None, self.begin, node)
+        DOOR_BY_NODE[node] = self
+        self.loop.call_at_us(self.loop.now_us + STARTUP_US, None, self.begin_node, node)
 
-    def begin(self, node: Node) -> None:
+    def begin_node(self, node: Node) -> None:
+        """Start the program in a node, unless it was killed before."""
         if node.alive:
-            self.loop.spawn_in(node, self.life(node)).add_done_callback(lambda task: None)
+            self.loop.spawn_in(node, self.run_program(node)).add_done_callback(lambda task: None)
 
-    async def life(self, node: Node) -> None:
-        """The program from its start to its exit."""
+    async def run_program(self, node: Node) -> None:
+        """Run the program from its start to its exit."""
         code = 0
         try:
             await self.serve(self.read_config())
         except Exception as error:
-            logging.getLogger("molereach").exception("the program ends: %s", error)
+            logging.getLogger("molereach").exception("front door ended with an error: %s", error)
             code = 1
-        self.loop.at(self.loop.now_us, None, self.exited, node, code)
+        self.loop.call_at_us(self.loop.now_us, None, self.handle_exit, node, code)
 
-    def exited(self, node: Node, code: int) -> None:
+    def handle_exit(self, node: Node, code: int) -> None:
+        """Kill the node and record how the program ended."""
         if node.alive:
             self.loop.kill(node)
             if node is self.node:
-                well = self.told_to_end and code == 0 and not self.killed
-                self.facts.append(DoorDown(now_us(), self.name, Down.ENDED if well else Down.CRASHED))
+                is_clean = self.told_to_end and code == 0 and not self.killed
+                self.facts.append(DoorDown(now_us(), self.name, Down.ENDED if is_clean else Down.CRASHED))
                 self.ended.set()
                 self.log_ended.set()
 
     @property
     def up(self) -> bool:
+        """Whether the current node runs."""
         return self.node is not None and self.node.alive and not self.ended.is_set()
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the current node."""
         node = self.node
         if node is None or not self.up:
             return
@@ -134,168 +142,173 @@
         else:
             self.loop.signal(node, number)
             if not node.alive:
-                self.exited_by_signal()
+                self.handle_fatal_signal()
 
-    def exited_by_signal(self) -> None:
+    def handle_fatal_signal(self) -> None:
+        """Record that a signal has killed the node."""
         if not self.killed:
             self.facts.append(DoorDown(now_us(), self.name, Down.CRASHED))
         self.ended.set()
         self.log_ended.set()
 
     def destroy(self) -> None:
+        """Kill the current node."""
         if self.node is not None and self.node.alive:
             self.killed = True
             self.loop.kill(self.node)
 
     def close(self) -> None:
+        """Kill the current node and release its address."""
         self.destroy()
         self.holder.close()
 
     def usage(self) -> tuple[float, int]:
+        """CPU seconds and memory, which are not simulated."""
         return 0.0, 0
 
 
-DOORS: dict[Node, SimDoor] = {}
+DOOR_BY_NODE: dict[Node, SimDoor] = {}
 
 
-class NodeLog(logging.Handler):
-    """Lines of each front door's log go to that front door."""
+class NodeLogHandler(logging.Handler):
+    """Hands log records of a node to its front door."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        node = NODE.get()
-        door = DOORS.get(node) if node else None
+        node = CURRENT_NODE.get()
+        door = DOOR_BY_NODE.get(node) if node else None
         if door is not None:
             door.tracebacks += record.exc_info is not None
             door.log.append(self.format(record))
 
 
 @dataclass(slots=True)
-class Played:
-    """A simulated day."""
+class SimulationResult:
+    """Result of a simulated scenario."""
 
     report: Report
-    digest: str  # of all callbacks in their order
+    digest: str  # hash of all callbacks in order
     trace: list[str] | None
     callbacks: int
-    troubles: list[str]  # what reached the loop's own handler
+    unhandled_errors: list[str]  # errors that reached the loop's exception handler
     tracebacks: int
 
     @property
     def ok(self) -> bool:
-        return self.report.ok and not self.troubles and not self.tracebacks
+        """Whether the report is in order and the program logged and raised no unexpected error."""
+        return self.report.ok and not self.unhandled_errors and not self.tracebacks
 
 
 def reload(env: object) -> Config:
-    """What a front door reads anew on SIGHUP."""
-    node = NODE.get()
+    """Read the current front door's configuration again, on SIGHUP."""
+    node = CURRENT_NODE.get()
     assert node is not None
-    return DOORS[node].read_config()
+    return DOOR_BY_NODE[node].read_config()
 
 
 def serve_with_limits(config: Config) -> Any:  # noqa: ANN401
-    """A front door with `[limits]` in its operator file, and nothing else."""
+    """Run a front door whose operator file holds only `[limits]`."""
     return serve(config, attacher(LimitsSection()))
 
 
 def end_process(code: int) -> None:
-    """`os._exit` of a front door: nothing is finished."""
-    node = NODE.get()
+    """End the current front door at once, in place of `os._exit`."""
+    node = CURRENT_NODE.get()
     assert node is not None
-    DOORS[node].exited(node, code or 1)
+    DOOR_BY_NODE[node].handle_exit(node, code or 1)
 
 
 @contextlib.contextmanager
-def watched(loop: SimLoop) -> Iterator[None]:
-    """End a world in which a callback spins, where this thread can be interrupted."""
+def abort_if_stuck(loop: SimLoop) -> Iterator[None]:
+    """Abort the simulation when a callback does not return; works in the main thread only."""
     try:
-        before = signal.signal(signal.SIGALRM, SpinWatch(loop))
+        previous = signal.signal(signal.SIGALRM, SpinDetector(loop))
     except ValueError:  # not the main thread
         yield
         return
-    signal.setitimer(signal.ITIMER_REAL, SPIN_S, SPIN_S)
+    signal.setitimer(signal.ITIMER_REAL, SPIN_TIMEOUT_S, SPIN_TIMEOUT_S)
     try:
         yield
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous)
 
 
-def play(scenario: sc.Scenario, seed: int, **more: Any) -> Played:  # noqa: ANN401
-    """Play a day in virtual time, with the keywords of `play_day`.
+def run_scenario(scenario: sc.Scenario, seed: int, **options: Any) -> SimulationResult:  # noqa: ANN401
+    """Run a scenario in virtual time, with the keywords of `run_with_gc_off`.
 
-    SimulationError where the program does what it must not, or spins.
+    Raises SimulationError if the program makes a forbidden call or is stuck.
     """
-    collecting, hook = gc.isenabled(), sys.unraisablehook
-    gc.disable()  # finalizers run when the world is over, not where memory happens to be short
+    gc_enabled, unraisable_hook = gc.isenabled(), sys.unraisablehook
+    gc.disable()  # finalizers run after the simulation, not at moments that depend on memory use
     try:
-        return play_day(scenario, seed, **more)
+        return run_with_gc_off(scenario, seed, **options)
     finally:
-        # What was killed half way ends here, and need not say so.
+        # Tasks of killed nodes are finalized here; their errors are not reported.
         sys.unraisablehook = lambda unraisable: None
         gc.collect()
-        sys.unraisablehook = hook
-        if collecting:
+        sys.unraisablehook = unraisable_hook
+        if gc_enabled:
             gc.enable()
 
 
-def play_day(
+def run_with_gc_off(
     scenario: sc.Scenario,
     seed: int,
     *,
     shuffle: bool = True,
     trace: bool = False,
     cost_us: int = 0,
-    clocks: Clocks = Clocks(),
-    network: Spec | None = None,
+    clock_skew: ClockSkew = ClockSkew(),
+    network: NetworkSettings | None = None,
     spec: MemberSpec | None = None,
     serve_with: Callable[[Config], Any] | None = None,
     limits: bool = False,
     kill_at: dict[str, int] | None = None,
-) -> Played:
-    """One day, and what it leaves behind."""
-    # A zone that is lost takes as many links as front doors times servers down at once.
-    scale = max(1, scenario.doors * scenario.servers // LINKS)
+) -> SimulationResult:
+    """Run one scenario; garbage collection must be off."""
+    # The loss of a zone can close doors * servers links at the same time.
+    scale = max(1, scenario.doors * scenario.servers // LINKS_PER_SCALE)
     loop = SimLoop(seed, shuffle, trace, scale)  # type: ignore[abstract]
-    links = Network(loop, seed, network)
-    handler = NodeLog()
+    simulated_network = Network(loop, seed, network)
+    handler = NodeLogHandler()
     loggers = [logging.getLogger("molereach")]
     levels = [(logger, logger.level, logger.propagate) for logger in loggers]
     for logger in loggers:
         logger.addHandler(handler)
-        logger.setLevel(LEVEL)
+        logger.setLevel(LOG_LEVEL)
         logger.propagate = False
 
-    class ThisDoor(SimDoor):
+    class ConfiguredDoor(SimDoor):
         pass
 
-    ThisDoor.cost_us, ThisDoor.clocks = cost_us, clocks
+    ConfiguredDoor.cost_us, ConfiguredDoor.clock_skew = cost_us, clock_skew
     world: World | None = None
 
     def kill(node: Node) -> None:
-        """Front doors in `kill_at` are killed at that callback of their first start."""
-        if DOORS[node].starts == 1 and node.callbacks == (kill_at or {}).get(node.name):
-            DOORS[node].kill()
+        """Kill each front door in `kill_at` at that callback of its first start."""
+        if DOOR_BY_NODE[node].starts == 1 and node.callbacks == (kill_at or {}).get(node.name):
+            DOOR_BY_NODE[node].kill()
 
-    loop.before = kill if kill_at else None
+    loop.before_callback = kill if kill_at else None
 
-    async def day() -> Report:
+    async def run_world() -> Report:
         nonlocal world
-        world = World(scenario, seed, spec=spec, door_type=ThisDoor)
-        if with_it := serve_with or (serve_with_limits if limits else None):
+        world = World(scenario, seed, spec=spec, door_type=ConfiguredDoor)
+        if serve_function := serve_with or (serve_with_limits if limits else None):
             for door in world.doors:
-                door.serve = with_it  # type: ignore[attr-defined]
+                door.serve = serve_function  # type: ignore[attr-defined]
         return await world.run()
 
     try:
-        with watched(loop), simulated(loop, links, reload, end_process):
-            report = loop.run_until_complete(day())
+        with abort_if_stuck(loop), simulated(loop, simulated_network, reload, end_process):
+            report = loop.run_until_complete(run_world())
         assert world is not None
-        return Played(
+        return SimulationResult(
             report,
             loop.digest.hexdigest(),
             loop.trace,
             loop.callbacks,
-            loop.troubles,
+            loop.unhandled_errors,
             sum(door.tracebacks for door in world.doors),
         )
     finally:
@@ -306,4 +319,4 @@
         for task in asyncio.all_tasks(loop):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         loop.close()
-        DOORS.clear()
+        DOOR_BY_NODE.clear()
--- a/tests/limits/test_escrow.py
+++ b/tests/limits/test_escrow.py
@@ -12,7 +12,7 @@
 from molereach.limits.settings import SECOND_US, LimitSettings
 from molereach.policy.interface.messages import CustomerKey, LoanGrant, LoanRequest
 from molereach.policy.interface.settings import Plan
-from sim.histories import BrokenError, ShareHistory
+from sim.histories import InvariantError, ShareHistory
 
 MILLISECOND_US = 1_000
 PLAN = Plan(quota_rate=1.0, quota_burst=1.0, ceiling_rate=30.0, ceiling_burst=60.0)
@@ -25,16 +25,16 @@
     for seed in seeds:
         try:
             ShareHistory(seed).play()
-        except BrokenError:
+        except InvariantError:
             return seed
     return -1
 
 
 def test_ceiling_holds_in_random_histories() -> None:
     histories = [ShareHistory(seed).play() for seed in range(12)]
-    assert max(history.most_share for history in histories) > 0.99  # close to the ceiling, but not above it
+    assert max(history.max_share for history in histories) > 0.99  # close to the ceiling, but not above it
     assert sum(history.granted for history in histories) > 900
-    assert min(history.store.lowest for history in histories) >= -1e-6
+    assert min(history.reference.lowest_level for history in histories) >= -1e-6
 
 
 @pytest.mark.parametrize("seed", [417, 785])
--- a/tests/limits/test_partition_quota.py
+++ b/tests/limits/test_partition_quota.py
@@ -61,10 +61,10 @@
     for link in ((0, 1), (1, 0), (0, 2)):
         history = QuotaHistory(1, 3, True)
         history.load(3 * SECOND_US, 24 * SECOND_US, 90.0, [1.0, 1.0, 1.0])
-        history.run(4 * SECOND_US)
-        history.mail.cut = frozenset([link])
-        history.run(24 * SECOND_US)
-        excess_units.append(-history.quota.lowest)
+        history.run_until(4 * SECOND_US)
+        history.network.blocked_links = frozenset([link])
+        history.run_until(24 * SECOND_US)
+        excess_units.append(-history.quota.lowest_level)
     assert max(excess_units) <= 2 * (24 + 12 * 1.5)
 
 
@@ -164,17 +164,17 @@
 def history_with_shifted_traffic(seed: int, with_limits: bool, loss: float = 0.0) -> QuotaHistory:
     """A customer's traffic shifts abruptly from one proxy to another."""
     history = QuotaHistory(seed, 3, with_limits)
-    history.mail.loss = loss
+    history.network.loss = loss
     history.load(3 * SECOND_US, 6 * SECOND_US, 60.0, [1.0, 0.0, 0.0])
     history.load(6 * SECOND_US, 11 * SECOND_US, 60.0, [0.0, 1.0, 0.0])
-    history.run(11 * SECOND_US)
+    history.run_until(11 * SECOND_US)
     return history
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_quota_follows_shifted_traffic(loss: float) -> None:
     granted_fractions = [
-        history_with_shifted_traffic(seed, True, loss).sent_between(6 * SECOND_US, 11 * SECOND_US) / (12 * 5)
+        history_with_shifted_traffic(seed, True, loss).count_sent(6 * SECOND_US, 11 * SECOND_US) / (12 * 5)
         for seed in range(4)
     ]
     assert sum(granted_fractions) / len(granted_fractions) >= (0.95 if not loss else 0.85)
@@ -187,10 +187,10 @@
         for seed in range(2):
             history = QuotaHistory(seed, 3, with_limits)
             history.load(3 * SECOND_US, 24 * SECOND_US, 90.0, [1.0, 1.0, 1.0])
-            history.run(4 * SECOND_US)
-            history.mail.groups = tuple(frozenset([number]) for number in range(3))
-            history.run(24 * SECOND_US)
-            excess_units[with_limits].append(-history.quota.lowest)
+            history.run_until(4 * SECOND_US)
+            history.network.groups = tuple(frozenset([number]) for number in range(3))
+            history.run_until(24 * SECOND_US)
+            excess_units[with_limits].append(-history.quota.lowest_level)
     assert max(excess_units[True]) <= 2 * (24 + 12 * 1.5) < min(excess_units[False])
 
 
@@ -200,14 +200,14 @@
     plan = replace(PLAN, quota_rate=0.0, quota_burst=0.0)
     for seed in range(2):
         history = QuotaHistory(seed, 3, True, plan)
-        history.mail.loss = 0.3
+        history.network.loss = 0.3
         history.load(3 * SECOND_US, 6 * SECOND_US, 80.0, [1.0, 0.0, 0.0])
         history.load(6 * SECOND_US, 12 * SECOND_US, 80.0, [0.1, 1.0, 0.1])
-        history.run(6 * SECOND_US)
-        history.mail.groups = tuple(frozenset([number]) for number in range(3)) if is_partitioned else ()
-        history.run(12 * SECOND_US)
-        assert history.ceiling.lowest >= 0.0
-        assert len(history.first) >= (36 + 24 * 9) * (0.5 if is_partitioned else 0.8)
+        history.run_until(6 * SECOND_US)
+        history.network.groups = tuple(frozenset([number]) for number in range(3)) if is_partitioned else ()
+        history.run_until(12 * SECOND_US)
+        assert history.ceiling.lowest_level >= 0.0
+        assert len(history.forwarded) >= (36 + 24 * 9) * (0.5 if is_partitioned else 0.8)
 
 
 @pytest.mark.parametrize(
@@ -220,9 +220,9 @@
 def test_every_request_is_answered_when_a_proxy_fails(fault: Callable[[QuotaHistory], None]) -> None:
     history = QuotaHistory(4, 3, True, PLAN)
     history.load(2 * SECOND_US, 8 * SECOND_US, 30.0, [1.0, 1.0, 1.0])
-    history.at(4 * SECOND_US, lambda: fault(history))
-    history.at(5 * SECOND_US, lambda: history.resume(history.nodes[1]))
-    history.run(12 * SECOND_US)
-    answered = len(history.first) + history.refused
-    assert history.asked - 15 <= answered <= history.asked  # except those in flight at the kill
-    assert history.ceiling.lowest >= 0.0
+    history.call_at(4 * SECOND_US, lambda: fault(history))
+    history.call_at(5 * SECOND_US, lambda: history.resume(history.nodes[1]))
+    history.run_until(12 * SECOND_US)
+    answered = len(history.forwarded) + history.rejected
+    assert history.requested - 15 <= answered <= history.requested  # except those in flight at the kill
+    assert history.ceiling.lowest_level >= 0.0
--- a/tests/limits/test_replacement.py
+++ b/tests/limits/test_replacement.py
@@ -20,8 +20,8 @@
 from rig.doors import FRONT_DOOR, Door
 from rig.world import settings
 from rig.world.world import World
-from sim.loop import NODE
-from sim.world import DOORS, play, serve_with_limits
+from sim.loop import CURRENT_NODE
+from sim.world import DOOR_BY_NODE, run_scenario, serve_with_limits
 
 RUN_TIMEOUT_S = 60
 # The ceiling is below the quota, so the ceiling is the effective limit.
@@ -61,15 +61,15 @@
     starts: list[tuple[str, int, bool]] = []
 
     async def serve_either(config: Config) -> None:
-        node = NODE.get()
+        node = CURRENT_NODE.get()
         assert node is not None
-        has_limits = (DOORS[node].starts > 1) != begins_with_limits
-        starts.append((config.name, DOORS[node].starts, has_limits))
+        has_limits = (DOOR_BY_NODE[node].starts > 1) != begins_with_limits
+        starts.append((config.name, DOOR_BY_NODE[node].starts, has_limits))
         await (serve_with_limits(config) if has_limits else serve(config))
 
-    result = play(SCENARIO, seed, serve_with=serve_either)
+    result = run_scenario(SCENARIO, seed, serve_with=serve_either)
     assert_limits_kept(result.report.ledger)
-    assert not result.tracebacks and not result.troubles
+    assert not result.tracebacks and not result.unhandled_errors
     for has_limits in (False, True):  # every front door ran both versions
         assert {name for name, _, started in starts if started is has_limits} == set(SCENARIO.door_names())
 
--- a/tests/limits/test_service.py
+++ b/tests/limits/test_service.py
@@ -23,8 +23,8 @@
 from rig.audit.quotas import quota_use
 from rig.facts import Asked, Effect
 from sim import swarm
-from sim.run import Options, judge
-from sim.world import play
+from sim.run import Options, evaluate
+from sim.world import run_scenario
 from tests.test_program import config
 
 
@@ -62,7 +62,7 @@
 def test_partition_scenario_keeps_all_rules_with_limits() -> None:
     partition = replace(scenario_files.load("move-in-split"), seconds=10.0)
     with_limits, without_limits = (
-        play(partition, 2, limits=limits).report.ledger for limits in (True, False)
+        run_scenario(partition, 2, limits=limits).report.ledger for limits in (True, False)
     )
     assert with_limits.ok and without_limits.ok
     assert with_limits.units_over <= 4.0 + 24 * 0.15  # the slack of the ceiling, plus 0.15 s at its rate
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("seed", [3, 8])
 def test_random_scenarios_keep_all_rules_with_limits(seed: int) -> None:
     options = Options(seconds=15.0, limits=True, skew_ms=500, drift=0.0005)
-    verdict = judge(options, swarm.draw(seed, 15.0), seed)
+    verdict = evaluate(options, swarm.draw_scenario(seed, 15.0), seed)
     assert verdict.ok, verdict
 
 
--- a/tests/policy/replay.py
+++ b/tests/policy/replay.py
@@ -29,8 +29,8 @@
 from molereach.policy.interface.events import Event
 from molereach.policy.interface.settings import Settings
 from rig import scenario_files
-from sim.histories import MS, QuotaHistory, S
-from sim.world import play
+from sim.histories import MILLISECOND_US, SECOND_US, QuotaHistory
+from sim.world import run_scenario
 
 SHORT_SCENARIO = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
 POLICY = "molereach.policy"
@@ -61,7 +61,7 @@
         record_history(seed, limits, 30)
         for name in (*scenario_files.LARGE, "crowd", "cold-deploy", "garbled-servers", "vanish"):
             is_large = name in scenario_files.LARGE
-            play(
+            run_scenario(
                 scenario_files.load(name, SHORT_SCENARIO if is_large else None, not is_large),
                 seed,
                 limits=limits,
@@ -73,10 +73,10 @@
 def record_history(seed: int, limits: bool, seconds: int) -> None:
     """Record five gateways of one set; the network loses and duplicates messages, one gateway is killed."""
     history = QuotaHistory(seed, 5, limits)
-    history.mail.loss, history.mail.double, history.mail.old = 0.05, 0.05, 0.01
-    history.load(0, seconds * S, 60.0, [3, 2, 1, 1, 1])
-    history.at(seconds * S // 3, lambda: history.kill(history.nodes[0], 500 * MS))
-    history.run((seconds + 2) * S)
+    history.network.loss, history.network.duplicate, history.network.stale = 0.05, 0.05, 0.01
+    history.load(0, seconds * SECOND_US, 60.0, [3, 2, 1, 1, 1])
+    history.call_at(seconds * SECOND_US // 3, lambda: history.kill(history.nodes[0], 500 * MILLISECOND_US))
+    history.run_until((seconds + 2) * SECOND_US)
 
 
 def policy_modules() -> list[str]:
--- a/tests/rig/test_world.py
+++ b/tests/rig/test_world.py
@@ -122,9 +122,9 @@
 IN_SIMULATION = """
 import json, sys
 from rig import broken, scenario as sc
-from sim.world import play
+from sim.world import run_scenario
 broken.MODES[sys.argv[1]]()
-report = play(sc.decode(sys.argv[2]), 3).report
+report = run_scenario(sc.decode(sys.argv[2]), 3).report
 found = [[each.rule.value, each.text, each.about, len(each.facts)] for each in report.ledger.broken]
 print(json.dumps([report.ok, report.trouble, report.ledger.unaccounted, found]))
 """
--- a/tests/sim/test_loop.py
+++ b/tests/sim/test_loop.py
@@ -1,4 +1,4 @@
-"""The simulated loop: time, order, nodes that are killed, stopped, slow or spin, and what it forbids."""
+"""The simulated event loop: time, order, killed, stopped, slow and stuck nodes, and forbidden calls."""
 
 import asyncio
 import contextlib
@@ -11,23 +11,23 @@
 
 import pytest
 
-from sim import loop as module
+from sim import loop as loop_module
 from sim import world
-from sim.loop import START_US, SimLoop, SimulationError, node_here
+from sim.loop import START_US, SimLoop, SimulationError, current_node
 from sim.network.network import Network
 from sim.seam import simulated
 
-S = 1_000_000
+SECOND_US = 1_000_000
 
 
 def run(job: Callable[[SimLoop], object], seed: int = 0, shuffle: bool = True) -> SimLoop:
-    """Run `job(loop)`, a coroutine, to its end."""
+    """Run the coroutine `job(loop)` to completion."""
     loop = SimLoop(seed, shuffle)
     loop.run_until_complete(job(loop))  # type: ignore[arg-type]
     return loop
 
 
-def test_time_jumps_and_timers_come_in_order() -> None:
+def test_time_jumps_and_timers_run_in_order() -> None:
     seen: list[tuple[str, int]] = []
 
     async def job(loop: SimLoop) -> None:
@@ -36,12 +36,15 @@
         loop.call_later(1.0, seen.append, ("never", 0)).cancel()
         await asyncio.sleep(7201.0)
 
-    begun = time.perf_counter()
+    start_s = time.perf_counter()
     run(job)
-    assert seen == [("a", 1), ("b", 3600 * S), ("c", 7200 * S)] and time.perf_counter() - begun < 5
+    assert (
+        seen == [("a", 1), ("b", 3600 * SECOND_US), ("c", 7200 * SECOND_US)]
+        and time.perf_counter() - start_s < 5
+    )
 
 
-def test_equal_timers_take_every_order_and_a_seed_takes_one() -> None:
+def test_seed_determines_the_order_of_equal_timers() -> None:
     def order(seed: int, shuffle: bool = True) -> tuple[int, ...]:
         seen: list[int] = []
 
@@ -58,7 +61,7 @@
     assert {order(seed, shuffle=False) for seed in range(10)} == {(0, 1, 2)}
 
 
-def test_call_soon_keeps_its_order() -> None:
+def test_call_soon_runs_in_order() -> None:
     seen: list[int] = []
 
     async def job(loop: SimLoop) -> None:
@@ -71,11 +74,11 @@
     assert seen == list(range(50))
 
 
-def test_killed_node_runs_nothing_more() -> None:
-    """Not its timers, not its tasks, not what ends them."""
+def test_killed_node_runs_no_callbacks() -> None:
+    """Neither timers nor tasks nor their finally blocks run."""
     seen: list[str] = []
 
-    async def life() -> None:
+    async def run_node() -> None:
         try:
             asyncio.get_running_loop().call_later(2.0, seen.append, "timer")
             await asyncio.sleep(1.0)
@@ -87,7 +90,7 @@
 
     async def job(loop: SimLoop) -> None:
         node = loop.new_node("n0")
-        loop.spawn_in(node, life())
+        loop.spawn_in(node, run_node())
         await asyncio.sleep(1.5)
         loop.kill(node)
         await asyncio.sleep(10.0)
@@ -96,111 +99,115 @@
     run(job)
 
 
-def test_stopped_node_goes_on_with_what_was_due() -> None:
+def test_continued_node_runs_pending_callbacks() -> None:
     seen: list[int] = []
 
-    async def life(loop: SimLoop) -> None:
+    async def run_node(loop: SimLoop) -> None:
         for _ in range(4):
             await asyncio.sleep(1.0)
             seen.append(loop.now_us - START_US)
 
     async def job(loop: SimLoop) -> None:
         node = loop.new_node("n0")
-        loop.spawn_in(node, life(loop))
+        loop.spawn_in(node, run_node(loop))
         await asyncio.sleep(1.5)
         loop.stop_node(node)
         await asyncio.sleep(10.0)
-        assert seen == [1 * S]
+        assert seen == [1 * SECOND_US]
         loop.continue_node(node)
         await asyncio.sleep(5.0)
 
     run(job)
-    assert seen == [1 * S, 11_500_000, 12_500_000, 13_500_000]
+    assert seen == [1 * SECOND_US, 11_500_000, 12_500_000, 13_500_000]
 
 
-def test_busy_node_is_late_and_keeps_its_order() -> None:
+def test_busy_node_is_late_and_keeps_callback_order() -> None:
     seen: list[tuple[int, int]] = []
 
-    async def life(loop: SimLoop) -> None:
+    async def run_node(loop: SimLoop) -> None:
         for number in range(5):
             loop.call_soon(lambda number=number: seen.append((number, loop.now_us - START_US)))
 
     async def job(loop: SimLoop) -> None:
-        loop.spawn_in(loop.new_node("n0", cost_us=1000), life(loop))
+        loop.spawn_in(loop.new_node("n0", cost_us=1000), run_node(loop))
         await asyncio.sleep(1.0)
 
     run(job)
     assert seen == [(number, (number + 1) * 1000) for number in range(5)]
 
 
-def test_clocks_differ_by_node() -> None:
-    found: dict[str, tuple[int, int]] = {}
+def test_nodes_have_their_own_clocks() -> None:
+    readings: dict[str, tuple[int, int]] = {}
 
-    async def life(loop: SimLoop) -> None:
-        node = node_here()
+    async def run_node(loop: SimLoop) -> None:
+        node = current_node()
         assert node
-        begun = loop.clock_us()
+        start_us = loop.clock_us()
         await asyncio.sleep(10.0)
-        found[node.name] = loop.clock_us() - begun, loop.wall_us() - module.EPOCH_US
+        readings[node.name] = loop.clock_us() - start_us, loop.wall_us() - loop_module.EPOCH_US
 
     async def job(loop: SimLoop) -> None:
-        for name, offset_us, rate in (("a", 0, 1.0), ("b", 5 * S, 1.0), ("c", -S, 2.0)):
-            loop.spawn_in(loop.new_node(name, offset_us=offset_us, rate=rate), life(loop))
+        for name, offset_us, rate in (("a", 0, 1.0), ("b", 5 * SECOND_US, 1.0), ("c", -SECOND_US, 2.0)):
+            loop.spawn_in(loop.new_node(name, offset_us=offset_us, rate=rate), run_node(loop))
         await asyncio.sleep(20.0)
 
     run(job)
-    assert found == {"a": (10 * S, 10 * S), "b": (10 * S, 15 * S), "c": (10 * S, 4 * S)}
+    assert readings == {
+        "a": (10 * SECOND_US, 10 * SECOND_US),
+        "b": (10 * SECOND_US, 15 * SECOND_US),
+        "c": (10 * SECOND_US, 4 * SECOND_US),
+    }
 
 
-def test_result_and_cancellation_in_one_moment_come_in_both_orders() -> None:
-    def ends(seed: int) -> tuple[str, ...]:
-        said: list[str] = []
+def test_simultaneous_result_and_cancellation_run_in_both_orders() -> None:
+    def order(seed: int) -> tuple[str, ...]:
+        steps: list[str] = []
 
         async def job(loop: SimLoop) -> None:
             future = loop.create_future()
 
-            async def waits() -> str:
+            async def wait() -> str:
                 return str(await future)
 
             def answer() -> None:
-                said.append("result" if not future.done() else "too late")
+                steps.append("result" if not future.done() else "too late")
                 if not future.done():
                     future.set_result("result")
 
-            task = loop.create_task(waits())
+            task = loop.create_task(wait())
             loop.call_later(1.0, answer)
-            loop.call_later(1.0, lambda: said.append("cancel") or task.cancel())
+            loop.call_later(1.0, lambda: steps.append("cancel") or task.cancel())
             with contextlib.suppress(asyncio.CancelledError):
                 await task
-            assert task.cancelled()  # also where it had just been given its result
+            assert task.cancelled()  # even if the result was set just before
 
         run(job, seed)
-        return tuple(said)
+        return tuple(steps)
 
-    assert {ends(seed) for seed in range(20)} == {("result", "cancel"), ("cancel", "too late")}
+    assert {order(seed) for seed in range(20)} == {("result", "cancel"), ("cancel", "too late")}
 
 
-def test_loop_that_spins_and_one_that_waits_for_nothing_say_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_IN_WINDOW", 100)
+def test_endless_polling_and_deadlock_are_errors(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(loop_module, "MAX_CALLBACKS_PER_WINDOW", 100)
 
-    async def spins(loop: SimLoop) -> None:
+    async def poll_forever(loop: SimLoop) -> None:
         while True:
             await asyncio.sleep(0)
 
-    with pytest.raises(SimulationError, match=r"100 callbacks within 100 ms; now task .*spins"):
-        run(spins)
+    with pytest.raises(SimulationError, match=r"100 callbacks within 100 ms; now task .*poll_forever"):
+        run(poll_forever)
 
-    async def waits(loop: SimLoop) -> None:
+    async def wait_forever(loop: SimLoop) -> None:
         await loop.create_future()
 
     with pytest.raises(SimulationError, match="nothing will ever happen"):
-        run(waits)
+        run(wait_forever)
 
 
-def test_callback_that_never_ends_is_ended_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(world, "SPIN_S", 0.05)
+def test_callback_that_never_returns_is_aborted_and_named(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(world, "SPIN_TIMEOUT_S", 0.05)
 
-    def never_ends() -> None:
+    def never_returns() -> None:
         while True:
             try:
                 for _ in range(1000):
@@ -209,16 +216,19 @@
                 pass
 
     async def job(loop: SimLoop) -> None:
-        loop.call_soon(never_ends)
+        loop.call_soon(never_returns)
         await asyncio.sleep(1.0)
 
     loop = SimLoop()
-    with pytest.raises(SimulationError, match="a callback spins in never_ends"), world.watched(loop):
+    with (
+        pytest.raises(SimulationError, match="a callback spins in never_returns"),
+        world.abort_if_stuck(loop),
+    ):
         loop.run_until_complete(job(loop))
 
 
 @pytest.mark.parametrize(
-    ("what", "call"),
+    ("description", "call"),
     [
         ("chance without a seed", lambda: random.random()),
         ("chance without a seed", lambda: os.urandom(8)),
@@ -227,27 +237,27 @@
         ("a real sleep", lambda: time.sleep(0.1)),
     ],
 )
-def test_what_a_simulation_must_not_do_names_its_caller(what: str, call: Callable[[], object]) -> None:
+def test_forbidden_call_fails_and_names_its_caller(description: str, call: Callable[[], object]) -> None:
     async def job(loop: SimLoop) -> None:
-        with contextlib.suppress(BaseException):  # also where the program catches everything
+        with contextlib.suppress(BaseException):  # the error is raised even if the program catches everything
             call()
 
     loop = SimLoop()
     with (
         simulated(loop, Network(loop, 0), lambda env: None, lambda code: None),
-        pytest.raises(SimulationError, match=f"{what} in a simulation, at test_loop.py:"),
+        pytest.raises(SimulationError, match=f"{description} in a simulation, at test_loop.py:"),
     ):
         loop.run_until_complete(job(loop))
-    assert random.random() >= 0 and len(os.urandom(4)) == 4  # all is put back
+    assert random.random() >= 0 and len(os.urandom(4)) == 4  # the originals are restored
 
 
-def test_program_reads_virtual_clocks() -> None:
+def test_time_module_returns_virtual_time() -> None:
     async def job(loop: SimLoop) -> None:
         before = time.monotonic_ns(), time.time(), time.monotonic(), time.time_ns()
         await asyncio.sleep(100.0)
         after = time.monotonic_ns(), time.time(), time.monotonic(), time.time_ns()
-        spans = [late - early for early, late in zip(before, after, strict=True)]
-        assert spans == pytest.approx([100e9, 100.0, 100.0, 100e9])
+        elapsed = [end - start for start, end in zip(before, after, strict=True)]
+        assert elapsed == pytest.approx([100e9, 100.0, 100.0, 100e9])
 
     loop = SimLoop()
     with simulated(loop, Network(loop, 0), lambda env: None, lambda code: None):
--- a/tests/sim/test_world.py
+++ b/tests/sim/test_world.py
@@ -1,4 +1,4 @@
-"""Whole days in virtual time: in order, the same each time, kills at each callback, broken doors found."""
+"""Scenarios in virtual time: no violations, determinism, kills at each callback, planted defects."""
 
 import json
 import os
@@ -15,39 +15,39 @@
 from rig import scenario_files
 from rig.audit.ledger import Outcome, Rule
 from sim import swarm
-from sim.run import Options, judge, make_small
-from sim.world import Clocks, play
+from sim.run import Options, evaluate, shrink_failure
+from sim.world import ClockSkew, run_scenario
 
 ROOT = Path(__file__).parents[2]
-CALM = sc.Scenario("calm", "no fault", 3.0, 2, 3, sc.Load(40.0, impatient=0.0))
+NO_FAULTS = sc.Scenario("calm", "no fault", 3.0, 2, 3, sc.Load(40.0, impatient=0.0))
 
 
 @pytest.mark.parametrize("name", list(scenario_files.shipped()))
-def test_shipped_scenario_is_in_order(name: str) -> None:
-    played = play(scenario_files.load(name), 1)
-    ledger = played.report.ledger
-    assert played.ok, played.report.json()
+def test_shipped_scenario_has_no_violations(name: str) -> None:
+    result = run_scenario(scenario_files.load(name), 1)
+    ledger = result.report.ledger
+    assert result.ok, result.report.json()
     assert ledger.times_judged and ledger.requests > 1000 and ledger.counts[Outcome.SERVED] > 500
     assert (ledger.counts[Outcome.LOST_TO_KILL] > 0) == (name == "kill-a-door")
 
 
-SHORT = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
+REDUCED_FLEET = {"doors": 20, "servers": 30, "load": {"rate": 120.0, "customers": 60, "set-doors": 20}}
 
 
-def large(name: str) -> sc.Scenario:
-    """A day of the full fleet in small: its faults befall parts of the fleet, whatever its size."""
-    return scenario_files.load(name, SHORT, real=False)
+def reduced_fleet(name: str) -> sc.Scenario:
+    """A scenario of the full fleet at a smaller size; its faults affect fractions of the fleet."""
+    return scenario_files.load(name, REDUCED_FLEET, real=False)
 
 
 @pytest.mark.parametrize("name", scenario_files.LARGE)
-def test_large_fleet_is_in_order(name: str) -> None:
-    """A mass restart, a rolling one with discovery moved, a split with lost answers and resets, a zone lost
-    and cold with another cut off, most servers replaced at once."""
-    whole = scenario_files.load(name, real=False)
-    assert (whole.doors, whole.servers) == (200, 200)
-    played = play(large(name), 1)
-    ledger = played.report.ledger
-    assert played.ok, played.report.json()
+def test_large_fleet_has_no_violations(name: str) -> None:
+    """Covers a mass restart, a rolling one with moved discovery, a partition with lost answers and resets, a
+    lost zone that returns cold while another is cut off, and the replacement of most servers."""
+    full_fleet = scenario_files.load(name, real=False)
+    assert (full_fleet.doors, full_fleet.servers) == (200, 200)
+    result = run_scenario(reduced_fleet(name), 1)
+    ledger = result.report.ledger
+    assert result.ok, result.report.json()
     assert ledger.unaccounted == 0 and ledger.times_judged and ledger.requests > 1500
     assert ledger.counts[Outcome.SERVED] > 0.65 * ledger.requests
     with pytest.raises(scenario_files.ScenarioError, match="only `molereach simulate` plays that"):
@@ -55,28 +55,27 @@
 
 
 @pytest.mark.parametrize("name", ["mass-restart", "rolling-restart"])
-def test_front_doors_that_wait_with_their_first_call_break_drains(
-    name: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """As before they asked the agent of their own machine at once: what the full fleet's trial failed on."""
+def test_backoff_before_the_first_poll_breaks_drains(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A front door must poll its local agent at once after a start; a delayed first poll breaks drains in a
+    large fleet."""
     monkeypatch.setattr(PollBackoff, "from_settings", lambda settings: PollBackoff(settings.proxy_count))
-    ledger = play(large(name), 1).report.ledger
+    ledger = run_scenario(reduced_fleet(name), 1).report.ledger
     assert ledger.rules_broken() == [Rule.DRAIN.value] and not ledger.unaccounted
 
 
-DIGEST = """
+DIGEST_SCRIPT = """
 import sys
 from rig import scenario_files
-from sim.world import play
-print(play(scenario_files.load("kill-a-door", {"seconds": 4.0}), int(sys.argv[1])).digest)
+from sim.world import run_scenario
+print(run_scenario(scenario_files.load("kill-a-door", {"seconds": 4.0}), int(sys.argv[1])).digest)
 """
 
 
-def test_same_seed_is_the_same_to_the_byte_under_any_hash_seed() -> None:
+def test_digest_depends_on_the_seed_and_not_on_the_hash_seed() -> None:
     def digest(seed: int, hash_seed: str) -> str:
         env = {**os.environ, "PYTHONHASHSEED": hash_seed}
-        done = subprocess.run(
-            [sys.executable, "-c", DIGEST, str(seed)],
+        process = subprocess.run(
+            [sys.executable, "-c", DIGEST_SCRIPT, str(seed)],
             cwd=ROOT,
             env=env,
             check=True,
@@ -84,67 +83,69 @@
             text=True,
             timeout=120,
         )
-        return done.stdout
+        return process.stdout
 
     assert digest(5, "0") == digest(5, "12345") != digest(6, "0")
 
 
-def test_second_day_in_a_process_is_as_the_first() -> None:
-    assert len({play(CALM, 3).digest for _ in range(3)}) == 1
-    assert play(CALM, 3, shuffle=False).digest != play(CALM, 3).digest
+def test_digest_is_the_same_when_repeated_in_one_process() -> None:
+    assert len({run_scenario(NO_FAULTS, 3).digest for _ in range(3)}) == 1
+    assert run_scenario(NO_FAULTS, 3, shuffle=False).digest != run_scenario(NO_FAULTS, 3).digest
 
 
-def test_kill_at_each_callback_of_a_requests_life_is_in_order() -> None:
-    """One front door serves a handful of requests; whichever callback it is killed at, each has one outcome,
-    and nothing runs twice."""
-    day = sc.Scenario("one", "one door", 1.0, 1, 2, sc.Load(6.0, 2, 0.0, 0.0))
-    whole = play(day, 4, trace=True)
-    own = [line for line in whole.trace or () if " n0 " in line]
-    first = next(number for number, line in enumerate(own) if "attach" in line and number > 40)
-    lost = 0
-    for number in range(first, min(first + 120, len(own))):
-        played = play(day, 4, kill_at={"n0": number})
-        assert played.ok, (number, own[number], played.report.json())
-        lost += played.report.ledger.counts[Outcome.LOST_TO_KILL]
-        assert played.report.ledger.unaccounted == 0
-    assert lost > 0
+def test_kill_at_each_callback_of_a_request_causes_no_violation() -> None:
+    """One front door serves a few requests and is killed at each callback in turn; every request has one
+    outcome, and no command runs twice."""
+    scenario = sc.Scenario("one", "one door", 1.0, 1, 2, sc.Load(6.0, 2, 0.0, 0.0))
+    complete = run_scenario(scenario, 4, trace=True)
+    door_lines = [line for line in complete.trace or () if " n0 " in line]
+    first = next(number for number, line in enumerate(door_lines) if "attach" in line and number > 40)
+    lost_to_kill = 0
+    for number in range(first, min(first + 120, len(door_lines))):
+        result = run_scenario(scenario, 4, kill_at={"n0": number})
+        assert result.ok, (number, door_lines[number], result.report.json())
+        lost_to_kill += result.report.ledger.counts[Outcome.LOST_TO_KILL]
+        assert result.report.ledger.unaccounted == 0
+    assert lost_to_kill > 0
 
 
-def test_front_doors_with_clocks_apart_and_costs_are_in_order() -> None:
+def test_clock_skew_and_callback_cost_cause_no_violation() -> None:
     for seed in range(3):
-        assert play(CALM, seed, clocks=Clocks(3_000_000, 0.01)).ok
-    busy = play(CALM, 1, cost_us=200)
-    quick = play(CALM, 1)
-    assert busy.ok and busy.report.doors[0].p50_ms > quick.report.doors[0].p50_ms
+        assert run_scenario(NO_FAULTS, seed, clock_skew=ClockSkew(3_000_000, 0.01)).ok
+    with_cost = run_scenario(NO_FAULTS, 1, cost_us=200)
+    without_cost = run_scenario(NO_FAULTS, 1)
+    assert with_cost.ok and with_cost.report.doors[0].p50_ms > without_cost.report.doors[0].p50_ms
 
 
-def test_front_door_that_is_overloaded_is_late_in_simulation_too() -> None:
-    slow = play(replace(CALM, load=sc.Load(60.0)), 2, cost_us=8000)
-    assert slow.report.doors[0].p50_ms > 3 * play(replace(CALM, load=sc.Load(60.0)), 2).report.doors[0].p50_ms
+def test_overloaded_front_door_has_higher_latency() -> None:
+    slow = run_scenario(replace(NO_FAULTS, load=sc.Load(60.0)), 2, cost_us=8000)
+    assert (
+        slow.report.doors[0].p50_ms
+        > 3 * run_scenario(replace(NO_FAULTS, load=sc.Load(60.0)), 2).report.doors[0].p50_ms
+    )
 
 
-def test_fault_of_the_programs_is_told_with_its_traceback() -> None:
-    async def fails(config: object) -> None:
+def test_startup_error_of_the_program_is_reported() -> None:
+    async def fail_to_start(config: object) -> None:
         raise ZeroDivisionError("no way")
 
-    played = None
+    result = None
     with pytest.raises(RuntimeError, match=r"n0 did not start: .*no way"):
-        played = play(CALM, 1, serve_with=fails)
-    assert played is None
+        result = run_scenario(NO_FAULTS, 1, serve_with=fail_to_start)
+    assert result is None
 
 
-BROKEN = """
+DEFECT_SCRIPT = """
 import sys
 import msgspec
-from sim.run import Options, judge, day_of, make_small
+from sim.run import Options, evaluate, plant_defect, scenario_for, shrink_failure
 options = Options(seconds=20.0, broken=sys.argv[1])
-from sim.run import break_once
-break_once(sys.argv[1])
+plant_defect(sys.argv[1])
 for seed in range(1, 41):
-    verdict = judge(options, day_of(options, seed), seed)
+    verdict = evaluate(options, scenario_for(options, seed), seed)
     if sys.argv[2] in verdict.why:
-        small = make_small(options, verdict, 30)
-        print(msgspec.json.encode([seed, verdict.why, small.faults, small.line()]).decode())
+        shrunk = shrink_failure(options, verdict, 30)
+        print(msgspec.json.encode([seed, verdict.why, shrunk.faults, shrunk.line()]).decode())
         break
 else:
     print("[0, [], [], '']")
@@ -158,78 +159,78 @@
         ("twice", "no effect happens twice"),
     ],
 )
-def test_broken_front_door_is_found_and_made_small(mode: str, rule: str) -> None:
-    """By random days, without being told where to look. The benchmark finds the others, and has time."""
-    done = subprocess.run(
-        [sys.executable, "-c", BROKEN, mode, rule],
+def test_defective_front_door_is_detected_and_shrunk(mode: str, rule: str) -> None:
+    """Random scenarios find the defect within 40 seeds; the benchmark covers the other modes."""
+    process = subprocess.run(
+        [sys.executable, "-c", DEFECT_SCRIPT, mode, rule],
         cwd=ROOT,
         check=True,
         capture_output=True,
         text=True,
         timeout=120,
     )
-    seed, why, faults, line = json.loads(done.stdout)
-    assert seed and rule in why and len(faults) <= 3, done.stdout
-    again = json.loads(line.partition("--scenario '")[2].rpartition("' --seeds")[0])
-    assert len(again["fault"]) == len(faults) and line.endswith(f"--seeds {seed}..{seed}")
+    seed, why, faults, line = json.loads(process.stdout)
+    assert seed and rule in why and len(faults) <= 3, process.stdout
+    reproduced = json.loads(line.partition("--scenario '")[2].rpartition("' --seeds")[0])
+    assert len(reproduced["fault"]) == len(faults) and line.endswith(f"--seeds {seed}..{seed}")
 
 
-# --- random days, and making them small ---
+# --- random scenarios and shrinking ---
 
 
-def test_random_days_differ_and_are_what_a_scenario_may_be() -> None:
+def test_random_scenarios_are_valid_and_cover_all_faults() -> None:
     kinds: set[str] = set()
     for seed in range(200):
-        day = swarm.draw(seed, 30.0)
-        assert day == swarm.draw(seed, 30.0)
-        sc.check_names(day)
-        assert 3 <= day.doors <= 10 and 1 <= len(day.fault) <= swarm.MOST_FAULTS
-        names = {type(fault) for fault in day.fault}
-        kinds |= {each.__name__ for each in names}
-        assert all(getattr(fault, "door", "n0") != sc.ANY for fault in day.fault)
-    assert len(kinds) == len(swarm.KINDS)
+        scenario = swarm.draw_scenario(seed, 30.0)
+        assert scenario == swarm.draw_scenario(seed, 30.0)
+        sc.check_names(scenario)
+        assert 3 <= scenario.doors <= 10 and 1 <= len(scenario.fault) <= swarm.MAX_FAULTS
+        types = {type(fault) for fault in scenario.fault}
+        kinds |= {fault_type.__name__ for fault_type in types}
+        assert all(getattr(fault, "door", "n0") != sc.ANY for fault in scenario.fault)
+    assert len(kinds) == len(swarm.FAULT_KINDS)
 
 
 @pytest.mark.parametrize("needed", [set(), {3}, {0, 7}, {1, 4, 6}])
-def test_shrinking_keeps_what_is_needed_and_nothing_else(needed: set[int]) -> None:
+def test_shrinking_keeps_exactly_the_needed_faults(needed: set[int]) -> None:
     faults = tuple(sc.Reload(at=float(number), door="n0") for number in range(9))
-    day = replace(CALM, fault=faults)
+    scenario = replace(NO_FAULTS, fault=faults)
 
-    def fails(smaller: sc.Scenario) -> bool:
-        return needed <= {int(fault.at) for fault in smaller.fault}
+    def fails(candidate: sc.Scenario) -> bool:
+        return needed <= {int(fault.at) for fault in candidate.fault}
 
-    small, runs = swarm.shrink(day, fails)
-    assert {int(fault.at) for fault in small.fault} == needed and 0 < runs <= 60
+    shrunk, runs = swarm.shrink(scenario, fails)
+    assert {int(fault.at) for fault in shrunk.fault} == needed and 0 < runs <= 60
 
 
-def test_day_that_fails_is_made_small(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The auditor is told of a drain as if it had never been allowed to send: any day with one fails."""
-    from sim import run as module
+def test_failing_scenario_is_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The evaluation is replaced by one in which any scenario with a drain fails."""
+    from sim import run as run_module
 
-    def verdict(options: Options, day: sc.Scenario, seed: int) -> Any:  # noqa: ANN401
-        found = judge(Options(), CALM, seed) if not day.fault else None
-        bad = any(isinstance(fault, sc.Drain) for fault in day.fault)
-        base = found or judge(Options(), replace(CALM, seconds=1.0), seed)
-        return replace(base, ok=not bad, why=("drains are kept",) if bad else ())
+    def evaluate_drains(options: Options, scenario: sc.Scenario, seed: int) -> Any:  # noqa: ANN401
+        without_faults = evaluate(Options(), NO_FAULTS, seed) if not scenario.fault else None
+        has_drain = any(isinstance(fault, sc.Drain) for fault in scenario.fault)
+        base = without_faults or evaluate(Options(), replace(NO_FAULTS, seconds=1.0), seed)
+        return replace(base, ok=not has_drain, why=("drains are kept",) if has_drain else ())
 
-    monkeypatch.setattr(module, "judge", verdict)
+    monkeypatch.setattr(run_module, "evaluate", evaluate_drains)
     faults = (
         sc.Reload(at=0.1, door="n0"),
         sc.Drain(at=0.2, server="s-1", lasts=0.3),
         sc.Kill(at=0.3, door="n1", back_after=0.2),
     )
     text = json.dumps({"name": "x", "title": "x", "seconds": 1.0, "doors": 2, "servers": 3})
-    base = replace(CALM, fault=faults)
-    monkeypatch.setattr(module, "day_of", lambda options, seed: base)
-    small = make_small(Options(text), verdict(Options(), base, 1))
-    assert small.faults == ["drain"] and small.line().startswith("molereach simulate --scenario '{")
+    base = replace(NO_FAULTS, fault=faults)
+    monkeypatch.setattr(run_module, "scenario_for", lambda options, seed: base)
+    shrunk = shrink_failure(Options(text), evaluate_drains(Options(), base, 1))
+    assert shrunk.faults == ["drain"] and shrunk.line().startswith("molereach simulate --scenario '{")
 
 
 # --- the command ---
 
 
 def simulate(*arguments: str) -> tuple[int, str, str]:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "molereach", "simulate", *arguments],
         cwd=ROOT,
         check=False,
@@ -237,10 +238,10 @@
         text=True,
         timeout=120,
     )
-    return done.returncode, done.stdout, done.stderr
+    return process.returncode, process.stdout, process.stderr
 
 
-def test_command_plays_days_and_says_what_became_of_them(tmp_path: Path) -> None:
+def test_command_runs_scenarios_and_reports_results(tmp_path: Path) -> None:
     trace = tmp_path / "trace"
     code, out, err = simulate(
         "--seeds", "1..3", "--seconds", "5", "--jobs", "2", "--json", "--trace", str(trace)
@@ -264,11 +265,11 @@
         (["--fly"], "--fly"),
     ],
 )
-def test_bad_input_is_2(arguments: list[str], reason: str) -> None:
+def test_bad_input_exits_with_2(arguments: list[str], reason: str) -> None:
     code, out, err = simulate(*arguments)
     assert code == 2 and reason in err and not out
 
 
-def test_broken_day_is_1_with_a_line_that_plays_it_again() -> None:
+def test_failure_exits_with_1_and_prints_a_command_that_reproduces_it() -> None:
     code, out, _ = simulate("--broken", "crash", "--seeds", "1..2", "--seconds", "8", "--jobs", "1")
     assert code == 1 and "again: molereach simulate --scenario '{" in out and "no request is lost" in out
