--- a/benchmarks/council.py
+++ b/benchmarks/council.py
@@ -30,9 +30,9 @@
 from benchmarks.result import Result, quantile
 from rig.council.tier import Tier
 from rig.sockets import Listener, own_host
-from sim.council import CouncilHistory
-from sim.histories import BrokenError, S
-from sim.troubles import calm, trouble
+from sim.council import CoordinationHistory
+from sim.histories import SECOND_US, InvariantError
+from sim.troubles import inject_faults, recover_and_check
 
 MS = 1000
 HEARTBEAT_MS, SESSION_MS = 500, 5000  # the defaults
@@ -105,7 +105,7 @@
     for number in range(count):
         started_at = loop.time()
         member = tier.members[tier.names[number % len(tier.names)]]
-        reply = await member.ask("mark", id=f"timed-{number}", within_us=10 * S)
+        reply = await member.ask("mark", id=f"timed-{number}", within_us=10 * SECOND_US)
         assert reply["over"] == "settled", reply
         times.append((loop.time() - started_at) * 1000)
     return times
@@ -148,21 +148,25 @@
 
 def measure_virtual(count: int, marks: int, kills: int, seed: int) -> dict[str, float]:
     """Measure in virtual time: settling, messages per heartbeat, replacement of a killed leader."""
-    history = CouncilHistory(seed, count, 7)
-    history.run(FORMATION_S * S)
-    messages_before, bytes_before, idle_from = dict(history.words_out), dict(history.bytes_out), history.now
-    history.run(history.now + IDLE_S * S)  # nothing to settle: the cost of a heartbeat alone
+    history = CoordinationHistory(seed, count, 7)
+    history.run_until(FORMATION_S * SECOND_US)
+    messages_before, bytes_before, idle_from = (
+        dict(history.sent_messages),
+        dict(history.sent_bytes),
+        history.now,
+    )
+    history.run_until(history.now + IDLE_S * SECOND_US)  # nothing to settle: the cost of a heartbeat alone
     beats = (history.now - idle_from) / (HEARTBEAT_MS * MS)
 
     def messages_per_beat(part: str, reduce: Callable[[list[float]], float]) -> float:
         return reduce(
             [
-                (history.words_out.get((door, part), 0) - messages_before.get((door, part), 0)) / beats
+                (history.sent_messages.get((door, part), 0) - messages_before.get((door, part), 0)) / beats
                 for door in range(count)
             ]
         )
 
-    bytes_s = [(history.bytes_out[door] - bytes_before[door]) / IDLE_S for door in range(count)]
+    bytes_s = [(history.sent_bytes[door] - bytes_before[door]) / IDLE_S for door in range(count)]
     figures = {
         f"membership_words_{count}": messages_per_beat("membership", statistics.mean),
         f"tree_words_{count}": messages_per_beat("spread", max),
@@ -171,13 +175,13 @@
     }
     draw, settled, everywhere = Random(f"{seed}:marks"), [], []
     for _ in range(marks):
-        mark = history.marks[history.mark(draw.randrange(count))]
-        while not (mark.everywhere_us and mark.over_us):
-            history.run(history.now + 10 * MS)
-            history.proofs()
-        settled.append((mark.over_us - mark.asked_us) / MS)
-        everywhere.append((mark.everywhere_us - mark.asked_us) / MS)
-        history.run(history.now + draw.randrange(S // 4))
+        mark = history.marks[history.propose_mark(draw.randrange(count))]
+        while not (mark.applied_everywhere_us and mark.finished_us):
+            history.run_until(history.now + 10 * MS)
+            history.check_proofs()
+        settled.append((mark.finished_us - mark.requested_us) / MS)
+        everywhere.append((mark.applied_everywhere_us - mark.requested_us) / MS)
+        history.run_until(history.now + draw.randrange(SECOND_US // 4))
     figures |= {
         f"settle_{count}_p50_ms": quantile(settled, 0.5),
         f"settle_{count}_p99_ms": quantile(settled, 0.99),
@@ -186,19 +190,21 @@
     replaced, death, killed_at = [], [], history.now
     for number in range(kills):
         if number:
-            history.run(killed_at + 50 * S)  # the killed member is back and the council has recovered
+            history.run_until(
+                killed_at + 50 * SECOND_US
+            )  # the killed member is back and the council has recovered
         (leader,) = history.leaders()
         name, killed_at = history.names[leader], history.now
-        history.kill(history.nodes[leader], 40 * S)
+        history.kill(history.nodes[leader], 40 * SECOND_US)
         while not history.leaders():
-            history.run(history.now + 10 * MS)
-        replaced.append((history.now - killed_at) / S)
+            history.run_until(history.now + 10 * MS)
+        replaced.append((history.now - killed_at) / SECOND_US)
         while any(
-            name in {instance.name for instance in history.cored[door].components.membership.live_instances()}
-            for door in history.living()
+            name in {instance.name for instance in history.cores[door].components.membership.live_instances()}
+            for door in history.running_doors()
         ):
-            history.run(history.now + 100 * MS)
-        death.append((history.now - killed_at) / S)
+            history.run_until(history.now + 100 * MS)
+        death.append((history.now - killed_at) / SECOND_US)
     return figures | {f"replaced_{count}_s": max(replaced), f"death_{count}_s": max(death)}
 
 
@@ -206,11 +212,13 @@
     """Run one random history; return the violated rule, or an empty string."""
     draw = Random(seed)
     seats = draw.choice((3, 5, 5, 7))
-    history = CouncilHistory(seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * S)
+    history = CoordinationHistory(
+        seed, seats + draw.randrange(5), seats, drift=0.01, offset_us=3600 * SECOND_US
+    )
     try:
-        trouble(history, seed)
-        calm(history)
-    except BrokenError as error:
+        inject_faults(history, seed)
+        recover_and_check(history)
+    except InvariantError as error:
         return f"seed {seed}: {error}"
     return ""
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -35,9 +35,9 @@
 from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.quota import DEMAND_DECAY_US
 from rig import scenario_files
-from sim.histories import PLAN, READS, BrokenError, QuotaHistory, ShareHistory, Store
+from sim.histories import PLAN, READ_CLASS, InvariantError, QuotaHistory, ReferenceBucket, ShareHistory
 from sim.run import JOBS_CONTEXT
-from sim.world import play
+from sim.world import run_scenario
 
 US_PER_S = 1_000_000
 HISTORIES, QUICK_HISTORIES = 10_000, 240
@@ -76,12 +76,15 @@
     history = ShareHistory(seed)
     try:
         history.play()
-    except BrokenError as error:
+    except InvariantError as error:
         return ShareOutcome(
-            str(error), history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
+            str(error),
+            history.max_share,
+            history.reference.lowest_level / history.plan.ceiling_burst,
+            history.granted,
         )
     return ShareOutcome(
-        "", history.most_share, history.store.lowest / history.plan.ceiling_burst, history.granted
+        "", history.max_share, history.reference.lowest_level / history.plan.ceiling_burst, history.granted
     )
 
 
@@ -91,7 +94,7 @@
     It is stated in docs/design/limits.md.
     """
     plan, others = history.plan, len(history.nodes) - 1
-    silence_s = 4 * history.figures.heartbeat_us / US_PER_S
+    silence_s = 4 * history.limit_settings.heartbeat_us / US_PER_S
     return (
         max(1, events)
         * others
@@ -103,7 +106,10 @@
     """Run traffic that moves among front doors that lose messages, are partitioned and killed."""
     draw = Random(f"{seed}:quota")
     history = QuotaHistory(seed, draw.randint(2, 5))
-    history.mail.loss, history.mail.double = draw.choice((0.0, 0.1, 0.3, 0.5)), draw.choice((0.0, 0.2))
+    history.network.loss, history.network.duplicate = (
+        draw.choice((0.0, 0.1, 0.3, 0.5)),
+        draw.choice((0.0, 0.2)),
+    )
     at, end = 3.0, 23.0
     while at < end:
         weights = [draw.choice((0.0, 0.2, 1.0)) for _ in history.nodes]
@@ -114,12 +120,14 @@
     events = draw.randint(0, 4)
     for _ in range(events):
         schedule_fault(history, draw, round(draw.uniform(2.0, 20.0) * US_PER_S))
-    history.run(round(end * US_PER_S) + US_PER_S)
+    history.run_until(round(end * US_PER_S) + US_PER_S)
     # Message loss alone can look like a partition: each such case counts as an event.
-    losses = 1 + (history.mail.loss >= 0.3) * 2 + (history.mail.loss >= 0.5) * 5
-    excess_units = max(0.0, -history.quota.lowest)
+    losses = 1 + (history.network.loss >= 0.3) * 2 + (history.network.loss >= 0.5) * 5
+    excess_units = max(0.0, -history.quota.lowest_level)
     return QuotaOutcome(
-        excess_units, excess_units / excess_bound(history, events + losses), max(0.0, -history.ceiling.lowest)
+        excess_units,
+        excess_units / excess_bound(history, events + losses),
+        max(0.0, -history.ceiling.lowest_level),
     )
 
 
@@ -127,7 +135,7 @@
     """Schedule a kill or a partition with its end."""
     node, duration_us = draw.choice(history.nodes), round(draw.uniform(0.3, 8.0) * US_PER_S)
     if draw.random() < 0.4:
-        history.at(at_us, lambda: history.kill(node, duration_us) if node.up else None)
+        history.call_at(at_us, lambda: history.kill(node, duration_us) if node.up else None)
         return
     group_size = draw.randint(1, len(history.nodes) - 1)
     numbers = draw.sample(range(len(history.nodes)), len(history.nodes))
@@ -136,15 +144,15 @@
 
     def split() -> None:
         if is_group_split:
-            history.mail.groups = frozenset(numbers[:group_size]), frozenset(numbers[group_size:])
+            history.network.groups = frozenset(numbers[:group_size]), frozenset(numbers[group_size:])
         else:
-            history.mail.cut = links
+            history.network.blocked_links = links
 
     def heal() -> None:
-        history.mail.groups, history.mail.cut = (), frozenset()
+        history.network.groups, history.network.blocked_links = (), frozenset()
 
-    history.at(at_us, split)
-    history.at(at_us + duration_us, heal)
+    history.call_at(at_us, split)
+    history.call_at(at_us + duration_us, heal)
 
 
 A = TypeVar("A")
@@ -188,7 +196,7 @@
     rate, burst = (
         (plan.quota_rate, plan.quota_burst) if plan.quota_rate else (plan.ceiling_rate, plan.ceiling_burst)
     )
-    store = Store(rate, burst, burst, 0)
+    store = ReferenceBucket(rate, burst, burst, 0)
     for at, _ in history.sent:
         if at < since:
             store.take(at, 1.0)
@@ -214,23 +222,25 @@
     """Return the granted share of what the plan entitles to over the next 5 s, and the units over it."""
     plan, split_s = case.plan, case.split_s
     history = QuotaHistory(case.seed, 3, case.with_limits, plan)
-    history.mail.loss = case.loss
+    history.network.loss = case.loss
     start = 5 * US_PER_S
     if case.moves:
         history.load(start, start + 5 * US_PER_S, 60.0, [1.0, 0.0, 0.0])
         start += 5 * US_PER_S
     if split_s:
-        history.at(start, lambda: setattr(history.mail, "groups", tuple(frozenset([n]) for n in range(3))))
+        history.call_at(
+            start, lambda: setattr(history.network, "groups", tuple(frozenset([n]) for n in range(3)))
+        )
     end = start + round((split_s or MEASURED_S) * US_PER_S)
     history.load(start, end, 60.0, [0.0, 1.0, 0.0] if case.moves else [1.0, 0.0, 0.0])
-    history.run(start)
-    before = history.asked
-    history.run(end + US_PER_S)
+    history.run_until(start)
+    before = history.requested
+    history.run_until(end + US_PER_S)
     store = history.quota if plan.quota_rate else history.ceiling
-    share = history.sent_between(start, end) / entitled_units(
-        plan, history, start, end, history.asked - before
+    share = history.count_sent(start, end) / entitled_units(
+        plan, history, start, end, history.requested - before
     )
-    return min(1.0, share), max(0.0, -store.lowest)
+    return min(1.0, share), max(0.0, -store.lowest_level)
 
 
 def cases(quick: bool) -> list[Case]:
@@ -274,7 +284,9 @@
     for side, limits in (("before_", False), ("", True)):
         quota_over, ceiling_over, share, passed = [], [], [], 0
         for seed in QUICK_DAYS if quick else DAYS:
-            ledger = (run := play(scenario_files.load("move-in-split"), seed, limits=limits)).report.ledger
+            ledger = (
+                run := run_scenario(scenario_files.load("move-in-split"), seed, limits=limits)
+            ).report.ledger
             quota_over.append(ledger.quota_over)
             ceiling_over.append(ledger.units_over)
             share.append(ledger.quota_granted)
@@ -299,13 +311,13 @@
         first = (node.number - draw.randrange(size)) % doors
         customer = f"{draw.randrange(customers):016x}"
         request = RequestReceived(f"t{number}", 0, 0, customer, 1_900_000, 1.0, size, first)
-        history.at(
+        history.call_at(
             2 * US_PER_S + number * US_PER_S // TIER_RATE_PER_S,
-            lambda node=node, request=request: history.tell(node, request),  # type: ignore[misc]
+            lambda node=node, request=request: history.handle_event(node, request),  # type: ignore[misc]
         )
-    history.run(2 * US_PER_S)
+    history.run_until(2 * US_PER_S)
     before = history.messages, history.bytes
-    history.run((2 + TIER_SECONDS) * US_PER_S)
+    history.run_until((2 + TIER_SECONDS) * US_PER_S)
     span = doors * TIER_SECONDS
     return (history.messages - before[0]) / span, (history.bytes - before[1]) / span
 
@@ -319,7 +331,7 @@
         seed=seed,
         proxy_index=0,
         proxy_count=3,
-        classes=(READS,),
+        classes=(READ_CLASS,),
         may_gossip=True,
         plans=(replace(PLAN, quota_rate=1e6, quota_burst=1e6, ceiling_rate=1e6, ceiling_burst=1e6),),
         gossip_messages_per_s=60.0,
@@ -347,7 +359,7 @@
         seed=1,
         proxy_index=0,
         proxy_count=3,
-        classes=(READS,),
+        classes=(READ_CLASS,),
         plans=(PLAN,),
         may_gossip=True,
         gossip_messages_per_s=60.0,
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -23,7 +23,7 @@
 from rig.broken import MODES
 from rig.doors import FRONT_DOOR
 from rig.sockets import Listener, own_host
-from sim.world import play
+from sim.world import run_scenario
 
 SPEED_S, QUICK_SPEED_S = 20.0, 8.0
 LARGE = sc.Scenario("large", "50 doors, 1,000 servers", 4.0, 50, 1000, sc.Load(400.0, 400))
@@ -52,7 +52,7 @@
     Start and end of the simulated world are included.
     """
     started_s = time.process_time()
-    played = play(scenario, 1)
+    played = run_scenario(scenario, 1)
     elapsed_s = time.process_time() - started_s
     assert played.ok, played.report.json()
     return scenario.seconds / elapsed_s, elapsed_s, played.callbacks
@@ -61,7 +61,9 @@
 def count_reproducible(seeds: int) -> int:
     """Return how many seeds gave the same callbacks at the same times in two runs."""
     scenario = scenario_files.load("kill-a-door", {"seconds": 4.0})
-    return sum(play(scenario, seed).digest == play(scenario, seed).digest for seed in range(seeds))
+    return sum(
+        run_scenario(scenario, seed).digest == run_scenario(scenario, seed).digest for seed in range(seeds)
+    )
 
 
 def run_in_real_time(name: str, seed: int) -> dict[str, Any]:
@@ -96,7 +98,9 @@
                 outcome_shares(each)
                 for each in pool.map(lambda seed, name=name: run_in_real_time(name, seed), seeds)
             ]
-        virtual_runs = [outcome_shares(play(scenario_files.load(name), seed).report.json()) for seed in seeds]
+        virtual_runs = [
+            outcome_shares(run_scenario(scenario_files.load(name), seed).report.json()) for seed in seeds
+        ]
         row: dict[str, Any] = {"scenario": name}
         for key in real_runs[0]:
             means = [statistics.fmean(each[key] for each in world) for world in (real_runs, virtual_runs)]
