--- a/molereach/upkeep/driver.py
+++ b/molereach/upkeep/driver.py
@@ -107,7 +107,7 @@
                 if event.entry.machine == MACHINE and not event.outcome.error:
                     self._planner.invalidate()
             case Restored():
-                self._clock.restored(now_us, self._registry.marks)
+                self._clock.restored(now_us, self._registry.time_marks)
                 self._accounting.update(now_us)
                 self._planner.invalidate()
             case ProposalFinished():
--- a/molereach/upkeep/permits/record.py
+++ b/molereach/upkeep/permits/record.py
@@ -18,17 +18,17 @@
     since_ms: TimestampMs  # when the item entered its state
     passed: Position = 0  # how many later items started while it was queued
     passed_ms: TimestampMs = 0  # since when that is too often; 0 if it is not
-    begun: Position = 0  # position of the entry that started its draining
-    begun_ms: TimestampMs = 0
+    begun: Position = 0  # position of the entry that started its draining; 0 before it and after a recall
+    begun_ms: TimestampMs = 0  # time of that entry
     cell: Name | None = None  # cell, zone and address at its start: it may not be listed meanwhile
     zone: Name | None = None
     address: Address = ""
     permit: Position = 0  # number of its permit
     until_ms: TimestampMs = 0  # when it is due to return
-    gone: bool = False  # it has been observed as not ready since its permit
-    hurried: bool = False  # its return is urgent
+    gone: bool = False  # since its permit, facts have shown its machine as not ready or not listed
+    hurried: bool = False  # its return is urgent, as the item was expedited or withdrawn
     name: Name | None = None  # the name under which it returned
-    why: str = ""  # how it ended
+    why: str = ""  # why it is withdrawn, or is to return early; empty otherwise
 
     @property
     def names(self) -> tuple[str, ...]:
--- a/molereach/upkeep/permits/registry.py
+++ b/molereach/upkeep/permits/registry.py
@@ -37,7 +37,7 @@
         self.fallback_servers: frozenset[str] = frozenset()
         # By former fallback server: the position at which it ceased to be one.
         self.former_fallback_servers: dict[str, int] = {}
-        self.marks: tuple[TimeMark, ...] = ()
+        self.time_marks: tuple[TimeMark, ...] = ()
         self._in_maintenance: dict[str, MachineInMaintenance] | None = None
 
     # --- work items ---
@@ -79,9 +79,9 @@
             for each in self.records.values()
         )
 
-    def count_passed(self, started: ItemRecord, at_ms: int) -> None:
-        """Counts this start for the items that were requested earlier and are still queued, as it overtook
-        them."""
+    def count_overtaken(self, started: ItemRecord, at_ms: int) -> None:
+        """Adds one to `passed`, the number of starts that overtook an item, of each queued item that was
+        requested before the one started now."""
         for each in list(self.records.values()):
             if each.state is State.QUEUED and each.asked < started.asked:
                 passed = each.passed + 1
--- a/molereach/upkeep/permits/snapshots.py
+++ b/molereach/upkeep/permits/snapshots.py
@@ -50,7 +50,7 @@
             registry.partial_facts,
             tuple(sorted(registry.fallback_servers)),
             former,
-            registry.marks,
+            registry.time_marks,
         )
     )
 
@@ -81,7 +81,7 @@
         Fleet(state.facts),
         state.part,
     )
-    registry.fallback_servers, registry.former_fallback_servers, registry.marks = (
+    registry.fallback_servers, registry.former_fallback_servers, registry.time_marks = (
         frozenset(state.standing),
         dict(state.unstood),
         state.marks,
--- a/molereach/upkeep/permits/state_machine.py
+++ b/molereach/upkeep/permits/state_machine.py
@@ -1,7 +1,8 @@
-"""The state machine "upkeep": which machines may be taken out of service, and by which permit.
+"""The state machine "upkeep": which servers and front doors may be taken out of service, and by which permit.
 
-It decides only by entries, their times, and the state of the sessions at the same position. A proposer may be
-wrong, late, duplicated or dead, so transitions, guards and the proof are checked for every entry.
+Both are called machines here. The decisions depend only on entries, their times, and the state of the
+sessions at the same position. A proposer may be wrong, late, duplicated or dead, so each entry is checked:
+its transition, its guard and, if it grants a permit, the proof that no proxy sends to the machine any more.
 """
 
 from collections.abc import Callable, Sequence
@@ -43,7 +44,8 @@
 
 
 class UpkeepStateMachine:
-    """A `StateMachine`. `sessions` is the one of the same log, applied to the same position."""
+    """Implements `StateMachine`. `sessions` is the state machine "sessions" of the same log, which has
+    applied the entries up to the same position."""
 
     name = MACHINE
 
@@ -60,8 +62,8 @@
             record = _HANDLERS[type(body)](self, entry, body)
         except ValueError as error:
             return Outcome(str(error))
-        self.registry.marks = add_mark(
-            self.registry.marks, entry.position, entry.at_ms, self.settings.expired_session_wait_ms
+        self.registry.time_marks = add_mark(
+            self.registry.time_marks, entry.position, entry.at_ms, self.settings.expired_session_wait_ms
         )
         return Outcome(value=msgspec.json.encode(record) if record else b"")
 
@@ -102,7 +104,7 @@
             name for name in new_servers if name not in registry.fleet.servers or name in unroutable
         ):
             raise EntryRejectedError(f"servers: {invalid[0]} cannot stand")
-        former = self._still_relevant(
+        former = self._needed_former_servers(
             {
                 **registry.former_fallback_servers,
                 **dict.fromkeys(registry.fallback_servers - new_servers, entry.position),
@@ -115,11 +117,13 @@
             {name: former[name] for name in former if name not in new_servers},
         )
 
-    def _still_relevant(self, former: dict[str, int]) -> dict[str, int]:
-        """Drops the former fallback servers that no proxy can rely on any more.
+    def _needed_former_servers(self, former: dict[str, int]) -> dict[str, int]:
+        """The former fallback servers on which a proxy may still rely.
 
-        Those are the ones replaced before the start of every session that is open or whose proxy may still
-        serve.
+        A proxy without a session uses the fallback servers that it last knew while it had one. A server that
+        ceased to be one at a position before the start of every remaining session (those that are open, and
+        expired ones whose proxy may still serve) is not among them. A session's fencing token is the log
+        position at which it started. If no session remains, all servers are kept.
         """
         tokens = [each.fencing_token for each in self.sessions.active_sessions()]
         tokens += [each.fencing_token for each in self.sessions.expired_sessions()]
@@ -145,13 +149,13 @@
 
     def _start_draining(self, entry: Entry, record: ItemRecord) -> ItemRecord:
         machine = self.registry.fleet.get(record.work.machine)
-        assert machine is not None  # checked by the rule `open_orders`
+        assert machine is not None  # `check_orders`, in the guard of DRAIN, blocks unlisted machines
         (_, cell), (_, zone) = groups_of(machine)
         record = replace(
             record, begun=entry.position, begun_ms=entry.at_ms, cell=cell, zone=zone, address=machine.address
         )
         self.registry.put(record)
-        self.registry.count_passed(record, entry.at_ms)
+        self.registry.count_overtaken(record, entry.at_ms)
         return record
 
     def _grant_permit(self, entry: Entry, body: GrantPermit) -> ItemRecord:
@@ -182,7 +186,11 @@
         return record
 
     def _advance(self, entry: Entry, record: ItemRecord, step: Step, begun: int) -> ItemRecord:
-        """The record after a step, not yet stored."""
+        """The record after a step, not yet stored.
+
+        `begun` is the position of the entry that started the draining for which the step was proposed. After
+        a recall, a step that was proposed for the earlier draining is rejected.
+        """
         state = self.next_state(record, step)
         if state is None:
             raise EntryRejectedError(f"step: {record.work.id} is {record.state.value}")
@@ -199,7 +207,8 @@
         return TRANSITIONS.get((record.state, step))
 
     def proof_gap(self, record: ItemRecord, clearances: Sequence[SessionClearance], at_ms: int) -> str:
-        """What a proof for this machine lacks."""
+        """What the clearances lack to prove that no proxy sends to the item's machine; empty if nothing."""
+        # When the machine ceased to be a fallback server; -1, before every session, if no time is stored.
         fallback_until = self.registry.former_fallback_servers.get(record.work.machine, -1)
         return proof_gap(
             clearances,
@@ -210,8 +219,9 @@
         )
 
     def wait_elapsed(self, position: int, at_ms: int) -> bool:
-        """Whether a session that expired at this position has certainly been expired for long enough."""
-        return wait_elapsed(self.registry.marks, position, at_ms, self.settings.expired_session_wait_ms)
+        """Whether a session that expired at this position has certainly been expired for
+        `expired_session_wait_ms`, so that all requests that its proxy sent as with a session have ended."""
+        return wait_elapsed(self.registry.time_marks, position, at_ms, self.settings.expired_session_wait_ms)
 
     def next_permit(self) -> int:
         """The number of the next permit."""
--- a/molereach/upkeep/scheduling/plan.py
+++ b/molereach/upkeep/scheduling/plan.py
@@ -44,13 +44,13 @@
         self,
         scene: Scene,
         waiting: Sequence[WaitingItem],
-        ends_ms: Mapping[str, int],
+        maintenance_ends_ms: Mapping[str, int],
         rules: tuple[Rule, ...] = PLAN_RULES,
     ) -> None:
         scene = with_returned_machines(scene)
         orders = [sorted(waiting, key=key) for key in sort_keys(waiting)]
         distinct = [one for number, one in enumerate(orders) if one not in orders[:number]]
-        self._schedules = [ListSchedule(scene, one, ends_ms, rules) for one in distinct]
+        self._schedules = [ListSchedule(scene, one, maintenance_ends_ms, rules) for one in distinct]
         self.plan: Plan | None = None
 
     @property
@@ -70,8 +70,8 @@
         return self.plan is not None
 
     def _best(self) -> Plan:
-        best = min(self._schedules, key=lambda each: (len(each.blocked), each.ends_ms))
-        return Plan(tuple(best.planned), best.blocked, best.ends_ms)
+        best = min(self._schedules, key=lambda each: (len(each.blocked), each.last_end_ms))
+        return Plan(tuple(best.planned), best.blocked, best.last_end_ms)
 
 
 def with_returned_machines(scene: Scene) -> Scene:
--- a/tests/upkeep/test_routing.py
+++ b/tests/upkeep/test_routing.py
@@ -19,6 +19,7 @@
 from tests.upkeep.builders import PERMISSIVE, work_item
 from tests.upkeep.state_machine_log import StateMachineLog, state_machine_log
 
+# How long a proxy without a session still uses all servers; after that only the fallback servers.
 MAX_WITHOUT_SESSION_US = PERMISSIVE.alone_ms * 1000
 
 
@@ -88,11 +89,14 @@
     assert routing.clear_position == begun - 1
     log.advance_to(State.DRAINING, "x")
     restore(log, routing)
-    assert routing.clear_position == begun - 1, "although no request to the other is in flight"
+    assert routing.clear_position == begun - 1, (
+        "requests to s0 still hold it back; s1 drains too but has none"
+    )
     routing.handle(0, RequestFinished("s0"))
     assert routing.clear_position == begun - 1
     routing.handle(0, RequestFinished("s0"))
     assert routing.clear_position == log.position
+    # A third end of two requests has no effect.
     routing.handle(0, RequestFinished("s0"))
     assert routing.clear_position == log.position
     routing.handle(0, RequestStarted("s1"))
@@ -109,7 +113,7 @@
     assert routing.clear_position == 77
 
 
-def test_without_session_it_keeps_its_servers_and_later_only_fallback_servers() -> None:
+def test_proxy_that_lost_its_session_uses_all_servers_for_a_time_then_only_fallback_servers() -> None:
     log = state_machine_log(work_item("w"))
     log.accept(SetFallbackServers(("s1", "s2")))
     log.advance_to(State.DRAINING)
@@ -117,7 +121,7 @@
     routing = MaintenanceRouting(log.machine, session)
     restore(log, routing, 99)
     assert routing.allowed_servers(99) is None
-    # The time counts from when the session was last known to be held: 99.
+    # The time without a session counts from when it was last known to be held: 99.
     assert routing.allowed_servers(99 + MAX_WITHOUT_SESSION_US) is None and not routing.may_send(
         99 + MAX_WITHOUT_SESSION_US, "s0"
     )
@@ -129,7 +133,7 @@
     assert routing.may_send(after, "s3") and not routing.may_send(after, "s0")
 
 
-def test_paused_proxy_counts_from_before_the_pause() -> None:
+def test_paused_proxy_counts_its_time_without_session_from_before_the_pause() -> None:
     log = state_machine_log(work_item("w"))
     routing = MaintenanceRouting(log.machine, FakeSession(until_us=100))
     routing.handle(50, Tick())
