--- a/molereach/shards/counts/machine.py
+++ b/molereach/shards/counts/machine.py
@@ -1,10 +1,15 @@
-"""The state machine "counts": the counts of front-door instances that ended.
-
-An instance is folded once its session is not open. Its counts are kept apart as long as the instance may
-return, or a front door may still hold a later report of it; then it is retired: its counts are added to the
-base, and reports of it are ignored. If there is no room, instances are retired without proof, earliest fold
-first, if they never return or if the sessions have dropped their names; `unproven_retirements` counts these.
-A process whose instance was retired that way must restart.
+"""The state machine "counts": writes and bytes by shard, as counted by front-door instances that ended.
+
+- Fold: once an instance has no open session, an entry can store the counts of its last known report. Further
+  folds of the instance are merged by maximum, as counts only grow.
+- Retire: the counts of a folded instance are stored separately while the instance may return, or another
+  front door may still hold a report of it that is newer than what was folded. An entry that proves that
+  neither is possible retires the instance: its counts are added to the base, which has the totals of all
+  retired instances, and reports of it are ignored from then on.
+- Retire without proof: if there is no room for a fold, instances of other names are retired without such a
+  proof, those folded earliest first, provided that they never return or that the state machine "sessions" has
+  dropped their names. `unproven_retirements` counts these. A process whose instance was retired that way must
+  restart, as its further reports are ignored.
 """
 
 from typing import Annotated, Protocol
@@ -24,7 +29,7 @@
 from molereach.shards.counts.bodies import MACHINE, Fold, Retire, decode
 from molereach.shards.counts.counter import ZERO, Count, count_rows
 from molereach.shards.counts.messages import MAX_ROWS, CountRow
-from molereach.shards.proof import SessionsAt, proof_error
+from molereach.shards.proof import SessionHistory, proof_error
 
 MAX_FOLDED_ROWS = 16_384  # of all instances that are not retired
 MAX_NAMES = 4096  # of front doors with a retired instance, ever
@@ -55,11 +60,11 @@
 
 
 class CountsMachine:
-    """The `StateMachine` of counts; `LoggedCounts` for those who merge reports."""
+    """Implements `StateMachine`, and `LoggedCounts` for the code that merges reports."""
 
     name = MACHINE
 
-    def __init__(self, sessions: SessionsAt, shards: ShardSet, max_rows: int = MAX_FOLDED_ROWS) -> None:
+    def __init__(self, sessions: SessionHistory, shards: ShardSet, max_rows: int = MAX_FOLDED_ROWS) -> None:
         self._sessions, self._shards, self._max_rows = sessions, shards, max_rows
         self._base: dict[int, Count] = {}
         self._folded: dict[NodeInstance, dict[int, Count]] = {}
@@ -90,7 +95,8 @@
         return self._shards.has_shard(shard)
 
     def never_returns(self, instance: NodeInstance) -> bool:
-        """Whether the instance left the group, or a later one of its name has had a session."""
+        """Whether the instance's last session ended by an orderly leave, or a later instance of its name has
+        had a session."""
         latest = self._sessions.latest_instance(instance.name)
         if latest is None:
             return False  # the sessions dropped the name to make room, and the process may still return
@@ -163,7 +169,10 @@
         self._retired[instance.name] = max(instance.number, self._retired.get(instance.name, -1))
 
     def _retire_until_fits(self, instance: NodeInstance, row_count: int) -> bool:
-        """Retire instances until these rows fit. An instance without rows counts as one row."""
+        """Retire instances of other names until `row_count` rows of this one fit; False if they cannot.
+
+        An instance without rows counts as one row.
+        """
         while (
             sum(max(1, len(counts)) for each, counts in self._folded.items() if each != instance)
             + max(1, row_count)
--- a/molereach/shards/proof.py
+++ b/molereach/shards/proof.py
@@ -21,7 +21,7 @@
     position: Position
 
 
-class SessionsAt(Protocol):
+class SessionHistory(Protocol):
     """The state machine "sessions" as of the same position of the log."""
 
     def active_session(self, name: str) -> ActiveSession | None:
@@ -42,7 +42,7 @@
 
 def proof_error(
     proof: Sequence[SessionClearance],
-    sessions: SessionsAt,
+    sessions: SessionHistory,
     entry_position: int,
     may_be_expired: bool = True,
 ) -> str:
@@ -73,7 +73,7 @@
 
 
 def build_proof(
-    sessions: SessionsAt, entry_position: int, clearances: Iterable[NodeClearance]
+    sessions: SessionHistory, entry_position: int, clearances: Iterable[NodeClearance]
 ) -> tuple[SessionClearance, ...]:
     """The clearances of front doors as a proof for an entry, by the fencing tokens of their sessions."""
     by_instance = {each.instance: each for each in clearances}
--- a/molereach/shards/splits/driver.py
+++ b/molereach/shards/splits/driver.py
@@ -11,7 +11,7 @@
 from molereach.coordination.interface.core import NEVER_US, Tick
 from molereach.coordination.interface.identifiers import SECOND_US
 from molereach.coordination.interface.log import Propose
-from molereach.shards.proof import SessionsAt, build_proof
+from molereach.shards.proof import SessionHistory, build_proof
 from molereach.shards.splits.bodies import (
     MACHINE,
     AbandonSplit,
@@ -70,7 +70,7 @@
     """A core, created for each term in which this front door leads. `ballot` is that of the term."""
 
     def __init__(
-        self, machine: ShardsMachine, sessions: SessionsAt, clearances: ClearanceTracker, ballot: int
+        self, machine: ShardsMachine, sessions: SessionHistory, clearances: ClearanceTracker, ballot: int
     ) -> None:
         self._machine, self._sessions, self._clearances, self._ballot = machine, sessions, clearances, ballot
         self.wake_us = 0
--- a/molereach/shards/splits/machine.py
+++ b/molereach/shards/splits/machine.py
@@ -17,7 +17,7 @@
 from molereach.shards.map.history import MapHistory
 from molereach.shards.map.range_split import split_error, split_map
 from molereach.shards.map.shard_map import CellId, ShardMap, map_error
-from molereach.shards.proof import SessionsAt, proof_error
+from molereach.shards.proof import SessionHistory, proof_error
 from molereach.shards.splits.bodies import (
     MACHINE,
     AbandonSplit,
@@ -54,7 +54,7 @@
 
     name = MACHINE
 
-    def __init__(self, settings: SplitSettings, sessions: SessionsAt, upkeep: UpkeepStatus) -> None:
+    def __init__(self, settings: SplitSettings, sessions: SessionHistory, upkeep: UpkeepStatus) -> None:
         self.settings, self._sessions, self._upkeep = settings, sessions, upkeep
         self.registry = SplitRegistry()
 
--- a/molereach/shards/splits/router.py
+++ b/molereach/shards/splits/router.py
@@ -1,9 +1,13 @@
-"""A front door's side of splits: where each attempt may go, and when none go to a source cell any more.
+"""A front door's side of splits: where each attempt may go, and when none goes to a source cell any more.
 
-It goes by the map as applied here. An old map does no harm: the source cell rejects the range from its
-closing on, before any front door can know the new map. For the window of keyed requests after a hand-over was
-applied here, repeats go to the source cell: what was executed there was executed before the closing, so
-before this window began. The hand-over is cleared once the window is over.
+Attempts go by the shard map that this front door has applied from the log. An old map does no harm: the
+source cell rejects requests for the range from when it closes the range, before any front door can know the
+new map.
+
+After this front door has applied a hand-over, it sends repeats of keyed requests to the source cell for
+`window_ms`, the longest time for which keyed requests are remembered. What the source cell executed, it
+executed before it closed the range, so before this window began. Once the window is over, `clear_position`
+passes the entry of the hand-over.
 """
 
 from collections import deque
@@ -29,7 +33,8 @@
 
 @dataclass(slots=True)
 class _RepeatWindow:
-    """A range that was handed over: repeats of keyed requests go to the source cell until `until_us`."""
+    """A split that was handed over: repeats of keyed requests for its range go to the source cell until
+    `until_us`."""
 
     split: SplitRecord
     until_us: int  # 0 once it has passed
@@ -39,13 +44,14 @@
 
 
 class ShardRouter:
-    """A core; the `ShardRouting` that request policy asks."""
+    """Implements `ShardRouting` for request policy, without I/O: handles events and returns actions."""
 
     def __init__(self, machine: ShardsMachine) -> None:
         self._machine = machine
         self._lookup: ShardLookup | None = None
         self._repeat_windows: dict[str, _RepeatWindow] = {}  # by the ID of the split
         self._applied = 0
+        # Only the latest: a new one replaces one that was not returned yet.
         self._fetches: deque[FetchMap] = deque(maxlen=1)
         self._follow_machine(0)
 
@@ -79,7 +85,7 @@
                 )
         self._repeat_windows = {
             id: window for id, window in self._repeat_windows.items() if id in open_splits
-        }  # a cleared split needs none
+        }  # a split that is cleared is not open any more, and needs no window
 
     def _end_repeat_windows(self, now_us: int) -> None:
         for window in self._repeat_windows.values():
@@ -88,7 +94,10 @@
 
     @property
     def clear_position(self) -> int:
-        """The applied position up to which nothing that the log forbids is in flight here."""
+        """The applied position up to which this front door sends nothing that the log forbids.
+
+        While a repeat window lasts, it is before the hand-over. Attempts in flight are not tracked.
+        """
         return min(
             [
                 self._applied,
@@ -114,28 +123,31 @@
         is_repeat: bool = False,
         previous: Placement | None = None,
     ) -> Placement | None:
-        """Where this attempt may go, as `ShardRouting` defines it; None also without a map."""
+        """Where this attempt may go, as `ShardRouting` defines it; None also without a map.
+
+        `member` is the ID of the member whose data the request is about; it lies in the range of one shard.
+        """
         if self._lookup is None:
             return None
         shard_range = self._lookup.range_of(member)
-        handed_over = self._handed_over(now_us, member)
+        recent_split = self._split_in_repeat_window(now_us, member)
         match idempotency:
             case Idempotency.IDEMPOTENT:
                 return self._by_map(shard_range)
             case Idempotency.NON_IDEMPOTENT:
                 return self.place_non_idempotent(shard_range, previous)
             case Idempotency.IDEMPOTENT_WITH_KEY:
-                return self.place_keyed(shard_range, handed_over, is_repeat, previous)
+                return self.place_keyed(shard_range, recent_split, is_repeat, previous)
 
     def place_non_idempotent(self, shard_range: ShardRange, previous: Placement | None) -> Placement | None:
-        """The cell by the map, unless an earlier attempt went to another one."""
+        """The cell by the map; None if an earlier attempt went to another cell."""
         by_map = self._by_map(shard_range)
         return by_map if previous is None or self._same_cell(by_map, previous) else None
 
     def place_keyed(
         self,
         shard_range: ShardRange,
-        handed_over: SplitRecord | None,
+        recent_split: SplitRecord | None,
         is_repeat: bool,
         previous: Placement | None,
     ) -> Placement | None:
@@ -143,14 +155,17 @@
         by_map = self._by_map(shard_range)
         if previous is not None:
             return by_map if self._same_cell(by_map, previous) else previous
-        if is_repeat and handed_over is not None:
+        if is_repeat and recent_split is not None:
             return Placement(
-                handed_over.source.building, handed_over.source.name, handed_over.shard, by_map.map_version
+                recent_split.source.building, recent_split.source.name, recent_split.shard, by_map.map_version
             )
         return by_map
 
-    def _handed_over(self, now_us: int, member: int) -> SplitRecord | None:
-        """The split of the member's range in its repeat window; at most one, as it occupies its cells."""
+    def _split_in_repeat_window(self, now_us: int, member: int) -> SplitRecord | None:
+        """The split that handed over the member's range, while its repeat window lasts.
+
+        There is at most one, as no other split may involve the same cells at the same time.
+        """
         return next(
             (
                 window.split
--- a/tests/shards/splits/test_random_histories.py
+++ b/tests/shards/splits/test_random_histories.py
@@ -195,7 +195,7 @@
     def place_keyed(
         self,
         shard_range: ShardRange,
-        handed_over: SplitRecord | None,
+        recent_split: SplitRecord | None,
         is_repeat: bool,
         previous: Placement | None,
     ) -> Placement | None:
@@ -208,7 +208,7 @@
     def place_keyed(
         self,
         shard_range: ShardRange,
-        handed_over: SplitRecord | None,
+        recent_split: SplitRecord | None,
         is_repeat: bool,
         previous: Placement | None,
     ) -> Placement | None:
