--- a/molereach/cache/purge/machine.py
+++ b/molereach/cache/purge/machine.py
@@ -2,8 +2,11 @@
 
 A purge goes from requested to completed and never back. The proof is made here, from the sessions in the log
 and from which of the open ones have reported `clear`; a proposer that is late, runs twice or is wrong about
-who is missing changes nothing. A forgotten purge leaves its position behind, so an unknown ID is either new
-or from before the retained window.
+who is missing changes nothing.
+
+The oldest completed purges are forgotten once there are too many. The position of the last forgotten request
+is stored, and an ID contains the log position at which it was drawn. So an unknown ID that was drawn at or
+after the stored position is new; an earlier one may be that of a forgotten purge.
 """
 
 from collections import OrderedDict
@@ -35,17 +38,23 @@
 
 MAX_CLOCK_DIFFERENCE_MS = 5_000  # between the wall clocks of front doors
 MAX_COMPLETED_PER_ENTRY = 128  # purges
-MAX_ROWS_PER_ENTRY = 4_096  # of the session lists that are checked to complete purges
+# Sessions of cohorts that are checked to complete purges, plus one for each cohort. The bound is compared
+# before each purge, so the last cohort may exceed it.
+MAX_ROWS_PER_ENTRY = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The same at all front doors, as they determine the replicated state: constants, no settings."""
+    """Bounds of the stored purges, cohorts and rosters.
+
+    They must be the same at all front doors, because the replicated state depends on them. So they are no
+    operator settings: front doors use the defaults, and only tests pass others.
+    """
 
     max_pending: int = 16_384
     max_completed: int = 16_384
-    max_rows: int = 16_384  # of session lists, and as many of lists of front doors
-    max_past: int = 32_768
+    max_rows: int = 16_384  # sessions in all cohorts, and as many front doors in all rosters
+    max_past: int = 32_768  # scopes of which the newest purge is kept for front doors that restore a snapshot
     retention_ms: int = MAX_AGE_US // 1000 + MAX_CLOCK_DIFFERENCE_MS
 
 
@@ -64,10 +73,14 @@
 
 
 class Purges:
-    """A `StateMachine` that reads another one, the sessions.
+    """Implements `StateMachine`; reads another one, `sessions`.
 
     A cohort is the list of sessions that were open when a purge was requested; a roster is the list of how
     each front door of a cohort cleared it.
+
+    A purge is pending until it is proven, then done: completed, with its receipt. It is forgotten once its
+    receipt is not stored any more. Apart from that, `past` has the newest purge of each scope, be it pending,
+    done or forgotten, for front doors that restore a snapshot in place of the entries.
     """
 
     name = MACHINE
@@ -130,7 +143,7 @@
 
     def _request(self, entry: Entry, body: RequestPurge) -> Outcome:
         if known := self.find(body.id):
-            return self._repeat_request(known, body)
+            return self._answer_repeated_request(known, body)
         if error := self._request_error(entry, body):
             return Outcome(error)
         cohort = open_cohort(self.sessions)
@@ -150,8 +163,9 @@
         return Outcome(value=msgspec.json.encode(RequestResult(body.id, entry.position)))
 
     @staticmethod
-    def _repeat_request(known: RequestedPurge | CompletedPurge, body: RequestPurge) -> Outcome:
-        """The same ID for the same scope is the same purge, whichever shards are named."""
+    def _answer_repeated_request(known: RequestedPurge | CompletedPurge, body: RequestPurge) -> Outcome:
+        """The outcome of a request with a known ID: for the same scope it is the same purge, whichever shards
+        are named."""
         requested = known if isinstance(known, RequestedPurge) else known.requested
         if (requested.member, requested.class_name) != (body.member, body.class_name):
             return Outcome("this id is of another purge")
@@ -187,13 +201,13 @@
             if number is None:
                 cohort = self.cohorts[purge.cohort]
                 row_count += len(cohort) + 1
-                roster = clearance_roster(
+                roster_or_open_session = clearance_roster(
                     cohort, purge.position, cleared_tokens, self.sessions, entry.position
                 )
-                if isinstance(roster, ActiveSession):
-                    error = f"front door {roster.instance.name} is not accounted for"
+                if isinstance(roster_or_open_session, ActiveSession):
+                    error = f"front door {roster_or_open_session.instance.name} is not accounted for"
                     break
-                rosters[purge.cohort] = self.rosters.acquire(roster)
+                rosters[purge.cohort] = self.rosters.acquire(roster_or_open_session)
             else:
                 self.rosters.acquire_number(number)
             self._complete_purge(entry, purge, rosters[purge.cohort])
--- a/molereach/cache/purge/past.py
+++ b/molereach/cache/purge/past.py
@@ -24,7 +24,8 @@
 
 
 class Purged:
-    """The past purges by scope, in the order of the log."""
+    """The newest purge of each scope (member and class), in the order of the log; whether it is complete does
+    not matter."""
 
     def __init__(self, retention_ms: int, max_entries: int) -> None:
         self.retention_ms, self.max_entries = retention_ms, max_entries
--- a/molereach/cache/readings/store.py
+++ b/molereach/cache/readings/store.py
@@ -1,5 +1,8 @@
 """Readings by member, evicted least recently used first; no member evicts more of others than its own bound.
 
+A reading is a cached answer of a server; a member is the one whose data it shows, and whose readings a purge
+removes together.
+
 The store is a segmented LRU (Karedla, Love and Wherry, "Caching Strategies to Improve Disk System
 Performance", Computer 1994): readings that were used once are evicted before those that were used again. A
 member at its bound evicts its own readings; one below it evicts any, and so costs others no more than its
@@ -18,7 +21,7 @@
 
 
 class Share:
-    """The readings of one member."""
+    """All readings of one member, and their size, which `member_bytes` bounds."""
 
     __slots__ = ("readings", "size")
 
@@ -28,15 +31,20 @@
 
 
 class Store:
-    """Enforces sizes and ages; purges and sessions are checked by the caller."""
+    """Enforces sizes and ages. The caller checks that a reading is not covered by a purge, and that a session
+    permits showing it.
+
+    The segmented LRU has two segments: `_fresh` is the probationary one, of readings that were stored and not
+    used since, or were demoted; `_proven` is the protected one, of readings that were used again.
+    """
 
     def __init__(self, settings: ReadingSettings) -> None:
         self.settings = settings
         self.size = 0  # bytes, with the overhead
         self.evictions = 0  # readings, since the start
         self._shares: dict[str, Share] = {}
-        self._fresh: RecencyOrder = OrderedDict()  # the paper's probationary segment
-        self._proven: RecencyOrder = OrderedDict()  # the paper's protected segment
+        self._fresh: RecencyOrder = OrderedDict()  # the probationary segment
+        self._proven: RecencyOrder = OrderedDict()  # the protected segment
         self._proven_size = 0
         self._max_proven_size = int(PROTECTED_FRACTION * settings.total_bytes)
 
@@ -56,7 +64,7 @@
     # --- use ---
 
     def is_expired(self, now_us: int, reading: Reading) -> bool:
-        """Whether the reading has reached the age of its class."""
+        """Whether the reading is as old as the settings allow for its class (`ages_us`)."""
         return now_us - reading.sent_us >= self.settings.ages_us[reading.class_name]
 
     def get(self, now_us: int, member: str, class_name: str, request: bytes) -> Reading | None:
@@ -143,7 +151,9 @@
     def remove_expired(self, now_us: int, limit: int) -> int:
         """Remove expired readings, from the least recently used on; returns how many were removed.
 
-        No reading stays for twice its age.
+        Only the front of each segment is examined, so an expired reading stays until those before it have
+        expired too; `get` does not return it. If all classes have one age and the reading is not demoted
+        meanwhile, it becomes removable before it is twice as old as that age.
         """
         removed = 0
         for order in (self._fresh, self._proven):
