--- a/molereach/policy/quota.py
+++ b/molereach/policy/quota.py
@@ -2,7 +2,8 @@
 
 The quota is one token bucket, kept by the customer's owner, which is one gateway of the customer's set. The
 other gateways use the owner's last reply and a local bucket, which is an equal part of the quota. If demand
-exceeds the quota, each request is admitted with the probability quota / demand. `admission` applies the rule.
+exceeds the quota, each request is admitted with the probability available tokens / demand. `admission`
+applies the rule.
 """
 
 import math
@@ -12,8 +13,9 @@
 from molereach.policy.interface.settings import Plan, Settings
 from molereach.policy.time_units import NEVER_US, SECOND_US
 
-DEMAND_DECAY_US = 0.1 * SECOND_US  # time constant; short, because the tokens cover longer periods
-SMALL_BUCKET_DEBT_US = 0.5 * SECOND_US  # debt limit, at its rate, of a bucket smaller than one request
+DEMAND_DECAY_US = 0.1 * SECOND_US  # time constant; short, as the token buckets average over longer periods
+# Largest debt of a bucket smaller than one request, as the time in which the quota rate repays it.
+SMALL_BUCKET_DEBT_US = 0.5 * SECOND_US
 REPLY_FRESH_US = SECOND_US  # how long a reply of the owner is used
 # A report to the owner may be deferred if the local bucket is at least so full and at most so much of it is
 # unreported, as fractions of its size.
@@ -22,7 +24,7 @@
 
 
 class CustomerAccount:
-    """A customer's buckets at this gateway and what it knows of the whole set; amounts are in units."""
+    """A customer's buckets at this gateway, and what is known here of the whole set; amounts are in units."""
 
     __slots__ = (
         "ceiling",
@@ -72,12 +74,13 @@
         self.in_flight = 0  # attempts in flight from this gateway
         self.replied_at_us = -NEVER_US  # time of the owner's last reply
         self.unanswered_since_us = NEVER_US  # time of the first request that the owner has not answered
-        self.has_member_report = False  # at the owner: whether a peer has reported since it started
+        # At the owner: whether a peer has reported since this account was created.
+        self.has_member_report = False
         self.unreported_demand = 0.0  # not yet reported to the owner
         self.unreported_units = 0.0
 
     def refill(self, now_us: int) -> "CustomerAccount":
-        """Refill the buckets and decay the demand up to that time.
+        """Refill the buckets and decay the demand up to `now_us`.
 
         While the owner's last reply is fresh, the remote demand and the set's tokens stay as it reported
         them, because the other gateways keep receiving requests. Once it is stale, for example because the
@@ -113,7 +116,7 @@
         """Whether the report of what was spent here may be deferred.
 
         The unreported spending makes the owner's bucket wrong by at most a quarter of the local buckets.
-        With small local buckets, each unit is reported at once.
+        If a quarter of the local bucket is less than one unit, each unit is reported at once.
         """
         full_bucket = self.plan.quota_burst / self.set_size
         return (
@@ -122,10 +125,12 @@
         )
 
     def admission_probability(self, units: float) -> float:
-        """The probability, from 0 to 1, that a request of `units` is within quota: quota / demand.
+        """The probability, from 0 to 1, that a request of `units` is within quota.
 
-        A bucket that holds fewer units than the request admits nothing, since the missing units would exceed
-        the quota. A bucket whose size is less than one request may go into debt instead.
+        It is 0 at the limit of attempts in flight and 1 in a plan without a quota rate. Otherwise it is the
+        available tokens divided by the demand, or by `units` if the demand is less. A bucket that holds fewer
+        tokens than `units` counts as empty, since the missing units would exceed the quota. If even the full
+        bucket holds fewer, its tokens and the debt of `SMALL_BUCKET_DEBT_US` are available instead.
         """
         plan = self.plan
         if plan.max_in_flight and self.in_flight >= max(1, plan.max_in_flight // self.set_size):
@@ -140,7 +145,11 @@
         return max(0.0, min(1.0, available / max(units, self.demand)))
 
     def spend(self, units: float) -> None:
-        """Take units from the set's bucket, which may go into a limited debt; negative units are returned."""
+        """Take units from the set's bucket, or put them back if `units` is negative.
+
+        The debt of the bucket is limited: to `SMALL_BUCKET_DEBT_US` if the full bucket holds less than one
+        unit, whatever the request needs, else to `DEMAND_DECAY_US`, each at the quota rate.
+        """
         is_below_one_unit = self.plan.quota_burst * self.reachable_fraction < 1
         debt_us = SMALL_BUCKET_DEBT_US if is_below_one_unit else DEMAND_DECAY_US
         min_tokens = -self.plan.quota_rate * self.reachable_fraction * debt_us / SECOND_US
--- a/molereach/policy/waiting_queue.py
+++ b/molereach/policy/waiting_queue.py
@@ -1,8 +1,9 @@
 """Queue of admitted requests that wait to be forwarded, and what each of them waits for.
 
 A first attempt needs the permission of overload control, capacity below the customer's ceiling and a usable
-backend. A request whose attempts were not executed also waits here for its retry, which needs overload
-control and a backend; the retry budget is not charged for it.
+backend. A request whose attempts were not executed also waits here for its retry, which needs a usable
+backend, and the permission of overload control only when the queue starts to be processed; the retry budget
+is not charged for it.
 """
 
 import itertools
@@ -53,30 +54,36 @@
     def forward_allowed(self, now_us: int) -> list[ForwardAttempt]:
         """Forward the requests that may be forwarded now, and remove the closed ones.
 
-        If no backend is usable for one request, later requests that have had no attempt are not tried either.
+        Nothing is forwarded if overload control forbids it at the start. As soon as it forbids more first
+        attempts, or a request (a retry too) finds no usable backend, only retries are tried from there on.
         """
         if not self.entries or not self.overload_control_allows(now_us):
             return []
         entries = self.entries
         self.entries = []
         forwarded = []
-        is_blocked = False
+        blocks_first_attempts = False
         for entry in entries:
             pending = entry.pending
             must_wait = pending.is_closed or (
-                not pending.backends and (is_blocked or not self.is_below_ceiling(now_us, pending))
+                not pending.backends  # it has had no attempt yet
+                and (blocks_first_attempts or not self.is_below_ceiling(now_us, pending))
             )
             backend = None if must_wait else self.load_balancer.choose(now_us, pending)
             if backend:
                 forwarded.append(self.forward(now_us, pending, backend))
             elif not pending.is_closed:
                 self.entries.append(entry)
-            is_blocked = is_blocked or not self.overload_control_allows(now_us) or not (must_wait or backend)
+            blocks_first_attempts = (
+                blocks_first_attempts
+                or not self.overload_control_allows(now_us)
+                or not (must_wait or backend)
+            )
         return forwarded
 
     def forward(self, now_us: int, pending: PendingRequest, backend: BackendState) -> ForwardAttempt:
         """Forward an attempt; the first one spends units of the ceiling."""
-        if not pending.backends:
+        if not pending.backends:  # the first attempt
             self.overload_control.forwarded_count += 1
             self.customers.spend_ceiling(now_us, pending.account, pending.request.units)
         return self.attempts.begin(now_us, pending, backend)
