--- a/tests/policy/test_gateway_quotas.py
+++ b/tests/policy/test_gateway_quotas.py
@@ -21,8 +21,11 @@
 from tests.policy.request_classes import NON_IDEMPOTENT, settings_with_class
 
 
-def peer_customer(driver: GatewayDriver) -> str:
-    """The name of a customer that the other one of two gateways owns, with an empty local bucket here."""
+def use_up_local_bucket(driver: GatewayDriver) -> str:
+    """Send ten requests of a customer that the other one of two gateways owns; return the customer's name.
+
+    They empty its local bucket, which is half of the burst of 20.
+    """
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)
     for number in range(10):
         driver.send_request(f"used{number}", customer=name, set_size=2)
@@ -58,6 +61,7 @@
     for n in range(300):
         cluster.send_request(n * 7 % 20, f"r{n}")
         cluster.advance(110 * MILLISECOND_US)
+        # The gateways that keep the customer's quota, as of this request: there is one.
         owner_gateways = [
             driver.gateway
             for driver in cluster.drivers
@@ -65,7 +69,7 @@
             if account.owner == driver.gateway.settings.proxy_index
         ]
     tokens = next(iter(owner_gateways[0].customers.accounts.values())).tokens
-    assert tokens > 6  # of 10, at nine tenths of the quota rate
+    assert tokens > 6  # of 10; one request per 110 ms is nine tenths of the quota rate
 
 
 def test_granted_units_that_are_not_forwarded_return_to_the_quota() -> None:
@@ -110,6 +114,7 @@
                     for gateway_index in range(gateway_count)
                 )
                 received_count += max_per_gateway
+        # The 2000 requests take 5 s; the receive capacity is 100 messages per second, so half of it is 50.
         assert received_count / 5 <= 60
 
 
@@ -141,7 +146,7 @@
 
 
 def test_quiet_customers_cause_few_messages_and_wake_ups() -> None:
-    """The reports about ten customers of one owner are combined into one message in half a second."""
+    """The reports about ten customers of one owner are combined into one datagram in half a second."""
     driver = GatewayDriver(
         replace(SETTINGS, proxy_count=2, plans=(replace(PLAN, quota_rate=40.0, quota_burst=200.0),))
     )
@@ -169,6 +174,7 @@
 
 
 def test_messages_of_peers_are_validated() -> None:
+    """A message with an unknown plan or an invalid set creates no account; extreme amounts raise nothing."""
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     extreme_message = GossipMessage(1, 0, 0, 2, demand=1e9, requested_units=1e9, tokens=-1e9)
     for message in (
@@ -181,7 +187,7 @@
     assert len(driver.gateway.customers.accounts) == 1
 
 
-def test_idle_gateway_wakes_up_once_a_period() -> None:
+def test_idle_gateway_wakes_up_once_a_second() -> None:
     driver = GatewayDriver()
     driver.advance(10 * SECOND_US)
     assert len(of_type(SetTimer, [action for _, action in driver.log])) <= 12
@@ -196,10 +202,10 @@
     assert not driver.gateway.customers.accounts
 
 
-def test_request_with_no_time_left_uses_no_quota() -> None:
+def test_request_with_too_little_time_left_uses_no_quota() -> None:
     driver = GatewayDriver()
     for n in range(30):
-        driver.send_request(f"r{n}", remaining_us=100 * MILLISECOND_US)
+        driver.send_request(f"r{n}", remaining_us=100 * MILLISECOND_US)  # too short to forward
     assert next(iter(driver.gateway.customers.accounts.values())).tokens == 20
 
 
@@ -249,7 +255,11 @@
 
 
 def test_reports_subtract_every_request_that_the_owner_may_have_counted() -> None:
-    """The owner counts a part of each request as spent; repeated requests must not count repeatedly."""
+    """A message that asks the owner for units may make it count them, even if its reply never arrives.
+
+    So a gateway that repeats the message subtracts from its later reports what the owner is expected to have
+    counted for each of them; otherwise units would count twice.
+    """
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
     name = next(f"c{n}" for n in range(9) if zlib.crc32(f"c{n}".encode()) % 2)  # owned by the peer
     for number in range(11):  # the eleventh exceeds the local bucket
@@ -390,14 +400,14 @@
 def test_reply_of_a_failed_owner_is_used_for_one_second_only() -> None:
     """Regression: the last reply was used for 10 s, while local demand was added to what it reported."""
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
-    name = peer_customer(driver)
+    name = use_up_local_bucket(driver)
     key = CustomerKey(zlib.crc32(name.encode()), 0, 0, 2)
     driver.handle(GossipReceived(1, (GossipMessage(*key, True, demand=40.0, tokens=-5.0),)))
     account = driver.gateway.customers.accounts[key]
     for number in range(30):
         driver.send_request(f"a{number}", customer=name, set_size=2, remaining_us=SECOND_US)
         driver.advance(100 * MILLISECOND_US)
-    assert account.refill(driver.now_us).demand < 10  # 5 arrive within the time constant of the demand
+    assert account.refill(driver.now_us).demand < 10  # one arrives per time constant; the 40 have decayed
     forwarded_at_us = [
         at_us
         for at_us, action in driver.log
@@ -408,7 +418,7 @@
 
 def test_owner_that_never_replies_is_not_waited_for() -> None:
     driver = GatewayDriver(replace(SETTINGS, proxy_count=2))
-    name = peer_customer(driver)
+    name = use_up_local_bucket(driver)
     waiting_count = 0
     for number in range(30):
         if not of_type(ForwardAttempt, driver.send_request(f"a{number}", customer=name, set_size=2)):
