--- a/molereach/limits/borrowing.py
+++ b/molereach/limits/borrowing.py
@@ -1,4 +1,7 @@
-"""The borrower's side of loans: when to request more of a ceiling, return some of it or renew a loan."""
+"""The borrower's side of loans: when to request more of a ceiling, return some of it or renew a loan.
+
+A share is a part of a customer's ceiling, as an integer in units of 1/`FULL_SHARE` of the ceiling.
+"""
 
 import heapq
 from collections.abc import Callable
@@ -14,7 +17,9 @@
 RETRY_US = 120_000  # until an unanswered request is resent with the same number
 MAX_RETRIES = 3  # then the lender counts as unreachable for half a lease
 PARTIAL_GRANT_RETRY_US = 250_000  # until the next request after a grant of less than was requested
-RETENTION_LEASES = 3  # how long the accepted request number is kept, as the lender may rely on it
+# How many leases after a request its number is kept if its grant was accepted: the next request repeats that
+# number, and the lender may rely on it.
+RETENTION_LEASES = 3
 REQUEST_NUMBER_STEP_US = SECOND_US // 100  # numbers follow the clock, so that they increase across restarts
 MAX_REQUEST_NUMBER = 0xFFFFFFFF
 NEVER_DUE_US = 1 << 62
@@ -41,7 +46,13 @@
             self.plan(now_us, key, account)
 
     def plan(self, now_us: int, key: CustomerKey, account: CeilingAccount) -> None:
-        """Request missing share, return surplus share and renew loans that are about to expire."""
+        """Request missing share, return surplus share and renew loans that are about to expire.
+
+        What one lender is given back reduces the surplus left for the next ones. A shortage is not reduced by
+        what was requested: each lender is asked for all of it, up to the share of one member, as it may grant
+        less.
+        """
+        # Negative if there is a surplus.
         missing = account.needed_share(now_us) - account.usable_share(now_us)
         for lender in account.members:
             if lender != self.proxy_index:
@@ -67,7 +78,8 @@
         """Apply an accepted grant, limited to the share that was requested."""
         assert borrowed.pending_request is not None
         wanted_share = borrowed.pending_request.wanted_share
-        # If the grant is smaller than the loan so far, the lender regains the rest only when it is notified.
+        # If the grant is smaller than the loan so far, the lender counts the rest as lent until the next
+        # request tells it that the grant was accepted.
         borrowed.must_report = grant.granted_share < borrowed.usable_share(now_us)
         borrowed.pending_request = None
         borrowed.granted_share = max(0, min(grant.granted_share, wanted_share))
@@ -95,10 +107,10 @@
         account.limit_to_burst(now_us)
         self.plan(now_us, key, account)
 
-    def report_usage(
+    def renew_now(
         self, now_us: int, key: CustomerKey, account: CeilingAccount, borrowed: BorrowedShare
     ) -> None:
-        """Report the borrowed share without delay to a lender that needs some of it back."""
+        """Renew or reduce a loan now, as its lender needs share; the request states what is needed here."""
         borrowed.must_report = True
         borrowed.next_request_us = now_us
         self.plan(now_us, key, account)
@@ -146,7 +158,7 @@
         missing: int,
     ) -> int:
         """Request a larger, smaller or renewed loan and return the share that is given back."""
-        usable_share = borrowed.usable_share(now_us)
+        usable_share = borrowed.usable_share(now_us)  # of this loan only
         wanted_share = _wanted_share(account, usable_share, missing)
         half_lease_us = self.settings.lease_us // 2
         is_renewal_due = borrowed.must_report or borrowed.granted_until_us - now_us <= half_lease_us
@@ -176,6 +188,7 @@
 
     def _schedule(self, now_us: int, key: CustomerKey, account: CeilingAccount) -> None:
         check_times_us = [_next_check_us(now_us, borrowed) for borrowed in account.borrowed.values()]
+        # 0 if nothing is borrowed, as in a new account; only the queue of all accounts uses NEVER_DUE_US.
         next_plan_us = max(now_us + 1, min(check_times_us)) if check_times_us else 0
         if next_plan_us and next_plan_us != account.next_plan_us:
             heapq.heappush(self.plan_queue, (next_plan_us, key))
@@ -183,12 +196,16 @@
 
 
 def next_request_number(now_us: int, borrowed: BorrowedShare) -> int:
-    """Return a number above that of the last request of this or an earlier incarnation."""
+    """Return a number above those of this incarnation and, unless the clock wraps, of earlier ones.
+
+    The part taken from the clock has 32 bits and wraps after 497 days; a later incarnation may then begin
+    with a lower number.
+    """
     return max(borrowed.request_number + 1, now_us // REQUEST_NUMBER_STEP_US & MAX_REQUEST_NUMBER)
 
 
 def _wanted_share(account: CeilingAccount, usable_share: int, missing: int) -> int:
-    """The share to request from a lender of `usable_share`; small changes are ignored."""
+    """The share to request from the lender that now lends `usable_share`; small changes are ignored."""
     wanted_share = min(FULL_SHARE // len(account.members), max(0, usable_share + missing))
     if abs(wanted_share - usable_share) < MIN_SHARE_CHANGE and wanted_share:
         return usable_share
@@ -197,8 +214,8 @@
 
 def _release_surplus(now_us: int, account: CeilingAccount, borrowed: BorrowedShare, share: int) -> float:
     """Reduce a loan to `share` before its lender is notified, and return the tokens to give back."""
-    usable_share = account.usable_share(now_us)
-    surplus = borrowed.usable_share(now_us) - share
+    usable_share = account.usable_share(now_us)  # own and borrowed, from all lenders
+    surplus = borrowed.usable_share(now_us) - share  # of this loan only
     units = account.tokens * surplus / usable_share if usable_share else 0.0
     account.tokens -= units
     borrowed.granted_share = share
--- a/molereach/limits/escrow.py
+++ b/molereach/limits/escrow.py
@@ -144,7 +144,7 @@
         borrowed = account.borrowed.get(borrower)
         wants_more = request.wanted_share > request.borrower_share
         if wants_more and borrowed and borrowed.usable_share(now_us) and not borrowed.pending_request:
-            self.borrowing.report_usage(now_us, request.key, account, borrowed)
+            self.borrowing.renew_now(now_us, request.key, account, borrowed)
 
     # Timers
 
--- a/molereach/protocol/settings.py
+++ b/molereach/protocol/settings.py
@@ -40,6 +40,7 @@
         quota_burst=reader.number(f"{path}.burst"),
         max_in_flight=reader.integer(f"{path}.max-out"),
         priority_factor=reader.number(f"{path}.value-factor", 1.0),
+        # Both in the same unit: they are only compared with each other.
         over_quota_value=reader.number(f"{path}.extra-worth"),
         over_quota_cost=reader.number(f"{path}.overrun-cost"),
         ceiling_rate=reader.number(f"{path}.never-over-rate"),
@@ -64,6 +65,7 @@
         plans=tuple(read_plan(reader, f"plans.{index}") for index in plan_indexes),
         zone=reader.integer("zone"),
         max_attempts=reader.integer("ceilings.max-attempts", 1, 1),
+        # 0: rejected clients are told no delay, as is always so without `ceilings.retry-after`.
         max_retry_after_us=(
             reader.integer("ceilings.max-retry-after-us") if reader.flag("ceilings.retry-after") else 0
         ),
@@ -71,6 +73,7 @@
         may_check_health=reader.flag("ceilings.may-probe"),
         may_cancel=reader.flag("ceilings.may-cancel"),
         may_gossip=reader.flag("ceilings.peers"),
+        # Not used by this policy.
         may_count=reader.flag("extra.counter"),
         must_poll_endpoints=reader.text("registry-mode") == "subscribe",
         costs_are_corrected=reader.flag("extra.trued-up"),
@@ -81,11 +84,14 @@
         message_price=reader.number("prices.peer"),
         health_check_price=reader.number("prices.probe"),
         handshake_price=reader.number("prices.handshake"),
+        # Half of the time after which idle connections are closed, so that those assumed open still are.
         idle_connection_ttl_us=reader.integer("ceilings.conn-idle-us", 30_000_000, 1) // 2,
         answer_grace_us=reader.integer("obligations.grace-to-answer-us"),
+        # Time within which the endpoint list must be polled; 0 is no limit.
         poll_within_us=reader.integer("obligations.ask-within-us"),
         slow_start_fraction=reader.number("obligations.cold-from", 1.0, maximum=1.0),
         slow_start_window_us=reader.integer("obligations.warm-within-us"),
+        # Neither of these two is read by this policy, so the defaults of 1 have no effect on it.
         overload_multiple=reader.number("obligations.fall-multiple", 1.0),
         overload_window_us=reader.integer("obligations.fall-us", 1, 1),
     )
--- a/molereach/simulator/host.py
+++ b/molereach/simulator/host.py
@@ -1,4 +1,7 @@
-"""Hosts the policy instances of one adapter process and the endpoint lists that they share."""
+"""Hosts the policy instances and the endpoint lists that they share.
+
+All are in one process of `molereach.simulator.adapter`, which connects the simulator to the policy.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -38,14 +41,18 @@
 
 
 class Host:
-    """The instances of this process by number, and the numbered endpoint lists that events refer to."""
+    """Passes the messages of the simulator to the policy instances of this process.
+
+    It keeps the instances by number, and the numbered endpoint lists that events refer to.
+    """
 
     def __init__(self, with_limits: bool = False) -> None:
+        """`with_limits`: whether the instances use `molereach.limits` beside the quotas of the policy."""
         self.with_limits = with_limits
         self.instances: dict[int, Instance] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
         self.target: int | None = None  # the instance that receives the next events of the batch
-        self.reply_context: int | None = None  # the instance of the last actions in the reply
+        self.reply_context: int | None = None  # the instance that the last CONTEXT line of the reply names
         self.now_us = 0
 
     def start_batch(self, now_us: int) -> None:
@@ -102,6 +109,7 @@
         if name == "FROM_PEER":
             sender = reader.integer()
             data = reader.hex_bytes()
+            # A malformed or empty datagram is None; the policy handles it as one without messages.
             return instance.gossip_codec.unpack(sender, data) or GossipReceived(sender, ())
         return parse_event(name, reader, instance.load_report_names)
 
@@ -129,7 +137,7 @@
 
 
 def _create_instance_with_limits(settings: Settings, load_report_names: list[str]) -> Instance:
-    # Imported here so that a process without limits does not load these modules.
+    # Imported here so that a process that runs without `molereach.limits` does not load these modules.
     from molereach.limits.core import Limits
     from molereach.limits.gossip_codec import LimitGossipCodec
     from molereach.limits.settings import LimitSettings
