--- a/molereach/backends/pool.py
+++ b/molereach/backends/pool.py
@@ -36,19 +36,20 @@
         self.owner = owner
         self.name = name
         self.address = address
-        self.started_us = started_us
+        self.started_us = started_us  # when the backend started, which tells restarts apart; 0 if unknown
         self.idle_reuse = owner.idle_reuse
         self.connections: dict[BackendConnection, None] = {}  # until their sockets are closed
-        self.idle: list[BackendConnection] = []  # most recently used last, so that surplus ones expire
+        # Most recently used last and taken first, so that surplus ones stay idle and are closed.
+        self.idle: list[BackendConnection] = []
         self.waiting: dict[Attempt, None] = {}  # attempts without a connection, longest waiting first
-        self.dial_count = 0
+        self.dial_count = 0  # dials in progress
         self.last_received_us = 0
         self.accepts_attempts = True
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or on a new one once it is established."""
         attempt.pool = self
-        if not self.accepts_attempts:  # chosen before the endpoint's change was known
+        if not self.accepts_attempts:  # the policy chose this backend before the endpoint list changed
             attempt.finish(AttemptResult.CONNECT_FAILED)
             return
         if connection := self.take_idle():
@@ -118,10 +119,15 @@
         elif is_connected:
             connection.close()
         elif attempt and len(self.waiting) > self.dial_count:
+            # Fewer dials are in progress than attempts wait, so nothing would serve this one.
             attempt.give_up(AttemptResult.CONNECT_FAILED)
 
     def next_waiting(self) -> Attempt | None:
-        """Return the longest waiting attempt and cancel those past their write deadline."""
+        """Return the longest waiting attempt and cancel those past their write deadline.
+
+        No waiting attempt is written, so `cancel_if_unwritten` gives it up: `give_up` removes it from
+        `waiting`, so that the loop ends, and `finish` reports its result.
+        """
         while attempt := next(iter(self.waiting), None):
             if not attempt.is_past_write_deadline():
                 break
@@ -163,7 +169,7 @@
             self.close_idle()
 
     def on_attempt_reset(self, sent_us: int) -> None:
-        """Close idle connections that received nothing since `sent_us`; the machine may be a new one."""
+        """Close idle connections that received nothing since `sent_us`, as the backend may have restarted."""
         silent_connections = [connection for connection in self.idle if connection.last_received_us < sent_us]
         for connection in silent_connections:
             self.idle.remove(connection)
--- a/molereach/clients/listener.py
+++ b/molereach/clients/listener.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 READ_BYTES = 16 * 1024  # maximum size of a read
-SWEEP_S = 0.2
+SWEEP_INTERVAL_S = 0.2  # between two sweeps of all connections
 MAX_ACCEPTS_PER_TURN = 16  # open connections are served in between
 # Sockets reserved for closing connections, whose clients still read the last reply: an eighth, at most 16.
 CLOSING_RESERVE_DIVISOR = 8
@@ -35,7 +35,7 @@
         make_connection: Callable[[], Connection],
         spawn: Callable[[Coroutine[None, None, None]], object],
     ) -> None:
-        """`make_connection` creates the protocol of a connection; `spawn` runs a coroutine to completion."""
+        """`make_connection` creates the object that serves a client; `spawn` runs a coroutine to its end."""
         self.max_sockets = max_sockets
         self.max_buffered_bytes = max_buffered_bytes
         self.make_connection = make_connection
@@ -111,6 +111,11 @@
 
         If another connection must be closed for it, the limit is exceeded by one until the event loop has
         closed that socket, so the next connection is accepted later.
+
+        `may_linger` is whether a socket is left or was freed by aborting a closing connection. Then a full
+        listener evicts another connection, which may still send its last reply, and serves the new one, or
+        rejects it with an error if none can be evicted. Without a socket, a connection must be aborted for
+        the new one; if the listener is not full, or none can be aborted, the new one is reset.
         """
         has_no_socket = self.socket_count >= self.max_sockets
         is_full = self.is_full()
@@ -166,7 +171,7 @@
         """Requeue a connection that has entered another state."""
         self.eviction_queues.remove(connection)
         if self.is_draining and connection.state in IDLE_STATES:
-            connection.close()  # may change its state
+            connection.close()  # may enter CLOSING, whose queue it is then added to
         self.eviction_queues.add(connection)
 
     def on_socket_closed(self) -> None:
@@ -187,7 +192,7 @@
     def sweep(self) -> None:
         """End connections whose state has timed out, enforce the limits and schedule the next sweep."""
         current_us = now_us()
-        self.loop.call_later(SWEEP_S, self.sweep)  # first, so that an exception below does not end the sweeps
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)  # first, so that exceptions do not end it
         for connection in [each for each in self.connections if each.timeout_at_us <= current_us]:
             try:
                 connection.on_timeout()
@@ -213,7 +218,7 @@
     # --- graceful shutdown ---
 
     def close_idle(self) -> None:
-        """Close idle connections, except new ones, whose first command is about to arrive."""
+        """Close idle connections, except those in `State.NEW`, whose first command is about to arrive."""
         for state in IDLE_STATES:
             for connection in self.eviction_queues.in_state(state):
                 connection.close()
--- a/tests/clients/test_resp.py
+++ b/tests/clients/test_resp.py
@@ -193,7 +193,7 @@
 
 def shorten_timeout(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
     """Set one of the timeouts to `SHORT_TIMEOUT_US`."""
-    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setattr(connection_state, name, SHORT_TIMEOUT_US)
     monkeypatch.setitem(
         connection_state.TIMEOUTS_US, connection_state.State.PING_ONLY, connection_state.IDLE_TIMEOUT_US
@@ -240,7 +240,7 @@
 
 
 def test_timeouts_conform_to_the_protocol() -> None:
-    sweep_us = listener.SWEEP_S * 1e6
+    sweep_us = listener.SWEEP_INTERVAL_S * 1e6
     assert 2_000_000 < connection_state.FIRST_COMMAND_TIMEOUT_US < 3_000_000 - 2 * sweep_us
     assert connection_state.COMMAND_TIMEOUT_US + 2 * sweep_us < 3_000_000
     assert connection_state.WRITE_TIMEOUT_US + 2 * sweep_us < 3_000_000
@@ -288,7 +288,7 @@
 
 
 def test_buffered_bytes_of_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         async with front_door() as (door, address):
--- a/tests/races/test_clients_close.py
+++ b/tests/races/test_clients_close.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setitem(connection_state.TIMEOUTS_US, State.CLOSING, CLOSING_TIMEOUT_US)
 
 
--- a/tests/races/test_clients_disconnect.py
+++ b/tests/races/test_clients_disconnect.py
@@ -167,7 +167,7 @@
 
 def test_half_close_with_unread_answers_is_detected_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The transport reports a lost connection only after its buffer has been sent."""
-    monkeypatch.setattr("molereach.clients.listener.SWEEP_S", 0.01)
+    monkeypatch.setattr("molereach.clients.listener.SWEEP_INTERVAL_S", 0.01)
     monkeypatch.setitem(clients.TIMEOUTS_US, clients.State.WRITE_BLOCKED, 50_000)
 
     async def job() -> None:
--- a/tests/races/test_clients_limits.py
+++ b/tests/races/test_clients_limits.py
@@ -60,7 +60,7 @@
 def test_exception_in_one_connections_timeout_does_not_stop_others(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(listener, "SWEEP_S", 0.01)
+    monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.01)
 
     async def job() -> None:
         async with front_door() as (proxy, address):
