--- a/molereach/discovery/client.py
+++ b/molereach/discovery/client.py
@@ -123,7 +123,7 @@
             self.open_watch(opened)
         for attempt_id in self.supervisor.surplus():
             self.abandon(attempt_id)
-            self.supervisor.complete(attempt_id)
+            self.supervisor.forget_attempt(attempt_id)
 
     def open_watch(self, attempt_id: int) -> None:
         """Start a watch, or a request for the full list if no version is known."""
@@ -172,7 +172,7 @@
         """Close all watches but the one that received an object, entries or an empty line."""
         for other in self.supervisor.record_object(attempt_id, time.monotonic()):
             self.abandon(other)
-            self.supervisor.complete(other)
+            self.supervisor.forget_attempt(other)
         self.state_changed.set()
 
     def entries_received(self, attempt_id: int, text: bytes) -> None:
@@ -260,7 +260,7 @@
             return
         if is_full:  # the list is complete, so there is no need to wait for the end of the response
             self.abandon(attempt_id)
-            self.supervisor.complete(attempt_id)
+            self.supervisor.forget_attempt(attempt_id)
             self.supervisor.open_now(time.monotonic())
         else:
             # The time taken to apply it must not count as silence of discovery.
--- a/molereach/discovery/watch_supervisor.py
+++ b/molereach/discovery/watch_supervisor.py
@@ -1,17 +1,18 @@
 """Decides which watches on discovery have failed, which to close, and when to open the next one.
 
 Discovery sends a heartbeat every 2 s, and a proxy has to know a change at most 6 s after its watch fell
-silent. A watch on a local discovery agent costs nothing: it has failed after one missed heartbeat and half an
-interval, 3 s. The 3 s that remain are enough for a connect that hangs for its full second and for another
-one. Where the list must be polled, each request costs discovery work, so a watch has failed only after two
-missed heartbeats and half a second. The rest is enough for one hung connect.
+silent. A watch on a local discovery agent costs discovery no work, so it is replaced early: it has failed
+after one missed heartbeat and half an interval, 3 s. The 3 s that remain are enough for a connect that hangs
+for its full second and for another one. Where the list must be polled, each request costs discovery work, so
+a watch has failed only after two missed heartbeats and half a second. The rest is enough for one hung
+connect.
 
 A local agent answers immediately, unless discovery is down. Then the agent is silent, and once discovery is
 up again, a proxy has to know at once what the agent receives. It cannot tell whether a request sent meanwhile
 will be answered or was dropped. So an attempt without a response stays open for a while, and every half
-second another one is opened beside it (hedged requests: Dean and Barroso, The Tail at Scale, 2013), two at
-most. The first attempt that receives anything is kept and the other is closed. The older one of the two is
-left open longer, in case its response is slow.
+second another one is opened beside it (hedged requests: Dean and Barroso, The Tail at Scale, 2013). Two stay
+open: when a third is opened, all but the oldest and the newest are closed. The oldest keeps its full time, in
+case its response is slow. The first attempt that receives anything is kept and the other is closed.
 
 Where the list must be polled, requests may wait in discovery's queue, and a change has to be known 6 s after
 discovery became reachable. A failed request proves that discovery was unreachable only at the time when it
@@ -58,6 +59,7 @@
             timeout_s = POLLED_RESPONSE_TIMEOUT_S if must_poll else LOCAL_DISCOVERY_RESPONSE_TIMEOUT_S
             return self.opened_at_s + timeout_s
         silence_timeout_s = POLLED_SILENCE_TIMEOUT_S if must_poll else LOCAL_DISCOVERY_SILENCE_TIMEOUT_S
+        # A list that must be polled is polled again after this interval, so no object is awaited for longer.
         object_timeout_s = POLL_INTERVAL_LIMIT_S if must_poll else LOCAL_DISCOVERY_OBJECT_TIMEOUT_S
         return min(self.last_byte_at_s + silence_timeout_s, self.last_object_at_s + object_timeout_s)
 
@@ -73,7 +75,8 @@
         self.opened_count = 0
         self.next_open_at_s = 0.0
         self.hedge_delay_s = POLL_INTERVAL_LIMIT_S if backoff.must_poll else LOCAL_DISCOVERY_HEDGE_DELAY_S
-        self.response_due_at_s = 0.0  # by when a response must begin, to bring what the failed watch missed
+        # By when a response must begin, to bring what a failed watch missed; 0 if there is no such time.
+        self.response_due_at_s = 0.0
 
     def wait_s(self, now_s: float) -> float:
         """Time until an attempt expires or the next one is due, if nothing is received before."""
@@ -102,7 +105,8 @@
     def surplus(self) -> list[int]:
         """Attempts beyond the maximum, which may be closed.
 
-        They are the oldest but one and those after it: the oldest keeps its full time, for a slow response.
+        They begin with the second oldest: the oldest keeps its full time, for a slow response, and the newest
+        has just been opened.
         """
         surplus_count = max(0, len(self.open_attempts) - MAX_OPEN_ATTEMPTS)
         return list(self.open_attempts)[1 : 1 + surplus_count]
@@ -110,8 +114,8 @@
     def record_bytes(self, attempt_id: int, now_s: float) -> None:
         """Record that an attempt received bytes of its response.
 
-        Another attempt is then due only if no object follows in time. That time starts with the response, or
-        with the attempt where the list must be polled.
+        Another attempt is then due only if no object follows within `POLL_INTERVAL_LIMIT_S`: from the first
+        byte of the response or, where the list must be polled, from the opening of the newest attempt.
         """
         attempt = self.open_attempts.get(attempt_id)
         if attempt and attempt.last_byte_at_s is None:
@@ -126,7 +130,7 @@
         return any(attempt.last_byte_at_s is not None for attempt in self.open_attempts.values())
 
     def record_object(self, attempt_id: int, now_s: float) -> list[int]:
-        """Record an object, entries of one or an empty line; returns the other attempts, which may be closed.
+        """Record a whole or partial object or an empty line; returns the other attempts, which may be closed.
 
         Failures are reset only by `record_applied`, as the object may still be malformed.
         """
@@ -140,7 +144,7 @@
         """Record that a received object was applied, or that an empty line was received."""
         self.backoff.reset()
 
-    def complete(self, attempt_id: int) -> None:
+    def forget_attempt(self, attempt_id: int) -> None:
         """Remove an attempt that is no longer needed, without counting a failure."""
         self.open_attempts.pop(attempt_id, None)
 
@@ -159,7 +163,8 @@
             return
         must_poll = self.backoff.must_poll
         has_expired = now_s >= attempt.expires_at_s(must_poll)
-        earliest_s = now_s + self.backoff.single_proxy_delay_s()  # computed before the failure is counted
+        # The delay of an only proxy, which needs no jitter; computed before the failure is counted.
+        earliest_s = now_s + self.backoff.single_proxy_delay_s()
         delay_s = self.backoff.record_failure(self.draw())
         if not must_poll:
             retry_at_s = now_s + (0.0 if has_expired else delay_s)  # after a timeout, no further delay
@@ -170,9 +175,10 @@
     def latest_poll_at_s(self, failed: WatchAttempt, earliest_s: float) -> float:
         """Latest time of the next poll after a failed attempt.
 
-        It leaves time for a hung connect and a response within 6 s of when discovery may have become
-        reachable. After a watch that had a response, these 6 s continue while later attempts fail; the next
-        attempt is then not due before `earliest_s`.
+        A change must be known 6 s after discovery became reachable, which may have been right after a failed
+        watch last received something, or after a failed request was sent. The time returned leaves enough of
+        the 6 s for a hung connect and a response. If a watch that had a response fails, its 6 s also bind the
+        attempts after it: while they last, the next one is due earlier, but not before `earliest_s`.
         """
         if failed.last_byte_at_s is not None:
             last_received_s = min(failed.last_byte_at_s, failed.last_object_at_s)
--- a/molereach/subsetting/endpoint_subsetting.py
+++ b/molereach/subsetting/endpoint_subsetting.py
@@ -27,7 +27,8 @@
 
 LONG_LIST_FACTOR = 2  # a list becomes long above this multiple of the subset's size
 FULL_LIST_KINDS = (EndpointListKind.FULL, EndpointListKind.SAVED)
-CHANGE_HEADROOM_ENTRIES = 2 * STEP_ENTRIES  # a list may exceed its limit between the steps of changes to it
+# Each step of changes may exceed the limit of a list, as removals may follow additions.
+CHANGE_HEADROOM_ENTRIES = 2 * STEP_ENTRIES
 MAX_SHOWN_NAME_BYTES = 80
 
 Steps = Generator[None, None, SubsetUpdate | None]
@@ -39,7 +40,11 @@
     """The full list and the subset of it that is reported to the policy."""
 
     def __init__(self, settings: Settings, subset_size: int, max_entries: int) -> None:
-        """`subset_size`: minimum size of the subset; `max_entries`: maximum length of the full list."""
+        """`max_entries`: maximum length of the full list.
+
+        `subset_size` is the minimum size of the subset, and the length up to which a long list becomes short;
+        a short one becomes long above `LONG_LIST_FACTOR` times that.
+        """
         self.proxy_count = settings.proxy_count
         self.subset_size = subset_size
         self.max_entries = max_entries
@@ -103,13 +108,15 @@
     def replace_index(self, staged: Staging) -> Generator[None, None, None]:
         """Build a new index from a full list, and replace the current one with it."""
         index = self.new_index()
+        # Changes to the current list are recorded during the build, and applied to the new index after it.
         recording = self.overlay.begin()
         yield from self.build_index(index, staged)
         yield from self.overlay.catch_up(index, recording)
         replaced = self.index
         self.index = index
         self.is_stale = True
-        # Released before the update is reported: if the caller stops here, nothing counts as reported.
+        # The records of the replaced index are freed before the update is reported, in steps. A caller that
+        # drops this generator between two steps gets no update, and `reported` is unchanged.
         if self.short_list is None:
             yield from replaced.ring.release()
 
--- a/tests/discovery/test_notification_delay.py
+++ b/tests/discovery/test_notification_delay.py
@@ -75,7 +75,7 @@
             return
         if event == "object":
             for other in self.supervisor.record_object(attempt_id, self.now_s):
-                self.supervisor.complete(other)
+                self.supervisor.forget_attempt(other)
             self.supervisor.record_applied()
             self.object_at_s = self.now_s
         elif event == "byte":
@@ -99,7 +99,7 @@
         if opened := self.supervisor.open_if_due(self.now_s):
             self.request(opened)
         for attempt_id in self.supervisor.surplus():
-            self.supervisor.complete(attempt_id)
+            self.supervisor.forget_attempt(attempt_id)
 
     def notification_delay_s(self, reachable_at_s: float) -> float:
         """Time from when discovery is reachable until an object is received."""
--- a/tests/races/test_discovery_silence.py
+++ b/tests/races/test_discovery_silence.py
@@ -42,7 +42,7 @@
         if self.supervisor.open_if_due(self.now_s):
             self.opened_times_s.append(self.now_s)
         for number in self.supervisor.surplus():
-            self.supervisor.complete(number)
+            self.supervisor.forget_attempt(number)
         return failed
 
     def run_until(self, until_s: float) -> None:
@@ -160,7 +160,7 @@
     driver.run_until(3 * LOCAL_DISCOVERY_HEDGE_DELAY_S)
     assert list(driver.supervisor.open_attempts) == [1, 4]
     assert driver.supervisor.record_object(1, driver.now_s) == [4]
-    driver.supervisor.complete(4)
+    driver.supervisor.forget_attempt(4)
     driver.run_until(driver.now_s + LOCAL_DISCOVERY_SILENCE_TIMEOUT_S - 0.1)
     assert list(driver.supervisor.open_attempts) == [1]
 
