--- a/molereach/coordination/leases/holder.py
+++ b/molereach/coordination/leases/holder.py
@@ -1,9 +1,12 @@
 """A proxy's own session: opens and renews it, and treats it as expired before any other node does.
 
-The holder counts from when it sent its request, by its own clock, for less than the duration; the lease
-manager counts from later and for longer. A session that has lapsed here but has not ended in the log can be
-renewed under the same fencing token. After a session has ended in the log, a new one is opened only once that
-end was applied here, so that all earlier entries are applied first.
+A session is the state that the log holds: open or ended, under one fencing token. Its lease is the time for
+which it is valid: the holder counts the duration on its own clock from when it sent the request, less the
+clock drift; the lease manager starts to count later and adds the drift.
+
+A session whose lease has lapsed here but that has not ended in the log can be renewed under the same fencing
+token. After a session has ended in the log, a new one is opened only once that end was applied here, so that
+all earlier entries are applied first.
 
 Sources: Gray and Cheriton, "Leases" (SOSP 1989), section 2; Burrows, "The Chubby lock service" (OSDI 2006),
 section 2.8.
@@ -35,7 +38,7 @@
 from molereach.coordination.leases.renewals import PendingRenewals
 from molereach.coordination.leases.sessions import SessionRegistry
 
-MAX_BACKOFF_INTERVALS = 10  # in renewal intervals
+MAX_BACKOFF_INTERVALS = 10  # in renewal intervals; bounds the exponent too, to keep the power of 2 small
 PROPOSAL_ID_BITS = 53  # random bits in a proposal's id, as many as a float's significand has
 
 Event = Tick | Applied | Restored | ProposalFinished | GrantsReceived | LeaderChanged | ReleaseLease
@@ -63,15 +66,16 @@
         self.renewal_interval_us = renewal_interval_us
         self.phase = LeasePhase.ABSENT
         self.position = 0  # up to which the log was applied here
-        self._fencing_token = 0  # of the session that is open in the log, valid or lapsed
+        self._open_token = 0  # of the session that is open in the log, valid or lapsed; 0 for none
         self._expires_at_us = 0  # the session is valid before this time
-        self._reported_token = 0  # of the session that was last reported as valid; 0 for none
+        self._valid_token = 0  # of the session that was valid at the last event; 0 for none
         self._loss_reason = ""
-        self._reported_position = 0
+        self._granted_position = 0  # the applied position in the last granted request
         self._renewals = PendingRenewals(instance)
-        self._failed_attempts = 0  # requests and proposals without an answer while no session is valid
+        self._failed_attempts = 0  # successive requests and proposals without success; sets the backoff
         self._next_action_us = 0  # when the next request or proposal is due
-        # Given the applied position, the one up to which nothing that entries forbid is in flight here.
+        # Maps the applied position to the clear position: nothing that an entry up to there forbids is in
+        # flight here.
         self.clear_position_for: Callable[[int], int] = lambda position: position
         self._opening: RetriedProposal | None = None
         self._closing: RetriedProposal | None = None
@@ -80,24 +84,24 @@
 
     def holds(self, now_us: int) -> bool:
         """Whether the session is valid at `now_us`."""
-        return now_us < self._expires_at_us  # 0 in every phase but OPEN
+        return now_us < self._expires_at_us  # it is 0 in every phase but OPEN
 
     @property
     def fencing_token(self) -> int:
         """The fencing token of the session that was valid at the last event; check `holds` first."""
-        return self._reported_token
+        return self._valid_token
 
     @property
     def applied_position(self) -> int:
         """The applied position in the last granted request."""
-        return self._reported_position
+        return self._granted_position
 
     # --- Core ---
 
     @property
     def wake_us(self) -> int:
         """When the next `Tick` is due; `NEVER_US` for never."""
-        if self._reported_token:
+        if self._valid_token:
             return min(self._next_action_us, self._expires_at_us)
         return self._next_action_us
 
@@ -132,9 +136,9 @@
 
     def _report_changes(self, now_us: int) -> list[Action]:
         """Return `LeaseAcquired` and `LeaseLost` for a change since the last event."""
-        current = self._fencing_token if self.holds(now_us) else 0
-        previous = self._reported_token
-        self._reported_token = current
+        current = self._open_token if self.holds(now_us) else 0
+        previous = self._valid_token
+        self._valid_token = current
         reason = self._loss_reason or "not renewed in time"
         self._loss_reason = ""
         changes: list[Action] = []
@@ -155,9 +159,10 @@
         if latest is not None and latest > self.instance:
             self._end_session("a later life has the name", LeasePhase.SUPERSEDED)
         elif opened is not None and opened.instance == self.instance:
-            if opened.fencing_token != self._fencing_token and self.position >= opened.fencing_token:
+            # The fencing token is the position of the entry that opened the session.
+            if opened.fencing_token != self._open_token and self.position >= opened.fencing_token:
                 self._start_session(now_us, opened.fencing_token, opening_position)
-        elif self._fencing_token:
+        elif self._open_token:
             is_leaving = self.phase is LeasePhase.LEAVING
             self._end_session("ended in the log", LeasePhase.LEFT if is_leaving else LeasePhase.ABSENT)
             self._next_action_us = now_us
@@ -166,17 +171,17 @@
         # If a proposal other than the current one opened it, its start is unknown until a grant arrives.
         opened_by_proposal = self._opening is not None and fencing_token == opening_position
         proposed_us = self._opening.first_proposed_us if self._opening and opened_by_proposal else None
-        # A session whose opening is chosen only after the release is closed again.
+        # If the opening was chosen only after `ReleaseLease`, the new session is closed at once.
         is_leaving = self.phase in (LeasePhase.LEAVING, LeasePhase.LEFT)
         self._end_session("ended in the log", LeasePhase.LEAVING if is_leaving else LeasePhase.OPEN)
         if proposed_us is not None and not is_leaving:
             self._expires_at_us = proposed_us + self.terms.holder_duration_us
-        self._fencing_token = fencing_token
+        self._open_token = fencing_token
         self._next_action_us = now_us
         self._failed_attempts = 0
 
     def _end_session(self, reason: str, phase: LeasePhase) -> None:
-        self._fencing_token = 0
+        self._open_token = 0
         self._expires_at_us = 0
         self._loss_reason = reason
         self.phase = phase
@@ -195,7 +200,7 @@
         if is_applied or event.status is ProposalStatus.REJECTED:
             self._opening = None
         if self.phase is LeasePhase.LEAVING:
-            self.phase = LeasePhase.LEFT  # a session that is still opened by it is closed again
+            self.phase = LeasePhase.LEFT  # if the proposal opens a session after all, that is closed again
 
     # --- renewal and release ---
 
@@ -204,7 +209,7 @@
             if renewal := self._renewals.match_grant(grant):
                 expires_at_us = renewal.sent_at_us + self.terms.holder_duration_us
                 self._expires_at_us = max(self._expires_at_us, expires_at_us)
-                self._reported_position = renewal.request.applied_position
+                self._granted_position = renewal.request.applied_position
                 self._failed_attempts = 0
                 self._next_action_us = min(self._next_action_us, now_us + self.renewal_interval_us)
 
@@ -233,9 +238,9 @@
                 if self._opening is None:
                     self._opening = self._new_proposal(now_us, "open", OpenSession(self.instance))
                 return [self._propose(now_us, self._opening)]
-            case LeasePhase.LEAVING if self._fencing_token:
+            case LeasePhase.LEAVING if self._open_token:
                 if self._closing is None:
-                    close = CloseSession(self.instance, self._fencing_token)
+                    close = CloseSession(self.instance, self._open_token)
                     self._closing = self._new_proposal(now_us, "close", close)
                 return [self._propose(now_us, self._closing)]
             case _:
@@ -243,14 +248,14 @@
                 return []
 
     def _renew(self, now_us: int) -> RenewalRequest:
-        if self._reported_token:
+        if self._valid_token:
             self._next_action_us = now_us + self.renewal_interval_us
             self._failed_attempts = 0
         else:
             self._next_action_us = now_us + self._backoff_us()
             self._failed_attempts += 1
         return self._renewals.create(
-            now_us, self._fencing_token, self.position, self.clear_position_for(self.position)
+            now_us, self._open_token, self.position, self.clear_position_for(self.position)
         )
 
     def _new_proposal(self, now_us: int, kind: str, body: Body) -> RetriedProposal:
--- a/molereach/coordination/membership/core.py
+++ b/molereach/coordination/membership/core.py
@@ -1,4 +1,4 @@
-"""The membership core: SWIM with Lifeguard (see the package).
+"""The membership core: SWIM with the extensions of Lifeguard.
 
 In each interval one member is probed, first directly, then through three helpers; without an ack it becomes a
 suspect. A suspect that does not refute the suspicion is declared dead after a timeout. Rumours piggybacked on
@@ -41,14 +41,17 @@
         self._seeds: tuple[str, ...] = ()
         self._next_probe_us = NEVER_US
         self._expected_tick_us = NEVER_US  # as of the last event
-        # Times rather than counts of intervals, which poor local health lengthens.
-        self._sync_us = NEVER_US
-        self._retry_us = NEVER_US
+        # Times rather than counts of intervals, because poor local health lengthens the intervals.
+        self._sync_us = NEVER_US  # of the next full exchange of rumours
+        self._reconnect_us = NEVER_US  # of the next contact with a dead member or an unknown seed
 
     # --- queries ---
 
     def live_instances(self) -> tuple[NodeInstance, ...]:
-        """The live instances and suspects by name; this proxy too, unless it has left or is superseded."""
+        """The live instances and the suspects, sorted by name.
+
+        This proxy is one of them, unless it has left or is superseded.
+        """
         stopped = self._outbox.superseded or self._states.left
         members = self._states.table.members.values()
         instances = [member.instance for member in members if member.status.is_live]
@@ -92,7 +95,8 @@
                 self._on_message(now_us, event.sender, event.message)
             case _:
                 pass
-        # Another accuser can move a suspicion's deadline into the past; its Tick is then due now, not late.
+        # A further accuser shortens a suspicion's timeout, so its deadline may already have passed. Its Tick
+        # is then due now, and is not counted as late.
         self._expected_tick_us = max(now_us, self.wake_us)
         return self._outbox.drain()
 
@@ -100,7 +104,7 @@
         self._seeds = tuple(dict.fromkeys(seed for seed in seeds if seed != self.local.name))[:MAX_MEMBERS]
         self._next_probe_us = now_us + int(self._draw() * self._settings.probe_interval_us)
         self._sync_us = now_us + self._jittered(FIRST_SYNC_INTERVALS)
-        self._retry_us = now_us + self._jittered(self._settings.retry_intervals)
+        self._reconnect_us = now_us + self._jittered(self._settings.retry_intervals)
         self._request_sync(self._seeds, MAX_SEEDS_CONTACTED)
 
     def _on_leave(self) -> None:
@@ -133,7 +137,7 @@
         self._next_probe_us = now_us + interval_us
         self._states.table.remove_expired(now_us - self._settings.forget_us)
         self._sync_if_due(now_us)
-        self._retry_if_due(now_us)
+        self._reconnect_if_due(now_us)
         self._failure_detector.start_probe(now_us)
 
     def _sync_if_due(self, now_us: int) -> None:
@@ -142,13 +146,13 @@
             for name in sample(self._states.table.live_names(), 1, self._draw):
                 self._outbox.send_all_rumours(name, wants_reply=True)
 
-    def _retry_if_due(self, now_us: int) -> None:
+    def _reconnect_if_due(self, now_us: int) -> None:
         """Contact a dead member or an unknown seed, so that the sides of a healed partition merge again."""
         table = self._states.table
         if not table.live_count:
             self._request_sync(self._seeds, MAX_SEEDS_CONTACTED)
-        if now_us >= self._retry_us:
-            self._retry_us = now_us + self._jittered(self._settings.retry_intervals)
+        if now_us >= self._reconnect_us:
+            self._reconnect_us = now_us + self._jittered(self._settings.retry_intervals)
             unknown_seeds = [seed for seed in self._seeds if seed not in table.members]
             self._request_sync([*table.dead_names(), *unknown_seeds], 1)
 
@@ -180,7 +184,7 @@
             else:
                 self._outbox.emit(self._states.apply_rumour(now_us, rumour))
         self._outbox.emit(self._states.observe_sender(now_us, sender))
-        # Other members must receive a refutation before their suspicion expires.
+        # Other members must receive a refutation before their suspicion of this proxy expires.
         if self._states.incarnation > incarnation_before:
             names = self._states.table.live_names()
             self._outbox.send_sync(sample(names, MAX_REFUTATION_RECIPIENTS, self._draw), wants_reply=False)
--- a/molereach/coordination/replicated_log/leader_protocol.py
+++ b/molereach/coordination/replicated_log/leader_protocol.py
@@ -30,7 +30,13 @@
 
 
 class LeaderProtocol:
-    """Runs elections, and the leadership of this node once it is elected."""
+    """Runs elections, and the leadership of this node once it is elected.
+
+    A `Leadership` exists from the start of phase 1. In the order in which they become true: `elected` (a
+    majority has promised once; stays set while phase 1 is repeated), the phase `LEADING` (a majority has
+    promised for the current voters), `leads` (an inherited batch is decided too, so new entries may be
+    proposed), `leadership_announced` (reported by `LeaderChanged`).
+    """
 
     def __init__(
         self, instance: NodeInstance, state: ReplicaState, election: Election, queue: ProposalQueue
@@ -44,16 +50,16 @@
         self.leadership: Leadership | None = None
         self.heartbeat_due_us = 0
         self.leader: Ballot | None = None  # ballot of the known leader
-        self.is_leader = False  # whether this node is the leader
+        self.leadership_announced = False  # whether the last `LeaderChanged` reported this node as leading
 
     # --- the current leader ---
 
     def set_leader(self, ballot: Ballot | None) -> None:
         """Record that another node leads, or that no leader is known, and report a change."""
-        if self.is_leader or ballot != self.leader:
+        if self.leadership_announced or ballot != self.leader:
             known = ballot or self.leader
             self.leader = ballot
-            self.is_leader = False
+            self.leadership_announced = False
             self.outbox.emit(
                 LeaderChanged(ballot.name if ballot else None, known.number if known else 0, False)
             )
@@ -61,19 +67,26 @@
     def announce_leadership(self) -> None:
         """Report that this node leads, once it knows all earlier decisions."""
         leadership = self.leadership
-        if leadership and leadership.leads and not (self.is_leader and self.leader == leadership.ballot):
+        if (
+            leadership
+            and leadership.leads
+            and not (self.leadership_announced and self.leader == leadership.ballot)
+        ):
             self.leader = leadership.ballot
-            self.is_leader = True
+            self.leadership_announced = True
             self.outbox.emit(LeaderChanged(self.instance.name, leadership.ballot.number, True))
 
     def step_down(self, now_us: int) -> None:
-        """Stop leading. The next leader may still decide the proposed batch."""
+        """Stop leading, and drop the queued proposals: their proposers resend them.
+
+        The next leader may still decide the batch that was proposed.
+        """
         if self.leadership is None:
             return
         self.leadership = None
         self.queue.requests.clear()
         self.election.restart_timeout(now_us)
-        if self.is_leader:
+        if self.leadership_announced:
             self.set_leader(None)
 
     def check_leadership(self, now_us: int) -> None:
@@ -90,7 +103,7 @@
             or self.state.recovery.voter not in self.state.voters
         ):
             self.step_down(now_us)
-        elif self.state.position != leadership.after:
+        elif self.state.position != leadership.decided_position:
             if leadership.phase is LeadershipPhase.LEADING:
                 self.step_down(now_us)
             else:
@@ -118,7 +131,7 @@
                 self.step_down(now_us)
             elif now_us >= self.heartbeat_due_us:
                 self.send_heartbeat(now_us, leadership)
-            elif now_us >= self.election.timeout_at_us:
+            elif now_us >= self.election.timeout_at_us:  # unused while elected, but `wake_us` must move on
                 self.election.restart_timeout(now_us)
             return
         if now_us >= self.election.timeout_at_us:
@@ -161,7 +174,7 @@
             if voter.disk in replied:
                 continue
             if leadership.phase is LeadershipPhase.PREPARING:
-                self.outbox.send(voter.name, Prepare(leadership.ballot, leadership.after))
+                self.outbox.send(voter.name, Prepare(leadership.ballot, leadership.decided_position))
             elif leadership.batch:
                 self.outbox.send(voter.name, Accept(leadership.ballot, leadership.batch))
 
@@ -170,6 +183,7 @@
     ) -> Leadership | None:
         """Return the leadership that a promise, vote or reply is for, or None if it is not from a voter."""
         leadership = self.leadership
+        # `source.run` is the run of the sender's process: its disk and its instance number.
         voter = voter_of_disk(self.state.voters, source.run.disk)
         if leadership is None or leadership.ballot != ballot or voter is None:
             return None
@@ -219,7 +233,7 @@
         if not batch:
             return
         self.state.apply_decided(batch)
-        leadership.after = self.state.position
+        leadership.decided_position = self.state.position
         if self.state.voters == voters:
             self.send_heartbeat(now_us, leadership)
         else:
@@ -275,7 +289,7 @@
             self.queue.add(request, self.state.learner)
         elif self.leader:
             self.outbox.send(sender, LeaderHint(self.leader))
-            if sender == request.proposer.name:  # it may not be able to reach the leader itself
+            if sender == request.proposer.name:  # the proposer may not be able to reach the leader itself
                 self.outbox.send(self.leader.name, request)
 
     def on_leader_hint(self, message: LeaderHint) -> bool:
--- a/molereach/coordination/replicated_log/leadership.py
+++ b/molereach/coordination/replicated_log/leadership.py
@@ -44,7 +44,7 @@
     def prepare(self, after: int, now_us: int) -> None:
         """Begin phase 1 for all positions after `after`."""
         self.phase = LeadershipPhase.PREPARING
-        self.after = after
+        self.decided_position = after  # the last one decided before phase 1, or by this ballot
         self.phase_started_us = now_us
         self.promises: dict[str, Promise] = {}
         self.batch: tuple[Entry, ...] = ()  # proposed and not known to be decided
@@ -61,7 +61,7 @@
 
         If it does, `batch` holds the entries that must be proposed first.
         """
-        if self.phase is not LeadershipPhase.PREPARING or message.after != self.after:
+        if self.phase is not LeadershipPhase.PREPARING or message.after != self.decided_position:
             return False
         self.promises[disk] = message
         if not has_majority({disk: promise.source for disk, promise in self.promises.items()}, voters):
--- a/molereach/coordination/storage/folder.py
+++ b/molereach/coordination/storage/folder.py
@@ -1,5 +1,8 @@
 """The log folder of one node: opens it and makes writes durable; errors are one line each.
 
+The contents are a base, which is a snapshot, and a tail of records that were written after it. Each write
+appends its records to the tail as one frame. A base and its tail form a generation.
+
 Each opening copies the valid contents into a new generation. Data that is read may exist only in the page
 cache, after a sync that failed in the previous run (Rebello, "Can Applications Recover from fsync Failures?",
 2020), so a run relies only on data that it has written and synced itself. The copy also drops a torn frame.
@@ -65,8 +68,9 @@
         self.path = path
         self.owner = owner
         self.tail: _Tail | None = None
-        # Set once a write or sync fails: the contents of the disk are unknown until the next start.
-        self.failed = False
+        # Set by `close`, and once a write or sync fails: the contents of the disk are then unknown until the
+        # next start.
+        self.write_disabled = False
 
     @staticmethod
     def open(
@@ -98,19 +102,19 @@
         After a `FolderError` nothing more is written, and the caller must promise nothing more: a second sync
         may report success although the data is lost.
         """
-        if self.failed:
+        if self.write_disabled:
             raise FolderError(f"{self.path}: is closed, or a write has failed before; start again")
         try:
             self._write(batch)
         except Exception as error:
-            self.failed = True
+            self.write_disabled = True
             if isinstance(error, OSError | ValueError):
                 raise folder_error(self.path, error) from error
             raise
 
     def close(self) -> None:
         """Close the tail and release the folder."""
-        self.failed = True
+        self.write_disabled = True
         if self.tail:
             with contextlib.suppress(OSError):  # everything reported as written is already synced
                 self.disk.close(self.tail.file)
@@ -209,7 +213,7 @@
     contents = read_folder(disk, node_name, opening_plan.generation)
     folder = LogFolder(disk, path, contents.owner)
     disk.sync_folder()  # a rename of the previous run may not be on the disk yet
-    folder._remove(opening_plan.remove)
+    folder._remove(opening_plan.names_to_remove)
     folder._begin_generation(opening_plan.generation + 1, contents.base, contents.records)
     folder._remove((tail_name(opening_plan.generation), base_name(opening_plan.generation)))
     return OpenedFolder(contents.owner.identity, contents.base, contents.records, folder)
--- a/molereach/coordination/storage/plan.py
+++ b/molereach/coordination/storage/plan.py
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ExistingFolder:
-    """The valid `generation`, and the files to `remove` in this order, with a folder sync after each."""
+    """The valid `generation`, and the files to remove in this order, with a folder sync after each."""
 
     generation: int
-    remove: tuple[str, ...] = ()
+    names_to_remove: tuple[str, ...] = ()
 
 
 def base_name(generation: int) -> str:
--- a/tests/coordination/replicated_log/fault_histories.py
+++ b/tests/coordination/replicated_log/fault_histories.py
@@ -262,7 +262,7 @@
                     and (
                         node.core.position,
                         node.core.state.may_vote,
-                        node.core.leader_protocol.is_leader,
+                        node.core.leader_protocol.leadership_announced,
                         node.core.leader,
                         node.stopped,
                         node.rolled_back,
--- a/tests/coordination/replicated_log/simulated_cluster.py
+++ b/tests/coordination/replicated_log/simulated_cluster.py
@@ -322,7 +322,9 @@
 
     def leader(self) -> str | None:
         leading = [
-            node.name for node in self.nodes.values() if node.core and node.core.leader_protocol.is_leader
+            node.name
+            for node in self.nodes.values()
+            if node.core and node.core.leader_protocol.leadership_announced
         ]
         return leading[-1] if len(leading) == 1 else None
 
@@ -347,7 +349,11 @@
         assert known == entry, f"two values at {entry.position}: {known} and {entry}"
         before = self.entries.get(entry.position - 1)
         assert before is None or before.at_ms <= entry.at_ms, "the time of an entry decreased"
-        if len(self.entries) == entry.position and node.core and node.core.leader_protocol.is_leader:
+        if (
+            len(self.entries) == entry.position
+            and node.core
+            and node.core.leader_protocol.leadership_announced
+        ):
             for other in self.nodes.values():
                 if other.core and other.core.recovery.voter not in other.core.voters:
                     self.schedule(
--- a/tests/coordination/replicated_log/test_cluster.py
+++ b/tests/coordination/replicated_log/test_cluster.py
@@ -96,7 +96,7 @@
     assert cluster.run(3 * SECOND_US, lambda: len(cluster.leaders_by_ballot) == 2)
     cluster.run(2 * SECOND_US)
     core = cluster.nodes[old_leader].core
-    assert core and core.leader_protocol.leadership is None and not core.leader_protocol.is_leader
+    assert core and core.leader_protocol.leadership is None and not core.leader_protocol.leadership_announced
     assert cluster.leader() not in (None, old_leader)
 
 
--- a/tests/coordination/replicated_log/test_single_node.py
+++ b/tests/coordination/replicated_log/test_single_node.py
@@ -90,7 +90,7 @@
         ballot = Ballot(1, "d0", 1)
         self.deliver(1, PreVoteReply(ballot, VOTERS[1].disk, True, NOBODY))
         self.deliver(1, Promise(ballot, 0, VoteSource(RUNS[1])))
-        assert self.core.leader_protocol.is_leader
+        assert self.core.leader_protocol.leadership_announced
         return ballot
 
 
@@ -194,7 +194,7 @@
     node = SingleNode()
     node.become_leader()
     node.handle(event)
-    assert node.core.leader_protocol.leadership is None and not node.core.leader_protocol.is_leader
+    assert node.core.leader_protocol.leadership is None and not node.core.leader_protocol.leadership_announced
     assert any(isinstance(action, LeaderChanged) and not action.is_self for action in node.all_actions)
 
 
