--- a/molereach/coordination/dissemination/core.py
+++ b/molereach/coordination/dissemination/core.py
@@ -88,9 +88,9 @@
                 self.start_heartbeat(now_us)
         else:
             self._check_parent(now_us)
-        changed = self.tracker.name != self.reported_parent
+        changed = self.tracker.parent_name != self.reported_parent
         if changed:
-            self.reported_parent = self.tracker.name
+            self.reported_parent = self.tracker.parent_name
             self.actions.append(ParentChanged(self.reported_parent))
         # A report to a new parent is due at once, as it makes this proxy a child there.
         has_new_parent = changed and self.reported_parent is not None
@@ -127,10 +127,10 @@
                 self.actions.append(RequestsCollected(requests))
             return
         self.heartbeat.on_report(now_us)
-        if self.tracker.name is not None:
+        if self.tracker.parent_name is not None:
             position = self.downstream.forwarder.applied_position
             report = UpstreamReport(position, self.downstream.children.subtree_size, requests)
-            self.actions.append(SendMessage(self.tracker.name, report))
+            self.actions.append(SendMessage(self.tracker.parent_name, report))
 
     # --- local events ---
 
@@ -187,7 +187,7 @@
     def on_parent_request(self, now_us: int, sender: NodeInstance) -> None:
         """Consent to be the sender's parent if connected and with capacity, unless that is the own parent."""
         has_capacity = self.downstream.children.has_capacity_for(sender.name, self.state.tree.children)
-        if has_capacity and sender.name != self.tracker.name and self.selection.is_connected(now_us):
+        if has_capacity and sender.name != self.tracker.parent_name and self.selection.is_connected(now_us):
             self.downstream.send_redirect(sender.name, self.local.name, self.actions)
 
     def on_report(self, now_us: int, sender: NodeInstance, report: UpstreamReport) -> None:
--- a/molereach/coordination/dissemination/parent_selection.py
+++ b/molereach/coordination/dissemination/parent_selection.py
@@ -10,7 +10,7 @@
 
 
 class ParentSelection:
-    """Sets the parent, `tracker.name`; the core detects changes and reports to a new parent at once."""
+    """Sets the parent, `tracker.parent_name`; the core sees changes and reports to a new parent at once."""
 
     def __init__(
         self, local: NodeInstance, settings: DisseminationSettings, draw: Callable[[], float]
@@ -41,9 +41,9 @@
         self.on_leader_changed(now_us, leader_changed, preferred_before)
         preferred = self.state.tree.parent
         if preferred is None or led_before:
-            if self.tracker.name is None:
+            if self.tracker.parent_name is None:
                 self.search(now_us, children)
-        elif preferred != self.tracker.name:
+        elif preferred != self.tracker.parent_name:
             has_new_leader = leader_changed and self.state.leader is not None
             if has_new_leader or (preferred != preferred_before and not self.is_connected(now_us)):
                 self.tracker.attach(now_us, preferred)
@@ -76,9 +76,9 @@
         # During a search, an earlier candidate may have been connected meanwhile. A proxy that returns to its
         # parent by rank (attempts is 0) keeps waiting for that.
         is_searching = (leader_changed or tracker.attempts > 0) and not self.is_connected(now_us)
-        if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.name:
+        if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.parent_name:
             tracker.attach(now_us, sender)
-        if sender != tracker.name or not tracker.on_heartbeat(now_us, heartbeat, depth):
+        if sender != tracker.parent_name or not tracker.on_heartbeat(now_us, heartbeat, depth):
             return False
         tracker.ensure_preferred_request_scheduled(now_us, self.state.tree)
         return True
@@ -92,7 +92,7 @@
         elif self.state.is_leader or message.parent == self.local.name:
             return
         elif message.parent == sender:  # consent to be the parent; only the parent by rank was asked
-            if sender == preferred != tracker.name:
+            if sender == preferred != tracker.parent_name:
                 tracker.attach(now_us, sender)
-        elif sender == tracker.name and not tracker.follow_redirect(now_us, message.parent):
+        elif sender == tracker.parent_name and not tracker.follow_redirect(now_us, message.parent):
             self.search(now_us, children)
--- a/molereach/coordination/dissemination/parent_tracker.py
+++ b/molereach/coordination/dissemination/parent_tracker.py
@@ -5,9 +5,9 @@
 intervals, whatever caused it: no path information is needed. A parent too far from the leader is likewise
 replaced.
 
-Candidates are, in order: the parent by rank, its parent, the leader, a voter, and random live proxies. While
-a proxy follows a parent other than its parent by rank (the preferred parent), it periodically asks the
-preferred one and keeps the current parent until that consents.
+The preferred parent is the one that the ranks of the live proxies give. Candidates are, in order: the
+preferred parent, its parent, the leader, a voter, and random live proxies. While a proxy follows another
+parent, it periodically asks the preferred one and keeps the current parent until the preferred one consents.
 """
 
 from collections.abc import Callable, Collection
@@ -19,7 +19,7 @@
 
 CANDIDATES_PER_ROUND = 6  # before the first is tried again
 MAX_REDIRECTS = 4  # followed in succession
-MAX_ATTEMPTS = 1 << 10
+MAX_COUNTED_ATTEMPTS = 1 << 10  # the count stops here; the attempts continue
 MAX_BACKOFF_EXPONENT = 8
 
 
@@ -37,14 +37,14 @@
         self.settings = settings
         self.draw = draw
         self.max_depth = settings.max_depth
-        self.name: str | None = None
+        self.parent_name: str | None = None
         self.last_heartbeat = HeartbeatId(0, 0)  # the highest received from any parent
-        self.depth = 0  # distance from the leader
+        self.depth = 0  # hops from the leader, whose own depth is 0
         self.confirmed = False  # whether the parent has sent a newer heartbeat since it was chosen
         self.expires_us = NEVER_US  # when the parent is replaced
         self.attempts = 0
         self.redirects = 0
-        self.preferred_retry_us = NEVER_US  # when to ask the parent by rank next
+        self.preferred_retry_us = NEVER_US  # when to ask the preferred parent next
         self.preferred_attempts = 0
 
     def is_connected(self, now_us: int) -> bool:
@@ -56,7 +56,11 @@
         return now_us >= self.expires_us
 
     def on_heartbeat(self, now_us: int, heartbeat: HeartbeatId, depth: int) -> bool:
-        """Apply an update of the parent at `depth`; returns whether it is a new heartbeat."""
+        """Apply an update of the parent, which is `depth` hops from the leader; returns whether it counts.
+
+        A heartbeat does not count if it is not newer than the last one, or if the parent is too far from the
+        leader to follow it.
+        """
         if heartbeat <= self.last_heartbeat or depth >= self.max_depth:
             return False
         self.last_heartbeat = heartbeat
@@ -69,7 +73,7 @@
 
     def attach(self, now_us: int, name: str | None) -> None:
         """Follow a parent; its next new heartbeat confirms it."""
-        self.name = name
+        self.parent_name = name
         self.confirmed = False
         rounds = self.attempts / CANDIDATES_PER_ROUND
         intervals = min(
@@ -80,7 +84,7 @@
 
     def detach(self) -> None:
         """Follow no parent, as is the case for the leader."""
-        self.name = None
+        self.parent_name = None
         self.confirmed = False
         self.expires_us = NEVER_US
         self.preferred_retry_us = NEVER_US
@@ -99,15 +103,18 @@
     def try_next_candidate(
         self, now_us: int, tree: RankedTree, voters: Collection[str], children: Collection[str]
     ) -> None:
-        """Follow the next candidate; excludes the children from the random ones."""
+        """Follow the next candidate.
+
+        A random proxy is never one of the children; any other candidate, also the voter, may be one.
+        """
         name = None
         for _ in range(CANDIDATES_PER_ROUND):
             name = self.candidate(self.attempts % CANDIDATES_PER_ROUND, tree, voters, children)
-            self.attempts = min(self.attempts + 1, MAX_ATTEMPTS)
-            if name is not None and name not in (tree.local_name, self.name):
+            self.attempts = min(self.attempts + 1, MAX_COUNTED_ATTEMPTS)
+            if name is not None and name not in (tree.local_name, self.parent_name):
                 break
         else:
-            name = self.name  # no other candidate
+            name = self.parent_name  # no other candidate
         self.redirects = 0
         self.attach(now_us, name)
 
@@ -132,7 +139,7 @@
         """A random name; None if the list is empty."""
         return names[min(int(self.draw() * len(names)), len(names) - 1)] if names else None
 
-    # --- return to the parent by rank ---
+    # --- return to the preferred parent ---
 
     def schedule_preferred_request(self, now_us: int) -> None:
         """Ask the preferred parent at a random time within an interval, to spread the requests of proxies."""
@@ -141,14 +148,14 @@
 
     def ensure_preferred_request_scheduled(self, now_us: int, tree: RankedTree) -> None:
         """Start asking the preferred parent if another one is followed."""
-        if self.name != tree.parent and self.preferred_retry_us == NEVER_US:
+        if self.parent_name != tree.parent and self.preferred_retry_us == NEVER_US:
             self.schedule_preferred_request(now_us)
 
     def preferred_to_request(self, now_us: int, tree: RankedTree) -> str | None:
-        """The parent by rank if it is to be asked now; else None."""
+        """The preferred parent if it is to be asked now; else None."""
         if now_us < self.preferred_retry_us:
             return None
-        if self.name == tree.parent or tree.parent is None:
+        if self.parent_name == tree.parent or tree.parent is None:
             self.preferred_retry_us = NEVER_US
             return None
         backoff = 1 << min(self.preferred_attempts, MAX_BACKOFF_EXPONENT)
--- a/molereach/coordination/node/service.py
+++ b/molereach/coordination/node/service.py
@@ -50,14 +50,14 @@
 MAX_PENDING_PROPOSALS = 1024  # proposed by this proxy
 DISK_CLOSE_TIMEOUT_S = 1.0
 LEAVE_TIMEOUT_S = 1.0  # for the log to close the session when leaving
-INSTANCE_RANDOM_BITS = 20  # below the start time in milliseconds, so that two starts differ
+INSTANCE_RANDOM_BITS = 20  # the low bits of the number, so that two starts in one millisecond differ
 NS_PER_MS = 1_000_000
 NS_PER_US = 1_000
 US_PER_MS = 1_000
 
 
 def new_instance(name: str) -> NodeInstance:
-    """A new instance of this proxy; its number is greater than those of earlier instances."""
+    """A new instance of this proxy; greater than earlier ones unless the wall clock was set back."""
     start_ms = time.time_ns() // NS_PER_MS
     return NodeInstance(name, (start_ms << INSTANCE_RANDOM_BITS) | random.getrandbits(INSTANCE_RANDOM_BITS))
 
@@ -90,7 +90,10 @@
 
 
 class CoordinationService:
-    """Must be created in the running event loop; `opened_folder` is None for a proxy without a folder."""
+    """Runs the coordination core of this proxy: passes it events and carries out its actions.
+
+    Must be created in the running event loop; `opened_folder` is None for a proxy without a folder.
+    """
 
     def __init__(
         self,
@@ -179,22 +182,22 @@
         """Whether the session is valid now; must be checked at each use."""
         return self.core.holds_session(now_us())
 
-    async def propose(self, machine: str, name: str, body: bytes, timeout_us: int) -> ProposalFinished:
-        """Propose an entry for a state machine and wait for the outcome; `name` identifies the proposal."""
-        outcome = self.pending_proposals.get(name)
+    async def propose(self, machine: str, proposal_id: str, body: bytes, timeout_us: int) -> ProposalFinished:
+        """Propose an entry for a state machine; return its outcome. A pending id is not proposed again."""
+        outcome = self.pending_proposals.get(proposal_id)
         if outcome is None:
             is_full = len(self.pending_proposals) >= MAX_PENDING_PROPOSALS
             if is_full or self.closed or self.core.end_reason:
-                return ProposalFinished(name, ProposalStatus.REJECTED)
+                return ProposalFinished(proposal_id, ProposalStatus.REJECTED)
             outcome = self.loop.create_future()
-            self.pending_proposals[name] = outcome
-            self.handle_event(Propose(machine, name, body, timeout_us))
+            self.pending_proposals[proposal_id] = outcome
+            self.handle_event(Propose(machine, proposal_id, body, timeout_us))
         return await asyncio.shield(outcome)
 
     def abandon_proposals(self) -> None:
         """Finish all pending proposals with an unknown outcome."""
-        for name in list(self.pending_proposals):
-            self.on_proposal_finished(ProposalFinished(name, ProposalStatus.UNKNOWN))
+        for proposal_id in list(self.pending_proposals):
+            self.on_proposal_finished(ProposalFinished(proposal_id, ProposalStatus.UNKNOWN))
 
     # --- events ---
 
--- a/molereach/coordination/transport/connection.py
+++ b/molereach/coordination/transport/connection.py
@@ -21,9 +21,9 @@
 )
 from molereach.coordination.transport.handshake import (
     MAX_HANDSHAKE_BYTES,
+    AuthenticatedSession,
     DiallerHandshake,
     ListenerHandshake,
-    Session,
     encode_rejection,
     printable_line,
 )
@@ -57,12 +57,14 @@
         self.channel: SessionChannel | None = None  # set when the handshake is complete
         self.transport: asyncio.Transport | None = None
         self.handshake_timer: asyncio.TimerHandle | None = None
-        self.source_address = ""  # of the peer while the connection holds an unauthenticated slot, else ""
+        # Of the peer while the connection holds an unauthenticated slot; the registry releases the slot, and
+        # then sets this to "".
+        self.source_address = ""
         self.hello_sent = False
         self.is_scheduled = False  # set by the scheduler
         self.writing_paused = False  # the write buffer is full
         self.reading_paused = False  # the read buffer is full
-        self.draining_heartbeats = 0
+        self.draining_intervals = 0  # heartbeat intervals that have passed in phase `DRAINING`
         self.bytes_received = 0
         self.bytes_sent = 0
         self.last_received_us = 0
@@ -177,7 +179,7 @@
         self.write_handshake_message(welcome)
         self.begin_session(session)
 
-    def begin_session(self, session: Session) -> None:
+    def begin_session(self, session: AuthenticatedSession) -> None:
         """Complete the handshake; all further frames are authenticated."""
         key = self.owner.key
         self.channel = SessionChannel(key, session, self.is_outgoing, self.owner.codec, self.heartbeat)
@@ -244,11 +246,15 @@
         if self.channel is not None:
             self.write(self.channel.seal_message(body))
 
-    def send_heartbeat(self) -> None:
-        """Acknowledge received messages; close a connection that is unresponsive, idle or slow to close."""
+    def on_heartbeat_interval(self) -> None:
+        """Send the heartbeat of one interval, or abort a draining connection after too many intervals.
+
+        The heartbeat acknowledges received messages. An idle connection is closed gracefully; an unresponsive
+        one is aborted.
+        """
         if self.phase is ConnectionPhase.DRAINING:
-            self.draining_heartbeats += 1
-            if self.draining_heartbeats >= self.settings.max_draining_heartbeats:
+            self.draining_intervals += 1
+            if self.draining_intervals >= self.settings.max_draining_heartbeats:
                 self.abort("it did not close")
         if self.phase is not ConnectionPhase.OPEN or self.transport is None or self.channel is None:
             return
@@ -279,7 +285,7 @@
             self.transport.close()
 
     def abort(self, reason: str, failed: bool = True) -> None:
-        """Close the connection immediately; `failed` is False if this side chose to close it."""
+        """Close the connection immediately; `failed` is False if this proxy chose to close it."""
         if self.phase is not ConnectionPhase.CLOSED:
             self.leave_phase(reason, failed)
         if self.transport:
@@ -291,7 +297,10 @@
         failed: bool,
         next_phase: ConnectionPhase = ConnectionPhase.CLOSED,
     ) -> None:
-        """Move to `next_phase`; the owner is notified once that the connection is no longer usable."""
+        """Move to `next_phase`; the owner is notified once that the connection is no longer usable.
+
+        `failed` is False if either side chose to close the connection.
+        """
         previous = self.phase
         self.phase = next_phase
         self.cancel_handshake_timer()
--- a/molereach/coordination/transport/connection_registry.py
+++ b/molereach/coordination/transport/connection_registry.py
@@ -221,6 +221,6 @@
     def send_heartbeat_batch(self, connections: list[PeerConnection]) -> None:
         """Send a batch of heartbeats; the remaining ones are scheduled after other event loop callbacks."""
         for connection in connections[:HEARTBEATS_PER_TURN]:
-            connection.send_heartbeat()
+            connection.on_heartbeat_interval()
         if len(connections) > HEARTBEATS_PER_TURN:
             self.loop.call_soon(self.send_heartbeat_batch, connections[HEARTBEATS_PER_TURN:])
--- a/molereach/coordination/transport/handshake.py
+++ b/molereach/coordination/transport/handshake.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Session:
+class AuthenticatedSession:
     """The result of a completed handshake: both sides are authenticated."""
 
     id: bytes
@@ -152,7 +152,7 @@
         self.hello = _encoder.encode(msgspec.structs.replace(hello, proof=proof))
         return self.hello
 
-    def receive_reply(self, data: bytes) -> Session:
+    def receive_reply(self, data: bytes) -> AuthenticatedSession:
         """The session that a welcome establishes; HandshakeError for a rejection, with its reason."""
         try:
             reply = _reply_decoder.decode(data)
@@ -166,7 +166,7 @@
         )
         if reply.sender.name != self.recipient:
             raise HandshakeError(f"{reply.sender.name} is there, not {self.recipient}")
-        return Session(
+        return AuthenticatedSession(
             handshake_digest(self.key, SESSION_ROLE, self.greeting, self.hello, data), reply.sender
         )
 
@@ -210,11 +210,11 @@
         self.hello = data
         return hello.sender
 
-    def accept(self, peer: NodeInstance) -> tuple[bytes, Session]:
+    def accept(self, peer: NodeInstance) -> tuple[bytes, AuthenticatedSession]:
         """The encoded welcome for an authenticated dialler, and the session."""
         welcome_without_proof = Welcome(self.local_instance)
         proof_input = encode_without_proof(welcome_without_proof)
         proof = handshake_digest(self.key, LISTENER_ROLE, self.greeting, self.hello, proof_input)
         welcome = _encoder.encode(msgspec.structs.replace(welcome_without_proof, proof=proof))
         session_id = handshake_digest(self.key, SESSION_ROLE, self.greeting, self.hello, welcome)
-        return welcome, Session(session_id, peer)
+        return welcome, AuthenticatedSession(session_id, peer)
--- a/molereach/coordination/transport/session_channel.py
+++ b/molereach/coordination/transport/session_channel.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from molereach.coordination.transport.frames import FROM_DIALLER, FROM_LISTENER, FrameOpener, FrameSealer
-from molereach.coordination.transport.handshake import Session
+from molereach.coordination.transport.handshake import AuthenticatedSession
 from molereach.coordination.transport.heartbeat import ConnectionHealth, HeartbeatMonitor
 from molereach.coordination.transport.messages import CONTROL_PROTOCOL, Goodbye, Heartbeat, MessageCodec
 
@@ -19,7 +19,7 @@
     def __init__(
         self,
         key: bytes,
-        session: Session,
+        session: AuthenticatedSession,
         is_dialler: bool,
         codec: MessageCodec,
         heartbeat: HeartbeatMonitor,
--- a/tests/compatibility/council_session.py
+++ b/tests/compatibility/council_session.py
@@ -7,9 +7,9 @@
 from molereach.coordination.node.components import DISSEMINATION, LOG, MEMBERSHIP, MESSAGE_TYPES
 from molereach.coordination.transport.frames import MAX_BODY_BYTES, TAG_BYTES, FrameSplitter
 from molereach.coordination.transport.handshake import (
+    AuthenticatedSession,
     DiallerHandshake,
     ListenerHandshake,
-    Session,
     encode_rejection,
 )
 from molereach.coordination.transport.heartbeat import HeartbeatMonitor
@@ -33,8 +33,8 @@
     greeting: bytes
     hello: bytes
     welcome: bytes
-    dialler: Session
-    listener: Session
+    dialler: AuthenticatedSession
+    listener: AuthenticatedSession
 
 
 def part_names() -> tuple[str, ...]:
@@ -63,7 +63,7 @@
     return Handshake(listener.greeting, hello, welcome, dialler.receive_reply(welcome), listener_session)
 
 
-def speech(session: Session, side: str) -> SessionChannel:
+def speech(session: AuthenticatedSession, side: str) -> SessionChannel:
     """One side's sealed conversation."""
     pulse = HeartbeatMonitor(max_silent_heartbeats=8, max_stalled_heartbeats=8, max_idle_heartbeats=1000)
     return SessionChannel(KEY, session, side == DIALLER, MessageCodec(MESSAGE_TYPES), pulse)
@@ -81,7 +81,7 @@
     return membership + [(LOG, message) for message in samples.log_messages().values()]
 
 
-def frames(session: Session, side: str) -> list[bytes]:
+def frames(session: AuthenticatedSession, side: str) -> list[bytes]:
     """The sealed frames of what a side says."""
     talk, words = speech(session, side), MessageCodec(MESSAGE_TYPES)
     return [
@@ -92,7 +92,7 @@
     ]
 
 
-def heard(session: Session, side: str, data: Iterable[bytes]) -> list[Spoken]:
+def heard(session: AuthenticatedSession, side: str, data: Iterable[bytes]) -> list[Spoken]:
     """What the other side takes out of a side's frames."""
     other = LISTENER if side == DIALLER else DIALLER
     talk, cutter = speech(session, other), FrameSplitter(MAX_BODY_BYTES, TAG_BYTES)
--- a/tests/compatibility/test_council_session.py
+++ b/tests/compatibility/test_council_session.py
@@ -3,7 +3,7 @@
 import pytest
 
 from molereach.coordination.transport.errors import HandshakeError
-from molereach.coordination.transport.handshake import Session
+from molereach.coordination.transport.handshake import AuthenticatedSession
 from tests.compatibility import council_samples, council_session
 from tests.compatibility.council_files import recorded_values
 from tests.compatibility.council_session import DIALLER, FILE_NAME, LISTENER
@@ -28,13 +28,13 @@
     assert listener.greeting == recorded["greeting"]
     peer = listener.receive_hello(recorded["hello"])
     assert peer == council_samples.FIRST_DOOR
-    assert listener.accept(peer) == (recorded["welcome"], Session(recorded["session"], peer))
+    assert listener.accept(peer) == (recorded["welcome"], AuthenticatedSession(recorded["session"], peer))
 
 
 def test_a_dialler_takes_the_recorded_greeting_and_welcome() -> None:
     recorded, dialler = recorded_session(), council_session.dialling()
     assert dialler.receive_greeting(recorded["greeting"]) == recorded["hello"]
-    assert dialler.receive_reply(recorded["welcome"]) == Session(
+    assert dialler.receive_reply(recorded["welcome"]) == AuthenticatedSession(
         recorded["session"], council_samples.SECOND_DOOR
     )
 
@@ -49,5 +49,5 @@
 @pytest.mark.parametrize("side", [DIALLER, LISTENER])
 def test_recorded_frames_are_opened_to_the_same_messages(side: str) -> None:
     peer = council_samples.FIRST_DOOR if side == DIALLER else council_samples.SECOND_DOOR
-    session = Session(recorded_session()["session"], peer)
+    session = AuthenticatedSession(recorded_session()["session"], peer)
     assert council_session.heard(session, side, recorded_frames(side)) == council_session.spoken(side)
--- a/tests/coordination/dissemination/simulated_tree.py
+++ b/tests/coordination/dissemination/simulated_tree.py
@@ -276,4 +276,4 @@
         ]
 
     def parents(self) -> dict[str, str | None]:
-        return {name: self.nodes[name].core.tracker.name for name in self.live_names}
+        return {name: self.nodes[name].core.tracker.parent_name for name in self.live_names}
--- a/tests/coordination/dissemination/test_faults.py
+++ b/tests/coordination/dissemination/test_faults.py
@@ -26,7 +26,7 @@
     """Assert that each parent is the one by rank."""
     for name in simulation.live_names:
         core = simulation.nodes[name].core
-        assert core.tracker.name == core.state.tree.parent
+        assert core.tracker.parent_name == core.state.tree.parent
         assert len(core.downstream.children.table) <= FANOUT
 
 
@@ -97,12 +97,12 @@
     }
     for index, name in enumerate(cycle):
         core: DisseminationTree = simulation.nodes[name].core
-        core.tracker.name = cycle[index - 1]  # has not expired yet, as far as the core knows
+        core.tracker.parent_name = cycle[index - 1]  # has not expired yet, as far as the core knows
         simulation.deliver(name, None)
     simulation.run(1.1)
     core = simulation.nodes[cycle[0]].core
     ballot, number = core.tracker.last_heartbeat
-    assert core.tracker.name == cycle[-1]
+    assert core.tracker.parent_name == cycle[-1]
     heartbeat = DownstreamUpdate(ballot, number + 1, simulation.leader, 3, 0)  # a delayed one
     simulation.deliver(cycle[0], MessageReceived(simulation.nodes[cycle[-1]].core.local, heartbeat))
     simulation.run(1)
--- a/tests/coordination/dissemination/test_parent_selection.py
+++ b/tests/coordination/dissemination/test_parent_selection.py
@@ -77,7 +77,7 @@
     core = make_connected_core()
     for now_us in range(INTERVAL_US, 3 * INTERVAL_US, INTERVAL_US // 8):
         receive(core, now_us, "d00", DownstreamUpdate(3, 1, "d00", 0, 0))
-    assert core.tracker.name != "d00"
+    assert core.tracker.parent_name != "d00"
 
 
 def test_parent_too_far_from_the_leader_is_replaced() -> None:
@@ -85,7 +85,7 @@
         core = make_connected_core()
         for interval in range(1, 4):
             receive(core, interval * INTERVAL_US, "d00", DownstreamUpdate(3, 1 + interval, "d00", depth, 0))
-        assert (core.tracker.name == "d00") is kept
+        assert (core.tracker.parent_name == "d00") is kept
 
 
 def test_new_ballot_must_come_from_the_parent_itself() -> None:
