--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -43,7 +43,8 @@
 
     `fetch_state` fetches a peer's state if it is newer than a revision. `synced_agents` are this agent and
     the peers that have answered since the start; `started_without_majority` is set if the agent began to send
-    orders before a majority was among them. `journal_error` is why the acceptor may no longer reply, or "".
+    orders before a majority was among them. After `start_alone_s` it begins even without a majority.
+    `journal_error` is why the acceptor may no longer reply, or "".
     """
 
     def __init__(
@@ -64,10 +65,11 @@
         self.fetch_state = fetch_state
         self.start_alone_s = start_alone_s
         self.random = random or Random()
-        state = journal.load()
-        self.acceptor = Acceptor(state.promised, state.order_state)
+        stored = journal.load()
+        # The stored field `promised` is the whole state of the acceptor, with the order that it accepted.
+        self.acceptor = Acceptor(stored.promised, stored.order_state)
         self.roster = roster.Roster(name)
-        self.now_ms = anchored_unix_ms()
+        self.now_ms = anchored_unix_ms()  # a function that returns the current time
         self.state_lock = asyncio.Lock()
         self.connections: dict[str, ProxyConnection] = {}
         self.sending_orders_to: set[str] = set()
@@ -291,7 +293,7 @@
             decided for decided in order_state.recent.values() if decided.revision > revision_before
         ]:
             self.record_order(decided)
-        self.update_roster(roster.RevisionChanged(order_state.revision, self.roster.ready))
+        self.update_roster(roster.RevisionOrReadinessChanged(order_state.revision, self.roster.ready))
 
     def record_order(self, decided: Decided) -> None:
         """Log a decided order and add it to the event history."""
@@ -321,7 +323,7 @@
         peers = [name for name in self.agent_names if name != self.name]
         round_robin_index = 0
         while True:
-            if not self.roster.ready:
+            if not self.roster.ready:  # orders may not be sent to proxies yet
                 # A few random peers at a time: many agents that start together would otherwise overload
                 # one another, and none would answer in time.
                 unsynced_peers = [peer for peer in peers if peer not in self.synced_agents]
@@ -347,12 +349,12 @@
                 heard=len(self.synced_agents),
                 fleet=len(self.agent_names),
             )
-        self.update_roster(roster.RevisionChanged(self.acceptor.order_state.revision, True))
+        self.update_roster(roster.RevisionOrReadinessChanged(self.acceptor.order_state.revision, True))
         for proxy in list(self.connections):
             self.spawn(self.send_orders(proxy))
 
     async def sync(self, peer: str) -> None:
-        """Adopt a peer's state if it is newer, and save it before it takes effect."""
+        """Adopt a peer's state if it is newer; save it before the change is reported to the roster."""
         try:
             record = await self.fetch_state(peer, self.acceptor.order_state.revision)
             if record is not None:
@@ -381,11 +383,11 @@
                 log.info("front door", door=event.subject, change=event.text)
             for watcher in self.watchers:
                 watcher.push(event)
-        self.last_published_number = self.roster.number
+        self.last_published_number = self.roster.last_event_number
 
     def events(self, after: int) -> list[Event]:
         """Return the events in the history whose number is greater than `after`."""
-        if after >= self.roster.number:
+        if after >= self.roster.last_event_number:
             return []
         return [event for event in self.roster.history if event.number > after]
 
@@ -409,7 +411,7 @@
         return AgentSnapshot(self.status(), self.acceptor.order_state.to_record(), ready)
 
     async def members(self) -> Members:
-        """Return the servers as each proxy sees them."""
+        """Return the members of the endpoint list, which are servers, as each proxy sees them."""
         responses, missing = await self.request_all("members")
         members = {proxy: response.members or () for proxy, response in responses.items()}
         return Members(self.name, members, missing)
--- a/molereach/fleet/agreement.py
+++ b/molereach/fleet/agreement.py
@@ -108,13 +108,14 @@
 class Acceptor:
     """An agent's acceptor: accepts at most one order per ballot, and none below the promised ballot.
 
-    `state` and `order_state` must survive a restart.
+    `state` is what it promised and accepted at one revision; `order_state` holds the decided orders. Both
+    must survive a restart.
     """
 
     def __init__(
         self, state: AcceptorState = AcceptorState(), record: OrderStateRecord = OrderStateRecord()
     ) -> None:
-        """Start from the stored state."""
+        """Start from the stored state: `state`, and `record` for the decided orders."""
         self.state = state
         self.order_state = OrderState(record)
 
@@ -134,14 +135,14 @@
                 return []
 
     def record_decided(self, known: Known) -> None:
-        """Apply the decided orders, or the whole state, in a message."""
+        """Apply the decided orders, or the whole order state, in a message."""
         if known.base:
             self.order_state.adopt(known.base)
         for decided in known.decided:
             self.order_state.record_decided(decided)
 
     def decided_since(self, first: int) -> Known:
-        """Return decided orders from revision `first` on, or the whole state if one of them is not stored."""
+        """Return decided orders from revision `first` on, or the whole order state if one is not stored."""
         last = min(self.order_state.revision, first + MAX_DECIDED_PER_REPLY - 1)
         recent = self.order_state.recent
         if any(revision not in recent for revision in range(first, last + 1)):
@@ -153,7 +154,7 @@
         return self.state_at(self.order_state.revision + 1).accepted
 
     def state_at(self, revision: int) -> AcceptorState:
-        """Return the state at a revision; a promise for an earlier revision does not apply to it."""
+        """Return the acceptor state at a revision; a promise for an earlier revision does not apply to it."""
         return self.state if self.state.revision == revision else AcceptorState(revision)
 
     def prepare(self, message: Prepare) -> list[Message]:
@@ -190,9 +191,10 @@
     """Proposes one order at one revision; each message that it returns is to be sent to all agents.
 
     In the phases `DONE` and `LOST`, `outcome` is the order that is decided at the revision. If an agent sent
-    a whole state instead of single orders, `later_state` is that state, and `outcome` is this proposer's own
-    order if the state still names it, otherwise None. A proposer that lost may validate its order against the
-    newer state and propose it at the next revision.
+    its whole order state, because it no longer has the single orders, `later_state` is that state. It may not
+    tell which order was decided at the revision: if it names this proposer's own order, the phase is `DONE`
+    and `outcome` is that order; otherwise the phase is `LOST` and `outcome` is None. A proposer that lost may
+    validate its order against the newer state and propose it at the next revision.
     """
 
     name: str
@@ -214,7 +216,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether an order is decided at the revision, be it this one or another."""
+        """Whether an order is decided at the revision, be it `order` or another one."""
         return self.phase in (Phase.DONE, Phase.LOST)
 
     @property
--- a/molereach/fleet/roster.py
+++ b/molereach/fleet/roster.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RevisionChanged:
+class RevisionOrReadinessChanged:
     """The agent's revision or readiness changed; proxies are sent orders only while `ready`."""
 
     revision: int
@@ -91,7 +91,13 @@
 
 Action = Connect | SendOrders | Disconnect
 RosterEvent = (
-    SocketsListed | Connected | StateReceived | Disconnected | RequestUnanswered | RevisionChanged | Tick
+    SocketsListed
+    | Connected
+    | StateReceived
+    | Disconnected
+    | RequestUnanswered
+    | RevisionOrReadinessChanged
+    | Tick
 )
 
 
@@ -118,9 +124,9 @@
         self.agent = agent
         self.proxies: dict[str, ProxyRecord] = {}
         self.revision = 0
-        self.ready = False
+        self.ready = False  # whether orders may be sent to proxies
         self.history: deque[Event] = deque(maxlen=MAX_EVENTS)
-        self.number = 0  # the number of the last event
+        self.last_event_number = 0
         self.truncated_listings = 0  # listings with more than MAX_PROXIES proxies
 
     def handle(self, now_ms: int, event: RosterEvent) -> list[Action]:
@@ -128,7 +134,7 @@
         match event:
             case SocketsListed():
                 return self.on_sockets(now_ms, event.names)
-            case RevisionChanged():
+            case RevisionOrReadinessChanged():
                 self.revision = event.revision
                 self.ready = event.ready
                 return [SendOrders(name) for name, record in self.proxies.items() if self.is_behind(record)]
@@ -223,8 +229,8 @@
 
     def add_event(self, now_ms: int, kind: str, subject: str, text: str) -> None:
         """Add an event to the history."""
-        self.number += 1
-        self.history.append(Event(self.number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
+        self.last_event_number += 1
+        self.history.append(Event(self.last_event_number, now_ms, self.agent, kind, subject, text))  # type: ignore[arg-type]
 
     def proxy_statuses(self, now_ms: int) -> tuple[ProxyStatus, ...]:
         """Return the status of all proxies, sorted by name."""
--- a/tests/compatibility/roster_samples.py
+++ b/tests/compatibility/roster_samples.py
@@ -12,7 +12,7 @@
 DOOR = samples.STATE.name
 # Each event, and how many milliseconds after the one before it.
 STEPS: tuple[tuple[int, roster.RosterEvent], ...] = (
-    (0, roster.RevisionChanged(revision=4, ready=True)),
+    (0, roster.RevisionOrReadinessChanged(revision=4, ready=True)),
     (1, roster.SocketsListed(names=frozenset({DOOR, "n1"}))),
     (1, roster.Connected(proxy=DOOR)),
     (1, roster.StateReceived(proxy=DOOR, state=samples.STATE)),
--- a/tests/fleet/test_roster.py
+++ b/tests/fleet/test_roster.py
@@ -9,7 +9,7 @@
     Connected,
     Disconnect,
     Disconnected,
-    RevisionChanged,
+    RevisionOrReadinessChanged,
     Roster,
     SendOrders,
     SocketsListed,
@@ -29,7 +29,7 @@
 
 def connecting_roster(ready: bool = True) -> Roster:
     agent_roster = Roster("a0")
-    agent_roster.handle(0, RevisionChanged(3, ready))
+    agent_roster.handle(0, RevisionOrReadinessChanged(3, ready))
     assert agent_roster.handle(0, sockets("n0")) == [Connect("n0")]
     return agent_roster
 
@@ -40,7 +40,7 @@
     assert agent_roster.handle(9, Connected("n0")) == [SendOrders("n0")]
     assert agent_roster.handle(10, StateReceived("n0", state(revision=2))) == [SendOrders("n0")]
     assert agent_roster.handle(11, StateReceived("n0", state(revision=3))) == []
-    assert agent_roster.handle(12, RevisionChanged(4, True)) == [SendOrders("n0")]
+    assert agent_roster.handle(12, RevisionOrReadinessChanged(4, True)) == [SendOrders("n0")]
     # The proxy has restarted.
     assert agent_roster.handle(13, StateReceived("n0", state(revision=0, pid=2))) == [SendOrders("n0")]
     (status,) = agent_roster.proxy_statuses(50)
@@ -52,7 +52,7 @@
     assert (
         agent_roster.handle(1, Connected("n0")) == [] == agent_roster.handle(2, StateReceived("n0", state()))
     )
-    assert agent_roster.handle(3, RevisionChanged(3, True)) == [SendOrders("n0")]
+    assert agent_roster.handle(3, RevisionOrReadinessChanged(3, True)) == [SendOrders("n0")]
 
 
 def test_killed_stopped_and_ended_proxies_are_distinguished_and_keep_their_last_state() -> None:
--- a/tests/fleet/virtual.py
+++ b/tests/fleet/virtual.py
@@ -15,7 +15,7 @@
 from molereach.fleet.roster import (
     Connected,
     Disconnected,
-    RevisionChanged,
+    RevisionOrReadinessChanged,
     Roster,
     SendOrders,
     SocketsListed,
@@ -78,7 +78,7 @@
         self.connected: set[str] = set()
         self.tools: list[Tool] = []
         for name in self.names:
-            self.update_roster(name, RevisionChanged(0, True))
+            self.update_roster(name, RevisionOrReadinessChanged(0, True))
             self.send_heartbeat(name)
             self.sync(name)
 
@@ -114,7 +114,9 @@
     # --- agents and proxies ---
 
     def update_roster(
-        self, name: str, event: StateReceived | Disconnected | Connected | SocketsListed | RevisionChanged
+        self,
+        name: str,
+        event: StateReceived | Disconnected | Connected | SocketsListed | RevisionOrReadinessChanged,
     ) -> None:
         for action in self.rosters[name].handle(self.now_us // US_PER_MS, event):
             if isinstance(action, SendOrders):
@@ -159,14 +161,14 @@
 
     def adopt(self, name: str, record: OrderStateRecord) -> None:
         if name not in self.unreachable and self.agents[name].order_state.adopt(record):
-            self.update_roster(name, RevisionChanged(record.revision, True))
+            self.update_roster(name, RevisionOrReadinessChanged(record.revision, True))
 
     def restart_agent(self, name: str) -> None:
         """Restart an agent from its stored state, without its roster."""
         self.agents[name] = Acceptor(self.agents[name].state, self.agents[name].order_state.to_record())
         self.rosters[name] = Roster(name)
         self.connected.discard(name)
-        self.update_roster(name, RevisionChanged(self.agents[name].order_state.revision, True))
+        self.update_roster(name, RevisionOrReadinessChanged(self.agents[name].order_state.revision, True))
 
     def kill_proxy(self, name: str) -> None:
         proxy = self.proxies[name]
@@ -261,7 +263,9 @@
             revision_before = self.agents[agent].order_state.revision
             replies = self.agents[agent].handle(message)
             if self.agents[agent].order_state.revision > revision_before:
-                self.update_roster(agent, RevisionChanged(self.agents[agent].order_state.revision, True))
+                self.update_roster(
+                    agent, RevisionOrReadinessChanged(self.agents[agent].order_state.revision, True)
+                )
             for reply in replies:
                 self.transmit(
                     lambda reply=reply: self.handle(tool, events.ReplyReceived(agent, reply)), on_failure
