--- a/tests/coordination/leases/mutants.py
+++ b/tests/coordination/leases/mutants.py
@@ -60,7 +60,7 @@
         self._renewals = _AnyGrantMatches(self.instance)
 
 
-class _NumbersReused(PendingRenewals):
+class _MatchedByNumber(PendingRenewals):
     def match_grant(self, grant: RenewalGrant) -> SentRenewal | None:
         pending = self._pending.get(grant.number)
         return pending if grant.name == self._instance.name else None
@@ -70,12 +70,12 @@
         self._number = 0
 
 
-class RequestNumbersReused(LeaseHolder):
-    """Request numbers restart with each instance and session, and a grant matches by number alone."""
+class GrantsMatchedByNumber(LeaseHolder):
+    """Request numbers restart with each session; a grant matches by name and number, for any session."""
 
     def __init__(self, *arguments: object) -> None:
         super().__init__(*arguments)  # type: ignore[arg-type]
-        self._renewals = _NumbersReused(self.instance)
+        self._renewals = _MatchedByNumber(self.instance)
 
 
 class GrantsUnconfirmed(LeaseManager):
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -34,7 +34,7 @@
 from molereach.coordination.leases.renewals import MAX_PENDING_RENEWALS
 from molereach.coordination.leases.sessions import SessionRegistry
 from tests.coordination.leases.entries import A, B, entry
-from tests.coordination.leases.mutants import RequestNumbersReused
+from tests.coordination.leases.mutants import GrantsMatchedByNumber
 
 TERMS = SessionTerms()
 LATER_US = 100 * SECOND_US
@@ -94,7 +94,7 @@
     harness.handle(ProposalFinished(first.id, ProposalStatus.UNKNOWN))
     harness.now_us = max(harness.now_us, harness.holder.wake_us)
     [repeated] = harness.handle(Tick())
-    assert repeated == first, "the same id, because either may be chosen"
+    assert repeated == first, "the same id, because either attempt may be chosen"
     harness.now_us = 4 * SECOND_US
     assert LeaseAcquired(1) in harness.apply(first.body, first.id) and harness.holder.fencing_token == 1
     assert harness.holder.holds(TERMS.holder_duration_us - 1) and not harness.holder.holds(
@@ -105,7 +105,7 @@
 def test_session_whose_opening_was_chosen_too_late_needs_a_grant() -> None:
     harness = Harness()
     [propose] = harness.handle(Tick())
-    harness.now_us = 6 * SECOND_US
+    harness.now_us = 6 * SECOND_US  # after the duration of a session, counted from the proposal
     [request] = harness.apply(propose.body, propose.id)
     assert not harness.holds and harness.holder.fencing_token == 0
     assert harness.grant(request) == [LeaseAcquired(1)] and harness.holds
@@ -152,7 +152,7 @@
     assert harness.holder.holds(expires_at_us)
 
 
-def test_old_duplicate_and_dropped_grants_renew_nothing() -> None:
+def test_old_and_duplicate_grants_and_those_of_dropped_requests_renew_nothing() -> None:
     harness = Harness()
     harness.open()
     first, second = harness.next_request(), harness.next_request()
@@ -174,19 +174,21 @@
     harness = Harness()
     harness.open()
     old = harness.next_request()
-    harness.now_us = 6 * SECOND_US
+    harness.now_us = 6 * SECOND_US  # after the duration of the session
     proposals = [action for action in harness.apply(EndSession(A, 1, 0)) if isinstance(action, Propose)]
     harness.apply(proposals[0].body, proposals[0].id)
     assert harness.next_request().number > old.number
 
 
-@pytest.mark.parametrize("holder_class, still_holds", [(LeaseHolder, False), (RequestNumbersReused, True)])
+@pytest.mark.parametrize("holder_class, still_holds", [(LeaseHolder, False), (GrantsMatchedByNumber, True)])
 def test_grant_to_an_earlier_instance_does_not_renew_the_next(
     holder_class: type[LeaseHolder], still_holds: bool
 ) -> None:
     """Guards against a session that outlives its expiry because of a grant to an earlier instance.
 
-    The grant was in transit when the front door restarted. The new instance was granted nothing, so for the
+    The grant was in transit when the front door restarted, and request numbers start at 1 in each instance,
+    so it has the number of a pending request. The holder rejects it for its instance and fencing token; the
+    mutant compares only name and number. The new instance was granted nothing, so for the
     lease manager its session has expired `expiry_us` after its opening.
     """
     earlier = Harness(A, holder_class)
@@ -314,7 +316,8 @@
     assert all(not isinstance(action, Propose) for action in harness.handle(Tick()))
     [propose] = harness.apply(EndSession(A, 1, 0))
     assert decode(propose.body) == OpenSession(A)
-    # The proposal's result alone does not open it: all entries up to its position must be applied here.
+    # The proposal's result alone does not open the session at the holder: all entries up to its position
+    # must be applied here.
     harness.handle(
         ProposalFinished(
             propose.id, ProposalStatus.APPLIED, harness.sessions.apply(entry(9, OpenSession(A), A)), 9
@@ -335,7 +338,7 @@
     assert harness.grant(request) == [LeaseAcquired(4)]
 
 
-def test_opening_that_has_ended_before_it_is_applied_here_is_replaced_by_a_new_proposal() -> None:
+def test_session_ended_before_its_opening_is_applied_here_is_replaced_by_a_new_proposal() -> None:
     harness = Harness()
     [propose] = harness.handle(Tick())
     outcome = harness.sessions.apply(entry(4, OpenSession(A), A))
@@ -347,7 +350,7 @@
     assert next_proposal.id != propose.id
 
 
-def test_proposal_rejected_by_the_state_machine_is_not_repeated() -> None:
+def test_opening_rejected_by_the_state_machine_is_proposed_under_a_new_id() -> None:
     harness = Harness()
     [propose] = harness.handle(Tick())
     harness.apply(b"", propose.id)
@@ -390,7 +393,7 @@
 
 def test_entries_about_other_nodes_change_nothing() -> None:
     harness = Harness()
-    [propose] = harness.apply(OpenSession(B), proposer=B)
+    [propose] = harness.apply(OpenSession(B), proposer=B)  # the holder's own opening, due at any first event
     harness.apply(propose.body, propose.id)
     assert harness.holds and harness.apply(CloseSession(B, 1), proposer=B) == [] and harness.holds
 
@@ -424,22 +427,23 @@
     [propose] = harness.handle(Tick())
     assert harness.handle(ReleaseLease()) == [] and harness.holder.phase is LeasePhase.LEAVING
     harness.handle(ProposalFinished(propose.id, ProposalStatus.UNKNOWN))
-    harness.handle(ReleaseLease())
+    harness.handle(ReleaseLease())  # a second release changes nothing
     assert harness.holder.phase is LeasePhase.LEFT
     [close] = harness.apply(propose.body, propose.id)
     assert decode(close.body) == CloseSession(A, 1) and not harness.holds
     idle = Harness()
     idle.handle(ReleaseLease())
-    idle.handle(ReleaseLease())
+    idle.handle(ReleaseLease())  # a second release changes nothing
     assert idle.holder.phase is LeasePhase.LEFT and idle.handle(Tick()) == []
 
 
 def test_reason_of_a_lost_session_is_not_reported_for_the_next() -> None:
     harness = Harness()
     harness.open()
-    harness.now_us = 6 * SECOND_US
+    harness.now_us = 6 * SECOND_US  # after the duration of the session, so it has lapsed
     harness.handle(Tick())
     [propose] = harness.apply(EndSession(A, 1, 0))
     harness.apply(propose.body, propose.id)
     harness.now_us += TERMS.holder_duration_us
+    # The fencing token of the new session is the position of its opening, the last entry.
     assert harness.handle(Tick())[0] == LeaseLost(harness.position, "not renewed in time")
