--- a/molereach/coordination/dissemination/parent_selection.py
+++ b/molereach/coordination/dissemination/parent_selection.py
@@ -58,7 +58,7 @@
         return True
 
     def on_leader_changed(self, now_us: int, leader_changed: bool, preferred_before: str | None) -> None:
-        """Restart the search under a changed leader, and ask the parent by rank if that may differ now."""
+        """Restart the search under a changed leader, and ask the preferred parent if that may differ now."""
         if leader_changed:
             self.tracker.attempts = 0
         if leader_changed or self.state.tree.parent != preferred_before:
@@ -74,7 +74,7 @@
         """Apply a downstream update; returns whether it is a new heartbeat of the parent."""
         tracker = self.tracker
         # During a search, an earlier candidate may have been connected meanwhile. A proxy that returns to its
-        # parent by rank (attempts is 0) keeps waiting for that.
+        # preferred parent (attempts is 0) keeps waiting for that.
         is_searching = (leader_changed or tracker.attempts > 0) and not self.is_connected(now_us)
         if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.parent_name:
             tracker.attach(now_us, sender)
@@ -84,14 +84,14 @@
         return True
 
     def on_redirect(self, now_us: int, sender: str, message: Redirect, children: Collection[str]) -> None:
-        """Apply a redirect from the parent, or the consent of the parent by rank."""
+        """Apply a redirect from the parent, or the consent of the preferred parent."""
         preferred = self.state.tree.parent
         tracker = self.tracker
         if self.observe_leader(now_us, message.ballot, message.leader):
             tracker.attach(now_us, self.state.tree.parent)
         elif self.state.is_leader or message.parent == self.local.name:
             return
-        elif message.parent == sender:  # consent to be the parent; only the parent by rank was asked
+        elif message.parent == sender:  # consent to be the parent; only the preferred parent was asked
             if sender == preferred != tracker.parent_name:
                 tracker.attach(now_us, sender)
         elif sender == tracker.parent_name and not tracker.follow_redirect(now_us, message.parent):
--- a/molereach/coordination/dissemination/settings.py
+++ b/molereach/coordination/dissemination/settings.py
@@ -25,7 +25,7 @@
     parent_timeout_intervals: int = 2  # a parent without a newer heartbeat for this long is replaced
     attach_timeout_intervals: float = 1.5  # for the first heartbeat from a new parent
     max_attach_timeout_intervals: float = 3.0  # the same, after many candidates failed
-    max_preferred_parent_intervals: int = 16  # between requests to the parent by rank, while not followed
+    max_preferred_parent_intervals: int = 16  # between requests to the preferred parent, while not followed
 
     def __post_init__(self) -> None:
         """Reject values that are out of range.
--- a/molereach/fleet/agent/agent.py
+++ b/molereach/fleet/agent/agent.py
@@ -354,7 +354,10 @@
             self.spawn(self.send_orders(proxy))
 
     async def sync(self, peer: str) -> None:
-        """Adopt a peer's state if it is newer; save it before the change is reported to the roster."""
+        """Adopt a peer's state if it is newer.
+
+        The state in memory changes first; it is saved before the roster is told of the new revision.
+        """
         try:
             record = await self.fetch_state(peer, self.acceptor.order_state.revision)
             if record is not None:
--- a/tests/coordination/leases/test_holder.py
+++ b/tests/coordination/leases/test_holder.py
@@ -187,9 +187,9 @@
     """Guards against a session that outlives its expiry because of a grant to an earlier instance.
 
     The grant was in transit when the front door restarted, and request numbers start at 1 in each instance,
-    so it has the number of a pending request. The holder rejects it for its instance and fencing token; the
-    mutant compares only name and number. The new instance was granted nothing, so for the
-    lease manager its session has expired `expiry_us` after its opening.
+    so it has the number of a pending request. The holder rejects it for its instance number; the mutant
+    compares only name and number. The new instance was granted nothing, so for the lease manager its session
+    has expired `expiry_us` after its opening.
     """
     earlier = Harness(A, holder_class)
     earlier.open()
