--- a/molereach/coordination/dissemination/parent_selection.py
+++ b/molereach/coordination/dissemination/parent_selection.py
@@ -10,7 +10,7 @@
 
 
 class ParentSelection:
-    """Sets the parent, `tracker.name`; the core detects changes and reports to a new parent at once."""
+    """Sets the parent, `tracker.parent_name`; the core sees changes and reports to a new parent at once."""
 
     def __init__(
         self, local: NodeInstance, settings: DisseminationSettings, draw: Callable[[], float]
@@ -41,9 +41,9 @@
         self.on_leader_changed(now_us, leader_changed, preferred_before)
         preferred = self.state.tree.parent
         if preferred is None or led_before:
-            if self.tracker.name is None:
+            if self.tracker.parent_name is None:
                 self.search(now_us, children)
-        elif preferred != self.tracker.name:
+        elif preferred != self.tracker.parent_name:
             has_new_leader = leader_changed and self.state.leader is not None
             if has_new_leader or (preferred != preferred_before and not self.is_connected(now_us)):
                 self.tracker.attach(now_us, preferred)
@@ -58,7 +58,7 @@
         return True
 
     def on_leader_changed(self, now_us: int, leader_changed: bool, preferred_before: str | None) -> None:
-        """Restart the search under a changed leader, and ask the parent by rank if that may differ now."""
+        """Restart the search under a changed leader, and ask the preferred parent if that may differ now."""
         if leader_changed:
             self.tracker.attempts = 0
         if leader_changed or self.state.tree.parent != preferred_before:
@@ -74,25 +74,25 @@
         """Apply a downstream update; returns whether it is a new heartbeat of the parent."""
         tracker = self.tracker
         # During a search, an earlier candidate may have been connected meanwhile. A proxy that returns to its
-        # parent by rank (attempts is 0) keeps waiting for that.
+        # preferred parent (attempts is 0) keeps waiting for that.
         is_searching = (leader_changed or tracker.attempts > 0) and not self.is_connected(now_us)
-        if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.name:
+        if is_searching and heartbeat > tracker.last_heartbeat and sender != tracker.parent_name:
             tracker.attach(now_us, sender)
-        if sender != tracker.name or not tracker.on_heartbeat(now_us, heartbeat, depth):
+        if sender != tracker.parent_name or not tracker.on_heartbeat(now_us, heartbeat, depth):
             return False
         tracker.ensure_preferred_request_scheduled(now_us, self.state.tree)
         return True
 
     def on_redirect(self, now_us: int, sender: str, message: Redirect, children: Collection[str]) -> None:
-        """Apply a redirect from the parent, or the consent of the parent by rank."""
+        """Apply a redirect from the parent, or the consent of the preferred parent."""
         preferred = self.state.tree.parent
         tracker = self.tracker
         if self.observe_leader(now_us, message.ballot, message.leader):
             tracker.attach(now_us, self.state.tree.parent)
         elif self.state.is_leader or message.parent == self.local.name:
             return
-        elif message.parent == sender:  # consent to be the parent; only the parent by rank was asked
-            if sender == preferred != tracker.name:
+        elif message.parent == sender:  # consent to be the parent; only the preferred parent was asked
+            if sender == preferred != tracker.parent_name:
                 tracker.attach(now_us, sender)
-        elif sender == tracker.name and not tracker.follow_redirect(now_us, message.parent):
+        elif sender == tracker.parent_name and not tracker.follow_redirect(now_us, message.parent):
             self.search(now_us, children)
